--- a/cmd/sliptide/restart_test.go
+++ b/cmd/sliptide/restart_test.go
@@ -34,9 +34,9 @@
 		t.Fatal(err)
 	}
 	rng, held := rand.New(rand.NewPCG(1, 2)), 0
-	for ; jr.Room(16<<10) && held < 900; held++ {
+	for ; jr.HasSpace(16<<10) && held < 900; held++ {
 		body := make([]byte, rng.IntN(16<<10))
-		jr.Take(&journal.Entry{Num: jr.Next(), Trace: fmt.Sprint("m", held), Key: fmt.Sprint("k", held), Class: "note",
+		jr.Accept(&journal.Entry{Num: jr.NextNumber(), Trace: fmt.Sprint("m", held), Key: fmt.Sprint("k", held), Class: "note",
 			Tenant: "acme", Dest: 3, Deadline: time.Now().Add(20 * time.Second).UnixMilli(), Body: body})
 		if err := jr.Flush(); err != nil {
 			t.Fatal(err)
--- a/cmd/sliptide/run.go
+++ b/cmd/sliptide/run.go
@@ -94,7 +94,7 @@
 	}
 	var kept *admin.Kept
 	err = transient.Retry(startFor, transient.Disk, func() (err error) {
-		kept, err = admin.Open(fsys.Folder(cfg.State))
+		kept, err = admin.Open(fsys.ForDir(cfg.State))
 		return err
 	})
 	if err != nil {
@@ -188,7 +188,7 @@
 	case <-stop:
 	}
 	away := make(chan struct{})
-	upgraded := !place.waiting() && statedir.HeirWaits(cfg.State)
+	upgraded := !place.waiting() && statedir.SuccessorWaiting(cfg.State)
 	go func() { // what it holds is handed on at once, while its own calls still end
 		defer close(away)
 		if team.stays() {
@@ -221,13 +221,13 @@
 // startClock starts the sender's clock where its timeline in the folder goes on, whatever has become of the wall clock
 // since an earlier life. A folder that can't be written to for a while delays nothing.
 func startClock(ctx context.Context, dir string, space *statedir.Space, log zerolog.Logger) sender.Clock {
-	space.Account().Claim(timeline.Room)
+	space.Account().Claim(timeline.DiskBytes)
 	reading, err := timeline.Read(sender.Wall())
 	if err != nil {
 		log.Warn().Err(err).Msg("the wall clock is taken for the time")
 		return sender.NewClockAt(reading.Wall)
 	}
-	files := fsys.Folder(dir)
+	files := fsys.ForDir(dir)
 	start, anchor, err := timeline.Start(files, reading)
 	if err != nil {
 		log.Warn().Err(err).Msg("the timeline of an earlier life is of no use")
@@ -235,9 +235,9 @@
 	if anchor == nil {
 		return sender.NewClockAt(start)
 	}
-	if err := timeline.Keep(files, anchor); err != nil {
+	if err := timeline.Save(files, anchor); err != nil {
 		log.Warn().Err(err).Msg("the timeline is not kept, trying again")
-		go timeline.KeepTrying(files, anchor, ctx.Done())
+		go timeline.RetrySave(files, anchor, ctx.Done())
 	}
 	return sender.NewClockAt(start)
 }
@@ -248,13 +248,13 @@
 	clock sender.Clock, box *memoryBox, log zerolog.Logger) (*journal.Journal, []*journal.Entry, error) {
 	if place.waiting() {
 		log.Info().Msg("another process holds the state folder: starting beside it, to take over when it leaves")
-		jr, err := journal.OpenHeir(fsys.Folder(cfg.State), room)
+		jr, err := journal.OpenSuccessor(fsys.ForDir(cfg.State), room)
 		return jr, nil, err
 	}
 	m := openMemory(cfg, op.Knowledge, space, clock, log)
 	m.room.YieldTo(room)
 	box.set(m)
-	return journal.OpenIn(fsys.Folder(cfg.State), room)
+	return journal.OpenFS(fsys.ForDir(cfg.State), room)
 }
 
 // openTelemetry starts the way to a collector, nil where the part is off.
@@ -323,11 +323,11 @@
 // take their room.
 func openMemory(cfg *config.Config, set operator.Knowledge, space *statedir.Space, clock sender.Clock, log zerolog.Logger) memory {
 	m := memory{room: space.Account()}
-	files := fsys.Folder(cfg.State)
+	files := fsys.ForDir(cfg.State)
 	if !set.Enabled {
 		var left int64
 		for _, name := range store.Names {
-			left += statedir.Blocks(files.Size(name))
+			left += statedir.RoundToBlocks(files.Size(name))
 		}
 		m.room.Reserve(left)
 		m.room.Claim(left)
--- a/cmd/sliptide/upgrade.go
+++ b/cmd/sliptide/upgrade.go
@@ -32,8 +32,8 @@
 type place struct {
 	dir  string
 	mu   sync.Mutex
-	lock *statedir.Locked // the folder's; nil while an heir waits
-	heir *statedir.Locked // the heir's place, until it holds the folder
+	lock *statedir.DirLock // the folder's; nil while an heir waits
+	heir *statedir.DirLock // the heir's place, until it holds the folder
 }
 
 // takePlace takes the folder, or the heir's place where the same sender, on the same address for clients,
@@ -41,7 +41,7 @@
 func takePlace(dir, listen string, log zerolog.Logger) (*place, error) {
 	lock, err := statedir.Lock(dir, 0)
 	if err == nil {
-		if err := lock.Note(holder(listen)); err != nil { // an upgrade can't start beside it, which is no reason not to serve
+		if err := lock.SetHolder(holder(listen)); err != nil { // an upgrade can't start beside it, which is no reason not to serve
 			log.Warn().Err(err).Msg("state folder: the lock says nothing of its holder")
 		}
 		return &place{dir: dir, lock: lock}, nil
@@ -49,7 +49,7 @@
 	if !errors.Is(err, statedir.ErrInUse) || statedir.Holder(dir) != holder(listen) {
 		return nil, err
 	}
-	heir, err := statedir.LockHeir(dir)
+	heir, err := statedir.LockSuccessor(dir)
 	if err != nil {
 		return nil, err
 	}
@@ -130,7 +130,7 @@
 	if err := h.snd.TakeOver(m.Memory, out); err != nil {
 		h.log.Error().Err(err).Msg("taking over")
 	}
-	if err := lock.Note(holder(h.cfg.Listen)); err != nil {
+	if err := lock.SetHolder(holder(h.cfg.Listen)); err != nil {
 		h.log.Warn().Err(err).Msg("state folder: the lock says nothing of its holder")
 	}
 	h.place.mu.Lock()
--- a/internal/admin/kept.go
+++ b/internal/admin/kept.go
@@ -22,7 +22,7 @@
 )
 
 // Room is what the file and its copy may take of the lasting folder.
-var Room = 2 * statedir.Blocks(int64(operate.MaxText))
+var Room = 2 * statedir.RoundToBlocks(int64(operate.MaxText))
 
 // Kept is the set of endpoints taken out, kept in the lasting folder so that a later process, or one
 // that starts beside this one in an upgrade, holds to it. Its calls are safe for concurrent use.
--- a/internal/cli/journal.go
+++ b/internal/cli/journal.go
@@ -43,7 +43,7 @@
 		list = append(list, entryView{
 			Number: e.Num, Trace: e.Trace, Class: e.Class, Tenant: e.Tenant, Dest: e.Dest, Attempts: e.Attempts,
 			MayRun: e.MayHaveRun(), LeftMS: round(float64(e.Deadline) - env.Now()), Bytes: len(e.Body),
-			Ending: map[int]string{journal.GivenUp: "given_up", journal.HandedBack: "handed_back"}[e.Ending],
+			Ending: map[int]string{journal.EndingAbandoned: "given_up", journal.EndingReturned: "handed_back"}[e.Ending],
 		})
 	}
 	if c.JSON {
@@ -76,13 +76,13 @@
 	}
 	if c.JSON {
 		err = json.NewEncoder(env.Out).Encode(map[string]any{
-			"file": r.File, "bytes": r.Bytes, "records": r.Records, "messages": len(r.Entries), "whole_bytes": r.Whole, "fine": !r.Damaged(),
+			"file": r.File, "bytes": r.Bytes, "records": r.Records, "messages": len(r.Entries), "whole_bytes": r.ValidBytes, "fine": !r.Damaged(),
 		})
 	} else {
 		_, err = fmt.Fprintf(env.Out, "%s: %d bytes, %d records, %d messages not over\n", r.File, r.Bytes, r.Records, len(r.Entries))
 	}
 	if err == nil && r.Damaged() {
-		return fmt.Errorf("%s: from byte %d on it can't be read (after a kill, a last record that was never answered for)", r.File, r.Whole)
+		return fmt.Errorf("%s: from byte %d on it can't be read (after a kill, a last record that was never answered for)", r.File, r.ValidBytes)
 	}
 	return err
 }
--- a/internal/fleet/copies/keep/keep.go
+++ b/internal/fleet/copies/keep/keep.go
@@ -133,10 +133,10 @@
 	if f.room == nil {
 		return true
 	}
-	all := 2 * statedir.Blocks(size)
+	all := 2 * statedir.RoundToBlocks(size)
 	for name, x := range f.files {
 		if name != owner {
-			all += statedir.Blocks(x.size)
+			all += statedir.RoundToBlocks(x.size)
 		}
 	}
 	return f.room.Claim(all)
--- a/internal/fleet/copies/keep/keep_test.go
+++ b/internal/fleet/copies/keep/keep_test.go
@@ -20,9 +20,9 @@
 		t.Fatal(err)
 	}
 	defer j.Close()
-	j.Tap()
-	j.Take(&journal.Entry{Num: num, Trace: fmt.Sprint("m", num), Class: "note", Deadline: 1, Body: bytes.Repeat([]byte{'x'}, 200)})
-	return j.Tapped()
+	j.EnableCopies()
+	j.Accept(&journal.Entry{Num: num, Trace: fmt.Sprint("m", num), Class: "note", Deadline: 1, Body: bytes.Repeat([]byte{'x'}, 200)})
+	return j.RecordsToCopy()
 }
 
 func nums(records []byte) (list []uint64) {
@@ -59,15 +59,15 @@
 	for i := range 8 {
 		batches = append(batches, batch(t, uint64(i+1)))
 	}
-	none := &fsys.Faulty{FS: fsys.OS{Dir: t.TempDir()}, On: func(int, string, string) fsys.Fault { return fsys.Fault{} }}
+	none := &fsys.Faulty{FS: fsys.OS{Dir: t.TempDir()}, Inject: func(int, string, string) fsys.Fault { return fsys.Fault{} }}
 	if n, err := use(none, batches); err != nil || n != 8 {
 		t.Fatal(n, err)
 	}
 	for at := range none.Ops() {
-		for _, fault := range []fsys.Fault{{Err: fsys.ErrCrash}, {Err: fsys.ErrCrash, After: true}, {Err: fsys.ErrCrash, Bytes: 50},
-			{Err: errors.New("no room")}, {Err: errors.New("short"), Bytes: 50}} {
+		for _, fault := range []fsys.Fault{{Err: fsys.ErrCrash}, {Err: fsys.ErrCrash, Applied: true}, {Err: fsys.ErrCrash, BytesWritten: 50},
+			{Err: errors.New("no room")}, {Err: errors.New("short"), BytesWritten: 50}} {
 			dir := t.TempDir()
-			seq, _ := use(&fsys.Faulty{FS: fsys.OS{Dir: dir}, On: func(i int, _, _ string) fsys.Fault {
+			seq, _ := use(&fsys.Faulty{FS: fsys.OS{Dir: dir}, Inject: func(i int, _, _ string) fsys.Fault {
 				if i == at {
 					return fault
 				}
@@ -89,9 +89,9 @@
 func TestTorn(t *testing.T) {
 	fail := false
 	dir := t.TempDir()
-	files := &fsys.Faulty{FS: fsys.OS{Dir: dir}, On: func(_ int, op, _ string) fsys.Fault {
+	files := &fsys.Faulty{FS: fsys.OS{Dir: dir}, Inject: func(_ int, op, _ string) fsys.Fault {
 		if fail && op == "append" {
-			return fsys.Fault{Err: errors.New("EIO"), Bytes: 30}
+			return fsys.Fault{Err: errors.New("EIO"), BytesWritten: 30}
 		}
 		return fsys.Fault{}
 	}}
--- a/internal/fleet/disk/disk.go
+++ b/internal/fleet/disk/disk.go
@@ -242,7 +242,7 @@
 
 // claim asks for room for a file of that size and for its copy.
 func (l *Log) claim(size int64) bool {
-	return l.room == nil || l.room.Claim(2*statedir.Blocks(size))
+	return l.room == nil || l.room.Claim(2*statedir.RoundToBlocks(size))
 }
 
 // rewrite writes all anew beside the old file and puts it in its place.
--- a/internal/fleet/disk/disk_test.go
+++ b/internal/fleet/disk/disk_test.go
@@ -48,17 +48,17 @@
 // TestEveryOperationFails: whichever operation fails, in whatever way, or ends the process, what was acknowledged is
 // there at the next start, and the log can be written again.
 func TestEveryOperationFails(t *testing.T) {
-	none := &fsys.Faulty{FS: fsys.OS{Dir: t.TempDir()}, On: func(int, string, string) fsys.Fault { return fsys.Fault{} }}
+	none := &fsys.Faulty{FS: fsys.OS{Dir: t.TempDir()}, Inject: func(int, string, string) fsys.Fault { return fsys.Fault{} }}
 	if n, err := use(none); err != nil || n != 11 {
 		t.Fatal(n, err)
 	}
 	for at := range none.Ops() {
 		for _, fault := range []fsys.Fault{
-			{Err: fsys.ErrCrash}, {Err: fsys.ErrCrash, After: true}, {Err: fsys.ErrCrash, Bytes: 60},
-			{Err: errors.New("no room")}, {Err: errors.New("sync failed"), After: true}, {Err: errors.New("short"), Bytes: 60},
+			{Err: fsys.ErrCrash}, {Err: fsys.ErrCrash, Applied: true}, {Err: fsys.ErrCrash, BytesWritten: 60},
+			{Err: errors.New("no room")}, {Err: errors.New("sync failed"), Applied: true}, {Err: errors.New("short"), BytesWritten: 60},
 		} {
 			dir := t.TempDir()
-			n, err := use(&fsys.Faulty{FS: fsys.OS{Dir: dir}, On: func(i int, _, _ string) fsys.Fault {
+			n, err := use(&fsys.Faulty{FS: fsys.OS{Dir: dir}, Inject: func(i int, _, _ string) fsys.Fault {
 				if i == at {
 					return fault
 				}
@@ -86,9 +86,9 @@
 // TestReopen: after a write that failed nothing more is written until the log is opened again, and then it is whole.
 func TestReopen(t *testing.T) {
 	fail := false
-	files := &fsys.Faulty{FS: fsys.OS{Dir: t.TempDir()}, On: func(_ int, op, _ string) fsys.Fault {
+	files := &fsys.Faulty{FS: fsys.OS{Dir: t.TempDir()}, Inject: func(_ int, op, _ string) fsys.Fault {
 		if fail && op == "append" {
-			return fsys.Fault{Err: errors.New("EIO"), Bytes: 40}
+			return fsys.Fault{Err: errors.New("EIO"), BytesWritten: 40}
 		}
 		return fsys.Fault{}
 	}}
--- a/internal/fsys/faulty.go
+++ b/internal/fsys/faulty.go
@@ -10,16 +10,16 @@
 
 // Fault says what becomes of one operation.
 type Fault struct {
-	Err   error // nil: it succeeds. ErrCrash: it and all later ones fail
-	Bytes int   // of a write that fails: how many bytes are written first
-	After bool  // it takes effect, and fails all the same
+	Err          error // nil: it succeeds. ErrCrash: it and all later ones fail
+	BytesWritten int   // of a write that fails: how many bytes are written first
+	Applied      bool  // it takes effect, and fails all the same
 }
 
 // Faulty is an FS for tests: On is asked before each operation that changes something.
 type Faulty struct {
 	FS
 	// On is given the number of the operation, from 0, its name and the file that it changes.
-	On func(n int, op, name string) Fault
+	Inject func(n int, op, name string) Fault
 
 	mu      sync.Mutex
 	n       int
@@ -39,7 +39,7 @@
 	if f.crashed {
 		return Fault{Err: ErrCrash}
 	}
-	fault := f.On(f.n, op, name)
+	fault := f.Inject(f.n, op, name)
 	f.n++
 	f.crashed = errors.Is(fault.Err, ErrCrash)
 	return fault
@@ -50,7 +50,7 @@
 	if fault.Err == nil {
 		return act()
 	}
-	if fault.After {
+	if fault.Applied {
 		act()
 	}
 	return fault.Err
@@ -70,10 +70,10 @@
 	switch {
 	case fault.Err == nil:
 		return f.FS.Write(name, data, sync)
-	case fault.After:
+	case fault.Applied:
 		f.FS.Write(name, data, sync)
-	case fault.Bytes >= 0:
-		f.FS.Write(name, data[:min(fault.Bytes, len(data))], false)
+	case fault.BytesWritten >= 0:
+		f.FS.Write(name, data[:min(fault.BytesWritten, len(data))], false)
 	}
 	return fault.Err
 }
@@ -84,10 +84,10 @@
 	switch {
 	case fault.Err == nil:
 		return f.FS.Append(name, data, sync)
-	case fault.After:
+	case fault.Applied:
 		f.FS.Append(name, data, sync)
-	case fault.Bytes >= 0:
-		f.FS.Append(name, data[:min(fault.Bytes, len(data))], false)
+	case fault.BytesWritten >= 0:
+		f.FS.Append(name, data[:min(fault.BytesWritten, len(data))], false)
 	}
 	return fault.Err
 }
@@ -136,11 +136,11 @@
 	switch {
 	case fault.Err == nil:
 		return f.File.Write(data)
-	case fault.After:
+	case fault.Applied:
 		n, _ := f.File.Write(data)
 		return n, fault.Err
 	}
-	n, _ := f.File.Write(data[:min(max(fault.Bytes, 0), len(data))])
+	n, _ := f.File.Write(data[:min(max(fault.BytesWritten, 0), len(data))])
 	return n, fault.Err
 }
 
--- a/internal/fsys/folder.go
+++ b/internal/fsys/folder.go
@@ -10,11 +10,11 @@
 var failWhile string
 
 // Folder is the files of a folder of the operating system.
-func Folder(dir string) Opener {
+func ForDir(dir string) Opener {
 	if failWhile == "" {
 		return OS{Dir: dir}
 	}
-	return &Faulty{FS: OS{Dir: dir}, On: failingWhile(dir + failWhile)}
+	return &Faulty{FS: OS{Dir: dir}, Inject: failingWhile(dir + failWhile)}
 }
 
 // failingWhile fails operations, but for reads, while a file exists: for want of room or with an error of the device, and
@@ -24,6 +24,6 @@
 		if _, err := os.Stat(path); err != nil || op == "read" {
 			return Fault{}
 		}
-		return Fault{Err: []error{syscall.ENOSPC, syscall.EIO}[n%2], Bytes: n % 300}
+		return Fault{Err: []error{syscall.ENOSPC, syscall.EIO}[n%2], BytesWritten: n % 300}
 	}
 }
--- a/internal/journal/copies_test.go
+++ b/internal/journal/copies_test.go
@@ -15,30 +15,30 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	j.Tap()
+	j.EnableCopies()
 	var copied []byte
 	step := func() {
 		if err := j.Flush(); err != nil {
 			t.Fatal(err)
 		}
-		copied = append(copied, j.Tapped()...)
+		copied = append(copied, j.RecordsToCopy()...)
 	}
 	var list []*Entry
 	for range 4 {
-		e := &Entry{Num: j.Next(), Trace: "t", Class: "note", Deadline: 7, Body: []byte("b"), Parent: "p"}
-		j.Take(e)
+		e := &Entry{Num: j.NextNumber(), Trace: "t", Class: "note", Deadline: 7, Body: []byte("b"), TraceParent: "p"}
+		j.Accept(e)
 		list = append(list, e)
 	}
 	step()
 	j.Confirm(list[0])
-	j.Start(list[0], 5, 1)
+	j.StartAttempt(list[0], 5, 1)
 	j.Confirm(list[1])
-	taken := &Entry{Num: j.Next(), Trace: "o", Class: "note", Origin: "own/x", Token: 9, Sure: true}
-	j.Take(taken)
+	taken := &Entry{Num: j.NextNumber(), Trace: "o", Class: "note", TakeoverDuty: "own/x", TakeoverToken: 9, Confirmed: true}
+	j.Accept(taken)
 	step()
 	j.End(list[2])
-	j.Adopted(taken)
-	j.Owe(list[3], GivenUp, 0)
+	j.FinishTakeover(taken)
+	j.OweNotice(list[3], EndingAbandoned, 0)
 	step()
 	check := func(what string, got []*Entry) {
 		t.Helper()
@@ -46,16 +46,16 @@
 			t.Fatalf("%s: %d entries", what, len(got))
 		}
 		a, b, c, d := got[0], got[1], got[2], got[3]
-		if !a.Sure || a.Attempts != 1 || a.DoubtAt != 5 || a.DoubtZone != 1 || a.Parent != "p" {
+		if !a.Confirmed || a.Attempts != 1 || a.MayHaveRunAt != 5 || a.MayHaveRunZone != 1 || a.TraceParent != "p" {
 			t.Errorf("%s: an attempt that was begun: %+v", what, a)
 		}
-		if !b.Sure || b.Attempts != 0 || b.DoubtAt != 0 {
+		if !b.Confirmed || b.Attempts != 0 || b.MayHaveRunAt != 0 {
 			t.Errorf("%s: told, and not sent: %+v", what, b)
 		}
-		if c.Sure || c.Ending != GivenUp {
+		if c.Confirmed || c.Ending != EndingAbandoned {
 			t.Errorf("%s: an end that is owed: %+v", what, c)
 		}
-		if d.Origin != "" || !d.Sure {
+		if d.TakeoverDuty != "" || !d.Confirmed {
 			t.Errorf("%s: taken over: %+v", what, d)
 		}
 	}
@@ -70,8 +70,8 @@
 		t.Fatal(err)
 	}
 	check("the next start", entries)
-	again.Skip(100)
-	if n := again.Next(); n != 101 {
+	again.SkipNumbers(100)
+	if n := again.NextNumber(); n != 101 {
 		t.Errorf("the next number is %d", n)
 	}
 	again.Close()
@@ -84,13 +84,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	j.Take(&Entry{Num: j.Next(), Trace: "o", Class: "note", Origin: "own/x", Token: 9})
+	j.Accept(&Entry{Num: j.NextNumber(), Trace: "o", Class: "note", TakeoverDuty: "own/x", TakeoverToken: 9})
 	if err := j.Close(); err != nil {
 		t.Fatal(err)
 	}
 	for range 2 { // the first start writes the file anew
 		j, entries, err := Open(dir, statedir.NewSpace(1<<20).Account())
-		if err != nil || len(entries) != 1 || entries[0].Origin != "own/x" || entries[0].Token != 9 {
+		if err != nil || len(entries) != 1 || entries[0].TakeoverDuty != "own/x" || entries[0].TakeoverToken != 9 {
 			t.Fatalf("%v, %+v", err, entries)
 		}
 		j.Close()
@@ -116,16 +116,16 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	j.Hold(Hold{Kind: HoldWait, Dest: 7, Until: 50}, 1)
+	j.SetHold(Hold{Kind: HoldWait, Dest: 7, Until: 50}, 1)
 	if len(j.Holds()) != 0 {
 		t.Error("a hold is kept where nothing is copied")
 	}
-	j.Tap()
-	j.Hold(Hold{Kind: HoldWait, Dest: 7, Until: 500}, 1)
-	j.Hold(Hold{Kind: HoldWait, Dest: 7, Until: 300}, 2) // a shorter one does not cut a longer one short
-	j.Hold(Hold{Kind: HoldWait, Dest: 8, Until: 90}, 3)
-	j.Hold(Hold{Kind: HoldHand, Endpoint: "e-1", Until: Forever}, 4)
-	copied := j.Tapped()
+	j.EnableCopies()
+	j.SetHold(Hold{Kind: HoldWait, Dest: 7, Until: 500}, 1)
+	j.SetHold(Hold{Kind: HoldWait, Dest: 7, Until: 300}, 2) // a shorter one does not cut a longer one short
+	j.SetHold(Hold{Kind: HoldWait, Dest: 8, Until: 90}, 3)
+	j.SetHold(Hold{Kind: HoldDisabled, Endpoint: "e-1", Until: Forever}, 4)
+	copied := j.RecordsToCopy()
 	check := func(what string, got []Hold, want int) {
 		t.Helper()
 		if len(got) != want || got[0].Until != 500 {
@@ -135,12 +135,12 @@
 	check("copies", ReplayHolds(copied), 3)
 	check("compacted", ReplayHolds(Compact(copied)), 3)
 	check("a snapshot", ReplayHolds(j.Snapshot()), 3)
-	j.Hold(Hold{Kind: HoldHand, Endpoint: "e-1"}, 100) // put back; the wait of 8 is over
-	check("after two ended", ReplayHolds(append(copied, j.Tapped()...)), 1)
+	j.SetHold(Hold{Kind: HoldDisabled, Endpoint: "e-1"}, 100) // put back; the wait of 8 is over
+	check("after two ended", ReplayHolds(append(copied, j.RecordsToCopy()...)), 1)
 	for i := range holdsMost {
-		j.Hold(Hold{Kind: HoldDrain, Endpoint: strconv.Itoa(i), Until: 1000}, 101)
+		j.SetHold(Hold{Kind: HoldDrain, Endpoint: strconv.Itoa(i), Until: 1000}, 101)
 	}
-	if j.Hold(Hold{Kind: HoldDrain, Endpoint: "one more", Until: 1000}, 101) || len(j.Holds()) != holdsMost {
+	if j.SetHold(Hold{Kind: HoldDrain, Endpoint: "one more", Until: 1000}, 101) || len(j.Holds()) != holdsMost {
 		t.Errorf("%d holds are kept", len(j.Holds()))
 	}
 	if err := j.Close(); err != nil {
--- a/internal/journal/faults_test.go
+++ b/internal/journal/faults_test.go
@@ -22,7 +22,7 @@
 func newFailing(dir string, rng *rand.Rand) *failing {
 	f := &failing{rng: rng}
 	f.FS = fsys.OS{Dir: dir}
-	f.On = func(_ int, op, _ string) fsys.Fault {
+	f.Inject = func(_ int, op, _ string) fsys.Fault {
 		if f.down == 0 || op == "read" {
 			return fsys.Fault{}
 		}
@@ -30,7 +30,7 @@
 		if rng.IntN(3) == 0 {
 			return fsys.Fault{}
 		}
-		return fsys.Fault{Err: []error{syscall.ENOSPC, syscall.EIO}[rng.IntN(2)], Bytes: rng.IntN(120), After: rng.IntN(8) == 0}
+		return fsys.Fault{Err: []error{syscall.ENOSPC, syscall.EIO}[rng.IntN(2)], BytesWritten: rng.IntN(120), Applied: rng.IntN(8) == 0}
 	}
 	return f
 }
@@ -45,7 +45,7 @@
 			ended := map[string]bool{} // and ended so
 			for life := range 4 {
 				files.down = rng.IntN(3) * rng.IntN(12)
-				j, list, err := OpenIn(files, statedir.NewSpace(32<<10).Account())
+				j, list, err := OpenFS(files, statedir.NewSpace(32<<10).Account())
 				if err != nil {
 					t.Fatalf("life %d does not start: %v", life, err)
 				}
@@ -76,15 +76,15 @@
 			files.down = rng.IntN(20)
 		}
 		var taken, over []string
-		if trace := fmt.Sprintf("%d-%d", life, step); j.Room(600) && rng.IntN(2) == 0 {
-			e := &Entry{Num: j.Next(), Trace: trace, Dest: 1, Deadline: 1 << 41, Body: make([]byte, rng.IntN(600))}
-			j.Take(e)
+		if trace := fmt.Sprintf("%d-%d", life, step); j.HasSpace(600) && rng.IntN(2) == 0 {
+			e := &Entry{Num: j.NextNumber(), Trace: trace, Dest: 1, Deadline: 1 << 41, Body: make([]byte, rng.IntN(600))}
+			j.Accept(e)
 			live[trace] = e
 			taken = append(taken, trace)
 		}
 		for _, trace := range slices.Sorted(maps.Keys(live)) {
 			if e := live[trace]; rng.IntN(5) == 0 && !slices.Contains(taken, trace) {
-				j.Start(e, int64(step+1), 0)
+				j.StartAttempt(e, int64(step+1), 0)
 				j.End(e)
 				delete(live, trace)
 				delete(kept, trace) // from here on either is right, until a Flush succeeds
--- a/internal/journal/holds.go
+++ b/internal/journal/holds.go
@@ -16,9 +16,9 @@
 
 // The kinds.
 const (
-	HoldWait  HoldKind = 1 // a partner told a wait
-	HoldDrain HoldKind = 2 // a list says that the endpoint drains
-	HoldHand  HoldKind = 3 // the endpoint was taken out by hand
+	HoldWait     HoldKind = 1 // a partner told a wait
+	HoldDrain    HoldKind = 2 // a list says that the endpoint drains
+	HoldDisabled HoldKind = 3 // the endpoint was taken out by hand
 )
 
 // Hold is a place where nothing may be sent for a while.
@@ -46,7 +46,7 @@
 
 // Hold notes one where the journal is copied, or takes one back, by an Until of 0; now is by the same clock. Holds
 // that are over are taken back with it. Where there are too many, a further one is left out: false.
-func (j *Journal) Hold(h Hold, now int64) bool {
+func (j *Journal) SetHold(h Hold, now int64) bool {
 	if !j.tapped {
 		return true
 	}
--- a/internal/journal/inspect.go
+++ b/internal/journal/inspect.go
@@ -11,16 +11,16 @@
 
 // Report is what a journal's file holds, read without changing it.
 type Report struct {
-	File    string
-	Bytes   int64
-	Records int
-	Whole   int64 // bytes of records that can be read, from the start
-	Entries []*Entry
+	File       string
+	Bytes      int64
+	Records    int
+	ValidBytes int64 // bytes of records that can be read, from the start
+	Entries    []*Entry
 }
 
 // Damaged reports whether a part of the file can't be read. After a kill in the middle of a write that
 // is so, and no loss: a torn tail was never answered for.
-func (r *Report) Damaged() bool { return r.Whole < r.Bytes }
+func (r *Report) Damaged() bool { return r.ValidBytes < r.Bytes }
 
 // Inspect reads the journal in a folder, or a journal's file. It may be in use: the report is of the
 // moment.
@@ -40,7 +40,7 @@
 			break
 		}
 		r.Records++
-		r.Whole += n
+		r.ValidBytes += n
 		rest = rest[n:]
 	}
 	r.Entries = j.entries()
@@ -66,4 +66,4 @@
 }
 
 // MayHaveRun reports whether an attempt of e may have run, one without an outcome included.
-func (e *Entry) MayHaveRun() bool { return e.DoubtAt != 0 || e.openAt != 0 }
+func (e *Entry) MayHaveRun() bool { return e.MayHaveRunAt != 0 || e.openAt != 0 }
--- a/internal/journal/journal.go
+++ b/internal/journal/journal.go
@@ -22,32 +22,32 @@
 
 // How a message that was not delivered ends.
 const (
-	NotEnding  = 0
-	GivenUp    = 1 // failed for good
-	HandedBack = 2 // refused: it may be handed in again
+	EndingNone      = 0
+	EndingAbandoned = 1 // failed for good
+	EndingReturned  = 2 // refused: it may be handed in again
 )
 
 // Entry is one message that was taken on and is not over.
 type Entry struct {
-	Num        uint64 // the sender's number for it, never used again
-	Trace, Key string
-	Class      string
-	Tenant     string
-	Item       uint64
-	Dest       int
-	Again      bool
-	Deadline   int64 // Unix time in milliseconds
-	Body       []byte
-
-	Attempts  int
-	DoubtAt   int64 // when the first attempt that may have run was sent; 0 = none
-	DoubtZone int
-	Parent    string // the trace context that its client sent, as text; empty: none
-	Sure      bool   // its client was told that it is taken on, where copies are kept: else an heir never sends it
-	Origin    string // the duty of a lost owner that it is taken over from; empty once the fleet has agreed
-	Token     uint64 // with which that duty was held
-	Ending    int    // its notice is owed, and says so
-	RetryMS   int64
+	Num         uint64 // the sender's number for it, never used again
+	Trace, Key  string
+	Class       string
+	Tenant      string
+	OrderingKey uint64
+	Dest        int
+	Resubmitted bool
+	Deadline    int64 // Unix time in milliseconds
+	Body        []byte
+
+	Attempts       int
+	MayHaveRunAt   int64 // when the first attempt that may have run was sent; 0 = none
+	MayHaveRunZone int
+	TraceParent    string // the trace context that its client sent, as text; empty: none
+	Confirmed      bool   // its client was told that it is taken on, where copies are kept: else an heir never sends it
+	TakeoverDuty   string // the duty of a lost owner that it is taken over from; empty once the fleet has agreed
+	TakeoverToken  uint64 // with which that duty was held
+	Ending         int    // its notice is owed, and says so
+	RetryMS        int64
 
 	openAt   int64 // when the attempt without an outcome was sent; 0 = none
 	openZone int
@@ -113,12 +113,12 @@
 // A journal that a new version left beside it, and did not take over, is taken in too: first, since where
 // it did take over, the journal holds what came after.
 func Open(dir string, room *statedir.Account) (*Journal, []*Entry, error) {
-	return OpenIn(fsys.OS{Dir: dir}, room)
+	return OpenFS(fsys.OS{Dir: dir}, room)
 }
 
 // OpenIn is Open on the files of a folder. Where the folder can't be written to for a while, what it holds is returned
 // all the same, and the first Flush that succeeds makes up for it.
-func OpenIn(files fsys.Opener, room *statedir.Account) (*Journal, []*Entry, error) {
+func OpenFS(files fsys.Opener, room *statedir.Account) (*Journal, []*Entry, error) {
 	j := &Journal{files: files, name: fileName, room: room, live: map[uint64]*Entry{}, next: 1}
 	// Copies that were not finished when the process died; the journals themselves are whole. One that can't be removed
 	// is written over by the next compaction.
@@ -189,7 +189,7 @@
 
 // OpenHeir starts the journal of a new version that starts while the present one still works in the folder: a
 // file of its own, empty, whose numbers lie above all that the present one's journal has used.
-func OpenHeir(files fsys.Opener, room *statedir.Account) (*Journal, error) {
+func OpenSuccessor(files fsys.Opener, room *statedir.Account) (*Journal, error) {
 	text, err := read(files, fileName)
 	if err != nil {
 		return nil, err
@@ -255,7 +255,7 @@
 }
 
 // Next returns a number that no entry has had.
-func (j *Journal) Next() uint64 {
+func (j *Journal) NextNumber() uint64 {
 	j.next++
 	return j.next - 1
 }
@@ -263,7 +263,7 @@
 // Room reports whether a further entry of that size may be taken. The file, what
 // is to be added to it and a compacted copy must fit the room together at any
 // time: a burst of large messages could otherwise leave no room for the copy.
-func (j *Journal) Room(body int) bool {
+func (j *Journal) HasSpace(body int) bool {
 	need := int64(body) + takenSlack
 	if j.claim(need, 1) {
 		return true
@@ -275,7 +275,7 @@
 // where a compaction would make room, or nothing would: then whoever shares the folder is asked for some.
 func (j *Journal) claim(need int64, more int) bool {
 	least := j.least(need, more)
-	limit := j.room.Soft() // records that are over must not crowd out what else lies in the folder
+	limit := j.room.SoftLimit() // records that are over must not crowd out what else lies in the folder
 	if least > limit {
 		limit = j.room.Limit() // live ones may
 	}
@@ -297,7 +297,7 @@
 }
 
 // Take adds a message.
-func (j *Journal) Take(e *Entry) {
+func (j *Journal) Accept(e *Entry) {
 	j.live[e.Num] = e
 	at := len(j.buf)
 	j.buf = e.frames(j.buf)
@@ -308,13 +308,13 @@
 // frames appends all that is known of a live entry, as records.
 func (e *Entry) frames(b []byte) []byte {
 	b = frame(b, e.taken)
-	if e.Parent != "" {
+	if e.TraceParent != "" {
 		b = frame(b, e.parent)
 	}
-	if e.Origin != "" {
+	if e.TakeoverDuty != "" {
 		b = frame(b, e.origin)
 	}
-	if e.Sure {
+	if e.Confirmed {
 		b = frame(b, e.sure)
 	}
 	if e.openAt != 0 {
@@ -331,26 +331,26 @@
 
 func (e *Entry) origin(b []byte) []byte {
 	b = binary.AppendUvarint(append(b, recOrigin), e.Num)
-	return append(binary.AppendUvarint(b, e.Token), e.Origin...)
+	return append(binary.AppendUvarint(b, e.TakeoverToken), e.TakeoverDuty...)
 }
 
 // Confirm notes that the client of a message is told that it is taken on.
 func (j *Journal) Confirm(e *Entry) {
-	e.Sure = true
+	e.Confirmed = true
 	j.append(e.sure)
 }
 
 // Adopted notes that the fleet has agreed that a message of a lost owner is this sender's.
-func (j *Journal) Adopted(e *Entry) {
-	e.Origin = ""
+func (j *Journal) FinishTakeover(e *Entry) {
+	e.TakeoverDuty = ""
 	j.append(e.origin)
 }
 
 // Tap keeps the records of each step for Tapped, for copies of the journal.
-func (j *Journal) Tap() { j.tapped = true }
+func (j *Journal) EnableCopies() { j.tapped = true }
 
 // Tapped returns the records since the last call, as they went into the file, until the next change.
-func (j *Journal) Tapped() []byte {
+func (j *Journal) RecordsToCopy() []byte {
 	b := j.tap
 	j.tap = nil
 	return b
@@ -386,18 +386,18 @@
 }
 
 // Live is the bytes that the live entries take.
-func (j *Journal) Live() int64 { return j.used }
+func (j *Journal) LiveBytes() int64 { return j.used }
 
 // Skip makes all numbers up to one count as used.
-func (j *Journal) Skip(upto uint64) { j.next = max(j.next, upto+1) }
+func (j *Journal) SkipNumbers(upto uint64) { j.next = max(j.next, upto+1) }
 
 // Last is the highest number that was given out.
-func (j *Journal) Last() uint64 { return j.next - 1 }
+func (j *Journal) LastNumber() uint64 { return j.next - 1 }
 
 // parent appends the trace context as a record.
 func (e *Entry) parent(b []byte) []byte {
 	at := len(b)
-	b = append(binary.AppendUvarint(append(b, recParent), e.Num), e.Parent...)
+	b = append(binary.AppendUvarint(append(b, recParent), e.Num), e.TraceParent...)
 	e.size += int64(len(b)-at) + headSize
 	return b
 }
@@ -406,7 +406,7 @@
 func (j *Journal) Size() int64 { return j.size + int64(len(j.buf)) }
 
 // Start notes that an attempt begins; it is written before the attempt's first byte.
-func (j *Journal) Start(e *Entry, at int64, zone int) {
+func (j *Journal) StartAttempt(e *Entry, at int64, zone int) {
 	e.start(at, zone)
 	j.append(func(b []byte) []byte {
 		b = binary.AppendUvarint(append(b, recStart), e.Num)
@@ -416,7 +416,7 @@
 }
 
 // Outcome notes how the attempt that is out ended.
-func (j *Journal) Outcome(e *Entry, mayHaveRun bool) {
+func (j *Journal) EndAttempt(e *Entry, mayHaveRun bool) {
 	e.settle(mayHaveRun)
 	j.append(func(b []byte) []byte {
 		ran := byte(0)
@@ -428,7 +428,7 @@
 }
 
 // Owe notes that a message is to end undelivered, with this notice.
-func (j *Journal) Owe(e *Entry, ending int, retryMS int64) {
+func (j *Journal) OweNotice(e *Entry, ending int, retryMS int64) {
 	e.Ending, e.RetryMS = ending, retryMS
 	j.append(func(b []byte) []byte {
 		b = binary.AppendUvarint(append(b, recEnding), e.Num)
@@ -455,8 +455,8 @@
 
 // settle closes the attempt that is out. One without an outcome may have run.
 func (e *Entry) settle(mayHaveRun bool) {
-	if e.openAt != 0 && mayHaveRun && e.DoubtAt == 0 {
-		e.DoubtAt, e.DoubtZone = e.openAt, e.openZone
+	if e.openAt != 0 && mayHaveRun && e.MayHaveRunAt == 0 {
+		e.MayHaveRunAt, e.MayHaveRunZone = e.openAt, e.openZone
 	}
 	e.openAt = 0
 }
@@ -580,14 +580,14 @@
 		b = append(b, s...)
 	}
 	again, attempts := int64(0), int64(e.Attempts)
-	if e.Again {
+	if e.Resubmitted {
 		again = 1
 	}
 	if e.openAt != 0 {
 		attempts--
 	}
-	b = binary.AppendUvarint(b, e.Item)
-	for _, v := range []int64{int64(e.Dest), again, e.Deadline, attempts, e.DoubtAt, int64(e.DoubtZone), int64(e.Ending), e.RetryMS} {
+	b = binary.AppendUvarint(b, e.OrderingKey)
+	for _, v := range []int64{int64(e.Dest), again, e.Deadline, attempts, e.MayHaveRunAt, int64(e.MayHaveRunZone), int64(e.Ending), e.RetryMS} {
 		b = binary.AppendVarint(b, v)
 	}
 	b = append(b, e.Body...)
@@ -644,12 +644,12 @@
 	case recEnd:
 		delete(j.live, num)
 	case recSure:
-		e.Sure = true
+		e.Confirmed = true
 	case recOrigin:
-		e.Token = d.uvarint()
-		e.Origin = string(d.b)
+		e.TakeoverToken = d.uvarint()
+		e.TakeoverDuty = string(d.b)
 	case recParent:
-		e.Parent = string(d.b)
+		e.TraceParent = string(d.b)
 	}
 	return d.err
 }
@@ -664,9 +664,9 @@
 	for _, s := range []*string{&e.Trace, &e.Key, &e.Class, &e.Tenant} {
 		*s = d.text()
 	}
-	e.Item = d.uvarint()
-	e.Dest, e.Again, e.Deadline = int(d.varint()), d.varint() != 0, d.varint()
-	e.Attempts, e.DoubtAt, e.DoubtZone = int(d.varint()), d.varint(), int(d.varint())
+	e.OrderingKey = d.uvarint()
+	e.Dest, e.Resubmitted, e.Deadline = int(d.varint()), d.varint() != 0, d.varint()
+	e.Attempts, e.MayHaveRunAt, e.MayHaveRunZone = int(d.varint()), d.varint(), int(d.varint())
 	e.Ending, e.RetryMS = int(d.varint()), d.varint()
 	e.Body = slices.Clone(d.b)
 	return e
--- a/internal/journal/journal_test.go
+++ b/internal/journal/journal_test.go
@@ -21,7 +21,7 @@
 }
 
 func entry(j *Journal, body string) *Entry {
-	return &Entry{Num: j.Next(), Trace: "t", Key: "k", Class: "c", Tenant: "n", Item: 1 << 60, Dest: 7, Again: true, Deadline: 1 << 41, Body: []byte(body)}
+	return &Entry{Num: j.NextNumber(), Trace: "t", Key: "k", Class: "c", Tenant: "n", OrderingKey: 1 << 60, Dest: 7, Resubmitted: true, Deadline: 1 << 41, Body: []byte(body)}
 }
 
 // A journal cut off at any byte replays all records that were whole, and goes on from there.
@@ -31,8 +31,8 @@
 	a, b := entry(j, "a"), entry(j, "b")
 	var ends []int64 // of the file, after each record
 	for _, note := range []func(){
-		func() { j.Take(a) }, func() { j.Start(a, 1000, 2) }, func() { j.Outcome(a, false) }, func() { j.Start(a, 2000, 3) },
-		func() { j.Take(b) }, func() { j.Owe(b, HandedBack, 500) }, func() { j.End(b) },
+		func() { j.Accept(a) }, func() { j.StartAttempt(a, 1000, 2) }, func() { j.EndAttempt(a, false) }, func() { j.StartAttempt(a, 2000, 3) },
+		func() { j.Accept(b) }, func() { j.OweNotice(b, EndingReturned, 500) }, func() { j.End(b) },
 	} {
 		note()
 		if err := j.Flush(); err != nil {
@@ -51,7 +51,7 @@
 		j, list := open(t, dir, 1<<20)
 		got := ""
 		for _, e := range list {
-			got += fmt.Sprintf("%s %d attempts, doubt %d in %d, ending %d;", e.Body, e.Attempts, e.DoubtAt, e.DoubtZone, e.Ending)
+			got += fmt.Sprintf("%s %d attempts, doubt %d in %d, ending %d;", e.Body, e.Attempts, e.MayHaveRunAt, e.MayHaveRunZone, e.Ending)
 		}
 		a1, a2 := "a 1 attempts, doubt 0 in 0, ending 0;", "a 2 attempts, doubt 2000 in 3, ending 0;"
 		want := []string{"", "a 0 attempts, doubt 0 in 0, ending 0;", "a 1 attempts, doubt 1000 in 2, ending 0;", a1, a2,
@@ -59,7 +59,7 @@
 		if got != want {
 			t.Fatalf("cut at %d: %q, want %q", cut, got, want)
 		}
-		j.Take(entry(j, "more"))
+		j.Accept(entry(j, "more"))
 		j.Close()
 		if _, again := open(t, dir, 1<<20); len(again) != len(list)+1 {
 			t.Fatalf("cut at %d: %d entries after one more", cut, len(again))
@@ -75,16 +75,16 @@
 	var live []*Entry
 	refused := 0
 	for i := range 2000 {
-		if body := make([]byte, i%5000); j.Room(len(body)) {
+		if body := make([]byte, i%5000); j.HasSpace(len(body)) {
 			e := entry(j, string(body))
-			j.Take(e)
-			j.Start(e, int64(i+1), i%3)
+			j.Accept(e)
+			j.StartAttempt(e, int64(i+1), i%3)
 			live = append(live, e)
 		} else {
 			refused++
 		}
 		if len(live) > 30 || refused%2 == 1 && len(live) > 0 {
-			j.Outcome(live[0], true)
+			j.EndAttempt(live[0], true)
 			j.End(live[0])
 			live = live[1:]
 		}
@@ -119,7 +119,7 @@
 		os.WriteFile(filepath.Join(dir, fileName), text, 0o600)
 		j, list := open(t, dir, 1<<20)
 		e := entry(j, "x")
-		j.Take(e)
+		j.Accept(e)
 		j.Close()
 		if _, again := open(t, dir, 1<<20); len(again) != len(list)+1 {
 			t.Fatalf("%d entries, want %d", len(again), len(list)+1)
@@ -132,16 +132,16 @@
 	dir := t.TempDir()
 	j, _ := open(t, dir, 1<<20)
 	with, without := entry(j, "a"), entry(j, "b")
-	with.Parent = "00-4bf92f3577b34da6a3ce929d0e0e4736-00f067aa0ba902b7-01"
-	j.Take(with)
-	j.Take(without)
+	with.TraceParent = "00-4bf92f3577b34da6a3ce929d0e0e4736-00f067aa0ba902b7-01"
+	j.Accept(with)
+	j.Accept(without)
 	for range 3 { // each opening compacts
 		if err := j.Close(); err != nil {
 			t.Fatal(err)
 		}
 		var list []*Entry
 		j, list = open(t, dir, 1<<20)
-		if len(list) != 2 || list[0].Parent != with.Parent || list[1].Parent != "" {
+		if len(list) != 2 || list[0].TraceParent != with.TraceParent || list[1].TraceParent != "" {
 			t.Fatalf("%+v", list)
 		}
 	}
@@ -152,27 +152,27 @@
 func TestHeir(t *testing.T) {
 	dir := t.TempDir()
 	present, _ := open(t, dir, 1<<20)
-	held, over := &Entry{Num: present.Next(), Trace: "held", Deadline: 1}, &Entry{Num: present.Next(), Trace: "over", Deadline: 1}
-	present.Take(held)
-	present.Take(over)
+	held, over := &Entry{Num: present.NextNumber(), Trace: "held", Deadline: 1}, &Entry{Num: present.NextNumber(), Trace: "over", Deadline: 1}
+	present.Accept(held)
+	present.Accept(over)
 	present.Flush()
-	heir, err := OpenHeir(fsys.OS{Dir: dir}, statedir.NewSpace(1<<20).Account())
+	heir, err := OpenSuccessor(fsys.OS{Dir: dir}, statedir.NewSpace(1<<20).Account())
 	if err != nil {
 		t.Fatal(err)
 	}
-	mine := &Entry{Num: heir.Next(), Trace: "mine", Deadline: 1}
+	mine := &Entry{Num: heir.NextNumber(), Trace: "mine", Deadline: 1}
 	if mine.Num <= over.Num {
 		t.Fatalf("the heir's number %d is among the present one's", mine.Num)
 	}
-	heir.Take(mine)
+	heir.Accept(mine)
 	heir.Flush()
-	present.Start(held, 5, 0) // out when the present one leaves: it may have run
+	present.StartAttempt(held, 5, 0) // out when the present one leaves: it may have run
 	present.End(over)
 	if err := present.Close(); err != nil {
 		t.Fatal(err)
 	}
 	joined, err := heir.TakeOver()
-	if err != nil || len(joined) != 1 || joined[0].Trace != "held" || joined[0].DoubtAt != 5 {
+	if err != nil || len(joined) != 1 || joined[0].Trace != "held" || joined[0].MayHaveRunAt != 5 {
 		t.Fatalf("took over %+v, %v", joined, err)
 	}
 	heir.End(mine)
@@ -186,11 +186,11 @@
 	}
 
 	// An heir that never took over: its file is taken in at the next start, beside the journal.
-	left, err := OpenHeir(fsys.OS{Dir: dir}, statedir.NewSpace(1<<20).Account())
+	left, err := OpenSuccessor(fsys.OS{Dir: dir}, statedir.NewSpace(1<<20).Account())
 	if err != nil {
 		t.Fatal(err)
 	}
-	left.Take(&Entry{Num: left.Next(), Trace: "left", Deadline: 1})
+	left.Accept(&Entry{Num: left.NextNumber(), Trace: "left", Deadline: 1})
 	left.Close()
 	_, live = open(t, dir, 1<<20)
 	if len(live) != 2 || live[0].Trace != "held" || live[1].Trace != "left" {
--- a/internal/knowledge/keeper/keeper.go
+++ b/internal/knowledge/keeper/keeper.go
@@ -123,7 +123,7 @@
 			}
 		case <-snapshots.C:
 			k.snapshot()
-		case <-k.o.Room.Pressed():
+		case <-k.o.Room.YieldRequested():
 			k.yield()
 		case set := <-k.sets:
 			k.o.Set.HalfLives, k.o.Set.WriteEvery = set.HalfLives, set.WriteEvery
--- a/internal/knowledge/keeper/keeper_test.go
+++ b/internal/knowledge/keeper/keeper_test.go
@@ -66,7 +66,7 @@
 	t.Helper()
 	r := &rig{log: &syncBuffer{}, ops: make(chan string, 1000)}
 	r.now, r.wall = 1.8e12, 1.8e12
-	r.files = &fsys.Faulty{FS: fsys.OS{Dir: t.TempDir()}, On: func(n int, op, name string) fsys.Fault {
+	r.files = &fsys.Faulty{FS: fsys.OS{Dir: t.TempDir()}, Inject: func(n int, op, name string) fsys.Fault {
 		r.ops <- op + " " + name
 		return on(n, op, name)
 	}}
@@ -189,7 +189,7 @@
 		mu.Lock()
 		defer mu.Unlock()
 		if full && op == "write" {
-			return fsys.Fault{Err: syscall.ENOSPC, Bytes: 11}
+			return fsys.Fault{Err: syscall.ENOSPC, BytesWritten: 11}
 		}
 		return fsys.Fault{}
 	})
@@ -226,7 +226,7 @@
 	r.snapshot()
 	var gone []string
 	for !journal.Claim(32 << 10) {
-		<-r.o.Room.Pressed() // what Run waits for
+		<-r.o.Room.YieldRequested() // what Run waits for
 		r.yield()
 		if gone = append(gone, "step"); len(gone) > 2 {
 			t.Fatalf("still %d bytes claimed", r.o.Room.Claimed())
--- a/internal/knowledge/store/store.go
+++ b/internal/knowledge/store/store.go
@@ -80,7 +80,7 @@
 		book.Merge(waits)
 	}
 	for _, name := range Names {
-		s.sizes[name] = statedir.Blocks(s.fs.Size(name))
+		s.sizes[name] = statedir.RoundToBlocks(s.fs.Size(name))
 	}
 	if !s.claim(0) {
 		s.Shrink()
@@ -143,7 +143,7 @@
 	if err != nil {
 		return err
 	}
-	need := statedir.Blocks(int64(len(text)))
+	need := statedir.RoundToBlocks(int64(len(text)))
 	keep := true
 	if !s.claim(need) { // what could not be read, and the generation before, go first
 		keep = false
@@ -171,7 +171,7 @@
 	if err != nil {
 		return err
 	}
-	need := statedir.Blocks(int64(len(text)))
+	need := statedir.RoundToBlocks(int64(len(text)))
 	if !s.claim(need) {
 		if err := s.Shrink(); err != nil {
 			return err
@@ -189,7 +189,7 @@
 	fresh := name + newSuffix
 	if err := s.fs.Write(fresh, text, s.sync); err != nil {
 		err = errors.Join(fmt.Errorf("%s: %w", fresh, err), s.fs.Remove(fresh))
-		s.sizes[fresh] = statedir.Blocks(s.fs.Size(fresh)) // if it could not be removed, it takes its room
+		s.sizes[fresh] = statedir.RoundToBlocks(s.fs.Size(fresh)) // if it could not be removed, it takes its room
 		s.settle()
 		return err
 	}
@@ -198,7 +198,7 @@
 		if err := s.fs.Link(name, PrevName); err == nil {
 			s.sizes[PrevName] = s.sizes[name]
 		} else {
-			s.sizes[PrevName] = statedir.Blocks(s.fs.Size(PrevName))
+			s.sizes[PrevName] = statedir.RoundToBlocks(s.fs.Size(PrevName))
 		}
 	}
 	if err := s.fs.Rename(fresh, name); err != nil {
--- a/internal/knowledge/store/store_test.go
+++ b/internal/knowledge/store/store_test.go
@@ -129,21 +129,21 @@
 		_ = problems
 		return done
 	}
-	count := &fsys.Faulty{On: func(int, string, string) fsys.Fault { return fsys.Fault{} }}
+	count := &fsys.Faulty{Inject: func(int, string, string) fsys.Fault { return fsys.Fault{} }}
 	count.FS = fsys.OS{Dir: t.TempDir()}
 	steps(count)
 	text, _ := Encode(sample(11))
 	tried := 0
 	for _, err := range []error{fsys.ErrCrash, syscall.ENOSPC, syscall.EIO} {
 		for at := range count.Ops() {
-			cuts := []fsys.Fault{{Err: err, Bytes: -1}, {Err: err, After: true}}
+			cuts := []fsys.Fault{{Err: err, BytesWritten: -1}, {Err: err, Applied: true}}
 			for n := 0; n < len(text); n += 37 {
-				cuts = append(cuts, fsys.Fault{Err: err, Bytes: n})
+				cuts = append(cuts, fsys.Fault{Err: err, BytesWritten: n})
 			}
 			for _, fault := range cuts {
 				files := &fsys.Faulty{FS: fsys.OS{Dir: t.TempDir()}}
 				op := ""
-				files.On = func(n int, name, file string) fsys.Fault {
+				files.Inject = func(n int, name, file string) fsys.Fault {
 					if n != at {
 						return fsys.Fault{}
 					}
@@ -173,9 +173,9 @@
 func TestCrashCheckFindsWritesInPlace(t *testing.T) {
 	dir := t.TempDir()
 	text, _ := Encode(sample(0))
-	files := &fsys.Faulty{FS: fsys.OS{Dir: dir}, On: func(n int, _, _ string) fsys.Fault {
+	files := &fsys.Faulty{FS: fsys.OS{Dir: dir}, Inject: func(n int, _, _ string) fsys.Fault {
 		if n == 1 {
-			return fsys.Fault{Err: fsys.ErrCrash, Bytes: len(text) / 2}
+			return fsys.Fault{Err: fsys.ErrCrash, BytesWritten: len(text) / 2}
 		}
 		return fsys.Fault{}
 	}}
@@ -210,7 +210,7 @@
 		}
 	}
 	// Not allowed to read it (a test as root is allowed everything).
-	files := &fsys.Faulty{FS: fsys.OS{Dir: t.TempDir()}, On: func(_ int, op, name string) fsys.Fault {
+	files := &fsys.Faulty{FS: fsys.OS{Dir: t.TempDir()}, Inject: func(_ int, op, name string) fsys.Fault {
 		if op == "read" && name == BookName || op == "rename" && name == badName {
 			return fsys.Fault{Err: fs.ErrPermission}
 		}
@@ -314,7 +314,7 @@
 		list, _ := os.ReadDir(dir)
 		for _, f := range list {
 			info, _ := f.Info()
-			sum += statedir.Blocks(info.Size())
+			sum += statedir.RoundToBlocks(info.Size())
 		}
 		return sum
 	}
--- a/internal/lab/capacity/measure_sender.go
+++ b/internal/lab/capacity/measure_sender.go
@@ -159,7 +159,7 @@
 	}
 	deadline := time.Now().Add(23 * time.Hour)
 	for i := range events {
-		j.Take(entry(j.Next(), deadline))
+		j.Accept(entry(j.NextNumber(), deadline))
 		if i%1000 == 999 {
 			if err := j.Flush(); err != nil {
 				return err
@@ -223,15 +223,15 @@
 	if err != nil {
 		return 0, err
 	}
-	j.Tap()
+	j.EnableCopies()
 	total := 0
 	for range events {
-		x := entry(j.Next(), time.Now().Add(time.Hour))
-		j.Take(x)
-		j.Start(x, time.Now().UnixMilli(), 0)
-		j.Outcome(x, false)
+		x := entry(j.NextNumber(), time.Now().Add(time.Hour))
+		j.Accept(x)
+		j.StartAttempt(x, time.Now().UnixMilli(), 0)
+		j.EndAttempt(x, false)
 		j.End(x)
-		total += len(j.Tapped())
+		total += len(j.RecordsToCopy())
 	}
 	return float64(total) / 1e3, j.Close()
 }
--- a/internal/sender/calls.go
+++ b/internal/sender/calls.go
@@ -19,7 +19,7 @@
 		return
 	}
 	item := outbound.Item{ID: m.Num, Attempt: m.Attempts, Trace: m.Trace, Key: m.Key, Body: m.Body}
-	s.journal.Start(m.Entry, int64(s.now), e.Zone)
+	s.journal.StartAttempt(m.Entry, int64(s.now), e.Zone)
 	c := s.callTo(e, &item)
 	m.call, m.cutAt = c, math.Inf(1)
 	if a.After >= s.untilDeadline(m) { // else the whole call ends then, and with its connection
@@ -27,7 +27,7 @@
 	}
 	s.observeBegan(m, c, item.Attempt)
 	c.Items = append(c.Items, item)
-	c.Fresh = c.Fresh || m.DoubtAt != 0
+	c.Fresh = c.Fresh || m.MayHaveRunAt != 0
 	c.Timeout = max(c.Timeout, millis(a.After))
 	if until, bound := s.repeatUntil(m); bound && (c.Until.IsZero() || until.Before(c.Until)) {
 		c.Until = until
@@ -42,10 +42,10 @@
 // partner still drops repeats of an attempt that may have run.
 func (s *Sender) repeatUntil(m *message) (until time.Time, bound bool) {
 	c := s.set.Classes[m.class]
-	if m.DoubtAt == 0 || c.Effect != policy.Keyed {
+	if m.MayHaveRunAt == 0 || c.Effect != policy.Keyed {
 		return time.Time{}, false
 	}
-	left := float64(m.DoubtAt) + c.MemorySpan*repeatShare - s.now
+	left := float64(m.MayHaveRunAt) + c.MemorySpan*repeatShare - s.now
 	return time.Now().Add(millis(left)), true
 }
 
--- a/internal/sender/copies.go
+++ b/internal/sender/copies.go
@@ -102,9 +102,9 @@
 func (s *Sender) Copy(f CopyFleet, set CopySettings) {
 	s.copies = &copier{set: set, fleet: f, heirs: map[string]*heirOf{}, pending: map[uint64]*journal.Entry{}, live: true}
 	s.copies.owner = copies.NewOwner(set.Name, 0)
-	s.journal.Tap()
+	s.journal.EnableCopies()
 	for _, m := range s.msgs { // of an earlier life
-		if m.Sure = true; m.Origin != "" {
+		if m.Confirmed = true; m.TakeoverDuty != "" {
 			s.copies.pending[m.Num] = m.Entry
 			s.forget(m)
 		}
@@ -251,7 +251,7 @@
 func (s *Sender) handedOn(a *pb.Adoption) {
 	n := 0
 	for _, m := range s.msgs {
-		if m.Num <= a.Upto && m.Origin == "" {
+		if m.Num <= a.Upto && m.TakeoverDuty == "" {
 			s.events = append(s.events, policy.Event{Kind: policy.EvWithdrawn, ID: m.Num})
 			s.drop(m.call)
 			s.observeOver(m.Entry, telemetry.Withdrawn, 0)
@@ -268,7 +268,7 @@
 			n++
 		}
 	}
-	s.journal.Skip(a.Upto)
+	s.journal.SkipNumbers(a.Upto)
 	s.log.Info().Int("messages", n).Str("heir", a.By).Msg("copies: messages were taken over while this sender was away")
 }
 
@@ -305,8 +305,8 @@
 	c := s.copies
 	now := fleet.Now()
 	seq := uint64(0)
-	if records := s.journal.Tapped(); len(records) > 0 {
-		seq = c.owner.Append(now, records, s.journal.Last(), func() []byte { return journal.Compact(s.journal.Snapshot()) })
+	if records := s.journal.RecordsToCopy(); len(records) > 0 {
+		seq = c.owner.Append(now, records, s.journal.LastNumber(), func() []byte { return journal.Compact(s.journal.Snapshot()) })
 	}
 	for _, o := range c.owner.Take(now, s.journal.Snapshot) {
 		c.fleet.SendCopy(o.To, o.Frame)
@@ -384,7 +384,7 @@
 		if m == nil {
 			continue
 		}
-		if !m.Sure || s.forbidsRepeats(m.Class) {
+		if !m.Confirmed || s.forbidsRepeats(m.Class) {
 			return true
 		}
 	}
--- a/internal/sender/copystatus.go
+++ b/internal/sender/copystatus.go
@@ -25,7 +25,7 @@
 	}
 	for _, h := range st.Holders {
 		if !h.Whole {
-			st.Left += s.journal.Live()
+			st.Left += s.journal.LiveBytes()
 		}
 	}
 	c.status.Store(&st)
--- a/internal/sender/holds.go
+++ b/internal/sender/holds.go
@@ -14,11 +14,11 @@
 const drainHold = 30e3
 
 func (s *Sender) holdByHand(id string, out bool) {
-	h := journal.Hold{Kind: journal.HoldHand, Endpoint: id}
+	h := journal.Hold{Kind: journal.HoldDisabled, Endpoint: id}
 	if out {
 		h.Until = journal.Forever
 	}
-	s.journal.Hold(h, int64(s.now))
+	s.journal.SetHold(h, int64(s.now))
 }
 
 func (s *Sender) holdListed(e *discovery.Endpoint) {
@@ -29,7 +29,7 @@
 	if e.State != policy.Ready {
 		h.Until = int64(s.now + drainHold)
 	}
-	s.journal.Hold(h, int64(s.now))
+	s.journal.SetHold(h, int64(s.now))
 }
 
 // bringHolds takes what the owner knew into the copies of this journal, by this sender's clock.
@@ -42,7 +42,7 @@
 		if x.Until > int64(s.now) {
 			h.holds = append(h.holds, x)
 			if x.Kind == journal.HoldWait { // the others end with the messages that are taken over
-				s.journal.Hold(x, int64(s.now))
+				s.journal.SetHold(x, int64(s.now))
 			}
 		}
 	}
--- a/internal/sender/inherit.go
+++ b/internal/sender/inherit.go
@@ -85,22 +85,22 @@
 	var keys []uint64
 	doubted := 0
 	for _, e := range journal.Replay(h.Found.Records) {
-		if e.Origin != "" && duty.Agreed(look.Adopted[ownerOf(e.Origin)], e.Token).GetBy() != h.Owner {
+		if e.TakeoverDuty != "" && duty.Agreed(look.Adopted[ownerOf(e.TakeoverDuty)], e.TakeoverToken).GetBy() != h.Owner {
 			continue // it was being taken over itself, and that was not agreed on
 		}
-		e.Num, e.Origin, e.Token = s.journal.Next(), d.Name, d.Token
+		e.Num, e.TakeoverDuty, e.TakeoverToken = s.journal.NextNumber(), d.Name, d.Token
 		e.Deadline += shift
-		if e.DoubtAt != 0 {
-			e.DoubtAt += shift
+		if e.MayHaveRunAt != 0 {
+			e.MayHaveRunAt += shift
 		}
-		if e.DoubtAt == 0 && s.forbidsRepeats(e.Class) && !h.Complete(c.needs(e.Class)) {
-			e.DoubtAt = int64(s.now) // it may have run: who knows of it is away
+		if e.MayHaveRunAt == 0 && s.forbidsRepeats(e.Class) && !h.Complete(c.needs(e.Class)) {
+			e.MayHaveRunAt = int64(s.now) // it may have run: who knows of it is away
 			doubted++
 		}
-		s.journal.Take(e)
+		s.journal.Accept(e)
 		c.pending[e.Num] = e
 		h.nums = append(h.nums, e.Num)
-		if k := keyHash([]byte(e.Key)); k != 0 && e.Sure && e.Ending == journal.NotEnding {
+		if k := keyHash([]byte(e.Key)); k != 0 && e.Confirmed && e.Ending == journal.EndingNone {
 			keys = append(keys, k)
 		}
 	}
@@ -151,18 +151,18 @@
 	n, sure, till := 0, 0, s.now
 	s.heed(holds)
 	for num, e := range s.copies.pending {
-		if ownerOf(e.Origin) != owner || e.Token != token {
+		if ownerOf(e.TakeoverDuty) != owner || e.TakeoverToken != token {
 			continue
 		}
 		delete(s.copies.pending, num)
-		s.journal.Adopted(e)
+		s.journal.FinishTakeover(e)
 		n++
 		switch {
-		case e.Ending == journal.NotEnding && !e.Sure:
+		case e.Ending == journal.EndingNone && !e.Confirmed:
 			// Its client may have been refused: it is handed back, and never sent.
-			s.owe(e, journal.HandedBack, 0)
-		case e.Ending == journal.NotEnding && slices.Contains(elsewhere, keyHash([]byte(e.Key))):
-			s.owe(e, journal.GivenUp, 0)
+			s.owe(e, journal.EndingReturned, 0)
+		case e.Ending == journal.EndingNone && slices.Contains(elsewhere, keyHash([]byte(e.Key))):
+			s.owe(e, journal.EndingAbandoned, 0)
 		default:
 			sure, till = sure+1, max(till, float64(e.Deadline))
 			s.restore(e)
@@ -185,7 +185,7 @@
 	}
 	open := map[try]bool{}
 	for _, e := range c.pending {
-		open[try{ownerOf(e.Origin), e.Token}] = true
+		open[try{ownerOf(e.TakeoverDuty), e.TakeoverToken}] = true
 	}
 	for t := range open {
 		a, d, h := look.Adopted[t.owner], look.Own[t.owner], c.heirs[t.owner]
@@ -199,7 +199,7 @@
 		case a != nil && a.Token > t.token, look.Mine(d) && d.Token > t.token, d != nil && !look.Mine(d), d == nil:
 			// The duty is another's now, or nobody's: it was not agreed on, and never will be.
 			for num, e := range c.pending {
-				if ownerOf(e.Origin) == t.owner && e.Token == t.token {
+				if ownerOf(e.TakeoverDuty) == t.owner && e.TakeoverToken == t.token {
 					delete(c.pending, num)
 					s.journal.End(e)
 				}
--- a/internal/sender/journal_test.go
+++ b/internal/sender/journal_test.go
@@ -18,8 +18,8 @@
 // failingBench is a bench whose folder fails as fault says.
 func failingBench(t *testing.T, fault func(op string) fsys.Fault) *bench {
 	t.Helper()
-	files := &fsys.Faulty{FS: fsys.OS{Dir: t.TempDir()}, On: func(_ int, op, _ string) fsys.Fault { return fault(op) }}
-	j, restored, err := journal.OpenIn(files, statedir.NewSpace(1<<20).Account())
+	files := &fsys.Faulty{FS: fsys.OS{Dir: t.TempDir()}, Inject: func(_ int, op, _ string) fsys.Fault { return fault(op) }}
+	j, restored, err := journal.OpenFS(files, statedir.NewSpace(1<<20).Account())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -37,7 +37,7 @@
 	var down atomic.Bool
 	b := failingBench(t, func(op string) (f fsys.Fault) {
 		if down.Load() {
-			f = fsys.Fault{Err: syscall.EIO, Bytes: 1 << 20} // all is written, and said to have failed
+			f = fsys.Fault{Err: syscall.EIO, BytesWritten: 1 << 20} // all is written, and said to have failed
 		}
 		return f
 	})
--- a/internal/sender/leaderends_test.go
+++ b/internal/sender/leaderends_test.go
@@ -79,7 +79,7 @@
 
 func (b *bench) inDoubt(m *message) {
 	b.t.Helper()
-	if m.DoubtAt == 0 {
+	if m.MayHaveRunAt == 0 {
 		b.t.Errorf("%s is taken for delivered, or not in doubt: %+v", m.Trace, m.Entry)
 	}
 }
--- a/internal/sender/memory.go
+++ b/internal/sender/memory.go
@@ -105,7 +105,7 @@
 	}
 	// Its end is rounded up: the partner counts from when its answer was written.
 	until := int64(s.now+wait) + 1
-	s.journal.Hold(journal.Hold{Kind: journal.HoldWait, Dest: r.Dest, Endpoint: r.Endpoint, Until: until}, int64(s.now))
+	s.journal.SetHold(journal.Hold{Kind: journal.HoldWait, Dest: r.Dest, Endpoint: r.Endpoint, Until: until}, int64(s.now))
 	if s.memory.Keeper != nil {
 		s.memory.Keeper.Wait(knowledge.Wait{Route: r, Told: int64(s.now), Until: until})
 	}
--- a/internal/sender/observe.go
+++ b/internal/sender/observe.go
@@ -87,8 +87,8 @@
 	if !s.observer.On() {
 		return
 	}
-	s.observer.Push(telemetry.Record{Kind: telemetry.Taken, Num: e.Num, Dest: int32(e.Dest), Class: uint8(class), Again: e.Again, Restored: restored,
-		Attempt: int16(e.Attempts), At: s.now, Until: float64(e.Deadline), Text: e.Trace, Parent: parent([]byte(e.Parent))})
+	s.observer.Push(telemetry.Record{Kind: telemetry.Taken, Num: e.Num, Dest: int32(e.Dest), Class: uint8(class), Again: e.Resubmitted, Restored: restored,
+		Attempt: int16(e.Attempts), At: s.now, Until: float64(e.Deadline), Text: e.Trace, Parent: parent([]byte(e.TraceParent))})
 }
 
 func (s *Sender) observeRefused(dest int, why telemetry.Cause) {
--- a/internal/sender/orders.go
+++ b/internal/sender/orders.go
@@ -59,7 +59,7 @@
 		s.observeRefused(m.Dest, telemetry.CauseRoute)
 		o.verdict <- Verdict{NoRoute: true, RetryAfter: s.busyRetry()}
 		return
-	case !s.stopAt.IsZero(), s.halted, left <= 0, s.copyRefuses(), s.set.MaxHeld > 0 && len(s.msgs) >= s.set.MaxHeld, !s.journal.Room(len(m.Body)):
+	case !s.stopAt.IsZero(), s.halted, left <= 0, s.copyRefuses(), s.set.MaxHeld > 0 && len(s.msgs) >= s.set.MaxHeld, !s.journal.HasSpace(len(m.Body)):
 		s.guard.Arrived(s.now, m.Dest, keyHash(m.Key), m.Again)
 		s.observeRefused(m.Dest, s.whyNot())
 		o.verdict <- Verdict{RetryAfter: s.comeBack(m.Dest, m.Key, max(left, 0), s.busyRetry()), Short: s.copyRefuses()}
@@ -68,16 +68,16 @@
 	s.guard.Arrived(s.now, m.Dest, keyHash(m.Key), m.Again)
 	s.guard.Held(s.now, m.Dest, 1)
 	e := &journal.Entry{
-		Num: s.journal.Next(), Trace: string(m.Trace), Key: string(m.Key), Class: s.set.Classes[m.Class].Name,
-		Item: m.Item, Dest: m.Dest, Again: m.Again, Deadline: int64(s.now + left), Body: slices.Clone(m.Body),
+		Num: s.journal.NextNumber(), Trace: string(m.Trace), Key: string(m.Key), Class: s.set.Classes[m.Class].Name,
+		OrderingKey: m.Item, Dest: m.Dest, Resubmitted: m.Again, Deadline: int64(s.now + left), Body: slices.Clone(m.Body),
 	}
 	if m.Tenant < len(s.set.Tenants) {
 		e.Tenant = s.set.Tenants[m.Tenant].Name
 	}
 	if s.observer.On() {
-		e.Parent = parent(m.Parent).Text()
+		e.TraceParent = parent(m.Parent).Text()
 	}
-	s.journal.Take(e)
+	s.journal.Accept(e)
 	s.msgs[e.Num] = &message{Entry: e, class: m.Class, takenAt: s.now, claim: s.claimFor(m)}
 	s.traces[e.Trace] = e.Num
 	s.observeTaken(e, m.Class, false)
@@ -146,10 +146,10 @@
 	s.drop(m.call)
 	s.past.add(m.Trace, s.now)
 	s.forget(m)
-	ending := journal.GivenUp
+	ending := journal.EndingAbandoned
 	if a.Kind == policy.ActRefuse {
-		ending = journal.HandedBack
+		ending = journal.EndingReturned
 	}
-	s.observeOver(m.Entry, [...]telemetry.End{journal.GivenUp: telemetry.GivenUp, journal.HandedBack: telemetry.HandedBack}[ending], after)
+	s.observeOver(m.Entry, [...]telemetry.End{journal.EndingAbandoned: telemetry.GivenUp, journal.EndingReturned: telemetry.HandedBack}[ending], after)
 	s.owe(m.Entry, ending, after)
 }
--- a/internal/sender/outcomes.go
+++ b/internal/sender/outcomes.go
@@ -49,7 +49,7 @@
 			s.over(m)
 			continue
 		}
-		s.journal.Outcome(m.Entry, !e.Outcome.NeverRan())
+		s.journal.EndAttempt(m.Entry, !e.Outcome.NeverRan())
 	}
 }
 
@@ -91,7 +91,7 @@
 			}
 			m.call = nil
 			s.leaderEnds(c, m)
-			s.journal.Outcome(m.Entry, true)
+			s.journal.EndAttempt(m.Entry, true)
 			s.events = append(s.events, policy.Event{
 				Kind: policy.EvOutcome, ID: m.Num, Attempt: c.Items[i].Attempt, Endpoint: c.Endpoint,
 				Outcome: policy.Timeout, Latency: float64(time.Since(c.SentAt)) / 1e6,
@@ -136,11 +136,11 @@
 
 // owe ends a message that was taken on by a notice. It is over once that is taken.
 func (s *Sender) owe(e *journal.Entry, ending int, after float64) {
-	s.journal.Owe(e, ending, int64(after))
+	s.journal.OweNotice(e, ending, int64(after))
 	s.owed[e.Num] = e
 	s.notify(e)
 }
 
 func (s *Sender) notify(e *journal.Entry) {
-	s.notices(discovery.Notice{Num: e.Num, Trace: e.Trace, HandedBack: e.Ending == journal.HandedBack, RetryMS: e.RetryMS})
+	s.notices(discovery.Notice{Num: e.Num, Trace: e.Trace, HandedBack: e.Ending == journal.EndingReturned, RetryMS: e.RetryMS})
 }
--- a/internal/sender/sender.go
+++ b/internal/sender/sender.go
@@ -282,15 +282,15 @@
 	class, _ := s.ClassOf([]byte(e.Class))
 	left := float64(e.Deadline) - s.now
 	switch {
-	case e.Origin != "" && s.copies != nil: // being taken over when the last life ended
+	case e.TakeoverDuty != "" && s.copies != nil: // being taken over when the last life ended
 		s.copies.pending[e.Num] = e
 		return
-	case e.Ending != journal.NotEnding: // the module had decided; its notice may not have been taken
+	case e.Ending != journal.EndingNone: // the module had decided; its notice may not have been taken
 		s.owed[e.Num] = e
 		s.notify(e)
 		return
 	case left <= 0:
-		s.owe(e, journal.GivenUp, 0)
+		s.owe(e, journal.EndingAbandoned, 0)
 		return
 	case class < 0:
 		class = s.unknownClass()
@@ -300,11 +300,11 @@
 	s.guard.Held(s.now, e.Dest, 1)
 	s.observeTaken(e, class, true)
 	ev := policy.Event{
-		Kind: policy.EvMessage, ID: e.Num, Class: class, Key: e.Item, Left: left, Again: e.Again,
-		Dest: e.Dest, Restored: true, Attempts: e.Attempts, Doubtful: e.DoubtAt != 0, Zone: e.DoubtZone,
+		Kind: policy.EvMessage, ID: e.Num, Class: class, Key: e.OrderingKey, Left: left, Again: e.Resubmitted,
+		Dest: e.Dest, Restored: true, Attempts: e.Attempts, Doubtful: e.MayHaveRunAt != 0, Zone: e.MayHaveRunZone,
 	}
 	if ev.Doubtful {
-		ev.DoubtAge = s.now - float64(e.DoubtAt)
+		ev.DoubtAge = s.now - float64(e.MayHaveRunAt)
 	}
 	s.events = append(s.events, ev)
 }
--- a/internal/sender/shards_test.go
+++ b/internal/sender/shards_test.go
@@ -67,7 +67,7 @@
 	if v := b.handTo("foreign", 4); !v.Misdirected || !slices.Equal(v.Belongs, table.Replicas(shard.Of(4))) {
 		t.Errorf("for another's destination: %+v, want the replicas %v", v, table.Replicas(shard.Of(4)))
 	}
-	if len(b.msgs) != 0 || b.Sender.journal.Last() != 0 {
+	if len(b.msgs) != 0 || b.Sender.journal.LastNumber() != 0 {
 		t.Errorf("a message that was refused is held, or in the journal")
 	}
 	if v := b.handTo("own", 3); !v.Taken {
--- a/internal/sender/stopping_test.go
+++ b/internal/sender/stopping_test.go
@@ -81,7 +81,7 @@
 	n, e := (<-gone).Num, b.msgs[(<-told).Num]
 	b.drop(e.call)
 	b.forget(e)
-	b.owe(e.Entry, journal.HandedBack, 0)
+	b.owe(e.Entry, journal.EndingReturned, 0)
 	b.next()
 	b.post(input{call: c, events: []policy.Event{{Kind: policy.EvOutcome, ID: m.Num, Endpoint: 1, Outcome: policy.OK}}})
 	b.Told([]uint64{e.Num})
@@ -117,10 +117,10 @@
 	}
 	b.leave()
 	next := b.nextLife()
-	if e := next["begun"]; e == nil || e.DoubtAt == 0 {
+	if e := next["begun"]; e == nil || e.MayHaveRunAt == 0 {
 		t.Errorf("begun: %+v, want one that may have run", e)
 	}
-	if e := next["waiting"]; e == nil || e.DoubtAt != 0 || e.Attempts != 1 {
+	if e := next["waiting"]; e == nil || e.MayHaveRunAt != 0 || e.Attempts != 1 {
 		t.Errorf("waiting: %+v, want one that surely has not run, and an attempt that counts", e)
 	}
 }
--- a/internal/sender/window_test.go
+++ b/internal/sender/window_test.go
@@ -29,7 +29,7 @@
 	if !first.Until.IsZero() {
 		t.Errorf("a first attempt is bound: %v", first.Until)
 	}
-	began := time.UnixMilli(b.msgs[b.traces["keyed"]].DoubtAt)
+	began := time.UnixMilli(b.msgs[b.traces["keyed"]].MayHaveRunAt)
 	if !began.Equal(time.UnixMilli(0)) {
 		t.Fatalf("in doubt before its call has ended: %v", began)
 	}
@@ -41,12 +41,12 @@
 	b.next()
 	m, safe := b.msgs[b.traces["keyed"]], b.msgs[b.traces["safe"]]
 	b.await("no repeat", func() bool { return m.call != nil })
-	window := float64(m.DoubtAt) + benchClasses[1].MemorySpan
+	window := float64(m.MayHaveRunAt) + benchClasses[1].MemorySpan
 	left := window - b.now - float64(time.Until(m.call.Until))/1e6
 	if m.call.Until.IsZero() || left <= 0 || left > benchClasses[1].MemorySpan {
 		t.Errorf("the repeat may be written until %v, %g ms before the window's end", m.call.Until, left)
 	}
-	if _, bound := b.repeatUntil(safe); bound || safe.DoubtAt == 0 {
+	if _, bound := b.repeatUntil(safe); bound || safe.MayHaveRunAt == 0 {
 		t.Error("a class that may be repeated at will is bound")
 	}
 }
--- a/internal/statedir/statedir.go
+++ b/internal/statedir/statedir.go
@@ -25,7 +25,7 @@
 // Lock takes the folder dir for this process, until Unlock or the process's end, however that comes.
 // A predecessor may still be leaving: it is waited for as long as patience. The lock belongs to the
 // open file (flock), so no stale one can be left behind.
-func Lock(dir string, patience time.Duration) (*Locked, error) {
+func Lock(dir string, patience time.Duration) (*DirLock, error) {
 	f, err := os.OpenFile(filepath.Join(dir, lockName), os.O_RDWR|os.O_CREATE, 0o600)
 	if err != nil {
 		return nil, fmt.Errorf("state folder: %w", err)
@@ -34,7 +34,7 @@
 		err := lock(f)
 		switch {
 		case err == nil:
-			return &Locked{f}, nil
+			return &DirLock{f}, nil
 		case err != syscall.EWOULDBLOCK:
 			f.Close()
 			return nil, fmt.Errorf("state folder %s: lock: %w", dir, err)
@@ -50,7 +50,7 @@
 
 // LockHeir takes the folder's second place, that of a new version started beside the present one; there is
 // one such place. It does not wait: ErrInUse where another heir has it.
-func LockHeir(dir string) (*Locked, error) {
+func LockSuccessor(dir string) (*DirLock, error) {
 	f, err := os.OpenFile(filepath.Join(dir, heirName), os.O_RDWR|os.O_CREATE, 0o600)
 	if err != nil {
 		return nil, fmt.Errorf("state folder: %w", err)
@@ -62,11 +62,11 @@
 		}
 		return nil, fmt.Errorf("state folder %s: lock: %w", dir, err)
 	}
-	return &Locked{f}, nil
+	return &DirLock{f}, nil
 }
 
 // HeirWaits reports whether a new version holds the folder's second place and waits to take over.
-func HeirWaits(dir string) bool {
+func SuccessorWaiting(dir string) bool {
 	f, err := os.OpenFile(filepath.Join(dir, heirName), os.O_RDWR, 0)
 	if err != nil {
 		return false // no heir has ever been here
@@ -86,7 +86,7 @@
 
 // Note writes what the holder is into the lock file, for a process that finds the folder held: a new
 // version of the same sender may start beside it, anything else may not.
-func (l *Locked) Note(text string) error {
+func (l *DirLock) SetHolder(text string) error {
 	if err := l.f.Truncate(0); err != nil {
 		return err
 	}
@@ -101,13 +101,13 @@
 }
 
 // Locked is a folder that this process holds.
-type Locked struct{ f *os.File }
+type DirLock struct{ f *os.File }
 
 // Unlock lets the folder go.
-func (l *Locked) Unlock() error { return l.f.Close() }
+func (l *DirLock) Unlock() error { return l.f.Close() }
 
 // Blocks is what a file of that many bytes takes of the room: whole blocks.
-func Blocks(bytes int64) int64 { return (bytes + block - 1) / block * block }
+func RoundToBlocks(bytes int64) int64 { return (bytes + block - 1) / block * block }
 
 // Space is the room of the folder. Each holder claims what it may need at most, copies included, before
 // it writes; the claims together never pass the total. It is safe for concurrent use, and no call waits
@@ -165,7 +165,7 @@
 }
 
 // Soft is how much the account may take for what it could do without, such as records that are over.
-func (a *Account) Soft() int64 {
+func (a *Account) SoftLimit() int64 {
 	a.space.mu.Lock()
 	defer a.space.mu.Unlock()
 	return a.space.total - max(a.space.kept, a.space.claimed-a.mine)
@@ -186,4 +186,4 @@
 }
 
 // Pressed tells when another account found no room.
-func (a *Account) Pressed() <-chan struct{} { return a.short }
+func (a *Account) YieldRequested() <-chan struct{} { return a.short }
--- a/internal/statedir/statedir_test.go
+++ b/internal/statedir/statedir_test.go
@@ -54,14 +54,14 @@
 		}
 	}
 	select {
-	case <-second.Pressed():
+	case <-second.YieldRequested():
 	default:
 		t.Error("the one that yields was not told")
 	}
-	if first.Claim(0); first.Soft() != 700 || first.Limit() != 1000 {
-		t.Errorf("soft %d, limit %d", first.Soft(), first.Limit())
+	if first.Claim(0); first.SoftLimit() != 700 || first.Limit() != 1000 {
+		t.Errorf("soft %d, limit %d", first.SoftLimit(), first.Limit())
 	}
-	if Blocks(0) != 0 || Blocks(1) != 512 || Blocks(512) != 512 || Blocks(513) != 1024 {
+	if RoundToBlocks(0) != 0 || RoundToBlocks(1) != 512 || RoundToBlocks(512) != 512 || RoundToBlocks(513) != 1024 {
 		t.Error("blocks")
 	}
 }
--- a/internal/timeline/timeline.go
+++ b/internal/timeline/timeline.go
@@ -26,7 +26,7 @@
 	retryFile = time.Second
 	readFor   = 10 * time.Second // an anchor that can't be read is tried so long: without it deadlines move
 	// Room is the bytes that the anchor's file and its copy take in the folder.
-	Room = 1024
+	DiskBytes = 1024
 )
 
 // Reading is one look at the clocks.
@@ -76,7 +76,7 @@
 }
 
 // Keep puts an anchor into the folder, whole or not at all.
-func Keep(files fsys.FS, anchor []byte) error {
+func Save(files fsys.FS, anchor []byte) error {
 	if err := files.Write(newName, anchor, false); err != nil {
 		return errors.Join(fmt.Errorf("%s: %w", newName, err), files.Remove(newName))
 	}
@@ -87,14 +87,14 @@
 }
 
 // KeepTrying calls Keep, a moment apart, until it succeeds or stop is closed.
-func KeepTrying(files fsys.FS, anchor []byte, stop <-chan struct{}) {
+func RetrySave(files fsys.FS, anchor []byte, stop <-chan struct{}) {
 	for {
 		select {
 		case <-stop:
 			return
 		case <-time.After(retryFile):
 		}
-		if Keep(files, anchor) == nil {
+		if Save(files, anchor) == nil {
 			return
 		}
 	}
--- a/internal/timeline/timeline_test.go
+++ b/internal/timeline/timeline_test.go
@@ -23,7 +23,7 @@
 	} {
 		files := fsys.OS{Dir: t.TempDir()}
 		start, anchor, err := Start(files, first)
-		if err != nil || start != first.Wall || Keep(files, anchor) != nil {
+		if err != nil || start != first.Wall || Save(files, anchor) != nil {
 			t.Fatalf("first life: %v, %v", start, err)
 		}
 		if start, _, err := Start(files, row.now); err != nil || start != row.want {
@@ -36,10 +36,10 @@
 func TestAnchorIsKeptOnceTheFolderTakesIt(t *testing.T) {
 	dir := t.TempDir()
 	failures := 1
-	files := &fsys.Faulty{FS: fsys.OS{Dir: dir}, On: func(_ int, op, _ string) (f fsys.Fault) {
+	files := &fsys.Faulty{FS: fsys.OS{Dir: dir}, Inject: func(_ int, op, _ string) (f fsys.Fault) {
 		if op == "write" && failures > 0 {
 			failures--
-			f = fsys.Fault{Err: syscall.ENOSPC, Bytes: 3}
+			f = fsys.Fault{Err: syscall.ENOSPC, BytesWritten: 3}
 		}
 		return f
 	}}
@@ -48,10 +48,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := Keep(files, anchor); err == nil {
+	if err := Save(files, anchor); err == nil {
 		t.Fatal("the folder takes it at once")
 	}
-	KeepTrying(files, anchor, nil)
+	RetrySave(files, anchor, nil)
 	if start, _, err := Start(files, Reading{Wall: 2e12, Monotonic: 1, Boot: "a"}); err != nil || start != now.Wall {
 		t.Errorf("starts at %f: %v", start, err)
 	}
@@ -62,11 +62,11 @@
 	disk := fsys.OS{Dir: t.TempDir()}
 	first := Reading{Wall: 1e12, Monotonic: 1, Boot: "a"}
 	_, anchor, err := Start(disk, first)
-	if err != nil || Keep(disk, anchor) != nil {
+	if err != nil || Save(disk, anchor) != nil {
 		t.Fatalf("first life: %v", err)
 	}
 	failures := 2
-	files := &fsys.Faulty{FS: disk, On: func(_ int, op, _ string) (f fsys.Fault) {
+	files := &fsys.Faulty{FS: disk, Inject: func(_ int, op, _ string) (f fsys.Fault) {
 		if op == "read" && failures > 0 {
 			failures--
 			f.Err = syscall.EIO
