--- a/internal/fsys/faulty.go
+++ b/internal/fsys/faulty.go
@@ -5,60 +5,61 @@
 	"sync"
 )
 
-// ErrCrash is what every operation returns after a simulated end of the process.
-var ErrCrash = errors.New("the process has ended")
+// ErrCrash is returned by every operation from a simulated crash of the process on.
+var ErrCrash = errors.New("simulated crash of the process")
 
-// Fault says what becomes of one operation.
+// Fault is the result that is injected into one operation.
 type Fault struct {
-	Err          error // nil: it succeeds. ErrCrash: it and all later ones fail
-	BytesWritten int   // of a write that fails: how many bytes are written first
-	Applied      bool  // it takes effect, and fails all the same
+	Err          error // nil: the operation runs. ErrCrash: it and all later ones fail
+	BytesWritten int   // in a failing write: bytes written before the error
+	Applied      bool  // the operation takes effect although it returns Err
 }
 
-// Faulty is an FS for tests: On is asked before each operation that changes something.
+// Faulty is an FS for tests that injects faults into the operations of another FS.
 type Faulty struct {
 	FS
-	// On is given the number of the operation, from 0, its name and the file that it changes.
+	// Inject is called before each operation, with the operation's number, from 0, its name and its file. It returns
+	// the fault to inject.
 	Inject func(n int, op, name string) Fault
 
 	mu      sync.Mutex
-	n       int
+	ops     int
 	crashed bool
 }
 
-// Ops is how many operations have been asked for.
+// Ops returns the number of operations so far.
 func (f *Faulty) Ops() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.n
+	return f.ops
 }
 
-func (f *Faulty) next(op, name string) Fault {
+func (f *Faulty) nextFault(op, name string) Fault {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.crashed {
 		return Fault{Err: ErrCrash}
 	}
-	fault := f.Inject(f.n, op, name)
-	f.n++
+	fault := f.Inject(f.ops, op, name)
+	f.ops++
 	f.crashed = errors.Is(fault.Err, ErrCrash)
 	return fault
 }
 
-func (f *Faulty) do(op, name string, act func() error) error {
-	fault := f.next(op, name)
+func (f *Faulty) perform(op, name string, operation func() error) error {
+	fault := f.nextFault(op, name)
 	if fault.Err == nil {
-		return act()
+		return operation()
 	}
 	if fault.Applied {
-		act()
+		operation()
 	}
 	return fault.Err
 }
 
 // Read implements FS.
 func (f *Faulty) Read(name string) ([]byte, error) {
-	if fault := f.next("read", name); fault.Err != nil {
+	if fault := f.nextFault("read", name); fault.Err != nil {
 		return nil, fault.Err
 	}
 	return f.FS.Read(name)
@@ -66,7 +67,7 @@
 
 // Write implements FS.
 func (f *Faulty) Write(name string, data []byte, sync bool) error {
-	fault := f.next("write", name)
+	fault := f.nextFault("write", name)
 	switch {
 	case fault.Err == nil:
 		return f.FS.Write(name, data, sync)
@@ -80,7 +81,7 @@
 
 // Append implements FS.
 func (f *Faulty) Append(name string, data []byte, sync bool) error {
-	fault := f.next("append", name)
+	fault := f.nextFault("append", name)
 	switch {
 	case fault.Err == nil:
 		return f.FS.Append(name, data, sync)
@@ -94,27 +95,27 @@
 
 // Rename implements FS.
 func (f *Faulty) Rename(from, to string) error {
-	return f.do("rename", to, func() error { return f.FS.Rename(from, to) })
+	return f.perform("rename", to, func() error { return f.FS.Rename(from, to) })
 }
 
 // Link implements FS.
 func (f *Faulty) Link(from, to string) error {
-	return f.do("link", to, func() error { return f.FS.Link(from, to) })
+	return f.perform("link", to, func() error { return f.FS.Link(from, to) })
 }
 
 // Remove implements FS.
 func (f *Faulty) Remove(name string) error {
-	return f.do("remove", name, func() error { return f.FS.Remove(name) })
+	return f.perform("remove", name, func() error { return f.FS.Remove(name) })
 }
 
 // SyncDir implements FS.
-func (f *Faulty) SyncDir() error { return f.do("syncdir", "", f.FS.SyncDir) }
+func (f *Faulty) SyncDir() error { return f.perform("syncdir", "", f.FS.SyncDir) }
 
-// Open implements Opener, where the FS does.
-func (f *Faulty) Open(name string, fresh bool) (File, error) {
+// Open implements Opener; the underlying FS must implement it too.
+func (f *Faulty) Open(name string, truncate bool) (File, error) {
 	var opened File
-	err := f.do("open", name, func() (err error) {
-		opened, err = f.FS.(Opener).Open(name, fresh)
+	err := f.perform("open", name, func() (err error) {
+		opened, err = f.FS.(Opener).Open(name, truncate)
 		return err
 	})
 	if err != nil {
@@ -123,7 +124,7 @@
 	return &faultyFile{File: opened, fs: f, name: name}, nil
 }
 
-// faultyFile is a File whose operations are asked for one by one.
+// faultyFile is a File with injected faults.
 type faultyFile struct {
 	File
 	fs   *Faulty
@@ -132,7 +133,7 @@
 
 // Write implements File.
 func (f *faultyFile) Write(data []byte) (int, error) {
-	fault := f.fs.next("append", f.name)
+	fault := f.fs.nextFault("append", f.name)
 	switch {
 	case fault.Err == nil:
 		return f.File.Write(data)
@@ -146,5 +147,5 @@
 
 // Truncate implements File.
 func (f *faultyFile) Truncate(size int64) error {
-	return f.fs.do("truncate", f.name, func() error { return f.File.Truncate(size) })
+	return f.fs.perform("truncate", f.name, func() error { return f.File.Truncate(size) })
 }
--- a/internal/fsys/fsys.go
+++ b/internal/fsys/fsys.go
@@ -1,6 +1,6 @@
-// Package fsys is the seam between a sender's lasting folder and the disk: every operation that changes
-// a file there goes through an FS, so that tests can make each of them fail, and end the process between
-// any two. It adds nothing to what the operating system promises.
+// Package fsys abstracts the file operations on a sender's state directory: every operation that changes
+// a file there goes through an FS, so that tests can make any of them fail, and simulate a crash between
+// any two. It adds no guarantees to those of the operating system.
 package fsys
 
 import (
@@ -10,45 +10,46 @@
 	"path/filepath"
 )
 
-// FS is the files of one folder, named without a path. OS is the real one, Faulty the one that fails.
+// FS provides access to the files of one directory, which are named without a path. OS accesses the operating
+// system's files, Faulty injects faults.
 type FS interface {
-	// Read returns a file's bytes; the error is fs.ErrNotExist if there is none.
+	// Read returns a file's contents; the error is fs.ErrNotExist if there is no such file.
 	Read(name string) ([]byte, error)
-	// Write creates or replaces a file in place; with sync it reaches the disk. After an error the
+	// Write creates a file or overwrites it in place; with sync the data reaches the disk. After an error the
 	// file may hold any part of data.
 	Write(name string, data []byte, sync bool) error
-	// Append adds to the end of a file, which it creates where there is none; with sync it reaches the disk.
+	// Append appends to a file, which is created if it does not exist; with sync the data reaches the disk.
 	// After an error the file may end with any part of data.
 	Append(name string, data []byte, sync bool) error
-	// Rename puts a file, or a folder, in the place of another file.
+	// Rename renames a file or a directory, replacing an existing file.
 	Rename(from, to string) error
-	// Link gives a file a further name, in the place of whatever has it.
+	// Link creates a hard link, replacing an existing file of that name.
 	Link(from, to string) error
-	// Remove removes a file or an empty folder. One that is not there is no error.
+	// Remove removes a file or an empty directory. It is no error if it does not exist.
 	Remove(name string) error
-	// Size is what a file holds in bytes, 0 if there is none.
+	// Size returns a file's size in bytes, 0 if there is no such regular file.
 	Size(name string) int64
 	// SyncDir makes renames, links and removals reach the disk.
 	SyncDir() error
 }
 
-// File is a file that is open to be added to at its end.
+// File is a file that is open for appending.
 type File interface {
-	// Write adds to the end of the file. After an error the file may end with any part of data.
+	// Write appends to the file. After an error the file may end with any part of data.
 	Write(data []byte) (int, error)
-	// Truncate cuts the file to that many bytes.
+	// Truncate shortens the file to that many bytes.
 	Truncate(size int64) error
 	Close() error
 }
 
-// Opener is an FS that leaves a file open, for one that is added to often.
+// Opener is an FS that can keep a file open, for frequent appends.
 type Opener interface {
 	FS
-	// Open opens a file to be added to, and creates it where there is none; fresh empties it.
-	Open(name string, fresh bool) (File, error)
+	// Open opens a file for appending and creates it if it does not exist; truncate empties it.
+	Open(name string, truncate bool) (File, error)
 }
 
-// OS is the folder Dir of the operating system.
+// OS is the FS of the directory Dir of the operating system.
 type OS struct{ Dir string }
 
 func (o OS) path(name string) string { return filepath.Join(o.Dir, name) }
@@ -58,11 +59,11 @@
 
 // Write implements FS.
 func (o OS) Write(name string, data []byte, sync bool) error {
-	return o.put(name, os.O_TRUNC, data, sync)
+	return o.writeFile(name, os.O_TRUNC, data, sync)
 }
 
-func (o OS) put(name string, how int, data []byte, sync bool) error {
-	f, err := os.OpenFile(o.path(name), os.O_WRONLY|os.O_CREATE|how, 0o600)
+func (o OS) writeFile(name string, flags int, data []byte, sync bool) error {
+	f, err := os.OpenFile(o.path(name), os.O_WRONLY|os.O_CREATE|flags, 0o600)
 	if err != nil {
 		return err
 	}
@@ -74,17 +75,17 @@
 }
 
 // Open implements Opener.
-func (o OS) Open(name string, fresh bool) (File, error) {
-	how := os.O_WRONLY | os.O_CREATE | os.O_APPEND
-	if fresh {
-		how |= os.O_TRUNC
+func (o OS) Open(name string, truncate bool) (File, error) {
+	flags := os.O_WRONLY | os.O_CREATE | os.O_APPEND
+	if truncate {
+		flags |= os.O_TRUNC
 	}
-	return os.OpenFile(o.path(name), how, 0o600)
+	return os.OpenFile(o.path(name), flags, 0o600)
 }
 
 // Append implements FS.
 func (o OS) Append(name string, data []byte, sync bool) error {
-	return o.put(name, os.O_APPEND, data, sync)
+	return o.writeFile(name, os.O_APPEND, data, sync)
 }
 
 // Rename implements FS.
