--- a/cmd/sliptide/knowledge_test.go
+++ b/cmd/sliptide/knowledge_test.go
@@ -207,7 +207,7 @@
 	c := exec.Command(binary)
 	c.Env = append(os.Environ(), "RELAY_CONFIG="+r.path, "RELAY_STATE="+r.state, "RELAY_LISTEN=127.0.0.1:0", "GORACE=atexit_sleep_ms=0")
 	out, err := c.CombinedOutput()
-	if err == nil || c.ProcessState.ExitCode() != 1 || !strings.Contains(string(out), "another sender works in this folder") {
+	if err == nil || c.ProcessState.ExitCode() != 1 || !strings.Contains(string(out), "another sender is using this state directory") {
 		t.Errorf("%v: %s", err, out)
 	}
 	r.take("m", 7, 0.2, "")
--- a/internal/statedir/statedir.go
+++ b/internal/statedir/statedir.go
@@ -1,6 +1,6 @@
-// Package statedir keeps order in the folder that outlasts a sender's process: a lock, so that two
-// processes never work in one folder, and the account of its room, which journal and knowledge share.
-// It touches no file but the lock.
+// Package statedir manages a sender's state directory: a lock, so that two processes never use one
+// directory, and the accounting of its disk space, which journal and knowledge share. It accesses no
+// files but the locks.
 package statedir
 
 import (
@@ -14,69 +14,70 @@
 )
 
 const (
-	lockName  = "lock"
-	lockPause = 50 * time.Millisecond
-	block     = 512 // a file takes whole blocks of this
+	lockName         = "lock"
+	lockPollInterval = 50 * time.Millisecond
+	blockSize        = 512 // unit in which a file takes disk space
 )
 
-// ErrInUse is the error of Lock where another process holds the folder.
-var ErrInUse = errors.New("another sender works in this folder")
+// ErrInUse is returned when another process holds the lock.
+var ErrInUse = errors.New("another sender is using this state directory")
 
-// Lock takes the folder dir for this process, until Unlock or the process's end, however that comes.
-// A predecessor may still be leaving: it is waited for as long as patience. The lock belongs to the
-// open file (flock), so no stale one can be left behind.
-func Lock(dir string, patience time.Duration) (*DirLock, error) {
+// Lock locks the directory dir for this process, until Unlock or the end of the process, however it
+// ends. A predecessor may still be shutting down: Lock waits for it up to timeout. The lock belongs to
+// the open file (flock), so no stale lock can be left behind.
+func Lock(dir string, timeout time.Duration) (*DirLock, error) {
 	f, err := os.OpenFile(filepath.Join(dir, lockName), os.O_RDWR|os.O_CREATE, 0o600)
 	if err != nil {
-		return nil, fmt.Errorf("state folder: %w", err)
+		return nil, fmt.Errorf("state directory: open lock: %w", err)
 	}
-	for end := time.Now().Add(patience); ; time.Sleep(lockPause) {
-		err := lock(f)
+	for deadline := time.Now().Add(timeout); ; time.Sleep(lockPollInterval) {
+		err := tryLock(f)
 		switch {
 		case err == nil:
 			return &DirLock{f}, nil
 		case err != syscall.EWOULDBLOCK:
 			f.Close()
-			return nil, fmt.Errorf("state folder %s: lock: %w", dir, err)
-		case !time.Now().Before(end):
+			return nil, fmt.Errorf("state directory %s: lock: %w", dir, err)
+		case !time.Now().Before(deadline):
 			f.Close()
-			return nil, fmt.Errorf("state folder %s: %w", dir, ErrInUse)
+			return nil, fmt.Errorf("state directory %s: %w", dir, ErrInUse)
 		}
 	}
 }
 
-// heirName is the lock of a new version that starts while the present one still holds the folder.
-const heirName = "lock.heir"
+// successorLockName is the lock of a process that starts while its predecessor still holds the directory.
+const successorLockName = "lock.heir"
 
-// LockHeir takes the folder's second place, that of a new version started beside the present one; there is
-// one such place. It does not wait: ErrInUse where another heir has it.
+// LockSuccessor takes the directory's successor lock, for a process that starts while its predecessor still
+// runs. Only one process can hold it. LockSuccessor does not wait: it returns ErrInUse if another
+// successor holds the lock.
 func LockSuccessor(dir string) (*DirLock, error) {
-	f, err := os.OpenFile(filepath.Join(dir, heirName), os.O_RDWR|os.O_CREATE, 0o600)
+	f, err := os.OpenFile(filepath.Join(dir, successorLockName), os.O_RDWR|os.O_CREATE, 0o600)
 	if err != nil {
-		return nil, fmt.Errorf("state folder: %w", err)
+		return nil, fmt.Errorf("state directory: open lock: %w", err)
 	}
-	if err := lock(f); err != nil {
+	if err := tryLock(f); err != nil {
 		f.Close()
 		if err == syscall.EWOULDBLOCK {
-			return nil, fmt.Errorf("state folder %s: a new version is already starting here: %w", dir, ErrInUse)
+			return nil, fmt.Errorf("state directory %s: a new version is already starting: %w", dir, ErrInUse)
 		}
-		return nil, fmt.Errorf("state folder %s: lock: %w", dir, err)
+		return nil, fmt.Errorf("state directory %s: lock: %w", dir, err)
 	}
 	return &DirLock{f}, nil
 }
 
-// HeirWaits reports whether a new version holds the folder's second place and waits to take over.
+// SuccessorWaiting reports whether a successor holds its lock and waits to take over.
 func SuccessorWaiting(dir string) bool {
-	f, err := os.OpenFile(filepath.Join(dir, heirName), os.O_RDWR, 0)
+	f, err := os.OpenFile(filepath.Join(dir, successorLockName), os.O_RDWR, 0)
 	if err != nil {
-		return false // no heir has ever been here
+		return false // no successor has been started in this directory
 	}
 	defer f.Close()
-	return lock(f) == syscall.EWOULDBLOCK
+	return tryLock(f) == syscall.EWOULDBLOCK
 }
 
-// lock takes the lock of an open file, if nobody holds it. A signal does not end it.
-func lock(f *os.File) error {
+// tryLock locks an open file unless another process holds the lock. It is repeated when a signal interrupts it.
+func tryLock(f *os.File) error {
 	for {
 		if err := syscall.Flock(int(f.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err != syscall.EINTR {
 			return err
@@ -84,8 +85,8 @@
 	}
 }
 
-// Note writes what the holder is into the lock file, for a process that finds the folder held: a new
-// version of the same sender may start beside it, anything else may not.
+// SetHolder writes a description of the holder into the lock file, for a process that finds the directory
+// locked: only a new version of the same sender may start beside the holder.
 func (l *DirLock) SetHolder(text string) error {
 	if err := l.f.Truncate(0); err != nil {
 		return err
@@ -94,96 +95,97 @@
 	return err
 }
 
-// Holder is what the holder of the folder has noted; empty where nothing is.
+// Holder returns the text that the holder of the directory has set; empty if there is none.
 func Holder(dir string) string {
 	b, _ := os.ReadFile(filepath.Join(dir, lockName))
 	return string(b)
 }
 
-// Locked is a folder that this process holds.
+// DirLock is a lock on a state directory that this process holds.
 type DirLock struct{ f *os.File }
 
-// Unlock lets the folder go.
+// Unlock releases the lock.
 func (l *DirLock) Unlock() error { return l.f.Close() }
 
-// Blocks is what a file of that many bytes takes of the room: whole blocks.
-func RoundToBlocks(bytes int64) int64 { return (bytes + block - 1) / block * block }
+// RoundToBlocks returns the disk space that a file of that size takes: whole blocks.
+func RoundToBlocks(bytes int64) int64 { return (bytes + blockSize - 1) / blockSize * blockSize }
 
-// Space is the room of the folder. Each holder claims what it may need at most, copies included, before
-// it writes; the claims together never pass the total. It is safe for concurrent use, and no call waits
-// for a disk.
+// Space is the disk space of the state directory. Each account claims the maximum that it may need,
+// temporary copies included, before it writes; the sum of the claims never exceeds the total. It is safe
+// for concurrent use, and no call waits for a disk.
 type Space struct {
-	mu      sync.Mutex
-	total   int64
-	claimed int64
-	kept    int64 // kept back for those that yield
+	mu       sync.Mutex
+	total    int64
+	claimed  int64
+	reserved int64 // for the account that called Reserve
 }
 
 // NewSpace returns a Space of that many bytes.
 func NewSpace(total int64) *Space { return &Space{total: total} }
 
-// Account returns a further holder, with nothing claimed.
-func (s *Space) Account() *Account { return &Account{space: s, short: make(chan struct{}, 1)} }
+// Account returns a new account, with nothing claimed.
+func (s *Space) Account() *Account { return &Account{space: s, yieldRequests: make(chan struct{}, 1)} }
 
-// Account is what one holder has claimed.
+// Account is one user's share of a Space.
 type Account struct {
-	space *Space
-	mine  int64
-	short chan struct{}
-	other *Account // that yields to this one
+	space         *Space
+	claimed       int64
+	yieldRequests chan struct{}
+	yielder       *Account // the account that yields to this one
 }
 
-// YieldTo makes a give way to b: when a claim of b finds no room, Pressed of a says so.
-func (a *Account) YieldTo(b *Account) { b.other = a }
+// YieldTo makes a yield to beneficiary: when a claim of beneficiary fails, YieldRequested of a reports it.
+func (a *Account) YieldTo(beneficiary *Account) { beneficiary.yielder = a }
 
-// Claim sets the claim to that many bytes if the others leave so much, and reports whether they did.
-// Where they did not, the claim stays as it was, and the account that yields is told.
+// Claim sets the claim to that many bytes if the other accounts leave enough, and reports whether they did.
+// If not, the claim is unchanged, and the account that yields to this one is notified.
 func (a *Account) Claim(bytes int64) bool {
 	s := a.space
 	s.mu.Lock()
-	ok := bytes <= a.mine || s.claimed-a.mine+bytes <= s.total
-	if ok {
-		s.claimed += bytes - a.mine
-		a.mine = bytes
+	granted := bytes <= a.claimed || s.claimed-a.claimed+bytes <= s.total
+	if granted {
+		s.claimed += bytes - a.claimed
+		a.claimed = bytes
 	}
 	s.mu.Unlock()
-	if !ok && a.other != nil {
+	if !granted && a.yielder != nil {
 		select {
-		case a.other.short <- struct{}{}:
+		case a.yielder.yieldRequests <- struct{}{}:
 		default:
 		}
 	}
-	return ok
+	return granted
 }
 
-// Reserve keeps so many bytes back for the account: others' Soft leaves them out. It is no claim: who
-// must have them still gets them.
+// Reserve sets that many bytes aside for the account: SoftLimit of the others excludes them. It is not a
+// claim: Claim of another account can still take them.
 func (a *Account) Reserve(bytes int64) {
 	a.space.mu.Lock()
 	defer a.space.mu.Unlock()
-	a.space.kept = bytes
+	a.space.reserved = bytes
 }
 
-// Soft is how much the account may take for what it could do without, such as records that are over.
+// SoftLimit returns how much the account may take for data that it could do without, such as records of
+// ended messages.
 func (a *Account) SoftLimit() int64 {
 	a.space.mu.Lock()
 	defer a.space.mu.Unlock()
-	return a.space.total - max(a.space.kept, a.space.claimed-a.mine)
+	return a.space.total - max(a.space.reserved, a.space.claimed-a.claimed)
 }
 
-// Claimed is the present claim.
+// Claimed returns the current claim.
 func (a *Account) Claimed() int64 {
 	a.space.mu.Lock()
 	defer a.space.mu.Unlock()
-	return a.mine
+	return a.claimed
 }
 
-// Limit is how much the account could claim now.
+// Limit returns how much the account could claim now.
 func (a *Account) Limit() int64 {
 	a.space.mu.Lock()
 	defer a.space.mu.Unlock()
-	return a.space.total - a.space.claimed + a.mine
+	return a.space.total - a.space.claimed + a.claimed
 }
 
-// Pressed tells when another account found no room.
-func (a *Account) YieldRequested() <-chan struct{} { return a.short }
+// YieldRequested receives a value when a claim of the account that this one yields to has failed.
+func (a *Account) YieldRequested() <-chan struct{} { return a.yieldRequests }
--- a/internal/statedir/statedir_test.go
+++ b/internal/statedir/statedir_test.go
@@ -8,8 +8,9 @@
 	"time"
 )
 
-// Two holders never have one folder; a lock file that a dead process left behind is no lock.
-func TestLock(t *testing.T) {
+// TestLockIsExclusive guards against two processes in one directory, and against a stale lock file, left by a dead
+// process, that blocks a start.
+func TestLockIsExclusive(t *testing.T) {
 	dir := t.TempDir()
 	os.WriteFile(filepath.Join(dir, lockName), nil, 0o600)
 	l, err := Lock(dir, 0)
@@ -19,24 +20,25 @@
 	if _, err := Lock(dir, 0); !errors.Is(err, ErrInUse) {
 		t.Fatalf("second lock: %v", err)
 	}
-	left := make(chan error, 1)
+	released := make(chan error, 1)
 	go func() {
-		l, err := Lock(dir, time.Minute) // the predecessor is waited for
+		l, err := Lock(dir, time.Minute) // waits for the predecessor
 		if err == nil {
 			err = l.Unlock()
 		}
-		left <- err
+		released <- err
 	}()
 	l.Unlock()
-	if err := <-left; err != nil {
+	if err := <-released; err != nil {
 		t.Fatal(err)
 	}
 	if _, err := Lock(filepath.Join(dir, "none"), 0); err == nil {
-		t.Error("a folder that is not there can be locked")
+		t.Error("a directory that does not exist can be locked")
 	}
 }
 
-func TestSpace(t *testing.T) {
+// TestSpaceAccounts guards against claims that exceed the total, and against a reservation that blocks a claim.
+func TestSpaceAccounts(t *testing.T) {
 	s := NewSpace(1000)
 	first, second := s.Account(), s.Account()
 	second.YieldTo(first)
@@ -45,7 +47,10 @@
 		who   *Account
 		bytes int64
 		ok    bool
-	}{{second, 300, true}, {first, 700, true}, {first, 701, false}, {second, 301, false}, {second, 100, true}, {first, 900, true}, {second, 101, false}, {second, 0, true}, {first, 1000, true}, {first, 1001, false}} {
+	}{
+		{second, 300, true}, {first, 700, true}, {first, 701, false}, {second, 301, false}, {second, 100, true},
+		{first, 900, true}, {second, 101, false}, {second, 0, true}, {first, 1000, true}, {first, 1001, false},
+	} {
 		if got := step.who.Claim(step.bytes); got != step.ok {
 			t.Fatalf("%+v: %v", step, got)
 		}
@@ -56,12 +61,12 @@
 	select {
 	case <-second.YieldRequested():
 	default:
-		t.Error("the one that yields was not told")
+		t.Error("the yielding account was not notified")
 	}
 	if first.Claim(0); first.SoftLimit() != 700 || first.Limit() != 1000 {
 		t.Errorf("soft %d, limit %d", first.SoftLimit(), first.Limit())
 	}
 	if RoundToBlocks(0) != 0 || RoundToBlocks(1) != 512 || RoundToBlocks(512) != 512 || RoundToBlocks(513) != 1024 {
-		t.Error("blocks")
+		t.Error("RoundToBlocks does not round up to whole blocks")
 	}
 }
