--- a/internal/timeline/timeline.go
+++ b/internal/timeline/timeline.go
@@ -1,8 +1,8 @@
-// Package timeline keeps one timeline over the lives of a sender on one machine: deadlines, waits and windows that an
-// earlier process has written down are spans of real time, whatever has become of the wall clock since.
+// Package timeline keeps one continuous time scale across the process runs of a sender on one machine: deadlines, waits
+// and windows stored by an earlier run remain spans of real time, even if the wall clock has been stepped since.
 //
-// The first life on a boot of the machine takes its start from the wall clock and notes it beside the monotonic clock,
-// which all processes of a boot share. Later lives go on from there.
+// The first run after a boot of the machine starts at the wall clock's time and stores it together with the monotonic
+// clock, which all processes of a boot share. Later runs continue from this anchor.
 package timeline
 
 import (
@@ -20,79 +20,79 @@
 )
 
 const (
-	fileName  = "clock"
-	newName   = fileName + ".new"
-	bootFile  = "/proc/sys/kernel/random/boot_id"
-	retryFile = time.Second
-	readFor   = 10 * time.Second // an anchor that can't be read is tried so long: without it deadlines move
-	// Room is the bytes that the anchor's file and its copy take in the folder.
+	fileName          = "clock"
+	tempName          = fileName + ".new"
+	bootIDFile        = "/proc/sys/kernel/random/boot_id"
+	saveRetryInterval = time.Second
+	readRetryTimeout  = 10 * time.Second // reading an anchor is retried for so long, since deadlines shift without it
+	// DiskBytes is the disk space that the anchor's file and its temporary copy take in the state directory.
 	DiskBytes = 1024
 )
 
-// Reading is one look at the clocks.
+// Reading is one reading of the clocks.
 type Reading struct {
 	Wall      float64 // Unix time in milliseconds
-	Monotonic int64   // nanoseconds since some moment of the boot
-	Boot      string  // which boot; empty where the system does not tell
+	Monotonic int64   // nanoseconds since an arbitrary moment of the current boot
+	Boot      string  // boot ID of the system; empty if the system has none
 }
 
 // Read reads the clocks. wall is the wall clock in Unix milliseconds.
 func Read(wall float64) (Reading, error) {
 	var now unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_MONOTONIC, &now); err != nil {
-		return Reading{Wall: wall}, fmt.Errorf("monotonic clock: %w", err)
+		return Reading{Wall: wall}, fmt.Errorf("read monotonic clock: %w", err)
 	}
-	boot, err := os.ReadFile(bootFile)
+	boot, err := os.ReadFile(bootIDFile)
 	if err != nil && !errors.Is(err, fs.ErrNotExist) {
-		return Reading{Wall: wall}, fmt.Errorf("boot id: %w", err)
+		return Reading{Wall: wall}, fmt.Errorf("read boot ID: %w", err)
 	}
 	return Reading{Wall: wall, Monotonic: now.Nano(), Boot: string(bytes.TrimSpace(boot))}, nil
 }
 
-// Start is the time, in Unix milliseconds, at which a life that begins at now starts. Where the folder has no anchor of
-// this boot, it is the wall clock's, and anchor is what is to be kept for later lives; else anchor is nil. After an
-// error the wall clock's time and a fresh anchor are returned with it.
+// Start returns the time, in Unix milliseconds, at which a process run that begins at now starts. Without a stored
+// anchor of this boot, that is the wall clock's time, and anchor is to be saved for later runs; otherwise anchor is nil.
+// An error is returned together with the wall clock's time and a new anchor.
 func Start(files fsys.FS, now Reading) (start float64, anchor []byte, err error) {
 	fresh := fmt.Appendf(nil, "%d %.0f %q\n", now.Monotonic, now.Wall, now.Boot)
-	var text []byte
-	err = transient.Retry(readFor, transient.Disk, func() (err error) {
-		text, err = files.Read(fileName)
+	var data []byte
+	err = transient.Retry(readRetryTimeout, transient.Disk, func() (err error) {
+		data, err = files.Read(fileName)
 		return err
 	})
 	if errors.Is(err, fs.ErrNotExist) {
 		return now.Wall, fresh, nil
 	}
 	if err != nil {
-		return now.Wall, fresh, fmt.Errorf("%s: %w", fileName, err)
+		return now.Wall, fresh, fmt.Errorf("read anchor %s: %w", fileName, err)
 	}
-	var was Reading
-	if _, err := fmt.Sscanf(string(text), "%d %f %q\n", &was.Monotonic, &was.Wall, &was.Boot); err != nil {
-		return now.Wall, fresh, fmt.Errorf("%s: %w", fileName, err)
+	var saved Reading
+	if _, err := fmt.Sscanf(string(data), "%d %f %q\n", &saved.Monotonic, &saved.Wall, &saved.Boot); err != nil {
+		return now.Wall, fresh, fmt.Errorf("parse anchor %s: %w", fileName, err)
 	}
-	if was.Boot != now.Boot || now.Monotonic < was.Monotonic { // the machine has started again
+	if saved.Boot != now.Boot || now.Monotonic < saved.Monotonic { // the machine has rebooted
 		return now.Wall, fresh, nil
 	}
-	return was.Wall + float64(now.Monotonic-was.Monotonic)/float64(time.Millisecond), nil, nil
+	return saved.Wall + float64(now.Monotonic-saved.Monotonic)/float64(time.Millisecond), nil, nil
 }
 
-// Keep puts an anchor into the folder, whole or not at all.
+// Save stores an anchor in the state directory atomically.
 func Save(files fsys.FS, anchor []byte) error {
-	if err := files.Write(newName, anchor, false); err != nil {
-		return errors.Join(fmt.Errorf("%s: %w", newName, err), files.Remove(newName))
+	if err := files.Write(tempName, anchor, false); err != nil {
+		return errors.Join(fmt.Errorf("write anchor %s: %w", tempName, err), files.Remove(tempName))
 	}
-	if err := files.Rename(newName, fileName); err != nil {
-		return fmt.Errorf("%s: %w", fileName, err)
+	if err := files.Rename(tempName, fileName); err != nil {
+		return fmt.Errorf("replace anchor %s: %w", fileName, err)
 	}
 	return nil
 }
 
-// KeepTrying calls Keep, a moment apart, until it succeeds or stop is closed.
+// RetrySave calls Save periodically, after an initial delay, until it succeeds or stop is closed.
 func RetrySave(files fsys.FS, anchor []byte, stop <-chan struct{}) {
 	for {
 		select {
 		case <-stop:
 			return
-		case <-time.After(retryFile):
+		case <-time.After(saveRetryInterval):
 		}
 		if Save(files, anchor) == nil {
 			return
--- a/internal/timeline/timeline_test.go
+++ b/internal/timeline/timeline_test.go
@@ -8,32 +8,33 @@
 	"sliptide/internal/fsys"
 )
 
-// Guards against a start that follows a step of the wall clock, and against one that goes on from another boot.
-func TestStartGoesOnWithinABoot(t *testing.T) {
+// TestTimelineContinuesWithinABoot guards against a start that follows a step of the wall clock, and against one that
+// continues from an anchor of another boot.
+func TestTimelineContinuesWithinABoot(t *testing.T) {
 	const minute = int64(time.Minute)
 	first := Reading{Wall: 1e12, Monotonic: 5 * minute, Boot: "a"}
 	for name, row := range map[string]struct {
 		now  Reading
 		want float64
 	}{
-		"an hour ahead":    {Reading{1e12 + 3600e3, 6 * minute, "a"}, 1e12 + 60e3},
-		"an hour back":     {Reading{1e12 - 3600e3, 6 * minute, "a"}, 1e12 + 60e3},
-		"another boot":     {Reading{1e12 + 90e3, 6 * minute, "b"}, 1e12 + 90e3},
-		"a clock that ran": {Reading{1e12 + 90e3, minute, "a"}, 1e12 + 90e3},
+		"wall clock an hour ahead":  {Reading{1e12 + 3600e3, 6 * minute, "a"}, 1e12 + 60e3},
+		"wall clock an hour back":   {Reading{1e12 - 3600e3, 6 * minute, "a"}, 1e12 + 60e3},
+		"other boot ID":             {Reading{1e12 + 90e3, 6 * minute, "b"}, 1e12 + 90e3},
+		"monotonic clock restarted": {Reading{1e12 + 90e3, minute, "a"}, 1e12 + 90e3},
 	} {
 		files := fsys.OS{Dir: t.TempDir()}
 		start, anchor, err := Start(files, first)
 		if err != nil || start != first.Wall || Save(files, anchor) != nil {
-			t.Fatalf("first life: %v, %v", start, err)
+			t.Fatalf("first run: starts at %f: %v", start, err)
 		}
 		if start, _, err := Start(files, row.now); err != nil || start != row.want {
-			t.Errorf("%s: starts at %f, want %f: %v", name, start, row.want, err)
+			t.Errorf("%s: starts at %f, want %f; error: %v", name, start, row.want, err)
 		}
 	}
 }
 
-// Guards against an anchor that is given up because the folder can't be written for a while.
-func TestAnchorIsKeptOnceTheFolderTakesIt(t *testing.T) {
+// TestAnchorSaveIsRetried guards against an anchor that is never saved because the directory is temporarily not writable.
+func TestAnchorSaveIsRetried(t *testing.T) {
 	dir := t.TempDir()
 	failures := 1
 	files := &fsys.Faulty{FS: fsys.OS{Dir: dir}, Inject: func(_ int, op, _ string) (f fsys.Fault) {
@@ -49,7 +50,7 @@
 		t.Fatal(err)
 	}
 	if err := Save(files, anchor); err == nil {
-		t.Fatal("the folder takes it at once")
+		t.Fatal("Save succeeds on a failing disk")
 	}
 	RetrySave(files, anchor, nil)
 	if start, _, err := Start(files, Reading{Wall: 2e12, Monotonic: 1, Boot: "a"}); err != nil || start != now.Wall {
@@ -57,13 +58,14 @@
 	}
 }
 
-// Guards against a timeline that begins anew, and is written over, because its file can't be read for a moment.
-func TestStartWaitsForAnAnchorThatCannotBeRead(t *testing.T) {
+// TestUnreadableAnchorIsRetried guards against a timeline that restarts, and is overwritten, because its file is
+// temporarily unreadable.
+func TestUnreadableAnchorIsRetried(t *testing.T) {
 	disk := fsys.OS{Dir: t.TempDir()}
 	first := Reading{Wall: 1e12, Monotonic: 1, Boot: "a"}
 	_, anchor, err := Start(disk, first)
 	if err != nil || Save(disk, anchor) != nil {
-		t.Fatalf("first life: %v", err)
+		t.Fatalf("first run: %v", err)
 	}
 	failures := 2
 	files := &fsys.Faulty{FS: disk, Inject: func(_ int, op, _ string) (f fsys.Fault) {
@@ -75,6 +77,6 @@
 	}}
 	start, fresh, err := Start(files, Reading{Wall: 2e12, Monotonic: 1, Boot: "a"})
 	if err != nil || start != first.Wall || fresh != nil {
-		t.Errorf("starts at %f with %q to keep: %v", start, fresh, err)
+		t.Errorf("starts at %f with the new anchor %q: %v", start, fresh, err)
 	}
 }
