--- a/internal/journal/copies_test.go
+++ b/internal/journal/copies_test.go
@@ -7,9 +7,10 @@
 	"sliptide/internal/statedir"
 )
 
-// TestCopiesOfRecords: what is tapped step by step comes to what a snapshot has, and to what the file has at the next
-// start: who was told, what is being taken over, attempts that may have run, ends.
-func TestCopiesOfRecords(t *testing.T) {
+// TestCopiesMatchJournal guards against copies that differ from the journal: records collected step by step must yield
+// the same entries as a snapshot and as the file at the next start, in confirmations, takeovers, attempts that may have
+// run and endings.
+func TestCopiesMatchJournal(t *testing.T) {
 	dir := t.TempDir()
 	j, _, err := Open(dir, statedir.NewSpace(1<<20).Account())
 	if err != nil {
@@ -33,11 +34,13 @@
 	j.Confirm(list[0])
 	j.StartAttempt(list[0], 5, 1)
 	j.Confirm(list[1])
-	taken := &Entry{Num: j.NextNumber(), Trace: "o", Class: "note", TakeoverDuty: "own/x", TakeoverToken: 9, Confirmed: true}
-	j.Accept(taken)
+	takenOver := &Entry{
+		Num: j.NextNumber(), Trace: "o", Class: "note", TakeoverDuty: "own/x", TakeoverToken: 9, Confirmed: true,
+	}
+	j.Accept(takenOver)
 	step()
 	j.End(list[2])
-	j.FinishTakeover(taken)
+	j.FinishTakeover(takenOver)
 	j.OweNotice(list[3], EndingAbandoned, 0)
 	step()
 	check := func(what string, got []*Entry) {
@@ -47,38 +50,38 @@
 		}
 		a, b, c, d := got[0], got[1], got[2], got[3]
 		if !a.Confirmed || a.Attempts != 1 || a.MayHaveRunAt != 5 || a.MayHaveRunZone != 1 || a.TraceParent != "p" {
-			t.Errorf("%s: an attempt that was begun: %+v", what, a)
+			t.Errorf("%s: message with an open attempt: %+v", what, a)
 		}
 		if !b.Confirmed || b.Attempts != 0 || b.MayHaveRunAt != 0 {
-			t.Errorf("%s: told, and not sent: %+v", what, b)
+			t.Errorf("%s: confirmed message without an attempt: %+v", what, b)
 		}
 		if c.Confirmed || c.Ending != EndingAbandoned {
-			t.Errorf("%s: an end that is owed: %+v", what, c)
+			t.Errorf("%s: message with an owed notice: %+v", what, c)
 		}
 		if d.TakeoverDuty != "" || !d.Confirmed {
-			t.Errorf("%s: taken over: %+v", what, d)
+			t.Errorf("%s: message taken over: %+v", what, d)
 		}
 	}
 	check("copies", Replay(copied))
-	check("copies, compacted", Replay(Compact(copied)))
+	check("compacted copies", Replay(Compact(copied)))
 	check("a snapshot", Replay(j.Snapshot()))
 	if err := j.Close(); err != nil {
 		t.Fatal(err)
 	}
-	again, entries, err := Open(dir, statedir.NewSpace(1<<20).Account())
+	reopened, entries, err := Open(dir, statedir.NewSpace(1<<20).Account())
 	if err != nil {
 		t.Fatal(err)
 	}
-	check("the next start", entries)
-	again.SkipNumbers(100)
-	if n := again.NextNumber(); n != 101 {
-		t.Errorf("the next number is %d", n)
+	check("next start", entries)
+	reopened.SkipNumbers(100)
+	if n := reopened.NextNumber(); n != 101 {
+		t.Errorf("next number is %d, want 101", n)
 	}
-	again.Close()
+	reopened.Close()
 }
 
-// TestPendingOutlastsAStart: what is being taken over is still marked so at the next start.
-func TestPendingOutlastsAStart(t *testing.T) {
+// TestPendingTakeoverSurvivesRestart guards against a message that loses the mark of a pending takeover at a restart.
+func TestPendingTakeoverSurvivesRestart(t *testing.T) {
 	dir := t.TempDir()
 	j, _, err := Open(dir, statedir.NewSpace(1<<20).Account())
 	if err != nil {
@@ -88,7 +91,7 @@
 	if err := j.Close(); err != nil {
 		t.Fatal(err)
 	}
-	for range 2 { // the first start writes the file anew
+	for range 2 { // the first start compacts the file, the second reads the compacted one
 		j, entries, err := Open(dir, statedir.NewSpace(1<<20).Account())
 		if err != nil || len(entries) != 1 || entries[0].TakeoverDuty != "own/x" || entries[0].TakeoverToken != 9 {
 			t.Fatalf("%v, %+v", err, entries)
@@ -97,20 +100,21 @@
 	}
 }
 
-// TestRecordOfALaterVersion: a record of a kind that this version does not know ends nothing: what comes before and after
-// it in a copy is read.
-func TestRecordOfALaterVersion(t *testing.T) {
-	later := frame(nil, func(b []byte) []byte { return append(b, 'Z', 1, 2, 3) })
-	empty := frame(nil, func(b []byte) []byte { return append(b, 'Z') })
+// TestUnknownRecordKindIsSkipped guards against a replay that stops at a record kind of a later version: the records
+// before and after it must be applied.
+func TestUnknownRecordKindIsSkipped(t *testing.T) {
+	later := appendFrame(nil, func(b []byte) []byte { return append(b, 'Z', 1, 2, 3) })
+	empty := appendFrame(nil, func(b []byte) []byte { return append(b, 'Z') })
 	one, two := &Entry{Num: 1, Trace: "a", Class: "note"}, &Entry{Num: 2, Trace: "b", Class: "note"}
-	records := append(append(append(one.frames(nil), later...), empty...), two.frames(nil)...)
+	records := append(append(append(one.appendRecords(nil), later...), empty...), two.appendRecords(nil)...)
 	if got := Replay(records); len(got) != 2 {
-		t.Errorf("%d entries of 2 are read", len(got))
+		t.Errorf("replayed %d entries, want 2", len(got))
 	}
 }
 
-// TestHolds: waits and endpoints that are kept away from go with the copies, are compacted with them, and end.
-func TestHolds(t *testing.T) {
+// TestHoldsAreCopied guards against holds that are missing from copies, snapshots or compacted records, or that outlast
+// their end.
+func TestHoldsAreCopied(t *testing.T) {
 	dir := t.TempDir()
 	j, _, err := Open(dir, statedir.NewSpace(1<<20).Account())
 	if err != nil {
@@ -118,11 +122,11 @@
 	}
 	j.SetHold(Hold{Kind: HoldWait, Dest: 7, Until: 50}, 1)
 	if len(j.Holds()) != 0 {
-		t.Error("a hold is kept where nothing is copied")
+		t.Error("a hold is recorded although copies are not enabled")
 	}
 	j.EnableCopies()
 	j.SetHold(Hold{Kind: HoldWait, Dest: 7, Until: 500}, 1)
-	j.SetHold(Hold{Kind: HoldWait, Dest: 7, Until: 300}, 2) // a shorter one does not cut a longer one short
+	j.SetHold(Hold{Kind: HoldWait, Dest: 7, Until: 300}, 2) // a shorter wait does not shorten a longer one
 	j.SetHold(Hold{Kind: HoldWait, Dest: 8, Until: 90}, 3)
 	j.SetHold(Hold{Kind: HoldDisabled, Endpoint: "e-1", Until: Forever}, 4)
 	copied := j.RecordsToCopy()
@@ -135,23 +139,23 @@
 	check("copies", ReplayHolds(copied), 3)
 	check("compacted", ReplayHolds(Compact(copied)), 3)
 	check("a snapshot", ReplayHolds(j.Snapshot()), 3)
-	j.SetHold(Hold{Kind: HoldDisabled, Endpoint: "e-1"}, 100) // put back; the wait of 8 is over
-	check("after two ended", ReplayHolds(append(copied, j.RecordsToCopy()...)), 1)
-	for i := range holdsMost {
+	j.SetHold(Hold{Kind: HoldDisabled, Endpoint: "e-1"}, 100) // enabled again; the wait of destination 8 has expired
+	check("after two holds ended", ReplayHolds(append(copied, j.RecordsToCopy()...)), 1)
+	for i := range maxHolds {
 		j.SetHold(Hold{Kind: HoldDrain, Endpoint: strconv.Itoa(i), Until: 1000}, 101)
 	}
-	if j.SetHold(Hold{Kind: HoldDrain, Endpoint: "one more", Until: 1000}, 101) || len(j.Holds()) != holdsMost {
-		t.Errorf("%d holds are kept", len(j.Holds()))
+	if j.SetHold(Hold{Kind: HoldDrain, Endpoint: "one more", Until: 1000}, 101) || len(j.Holds()) != maxHolds {
+		t.Errorf("%d holds are recorded", len(j.Holds()))
 	}
 	if err := j.Close(); err != nil {
 		t.Fatal(err)
 	}
-	for range 2 { // the first start writes the file anew
-		again, _, err := Open(dir, statedir.NewSpace(1<<20).Account())
+	for range 2 { // the first start compacts the file, the second reads the compacted one
+		reopened, _, err := Open(dir, statedir.NewSpace(1<<20).Account())
 		if err != nil {
 			t.Fatal(err)
 		}
-		check("the next start", again.Holds(), holdsMost)
-		again.Close()
+		check("next start", reopened.Holds(), maxHolds)
+		reopened.Close()
 	}
 }
--- a/internal/journal/faults_test.go
+++ b/internal/journal/faults_test.go
@@ -12,97 +12,100 @@
 	"sliptide/internal/statedir"
 )
 
-// failing is a folder whose disk fails while down is above nought, at random in every documented way.
-type failing struct {
+// failingFS is an FS whose operations fail at random, in every documented way, while failures is above zero.
+type failingFS struct {
 	fsys.Faulty
-	rng  *rand.Rand
-	down int // operations that may still fail
+	rng      *rand.Rand
+	failures int // number of further operations that may fail
 }
 
-func newFailing(dir string, rng *rand.Rand) *failing {
-	f := &failing{rng: rng}
+func newFailingFS(dir string, rng *rand.Rand) *failingFS {
+	f := &failingFS{rng: rng}
 	f.FS = fsys.OS{Dir: dir}
 	f.Inject = func(_ int, op, _ string) fsys.Fault {
-		if f.down == 0 || op == "read" {
+		if f.failures == 0 || op == "read" {
 			return fsys.Fault{}
 		}
-		f.down--
+		f.failures--
 		if rng.IntN(3) == 0 {
 			return fsys.Fault{}
 		}
-		return fsys.Fault{Err: []error{syscall.ENOSPC, syscall.EIO}[rng.IntN(2)], BytesWritten: rng.IntN(120), Applied: rng.IntN(8) == 0}
+		return fsys.Fault{
+			Err: []error{syscall.ENOSPC, syscall.EIO}[rng.IntN(2)], BytesWritten: rng.IntN(120), Applied: rng.IntN(8) == 0,
+		}
 	}
 	return f
 }
 
-// Guards against records that are lost behind half a one, and against an end that is forgotten, on a disk that fails.
+// TestFailingDiskLosesNothing guards, on a failing disk, against records that are lost behind an incomplete one, and
+// against ended messages that come back.
 func TestFailingDiskLosesNothing(t *testing.T) {
 	for seed := range uint64(400) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			dir, rng := t.TempDir(), rand.New(rand.NewPCG(seed, 34))
-			files := newFailing(dir, rng)
-			kept := map[string]bool{}  // taken on, by a Flush that succeeded
-			ended := map[string]bool{} // and ended so
-			for life := range 4 {
-				files.down = rng.IntN(3) * rng.IntN(12)
+			files := newFailingFS(dir, rng)
+			accepted := map[string]bool{} // accepted by a successful Flush
+			ended := map[string]bool{}    // ended by a successful Flush
+			for run := range 4 {
+				files.failures = rng.IntN(3) * rng.IntN(12)
 				j, list, err := OpenFS(files, statedir.NewSpace(32<<10).Account())
 				if err != nil {
-					t.Fatalf("life %d does not start: %v", life, err)
+					t.Fatalf("run %d does not start: %v", run, err)
 				}
 				live := map[string]*Entry{}
 				for _, e := range list {
 					live[e.Trace] = e
 				}
-				for trace := range kept {
+				for trace := range accepted {
 					if live[trace] == nil {
-						t.Fatalf("life %d: %s is lost", life, trace)
+						t.Fatalf("run %d: message %s is lost", run, trace)
 					}
 				}
 				for trace := range ended {
 					if live[trace] != nil {
-						t.Fatalf("life %d: %s is back after its end", life, trace)
+						t.Fatalf("run %d: message %s is back after its end", run, trace)
 					}
 				}
-				play(j, files, rng, life, live, kept, ended)
+				exercise(j, files, rng, run, live, accepted, ended)
 			}
 		})
 	}
 }
 
-// play takes messages on and ends them, as a sender does, while the disk fails now and then.
-func play(j *Journal, files *failing, rng *rand.Rand, life int, live map[string]*Entry, kept, ended map[string]bool) {
+// exercise accepts and ends messages, as a sender does, while the disk fails now and then.
+func exercise(j *Journal, files *failingFS, rng *rand.Rand, run int, live map[string]*Entry, accepted, ended map[string]bool) {
 	for step := range 40 {
 		if rng.IntN(6) == 0 {
-			files.down = rng.IntN(20)
+			files.failures = rng.IntN(20)
 		}
-		var taken, over []string
-		if trace := fmt.Sprintf("%d-%d", life, step); j.HasSpace(600) && rng.IntN(2) == 0 {
+		var accepting, ending []string
+		if trace := fmt.Sprintf("%d-%d", run, step); j.HasSpace(600) && rng.IntN(2) == 0 {
 			e := &Entry{Num: j.NextNumber(), Trace: trace, Dest: 1, Deadline: 1 << 41, Body: make([]byte, rng.IntN(600))}
 			j.Accept(e)
 			live[trace] = e
-			taken = append(taken, trace)
+			accepting = append(accepting, trace)
 		}
 		for _, trace := range slices.Sorted(maps.Keys(live)) {
-			if e := live[trace]; rng.IntN(5) == 0 && !slices.Contains(taken, trace) {
+			if e := live[trace]; rng.IntN(5) == 0 && !slices.Contains(accepting, trace) {
 				j.StartAttempt(e, int64(step+1), 0)
 				j.End(e)
 				delete(live, trace)
-				delete(kept, trace) // from here on either is right, until a Flush succeeds
-				over = append(over, trace)
+				delete(accepted, trace) // until a Flush succeeds, the message may be replayed or not
+				ending = append(ending, trace)
 				break
 			}
 		}
 		if j.Flush() != nil {
-			for _, trace := range taken { // its client hears a refusal
+			for _, trace := range accepting { // the client gets a refusal
 				j.End(live[trace])
 				delete(live, trace)
 			}
 			continue
 		}
-		for _, trace := range taken {
-			kept[trace] = true
+		for _, trace := range accepting {
+			accepted[trace] = true
 		}
-		for _, trace := range over {
+		for _, trace := range ending {
 			ended[trace] = true
 		}
 	}
--- a/internal/journal/holds.go
+++ b/internal/journal/holds.go
@@ -7,36 +7,36 @@
 	"slices"
 )
 
-// Beside messages an heir must know where nothing may be sent for a while: waits that partners told, endpoints that
-// drain, endpoints that were taken out by hand. A journal that is copied keeps them beside its entries, so that they are
-// still known after a restart of the heir.
+// A sender that takes over from a lost one must also know where nothing may be sent for a while: waits requested by
+// partners, draining endpoints, and endpoints disabled by an operator. With copies enabled, the journal stores them
+// beside its entries, so that they are still known after a restart of the sender that took over.
 
-// HoldKind says why nothing is sent.
+// HoldKind is the reason why nothing is sent.
 type HoldKind byte
 
-// The kinds.
+// Kinds of holds.
 const (
-	HoldWait     HoldKind = 1 // a partner told a wait
-	HoldDrain    HoldKind = 2 // a list says that the endpoint drains
-	HoldDisabled HoldKind = 3 // the endpoint was taken out by hand
+	HoldWait     HoldKind = 1 // a partner requested a wait
+	HoldDrain    HoldKind = 2 // the endpoint list marks the endpoint as draining
+	HoldDisabled HoldKind = 3 // an operator disabled the endpoint
 )
 
-// Hold is a place where nothing may be sent for a while.
+// Hold is a destination or endpoint to which nothing may be sent for a while.
 type Hold struct {
 	Kind     HoldKind
 	Dest     int
-	Endpoint string // its name; empty: the whole destination
-	Until    int64  // Unix time in milliseconds, by the owner's clock; Forever: until it is taken back
+	Endpoint string // the endpoint's name; empty: the whole destination
+	Until    int64  // Unix time in milliseconds, by the owner's clock; Forever: until it is removed
 }
 
-// Forever is the end of a hold that has none; holdsMost bounds how many are kept.
 const (
-	Forever   = math.MaxInt64
-	holdsMost = 4096
-	holdSlack = 192 // bounds what one takes in the file
+	// Forever is the Until of a hold without an end.
+	Forever      = math.MaxInt64
+	maxHolds     = 4096
+	maxHoldBytes = 192 // upper bound of a hold's bytes in the file
 )
 
-const recHold = 'H' // a Hold; it ends one with an Until of 0
+const recHold = 'H' // a Hold; an Until of 0 removes it
 
 type holdKey struct {
 	kind     HoldKind
@@ -44,39 +44,39 @@
 	endpoint string
 }
 
-// Hold notes one where the journal is copied, or takes one back, by an Until of 0; now is by the same clock. Holds
-// that are over are taken back with it. Where there are too many, a further one is left out: false.
+// SetHold records a hold if copies are enabled; an Until of 0 removes it. now is by the same clock as Until. Expired
+// holds are removed in the same step. A new hold beyond the maximum number is not recorded, and false is returned.
 func (j *Journal) SetHold(h Hold, now int64) bool {
-	if !j.tapped {
+	if !j.copying {
 		return true
 	}
 	for key, old := range j.holds {
 		if old.Until <= now {
-			j.hold(Hold{Kind: key.kind, Dest: key.dest, Endpoint: key.endpoint})
+			j.recordHold(Hold{Kind: key.kind, Dest: key.dest, Endpoint: key.endpoint})
 		}
 	}
 	key := h.key()
-	if _, known := j.holds[key]; !known && (h.Until <= now || len(j.holds) >= holdsMost) {
+	if _, known := j.holds[key]; !known && (h.Until <= now || len(j.holds) >= maxHolds) {
 		return h.Until <= now
 	}
 	if h.Kind == HoldWait && h.Until != 0 {
 		h.Until = max(h.Until, j.holds[key].Until)
 	}
 	if j.holds[key] != h {
-		j.hold(h)
+		j.recordHold(h)
 	}
 	return true
 }
 
 func (h *Hold) key() holdKey { return holdKey{h.Kind, h.Dest, h.Endpoint} }
 
-// hold makes a hold known, and notes it.
-func (j *Journal) hold(h Hold) {
-	j.set(h)
-	j.append(h.record)
+// recordHold applies a hold and appends its record.
+func (j *Journal) recordHold(h Hold) {
+	j.applyHold(h)
+	j.appendRecord(h.appendTo)
 }
 
-func (j *Journal) set(h Hold) {
+func (j *Journal) applyHold(h Hold) {
 	if h.Until == 0 {
 		delete(j.holds, h.key())
 		return
@@ -87,7 +87,7 @@
 	j.holds[h.key()] = h
 }
 
-func (h *Hold) record(b []byte) []byte {
+func (h *Hold) appendTo(b []byte) []byte {
 	b = append(b, recHold, byte(h.Kind))
 	b = binary.AppendVarint(b, int64(h.Dest))
 	b = binary.AppendVarint(b, h.Until)
@@ -96,7 +96,7 @@
 
 func (d *decoder) hold() (h Hold) {
 	if len(d.b) == 0 {
-		d.err = errRecord
+		d.err = errBadRecord
 		return h
 	}
 	h.Kind, d.b = HoldKind(d.b[0]), d.b[1:]
@@ -105,7 +105,7 @@
 	return h
 }
 
-// Holds are those that go on, in an order that does not change.
+// Holds returns all holds in a stable order.
 func (j *Journal) Holds() []Hold {
 	list := make([]Hold, 0, len(j.holds))
 	for _, h := range j.holds {
@@ -119,7 +119,7 @@
 
 // ReplayHolds returns the holds of a copy of a journal.
 func ReplayHolds(records []byte) []Hold {
-	j := &Journal{live: map[uint64]*Entry{}, next: 1}
+	j := &Journal{live: map[uint64]*Entry{}, nextNumber: 1}
 	j.replay(records)
 	return j.Holds()
 }
--- a/internal/journal/inspect.go
+++ b/internal/journal/inspect.go
@@ -9,33 +9,33 @@
 	"path/filepath"
 )
 
-// Report is what a journal's file holds, read without changing it.
+// Report describes the contents of a journal's file, read without changing it.
 type Report struct {
 	File       string
 	Bytes      int64
 	Records    int
-	ValidBytes int64 // bytes of records that can be read, from the start
+	ValidBytes int64 // bytes of valid records from the start of the file
 	Entries    []*Entry
 }
 
-// Damaged reports whether a part of the file can't be read. After a kill in the middle of a write that
-// is so, and no loss: a torn tail was never answered for.
+// Damaged reports whether a part of the file is unreadable. That is normal after a kill in the middle of a write,
+// and no loss: the records of a torn tail were never acknowledged to a client.
 func (r *Report) Damaged() bool { return r.ValidBytes < r.Bytes }
 
-// Inspect reads the journal in a folder, or a journal's file. It may be in use: the report is of the
-// moment.
+// Inspect reads the journal in a directory, or a journal's file. The journal may be in use: the report describes its
+// state at the moment of reading.
 func Inspect(path string) (*Report, error) {
 	if info, err := os.Stat(path); err == nil && info.IsDir() {
 		path = filepath.Join(path, fileName)
 	}
-	text, err := os.ReadFile(path)
+	data, err := os.ReadFile(path)
 	if err != nil {
 		return nil, fmt.Errorf("journal: %w", err)
 	}
-	r := &Report{File: path, Bytes: int64(len(text))}
-	j := &Journal{live: map[uint64]*Entry{}, next: 1}
-	for rest := text; ; {
-		n, err := j.replayOne(rest)
+	r := &Report{File: path, Bytes: int64(len(data))}
+	j := &Journal{live: map[uint64]*Entry{}, nextNumber: 1}
+	for rest := data; ; {
+		n, err := j.replayRecord(rest)
 		if err != nil {
 			break
 		}
@@ -47,23 +47,23 @@
 	return r, nil
 }
 
-var errTorn = errors.New("torn or damaged")
+var errTornRecord = errors.New("record is torn or damaged")
 
-// replayOne applies the record that text begins with and returns its length.
-func (j *Journal) replayOne(text []byte) (int64, error) {
-	if len(text) < headSize {
-		return 0, errTorn
+// replayRecord applies the record at the start of data and returns its length.
+func (j *Journal) replayRecord(data []byte) (int64, error) {
+	if len(data) < headerSize {
+		return 0, errTornRecord
 	}
-	n := int64(binary.BigEndian.Uint32(text))
-	if n > int64(len(text)-headSize) {
-		return 0, errTorn
+	n := int64(binary.BigEndian.Uint32(data))
+	if n > int64(len(data)-headerSize) {
+		return 0, errTornRecord
 	}
-	payload := text[headSize : headSize+n]
-	if crc32.ChecksumIEEE(payload) != binary.BigEndian.Uint32(text[4:]) {
-		return 0, errTorn
+	payload := data[headerSize : headerSize+n]
+	if crc32.ChecksumIEEE(payload) != binary.BigEndian.Uint32(data[4:]) {
+		return 0, errTornRecord
 	}
-	return headSize + n, j.apply(payload)
+	return headerSize + n, j.apply(payload)
 }
 
-// MayHaveRun reports whether an attempt of e may have run, one without an outcome included.
-func (e *Entry) MayHaveRun() bool { return e.MayHaveRunAt != 0 || e.openAt != 0 }
+// MayHaveRun reports whether an attempt of e may have run; an attempt without an outcome counts.
+func (e *Entry) MayHaveRun() bool { return e.MayHaveRunAt != 0 || e.attemptAt != 0 }
--- a/internal/journal/journal.go
+++ b/internal/journal/journal.go
@@ -1,7 +1,7 @@
-// Package journal keeps what a sender has taken on in a folder that outlasts its
-// process: an append-only file of checksummed records, compacted to its live
-// entries. Nothing is synced: what was written outlasts the process, not the
-// machine. A Journal is not safe for concurrent use.
+// Package journal stores the messages that a sender has accepted in its state
+// directory: an append-only file of checksummed records, compacted to its live
+// entries. Writes are not synced: they survive the death of the process, not the
+// loss of the machine. A Journal is not safe for concurrent use.
 package journal
 
 import (
@@ -20,143 +20,145 @@
 	"sliptide/internal/transient"
 )
 
-// How a message that was not delivered ends.
+// Values of Entry.Ending: how a message that was not delivered ends.
 const (
 	EndingNone      = 0
-	EndingAbandoned = 1 // failed for good
-	EndingReturned  = 2 // refused: it may be handed in again
+	EndingAbandoned = 1 // failed permanently
+	EndingReturned  = 2 // refused: the client may resubmit it
 )
 
-// Entry is one message that was taken on and is not over.
+// Entry is one accepted message that has not ended.
 type Entry struct {
-	Num         uint64 // the sender's number for it, never used again
+	Num         uint64 // the sender's number for the message, never reused
 	Trace, Key  string
 	Class       string
 	Tenant      string
-	OrderingKey uint64
+	OrderingKey uint64 // messages with the same key keep their order, in classes that require it; 0: none
 	Dest        int
 	Resubmitted bool
 	Deadline    int64 // Unix time in milliseconds
 	Body        []byte
 
 	Attempts       int
-	MayHaveRunAt   int64 // when the first attempt that may have run was sent; 0 = none
+	MayHaveRunAt   int64 // when the first attempt that may have run was sent, Unix time in milliseconds; 0: none
 	MayHaveRunZone int
-	TraceParent    string // the trace context that its client sent, as text; empty: none
-	Confirmed      bool   // its client was told that it is taken on, where copies are kept: else an heir never sends it
-	TakeoverDuty   string // the duty of a lost owner that it is taken over from; empty once the fleet has agreed
-	TakeoverToken  uint64 // with which that duty was held
-	Ending         int    // its notice is owed, and says so
-	RetryMS        int64
+	TraceParent    string // trace context sent by the client, as text; empty: none
+	// Confirmed is used with copies: the client was told that the message is accepted. A successor never sends an
+	// unconfirmed message.
+	Confirmed     bool
+	TakeoverDuty  string // duty of the lost owner in a pending takeover; empty once the fleet has agreed
+	TakeoverToken uint64 // fencing token under which that duty was held
+	Ending        int    // if not EndingNone, a notice with this ending is owed
+	RetryMS       int64
 
-	openAt   int64 // when the attempt without an outcome was sent; 0 = none
-	openZone int
-	size     int64
+	attemptAt   int64 // when the attempt without an outcome was sent; 0: none
+	attemptZone int
+	recordBytes int64
 }
 
-// The records.
+// Kinds of records.
 const (
-	recTaken   = 'T' // a whole entry
-	recStart   = 'S' // an attempt begins
-	recOutcome = 'O' // an attempt ended
-	recEnding  = 'N' // the notice that is owed from here on
-	recEnd     = 'E' // the message is over
-	recSure    = 'C' // its client is told that it is taken on
-	recOrigin  = 'A' // it is being taken over from a lost owner; without a name: it has been
-	recParent  = 'P' // the trace context of a message; a version that does not know it passes it over
+	recAccepted    = 'T' // the message is accepted; holds the whole entry
+	recStart       = 'S' // an attempt starts
+	recOutcome     = 'O' // an attempt ended
+	recNoticeOwed  = 'N' // a notice is owed from here on
+	recEnd         = 'E' // the message has ended
+	recConfirmed   = 'C' // the client is told that the message is accepted
+	recTakeover    = 'A' // the message is being taken over from a lost owner; without a duty: the takeover is complete
+	recTraceParent = 'P' // trace context of a message; versions that do not know this kind skip it
 )
 
-// kinds are all that this version knows.
-const kinds = string(recTaken) + string(recStart) + string(recOutcome) + string(recEnding) + string(recEnd) + string(recSure) +
-	string(recOrigin) + string(recParent) + string(recHold)
+// knownKinds holds all record kinds that this version understands.
+const knownKinds = string(recAccepted) + string(recStart) + string(recOutcome) + string(recNoticeOwed) + string(recEnd) +
+	string(recConfirmed) + string(recTakeover) + string(recTraceParent) + string(recHold)
 
 const (
-	fileName = "journal"
-	heirName = "journal.heir" // of a new version started beside the present one, until it takes over
-	copyEnd  = ".new"         // a compacted copy is the file's name with this
-	headSize = 8
-	block    = 512
-	// What a live entry may still write before the file is compacted: a start, an outcome
-	// and an end come to about 90 bytes.
-	entrySlack = 128
-	takenSlack = 640 // bounds what an entry takes besides its body
-	spare      = 4 * block
+	fileName      = "journal"
+	successorName = "journal.heir" // journal of a successor process, until it takes over
+	newSuffix     = ".new"         // suffix of a file being written by a compaction
+	headerSize    = 8
+	blockSize     = 512
+	// Bytes reserved for the records that a live entry may still write before the next compaction: a start, an
+	// outcome and an end come to about 90 bytes.
+	entryReserve     = 128
+	maxEntryOverhead = 640 // upper bound of an entry's bytes besides its body
+	fixedReserve     = 4 * blockSize
 )
 
-var errRecord = errors.New("bad record")
+var errBadRecord = errors.New("bad record")
 
 // Journal is an open journal.
 type Journal struct {
-	files  fsys.Opener
-	name   string            // of the file
-	room   *statedir.Account // what all files may take
-	f      fsys.File         // nil: a compaction has to come first
-	size   int64             // of what is whole in the file
-	torn   bool              // the file may hold more than size: it is cut before anything is added
-	merged []string          // files whose records this one has; they go before anything is added
-	buf    []byte
-	live   map[uint64]*Entry
-	tap    []byte // the records since the last Tapped, where they are wanted
-	tapped bool
-	holds  map[holdKey]Hold // of a journal that is copied
-	used   int64            // bytes that the live entries take in a fresh file
-	next   uint64
-}
-
-// readFor is how long a file that can't be read is tried again at a start.
-const readFor = 10 * time.Second
+	files      fsys.Opener
+	name       string            // name of the journal's file
+	account    *statedir.Account // disk space claimed for the journal's files
+	file       fsys.File         // nil: a compaction must create the file before anything is appended
+	size       int64             // bytes of complete records in the file
+	torn       bool              // the file may be longer than size and is truncated before the next append
+	superseded []string          // files whose records this one contains; removed before the next append
+	buf        []byte
+	live       map[uint64]*Entry
+	toCopy     []byte // records since the last RecordsToCopy, if copies are enabled
+	copying    bool
+	holds      map[holdKey]Hold // used only if copies are enabled
+	liveBytes  int64            // bytes of the live entries in a compacted file
+	nextNumber uint64
+}
+
+// readRetryTimeout limits how long reading a file is retried at startup.
+const readRetryTimeout = 10 * time.Second
 
 // Open replays the journal in dir and compacts it. It returns the live entries
-// in the order in which they were taken. A torn or damaged tail is left out: it
-// was never answered for.
+// in the order in which they were accepted. A torn or damaged tail is ignored: its
+// records were never acknowledged to a client.
 //
-// A journal that a new version left beside it, and did not take over, is taken in too: first, since where
-// it did take over, the journal holds what came after.
-func Open(dir string, room *statedir.Account) (*Journal, []*Entry, error) {
-	return OpenFS(fsys.OS{Dir: dir}, room)
-}
-
-// OpenIn is Open on the files of a folder. Where the folder can't be written to for a while, what it holds is returned
-// all the same, and the first Flush that succeeds makes up for it.
-func OpenFS(files fsys.Opener, room *statedir.Account) (*Journal, []*Entry, error) {
-	j := &Journal{files: files, name: fileName, room: room, live: map[uint64]*Entry{}, next: 1}
-	// Copies that were not finished when the process died; the journals themselves are whole. One that can't be removed
-	// is written over by the next compaction.
-	files.Remove(fileName + copyEnd)
-	files.Remove(heirName + copyEnd)
-	left, err := read(files, heirName)
+// If a successor left a journal of its own behind, its records are merged. They are replayed first: if the
+// successor did take over, the main journal holds the later records.
+func Open(dir string, account *statedir.Account) (*Journal, []*Entry, error) {
+	return OpenFS(fsys.OS{Dir: dir}, account)
+}
+
+// OpenFS is like Open, on the given files. If the directory is temporarily not writable, the entries are returned all
+// the same, and the first successful Flush catches up on the writes.
+func OpenFS(files fsys.Opener, account *statedir.Account) (*Journal, []*Entry, error) {
+	j := &Journal{files: files, name: fileName, account: account, live: map[uint64]*Entry{}, nextNumber: 1}
+	// Unfinished compactions of a process that died; the journals themselves are intact. A file that can't be removed
+	// is overwritten by the next compaction.
+	files.Remove(fileName + newSuffix)
+	files.Remove(successorName + newSuffix)
+	successorData, err := readWithRetry(files, successorName)
 	if err != nil {
 		return nil, nil, err
 	}
-	text, err := read(files, fileName)
+	data, err := readWithRetry(files, fileName)
 	if err != nil {
 		return nil, nil, err
 	}
-	j.replay(left)
-	j.replay(text)
+	j.replay(successorData)
+	j.replay(data)
 	for _, e := range j.live {
-		e.settle(true)
+		e.endAttempt(true)
 	}
-	j.size = int64(len(left) + len(text))
-	if left != nil {
-		j.merged = []string{heirName}
+	j.size = int64(len(successorData) + len(data))
+	if successorData != nil {
+		j.superseded = []string{successorName}
 	}
 	err = j.compact()
 	switch {
 	case err == nil:
 	case !transient.Disk(err):
 		return nil, nil, fmt.Errorf("journal: %w", err)
-	case left == nil && j.f == nil:
-		j.goOn()
+	case successorData == nil && j.file == nil:
+		j.reopen()
 	}
-	j.claim(0, 0)
+	j.claimSpace(0, 0)
 	return j, j.entries(), nil
 }
 
-// goOn opens the file as it is, to be added to. It is read once more: the compaction that failed may have replaced it all
-// the same. Where that fails too, a compaction has to come first.
-func (j *Journal) goOn() {
-	text, err := j.files.Read(j.name)
+// reopen opens the existing file for appending. The file is read again, because the failed compaction may have replaced
+// it all the same. If that fails too, a compaction must come before the next append.
+func (j *Journal) reopen() {
+	data, err := j.files.Read(j.name)
 	if err != nil {
 		return
 	}
@@ -164,14 +166,14 @@
 	if err != nil {
 		return
 	}
-	whole := (&Journal{live: map[uint64]*Entry{}}).replay(text)
-	j.f, j.size, j.torn = f, int64(whole), len(text) > whole
+	valid := (&Journal{live: map[uint64]*Entry{}}).replay(data)
+	j.file, j.size, j.torn = f, int64(valid), len(data) > valid
 }
 
-// read returns a file's bytes, nil if there is none.
-func read(files fsys.FS, name string) (text []byte, err error) {
-	err = transient.Retry(readFor, transient.Disk, func() error {
-		text, err = files.Read(name)
+// readWithRetry returns a file's contents, nil if the file does not exist.
+func readWithRetry(files fsys.FS, name string) (data []byte, err error) {
+	err = transient.Retry(readRetryTimeout, transient.Disk, func() error {
+		data, err = files.Read(name)
 		return err
 	})
 	if errors.Is(err, fs.ErrNotExist) {
@@ -180,63 +182,66 @@
 	if err != nil {
 		return nil, fmt.Errorf("journal: %s: %w", name, err)
 	}
-	return text, nil
+	return data, nil
 }
 
-// heirGap keeps the numbers of a new version's messages apart from those of the present one, which go on
-// while both run.
-const heirGap = 1 << 32
+// successorNumberGap separates the message numbers of a successor from those of the current process, which assigns
+// further numbers while both run.
+const successorNumberGap = 1 << 32
 
-// OpenHeir starts the journal of a new version that starts while the present one still works in the folder: a
-// file of its own, empty, whose numbers lie above all that the present one's journal has used.
-func OpenSuccessor(files fsys.Opener, room *statedir.Account) (*Journal, error) {
-	text, err := read(files, fileName)
+// OpenSuccessor creates the journal of a process that starts while its predecessor still uses the state directory: an
+// empty file of its own, whose numbers lie above all those in the predecessor's journal.
+func OpenSuccessor(files fsys.Opener, account *statedir.Account) (*Journal, error) {
+	data, err := readWithRetry(files, fileName)
 	if err != nil {
 		return nil, err
 	}
-	seen := &Journal{live: map[uint64]*Entry{}, next: 1}
-	seen.replay(text)
-	j := &Journal{files: files, name: heirName, room: room, live: map[uint64]*Entry{}, next: seen.next + heirGap}
+	current := &Journal{live: map[uint64]*Entry{}, nextNumber: 1}
+	current.replay(data)
+	j := &Journal{
+		files: files, name: successorName, account: account, live: map[uint64]*Entry{},
+		nextNumber: current.nextNumber + successorNumberGap,
+	}
 	if err := j.compact(); err != nil && !transient.Disk(err) {
 		return nil, fmt.Errorf("journal: %w", err)
 	}
-	j.claim(0, 0)
+	j.claimSpace(0, 0)
 	return j, nil
 }
 
-// TakeOver makes the journal of a new version the journal, once the present one has left: what that one
-// held joins this file, which takes the journal's place. It returns the entries that joined, in order. Where the folder
-// can't be written to for a while, nothing is noted until it can.
+// TakeOver turns a successor's journal into the main journal, once the predecessor has exited: the predecessor's entries
+// are merged, and the merged file replaces the main one. It returns the merged entries in order. If the directory is
+// temporarily not writable, no records are written until it is.
 func (j *Journal) TakeOver() ([]*Entry, error) {
 	if j.name == fileName {
 		return nil, nil
 	}
-	text, err := read(j.files, fileName)
+	data, err := readWithRetry(j.files, fileName)
 	if err != nil {
 		return nil, err
 	}
-	left := &Journal{live: map[uint64]*Entry{}, next: 1}
-	left.replay(text)
-	for _, e := range left.live {
-		e.settle(true)
+	previous := &Journal{live: map[uint64]*Entry{}, nextNumber: 1}
+	previous.replay(data)
+	for _, e := range previous.live {
+		e.endAttempt(true)
 		j.live[e.Num] = e
 	}
-	j.name, j.merged = fileName, []string{heirName}
-	if err := j.compact(); err != nil { // the copy takes the old journal's place, whole
+	j.name, j.superseded = fileName, []string{successorName}
+	if err := j.compact(); err != nil { // replaces the predecessor's file atomically
 		if !transient.Disk(err) {
 			return nil, fmt.Errorf("journal: %w", err)
 		}
-		j.drop()
+		j.closeFile()
 	}
-	j.claim(0, 0)
-	return left.entries(), nil
+	j.claimSpace(0, 0)
+	return previous.entries(), nil
 }
 
-// drop lets go of the file: a compaction has to come first.
-func (j *Journal) drop() {
-	if j.f != nil {
-		j.f.Close()
-		j.f = nil
+// closeFile closes the file; a compaction must come before the next append.
+func (j *Journal) closeFile() {
+	if j.file != nil {
+		j.file.Close()
+		j.file = nil
 	}
 }
 
@@ -254,237 +259,241 @@
 	return list
 }
 
-// Next returns a number that no entry has had.
+// NextNumber returns a message number that has not been used.
 func (j *Journal) NextNumber() uint64 {
-	j.next++
-	return j.next - 1
+	j.nextNumber++
+	return j.nextNumber - 1
 }
 
-// Room reports whether a further entry of that size may be taken. The file, what
-// is to be added to it and a compacted copy must fit the room together at any
-// time: a burst of large messages could otherwise leave no room for the copy.
-func (j *Journal) HasSpace(body int) bool {
-	need := int64(body) + takenSlack
-	if j.claim(need, 1) {
+// HasSpace reports whether an entry with a body of that size may be accepted. The
+// file, the pending records and a compacted copy must fit the disk space together at
+// all times: otherwise a burst of large messages could leave no space to compact.
+func (j *Journal) HasSpace(bodyBytes int) bool {
+	entryBytes := int64(bodyBytes) + maxEntryOverhead
+	if j.claimSpace(entryBytes, 1) {
 		return true
 	}
-	return j.least(need, 1) <= j.room.Limit() && j.compact() == nil && j.claim(need, 1)
+	return j.minClaim(entryBytes, 1) <= j.account.Limit() && j.compact() == nil && j.claimSpace(entryBytes, 1)
 }
 
-// claim claims what the file and a compacted copy may take with a further entry of that size. It fails
-// where a compaction would make room, or nothing would: then whoever shares the folder is asked for some.
-func (j *Journal) claim(need int64, more int) bool {
-	least := j.least(need, more)
-	limit := j.room.SoftLimit() // records that are over must not crowd out what else lies in the folder
-	if least > limit {
-		limit = j.room.Limit() // live ones may
+// claimSpace claims the disk space that the file and a compacted copy may need with newEntries further entries, of
+// entryBytes in all. It fails if a compaction would free enough space, or if none can be had; in the second case the
+// account that shares the directory is asked to yield.
+func (j *Journal) claimSpace(entryBytes int64, newEntries int) bool {
+	minimum := j.minClaim(entryBytes, newEntries)
+	limit := j.account.SoftLimit() // records of ended messages must not displace the directory's other files
+	if minimum > limit {
+		limit = j.account.Limit() // live entries may displace them
 	}
-	whole := j.size + int64(len(j.buf)) + j.used + 2*need + j.slack(more) + spare
-	if least <= limit && whole > limit {
+	wanted := j.size + int64(len(j.buf)) + j.liveBytes + 2*entryBytes + j.smallRecordReserve(newEntries) + fixedReserve
+	if minimum <= limit && wanted > limit {
 		return false
 	}
-	return j.room.Claim(max(least, whole))
+	return j.account.Claim(max(minimum, wanted))
 }
 
-// least is what the folder must have room for after a compaction, with a tenth to spare.
-func (j *Journal) least(need int64, more int) int64 {
-	return (2*(j.used+need)+j.slack(more))*10/9 + spare
+// minClaim returns the disk space needed after a compaction, with a tenth to spare.
+func (j *Journal) minClaim(entryBytes int64, newEntries int) int64 {
+	return (2*(j.liveBytes+entryBytes)+j.smallRecordReserve(newEntries))*10/9 + fixedReserve
 }
 
-// slack is what the live entries, and some more, may still write in small records.
-func (j *Journal) slack(more int) int64 {
-	return int64(len(j.live)+more)*entrySlack + 2*int64(len(j.holds))*holdSlack
+// smallRecordReserve returns the bytes that the live entries, newEntries more, and the holds may still take in small
+// records.
+func (j *Journal) smallRecordReserve(newEntries int) int64 {
+	return int64(len(j.live)+newEntries)*entryReserve + 2*int64(len(j.holds))*maxHoldBytes
 }
 
-// Take adds a message.
+// Accept adds a message.
 func (j *Journal) Accept(e *Entry) {
 	j.live[e.Num] = e
-	at := len(j.buf)
-	j.buf = e.frames(j.buf)
-	j.copy(at)
-	j.used += e.size
+	start := len(j.buf)
+	j.buf = e.appendRecords(j.buf)
+	j.captureForCopies(start)
+	j.liveBytes += e.recordBytes
 }
 
-// frames appends all that is known of a live entry, as records.
-func (e *Entry) frames(b []byte) []byte {
-	b = frame(b, e.taken)
+// appendRecords appends the whole state of a live entry as records.
+func (e *Entry) appendRecords(b []byte) []byte {
+	b = appendFrame(b, e.appendAccepted)
 	if e.TraceParent != "" {
-		b = frame(b, e.parent)
+		b = appendFrame(b, e.appendTraceParent)
 	}
 	if e.TakeoverDuty != "" {
-		b = frame(b, e.origin)
+		b = appendFrame(b, e.appendTakeover)
 	}
 	if e.Confirmed {
-		b = frame(b, e.sure)
+		b = appendFrame(b, e.appendConfirmed)
 	}
-	if e.openAt != 0 {
-		b = frame(b, func(b []byte) []byte {
+	if e.attemptAt != 0 {
+		b = appendFrame(b, func(b []byte) []byte {
 			b = binary.AppendUvarint(append(b, recStart), e.Num)
-			b = binary.AppendVarint(b, e.openAt)
-			return binary.AppendVarint(b, int64(e.openZone))
+			b = binary.AppendVarint(b, e.attemptAt)
+			return binary.AppendVarint(b, int64(e.attemptZone))
 		})
 	}
 	return b
 }
 
-func (e *Entry) sure(b []byte) []byte { return binary.AppendUvarint(append(b, recSure), e.Num) }
+func (e *Entry) appendConfirmed(b []byte) []byte {
+	return binary.AppendUvarint(append(b, recConfirmed), e.Num)
+}
 
-func (e *Entry) origin(b []byte) []byte {
-	b = binary.AppendUvarint(append(b, recOrigin), e.Num)
+func (e *Entry) appendTakeover(b []byte) []byte {
+	b = binary.AppendUvarint(append(b, recTakeover), e.Num)
 	return append(binary.AppendUvarint(b, e.TakeoverToken), e.TakeoverDuty...)
 }
 
-// Confirm notes that the client of a message is told that it is taken on.
+// Confirm records that the client of a message is told that it is accepted.
 func (j *Journal) Confirm(e *Entry) {
 	e.Confirmed = true
-	j.append(e.sure)
+	j.appendRecord(e.appendConfirmed)
 }
 
-// Adopted notes that the fleet has agreed that a message of a lost owner is this sender's.
+// FinishTakeover records that the fleet has agreed that a lost owner's message now belongs to this sender.
 func (j *Journal) FinishTakeover(e *Entry) {
 	e.TakeoverDuty = ""
-	j.append(e.origin)
+	j.appendRecord(e.appendTakeover)
 }
 
-// Tap keeps the records of each step for Tapped, for copies of the journal.
-func (j *Journal) EnableCopies() { j.tapped = true }
+// EnableCopies makes the journal collect new records for RecordsToCopy, and keep holds.
+func (j *Journal) EnableCopies() { j.copying = true }
 
-// Tapped returns the records since the last call, as they went into the file, until the next change.
+// RecordsToCopy returns the records added since the last call, as they are written to the file.
 func (j *Journal) RecordsToCopy() []byte {
-	b := j.tap
-	j.tap = nil
-	return b
+	records := j.toCopy
+	j.toCopy = nil
+	return records
 }
 
-// Snapshot is all that is live, as records.
-func (j *Journal) Snapshot() (b []byte) {
+// Snapshot returns all live entries and holds as records.
+func (j *Journal) Snapshot() (records []byte) {
 	for _, e := range j.entries() {
-		b = e.frames(b)
+		records = e.appendRecords(records)
 	}
 	for _, h := range j.Holds() {
-		b = frame(b, h.record)
+		records = appendFrame(records, h.appendTo)
 	}
-	return b
+	return records
 }
 
-// Replay returns the live entries of records, and how many bytes were whole. An attempt without an outcome may have
-// run. It is for copies of a journal that is another's.
+// Replay returns the live entries in records copied from another sender's journal. An attempt without an outcome counts
+// as one that may have run.
 func Replay(records []byte) []*Entry {
-	j := &Journal{live: map[uint64]*Entry{}, next: 1}
+	j := &Journal{live: map[uint64]*Entry{}, nextNumber: 1}
 	j.replay(records)
 	for _, e := range j.live {
-		e.settle(true)
+		e.endAttempt(true)
 	}
 	return j.entries()
 }
 
-// Compact returns the records of what is live in records. An attempt that is out stays one.
+// Compact returns records for the live entries and holds in records only. An attempt without an outcome remains open.
 func Compact(records []byte) []byte {
-	j := &Journal{live: map[uint64]*Entry{}, next: 1}
+	j := &Journal{live: map[uint64]*Entry{}, nextNumber: 1}
 	j.replay(records)
 	return j.Snapshot()
 }
 
-// Live is the bytes that the live entries take.
-func (j *Journal) LiveBytes() int64 { return j.used }
+// LiveBytes returns the size of the live entries in a compacted file.
+func (j *Journal) LiveBytes() int64 { return j.liveBytes }
 
-// Skip makes all numbers up to one count as used.
-func (j *Journal) SkipNumbers(upto uint64) { j.next = max(j.next, upto+1) }
+// SkipNumbers marks all numbers up to last as used.
+func (j *Journal) SkipNumbers(last uint64) { j.nextNumber = max(j.nextNumber, last+1) }
 
-// Last is the highest number that was given out.
-func (j *Journal) LastNumber() uint64 { return j.next - 1 }
+// LastNumber returns the highest number that has been assigned.
+func (j *Journal) LastNumber() uint64 { return j.nextNumber - 1 }
 
-// parent appends the trace context as a record.
-func (e *Entry) parent(b []byte) []byte {
-	at := len(b)
-	b = append(binary.AppendUvarint(append(b, recParent), e.Num), e.TraceParent...)
-	e.size += int64(len(b)-at) + headSize
+// appendTraceParent appends the trace context as a record.
+func (e *Entry) appendTraceParent(b []byte) []byte {
+	start := len(b)
+	b = append(binary.AppendUvarint(append(b, recTraceParent), e.Num), e.TraceParent...)
+	e.recordBytes += int64(len(b)-start) + headerSize
 	return b
 }
 
-// Size is the bytes of the file, with what the next Flush writes.
+// Size returns the size of the file in bytes, including the records that the next Flush writes.
 func (j *Journal) Size() int64 { return j.size + int64(len(j.buf)) }
 
-// Start notes that an attempt begins; it is written before the attempt's first byte.
+// StartAttempt records the start of an attempt. The record must be flushed before the attempt's first byte is sent.
 func (j *Journal) StartAttempt(e *Entry, at int64, zone int) {
-	e.start(at, zone)
-	j.append(func(b []byte) []byte {
+	e.startAttempt(at, zone)
+	j.appendRecord(func(b []byte) []byte {
 		b = binary.AppendUvarint(append(b, recStart), e.Num)
 		b = binary.AppendVarint(b, at)
 		return binary.AppendVarint(b, int64(zone))
 	})
 }
 
-// Outcome notes how the attempt that is out ended.
+// EndAttempt records the outcome of the open attempt.
 func (j *Journal) EndAttempt(e *Entry, mayHaveRun bool) {
-	e.settle(mayHaveRun)
-	j.append(func(b []byte) []byte {
-		ran := byte(0)
+	e.endAttempt(mayHaveRun)
+	j.appendRecord(func(b []byte) []byte {
+		flag := byte(0)
 		if mayHaveRun {
-			ran = 1
+			flag = 1
 		}
-		return append(binary.AppendUvarint(append(b, recOutcome), e.Num), ran)
+		return append(binary.AppendUvarint(append(b, recOutcome), e.Num), flag)
 	})
 }
 
-// Owe notes that a message is to end undelivered, with this notice.
+// OweNotice records that a message ends undelivered and that a notice about it is owed.
 func (j *Journal) OweNotice(e *Entry, ending int, retryMS int64) {
 	e.Ending, e.RetryMS = ending, retryMS
-	j.append(func(b []byte) []byte {
-		b = binary.AppendUvarint(append(b, recEnding), e.Num)
+	j.appendRecord(func(b []byte) []byte {
+		b = binary.AppendUvarint(append(b, recNoticeOwed), e.Num)
 		b = binary.AppendVarint(b, int64(ending))
 		return binary.AppendVarint(b, retryMS)
 	})
 }
 
-// End notes that a message is over.
+// End records that a message has ended.
 func (j *Journal) End(e *Entry) {
 	if j.live[e.Num] != e {
 		return
 	}
 	delete(j.live, e.Num)
-	j.used -= e.size
-	j.append(func(b []byte) []byte { return binary.AppendUvarint(append(b, recEnd), e.Num) })
+	j.liveBytes -= e.recordBytes
+	j.appendRecord(func(b []byte) []byte { return binary.AppendUvarint(append(b, recEnd), e.Num) })
 }
 
-func (e *Entry) start(at int64, zone int) {
-	e.settle(true)
+func (e *Entry) startAttempt(at int64, zone int) {
+	e.endAttempt(true)
 	e.Attempts++
-	e.openAt, e.openZone = at, zone
+	e.attemptAt, e.attemptZone = at, zone
 }
 
-// settle closes the attempt that is out. One without an outcome may have run.
-func (e *Entry) settle(mayHaveRun bool) {
-	if e.openAt != 0 && mayHaveRun && e.MayHaveRunAt == 0 {
-		e.MayHaveRunAt, e.MayHaveRunZone = e.openAt, e.openZone
+// endAttempt closes the open attempt, if any. An attempt without an outcome counts as one that may have run.
+func (e *Entry) endAttempt(mayHaveRun bool) {
+	if e.attemptAt != 0 && mayHaveRun && e.MayHaveRunAt == 0 {
+		e.MayHaveRunAt, e.MayHaveRunZone = e.attemptAt, e.attemptZone
 	}
-	e.openAt = 0
+	e.attemptAt = 0
 }
 
-// append frames one record into the buffer.
-func (j *Journal) append(fill func([]byte) []byte) {
-	at := len(j.buf)
-	j.buf = frame(j.buf, fill)
-	j.copy(at)
+// appendRecord adds one record to the buffer.
+func (j *Journal) appendRecord(encode func([]byte) []byte) {
+	start := len(j.buf)
+	j.buf = appendFrame(j.buf, encode)
+	j.captureForCopies(start)
 }
 
-func (j *Journal) copy(from int) {
-	if j.tapped {
-		j.tap = append(j.tap, j.buf[from:]...)
+func (j *Journal) captureForCopies(from int) {
+	if j.copying {
+		j.toCopy = append(j.toCopy, j.buf[from:]...)
 	}
 }
 
-func frame(b []byte, fill func([]byte) []byte) []byte {
-	at := len(b)
-	b = fill(append(b, make([]byte, headSize)...))
-	payload := b[at+headSize:]
-	binary.BigEndian.PutUint32(b[at:], uint32(len(payload)))
-	binary.BigEndian.PutUint32(b[at+4:], crc32.ChecksumIEEE(payload))
+func appendFrame(b []byte, encode func([]byte) []byte) []byte {
+	start := len(b)
+	b = encode(append(b, make([]byte, headerSize)...))
+	payload := b[start+headerSize:]
+	binary.BigEndian.PutUint32(b[start:], uint32(len(payload)))
+	binary.BigEndian.PutUint32(b[start+4:], crc32.ChecksumIEEE(payload))
 	return b
 }
 
-// Flush writes what was noted since the last time. After an error all of it is
-// kept for the next try, and the file ends where it ended before, if not at once, then before anything is added.
+// Flush writes the records added since the last call. After an error all of them are kept for the next call, and the
+// file is truncated to its previous length, at the latest before the next append.
 func (j *Journal) Flush() error {
 	if len(j.buf) == 0 {
 		return nil
@@ -496,159 +505,161 @@
 }
 
 func (j *Journal) flush() error {
-	if j.f == nil || !j.claim(0, 0) {
-		return j.compact() // the copy holds all that was noted
+	if j.file == nil || !j.claimSpace(0, 0) {
+		return j.compact() // the compacted file includes the pending records
 	}
-	if err := j.mend(); err != nil {
+	if err := j.repair(); err != nil {
 		return err
 	}
-	n, err := j.f.Write(j.buf)
+	n, err := j.file.Write(j.buf)
 	if err != nil {
-		j.torn = j.torn || n > 0 // half a record would hide all that comes behind it
-		return errors.Join(err, j.mend())
+		j.torn = j.torn || n > 0 // an incomplete record would hide all records after it
+		return errors.Join(err, j.repair())
 	}
 	j.size += int64(n)
 	j.buf = j.buf[:0]
 	return nil
 }
 
-// Torn reports whether the file may hold a part of what the last Flush failed to write: a process that were killed now
-// would find it there, whole records included.
+// Torn reports whether the file may contain part of what the last Flush failed to write. If the process is killed in this
+// state, the next start replays the complete records of that part.
 func (j *Journal) Torn() bool { return j.torn }
 
-// mend makes the folder such that the file can be added to: it ends with a whole record, and no other file holds records
-// that it has.
-func (j *Journal) mend() error {
+// repair prepares the files for an append: the journal then ends with a complete record, and superseded files are
+// removed.
+func (j *Journal) repair() error {
 	if j.torn {
-		if err := j.f.Truncate(j.size); err != nil {
+		if err := j.file.Truncate(j.size); err != nil {
 			return err
 		}
 		j.torn = false
 	}
-	for len(j.merged) > 0 {
-		if err := j.files.Remove(j.merged[0]); err != nil {
+	for len(j.superseded) > 0 {
+		if err := j.files.Remove(j.superseded[0]); err != nil {
 			return err
 		}
-		j.merged = j.merged[1:]
+		j.superseded = j.superseded[1:]
 	}
 	return nil
 }
 
-// compact writes the live entries to a new file and puts it in the old one's place.
+// compact writes the live entries and holds to a new file, which replaces the old one.
 func (j *Journal) compact() error {
 	var b []byte
-	j.used = 0
+	j.liveBytes = 0
 	for _, e := range j.entries() {
-		b = e.frames(b)
-		j.used += e.size
+		b = e.appendRecords(b)
+		j.liveBytes += e.recordBytes
 	}
 	for _, h := range j.Holds() {
-		b = frame(b, h.record)
+		b = appendFrame(b, h.appendTo)
 	}
-	copyName := j.name + copyEnd
-	f, err := j.files.Open(copyName, true)
+	tempName := j.name + newSuffix
+	f, err := j.files.Open(tempName, true)
 	if err != nil {
 		return err
 	}
 	if _, err := f.Write(b); err != nil {
-		return errors.Join(err, f.Close(), j.files.Remove(copyName))
+		return errors.Join(err, f.Close(), j.files.Remove(tempName))
 	}
-	if err := j.files.Rename(copyName, j.name); err != nil {
-		j.drop() // it may have been replaced all the same
-		return errors.Join(err, f.Close(), j.files.Remove(copyName))
+	if err := j.files.Rename(tempName, j.name); err != nil {
+		j.closeFile() // the rename may have taken effect in spite of the error
+		return errors.Join(err, f.Close(), j.files.Remove(tempName))
 	}
-	j.drop()
-	j.f, j.size, j.torn, j.buf = f, int64(len(b)), false, j.buf[:0]
-	return j.mend()
+	j.closeFile()
+	j.file, j.size, j.torn, j.buf = f, int64(len(b)), false, j.buf[:0]
+	return j.repair()
 }
 
-// Close writes what is left and closes the file.
+// Close flushes the pending records and closes the file.
 func (j *Journal) Close() error {
 	err := j.Flush()
-	if j.f != nil {
-		err = errors.Join(err, j.f.Close())
+	if j.file != nil {
+		err = errors.Join(err, j.file.Close())
 	}
 	return err
 }
 
-// taken appends the whole entry as a record. The attempt that is out has a record of its own.
-func (e *Entry) taken(b []byte) []byte {
-	at := len(b)
-	b = binary.AppendUvarint(append(b, recTaken), e.Num)
+// appendAccepted appends the entry as one record. An open attempt is not counted: it has a record of its own.
+func (e *Entry) appendAccepted(b []byte) []byte {
+	start := len(b)
+	b = binary.AppendUvarint(append(b, recAccepted), e.Num)
 	for _, s := range []string{e.Trace, e.Key, e.Class, e.Tenant} {
 		b = binary.AppendUvarint(b, uint64(len(s)))
 		b = append(b, s...)
 	}
-	again, attempts := int64(0), int64(e.Attempts)
+	resubmitted, attempts := int64(0), int64(e.Attempts)
 	if e.Resubmitted {
-		again = 1
+		resubmitted = 1
 	}
-	if e.openAt != 0 {
+	if e.attemptAt != 0 {
 		attempts--
 	}
 	b = binary.AppendUvarint(b, e.OrderingKey)
-	for _, v := range []int64{int64(e.Dest), again, e.Deadline, attempts, e.MayHaveRunAt, int64(e.MayHaveRunZone), int64(e.Ending), e.RetryMS} {
+	for _, v := range []int64{
+		int64(e.Dest), resubmitted, e.Deadline, attempts, e.MayHaveRunAt, int64(e.MayHaveRunZone), int64(e.Ending), e.RetryMS,
+	} {
 		b = binary.AppendVarint(b, v)
 	}
 	b = append(b, e.Body...)
-	e.size = int64(len(b)-at) + headSize
+	e.recordBytes = int64(len(b)-start) + headerSize
 	return b
 }
 
-// replay applies the records of text up to the first that is not whole, and returns how many bytes those are.
-func (j *Journal) replay(text []byte) (whole int) {
+// replay applies the records in data up to the first invalid one, and returns the number of bytes applied.
+func (j *Journal) replay(data []byte) (valid int) {
 	for {
-		n, err := j.replayOne(text[whole:])
+		n, err := j.replayRecord(data[valid:])
 		if err != nil {
-			return whole
+			return valid
 		}
-		whole += int(n)
+		valid += int(n)
 	}
 }
 
-// apply takes one record.
+// apply applies one record's payload.
 func (j *Journal) apply(payload []byte) error {
 	if len(payload) == 0 {
-		return errRecord
+		return errBadRecord
 	}
-	if !strings.ContainsRune(kinds, rune(payload[0])) {
-		return nil // of a later version
+	if !strings.ContainsRune(knownKinds, rune(payload[0])) {
+		return nil // written by a later version
 	}
 	d := decoder{b: payload[1:]}
 	if payload[0] == recHold {
 		if h := d.hold(); d.err == nil {
-			j.set(h)
+			j.applyHold(h)
 		}
 		return d.err
 	}
 	num := d.uvarint()
-	if payload[0] == recTaken {
+	if payload[0] == recAccepted {
 		e := d.entry(num)
 		if d.err == nil {
 			j.live[num] = e
-			j.next = max(j.next, num+1)
+			j.nextNumber = max(j.nextNumber, num+1)
 		}
 		return d.err
 	}
 	e := j.live[num]
 	if d.err != nil || e == nil {
-		return d.err // a record of a message that is over says nothing new
+		return d.err // a record of an ended message has no effect
 	}
 	switch payload[0] {
 	case recStart:
-		e.start(d.varint(), int(d.varint()))
+		e.startAttempt(d.varint(), int(d.varint()))
 	case recOutcome:
-		e.settle(d.varint() != 0)
-	case recEnding:
+		e.endAttempt(d.varint() != 0)
+	case recNoticeOwed:
 		e.Ending, e.RetryMS = int(d.varint()), d.varint()
 	case recEnd:
 		delete(j.live, num)
-	case recSure:
+	case recConfirmed:
 		e.Confirmed = true
-	case recOrigin:
+	case recTakeover:
 		e.TakeoverToken = d.uvarint()
 		e.TakeoverDuty = string(d.b)
-	case recParent:
+	case recTraceParent:
 		e.TraceParent = string(d.b)
 	}
 	return d.err
@@ -684,7 +695,7 @@
 	return v
 }
 
-// skip drops n bytes that were read; n <= 0 tells that there was no number.
+// skip drops n bytes that were decoded; n <= 0 means that decoding the number failed.
 func (d *decoder) skip(n int) {
 	if n <= 0 {
 		d.b, d.err = nil, io.ErrUnexpectedEOF
--- a/internal/journal/journal_test.go
+++ b/internal/journal/journal_test.go
@@ -21,41 +21,49 @@
 }
 
 func entry(j *Journal, body string) *Entry {
-	return &Entry{Num: j.NextNumber(), Trace: "t", Key: "k", Class: "c", Tenant: "n", OrderingKey: 1 << 60, Dest: 7, Resubmitted: true, Deadline: 1 << 41, Body: []byte(body)}
+	return &Entry{
+		Num: j.NextNumber(), Trace: "t", Key: "k", Class: "c", Tenant: "n", OrderingKey: 1 << 60,
+		Dest: 7, Resubmitted: true, Deadline: 1 << 41, Body: []byte(body),
+	}
 }
 
-// A journal cut off at any byte replays all records that were whole, and goes on from there.
-func TestTornAnywhere(t *testing.T) {
+// TestTornAtAnyByte guards against a torn tail that hides complete records or later appends: a journal cut at any byte
+// replays all complete records and accepts further entries.
+func TestTornAtAnyByte(t *testing.T) {
 	dir := t.TempDir()
 	j, _ := open(t, dir, 1<<20)
 	a, b := entry(j, "a"), entry(j, "b")
-	var ends []int64 // of the file, after each record
-	for _, note := range []func(){
-		func() { j.Accept(a) }, func() { j.StartAttempt(a, 1000, 2) }, func() { j.EndAttempt(a, false) }, func() { j.StartAttempt(a, 2000, 3) },
+	var ends []int64 // size of the file after each record
+	for _, operation := range []func(){
+		func() { j.Accept(a) }, func() { j.StartAttempt(a, 1000, 2) }, func() { j.EndAttempt(a, false) },
+		func() { j.StartAttempt(a, 2000, 3) },
 		func() { j.Accept(b) }, func() { j.OweNotice(b, EndingReturned, 500) }, func() { j.End(b) },
 	} {
-		note()
+		operation()
 		if err := j.Flush(); err != nil {
 			t.Fatal(err)
 		}
 		ends = append(ends, j.size)
 	}
-	text, _ := os.ReadFile(filepath.Join(dir, fileName))
-	for cut := range len(text) + 1 {
-		whole := 0
-		for whole < len(ends) && ends[whole] <= int64(cut) {
-			whole++
+	data, _ := os.ReadFile(filepath.Join(dir, fileName))
+	for cut := range len(data) + 1 {
+		complete := 0
+		for complete < len(ends) && ends[complete] <= int64(cut) {
+			complete++
 		}
 		dir := t.TempDir()
-		os.WriteFile(filepath.Join(dir, fileName), text[:cut], 0o600)
+		os.WriteFile(filepath.Join(dir, fileName), data[:cut], 0o600)
 		j, list := open(t, dir, 1<<20)
 		got := ""
 		for _, e := range list {
-			got += fmt.Sprintf("%s %d attempts, doubt %d in %d, ending %d;", e.Body, e.Attempts, e.MayHaveRunAt, e.MayHaveRunZone, e.Ending)
+			got += fmt.Sprintf("%s %d attempts, may have run at %d in %d, ending %d;",
+				e.Body, e.Attempts, e.MayHaveRunAt, e.MayHaveRunZone, e.Ending)
 		}
-		a1, a2 := "a 1 attempts, doubt 0 in 0, ending 0;", "a 2 attempts, doubt 2000 in 3, ending 0;"
-		want := []string{"", "a 0 attempts, doubt 0 in 0, ending 0;", "a 1 attempts, doubt 1000 in 2, ending 0;", a1, a2,
-			a2 + "b 0 attempts, doubt 0 in 0, ending 0;", a2 + "b 0 attempts, doubt 0 in 0, ending 2;", a2}[whole]
+		a1, a2 := "a 1 attempts, may have run at 0 in 0, ending 0;", "a 2 attempts, may have run at 2000 in 3, ending 0;"
+		want := []string{"", "a 0 attempts, may have run at 0 in 0, ending 0;",
+			"a 1 attempts, may have run at 1000 in 2, ending 0;", a1, a2,
+			a2 + "b 0 attempts, may have run at 0 in 0, ending 0;",
+			a2 + "b 0 attempts, may have run at 0 in 0, ending 2;", a2}[complete]
 		if got != want {
 			t.Fatalf("cut at %d: %q, want %q", cut, got, want)
 		}
@@ -67,8 +75,9 @@
 	}
 }
 
-// Compaction loses nothing, and with its copy the files stay under the limit.
-func TestBounded(t *testing.T) {
+// TestSizeStaysWithinLimit guards against a compaction that loses entries, and against files that exceed the limit while
+// the compacted copy is written.
+func TestSizeStaysWithinLimit(t *testing.T) {
 	const limit = 100 << 10
 	dir := t.TempDir()
 	j, _ := open(t, dir, limit)
@@ -102,21 +111,21 @@
 		t.Fatalf("%d refused; %d entries, want %d", refused, len(list), len(live))
 	}
 	for i, e := range list {
-		live[i].settle(true)
-		live[i].size, e.size = 0, 0
+		live[i].endAttempt(true)
+		live[i].recordBytes, e.recordBytes = 0, 0
 		if !reflect.DeepEqual(e, live[i]) {
 			t.Errorf("entry %+v, want %+v", e, live[i])
 		}
 	}
 }
 
-// Whatever the file holds, it is opened, and what is noted next is kept.
+// FuzzReplay checks that a journal with any content can be opened, and that an entry accepted afterwards survives.
 func FuzzReplay(f *testing.F) {
-	f.Add([]byte{}, []byte{recTaken, 1})
+	f.Add([]byte{}, []byte{recAccepted, 1})
 	f.Fuzz(func(t *testing.T, tail, payload []byte) {
 		dir := t.TempDir()
-		text := append(frame(nil, func(b []byte) []byte { return append(b, payload...) }), tail...)
-		os.WriteFile(filepath.Join(dir, fileName), text, 0o600)
+		data := append(appendFrame(nil, func(b []byte) []byte { return append(b, payload...) }), tail...)
+		os.WriteFile(filepath.Join(dir, fileName), data, 0o600)
 		j, list := open(t, dir, 1<<20)
 		e := entry(j, "x")
 		j.Accept(e)
@@ -127,15 +136,15 @@
 	})
 }
 
-// The trace context of a message outlasts the process and a compaction, and ends with the message.
-func TestParentOutlasts(t *testing.T) {
+// TestTraceParentSurvivesRestart guards against a trace context that is lost by a restart or a compaction.
+func TestTraceParentSurvivesRestart(t *testing.T) {
 	dir := t.TempDir()
 	j, _ := open(t, dir, 1<<20)
 	with, without := entry(j, "a"), entry(j, "b")
 	with.TraceParent = "00-4bf92f3577b34da6a3ce929d0e0e4736-00f067aa0ba902b7-01"
 	j.Accept(with)
 	j.Accept(without)
-	for range 3 { // each opening compacts
+	for range 3 { // each Open compacts the file
 		if err := j.Close(); err != nil {
 			t.Fatal(err)
 		}
@@ -147,53 +156,55 @@
 	}
 }
 
-// An heir's journal: numbers apart from the present one's, the present one's live entries taken in when it
-// has left, one file after; and where the heir never took over, a later start takes in both.
-func TestHeir(t *testing.T) {
+// TestSuccessorTakesOver checks the journal of a successor: its numbers don't collide with the predecessor's, it merges
+// the predecessor's live entries into a single file once that process has exited, and if it never takes over, the next
+// start merges both files.
+func TestSuccessorTakesOver(t *testing.T) {
 	dir := t.TempDir()
-	present, _ := open(t, dir, 1<<20)
-	held, over := &Entry{Num: present.NextNumber(), Trace: "held", Deadline: 1}, &Entry{Num: present.NextNumber(), Trace: "over", Deadline: 1}
-	present.Accept(held)
-	present.Accept(over)
-	present.Flush()
-	heir, err := OpenSuccessor(fsys.OS{Dir: dir}, statedir.NewSpace(1<<20).Account())
+	current, _ := open(t, dir, 1<<20)
+	held, finished := &Entry{Num: current.NextNumber(), Trace: "held", Deadline: 1},
+		&Entry{Num: current.NextNumber(), Trace: "over", Deadline: 1}
+	current.Accept(held)
+	current.Accept(finished)
+	current.Flush()
+	successor, err := OpenSuccessor(fsys.OS{Dir: dir}, statedir.NewSpace(1<<20).Account())
 	if err != nil {
 		t.Fatal(err)
 	}
-	mine := &Entry{Num: heir.NextNumber(), Trace: "mine", Deadline: 1}
-	if mine.Num <= over.Num {
-		t.Fatalf("the heir's number %d is among the present one's", mine.Num)
+	own := &Entry{Num: successor.NextNumber(), Trace: "mine", Deadline: 1}
+	if own.Num <= finished.Num {
+		t.Fatalf("the successor's number %d is in the predecessor's range", own.Num)
 	}
-	heir.Accept(mine)
-	heir.Flush()
-	present.StartAttempt(held, 5, 0) // out when the present one leaves: it may have run
-	present.End(over)
-	if err := present.Close(); err != nil {
+	successor.Accept(own)
+	successor.Flush()
+	current.StartAttempt(held, 5, 0) // open when the predecessor exits: it may have run
+	current.End(finished)
+	if err := current.Close(); err != nil {
 		t.Fatal(err)
 	}
-	joined, err := heir.TakeOver()
-	if err != nil || len(joined) != 1 || joined[0].Trace != "held" || joined[0].MayHaveRunAt != 5 {
-		t.Fatalf("took over %+v, %v", joined, err)
+	takenOver, err := successor.TakeOver()
+	if err != nil || len(takenOver) != 1 || takenOver[0].Trace != "held" || takenOver[0].MayHaveRunAt != 5 {
+		t.Fatalf("took over %+v, %v", takenOver, err)
 	}
-	heir.End(mine)
-	heir.Close()
+	successor.End(own)
+	successor.Close()
 	_, live := open(t, dir, 1<<20)
 	if len(live) != 1 || live[0].Trace != "held" {
-		t.Fatalf("after the take-over: %+v", live)
+		t.Fatalf("after the takeover: %+v", live)
 	}
-	if _, err := os.Stat(filepath.Join(dir, heirName)); !os.IsNotExist(err) {
-		t.Errorf("the heir's file is left: %v", err)
+	if _, err := os.Stat(filepath.Join(dir, successorName)); !os.IsNotExist(err) {
+		t.Errorf("the successor's file still exists: %v", err)
 	}
 
-	// An heir that never took over: its file is taken in at the next start, beside the journal.
-	left, err := OpenSuccessor(fsys.OS{Dir: dir}, statedir.NewSpace(1<<20).Account())
+	// A successor that never took over: the next start merges its file into the journal.
+	abandoned, err := OpenSuccessor(fsys.OS{Dir: dir}, statedir.NewSpace(1<<20).Account())
 	if err != nil {
 		t.Fatal(err)
 	}
-	left.Accept(&Entry{Num: left.NextNumber(), Trace: "left", Deadline: 1})
-	left.Close()
+	abandoned.Accept(&Entry{Num: abandoned.NextNumber(), Trace: "left", Deadline: 1})
+	abandoned.Close()
 	_, live = open(t, dir, 1<<20)
 	if len(live) != 2 || live[0].Trace != "held" || live[1].Trace != "left" {
-		t.Fatalf("after an heir that did not take over: %+v", live)
+		t.Fatalf("after a successor that did not take over: %+v", live)
 	}
 }
