--- a/cmd/sliptide/knowledge_test.go
+++ b/cmd/sliptide/knowledge_test.go
@@ -112,7 +112,7 @@
 		r.callFor(id).status(200, "Endpoint-Load-Metrics", "TEXT x0=0.5, x1=25")
 	}
 	r.awaitFile(store.BookName, func(b *knowledge.Book) bool {
-		return b.Dests[0] != nil && b.Dests[0].Shared.Told == 25 && len(b.Dests[0].Endpoints) == 1
+		return b.Dests[0] != nil && b.Dests[0].Shared.AdvertisedLimit == 25 && len(b.Dests[0].Endpoints) == 1
 	})
 	if _, errs, status := command(t, "knowledge", "forget", r.state); status != 1 || !strings.Contains(errs, "another sender") {
 		t.Errorf("forget while it runs: %d %s", status, errs)
--- a/internal/cli/knowledge.go
+++ b/internal/cli/knowledge.go
@@ -148,14 +148,14 @@
 		if d.Shared != nil {
 			shared = *d.Shared
 		}
-		dv := destView{Dest: n, AgeSeconds: round(now-d.At) / 1e3, Limit: shared.Told, Reported: shared.Reported,
+		dv := destView{Dest: n, AgeSeconds: round(now-d.At) / 1e3, Limit: shared.AdvertisedLimit, Reported: shared.LimitReported,
 			LimitLeft: share(now-d.At, h.Limit), Pace: shared.Pace, LatencyMS: d.Latency.Mean,
 			Theta: d.Control.Theta, EXMS: d.Control.EX, Endpoints: []endpointView{}}
 		for _, e := range d.Endpoints {
 			ev := endpointView{Name: e.Name, AgeSeconds: round(now-e.At) / 1e3, Health: healthName(e.Health),
-				Weight: share(now-e.At, h.Health), Fails: e.Fails, Base: e.Base}
-			if e.Apart != nil {
-				ev.Limit = e.Apart.Told
+				Weight: share(now-e.At, h.Health), Fails: e.Failures, Base: e.RateBeforeOutage}
+			if e.OwnRoute != nil {
+				ev.Limit = e.OwnRoute.AdvertisedLimit
 			}
 			dv.Endpoints = append(dv.Endpoints, ev)
 		}
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -30,44 +30,44 @@
 func readSettings(m map[string]string) (policy.Settings, error) {
 	p := pairs{m: m}
 	s := policy.Settings{
-		Index:          p.integer("index", 0),
-		Senders:        p.integer("balancers", 1),
-		Zone:           p.integer("zone", 0),
-		Zones:          p.list("areas"),
-		Round:          p.float("round", 0),
-		CallSlots:      p.integer("family_info.call_slots", need),
-		Halves:         p.m["family_info.loses_worth"] == "halves",
-		OverShareWorth: p.float("over_share_worth", 1),
-		CrossFee:       p.float("fees.cross_zone", 0),
-		Rated:          p.m["weights"] == "nominal" || p.m["weights"] == "rough",
-		MayCancel:      p.flag("limits.may_cancel"),
-		MayProbe:       p.flag("limits.probes"),
-		MarksAgain:     p.flag("callers.marks_retry"),
-		TellsRetry:     p.flag("limits.retry_after"),
-		MaxRetryAfter:  p.float("limits.max_retry_after", 0),
-		MaxAttempts:    p.integer("limits.max_attempts", need),
-		MaxHeld:        p.integer("limits.most_held", need),
-		StreamsPerConn: p.integer("limits.streams_per_conn", 1),
-		KeepAlive:      p.float("limits.keepalive", 0),
-		DialTimeout:    p.float("limits.dial_timeout", 0),
-		Subscribe:      p.m["discovery"] == "subscribe",
-		AskWithin:      p.float("contract.must_ask_in", 0),
-		AnswerSlack:    p.float("contract.answer_slack", 0),
-		DrainGrace:     p.float("contract.stop_sending_within", 0),
-		Cold:           p.float("contract.cold", 0),
-		ColdFrom:       p.float("contract.cold_from", 0),
-		TipMultiple:    p.float("contract.tip_multiple", 1),
-		TipAfter:       p.float("contract.tip_after", 0),
-		SettleDoubt:    p.float("contract.settle_after_doubt", 0),
-		X0:             -1,
-		X1:             -1,
+		Index:                p.integer("index", 0),
+		Senders:              p.integer("balancers", 1),
+		Zone:                 p.integer("zone", 0),
+		Zones:                p.list("areas"),
+		MinStepInterval:      p.float("round", 0),
+		CallSlots:            p.integer("family_info.call_slots", need),
+		WorthHalves:          p.m["family_info.loses_worth"] == "halves",
+		OverShareWorth:       p.float("over_share_worth", 1),
+		CrossZoneFee:         p.float("fees.cross_zone", 0),
+		RatingIsRate:         p.m["weights"] == "nominal" || p.m["weights"] == "rough",
+		MayCancel:            p.flag("limits.may_cancel"),
+		MayProbe:             p.flag("limits.probes"),
+		MarksResubmissions:   p.flag("callers.marks_retry"),
+		SendsRetryAfter:      p.flag("limits.retry_after"),
+		MaxRetryAfter:        p.float("limits.max_retry_after", 0),
+		MaxAttempts:          p.integer("limits.max_attempts", need),
+		MaxHeld:              p.integer("limits.most_held", need),
+		StreamsPerConn:       p.integer("limits.streams_per_conn", 1),
+		KeepAlive:            p.float("limits.keepalive", 0),
+		DialTimeout:          p.float("limits.dial_timeout", 0),
+		Subscribe:            p.m["discovery"] == "subscribe",
+		MaxSubscribeInterval: p.float("contract.must_ask_in", 0),
+		AnswerSlack:          p.float("contract.answer_slack", 0),
+		DrainGrace:           p.float("contract.stop_sending_within", 0),
+		WarmUpDuration:       p.float("contract.cold", 0),
+		ColdCapacity:         p.float("contract.cold_from", 0),
+		OverloadMultiple:     p.float("contract.tip_multiple", 1),
+		OverloadWindow:       p.float("contract.tip_after", 0),
+		KeyPause:             p.float("contract.settle_after_doubt", 0),
+		AllowanceIndex:       -1,
+		LimitIndex:           -1,
 	}
 	for i, f := range strings.Split(p.m["reporting.fields"], ",") {
 		switch f {
 		case "x0":
-			s.X0 = i
+			s.AllowanceIndex = i
 		case "x1":
-			s.X1 = i
+			s.LimitIndex = i
 		}
 	}
 	classes := p.count("services.count", need)
@@ -77,13 +77,13 @@
 	for i := range classes {
 		at := fmt.Sprintf("services.%d.", i)
 		c := policy.Class{
-			Name:       p.m[at+"name"],
-			Deadline:   p.float(at+"deadline", need),
-			Worth:      p.float(at+"worth", need),
-			LateWorth:  p.float(at+"late_worth", 0),
-			ZoneScope:  p.m[at+"key_scope"] != "" && p.m[at+"key_scope"] != "all",
-			MemorySpan: p.float(at+"memory_span", 0),
-			ByArrival:  p.flag(at + "by_arrival"),
+			Name:        p.m[at+"name"],
+			Deadline:    p.float(at+"deadline", need),
+			Worth:       p.float(at+"worth", need),
+			LateWorth:   p.float(at+"late_worth", 0),
+			ZoneScope:   p.m[at+"key_scope"] != "" && p.m[at+"key_scope"] != "all",
+			DedupWindow: p.float(at+"memory_span", 0),
+			Ordered:     p.flag(at + "by_arrival"),
 		}
 		c.Aim = p.float(at+"aim", c.Deadline)
 		p.over(at+"deadline", c.Deadline, 0, "a time in milliseconds over 0")
@@ -139,13 +139,13 @@
 		if err != nil {
 			p.fail("family_info.toll", err)
 		}
-		s.Tolls = append(s.Tolls, toll)
+		s.ZoneFees = append(s.ZoneFees, toll)
 	}
 	if len(s.Zones) > 0 && (s.Zone < 0 || s.Zone >= len(s.Zones)) {
 		p.fail("zone", fmt.Errorf("%d names no zone; allowed: 0 to %d, the positions of areas %v", s.Zone, len(s.Zones)-1, s.Zones))
 	}
-	if len(s.Tolls) > 1 && len(s.Tolls) != len(s.Zones) {
-		p.fail("family_info.toll", fmt.Errorf("%d figures for the %d zones of areas %v; allowed: one for each", len(s.Tolls), len(s.Zones), s.Zones))
+	if len(s.ZoneFees) > 1 && len(s.ZoneFees) != len(s.Zones) {
+		p.fail("family_info.toll", fmt.Errorf("%d figures for the %d zones of areas %v; allowed: one for each", len(s.ZoneFees), len(s.Zones), s.Zones))
 	}
 	p.over("limits.max_attempts", float64(s.MaxAttempts), 0, "a whole number over 0")
 	p.over("family_info.call_slots", float64(s.CallSlots), 0, "a whole number over 0")
--- a/internal/discovery/bounds_test.go
+++ b/internal/discovery/bounds_test.go
@@ -165,7 +165,7 @@
 	for _, senders := range []int{1, 3, 30, 43, 44, 80, 300, 10000} {
 		for _, spent := range []time.Duration{0, listTimeout, dialTimeout + listTimeout, watchFor + watchGrace} {
 			for _, answered := range []bool{false, true} {
-				p := newPace(&policy.Settings{Senders: senders, Subscribe: true, AskWithin: 10000}, 1)
+				p := newPace(&policy.Settings{Senders: senders, Subscribe: true, MaxSubscribeInterval: 10000}, 1)
 				worst := time.Duration(0)
 				for failures := 1; failures <= 20; failures++ {
 					for range 200 {
@@ -188,7 +188,7 @@
 	for seed := range uint64(watchers) {
 		wait.Go(func() {
 			addr, asked := agent(t) // silent from the first ask on
-			w := NewWatch(addr, &policy.Settings{Senders: 300, Subscribe: true, AskWithin: 10000}, seed, zerolog.Nop(), func(List) {})
+			w := NewWatch(addr, &policy.Settings{Senders: 300, Subscribe: true, MaxSubscribeInterval: 10000}, seed, zerolog.Nop(), func(List) {})
 			if err := w.Known([]byte(listOf(41, 1))); err != nil {
 				t.Error(err)
 				return
--- a/internal/discovery/pace.go
+++ b/internal/discovery/pace.go
@@ -30,7 +30,7 @@
 	const mean = 0.75 // of what a pause is drawn from, half of it to all
 	most := time.Duration(float64(max(set.Senders, 1)) / fleetRequests / mean * float64(time.Second))
 	bound := maxPause
-	if within := set.AskWithin * pauseShare; set.Subscribe && within > 0 && within < float64(maxPause/time.Millisecond) {
+	if within := set.MaxSubscribeInterval * pauseShare; set.Subscribe && within > 0 && within < float64(maxPause/time.Millisecond) {
 		bound = time.Duration(within * float64(time.Millisecond))
 	}
 	most = min(max(most, minPause), max(bound, minPause))
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -138,7 +138,7 @@
 		{3, true, 10000, 200 * time.Millisecond}, {80, true, 10000, 5 * time.Second}, {80, true, 4000, 2 * time.Second},
 		{80, true, 0, 5 * time.Second}, {80, true, 1, 100 * time.Millisecond}, {80, false, 0, 5 * time.Second}, {1 << 30, true, 1e300, 5 * time.Second},
 	} {
-		p := newPace(&policy.Settings{Senders: c.senders, Subscribe: c.subscribe, AskWithin: c.within}, 1)
+		p := newPace(&policy.Settings{Senders: c.senders, Subscribe: c.subscribe, MaxSubscribeInterval: c.within}, 1)
 		if p.most.Round(time.Millisecond) != c.want {
 			t.Errorf("%d senders, within %g: %v, want %v", c.senders, c.within, p.most, c.want)
 		}
@@ -158,7 +158,7 @@
 	const senders, seconds = 80, 60
 	var asks []float64
 	for i := range senders {
-		p := newPace(&policy.Settings{Senders: senders, Subscribe: true, AskWithin: 10000}, uint64(i))
+		p := newPace(&policy.Settings{Senders: senders, Subscribe: true, MaxSubscribeInterval: 10000}, uint64(i))
 		at := 0.0 // the first ask goes at once: a pause before it would be a gap in the watch
 		for n := 1; at < seconds; n++ {
 			asks = append(asks, at)
@@ -213,7 +213,7 @@
 func TestSilenceAfterSilenceIsFoundInTime(t *testing.T) {
 	const way = 200 * time.Millisecond // an answer's, and the machine's
 	for _, senders := range []int{1, 3, 30, 80, 300, 10000} {
-		p := newPace(&policy.Settings{Senders: senders, Subscribe: true, AskWithin: 10000}, 1)
+		p := newPace(&policy.Settings{Senders: senders, Subscribe: true, MaxSubscribeInterval: 10000}, 1)
 		first, second := time.Duration(0), time.Duration(0)
 		for range 1000 {
 			first, second = max(first, p.next(1, true, watchFor+watchGrace)), max(second, p.next(2, true, listTimeout))
--- a/internal/intake/rig_test.go
+++ b/internal/intake/rig_test.go
@@ -95,8 +95,8 @@
 }
 
 var rigSettings = policy.Settings{
-	Senders: 1, CallSlots: 10, MaxAttempts: 6, MaxHeld: 1000, KeepAlive: 10000, DialTimeout: 1500, Cold: 10000, ColdFrom: 0.25,
-	TipMultiple: 1.5, TipAfter: 3000, TellsRetry: true, MaxRetryAfter: 2000, X0: -1, X1: -1, Round: 1, Kinds: []policy.DestKind{{Batch: 1}},
+	Senders: 1, CallSlots: 10, MaxAttempts: 6, MaxHeld: 1000, KeepAlive: 10000, DialTimeout: 1500, WarmUpDuration: 10000, ColdCapacity: 0.25,
+	OverloadMultiple: 1.5, OverloadWindow: 3000, SendsRetryAfter: true, MaxRetryAfter: 2000, AllowanceIndex: -1, LimitIndex: -1, MinStepInterval: 1, Kinds: []policy.DestKind{{Batch: 1}},
 	Classes: []policy.Class{{Name: "safe", Aim: 15000, Deadline: 20000, Worth: 1, LateWorth: 0.5, Effect: policy.Safe}},
 }
 
--- a/internal/knowledge/age.go
+++ b/internal/knowledge/age.go
@@ -90,7 +90,7 @@
 	d := b.Dests[dest]
 	wait := b.waitOf(Route{Dest: dest}, now)
 	if d == nil {
-		d = &Destination{Dest: dest, At: now, Control: policy.FreshControl()}
+		d = &Destination{Dest: dest, At: now, Control: policy.InitialAdmission()}
 		if wait == 0 && !b.waitsApart(dest) {
 			return nil, false
 		}
@@ -140,12 +140,12 @@
 // settings have made a route apart of it meanwhile, what its destination told still holds.
 func (b *Book) recallEndpoint(e Endpoint, dest int, wait, now float64, h operator.HalfLives, prior Prior) Endpoint {
 	apart := &policy.RouteFacts{LastOK: now}
-	if e.Apart != nil {
-		apart = agedRoute(e.Apart, e.At, now, h, prior)
+	if e.OwnRoute != nil {
+		apart = agedRoute(e.OwnRoute, e.At, now, h, prior)
 	}
 	apart.WaitUntil = max(wait, b.waitOf(Route{dest, e.Name}, now))
 	e.EndpointFacts = agedHealth(e.EndpointFacts, e.At, now, Weight(now-e.At, h.Health))
-	e.Apart = apart
+	e.OwnRoute = apart
 	return e
 }
 
@@ -155,18 +155,18 @@
 	age := now - at
 	w := Weight(age, h.Limit)
 	r := &policy.RouteFacts{LastOK: min(f.LastOK, now)}
-	if told := finite(f.Told, 0, maxRate); told > 0 && (prior.Rating > 0 || w >= limitLeast) {
-		r.Told, r.Reported = blend(told, prior.Rating, w), f.Reported && w >= sureLeast
+	if told := finite(f.AdvertisedLimit, 0, maxRate); told > 0 && (prior.Rating > 0 || w >= limitLeast) {
+		r.AdvertisedLimit, r.LimitReported = blend(told, prior.Rating, w), f.LimitReported && w >= sureLeast
 	}
 	w = Weight(age, h.Pace)
-	if pace := finite(f.Pace, 0, maxRate); pace > 0 && (r.Told > 0 || w >= limitLeast) {
-		r.Pace = blend(pace, r.Told, w)
+	if pace := finite(f.Pace, 0, maxRate); pace > 0 && (r.AdvertisedLimit > 0 || w >= limitLeast) {
+		r.Pace = blend(pace, r.AdvertisedLimit, w)
 	}
 	if r.Pace == 0 {
-		r.Pace = r.Told
+		r.Pace = r.AdvertisedLimit
 	}
 	// Rates of late fade by themselves, as fast as the pace that they stand for.
-	r.Tried, r.Accepted, r.Delivered = w*finite(f.Tried, 0, maxRate), w*finite(f.Accepted, 0, maxRate), w*finite(f.Delivered, 0, maxRate)
+	r.CallRate, r.AcceptedRate, r.DeliveredRate = w*finite(f.CallRate, 0, maxRate), w*finite(f.AcceptedRate, 0, maxRate), w*finite(f.DeliveredRate, 0, maxRate)
 	return r
 }
 
@@ -181,8 +181,8 @@
 }
 
 // agedControl blends theta, its covariance and the admitted share with those of a fresh controller.
-func agedControl(f policy.ControlFacts, now, w float64) policy.ControlFacts {
-	r := policy.FreshControl()
+func agedControl(f policy.AdmissionFacts, now, w float64) policy.AdmissionFacts {
+	r := policy.InitialAdmission()
 	mix := func(to *float64, v float64) {
 		if !math.IsNaN(v) && math.Abs(v) <= maxMS {
 			*to += w * (v - *to)
@@ -200,7 +200,7 @@
 	if w >= sureLeast {
 		r.Lambda = finite(f.Lambda, 0, maxRate)
 	}
-	r.Seen = min(f.Seen, now)
+	r.LastArrival = min(f.LastArrival, now)
 	return r
 }
 
@@ -213,34 +213,34 @@
 		return r
 	}
 	r = f
-	r.Apart = nil
-	r.Fails, r.Trials = min(max(f.Fails, 0), 1000), min(max(f.Trials, 0), 1000)
-	r.FailShare = w * finite(f.FailShare, 0, 1)
-	r.Base = w * finite(f.Base, 0, maxRate)
-	r.LastOK, r.FailAt, r.OpenAt, r.RampAt = min(f.LastOK, now), min(f.FailAt, now), min(f.OpenAt, now), min(f.RampAt, now)
+	r.OwnRoute = nil
+	r.Failures, r.FailedTrials = min(max(f.Failures, 0), 1000), min(max(f.FailedTrials, 0), 1000)
+	r.FailureShare = w * finite(f.FailureShare, 0, 1)
+	r.RateBeforeOutage = w * finite(f.RateBeforeOutage, 0, maxRate)
+	r.LastOK, r.LastFailure, r.OpenedAt, r.RampStart = min(f.LastOK, now), min(f.LastFailure, now), min(f.OpenedAt, now), min(f.RampStart, now)
 	r.NextTrial = min(f.NextTrial, now+max(f.NextTrial-at, 0))
 	return r
 }
 
 // RecallGeneral returns what is still to be held beside destinations, for these classes and kinds.
 func (b *Book) RecallGeneral(now float64, h operator.HalfLives, set *policy.Settings) policy.GeneralFacts {
-	g := policy.GeneralFacts{Usual: make([]policy.LatencyFacts, len(set.Classes)), Dials: make([]policy.DialFacts, len(set.Kinds))}
+	g := policy.GeneralFacts{ClassLatency: make([]policy.LatencyFacts, len(set.Classes)), Dials: make([]policy.DialFacts, len(set.Kinds))}
 	for i, c := range set.Classes {
 		if u, ok := b.Usual[c.Name]; ok {
-			g.Usual[i] = agedLatency(u.LatencyFacts, now-u.At, h, 0)
+			g.ClassLatency[i] = agedLatency(u.LatencyFacts, now-u.At, h, 0)
 		}
 	}
 	for i, k := range set.Kinds {
 		if d, ok := b.Dials[k.Name]; ok {
-			g.Dials[i].Failed = Weight(now-d.At, h.Connections) * finite(d.Failed, 0, 1)
-			g.Dials[i].ShortUntil = min(d.ShortUntil, now+max(d.ShortUntil-d.At, 0))
+			g.Dials[i].FailureShare = Weight(now-d.At, h.Connections) * finite(d.FailureShare, 0, 1)
+			g.Dials[i].ScarceUntil = min(d.ScarceUntil, now+max(d.ScarceUntil-d.At, 0))
 		}
 	}
-	g.Stale = Weight(now-b.Staleness.At, h.Connections) * finite(b.Staleness.Share, 0, 1)
-	if g.Stale >= least {
-		g.StaleGap = finite(b.Staleness.Gap, 0, maxMS)
+	g.StaleShare = Weight(now-b.Staleness.At, h.Connections) * finite(b.Staleness.Share, 0, 1)
+	if g.StaleShare >= least {
+		g.MinStaleIdle = finite(b.Staleness.Gap, 0, maxMS)
 	} else {
-		g.Stale = 0
+		g.StaleShare = 0
 	}
 	return g
 }
--- a/internal/knowledge/keeper/keeper_test.go
+++ b/internal/knowledge/keeper/keeper_test.go
@@ -218,7 +218,7 @@
 	r.o.Room.YieldTo(journal)
 	var list []*knowledge.Destination
 	for i := range 60 {
-		list = append(list, &knowledge.Destination{Dest: i, At: 1.8e12, Shared: &policy.RouteFacts{Told: 5}, Control: policy.FreshControl(),
+		list = append(list, &knowledge.Destination{Dest: i, At: 1.8e12, Shared: &policy.RouteFacts{AdvertisedLimit: 5}, Control: policy.InitialAdmission(),
 			Endpoints: []knowledge.Endpoint{{Name: fmt.Sprintf("endpoint-%040d", i), At: 1.8e12}}})
 	}
 	r.Learn(list, nil)
--- a/internal/knowledge/knowledge.go
+++ b/internal/knowledge/knowledge.go
@@ -42,7 +42,7 @@
 	At        float64
 	Shared    *policy.RouteFacts
 	Latency   policy.LatencyFacts
-	Control   policy.ControlFacts
+	Control   policy.AdmissionFacts
 	Endpoints []Endpoint // by name
 }
 
@@ -228,14 +228,14 @@
 func (r *ranked) rank() {
 	add := func(f *policy.RouteFacts) {
 		if f != nil {
-			r.rate += f.Tried
+			r.rate += f.CallRate
 		}
 	}
 	add(r.d.Shared)
 	for i := range r.d.Endpoints {
 		e := &r.d.Endpoints[i]
 		r.sick = r.sick || e.Health != policy.Healthy
-		add(e.Apart)
+		add(e.OwnRoute)
 	}
 }
 
--- a/internal/knowledge/knowledge_test.go
+++ b/internal/knowledge/knowledge_test.go
@@ -46,15 +46,15 @@
 
 func dest(n int, at float64, eps ...Endpoint) *Destination {
 	return &Destination{
-		Dest: n, At: at, Control: policy.FreshControl(), Endpoints: eps,
-		Shared:  &policy.RouteFacts{Told: 10, Reported: true, Pace: 8, LastOK: at, Tried: 4},
+		Dest: n, At: at, Control: policy.InitialAdmission(), Endpoints: eps,
+		Shared:  &policy.RouteFacts{AdvertisedLimit: 10, LimitReported: true, Pace: 8, LastOK: at, CallRate: 4},
 		Latency: policy.LatencyFacts{Mean: 300, Dev: 50, N: 40},
 	}
 }
 
 func endpoint(name string, at float64, h policy.Health) Endpoint {
 	return Endpoint{Name: name, At: at, EndpointFacts: policy.EndpointFacts{
-		Health: h, Fails: 4, FailAt: at - 100, OpenAt: at - 2000, NextTrial: at + 700, RampAt: at - 1000, Base: 2, LastOK: at - 3000}}
+		Health: h, Failures: 4, LastFailure: at - 100, OpenedAt: at - 2000, NextTrial: at + 700, RampStart: at - 1000, RateBeforeOutage: 2, LastOK: at - 3000}}
 }
 
 // What is learned replaces what was known; an endpoint that is not named again stays for a while.
@@ -87,10 +87,10 @@
 		sure              bool
 	}{{0, 40, 10, true}, {half, 40, 20, true}, {10 * half, 40, 39.9, false}, {half, 0, 10, true}, {2 * half, 0, 10, false}, {4 * half, 0, 0, false}} {
 		d, ok := b.Recall(1, now+row.age, halves, Prior{Rating: row.rating})
-		if !ok || math.Abs(d.Shared.Told-row.told) > 0.1 || d.Shared.Reported != row.sure {
+		if !ok || math.Abs(d.Shared.AdvertisedLimit-row.told) > 0.1 || d.Shared.LimitReported != row.sure {
 			t.Errorf("%+v: %+v", row, d.Shared)
 		}
-		if d.Shared.Pace > 0 && d.Shared.Pace > math.Max(d.Shared.Told, 10) {
+		if d.Shared.Pace > 0 && d.Shared.Pace > math.Max(d.Shared.AdvertisedLimit, 10) {
 			t.Errorf("%+v: pace %v", row, d.Shared.Pace)
 		}
 	}
@@ -102,14 +102,14 @@
 	b.Learn(dest(1, now, endpoint("a", now, policy.Broken), endpoint("b", now, policy.Ramping)))
 	d, _ := b.Recall(1, now+600, halves, Prior{})
 	a, r := d.Endpoints[0], d.Endpoints[1]
-	if a.Health != policy.Broken || a.NextTrial != now+700 || a.OpenAt != now-2000 || a.Base > 2 || a.Base < 1.9 {
+	if a.Health != policy.Broken || a.NextTrial != now+700 || a.OpenedAt != now-2000 || a.RateBeforeOutage > 2 || a.RateBeforeOutage < 1.9 {
 		t.Errorf("broken: %+v", a)
 	}
-	if r.Health != policy.Ramping || r.RampAt != now-1000 {
+	if r.Health != policy.Ramping || r.RampStart != now-1000 {
 		t.Errorf("ramping: %+v", r)
 	}
 	d, _ = b.Recall(1, now+7*86400e3, halves, Prior{})
-	if e := d.Endpoints[0]; e.Health != policy.Healthy || e.Fails != 0 {
+	if e := d.Endpoints[0]; e.Health != policy.Healthy || e.Failures != 0 {
 		t.Errorf("after a week: %+v", e)
 	}
 	if b.Expire(now+7*86400e3, halves); len(b.Dests) != 0 {
@@ -123,14 +123,14 @@
 	b.Learn(dest(1, now, endpoint("a", now, policy.Broken), endpoint("b", now, policy.Ramping)))
 	clock := now - 3600e3
 	d, _ := b.Recall(1, clock, halves, Prior{Rating: 40})
-	if a := d.Endpoints[0]; a.NextTrial > clock+700 || a.OpenAt > clock || a.FailAt > clock {
+	if a := d.Endpoints[0]; a.NextTrial > clock+700 || a.OpenedAt > clock || a.LastFailure > clock {
 		t.Errorf("broken: %+v", a)
 	}
-	if r := d.Endpoints[1]; r.RampAt > clock || r.LastOK > clock {
+	if r := d.Endpoints[1]; r.RampStart > clock || r.LastOK > clock {
 		t.Errorf("ramping: %+v", r)
 	}
-	if !near(d.Shared.Told, 20) {
-		t.Errorf("limit %v, want half-way to the rating", d.Shared.Told)
+	if !near(d.Shared.AdvertisedLimit, 20) {
+		t.Errorf("limit %v, want half-way to the rating", d.Shared.AdvertisedLimit)
 	}
 }
 
@@ -152,18 +152,18 @@
 	b.Tell(Wait{Route: Route{Dest: 1}, Told: now, Until: now + 900})
 	b.Tell(Wait{Route: Route{Dest: 2, Endpoint: "x"}, Told: now, Until: now + 500})
 	d, ok := b.Recall(1, now, halves, Prior{})
-	if !ok || d.Shared.WaitUntil != now+900 || d.Shared.Told != 0 {
+	if !ok || d.Shared.WaitUntil != now+900 || d.Shared.AdvertisedLimit != 0 {
 		t.Errorf("%+v", d)
 	}
 	d, ok = b.Recall(2, now, halves, Prior{})
-	if !ok || len(d.Endpoints) != 1 || d.Endpoints[0].Apart.WaitUntil != now+500 || d.Shared.WaitUntil != 0 {
+	if !ok || len(d.Endpoints) != 1 || d.Endpoints[0].OwnRoute.WaitUntil != now+500 || d.Shared.WaitUntil != 0 {
 		t.Errorf("%+v", d)
 	}
 	if _, ok = b.Recall(3, now, halves, Prior{}); ok {
 		t.Error("something is known of nothing")
 	}
 	b.Learn(dest(1, now, endpoint("a", now, policy.Healthy)))
-	if d, _ = b.Recall(1, now, halves, Prior{}); d.Endpoints[0].Apart.WaitUntil != now+900 {
+	if d, _ = b.Recall(1, now, halves, Prior{}); d.Endpoints[0].OwnRoute.WaitUntil != now+900 {
 		t.Error("the destination's wait does not bind its endpoint")
 	}
 }
@@ -173,7 +173,7 @@
 	b := New("n0")
 	for i := range 100 {
 		d := dest(i, now-float64(i))
-		d.Shared.Tried = float64(i % 50)
+		d.Shared.CallRate = float64(i % 50)
 		if i == 7 {
 			d.Endpoints = []Endpoint{endpoint("a", now, policy.Ramping)}
 		}
@@ -194,25 +194,25 @@
 	b := New("n0")
 	b.Usual["gone"] = Usual{now, policy.LatencyFacts{Mean: 100, N: 5}}
 	b.Usual["note"] = Usual{now, policy.LatencyFacts{Mean: 200, N: 5}}
-	b.Dials["gone"] = Dials{now, policy.DialFacts{Failed: 1}}
+	b.Dials["gone"] = Dials{now, policy.DialFacts{FailureShare: 1}}
 	set := &policy.Settings{Classes: []policy.Class{{Name: "new"}, {Name: "note"}}, Kinds: []policy.DestKind{{Name: "k"}}}
 	g := b.RecallGeneral(now, halves, set)
-	if g.Usual[0].N != 0 || g.Usual[1].Mean != 200 || g.Dials[0].Failed != 0 {
+	if g.ClassLatency[0].N != 0 || g.ClassLatency[1].Mean != 200 || g.Dials[0].FailureShare != 0 {
 		t.Errorf("%+v", g)
 	}
 	bad := dest(1, now, endpoint("a", now, 77))
-	bad.Shared.Told, bad.Shared.Pace, bad.Latency.Mean = math.NaN(), math.Inf(1), -4
+	bad.Shared.AdvertisedLimit, bad.Shared.Pace, bad.Latency.Mean = math.NaN(), math.Inf(1), -4
 	bad.Control.Theta[1], bad.Control.Pa = math.NaN(), math.Inf(-1)
 	b.Learn(bad)
 	d, _ := b.Recall(1, now, halves, Prior{})
-	if d.Shared.Told != 0 || d.Shared.Pace != 0 || d.Latency.N != 0 || d.Control != d.Control || d.Endpoints[0].Health != policy.Healthy {
+	if d.Shared.AdvertisedLimit != 0 || d.Shared.Pace != 0 || d.Latency.N != 0 || d.Control != d.Control || d.Endpoints[0].Health != policy.Healthy {
 		t.Errorf("%+v %+v", d, d.Shared)
 	}
 }
 
 // A controller fades towards a fresh one.
 func TestControlFades(t *testing.T) {
-	f := policy.FreshControl()
+	f := policy.InitialAdmission()
 	d := dest(1, now)
 	d.Control.Theta, d.Control.Pa, d.Control.EX = [2]float64{2, 1.5}, 0.2, 800
 	b := New("n0")
--- a/internal/knowledge/store/codec.go
+++ b/internal/knowledge/store/codec.go
@@ -153,7 +153,7 @@
 	}
 	for _, name := range sorted(b.Dials) {
 		d := b.Dials[name]
-		m.Dials = append(m.Dials, &pb.Dials{Kind: name, AtMs: int64(d.At), Failed: float32(d.Failed), ShortUntilMs: int64(d.ShortUntil)})
+		m.Dials = append(m.Dials, &pb.Dials{Kind: name, AtMs: int64(d.At), Failed: float32(d.FailureShare), ShortUntilMs: int64(d.ScarceUntil)})
 	}
 	if s := b.Staleness; s.At != 0 {
 		m.Staleness = &pb.Staleness{AtMs: int64(s.At), Share: float32(s.Share), GapMs: float32(s.Gap)}
@@ -183,7 +183,7 @@
 		b.Usual[u.Class] = knowledge.Usual{At: float64(u.AtMs), LatencyFacts: latencyFromPB(u.Latency)}
 	}
 	for _, d := range m.Dials {
-		b.Dials[d.Kind] = knowledge.Dials{At: float64(d.AtMs), DialFacts: policy.DialFacts{Failed: float64(d.Failed), ShortUntil: float64(d.ShortUntilMs)}}
+		b.Dials[d.Kind] = knowledge.Dials{At: float64(d.AtMs), DialFacts: policy.DialFacts{FailureShare: float64(d.Failed), ScarceUntil: float64(d.ShortUntilMs)}}
 	}
 	if s := m.Staleness; s != nil {
 		b.Staleness = knowledge.Staleness{At: float64(s.AtMs), Share: float64(s.Share), Gap: float64(s.GapMs)}
@@ -213,7 +213,7 @@
 	m := &pb.Destination{
 		Dest: int64(d.Dest), AtMs: int64(at), Shared: routeToPB(d.Shared, at), Latency: latencyToPB(d.Latency),
 		Control: &pb.Control{
-			SeenAgo: ago(at, c.Seen), Lambda: float32(c.Lambda), ExMs: float32(c.EX),
+			SeenAgo: ago(at, c.LastArrival), Lambda: float32(c.Lambda), ExMs: float32(c.EX),
 			Theta: []float32{float32(c.Theta[0]), float32(c.Theta[1])},
 			P:     []float32{float32(c.P[0][0]), float32(c.P[0][1]), float32(c.P[1][0]), float32(c.P[1][1])},
 			Pam:   float32(c.Pam), Pa: float32(c.Pa),
@@ -223,10 +223,10 @@
 		e := &d.Endpoints[i]
 		at := math.Trunc(e.At)
 		m.Endpoints = append(m.Endpoints, &pb.Endpoint{
-			Name: e.Name, AtMs: int64(at), Health: uint32(e.Health), Fails: uint32(max(e.Fails, 0)),
-			FailAgo: ago(at, e.FailAt), FailShare: float32(e.FailShare), Hung: e.Hung, Mute: e.Mute, Leaks: e.Leaks,
-			Trials: uint32(max(e.Trials, 0)), OpenAgo: ago(at, e.OpenAt), TrialAgo: ago(at, e.NextTrial),
-			RampAgo: ago(at, e.RampAt), Base: float32(e.Base), OkAgo: ago(at, e.LastOK), Apart: routeToPB(e.Apart, at),
+			Name: e.Name, AtMs: int64(at), Health: uint32(e.Health), Fails: uint32(max(e.Failures, 0)),
+			FailAgo: ago(at, e.LastFailure), FailShare: float32(e.FailureShare), Hung: e.Unresponsive, Mute: e.Unanswered, Leaks: e.AnsweredError,
+			Trials: uint32(max(e.FailedTrials, 0)), OpenAgo: ago(at, e.OpenedAt), TrialAgo: ago(at, e.NextTrial),
+			RampAgo: ago(at, e.RampStart), Base: float32(e.RateBeforeOutage), OkAgo: ago(at, e.LastOK), Apart: routeToPB(e.OwnRoute, at),
 		})
 	}
 	return m
@@ -236,11 +236,11 @@
 	at := float64(m.AtMs)
 	d := &knowledge.Destination{
 		Dest: int(m.Dest), At: at, Shared: routeFromPB(m.Shared, at), Latency: latencyFromPB(m.Latency),
-		Control: policy.FreshControl(),
+		Control: policy.InitialAdmission(),
 	}
 	if c := m.Control; c != nil && len(c.Theta) == 2 && len(c.P) == 4 {
-		d.Control = policy.ControlFacts{
-			Seen: since(at, c.SeenAgo, 0), Lambda: float64(c.Lambda), EX: float64(c.ExMs),
+		d.Control = policy.AdmissionFacts{
+			LastArrival: since(at, c.SeenAgo, 0), Lambda: float64(c.Lambda), EX: float64(c.ExMs),
 			Theta: [2]float64{float64(c.Theta[0]), float64(c.Theta[1])},
 			P:     [2][2]float64{{float64(c.P[0]), float64(c.P[1])}, {float64(c.P[2]), float64(c.P[3])}},
 			Pam:   float64(c.Pam), Pa: float64(c.Pa),
@@ -249,10 +249,10 @@
 	for _, e := range m.Endpoints {
 		at := float64(e.AtMs)
 		d.Endpoints = append(d.Endpoints, knowledge.Endpoint{Name: e.Name, At: at, EndpointFacts: policy.EndpointFacts{
-			Health: policy.Health(min(e.Health, 255)), Fails: int(e.Fails), FailAt: since(at, e.FailAgo, 0),
-			FailShare: float64(e.FailShare), Hung: e.Hung, Mute: e.Mute, Leaks: e.Leaks, Trials: int(e.Trials),
-			OpenAt: since(at, e.OpenAgo, 0), NextTrial: since(at, e.TrialAgo, 0), RampAt: since(at, e.RampAgo, 0),
-			Base: float64(e.Base), LastOK: since(at, e.OkAgo, math.Inf(-1)), Apart: routeFromPB(e.Apart, at),
+			Health: policy.Health(min(e.Health, 255)), Failures: int(e.Fails), LastFailure: since(at, e.FailAgo, 0),
+			FailureShare: float64(e.FailShare), Unresponsive: e.Hung, Unanswered: e.Mute, AnsweredError: e.Leaks, FailedTrials: int(e.Trials),
+			OpenedAt: since(at, e.OpenAgo, 0), NextTrial: since(at, e.TrialAgo, 0), RampStart: since(at, e.RampAgo, 0),
+			RateBeforeOutage: float64(e.Base), LastOK: since(at, e.OkAgo, math.Inf(-1)), OwnRoute: routeFromPB(e.Apart, at),
 		}})
 	}
 	return d
@@ -263,8 +263,8 @@
 		return nil
 	}
 	return &pb.Route{
-		Told: float32(r.Told), Reported: r.Reported, Pace: float32(r.Pace), OkAgo: ago(at, r.LastOK),
-		Tried: float32(r.Tried), Accepted: float32(r.Accepted), Delivered: float32(r.Delivered),
+		Told: float32(r.AdvertisedLimit), Reported: r.LimitReported, Pace: float32(r.Pace), OkAgo: ago(at, r.LastOK),
+		Tried: float32(r.CallRate), Accepted: float32(r.AcceptedRate), Delivered: float32(r.DeliveredRate),
 	}
 }
 
@@ -273,8 +273,8 @@
 		return nil
 	}
 	return &policy.RouteFacts{
-		Told: float64(m.Told), Reported: m.Reported, Pace: float64(m.Pace), LastOK: since(at, m.OkAgo, at),
-		Tried: float64(m.Tried), Accepted: float64(m.Accepted), Delivered: float64(m.Delivered),
+		AdvertisedLimit: float64(m.Told), LimitReported: m.Reported, Pace: float64(m.Pace), LastOK: since(at, m.OkAgo, at),
+		CallRate: float64(m.Tried), AcceptedRate: float64(m.Accepted), DeliveredRate: float64(m.Delivered),
 	}
 }
 
--- a/internal/knowledge/store/store_test.go
+++ b/internal/knowledge/store/store_test.go
@@ -39,21 +39,21 @@
 	b.Tell(knowledge.Wait{Route: knowledge.Route{Dest: 2, Endpoint: "s-9"}, Told: now, Until: now + 500})
 	b.Learn(destination(1, 2))
 	b.Usual["note"] = knowledge.Usual{At: now, LatencyFacts: policy.LatencyFacts{Mean: 300, Dev: 40, N: 12}}
-	b.Dials["one"] = knowledge.Dials{At: now, DialFacts: policy.DialFacts{Failed: 0.25, ShortUntil: now + 60000}}
+	b.Dials["one"] = knowledge.Dials{At: now, DialFacts: policy.DialFacts{FailureShare: 0.25, ScarceUntil: now + 60000}}
 	b.Staleness = knowledge.Staleness{At: now, Share: 0.5, Gap: 2500}
 	return b
 }
 
 func destination(n, endpoints int) *knowledge.Destination {
 	d := &knowledge.Destination{
-		Dest: n, At: now, Shared: &policy.RouteFacts{Told: 10, Reported: true, Pace: 8, LastOK: now - 50, Tried: 4, Accepted: 3, Delivered: 2.5},
+		Dest: n, At: now, Shared: &policy.RouteFacts{AdvertisedLimit: 10, LimitReported: true, Pace: 8, LastOK: now - 50, CallRate: 4, AcceptedRate: 3, DeliveredRate: 2.5},
 		Latency: policy.LatencyFacts{Mean: 300, Dev: 50, N: 40},
-		Control: policy.ControlFacts{Seen: now - 10, Lambda: 0.0078125, EX: 120, Theta: [2]float64{1.5, 0.5}, P: [2][2]float64{{1, 0.25}, {0.25, 1}}, Pam: 0.75, Pa: 0.5},
+		Control: policy.AdmissionFacts{LastArrival: now - 10, Lambda: 0.0078125, EX: 120, Theta: [2]float64{1.5, 0.5}, P: [2][2]float64{{1, 0.25}, {0.25, 1}}, Pam: 0.75, Pa: 0.5},
 	}
 	for i := range endpoints {
 		d.Endpoints = append(d.Endpoints, knowledge.Endpoint{Name: fmt.Sprintf("s-%08x", n*10+i), At: now - 100, EndpointFacts: policy.EndpointFacts{
-			Health: policy.Health(i % 3), Fails: i, FailAt: now - 300, FailShare: 0.25, Hung: i == 1, Mute: true, Leaks: i == 0, Trials: 2,
-			OpenAt: now - 2000, NextTrial: now + 700, RampAt: now - 1000, Base: 2, LastOK: math.Inf(-1),
+			Health: policy.Health(i % 3), Failures: i, LastFailure: now - 300, FailureShare: 0.25, Unresponsive: i == 1, Unanswered: true, AnsweredError: i == 0, FailedTrials: 2,
+			OpenedAt: now - 2000, NextTrial: now + 700, RampStart: now - 1000, RateBeforeOutage: 2, LastOK: math.Inf(-1),
 		}})
 	}
 	return d
--- a/internal/lab/capacity/measure_sender.go
+++ b/internal/lab/capacity/measure_sender.go
@@ -45,7 +45,7 @@
 func settings(held int) policy.Settings {
 	return policy.Settings{
 		Senders: 1, CallSlots: 8, MaxAttempts: 6, MaxHeld: held, StreamsPerConn: 1, KeepAlive: 15000, DialTimeout: 1500,
-		DrainGrace: 500, Cold: 9000, ColdFrom: 0.25, TipMultiple: 1.5, TipAfter: 3000, X0: -1, X1: -1,
+		DrainGrace: 500, WarmUpDuration: 9000, ColdCapacity: 0.25, OverloadMultiple: 1.5, OverloadWindow: 3000, AllowanceIndex: -1, LimitIndex: -1,
 		Kinds:   []policy.DestKind{{Name: "partner", Batch: 1}},
 		Classes: []policy.Class{{Name: "note", Aim: 4000, Deadline: 8.64e7, Worth: 1, LateWorth: 0.4, Effect: policy.Safe}},
 	}
@@ -93,7 +93,7 @@
 	s := policy.New(settings(2*events), 1)
 	batch := make([]policy.Event, events)
 	for i := range batch {
-		batch[i] = policy.Event{Kind: policy.EvMessage, ID: uint64(i + 1), Dest: 1, Left: 8e7, Restored: true}
+		batch[i] = policy.Event{Kind: policy.EvMessage, ID: uint64(i + 1), Dest: 1, Remaining: 8e7, Restored: true}
 	}
 	s.Step(1000, batch, nil)
 	return s
@@ -110,7 +110,7 @@
 			var ended []policy.Event
 			for _, a := range actions {
 				if a.Kind == policy.ActSend && len(ended) == 0 {
-					ended = append(ended, policy.Event{Kind: policy.EvOutcome, ID: a.ID, Endpoint: 1, Outcome: policy.OK, Latency: 5, Closed: true})
+					ended = append(ended, policy.Event{Kind: policy.EvOutcome, ID: a.ID, Endpoint: 1, Outcome: policy.OK, Latency: 5, Final: true})
 				}
 			}
 			now += 5
--- a/internal/lab/rivals/rivals.go
+++ b/internal/lab/rivals/rivals.go
@@ -98,7 +98,7 @@
 		case policy.EvList:
 			s.list(e)
 		case policy.EvMessage:
-			m := &message{id: e.ID, dest: s.dest(e.Dest), num: e.Dest, deadline: now + e.Left, at: now, attempts: e.Attempts, doubt: e.Doubtful}
+			m := &message{id: e.ID, dest: s.dest(e.Dest), num: e.Dest, deadline: now + e.Remaining, at: now, attempts: e.Attempts, doubt: e.MayHaveRun}
 			s.msgs[m.id] = m
 			s.line = append(s.line, m)
 		case policy.EvOutcome:
@@ -141,8 +141,8 @@
 	s.busy--
 	m.out = false
 	d := m.dest
-	if e.Wait > 0 {
-		d.waits = max(d.waits, now+e.Wait+1)
+	if e.RequestedWait > 0 {
+		d.waits = max(d.waits, now+e.RequestedWait+1)
 	}
 	if e.Outcome == policy.OK {
 		d.tokens = min(d.tokens+tokenRatio, maxTokens)
--- a/internal/lab/world/node.go
+++ b/internal/lab/world/node.go
@@ -122,7 +122,7 @@
 
 // due sees that a step comes, a round after the last at the earliest, and not while the process is down.
 func (n *node) due(now float64) {
-	at := max(now, n.lastStep+n.set.Round, n.downUntil)
+	at := max(now, n.lastStep+n.set.MinStepInterval, n.downUntil)
 	if at < n.stepAt {
 		n.stepAt = at
 		n.w.queue.push(event{at: at, kind: evStep, node: n})
@@ -140,7 +140,7 @@
 	n.nextID++
 	m.id, m.attempts, m.doubt = n.nextID, 0, false
 	n.hold(now, m)
-	n.events = append(n.events, policy.Event{Kind: policy.EvMessage, ID: m.id, Left: m.until - now, Again: again, Dest: m.partner})
+	n.events = append(n.events, policy.Event{Kind: policy.EvMessage, ID: m.id, Remaining: m.until - now, Resubmitted: again, Dest: m.partner})
 	n.due(now)
 }
 
@@ -220,7 +220,7 @@
 	case policy.ActTimer:
 		n.token = a.Token
 		n.w.queue.push(event{at: now + a.After, kind: evTimer, node: n, n: int(a.Token)})
-	case policy.ActHangUp:
+	case policy.ActCloseIdle:
 		n.hangUp(a.Endpoint)
 	}
 }
@@ -293,7 +293,7 @@
 	}
 	for i, m := range c.msgs {
 		e := policy.Event{Kind: policy.EvOutcome, ID: c.ids[i], Endpoint: c.at.id, Attempt: c.tries[i], Outcome: c.outcome,
-			Wait: c.wait, Latency: now - c.sentAt, Report: rep}
+			RequestedWait: c.wait, Latency: now - c.sentAt, Report: rep}
 		n.events = append(n.events, e)
 		n.guard.Outcome(now, &e)
 		n.tried(now, c.at.partner.id, &e)
@@ -366,9 +366,9 @@
 	for _, id := range ids {
 		m := n.held[id]
 		n.guard.Held(now, m.partner, 1)
-		e := policy.Event{Kind: policy.EvMessage, ID: id, Left: m.until - now - gap, Dest: m.partner, Restored: true, Attempts: m.attempts, Doubtful: m.doubt}
+		e := policy.Event{Kind: policy.EvMessage, ID: id, Remaining: m.until - now - gap, Dest: m.partner, Restored: true, Attempts: m.attempts, MayHaveRun: m.doubt}
 		if m.doubt {
-			e.DoubtAge = now + gap - m.doubtAt
+			e.MayHaveRunAge = now + gap - m.doubtAt
 		}
 		n.events = append(n.events, e)
 	}
--- a/internal/lab/world/params.go
+++ b/internal/lab/world/params.go
@@ -91,14 +91,14 @@
 		x1 = 1
 	}
 	return policy.Settings{
-		Index: index, Senders: p.Senders, Zones: []string{"a"}, Round: 1,
-		Classes:   []policy.Class{{Name: "note", Aim: p.Aim, Deadline: p.Deadline, Worth: 1, LateWorth: 0.4, Effect: policy.Keyed, MemorySpan: p.Deadline}},
+		Index: index, Senders: p.Senders, Zones: []string{"a"}, MinStepInterval: 1,
+		Classes:   []policy.Class{{Name: "note", Aim: p.Aim, Deadline: p.Deadline, Worth: 1, LateWorth: 0.4, Effect: policy.Keyed, DedupWindow: p.Deadline}},
 		Tenants:   []policy.Tenant{{Name: "acme", Quota: 1e6}},
 		Kinds:     []policy.DestKind{{Name: "one", OwnLimits: p.Own, Batch: max(p.Batch, 1)}},
-		CallSlots: p.Slots, Halves: true, OverShareWorth: 1, X0: -1, X1: x1, MarksAgain: p.Marks,
-		TellsRetry: true, MaxRetryAfter: p.MaxRetry, MaxAttempts: 6, MaxHeld: p.Held, StreamsPerConn: 1,
-		KeepAlive: 15000, DialTimeout: 500, AnswerSlack: 20, DrainGrace: 500, Cold: p.Cold, ColdFrom: p.ColdFrom,
-		TipMultiple: p.TipOver, TipAfter: p.TipAfter,
+		CallSlots: p.Slots, WorthHalves: true, OverShareWorth: 1, AllowanceIndex: -1, LimitIndex: x1, MarksResubmissions: p.Marks,
+		SendsRetryAfter: true, MaxRetryAfter: p.MaxRetry, MaxAttempts: 6, MaxHeld: p.Held, StreamsPerConn: 1,
+		KeepAlive: 15000, DialTimeout: 500, AnswerSlack: 20, DrainGrace: 500, WarmUpDuration: p.Cold, ColdCapacity: p.ColdFrom,
+		OverloadMultiple: p.TipOver, OverloadWindow: p.TipAfter,
 	}
 }
 
--- a/internal/outbound/answer.go
+++ b/internal/outbound/answer.go
@@ -123,7 +123,7 @@
 func (c *Call) event(i int, a answer) policy.Event {
 	return policy.Event{
 		Kind: policy.EvOutcome, ID: c.Items[i].ID, Attempt: c.Items[i].Attempt, Endpoint: c.Endpoint,
-		Outcome: a.outcome, Closed: a.closed, Wait: a.wait, Latency: c.latency(), Report: a.report,
+		Outcome: a.outcome, Final: a.closed, RequestedWait: a.wait, Latency: c.latency(), Report: a.report,
 	}
 }
 
--- a/internal/outbound/mux_test.go
+++ b/internal/outbound/mux_test.go
@@ -49,8 +49,8 @@
 			}
 			pool.Go(c)
 			for _, e := range <-ended {
-				if e.Outcome != row.want || e.Wait != row.wait || e.Closed != row.closed {
-					t.Errorf("%v, wait %v, closed %t", e.Outcome, e.Wait, e.Closed)
+				if e.Outcome != row.want || e.RequestedWait != row.wait || e.Final != row.closed {
+					t.Errorf("%v, wait %v, closed %t", e.Outcome, e.RequestedWait, e.Final)
 				}
 			}
 			if c.Drop() {
--- a/internal/outbound/outbound_test.go
+++ b/internal/outbound/outbound_test.go
@@ -49,7 +49,7 @@
 	for i, want := range []policy.Event{
 		{Kind: policy.EvProbe, Endpoint: 7, Outcome: policy.OK, Report: []float64{0.4, 25}},
 		{Kind: policy.EvOutcome, Endpoint: 7, ID: 3, Attempt: 2, Outcome: policy.OK, Report: []float64{0.4, 25}},
-		{Kind: policy.EvOutcome, Endpoint: 7, ID: 3, Attempt: 2, Outcome: policy.Full, Wait: 1250},
+		{Kind: policy.EvOutcome, Endpoint: 7, ID: 3, Attempt: 2, Outcome: policy.Full, RequestedWait: 1250},
 	} {
 		c := &Call{Endpoint: 7, Addr: addr, SentAt: time.Now(), Timeout: time.Second}
 		if i > 0 {
@@ -97,7 +97,7 @@
 				Done: func(_ *Call, events []policy.Event) { ended <- events }})
 			for i, want := range []policy.Outcome{row.outcome, policy.OK} {
 				p.Go(&Call{Endpoint: 1, Addr: addr, SentAt: time.Now(), Timeout: 5 * time.Second, Items: []Item{{ID: 1, Trace: "t"}}})
-				if e := (<-ended)[0]; e.Outcome != want || e.Report != nil || e.Wait != 0 || e.Latency > 2000 {
+				if e := (<-ended)[0]; e.Outcome != want || e.Report != nil || e.RequestedWait != 0 || e.Latency > 2000 {
 					t.Errorf("call %d: %+v, want outcome %d", i, e, want)
 				}
 				if n := <-conns; n != []int{1, row.conn}[i] {
--- a/internal/outbound/tls_test.go
+++ b/internal/outbound/tls_test.go
@@ -107,7 +107,7 @@
 			if e.Outcome != row.want || row.major > 0 && (len(e.Report) == 0 || e.Report[0] != row.major) || !strings.Contains(told, row.says) || row.says != "" && told == "" {
 				t.Errorf("%+v, %q", e, told)
 			}
-			if name == "mutual" && e.Wait == 0 {
+			if name == "mutual" && e.RequestedWait == 0 {
 				t.Error("no certificate of ours was seen")
 			}
 		})
--- a/internal/sender/calls.go
+++ b/internal/sender/calls.go
@@ -45,7 +45,7 @@
 	if m.DoubtAt == 0 || c.Effect != policy.Keyed {
 		return time.Time{}, false
 	}
-	left := float64(m.DoubtAt) + c.MemorySpan*repeatShare - s.now
+	left := float64(m.DoubtAt) + c.DedupWindow*repeatShare - s.now
 	return time.Now().Add(millis(left)), true
 }
 
--- a/internal/sender/cutshort_test.go
+++ b/internal/sender/cutshort_test.go
@@ -32,8 +32,8 @@
 	defer j.Close()
 	notices := make(chan discovery.Notice, 10)
 	s := New(Options{Settings: policy.Settings{
-		Senders: 1, CallSlots: 10, MaxAttempts: 6, MaxHeld: 100, KeepAlive: 10000, DialTimeout: 1000, Cold: 10000, ColdFrom: 0.25,
-		TipMultiple: 1.5, TipAfter: 3000, TellsRetry: true, MaxRetryAfter: 2000, X0: -1, X1: -1, Kinds: []policy.DestKind{{Batch: 5}},
+		Senders: 1, CallSlots: 10, MaxAttempts: 6, MaxHeld: 100, KeepAlive: 10000, DialTimeout: 1000, WarmUpDuration: 10000, ColdCapacity: 0.25,
+		OverloadMultiple: 1.5, OverloadWindow: 3000, SendsRetryAfter: true, MaxRetryAfter: 2000, AllowanceIndex: -1, LimitIndex: -1, Kinds: []policy.DestKind{{Batch: 5}},
 		Classes: []policy.Class{{Name: "safe", Aim: 2000, Deadline: 20000, Worth: 1, LateWorth: 0.5, Effect: policy.Safe}},
 	}, Seed: 1, Sockets: 10, Journal: j, Clock: NewClock(), Log: zerolog.Nop(), Notices: func(n discovery.Notice) { notices <- n }})
 	s.pool.PaceDials(3, 2)
--- a/internal/sender/holds.go
+++ b/internal/sender/holds.go
@@ -56,11 +56,11 @@
 			continue
 		}
 		told := &policy.RouteFacts{WaitUntil: float64(x.Until)}
-		f := policy.DestFacts{Dest: x.Dest, Control: policy.FreshControl()}
+		f := policy.DestFacts{Dest: x.Dest, Admission: policy.InitialAdmission()}
 		if id, named := s.names[x.Endpoint]; x.Endpoint == "" {
-			f.Shared = told
+			f.SharedRoute = told
 		} else if _, listed := s.addrs[id]; named && listed {
-			f.Endpoints = []policy.EndpointFacts{{ID: id, Apart: told}}
+			f.Endpoints = []policy.EndpointFacts{{ID: id, OwnRoute: told}}
 		}
 		facts = append(facts, f)
 		for c := range s.calls { // what has not begun would reach the partner inside its wait
--- a/internal/sender/memory.go
+++ b/internal/sender/memory.go
@@ -42,10 +42,10 @@
 	}
 	s.memory = memory{Memory: m, heard: map[uint32]bool{}, touched: map[int]bool{}}
 	g := m.Book.RecallGeneral(s.now, m.Set.HalfLives, &s.set)
-	for _, u := range g.Usual {
+	for _, u := range g.ClassLatency {
 		s.memory.usual = cmp.Or(s.memory.usual, u.Mean)
 	}
-	s.mod.RecallGeneral(g)
+	s.mod.RestoreGeneral(g)
 }
 
 // recall gives the module what an earlier life knew of the endpoints that a list names for the first
@@ -67,7 +67,7 @@
 		}
 		ids[e.Name] = e.ID
 		rating := 0.0
-		if s.set.Rated {
+		if s.set.RatingIsRate {
 			rating = e.Rating
 		}
 		ratings[e.Dest] = max(ratings[e.Dest], rating)
@@ -87,7 +87,7 @@
 
 // numbered is d as the module takes it, with the endpoints that ids names.
 func numbered(d *knowledge.Destination, ids map[string]uint32) policy.DestFacts {
-	f := policy.DestFacts{Dest: d.Dest, Shared: d.Shared, Latency: d.Latency, Control: d.Control}
+	f := policy.DestFacts{Dest: d.Dest, SharedRoute: d.Shared, Latency: d.Latency, Admission: d.Control}
 	for _, e := range d.Endpoints {
 		if id, ok := ids[e.Name]; ok {
 			e.EndpointFacts.ID = id
@@ -170,7 +170,7 @@
 
 // named is f as the books take it.
 func (s *Sender) named(f policy.DestFacts) *knowledge.Destination {
-	d := &knowledge.Destination{Dest: f.Dest, At: s.now, Shared: f.Shared, Latency: f.Latency, Control: f.Control}
+	d := &knowledge.Destination{Dest: f.Dest, At: s.now, Shared: f.SharedRoute, Latency: f.Latency, Control: f.Admission}
 	for _, e := range f.Endpoints {
 		if name := s.addrs[e.ID].Name; name != "" && s.memory.heard[e.ID] {
 			d.Endpoints = append(d.Endpoints, knowledge.Endpoint{Name: name, At: s.now, EndpointFacts: e})
@@ -183,16 +183,16 @@
 // general is what belongs to no one destination, by the names of classes and kinds.
 func (s *Sender) general() *knowledge.Book {
 	g, b := s.mod.GeneralFacts(), knowledge.New("")
-	for i, u := range g.Usual {
+	for i, u := range g.ClassLatency {
 		if u.N > 0 {
 			b.Usual[s.set.Classes[i].Name] = knowledge.Usual{At: s.now, LatencyFacts: u}
 		}
 	}
 	for i, d := range g.Dials {
-		if i < len(s.set.Kinds) && (d.Failed > 0 || d.ShortUntil > 0) {
+		if i < len(s.set.Kinds) && (d.FailureShare > 0 || d.ScarceUntil > 0) {
 			b.Dials[s.set.Kinds[i].Name] = knowledge.Dials{At: s.now, DialFacts: d}
 		}
 	}
-	b.Staleness = knowledge.Staleness{At: s.now, Share: g.Stale, Gap: g.StaleGap}
+	b.Staleness = knowledge.Staleness{At: s.now, Share: g.StaleShare, Gap: g.MinStaleIdle}
 	return b
 }
--- a/internal/sender/observe.go
+++ b/internal/sender/observe.go
@@ -23,7 +23,7 @@
 	*telemetry.Recorder
 	lines    bool // a line in the log for each record of a message
 	log      zerolog.Logger
-	holds    map[int]policy.Hold // as told
+	holds    map[int]policy.WaitCause // as told
 	holdsAt  float64
 	gaugesAt float64
 	skipped  bool // a look was too soon after the last: one is due at holdsAt
@@ -110,7 +110,7 @@
 		return
 	}
 	s.observer.Push(telemetry.Record{Kind: telemetry.Ended, Num: e.ID, Dest: int32(c.Dest), Endpoint: c.Endpoint, Attempt: int16(e.Attempt), Outcome: uint8(e.Outcome),
-		MayHaveRun: e.Outcome != policy.OK && !e.Outcome.NeverRan(), Wait: e.Wait, At: s.now, Until: s.now - max(e.Latency, 0), Text: c.Addr, Left: s.told(e, s.set.X0), Value: s.told(e, s.set.X1)})
+		MayHaveRun: e.Outcome != policy.OK && !e.Outcome.NeverRan(), Wait: e.RequestedWait, At: s.now, Until: s.now - max(e.Latency, 0), Text: c.Addr, Left: s.told(e, s.set.AllowanceIndex), Value: s.told(e, s.set.LimitIndex)})
 }
 
 // told is a value of the report that came with an outcome, 0 if there was none.
@@ -134,8 +134,8 @@
 }
 
 var causes = [...]telemetry.Cause{
-	policy.HoldNone: telemetry.CauseNone, policy.HoldTold: telemetry.CauseTold, policy.HoldBreaker: telemetry.CauseBreaker,
-	policy.HoldCap: telemetry.CauseStorm, policy.HoldPace: telemetry.CausePace, policy.HoldSlot: telemetry.CauseSlot, policy.HoldRetry: telemetry.CauseRetry,
+	policy.CauseNoEndpoint: telemetry.CauseNone, policy.CauseRequestedWait: telemetry.CauseTold, policy.CauseBreaker: telemetry.CauseBreaker,
+	policy.CausePaceCap: telemetry.CauseStorm, policy.CausePace: telemetry.CausePace, policy.CauseSlot: telemetry.CauseSlot, policy.CauseRetry: telemetry.CauseRetry,
 }
 
 // observeStep tells, after a step, why messages wait where that has changed, and now and then the gauges.
@@ -149,8 +149,8 @@
 	}
 	w.holdsAt = s.now + holdsEvery
 	waiting := 0
-	fresh := make(map[int]policy.Hold, len(w.holds))
-	s.mod.EachWaiting(func(dest int, why policy.Hold) {
+	fresh := make(map[int]policy.WaitCause, len(w.holds))
+	s.mod.EachWaiting(func(dest int, why policy.WaitCause) {
 		waiting++
 		fresh[dest] = why
 		if old, told := w.holds[dest]; !told || old != why {
--- a/internal/sender/orders.go
+++ b/internal/sender/orders.go
@@ -83,8 +83,8 @@
 	s.observeTaken(e, m.Class, false)
 	s.orders = append(s.orders, &taking{order: o, entry: e})
 	s.events = append(s.events, policy.Event{
-		Kind: policy.EvMessage, ID: e.Num, Class: m.Class, Tenant: m.Tenant, Key: m.Item, Left: left,
-		Again: m.Again, Dest: m.Dest,
+		Kind: policy.EvMessage, ID: e.Num, Class: m.Class, Tenant: m.Tenant, Key: m.Item, Remaining: left,
+		Resubmitted: m.Again, Dest: m.Dest,
 	})
 }
 
--- a/internal/sender/outcomes.go
+++ b/internal/sender/outcomes.go
@@ -25,9 +25,9 @@
 	s.events = append(s.events, events...)
 	for i := range events {
 		e := &events[i]
-		if e.Wait > 0 {
+		if e.RequestedWait > 0 {
 			s.hold(c)
-			s.noteWait(c, e.Wait)
+			s.noteWait(c, e.RequestedWait)
 		}
 		if e.Outcome != policy.Moot { // one that was not sent tells nothing
 			s.noteCall(c)
@@ -40,7 +40,7 @@
 		}
 		m.call = nil
 		s.observeEnded(c, e)
-		if e.Outcome == policy.OK || e.Closed {
+		if e.Outcome == policy.OK || e.Final {
 			end := telemetry.Delivered
 			if e.Outcome != policy.OK {
 				end = telemetry.Closed
--- a/internal/sender/restored_test.go
+++ b/internal/sender/restored_test.go
@@ -52,7 +52,7 @@
 	out := slices.Clone(classes)
 	for i := range out {
 		out[i].Effect = classes[(i+1)%len(classes)].Effect
-		out[i].MemorySpan = 2000
+		out[i].DedupWindow = 2000
 	}
 	return out
 }
--- a/internal/sender/sender.go
+++ b/internal/sender/sender.go
@@ -248,7 +248,7 @@
 		MaxConns:    o.Sockets,
 		KeepAlive:   or(millis(o.Settings.KeepAlive), 30*time.Second),
 		DialTimeout: millis(o.Settings.DialTimeout),
-		X0:          o.Settings.X0, X1: o.Settings.X1,
+		X0:          o.Settings.AllowanceIndex, X1: o.Settings.LimitIndex,
 		Partner: o.Partner,
 		Trouble: func(endpoint uint32, addr string, err error) {
 			o.Log.Warn().Uint32("endpoint", endpoint).Str("addr", addr).Err(err).Msg("partner: no connection")
@@ -300,11 +300,11 @@
 	s.guard.Held(s.now, e.Dest, 1)
 	s.observeTaken(e, class, true)
 	ev := policy.Event{
-		Kind: policy.EvMessage, ID: e.Num, Class: class, Key: e.Item, Left: left, Again: e.Again,
-		Dest: e.Dest, Restored: true, Attempts: e.Attempts, Doubtful: e.DoubtAt != 0, Zone: e.DoubtZone,
+		Kind: policy.EvMessage, ID: e.Num, Class: class, Key: e.Item, Remaining: left, Resubmitted: e.Again,
+		Dest: e.Dest, Restored: true, Attempts: e.Attempts, MayHaveRun: e.DoubtAt != 0, MayHaveRunZone: e.DoubtZone,
 	}
-	if ev.Doubtful {
-		ev.DoubtAge = s.now - float64(e.DoubtAt)
+	if ev.MayHaveRun {
+		ev.MayHaveRunAge = s.now - float64(e.DoubtAt)
 	}
 	s.events = append(s.events, ev)
 }
@@ -324,7 +324,7 @@
 	defer close(s.done)
 	defer s.tell(true)
 	defer s.leave()
-	round := millis(s.set.Round)
+	round := millis(s.set.MinStepInterval)
 	for !s.left() {
 		s.gather()
 		began := time.Now()
@@ -432,7 +432,7 @@
 		return
 	}
 	s.halted = err != nil
-	s.mod.Halt(s.halted)
+	s.mod.SetHalted(s.halted)
 	if s.halted {
 		s.log.Error().Err(err).Msg("the journal can't be written: nothing is taken on or sent")
 		return
@@ -453,7 +453,7 @@
 		if e, ok := s.addrs[a.Endpoint]; ok {
 			s.sends = append(s.sends, &outbound.Call{Endpoint: e.ID, Addr: e.Addr, Dest: e.Dest, SentAt: time.Now(), Timeout: millis(s.set.DialTimeout)})
 		}
-	case policy.ActHangUp:
+	case policy.ActCloseIdle:
 		s.pool.HangUp(a.Endpoint)
 	case policy.ActLog:
 		s.log.Info().Msg(a.Text)
--- a/internal/sender/storm.go
+++ b/internal/sender/storm.go
@@ -16,7 +16,7 @@
 
 // comeBack is when the client of a refused message should come again.
 func (s *Sender) comeBack(dest int, key []byte, left, least float64) float64 {
-	if !s.set.TellsRetry {
+	if !s.set.SendsRetryAfter {
 		return least
 	}
 	return s.guard.Refused(s.now, dest, keyHash(key), left, least)
--- a/internal/sender/window_test.go
+++ b/internal/sender/window_test.go
@@ -41,9 +41,9 @@
 	b.next()
 	m, safe := b.msgs[b.traces["keyed"]], b.msgs[b.traces["safe"]]
 	b.await("no repeat", func() bool { return m.call != nil })
-	window := float64(m.DoubtAt) + benchClasses[1].MemorySpan
+	window := float64(m.DoubtAt) + benchClasses[1].DedupWindow
 	left := window - b.now - float64(time.Until(m.call.Until))/1e6
-	if m.call.Until.IsZero() || left <= 0 || left > benchClasses[1].MemorySpan {
+	if m.call.Until.IsZero() || left <= 0 || left > benchClasses[1].DedupWindow {
 		t.Errorf("the repeat may be written until %v, %g ms before the window's end", m.call.Until, left)
 	}
 	if _, bound := b.repeatUntil(safe); bound || safe.DoubtAt == 0 {
--- a/internal/storm/storm.go
+++ b/internal/storm/storm.go
@@ -176,7 +176,7 @@
 
 // SettingsOf is what a Guard needs of a sender's settings, with the limits that the operators state.
 func SettingsOf(set *policy.Settings, limits map[int]float64) Settings {
-	s := Settings{Senders: set.Senders, MaxRetryAfter: set.MaxRetryAfter, Limits: limits, X1: set.X1, Rated: set.Rated}
+	s := Settings{Senders: set.Senders, MaxRetryAfter: set.MaxRetryAfter, Limits: limits, X1: set.LimitIndex, Rated: set.RatingIsRate}
 	for _, k := range set.Kinds {
 		s.OwnLimits = append(s.OwnLimits, k.OwnLimits)
 	}
@@ -312,7 +312,7 @@
 				broken++
 			case policy.Ramping:
 				ramping++
-				rampAt = max(rampAt, e.RampAt)
+				rampAt = max(rampAt, e.RampStart)
 			}
 			lastOK = max(lastOK, e.LastOK)
 		}
@@ -320,8 +320,8 @@
 			continue
 		}
 		d := g.dest(f.Dest, now)
-		if f.Shared != nil {
-			d.told, d.before, d.waits = f.Shared.Told, f.Shared.Accepted, f.Shared.WaitUntil
+		if f.SharedRoute != nil {
+			d.told, d.before, d.waits = f.SharedRoute.AdvertisedLimit, f.SharedRoute.AcceptedRate, f.SharedRoute.WaitUntil
 		}
 		g.enter(d, Outage, now)
 		d.lastOK = min(lastOK, now)
@@ -365,11 +365,11 @@
 	if x := g.set.X1; x >= 0 && x < len(e.Report) && e.Report[x] > 0 && !math.IsInf(e.Report[x], 0) {
 		g.tell(ep, e.Report[x], false)
 	}
-	if e.Wait > 0 && !ep.apart {
-		d.waits = max(d.waits, now+e.Wait)
+	if e.RequestedWait > 0 && !ep.apart {
+		d.waits = max(d.waits, now+e.RequestedWait)
 	}
 	d.calls.add(now, 1)
-	if e.Wait > longWait && !ep.apart && d.phase != Outage {
+	if e.RequestedWait > longWait && !ep.apart && d.phase != Outage {
 		g.fall(d, now)
 	}
 	if e.Outcome == policy.OK {
--- a/internal/storm/storm_test.go
+++ b/internal/storm/storm_test.go
@@ -31,7 +31,7 @@
 
 // call ends a call to an endpoint.
 func (r *rig) call(ep uint32, o policy.Outcome, wait float64) {
-	r.Outcome(r.now, &policy.Event{Kind: policy.EvOutcome, Endpoint: ep, Outcome: o, Wait: wait, Report: []float64{forty}})
+	r.Outcome(r.now, &policy.Event{Kind: policy.EvOutcome, Endpoint: ep, Outcome: o, RequestedWait: wait, Report: []float64{forty}})
 }
 
 // down makes calls fail until the guard has seen it.
@@ -342,7 +342,7 @@
 	sum += rate + 1
 
 	again := newRig(5)
-	again.Recall(again.now, []policy.DestFacts{{Dest: 7, Shared: &policy.RouteFacts{Told: forty, WaitUntil: again.now + 900},
+	again.Recall(again.now, []policy.DestFacts{{Dest: 7, SharedRoute: &policy.RouteFacts{AdvertisedLimit: forty, WaitUntil: again.now + 900},
 		Endpoints: []policy.EndpointFacts{{ID: 1, Health: policy.Broken, LastOK: math.Inf(-1)}, {ID: 2, Health: policy.Broken}}}})
 	again.expect(t, Outage)
 	rate, _ = again.pace(t)
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -193,10 +193,10 @@
 		e.Class = int(f.u16("class"))
 		e.Tenant = int(f.u32("owner"))
 		e.Key = f.u64("item")
-		e.Left = f.f64("remaining")
+		e.Remaining = f.f64("remaining")
 		f.f64("expected")
 		e.Dest = int(f.f32("to_dest"))
-		e.Again = f.u16("flags")&(flagAgain|flagOrphan) != 0
+		e.Resubmitted = f.u16("flags")&(flagAgain|flagOrphan) != 0
 	case codeReply:
 		e.Kind = policy.EvOutcome
 		e.ID = f.u64("msg_id")
@@ -210,9 +210,9 @@
 			e.Outcome = policy.Error
 		}
 		if e.Outcome == policy.Full {
-			e.Wait = float64(detail)
+			e.RequestedWait = float64(detail)
 		}
-		e.Closed = f.u8("terminal") != 0
+		e.Final = f.u8("terminal") != 0
 		e.Report = f.report()
 	case codeCancelled:
 		e.Kind = policy.EvWithdrawn
@@ -377,7 +377,7 @@
 		case policy.ActProbe:
 			code = codeCheck
 			r.buf = be.AppendUint32(r.buf, a.Endpoint)
-		case policy.ActHangUp:
+		case policy.ActCloseIdle:
 			code = codeHangUp
 			r.buf = be.AppendUint32(r.buf, a.Endpoint)
 		case policy.ActSubscribe:
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -40,7 +40,7 @@
 		t.Fatalf("now %v seq %d records %d", b.Now, b.Seq, len(b.Records))
 	}
 	e := b.Records[0].Event
-	if e.Kind != policy.EvMessage || e.ID != 0x000e7fcf5d3a91c4 || e.Left != 240 || e.Dest != 57 ||
+	if e.Kind != policy.EvMessage || e.ID != 0x000e7fcf5d3a91c4 || e.Remaining != 240 || e.Dest != 57 ||
 		e.Key != 0x91f03b7c55d20a64 || b.Records[0].Instance != 3 {
 		t.Fatalf("order: %+v", e)
 	}
@@ -83,7 +83,7 @@
 		t.Fatal(err)
 	}
 	e := b.Records[0].Event
-	if e.Outcome != policy.Full || e.Wait != 100 || e.Attempt != 2 || e.Closed || e.Latency != 18.5 || e.Report[0] != 0.5 {
+	if e.Outcome != policy.Full || e.RequestedWait != 100 || e.Attempt != 2 || e.Final || e.Latency != 18.5 || e.Report[0] != 0.5 {
 		t.Fatalf("%+v", e)
 	}
 }
@@ -94,7 +94,7 @@
 	r.Add(3, []policy.Action{
 		{Kind: policy.ActSend, ID: 0x000e7fcf5d3a91c4, Endpoint: 0x03124a07, After: 80},
 		{Kind: policy.ActTimer, Token: 0x4d, After: 500},
-		{Kind: policy.ActHangUp, Endpoint: 0x2c9011f2},
+		{Kind: policy.ActCloseIdle, Endpoint: 0x2c9011f2},
 		{Kind: policy.ActProbe, Endpoint: 0x2c9011f2},
 		{Kind: policy.ActSubscribe},
 	})
@@ -156,7 +156,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if s.CallSlots != 14 || s.Classes[0].Effect != policy.Keyed || s.Classes[0].ZoneScope || s.X1 != 1 ||
+	if s.CallSlots != 14 || s.Classes[0].Effect != policy.Keyed || s.Classes[0].ZoneScope || s.LimitIndex != 1 ||
 		s.Kinds[0].Batch != 20 || !s.Kinds[1].OwnLimits || s.Senders != 2 {
 		t.Fatalf("%+v", s)
 	}
--- a/policy/api.go
+++ b/policy/api.go
@@ -19,15 +19,15 @@
 
 // Class describes one class of message.
 type Class struct {
-	Name       string
-	Aim        float64 // delivered within this time it earns its full worth
-	Deadline   float64 // how long it may be delivered at all
-	Worth      float64
-	LateWorth  float64 // share of the worth left at the deadline
-	Effect     Effect
-	ZoneScope  bool    // keyed: only endpoints of the same zone drop repeats
-	MemorySpan float64 // keyed: how long repeats are dropped
-	ByArrival  bool    // messages of one key go one at a time, in order
+	Name        string
+	Aim         float64 // delivered within this time it earns its full worth
+	Deadline    float64 // how long it may be delivered at all
+	Worth       float64
+	LateWorth   float64 // share of the worth left at the deadline
+	Effect      Effect
+	ZoneScope   bool    // keyed: only endpoints of the same zone drop repeats
+	DedupWindow float64 // keyed: how long repeats are dropped
+	Ordered     bool    // messages of one key go one at a time, in order
 }
 
 // Tenant describes one tenant of the service.
@@ -45,39 +45,39 @@
 
 // Settings are the facts a sender starts with.
 type Settings struct {
-	Index, Senders int
-	Zone           int
-	Zones          []string // names, by position
-	Round          float64  // least interval between steps
-	Classes        []Class
-	Tenants        []Tenant
-	Kinds          []DestKind
-	Tolls          []float64 // price of a message to a route apart, by zone
-	CrossFee       float64   // price of an attempt that crosses zones, in points of G a first try
-	CallSlots      int
-	Halves         bool // worth halves with each further aim, else falls evenly
-	OverShareWorth float64
-	Rated          bool // Endpoint.Rating is a rate in calls a second
-	X0, X1         int  // positions in a report of the allowance left and the limit; -1 if absent
-	MayCancel      bool
-	MayProbe       bool
-	MarksAgain     bool // Event.Again is told
-	TellsRetry     bool // clients are given the retry-after of a refusal
-	MaxRetryAfter  float64
-	MaxAttempts    int
-	MaxHeld        int
-	StreamsPerConn int
-	KeepAlive      float64
-	DialTimeout    float64
-	Subscribe      bool    // discovery is sent on request only
-	AskWithin      float64 // with Subscribe: how often the list must be asked for
-	AnswerSlack    float64 // how late a final answer may still come
-	DrainGrace     float64
-	Cold           float64 // a destination is warm this long after an outage
-	ColdFrom       float64 // share of its capacity that a cold destination has
-	TipMultiple    float64
-	TipAfter       float64
-	SettleDoubt    float64 // how long a key rests after an attempt in doubt
+	Index, Senders             int
+	Zone                       int
+	Zones                      []string // names, by position
+	MinStepInterval            float64  // least interval between steps
+	Classes                    []Class
+	Tenants                    []Tenant
+	Kinds                      []DestKind
+	ZoneFees                   []float64 // price of a message to a route apart, by zone
+	CrossZoneFee               float64   // price of an attempt that crosses zones, in points of G a first try
+	CallSlots                  int
+	WorthHalves                bool // worth halves with each further aim, else falls evenly
+	OverShareWorth             float64
+	RatingIsRate               bool // Endpoint.Rating is a rate in calls a second
+	AllowanceIndex, LimitIndex int  // positions in a report of the allowance left and the limit; -1 if absent
+	MayCancel                  bool
+	MayProbe                   bool
+	MarksResubmissions         bool // Event.Again is told
+	SendsRetryAfter            bool // clients are given the retry-after of a refusal
+	MaxRetryAfter              float64
+	MaxAttempts                int
+	MaxHeld                    int
+	StreamsPerConn             int
+	KeepAlive                  float64
+	DialTimeout                float64
+	Subscribe                  bool    // discovery is sent on request only
+	MaxSubscribeInterval       float64 // with Subscribe: how often the list must be asked for
+	AnswerSlack                float64 // how late a final answer may still come
+	DrainGrace                 float64
+	WarmUpDuration             float64 // a destination is warm this long after an outage
+	ColdCapacity               float64 // share of its capacity that a cold destination has
+	OverloadMultiple           float64
+	OverloadWindow             float64
+	KeyPause                   float64 // how long a key rests after an attempt in doubt
 }
 
 // EndpointState is the listed state of an endpoint.
@@ -143,33 +143,33 @@
 
 // Event is one thing that the sender is told.
 type Event struct {
-	Kind     EventKind
-	ID       uint64
-	Class    int
-	Tenant   int
-	Key      uint64 // 0 = none
-	Left     float64
-	Again    bool // handed in again by its client, or taken over from a sender that died
-	Dest     int
-	Restored bool    // taken on in an earlier life of the sender, from its journal
-	Attempts int     // Restored: attempts made so far; they count towards MaxAttempts
-	Doubtful bool    // Restored: one of them may have run:
-	DoubtAge float64 // how long ago the first of these was sent; less than the clock itself,
-	Zone     int     // and the zone of its endpoint
-	Endpoint uint32
-	Attempt  int
-	Outcome  Outcome
-	Wait     float64 // the wait that was told; 0 = none
-	Latency  float64
-	Closed   bool
-	Report   []float64
-	Token    uint32
-	List     []Endpoint
-	FullList bool // List replaces the list held before
-	Failed   bool
-	Facts    []DestFacts
-	Pace     float64 // calls a second; 0 = no longer
-	Settings *Settings
+	Kind           EventKind
+	ID             uint64
+	Class          int
+	Tenant         int
+	Key            uint64 // 0 = none
+	Remaining      float64
+	Resubmitted    bool // handed in again by its client, or taken over from a sender that died
+	Dest           int
+	Restored       bool    // taken on in an earlier life of the sender, from its journal
+	Attempts       int     // Restored: attempts made so far; they count towards MaxAttempts
+	MayHaveRun     bool    // Restored: one of them may have run:
+	MayHaveRunAge  float64 // how long ago the first of these was sent; less than the clock itself,
+	MayHaveRunZone int     // and the zone of its endpoint
+	Endpoint       uint32
+	Attempt        int
+	Outcome        Outcome
+	RequestedWait  float64 // the wait that was told; 0 = none
+	Latency        float64
+	Final          bool
+	Report         []float64
+	Token          uint32
+	List           []Endpoint
+	FullList       bool // List replaces the list held before
+	Failed         bool
+	Facts          []DestFacts
+	Pace           float64 // calls a second; 0 = no longer
+	Settings       *Settings
 }
 
 // ActionKind tells the actions apart.
@@ -182,7 +182,7 @@
 	ActFail                        // ID
 	ActTimer                       // Token, After
 	ActProbe                       // Endpoint
-	ActHangUp                      // Endpoint
+	ActCloseIdle                   // Endpoint
 	ActSubscribe                   // none
 	ActLog                         // Text
 )
--- a/policy/facts.go
+++ b/policy/facts.go
@@ -21,14 +21,14 @@
 
 // RouteFacts are what is known of a limit: a destination's, or an endpoint's where routes are apart.
 type RouteFacts struct {
-	WaitUntil float64 // told: nothing goes before; 0 = none
-	Told      float64 // the whole limit in calls a second, as told; 0 = none
-	Reported  bool    // by the partner, not only by the list
-	Pace      float64 // own pace in calls a second; 0 = none
-	LastOK    float64 // when a call last succeeded
-	Tried     float64 // calls a second of late,
-	Accepted  float64 // those taken on,
-	Delivered float64 // and messages delivered
+	WaitUntil       float64 // told: nothing goes before; 0 = none
+	AdvertisedLimit float64 // the whole limit in calls a second, as told; 0 = none
+	LimitReported   bool    // by the partner, not only by the list
+	Pace            float64 // own pace in calls a second; 0 = none
+	LastOK          float64 // when a call last succeeded
+	CallRate        float64 // calls a second of late,
+	AcceptedRate    float64 // those taken on,
+	DeliveredRate   float64 // and messages delivered
 }
 
 // LatencyFacts are a smoothed latency, its mean deviation, and the calls that they come from.
@@ -38,60 +38,60 @@
 }
 
 // ControlFacts are a destination's admission controller.
-type ControlFacts struct {
-	Seen   float64 // when a message last came
-	Lambda float64 // messages a millisecond; 0 = not known
-	EX     float64
-	Theta  [2]float64
-	P      [2][2]float64
-	Pam    float64
-	Pa     float64
+type AdmissionFacts struct {
+	LastArrival float64 // when a message last came
+	Lambda      float64 // messages a millisecond; 0 = not known
+	EX          float64
+	Theta       [2]float64
+	P           [2][2]float64
+	Pam         float64
+	Pa          float64
 }
 
 // EndpointFacts are what is known of one endpoint.
 type EndpointFacts struct {
-	ID        uint32
-	Health    Health
-	Fails     int     // failures in a row
-	FailAt    float64 // the last of them
-	FailShare float64
-	Hung      bool // the last failure was silence,
-	Mute      bool // no answer,
-	Leaks     bool // or an answer
-	Trials    int
-	OpenAt    float64
-	NextTrial float64
-	RampAt    float64
-	Base      float64 // own delivered rate before the outage
-	LastOK    float64 // -Inf: never
-	Apart     *RouteFacts
+	ID               uint32
+	Health           Health
+	Failures         int     // failures in a row
+	LastFailure      float64 // the last of them
+	FailureShare     float64
+	Unresponsive     bool // the last failure was silence,
+	Unanswered       bool // no answer,
+	AnsweredError    bool // or an answer
+	FailedTrials     int
+	OpenedAt         float64
+	NextTrial        float64
+	RampStart        float64
+	RateBeforeOutage float64 // own delivered rate before the outage
+	LastOK           float64 // -Inf: never
+	OwnRoute         *RouteFacts
 }
 
 // DestFacts are what is known of one destination.
 type DestFacts struct {
-	Dest      int
-	Shared    *RouteFacts // the limit that its endpoints share; nil where each has its own
-	Latency   LatencyFacts
-	Control   ControlFacts
-	Endpoints []EndpointFacts // by rising ID
+	Dest        int
+	SharedRoute *RouteFacts // the limit that its endpoints share; nil where each has its own
+	Latency     LatencyFacts
+	Admission   AdmissionFacts
+	Endpoints   []EndpointFacts // by rising ID
 }
 
 // DialFacts are how connecting to one kind of destination fares.
 type DialFacts struct {
-	Failed     float64
-	ShortUntil float64
+	FailureShare float64
+	ScarceUntil  float64
 }
 
 // GeneralFacts are what belongs to no one destination.
 type GeneralFacts struct {
-	Usual    []LatencyFacts // by class
-	Dials    []DialFacts    // by kind
-	Stale    float64        // failing share of calls on idle connections
-	StaleGap float64        // shortest idle time of those that failed; 0 = none
+	ClassLatency []LatencyFacts // by class
+	Dials        []DialFacts    // by kind
+	StaleShare   float64        // failing share of calls on idle connections
+	MinStaleIdle float64        // shortest idle time of those that failed; 0 = none
 }
 
 // FreshControl is a controller that has learned nothing: the prior of a remembered one.
-func FreshControl() ControlFacts {
+func InitialAdmission() AdmissionFacts {
 	var c controller
 	c.reset(0)
 	return c.facts()
@@ -103,19 +103,19 @@
 	if d == nil {
 		return DestFacts{}, false
 	}
-	f := DestFacts{Dest: dest, Latency: d.lat.facts(), Control: d.ctl.facts()}
+	f := DestFacts{Dest: dest, Latency: d.lat.facts(), Admission: d.ctl.facts()}
 	if d.shared != nil {
-		f.Shared = d.shared.facts(s.now)
+		f.SharedRoute = d.shared.facts(s.now)
 	}
 	f.Endpoints = make([]EndpointFacts, 0, len(d.eps))
 	for _, ep := range d.eps {
 		e := EndpointFacts{
-			ID: ep.id, Health: Health(ep.state), Fails: ep.fails, FailAt: ep.failAt, FailShare: ep.failShare,
-			Hung: ep.hung, Mute: ep.mute, Leaks: ep.leaks, Trials: ep.trials, OpenAt: ep.openAt,
-			NextTrial: ep.nextTrial, RampAt: ep.rampAt, Base: ep.base, LastOK: ep.lastOK,
+			ID: ep.id, Health: Health(ep.state), Failures: ep.fails, LastFailure: ep.failAt, FailureShare: ep.failShare,
+			Unresponsive: ep.hung, Unanswered: ep.mute, AnsweredError: ep.leaks, FailedTrials: ep.trials, OpenedAt: ep.openAt,
+			NextTrial: ep.nextTrial, RampStart: ep.rampAt, RateBeforeOutage: ep.base, LastOK: ep.lastOK,
 		}
 		if ep.route != d.shared {
-			e.Apart = ep.route.facts(s.now)
+			e.OwnRoute = ep.route.facts(s.now)
 		}
 		f.Endpoints = append(f.Endpoints, e)
 	}
@@ -124,12 +124,12 @@
 
 // GeneralFacts tells what belongs to no one destination.
 func (s *Sender) GeneralFacts() GeneralFacts {
-	g := GeneralFacts{Stale: s.stale}
+	g := GeneralFacts{StaleShare: s.stale}
 	if !math.IsInf(s.staleGap, 0) {
-		g.StaleGap = s.staleGap
+		g.MinStaleIdle = s.staleGap
 	}
 	for i := range s.usual {
-		g.Usual = append(g.Usual, s.usual[i].facts())
+		g.ClassLatency = append(g.ClassLatency, s.usual[i].facts())
 	}
 	for i := range s.dials {
 		g.Dials = append(g.Dials, DialFacts{s.dials[i].failed, s.dials[i].shortUntil})
@@ -138,15 +138,15 @@
 }
 
 // RecallGeneral takes up what belongs to no one destination, before the first Step.
-func (s *Sender) RecallGeneral(g GeneralFacts) {
-	for i := range min(len(g.Usual), len(s.usual)) {
-		s.usual[i].recall(g.Usual[i])
+func (s *Sender) RestoreGeneral(g GeneralFacts) {
+	for i := range min(len(g.ClassLatency), len(s.usual)) {
+		s.usual[i].recall(g.ClassLatency[i])
 	}
 	for i := range min(len(g.Dials), len(s.dials)) {
-		s.dials[i].failed, s.dials[i].shortUntil = g.Dials[i].Failed, g.Dials[i].ShortUntil
+		s.dials[i].failed, s.dials[i].shortUntil = g.Dials[i].FailureShare, g.Dials[i].ScarceUntil
 	}
-	if s.stale = g.Stale; g.StaleGap > 0 {
-		s.staleGap = g.StaleGap
+	if s.stale = g.StaleShare; g.MinStaleIdle > 0 {
+		s.staleGap = g.MinStaleIdle
 	}
 }
 
@@ -166,13 +166,13 @@
 	if d == nil {
 		return
 	}
-	if d.shared != nil && f.Shared != nil {
-		d.shared.waitUntil = max(d.shared.waitUntil, f.Shared.WaitUntil)
+	if d.shared != nil && f.SharedRoute != nil {
+		d.shared.waitUntil = max(d.shared.waitUntil, f.SharedRoute.WaitUntil)
 	}
 	for _, ep := range d.eps {
 		i := slices.IndexFunc(f.Endpoints, func(e EndpointFacts) bool { return e.ID == ep.id })
-		if i >= 0 && f.Endpoints[i].Apart != nil && ep.route != d.shared {
-			ep.route.waitUntil = max(ep.route.waitUntil, f.Endpoints[i].Apart.WaitUntil)
+		if i >= 0 && f.Endpoints[i].OwnRoute != nil && ep.route != d.shared {
+			ep.route.waitUntil = max(ep.route.waitUntil, f.Endpoints[i].OwnRoute.WaitUntil)
 		}
 	}
 }
@@ -185,9 +185,9 @@
 	}
 	if d := ep.dest; len(d.eps) == 1 {
 		d.lat.recall(f.Latency)
-		d.ctl.recall(f.Control, s.now)
-		if d.shared != nil && f.Shared != nil {
-			d.shared.recall(f.Shared, s.now)
+		d.ctl.recall(f.Admission, s.now)
+		if d.shared != nil && f.SharedRoute != nil {
+			d.shared.recall(f.SharedRoute, s.now)
 		}
 	}
 	i := slices.IndexFunc(f.Endpoints, func(e EndpointFacts) bool { return e.ID == ep.id })
@@ -195,20 +195,20 @@
 		return
 	}
 	e := &f.Endpoints[i]
-	ep.state, ep.fails, ep.failAt, ep.failShare = breaker(min(e.Health, Ramping)), e.Fails, e.FailAt, e.FailShare
-	ep.hung, ep.mute, ep.leaks, ep.trials = e.Hung, e.Mute, e.Leaks, e.Trials
-	ep.openAt, ep.nextTrial, ep.rampAt, ep.base, ep.lastOK = e.OpenAt, e.NextTrial, e.RampAt, e.Base, e.LastOK
+	ep.state, ep.fails, ep.failAt, ep.failShare = breaker(min(e.Health, Ramping)), e.Failures, e.LastFailure, e.FailureShare
+	ep.hung, ep.mute, ep.leaks, ep.trials = e.Unresponsive, e.Unanswered, e.AnsweredError, e.FailedTrials
+	ep.openAt, ep.nextTrial, ep.rampAt, ep.base, ep.lastOK = e.OpenedAt, e.NextTrial, e.RampStart, e.RateBeforeOutage, e.LastOK
 	// Its ramp goes on, but what it saved up of its budget is taken as spent.
 	ep.budget = bucket{0, s.now}
-	if ep.route != ep.dest.shared && e.Apart != nil {
-		ep.route.recall(e.Apart, s.now)
+	if ep.route != ep.dest.shared && e.OwnRoute != nil {
+		ep.route.recall(e.OwnRoute, s.now)
 	}
 }
 
 func (r *route) facts(now float64) *RouteFacts {
 	f := &RouteFacts{
-		Told: r.told, Reported: r.reported, Pace: r.limit, LastOK: r.lastOK,
-		Tried: r.tried.get(now), Accepted: r.accepted.get(now), Delivered: r.delivered.get(now),
+		AdvertisedLimit: r.told, LimitReported: r.reported, Pace: r.limit, LastOK: r.lastOK,
+		CallRate: r.tried.get(now), AcceptedRate: r.accepted.get(now), DeliveredRate: r.delivered.get(now),
 	}
 	if r.waitUntil > now {
 		f.WaitUntil = r.waitUntil
@@ -217,8 +217,8 @@
 }
 
 func (r *route) recall(f *RouteFacts, now float64) {
-	r.waitUntil, r.told, r.reported, r.limit, r.lastOK = f.WaitUntil, f.Told, f.Reported, f.Pace, f.LastOK
-	r.tried, r.accepted, r.delivered = meter{f.Tried, now}, meter{f.Accepted, now}, meter{f.Delivered, now}
+	r.waitUntil, r.told, r.reported, r.limit, r.lastOK = f.WaitUntil, f.AdvertisedLimit, f.LimitReported, f.Pace, f.LastOK
+	r.tried, r.accepted, r.delivered = meter{f.CallRate, now}, meter{f.AcceptedRate, now}, meter{f.DeliveredRate, now}
 	r.grownAt = now
 }
 
@@ -230,16 +230,16 @@
 	}
 }
 
-func (c *controller) facts() ControlFacts {
-	return ControlFacts{Seen: c.seen, Lambda: c.lambda, EX: c.ex, Theta: c.theta, P: c.p, Pam: c.pam, Pa: c.pa}
+func (c *controller) facts() AdmissionFacts {
+	return AdmissionFacts{LastArrival: c.seen, Lambda: c.lambda, EX: c.ex, Theta: c.theta, P: c.p, Pam: c.pam, Pa: c.pa}
 }
 
 // recall starts a period with what is known; the error and correction of the last one are not.
-func (c *controller) recall(f ControlFacts, now float64) {
+func (c *controller) recall(f AdmissionFacts, now float64) {
 	arrivals := c.arrivals // restored messages may have come first
 	c.reset(now)
 	if c.arrivals = arrivals; arrivals == 0 {
-		c.seen = min(f.Seen, now)
+		c.seen = min(f.LastArrival, now)
 	}
 	c.lambda, c.ex, c.theta, c.p = f.Lambda, f.EX, f.Theta, f.P
 	c.pam, c.pa = f.Pam, min(max(f.Pa, minAdmit), 1)
--- a/policy/facts_test.go
+++ b/policy/facts_test.go
@@ -18,7 +18,7 @@
 		}
 		facts = append(facts, f)
 	}
-	n.s.RecallGeneral(r.s.GeneralFacts())
+	n.s.RestoreGeneral(r.s.GeneralFacts())
 	n.step(append(before, Event{Kind: EvFacts, Facts: facts}, Event{Kind: EvList, FullList: true, List: eps})...)
 	return n
 }
@@ -35,7 +35,7 @@
 // What is told and taken up again is told the same.
 func TestFactsRoundTrip(t *testing.T) {
 	set := testSettings()
-	set.X0, set.X1 = 0, 1
+	set.AllowanceIndex, set.LimitIndex = 0, 1
 	eps := []Endpoint{{ID: 1, State: Ready, Kind: 2, Dest: 1}, {ID: 2, State: Ready, Kind: 2, Dest: 1}, {ID: 3, State: Ready, Kind: 1, Dest: 2}, {ID: 4, State: Ready, Kind: 1, Dest: 2}}
 	r := newRig(t, set, eps...)
 	for i, o := range []Outcome{OK, OK, Error, Full, Timeout, OK, Timeout, Timeout, Timeout, Timeout, Timeout} {
@@ -54,14 +54,14 @@
 	for dest := 1; dest <= 2; dest++ {
 		was, _ := r.s.Facts(dest)
 		is, _ := n.s.Facts(dest)
-		if dest == 1 && (was.Shared == nil || was.Shared.Told != 12) || dest == 2 && (was.Shared != nil || was.Endpoints[0].Apart == nil) {
+		if dest == 1 && (was.SharedRoute == nil || was.SharedRoute.AdvertisedLimit != 12) || dest == 2 && (was.SharedRoute != nil || was.Endpoints[0].OwnRoute == nil) {
 			t.Errorf("facts %+v", was)
 		}
 		if was.Latency.N == 0 || !reflect.DeepEqual(was, is) {
-			t.Errorf("destination %d:\nwas %+v %+v\n is %+v %+v", dest, was, was.Shared, is, is.Shared)
+			t.Errorf("destination %d:\nwas %+v %+v\n is %+v %+v", dest, was, was.SharedRoute, is, is.SharedRoute)
 		}
 	}
-	if g := n.s.GeneralFacts(); !reflect.DeepEqual(g, r.s.GeneralFacts()) || g.Usual[0].N == 0 {
+	if g := n.s.GeneralFacts(); !reflect.DeepEqual(g, r.s.GeneralFacts()) || g.ClassLatency[0].N == 0 {
 		t.Errorf("general %+v", g)
 	}
 }
@@ -76,7 +76,7 @@
 		r.reply(1, Full, 1500)
 		told := r.now
 		r.now += 600
-		n := r.reborn(eps, []int{1}, Event{Kind: EvMessage, ID: 7, Dest: 1, Left: 15000, Restored: true, Attempts: 1})
+		n := r.reborn(eps, []int{1}, Event{Kind: EvMessage, ID: 7, Dest: 1, Remaining: 15000, Restored: true, Attempts: 1})
 		if sends(n.last) > 0 {
 			t.Fatalf("kind %d: a restored message is sent in the wait", kind)
 		}
@@ -160,7 +160,7 @@
 func TestFactsNeedTheirList(t *testing.T) {
 	eps := []Endpoint{{ID: 1, State: Ready, Kind: 2, Dest: 1}}
 	r := newRig(t, testSettings())
-	r.step(Event{Kind: EvFacts, Facts: []DestFacts{{Dest: 1, Shared: &RouteFacts{WaitUntil: math.Inf(1)}}}})
+	r.step(Event{Kind: EvFacts, Facts: []DestFacts{{Dest: 1, SharedRoute: &RouteFacts{WaitUntil: math.Inf(1)}}}})
 	r.step(Event{Kind: EvList, FullList: true, List: eps})
 	if _, ok := r.s.Facts(9); ok {
 		t.Error("facts of a destination that there is not")
@@ -174,7 +174,7 @@
 // what was remembered costs a second's burst at most.
 func TestLimitFellMeanwhile(t *testing.T) {
 	set := testSettings()
-	set.X0, set.X1 = 0, 1
+	set.AllowanceIndex, set.LimitIndex = 0, 1
 	eps := []Endpoint{{ID: 1, State: Ready, Kind: 2, Dest: 1}}
 	r := newRig(t, set, eps...)
 	r.message(1, clsSafe, 1, 0)
--- a/policy/fuzz_test.go
+++ b/policy/fuzz_test.go
@@ -78,7 +78,7 @@
 					t.Fatalf("seed %d: send in a told wait", seed)
 				case m.doubt && set.Classes[m.class].Effect == Unsafe:
 					t.Fatalf("seed %d: unsafe repeat", seed)
-				case m.doubt && set.Classes[m.class].Effect == Keyed && now > m.doubtAt+set.Classes[m.class].MemorySpan:
+				case m.doubt && set.Classes[m.class].Effect == Keyed && now > m.doubtAt+set.Classes[m.class].DedupWindow:
 					t.Fatalf("seed %d: keyed repeat past the span", seed)
 				}
 				m.isOut, m.out, m.until = true, a.Endpoint, now+a.After
@@ -136,11 +136,11 @@
 					o = Timeout
 				}
 				e := Event{Kind: EvOutcome, ID: id, Endpoint: m.out, Attempt: m.attempts - 1, Outcome: o,
-					Latency: rng.Float64() * 500, Closed: o == OK || m.ended}
+					Latency: rng.Float64() * 500, Final: o == OK || m.ended}
 				if o == Full && rng.IntN(2) == 0 {
-					e.Wait = 1 + rng.Float64()*1000
+					e.RequestedWait = 1 + rng.Float64()*1000
 					r := route(m.out)
-					waits[r] = max(waits[r], now+e.Wait)
+					waits[r] = max(waits[r], now+e.RequestedWait)
 				}
 				m.isOut = false
 				if !o.NeverRan() && o != OK {
@@ -156,7 +156,7 @@
 			left := rng.Float64() * 8000
 			msgs[id] = &msg{class: class, dest: rng.IntN(dests), deadline: now + left}
 			ids = append(ids, id)
-			events = append(events, Event{Kind: EvMessage, ID: id, Class: class, Dest: msgs[id].dest, Left: left,
+			events = append(events, Event{Kind: EvMessage, ID: id, Class: class, Dest: msgs[id].dest, Remaining: left,
 				Key: uint64(rng.IntN(3))})
 		}
 		if rng.IntN(60) == 0 {
--- a/policy/holding.go
+++ b/policy/holding.go
@@ -4,27 +4,27 @@
 // filled and no mark is set by it.
 
 // Hold is why what a destination holds has not been sent.
-type Hold uint8
+type WaitCause uint8
 
 // The reasons, the one that is nearest to a call last.
 const (
-	HoldNone    Hold = iota // no endpoint is ready
-	HoldTold                // a wait that the partner told
-	HoldBreaker             // an outage, the ramp after it, or the pause after a failure
-	HoldCap                 // the pace from outside
-	HoldPace                // its own pace
-	HoldSlot                // all call slots are taken
-	HoldRetry               // the messages' own pauses, or the order of their keys
+	CauseNoEndpoint    WaitCause = iota // no endpoint is ready
+	CauseRequestedWait                  // a wait that the partner told
+	CauseBreaker                        // an outage, the ramp after it, or the pause after a failure
+	CausePaceCap                        // the pace from outside
+	CausePace                           // its own pace
+	CauseSlot                           // all call slots are taken
+	CauseRetry                          // the messages' own pauses, or the order of their keys
 )
 
 // EachWaiting calls f for each destination that holds messages, with the reason at the endpoint that is nearest
 // to a call.
-func (s *Sender) EachWaiting(f func(dest int, why Hold)) {
+func (s *Sender) EachWaiting(f func(dest int, why WaitCause)) {
 	for _, d := range s.waiting {
 		if len(d.queue) == 0 {
 			continue
 		}
-		why := HoldNone
+		why := CauseNoEndpoint
 		for _, ep := range d.eps {
 			if ep.ready {
 				why = max(why, s.holdAt(ep))
@@ -55,19 +55,19 @@
 	return broken, warming, told
 }
 
-func (s *Sender) holdAt(ep *endpoint) Hold {
+func (s *Sender) holdAt(ep *endpoint) WaitCause {
 	r := ep.route
 	switch {
 	case r.waitUntil > s.now:
-		return HoldTold
+		return CauseRequestedWait
 	case ep.state != closed || ep.fails > 0 && ep.nextTrial > s.now:
-		return HoldBreaker
+		return CauseBreaker
 	case r.cap > 0 && r.capTokens.v+r.cap/1000*(s.now-r.capTokens.at) < 1:
-		return HoldCap
+		return CausePaceCap
 	case r.limit > 0 && r.tokens.v+r.limit/1000*(s.now-r.tokens.at) < 1:
-		return HoldPace
+		return CausePace
 	case s.busy >= s.set.CallSlots || ep.dest.out >= max(s.set.CallSlots-1, 1):
-		return HoldSlot
+		return CauseSlot
 	}
-	return HoldRetry
+	return CauseRetry
 }
--- a/policy/holding_test.go
+++ b/policy/holding_test.go
@@ -11,30 +11,30 @@
 	for name, row := range map[string]struct {
 		slots  int
 		events []Event
-		want   Hold
+		want   WaitCause
 	}{
-		"told":    {10, []Event{{Kind: EvOutcome, ID: 1, Endpoint: 1, Outcome: Full, Wait: 5000, Latency: 5}}, HoldTold},
-		"breaker": {10, []Event{{Kind: EvOutcome, ID: 1, Endpoint: 1, Outcome: ConnectFailed, Latency: 5}}, HoldBreaker},
-		"cap":     {10, []Event{{Kind: EvPace, Pace: 0.01}}, HoldCap},
-		"pace":    {10, []Event{{Kind: EvOutcome, ID: 1, Endpoint: 1, Outcome: Full, Latency: 5}}, HoldPace},
-		"slot":    {2, nil, HoldSlot},
-		"gone":    {10, []Event{{Kind: EvList, List: []Endpoint{{ID: 1, State: Draining, Kind: 2}}}}, HoldNone},
+		"told":    {10, []Event{{Kind: EvOutcome, ID: 1, Endpoint: 1, Outcome: Full, RequestedWait: 5000, Latency: 5}}, CauseRequestedWait},
+		"breaker": {10, []Event{{Kind: EvOutcome, ID: 1, Endpoint: 1, Outcome: ConnectFailed, Latency: 5}}, CauseBreaker},
+		"cap":     {10, []Event{{Kind: EvPace, Pace: 0.01}}, CausePaceCap},
+		"pace":    {10, []Event{{Kind: EvOutcome, ID: 1, Endpoint: 1, Outcome: Full, Latency: 5}}, CausePace},
+		"slot":    {2, nil, CauseSlot},
+		"gone":    {10, []Event{{Kind: EvList, List: []Endpoint{{ID: 1, State: Draining, Kind: 2}}}}, CauseNoEndpoint},
 	} {
-		run := func(ask bool) (all [][]Action, why map[int]Hold) {
+		run := func(ask bool) (all [][]Action, why map[int]WaitCause) {
 			set := testSettings()
 			set.CallSlots = row.slots
 			s := New(set, 3)
 			step := func(now float64, events ...Event) {
 				all = append(all, append([]Action(nil), s.Step(now, events, nil)...))
-				why = map[int]Hold{}
+				why = map[int]WaitCause{}
 				if ask {
-					s.EachWaiting(func(dest int, h Hold) { why[dest] = h })
+					s.EachWaiting(func(dest int, h WaitCause) { why[dest] = h })
 					s.Overview()
 				}
 			}
-			step(1000, Event{Kind: EvList, FullList: true, List: eps}, Event{Kind: EvMessage, ID: 1, Class: clsSafe, Left: 20000})
+			step(1000, Event{Kind: EvList, FullList: true, List: eps}, Event{Kind: EvMessage, ID: 1, Class: clsSafe, Remaining: 20000})
 			step(1010, row.events...)
-			step(1011, Event{Kind: EvMessage, ID: 2, Class: clsSafe, Left: 20000}, Event{Kind: EvMessage, ID: 3, Class: clsSafe, Left: 20000})
+			step(1011, Event{Kind: EvMessage, ID: 2, Class: clsSafe, Remaining: 20000}, Event{Kind: EvMessage, ID: 3, Class: clsSafe, Remaining: 20000})
 			last := why
 			for now := 1100.0; now < 9000; now += 100 {
 				step(now)
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -175,7 +175,7 @@
 			ep = s.newEndpoint(l)
 			s.inherit(ep)
 			s.recallEndpoint(ep)
-			if r := ep.route; s.set.Rated && r.told == 0 && l.Rating > 0 && !math.IsInf(l.Rating, 0) {
+			if r := ep.route; s.set.RatingIsRate && r.told == 0 && l.Rating > 0 && !math.IsInf(l.Rating, 0) {
 				r.told, r.limit = l.Rating, l.Rating
 				if s.shared(r) { // many start in one moment: a call is saved up by each on average, not by each
 					r.limit, r.tokens.v = evenPart*s.even(r), 2*s.rng.Float64()
@@ -204,16 +204,16 @@
 	if s.msgs[e.ID] != nil {
 		return
 	}
-	if e.Class < 0 || e.Class >= len(s.set.Classes) || !(e.Left > 0) {
+	if e.Class < 0 || e.Class >= len(s.set.Classes) || !(e.Remaining > 0) {
 		s.out = append(s.out, Action{Kind: ActRefuse, ID: e.ID})
 		return
 	}
 	c, d := &s.set.Classes[e.Class], s.destOf(e.Dest)
-	left := min(e.Left, c.Deadline)
+	left := min(e.Remaining, c.Deadline)
 	m := &message{id: e.ID, class: c, kind: e.Class, dest: d, arrived: s.now, doubtAt: -1}
 	m.deadline = s.now + left
 	m.aimAt = m.deadline - c.Deadline + c.Aim
-	if s.set.MarksAgain && !e.Again && !e.Restored || !s.set.MarksAgain && !e.Restored && left <= c.Aim {
+	if s.set.MarksResubmissions && !e.Resubmitted && !e.Restored || !s.set.MarksResubmissions && !e.Restored && left <= c.Aim {
 		m.aimAt = s.now + c.Aim // fresh: its client has little patience, it has not waited
 	}
 	s.account(d)
@@ -221,13 +221,13 @@
 	s.control(d)
 	s.msgs[m.id] = m
 	s.held++
-	if c.ByArrival && e.Key != 0 {
+	if c.Ordered && e.Key != 0 {
 		s.join(m, e.Key)
 	}
 	if e.Restored { // its intake was decided in an earlier life; what its attempts allow is not over
 		m.attempts = e.Attempts
-		if e.Doubtful {
-			m.doubtAt, m.doubtZone = s.now-e.DoubtAge, e.Zone
+		if e.MayHaveRun {
+			m.doubtAt, m.doubtZone = s.now-e.MayHaveRunAge, e.MayHaveRunZone
 		}
 		if m.attempts >= s.set.MaxAttempts || m.doubtAt >= 0 && c.Effect == Unsafe || s.lastSend(m) <= s.now {
 			s.finish(m)
@@ -245,7 +245,7 @@
 func (s *Sender) lastSend(m *message) float64 {
 	at := m.deadline - max(s.callTime(m), lastMoment)
 	if m.doubtAt >= 0 && m.class.Effect == Keyed {
-		at = min(at, m.doubtAt+m.class.MemorySpan*spanMargin)
+		at = min(at, m.doubtAt+m.class.DedupWindow*spanMargin)
 	}
 	return at
 }
@@ -274,7 +274,7 @@
 
 func (s *Sender) refuse(m *message) {
 	after := 0.0
-	if s.set.TellsRetry {
+	if s.set.SendsRetryAfter {
 		after = min(s.set.MaxRetryAfter, max(m.dest.ctl.ex*float64(len(m.dest.queue)), retryLo))
 	}
 	s.out = append(s.out, Action{Kind: ActRefuse, ID: m.id, After: after})
@@ -408,7 +408,7 @@
 			cost += 0.7
 		}
 		if ep.zone != s.set.Zone {
-			cost += 0.2 + crossCost*s.set.CrossFee
+			cost += 0.2 + crossCost*s.set.CrossZoneFee
 		}
 		if !s.few() { // among equals each sender has its own first, or all would fill the same one's queue
 			cost += equalsCost * float64((i+s.set.Index)%len(d.eps)) / float64(len(d.eps))
@@ -523,7 +523,7 @@
 		if ep.leaks && s.few() {
 			// It answers, if mostly with errors: what a cold destination can take in any case goes on, since each call
 			// may be the one that is taken on, and shows at once that the outage is over.
-			if at := s.rampAt(ep, s.set.ColdFrom); at > s.now {
+			if at := s.rampAt(ep, s.set.ColdCapacity); at > s.now {
 				return at
 			}
 			break
@@ -543,13 +543,13 @@
 			return ep.nextTrial
 		}
 	case ramping:
-		t := (s.now - ep.rampAt) / max(s.set.Cold, 1)
+		t := (s.now - ep.rampAt) / max(s.set.WarmUpDuration, 1)
 		if t >= 1 {
 			ep.state = closed
 			s.log("warm", ep.dest.id, ep.id)
 			break
 		}
-		share := s.set.ColdFrom + (1-s.set.ColdFrom)*t
+		share := s.set.ColdCapacity + (1-s.set.ColdCapacity)*t
 		if at := s.rampAt(ep, share); at > s.now {
 			return at
 		}
@@ -591,8 +591,8 @@
 		}
 		own = max(own, sure*s.even(r)/float64(max(r.listed(), 1)))
 	}
-	rate := own * share * s.set.TipMultiple * rampMargin / 1000
-	return ep.budget.fill(s.now, rate, 1+rate*s.set.TipAfter*rampDepth)
+	rate := own * share * s.set.OverloadMultiple * rampMargin / 1000
+	return ep.budget.fill(s.now, rate, 1+rate*s.set.OverloadWindow*rampDepth)
 }
 
 func (s *Sender) suspect(ep *endpoint) bool {
@@ -655,13 +655,13 @@
 			s.hangUp(c.ep)
 		}
 	}
-	if e.Wait > 0 { // each message of a call may be told its own
-		c.ep.route.waitUntil = max(c.ep.route.waitUntil, s.now+e.Wait+1)
+	if e.RequestedWait > 0 { // each message of a call may be told its own
+		c.ep.route.waitUntil = max(c.ep.route.waitUntil, s.now+e.RequestedWait+1)
 	}
 	s.report(c.ep.route, e.Report)
 	if !c.told && e.Outcome != Moot {
 		c.told = true
-		s.health(c, e.Outcome, e.Wait)
+		s.health(c, e.Outcome, e.RequestedWait)
 	}
 	if e.Outcome == OK {
 		c.ep.route.delivered.add(s.now, 1)
@@ -676,13 +676,13 @@
 			m.doubtAt, m.doubtZone = c.sentAt, c.ep.zone
 		}
 		if q := s.keys[m.key]; m.key != 0 && q != nil && e.Outcome != Error {
-			q.rest, q.owner = max(q.rest, s.now+s.set.SettleDoubt), m
+			q.rest, q.owner = max(q.rest, s.now+s.set.KeyPause), m
 		}
 	}
 	switch {
 	case m.ended:
 		s.settle(m)
-	case e.Closed || e.Outcome == OK:
+	case e.Final || e.Outcome == OK:
 		s.end(m)
 	case m.doubtAt >= 0 && m.class.Effect == Unsafe, m.attempts >= s.set.MaxAttempts, s.lastSend(m) <= s.now:
 		s.finish(m)
@@ -697,8 +697,8 @@
 
 // report takes what a destination told of its limit.
 func (s *Sender) report(r *route, rep []float64) {
-	r.left = field(rep, s.set.X0)
-	if x1 := field(rep, s.set.X1); x1 > 0 && !math.IsInf(x1, 0) {
+	r.left = field(rep, s.set.AllowanceIndex)
+	if x1 := field(rep, s.set.LimitIndex); x1 > 0 && !math.IsInf(x1, 0) {
 		if r.reported && x1 > toldJump*r.told { // a squeeze is over: the pace follows as it did when the limit fell
 			r.limit *= x1 / r.told
 		}
@@ -734,7 +734,7 @@
 		if ep.state == open {
 			ep.state, ep.rampAt, ep.budget = ramping, s.now, bucket{0, s.now}
 			if s.shared(r) { // trials are far apart: it has been back for half the time since the last, on average
-				ep.rampAt -= min((s.now-ep.failAt)/2, s.set.TipAfter/2)
+				ep.rampAt -= min((s.now-ep.failAt)/2, s.set.OverloadWindow/2)
 			}
 			ep.failShare = 0
 			s.log("ramp", ep.dest.id, ep.id)
@@ -845,11 +845,11 @@
 				took = min(max(took, r.limit/2), r.limit)
 			}
 			r.limit = max(took*cutTo, paceFirst/2)
-			if s.set.X1 >= 0 { // a rating of the list may be far off, a report is not
+			if s.set.LimitIndex >= 0 { // a rating of the list may be far off, a report is not
 				r.limit = max(r.limit, even/2)
 			}
 		}
-	case s.set.X1 >= 0 && r.told > 0 && (wait > starveWait || r.fulls >= starveAfter):
+	case s.set.LimitIndex >= 0 && r.told > 0 && (wait > starveWait || r.fulls >= starveAfter):
 		r.limit = max(even*starveShare, paceLeast) // refusals that count may use the limit up
 	default:
 		if r.limit == 0 || r.limit > paceFirst { // it held nothing back
@@ -861,7 +861,7 @@
 	// that is told. By chance a part of those that know of no success waits as after a failure, or most calls on
 	// a return are by these. Harm: late at a mere limit, or where a report is late.
 	room := s.rng.Float64() - 0.5
-	shut := s.now-r.lastOK > meterTau && (s.set.X0 < 0 || r.left > leftShut)
+	shut := s.now-r.lastOK > meterTau && (s.set.AllowanceIndex < 0 || r.left > leftShut)
 	if shut && !s.busyOn(r) && s.rng.Float64() < doubtShare {
 		room = min(room, 1-r.limit*s.around(s.fewPause())/1000)
 	}
@@ -882,7 +882,7 @@
 // own calls: a sender that calls once in two seconds learns of a refusal long after others made up for it.
 // All keep to an even part then. Harm: what one leaves unused is lost to the others, up to 1 - evenPart and
 // the chance in who gets how many messages.
-func (s *Sender) shared(r *route) bool { return !s.few() && s.set.X1 >= 0 && r.told > 0 }
+func (s *Sender) shared(r *route) bool { return !s.few() && s.set.LimitIndex >= 0 && r.told > 0 }
 
 // few tells whether so few send that each one's own traffic shows what a destination does.
 func (s *Sender) few() bool { return s.set.Senders <= fewSenders }
@@ -906,7 +906,7 @@
 			}
 			r.limit *= math.Exp(min(dt/recoverIn, dt*r.limit/1000*recoverBy))
 		}
-		if s.set.X1 >= 0 && r.told > 0 {
+		if s.set.LimitIndex >= 0 && r.told > 0 {
 			r.limit = min(r.limit, r.told)
 		}
 	}
@@ -945,7 +945,7 @@
 func (s *Sender) trialBy(r *route, at float64) float64 {
 	rate := capTrials * r.cap
 	if s.shared(r) {
-		rate = trialMargin * s.set.TipMultiple * s.set.ColdFrom * s.even(r)
+		rate = trialMargin * s.set.OverloadMultiple * s.set.ColdCapacity * s.even(r)
 	}
 	if rate <= 0 {
 		return at
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -18,14 +18,14 @@
 func testSettings() Settings {
 	return Settings{
 		Senders: 2, CallSlots: 10, MaxAttempts: 6, MaxHeld: 100, StreamsPerConn: 1, KeepAlive: 10000,
-		DialTimeout: 1000, DrainGrace: 500, Cold: 10000, ColdFrom: 0.25, TipMultiple: 1.5, TipAfter: 3000,
-		SettleDoubt: 4000, TellsRetry: true, MaxRetryAfter: 2000, X0: -1, X1: -1,
+		DialTimeout: 1000, DrainGrace: 500, WarmUpDuration: 10000, ColdCapacity: 0.25, OverloadMultiple: 1.5, OverloadWindow: 3000,
+		KeyPause: 4000, SendsRetryAfter: true, MaxRetryAfter: 2000, AllowanceIndex: -1, LimitIndex: -1,
 		Kinds: []DestKind{{Batch: 5}, {Batch: 1, OwnLimits: true}, {Batch: 1}},
 		Classes: []Class{
 			{Name: "safe", Aim: 2000, Deadline: 20000, Worth: 1, LateWorth: 0.5, Effect: Safe},
-			{Name: "keyed", Aim: 2000, Deadline: 20000, Worth: 1, LateWorth: 0.5, Effect: Keyed, MemorySpan: 8000},
+			{Name: "keyed", Aim: 2000, Deadline: 20000, Worth: 1, LateWorth: 0.5, Effect: Keyed, DedupWindow: 8000},
 			{Name: "unsafe", Aim: 2000, Deadline: 20000, Worth: 1, LateWorth: 0.5, Effect: Unsafe},
-			{Name: "ordered", Aim: 2000, Deadline: 20000, Worth: 1, LateWorth: 0.5, Effect: Safe, ByArrival: true},
+			{Name: "ordered", Aim: 2000, Deadline: 20000, Worth: 1, LateWorth: 0.5, Effect: Safe, Ordered: true},
 		},
 	}
 }
@@ -73,7 +73,7 @@
 }
 
 func (r *rig) message(id uint64, class, dest int, key uint64) []Action {
-	return r.step(Event{Kind: EvMessage, ID: id, Class: class, Dest: dest, Key: key, Left: 20000})
+	return r.step(Event{Kind: EvMessage, ID: id, Class: class, Dest: dest, Key: key, Remaining: 20000})
 }
 
 func (r *rig) reply(id uint64, o Outcome, wait float64) []Action {
@@ -82,7 +82,7 @@
 
 func (r *rig) outcome(id uint64, o Outcome, wait float64) Event {
 	return Event{Kind: EvOutcome, ID: id, Endpoint: r.on[id], Attempt: r.attempts[id] - 1, Outcome: o,
-		Wait: wait, Latency: 200, Closed: o == OK}
+		RequestedWait: wait, Latency: 200, Final: o == OK}
 }
 
 func find(as []Action, k ActionKind, id uint64) *Action {
@@ -136,9 +136,9 @@
 
 func TestMessageWhoseTimeIsUpIsRefused(t *testing.T) {
 	r := newRig(t, testSettings(), ready(1, 0, 2))
-	r.must(r.step(Event{Kind: EvMessage, ID: 1, Left: 0}), ActRefuse, 1, "no time left")
-	r.must(r.step(Event{Kind: EvMessage, ID: 2, Left: math.NaN()}), ActRefuse, 2, "time is no number")
-	r.must(r.step(Event{Kind: EvMessage, ID: 3, Left: 100, Class: 99}), ActRefuse, 3, "unknown class")
+	r.must(r.step(Event{Kind: EvMessage, ID: 1, Remaining: 0}), ActRefuse, 1, "no time left")
+	r.must(r.step(Event{Kind: EvMessage, ID: 2, Remaining: math.NaN()}), ActRefuse, 2, "time is no number")
+	r.must(r.step(Event{Kind: EvMessage, ID: 3, Remaining: 100, Class: 99}), ActRefuse, 3, "unknown class")
 }
 
 // Late refusal: with less time left than a usual call nothing is sent.
@@ -148,8 +148,8 @@
 	e := r.outcome(1, OK, 0)
 	e.Latency = 500
 	r.step(e)
-	r.never(r.step(Event{Kind: EvMessage, ID: 2, Left: 499}), ActSend, 2, "499 ms left of a 500 ms call")
-	r.must(r.step(Event{Kind: EvMessage, ID: 3, Left: 510}), ActSend, 3, "510 ms left of a 500 ms call")
+	r.never(r.step(Event{Kind: EvMessage, ID: 2, Remaining: 499}), ActSend, 2, "499 ms left of a 500 ms call")
+	r.must(r.step(Event{Kind: EvMessage, ID: 3, Remaining: 510}), ActSend, 3, "510 ms left of a 500 ms call")
 }
 
 // Rule 2: after an outcome in doubt an unsafe message is failed, never sent or refused.
@@ -238,7 +238,7 @@
 // Found by the bench: every message of a batched call may be told a wait of its own.
 func TestLongestWaitOfABatchedCallHolds(t *testing.T) {
 	r := newRig(t, testSettings(), ready(1, 0, 0))
-	r.step(Event{Kind: EvMessage, ID: 1, Left: 20000}, Event{Kind: EvMessage, ID: 2, Left: 20000})
+	r.step(Event{Kind: EvMessage, ID: 1, Remaining: 20000}, Event{Kind: EvMessage, ID: 2, Remaining: 20000})
 	if r.s.busy != 1 {
 		t.Fatalf("two messages in one step took %d slots", r.s.busy)
 	}
@@ -416,7 +416,7 @@
 // Overload: a destination that is kept back refuses at random early and says when to come again.
 func TestRefusesUnderBacklog(t *testing.T) {
 	set := testSettings()
-	set.X1, set.MaxHeld = 0, 10000
+	set.LimitIndex, set.MaxHeld = 0, 10000
 	r := newRig(t, set, ready(1, 0, 2))
 	refused, early := 0, 0
 	for i := range 400 { // 8 a second against a pace of 2
@@ -487,7 +487,7 @@
 	for range 8 {
 		id++
 		for _, a := range r.message(id, clsSafe, 0, 0) {
-			hungUp = hungUp || a.Kind == ActHangUp
+			hungUp = hungUp || a.Kind == ActCloseIdle
 		}
 		r.reply(id, OK, 0) // fresh or young: answered
 		r.run(r.now + 4000)
@@ -497,7 +497,7 @@
 		id++
 		as := r.message(id, clsSafe, 0, 0)
 		for _, a := range as {
-			hungUp = hungUp || a.Kind == ActHangUp
+			hungUp = hungUp || a.Kind == ActCloseIdle
 		}
 		if !hungUp { // on a connection idle for 4 s: lost
 			r.reply(id, Timeout, 0)
@@ -596,14 +596,14 @@
 	}{
 		"untouched":             {Event{Class: clsUnsafe}, ActSend},
 		"a call that never ran": {Event{Class: clsUnsafe, Attempts: 1}, ActSend},
-		"unsafe in doubt":       {Event{Class: clsUnsafe, Attempts: 1, Doubtful: true, DoubtAge: 10}, ActFail},
-		"keyed in its span":     {Event{Class: clsKeyed, Attempts: 1, Doubtful: true, DoubtAge: 5000}, ActSend},
-		"keyed past its span":   {Event{Class: clsKeyed, Attempts: 1, Doubtful: true, DoubtAge: 7900}, ActRefuse},
+		"unsafe in doubt":       {Event{Class: clsUnsafe, Attempts: 1, MayHaveRun: true, MayHaveRunAge: 10}, ActFail},
+		"keyed in its span":     {Event{Class: clsKeyed, Attempts: 1, MayHaveRun: true, MayHaveRunAge: 5000}, ActSend},
+		"keyed past its span":   {Event{Class: clsKeyed, Attempts: 1, MayHaveRun: true, MayHaveRunAge: 7900}, ActRefuse},
 		"no attempts left":      {Event{Class: clsKeyed, Attempts: 6}, ActRefuse},
 	} {
 		r := newRig(t, testSettings(), Endpoint{ID: 1, State: Ready, Kind: 2, Dest: 3})
 		r.now = 1e6
-		row.e.Kind, row.e.ID, row.e.Dest, row.e.Left, row.e.Restored = EvMessage, 9, 3, 10000, true
+		row.e.Kind, row.e.ID, row.e.Dest, row.e.Remaining, row.e.Restored = EvMessage, 9, 3, 10000, true
 		r.step(row.e)
 		if find(r.last, row.want, 9) == nil {
 			t.Errorf("%s: %+v", name, r.last)
@@ -639,7 +639,7 @@
 func TestRampFromToldLimit(t *testing.T) {
 	sent := func(limit float64) (n int) {
 		set := testSettings()
-		set.X0, set.X1 = 0, 1
+		set.AllowanceIndex, set.LimitIndex = 0, 1
 		r := newRig(t, set, ready(1, 0, 2))
 		id := uint64(1)
 		for ; r.s.eps[1].state == closed; id++ { // light traffic, then failures
@@ -733,7 +733,7 @@
 // hundred a second would hold messages for longer than they live.
 func TestPaceFollowsToldLimit(t *testing.T) {
 	set := testSettings()
-	set.X0, set.X1 = 0, 1
+	set.AllowanceIndex, set.LimitIndex = 0, 1
 	r := newRig(t, set, ready(1, 0, 2))
 	tell := func(id uint64, o Outcome, x1 float64) float64 {
 		r.now += 100
@@ -767,7 +767,7 @@
 		s := New(testSettings(), seed)
 		events := []Event{{Kind: EvList, FullList: true, List: []Endpoint{{ID: 1, State: Ready, Kind: 2}}}, {Kind: EvPace, Pace: rate}}
 		for id := range uint64(10) {
-			events = append(events, Event{Kind: EvMessage, ID: id + 1, Class: clsSafe, Left: 20000})
+			events = append(events, Event{Kind: EvMessage, ID: id + 1, Class: clsSafe, Remaining: 20000})
 		}
 		var sentAt []float64
 		for now := 1000.0; now < 4000; now += 5 {
@@ -831,7 +831,7 @@
 		want uint32
 	}{{0, 2}, {0.03, 1}} {
 		set := testSettings()
-		set.Zone, set.CrossFee = 0, c.fee
+		set.Zone, set.CrossZoneFee = 0, c.fee
 		far := Endpoint{ID: 2, State: Ready, Dest: 0, Kind: 2, Zone: 1}
 		r := newRig(t, set, far)
 		r.message(1, clsSafe, 0, 0)
--- a/policy/relief_test.go
+++ b/policy/relief_test.go
@@ -46,7 +46,7 @@
 		total, destinations := 1+rng.IntN(200), 1+rng.IntN(8)
 		for id := range total {
 			r.step(Event{Kind: EvMessage, ID: uint64(id + 1), Class: rng.IntN(len(set.Classes)), Dest: min(rng.IntN(destinations), rng.IntN(destinations)),
-				Key: uint64(rng.IntN(4)), Left: 5000 + 10000*rng.Float64()})
+				Key: uint64(rng.IntN(4)), Remaining: 5000 + 10000*rng.Float64()})
 			r.now += 20 * rng.Float64()
 		}
 		r.s.set.MaxHeld = 1 + rng.IntN(total)
@@ -92,7 +92,7 @@
 			r := newRig(t, set)
 			events := make([]Event, messages)
 			for i := range events {
-				events[i] = Event{Kind: EvMessage, ID: uint64(i + 1), Class: clsSafe, Dest: 1, Left: 20000, Restored: true}
+				events[i] = Event{Kind: EvMessage, ID: uint64(i + 1), Class: clsSafe, Dest: 1, Remaining: 20000, Restored: true}
 			}
 			began := time.Now()
 			r.step(events...)
--- a/policy/scale_test.go
+++ b/policy/scale_test.go
@@ -136,11 +136,11 @@
 // push is the largest sum of calls in a window of TipAfter after a return, over what a cold endpoint of warm
 // capacity full a second takes before it falls, and the largest number by senders that knew in such a window.
 func (c *crowd) push(set Settings, back, full float64) (sum, told float64) {
-	for from := back; from+set.TipAfter <= back+set.Cold; from += 100 {
-		cold := full * (set.ColdFrom + (1-set.ColdFrom)*(from+set.TipAfter/2-back)/set.Cold)
-		may := cold * set.TipMultiple * set.TipAfter / 1000
-		sum = max(sum, count(c.sent, from, from+set.TipAfter)/may)
-		told = max(told, count(c.toldSent, from, from+set.TipAfter)/may)
+	for from := back; from+set.OverloadWindow <= back+set.WarmUpDuration; from += 100 {
+		cold := full * (set.ColdCapacity + (1-set.ColdCapacity)*(from+set.OverloadWindow/2-back)/set.WarmUpDuration)
+		may := cold * set.OverloadMultiple * set.OverloadWindow / 1000
+		sum = max(sum, count(c.sent, from, from+set.OverloadWindow)/may)
+		told = max(told, count(c.toldSent, from, from+set.OverloadWindow)/may)
 	}
 	return sum, told
 }
@@ -162,7 +162,7 @@
 			}
 			c.run(back, 125, up)
 			c.sent, c.toldSent, c.tell = nil, nil, false
-			c.run(back+set.Cold, 125, up)
+			c.run(back+set.WarmUpDuration, 125, up)
 			if sum, told := c.push(set, back, 4); told > 2 { // chance adds up to as much again
 				t.Fatalf("calls reach %.2f of what tips the endpoint, those of senders that knew %.2f", sum, told)
 			} else {
@@ -193,7 +193,7 @@
 				}
 				c.run(back, 250, answer)
 				c.sent, c.toldSent, c.tell = nil, nil, false
-				c.run(back+set.Cold, 250, answer)
+				c.run(back+set.WarmUpDuration, 250, answer)
 				a, b := c.push(set, back, 6)
 				sum, told = sum+a/days, told+b/days
 			}
@@ -208,7 +208,7 @@
 // Told that its allowance is used up, a destination is at its limit: nobody waits as for an outage.
 func TestAllowanceTellsShutFromLimit(t *testing.T) {
 	set := testSettings()
-	set.Senders, set.X0 = 300, 0
+	set.Senders, set.AllowanceIndex = 300, 0
 	waits := func(left float64) (long int) {
 		for seed := range uint64(200) {
 			r := &rig{t: t, s: New(set, seed), now: 1000, attempts: map[uint64]int{}, on: map[uint64]uint32{}}
@@ -302,7 +302,7 @@
 	r := newRig(t, set, eps...)
 	hangsUp := func(as []Action) bool {
 		for _, a := range as {
-			if a.Kind == ActHangUp {
+			if a.Kind == ActCloseIdle {
 				return true
 			}
 		}
@@ -325,10 +325,10 @@
 // A fresh message with little time left can still reach its aim; one handed in again is old.
 func TestLittleTimeLeftIsNotOld(t *testing.T) {
 	set := testSettings()
-	set.MarksAgain = true
+	set.MarksResubmissions = true
 	r := newRig(t, set)
-	r.step(Event{Kind: EvMessage, ID: 1, Class: clsSafe, Left: 1500},
-		Event{Kind: EvMessage, ID: 2, Class: clsSafe, Left: 1500, Again: true})
+	r.step(Event{Kind: EvMessage, ID: 1, Class: clsSafe, Remaining: 1500},
+		Event{Kind: EvMessage, ID: 2, Class: clsSafe, Remaining: 1500, Resubmitted: true})
 	if fresh, again := r.s.worth(r.s.msgs[1]), r.s.worth(r.s.msgs[2]); fresh <= again {
 		t.Fatalf("worth of a fresh message %v, of one handed in again %v", fresh, again)
 	}
@@ -375,8 +375,8 @@
 			var out []Action
 			for i := range b.N {
 				id, now := uint64(i+1), float64(i)*10
-				out = s.Step(now, []Event{{Kind: EvMessage, ID: id, Dest: i % n, Left: 20000}}, out[:0])
-				out = s.Step(now+5, []Event{{Kind: EvOutcome, ID: id, Endpoint: uint32(i%n + 1), Closed: true}}, out[:0])
+				out = s.Step(now, []Event{{Kind: EvMessage, ID: id, Dest: i % n, Remaining: 20000}}, out[:0])
+				out = s.Step(now+5, []Event{{Kind: EvOutcome, ID: id, Endpoint: uint32(i%n + 1), Final: true}}, out[:0])
 			}
 		})
 	}
@@ -437,7 +437,7 @@
 	for _, n := range []int{20, 80, 200} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
 			set := testSettings()
-			set.X0, set.X1, set.Rated = 0, 1, true
+			set.AllowanceIndex, set.LimitIndex, set.RatingIsRate = 0, 1, true
 			c := newCrowd(t, n, set, Endpoint{ID: 1, State: Ready, Kind: 2, Rating: 75})
 			w := &window{limit: 60, noise: rand.New(rand.NewPCG(uint64(n), 1))}
 			for _, p := range []struct {
@@ -468,7 +468,7 @@
 		for _, down := range []float64{2000, 5000, 15000} {
 			t.Run(fmt.Sprint(n, " senders, down ", down), func(t *testing.T) {
 				set := testSettings()
-				set.X0, set.X1, set.Rated, set.ColdFrom, set.Cold = 0, 1, true, 0.23, 9100
+				set.AllowanceIndex, set.LimitIndex, set.RatingIsRate, set.ColdCapacity, set.WarmUpDuration = 0, 1, true, 0.23, 9100
 				c := newCrowd(t, n, set, Endpoint{ID: 1, State: Ready, Kind: 2, Rating: 150})
 				w := &window{limit: 150, noise: rand.New(rand.NewPCG(uint64(n), 2))}
 				const before, rate = 12000.0, 120.0
@@ -476,11 +476,11 @@
 				c.tell = true
 				c.play(w.back, rate, w)
 				c.sent, c.toldSent, w.ok, w.full, c.tell = nil, nil, 0, 0, false
-				c.play(w.back+set.Cold, rate, w)
-				c.play(w.back+set.Cold+1000, rate, w)
+				c.play(w.back+set.WarmUpDuration, rate, w)
+				c.play(w.back+set.WarmUpDuration+1000, rate, w)
 				sum, told := c.push(set, w.back, 1.15*w.limit)
-				could := w.limit * (set.ColdFrom + 1) / 2 * set.Cold / 1000
-				used := count(c.sent, w.back, w.back+set.Cold) / could
+				could := w.limit * (set.ColdCapacity + 1) / 2 * set.WarmUpDuration / 1000
+				used := count(c.sent, w.back, w.back+set.WarmUpDuration) / could
 				t.Logf("calls %.2f, of senders that knew %.2f of what tips it; %.2f of what it can take till it is warm", sum, told, used)
 				if sum > 1 || used < 0.6 { // those that saw nothing of it included
 					t.Errorf("calls reach %.2f of what tips it, 1 at most; %.2f of what it can take is used, 0.6 at least", sum, used)
@@ -516,7 +516,7 @@
 	n := &rig{t: r.t, s: New(r.s.set, seed), now: c.now, attempts: map[uint64]int{}, on: map[uint64]uint32{}}
 	for id, m := range r.s.msgs {
 		n.attempts[id] = m.attempts
-		events = append(events, Event{Kind: EvMessage, ID: id, Class: clsKeyed, Left: m.deadline - c.now, Restored: true, Attempts: m.attempts})
+		events = append(events, Event{Kind: EvMessage, ID: id, Class: clsKeyed, Remaining: m.deadline - c.now, Restored: true, Attempts: m.attempts})
 	}
 	slices.SortFunc(events[2:], func(a, b Event) int { return cmp.Compare(a.ID, b.ID) })
 	n.last = n.step(events...)
@@ -530,7 +530,7 @@
 	for _, n := range []int{20, 80, 200} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
 			set := testSettings()
-			set.X0, set.X1, set.Rated = 0, 1, true
+			set.AllowanceIndex, set.LimitIndex, set.RatingIsRate = 0, 1, true
 			eps := []Endpoint{{ID: 1, State: Ready, Kind: 2, Rating: 60}}
 			c := newCrowd(t, n, set, eps...)
 			c.ends = map[uint64]int{}
@@ -575,7 +575,7 @@
 	for _, n := range []int{math.MinInt32, -1, 0, 1, 2, 8, 9, math.MaxInt32} {
 		for _, index := range []int{math.MinInt32, -1, 0, n, math.MaxInt32} {
 			set := testSettings()
-			set.X0, set.X1, set.Rated, set.Senders, set.Index = 0, 1, true, n, index
+			set.AllowanceIndex, set.LimitIndex, set.RatingIsRate, set.Senders, set.Index = 0, 1, true, n, index
 			r := newRig(t, set, Endpoint{ID: 1, State: Ready, Kind: 2, Rating: 10}, Endpoint{ID: 2, State: Ready, Kind: 2, Rating: 10})
 			for id := uint64(1); id < 20; id++ {
 				r.message(id, clsKeyed, 0, 0)
--- a/policy/state.go
+++ b/policy/state.go
@@ -426,8 +426,8 @@
 			d.shared = ep.route
 		}
 	}
-	if l.Zone < len(s.set.Tolls) {
-		ep.toll = s.set.Tolls[l.Zone]
+	if l.Zone < len(s.set.ZoneFees) {
+		ep.toll = s.set.ZoneFees[l.Zone]
 	}
 	ep.route.endpoints = append(ep.route.endpoints, ep)
 	d.eps = append(d.eps, ep)
@@ -448,7 +448,7 @@
 		return c.Worth
 	}
 	late := done - m.aimAt
-	if s.set.Halves {
+	if s.set.WorthHalves {
 		return c.Worth * max(c.LateWorth, math.Exp2(-late/max(c.Aim, 1)))
 	}
 	return c.Worth * max(c.LateWorth, 1-(1-c.LateWorth)*late/(c.Deadline-c.Aim))
@@ -518,7 +518,7 @@
 
 // hangUp closes the idle connections to ep.
 func (s *Sender) hangUp(ep *endpoint) {
-	s.out = append(s.out, Action{Kind: ActHangUp, Endpoint: ep.id})
+	s.out = append(s.out, Action{Kind: ActCloseIdle, Endpoint: ep.id})
 	ep.conns = 0
 }
 
