--- a/cmd/sliptide/fleet.go
+++ b/cmd/sliptide/fleet.go
@@ -80,14 +80,14 @@
 		return
 	}
 	m.snd = snd
-	snd.Join(m)
+	snd.SetFleet(m)
 	if c := op.Fleet.Copies; c.Enabled {
 		self, _ := m.set.Self()
-		set := sender.CopySettings{Name: m.set.Name, Zone: self.Zone, Count: c.Count, Needed: c.Needed, Patience: c.Patience, Take: c.Take, ByClass: map[string]int{}}
+		set := sender.CopySettings{Name: m.set.Name, Zone: self.Zone, Count: c.Count, Required: c.Needed, Timeout: c.Patience, AcceptUncopied: c.Take, RequiredByClass: map[string]int{}}
 		for _, k := range c.Classes {
-			set.ByClass[k.Name] = k.Needed
+			set.RequiredByClass[k.Name] = k.Needed
 		}
-		snd.Copy(m, set)
+		snd.EnableCopies(m, set)
 	}
 	if op.Fleet.Trials.Enabled {
 		snd.ShareTrials(m, trial.Settings{Senders: senders, Bound: float64(op.Fleet.Trials.Bound) / float64(time.Millisecond)})
@@ -115,7 +115,7 @@
 	}
 	o := fleet.Options{Settings: m.set, Files: m.files, Room: m.room, Log: m.log, Watch: m.heard}
 	if m.keep.Enabled {
-		o.CopyRoom, o.KeepRoom, o.Copied, o.Changed, o.CopyStatus = m.keep.Room, m.space.Account(), m.snd.CopyNews, m.snd.Kick, m.snd.CopyStatus
+		o.CopyRoom, o.KeepRoom, o.Copied, o.Changed, o.CopyStatus = m.keep.Room, m.space.Account(), m.snd.ReceiveCopyFrame, m.snd.Wake, m.snd.CopyStatus
 	}
 	m.member, err = fleet.Open(o, ln)
 	if err != nil {
@@ -125,7 +125,7 @@
 }
 
 func (m *membership) heard(d *pb.Duty, mine bool) {
-	m.snd.Heard(d.Name, trial.News{Holder: d.Holder, Mine: mine, Word: d.Word})
+	m.snd.UpdateDuty(d.Name, trial.News{Holder: d.Holder, Mine: mine, Word: d.Word})
 }
 
 // stays reports whether the member is to be left only when its sender has: what it holds is copied until then.
@@ -161,32 +161,32 @@
 	}
 }
 
-// Want implements sender.Fleet, as the others below.
-func (m *membership) Want(duty, zone string) {
+// Request implements sender.Fleet, as the others below.
+func (m *membership) Request(duty, zone string) {
 	if f := m.get(); f != nil {
 		f.Want(duty, zone)
 	}
 }
 
-// Leave implements sender.Fleet.
-func (m *membership) Leave(duty string, end bool) {
+// Release implements sender.Fleet.
+func (m *membership) Release(duty string, end bool) {
 	if f := m.get(); f != nil {
 		f.Leave(duty, end)
 	}
 }
 
-// Say implements sender.Fleet.
-func (m *membership) Say(duty, word string) {
+// Publish implements sender.Fleet.
+func (m *membership) Publish(duty, word string) {
 	if f := m.get(); f != nil {
 		f.Say(duty, word)
 	}
 }
 
-// Held implements sender.Fleet.
-func (m *membership) Held(duty string) uint64 { return m.get().Held(duty) }
+// Token implements sender.Fleet.
+func (m *membership) Token(duty string) uint64 { return m.get().Held(duty) }
 
-// Look implements sender.CopyFleet, as the others below.
-func (m *membership) Look() *fleet.Look {
+// View implements sender.CopyFleet, as the others below.
+func (m *membership) View() *fleet.Look {
 	if f := m.get(); f != nil {
 		return f.Look()
 	}
@@ -200,8 +200,8 @@
 	}
 }
 
-// Ask implements sender.CopyFleet.
-func (m *membership) Ask(c *pb.Command, done func(*pb.Answer, error)) {
+// Propose implements sender.CopyFleet.
+func (m *membership) Propose(c *pb.Command, done func(*pb.Answer, error)) {
 	if f := m.get(); f != nil {
 		f.Ask(c, done)
 	}
@@ -215,8 +215,8 @@
 	return 0
 }
 
-// Duties implements sender.Fleet.
-func (m *membership) Duties() int { return m.get().Duties() }
+// HeldDuties implements sender.Fleet.
+func (m *membership) HeldDuties() int { return m.get().Duties() }
 
 // Live implements sender.Fleet.
 func (m *membership) Live() bool { return m.get().Live() }
--- a/cmd/sliptide/main.go
+++ b/cmd/sliptide/main.go
@@ -11,5 +11,5 @@
 )
 
 func main() {
-	os.Exit(cli.Main(os.Args[1:], cli.Env{Out: os.Stdout, Err: os.Stderr, Run: run, Control: runControl, Now: sender.Wall}))
+	os.Exit(cli.Main(os.Args[1:], cli.Env{Out: os.Stdout, Err: os.Stderr, Run: run, Control: runControl, Now: sender.WallClock}))
 }
--- a/cmd/sliptide/run.go
+++ b/cmd/sliptide/run.go
@@ -112,7 +112,7 @@
 
 	// The sender and what it speaks with refer to each other: its calls are bound below.
 	var snd *sender.Sender
-	notices := discovery.NewNotices(cfg.Discovery, log, func(nums []uint64) { snd.Told(nums) })
+	notices := discovery.NewNotices(cfg.Discovery, log, func(nums []uint64) { snd.AckNotices(nums) })
 	sockets := cfg.Limits.Sockets - spareFiles
 	// The rest is for clients: many may hold a connection and say nothing.
 	calls := min(sockets*2/5, idleCalls+callsForSlot*cfg.Settings.CallSlots)
@@ -121,18 +121,18 @@
 		return fmt.Errorf("%w: telemetry: %w", cli.ErrConfig, err)
 	}
 	snd = sender.New(sender.Options{
-		Settings: cfg.Settings, Seed: cfg.Seed, Sockets: calls,
-		Journal: jr, Restored: restored, Notices: notices.Post, Memory: memory.get().Memory, Clock: clock, Log: log,
-		Partner: book.Of, Streams: partners.Streams, Storms: guard(cfg, op.Storms), Recorder: pipe.Records(), Records: op.Log.Records,
-		Out: kept.Out(), Heir: place.waiting(),
+		Settings: cfg.Settings, Seed: cfg.Seed, MaxConns: calls,
+		Journal: jr, Restored: restored, Notify: notices.Post, Knowledge: memory.get().Knowledge, Clock: clock, Log: log,
+		Partner: book.Of, HTTP2Streams: partners.Streams, StormGuard: guard(cfg, op.Storms), Recorder: pipe.Records(), LogRecords: op.Log.Records,
+		Disabled: kept.Out(), Successor: place.waiting(),
 	})
 	team, err := newMembership(cfg, op, space, log)
 	if err != nil {
 		return err
 	}
 	team.bind(snd, op, cfg.Settings.Senders)
-	kept.Bind(snd.TakeOut)
-	go kept.Follow(ctx, snd.Follow, log)
+	kept.Bind(snd.SetDisabled)
+	go kept.Follow(ctx, snd.ApplyDisabled, log)
 	listed := make(chan struct{}, 1)
 	source, err := openSource(cfg, op, snd, log, func() {
 		select {
@@ -156,11 +156,11 @@
 	go reload(ctx, hup, log, operatorFile, book, func(cfg *config.Config, op *operator.File) {
 		source.Move(cfg.Discovery)
 		notices.Move(cfg.Discovery)
-		memory.get().Keeper.Set(op.Knowledge)
-		snd.Retune(cfg.Settings)
+		memory.get().Writer.Set(op.Knowledge)
+		snd.UpdateSettings(cfg.Settings)
 		team.retune(op)
 	})
-	if k := memory.get().Keeper; k != nil {
+	if k := memory.get().Writer; k != nil {
 		go k.Run()
 	}
 	if place.waiting() {
@@ -222,7 +222,7 @@
 // since an earlier life. A folder that can't be written to for a while delays nothing.
 func startClock(ctx context.Context, dir string, space *statedir.Space, log zerolog.Logger) sender.Clock {
 	space.Account().Claim(timeline.Room)
-	reading, err := timeline.Read(sender.Wall())
+	reading, err := timeline.Read(sender.WallClock())
 	if err != nil {
 		log.Warn().Err(err).Msg("the wall clock is taken for the time")
 		return sender.NewClockAt(reading.Wall)
@@ -315,7 +315,7 @@
 
 // memory is what the sender knows over restarts, with its room in the folder.
 type memory struct {
-	sender.Memory
+	sender.Knowledge
 	room *statedir.Account
 }
 
@@ -347,15 +347,15 @@
 		log.Warn().Str("of", book.Sender).Msg("knowledge is another sender's")
 	}
 	log.Info().Int("destinations", len(book.Dests)).Int("waits", len(book.Waits)).Msg("knowledge of an earlier life")
-	m.Memory = sender.Memory{Set: set, Book: book.Clone()}
-	m.Keeper = keeper.New(keeper.Options{Set: set, Store: st, Book: book, Room: m.room, Log: log, Clock: clock.Now, Wall: clock.Now})
+	m.Knowledge = sender.Knowledge{Settings: set, Facts: book.Clone()}
+	m.Writer = keeper.New(keeper.Options{Set: set, Store: st, Book: book, Room: m.room, Log: log, Clock: clock.Now, Wall: clock.Now})
 	return m
 }
 
 func (m *memory) close() {
 	ctx, cancel := context.WithTimeout(context.Background(), knowBy)
 	defer cancel()
-	m.Keeper.Close(ctx)
+	m.Writer.Close(ctx)
 }
 
 // warn tells of certificates that end soon.
--- a/cmd/sliptide/source.go
+++ b/cmd/sliptide/source.go
@@ -36,7 +36,7 @@
 	}
 	asked := false // discovery is: what comes from here on is its word, an empty list too
 	watch := discovery.NewWatch(cfg.Discovery, &cfg.Settings, cfg.Seed, log, func(l discovery.List) {
-		snd.List(l)
+		snd.UpdateEndpoints(l)
 		if !asked && len(l.Entries) == 0 {
 			return // a known list without entries would meet the first messages with 503
 		}
@@ -67,12 +67,12 @@
 		with = loaded
 	}
 	source := &shardSource{}
-	snd.Shard(set.Replicas, func(ids []shard.ID) { source.subscriber.Release(ids) })
+	snd.EnableSharding(set.Replicas, func(ids []shard.ID) { source.subscriber.Release(ids) })
 	view := sharding.NewView(&cfg.Settings, log)
 	o := subscriber.Options{Name: cfg.Name, Region: set.Region, Zone: set.Zone, Weight: uint32(set.Weight), TLS: with, Log: log, Now: fleet.Now,
 		Hold: snd.HeldShards(), Released: view.Forget,
 		Apply: func(a *directory.Applied) {
-			snd.Sharded(view.Take(a))
+			snd.UpdateShards(view.Take(a))
 			if len(a.Assigned) > 0 {
 				log.Info().Int("assigned", len(a.Assigned)).Int("endpoints", view.Len()).Uint64("version", a.To).Msg("directory: shards assigned")
 				listed()
--- a/cmd/sliptide/upgrade.go
+++ b/cmd/sliptide/upgrade.go
@@ -119,15 +119,15 @@
 	}
 	m := openMemory(h.cfg, h.op.Knowledge, h.space, h.clock, h.log)
 	m.room.YieldTo(h.room)
-	if m.Keeper != nil {
-		go m.Keeper.Run()
+	if m.Writer != nil {
+		go m.Writer.Run()
 	}
 	h.memory.set(m)
 	out, err := h.kept.Reread()
 	if err != nil {
 		h.log.Warn().Err(err).Msg("admin: endpoints taken out: the file cannot be read")
 	}
-	if err := h.snd.TakeOver(m.Memory, out); err != nil {
+	if err := h.snd.TakeOver(m.Knowledge, out); err != nil {
 		h.log.Error().Err(err).Msg("taking over")
 	}
 	if err := lock.Note(holder(h.cfg.Listen)); err != nil {
--- a/internal/intake/api.go
+++ b/internal/intake/api.go
@@ -28,7 +28,7 @@
 		if !s.Up() {
 			return response{status: 503}
 		}
-		if why := s.snd.Refuses(); why != "" {
+		if why := s.snd.RefusalReason(); why != "" {
 			return response{status: 503, text: why}
 		}
 		return response{status: 200}
@@ -50,21 +50,21 @@
 	if wrong != "" {
 		return response{status: 400, text: wrong}
 	}
-	v := s.snd.Take(&msg, received)
+	v := s.snd.Submit(&msg, received)
 	switch {
-	case v.Taken:
+	case v.Accepted:
 		return response{status: 202, num: v.Num}
-	case v.Known: // no number: what becomes of this answer says nothing of who handed it in first
+	case v.Duplicate: // no number: what becomes of this answer says nothing of who handed it in first
 		return response{status: 409, text: "X-Trace-Id was taken on before"}
-	case v.Elsewhere:
+	case v.TakenOver:
 		return response{status: 409, text: "another sender has taken this message over from the one that was lost"}
 	case v.Misdirected:
-		return response{status: 421, belongs: v.Belongs, text: "other senders serve this destination"}
+		return response{status: 421, belongs: v.ServedBy, text: "other senders serve this destination"}
 	case v.NoRoute: // the list may be late: to come again does no harm
 		return response{status: 503, retry: v.RetryAfter, text: "no such destination is listed"}
 	}
-	if v.Short {
-		return response{status: 503, retry: v.RetryAfter, text: sender.Short}
+	if v.TooFewHolders {
+		return response{status: 503, retry: v.RetryAfter, text: sender.TooFewHoldersReason}
 	}
 	return response{status: refuseBusy, retry: v.RetryAfter}
 }
@@ -94,13 +94,13 @@
 	if !ok || left <= 0 || left > maxLeft {
 		return msg, "X-Expires-In"
 	}
-	msg.Left = time.Duration(left * float64(time.Second))
+	msg.Remaining = time.Duration(left * float64(time.Second))
 	if msg.Dest = dest(h.Get("X-Route-To")); msg.Dest < 0 {
 		return msg, "X-Route-To"
 	}
-	msg.Parent = h.Get("traceparent")
+	msg.TraceParent = h.Get("traceparent")
 	second := h.Get("X-Second-Try")
-	msg.Again, msg.Orphan = len(second) > 0, string(second) == orphan
+	msg.Resubmitted, msg.Failover = len(second) > 0, string(second) == orphan
 	return msg, ""
 }
 
--- a/internal/intake/rig_test.go
+++ b/internal/intake/rig_test.go
@@ -112,10 +112,10 @@
 		t.Fatal(err)
 	}
 	set := rigSettings
-	r.snd = sender.New(sender.Options{Settings: set, Seed: 1, Sockets: 10, Journal: jr, Restored: restored, Clock: sender.NewClock(),
-		Log: zerolog.Nop(), Notices: func(discovery.Notice) {}})
+	r.snd = sender.New(sender.Options{Settings: set, Seed: 1, MaxConns: 10, Journal: jr, Restored: restored, Clock: sender.NewClock(),
+		Log: zerolog.Nop(), Notify: func(discovery.Notice) {}})
 	go r.snd.Run()
-	r.snd.List(discovery.List{Full: true, Entries: []discovery.Endpoint{{
+	r.snd.UpdateEndpoints(discovery.List{Full: true, Entries: []discovery.Endpoint{{
 		Endpoint: policy.Endpoint{ID: 1, Dest: 3, State: policy.Ready}, Name: "e", Addr: silent.Addr().String()}}})
 	r.Server = New(&set, r.snd, room, zerolog.Nop())
 	r.Ready()
--- a/internal/sender/again.go
+++ b/internal/sender/again.go
@@ -32,7 +32,7 @@
 // claimFor is the claim of a message that is being taken on; nil: it needs none.
 func (s *Sender) claimFor(m *Message) *claim {
 	key := keyHash(m.Key)
-	if s.copies == nil || !m.Orphan || key == 0 {
+	if s.copies == nil || !m.Failover || key == 0 {
 		return nil
 	}
 	if s.copies.claim == nil {
@@ -49,7 +49,7 @@
 	if c.claim = nil; q == nil {
 		return
 	}
-	c.fleet.Ask(&pb.Command{What: &pb.Command_Again{Again: &pb.Again{Session: c.fleet.Look().Session, Keys: q.keys}}}, func(a *pb.Answer, err error) {
+	c.fleet.Propose(&pb.Command{What: &pb.Command_Again{Again: &pb.Again{Session: c.fleet.View().Session, Keys: q.keys}}}, func(a *pb.Answer, err error) {
 		if err != nil {
 			return // without a word the messages are refused when their time to wait is over
 		}
--- a/internal/sender/classes.go
+++ b/internal/sender/classes.go
@@ -72,7 +72,7 @@
 
 // Retune takes settings read anew: classes that appear or are defined anew are taken on from the next
 // step on, and the attempts allowed hold for all messages. All else waits for the next start.
-func (s *Sender) Retune(set policy.Settings) { s.post(input{retune: &set}) }
+func (s *Sender) UpdateSettings(set policy.Settings) { s.post(input{retune: &set}) }
 
 func (s *Sender) takeRetune(set *policy.Settings) {
 	t := s.classes.Load().with(set.Classes)
--- a/internal/sender/clock.go
+++ b/internal/sender/clock.go
@@ -17,7 +17,7 @@
 var shift, _ = time.ParseDuration(wallShift)
 
 // NewClock returns a Clock that starts now.
-func NewClock() Clock { return Clock{time.Now(), Wall()} }
+func NewClock() Clock { return Clock{time.Now(), WallClock()} }
 
 // NewClockAt returns a Clock that starts now, at that time in Unix milliseconds.
 func NewClockAt(startMS float64) Clock { return Clock{time.Now(), startMS} }
@@ -26,6 +26,6 @@
 func (c Clock) Now() float64 { return c.startMS + float64(time.Since(c.start))/1e6 }
 
 // Wall is the wall clock in Unix milliseconds, which may have been stepped since.
-func Wall() float64 {
+func WallClock() float64 {
 	return float64(time.Now().Add(shift).UnixNano()) / 1e6
 }
--- a/internal/sender/copies.go
+++ b/internal/sender/copies.go
@@ -32,21 +32,21 @@
 
 // CopySettings are how the journal is copied.
 type CopySettings struct {
-	Name     string
-	Zone     string
-	Count    int
-	Needed   int
-	ByClass  map[string]int // of classes that wait for another number of copies, by name
-	Patience time.Duration
-	Take     bool // where too few holders can be reached: take messages on all the same
+	Name            string
+	Zone            string
+	Count           int
+	Required        int
+	RequiredByClass map[string]int // of classes that wait for another number of copies, by name
+	Timeout         time.Duration
+	AcceptUncopied  bool // where too few holders can be reached: take messages on all the same
 }
 
 // CopyFleet is what copies need of the fleet. None of its calls waits.
 type CopyFleet interface {
 	Fleet
-	Look() *fleet.Look
+	View() *fleet.Look
 	SendCopy(to string, f *pb.Frame)
-	Ask(c *pb.Command, done func(*pb.Answer, error))
+	Propose(c *pb.Command, done func(*pb.Answer, error))
 	Incarnation() uint64 // of this member's folder; 0: it has not joined yet
 }
 
@@ -99,7 +99,7 @@
 }
 
 // Copy gives the sender its part in copies, before Run.
-func (s *Sender) Copy(f CopyFleet, set CopySettings) {
+func (s *Sender) EnableCopies(f CopyFleet, set CopySettings) {
 	s.copies = &copier{set: set, fleet: f, heirs: map[string]*heirOf{}, pending: map[uint64]*journal.Entry{}, live: true}
 	s.copies.owner = copies.NewOwner(set.Name, 0)
 	s.journal.Tap()
@@ -116,7 +116,9 @@
 }
 
 // CopyNews takes a frame of copies from a member. It does not wait.
-func (s *Sender) CopyNews(from string, f *pb.Frame) { s.copyNews(copyNews{from: from, frame: f}) }
+func (s *Sender) ReceiveCopyFrame(from string, f *pb.Frame) {
+	s.copyNews(copyNews{from: from, frame: f})
+}
 
 func (s *Sender) copyNews(n copyNews) {
 	c := s.copies
@@ -128,11 +130,11 @@
 		c.inbox = append(c.inbox, n)
 	}
 	c.mu.Unlock()
-	s.Kick()
+	s.Wake()
 }
 
 // Kick makes a step come soon, for news that wait. It does not wait.
-func (s *Sender) Kick() {
+func (s *Sender) Wake() {
 	select {
 	case s.in <- input{kick: true}:
 	default: // a step is due anyway
@@ -163,7 +165,7 @@
 		}
 	}
 	c.owner.Clock(int64(s.clock.Now()) - now/1e6)
-	look := c.fleet.Look()
+	look := c.fleet.View()
 	s.ownJournal(look)
 	s.settlePending(look)
 	s.inherit(now, look)
@@ -178,14 +180,14 @@
 	name := duty.Own(c.set.Name)
 	if time.Since(c.wantAt) > time.Second {
 		c.wantAt = time.Now()
-		c.fleet.Want(name, "")
+		c.fleet.Request(name, "")
 	}
 	d := look.Own[c.set.Name]
-	live := look.Mine(d) && c.fleet.Held(name) == d.Token
+	live := look.Mine(d) && c.fleet.Token(name) == d.Token
 	if live != c.live {
 		c.live = live
 		s.hush(!live)
-		if why := Short; s.copyRefuses() {
+		if why := TooFewHoldersReason; s.copyRefuses() {
 			s.refuses.Store(&why)
 		} else {
 			s.refuses.Store(nil)
@@ -240,7 +242,7 @@
 		return
 	}
 	c.asked = next
-	c.fleet.Ask(&pb.Command{What: &pb.Command_Keep{Keep: &pb.Keep{Session: look.Session, Duty: d.Name, Token: d.Token, Holders: next}}}, func(_ *pb.Answer, err error) {
+	c.fleet.Propose(&pb.Command{What: &pb.Command_Keep{Keep: &pb.Keep{Session: look.Session, Duty: d.Name, Token: d.Token, Holders: next}}}, func(_ *pb.Answer, err error) {
 		if err != nil { // else it stands until the news of it are here
 			s.copyNews(copyNews{do: func() { c.asked = nil }})
 		}
@@ -324,7 +326,7 @@
 func (s *Sender) copyWait(seq uint64) {
 	c := s.copies
 	s.askAgain()
-	first, till := len(c.lines), time.Now().Add(c.set.Patience)
+	first, till := len(c.lines), time.Now().Add(c.set.Timeout)
 	line := func(needed int, claims []*claim) *copyLine {
 		for i := first; i < len(c.lines); i++ {
 			if c.lines[i].needed == needed && slices.Equal(c.lines[i].claims, claims) {
@@ -361,16 +363,16 @@
 
 // needs is how many holders must have a message of a class.
 func (c *copier) needs(class string) int {
-	if n, set := c.set.ByClass[class]; set {
+	if n, set := c.set.RequiredByClass[class]; set {
 		return n
 	}
-	return c.set.Needed
+	return c.set.Required
 }
 
 // most is what any class needs: what is taken over may be of each.
 func (c *copier) most() int {
-	n := c.set.Needed
-	for _, v := range c.set.ByClass {
+	n := c.set.Required
+	for _, v := range c.set.RequiredByClass {
 		n = max(n, v)
 	}
 	return n
@@ -394,7 +396,7 @@
 // copyTell gives the answers whose records this step has written and sent.
 func (s *Sender) copyTell() {
 	for _, t := range s.copies.told {
-		t.verdict <- Verdict{Taken: true, Num: t.entry.Num}
+		t.verdict <- Verdict{Accepted: true, Num: t.entry.Num}
 	}
 	s.copies.told = s.copies.told[:0]
 }
@@ -432,7 +434,7 @@
 	if l.done != nil {
 		l.done(kept)
 	}
-	go202 := kept || s.copies.set.Take
+	go202 := kept || s.copies.set.AcceptUncopied
 	if !kept {
 		s.copies.short += uint64(len(l.orders))
 	}
@@ -443,13 +445,13 @@
 			t.verdict <- Verdict{RetryAfter: lateLeast}
 		case m.claim.has(m.Entry): // an heir's: nothing was sent of it here
 			s.takeBack(m, telemetry.CauseRoom)
-			t.verdict <- Verdict{Elsewhere: true}
+			t.verdict <- Verdict{TakenOver: true}
 		case go202:
 			s.journal.Confirm(m.Entry)
 			s.copies.told = append(s.copies.told, t)
 		default:
 			s.takeBack(m, telemetry.CauseRoom)
-			t.verdict <- Verdict{RetryAfter: s.busyRetry(), Short: true}
+			t.verdict <- Verdict{RetryAfter: s.busyRetry(), TooFewHolders: true}
 		}
 	}
 	for _, call := range l.calls {
@@ -478,13 +480,15 @@
 func (s *Sender) goWithLease(call *outbound.Call) {
 	if c := s.copies; c != nil && len(call.Items) > 0 {
 		name, epoch := duty.Own(c.set.Name), c.owner.Epoch()
-		call.May = func() bool { return c.fleet.Held(name) == epoch }
+		call.May = func() bool { return c.fleet.Token(name) == epoch }
 	}
 	s.pool.Go(call)
 }
 
 // copyRefuses reports whether nothing can be taken on for want of the lease, or of anybody to copy to.
-func (s *Sender) copyRefuses() bool { return s.copies != nil && !s.copies.set.Take && !s.copies.live }
+func (s *Sender) copyRefuses() bool {
+	return s.copies != nil && !s.copies.set.AcceptUncopied && !s.copies.live
+}
 
 // copyNext is when copies want a step by time alone.
 func (s *Sender) copyNext(wait time.Duration) time.Duration {
@@ -506,10 +510,10 @@
 }
 
 // Short says why messages are refused, for their clients, /up and the log.
-const Short = "too few members can be reached to copy what is taken on"
+const TooFewHoldersReason = "too few members can be reached to copy what is taken on"
 
 // Refuses is why this sender takes nothing on, for /up; empty: it does. It is safe for concurrent use.
-func (s *Sender) Refuses() string {
+func (s *Sender) RefusalReason() string {
 	if why := s.refuses.Load(); why != nil {
 		return *why
 	}
--- a/internal/sender/cutshort_test.go
+++ b/internal/sender/cutshort_test.go
@@ -35,12 +35,12 @@
 		Senders: 1, CallSlots: 10, MaxAttempts: 6, MaxHeld: 100, KeepAlive: 10000, DialTimeout: 1000, Cold: 10000, ColdFrom: 0.25,
 		TipMultiple: 1.5, TipAfter: 3000, TellsRetry: true, MaxRetryAfter: 2000, X0: -1, X1: -1, Kinds: []policy.DestKind{{Batch: 5}},
 		Classes: []policy.Class{{Name: "safe", Aim: 2000, Deadline: 20000, Worth: 1, LateWorth: 0.5, Effect: policy.Safe}},
-	}, Seed: 1, Sockets: 10, Journal: j, Clock: NewClock(), Log: zerolog.Nop(), Notices: func(n discovery.Notice) { notices <- n }})
+	}, Seed: 1, MaxConns: 10, Journal: j, Clock: NewClock(), Log: zerolog.Nop(), Notify: func(n discovery.Notice) { notices <- n }})
 	s.pool.PaceDials(3, 2)
 	s.takeList(&discovery.List{Full: true, Entries: []discovery.Endpoint{{Endpoint: policy.Endpoint{ID: 1, Dest: 3, State: policy.Ready}, Name: "e", Addr: srv.Listener.Addr().String()}}})
 	step := func() { s.tick(); s.step() }
 	take := func(trace string, left time.Duration) {
-		s.takeOrder(&order{msg: &Message{Trace: []byte(trace), Dest: 3, Left: left, Body: []byte(trace)}, received: time.Now(), verdict: make(chan Verdict, 1)})
+		s.takeOrder(&order{msg: &Message{Trace: []byte(trace), Dest: 3, Remaining: left, Body: []byte(trace)}, received: time.Now(), verdict: make(chan Verdict, 1)})
 	}
 	take("first", 10*time.Second) // its connection has the turn that is free, and is kept busy by nobody
 	step()
--- a/internal/sender/inherit.go
+++ b/internal/sender/inherit.go
@@ -43,7 +43,7 @@
 func (s *Sender) inherit(now int64, look *fleet.Look) {
 	c := s.copies
 	for owner, d := range look.Own {
-		if owner == c.set.Name || !look.Mine(d) || c.fleet.Held(d.Name) != d.Token {
+		if owner == c.set.Name || !look.Mine(d) || c.fleet.Token(d.Name) != d.Token {
 			continue
 		}
 		h := c.heirs[owner]
@@ -60,13 +60,13 @@
 			if c.live {
 				s.bring(h, d)
 			} else if now-h.began > handOnAfter { // it can copy nothing: another one may, or the owner that is back
-				c.fleet.Ask(&pb.Command{What: &pb.Command_Release{Release: &pb.Release{Session: look.Session, Duty: d.Name, Token: d.Token, Keep: true}}}, func(*pb.Answer, error) {})
+				c.fleet.Propose(&pb.Command{What: &pb.Command_Release{Release: &pb.Release{Session: look.Session, Duty: d.Name, Token: d.Token, Keep: true}}}, func(*pb.Answer, error) {})
 				h.began = now
 				s.log.Info().Str("owner", owner).Msg("copies: handed on to another heir, as this sender does not hold its own journal")
 			}
 		case copies.Done:
 			delete(c.heirs, owner)
-			c.fleet.Leave(d.Name, false)
+			c.fleet.Release(d.Name, false)
 		}
 	}
 }
@@ -81,7 +81,7 @@
 	c := s.copies
 	h.Stage, h.nums = copies.Copying, nil
 	shift, waits := s.shifts(h)
-	look := c.fleet.Look()
+	look := c.fleet.View()
 	var keys []uint64
 	doubted := 0
 	for _, e := range journal.Replay(h.Found.Records) {
@@ -109,14 +109,14 @@
 		s.log.Warn().Str("owner", h.Owner).Int("messages", doubted).Msg("copies: holders are away that may know of attempts: messages whose class forbids repeats are not sent")
 	}
 	s.again = true // they are written, and copied, by this very step: to as many as are left, where few are
-	c.lines = append(c.lines, copyLine{needed: max(min(c.most(), len(c.fleet.Look().Present)-1), 0), till: time.Now().Add(time.Second), done: func(kept bool) {
+	c.lines = append(c.lines, copyLine{needed: max(min(c.most(), len(c.fleet.View().Present)-1), 0), till: time.Now().Add(time.Second), done: func(kept bool) {
 		if !kept {
 			s.discard(h)
 			return
 		}
 		h.Stage = copies.Adopting
 		adopt := &pb.Adopt{Session: d.Session, Duty: d.Name, Token: d.Token, Incarnation: h.Found.Incarnation, Upto: h.Found.Upto, Keys: keys}
-		c.fleet.Ask(&pb.Command{What: &pb.Command_Adopt{Adopt: adopt}}, func(a *pb.Answer, err error) {
+		c.fleet.Propose(&pb.Command{What: &pb.Command_Adopt{Adopt: adopt}}, func(a *pb.Answer, err error) {
 			s.copyNews(copyNews{do: func() { s.adopted(h, a.GetKeys(), err) }})
 		})
 	}})
--- a/internal/sender/journal_test.go
+++ b/internal/sender/journal_test.go
@@ -25,8 +25,8 @@
 	}
 	t.Cleanup(func() { j.Close() })
 	b := &bench{t: t, journal: j, notices: make(chan discovery.Notice, 100)}
-	b.Sender = New(Options{Settings: benchSettings(), Seed: 1, Sockets: 10, Journal: j, Restored: restored, Clock: NewClock(), Log: zerolog.Nop(),
-		Notices: func(n discovery.Notice) { b.notices <- n }})
+	b.Sender = New(Options{Settings: benchSettings(), Seed: 1, MaxConns: 10, Journal: j, Restored: restored, Clock: NewClock(), Log: zerolog.Nop(),
+		Notify: func(n discovery.Notice) { b.notices <- n }})
 	b.dests[3] = true
 	b.next()
 	return b
@@ -49,7 +49,7 @@
 	}
 	down.Store(false)
 	b.await("the verdict", func() bool { return len(verdict) > 0 })
-	if v := <-verdict; !v.Taken {
+	if v := <-verdict; !v.Accepted {
 		t.Errorf("%+v though its record is written", v)
 	}
 }
@@ -66,13 +66,13 @@
 	partner := standin.NewRawPartner(t)
 	long, short := b.hand("long", 1, 15*time.Second), b.hand("short", 1, 400*time.Millisecond)
 	b.next()
-	if !(<-long).Taken || !(<-short).Taken {
+	if !(<-long).Accepted || !(<-short).Accepted {
 		t.Fatal("not taken on")
 	}
 	down.Store(true)
 	b.list(partner.Addr)
 	b.await("the short message ends by a notice", func() bool { return len(b.notices) > 0 })
-	if v := <-b.hand("more", 1, 10*time.Second); v.Taken {
+	if v := <-b.hand("more", 1, 10*time.Second); v.Accepted {
 		t.Error("taken on without a journal")
 	}
 	for _, m := range b.msgs {
--- a/internal/sender/lists.go
+++ b/internal/sender/lists.go
@@ -9,14 +9,14 @@
 // This file takes news of endpoints: by the list, and by hand.
 
 // List takes news of the list of endpoints.
-func (s *Sender) List(l discovery.List) { s.post(input{list: &l}) }
+func (s *Sender) UpdateEndpoints(l discovery.List) { s.post(input{list: &l}) }
 
 // TakeOut takes an endpoint out by hand (out) or puts it back. It returns once the module holds to it:
 // nothing new goes there from then on. An endpoint that no list has named is operate.ErrNeverListed.
-func (s *Sender) TakeOut(id string, out bool) error { return s.takeOutOrder(id, out, false) }
+func (s *Sender) SetDisabled(id string, out bool) error { return s.takeOutOrder(id, out, false) }
 
 // Follow takes an endpoint out or puts it back as another process of this sender did: named or not.
-func (s *Sender) Follow(id string, out bool) error { return s.takeOutOrder(id, out, true) }
+func (s *Sender) ApplyDisabled(id string, out bool) error { return s.takeOutOrder(id, out, true) }
 
 func (s *Sender) takeOutOrder(id string, out, known bool) error {
 	o := &outOrder{id: id, out: out, known: known, done: make(chan error, 1)}
--- a/internal/sender/memory.go
+++ b/internal/sender/memory.go
@@ -19,16 +19,16 @@
 )
 
 // Memory is what a Sender works with to know over restarts. The zero Memory keeps nothing.
-type Memory struct {
-	Keeper *keeper.Keeper // takes what is learned; nil: nothing is kept
-	Book   *knowledge.Book
-	Set    operator.Knowledge
+type Knowledge struct {
+	Writer   *keeper.Keeper // takes what is learned; nil: nothing is kept
+	Facts    *knowledge.Book
+	Settings operator.Knowledge
 }
 
 // memory carries facts between the module, which knows endpoints by number, and the books, which know
 // them by name.
 type memory struct {
-	Memory
+	Knowledge
 	usual   float64         // latency of a call, of an earlier life
 	heard   map[uint32]bool // endpoints that calls of this life have told of
 	touched map[int]bool    // destinations with news since they were told
@@ -36,12 +36,12 @@
 	roundAt float64         // when the next round is due
 }
 
-func (s *Sender) remember(m Memory) {
-	if m.Keeper == nil {
+func (s *Sender) remember(m Knowledge) {
+	if m.Writer == nil {
 		return
 	}
-	s.memory = memory{Memory: m, heard: map[uint32]bool{}, touched: map[int]bool{}}
-	g := m.Book.RecallGeneral(s.now, m.Set.HalfLives, &s.set)
+	s.memory = memory{Knowledge: m, heard: map[uint32]bool{}, touched: map[int]bool{}}
+	g := m.Facts.RecallGeneral(s.now, m.Settings.HalfLives, &s.set)
 	for _, u := range g.Usual {
 		s.memory.usual = cmp.Or(s.memory.usual, u.Mean)
 	}
@@ -52,11 +52,11 @@
 // time, ahead of that list: a told wait binds from this very step on.
 func (s *Sender) recall(l *discovery.List) {
 	m := &s.memory
-	if m.Book == nil {
+	if m.Facts == nil {
 		return
 	}
 	if s.now-s.clock.startMS > recallFor {
-		m.Book = nil // its destinations are not listed any more
+		m.Facts = nil // its destinations are not listed any more
 		return
 	}
 	ratings := map[int]float64{}
@@ -74,7 +74,7 @@
 	}
 	var facts []policy.DestFacts
 	for dest, rating := range ratings {
-		if d, ok := m.Book.Recall(dest, s.now, m.Set.HalfLives, knowledge.Prior{Rating: rating, Usual: m.usual}); ok {
+		if d, ok := m.Facts.Recall(dest, s.now, m.Settings.HalfLives, knowledge.Prior{Rating: rating, Usual: m.usual}); ok {
 			facts = append(facts, numbered(d, ids))
 		}
 	}
@@ -106,8 +106,8 @@
 	// Its end is rounded up: the partner counts from when its answer was written.
 	until := int64(s.now+wait) + 1
 	s.journal.Hold(journal.Hold{Kind: journal.HoldWait, Dest: r.Dest, Endpoint: r.Endpoint, Until: until}, int64(s.now))
-	if s.memory.Keeper != nil {
-		s.memory.Keeper.Wait(knowledge.Wait{Route: r, Told: int64(s.now), Until: until})
+	if s.memory.Writer != nil {
+		s.memory.Writer.Wait(knowledge.Wait{Route: r, Told: int64(s.now), Until: until})
 	}
 }
 
@@ -119,7 +119,7 @@
 
 // noteCall notes that a call's end has told something of its endpoint.
 func (s *Sender) noteCall(c *outbound.Call) {
-	if s.memory.Keeper != nil {
+	if s.memory.Writer != nil {
 		s.memory.heard[c.Endpoint] = true
 		s.memory.touched[c.Dest] = true
 	}
@@ -129,12 +129,12 @@
 // told of is left as the earlier life wrote it, or its age would be lost.
 func (s *Sender) tell(all bool) {
 	m := &s.memory
-	if m.Keeper == nil || len(m.round) == 0 && (len(m.touched) == 0 || !all && s.now < m.roundAt) {
+	if m.Writer == nil || len(m.round) == 0 && (len(m.touched) == 0 || !all && s.now < m.roundAt) {
 		return
 	}
 	var general *knowledge.Book
 	if len(m.round) == 0 {
-		m.roundAt = s.now + float64(m.Set.WriteEvery.Milliseconds())
+		m.roundAt = s.now + float64(m.Settings.WriteEvery.Milliseconds())
 		general = s.general()
 	}
 	if len(m.round) == 0 || all {
@@ -156,7 +156,7 @@
 	if m.round = m.round[n:]; len(m.round) == 0 {
 		m.round = nil
 	}
-	m.Keeper.Learn(list, general)
+	m.Writer.Learn(list, general)
 }
 
 // tellAt is when facts are due to be told; false if there are none.
--- a/internal/sender/observe.go
+++ b/internal/sender/observe.go
@@ -190,7 +190,7 @@
 			live = 1
 		}
 		gauge(telemetry.FleetLive, live)
-		gauge(telemetry.FleetDuties, float64(s.fleet.Duties()))
+		gauge(telemetry.FleetDuties, float64(s.fleet.HeldDuties()))
 	}
 	if c := s.copies; c != nil {
 		held := 0.0
--- a/internal/sender/orders.go
+++ b/internal/sender/orders.go
@@ -13,7 +13,7 @@
 
 // Take hands in a message and waits for the verdict, which comes with the next step.
 // The message's slices must stay as they are until then.
-func (s *Sender) Take(m *Message, received time.Time) Verdict {
+func (s *Sender) Submit(m *Message, received time.Time) Verdict {
 	o := &order{msg: m, received: received, verdict: make(chan Verdict, 1)}
 	select {
 	case s.in <- input{order: o}:
@@ -44,12 +44,12 @@
 
 func (s *Sender) takeOrder(o *order) {
 	m := o.msg
-	left := float64(m.Left-time.Since(o.received)) / 1e6
+	left := float64(m.Remaining-time.Since(o.received)) / 1e6
 	switch _, held := s.traces[string(m.Trace)]; {
 	case held, s.past.ids[string(m.Trace)]:
 		// Every hand-in has an id of its own, so this is no client's of ours. It must not share the
 		// fate of the first: were its answer unheard, a message that is owed an end would be withdrawn.
-		o.verdict <- Verdict{Known: true}
+		o.verdict <- Verdict{Duplicate: true}
 		return
 	case s.misdirected(m.Dest):
 		s.observeRefused(m.Dest, telemetry.CauseRoute)
@@ -60,22 +60,22 @@
 		o.verdict <- Verdict{NoRoute: true, RetryAfter: s.busyRetry()}
 		return
 	case !s.stopAt.IsZero(), s.halted, left <= 0, s.copyRefuses(), s.set.MaxHeld > 0 && len(s.msgs) >= s.set.MaxHeld, !s.journal.Room(len(m.Body)):
-		s.guard.Arrived(s.now, m.Dest, keyHash(m.Key), m.Again)
+		s.guard.Arrived(s.now, m.Dest, keyHash(m.Key), m.Resubmitted)
 		s.observeRefused(m.Dest, s.whyNot())
-		o.verdict <- Verdict{RetryAfter: s.comeBack(m.Dest, m.Key, max(left, 0), s.busyRetry()), Short: s.copyRefuses()}
+		o.verdict <- Verdict{RetryAfter: s.comeBack(m.Dest, m.Key, max(left, 0), s.busyRetry()), TooFewHolders: s.copyRefuses()}
 		return
 	}
-	s.guard.Arrived(s.now, m.Dest, keyHash(m.Key), m.Again)
+	s.guard.Arrived(s.now, m.Dest, keyHash(m.Key), m.Resubmitted)
 	s.guard.Held(s.now, m.Dest, 1)
 	e := &journal.Entry{
 		Num: s.journal.Next(), Trace: string(m.Trace), Key: string(m.Key), Class: s.set.Classes[m.Class].Name,
-		Item: m.Item, Dest: m.Dest, Again: m.Again, Deadline: int64(s.now + left), Body: slices.Clone(m.Body),
+		Item: m.OrderingKey, Dest: m.Dest, Again: m.Resubmitted, Deadline: int64(s.now + left), Body: slices.Clone(m.Body),
 	}
 	if m.Tenant < len(s.set.Tenants) {
 		e.Tenant = s.set.Tenants[m.Tenant].Name
 	}
 	if s.observer.On() {
-		e.Parent = parent(m.Parent).Text()
+		e.Parent = parent(m.TraceParent).Text()
 	}
 	s.journal.Take(e)
 	s.msgs[e.Num] = &message{Entry: e, class: m.Class, takenAt: s.now, claim: s.claimFor(m)}
@@ -83,8 +83,8 @@
 	s.observeTaken(e, m.Class, false)
 	s.orders = append(s.orders, &taking{order: o, entry: e})
 	s.events = append(s.events, policy.Event{
-		Kind: policy.EvMessage, ID: e.Num, Class: m.Class, Tenant: m.Tenant, Key: m.Item, Left: left,
-		Again: m.Again, Dest: m.Dest,
+		Kind: policy.EvMessage, ID: e.Num, Class: m.Class, Tenant: m.Tenant, Key: m.OrderingKey, Left: left,
+		Again: m.Resubmitted, Dest: m.Dest,
 	})
 }
 
@@ -112,7 +112,7 @@
 			}
 			t.verdict <- Verdict{RetryAfter: lateLeast}
 		default:
-			t.verdict <- Verdict{Taken: true, Num: t.entry.Num}
+			t.verdict <- Verdict{Accepted: true, Num: t.entry.Num}
 		}
 	}
 	clear(s.orders[len(waiting):])
--- a/internal/sender/rig_test.go
+++ b/internal/sender/rig_test.go
@@ -47,8 +47,8 @@
 	}
 	t.Cleanup(func() { j.Close() })
 	b.journal = j
-	b.Sender = New(Options{Settings: set, Seed: 1, Sockets: 10, Journal: j, Restored: restored, Clock: NewClock(), Log: zerolog.Nop(),
-		Notices: func(n discovery.Notice) { b.notices <- n }})
+	b.Sender = New(Options{Settings: set, Seed: 1, MaxConns: 10, Journal: j, Restored: restored, Clock: NewClock(), Log: zerolog.Nop(),
+		Notify: func(n discovery.Notice) { b.notices <- n }})
 	if addr != "" {
 		b.list(addr)
 	}
@@ -68,7 +68,7 @@
 
 // hand hands a message in for the next step.
 func (b *bench) hand(trace string, class int, left time.Duration) chan Verdict {
-	o := &order{msg: &Message{Trace: []byte(trace), Key: []byte("k-" + trace), Class: class, Dest: 3, Left: left, Body: []byte(trace)}, received: time.Now(), verdict: make(chan Verdict, 1)}
+	o := &order{msg: &Message{Trace: []byte(trace), Key: []byte("k-" + trace), Class: class, Dest: 3, Remaining: left, Body: []byte(trace)}, received: time.Now(), verdict: make(chan Verdict, 1)}
 	b.takeOrder(o)
 	return o.verdict
 }
--- a/internal/sender/sender.go
+++ b/internal/sender/sender.go
@@ -44,30 +44,30 @@
 // Its fields may be slices of the buffer that it was read into: they are copied
 // when the sender takes it on.
 type Message struct {
-	Trace, Key []byte
-	Class      int // position in the settings
-	Tenant     int
-	Dest       int
-	Item       uint64 // what it is about, for classes that keep their order; 0 = none
-	Again      bool
-	Orphan     bool          // again since its sender died or did not answer: an heir may have it
-	Left       time.Duration // how long it may still be delivered
-	Body       []byte
-	Parent     []byte // the trace context that the client sent, as it stands in its header; nil: none
+	Trace, Key  []byte
+	Class       int // position in the settings
+	Tenant      int
+	Dest        int
+	OrderingKey uint64 // what it is about, for classes that keep their order; 0 = none
+	Resubmitted bool
+	Failover    bool          // again since its sender died or did not answer: an heir may have it
+	Remaining   time.Duration // how long it may still be delivered
+	Body        []byte
+	TraceParent []byte // the trace context that the client sent, as it stands in its header; nil: none
 }
 
 // Verdict is the answer to a message that was handed in.
 type Verdict struct {
-	Taken     bool
+	Accepted  bool
 	Num       uint64 // the sender's number, if taken
-	Known     bool   // not taken: another with this id was
-	Elsewhere bool   // not taken: an heir has it from the sender that was lost
+	Duplicate bool   // not taken: another with this id was
+	TakenOver bool   // not taken: an heir has it from the sender that was lost
 	NoRoute   bool   // not taken: its destination has never been listed
 	// Misdirected: not taken, its destination belongs to others, whose names Belongs tells, the first choice first.
-	Misdirected bool
-	Belongs     []string
-	Short       bool // not taken: too few members can be reached to copy it
-	RetryAfter  float64
+	Misdirected   bool
+	ServedBy      []string
+	TooFewHolders bool // not taken: too few members can be reached to copy it
+	RetryAfter    float64
 }
 
 // input is one thing that has happened.
@@ -135,25 +135,25 @@
 
 // Options are the parts that a Sender works with.
 type Options struct {
-	Settings policy.Settings
-	Seed     uint64
-	Sockets  int // connections to endpoints, at most
-	Journal  *journal.Journal
-	Restored []*journal.Entry
-	Notices  func(discovery.Notice)
-	Memory   Memory
-	Clock    Clock
+	Settings  policy.Settings
+	Seed      uint64
+	MaxConns  int // connections to endpoints, at most
+	Journal   *journal.Journal
+	Restored  []*journal.Entry
+	Notify    func(discovery.Notice)
+	Knowledge Knowledge
+	Clock     Clock
 	// Partner says how a destination is reached; nil: all by plain HTTP/1.1. Streams is how many calls the
 	// module takes a connection to carry where that is HTTP/2.
-	Partner  func(dest int) *outbound.Partner
-	Streams  int
-	Storms   *storm.Guard        // nil: storms are not damped
-	Recorder *telemetry.Recorder // nil: nobody observes
-	Records  bool                // a line in the log for each thing that happens to a message
-	Out      operate.Out         // endpoints taken out by hand, which count as draining
+	Partner      func(dest int) *outbound.Partner
+	HTTP2Streams int
+	StormGuard   *storm.Guard        // nil: storms are not damped
+	Recorder     *telemetry.Recorder // nil: nobody observes
+	LogRecords   bool                // a line in the log for each thing that happens to a message
+	Disabled     operate.Out         // endpoints taken out by hand, which count as draining
 	// Heir: a new version started beside the present one, which sends nothing until TakeOver.
-	Heir bool
-	Log  zerolog.Logger
+	Successor bool
+	Log       zerolog.Logger
 }
 
 // Sender carries out what the decision module decides.
@@ -226,10 +226,10 @@
 	o.Settings.DialTimeout = min(cmp.Or(o.Settings.DialTimeout, dialMost), dialMost)
 	s := &Sender{
 		set: o.Settings, mod: policy.New(o.Settings, o.Seed), log: o.Log,
-		journal: o.Journal, notices: o.Notices,
+		journal: o.Journal, notices: o.Notify,
 		in: make(chan input, queued), done: make(chan struct{}),
-		clock: o.Clock, guard: o.Storms, observer: observer{Recorder: o.Recorder, lines: o.Records, log: o.Log},
-		partner: o.Partner, streams: o.Streams,
+		clock: o.Clock, guard: o.StormGuard, observer: observer{Recorder: o.Recorder, lines: o.LogRecords, log: o.Log},
+		partner: o.Partner, streams: o.HTTP2Streams,
 		msgs:   map[uint64]*message{},
 		traces: map[string]uint64{},
 		past:   past{ids: map[string]bool{}},
@@ -237,15 +237,15 @@
 		owed:   map[uint64]*journal.Entry{},
 		addrs:  map[uint32]discovery.Endpoint{},
 		names:  map[string]uint32{},
-		out:    o.Out.Clone(),
-		heir:   o.Heir,
+		out:    o.Disabled.Clone(),
+		heir:   o.Successor,
 		calls:  map[*outbound.Call]bool{},
 		timer:  time.NewTimer(time.Hour),
 	}
 	s.classes.Store(newClassTable(o.Settings.Classes))
 	s.set.Classes = s.classes.Load().all
 	s.pool = outbound.NewPool(outbound.Options{
-		MaxConns:    o.Sockets,
+		MaxConns:    o.MaxConns,
 		KeepAlive:   or(millis(o.Settings.KeepAlive), 30*time.Second),
 		DialTimeout: millis(o.Settings.DialTimeout),
 		X0:          o.Settings.X0, X1: o.Settings.X1,
@@ -257,7 +257,7 @@
 		Done:   func(c *outbound.Call, events []policy.Event) { s.in <- input{call: c, events: events} },
 	})
 	s.tick()
-	s.remember(o.Memory)
+	s.remember(o.Knowledge)
 	for _, e := range o.Restored {
 		s.restore(e)
 	}
@@ -310,7 +310,7 @@
 }
 
 // Told takes the numbers of messages whose notice was taken.
-func (s *Sender) Told(nums []uint64) { s.post(input{told: nums}) }
+func (s *Sender) AckNotices(nums []uint64) { s.post(input{told: nums}) }
 
 func (s *Sender) post(in input) {
 	select {
--- a/internal/sender/shards.go
+++ b/internal/sender/shards.go
@@ -25,7 +25,7 @@
 
 // Shard makes the sender serve the destinations of its shards alone: none until they are told. Each shard has so many
 // replicas in a region. release is told of shards of which nothing is left here. It is called before Run.
-func (s *Sender) Shard(replicas int, release func([]shard.ID)) {
+func (s *Sender) EnableSharding(replicas int, release func([]shard.ID)) {
 	s.shards = &shards{release: release, locator: shard.NewLocator(replicas), serves: map[shard.ID]bool{}, leaving: map[shard.ID]bool{}, dests: map[shard.ID]map[int]bool{}}
 }
 
@@ -44,7 +44,7 @@
 }
 
 // Sharded takes what the subscription has learned.
-func (s *Sender) Sharded(u sharding.Update) { s.post(input{sharded: &u}) }
+func (s *Sender) UpdateShards(u sharding.Update) { s.post(input{sharded: &u}) }
 
 // takeSharded takes an update: shards that come are served from this step on, and nothing new is taken on for those that
 // go.
@@ -88,7 +88,7 @@
 	if len(names) == 0 { // nothing is known yet
 		return Verdict{NoRoute: true, RetryAfter: s.busyRetry()}
 	}
-	return Verdict{Misdirected: true, Belongs: names}
+	return Verdict{Misdirected: true, ServedBy: names}
 }
 
 // leaveShards forgets destinations of shards that are leaving, once no message of them is held and no call is out.
--- a/internal/sender/shards_test.go
+++ b/internal/sender/shards_test.go
@@ -35,7 +35,7 @@
 // handTo hands a message for a destination in and makes a step.
 func (b *bench) handTo(trace string, dest int) Verdict {
 	b.t.Helper()
-	o := &order{msg: &Message{Trace: []byte(trace), Class: 0, Dest: dest, Left: 20 * time.Second, Body: []byte(trace)}, received: time.Now(), verdict: make(chan Verdict, 1)}
+	o := &order{msg: &Message{Trace: []byte(trace), Class: 0, Dest: dest, Remaining: 20 * time.Second, Body: []byte(trace)}, received: time.Now(), verdict: make(chan Verdict, 1)}
 	b.takeOrder(o)
 	b.next()
 	return next(b.t, o.verdict)
@@ -56,7 +56,7 @@
 // is known with none; what is assigned is served from that step on.
 func TestMisdirected(t *testing.T) {
 	b := newBench(t, t.TempDir(), "", benchSettings())
-	b.Shard(2, func([]shard.ID) {})
+	b.EnableSharding(2, func([]shard.ID) {})
 	if v := b.handTo("early", 3); !v.NoRoute || v.RetryAfter == 0 {
 		t.Errorf("before anything is known: %+v", v)
 	}
@@ -64,13 +64,13 @@
 	b.takeSharded(&sharding.Update{AllMembers: true, Joined: members, Entries: listedAt("127.0.0.1:9", 3), Assigned: shardsOf(3)})
 	table := shard.NewTable(2)
 	table.Update(members, nil)
-	if v := b.handTo("foreign", 4); !v.Misdirected || !slices.Equal(v.Belongs, table.Replicas(shard.Of(4))) {
+	if v := b.handTo("foreign", 4); !v.Misdirected || !slices.Equal(v.ServedBy, table.Replicas(shard.Of(4))) {
 		t.Errorf("for another's destination: %+v, want the replicas %v", v, table.Replicas(shard.Of(4)))
 	}
 	if len(b.msgs) != 0 || b.Sender.journal.Last() != 0 {
 		t.Errorf("a message that was refused is held, or in the journal")
 	}
-	if v := b.handTo("own", 3); !v.Taken {
+	if v := b.handTo("own", 3); !v.Accepted {
 		t.Errorf("for an own destination: %+v", v)
 	}
 	b.takeSharded(&sharding.Update{Unassigned: shardsOf(3)})
@@ -92,7 +92,7 @@
 	}
 	b := newBench(t, t.TempDir(), "", benchSettings())
 	var released []shard.ID
-	b.Shard(1, func(ids []shard.ID) { released = append(released, ids...) })
+	b.EnableSharding(1, func(ids []shard.ID) { released = append(released, ids...) })
 	all := make([]int, destinations)
 	for d := range all {
 		all[d] = d
@@ -103,7 +103,7 @@
 	b.takeSharded(&sharding.Update{Entries: listedAt("127.0.0.1:9", all...), Assigned: ids})
 	b.next()
 	full := heap()
-	if v := b.handTo("held", 7); !v.Taken {
+	if v := b.handTo("held", 7); !v.Accepted {
 		t.Fatalf("%+v", v)
 	}
 	b.takeSharded(&sharding.Update{Unassigned: ids})
--- a/internal/sender/stopping_test.go
+++ b/internal/sender/stopping_test.go
@@ -30,12 +30,12 @@
 	close(b.done)
 	for range 100 { // where both are ready, select picks by chance
 		o := &order{verdict: make(chan Verdict, 1)}
-		o.verdict <- Verdict{Taken: true, Num: 7}
-		if v := b.verdictOn(o); !v.Taken {
+		o.verdict <- Verdict{Accepted: true, Num: 7}
+		if v := b.verdictOn(o); !v.Accepted {
 			t.Fatal("a message that was taken on is answered as refused")
 		}
 	}
-	if v := b.verdictOn(&order{verdict: make(chan Verdict, 1)}); v.Taken || v.RetryAfter <= 0 {
+	if v := b.verdictOn(&order{verdict: make(chan Verdict, 1)}); v.Accepted || v.RetryAfter <= 0 {
 		t.Errorf("a message that no step saw: %+v, want a refusal that says when to come again", v)
 	}
 }
@@ -84,7 +84,7 @@
 	b.owe(e.Entry, journal.HandedBack, 0)
 	b.next()
 	b.post(input{call: c, events: []policy.Event{{Kind: policy.EvOutcome, ID: m.Num, Endpoint: 1, Outcome: policy.OK}}})
-	b.Told([]uint64{e.Num})
+	b.AckNotices([]uint64{e.Num})
 	b.Withdraw(n)
 	b.leave()
 	for name, e := range b.nextLife() {
@@ -130,14 +130,14 @@
 	b := newBench(t, t.TempDir(), "", benchSettings())
 	answer := make(chan Verdict)
 	go func() {
-		answer <- b.Take(&Message{Trace: []byte("m"), Key: []byte("k"), Dest: 3, Left: time.Second}, time.Now())
+		answer <- b.Submit(&Message{Trace: []byte("m"), Key: []byte("k"), Dest: 3, Remaining: time.Second}, time.Now())
 	}()
 	for len(b.in) == 0 {
 		time.Sleep(time.Millisecond)
 	}
 	b.leave()
 	close(b.done)
-	if v := <-answer; v.Taken || v.RetryAfter <= 0 {
+	if v := <-answer; v.Accepted || v.RetryAfter <= 0 {
 		t.Errorf("%+v, want a refusal that says when to come again", v)
 	}
 	if b.nextLife()["m"] != nil {
--- a/internal/sender/trials.go
+++ b/internal/sender/trials.go
@@ -10,12 +10,12 @@
 
 // Fleet is what a sender needs of the fleet that it is a member of. None of its calls waits.
 type Fleet interface {
-	Want(duty, zone string)
-	Leave(duty string, end bool)
-	Say(duty, word string)
-	Held(duty string) uint64 // the fencing token of a duty that is held at this moment, 0 if it is not
-	Duties() int             // how many are held at this moment
-	Live() bool              // whether what is heard of the fleet can be relied on at this moment
+	Request(duty, zone string)
+	Release(duty string, end bool)
+	Publish(duty, word string)
+	Token(duty string) uint64 // the fencing token of a duty that is held at this moment, 0 if it is not
+	HeldDuties() int          // how many are held at this moment
+	Live() bool               // whether what is heard of the fleet can be relied on at this moment
 }
 
 // trials is a sender's part in the trials that a fleet shares. News of duties come on a goroutine of the fleet's
@@ -28,7 +28,7 @@
 }
 
 // Heard takes news of a duty.
-func (s *Sender) Heard(duty string, n trial.News) {
+func (s *Sender) UpdateDuty(duty string, n trial.News) {
 	dest, ok := trial.Dest(duty)
 	if s.trials == nil || !ok {
 		return
@@ -37,11 +37,11 @@
 	t.mu.Lock()
 	t.news[dest] = n
 	t.mu.Unlock()
-	s.Kick()
+	s.Wake()
 }
 
 // Join gives the sender the fleet, before Run.
-func (s *Sender) Join(f Fleet) { s.fleet = f }
+func (s *Sender) SetFleet(f Fleet) { s.fleet = f }
 
 // ShareTrials gives it its part in the trials that the fleet shares, before Run.
 func (s *Sender) ShareTrials(f Fleet, set trial.Settings) {
@@ -71,11 +71,11 @@
 		name := trial.Duty(a.Dest)
 		switch {
 		case a.Want:
-			t.fleet.Want(name, zone)
+			t.fleet.Request(name, zone)
 		case a.Leave:
-			t.fleet.Leave(name, false)
-		case a.Say != "" && t.fleet.Held(name) != 0:
-			t.fleet.Say(name, a.Say)
+			t.fleet.Release(name, false)
+		case a.Say != "" && t.fleet.Token(name) != 0:
+			t.fleet.Publish(name, a.Say)
 		}
 	}
 }
--- a/internal/sender/upgrade.go
+++ b/internal/sender/upgrade.go
@@ -15,7 +15,7 @@
 
 // takeOver is what the heir is given when the present version has left.
 type takeOver struct {
-	memory Memory
+	memory Knowledge
 	out    operate.Out
 	done   chan error
 }
@@ -23,7 +23,7 @@
 // TakeOver makes an heir the sender, once the present version has left the folder: memory is what that one
 // knew, read anew, and out the endpoints taken out by hand as the folder keeps them. It returns when the
 // module holds all of it.
-func (s *Sender) TakeOver(memory Memory, out operate.Out) error {
+func (s *Sender) TakeOver(memory Knowledge, out operate.Out) error {
 	t := &takeOver{memory: memory, out: out, done: make(chan error, 1)}
 	s.post(input{takeOver: t})
 	select {
