--- a/cmd/sliptide/run.go
+++ b/cmd/sliptide/run.go
@@ -74,7 +74,7 @@
 	}
 	warn(log, warnings)
 	var place *place
-	err = transient.Retry(startFor, transient.Disk, func() (err error) {
+	err = transient.Retry(startFor, transient.IsDiskError, func() (err error) {
 		place, err = takePlace(cfg.State, cfg.Listen, log)
 		return err
 	})
@@ -93,7 +93,7 @@
 		return err
 	}
 	var kept *admin.Kept
-	err = transient.Retry(startFor, transient.Disk, func() (err error) {
+	err = transient.Retry(startFor, transient.IsDiskError, func() (err error) {
 		kept, err = admin.Open(fsys.Folder(cfg.State))
 		return err
 	})
@@ -102,7 +102,7 @@
 	}
 	space.Account().Claim(admin.Room)
 	var ln net.Listener
-	err = transient.Retry(startFor, transient.Local, func() (err error) {
+	err = transient.Retry(startFor, transient.IsResourceError, func() (err error) {
 		ln, err = listen(cfg.Listen)
 		return err
 	})
@@ -210,8 +210,8 @@
 	m := memory.get()
 	m.close()
 	closeTelemetry(pipe)
-	flushed := transient.Retry(closeBy, transient.Disk, jr.Flush) // Close tries once, and lets go of the file
-	if err := errors.Join(flushed, jr.Close()); err != nil {      // what it can't note is in doubt to the next life
+	flushed := transient.Retry(closeBy, transient.IsDiskError, jr.Flush) // Close tries once, and lets go of the file
+	if err := errors.Join(flushed, jr.Close()); err != nil {             // what it can't note is in doubt to the next life
 		log.Error().Err(err).Msg("the journal's last records are not written")
 	}
 	log.Info().Msg("stopped")
@@ -295,7 +295,7 @@
 
 // configure reads both configuration files. A file that can't be read for a moment is tried again: a SIGHUP comes once.
 func configure(operatorFile string, load func(getenv func(string) string) (*config.Config, error)) (cfg *config.Config, op *operator.File, err error) {
-	err = transient.Retry(readFor, transient.Disk, func() (err error) {
+	err = transient.Retry(readFor, transient.IsDiskError, func() (err error) {
 		var operr error
 		cfg, err = load(os.Getenv)
 		op, operr = loadOperator(operatorFile)
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -71,7 +71,7 @@
 	if moved {
 		return nil, errMoved
 	}
-	if host != c.at || c.nc != nil && sockets.Look(c.nc) != sockets.Quiet {
+	if host != c.at || c.nc != nil && sockets.Check(c.nc) != sockets.Idle {
 		c.close()
 		c.at = host
 	}
--- a/internal/journal/journal.go
+++ b/internal/journal/journal.go
@@ -144,7 +144,7 @@
 	err = j.compact()
 	switch {
 	case err == nil:
-	case !transient.Disk(err):
+	case !transient.IsDiskError(err):
 		return nil, nil, fmt.Errorf("journal: %w", err)
 	case left == nil && j.f == nil:
 		j.goOn()
@@ -170,7 +170,7 @@
 
 // read returns a file's bytes, nil if there is none.
 func read(files fsys.FS, name string) (text []byte, err error) {
-	err = transient.Retry(readFor, transient.Disk, func() error {
+	err = transient.Retry(readFor, transient.IsDiskError, func() error {
 		text, err = files.Read(name)
 		return err
 	})
@@ -197,7 +197,7 @@
 	seen := &Journal{live: map[uint64]*Entry{}, next: 1}
 	seen.replay(text)
 	j := &Journal{files: files, name: heirName, room: room, live: map[uint64]*Entry{}, next: seen.next + heirGap}
-	if err := j.compact(); err != nil && !transient.Disk(err) {
+	if err := j.compact(); err != nil && !transient.IsDiskError(err) {
 		return nil, fmt.Errorf("journal: %w", err)
 	}
 	j.claim(0, 0)
@@ -223,7 +223,7 @@
 	}
 	j.name, j.merged = fileName, []string{heirName}
 	if err := j.compact(); err != nil { // the copy takes the old journal's place, whole
-		if !transient.Disk(err) {
+		if !transient.IsDiskError(err) {
 			return nil, fmt.Errorf("journal: %w", err)
 		}
 		j.drop()
--- a/internal/outbound/answer.go
+++ b/internal/outbound/answer.go
@@ -127,7 +127,7 @@
 	}
 }
 
-// Dropped is how a call ends that Drop gave up.
-func (c *Call) Dropped() []policy.Event { return c.events(answer{outcome: policy.Moot}) }
+// DroppedEvents is how a call ends that Drop gave up.
+func (c *Call) DroppedEvents() []policy.Event { return c.events(answer{outcome: policy.Moot}) }
 
 func (c *Call) latency() float64 { return float64(time.Since(c.SentAt)) / 1e6 }
--- a/internal/outbound/bench_test.go
+++ b/internal/outbound/bench_test.go
@@ -11,7 +11,7 @@
 
 // BenchmarkCalls makes calls with 64 in flight to net/http's server, over each protocol.
 func BenchmarkCalls(b *testing.B) {
-	for name, partner := range map[string]*Partner{"http1": nil, "h2": {HTTP2: true, MaxConns: 4, PingAfter: 5 * time.Second, PingFor: 2 * time.Second}} {
+	for name, partner := range map[string]*Partner{"http1": nil, "h2": {HTTP2: true, MaxConns: 4, PingAfter: 5 * time.Second, PingTimeout: 2 * time.Second}} {
 		b.Run(name, func(b *testing.B) {
 			ln, err := net.Listen("tcp", "127.0.0.1:0")
 			if err != nil {
@@ -26,7 +26,7 @@
 			done := make(chan policy.Outcome, 64)
 			pool := NewPool(Options{MaxConns: 100, KeepAlive: 10 * time.Second, DialTimeout: time.Second, X0: -1, X1: -1,
 				Partner: func(int) *Partner { return partner },
-				Done:    func(_ *Call, events []policy.Event) { done <- events[0].Outcome }})
+				OnDone:  func(_ *Call, events []policy.Event) { done <- events[0].Outcome }})
 			body := make([]byte, 500)
 			b.ReportAllocs()
 			out := 0
--- a/internal/outbound/call.go
+++ b/internal/outbound/call.go
@@ -33,14 +33,14 @@
 	Items    []Item
 	SentAt   time.Time
 	Timeout  time.Duration
-	// May is asked immediately before the first byte; where it says no, the call never runs. nil: it may.
-	May func() bool
-	// Until is the latest moment at which the request may be written; zero: no bound but the time-out. Guards
+	// MayStart is asked immediately before the first byte; where it says no, the call never runs. nil: it may.
+	MayStart func() bool
+	// WriteBy is the latest moment at which the request may be written; zero: no bound but the time-out. Guards
 	// against a repeat that waits for its connection, and arrives when the partner has forgotten the first.
-	Until time.Time
-	// Fresh asks for a new connection over HTTP/1.1. An endpoint answers a message that it knows at once, as a copy of
+	WriteBy time.Time
+	// NewConn asks for a new connection over HTTP/1.1. An endpoint answers a message that it knows at once, as a copy of
 	// an earlier answer would come.
-	Fresh bool
+	NewConn bool
 
 	state atomic.Int32
 
@@ -57,9 +57,9 @@
 // it did. The call then never ran, and nobody else reports it.
 func (c *Call) Drop() bool { return c.state.CompareAndSwap(waiting, dropped) }
 
-// GiveUp ends a call that has begun, with its connection or stream: each of its messages may have run. What has been
+// Abandon ends a call that has begun, with its connection or stream: each of its messages may have run. What has been
 // read of its answer counts for nothing, except that it was turned away. It does not block.
-func (c *Call) GiveUp() {
+func (c *Call) Abandon() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.given, c.late = true, true
@@ -71,8 +71,8 @@
 	}
 }
 
-// Given reports whether the call was given up.
-func (c *Call) Given() bool {
+// Abandoned reports whether the call was given up.
+func (c *Call) Abandoned() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.given
@@ -99,13 +99,13 @@
 
 // barred reports whether the call may not begin any more.
 func (c *Call) barred() bool {
-	return c.May != nil && !c.May() || !c.Until.IsZero() && !time.Now().Before(c.Until)
+	return c.MayStart != nil && !c.MayStart() || !c.WriteBy.IsZero() && !time.Now().Before(c.WriteBy)
 }
 
 // earlier is at, or Until where that comes first.
 func (c *Call) earlier(at time.Time) time.Time {
-	if !c.Until.IsZero() && c.Until.Before(at) {
-		return c.Until
+	if !c.WriteBy.IsZero() && c.WriteBy.Before(at) {
+		return c.WriteBy
 	}
 	return at
 }
--- a/internal/outbound/closing.go
+++ b/internal/outbound/closing.go
@@ -5,37 +5,37 @@
 
 // The reasons.
 const (
-	CloseIdle        CloseReason = iota // idle for as long as a connection is kept
-	CloseEvicted                        // idle, and its place was needed
-	CloseHungUp                         // idle, and the decision module wants none kept
-	CloseReplaced                       // idle, and its endpoint has another address or is reached in another way
-	ClosePeer                           // the endpoint closed it while it was idle
-	CloseUnsolicited                    // the endpoint sent what nobody had asked for
-	CloseTrailing                       // an answer had more behind it than belongs to it
-	CloseWrite                          // a request could not be written
-	CloseBroken                         // it broke, or nothing came in time, before a whole answer
-	CloseSpoilt                         // an answer could not be read
-	CloseAsked                          // an answer said that it closes
-	CloseGivenUp                        // its call was given up
-	CloseMismatch                       // an answer can't be that to the call that was out
-	CloseRefused                        // an answer was no 200
-	CloseDistrusted                     // its endpoint has answered out of turn lately
-	ClosePaceUnknown                    // nothing is known yet of how long its endpoint takes
+	CloseIdle                CloseReason = iota // idle for as long as a connection is kept
+	CloseEvicted                                // idle, and its place was needed
+	CloseByCaller                               // idle, and the decision module wants none kept
+	CloseReplaced                               // idle, and its endpoint has another address or is reached in another way
+	CloseByPeer                                 // the endpoint closed it while it was idle
+	CloseUnsolicited                            // the endpoint sent what nobody had asked for
+	CloseTrailingBytes                          // an answer had more behind it than belongs to it
+	CloseWriteFailed                            // a request could not be written
+	CloseBroken                                 // it broke, or nothing came in time, before a whole answer
+	CloseMalformed                              // an answer could not be read
+	CloseRequested                              // an answer said that it closes
+	CloseAbandoned                              // its call was given up
+	CloseMismatch                               // an answer can't be that to the call that was out
+	CloseOtherStatus                            // an answer was no 200
+	CloseDistrusted                             // its endpoint has answered out of turn lately
+	CloseResponseTimeUnknown                    // nothing is known yet of how long its endpoint takes
 )
 
 var closeReasons = [...]string{
-	CloseIdle: "idle", CloseEvicted: "evicted", CloseHungUp: "hung up", CloseReplaced: "replaced", ClosePeer: "closed by the endpoint",
-	CloseUnsolicited: "unsolicited bytes", CloseTrailing: "bytes behind an answer", CloseWrite: "request not written", CloseBroken: "broken", CloseSpoilt: "answer that cannot be read",
-	CloseAsked: "asked to close", CloseGivenUp: "call given up",
-	CloseMismatch: "answer of another call", CloseRefused: "answer other than 200", CloseDistrusted: "endpoint answers out of turn",
-	ClosePaceUnknown: "endpoint's time not known",
+	CloseIdle: "idle", CloseEvicted: "evicted", CloseByCaller: "hung up", CloseReplaced: "replaced", CloseByPeer: "closed by the endpoint",
+	CloseUnsolicited: "unsolicited bytes", CloseTrailingBytes: "bytes behind an answer", CloseWriteFailed: "request not written", CloseBroken: "broken", CloseMalformed: "answer that cannot be read",
+	CloseRequested: "asked to close", CloseAbandoned: "call given up",
+	CloseMismatch: "answer of another call", CloseOtherStatus: "answer other than 200", CloseDistrusted: "endpoint answers out of turn",
+	CloseResponseTimeUnknown: "endpoint's time not known",
 }
 
 // String names the reason in the log.
 func (r CloseReason) String() string { return closeReasons[r] }
 
-// Closing tells of one connection that was closed.
-type Closing struct {
+// CloseEvent tells of one connection that was closed.
+type CloseEvent struct {
 	Endpoint uint32
 	Addr     string
 	Reason   CloseReason
@@ -44,7 +44,7 @@
 
 // closed tells of the end of a connection, where somebody listens.
 func (k *conn) closed(reason CloseReason) {
-	if k.pool.opt.Closed != nil {
-		k.pool.opt.Closed(Closing{Endpoint: k.endpoint, Addr: k.addr, Reason: reason, Answers: k.answers})
+	if k.pool.opt.OnConnClosed != nil {
+		k.pool.opt.OnConnClosed(CloseEvent{Endpoint: k.endpoint, Addr: k.addr, Reason: reason, Answers: k.answers})
 	}
 }
--- a/internal/outbound/conn.go
+++ b/internal/outbound/conn.go
@@ -122,14 +122,14 @@
 	k.nc.SetWriteDeadline(c.earlier(deadline))
 	if !c.on(k.nc) {
 		k.nc.Close()
-		k.closed(CloseGivenUp)
+		k.closed(CloseAbandoned)
 		k.pool.end(c, policy.ConnectFailed)
 		return false
 	}
 	if n, err := k.nc.Write(k.wbuf); err != nil {
 		k.nc.Close()
 		c.off()
-		k.closed(CloseWrite)
+		k.closed(CloseWriteFailed)
 		if n < len(k.wbuf) { // the last byte was not written: it never ran
 			k.pool.end(c, policy.ConnectFailed)
 		} else {
@@ -158,16 +158,16 @@
 		k.nc.Close()
 		k.closed(reason)
 	}
-	k.pool.opt.Done(c, events)
+	k.pool.opt.OnDone(c, events)
 	return more
 }
 
 // stillQuiet looks at a kept connection once more, right before a request is written to it, and closes one that is not
 // as it was when the call was given to it.
 func (k *conn) stillQuiet() bool {
-	reason := ClosePeer
-	switch sockets.Look(k.nc) {
-	case sockets.Quiet:
+	reason := CloseByPeer
+	switch sockets.Check(k.nc) {
+	case sockets.Idle:
 		return true
 	case sockets.Unsolicited:
 		reason = CloseUnsolicited
@@ -185,9 +185,9 @@
 func (k *conn) afterAnswer(c *Call, m *http1.Message, err error, given, whole bool, took time.Duration) (reason CloseReason, more bool) {
 	switch {
 	case given:
-		return CloseGivenUp, false
+		return CloseAbandoned, false
 	case errors.Is(err, errSpoilt):
-		return CloseSpoilt, false
+		return CloseMalformed, false
 	case err != nil:
 		return CloseBroken, false
 	}
@@ -196,20 +196,20 @@
 	defer k.pool.mu.Unlock()
 	switch {
 	case m.Close:
-		return CloseAsked, false
+		return CloseRequested, false
 	case k.rd.Buffered(): // it came with the answer, and can end no later call
-		return CloseTrailing, false
+		return CloseTrailingBytes, false
 	case !whole:
 		k.pool.profileOf(k.endpoint).suspectUntil = time.Now().Add(suspectFor)
 		return CloseMismatch, false
 	case m.Status != http.StatusOK: // a copy of it could not be told from the next call's answer by its time
-		return CloseRefused, false
+		return CloseOtherStatus, false
 	case k.pool.distrusted(k.endpoint):
 		return CloseDistrusted, false
 	}
 	k.pool.learn(c, took)
 	if len(c.Items) > 0 && k.pool.paceUnknown(k.endpoint) {
-		return ClosePaceUnknown, false
+		return CloseResponseTimeUnknown, false
 	}
 	return 0, true
 }
@@ -245,7 +245,7 @@
 	if err != nil && !(single && m.Status == http.StatusOK) {
 		o := policy.Reset
 		switch {
-		case errors.Is(err, os.ErrDeadlineExceeded), c.Given():
+		case errors.Is(err, os.ErrDeadlineExceeded), c.Abandoned():
 			o = policy.Timeout
 		case errors.Is(err, errSpoilt):
 			o = policy.Error // the endpoint and the connection were there: neither a break nor silence
--- a/internal/outbound/dial_test.go
+++ b/internal/outbound/dial_test.go
@@ -20,7 +20,7 @@
 			tries := 0
 			ended := make(chan []policy.Event, 1)
 			p := NewPool(Options{MaxConns: 4, KeepAlive: time.Minute, DialTimeout: time.Second, X0: -1, X1: -1,
-				Done: func(_ *Call, events []policy.Event) { ended <- events },
+				OnDone: func(_ *Call, events []policy.Event) { ended <- events },
 				dial: func(ctx context.Context, addr string) (net.Conn, string, error) {
 					if tries++; tries < 3 {
 						return nil, "", &net.OpError{Op: "dial", Err: os.NewSyscallError("connect", errno)}
--- a/internal/outbound/matching_test.go
+++ b/internal/outbound/matching_test.go
@@ -15,13 +15,13 @@
 	t       *testing.T
 	partner *standin.RawPartner
 	ended   chan []policy.Event
-	closed  chan Closing
+	closed  chan CloseEvent
 }
 
 func newLine(t *testing.T) *line {
-	l := &line{t: t, partner: standin.NewRawPartner(t), ended: make(chan []policy.Event, 10), closed: make(chan Closing, 10)}
+	l := &line{t: t, partner: standin.NewRawPartner(t), ended: make(chan []policy.Event, 10), closed: make(chan CloseEvent, 10)}
 	l.Pool = NewPool(Options{MaxConns: 4, KeepAlive: time.Minute, DialTimeout: time.Second, X0: -1, X1: -1,
-		Done: func(_ *Call, events []policy.Event) { l.ended <- events }, Closed: func(c Closing) { l.closed <- c }})
+		OnDone: func(_ *Call, events []policy.Event) { l.ended <- events }, OnConnClosed: func(c CloseEvent) { l.closed <- c }})
 	return l
 }
 
@@ -48,7 +48,7 @@
 	l.mu.Lock()
 	k := l.idle[1][0]
 	l.mu.Unlock()
-	for sockets.Look(k.nc) != want {
+	for sockets.Check(k.nc) != want {
 		time.Sleep(time.Millisecond)
 	}
 	return k
@@ -84,12 +84,12 @@
 	first := l.call("first")
 	first.Write(standin.OK)
 	<-l.ended
-	k := l.kept(sockets.Quiet)
+	k := l.kept(sockets.Idle)
 	if !l.unpark(k) {
 		t.Fatal("the connection is not idle")
 	}
 	first.Write(standin.OK)
-	for sockets.Look(k.nc) != sockets.Unsolicited {
+	for sockets.Check(k.nc) != sockets.Unsolicited {
 		time.Sleep(time.Millisecond)
 	}
 	k.calls <- &Call{Endpoint: 1, Addr: l.partner.Addr, SentAt: time.Now(), Timeout: 5 * time.Second, Items: []Item{{ID: 1, Trace: "second"}}}
@@ -115,15 +115,15 @@
 func TestConnectionEndsAfterARefusal(t *testing.T) {
 	l := newLine(t)
 	l.answered(standin.Full)
-	l.wantClosed(CloseRefused)
+	l.wantClosed(CloseOtherStatus)
 }
 
 // Guards against a repeat whose answer comes at once, as a copy would, and is not believed.
 func TestRepeatInDoubtGoesOutOnANewConnection(t *testing.T) {
 	l := newLine(t)
 	l.answered(standin.OK)
-	l.kept(sockets.Quiet)
-	l.Go(&Call{Endpoint: 1, Addr: l.partner.Addr, SentAt: time.Now(), Timeout: 5 * time.Second, Fresh: true, Items: []Item{{ID: 1, Attempt: 1, Trace: "again"}}})
+	l.kept(sockets.Idle)
+	l.Go(&Call{Endpoint: 1, Addr: l.partner.Addr, SentAt: time.Now(), Timeout: 5 * time.Second, NewConn: true, Items: []Item{{ID: 1, Attempt: 1, Trace: "again"}}})
 	if c := <-l.partner.Calls; c.Conn != 2 {
 		t.Errorf("on connection %d", c.Conn)
 	}
@@ -153,16 +153,16 @@
 	l.Go(&Call{Endpoint: 1, Addr: l.partner.Addr, SentAt: time.Now(), Timeout: 5 * time.Second, Items: []Item{{ID: 1, Attempt: 1, Trace: "again"}}})
 	(<-l.partner.Calls).Write(standin.OK) // at once, as to a message that it knows
 	<-l.ended
-	l.wantClosed(ClosePaceUnknown)
+	l.wantClosed(CloseResponseTimeUnknown)
 }
 
 // Guards against connections that carry one call each for noise that comes with an answer, and can end no later call.
 func TestBytesBehindAnAnswerCostItsConnectionAlone(t *testing.T) {
 	l := newLine(t)
 	l.answered(standin.OK + "noise")
-	l.wantClosed(CloseTrailing)
+	l.wantClosed(CloseTrailingBytes)
 	l.answered(standin.OK)
-	l.kept(sockets.Quiet)
+	l.kept(sockets.Idle)
 	if n := l.answered(standin.OK); n != 2 {
 		t.Errorf("on connection %d, want the kept one", n)
 	}
--- a/internal/outbound/mux.go
+++ b/internal/outbound/mux.go
@@ -233,7 +233,7 @@
 		return
 	}
 	k := h2.New(nc, h2.Options{
-		MaxBody: http1.MaxBody, RestIn: restWithin, PingAfter: m.partner.PingAfter, PingFor: m.partner.PingFor,
+		MaxBody: http1.MaxBody, RestIn: restWithin, PingAfter: m.partner.PingAfter, PingFor: m.partner.PingTimeout,
 		Changed: func(k *h2.Conn) { m.changed(id, k) },
 	})
 	select { // a peer that accepts and says nothing is no connection
@@ -344,7 +344,7 @@
 	}
 	single := len(c.Items) <= 1
 	if r.Fate != h2.Answered && !(single && r.Status == 200) {
-		m.pool.opt.Done(c, c.events(answer{outcome: fates[r.Fate]}))
+		m.pool.opt.OnDone(c, c.events(answer{outcome: fates[r.Fate]}))
 		return
 	}
 	a := m.pool.answer(r.Status, r.Get, single)
@@ -352,12 +352,12 @@
 		m.hold(time.Duration(a.wait) * time.Millisecond)
 	}
 	if single || r.Status != 200 {
-		m.pool.opt.Done(c, c.events(a))
+		m.pool.opt.OnDone(c, c.events(a))
 		return
 	}
 	var parser fastjson.Parser
 	events, _ := each(&parser, c, r.Body, a) // a stream carries the answer to its own request alone
-	m.pool.opt.Done(c, events)
+	m.pool.opt.OnDone(c, events)
 }
 
 // hold keeps back what waits for a stream when a wait is told. The stream that told it is free at once, and
--- a/internal/outbound/mux_test.go
+++ b/internal/outbound/mux_test.go
@@ -42,7 +42,7 @@
 			ended := make(chan []policy.Event, 2)
 			pool := NewPool(Options{MaxConns: 4, KeepAlive: time.Second, DialTimeout: 5 * time.Second, X0: -1, X1: -1,
 				Partner: func(int) *Partner { return &Partner{HTTP2: true, MaxConns: 1} },
-				Done:    func(_ *Call, events []policy.Event) { ended <- events }})
+				OnDone:  func(_ *Call, events []policy.Event) { ended <- events }})
 			c := &Call{Endpoint: 1, Addr: p.Addr(), SentAt: time.Now(), Timeout: time.Second, Items: []Item{{ID: 1, Trace: "a", Body: []byte("b")}}}
 			if row.items == 2 {
 				c.Items = append(c.Items, Item{ID: 2, Trace: "b"})
@@ -80,10 +80,10 @@
 		outcome  policy.Outcome
 	}
 	ended := make(chan end, 100)
-	partner := &Partner{HTTP2: true, MaxConns: 2, PingAfter: time.Second, PingFor: time.Second}
+	partner := &Partner{HTTP2: true, MaxConns: 2, PingAfter: time.Second, PingTimeout: time.Second}
 	pool := NewPool(Options{MaxConns: 20, KeepAlive: time.Second, DialTimeout: 5 * time.Second, X0: -1, X1: -1,
 		Partner: func(int) *Partner { return partner },
-		Done:    func(c *Call, events []policy.Event) { ended <- end{c.Endpoint, events[0].Outcome} }})
+		OnDone:  func(c *Call, events []policy.Event) { ended <- end{c.Endpoint, events[0].Outcome} }})
 	call := func(endpoint uint32, addr string, timeout time.Duration, size int) {
 		pool.Go(&Call{Endpoint: endpoint, Addr: addr, SentAt: time.Now(), Timeout: timeout, Items: []Item{{ID: 1, Trace: "t", Body: make([]byte, size)}}})
 	}
--- a/internal/outbound/outbound.go
+++ b/internal/outbound/outbound.go
@@ -24,14 +24,14 @@
 	KeepAlive   time.Duration // how long a connection may stand idle
 	DialTimeout time.Duration
 	X0, X1      int // positions in a report; -1 = absent
-	// Done takes the events that a call ends with, in the order of its items. It must not be held up.
-	Done func(*Call, []policy.Event)
+	// OnDone takes the events that a call ends with, in the order of its items. It must not be held up.
+	OnDone func(*Call, []policy.Event)
 	// Partner says how a destination is reached; nil, or a nil answer: plain HTTP/1.1.
 	Partner func(dest int) *Partner
-	// Trouble is told why a connection could not be had, once in troubleGap for an endpoint; it may be nil.
-	Trouble func(endpoint uint32, addr string, err error)
-	// Closed is told of each connection over HTTP/1.1 that is closed. It must not be held up; it may be nil.
-	Closed func(Closing)
+	// OnDialError is told why a connection could not be had, once in troubleGap for an endpoint; it may be nil.
+	OnDialError func(endpoint uint32, addr string, err error)
+	// OnConnClosed is told of each connection over HTTP/1.1 that is closed. It must not be held up; it may be nil.
+	OnConnClosed func(CloseEvent)
 
 	dial dialFunc // in place of a Partner's Dial, in tests; nil: none
 }
@@ -48,13 +48,13 @@
 	}
 	for {
 		nc, proto, err = connect(ctx, addr)
-		if err == nil || !transient.Dial(err) || !wanted() {
+		if err == nil || !transient.IsDialError(err) || !wanted() {
 			return nc, proto, err
 		}
 		select {
 		case <-ctx.Done():
 			return nil, "", err
-		case <-time.After(transient.Pause):
+		case <-time.After(transient.RetryInterval):
 		}
 	}
 }
@@ -122,8 +122,8 @@
 	p.mu.Unlock()
 }
 
-// Open is how many connections there are or come up.
-func (p *Pool) Open() int {
+// OpenConns is how many connections there are or come up.
+func (p *Pool) OpenConns() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.open
@@ -131,7 +131,7 @@
 
 // complain tells why an endpoint could not be reached, where somebody listens.
 func (p *Pool) complain(endpoint uint32, addr string, err error) {
-	if p.opt.Trouble == nil {
+	if p.opt.OnDialError == nil {
 		return
 	}
 	p.mu.Lock()
@@ -141,7 +141,7 @@
 	}
 	p.mu.Unlock()
 	if !soon {
-		p.opt.Trouble(endpoint, addr, err)
+		p.opt.OnDialError(endpoint, addr, err)
 	}
 }
 
@@ -168,7 +168,7 @@
 // onIdle gives a call to a connection that stands idle, if there is one. A call that has to be believed goes out on a
 // new one, where no earlier answer can be taken for its own.
 func (p *Pool) onIdle(c *Call, partner *Partner) bool {
-	if c.Fresh {
+	if c.NewConn {
 		return false
 	}
 	p.mu.Lock()
@@ -201,9 +201,9 @@
 	case time.Since(k.usedAt) >= p.fresh():
 		return CloseIdle, false
 	}
-	switch sockets.Look(k.nc) {
-	case sockets.Ended:
-		return ClosePeer, false
+	switch sockets.Check(k.nc) {
+	case sockets.Closed:
+		return CloseByPeer, false
 	case sockets.Unsolicited:
 		p.noteUnsolicited(k.endpoint)
 		return CloseUnsolicited, false
@@ -252,12 +252,12 @@
 	return true
 }
 
-// HangUp closes the idle connections to an endpoint.
-func (p *Pool) HangUp(endpoint uint32) {
+// CloseIdleConns closes the idle connections to an endpoint.
+func (p *Pool) CloseIdleConns(endpoint uint32) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, k := range p.idle[endpoint] {
-		k.end(CloseHungUp)
+		k.end(CloseByCaller)
 	}
 	delete(p.idle, endpoint)
 	if m := p.mux[endpoint]; m != nil {
@@ -299,7 +299,7 @@
 
 // end reports one outcome for all messages of a call.
 func (p *Pool) end(c *Call, o policy.Outcome) {
-	p.opt.Done(c, c.events(answer{outcome: o}))
+	p.opt.OnDone(c, c.events(answer{outcome: o}))
 }
 
 // withheld drops a call that may not run any more, and reports whether it did.
--- a/internal/outbound/outbound_test.go
+++ b/internal/outbound/outbound_test.go
@@ -45,7 +45,7 @@
 	addr, conns := peer(t, ok, ok, "HTTP/1.1 503 No\r\nRetry-After: 1.25\r\nContent-Length: 0\r\n\r\n")
 	ended := make(chan []policy.Event, 1)
 	p := NewPool(Options{MaxConns: 4, KeepAlive: 200 * time.Millisecond, DialTimeout: time.Second, X0: 0, X1: 1,
-		Done: func(_ *Call, events []policy.Event) { ended <- events }})
+		OnDone: func(_ *Call, events []policy.Event) { ended <- events }})
 	for i, want := range []policy.Event{
 		{Kind: policy.EvProbe, Endpoint: 7, Outcome: policy.OK, Report: []float64{0.4, 25}},
 		{Kind: policy.EvOutcome, Endpoint: 7, ID: 3, Attempt: 2, Outcome: policy.OK, Report: []float64{0.4, 25}},
@@ -56,7 +56,7 @@
 			c.Items = []Item{{ID: 3, Attempt: 2, Trace: "t"}}
 		}
 		if i == 2 { // an idle connection is closed before its time is up
-			for p.openConns() > 0 {
+			for p.openCount() > 0 {
 			}
 		}
 		p.Go(c)
@@ -94,7 +94,7 @@
 			addr, conns := peer(t, row.answer, ok)
 			ended := make(chan []policy.Event, 1)
 			p := NewPool(Options{MaxConns: 4, KeepAlive: time.Minute, DialTimeout: time.Second, X0: 0, X1: 1,
-				Done: func(_ *Call, events []policy.Event) { ended <- events }})
+				OnDone: func(_ *Call, events []policy.Event) { ended <- events }})
 			for i, want := range []policy.Outcome{row.outcome, policy.OK} {
 				p.Go(&Call{Endpoint: 1, Addr: addr, SentAt: time.Now(), Timeout: 5 * time.Second, Items: []Item{{ID: 1, Trace: "t"}}})
 				if e := (<-ended)[0]; e.Outcome != want || e.Report != nil || e.Wait != 0 || e.Latency > 2000 {
@@ -113,13 +113,13 @@
 	addr, conns := peer(t, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 	ended := make(chan *Call, 2)
 	p := NewPool(Options{MaxConns: 4, KeepAlive: time.Minute, DialTimeout: time.Second, X0: -1, X1: -1,
-		Done: func(c *Call, _ []policy.Event) { ended <- c }})
+		OnDone: func(c *Call, _ []policy.Event) { ended <- c }})
 	dropped := &Call{Endpoint: 1, Addr: addr, SentAt: time.Now(), Timeout: time.Second}
 	if !dropped.Drop() {
 		t.Error("a call that waits was not dropped")
 	}
 	p.Go(dropped)
-	for p.idleConns(1) == 0 { // its connection is as good as any
+	for p.idleCount(1) == 0 { // its connection is as good as any
 	}
 	made := &Call{Endpoint: 1, Addr: addr, SentAt: time.Now(), Timeout: 5 * time.Second}
 	p.Go(made)
@@ -135,7 +135,7 @@
 	var p *Pool
 	left := 1
 	p = NewPool(Options{MaxConns: 4, KeepAlive: time.Minute, DialTimeout: time.Second, X0: -1, X1: -1,
-		Done: func(*Call, []policy.Event) {
+		OnDone: func(*Call, []policy.Event) {
 			if left--; left == 0 {
 				p.Go(&Call{Endpoint: 1, Addr: addr, SentAt: time.Now(), Timeout: time.Second})
 			}
@@ -152,7 +152,7 @@
 	addr, conns := peer(t, ok, ok)
 	ended := make(chan bool, 1)
 	p := NewPool(Options{MaxConns: 4, KeepAlive: time.Minute, DialTimeout: time.Second, X0: -1, X1: -1,
-		Done: func(*Call, []policy.Event) { ended <- true }})
+		OnDone: func(*Call, []policy.Event) { ended <- true }})
 	for i := range 2 {
 		c := &Call{Endpoint: 1, Addr: addr, SentAt: time.Now(), Timeout: 200 * time.Millisecond}
 		p.Go(c)
@@ -164,13 +164,13 @@
 	}
 }
 
-func (p *Pool) openConns() int {
+func (p *Pool) openCount() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.open
 }
 
-func (p *Pool) idleConns(endpoint uint32) int {
+func (p *Pool) idleCount(endpoint uint32) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return len(p.idle[endpoint])
@@ -183,14 +183,14 @@
 	ended := make(chan []policy.Event, 1)
 	var p *Pool
 	p = NewPool(Options{MaxConns: 4, KeepAlive: time.Second, DialTimeout: time.Second, X0: -1, X1: -1,
-		Done: func(_ *Call, events []policy.Event) {
-			if n := p.idleConns(7); n != 1 {
+		OnDone: func(_ *Call, events []policy.Event) {
+			if n := p.idleCount(7); n != 1 {
 				t.Errorf("%v is told with %d connections parked, want 1", events[0].Outcome, n)
 			}
 			ended <- events
 		}})
 	for _, may := range []bool{false, true} {
-		c := &Call{Endpoint: 7, Addr: addr, SentAt: time.Now(), Timeout: time.Second, Items: []Item{{ID: 3, Trace: "t"}}, May: func() bool { return may }}
+		c := &Call{Endpoint: 7, Addr: addr, SentAt: time.Now(), Timeout: time.Second, Items: []Item{{ID: 3, Trace: "t"}}, MayStart: func() bool { return may }}
 		p.Go(c)
 		if got := (<-ended)[0].Outcome; may != (got == policy.OK) || !may && got != policy.Moot {
 			t.Errorf("may run %v: %v", may, got)
--- a/internal/outbound/pace_test.go
+++ b/internal/outbound/pace_test.go
@@ -57,7 +57,7 @@
 				}
 				return &Partner{HTTP2: true, MaxConns: 1}
 			},
-			Done: func(_ *Call, e []policy.Event) { ended <- e[0].Outcome }})
+			OnDone: func(_ *Call, e []policy.Event) { ended <- e[0].Outcome }})
 		p.PaceDials(7, float64(time.Second/every))
 		var lns []*accepts
 		for range endpoints {
@@ -101,7 +101,7 @@
 	t.Cleanup(func() { s.Close() })
 	ended := make(chan policy.Outcome, 4)
 	p := NewPool(Options{MaxConns: 16, KeepAlive: time.Minute, DialTimeout: 5 * time.Second, X0: -1, X1: -1,
-		Done: func(_ *Call, e []policy.Event) { ended <- e[0].Outcome }})
+		OnDone: func(_ *Call, e []policy.Event) { ended <- e[0].Outcome }})
 	p.PaceDials(7, 4)
 	call := func(timeout time.Duration) {
 		p.Go(&Call{Endpoint: 1, Dest: 7, Addr: ln.Addr().String(), SentAt: time.Now(), Timeout: timeout, Items: []Item{{ID: 1, Trace: "a"}}})
--- a/internal/outbound/partner.go
+++ b/internal/outbound/partner.go
@@ -10,12 +10,12 @@
 
 // Partner is how one partner is reached where it is not by plain HTTP/1.1.
 type Partner struct {
-	HTTP2      bool // by prior knowledge, or as ALPN says with TLS
-	TLS        func() *tls.Config
-	ServerName string
-	MaxConns   int           // HTTP/2 connections to one endpoint
-	PingAfter  time.Duration // of silence with streams open
-	PingFor    time.Duration
+	HTTP2       bool // by prior knowledge, or as ALPN says with TLS
+	TLS         func() *tls.Config
+	ServerName  string
+	MaxConns    int           // HTTP/2 connections to one endpoint
+	PingAfter   time.Duration // of silence with streams open
+	PingTimeout time.Duration
 }
 
 // Dial connects, with the handshake of TLS where that is set; proto is what was agreed on, "h2" or "http/1.1".
--- a/internal/outbound/tls_test.go
+++ b/internal/outbound/tls_test.go
@@ -44,13 +44,13 @@
 	t.Helper()
 	ended, trouble := make(chan policy.Event, 1), make(chan string, 10)
 	pool := NewPool(Options{MaxConns: 4, KeepAlive: time.Second, DialTimeout: 5 * time.Second, X0: 0, X1: 1,
-		Partner: func(int) *Partner { return p },
-		Trouble: func(_ uint32, _ string, err error) { trouble <- err.Error() },
-		Done:    func(_ *Call, events []policy.Event) { ended <- events[0] }})
+		Partner:     func(int) *Partner { return p },
+		OnDialError: func(_ uint32, _ string, err error) { trouble <- err.Error() },
+		OnDone:      func(_ *Call, events []policy.Event) { ended <- events[0] }})
 	pool.Go(&Call{Endpoint: 1, Addr: addr, Items: []Item{{ID: 1, Trace: "t", Body: []byte("b")}}, SentAt: time.Now(), Timeout: 10 * time.Second})
 	select {
 	case e := <-ended:
-		pool.HangUp(1)
+		pool.CloseIdleConns(1)
 		told := ""
 		if len(trouble) > 0 {
 			told = <-trouble
@@ -165,7 +165,7 @@
 		ended := make(chan policy.Event, 1)
 		pool := NewPool(Options{MaxConns: 4, KeepAlive: time.Second, DialTimeout: 200 * time.Millisecond, X0: -1, X1: -1,
 			Partner: func(int) *Partner { return &Partner{HTTP2: true, MaxConns: 2} },
-			Done:    func(_ *Call, events []policy.Event) { ended <- events[0] }})
+			OnDone:  func(_ *Call, events []policy.Event) { ended <- events[0] }})
 		begin := time.Now()
 		pool.Go(&Call{Endpoint: 1, Addr: ln.Addr().String(), Items: []Item{{ID: 1, Trace: "t"}}, SentAt: begin, Timeout: 10 * time.Second})
 		if e := <-ended; e.Outcome != policy.ConnectFailed || time.Since(begin) > 5*time.Second {
--- a/internal/outbound/window_test.go
+++ b/internal/outbound/window_test.go
@@ -21,7 +21,7 @@
 	defer ln.Close()
 	ended := make(chan []policy.Event, 1)
 	p := NewPool(Options{MaxConns: 4, KeepAlive: time.Second, DialTimeout: time.Minute, X0: -1, X1: -1,
-		Done: func(_ *Call, events []policy.Event) { ended <- events }})
+		OnDone: func(_ *Call, events []policy.Event) { ended <- events }})
 	end := func(name string, c *Call) {
 		t.Helper()
 		select {
@@ -35,7 +35,7 @@
 	}
 	call := func(addr string) *Call {
 		return &Call{Endpoint: 1, Addr: addr, Items: []Item{{ID: 1, Trace: "t"}}, SentAt: time.Now(), Timeout: time.Minute,
-			Until: time.Now().Add(window)}
+			WriteBy: time.Now().Add(window)}
 	}
 	full := backlogged(t)
 	c := call(full)
@@ -43,8 +43,8 @@
 	end("a connection that does not come up", c)
 
 	c = call(ln.Addr().String())
-	c.May = func() bool { // asked with the connection there: as if it had taken so long
-		c.Until = time.Now()
+	c.MayStart = func() bool { // asked with the connection there: as if it had taken so long
+		c.WriteBy = time.Now()
 		return true
 	}
 	p.Go(c)
@@ -56,7 +56,7 @@
 	defer nc.Close()
 
 	p = NewPool(Options{MaxConns: 4, KeepAlive: time.Second, DialTimeout: time.Minute, X0: -1, X1: -1,
-		Done: func(_ *Call, events []policy.Event) { ended <- events }})
+		OnDone: func(_ *Call, events []policy.Event) { ended <- events }})
 	p.PaceDials(0, 4)
 	p.Go(&Call{Endpoint: 2, Addr: ln.Addr().String(), Items: []Item{{ID: 2, Trace: "u"}}, SentAt: time.Now(), Timeout: time.Minute})
 	c = call(ln.Addr().String())
--- a/internal/partners/partners.go
+++ b/internal/partners/partners.go
@@ -75,7 +75,7 @@
 	}
 	e.out = &outbound.Partner{
 		HTTP2: set.Protocol == operator.H2 || set.Protocol == operator.H2C, ServerName: set.ServerName,
-		MaxConns: set.MaxConns, PingAfter: set.PingAfter, PingFor: set.PingFor,
+		MaxConns: set.MaxConns, PingAfter: set.PingAfter, PingTimeout: set.PingFor,
 	}
 	if set.Protocol != operator.H2C {
 		e.out.TLS = e.tls.Load
--- a/internal/sender/calls.go
+++ b/internal/sender/calls.go
@@ -27,10 +27,10 @@
 	}
 	s.observeBegan(m, c, item.Attempt)
 	c.Items = append(c.Items, item)
-	c.Fresh = c.Fresh || m.DoubtAt != 0
+	c.NewConn = c.NewConn || m.DoubtAt != 0
 	c.Timeout = max(c.Timeout, millis(a.After))
-	if until, bound := s.repeatUntil(m); bound && (c.Until.IsZero() || until.Before(c.Until)) {
-		c.Until = until
+	if until, bound := s.repeatUntil(m); bound && (c.WriteBy.IsZero() || until.Before(c.WriteBy)) {
+		c.WriteBy = until
 	}
 }
 
--- a/internal/sender/copies.go
+++ b/internal/sender/copies.go
@@ -478,7 +478,7 @@
 func (s *Sender) goWithLease(call *outbound.Call) {
 	if c := s.copies; c != nil && len(call.Items) > 0 {
 		name, epoch := duty.Own(c.set.Name), c.owner.Epoch()
-		call.May = func() bool { return c.fleet.Held(name) == epoch }
+		call.MayStart = func() bool { return c.fleet.Held(name) == epoch }
 	}
 	s.pool.Go(call)
 }
--- a/internal/sender/cutshort_test.go
+++ b/internal/sender/cutshort_test.go
@@ -54,11 +54,11 @@
 		}
 	}
 	next()
-	s.pool.HangUp(1)
+	s.pool.CloseIdleConns(1)
 	for len(s.calls) > 0 { // the first call has ended
 		s.take(<-s.in)
 	}
-	s.pool.HangUp(1)
+	s.pool.CloseIdleConns(1)
 	take("short", 200*time.Millisecond)
 	take("long", 10*time.Second)
 	step()
--- a/internal/sender/leaderends_test.go
+++ b/internal/sender/leaderends_test.go
@@ -122,7 +122,7 @@
 	b, p, leader, other := leaderAndOther(t)
 	other.cutAt = 0
 	b.next()
-	if other.call != nil || leader.call == nil || leader.call.Given() {
+	if other.call != nil || leader.call == nil || leader.call.Abandoned() {
 		t.Fatal("the call is given up, or holds on to what has ended")
 	}
 	p.answer <- struct{}{}
@@ -138,7 +138,7 @@
 	b := newBench(t, t.TempDir(), "", benchSettings())
 	c := &outbound.Call{Endpoint: 1, Addr: ln.Addr().String(), Dest: 3, SentAt: time.Now(), Timeout: patient,
 		Items: []outbound.Item{{ID: 7, Trace: "a"}, {ID: 8, Trace: "b"}}}
-	c.May = func() bool { c.GiveUp(); return true }
+	c.MayStart = func() bool { c.Abandon(); return true }
 	b.pool.Go(c)
 	in := <-b.in
 	for _, e := range in.events {
--- a/internal/sender/observe.go
+++ b/internal/sender/observe.go
@@ -64,7 +64,7 @@
 
 // closed tells of a connection to an endpoint that was closed. It is called on the connection's goroutine. What an
 // endpoint sent unasked is always worth a line; all else is one of the records.
-func (w *observer) closed(c outbound.Closing) {
+func (w *observer) closed(c outbound.CloseEvent) {
 	e := w.log.Log()
 	switch {
 	case c.Reason == outbound.CloseUnsolicited:
@@ -178,7 +178,7 @@
 	gauge(telemetry.BreakersOpen, float64(broken))
 	gauge(telemetry.Ramping, float64(warming))
 	gauge(telemetry.LimitTold, told)
-	gauge(telemetry.Connections, float64(s.pool.Open()))
+	gauge(telemetry.Connections, float64(s.pool.OpenConns()))
 	if s.guard != nil {
 		st := s.guard.Stats()
 		gauge(telemetry.StormPromised, float64(st.Promised))
--- a/internal/sender/outcomes.go
+++ b/internal/sender/outcomes.go
@@ -15,7 +15,7 @@
 // takeOutcome books the end of a call.
 func (s *Sender) takeOutcome(c *outbound.Call, events []policy.Event) {
 	delete(s.calls, c)
-	if c.Given() { // see leaderEnds
+	if c.Abandoned() { // see leaderEnds
 		for i := range events {
 			if events[i].Outcome == policy.OK {
 				events[i].Outcome = policy.Timeout
@@ -69,7 +69,7 @@
 	if c == nil || !c.Drop() {
 		return false
 	}
-	s.takeOutcome(c, c.Dropped())
+	s.takeOutcome(c, c.DroppedEvents())
 	return true
 }
 
@@ -123,7 +123,7 @@
 // lead makes this rare.
 func (s *Sender) leaderEnds(c *outbound.Call, m *message) {
 	if c != nil && len(c.Items) > 1 && c.Items[0].ID == m.Num {
-		c.GiveUp()
+		c.Abandon()
 	}
 }
 
--- a/internal/sender/sender.go
+++ b/internal/sender/sender.go
@@ -250,11 +250,11 @@
 		DialTimeout: millis(o.Settings.DialTimeout),
 		X0:          o.Settings.X0, X1: o.Settings.X1,
 		Partner: o.Partner,
-		Trouble: func(endpoint uint32, addr string, err error) {
+		OnDialError: func(endpoint uint32, addr string, err error) {
 			o.Log.Warn().Uint32("endpoint", endpoint).Str("addr", addr).Err(err).Msg("partner: no connection")
 		},
-		Closed: s.observer.closed,
-		Done:   func(c *outbound.Call, events []policy.Event) { s.in <- input{call: c, events: events} },
+		OnConnClosed: s.observer.closed,
+		OnDone:       func(c *outbound.Call, events []policy.Event) { s.in <- input{call: c, events: events} },
 	})
 	s.tick()
 	s.remember(o.Memory)
@@ -454,7 +454,7 @@
 			s.sends = append(s.sends, &outbound.Call{Endpoint: e.ID, Addr: e.Addr, Dest: e.Dest, SentAt: time.Now(), Timeout: millis(s.set.DialTimeout)})
 		}
 	case policy.ActHangUp:
-		s.pool.HangUp(a.Endpoint)
+		s.pool.CloseIdleConns(a.Endpoint)
 	case policy.ActLog:
 		s.log.Info().Msg(a.Text)
 	case policy.ActSubscribe: // the watch of the list always stands
--- a/internal/sender/shards.go
+++ b/internal/sender/shards.go
@@ -144,7 +144,7 @@
 		s.takeList(&discovery.List{Entries: gone})
 	}
 	for _, e := range gone {
-		s.pool.HangUp(e.ID)
+		s.pool.CloseIdleConns(e.ID)
 		delete(s.addrs, e.ID)
 		delete(s.names, e.Name)
 	}
--- a/internal/sender/window_test.go
+++ b/internal/sender/window_test.go
@@ -26,8 +26,8 @@
 		return nil
 	}
 	first := only()
-	if !first.Until.IsZero() {
-		t.Errorf("a first attempt is bound: %v", first.Until)
+	if !first.WriteBy.IsZero() {
+		t.Errorf("a first attempt is bound: %v", first.WriteBy)
 	}
 	began := time.UnixMilli(b.msgs[b.traces["keyed"]].DoubtAt)
 	if !began.Equal(time.UnixMilli(0)) {
@@ -42,9 +42,9 @@
 	m, safe := b.msgs[b.traces["keyed"]], b.msgs[b.traces["safe"]]
 	b.await("no repeat", func() bool { return m.call != nil })
 	window := float64(m.DoubtAt) + benchClasses[1].MemorySpan
-	left := window - b.now - float64(time.Until(m.call.Until))/1e6
-	if m.call.Until.IsZero() || left <= 0 || left > benchClasses[1].MemorySpan {
-		t.Errorf("the repeat may be written until %v, %g ms before the window's end", m.call.Until, left)
+	left := window - b.now - float64(time.Until(m.call.WriteBy))/1e6
+	if m.call.WriteBy.IsZero() || left <= 0 || left > benchClasses[1].MemorySpan {
+		t.Errorf("the repeat may be written until %v, %g ms before the window's end", m.call.WriteBy, left)
 	}
 	if _, bound := b.repeatUntil(safe); bound || safe.DoubtAt == 0 {
 		t.Error("a class that may be repeated at will is bound")
--- a/internal/timeline/timeline.go
+++ b/internal/timeline/timeline.go
@@ -55,7 +55,7 @@
 func Start(files fsys.FS, now Reading) (start float64, anchor []byte, err error) {
 	fresh := fmt.Appendf(nil, "%d %.0f %q\n", now.Monotonic, now.Wall, now.Boot)
 	var text []byte
-	err = transient.Retry(readFor, transient.Disk, func() (err error) {
+	err = transient.Retry(readFor, transient.IsDiskError, func() (err error) {
 		text, err = files.Read(fileName)
 		return err
 	})
--- a/internal/transient/transient.go
+++ b/internal/transient/transient.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// Pause is the time between two tries.
-const Pause = 20 * time.Millisecond
+// RetryInterval is the time between two tries.
+const RetryInterval = 20 * time.Millisecond
 
 // local are errors of this machine's resources: they say nothing of a peer, or of a file's content.
 var local = []error{
@@ -18,16 +18,16 @@
 // disk are errors of a folder that can't be written to, or read, for a while.
 var disk = []error{syscall.EIO, syscall.ENOSPC, syscall.EDQUOT}
 
-// Local reports whether err is of a resource of this machine that may be there again in a moment.
-func Local(err error) bool { return anyOf(err, local) }
+// IsResourceError reports whether err is of a resource of this machine that may be there again in a moment.
+func IsResourceError(err error) bool { return anyOf(err, local) }
 
-// Dial reports whether a connection failed by a fault on this side, for a moment: nothing was heard of the other.
-func Dial(err error) bool {
-	return Local(err) || errors.Is(err, syscall.ENETUNREACH) || errors.Is(err, syscall.ENETDOWN)
+// IsDialError reports whether a connection failed by a fault on this side, for a moment: nothing was heard of the other.
+func IsDialError(err error) bool {
+	return IsResourceError(err) || errors.Is(err, syscall.ENETUNREACH) || errors.Is(err, syscall.ENETDOWN)
 }
 
-// Disk reports whether err is of a folder that may be read or written again in a while.
-func Disk(err error) bool { return Local(err) || anyOf(err, disk) }
+// IsDiskError reports whether err is of a folder that may be read or written again in a while.
+func IsDiskError(err error) bool { return IsResourceError(err) || anyOf(err, disk) }
 
 func anyOf(err error, list []error) bool {
 	for _, known := range list {
@@ -38,10 +38,10 @@
 	return false
 }
 
-// Retry calls try, Pause apart, until it succeeds, fails otherwise than passing says, or has failed for so long. It
+// Retry calls try, RetryInterval apart, until it succeeds, fails otherwise than passing says, or has failed for so long. It
 // returns the last error.
 func Retry(long time.Duration, passing func(error) bool, try func() error) error {
-	for end := time.Now().Add(long); ; time.Sleep(Pause) {
+	for end := time.Now().Add(long); ; time.Sleep(RetryInterval) {
 		err := try()
 		if err == nil || !passing(err) || !time.Now().Before(end) {
 			return err
