--- a/cmd/sliptide/run.go
+++ b/cmd/sliptide/run.go
@@ -112,7 +112,7 @@
 
 	// The sender and what it speaks with refer to each other: its calls are bound below.
 	var snd *sender.Sender
-	notices := discovery.NewNotices(cfg.Discovery, log, func(nums []uint64) { snd.Told(nums) })
+	notices := discovery.NewNoticeQueue(cfg.Discovery, log, func(nums []uint64) { snd.Told(nums) })
 	sockets := cfg.Limits.Sockets - spareFiles
 	// The rest is for clients: many may hold a connection and say nothing.
 	calls := min(sockets*2/5, idleCalls+callsForSlot*cfg.Settings.CallSlots)
@@ -123,7 +123,7 @@
 	snd = sender.New(sender.Options{
 		Settings: cfg.Settings, Seed: cfg.Seed, Sockets: calls,
 		Journal: jr, Restored: restored, Notices: notices.Post, Memory: memory.get().Memory, Clock: clock, Log: log,
-		Partner: book.Of, Streams: partners.Streams, Storms: guard(cfg, op.Storms), Recorder: pipe.Records(), Records: op.Log.Records,
+		Partner: book.Lookup, Streams: partners.StreamsPerConn, Storms: guard(cfg, op.Storms), Recorder: pipe.Records(), Records: op.Log.Records,
 		Out: kept.Out(), Heir: place.waiting(),
 	})
 	team, err := newMembership(cfg, op, space, log)
@@ -150,12 +150,12 @@
 			return fmt.Errorf("RELAY_ADMIN: %w", err)
 		}
 		defer aln.Close()
-		calls := admin.Calls{Ready: server.Up, Disable: kept.Disable, Enable: kept.Enable, Drain: server.Drain, Undrain: server.Undrain}
+		calls := admin.Calls{Ready: server.Available, Disable: kept.Disable, Enable: kept.Enable, Drain: server.Drain, Undrain: server.Undrain}
 		go admin.New(calls, log).Serve(aln)
 	}
 	go reload(ctx, hup, log, operatorFile, book, func(cfg *config.Config, op *operator.File) {
-		source.Move(cfg.Discovery)
-		notices.Move(cfg.Discovery)
+		source.SetAddr(cfg.Discovery)
+		notices.SetAddr(cfg.Discovery)
 		memory.get().Keeper.Set(op.Knowledge)
 		snd.Retune(cfg.Settings)
 		team.retune(op)
@@ -179,11 +179,11 @@
 	defer patience.Stop()
 	select {
 	case <-listed: // the list is at hand, and the journal is replayed
-		server.Ready()
+		server.SetReady()
 		<-stop
 	case <-patience.C:
 		log.Warn().Dur("after", op.Ready.Patience).Msg("ready without a list of endpoints")
-		server.Ready()
+		server.SetReady()
 		<-stop
 	case <-stop:
 	}
@@ -361,14 +361,14 @@
 // warn tells of certificates that end soon.
 func warn(log zerolog.Logger, list []keys.Warning) {
 	for _, w := range list {
-		log.Warn().Str("file", w.File).Str("subject", w.Subject).Time("ends", w.Ends).Msg("a certificate ends soon, or has ended")
+		log.Warn().Str("file", w.File).Str("subject", w.Subject).Time("ends", w.Expires).Msg("a certificate ends soon, or has ended")
 	}
 }
 
 // reload reads the configuration again on each SIGHUP. Discovery may have moved, classes may have come and
 // gone, fewer attempts may be allowed; all else takes effect at the next start. A file that makes no sense
 // (empty, cut off, short of a key, a deadline or attempts not over 0) changes nothing, its discovery neither.
-func reload(ctx context.Context, hup <-chan os.Signal, log zerolog.Logger, operatorFile string, book *partners.Book, use func(cfg *config.Config, op *operator.File)) {
+func reload(ctx context.Context, hup <-chan os.Signal, log zerolog.Logger, operatorFile string, book *partners.Registry, use func(cfg *config.Config, op *operator.File)) {
 	daily := time.NewTicker(24 * time.Hour) // keys too: a certificate ends without anybody's doing
 	defer daily.Stop()
 	for {
@@ -401,13 +401,13 @@
 func shutdown(server *intake.Server, snd *sender.Sender, ln net.Listener) {
 	ctx, cancel := context.WithTimeout(context.Background(), leaveBy)
 	defer cancel()
-	server.Refuse()
+	server.RefuseMessages()
 	snd.Stop()
 	time.AfterFunc(clientsCome, func() { ln.Close() })
 	server.Shutdown(ctx)
 	snd.ClientsGone()
 	<-snd.Done()
-	server.Wait(ctx)
+	server.WaitClosed(ctx)
 }
 
 // clientRoom is how many clients' connections there may be: as descriptors allow, and so
--- a/cmd/sliptide/source.go
+++ b/cmd/sliptide/source.go
@@ -25,8 +25,8 @@
 type listSource interface {
 	// Run follows the source until the context ends.
 	Run(ctx context.Context)
-	// Move goes on at another discovery agent, where there is one.
-	Move(addr string)
+	// SetAddr goes on at another discovery agent, where there is one.
+	SetAddr(addr string)
 }
 
 // openSource makes the source that the operators' file names. listed is told whenever the sender has a list to work with.
@@ -37,12 +37,12 @@
 	asked := false // discovery is: what comes from here on is its word, an empty list too
 	watch := discovery.NewWatch(cfg.Discovery, &cfg.Settings, cfg.Seed, log, func(l discovery.List) {
 		snd.List(l)
-		if !asked && len(l.Entries) == 0 {
+		if !asked && len(l.Endpoints) == 0 {
 			return // a known list without entries would meet the first messages with 503
 		}
 		listed()
 	})
-	if err := watch.Known(cfg.Known); err != nil {
+	if err := watch.Restore(cfg.Known); err != nil {
 		log.Warn().Err(err).Msg("known is of no use, waiting for discovery")
 	}
 	asked = true
@@ -88,5 +88,5 @@
 // Run implements listSource.
 func (s *shardSource) Run(ctx context.Context) { s.subscriber.Run(ctx) }
 
-// Move implements listSource: notices alone go to discovery.
-func (s *shardSource) Move(string) {}
+// SetAddr implements listSource: notices alone go to discovery.
+func (s *shardSource) SetAddr(string) {}
--- a/cmd/sliptide/upgrade.go
+++ b/cmd/sliptide/upgrade.go
@@ -175,5 +175,5 @@
 	<-snd.Done()
 	soon, stop := context.WithTimeout(ctx, handLinger)
 	defer stop()
-	server.Wait(soon)
+	server.WaitClosed(soon)
 }
--- a/internal/cli/partner.go
+++ b/internal/cli/partner.go
@@ -77,7 +77,7 @@
 	for _, w := range warnings {
 		fmt.Fprintln(env.Err, "warning:", w)
 	}
-	if p := book.Of(set.Dest); p != nil {
+	if p := book.Lookup(set.Dest); p != nil {
 		return p, nil
 	}
 	return &outbound.Partner{}, nil
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -339,9 +339,9 @@
 
 // toLoop hands a list of discovery to the loop. It is for the watch's goroutine, which waits while the loop is behind.
 func (c *Control) toLoop(ctx context.Context, token uint64, l discovery.List) {
-	told := &list{token: token, full: l.Full, version: l.Version, endpoints: make([]directory.Endpoint, 0, len(l.Entries))}
-	for i := range l.Entries {
-		told.endpoints = append(told.endpoints, endpointOf(&l.Entries[i]))
+	told := &list{token: token, full: l.Full, version: l.Version, endpoints: make([]directory.Endpoint, 0, len(l.Endpoints))}
+	for i := range l.Endpoints {
+		told.endpoints = append(told.endpoints, endpointOf(&l.Endpoints[i]))
 	}
 	select {
 	case c.inbox <- input{list: told}:
--- a/internal/discovery/bounds_test.go
+++ b/internal/discovery/bounds_test.go
@@ -108,8 +108,8 @@
 		if err := w.once(context.Background()); err != nil {
 			t.Fatalf("chunked %t: %v", chunked, err)
 		}
-		if l := <-lists; !l.Full || len(l.Entries) != endpoints {
-			t.Errorf("chunked %t: %d endpoints, want %d", chunked, len(l.Entries), endpoints)
+		if l := <-lists; !l.Full || len(l.Endpoints) != endpoints {
+			t.Errorf("chunked %t: %d endpoints, want %d", chunked, len(l.Endpoints), endpoints)
 		}
 		w.agent.close()
 	}
@@ -133,7 +133,7 @@
 		close(lists)
 		var sizes []int
 		for l := range lists {
-			sizes = append(sizes, len(l.Entries))
+			sizes = append(sizes, len(l.Endpoints))
 		}
 		if fmt.Sprint(sizes) != "[3 2]" {
 			t.Errorf("chunked %t: lists of %v endpoints were taken, want 3 and 2", chunked, sizes)
@@ -148,8 +148,8 @@
 func TestEndpointsPastTheBoundAreReported(t *testing.T) {
 	var log syncBuffer
 	taken := 0
-	w := NewWatch("127.0.0.1:1", &policy.Settings{}, 1, zerolog.New(&log), func(l List) { taken = len(l.Entries) })
-	if err := w.Known([]byte(listOf(1, MaxEndpoints+2))); err != nil {
+	w := NewWatch("127.0.0.1:1", &policy.Settings{}, 1, zerolog.New(&log), func(l List) { taken = len(l.Endpoints) })
+	if err := w.Restore([]byte(listOf(1, MaxEndpoints+2))); err != nil {
 		t.Fatal(err)
 	}
 	if n := strings.Count(log.String(), "too many endpoints"); taken != MaxEndpoints || n != 1 {
@@ -189,7 +189,7 @@
 		wait.Go(func() {
 			addr, asked := agent(t) // silent from the first ask on
 			w := NewWatch(addr, &policy.Settings{Senders: 300, Subscribe: true, AskWithin: 10000}, seed, zerolog.Nop(), func(List) {})
-			if err := w.Known([]byte(listOf(41, 1))); err != nil {
+			if err := w.Restore([]byte(listOf(41, 1))); err != nil {
 				t.Error(err)
 				return
 			}
--- a/internal/discovery/matching_test.go
+++ b/internal/discovery/matching_test.go
@@ -17,7 +17,7 @@
 func TestRepeatedAnswerTakesNoLaterNotice(t *testing.T) {
 	agent := standin.NewRawPartner(t)
 	told := make(chan []uint64, 10)
-	n := NewNotices(agent.Addr, zerolog.Nop(), func(nums []uint64) { told <- nums })
+	n := NewNoticeQueue(agent.Addr, zerolog.Nop(), func(nums []uint64) { told <- nums })
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	go n.Run(ctx)
--- a/internal/discovery/notices.go
+++ b/internal/discovery/notices.go
@@ -20,14 +20,14 @@
 
 // Notice is the end of a message that was taken on and is not delivered.
 type Notice struct {
-	Num        uint64
-	Trace      string
-	HandedBack bool // else given up
-	RetryMS    int64
+	Num      uint64
+	Trace    string
+	Returned bool // else given up
+	RetryMS  int64
 }
 
-// Notices hands in notices, each until it is taken.
-type Notices struct {
+// NoticeQueue hands in notices, each until it is taken.
+type NoticeQueue struct {
 	agent *client
 	log   zerolog.Logger
 	told  func([]uint64) // takes the numbers of the messages whose notice was taken
@@ -37,16 +37,16 @@
 	wake  chan struct{}
 }
 
-// NewNotices returns a Notices that posts to the agent at addr.
-func NewNotices(addr string, log zerolog.Logger, told func([]uint64)) *Notices {
-	return &Notices{agent: newClient(addr), log: log, told: told, wake: make(chan struct{}, 1)}
+// NewNoticeQueue returns a NoticeQueue that posts to the agent at addr.
+func NewNoticeQueue(addr string, log zerolog.Logger, told func([]uint64)) *NoticeQueue {
+	return &NoticeQueue{agent: newClient(addr), log: log, told: told, wake: make(chan struct{}, 1)}
 }
 
-// Move makes all notices from now on go to the agent at addr.
-func (n *Notices) Move(addr string) { n.agent.move(addr) }
+// SetAddr makes all notices from now on go to the agent at addr.
+func (n *NoticeQueue) SetAddr(addr string) { n.agent.move(addr) }
 
 // Post queues a notice. It does not block.
-func (n *Notices) Post(notice Notice) {
+func (n *NoticeQueue) Post(notice Notice) {
 	n.mu.Lock()
 	n.queue = append(n.queue, notice)
 	n.mu.Unlock()
@@ -57,7 +57,7 @@
 }
 
 // Run hands in what is queued until the context ends.
-func (n *Notices) Run(ctx context.Context) {
+func (n *NoticeQueue) Run(ctx context.Context) {
 	defer n.agent.close()
 	failed := 0
 	for {
@@ -87,14 +87,14 @@
 }
 
 // next is what the next call carries.
-func (n *Notices) next() []Notice {
+func (n *NoticeQueue) next() []Notice {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.queue[:min(len(n.queue), noticeLines)]
 }
 
 // drop takes a batch that was taken off the queue.
-func (n *Notices) drop(batch []Notice) {
+func (n *NoticeQueue) drop(batch []Notice) {
 	nums := make([]uint64, len(batch))
 	for i := range batch {
 		nums[i] = batch[i].Num
@@ -105,7 +105,7 @@
 	n.told(nums)
 }
 
-func (n *Notices) post(ctx context.Context, batch []Notice) error {
+func (n *NoticeQueue) post(ctx context.Context, batch []Notice) error {
 	var body []byte
 	for i := range batch {
 		body = batch[i].append(body)
@@ -127,7 +127,7 @@
 func (n *Notice) append(b []byte) []byte {
 	b = append(b, `{"message":`...)
 	b = strconv.AppendQuote(b, n.Trace) // printable ASCII only: the same as JSON's form
-	if !n.HandedBack {
+	if !n.Returned {
 		return append(b, ",\"outcome\":\"given_up\"}\n"...)
 	}
 	b = append(b, `,"outcome":"handed_back"`...)
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -37,9 +37,9 @@
 	ZoneName, KindName string
 }
 
-// Place sets the endpoint's zone and kind by their names: their places in the settings, or one past the end of what these
+// SetZoneAndKind sets the endpoint's zone and kind by their names: their places in the settings, or one past the end of what these
 // know, which is nothing special.
-func (e *Endpoint) Place(set *policy.Settings, zone, kind string) {
+func (e *Endpoint) SetZoneAndKind(set *policy.Settings, zone, kind string) {
 	e.Zone = position(set.Zones, zone)
 	e.Kind = slices.IndexFunc(set.Kinds, func(k policy.DestKind) bool { return k.Name == kind })
 	if e.Kind < 0 {
@@ -49,9 +49,9 @@
 
 // List is the whole list of endpoints, or changes to it.
 type List struct {
-	Full    bool
-	Version uint64 // that the agent gave it
-	Entries []Endpoint
+	Full      bool
+	Version   uint64 // that the agent gave it
+	Endpoints []Endpoint
 }
 
 // Watch follows the list. Update takes each list, in order.
@@ -90,12 +90,12 @@
 	return w
 }
 
-// Move makes the watch follow the agent at addr, beginning with its whole list: its
+// SetAddr makes the watch follow the agent at addr, beginning with its whole list: its
 // versions need not be the old one's.
-func (w *Watch) Move(addr string) { w.agent.move(addr) }
+func (w *Watch) SetAddr(addr string) { w.agent.move(addr) }
 
-// Known takes the list as it was last had, before Run.
-func (w *Watch) Known(text []byte) error {
+// Restore takes the list as it was last had, before Run.
+func (w *Watch) Restore(text []byte) error {
 	if len(text) == 0 {
 		return nil
 	}
@@ -213,7 +213,7 @@
 	list := List{Full: v.GetBool("full"), Version: v.GetUint64("version")}
 	for _, s := range servers.GetArray() {
 		if e, ok := w.entry(s); ok {
-			list.Entries = append(list.Entries, e)
+			list.Endpoints = append(list.Endpoints, e)
 		}
 	}
 	if w.names && list.Full { // of a whole directory the parser would keep some kilobytes for each endpoint
@@ -225,7 +225,7 @@
 // take makes a list the one in force.
 func (w *Watch) take(list List) {
 	w.version = list.Version
-	if list.Full || len(list.Entries) > 0 {
+	if list.Full || len(list.Endpoints) > 0 {
 		w.Update(list)
 	}
 }
@@ -265,7 +265,7 @@
 		w.ids[name] = id
 	}
 	e.ID = id
-	e.Place(w.Settings, string(s.GetStringBytes("zone")), string(s.GetStringBytes("kind")))
+	e.SetZoneAndKind(w.Settings, string(s.GetStringBytes("zone")), string(s.GetStringBytes("kind")))
 	return e, true
 }
 
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -70,7 +70,7 @@
 
 func follow(t *testing.T, addr string, known string) *Watch {
 	w := NewWatch(addr, &policy.Settings{}, 1, zerolog.Nop(), func(List) {})
-	if err := w.Known([]byte(known)); err != nil {
+	if err := w.Restore([]byte(known)); err != nil {
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
@@ -122,7 +122,7 @@
 	two, askedTwo := agent(t, 200)
 	w := follow(t, one, fmt.Sprintf(oneEndpoint, 41))
 	expect(t, askedOne, "/discovery/hosts?index=41&wait=3000", "/discovery/hosts?index=42&wait=3000")
-	w.Move(two)
+	w.SetAddr(two)
 	expect(t, askedTwo, "/discovery/hosts", "/discovery/hosts?index=42&wait=3000")
 }
 
@@ -185,7 +185,7 @@
 	for seed := range uint64(10) {
 		addr, asked := agent(t, 200)
 		w := NewWatch(addr, &policy.Settings{Senders: 300}, seed, zerolog.Nop(), func(List) {})
-		if err := w.Known([]byte(fmt.Sprintf(oneEndpoint, 41))); err != nil {
+		if err := w.Restore([]byte(fmt.Sprintf(oneEndpoint, 41))); err != nil {
 			t.Fatal(err)
 		}
 		ctx, cancel := context.WithCancel(context.Background())
--- a/internal/intake/api.go
+++ b/internal/intake/api.go
@@ -25,7 +25,7 @@
 		if string(m.Method) != "GET" {
 			return response{status: 405, allow: "GET"}
 		}
-		if !s.Up() {
+		if !s.Available() {
 			return response{status: 503}
 		}
 		if why := s.snd.Refuses(); why != "" {
--- a/internal/intake/crossings_test.go
+++ b/internal/intake/crossings_test.go
@@ -63,7 +63,7 @@
 	r.t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), patient)
 	defer cancel()
-	r.Refuse()
+	r.RefuseMessages()
 	r.snd.Stop()
 	r.ln.Close()
 	r.Shutdown(ctx)
@@ -172,7 +172,7 @@
 	rest.say(text[:40])
 	half.say(text[:40])
 	r.until("both are being read", func() bool { return r.inState(reading) == 2 })
-	r.Refuse()
+	r.RefuseMessages()
 	rest.say(text[40:])
 	r.mu.Lock()
 	for c := range r.conns { // of the two, who has not come whole: as if it had been coming for long
@@ -214,7 +214,7 @@
 	r := newRig(t, 100, &hooks{})
 	g, mute := r.visit(), r.visit()
 	r.until("both are there", func() bool { return r.inState(silent) == 2 })
-	r.Refuse()
+	r.RefuseMessages()
 	r.quiet()
 	r.mu.Lock()
 	for c := range r.conns {
@@ -244,7 +244,7 @@
 	g := r.visit()
 	g.say(request("m"))
 	<-inside // accepted by the system, and not yet among the server's
-	r.Refuse()
+	r.RefuseMessages()
 	r.ln.Close()
 	ctx, cancel := context.WithTimeout(context.Background(), patient)
 	defer cancel()
@@ -273,7 +273,7 @@
 	begun := time.Now()
 	ctx, cancel := context.WithTimeout(context.Background(), patient)
 	defer cancel()
-	r.Wait(ctx)
+	r.WaitClosed(ctx)
 	if took := time.Since(begun); took > 2*lingerFor {
 		t.Errorf("a client that does not close holds the server up for %v", took)
 	}
--- a/internal/intake/intake.go
+++ b/internal/intake/intake.go
@@ -95,11 +95,11 @@
 	return &Server{set: set, snd: snd, log: log, room: make(chan struct{}, room), conns: map[*client]bool{}, now: time.Now}
 }
 
-// Ready makes /up answer 200.
-func (s *Server) Ready() { s.ready.Store(true) }
+// SetReady makes /up answer 200.
+func (s *Server) SetReady() { s.ready.Store(true) }
 
-// Up reports whether this process takes clients: it is ready, and neither stops nor sends them away.
-func (s *Server) Up() bool { return s.ready.Load() && !s.stop.Load() && s.away.Load()%2 == 0 }
+// Available reports whether this process takes clients: it is ready, and neither stops nor sends them away.
+func (s *Server) Available() bool { return s.ready.Load() && !s.stop.Load() && s.away.Load()%2 == 0 }
 
 // Drain sends clients away, as an operator asks: /up answers 503, so that the front sends no more, each
 // answer closes its connection, and connections without a request are closed. What comes meanwhile is
@@ -276,8 +276,8 @@
 	c.nc.SetReadDeadline(deadline)
 }
 
-// Refuse makes the server answer 503 to all that is handed in from now on.
-func (s *Server) Refuse() { s.stop.Store(true) }
+// RefuseMessages makes the server answer 503 to all that is handed in from now on.
+func (s *Server) RefuseMessages() { s.stop.Store(true) }
 
 // Shutdown closes the connections on which nothing is under way, and returns when nothing more can be handed in: no
 // listener is accepted from, and what had been read is answered. A connection is closed by a half-close first; what
@@ -309,8 +309,8 @@
 	return quiet
 }
 
-// Wait returns when every connection is closed, by its client or because it has lingered long enough.
-func (s *Server) Wait(ctx context.Context) {
+// WaitClosed returns when every connection is closed, by its client or because it has lingered long enough.
+func (s *Server) WaitClosed(ctx context.Context) {
 	poll(ctx, func() bool {
 		s.mu.Lock()
 		defer s.mu.Unlock()
--- a/internal/intake/rig_test.go
+++ b/internal/intake/rig_test.go
@@ -115,10 +115,10 @@
 	r.snd = sender.New(sender.Options{Settings: set, Seed: 1, Sockets: 10, Journal: jr, Restored: restored, Clock: sender.NewClock(),
 		Log: zerolog.Nop(), Notices: func(discovery.Notice) {}})
 	go r.snd.Run()
-	r.snd.List(discovery.List{Full: true, Entries: []discovery.Endpoint{{
+	r.snd.List(discovery.List{Full: true, Endpoints: []discovery.Endpoint{{
 		Endpoint: policy.Endpoint{ID: 1, Dest: 3, State: policy.Ready}, Name: "e", Addr: silent.Addr().String()}}})
 	r.Server = New(&set, r.snd, room, zerolog.Nop())
-	r.Ready()
+	r.SetReady()
 	if r.ln, err = net.Listen("tcp", "127.0.0.1:0"); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/keys/keys.go
+++ b/internal/keys/keys.go
@@ -13,8 +13,8 @@
 	"time"
 )
 
-// WarnBefore is how long before its end a certificate is warned of.
-const WarnBefore = 14 * 24 * time.Hour
+// ExpiryWarningPeriod is how long before its end a certificate is warned of.
+const ExpiryWarningPeriod = 14 * 24 * time.Hour
 
 // Files are where keys lie. An empty name: none.
 type Files struct {
@@ -26,12 +26,12 @@
 type Warning struct {
 	File    string
 	Subject string
-	Ends    time.Time
+	Expires time.Time
 }
 
 // String is the warning in one line.
 func (w Warning) String() string {
-	return fmt.Sprintf("%s: certificate of %q ends on %s", w.File, w.Subject, w.Ends.UTC().Format(time.DateOnly))
+	return fmt.Sprintf("%s: certificate of %q ends on %s", w.File, w.Subject, w.Expires.UTC().Format(time.DateOnly))
 }
 
 // Load reads the files and checks them at that time. Nothing is used of files of which one is wrong.
@@ -106,7 +106,7 @@
 
 func ending(file string, certs []*x509.Certificate, now time.Time) (list []Warning) {
 	for _, c := range certs {
-		if c != nil && now.Add(WarnBefore).After(c.NotAfter) {
+		if c != nil && now.Add(ExpiryWarningPeriod).After(c.NotAfter) {
 			list = append(list, Warning{file, c.Subject.CommonName, c.NotAfter})
 		}
 	}
--- a/internal/lab/capacity/measure_sender.go
+++ b/internal/lab/capacity/measure_sender.go
@@ -250,13 +250,13 @@
 			module := policy.New(set, 1)
 			watch := discovery.NewWatch("127.0.0.1:9", &set, 1, zerolog.Nop(), func(l discovery.List) {
 				event := policy.Event{Kind: policy.EvList, FullList: l.Full}
-				for _, x := range l.Entries {
+				for _, x := range l.Endpoints {
 					event.List = append(event.List, x.Endpoint)
 				}
 				module.Step(1000, []policy.Event{event}, nil)
 			})
 			var err error
-			return threadTime(func() { err = watch.Known(text) }), err
+			return threadTime(func() { err = watch.Restore(text) }), err
 		},
 	}, {
 		Name: "member-file", Role: roleList, What: "processor time to read an operators' file that lists the members", Unit: "ms", Per: "sender",
--- a/internal/partners/partners.go
+++ b/internal/partners/partners.go
@@ -14,11 +14,11 @@
 	"sliptide/internal/outbound"
 )
 
-// Streams is how many calls the decision module takes a connection to an HTTP/2 partner to carry.
-const Streams = 100
+// StreamsPerConn is how many calls the decision module takes a connection to an HTTP/2 partner to carry.
+const StreamsPerConn = 100
 
-// Book is the partners of one operators' file. It is safe for concurrent use.
-type Book struct {
+// Registry is the partners of one operators' file. It is safe for concurrent use.
+type Registry struct {
 	now  func() time.Time
 	mu   sync.Mutex // over Load
 	list atomic.Pointer[map[int]*entry]
@@ -30,16 +30,16 @@
 	tls atomic.Pointer[tls.Config]
 }
 
-// New returns an empty Book. now is the time that certificates are judged by.
-func New(now func() time.Time) *Book {
-	b := &Book{now: now}
+// New returns an empty Registry. now is the time that certificates are judged by.
+func New(now func() time.Time) *Registry {
+	b := &Registry{now: now}
 	b.list.Store(&map[int]*entry{})
 	return b
 }
 
 // Load takes the partners of an operators' file; keys are read again. An error changes nothing. A partner
 // that is set as before keeps its connections, with the new keys for the next ones.
-func (b *Book) Load(list []operator.Partner) ([]keys.Warning, error) {
+func (b *Registry) Load(list []operator.Partner) ([]keys.Warning, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	old := *b.list.Load()
@@ -83,8 +83,8 @@
 	return e
 }
 
-// Of is how a destination is reached; nil: by plain HTTP/1.1.
-func (b *Book) Of(dest int) *outbound.Partner {
+// Lookup returns how a destination is reached; nil: by plain HTTP/1.1.
+func (b *Registry) Lookup(dest int) *outbound.Partner {
 	if e := (*b.list.Load())[dest]; e != nil {
 		return e.out
 	}
--- a/internal/sender/cutshort_test.go
+++ b/internal/sender/cutshort_test.go
@@ -37,7 +37,7 @@
 		Classes: []policy.Class{{Name: "safe", Aim: 2000, Deadline: 20000, Worth: 1, LateWorth: 0.5, Effect: policy.Safe}},
 	}, Seed: 1, Sockets: 10, Journal: j, Clock: NewClock(), Log: zerolog.Nop(), Notices: func(n discovery.Notice) { notices <- n }})
 	s.pool.PaceDials(3, 2)
-	s.takeList(&discovery.List{Full: true, Entries: []discovery.Endpoint{{Endpoint: policy.Endpoint{ID: 1, Dest: 3, State: policy.Ready}, Name: "e", Addr: srv.Listener.Addr().String()}}})
+	s.takeList(&discovery.List{Full: true, Endpoints: []discovery.Endpoint{{Endpoint: policy.Endpoint{ID: 1, Dest: 3, State: policy.Ready}, Name: "e", Addr: srv.Listener.Addr().String()}}})
 	step := func() { s.tick(); s.step() }
 	take := func(trace string, left time.Duration) {
 		s.takeOrder(&order{msg: &Message{Trace: []byte(trace), Dest: 3, Left: left, Body: []byte(trace)}, received: time.Now(), verdict: make(chan Verdict, 1)})
--- a/internal/sender/holds.go
+++ b/internal/sender/holds.go
@@ -114,6 +114,6 @@
 // relist tells the module of an endpoint anew.
 func (s *Sender) relist(name string) {
 	if e, listed := s.addrs[s.names[name]]; listed && e.Name == name {
-		s.takeList(&discovery.List{Entries: []discovery.Endpoint{e}})
+		s.takeList(&discovery.List{Endpoints: []discovery.Endpoint{e}})
 	}
 }
--- a/internal/sender/lists.go
+++ b/internal/sender/lists.go
@@ -41,7 +41,7 @@
 	s.holdByHand(o.id, o.out)
 	s.log.Info().Str("endpoint", o.id).Bool("out", o.out).Msg("endpoint taken out by hand, or put back")
 	if e, listed := s.addrs[id]; named && listed {
-		s.takeList(&discovery.List{Entries: []discovery.Endpoint{e}})
+		s.takeList(&discovery.List{Endpoints: []discovery.Endpoint{e}})
 	}
 	return nil
 }
@@ -62,8 +62,8 @@
 	}
 	s.recall(l)
 	ev := policy.Event{Kind: policy.EvList, FullList: l.Full}
-	listed := make(map[uint32]bool, len(l.Entries))
-	for _, e := range l.Entries {
+	listed := make(map[uint32]bool, len(l.Endpoints))
+	for _, e := range l.Endpoints {
 		s.names[e.Name] = e.ID
 		if e.State != policy.Gone {
 			s.addrs[e.ID] = e
--- a/internal/sender/memory.go
+++ b/internal/sender/memory.go
@@ -61,7 +61,7 @@
 	}
 	ratings := map[int]float64{}
 	ids := map[string]uint32{}
-	for _, e := range l.Entries {
+	for _, e := range l.Endpoints {
 		if _, known := s.addrs[e.ID]; known || e.State == policy.Gone {
 			continue
 		}
--- a/internal/sender/outcomes.go
+++ b/internal/sender/outcomes.go
@@ -142,5 +142,5 @@
 }
 
 func (s *Sender) notify(e *journal.Entry) {
-	s.notices(discovery.Notice{Num: e.Num, Trace: e.Trace, HandedBack: e.Ending == journal.HandedBack, RetryMS: e.RetryMS})
+	s.notices(discovery.Notice{Num: e.Num, Trace: e.Trace, Returned: e.Ending == journal.HandedBack, RetryMS: e.RetryMS})
 }
--- a/internal/sender/restored_test.go
+++ b/internal/sender/restored_test.go
@@ -75,7 +75,7 @@
 	if len(next.calls) > 0 {
 		t.Error("a message that may have run was sent again")
 	}
-	if n := <-next.notices; n.Trace != "m" || n.HandedBack {
+	if n := <-next.notices; n.Trace != "m" || n.Returned {
 		t.Errorf("notice %+v, want that it was given up", n)
 	}
 	for _, name := range []string{"", "safe"} {
--- a/internal/sender/rig_test.go
+++ b/internal/sender/rig_test.go
@@ -57,7 +57,7 @@
 
 // list lists the endpoint of destination 3.
 func (b *bench) list(addr string) {
-	b.takeList(&discovery.List{Full: true, Entries: []discovery.Endpoint{{Endpoint: policy.Endpoint{ID: 1, Dest: 3, State: policy.Ready}, Name: "e", Addr: addr}}})
+	b.takeList(&discovery.List{Full: true, Endpoints: []discovery.Endpoint{{Endpoint: policy.Endpoint{ID: 1, Dest: 3, State: policy.Ready}, Name: "e", Addr: addr}}})
 }
 
 // next makes one step at the present time.
--- a/internal/sender/shards.go
+++ b/internal/sender/shards.go
@@ -72,7 +72,7 @@
 		sh.leaving[id] = true
 	}
 	if len(u.Entries) > 0 {
-		s.takeList(&discovery.List{Entries: u.Entries})
+		s.takeList(&discovery.List{Endpoints: u.Entries})
 	}
 	s.leaveShards(true)
 }
@@ -141,7 +141,7 @@
 		}
 	}
 	if len(gone) > 0 {
-		s.takeList(&discovery.List{Entries: gone})
+		s.takeList(&discovery.List{Endpoints: gone})
 	}
 	for _, e := range gone {
 		s.pool.HangUp(e.ID)
--- a/internal/sender/upgrade.go
+++ b/internal/sender/upgrade.go
@@ -60,7 +60,7 @@
 // holdList keeps a list for the module until the heir takes over. Its destinations are served from now
 // on, and its endpoints count as named for calls by hand.
 func (s *Sender) holdList(l *discovery.List) {
-	for _, e := range l.Entries {
+	for _, e := range l.Endpoints {
 		s.names[e.Name] = e.ID
 		if e.State != 0 && len(s.dests) < MaxDestinations {
 			s.dests[e.Dest] = true
--- a/internal/sharding/view.go
+++ b/internal/sharding/view.go
@@ -114,7 +114,7 @@
 	if e.State == pb.EndpointState_DRAINING {
 		x.State = policy.Draining
 	}
-	x.Place(v.set, e.Zone, e.Kind)
+	x.SetZoneAndKind(v.set, e.Zone, e.Kind)
 	if v.shards[id] == nil {
 		v.shards[id] = map[string]discovery.Endpoint{}
 	}
