--- a/internal/discovery/bounds_test.go
+++ b/internal/discovery/bounds_test.go
@@ -108,8 +108,8 @@
 		if err := w.once(context.Background()); err != nil {
 			t.Fatalf("chunked %t: %v", chunked, err)
 		}
-		if l := <-lists; !l.Full || len(l.Entries) != endpoints {
-			t.Errorf("chunked %t: %d endpoints, want %d", chunked, len(l.Entries), endpoints)
+		if l := <-lists; !l.Full || len(l.Endpoints) != endpoints {
+			t.Errorf("chunked %t: %d endpoints, want %d", chunked, len(l.Endpoints), endpoints)
 		}
 		w.agent.close()
 	}
@@ -133,7 +133,7 @@
 		close(lists)
 		var sizes []int
 		for l := range lists {
-			sizes = append(sizes, len(l.Entries))
+			sizes = append(sizes, len(l.Endpoints))
 		}
 		if fmt.Sprint(sizes) != "[3 2]" {
 			t.Errorf("chunked %t: lists of %v endpoints were taken, want 3 and 2", chunked, sizes)
@@ -148,8 +148,8 @@
 func TestEndpointsPastTheBoundAreReported(t *testing.T) {
 	var log syncBuffer
 	taken := 0
-	w := NewWatch("127.0.0.1:1", &policy.Settings{}, 1, zerolog.New(&log), func(l List) { taken = len(l.Entries) })
-	if err := w.Known([]byte(listOf(1, MaxEndpoints+2))); err != nil {
+	w := NewWatch("127.0.0.1:1", &policy.Settings{}, 1, zerolog.New(&log), func(l List) { taken = len(l.Endpoints) })
+	if err := w.Restore([]byte(listOf(1, MaxEndpoints+2))); err != nil {
 		t.Fatal(err)
 	}
 	if n := strings.Count(log.String(), "too many endpoints"); taken != MaxEndpoints || n != 1 {
@@ -165,7 +165,7 @@
 	for _, senders := range []int{1, 3, 30, 43, 44, 80, 300, 10000} {
 		for _, spent := range []time.Duration{0, listTimeout, dialTimeout + listTimeout, watchFor + watchGrace} {
 			for _, answered := range []bool{false, true} {
-				p := newPace(&policy.Settings{Senders: senders, Subscribe: true, AskWithin: 10000}, 1)
+				p := newPace(&policy.Settings{Senders: senders, Subscribe: true, MaxSubscribeInterval: 10000}, 1)
 				worst := time.Duration(0)
 				for failures := 1; failures <= 20; failures++ {
 					for range 200 {
@@ -188,8 +188,8 @@
 	for seed := range uint64(watchers) {
 		wait.Go(func() {
 			addr, asked := agent(t) // silent from the first ask on
-			w := NewWatch(addr, &policy.Settings{Senders: 300, Subscribe: true, AskWithin: 10000}, seed, zerolog.Nop(), func(List) {})
-			if err := w.Known([]byte(listOf(41, 1))); err != nil {
+			w := NewWatch(addr, &policy.Settings{Senders: 300, Subscribe: true, MaxSubscribeInterval: 10000}, seed, zerolog.Nop(), func(List) {})
+			if err := w.Restore([]byte(listOf(41, 1))); err != nil {
 				t.Error(err)
 				return
 			}
--- a/internal/intake/rig_test.go
+++ b/internal/intake/rig_test.go
@@ -95,8 +95,8 @@
 }
 
 var rigSettings = policy.Settings{
-	Senders: 1, CallSlots: 10, MaxAttempts: 6, MaxHeld: 1000, KeepAlive: 10000, DialTimeout: 1500, Cold: 10000, ColdFrom: 0.25,
-	TipMultiple: 1.5, TipAfter: 3000, TellsRetry: true, MaxRetryAfter: 2000, X0: -1, X1: -1, Round: 1, Kinds: []policy.DestKind{{Batch: 1}},
+	Senders: 1, CallSlots: 10, MaxAttempts: 6, MaxHeld: 1000, KeepAlive: 10000, DialTimeout: 1500, WarmUpDuration: 10000, ColdCapacity: 0.25,
+	OverloadMultiple: 1.5, OverloadWindow: 3000, SendsRetryAfter: true, MaxRetryAfter: 2000, AllowanceIndex: -1, LimitIndex: -1, MinStepInterval: 1, Kinds: []policy.DestKind{{Batch: 1}},
 	Classes: []policy.Class{{Name: "safe", Aim: 15000, Deadline: 20000, Worth: 1, LateWorth: 0.5, Effect: policy.Safe}},
 }
 
@@ -112,13 +112,13 @@
 		t.Fatal(err)
 	}
 	set := rigSettings
-	r.snd = sender.New(sender.Options{Settings: set, Seed: 1, Sockets: 10, Journal: jr, Restored: restored, Clock: sender.NewClock(),
-		Log: zerolog.Nop(), Notices: func(discovery.Notice) {}})
+	r.snd = sender.New(sender.Options{Settings: set, Seed: 1, MaxConns: 10, Journal: jr, Restored: restored, Clock: sender.NewClock(),
+		Log: zerolog.Nop(), Notify: func(discovery.Notice) {}})
 	go r.snd.Run()
-	r.snd.List(discovery.List{Full: true, Entries: []discovery.Endpoint{{
+	r.snd.UpdateEndpoints(discovery.List{Full: true, Endpoints: []discovery.Endpoint{{
 		Endpoint: policy.Endpoint{ID: 1, Dest: 3, State: policy.Ready}, Name: "e", Addr: silent.Addr().String()}}})
 	r.Server = New(&set, r.snd, room, zerolog.Nop())
-	r.Ready()
+	r.SetReady()
 	if r.ln, err = net.Listen("tcp", "127.0.0.1:0"); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/journal/journal.go
+++ b/internal/journal/journal.go
@@ -146,7 +146,7 @@
 	err = j.compact()
 	switch {
 	case err == nil:
-	case !transient.Disk(err):
+	case !transient.IsDiskError(err):
 		return nil, nil, fmt.Errorf("journal: %w", err)
 	case successorData == nil && j.file == nil:
 		j.reopen()
@@ -172,7 +172,7 @@
 
 // readWithRetry returns a file's contents, nil if the file does not exist.
 func readWithRetry(files fsys.FS, name string) (data []byte, err error) {
-	err = transient.Retry(readRetryTimeout, transient.Disk, func() error {
+	err = transient.Retry(readRetryTimeout, transient.IsDiskError, func() error {
 		data, err = files.Read(name)
 		return err
 	})
@@ -202,7 +202,7 @@
 		files: files, name: successorName, account: account, live: map[uint64]*Entry{},
 		nextNumber: current.nextNumber + successorNumberGap,
 	}
-	if err := j.compact(); err != nil && !transient.Disk(err) {
+	if err := j.compact(); err != nil && !transient.IsDiskError(err) {
 		return nil, fmt.Errorf("journal: %w", err)
 	}
 	j.claimSpace(0, 0)
@@ -228,7 +228,7 @@
 	}
 	j.name, j.superseded = fileName, []string{successorName}
 	if err := j.compact(); err != nil { // replaces the predecessor's file atomically
-		if !transient.Disk(err) {
+		if !transient.IsDiskError(err) {
 			return nil, fmt.Errorf("journal: %w", err)
 		}
 		j.closeFile()
--- a/internal/sender/calls.go
+++ b/internal/sender/calls.go
@@ -27,10 +27,10 @@
 	}
 	s.observeBegan(m, c, item.Attempt)
 	c.Items = append(c.Items, item)
-	c.Fresh = c.Fresh || m.MayHaveRunAt != 0
+	c.NewConn = c.NewConn || m.MayHaveRunAt != 0
 	c.Timeout = max(c.Timeout, millis(a.After))
-	if until, bound := s.repeatUntil(m); bound && (c.Until.IsZero() || until.Before(c.Until)) {
-		c.Until = until
+	if until, bound := s.repeatUntil(m); bound && (c.WriteBy.IsZero() || until.Before(c.WriteBy)) {
+		c.WriteBy = until
 	}
 }
 
@@ -45,7 +45,7 @@
 	if m.MayHaveRunAt == 0 || c.Effect != policy.Keyed {
 		return time.Time{}, false
 	}
-	left := float64(m.MayHaveRunAt) + c.MemorySpan*repeatShare - s.now
+	left := float64(m.MayHaveRunAt) + c.DedupWindow*repeatShare - s.now
 	return time.Now().Add(millis(left)), true
 }
 
--- a/internal/sender/lists.go
+++ b/internal/sender/lists.go
@@ -9,14 +9,14 @@
 // This file takes news of endpoints: by the list, and by hand.
 
 // List takes news of the list of endpoints.
-func (s *Sender) List(l discovery.List) { s.post(input{list: &l}) }
+func (s *Sender) UpdateEndpoints(l discovery.List) { s.post(input{list: &l}) }
 
 // TakeOut takes an endpoint out by hand (out) or puts it back. It returns once the module holds to it:
 // nothing new goes there from then on. An endpoint that no list has named is operate.ErrNeverListed.
-func (s *Sender) TakeOut(id string, out bool) error { return s.takeOutOrder(id, out, false) }
+func (s *Sender) SetDisabled(id string, out bool) error { return s.takeOutOrder(id, out, false) }
 
 // Follow takes an endpoint out or puts it back as another process of this sender did: named or not.
-func (s *Sender) Follow(id string, out bool) error { return s.takeOutOrder(id, out, true) }
+func (s *Sender) ApplyDisabled(id string, out bool) error { return s.takeOutOrder(id, out, true) }
 
 func (s *Sender) takeOutOrder(id string, out, known bool) error {
 	o := &outOrder{id: id, out: out, known: known, done: make(chan error, 1)}
@@ -41,7 +41,7 @@
 	s.holdByHand(o.id, o.out)
 	s.log.Info().Str("endpoint", o.id).Bool("out", o.out).Msg("endpoint taken out by hand, or put back")
 	if e, listed := s.addrs[id]; named && listed {
-		s.takeList(&discovery.List{Entries: []discovery.Endpoint{e}})
+		s.takeList(&discovery.List{Endpoints: []discovery.Endpoint{e}})
 	}
 	return nil
 }
@@ -62,8 +62,8 @@
 	}
 	s.recall(l)
 	ev := policy.Event{Kind: policy.EvList, FullList: l.Full}
-	listed := make(map[uint32]bool, len(l.Entries))
-	for _, e := range l.Entries {
+	listed := make(map[uint32]bool, len(l.Endpoints))
+	for _, e := range l.Endpoints {
 		s.names[e.Name] = e.ID
 		if e.State != policy.Gone {
 			s.addrs[e.ID] = e
--- a/internal/sender/memory.go
+++ b/internal/sender/memory.go
@@ -19,16 +19,16 @@
 )
 
 // Memory is what a Sender works with to know over restarts. The zero Memory keeps nothing.
-type Memory struct {
-	Keeper *keeper.Keeper // takes what is learned; nil: nothing is kept
-	Book   *knowledge.Book
-	Set    operator.Knowledge
+type Knowledge struct {
+	Writer   *keeper.Keeper // takes what is learned; nil: nothing is kept
+	Facts    *knowledge.Book
+	Settings operator.Knowledge
 }
 
 // memory carries facts between the module, which knows endpoints by number, and the books, which know
 // them by name.
 type memory struct {
-	Memory
+	Knowledge
 	usual   float64         // latency of a call, of an earlier life
 	heard   map[uint32]bool // endpoints that calls of this life have told of
 	touched map[int]bool    // destinations with news since they were told
@@ -36,45 +36,45 @@
 	roundAt float64         // when the next round is due
 }
 
-func (s *Sender) remember(m Memory) {
-	if m.Keeper == nil {
+func (s *Sender) remember(m Knowledge) {
+	if m.Writer == nil {
 		return
 	}
-	s.memory = memory{Memory: m, heard: map[uint32]bool{}, touched: map[int]bool{}}
-	g := m.Book.RecallGeneral(s.now, m.Set.HalfLives, &s.set)
-	for _, u := range g.Usual {
+	s.memory = memory{Knowledge: m, heard: map[uint32]bool{}, touched: map[int]bool{}}
+	g := m.Facts.RecallGeneral(s.now, m.Settings.HalfLives, &s.set)
+	for _, u := range g.ClassLatency {
 		s.memory.usual = cmp.Or(s.memory.usual, u.Mean)
 	}
-	s.mod.RecallGeneral(g)
+	s.mod.RestoreGeneral(g)
 }
 
 // recall gives the module what an earlier life knew of the endpoints that a list names for the first
 // time, ahead of that list: a told wait binds from this very step on.
 func (s *Sender) recall(l *discovery.List) {
 	m := &s.memory
-	if m.Book == nil {
+	if m.Facts == nil {
 		return
 	}
 	if s.now-s.clock.startMS > recallFor {
-		m.Book = nil // its destinations are not listed any more
+		m.Facts = nil // its destinations are not listed any more
 		return
 	}
 	ratings := map[int]float64{}
 	ids := map[string]uint32{}
-	for _, e := range l.Entries {
+	for _, e := range l.Endpoints {
 		if _, known := s.addrs[e.ID]; known || e.State == policy.Gone {
 			continue
 		}
 		ids[e.Name] = e.ID
 		rating := 0.0
-		if s.set.Rated {
+		if s.set.RatingIsRate {
 			rating = e.Rating
 		}
 		ratings[e.Dest] = max(ratings[e.Dest], rating)
 	}
 	var facts []policy.DestFacts
 	for dest, rating := range ratings {
-		if d, ok := m.Book.Recall(dest, s.now, m.Set.HalfLives, knowledge.Prior{Rating: rating, Usual: m.usual}); ok {
+		if d, ok := m.Facts.Recall(dest, s.now, m.Settings.HalfLives, knowledge.Prior{Rating: rating, Usual: m.usual}); ok {
 			facts = append(facts, numbered(d, ids))
 		}
 	}
@@ -87,7 +87,7 @@
 
 // numbered is d as the module takes it, with the endpoints that ids names.
 func numbered(d *knowledge.Destination, ids map[string]uint32) policy.DestFacts {
-	f := policy.DestFacts{Dest: d.Dest, Shared: d.Shared, Latency: d.Latency, Control: d.Control}
+	f := policy.DestFacts{Dest: d.Dest, SharedRoute: d.Shared, Latency: d.Latency, Admission: d.Control}
 	for _, e := range d.Endpoints {
 		if id, ok := ids[e.Name]; ok {
 			e.EndpointFacts.ID = id
@@ -106,8 +106,8 @@
 	// Its end is rounded up: the partner counts from when its answer was written.
 	until := int64(s.now+wait) + 1
 	s.journal.SetHold(journal.Hold{Kind: journal.HoldWait, Dest: r.Dest, Endpoint: r.Endpoint, Until: until}, int64(s.now))
-	if s.memory.Keeper != nil {
-		s.memory.Keeper.Wait(knowledge.Wait{Route: r, Told: int64(s.now), Until: until})
+	if s.memory.Writer != nil {
+		s.memory.Writer.Wait(knowledge.Wait{Route: r, Told: int64(s.now), Until: until})
 	}
 }
 
@@ -119,7 +119,7 @@
 
 // noteCall notes that a call's end has told something of its endpoint.
 func (s *Sender) noteCall(c *outbound.Call) {
-	if s.memory.Keeper != nil {
+	if s.memory.Writer != nil {
 		s.memory.heard[c.Endpoint] = true
 		s.memory.touched[c.Dest] = true
 	}
@@ -129,12 +129,12 @@
 // told of is left as the earlier life wrote it, or its age would be lost.
 func (s *Sender) tell(all bool) {
 	m := &s.memory
-	if m.Keeper == nil || len(m.round) == 0 && (len(m.touched) == 0 || !all && s.now < m.roundAt) {
+	if m.Writer == nil || len(m.round) == 0 && (len(m.touched) == 0 || !all && s.now < m.roundAt) {
 		return
 	}
 	var general *knowledge.Book
 	if len(m.round) == 0 {
-		m.roundAt = s.now + float64(m.Set.WriteEvery.Milliseconds())
+		m.roundAt = s.now + float64(m.Settings.WriteEvery.Milliseconds())
 		general = s.general()
 	}
 	if len(m.round) == 0 || all {
@@ -156,7 +156,7 @@
 	if m.round = m.round[n:]; len(m.round) == 0 {
 		m.round = nil
 	}
-	m.Keeper.Learn(list, general)
+	m.Writer.Learn(list, general)
 }
 
 // tellAt is when facts are due to be told; false if there are none.
@@ -170,7 +170,7 @@
 
 // named is f as the books take it.
 func (s *Sender) named(f policy.DestFacts) *knowledge.Destination {
-	d := &knowledge.Destination{Dest: f.Dest, At: s.now, Shared: f.Shared, Latency: f.Latency, Control: f.Control}
+	d := &knowledge.Destination{Dest: f.Dest, At: s.now, Shared: f.SharedRoute, Latency: f.Latency, Control: f.Admission}
 	for _, e := range f.Endpoints {
 		if name := s.addrs[e.ID].Name; name != "" && s.memory.heard[e.ID] {
 			d.Endpoints = append(d.Endpoints, knowledge.Endpoint{Name: name, At: s.now, EndpointFacts: e})
@@ -183,16 +183,16 @@
 // general is what belongs to no one destination, by the names of classes and kinds.
 func (s *Sender) general() *knowledge.Book {
 	g, b := s.mod.GeneralFacts(), knowledge.New("")
-	for i, u := range g.Usual {
+	for i, u := range g.ClassLatency {
 		if u.N > 0 {
 			b.Usual[s.set.Classes[i].Name] = knowledge.Usual{At: s.now, LatencyFacts: u}
 		}
 	}
 	for i, d := range g.Dials {
-		if i < len(s.set.Kinds) && (d.Failed > 0 || d.ShortUntil > 0) {
+		if i < len(s.set.Kinds) && (d.FailureShare > 0 || d.ScarceUntil > 0) {
 			b.Dials[s.set.Kinds[i].Name] = knowledge.Dials{At: s.now, DialFacts: d}
 		}
 	}
-	b.Staleness = knowledge.Staleness{At: s.now, Share: g.Stale, Gap: g.StaleGap}
+	b.Staleness = knowledge.Staleness{At: s.now, Share: g.StaleShare, Gap: g.MinStaleIdle}
 	return b
 }
--- a/internal/sender/outcomes.go
+++ b/internal/sender/outcomes.go
@@ -15,7 +15,7 @@
 // takeOutcome books the end of a call.
 func (s *Sender) takeOutcome(c *outbound.Call, events []policy.Event) {
 	delete(s.calls, c)
-	if c.Given() { // see leaderEnds
+	if c.Abandoned() { // see leaderEnds
 		for i := range events {
 			if events[i].Outcome == policy.OK {
 				events[i].Outcome = policy.Timeout
@@ -25,9 +25,9 @@
 	s.events = append(s.events, events...)
 	for i := range events {
 		e := &events[i]
-		if e.Wait > 0 {
+		if e.RequestedWait > 0 {
 			s.hold(c)
-			s.noteWait(c, e.Wait)
+			s.noteWait(c, e.RequestedWait)
 		}
 		if e.Outcome != policy.Moot { // one that was not sent tells nothing
 			s.noteCall(c)
@@ -40,7 +40,7 @@
 		}
 		m.call = nil
 		s.observeEnded(c, e)
-		if e.Outcome == policy.OK || e.Closed {
+		if e.Outcome == policy.OK || e.Final {
 			end := telemetry.Delivered
 			if e.Outcome != policy.OK {
 				end = telemetry.Closed
@@ -69,7 +69,7 @@
 	if c == nil || !c.Drop() {
 		return false
 	}
-	s.takeOutcome(c, c.Dropped())
+	s.takeOutcome(c, c.DroppedEvents())
 	return true
 }
 
@@ -123,7 +123,7 @@
 // lead makes this rare.
 func (s *Sender) leaderEnds(c *outbound.Call, m *message) {
 	if c != nil && len(c.Items) > 1 && c.Items[0].ID == m.Num {
-		c.GiveUp()
+		c.Abandon()
 	}
 }
 
@@ -142,5 +142,5 @@
 }
 
 func (s *Sender) notify(e *journal.Entry) {
-	s.notices(discovery.Notice{Num: e.Num, Trace: e.Trace, HandedBack: e.Ending == journal.EndingReturned, RetryMS: e.RetryMS})
+	s.notices(discovery.Notice{Num: e.Num, Trace: e.Trace, Returned: e.Ending == journal.EndingReturned, RetryMS: e.RetryMS})
 }
--- a/internal/sender/rig_test.go
+++ b/internal/sender/rig_test.go
@@ -25,14 +25,14 @@
 // classes of each effect, in this order.
 var benchClasses = []policy.Class{
 	{Name: "safe", Aim: 2000, Deadline: 20000, Worth: 1, LateWorth: 0.5, Effect: policy.Safe},
-	{Name: "keyed", Aim: 2000, Deadline: 20000, Worth: 1, LateWorth: 0.5, Effect: policy.Keyed, MemorySpan: 2000},
+	{Name: "keyed", Aim: 2000, Deadline: 20000, Worth: 1, LateWorth: 0.5, Effect: policy.Keyed, DedupWindow: 2000},
 	{Name: "unsafe", Aim: 2000, Deadline: 20000, Worth: 1, LateWorth: 0.5, Effect: policy.Unsafe},
 }
 
 func benchSettings() policy.Settings {
 	return policy.Settings{
-		Senders: 1, CallSlots: 10, MaxAttempts: 6, MaxHeld: 100, KeepAlive: 10000, DialTimeout: 1500, Cold: 10000, ColdFrom: 0.25,
-		TipMultiple: 1.5, TipAfter: 3000, TellsRetry: true, MaxRetryAfter: 2000, X0: -1, X1: -1, Round: 1,
+		Senders: 1, CallSlots: 10, MaxAttempts: 6, MaxHeld: 100, KeepAlive: 10000, DialTimeout: 1500, WarmUpDuration: 10000, ColdCapacity: 0.25,
+		OverloadMultiple: 1.5, OverloadWindow: 3000, SendsRetryAfter: true, MaxRetryAfter: 2000, AllowanceIndex: -1, LimitIndex: -1, MinStepInterval: 1,
 		Kinds: []policy.DestKind{{Batch: 5}}, Classes: benchClasses,
 	}
 }
@@ -47,8 +47,8 @@
 	}
 	t.Cleanup(func() { j.Close() })
 	b.journal = j
-	b.Sender = New(Options{Settings: set, Seed: 1, Sockets: 10, Journal: j, Restored: restored, Clock: NewClock(), Log: zerolog.Nop(),
-		Notices: func(n discovery.Notice) { b.notices <- n }})
+	b.Sender = New(Options{Settings: set, Seed: 1, MaxConns: 10, Journal: j, Restored: restored, Clock: NewClock(), Log: zerolog.Nop(),
+		Notify: func(n discovery.Notice) { b.notices <- n }})
 	if addr != "" {
 		b.list(addr)
 	}
@@ -57,7 +57,7 @@
 
 // list lists the endpoint of destination 3.
 func (b *bench) list(addr string) {
-	b.takeList(&discovery.List{Full: true, Entries: []discovery.Endpoint{{Endpoint: policy.Endpoint{ID: 1, Dest: 3, State: policy.Ready}, Name: "e", Addr: addr}}})
+	b.takeList(&discovery.List{Full: true, Endpoints: []discovery.Endpoint{{Endpoint: policy.Endpoint{ID: 1, Dest: 3, State: policy.Ready}, Name: "e", Addr: addr}}})
 }
 
 // next makes one step at the present time.
@@ -68,7 +68,7 @@
 
 // hand hands a message in for the next step.
 func (b *bench) hand(trace string, class int, left time.Duration) chan Verdict {
-	o := &order{msg: &Message{Trace: []byte(trace), Key: []byte("k-" + trace), Class: class, Dest: 3, Left: left, Body: []byte(trace)}, received: time.Now(), verdict: make(chan Verdict, 1)}
+	o := &order{msg: &Message{Trace: []byte(trace), Key: []byte("k-" + trace), Class: class, Dest: 3, Remaining: left, Body: []byte(trace)}, received: time.Now(), verdict: make(chan Verdict, 1)}
 	b.takeOrder(o)
 	return o.verdict
 }
