--- a/internal/journal/journal.go
+++ b/internal/journal/journal.go
@@ -147,7 +147,7 @@
 	switch {
 	case err == nil:
 	case !transient.IsDiskError(err):
-		return nil, nil, fmt.Errorf("journal: %w", err)
+		return nil, nil, fmt.Errorf("journal: compact: %w", err)
 	case successorData == nil && j.file == nil:
 		j.reopen()
 	}
@@ -180,7 +180,7 @@
 		return nil, nil
 	}
 	if err != nil {
-		return nil, fmt.Errorf("journal: %s: %w", name, err)
+		return nil, fmt.Errorf("journal: read %s: %w", name, err)
 	}
 	return data, nil
 }
@@ -203,7 +203,7 @@
 		nextNumber: current.nextNumber + successorNumberGap,
 	}
 	if err := j.compact(); err != nil && !transient.IsDiskError(err) {
-		return nil, fmt.Errorf("journal: %w", err)
+		return nil, fmt.Errorf("journal: compact: %w", err)
 	}
 	j.claimSpace(0, 0)
 	return j, nil
@@ -229,7 +229,7 @@
 	j.name, j.superseded = fileName, []string{successorName}
 	if err := j.compact(); err != nil { // replaces the predecessor's file atomically
 		if !transient.IsDiskError(err) {
-			return nil, fmt.Errorf("journal: %w", err)
+			return nil, fmt.Errorf("journal: compact: %w", err)
 		}
 		j.closeFile()
 	}
@@ -499,7 +499,7 @@
 		return nil
 	}
 	if err := j.flush(); err != nil {
-		return fmt.Errorf("journal: %w", err)
+		return fmt.Errorf("journal: flush: %w", err)
 	}
 	return nil
 }
