--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -48,7 +48,7 @@
 			r := &b.Records[i]
 			it := instances[r.Instance]
 			switch {
-			case r.What == wire.Start:
+			case r.Kind == wire.KindStart:
 				if it == nil {
 					it = &instance{id: r.Instance}
 					instances[r.Instance] = it
@@ -56,7 +56,7 @@
 				it.sender, it.events = policy.New(r.Settings, r.Seed), it.events[:0]
 			case it == nil || it.sender == nil:
 				continue
-			case r.What == wire.Stop:
+			case r.Kind == wire.KindStop:
 				it.sender, it.events = nil, it.events[:0]
 				continue
 			default:
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -128,7 +128,7 @@
 	}()
 	begun := time.Now()
 	nc.SetReadDeadline(begun.Add(CallWithin))
-	m, err := http1.NewReader(nc).Request()
+	m, err := http1.NewReader(nc).ReadRequest()
 	s.whole(nc)
 	var a answer
 	switch {
@@ -145,7 +145,7 @@
 	default:
 		a = s.route(m)
 	}
-	b := http1.AppendStatus(nil, a.status)
+	b := http1.AppendStatusLine(nil, a.status)
 	b = http1.AppendHeader(b, "Connection", "close")
 	b = http1.AppendHeader(b, "Content-Type", "text/plain")
 	b = http1.AppendBody(b, []byte(a.text+"\n"))
--- a/internal/cli/partner.go
+++ b/internal/cli/partner.go
@@ -111,7 +111,7 @@
 		k := h2.New(nc, h2.Options{MaxBody: 1 << 10})
 		defer k.Abort(h2.ErrClosed)
 		select {
-		case <-k.Settled():
+		case <-k.Ready():
 			o.Settings = k.PeerSettings()
 		case <-k.Done():
 			return fmt.Errorf("%s: %w", c.Address, k.State().Lost)
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -88,7 +88,7 @@
 		if err != nil {
 			return nil, err
 		}
-		c.nc, c.rd = nc, http1.NewReaderBound(nc, c.maxBody)
+		c.nc, c.rd = nc, http1.NewReaderLimit(nc, c.maxBody)
 	}
 	nc := c.nc
 	end, _ := ctx.Deadline()
@@ -103,7 +103,7 @@
 	if _, err := nc.Write(request); err != nil {
 		return nil, err
 	}
-	m, err := c.rd.Response()
+	m, err := c.rd.ReadResponse()
 	nc.SetDeadline(time.Time{}) // an idle connection is looked at
 	return m, err
 }
--- a/internal/h2/h2.go
+++ b/internal/h2/h2.go
@@ -35,31 +35,31 @@
 )
 
 // Fate is how a request ended.
-type Fate uint8
+type Outcome uint8
 
 // The fates. NeverRan and Refused are proofs that the peer has not run the request (RFC 9113 8.7).
 const (
-	Answered  Fate = iota // the whole answer is there
-	NeverRan              // its last byte was not written
-	GoneAway              // a GOAWAY names an earlier stream as the last
-	Refused               // reset with REFUSED_STREAM
-	Broken                // reset, or the connection lost, after its last byte was written: it may have run
-	Silent                // the connection was given up since the peer did not answer a PING: it may have run
-	Spoilt                // an answer that cannot be read: it may have run
-	Cancelled             // given up by Cancel, and its reset is written: it may have run
+	Answered        Outcome = iota // the whole answer is there
+	NeverRan                       // its last byte was not written
+	GoneAway                       // a GOAWAY names an earlier stream as the last
+	Refused                        // reset with REFUSED_STREAM
+	Broken                         // reset, or the connection lost, after its last byte was written: it may have run
+	Unresponsive                   // the connection was given up since the peer did not answer a PING: it may have run
+	InvalidResponse                // an answer that cannot be read: it may have run
+	Cancelled                      // given up by Cancel, and its reset is written: it may have run
 )
 
 // String is the fate's name.
-func (f Fate) String() string {
+func (f Outcome) String() string {
 	return [...]string{"answered", "never ran", "gone away", "refused", "broken", "silent", "spoilt", "cancelled"}[f]
 }
 
 // Field is one header field; names are in lower case (8.2). Private: no table holds it, so that nobody who
 // shares one can guess it.
 type Field struct {
-	Name    string `json:"name"`
-	Value   string `json:"value"`
-	Private bool   `json:"-"`
+	Name      string `json:"name"`
+	Value     string `json:"value"`
+	Sensitive bool   `json:"-"`
 }
 
 // Request is one request. Its body is kept as it is until the request has ended.
@@ -71,11 +71,11 @@
 
 // Result is the end of a request.
 type Result struct {
-	Fate   Fate
-	Status int // 0: no answer had begun. May be set whatever the fate
-	Fields []Field
-	Body   []byte
-	Err    error // of Broken, Silent and Spoilt
+	Outcome Outcome
+	Status  int // 0: no answer had begun. May be set whatever the fate
+	Fields  []Field
+	Body    []byte
+	Err     error // of Broken, Silent and Spoilt
 }
 
 // Get is the value of a field, empty if there is none.
@@ -90,13 +90,13 @@
 
 // Options bound a connection.
 type Options struct {
-	MaxBody   int           // bytes of an answer
-	RestIn    time.Duration // from an answer's head to its end
-	PingAfter time.Duration // of silence with streams open; 0: never
-	PingFor   time.Duration // that the answer to a PING may take
+	MaxBody         int           // bytes of an answer
+	BodyTimeout     time.Duration // from an answer's head to its end
+	ReadIdleTimeout time.Duration // of silence with streams open; 0: never
+	PingTimeout     time.Duration // that the answer to a PING may take
 	// Changed tells that the stream limit or the use of the connection has changed: a stream has ended,
 	// SETTINGS or GOAWAY came, or it is lost. It is called without the lock, by the connection's goroutines.
-	Changed func(*Conn)
+	OnChange func(*Conn)
 }
 
 // State is what a Conn can take.
@@ -171,9 +171,9 @@
 
 // Errors of a connection.
 var (
-	ErrClosed = errors.New("h2: closed")
-	ErrSilent = errors.New("h2: no answer to a PING")
-	ErrNoise  = errors.New("h2: too many control frames")
+	ErrClosed      = errors.New("h2: closed")
+	ErrPingTimeout = errors.New("h2: no answer to a PING")
+	ErrFrameFlood  = errors.New("h2: too many control frames")
 )
 
 // New starts a connection on nc, which is the Conn's from here on. The first frames go out at once
@@ -201,7 +201,7 @@
 	c.mu.Unlock()
 	go c.writeLoop()
 	go c.readLoop()
-	if opt.PingAfter > 0 {
+	if opt.ReadIdleTimeout > 0 {
 		go c.pingLoop()
 	}
 	return c
@@ -271,7 +271,7 @@
 	c.encoder.WriteField(hpack.HeaderField{Name: ":authority", Value: req.Authority})
 	c.encoder.WriteField(hpack.HeaderField{Name: ":path", Value: req.Path})
 	for _, f := range req.Fields { // what is private stays out of both sides' tables (RFC 7541 7.1.3)
-		c.encoder.WriteField(hpack.HeaderField{Name: f.Name, Value: f.Value, Sensitive: f.Private})
+		c.encoder.WriteField(hpack.HeaderField{Name: f.Name, Value: f.Value, Sensitive: f.Sensitive})
 	}
 	if len(req.Body) > 0 {
 		c.encoder.WriteField(hpack.HeaderField{Name: "content-length", Value: strconv.Itoa(len(req.Body))})
@@ -310,7 +310,7 @@
 
 // Cancel gives the request up: it is reset, and ends as Cancelled once that is written, if no other end
 // comes first. A request of which the last byte was not written ends as NeverRan.
-func (s *Stream) Cancel() { s.giveUp(Result{Fate: Cancelled}) }
+func (s *Stream) Cancel() { s.giveUp(Result{Outcome: Cancelled}) }
 
 func (s *Stream) giveUp(r Result) {
 	c := s.conn
@@ -377,16 +377,16 @@
 	}
 	var ends []func()
 	for _, s := range c.streams {
-		r := Result{Fate: Broken, Err: err}
+		r := Result{Outcome: Broken, Err: err}
 		switch {
-		case s.closing && s.result.Fate != Cancelled:
+		case s.closing && s.result.Outcome != Cancelled:
 			r = s.result
 		case !s.sent:
-			r.Fate = NeverRan
+			r.Outcome = NeverRan
 		case s.closing:
 			r = s.result
-		case errors.Is(err, ErrSilent):
-			r.Fate = Silent
+		case errors.Is(err, ErrPingTimeout):
+			r.Outcome = Unresponsive
 		}
 		ends = append(ends, c.finish(s, r))
 	}
@@ -395,8 +395,8 @@
 	for _, end := range ends {
 		end()
 	}
-	if c.opt.Changed != nil {
-		c.opt.Changed(c)
+	if c.opt.OnChange != nil {
+		c.opt.OnChange(c)
 	}
 }
 
@@ -410,7 +410,7 @@
 }
 
 // Settled is closed when the peer's first SETTINGS have come.
-func (c *Conn) Settled() <-chan struct{} { return c.ready }
+func (c *Conn) Ready() <-chan struct{} { return c.ready }
 
 // Abort ends the connection at once, as a loss for that reason.
 func (c *Conn) Abort(why error) { c.lose(why) }
@@ -473,8 +473,8 @@
 			continue
 		}
 		r := m.stream.result
-		if !m.stream.sent && r.Fate == Cancelled {
-			r.Fate = NeverRan // a reset before END_STREAM (8.1): there was no whole request
+		if !m.stream.sent && r.Outcome == Cancelled {
+			r.Outcome = NeverRan // a reset before END_STREAM (8.1): there was no whole request
 		}
 		ends = append(ends, c.finish(m.stream, r))
 	}
@@ -482,14 +482,14 @@
 	for _, end := range ends {
 		end()
 	}
-	if len(ends) > 0 && c.opt.Changed != nil {
-		c.opt.Changed(c)
+	if len(ends) > 0 && c.opt.OnChange != nil {
+		c.opt.OnChange(c)
 	}
 }
 
 // pingLoop looks whether a peer with streams open is still there (6.7).
 func (c *Conn) pingLoop() {
-	t := time.NewTicker(max(min(c.opt.PingAfter, c.opt.PingFor)/4, 5*time.Millisecond))
+	t := time.NewTicker(max(min(c.opt.ReadIdleTimeout, c.opt.PingTimeout)/4, 5*time.Millisecond))
 	defer t.Stop()
 	for {
 		select {
@@ -499,14 +499,14 @@
 		}
 		c.mu.Lock()
 		now := time.Now()
-		late := !c.pingAt.IsZero() && now.Sub(c.pingAt) > c.opt.PingFor
-		if c.pingAt.IsZero() && len(c.streams) > 0 && now.Sub(c.heardAt) > c.opt.PingAfter {
+		late := !c.pingAt.IsZero() && now.Sub(c.pingAt) > c.opt.PingTimeout
+		if c.pingAt.IsZero() && len(c.streams) > 0 && now.Sub(c.heardAt) > c.opt.ReadIdleTimeout {
 			c.pingAt = now
 			c.put(func() error { return c.framer.WritePing(false, [8]byte{'s', 'l', 'i', 'p'}) }, true)
 		}
 		c.mu.Unlock()
 		if late {
-			c.lose(ErrSilent)
+			c.lose(ErrPingTimeout)
 			return
 		}
 	}
--- a/internal/h2/h2_test.go
+++ b/internal/h2/h2_test.go
@@ -19,7 +19,7 @@
 
 const patient = 10 * time.Second
 
-var bounds = h2.Options{MaxBody: 64 << 10, RestIn: 300 * time.Millisecond}
+var bounds = h2.Options{MaxBody: 64 << 10, BodyTimeout: 300 * time.Millisecond}
 
 func partner(t *testing.T, p *standin.H2) *standin.H2 {
 	t.Cleanup(p.Listen().Close)
@@ -35,7 +35,7 @@
 	c := h2.New(nc, opt)
 	t.Cleanup(func() { c.Abort(h2.ErrClosed) })
 	select {
-	case <-c.Settled():
+	case <-c.Ready():
 	case <-time.After(patient):
 		t.Fatal("no SETTINGS")
 	}
@@ -69,11 +69,11 @@
 	}
 }
 
-func want(t *testing.T, end <-chan h2.Result, fate h2.Fate) h2.Result {
+func want(t *testing.T, end <-chan h2.Result, fate h2.Outcome) h2.Result {
 	t.Helper()
 	r := await(t, end)
-	if r.Fate != fate {
-		t.Errorf("%v (%v), want %v", r.Fate, r.Err, fate)
+	if r.Outcome != fate {
+		t.Errorf("%v (%v), want %v", r.Outcome, r.Err, fate)
 	}
 	return r
 }
@@ -138,7 +138,7 @@
 func TestFates(t *testing.T) {
 	for name, row := range map[string]struct {
 		reply  standin.Reply
-		want   h2.Fate
+		want   h2.Outcome
 		status int
 	}{
 		"answered":                 {standin.Reply{Status: 503}, h2.Answered, 503},
@@ -147,12 +147,12 @@
 		"cancelled by the peer":    {standin.Reply{Reset: http2.ErrCodeCancel}, h2.Broken, 0},
 		"connection closed":        {standin.Reply{Hangup: true}, h2.Broken, 0},
 		"closed in the answer":     {standin.Reply{Status: 500, Body: "half", Cut: true, Hangup: true}, h2.Broken, 500},
-		"an answer without an end": {standin.Reply{Status: 200, Body: "half", Cut: true}, h2.Spoilt, 200},
-		"a lying length":           {standin.Reply{Status: 500, Body: "ab", Fields: map[string]string{"content-length": "3"}}, h2.Spoilt, 500},
-		"a length that is none":    {standin.Reply{Status: 500, Fields: map[string]string{"content-length": "x"}}, h2.Spoilt, 500},
-		"no status":                {standin.Reply{Status: 99}, h2.Spoilt, 0},
-		"too large a body":         {standin.Reply{Status: 500, Body: strings.Repeat("x", 65537)}, h2.Spoilt, 500},
-		"too large a head":         {standin.Reply{Status: 500, Fields: map[string]string{"x": strings.Repeat("x", 15000), "y": strings.Repeat("y", 5000)}}, h2.Spoilt, 0},
+		"an answer without an end": {standin.Reply{Status: 200, Body: "half", Cut: true}, h2.InvalidResponse, 200},
+		"a lying length":           {standin.Reply{Status: 500, Body: "ab", Fields: map[string]string{"content-length": "3"}}, h2.InvalidResponse, 500},
+		"a length that is none":    {standin.Reply{Status: 500, Fields: map[string]string{"content-length": "x"}}, h2.InvalidResponse, 500},
+		"no status":                {standin.Reply{Status: 99}, h2.InvalidResponse, 0},
+		"too large a body":         {standin.Reply{Status: 500, Body: strings.Repeat("x", 65537)}, h2.InvalidResponse, 500},
+		"too large a head":         {standin.Reply{Status: 500, Fields: map[string]string{"x": strings.Repeat("x", 15000), "y": strings.Repeat("y", 5000)}}, h2.InvalidResponse, 0},
 		"a GOAWAY that names it":   {standin.Reply{Status: 200, GoAway: true}, h2.Answered, 200},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -254,7 +254,7 @@
 // A partner that says nothing is found by a PING, and its streams may have run.
 func TestSilentPartner(t *testing.T) {
 	opt := bounds
-	opt.PingAfter, opt.PingFor = 50*time.Millisecond, 50*time.Millisecond
+	opt.ReadIdleTimeout, opt.PingTimeout = 50*time.Millisecond, 50*time.Millisecond
 	p := partner(t, &standin.H2{Raw: func(nc net.Conn, _ *http2.Framer) { io.Copy(io.Discard, nc) }})
 	c := dial(t, p.Addr(), opt)
 	time.Sleep(200 * time.Millisecond) // idle: no PING, no loss
@@ -262,7 +262,7 @@
 		t.Fatal("an idle connection is lost")
 	}
 	_, end := ask(t, c, "a", "body")
-	want(t, end, h2.Silent)
+	want(t, end, h2.Unresponsive)
 }
 
 // A partner that reads nothing costs its own connection and no other, and memory stays bounded.
@@ -271,7 +271,7 @@
 	t.Cleanup(func() { close(hold) })
 	p := partner(t, &standin.H2{Raw: func(nc net.Conn, _ *http2.Framer) { <-hold }})
 	opt := bounds
-	opt.PingAfter, opt.PingFor = 50*time.Millisecond, 50*time.Millisecond
+	opt.ReadIdleTimeout, opt.PingTimeout = 50*time.Millisecond, 50*time.Millisecond
 	c := dial(t, p.Addr(), opt)
 	var ends []<-chan h2.Result
 	for i := range 100 {
@@ -280,12 +280,12 @@
 			ends = append(ends, end)
 		}
 	}
-	fates := map[h2.Fate]int{}
+	fates := map[h2.Outcome]int{}
 	for _, end := range ends {
-		fates[await(t, end).Fate]++
+		fates[await(t, end).Outcome]++
 	}
 	// The window of 65,535 bytes lets one of them out whole; no other has its last byte written.
-	if fates[h2.Silent] != 1 || fates[h2.NeverRan] != len(ends)-1 || len(ends) != 100 {
+	if fates[h2.Unresponsive] != 1 || fates[h2.NeverRan] != len(ends)-1 || len(ends) != 100 {
 		t.Errorf("%v of %d", fates, len(ends))
 	}
 }
@@ -368,8 +368,8 @@
 			}})
 			c := dial(t, p.Addr(), bounds)
 			_, end := ask(t, c, "m", strings.Repeat("b", 100))
-			if r := await(t, end); r.Fate != h2.Broken && r.Fate != h2.Spoilt {
-				t.Errorf("%v %v", r.Fate, r.Err)
+			if r := await(t, end); r.Outcome != h2.Broken && r.Outcome != h2.InvalidResponse {
+				t.Errorf("%v %v", r.Outcome, r.Err)
 			}
 			select {
 			case <-c.Done():
--- a/internal/h2/placing/placing.go
+++ b/internal/h2/placing/placing.go
@@ -6,10 +6,10 @@
 
 // Settings bound the connections to one endpoint.
 type Settings struct {
-	MaxConns int     // connections at most
-	Ahead    float64 // share of the streams in use above which a further connection is dialled
-	Expect   int     // streams that a connection is taken to carry before its peer has said
-	IdleFor  float64 // milliseconds that a connection without streams is kept
+	MaxConns        int     // connections at most
+	DialThreshold   float64 // share of the streams in use above which a further connection is dialled
+	ExpectedStreams int     // streams that a connection is taken to carry before its peer has said
+	IdleTimeout     float64 // milliseconds that a connection without streams is kept
 }
 
 // Phase is where a connection stands.
@@ -32,7 +32,7 @@
 }
 
 // Room is how many more streams it takes.
-func (c *Conn) Room() int {
+func (c *Conn) FreeStreams() int {
 	if c.Phase != Open {
 		return 0
 	}
@@ -41,13 +41,13 @@
 
 // Pool is the connections to one endpoint. Its zero value has none.
 type Pool struct {
-	Set   Settings
-	conns []*Conn
-	next  int
+	Settings Settings
+	conns    []*Conn
+	next     int
 }
 
 // Dial enters a connection that is being dialled.
-func (p *Pool) Dial() *Conn {
+func (p *Pool) Add() *Conn {
 	p.next++
 	c := &Conn{ID: p.next, Phase: Dialling}
 	p.conns = append(p.conns, c)
@@ -55,7 +55,7 @@
 }
 
 // Drop takes a connection out.
-func (p *Pool) Drop(id int) {
+func (p *Pool) Remove(id int) {
 	for i, c := range p.conns {
 		if c.ID == id {
 			p.conns = append(p.conns[:i:i], p.conns[i+1:]...)
@@ -79,10 +79,10 @@
 
 // Place returns the connection that takes the next request, nil if none has room. The busiest that has
 // room takes it, so that the others fall idle and close: few connections are what this is for.
-func (p *Pool) Place() *Conn {
+func (p *Pool) Pick() *Conn {
 	var best *Conn
 	for _, c := range p.conns {
-		if c.Room() > 0 && (best == nil || c.Active > best.Active) {
+		if c.FreeStreams() > 0 && (best == nil || c.Active > best.Active) {
 			best = c
 		}
 	}
@@ -92,8 +92,8 @@
 // WantsDial reports whether a further connection is to be dialled, with so many requests waiting. Those
 // that are being dialled count for what they are expected to carry. A peer that allows no streams just now
 // asks for patience, not for a second connection.
-func (p *Pool) WantsDial(waiting int) bool {
-	if live, dialling := p.count(); live+dialling >= p.Set.MaxConns || dialling > 0 && waiting <= dialling*max(p.Set.Expect, 1) {
+func (p *Pool) ShouldDial(waiting int) bool {
+	if live, dialling := p.count(); live+dialling >= p.Settings.MaxConns || dialling > 0 && waiting <= dialling*max(p.Settings.ExpectedStreams, 1) {
 		return false
 	}
 	room, active, limit := 0, 0, 0
@@ -101,7 +101,7 @@
 	for _, c := range p.conns {
 		if c.Phase == Open {
 			open = true
-			room, active, limit = room+c.Room(), active+c.Active, limit+c.Limit
+			room, active, limit = room+c.FreeStreams(), active+c.Active, limit+c.Limit
 		}
 	}
 	switch {
@@ -113,7 +113,7 @@
 		return true
 	}
 	_, dialling := p.count()
-	return dialling == 0 && p.Set.Ahead > 0 && float64(active+waiting) > p.Set.Ahead*float64(limit)
+	return dialling == 0 && p.Settings.DialThreshold > 0 && float64(active+waiting) > p.Settings.DialThreshold*float64(limit)
 }
 
 // count tells connections that carry new streams, or soon will. One that drains is on its way out.
@@ -130,9 +130,9 @@
 }
 
 // Idle returns the connections to close: without streams, and draining or unused for too long.
-func (p *Pool) Idle(now float64) (list []*Conn) {
+func (p *Pool) Closable(now float64) (list []*Conn) {
 	for _, c := range p.conns {
-		if c.Active == 0 && (c.Phase == Draining || c.Phase == Open && now-c.UsedAt >= p.Set.IdleFor) {
+		if c.Active == 0 && (c.Phase == Draining || c.Phase == Open && now-c.UsedAt >= p.Settings.IdleTimeout) {
 			list = append(list, c)
 		}
 	}
--- a/internal/h2/placing/placing_test.go
+++ b/internal/h2/placing/placing_test.go
@@ -6,15 +6,15 @@
 )
 
 func pool(set Settings, conns ...Conn) *Pool {
-	p := &Pool{Set: set}
+	p := &Pool{Settings: set}
 	for _, c := range conns {
-		n := p.Dial()
+		n := p.Add()
 		n.Phase, n.Limit, n.Active, n.UsedAt = c.Phase, c.Limit, c.Active, c.UsedAt
 	}
 	return p
 }
 
-var set = Settings{MaxConns: 3, Ahead: 0.9, Expect: 100, IdleFor: 1000}
+var set = Settings{MaxConns: 3, DialThreshold: 0.9, ExpectedStreams: 100, IdleTimeout: 1000}
 
 func TestPlace(t *testing.T) {
 	for name, row := range map[string]struct {
@@ -30,7 +30,7 @@
 		"another than the drained": {[]Conn{{Phase: Draining, Limit: 5, Active: 3}, {Phase: Open, Limit: 5}}, 2},
 	} {
 		got := 0
-		if c := pool(set, row.conns...).Place(); c != nil {
+		if c := pool(set, row.conns...).Pick(); c != nil {
 			got = c.ID
 		}
 		if got != row.want {
@@ -58,7 +58,7 @@
 		"a draining one does not count": {[]Conn{{Phase: Draining, Limit: 9, Active: 9}, {Phase: Open, Limit: 1, Active: 1}, {Phase: Open, Limit: 1, Active: 1}}, 1, true},
 		"only draining":                 {[]Conn{{Phase: Draining, Limit: 9, Active: 9}}, 1, true},
 	} {
-		if got := pool(set, row.conns...).WantsDial(row.waiting); got != row.want {
+		if got := pool(set, row.conns...).ShouldDial(row.waiting); got != row.want {
 			t.Errorf("%s: %t", name, got)
 		}
 	}
@@ -66,10 +66,10 @@
 
 func TestIdle(t *testing.T) {
 	p := pool(set, Conn{Phase: Open, UsedAt: 100}, Conn{Phase: Open, UsedAt: 100, Active: 1}, Conn{Phase: Draining}, Conn{Phase: Draining, Active: 2}, Conn{Phase: Dialling})
-	if list := p.Idle(1099); len(list) != 1 || list[0].ID != 3 {
+	if list := p.Closable(1099); len(list) != 1 || list[0].ID != 3 {
 		t.Errorf("%v", list)
 	}
-	if list := p.Idle(1100); len(list) != 2 {
+	if list := p.Closable(1100); len(list) != 2 {
 		t.Errorf("%v", list)
 	}
 }
@@ -79,7 +79,7 @@
 func TestNeverOverLimits(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	for range 200 {
-		p, waiting := &Pool{Set: set}, 0
+		p, waiting := &Pool{Settings: set}, 0
 		for range 500 {
 			switch c := p.Get(1 + rng.IntN(p.next+1)); rng.IntN(6) {
 			case 0, 1:
@@ -98,11 +98,11 @@
 				}
 			case 5:
 				if c != nil && rng.IntN(4) == 0 {
-					p.Drop(c.ID)
+					p.Remove(c.ID)
 				}
 			}
 			for waiting > 0 {
-				c := p.Place()
+				c := p.Pick()
 				if c == nil {
 					break
 				}
@@ -112,8 +112,8 @@
 				c.Active++
 				waiting--
 			}
-			for p.WantsDial(waiting) {
-				p.Dial()
+			for p.ShouldDial(waiting) {
+				p.Add()
 			}
 			open, dialling := p.count()
 			if open+dialling > set.MaxConns {
--- a/internal/h2/read.go
+++ b/internal/h2/read.go
@@ -28,7 +28,7 @@
 		case errors.As(err, &se): // a head that makes no sense (8.1.1): the stream's fault, not the connection's
 			c.spoil(se.StreamID, se.Code, err)
 			if c.noisy() {
-				c.fail(http2.ErrCodeEnhanceYourCalm, ErrNoise)
+				c.fail(http2.ErrCodeEnhanceYourCalm, ErrFrameFlood)
 				return
 			}
 			continue
@@ -90,7 +90,7 @@
 		return c.dataIn(f)
 	}
 	if c.noisy() {
-		return http2.ErrCodeEnhanceYourCalm, ErrNoise
+		return http2.ErrCodeEnhanceYourCalm, ErrFrameFlood
 	}
 	switch f := f.(type) {
 	case *http2.SettingsFrame:
@@ -110,8 +110,8 @@
 }
 
 func (c *Conn) changed() {
-	if c.opt.Changed != nil {
-		c.opt.Changed(c)
+	if c.opt.OnChange != nil {
+		c.opt.OnChange(c)
 	}
 }
 
@@ -185,7 +185,7 @@
 	}
 	if s := c.streams[f.StreamID]; s != nil && !s.closing {
 		if s.window += int64(f.Increment); s.window > maxWindow {
-			c.reset(s, http2.ErrCodeFlowControl, Result{Fate: Spoilt, Err: errors.New("h2: the stream's window is too large")})
+			c.reset(s, http2.ErrCodeFlowControl, Result{Outcome: InvalidResponse, Err: errors.New("h2: the stream's window is too large")})
 			return 0, nil
 		}
 		c.writeBody(s)
@@ -214,7 +214,7 @@
 	var ends []func()
 	for id, s := range c.streams {
 		if id > c.lastID {
-			ends = append(ends, c.finish(s, Result{Fate: GoneAway, Err: fmt.Errorf("h2: GOAWAY %v", f.ErrCode)}))
+			ends = append(ends, c.finish(s, Result{Outcome: GoneAway, Err: fmt.Errorf("h2: GOAWAY %v", f.ErrCode)}))
 		}
 	}
 	c.mu.Unlock()
@@ -232,12 +232,12 @@
 		c.mu.Unlock()
 		return
 	}
-	r := Result{Fate: Broken, Err: fmt.Errorf("h2: reset by the peer: %v", f.ErrCode)}
+	r := Result{Outcome: Broken, Err: fmt.Errorf("h2: reset by the peer: %v", f.ErrCode)}
 	switch {
 	case f.ErrCode == http2.ErrCodeRefusedStream && !s.headed: // 8.7
-		r.Fate = Refused
+		r.Outcome = Refused
 	case !s.sent && !s.headed && len(s.rest) > 0: // END_STREAM was not even queued
-		r.Fate = NeverRan
+		r.Outcome = NeverRan
 	}
 	end := c.finish(s, r)
 	c.mu.Unlock()
@@ -250,7 +250,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if s := c.streams[id]; s != nil && !s.closing {
-		c.reset(s, code, Result{Fate: Spoilt, Err: err})
+		c.reset(s, code, Result{Outcome: InvalidResponse, Err: err})
 	}
 }
 
@@ -265,13 +265,13 @@
 			return http2.ErrCodeProtocol, errors.New("h2: HEADERS on an idle stream")
 		}
 		if c.noisy() {
-			return http2.ErrCodeEnhanceYourCalm, ErrNoise
+			return http2.ErrCodeEnhanceYourCalm, ErrFrameFlood
 		}
 		return 0, nil
 	}
 	if s.headed { // trailers
 		if !f.StreamEnded() {
-			c.reset(s, http2.ErrCodeProtocol, Result{Fate: Spoilt, Err: errors.New("h2: HEADERS in the middle of an answer")})
+			c.reset(s, http2.ErrCodeProtocol, Result{Outcome: InvalidResponse, Err: errors.New("h2: HEADERS in the middle of an answer")})
 			c.mu.Unlock()
 			return 0, nil
 		}
@@ -291,14 +291,14 @@
 		err = errors.New("h2: a 1xx answer that ends the stream")
 	}
 	if err != nil {
-		c.reset(s, http2.ErrCodeProtocol, Result{Fate: Spoilt, Err: err})
+		c.reset(s, http2.ErrCodeProtocol, Result{Outcome: InvalidResponse, Err: err})
 		c.mu.Unlock()
 		return 0, nil
 	}
 	if status < 200 {
 		c.mu.Unlock()
 		if c.noisy() {
-			return http2.ErrCodeEnhanceYourCalm, ErrNoise
+			return http2.ErrCodeEnhanceYourCalm, ErrFrameFlood
 		}
 		return 0, nil
 	}
@@ -311,7 +311,7 @@
 		if h.Name == "content-length" {
 			n, err := strconv.Atoi(h.Value)
 			if err != nil || n < 0 || s.length >= 0 && s.length != n {
-				c.reset(s, http2.ErrCodeProtocol, Result{Fate: Spoilt, Err: fmt.Errorf("h2: content-length %.20q", h.Value)})
+				c.reset(s, http2.ErrCodeProtocol, Result{Outcome: InvalidResponse, Err: fmt.Errorf("h2: content-length %.20q", h.Value)})
 				c.mu.Unlock()
 				return 0, nil
 			}
@@ -325,9 +325,9 @@
 		c.changed()
 		return 0, nil
 	}
-	if c.opt.RestIn > 0 {
-		s.timer = time.AfterFunc(c.opt.RestIn, func() {
-			s.giveUp(Result{Fate: Spoilt, Err: errors.New("h2: an answer that does not end")})
+	if c.opt.BodyTimeout > 0 {
+		s.timer = time.AfterFunc(c.opt.BodyTimeout, func() {
+			s.giveUp(Result{Outcome: InvalidResponse, Err: errors.New("h2: an answer that does not end")})
 		})
 	}
 	c.mu.Unlock()
@@ -351,7 +351,7 @@
 			return http2.ErrCodeProtocol, errors.New("h2: DATA on an idle stream")
 		}
 		if c.noisy() {
-			return http2.ErrCodeEnhanceYourCalm, ErrNoise
+			return http2.ErrCodeEnhanceYourCalm, ErrFrameFlood
 		}
 		return 0, nil
 	}
@@ -363,7 +363,7 @@
 		err = errors.New("h2: the answer's body is too large")
 	}
 	if err != nil {
-		c.reset(s, http2.ErrCodeProtocol, Result{Fate: Spoilt, Err: err})
+		c.reset(s, http2.ErrCodeProtocol, Result{Outcome: InvalidResponse, Err: err})
 		c.mu.Unlock()
 		return 0, nil
 	}
@@ -380,7 +380,7 @@
 	}
 	c.mu.Unlock()
 	if len(f.Data()) == 0 && c.noisy() {
-		return http2.ErrCodeEnhanceYourCalm, ErrNoise
+		return http2.ErrCodeEnhanceYourCalm, ErrFrameFlood
 	}
 	return 0, nil
 }
@@ -389,11 +389,11 @@
 // answered before it had it all is reset (8.1). The lock is held.
 func (c *Conn) answered(s *Stream) func() {
 	if s.length >= 0 && s.length != len(s.result.Body) {
-		c.reset(s, http2.ErrCodeProtocol, Result{Fate: Spoilt, Err: fmt.Errorf("h2: content-length %d with %d bytes", s.length, len(s.result.Body))})
+		c.reset(s, http2.ErrCodeProtocol, Result{Outcome: InvalidResponse, Err: fmt.Errorf("h2: content-length %d with %d bytes", s.length, len(s.result.Body))})
 		return func() {}
 	}
 	r := s.result
-	r.Fate = Answered
+	r.Outcome = Answered
 	c.noise = max(c.noise-4, -noiseMost)
 	if len(s.rest) > 0 {
 		c.reset(s, http2.ErrCodeNo, r)
--- a/internal/http1/http1.go
+++ b/internal/http1/http1.go
@@ -87,10 +87,10 @@
 }
 
 // NewReader returns a Reader on src that reads bodies of up to MaxBody bytes.
-func NewReader(src io.Reader) *Reader { return NewReaderBound(src, MaxBody) }
+func NewReader(src io.Reader) *Reader { return NewReaderLimit(src, MaxBody) }
 
 // NewReaderBound returns a Reader on src that reads bodies of up to maxBody bytes; a longer one is ErrTooLarge.
-func NewReaderBound(src io.Reader, maxBody int) *Reader {
+func NewReaderLimit(src io.Reader, maxBody int) *Reader {
 	return &Reader{br: bufio.NewReaderSize(src, bufferSize), src: src, max: maxBody}
 }
 
@@ -114,7 +114,7 @@
 
 // Request reads the next request. A request without a method that has a body
 // and without a length is ErrNoLength.
-func (r *Reader) Request() (*Message, error) {
+func (r *Reader) ReadRequest() (*Message, error) {
 	if err := r.next(true); err != nil {
 		return &r.msg, err
 	}
@@ -123,7 +123,7 @@
 
 // Response reads the next response. Once its first line is read, Status is set,
 // also where the rest fails: to an endpoint the message counts from there.
-func (r *Reader) Response() (*Message, error) {
+func (r *Reader) ReadResponse() (*Message, error) {
 	if err := r.next(false); err != nil {
 		return &r.msg, err
 	}
@@ -431,7 +431,7 @@
 }
 
 // Clean reports whether b may stand in a header's value as it is.
-func Clean(b []byte) bool {
+func ValidHeaderValue(b []byte) bool {
 	for _, c := range b {
 		if c < ' ' || c >= 0x7f {
 			return false
@@ -450,7 +450,7 @@
 }
 
 // AppendStatus appends the first line of a response.
-func AppendStatus(b []byte, status int) []byte {
+func AppendStatusLine(b []byte, status int) []byte {
 	return fmt.Appendf(b, "HTTP/1.1 %d %s\r\n", status, reasons[status])
 }
 
--- a/internal/http1/http1_test.go
+++ b/internal/http1/http1_test.go
@@ -29,7 +29,7 @@
 		"":      {0, "", io.EOF},
 	} {
 		for name, src := range map[string]io.Reader{"whole": strings.NewReader(text), "by bytes": iotest.OneByteReader(strings.NewReader(text))} {
-			m, err := NewReader(src).Response()
+			m, err := NewReader(src).ReadResponse()
 			if err != want.err || m.Status != want.status || string(m.Body) != want.body {
 				t.Errorf("%q, %s: %d %q %v", text, name, m.Status, m.Body, err)
 			}
@@ -42,7 +42,7 @@
 	text := "HTTP/1.1 429 Too Many\r\nRetry-After: 1.5\r\nTransfer-Encoding: chunked\r\nConnection: close\r\n\r\n" +
 		"2000\r\n" + strings.Repeat("x", 0x2000) + "\r\n0\r\n\r\n"
 	for name, src := range map[string]io.Reader{"whole": strings.NewReader(text), "by bytes": iotest.OneByteReader(strings.NewReader(text))} {
-		m, err := NewReader(src).Response()
+		m, err := NewReader(src).ReadResponse()
 		if err != nil || string(m.Headers.Get("Retry-After")) != "1.5" || !m.Close || m.Status != 429 || len(m.Body) != 0x2000 {
 			t.Errorf("%s: %d %q, closes %t, %d bytes, %v", name, m.Status, m.Headers.Get("Retry-After"), m.Close, len(m.Body), err)
 		}
@@ -61,7 +61,7 @@
 	}
 	r := NewReader(iotest.HalfReader(bytes.NewReader(b)))
 	for i, n := range sizes {
-		m, err := r.Request()
+		m, err := r.ReadRequest()
 		if err != nil || len(m.Body) != n || string(m.Headers.Get("x-number")) != string(rune('a'+i)) || string(m.Path) != "/api" {
 			t.Fatalf("message %d: %v, %d bytes", i, err, len(m.Body))
 		}
@@ -78,12 +78,12 @@
 	f.Add([]byte("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n0\r\n\r\n"))
 	f.Fuzz(func(t *testing.T, text []byte) {
 		for r := NewReader(bytes.NewReader(text)); ; {
-			if _, err := r.Response(); err != nil {
+			if _, err := r.ReadResponse(); err != nil {
 				break
 			}
 		}
 		for r := NewReader(bytes.NewReader(text)); ; {
-			m, err := r.Request()
+			m, err := r.ReadRequest()
 			if err != nil {
 				return
 			}
@@ -91,7 +91,7 @@
 				t.Fatalf("body of %d bytes", len(m.Body))
 			}
 			again := AppendBody(AppendRequest(nil, string(m.Method), string(m.Path), "h"), m.Body)
-			n, err := NewReader(bytes.NewReader(again)).Request()
+			n, err := NewReader(bytes.NewReader(again)).ReadRequest()
 			if err != nil || !bytes.Equal(n.Body, m.Body) || !bytes.Equal(n.Path, m.Path) {
 				t.Fatalf("%q: %v", again, err)
 			}
--- a/internal/intake/api.go
+++ b/internal/intake/api.go
@@ -117,7 +117,7 @@
 }
 
 // fits reports whether an id or key can be passed on as it is.
-func fits(b []byte) bool { return len(b) <= maxID && http1.Clean(b) }
+func fits(b []byte) bool { return len(b) <= maxID && http1.ValidHeaderValue(b) }
 
 // tenant is the position of a tenant, 0 where the settings have none.
 func (s *Server) tenant(name []byte) int {
--- a/internal/intake/intake.go
+++ b/internal/intake/intake.go
@@ -346,7 +346,7 @@
 		}
 		return false
 	}
-	m, err := c.rd.Request()
+	m, err := c.rd.ReadRequest()
 	received := s.now()
 	c.enter(serving, time.Time{})
 	c.begin = true
@@ -434,7 +434,7 @@
 }
 
 func (c *client) answer(r *response, keep bool) error {
-	b := http1.AppendStatus(c.out[:0], r.status)
+	b := http1.AppendStatusLine(c.out[:0], r.status)
 	if r.retry > 0 {
 		b = http1.AppendSeconds(b, "Retry-After", r.retry)
 	}
--- a/internal/outbound/conn.go
+++ b/internal/outbound/conn.go
@@ -225,7 +225,7 @@
 		if rest := k.begunAt.Add(restWithin); rest.Before(deadline) {
 			k.nc.SetReadDeadline(rest)
 		}
-		m, err := k.rd.Response()
+		m, err := k.rd.ReadResponse()
 		switch {
 		case errors.Is(err, os.ErrDeadlineExceeded), errors.Is(err, http1.ErrMalformed), errors.Is(err, http1.ErrTooLarge):
 			return m, errSpoilt
--- a/internal/outbound/mux.go
+++ b/internal/outbound/mux.go
@@ -39,21 +39,21 @@
 // fates is what the end of a stream means to the decision module (RFC 9113 8.7; the protocol page's table).
 // A whole answer means what its status says. An answer with 200 for a single message is true as soon as its
 // head is there, whatever comes of the stream.
-var fates = map[h2.Fate]policy.Outcome{
-	h2.NeverRan:  policy.ConnectFailed, // the last byte was not written
-	h2.GoneAway:  policy.Moot,          // the peer closes in good order: nothing is wrong with it, another connection may take it
-	h2.Refused:   policy.Moot,          // no stream for it now: that is no rate, and must not cut the pace as Full does
-	h2.Broken:    policy.Reset,         // it may have run
-	h2.Silent:    policy.Timeout,       // it may have run, and the peer says nothing
-	h2.Cancelled: policy.Timeout,       // given up by us
-	h2.Spoilt:    policy.Error,         // answered, if in no way that can be read
+var fates = map[h2.Outcome]policy.Outcome{
+	h2.NeverRan:        policy.ConnectFailed, // the last byte was not written
+	h2.GoneAway:        policy.Moot,          // the peer closes in good order: nothing is wrong with it, another connection may take it
+	h2.Refused:         policy.Moot,          // no stream for it now: that is no rate, and must not cut the pace as Full does
+	h2.Broken:          policy.Reset,         // it may have run
+	h2.Unresponsive:    policy.Timeout,       // it may have run, and the peer says nothing
+	h2.Cancelled:       policy.Timeout,       // given up by us
+	h2.InvalidResponse: policy.Error,         // answered, if in no way that can be read
 }
 
 func newMux(p *Pool, partner *Partner, c *Call) *mux {
 	return &mux{
 		pool: p, partner: partner, endpoint: c.Endpoint, dest: c.Dest, addr: c.Addr, conns: map[int]*h2.Conn{}, born: map[int]int{},
-		place: placing.Pool{Set: placing.Settings{
-			MaxConns: max(partner.MaxConns, 1), Ahead: 0.9, Expect: 100, IdleFor: float64(p.opt.KeepAlive.Milliseconds()),
+		place: placing.Pool{Settings: placing.Settings{
+			MaxConns: max(partner.MaxConns, 1), DialThreshold: 0.9, ExpectedStreams: 100, IdleTimeout: float64(p.opt.KeepAlive.Milliseconds()),
 		}},
 	}
 }
@@ -91,7 +91,7 @@
 			m.waiting = m.waiting[1:]
 			continue
 		}
-		pc := m.place.Place()
+		pc := m.place.Pick()
 		if pc == nil {
 			break
 		}
@@ -118,14 +118,14 @@
 			ends = append(ends, s.Cancel)
 		}
 	}
-	for m.place.WantsDial(len(m.waiting)) && !m.closing {
+	for m.place.ShouldDial(len(m.waiting)) && !m.closing {
 		if !m.pool.reserve() {
 			if m.place.Len() == 0 {
 				ends = append(ends, m.failAll(policy.ConnectFailed)...)
 			}
 			break
 		}
-		pc := m.place.Dial()
+		pc := m.place.Add()
 		m.born[pc.ID] = m.answers
 		wait := m.pool.dialTurn(m.dest)
 		m.dialAt = time.Now().Add(wait)
@@ -187,7 +187,7 @@
 
 // drop takes a connection out of the books. The lock is held.
 func (m *mux) drop(id int) {
-	m.place.Drop(id)
+	m.place.Remove(id)
 	delete(m.conns, id)
 	delete(m.born, id)
 	m.pool.release()
@@ -200,7 +200,7 @@
 
 // reap closes connections that are of no more use, and looks again when the next may be.
 func (m *mux) reap() {
-	for _, pc := range m.place.Idle(nowMS()) {
+	for _, pc := range m.place.Closable(nowMS()) {
 		if k := m.conns[pc.ID]; k != nil {
 			k.Close()
 		}
@@ -233,12 +233,12 @@
 		return
 	}
 	k := h2.New(nc, h2.Options{
-		MaxBody: http1.MaxBody, RestIn: restWithin, PingAfter: m.partner.PingAfter, PingFor: m.partner.PingTimeout,
-		Changed: func(k *h2.Conn) { m.changed(id, k) },
+		MaxBody: http1.MaxBody, BodyTimeout: restWithin, ReadIdleTimeout: m.partner.PingAfter, PingTimeout: m.partner.PingTimeout,
+		OnChange: func(k *h2.Conn) { m.changed(id, k) },
 	})
 	select { // a peer that accepts and says nothing is no connection
 	case <-ctx.Done():
-	case <-k.Settled():
+	case <-k.Ready():
 		go m.watchIdle(id, k)
 		return
 	case <-k.Done():
@@ -323,7 +323,7 @@
 // retire closes what is idle now and the rest when it is: the partner is reached in another way from here on.
 func (m *mux) retire() {
 	m.mu.Lock()
-	m.closing, m.place.Set.IdleFor = true, 0
+	m.closing, m.place.Settings.IdleTimeout = true, 0
 	ends := m.failAll(policy.Moot)
 	m.reap()
 	m.mu.Unlock()
@@ -337,14 +337,14 @@
 		c.timer.Stop()
 	}
 	c.mu.Unlock()
-	if r.Fate == h2.Answered {
+	if r.Outcome == h2.Answered {
 		m.mu.Lock()
 		m.answers++
 		m.mu.Unlock()
 	}
 	single := len(c.Items) <= 1
-	if r.Fate != h2.Answered && !(single && r.Status == 200) {
-		m.pool.opt.OnDone(c, c.events(answer{outcome: fates[r.Fate]}))
+	if r.Outcome != h2.Answered && !(single && r.Status == 200) {
+		m.pool.opt.OnDone(c, c.events(answer{outcome: fates[r.Outcome]}))
 		return
 	}
 	a := m.pool.answer(r.Status, r.Get, single)
@@ -393,9 +393,9 @@
 		it := &c.Items[0]
 		r.Path, r.Body = "/inbox", it.Body
 		r.Fields = make([]h2.Field, 0, 3)
-		r.Fields = append(r.Fields, h2.Field{Name: "x-trace-id", Value: it.Trace, Private: true})
+		r.Fields = append(r.Fields, h2.Field{Name: "x-trace-id", Value: it.Trace, Sensitive: true})
 		if it.Key != "" {
-			r.Fields = append(r.Fields, h2.Field{Name: "idempotency-key", Value: it.Key, Private: true})
+			r.Fields = append(r.Fields, h2.Field{Name: "idempotency-key", Value: it.Key, Sensitive: true})
 		}
 		r.Fields = append(r.Fields, expires)
 	default:
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -56,14 +56,14 @@
 
 // What a decoded record asks of the caller.
 const (
-	Start  = iota // a new instance: Seed and Settings
-	Stop          // the instance is gone
-	Inform        // Event is for the instance
+	KindStart = iota // a new instance: Seed and Settings
+	KindStop         // the instance is gone
+	KindEvent        // Event is for the instance
 )
 
 // Record is one decoded record of a batch.
 type Record struct {
-	What     int
+	Kind     int
 	Instance uint32
 	Seed     uint64
 	Settings policy.Settings
@@ -155,11 +155,11 @@
 	if code > codeDirectory || code == codeStreaming || code == codePeer {
 		return nil // not used by the module
 	}
-	r := Record{What: Inform, Instance: f.u32("sender")}
+	r := Record{Kind: KindEvent, Instance: f.u32("sender")}
 	e := &r.Event
 	switch code {
 	case codeProvision:
-		r.What = Start
+		r.Kind = KindStart
 		r.Seed = f.u64("seed")
 		info := f.bytes("info", int64(f.u32("info length")))
 		if f.err == nil {
@@ -230,7 +230,7 @@
 		e.Latency = f.f64("elapsed")
 		e.Report = f.report()
 	case codePowerOff:
-		r.What = Stop
+		r.Kind = KindStop
 	}
 	if f.err != nil {
 		return f.err
