--- a/internal/h2/h2.go
+++ b/internal/h2/h2.go
@@ -1,10 +1,12 @@
-// Package h2 is the client side of one HTTP/2 connection (RFC 9113), on golang.org/x/net/http2's Framer
-// and hpack. It carries requests as streams and tells of each how it ended: above all whether the peer
-// can have run it. It never sends a request twice, opens no connection, and knows nothing of messages.
+// Package h2 implements the client side of one HTTP/2 connection (RFC 9113) on top of the Framer of
+// golang.org/x/net/http2 and hpack. It sends each request on a stream of its own and reports how the request
+// ended, above all whether the peer may have run it. It never retries a request, does not dial, and does
+// not depend on the sender's message types. Section numbers in comments refer to RFC 9113 unless stated
+// otherwise.
 //
-// A connection has two goroutines, one that reads and one that writes; what they share is under one lock
-// that is never held over I/O. Memory is bounded: by the streams that may be open, the size of a body and
-// of a head, and the control frames that may wait to be written.
+// One goroutine per connection reads, one writes, and one sends PINGs if Options.ReadIdleTimeout is set. They
+// share state under one lock, which is never held during I/O. Memory is bounded by the limits on open streams,
+// body size, header list size and pending control frames.
 package h2
 
 import (
@@ -22,63 +24,64 @@
 )
 
 const (
-	maxFrame    = 16 << 10 // that the peer may send (6.5.2: the least there is)
-	maxHead     = 16 << 10 // of an answer's headers, by RFC 9113 6.5.2's count
-	windowSize  = 1 << 20  // that a connection's answers may fill (6.9)
-	tableSize   = 4096     // of hpack's dynamic tables, both sides
-	firstWindow = 65535    // of each direction before SETTINGS say otherwise (6.9.2)
-	maxWindow   = 1<<31 - 1
-	maxStream   = 1<<31 - 1
-	noiseMost   = 400      // control frames a second that the peer may send
-	pendingMost = 64 << 10 // bytes of control frames that may wait for a peer that reads nothing
-	writeFor    = time.Second
+	maxFrameSize           = 16 << 10 // bytes of a received frame; the smallest value that 6.5.2 permits
+	maxHeaderListSize      = 16 << 10 // bytes of the headers of a response, counted as in 6.5.2
+	connWindowSize         = 1 << 20  // bytes of the connection's receive window (6.9)
+	hpackTableSize         = 4096     // bytes of the dynamic table, in both directions
+	defaultWindowSize      = 65535    // bytes of a flow-control window before SETTINGS and WINDOW_UPDATE (6.9.2)
+	maxWindowSize          = 1<<31 - 1
+	maxStreamID            = 1<<31 - 1
+	maxOverheadFrames      = 400      // received frames without payload per second, see overheadExceeded
+	maxPendingControlBytes = 64 << 10 // bytes of queued control frames, which grow if the peer stops reading
+	writeTimeout           = time.Second
 )
 
-// Fate is how a request ended.
+// Outcome is the way in which a request ended.
 type Outcome uint8
 
-// The fates. NeverRan and Refused are proofs that the peer has not run the request (RFC 9113 8.7).
+// Outcomes of a request. After NeverRan, GoneAway and Refused the peer has certainly not run the request (8.7);
+// after Broken, Unresponsive, InvalidResponse and Cancelled it may have.
 const (
-	Answered        Outcome = iota // the whole answer is there
-	NeverRan                       // its last byte was not written
-	GoneAway                       // a GOAWAY names an earlier stream as the last
-	Refused                        // reset with REFUSED_STREAM
-	Broken                         // reset, or the connection lost, after its last byte was written: it may have run
-	Unresponsive                   // the connection was given up since the peer did not answer a PING: it may have run
-	InvalidResponse                // an answer that cannot be read: it may have run
-	Cancelled                      // given up by Cancel, and its reset is written: it may have run
+	Answered        Outcome = iota // the response is complete
+	NeverRan                       // the last byte of the request was not written
+	GoneAway                       // a GOAWAY named an earlier stream as the last one processed
+	Refused                        // the peer reset the stream with REFUSED_STREAM
+	Broken                         // reset or loss of the connection after the last byte was written
+	Unresponsive                   // the connection was closed because the peer did not answer a PING
+	InvalidResponse                // the response is malformed, too large or incomplete
+	Cancelled                      // ended by Cancel; the reset has been written
 )
 
-// String is the fate's name.
-func (f Outcome) String() string {
-	return [...]string{"answered", "never ran", "gone away", "refused", "broken", "silent", "spoilt", "cancelled"}[f]
+// String returns the name of the outcome.
+func (o Outcome) String() string {
+	return [...]string{"answered", "never ran", "gone away", "refused", "broken", "silent", "spoilt", "cancelled"}[o]
 }
 
-// Field is one header field; names are in lower case (8.2). Private: no table holds it, so that nobody who
-// shares one can guess it.
+// Field is one header field. Name is in lower case (8.2). A Sensitive field is never indexed by hpack, so that
+// others who share the compression context cannot guess its value.
 type Field struct {
 	Name      string `json:"name"`
 	Value     string `json:"value"`
 	Sensitive bool   `json:"-"`
 }
 
-// Request is one request. Its body is kept as it is until the request has ended.
+// Request is one request. The caller must not change Body until the request has ended.
 type Request struct {
 	Method, Scheme, Authority, Path string
 	Fields                          []Field
 	Body                            []byte
 }
 
-// Result is the end of a request.
+// Result describes how a request ended.
 type Result struct {
 	Outcome Outcome
-	Status  int // 0: no answer had begun. May be set whatever the fate
+	Status  int // 0 if no response headers were received; may be set with any outcome
 	Fields  []Field
 	Body    []byte
-	Err     error // of Broken, Silent and Spoilt
+	Err     error // set for GoneAway, Broken, Unresponsive and InvalidResponse
 }
 
-// Get is the value of a field, empty if there is none.
+// Get returns the value of the first field with the given name, or "" if there is none.
 func (r *Result) Get(name string) string {
 	for _, f := range r.Fields {
 		if f.Name == name {
@@ -88,116 +91,118 @@
 	return ""
 }
 
-// Options bound a connection.
+// Options configures a connection.
 type Options struct {
-	MaxBody         int           // bytes of an answer
-	BodyTimeout     time.Duration // from an answer's head to its end
-	ReadIdleTimeout time.Duration // of silence with streams open; 0: never
-	PingTimeout     time.Duration // that the answer to a PING may take
-	// Changed tells that the stream limit or the use of the connection has changed: a stream has ended,
-	// SETTINGS or GOAWAY came, or it is lost. It is called without the lock, by the connection's goroutines.
+	MaxBody         int           // bytes of a response body
+	BodyTimeout     time.Duration // from the headers of a response to its end; 0 disables it
+	ReadIdleTimeout time.Duration // without a received frame while streams are open, before a PING; 0 disables PINGs
+	PingTimeout     time.Duration // for the reply to a PING
+	// OnChange is called when the stream limit or the state of the connection has changed: a stream has
+	// ended, SETTINGS or GOAWAY was received, or the connection is lost. The connection's goroutines call it
+	// without holding the lock.
 	OnChange func(*Conn)
 }
 
-// State is what a Conn can take.
+// State is a snapshot of a connection's capacity.
 type State struct {
-	Open     bool // the peer's SETTINGS are there and it takes new streams
-	Limit    int  // streams that may be open
-	Active   int
-	Draining bool // GOAWAY: streams go on, none is new
-	Lost     error
+	Open     bool  // SETTINGS have been received and new streams are accepted
+	Limit    int   // maximum number of open streams
+	Active   int   // open streams
+	Draining bool  // after a GOAWAY: open streams continue, new ones are not accepted
+	Lost     error // reason why the connection ended, nil while it is up
 }
 
-// Conn is one connection.
+// Conn is the client side of one HTTP/2 connection.
 type Conn struct {
 	nc  net.Conn
 	opt Options
 
-	mu        sync.Mutex
-	out       bytes.Buffer // frames that wait to be written
-	framer    *http2.Framer
-	encoder   *hpack.Encoder
-	block     bytes.Buffer // of the encoder
-	queued    int64        // bytes put into out, ever
-	written   int64        // bytes written, ever
-	marks     []mark       // by rising offset
-	control   int          // bytes of control frames in out
-	wake      chan struct{}
-	writing   bool       // bytes are with the kernel, or on their way
-	idle      *sync.Cond // writing has ended
-	leaving   bool       // Close: lost once all is written
-	streams   map[uint32]*Stream
-	nextID    uint32
-	limit     uint32
-	settled   bool
-	told      []http2.Setting // by the peer, first
-	window    int64           // for all streams' bodies
-	first     int64           // window of a new stream
-	frame     int             // bytes that a frame to the peer may have
-	draining  bool
-	lastID    uint32 // of GOAWAY
-	lost      error
-	heardAt   time.Time
-	pingAt    time.Time // of the one that is out; zero: none
-	noise     int
-	noiseAt   time.Time
-	received  int // bytes of bodies since the window was opened again
-	ended     chan struct{}
-	ready     chan struct{} // closed by the first SETTINGS
-	closeOnce sync.Once
+	mu                sync.Mutex
+	writeBuf          bytes.Buffer // frames that are queued for writeLoop
+	framer            *http2.Framer
+	encoder           *hpack.Encoder
+	headerBlock       bytes.Buffer // output of encoder
+	queuedBytes       int64        // total ever added to writeBuf
+	writtenBytes      int64        // total ever written to nc
+	marks             []writeMark  // in order of offset
+	controlBytes      int          // size of the control frames in writeBuf
+	wake              chan struct{}
+	writing           bool       // writeLoop has taken bytes whose write is not yet recorded
+	writeDone         *sync.Cond // signalled when writing becomes false
+	closing           bool       // Close was called: the connection ends once writeBuf is written
+	streams           map[uint32]*Stream
+	nextID            uint32
+	streamLimit       uint32
+	settingsReceived  bool
+	peerSettings      []http2.Setting // the peer's first SETTINGS
+	sendWindow        int64           // bytes of request bodies that the peer accepts on the connection
+	initialSendWindow int64           // bytes that it accepts on a new stream
+	maxSendFrame      int             // bytes of payload per frame sent
+	draining          bool            // GOAWAY was received
+	lastStreamID      uint32          // from GOAWAY
+	lost              error
+	lastReadAt        time.Time
+	pingSentAt        time.Time // of the unanswered PING; zero if there is none
+	overheadFrames    int       // counted since overheadSince, less the credit for useful frames
+	overheadSince     time.Time
+	receivedBytes     int // bytes of DATA since the last WINDOW_UPDATE for the connection
+	done              chan struct{}
+	ready             chan struct{} // closed by the first SETTINGS
+	closeOnce         sync.Once
 }
 
-// mark is what happens when all up to an offset is written.
-type mark struct {
+// writeMark marks the offset in the written bytes at which a stream's request or reset is complete.
+type writeMark struct {
 	offset int64
 	stream *Stream
-	reset  bool // the stream's reset, else its last byte
+	reset  bool // the mark is for RST_STREAM, otherwise for the last byte of the request
 }
 
-// Stream is one request on its way.
+// Stream is one request in progress.
 type Stream struct {
-	conn    *Conn
-	id      uint32
-	done    func(Result)
-	rest    []byte // of the body, that no window has room for yet
-	window  int64
-	sent    bool // its last byte is written
-	closing bool // its reset waits to be written; result says what it ended as
-	result  Result
-	length  int // that the answer's head tells; -1: none
-	headed  bool
-	timer   *time.Timer
+	conn            *Conn
+	id              uint32
+	onDone          func(Result)
+	unqueuedBody    []byte // rest of the body, held back by flow control
+	sendWindow      int64
+	fullySent       bool // the last byte of the request is written
+	resetting       bool // RST_STREAM is queued; result holds the outcome
+	result          Result
+	contentLength   int // from the headers of the response; -1 if absent
+	headersReceived bool
+	bodyTimer       *time.Timer
 }
 
 // Errors of a connection.
 var (
-	ErrClosed      = errors.New("h2: closed")
-	ErrPingTimeout = errors.New("h2: no answer to a PING")
-	ErrFrameFlood  = errors.New("h2: too many control frames")
+	ErrClosed      = errors.New("h2: connection closed")
+	ErrPingTimeout = errors.New("h2: peer did not answer a PING in time")
+	ErrFrameFlood  = errors.New("h2: too many frames without payload, or too many unread replies to them")
 )
 
-// New starts a connection on nc, which is the Conn's from here on. The first frames go out at once
-// (3.4); no request is taken until the peer's SETTINGS have come.
+// New starts an HTTP/2 connection on nc and takes ownership of nc. The connection preface is sent at once
+// (3.4). Start accepts no request until the peer's SETTINGS have been received.
 func New(nc net.Conn, opt Options) *Conn {
 	c := &Conn{
-		nc: nc, opt: opt, wake: make(chan struct{}, 1), streams: map[uint32]*Stream{}, nextID: 1, limit: 100,
-		window: firstWindow, first: firstWindow, frame: maxFrame, heardAt: time.Now(), ended: make(chan struct{}), ready: make(chan struct{}),
-	}
-	c.idle = sync.NewCond(&c.mu)
-	c.framer = http2.NewFramer(&c.out, nil)
-	c.encoder = hpack.NewEncoder(&c.block)
-	c.encoder.SetMaxDynamicTableSizeLimit(tableSize)
+		nc: nc, opt: opt, wake: make(chan struct{}, 1), streams: map[uint32]*Stream{}, nextID: 1, streamLimit: 100,
+		sendWindow: defaultWindowSize, initialSendWindow: defaultWindowSize, maxSendFrame: maxFrameSize,
+		lastReadAt: time.Now(), done: make(chan struct{}), ready: make(chan struct{}),
+	}
+	c.writeDone = sync.NewCond(&c.mu)
+	c.framer = http2.NewFramer(&c.writeBuf, nil)
+	c.encoder = hpack.NewEncoder(&c.headerBlock)
+	c.encoder.SetMaxDynamicTableSizeLimit(hpackTableSize)
 	c.mu.Lock()
-	c.out.WriteString(http2.ClientPreface)
-	c.queued += int64(len(http2.ClientPreface))
-	c.put(func() error {
+	c.writeBuf.WriteString(http2.ClientPreface)
+	c.queuedBytes += int64(len(http2.ClientPreface))
+	c.queueFrame(func() error {
 		return c.framer.WriteSettings(
 			http2.Setting{ID: http2.SettingEnablePush, Val: 0},
-			http2.Setting{ID: http2.SettingMaxFrameSize, Val: maxFrame},
-			http2.Setting{ID: http2.SettingMaxHeaderListSize, Val: maxHead},
+			http2.Setting{ID: http2.SettingMaxFrameSize, Val: maxFrameSize},
+			http2.Setting{ID: http2.SettingMaxHeaderListSize, Val: maxHeaderListSize},
 		)
 	}, true)
-	c.put(func() error { return c.framer.WriteWindowUpdate(0, windowSize-firstWindow) }, true)
+	c.queueFrame(func() error { return c.framer.WriteWindowUpdate(0, connWindowSize-defaultWindowSize) }, true)
 	c.mu.Unlock()
 	go c.writeLoop()
 	go c.readLoop()
@@ -207,32 +212,34 @@
 	return c
 }
 
-// State is what the connection can take now.
+// State returns the current capacity of the connection.
 func (c *Conn) State() State {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return State{
-		Open: c.takes(), Limit: int(c.limit), Active: len(c.streams), Draining: c.draining || c.leaving, Lost: c.lost,
+		Open: c.acceptsStreams(), Limit: int(c.streamLimit), Active: len(c.streams),
+		Draining: c.draining || c.closing, Lost: c.lost,
 	}
 }
 
-// takes reports whether there are new streams at all. One that begins behind the GOAWAY of Close would be
-// cut off with the connection and pass for a request that may have run. The lock is held.
-func (c *Conn) takes() bool {
-	return c.settled && !c.draining && !c.leaving && c.lost == nil && c.nextID < maxStream-2
+// acceptsStreams reports whether new streams may be opened at all. A stream opened after the GOAWAY of Close
+// would end with the connection and be reported as a request that may have run. The lock must be held.
+func (c *Conn) acceptsStreams() bool {
+	return c.settingsReceived && !c.draining && !c.closing && c.lost == nil && c.nextID < maxStreamID-2
 }
 
-// put appends frames to what waits to be written. The lock is held.
-func (c *Conn) put(write func() error, control bool) {
-	before := c.out.Len()
-	if err := write(); err != nil { // what is written here is always legal; were it not, the connection is of no use
-		go c.lose(fmt.Errorf("h2: %w", err))
+// queueFrame appends the frames that write produces to writeBuf and wakes writeLoop. control says that they
+// are control frames, which are limited by maxPendingControlBytes. The lock must be held.
+func (c *Conn) queueFrame(write func() error, control bool) {
+	before := c.writeBuf.Len()
+	if err := write(); err != nil { // not expected, since all frames queued are valid; the connection is unusable
+		go c.terminate(fmt.Errorf("h2: queue frame: %w", err))
 		return
 	}
-	n := c.out.Len() - before
-	c.queued += int64(n)
+	n := c.writeBuf.Len() - before
+	c.queuedBytes += int64(n)
 	if control {
-		c.control += n
+		c.controlBytes += n
 	}
 	select {
 	case c.wake <- struct{}{}:
@@ -240,128 +247,132 @@
 	}
 }
 
-// Start opens a stream for req. done is called once, without the lock, when it has ended; not if Start
-// returns false: the connection takes no stream now, and nothing of req was written.
-func (c *Conn) Start(req *Request, done func(Result)) (*Stream, bool) {
+// Start opens a stream for req. onDone is called once, without the lock, when the request has ended. If Start
+// returns false, the connection accepts no stream now, nothing of req was written, and onDone is not called.
+func (c *Conn) Start(req *Request, onDone func(Result)) (*Stream, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.takes() || len(c.streams) >= int(c.limit) {
+	if !c.acceptsStreams() || len(c.streams) >= int(c.streamLimit) {
 		return nil, false
 	}
-	s := &Stream{conn: c, id: c.nextID, done: done, window: c.first, length: -1, rest: req.Body}
+	s := &Stream{
+		conn: c, id: c.nextID, onDone: onDone, sendWindow: c.initialSendWindow, contentLength: -1, unqueuedBody: req.Body,
+	}
 	c.nextID += 2
-	if len(c.streams) == 0 { // silence counts from here
-		c.heardAt = time.Now()
+	if len(c.streams) == 0 { // ReadIdleTimeout applies only while streams are open
+		c.lastReadAt = time.Now()
 	}
 	c.streams[s.id] = s
-	c.writeHead(s, req)
+	c.queueHeaders(s, req)
 	if len(req.Body) == 0 {
-		c.marks = append(c.marks, mark{offset: c.queued, stream: s})
+		c.marks = append(c.marks, writeMark{offset: c.queuedBytes, stream: s})
 	} else {
-		c.writeBody(s)
+		c.queueBody(s)
 	}
 	return s, true
 }
 
-// writeHead queues HEADERS and, where they are long, CONTINUATION (6.10).
-func (c *Conn) writeHead(s *Stream, req *Request) {
-	c.block.Reset()
+// queueHeaders queues HEADERS and, if the header block exceeds one frame, CONTINUATION (6.10).
+func (c *Conn) queueHeaders(s *Stream, req *Request) {
+	c.headerBlock.Reset()
 	c.encoder.WriteField(hpack.HeaderField{Name: ":method", Value: req.Method})
 	c.encoder.WriteField(hpack.HeaderField{Name: ":scheme", Value: req.Scheme})
 	c.encoder.WriteField(hpack.HeaderField{Name: ":authority", Value: req.Authority})
 	c.encoder.WriteField(hpack.HeaderField{Name: ":path", Value: req.Path})
-	for _, f := range req.Fields { // what is private stays out of both sides' tables (RFC 7541 7.1.3)
+	for _, f := range req.Fields { // sensitive fields stay out of the dynamic tables of both sides (RFC 7541 7.1.3)
 		c.encoder.WriteField(hpack.HeaderField{Name: f.Name, Value: f.Value, Sensitive: f.Sensitive})
 	}
 	if len(req.Body) > 0 {
 		c.encoder.WriteField(hpack.HeaderField{Name: "content-length", Value: strconv.Itoa(len(req.Body))})
 	}
-	text := c.block.Bytes()
-	n := min(len(text), c.frame)
-	c.put(func() error {
+	block := c.headerBlock.Bytes()
+	n := min(len(block), c.maxSendFrame)
+	c.queueFrame(func() error {
 		return c.framer.WriteHeaders(http2.HeadersFrameParam{
-			StreamID: s.id, BlockFragment: text[:n], EndHeaders: n == len(text), EndStream: len(req.Body) == 0,
+			StreamID: s.id, BlockFragment: block[:n], EndHeaders: n == len(block), EndStream: len(req.Body) == 0,
 		})
 	}, false)
-	for text = text[n:]; len(text) > 0; text = text[n:] {
-		n = min(len(text), c.frame)
-		c.put(func() error { return c.framer.WriteContinuation(s.id, n == len(text), text[:n]) }, false)
+	for block = block[n:]; len(block) > 0; block = block[n:] {
+		n = min(len(block), c.maxSendFrame)
+		c.queueFrame(func() error { return c.framer.WriteContinuation(s.id, n == len(block), block[:n]) }, false)
 	}
 }
 
-// writeBody queues as much of the body as the windows have room for (6.9).
-func (c *Conn) writeBody(s *Stream) {
-	for len(s.rest) > 0 && !s.closing {
-		n := int(min(int64(len(s.rest)), s.window, c.window, int64(c.frame)))
+// queueBody queues as much of the body as flow control permits (6.9).
+func (c *Conn) queueBody(s *Stream) {
+	for len(s.unqueuedBody) > 0 && !s.resetting {
+		n := int(min(int64(len(s.unqueuedBody)), s.sendWindow, c.sendWindow, int64(c.maxSendFrame)))
 		if n <= 0 {
 			return
 		}
-		s.window -= int64(n)
-		c.window -= int64(n)
-		part := s.rest[:n]
-		s.rest = s.rest[n:]
-		c.noise = max(c.noise-2, -noiseMost) // each may bring two WINDOW_UPDATE, which are no flood
-		c.put(func() error { return c.framer.WriteData(s.id, len(s.rest) == 0, part) }, false)
-		if len(s.rest) == 0 {
-			c.marks = append(c.marks, mark{offset: c.queued, stream: s})
+		s.sendWindow -= int64(n)
+		c.sendWindow -= int64(n)
+		chunk := s.unqueuedBody[:n]
+		s.unqueuedBody = s.unqueuedBody[n:]
+		// The peer may answer each DATA frame with two WINDOW_UPDATE frames, which do not count as a flood.
+		c.overheadFrames = max(c.overheadFrames-2, -maxOverheadFrames)
+		c.queueFrame(func() error { return c.framer.WriteData(s.id, len(s.unqueuedBody) == 0, chunk) }, false)
+		if len(s.unqueuedBody) == 0 {
+			c.marks = append(c.marks, writeMark{offset: c.queuedBytes, stream: s})
 		}
 	}
 }
 
-// Cancel gives the request up: it is reset, and ends as Cancelled once that is written, if no other end
-// comes first. A request of which the last byte was not written ends as NeverRan.
-func (s *Stream) Cancel() { s.giveUp(Result{Outcome: Cancelled}) }
+// Cancel resets the stream. The request ends as Cancelled once the reset is written, or as NeverRan if its last
+// byte was not written, unless it ends in another way first.
+func (s *Stream) Cancel() { s.cancel(Result{Outcome: Cancelled}) }
 
-func (s *Stream) giveUp(r Result) {
+func (s *Stream) cancel(r Result) {
 	c := s.conn
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.streams[s.id] == s && !s.closing && c.lost == nil {
-		c.reset(s, http2.ErrCodeCancel, r)
+	if c.streams[s.id] == s && !s.resetting && c.lost == nil {
+		c.queueReset(s, http2.ErrCodeCancel, r)
 	}
 }
 
-// reset queues the stream's reset; it ends as r when that is written. The lock is held.
-func (c *Conn) reset(s *Stream, code http2.ErrCode, r Result) {
-	s.closing = true
+// queueReset queues RST_STREAM; the stream ends with r when it is written. The lock must be held.
+func (c *Conn) queueReset(s *Stream, code http2.ErrCode, r Result) {
+	s.resetting = true
 	if r.Status == 0 {
 		r.Status = s.result.Status
 	}
 	s.result = r
-	c.put(func() error { return c.framer.WriteRSTStream(s.id, code) }, true)
-	c.marks = append(c.marks, mark{offset: c.queued, stream: s, reset: true})
+	c.queueFrame(func() error { return c.framer.WriteRSTStream(s.id, code) }, true)
+	c.marks = append(c.marks, writeMark{offset: c.queuedBytes, stream: s, reset: true})
 }
 
-// finish takes a stream out; the call that is returned tells its end, and must be made without the lock.
+// finish removes a stream and returns a function that reports r to its caller, to be called without the lock.
+// The lock must be held.
 func (c *Conn) finish(s *Stream, r Result) func() {
 	if c.streams[s.id] != s {
 		return func() {}
 	}
 	delete(c.streams, s.id)
-	if s.timer != nil {
-		s.timer.Stop()
+	if s.bodyTimer != nil {
+		s.bodyTimer.Stop()
 	}
 	if r.Status == 0 {
 		r.Status = s.result.Status
 	}
-	return func() { s.done(r) }
+	return func() { s.onDone(r) }
 }
 
-// Close ends the connection once a GOAWAY is written, or can't be. Streams that are open then end as a loss
-// ends them.
+// Close ends the connection once a GOAWAY has been written or its write has failed. Streams that are still open
+// then end as they do when the connection is lost.
 func (c *Conn) Close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.lost == nil && !c.leaving {
-		c.leaving = true
-		c.put(func() error { return c.framer.WriteGoAway(0, http2.ErrCodeNo, nil) }, true)
+	if c.lost == nil && !c.closing {
+		c.closing = true
+		c.queueFrame(func() error { return c.framer.WriteGoAway(0, http2.ErrCodeNo, nil) }, true)
 	}
 }
 
-// lose ends the connection and all its streams: those whose last byte was not written never ran. What
-// the writer has in hand just then must be counted first, or a request that is out would pass for one
-// that is not.
-func (c *Conn) lose(err error) {
+// terminate ends the connection and all its streams. Requests whose last byte was not written end as NeverRan.
+// It waits for a write in progress and counts its bytes first: otherwise a request that was sent would be
+// reported as NeverRan.
+func (c *Conn) terminate(err error) {
 	c.mu.Lock()
 	if c.lost != nil {
 		c.mu.Unlock()
@@ -369,155 +380,155 @@
 	}
 	c.lost = err
 	c.mu.Unlock()
-	// Closed before anybody hears of it: a further attempt must not find this one's stream open.
-	raw(c.nc).Close()
+	// Close before reporting any result: a retry must not overlap with a stream that is still open.
+	underlyingConn(c.nc).Close()
 	c.mu.Lock()
 	for c.writing {
-		c.idle.Wait()
+		c.writeDone.Wait()
 	}
-	var ends []func()
+	var callbacks []func()
 	for _, s := range c.streams {
 		r := Result{Outcome: Broken, Err: err}
 		switch {
-		case s.closing && s.result.Outcome != Cancelled:
+		case s.resetting && s.result.Outcome != Cancelled:
 			r = s.result
-		case !s.sent:
+		case !s.fullySent:
 			r.Outcome = NeverRan
-		case s.closing:
+		case s.resetting:
 			r = s.result
 		case errors.Is(err, ErrPingTimeout):
 			r.Outcome = Unresponsive
 		}
-		ends = append(ends, c.finish(s, r))
+		callbacks = append(callbacks, c.finish(s, r))
 	}
 	c.mu.Unlock()
-	c.closeOnce.Do(func() { close(c.ended) })
-	for _, end := range ends {
-		end()
+	c.closeOnce.Do(func() { close(c.done) })
+	for _, callback := range callbacks {
+		callback()
 	}
 	if c.opt.OnChange != nil {
 		c.opt.OnChange(c)
 	}
 }
 
-// raw is the connection under TLS: tls.Conn's own Close may wait seconds to say goodbye to a peer that
-// reads nothing.
-func raw(nc net.Conn) net.Conn {
+// underlyingConn returns the connection below TLS. tls.Conn.Close may block for seconds on sending close_notify
+// to a peer that does not read.
+func underlyingConn(nc net.Conn) net.Conn {
 	if t, ok := nc.(*tls.Conn); ok {
 		return t.NetConn()
 	}
 	return nc
 }
 
-// Settled is closed when the peer's first SETTINGS have come.
+// Ready returns a channel that is closed when the peer's first SETTINGS have been received.
 func (c *Conn) Ready() <-chan struct{} { return c.ready }
 
-// Abort ends the connection at once, as a loss for that reason.
-func (c *Conn) Abort(why error) { c.lose(why) }
+// Abort ends the connection at once, with err as the reason of the loss.
+func (c *Conn) Abort(err error) { c.terminate(err) }
 
-// Done is closed when the connection is lost.
-func (c *Conn) Done() <-chan struct{} { return c.ended }
+// Done returns a channel that is closed when the connection is lost.
+func (c *Conn) Done() <-chan struct{} { return c.done }
 
-// writeLoop writes what is queued, and notes of which streams the last byte is out.
+// writeLoop writes the queued frames and records which requests are fully sent.
 func (c *Conn) writeLoop() {
-	var text []byte
+	var buf []byte
 	for {
 		select {
 		case <-c.wake:
-		case <-c.ended:
+		case <-c.done:
 			return
 		}
 		c.mu.Lock()
-		if c.lost != nil { // from here on its streams are told that what waits was not written
+		if c.lost != nil { // terminate reports queued requests as not written, so they must not be written any more
 			c.mu.Unlock()
 			return
 		}
-		text = append(text[:0], c.out.Bytes()...)
-		c.out.Reset()
-		c.control = 0
+		buf = append(buf[:0], c.writeBuf.Bytes()...)
+		c.writeBuf.Reset()
+		c.controlBytes = 0
 		c.writing = true
-		leaving := c.leaving
+		closing := c.closing
 		c.mu.Unlock()
 		var err error
-		if len(text) > 0 {
+		if len(buf) > 0 {
 			var n int
-			c.nc.SetWriteDeadline(time.Now().Add(writeFor)) // a peer that reads nothing is lost
-			n, err = c.nc.Write(text)
-			c.wrote(int64(n))
+			c.nc.SetWriteDeadline(time.Now().Add(writeTimeout)) // the connection ends if the peer stops reading
+			n, err = c.nc.Write(buf)
+			c.recordWritten(int64(n))
 		}
 		c.mu.Lock()
 		c.writing = false
-		c.idle.Broadcast()
+		c.writeDone.Broadcast()
 		c.mu.Unlock()
 		switch {
 		case err != nil:
-			c.lose(fmt.Errorf("h2: write: %w", err))
+			c.terminate(fmt.Errorf("h2: write: %w", err))
 			return
-		case leaving:
-			c.lose(ErrClosed)
+		case closing:
+			c.terminate(ErrClosed)
 			return
 		}
 	}
 }
 
-// wrote notes that so many more bytes are out.
-func (c *Conn) wrote(n int64) {
+// recordWritten adds n to the bytes written and handles the marks that they reach.
+func (c *Conn) recordWritten(n int64) {
 	c.mu.Lock()
-	c.written += n
-	var ends []func()
-	for len(c.marks) > 0 && c.marks[0].offset <= c.written {
+	c.writtenBytes += n
+	var callbacks []func()
+	for len(c.marks) > 0 && c.marks[0].offset <= c.writtenBytes {
 		m := c.marks[0]
 		c.marks = c.marks[1:]
 		if !m.reset {
-			m.stream.sent = true
+			m.stream.fullySent = true
 			continue
 		}
 		r := m.stream.result
-		if !m.stream.sent && r.Outcome == Cancelled {
-			r.Outcome = NeverRan // a reset before END_STREAM (8.1): there was no whole request
+		if !m.stream.fullySent && r.Outcome == Cancelled {
+			r.Outcome = NeverRan // reset before END_STREAM (8.1): the peer never received a complete request
 		}
-		ends = append(ends, c.finish(m.stream, r))
+		callbacks = append(callbacks, c.finish(m.stream, r))
 	}
 	c.mu.Unlock()
-	for _, end := range ends {
-		end()
+	for _, callback := range callbacks {
+		callback()
 	}
-	if len(ends) > 0 && c.opt.OnChange != nil {
+	if len(callbacks) > 0 && c.opt.OnChange != nil {
 		c.opt.OnChange(c)
 	}
 }
 
-// pingLoop looks whether a peer with streams open is still there (6.7).
+// pingLoop checks with PING (6.7) that the peer still responds while streams are open.
 func (c *Conn) pingLoop() {
 	t := time.NewTicker(max(min(c.opt.ReadIdleTimeout, c.opt.PingTimeout)/4, 5*time.Millisecond))
 	defer t.Stop()
 	for {
 		select {
-		case <-c.ended:
+		case <-c.done:
 			return
 		case <-t.C:
 		}
 		c.mu.Lock()
 		now := time.Now()
-		late := !c.pingAt.IsZero() && now.Sub(c.pingAt) > c.opt.PingTimeout
-		if c.pingAt.IsZero() && len(c.streams) > 0 && now.Sub(c.heardAt) > c.opt.ReadIdleTimeout {
-			c.pingAt = now
-			c.put(func() error { return c.framer.WritePing(false, [8]byte{'s', 'l', 'i', 'p'}) }, true)
+		timedOut := !c.pingSentAt.IsZero() && now.Sub(c.pingSentAt) > c.opt.PingTimeout
+		if c.pingSentAt.IsZero() && len(c.streams) > 0 && now.Sub(c.lastReadAt) > c.opt.ReadIdleTimeout {
+			c.pingSentAt = now
+			c.queueFrame(func() error { return c.framer.WritePing(false, [8]byte{'s', 'l', 'i', 'p'}) }, true)
 		}
 		c.mu.Unlock()
-		if late {
-			c.lose(ErrPingTimeout)
+		if timedOut {
+			c.terminate(ErrPingTimeout)
 			return
 		}
 	}
 }
 
-// PeerSettings are the settings that the peer told first, by name (6.5.2).
+// PeerSettings returns the peer's first SETTINGS by name (6.5.2).
 func (c *Conn) PeerSettings() []Field {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	list := make([]Field, len(c.told))
-	for i, s := range c.told {
+	list := make([]Field, len(c.peerSettings))
+	for i, s := range c.peerSettings {
 		list[i] = Field{Name: s.ID.String(), Value: strconv.FormatUint(uint64(s.Val), 10)}
 	}
 	return list
--- a/internal/h2/placing/placing.go
+++ b/internal/h2/placing/placing.go
@@ -1,37 +1,36 @@
-// Package placing decides where requests to one endpoint go when connections carry many at once: how many
-// connections there are, which takes the next request, when a further one is dialled, which is closed. It
-// is pure: no I/O, no clock, no goroutines. Which endpoint is called, and when, the decision module has
-// decided before.
+// Package placing assigns the requests to one endpoint to multiplexed connections: it decides which connection
+// takes the next request, when to dial a further one, and which ones to close. It does no I/O, reads no clock and
+// starts no goroutines. Which endpoint is called, and when, is decided beforehand by package policy.
 package placing
 
-// Settings bound the connections to one endpoint.
+// Settings configures the connections to one endpoint.
 type Settings struct {
-	MaxConns        int     // connections at most
-	DialThreshold   float64 // share of the streams in use above which a further connection is dialled
-	ExpectedStreams int     // streams that a connection is taken to carry before its peer has said
-	IdleTimeout     float64 // milliseconds that a connection without streams is kept
+	MaxConns        int     // maximum number of connections
+	DialThreshold   float64 // share of the streams in use above which a further connection is dialled; 0 disables it
+	ExpectedStreams int     // assumed stream limit of a connection that is being dialled
+	IdleTimeout     float64 // milliseconds for which a connection without streams is kept
 }
 
-// Phase is where a connection stands.
+// Phase is the phase of a connection's life cycle.
 type Phase uint8
 
-// The phases.
+// Phases of a connection.
 const (
 	Dialling Phase = iota
 	Open
-	Draining // its streams go on, none is new
+	Draining // open streams continue, new ones are not accepted
 )
 
-// Conn is what is known of one connection.
+// Conn is the state of one connection.
 type Conn struct {
 	ID     int
 	Phase  Phase
-	Limit  int // streams that the peer allows; it may be 0 for a while
-	Active int
-	UsedAt float64 // when its last stream ended, or it came up
+	Limit  int     // streams that the peer permits; may be 0 temporarily
+	Active int     // open streams
+	UsedAt float64 // time in milliseconds at which its state last changed: it opened, or a stream ended
 }
 
-// Room is how many more streams it takes.
+// FreeStreams returns the number of further streams that the connection accepts.
 func (c *Conn) FreeStreams() int {
 	if c.Phase != Open {
 		return 0
@@ -39,22 +38,22 @@
 	return max(c.Limit-c.Active, 0)
 }
 
-// Pool is the connections to one endpoint. Its zero value has none.
+// Pool holds the connections to one endpoint. The zero value is an empty pool.
 type Pool struct {
 	Settings Settings
 	conns    []*Conn
-	next     int
+	lastID   int
 }
 
-// Dial enters a connection that is being dialled.
+// Add adds a connection in phase Dialling and returns it; the caller dials it.
 func (p *Pool) Add() *Conn {
-	p.next++
-	c := &Conn{ID: p.next, Phase: Dialling}
+	p.lastID++
+	c := &Conn{ID: p.lastID, Phase: Dialling}
 	p.conns = append(p.conns, c)
 	return c
 }
 
-// Drop takes a connection out.
+// Remove removes the connection with the given ID, if there is one.
 func (p *Pool) Remove(id int) {
 	for i, c := range p.conns {
 		if c.ID == id {
@@ -64,7 +63,7 @@
 	}
 }
 
-// Get is the connection of that number, nil if there is none.
+// Get returns the connection with the given ID, or nil if there is none.
 func (p *Pool) Get(id int) *Conn {
 	for _, c := range p.conns {
 		if c.ID == id {
@@ -74,11 +73,11 @@
 	return nil
 }
 
-// Len is how many connections there are.
+// Len returns the number of connections in all phases.
 func (p *Pool) Len() int { return len(p.conns) }
 
-// Place returns the connection that takes the next request, nil if none has room. The busiest that has
-// room takes it, so that the others fall idle and close: few connections are what this is for.
+// Pick returns the connection for the next request, or nil if none has a free stream. It picks the busiest one
+// with a free stream, so that the others become idle and close, which keeps the number of connections low.
 func (p *Pool) Pick() *Conn {
 	var best *Conn
 	for _, c := range p.conns {
@@ -89,34 +88,35 @@
 	return best
 }
 
-// WantsDial reports whether a further connection is to be dialled, with so many requests waiting. Those
-// that are being dialled count for what they are expected to carry. A peer that allows no streams just now
-// asks for patience, not for a second connection.
+// ShouldDial reports whether a further connection should be dialled while the given number of requests wait.
+// Connections that are being dialled count with their expected streams. A peer whose stream limit is 0 asks the
+// client to wait, so no second connection is dialled.
 func (p *Pool) ShouldDial(waiting int) bool {
-	if live, dialling := p.count(); live+dialling >= p.Settings.MaxConns || dialling > 0 && waiting <= dialling*max(p.Settings.ExpectedStreams, 1) {
+	if open, dialling := p.count(); open+dialling >= p.Settings.MaxConns || dialling > 0 && waiting <= dialling*max(p.Settings.ExpectedStreams, 1) {
 		return false
 	}
-	room, active, limit := 0, 0, 0
-	open := false
+	free, active, limit := 0, 0, 0
+	hasOpen := false
 	for _, c := range p.conns {
 		if c.Phase == Open {
-			open = true
-			room, active, limit = room+c.FreeStreams(), active+c.Active, limit+c.Limit
+			hasOpen = true
+			free, active, limit = free+c.FreeStreams(), active+c.Active, limit+c.Limit
 		}
 	}
 	switch {
-	case !open:
+	case !hasOpen:
 		return waiting > 0
 	case limit == 0:
 		return false
-	case waiting > room:
+	case waiting > free:
 		return true
 	}
 	_, dialling := p.count()
 	return dialling == 0 && p.Settings.DialThreshold > 0 && float64(active+waiting) > p.Settings.DialThreshold*float64(limit)
 }
 
-// count tells connections that carry new streams, or soon will. One that drains is on its way out.
+// count returns the numbers of open and of dialling connections. Draining ones are not counted, since they accept
+// no new streams.
 func (p *Pool) count() (open, dialling int) {
 	for _, c := range p.conns {
 		switch c.Phase {
@@ -129,7 +129,8 @@
 	return open, dialling
 }
 
-// Idle returns the connections to close: without streams, and draining or unused for too long.
+// Closable returns the connections to close: those without open streams that are draining or have been unused for
+// IdleTimeout. now is in milliseconds.
 func (p *Pool) Closable(now float64) (list []*Conn) {
 	for _, c := range p.conns {
 		if c.Active == 0 && (c.Phase == Draining || c.Phase == Open && now-c.UsedAt >= p.Settings.IdleTimeout) {
--- a/internal/h2/placing/placing_test.go
+++ b/internal/h2/placing/placing_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-func pool(set Settings, conns ...Conn) *Pool {
+func newPool(set Settings, conns ...Conn) *Pool {
 	p := &Pool{Settings: set}
 	for _, c := range conns {
 		n := p.Add()
@@ -14,58 +14,58 @@
 	return p
 }
 
-var set = Settings{MaxConns: 3, DialThreshold: 0.9, ExpectedStreams: 100, IdleTimeout: 1000}
+var testSettings = Settings{MaxConns: 3, DialThreshold: 0.9, ExpectedStreams: 100, IdleTimeout: 1000}
 
-func TestPlace(t *testing.T) {
-	for name, row := range map[string]struct {
+func TestPick(t *testing.T) {
+	for name, tc := range map[string]struct {
 		conns []Conn
-		want  int // its number; 0: none
+		want  int // ID of the connection; 0 for none
 	}{
-		"nothing":                  {nil, 0},
-		"dialling":                 {[]Conn{{Phase: Dialling, Limit: 5}}, 0},
-		"the busiest with room":    {[]Conn{{Phase: Open, Limit: 5, Active: 1}, {Phase: Open, Limit: 5, Active: 4}, {Phase: Open, Limit: 5, Active: 5}}, 2},
-		"lowered under its use":    {[]Conn{{Phase: Open, Limit: 1, Active: 4}}, 0},
-		"lowered to none":          {[]Conn{{Phase: Open, Limit: 0}}, 0},
-		"draining takes none":      {[]Conn{{Phase: Draining, Limit: 5}}, 0},
-		"another than the drained": {[]Conn{{Phase: Draining, Limit: 5, Active: 3}, {Phase: Open, Limit: 5}}, 2},
+		"nothing":                     {nil, 0},
+		"dialling":                    {[]Conn{{Phase: Dialling, Limit: 5}}, 0},
+		"busiest with capacity":       {[]Conn{{Phase: Open, Limit: 5, Active: 1}, {Phase: Open, Limit: 5, Active: 4}, {Phase: Open, Limit: 5, Active: 5}}, 2},
+		"limit below its streams":     {[]Conn{{Phase: Open, Limit: 1, Active: 4}}, 0},
+		"limit of 0":                  {[]Conn{{Phase: Open, Limit: 0}}, 0},
+		"draining accepts none":       {[]Conn{{Phase: Draining, Limit: 5}}, 0},
+		"other than the draining one": {[]Conn{{Phase: Draining, Limit: 5, Active: 3}, {Phase: Open, Limit: 5}}, 2},
 	} {
 		got := 0
-		if c := pool(set, row.conns...).Pick(); c != nil {
+		if c := newPool(testSettings, tc.conns...).Pick(); c != nil {
 			got = c.ID
 		}
-		if got != row.want {
-			t.Errorf("%s: %d, want %d", name, got, row.want)
+		if got != tc.want {
+			t.Errorf("%s: picked %d, want %d", name, got, tc.want)
 		}
 	}
 }
 
-func TestWantsDial(t *testing.T) {
-	for name, row := range map[string]struct {
+func TestShouldDial(t *testing.T) {
+	for name, tc := range map[string]struct {
 		conns   []Conn
 		waiting int
 		want    bool
 	}{
-		"nothing to do":                 {nil, 0, false},
-		"the first":                     {nil, 1, true},
-		"one is coming":                 {[]Conn{{Phase: Dialling}}, 64, false},
-		"more than it will carry":       {[]Conn{{Phase: Dialling}}, 101, true},
-		"room":                          {[]Conn{{Phase: Open, Limit: 100, Active: 60}}, 4, false},
-		"full":                          {[]Conn{{Phase: Open, Limit: 10, Active: 10}}, 1, true},
-		"ahead of the limit":            {[]Conn{{Phase: Open, Limit: 100, Active: 91}}, 0, true},
-		"ahead, and one is coming":      {[]Conn{{Phase: Open, Limit: 100, Active: 91}, {Phase: Dialling}}, 0, false},
-		"limit 0 asks for patience":     {[]Conn{{Phase: Open, Limit: 0}}, 9, false},
-		"as many as there may be":       {[]Conn{{Phase: Open, Limit: 1, Active: 1}, {Phase: Open, Limit: 1, Active: 1}, {Phase: Open, Limit: 1, Active: 1}}, 9, false},
-		"a draining one does not count": {[]Conn{{Phase: Draining, Limit: 9, Active: 9}, {Phase: Open, Limit: 1, Active: 1}, {Phase: Open, Limit: 1, Active: 1}}, 1, true},
-		"only draining":                 {[]Conn{{Phase: Draining, Limit: 9, Active: 9}}, 1, true},
+		"nothing waits":                     {nil, 0, false},
+		"first connection":                  {nil, 1, true},
+		"one is being dialled":              {[]Conn{{Phase: Dialling}}, 64, false},
+		"more than it is expected to carry": {[]Conn{{Phase: Dialling}}, 101, true},
+		"room":                              {[]Conn{{Phase: Open, Limit: 100, Active: 60}}, 4, false},
+		"full":                              {[]Conn{{Phase: Open, Limit: 10, Active: 10}}, 1, true},
+		"above the threshold":               {[]Conn{{Phase: Open, Limit: 100, Active: 91}}, 0, true},
+		"above the threshold, one is being dialled": {[]Conn{{Phase: Open, Limit: 100, Active: 91}, {Phase: Dialling}}, 0, false},
+		"limit 0 means wait":                        {[]Conn{{Phase: Open, Limit: 0}}, 9, false},
+		"maximum reached":                           {[]Conn{{Phase: Open, Limit: 1, Active: 1}, {Phase: Open, Limit: 1, Active: 1}, {Phase: Open, Limit: 1, Active: 1}}, 9, false},
+		"a draining one does not count":             {[]Conn{{Phase: Draining, Limit: 9, Active: 9}, {Phase: Open, Limit: 1, Active: 1}, {Phase: Open, Limit: 1, Active: 1}}, 1, true},
+		"only draining":                             {[]Conn{{Phase: Draining, Limit: 9, Active: 9}}, 1, true},
 	} {
-		if got := pool(set, row.conns...).ShouldDial(row.waiting); got != row.want {
-			t.Errorf("%s: %t", name, got)
+		if got := newPool(testSettings, tc.conns...).ShouldDial(tc.waiting); got != tc.want {
+			t.Errorf("%s: got %t", name, got)
 		}
 	}
 }
 
-func TestIdle(t *testing.T) {
-	p := pool(set, Conn{Phase: Open, UsedAt: 100}, Conn{Phase: Open, UsedAt: 100, Active: 1}, Conn{Phase: Draining}, Conn{Phase: Draining, Active: 2}, Conn{Phase: Dialling})
+func TestClosable(t *testing.T) {
+	p := newPool(testSettings, Conn{Phase: Open, UsedAt: 100}, Conn{Phase: Open, UsedAt: 100, Active: 1}, Conn{Phase: Draining}, Conn{Phase: Draining, Active: 2}, Conn{Phase: Dialling})
 	if list := p.Closable(1099); len(list) != 1 || list[0].ID != 3 {
 		t.Errorf("%v", list)
 	}
@@ -74,14 +74,15 @@
 	}
 }
 
-// Whatever peers allow, no connection carries more than that when a request is placed, there are never more
-// than there may be, and a request that waits finds its place or a dial, or a reason not to.
+// With random changes of limits, streams and phases: no request is placed on a connection that has reached its
+// limit, the number of connections never exceeds MaxConns, and a request never waits without an open or dialling
+// connection.
 func TestNeverOverLimits(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	for range 200 {
-		p, waiting := &Pool{Settings: set}, 0
+		p, waiting := &Pool{Settings: testSettings}, 0
 		for range 500 {
-			switch c := p.Get(1 + rng.IntN(p.next+1)); rng.IntN(6) {
+			switch c := p.Get(1 + rng.IntN(p.lastID+1)); rng.IntN(6) {
 			case 0, 1:
 				waiting++
 			case 2:
@@ -116,11 +117,11 @@
 				p.Add()
 			}
 			open, dialling := p.count()
-			if open+dialling > set.MaxConns {
-				t.Fatalf("%d connections", open+dialling)
+			if open+dialling > testSettings.MaxConns {
+				t.Fatalf("%d connections, more than MaxConns", open+dialling)
 			}
 			if waiting > 0 && open+dialling == 0 {
-				t.Fatal("a request waits for nothing")
+				t.Fatal("a request waits without an open or dialling connection")
 			}
 		}
 	}
--- a/internal/http1/http1.go
+++ b/internal/http1/http1.go
@@ -1,7 +1,6 @@
-// Package http1 reads and writes HTTP/1.1 messages over bufio, for both sides of
-// a connection. Heads and bodies are bounded, bodies by MaxBody unless a Reader
-// is made with a bound of its own. A message read is a set of slices
-// of the buffer that it was read into, valid until the next read.
+// Package http1 reads and writes HTTP/1.1 messages over bufio, for clients and servers. The sizes of heads and
+// bodies are limited; the limit of bodies is MaxBody unless NewReaderLimit sets another. The slices of a message
+// point into the buffer that it was read into and are valid until the next read.
 package http1
 
 import (
@@ -13,30 +12,30 @@
 	"strconv"
 )
 
-// Bounds on what is read.
+// Limits on the messages read.
 const (
-	MaxHead    = 8 << 10
-	MaxBody    = 64 << 10
+	MaxHead    = 8 << 10  // bytes of the first line and the headers
+	MaxBody    = 64 << 10 // bytes
 	maxHeaders = 64
-	bufferSize = 8 << 10
+	bufferSize = 8 << 10 // bytes
 )
 
-// What can be wrong with a message. Each stands for one answer.
+// Errors of reading. A server answers each with a status of its own: 400, 413 and 411.
 var (
-	ErrMalformed = errors.New("malformed message")
-	ErrTooLarge  = errors.New("body too large")
-	ErrNoLength  = errors.New("no content length")
+	ErrMalformed = errors.New("http1: malformed message")
+	ErrTooLarge  = errors.New("http1: message body too large")
+	ErrNoLength  = errors.New("http1: request body without Content-Length")
 )
 
 type header struct{ name, value []byte }
 
-// Headers are the header lines of a message.
+// Headers holds the header fields of a message.
 type Headers struct {
 	list [maxHeaders]header
 	n    int
 }
 
-// Get is the value of the first header of that name, nil if there is none.
+// Get returns the value of the first header with the given name, regardless of case, or nil if there is none.
 func (h *Headers) Get(name string) []byte {
 	for i := range h.list[:h.n] {
 		if f := &h.list[i]; len(f.name) == len(name) && equalFold(f.name, name) {
@@ -71,33 +70,33 @@
 	Status       int    // of a response
 	Headers      Headers
 	Body         []byte
-	Close        bool // the connection ends after it
-	length       int  // of the body; -1 = not told
+	Close        bool // the connection ends after this message
+	length       int  // Content-Length; -1 if absent
 	chunked      bool
 }
 
 // Reader reads messages from one connection.
 type Reader struct {
-	br  *bufio.Reader
-	src io.Reader
-	max int // bytes of a body at most
-	msg Message
-	big []byte // holds a message that does not fit the buffer
-	use int    // bytes of the buffer that the last message took
+	br       *bufio.Reader
+	src      io.Reader
+	maxBody  int // bytes
+	msg      Message
+	large    []byte // holds a message that does not fit into br's buffer
+	consumed int    // bytes of br's buffer that the last message occupies, discarded before the next read
 }
 
 // NewReader returns a Reader on src that reads bodies of up to MaxBody bytes.
 func NewReader(src io.Reader) *Reader { return NewReaderLimit(src, MaxBody) }
 
-// NewReaderBound returns a Reader on src that reads bodies of up to maxBody bytes; a longer one is ErrTooLarge.
+// NewReaderLimit returns a Reader on src that reads bodies of up to maxBody bytes; a longer one gives ErrTooLarge.
 func NewReaderLimit(src io.Reader, maxBody int) *Reader {
-	return &Reader{br: bufio.NewReaderSize(src, bufferSize), src: src, max: maxBody}
+	return &Reader{br: bufio.NewReaderSize(src, bufferSize), src: src, maxBody: maxBody}
 }
 
-// Buffered reports whether bytes of a further message have arrived.
+// Buffered reports whether bytes of the next message are in the buffer.
 func (r *Reader) Buffered() bool { r.release(); return r.br.Buffered() > 0 }
 
-// Wait blocks until the first byte of the next message is there.
+// Wait blocks until the first byte of the next message has arrived.
 func (r *Reader) Wait() error {
 	r.release()
 	_, err := r.br.Peek(1)
@@ -105,56 +104,56 @@
 }
 
 func (r *Reader) release() {
-	r.br.Discard(r.use)
-	r.use = 0
-	if cap(r.big) > bufferSize {
-		r.big = nil // an idle connection keeps no large buffer
+	r.br.Discard(r.consumed)
+	r.consumed = 0
+	if cap(r.large) > bufferSize {
+		r.large = nil // idle connections must not hold large buffers
 	}
 }
 
-// Request reads the next request. A request without a method that has a body
-// and without a length is ErrNoLength.
+// ReadRequest reads the next request. A chunked request, or one without Content-Length whose method is neither GET
+// nor HEAD, gives ErrNoLength.
 func (r *Reader) ReadRequest() (*Message, error) {
-	if err := r.next(true); err != nil {
+	if err := r.readMessage(true); err != nil {
 		return &r.msg, err
 	}
 	return &r.msg, nil
 }
 
-// Response reads the next response. Once its first line is read, Status is set,
-// also where the rest fails: to an endpoint the message counts from there.
+// ReadResponse reads the next response. Once the status line has been read, Status is set even if reading the rest
+// fails: the endpoint regards the message as answered from there on.
 func (r *Reader) ReadResponse() (*Message, error) {
-	if err := r.next(false); err != nil {
+	if err := r.readMessage(false); err != nil {
 		return &r.msg, err
 	}
 	return &r.msg, nil
 }
 
-func (r *Reader) next(request bool) error {
+func (r *Reader) readMessage(request bool) error {
 	r.release()
 	m := &r.msg
 	*m = Message{length: -1}
-	head, err := r.head(m, request)
+	head, err := r.readHead(m, request)
 	if err != nil {
 		return err
 	}
-	if err := m.parse(head, request); err != nil {
+	if err := m.parseHead(head, request); err != nil {
 		return err
 	}
 	n := m.length
 	switch {
 	case !request && m.Status == 101:
-		return ErrMalformed // nothing was asked to change
+		return ErrMalformed // no request asks for a protocol switch
 	case !request && m.Status < 200:
-		n = 0 // never has a body: reading to the end would wait for the real answer, and beyond
-	case n > r.max:
+		n = 0 // an interim response has no body; reading until the connection closes would swallow the final response
+	case n > r.maxBody:
 		return ErrTooLarge
 	case m.chunked && request:
 		return ErrNoLength
 	case m.chunked:
-		return r.chunks(bytes.Clone(head)) // the reads of chunks move the buffer under it
+		return r.readChunked(bytes.Clone(head)) // reading the chunks overwrites the buffer that head points into
 	case n < 0 && request:
-		r.use = len(head)
+		r.consumed = len(head)
 		if bytes.Equal(m.Method, []byte("GET")) || bytes.Equal(m.Method, []byte("HEAD")) {
 			return nil
 		}
@@ -162,49 +161,49 @@
 	case n < 0 && (m.Status == 204 || m.Status == 304):
 		n = 0
 	case n < 0:
-		return r.untilEnd(len(head))
+		return r.readUntilClose(len(head))
 	}
-	return r.body(len(head), n, request)
+	return r.readBody(len(head), n, request)
 }
 
-// body reads n bytes behind the head. Peek may move the buffer's content, so the
-// head is parsed again where it lies then.
-func (r *Reader) body(head, n int, request bool) error {
+// readBody reads the n bytes after the head. Peek may move the content of the buffer, so the head is parsed again at
+// its new place.
+func (r *Reader) readBody(headLen, n int, request bool) error {
 	m := &r.msg
 	var raw []byte
-	if head+n <= bufferSize {
+	if headLen+n <= bufferSize {
 		var err error
-		if raw, err = r.br.Peek(head + n); err != nil {
-			return cut(err)
+		if raw, err = r.br.Peek(headLen + n); err != nil {
+			return unexpectedEOF(err)
 		}
-		r.use = head + n
+		r.consumed = headLen + n
 	} else {
-		r.big = make([]byte, head+n)
-		raw = r.big
+		r.large = make([]byte, headLen+n)
+		raw = r.large
 		if _, err := io.ReadFull(r.br, raw); err != nil {
-			return cut(err)
+			return unexpectedEOF(err)
 		}
 	}
-	if err := m.parse(raw[:head], request); err != nil {
+	if err := m.parseHead(raw[:headLen], request); err != nil {
 		return err
 	}
-	m.Body = raw[head:]
+	m.Body = raw[headLen:]
 	return nil
 }
 
-// head peeks until the blank line that ends the head and returns it with the
-// line. The status of a response is noted as soon as its first line is there.
-func (r *Reader) head(m *Message, request bool) ([]byte, error) {
-	for want := 1; ; {
-		b, err := r.br.Peek(want)
+// readHead peeks until the blank line that ends the head and returns the head including that line. It sets the status
+// of a response as soon as the status line is complete.
+func (r *Reader) readHead(m *Message, request bool) ([]byte, error) {
+	for peekSize := 1; ; {
+		b, err := r.br.Peek(peekSize)
 		if err == nil {
 			b, err = r.br.Peek(r.br.Buffered())
 		}
 		if !request && m.Status == 0 {
-			if !bytes.HasPrefix(b, statusStart[:min(len(b), len(statusStart))]) {
-				return nil, ErrMalformed // noise: its sender may add nothing more, nor close
+			if !bytes.HasPrefix(b, statusPrefix[:min(len(b), len(statusPrefix))]) {
+				return nil, ErrMalformed // not HTTP: fail now, since the peer may neither send more nor close
 			}
-			if i := bytes.IndexByte(b, '\n'); i >= 0 && m.statusLine(trimCR(b[:i])) != nil {
+			if i := bytes.IndexByte(b, '\n'); i >= 0 && m.parseStatusLine(trimCR(b[:i])) != nil {
 				return nil, ErrMalformed
 			}
 		}
@@ -213,46 +212,47 @@
 		}
 		if err != nil {
 			if len(b) == 0 {
-				return nil, err // between two messages: not a cut
+				return nil, err // the connection ended between two messages, which truncates none
 			}
-			return nil, cut(err)
+			return nil, unexpectedEOF(err)
 		}
 		if len(b) >= MaxHead {
 			return nil, ErrMalformed
 		}
-		want = len(b) + 1
+		peekSize = len(b) + 1
 	}
 }
 
-var statusStart = []byte("HTTP/1.")
+var statusPrefix = []byte("HTTP/1.")
 
-// headEnd is where the first blank line of b ends, however lines end; 0: there is none.
-// Whoever looks for one kind of line end first lets a head hide another.
+// headEnd returns the offset after the first blank line of b, or 0 if there is none. Lines may end with CRLF or LF.
+// Both are searched in one pass: searching for one kind first could pass over an earlier blank line of the other kind,
+// so that a head hides another one.
 func headEnd(b []byte) int {
-	for at := 0; ; {
-		i := bytes.IndexByte(b[at:], '\n')
+	for pos := 0; ; {
+		i := bytes.IndexByte(b[pos:], '\n')
 		if i < 0 {
 			return 0
 		}
-		if at += i + 1; at < len(b) && b[at] == '\n' {
-			return at + 1
+		if pos += i + 1; pos < len(b) && b[pos] == '\n' {
+			return pos + 1
 		}
-		if at+1 < len(b) && b[at] == '\r' && b[at+1] == '\n' {
-			return at + 2
+		if pos+1 < len(b) && b[pos] == '\r' && b[pos+1] == '\n' {
+			return pos + 2
 		}
 	}
 }
 
-// chunks reads a chunked body behind the head of a response. The headers stay: a wait or a report may be
-// told in a chunked answer too (a server that flushes before its end sends one).
-func (r *Reader) chunks(head []byte) error {
+// readChunked reads the chunked body of a response. The headers are kept: a chunked response, as sent by a server that
+// flushes before it has finished, can also carry Retry-After or a load report.
+func (r *Reader) readChunked(head []byte) error {
 	r.br.Discard(len(head))
 	m := &r.msg
 	var body []byte
 	for {
 		line, err := r.br.ReadSlice('\n')
 		if err != nil {
-			return cut(err)
+			return unexpectedEOF(err)
 		}
 		size, _, _ := bytes.Cut(trimCR(line), []byte(";"))
 		n, err := strconv.ParseUint(string(bytes.TrimSpace(size)), 16, 31)
@@ -262,50 +262,50 @@
 		if n == 0 {
 			break
 		}
-		if len(body)+int(n) > r.max {
+		if len(body)+int(n) > r.maxBody {
 			return ErrTooLarge
 		}
-		at := len(body)
+		start := len(body)
 		body = append(body, make([]byte, n+2)...)
-		if _, err := io.ReadFull(r.br, body[at:]); err != nil {
-			return cut(err)
+		if _, err := io.ReadFull(r.br, body[start:]); err != nil {
+			return unexpectedEOF(err)
 		}
-		body = body[:at+int(n)]
+		body = body[:start+int(n)]
 	}
 	for { // trailers
 		line, err := r.br.ReadSlice('\n')
 		if err != nil {
-			return cut(err)
+			return unexpectedEOF(err)
 		}
 		if len(trimCR(line)) == 0 {
 			break
 		}
 	}
-	if err := m.parse(head, false); err != nil {
+	if err := m.parseHead(head, false); err != nil {
 		return err
 	}
 	m.Body = body
 	return nil
 }
 
-// untilEnd reads a body that ends with the connection.
-func (r *Reader) untilEnd(head int) error {
+// readUntilClose reads a body that ends when the connection is closed.
+func (r *Reader) readUntilClose(headLen int) error {
 	m := &r.msg
-	raw, err := io.ReadAll(io.LimitReader(r.br, int64(head+r.max+1)))
+	raw, err := io.ReadAll(io.LimitReader(r.br, int64(headLen+r.maxBody+1)))
 	if err != nil {
-		return cut(err)
+		return unexpectedEOF(err)
 	}
-	if len(raw) > head+r.max {
+	if len(raw) > headLen+r.maxBody {
 		return ErrTooLarge
 	}
-	if err := m.parse(raw[:head], false); err != nil {
+	if err := m.parseHead(raw[:headLen], false); err != nil {
 		return err
 	}
-	m.Body, m.Close = raw[head:], true
+	m.Body, m.Close = raw[headLen:], true
 	return nil
 }
 
-func cut(err error) error {
+func unexpectedEOF(err error) error {
 	if errors.Is(err, io.EOF) {
 		return io.ErrUnexpectedEOF
 	}
@@ -317,7 +317,7 @@
 	return bytes.TrimSuffix(b, []byte("\r"))
 }
 
-func (m *Message) statusLine(line []byte) error {
+func (m *Message) parseStatusLine(line []byte) error {
 	if len(line) < 12 || !bytes.HasPrefix(line, []byte("HTTP/1.")) || line[8] != ' ' {
 		return ErrMalformed
 	}
@@ -330,7 +330,7 @@
 	return nil
 }
 
-func (m *Message) requestLine(line []byte) error {
+func (m *Message) parseRequestLine(line []byte) error {
 	method, rest, ok := bytes.Cut(line, []byte(" "))
 	path, proto, ok2 := bytes.Cut(rest, []byte(" "))
 	if !ok || !ok2 || len(method) == 0 || len(path) == 0 || path[0] != '/' ||
@@ -346,14 +346,14 @@
 	return nil
 }
 
-// parse reads a head, with the blank line behind it.
-func (m *Message) parse(head []byte, request bool) error {
+// parseHead parses a head that includes its final blank line.
+func (m *Message) parseHead(head []byte, request bool) error {
 	line, rest, _ := bytes.Cut(head, []byte("\n"))
 	var err error
 	if request {
-		err = m.requestLine(trimCR(line))
+		err = m.parseRequestLine(trimCR(line))
 	} else {
-		err = m.statusLine(trimCR(line))
+		err = m.parseStatusLine(trimCR(line))
 	}
 	if err != nil {
 		return err
@@ -365,7 +365,7 @@
 			return nil
 		}
 		name, value, ok := bytes.Cut(line, []byte(":"))
-		if !ok || !token(name) || m.Headers.n == maxHeaders {
+		if !ok || !isToken(name) || m.Headers.n == maxHeaders {
 			return ErrMalformed
 		}
 		value = bytes.Trim(value, " \t")
@@ -374,17 +374,17 @@
 		}
 		m.Headers.list[m.Headers.n] = header{name, value}
 		m.Headers.n++
-		if err := m.framing(name, value); err != nil {
+		if err := m.parseFraming(name, value); err != nil {
 			return err
 		}
 	}
 }
 
-// framing takes the headers that say where the message ends.
-func (m *Message) framing(name, value []byte) error {
+// parseFraming evaluates the headers that determine where the message and the connection end.
+func (m *Message) parseFraming(name, value []byte) error {
 	switch {
 	case equalFold(name, "content-length"):
-		n, ok := digits(value)
+		n, ok := parseDigits(value)
 		if !ok || m.length >= 0 && m.length != n {
 			return ErrMalformed
 		}
@@ -401,12 +401,12 @@
 		}
 	}
 	if m.chunked && m.length >= 0 {
-		return ErrMalformed // two lengths: a smuggled request
+		return ErrMalformed // two lengths allow request smuggling
 	}
 	return nil
 }
 
-func digits(b []byte) (int, bool) {
+func parseDigits(b []byte) (int, bool) {
 	if len(b) == 0 || len(b) > 18 {
 		return 0, false
 	}
@@ -420,8 +420,8 @@
 	return n, true
 }
 
-// token reports whether b may be a header's name.
-func token(b []byte) bool {
+// isToken reports whether b is valid as a header name.
+func isToken(b []byte) bool {
 	for _, c := range b {
 		if c <= ' ' || c >= 0x7f || bytes.IndexByte([]byte(`"(),/:;<=>?@[\]{}`), c) >= 0 {
 			return false
@@ -430,7 +430,7 @@
 	return len(b) > 0
 }
 
-// Clean reports whether b may stand in a header's value as it is.
+// ValidHeaderValue reports whether b can be written as a header value unchanged: printable ASCII and spaces only.
 func ValidHeaderValue(b []byte) bool {
 	for _, c := range b {
 		if c < ' ' || c >= 0x7f {
@@ -440,7 +440,7 @@
 	return true
 }
 
-// AppendRequest appends the first line of a request and its host.
+// AppendRequest appends a request line and the Host header.
 func AppendRequest(b []byte, method, path, host string) []byte {
 	b = append(b, method...)
 	b = append(b, ' ')
@@ -449,9 +449,9 @@
 	return AppendHeader(b, "Host", host)
 }
 
-// AppendStatus appends the first line of a response.
+// AppendStatusLine appends a status line.
 func AppendStatusLine(b []byte, status int) []byte {
-	return fmt.Appendf(b, "HTTP/1.1 %d %s\r\n", status, reasons[status])
+	return fmt.Appendf(b, "HTTP/1.1 %d %s\r\n", status, reasonPhrases[status])
 }
 
 // AppendHeader appends one header.
@@ -462,19 +462,19 @@
 	return append(b, "\r\n"...)
 }
 
-// AppendSeconds appends a header with a time in milliseconds as decimal seconds.
+// AppendSeconds appends a header whose value is ms milliseconds, written as decimal seconds.
 func AppendSeconds(b []byte, name string, ms float64) []byte {
 	return AppendHeader(b, name, strconv.FormatFloat(ms/1000, 'f', 3, 64))
 }
 
-// AppendBody ends the head with the body's length and appends the body.
+// AppendBody appends the Content-Length header, the blank line that ends the head, and the body.
 func AppendBody(b, body []byte) []byte {
 	b = AppendHeader(b, "Content-Length", strconv.Itoa(len(body)))
 	b = append(b, "\r\n"...)
 	return append(b, body...)
 }
 
-var reasons = map[int]string{
+var reasonPhrases = map[int]string{
 	200: "OK", 202: "Accepted", 204: "No Content", 400: "Bad Request", 404: "Not Found",
 	405: "Method Not Allowed", 408: "Request Timeout", 409: "Conflict", 411: "Length Required",
 	413: "Content Too Large", 421: "Misdirected Request", 429: "Too Many Requests", 500: "Internal Server Error",
--- a/internal/http1/http1_test.go
+++ b/internal/http1/http1_test.go
@@ -28,29 +28,30 @@
 		"noise": {0, "", ErrMalformed},
 		"":      {0, "", io.EOF},
 	} {
-		for name, src := range map[string]io.Reader{"whole": strings.NewReader(text), "by bytes": iotest.OneByteReader(strings.NewReader(text))} {
+		for name, src := range map[string]io.Reader{"whole": strings.NewReader(text), "byte by byte": iotest.OneByteReader(strings.NewReader(text))} {
 			m, err := NewReader(src).ReadResponse()
 			if err != want.err || m.Status != want.status || string(m.Body) != want.body {
-				t.Errorf("%q, %s: %d %q %v", text, name, m.Status, m.Body, err)
+				t.Errorf("%q, %s: status %d, body %q, error %v", text, name, m.Status, m.Body, err)
 			}
 		}
 	}
 }
 
-// A chunked answer keeps its headers, however it arrives: a told wait that is lost with them is not kept.
+// The headers of a chunked response survive the reading of its body, however it arrives. A lost Retry-After would not
+// be honoured.
 func TestChunkedKeepsHeaders(t *testing.T) {
 	text := "HTTP/1.1 429 Too Many\r\nRetry-After: 1.5\r\nTransfer-Encoding: chunked\r\nConnection: close\r\n\r\n" +
 		"2000\r\n" + strings.Repeat("x", 0x2000) + "\r\n0\r\n\r\n"
-	for name, src := range map[string]io.Reader{"whole": strings.NewReader(text), "by bytes": iotest.OneByteReader(strings.NewReader(text))} {
+	for name, src := range map[string]io.Reader{"whole": strings.NewReader(text), "byte by byte": iotest.OneByteReader(strings.NewReader(text))} {
 		m, err := NewReader(src).ReadResponse()
 		if err != nil || string(m.Headers.Get("Retry-After")) != "1.5" || !m.Close || m.Status != 429 || len(m.Body) != 0x2000 {
-			t.Errorf("%s: %d %q, closes %t, %d bytes, %v", name, m.Status, m.Headers.Get("Retry-After"), m.Close, len(m.Body), err)
+			t.Errorf("%s: status %d, Retry-After %q, close %t, %d bytes, error %v", name, m.Status, m.Headers.Get("Retry-After"), m.Close, len(m.Body), err)
 		}
 	}
 }
 
-// A body that outgrows the buffer moves the head: its slices must still be right,
-// and the next message must begin where this one ended.
+// A body larger than the buffer moves the head: the slices of the message must still be right, and the next message
+// must begin where this one ends.
 func TestPipelined(t *testing.T) {
 	var b []byte
 	sizes := []int{0, 100, 7000, 9000, MaxBody, 3}
@@ -66,13 +67,13 @@
 			t.Fatalf("message %d: %v, %d bytes", i, err, len(m.Body))
 		}
 		if n > 0 && (m.Body[0] != byte(i) || m.Body[n-1] != byte(i)) {
-			t.Errorf("message %d: another's body", i)
+			t.Errorf("message %d: body of another message", i)
 		}
 	}
 }
 
-// Whatever comes, reading ends, within the bounds, and a request that was read
-// reads the same when it is written again.
+// For any input, reading ends and stays within the limits, and a request that was read and written again reads the
+// same.
 func FuzzMessages(f *testing.F) {
 	f.Add([]byte("POST /api HTTP/1.1\r\nContent-Length: 3\r\nX: y\r\n\r\nabcGET /up HTTP/1.1\r\n\r\n"))
 	f.Add([]byte("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n0\r\n\r\n"))
@@ -90,10 +91,10 @@
 			if len(m.Body) > MaxBody {
 				t.Fatalf("body of %d bytes", len(m.Body))
 			}
-			again := AppendBody(AppendRequest(nil, string(m.Method), string(m.Path), "h"), m.Body)
-			n, err := NewReader(bytes.NewReader(again)).ReadRequest()
+			rewritten := AppendBody(AppendRequest(nil, string(m.Method), string(m.Path), "h"), m.Body)
+			n, err := NewReader(bytes.NewReader(rewritten)).ReadRequest()
 			if err != nil || !bytes.Equal(n.Body, m.Body) || !bytes.Equal(n.Path, m.Path) {
-				t.Fatalf("%q: %v", again, err)
+				t.Fatalf("%q: %v", rewritten, err)
 			}
 		}
 	})
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,6 +1,5 @@
-// Package wire is the codec of the simulator's wire: batches of events in,
-// replies of actions out, and the parser of the start settings. It takes no
-// decision.
+// Package wire implements the simulator's binary wire format: it decodes batches of events, including the settings
+// that start an instance, and encodes replies with actions. It makes no decisions.
 package wire
 
 import (
@@ -13,52 +12,52 @@
 	"sliptide/policy"
 )
 
-// Event codes.
+// Codes of the records in a batch, with the names of the simulator's protocol.
 const (
-	codeProvision = iota
-	codeTargets
-	codeOrder
-	codeStreaming
-	codeReply
-	codeCancelled
-	codeTimeout
-	codePing
-	codePeer
-	codePowerOff
-	codeDirectory
+	eventProvision = iota
+	eventTargets
+	eventOrder
+	eventStreaming
+	eventReply
+	eventCancelled
+	eventTimeout
+	eventPing
+	eventPeer
+	eventPowerOff
+	eventDirectory
 )
 
-// Action codes.
+// Codes of the records in a reply, with the names of the simulator's protocol.
 const (
-	codeRelay     = 0
-	codeBusy      = 1
-	codeAbort     = 2
-	codeDefer     = 4
-	codeCheck     = 5
-	codeHangUp    = 6
-	codeRecord    = 8
-	codeDie       = 9
-	codeSubscribe = 10
+	actionRelay     = 0
+	actionBusy      = 1
+	actionAbort     = 2
+	actionDefer     = 4
+	actionCheck     = 5
+	actionHangUp    = 6
+	actionRecord    = 8
+	actionDie       = 9
+	actionSubscribe = 10
 )
 
-// Flags of an order.
+// Flags of eventOrder. Either one marks the message as resubmitted.
 const (
-	flagAgain  = 2
-	flagOrphan = 16
+	flagResubmitted = 2
+	flagOrphaned    = 16
 )
 
 const (
-	entrySize = 21
-	buffers   = 16
-	maxText   = 1 << 10
-	chunk     = 1 << 20
+	entrySize     = 21      // bytes of an endpoint in a list
+	bufferCount   = 16      // endpoint lists that a Decoder holds
+	maxTextBytes  = 1 << 10 // longer texts are cut
+	readChunkSize = 1 << 20 // bytes by which the body's buffer grows
 )
 
-// What a decoded record asks of the caller.
+// Kinds of records.
 const (
-	KindStart = iota // a new instance: Seed and Settings
-	KindStop         // the instance is gone
-	KindEvent        // Event is for the instance
+	KindStart = iota // starts an instance with Seed and Settings
+	KindStop         // ends the instance
+	KindEvent        // delivers Event to the instance
 )
 
 // Record is one decoded record of a batch.
@@ -70,25 +69,25 @@
 	Event    policy.Event
 }
 
-// Decoder reads batches. Its only state is the lists that batches refer to.
+// Decoder reads batches. It keeps the endpoint lists that later records refer to.
 type Decoder struct {
-	r     io.Reader
-	lists [buffers][]policy.Endpoint
-	body  []byte
-	recs  []Record
+	r       io.Reader
+	lists   [bufferCount][]policy.Endpoint
+	body    []byte
+	records []Record
 }
 
 // NewDecoder returns a Decoder that reads from r.
 func NewDecoder(r io.Reader) *Decoder { return &Decoder{r: r} }
 
-// Batch is one decoded batch; Records is valid until the next call of Next.
+// Batch is one decoded batch. Records is valid until the next call of Next.
 type Batch struct {
-	Now     float64
+	Now     float64 // the simulator's clock
 	Seq     uint32
 	Records []Record
 }
 
-// Next reads one batch. It returns io.EOF at a clean end of the input.
+// Next reads one batch. It returns io.EOF if the input ends between two batches.
 func (d *Decoder) Next() (Batch, error) {
 	var head [20]byte
 	if _, err := io.ReadFull(d.r, head[:]); err != nil {
@@ -103,42 +102,43 @@
 	}
 	count, size := binary.BigEndian.Uint32(head[:]), binary.BigEndian.Uint32(head[4:])
 	if math.IsNaN(b.Now) || math.IsInf(b.Now, 0) {
-		return b, fmt.Errorf("batch %d: clock: not a number", b.Seq)
+		return b, fmt.Errorf("batch %d: clock is not a finite number", b.Seq)
 	}
 	if err := d.readBody(int64(size)); err != nil {
 		return b, fmt.Errorf("batch %d: body of %d bytes: %w", b.Seq, size, err)
 	}
-	d.recs = d.recs[:0]
+	d.records = d.records[:0]
 	rest := d.body
 	for i := uint32(0); i < count; i++ {
 		if len(rest) < 5 {
-			return b, fmt.Errorf("batch %d: record %d: header: frame ends", b.Seq, i)
+			return b, fmt.Errorf("batch %d: record %d: header truncated", b.Seq, i)
 		}
 		code, n := rest[0], binary.BigEndian.Uint32(rest[1:])
 		if uint64(n) > uint64(len(rest)-5) {
 			return b, fmt.Errorf("batch %d: record %d: length %d overruns the frame", b.Seq, i, n)
 		}
-		f := fields{b: rest[5 : 5+n]}
+		f := fieldReader{b: rest[5 : 5+n]}
 		rest = rest[5+n:]
-		if err := d.record(code, &f); err != nil {
+		if err := d.decodeRecord(code, &f); err != nil {
 			return b, fmt.Errorf("batch %d: record %d (code %d): %w", b.Seq, i, code, err)
 		}
 	}
 	if len(rest) > 0 {
 		return b, fmt.Errorf("batch %d: %d bytes after the last record", b.Seq, len(rest))
 	}
-	b.Records = d.recs
+	b.Records = d.records
 	return b, nil
 }
 
-// readBody fills d.body with size bytes, growing only as bytes arrive.
+// readBody reads size bytes into d.body. The buffer grows only as bytes arrive, so that a wrong size does not allocate
+// memory for bytes that never come.
 func (d *Decoder) readBody(size int64) error {
 	d.body = d.body[:0]
 	for int64(len(d.body)) < size {
-		n := min(size-int64(len(d.body)), chunk)
-		at := len(d.body)
+		n := min(size-int64(len(d.body)), readChunkSize)
+		start := len(d.body)
 		d.body = append(d.body, make([]byte, n)...)
-		if _, err := io.ReadFull(d.r, d.body[at:]); err != nil {
+		if _, err := io.ReadFull(d.r, d.body[start:]); err != nil {
 			if err == io.EOF {
 				err = io.ErrUnexpectedEOF
 			}
@@ -148,17 +148,17 @@
 	return nil
 }
 
-func (d *Decoder) record(code byte, f *fields) error {
-	if code == codeDirectory {
-		return d.directory(f)
+func (d *Decoder) decodeRecord(code byte, f *fieldReader) error {
+	if code == eventDirectory {
+		return d.decodeDirectory(f)
 	}
-	if code > codeDirectory || code == codeStreaming || code == codePeer {
-		return nil // not used by the module
+	if code > eventDirectory || code == eventStreaming || code == eventPeer {
+		return nil // package policy does not use these records
 	}
 	r := Record{Kind: KindEvent, Instance: f.u32("sender")}
 	e := &r.Event
 	switch code {
-	case codeProvision:
+	case eventProvision:
 		r.Kind = KindStart
 		r.Seed = f.u64("seed")
 		info := f.bytes("info", int64(f.u32("info length")))
@@ -168,26 +168,26 @@
 				return fmt.Errorf("info: %w", err)
 			}
 		}
-	case codeTargets:
+	case eventTargets:
 		e.Kind = policy.EvList
-		how := f.u8("how")
+		mode := f.u8("how")
 		f.u32("epoch")
-		at := f.u32("buffer")
+		buffer := f.u32("buffer")
 		if f.err != nil {
 			break
 		}
-		switch how {
+		switch mode {
 		case 3:
 			e.Failed = true
 		case 0, 1, 2:
-			if at >= buffers {
-				return fmt.Errorf("buffer: %d is not a list number", at)
+			if buffer >= bufferCount {
+				return fmt.Errorf("buffer: list number %d out of range", buffer)
 			}
-			e.List, e.FullList = d.lists[at], how != 0
+			e.List, e.FullList = d.lists[buffer], mode != 0
 		default:
 			return nil
 		}
-	case codeOrder:
+	case eventOrder:
 		e.Kind = policy.EvMessage
 		e.ID = f.u64("msg_id")
 		e.Class = int(f.u16("class"))
@@ -196,8 +196,8 @@
 		e.Remaining = f.f64("remaining")
 		f.f64("expected")
 		e.Dest = int(f.f32("to_dest"))
-		e.Resubmitted = f.u16("flags")&(flagAgain|flagOrphan) != 0
-	case codeReply:
+		e.Resubmitted = f.u16("flags")&(flagResubmitted|flagOrphaned) != 0
+	case eventReply:
 		e.Kind = policy.EvOutcome
 		e.ID = f.u64("msg_id")
 		e.Endpoint = f.u32("endpoint")
@@ -205,7 +205,7 @@
 		e.Latency = f.f64("elapsed")
 		e.Attempt = int(f.u8("shot"))
 		var known bool
-		e.Outcome, known = outcome(f.u16("rc"))
+		e.Outcome, known = outcomeOf(f.u16("rc"))
 		if !known && f.err == nil {
 			e.Outcome = policy.Error
 		}
@@ -214,40 +214,40 @@
 		}
 		e.Final = f.u8("terminal") != 0
 		e.Report = f.report()
-	case codeCancelled:
+	case eventCancelled:
 		e.Kind = policy.EvWithdrawn
 		e.ID = f.u64("msg_id")
-	case codeTimeout:
+	case eventTimeout:
 		e.Kind = policy.EvTimer
 		e.Token = f.u32("ref")
-	case codePing:
+	case eventPing:
 		e.Kind = policy.EvProbe
 		e.Endpoint = f.u32("endpoint")
 		var known bool
-		if e.Outcome, known = outcome(f.u16("rc")); !known {
+		if e.Outcome, known = outcomeOf(f.u16("rc")); !known {
 			e.Outcome = policy.Error
 		}
 		e.Latency = f.f64("elapsed")
 		e.Report = f.report()
-	case codePowerOff:
+	case eventPowerOff:
 		r.Kind = KindStop
 	}
 	if f.err != nil {
 		return f.err
 	}
-	d.recs = append(d.recs, r)
+	d.records = append(d.records, r)
 	return nil
 }
 
-func (d *Decoder) directory(f *fields) error {
-	at := f.u32("buffer")
+func (d *Decoder) decodeDirectory(f *fieldReader) error {
+	buffer := f.u32("buffer")
 	n := f.u32("element count")
 	raw := f.bytes("elements", int64(n)*entrySize)
 	if f.err != nil {
 		return f.err
 	}
-	if at >= buffers {
-		return fmt.Errorf("buffer: %d is not a list number", at)
+	if buffer >= bufferCount {
+		return fmt.Errorf("buffer: list number %d out of range", buffer)
 	}
 	list := make([]policy.Endpoint, n)
 	for i := range list {
@@ -261,11 +261,11 @@
 			Dest:   int(binary.BigEndian.Uint16(b[11:])),
 		}
 	}
-	d.lists[at] = list
+	d.lists[buffer] = list
 	return nil
 }
 
-func outcome(rc uint16) (policy.Outcome, bool) {
+func outcomeOf(rc uint16) (policy.Outcome, bool) {
 	switch rc {
 	case 0:
 		return policy.OK, true
@@ -287,18 +287,18 @@
 	return 0, false
 }
 
-// fields reads the fields of one record and keeps the first error.
-type fields struct {
+// fieldReader reads the fields of one record. After the first error, which it keeps, all reads return zero values.
+type fieldReader struct {
 	b   []byte
 	err error
 }
 
-func (f *fields) bytes(name string, n int64) []byte {
+func (f *fieldReader) bytes(name string, n int64) []byte {
 	if f.err != nil {
 		return nil
 	}
 	if n > int64(len(f.b)) {
-		f.err = fmt.Errorf("%s: record ends after %d of %d bytes", name, len(f.b), n)
+		f.err = fmt.Errorf("%s: record truncated: got %d of %d bytes", name, len(f.b), n)
 		return nil
 	}
 	out := f.b[:n]
@@ -306,7 +306,7 @@
 	return out
 }
 
-func (f *fields) uint(name string, n int64) uint64 {
+func (f *fieldReader) uint(name string, n int64) uint64 {
 	var v uint64
 	for _, c := range f.bytes(name, n) {
 		v = v<<8 | uint64(c)
@@ -314,18 +314,18 @@
 	return v
 }
 
-func (f *fields) u8(name string) uint8   { return uint8(f.uint(name, 1)) }
-func (f *fields) u16(name string) uint16 { return uint16(f.uint(name, 2)) }
-func (f *fields) u32(name string) uint32 { return uint32(f.uint(name, 4)) }
-func (f *fields) u64(name string) uint64 { return f.uint(name, 8) }
-func (f *fields) f64(name string) float64 {
+func (f *fieldReader) u8(name string) uint8   { return uint8(f.uint(name, 1)) }
+func (f *fieldReader) u16(name string) uint16 { return uint16(f.uint(name, 2)) }
+func (f *fieldReader) u32(name string) uint32 { return uint32(f.uint(name, 4)) }
+func (f *fieldReader) u64(name string) uint64 { return f.uint(name, 8) }
+func (f *fieldReader) f64(name string) float64 {
 	return math.Float64frombits(f.uint(name, 8))
 }
-func (f *fields) f32(name string) float64 {
+func (f *fieldReader) f32(name string) float64 {
 	return float64(math.Float32frombits(uint32(f.uint(name, 4))))
 }
 
-func (f *fields) report() []float64 {
+func (f *fieldReader) report() []float64 {
 	n := int(f.u8("report length"))
 	raw := f.bytes("report", int64(n)*4)
 	if len(raw) == 0 {
@@ -338,7 +338,7 @@
 	return out
 }
 
-// Reply collects the records of one reply.
+// Reply collects the records of one reply. Reset must be called before the first use.
 type Reply struct {
 	buf   []byte
 	count uint32
@@ -350,76 +350,76 @@
 	r.count = 0
 }
 
-// Add appends the actions of one instance.
+// Add appends the actions of an instance.
 func (r *Reply) Add(instance uint32, actions []policy.Action) {
 	be := binary.BigEndian
 	for i := range actions {
 		a := &actions[i]
-		at := r.open(instance)
+		start := r.beginRecord(instance)
 		code := byte(0)
 		switch a.Kind {
 		case policy.ActSend:
-			code = codeRelay
+			code = actionRelay
 			r.buf = be.AppendUint64(r.buf, a.ID)
 			r.buf = be.AppendUint32(r.buf, a.Endpoint)
 			r.buf = be.AppendUint64(r.buf, math.Float64bits(a.After))
 		case policy.ActRefuse:
-			code = codeBusy
+			code = actionBusy
 			r.buf = be.AppendUint64(r.buf, a.ID)
 			r.buf = be.AppendUint64(r.buf, math.Float64bits(a.After))
 		case policy.ActFail:
-			code = codeAbort
+			code = actionAbort
 			r.buf = be.AppendUint64(r.buf, a.ID)
 		case policy.ActTimer:
-			code = codeDefer
+			code = actionDefer
 			r.buf = be.AppendUint32(r.buf, a.Token)
 			r.buf = be.AppendUint64(r.buf, math.Float64bits(a.After))
 		case policy.ActProbe:
-			code = codeCheck
+			code = actionCheck
 			r.buf = be.AppendUint32(r.buf, a.Endpoint)
 		case policy.ActCloseIdle:
-			code = codeHangUp
+			code = actionHangUp
 			r.buf = be.AppendUint32(r.buf, a.Endpoint)
 		case policy.ActSubscribe:
-			code = codeSubscribe
+			code = actionSubscribe
 			r.buf = append(r.buf, 1)
 		case policy.ActLog:
-			code = codeRecord
-			r.text(a.Text)
+			code = actionRecord
+			r.appendText(a.Text)
 		}
-		r.shut(at, code)
+		r.endRecord(start, code)
 	}
 }
 
-// Fault declares that the decision code failed for an instance.
+// Fault appends a record saying that the decision code failed for an instance.
 func (r *Reply) Fault(instance uint32, text string) {
-	at := r.open(instance)
-	r.text(text)
-	r.shut(at, codeDie)
+	start := r.beginRecord(instance)
+	r.appendText(text)
+	r.endRecord(start, actionDie)
 }
 
-func (r *Reply) open(instance uint32) int {
-	at := len(r.buf)
+func (r *Reply) beginRecord(instance uint32) int {
+	start := len(r.buf)
 	r.buf = append(r.buf, 0, 0, 0, 0, 0)
 	r.buf = binary.BigEndian.AppendUint32(r.buf, instance)
 	r.count++
-	return at
+	return start
 }
 
-func (r *Reply) text(s string) {
-	if len(s) > maxText {
-		s = s[:maxText]
+func (r *Reply) appendText(s string) {
+	if len(s) > maxTextBytes {
+		s = s[:maxTextBytes]
 	}
 	r.buf = binary.BigEndian.AppendUint16(r.buf, uint16(len(s)))
 	r.buf = append(r.buf, s...)
 }
 
-func (r *Reply) shut(at int, code byte) {
-	r.buf[at] = code
-	binary.BigEndian.PutUint32(r.buf[at+1:], uint32(len(r.buf)-at-5))
+func (r *Reply) endRecord(start int, code byte) {
+	r.buf[start] = code
+	binary.BigEndian.PutUint32(r.buf[start+1:], uint32(len(r.buf)-start-5))
 }
 
-// Write sends the reply to batch seq.
+// Write writes the reply to the batch with sequence number seq to w.
 func (r *Reply) Write(w io.Writer, seq uint32) error {
 	be := binary.BigEndian
 	be.PutUint32(r.buf, r.count)
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -16,7 +16,7 @@
 	"services.0.worth=1\nservices.0.memory_span=20000.0\nservices.0.key_scope=all\nfamily_info.kind_batch=20,1\nfamily_info.own_limits=false,true\n" +
 	"reporting.fields=x0,x1\nunknown.key=1\n"
 
-func raw(t testing.TB, s string) []byte {
+func decodeHex(t testing.TB, s string) []byte {
 	t.Helper()
 	b, err := hex.DecodeString(strings.Join(strings.Fields(s), ""))
 	if err != nil {
@@ -25,14 +25,14 @@
 	return b
 }
 
-// The batch printed in the protocol note, without its instances' starts.
-const noteBatch = `00000003 00000053 40c06e2000000000 0000000c
+// exampleBatch is the example batch of the protocol's description, without the records that start its instances.
+const exampleBatch = `00000003 00000053 40c06e2000000000 0000000c
 	02 00000030 00000003 000e7fcf5d3a91c4 0000 00000000 91f03b7c55d20a64 406e000000000000 4028000000000000 42640000 0001
 	06 00000008 00000003 0000004d
 	05 0000000c 00000005 00048f080e6f2b19`
 
-func TestDecodesTheNotesBatch(t *testing.T) {
-	b, err := NewDecoder(bytes.NewReader(raw(t, noteBatch))).Next()
+func TestDecodesExampleBatch(t *testing.T) {
+	b, err := NewDecoder(bytes.NewReader(decodeHex(t, exampleBatch))).Next()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -52,13 +52,13 @@
 	}
 }
 
-func TestListsResolveInOrderOfEvents(t *testing.T) {
+func TestListsResolveInEventOrder(t *testing.T) {
 	list := func(ep string) string {
 		return "0a 0000001d 00000000 00000001 01 " + ep + " 00 3f800000 01 0039 0000000000000000 "
 	}
-	members := "01 0000000d 00000003 02 00000029 00000000 "
-	body := raw(t, list("03124a07")+members+list("2c9011f2")+members+"01 0000000d 00000003 03 00000029 00000000")
-	frame := append(raw(t, "00000005 000000"+hex.EncodeToString([]byte{byte(len(body))})+" 40c06e2000000000 00000001"), body...)
+	targets := "01 0000000d 00000003 02 00000029 00000000 "
+	body := decodeHex(t, list("03124a07")+targets+list("2c9011f2")+targets+"01 0000000d 00000003 03 00000029 00000000")
+	frame := append(decodeHex(t, "00000005 000000"+hex.EncodeToString([]byte{byte(len(body))})+" 40c06e2000000000 00000001"), body...)
 	b, err := NewDecoder(bytes.NewReader(frame)).Next()
 	if err != nil {
 		t.Fatal(err)
@@ -71,13 +71,13 @@
 		t.Fatalf("entry %+v", first.List[0])
 	}
 	if !b.Records[2].Event.Failed {
-		t.Fatal("failed list not marked")
+		t.Fatal("failed list is not marked as failed")
 	}
 }
 
 func TestDecodesReply(t *testing.T) {
-	body := raw(t, "04 00000025 00000003 000e7fcf5d3a91c4 03124a07 00000064 4032800000000000 02 000b 00 01 3f000000")
-	frame := append(raw(t, "00000001 0000002a 40c06e2000000000 00000001"), body...)
+	body := decodeHex(t, "04 00000025 00000003 000e7fcf5d3a91c4 03124a07 00000064 4032800000000000 02 000b 00 01 3f000000")
+	frame := append(decodeHex(t, "00000001 0000002a 40c06e2000000000 00000001"), body...)
 	b, err := NewDecoder(bytes.NewReader(frame)).Next()
 	if err != nil {
 		t.Fatal(err)
@@ -88,7 +88,7 @@
 	}
 }
 
-func TestRepliesAsTheNotePrintsThem(t *testing.T) {
+func TestWritesExampleReply(t *testing.T) {
 	var r Reply
 	r.Reset()
 	r.Add(3, []policy.Action{
@@ -108,20 +108,20 @@
 	if err := r.Write(&w, 12); err != nil {
 		t.Fatal(err)
 	}
-	body := raw(t, `00 00000018 00000003 000e7fcf5d3a91c4 03124a07 4054000000000000
+	body := decodeHex(t, `00 00000018 00000003 000e7fcf5d3a91c4 03124a07 4054000000000000
 		04 00000010 00000003 0000004d 407f400000000000
 		06 00000008 00000003 2c9011f2   05 00000008 00000003 2c9011f2   0a 00000005 00000003 01
 		01 00000014 00000005 00048f080e6f2b19 406e000000000000   02 0000000c 00000005 00048f080e6f2b19
 		08 00000017 00000005 0011 74776f2073657276657273206b6e6f776e
 		09 00000018 00000003 0012 696e646578206f7574206f662072616e6765`)
-	want := append(raw(t, "00000009 00000000 0000000c"), body...)
+	want := append(decodeHex(t, "00000009 00000000 0000000c"), body...)
 	want[7] = byte(len(body))
 	if !bytes.Equal(w.Bytes(), want) {
 		t.Fatalf("got\n%x\nwant\n%x", w.Bytes(), want)
 	}
 }
 
-func TestBadFramesAreNamed(t *testing.T) {
+func TestErrorsNameBadField(t *testing.T) {
 	for frame, want := range map[string]string{
 		"00000001": "batch header",
 		"00000001 00000010 40c06e2000000000 00000001":                               "batch 1: body of 16 bytes",
@@ -133,15 +133,15 @@
 		"00000000 00000001 40c06e2000000000 00000007 00":                            "after the last record",
 		"00000000 00000000 7ff8000000000000 00000007":                               "clock",
 	} {
-		_, err := NewDecoder(bytes.NewReader(raw(t, frame))).Next()
+		_, err := NewDecoder(bytes.NewReader(decodeHex(t, frame))).Next()
 		if err == nil || err == io.EOF || !strings.Contains(err.Error(), want) {
-			t.Errorf("%s: got %v, want %q", frame, err, want)
+			t.Errorf("%s: got error %v, want one with %q", frame, err, want)
 		}
 	}
 }
 
 func TestSkipsUnknownCodesAndTrailingBytes(t *testing.T) {
-	frame := raw(t, "00000002 00000015 40c06e2000000000 00000001 63 00000001 00 06 0000000a 00000003 0000004d ffff")
+	frame := decodeHex(t, "00000002 00000015 40c06e2000000000 00000001 63 00000001 00 06 0000000a 00000003 0000004d ffff")
 	b, err := NewDecoder(bytes.NewReader(frame)).Next()
 	if err != nil || len(b.Records) != 1 || b.Records[0].Event.Token != 0x4d {
 		t.Fatalf("%v %+v", err, b.Records)
@@ -163,20 +163,20 @@
 	for _, drop := range []string{"family_info.call_slots=14\n", "services.0.deadline=20000.0\n", "services.0.effect=keyed\n"} {
 		if _, err := config.ParseSettings(strings.Replace(settings, drop, "", 1)); err == nil ||
 			!strings.Contains(err.Error(), strings.Split(drop, "=")[0]) {
-			t.Errorf("without %q: %v", drop, err)
+			t.Errorf("without %q: got error %v, want one that names it", drop, err)
 		}
 	}
 	if _, err := config.ParseSettings(strings.Replace(settings, "=8\n", "=eight\n", 1)); err == nil {
-		t.Error("an unparsable number passes")
+		t.Error("a malformed number is accepted")
 	}
 	if _, err := config.ParseSettings(strings.Replace(settings, "services.count=1", "services.count=1e9", 1)); err == nil {
-		t.Error("an absurd count passes")
+		t.Error("an excessive count is accepted")
 	}
 }
 
 func FuzzDecoder(f *testing.F) {
-	f.Add(raw(f, noteBatch))
-	f.Add(raw(f, "00000001 0000000d 40c06e2000000000 00000007 0a 00000008 00000000 ffffffff"))
+	f.Add(decodeHex(f, exampleBatch))
+	f.Add(decodeHex(f, "00000001 0000000d 40c06e2000000000 00000007 0a 00000008 00000000 ffffffff"))
 	f.Fuzz(func(_ *testing.T, in []byte) {
 		d := NewDecoder(bytes.NewReader(in))
 		for {
