--- a/internal/discovery/bounds_test.go
+++ b/internal/discovery/bounds_test.go
@@ -18,7 +18,7 @@
 )
 
 // listOf is a whole list of so many endpoints, each of a destination of its own.
-func listOf(version, endpoints int) string {
+func listText(version, endpoints int) string {
 	var text strings.Builder
 	fmt.Fprintf(&text, `{"version":%d,"full":true,"servers":[`, version)
 	for i := range endpoints {
@@ -32,13 +32,13 @@
 }
 
 // scriptedAgent answers each ask with the next of its bodies, chunked if it says so, and is silent after the last.
-func scriptedAgent(t *testing.T, chunked bool, bodies ...string) (addr string, asked <-chan string) {
+func startScriptedAgent(t *testing.T, chunked bool, bodies ...string) (addr string, requests <-chan string) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { ln.Close() })
-	asks := make(chan string, 64)
+	received := make(chan string, 64)
 	var mu sync.Mutex
 	next := func() (body string, ok bool) {
 		mu.Lock()
@@ -56,7 +56,7 @@
 			if err != nil {
 				return
 			}
-			asks <- request.URL.RequestURI()
+			received <- request.URL.RequestURI()
 			body, ok := next()
 			switch {
 			case !ok:
@@ -76,7 +76,7 @@
 			go serve(nc)
 		}
 	}()
-	return ln.Addr().String(), asks
+	return ln.Addr().String(), received
 }
 
 // syncBuffer is a log that the test reads while the watch writes it.
@@ -99,13 +99,13 @@
 
 // A list of some 500 endpoints and more is over the bound of other bodies (http1.MaxBody). It was taken for silence:
 // the log said that discovery does not answer, and the sender served nobody.
-func TestALongListIsTaken(t *testing.T) {
+func TestLongListIsAccepted(t *testing.T) {
 	const endpoints = 5000
 	for _, chunked := range []bool{false, true} {
-		addr, _ := scriptedAgent(t, chunked, listOf(7, endpoints))
+		addr, _ := startScriptedAgent(t, chunked, listText(7, endpoints))
 		lists := make(chan List, 1)
 		w := NewWatch(addr, &policy.Settings{}, 1, zerolog.Nop(), func(l List) { lists <- l })
-		if err := w.once(context.Background()); err != nil {
+		if err := w.requestList(context.Background()); err != nil {
 			t.Fatalf("chunked %t: %v", chunked, err)
 		}
 		if l := <-lists; !l.Full || len(l.Endpoints) != endpoints {
@@ -117,17 +117,17 @@
 
 // A list over MaxList is not taken, whichever way its length is told. The log says what is too long and what is
 // allowed, once, nothing that was known is taken away, and a list that fits is taken afterwards.
-func TestAListPastTheBoundChangesNothing(t *testing.T) {
-	long := listOf(8, 1) + strings.Repeat(" ", MaxList)
+func TestOversizedListChangesNothing(t *testing.T) {
+	long := listText(8, 1) + strings.Repeat(" ", MaxList)
 	for _, chunked := range []bool{false, true} {
-		addr, asked := scriptedAgent(t, chunked, listOf(7, 3), long, long, listOf(9, 2))
+		addr, requests := startScriptedAgent(t, chunked, listText(7, 3), long, long, listText(9, 2))
 		lists := make(chan List, 4)
 		var log syncBuffer
 		w := NewWatch(addr, &policy.Settings{}, 1, zerolog.New(&log), func(l List) { lists <- l })
 		ctx, cancel := context.WithCancel(context.Background())
 		done := make(chan struct{})
 		go func() { w.Run(ctx); close(done) }()
-		expect(t, asked, "/discovery/hosts", "/discovery/hosts?index=7&wait=3000", "/discovery/hosts", "/discovery/hosts", "/discovery/hosts?index=9&wait=3000")
+		expectRequests(t, requests, "/discovery/hosts", "/discovery/hosts?index=7&wait=3000", "/discovery/hosts", "/discovery/hosts", "/discovery/hosts?index=9&wait=3000")
 		cancel()
 		<-done
 		close(lists)
@@ -145,35 +145,35 @@
 }
 
 // An endpoint past the number that are known is passed over, and the log says so once.
-func TestEndpointsPastTheBoundAreReported(t *testing.T) {
+func TestEndpointsOverLimitAreLogged(t *testing.T) {
 	var log syncBuffer
-	taken := 0
-	w := NewWatch("127.0.0.1:1", &policy.Settings{}, 1, zerolog.New(&log), func(l List) { taken = len(l.Endpoints) })
-	if err := w.Restore([]byte(listOf(1, MaxEndpoints+2))); err != nil {
+	accepted := 0
+	w := NewWatch("127.0.0.1:1", &policy.Settings{}, 1, zerolog.New(&log), func(l List) { accepted = len(l.Endpoints) })
+	if err := w.Restore([]byte(listText(1, MaxEndpoints+2))); err != nil {
 		t.Fatal(err)
 	}
-	if n := strings.Count(log.String(), "too many endpoints"); taken != MaxEndpoints || n != 1 {
-		t.Errorf("%d endpoints taken, want %d; said %d times:\n%s", taken, MaxEndpoints, n, log.String())
+	if n := strings.Count(log.String(), "too many endpoints"); accepted != MaxEndpoints || n != 1 {
+		t.Errorf("%d endpoints taken, want %d; said %d times:\n%s", accepted, MaxEndpoints, n, log.String())
 	}
 }
 
 // Discovery is silent and comes back with a change just behind an ask that it never answers: the next ask is out
 // in time for its answer to bring the change before it counts as told, for fleets of any size, after any number of
 // failures. A watch was out for 3.5 s, and a pause of up to 5 s followed.
-func TestAnAskAfterASilentOneComesInTime(t *testing.T) {
-	const answer = time.Second
+func TestRetryAfterTimeoutIsInTime(t *testing.T) {
+	const answerTime = time.Second
 	for _, senders := range []int{1, 3, 30, 43, 44, 80, 300, 10000} {
-		for _, spent := range []time.Duration{0, listTimeout, dialTimeout + listTimeout, watchFor + watchGrace} {
+		for _, elapsed := range []time.Duration{0, listTimeout, dialTimeout + listTimeout, watchDuration + watchGrace} {
 			for _, answered := range []bool{false, true} {
-				p := newPace(&policy.Settings{Senders: senders, Subscribe: true, AskWithin: 10000}, 1)
+				p := newBackoff(&policy.Settings{Senders: senders, Subscribe: true, AskWithin: 10000}, 1)
 				worst := time.Duration(0)
 				for failures := 1; failures <= 20; failures++ {
 					for range 200 {
-						worst = max(worst, spent+p.next(failures, answered, spent))
+						worst = max(worst, elapsed+p.pause(failures, answered, elapsed))
 					}
 				}
-				if worst+answer > silenceMost {
-					t.Errorf("%d senders, an ask out for %v, answered before %t: the next one is out %v after it", senders, spent, answered, worst)
+				if worst+answerTime > maxSilence {
+					t.Errorf("%d senders, an ask out for %v, answered before %t: the next one is out %v after it", senders, elapsed, answered, worst)
 				}
 			}
 		}
@@ -181,30 +181,30 @@
 }
 
 // The same on sockets: a process of a large fleet starts with a known list while discovery is silent.
-func TestSilentAtTheStartIsAskedAgainInTime(t *testing.T) {
+func TestSilentAgentAtStartIsRetriedInTime(t *testing.T) {
 	t.Parallel()
 	const watchers = 8
-	var wait sync.WaitGroup
+	var wg sync.WaitGroup
 	for seed := range uint64(watchers) {
-		wait.Go(func() {
-			addr, asked := agent(t) // silent from the first ask on
+		wg.Go(func() {
+			addr, requests := startAgent(t) // silent from the first ask on
 			w := NewWatch(addr, &policy.Settings{Senders: 300, Subscribe: true, AskWithin: 10000}, seed, zerolog.Nop(), func(List) {})
-			if err := w.Restore([]byte(listOf(41, 1))); err != nil {
+			if err := w.Restore([]byte(listText(41, 1))); err != nil {
 				t.Error(err)
 				return
 			}
 			ctx, cancel := context.WithCancel(context.Background())
 			done := make(chan struct{})
 			go func() { w.Run(ctx); close(done) }()
-			<-asked
+			<-requests
 			first := time.Now()
-			<-asked
-			if took := time.Since(first); took > silenceMost-500*time.Millisecond {
+			<-requests
+			if took := time.Since(first); took > maxSilence-500*time.Millisecond {
 				t.Errorf("seed %d: the second ask is out %v after the first", seed, took)
 			}
 			cancel()
 			<-done
 		})
 	}
-	wait.Wait()
+	wg.Wait()
 }
--- a/internal/discovery/notices.go
+++ b/internal/discovery/notices.go
@@ -13,9 +13,9 @@
 )
 
 const (
-	noticeTimeout = 150 * time.Millisecond // the agent answers at once; a notice twice does no harm, a late one does
-	noticePause   = 100 * time.Millisecond
-	noticeLines   = 200 // in one call; a line has under 300 bytes
+	noticeTimeout     = 150 * time.Millisecond // the agent answers at once; a notice twice does no harm, a late one does
+	noticeRetryDelay  = 100 * time.Millisecond
+	maxNoticesPerCall = 200 // in one call; a line has under 300 bytes
 )
 
 // Notice is the end of a message that was taken on and is not delivered.
@@ -28,9 +28,9 @@
 
 // NoticeQueue hands in notices, each until it is taken.
 type NoticeQueue struct {
-	agent *client
-	log   zerolog.Logger
-	told  func([]uint64) // takes the numbers of the messages whose notice was taken
+	agent        *agentClient
+	log          zerolog.Logger
+	acknowledged func([]uint64) // takes the numbers of the messages whose notice was taken
 
 	mu    sync.Mutex
 	queue []Notice // as long as there are live messages at most
@@ -38,12 +38,12 @@
 }
 
 // NewNoticeQueue returns a NoticeQueue that posts to the agent at addr.
-func NewNoticeQueue(addr string, log zerolog.Logger, told func([]uint64)) *NoticeQueue {
-	return &NoticeQueue{agent: newClient(addr), log: log, told: told, wake: make(chan struct{}, 1)}
+func NewNoticeQueue(addr string, log zerolog.Logger, acknowledged func([]uint64)) *NoticeQueue {
+	return &NoticeQueue{agent: newAgentClient(addr), log: log, acknowledged: acknowledged, wake: make(chan struct{}, 1)}
 }
 
 // SetAddr makes all notices from now on go to the agent at addr.
-func (n *NoticeQueue) SetAddr(addr string) { n.agent.move(addr) }
+func (n *NoticeQueue) SetAddr(addr string) { n.agent.setAddr(addr) }
 
 // Post queues a notice. It does not block.
 func (n *NoticeQueue) Post(notice Notice) {
@@ -59,9 +59,9 @@
 // Run hands in what is queued until the context ends.
 func (n *NoticeQueue) Run(ctx context.Context) {
 	defer n.agent.close()
-	failed := 0
+	failures := 0
 	for {
-		batch := n.next()
+		batch := n.nextBatch()
 		if len(batch) == 0 {
 			select {
 			case <-ctx.Done():
@@ -70,31 +70,31 @@
 			}
 			continue
 		}
-		if err := n.post(ctx, batch); err != nil {
+		if err := n.postBatch(ctx, batch); err != nil {
 			if ctx.Err() != nil {
 				return
 			}
 			// The first failure may be the kept connection's alone: a new one is tried at once.
-			if failed++; failed > 1 {
+			if failures++; failures > 1 {
 				n.log.Warn().Err(err).Int("notices", len(batch)).Msg("notices not taken, trying again")
-				pause(ctx, noticePause)
+				sleep(ctx, noticeRetryDelay)
 			}
 			continue
 		}
-		failed = 0
-		n.drop(batch)
+		failures = 0
+		n.acknowledge(batch)
 	}
 }
 
 // next is what the next call carries.
-func (n *NoticeQueue) next() []Notice {
+func (n *NoticeQueue) nextBatch() []Notice {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.queue[:min(len(n.queue), noticeLines)]
+	return n.queue[:min(len(n.queue), maxNoticesPerCall)]
 }
 
 // drop takes a batch that was taken off the queue.
-func (n *NoticeQueue) drop(batch []Notice) {
+func (n *NoticeQueue) acknowledge(batch []Notice) {
 	nums := make([]uint64, len(batch))
 	for i := range batch {
 		nums[i] = batch[i].Num
@@ -102,17 +102,17 @@
 	n.mu.Lock()
 	n.queue = append([]Notice(nil), n.queue[len(batch):]...)
 	n.mu.Unlock()
-	n.told(nums)
+	n.acknowledged(nums)
 }
 
-func (n *NoticeQueue) post(ctx context.Context, batch []Notice) error {
+func (n *NoticeQueue) postBatch(ctx context.Context, batch []Notice) error {
 	var body []byte
 	for i := range batch {
-		body = batch[i].append(body)
+		body = batch[i].appendJSON(body)
 	}
-	host := n.agent.host()
-	request := http1.AppendRequest(nil, "POST", "/v1/outcomes", host)
-	m, err := n.agent.do(ctx, host, http1.AppendBody(request, body), noticeTimeout)
+	addr := n.agent.currentAddr()
+	request := http1.AppendRequest(nil, "POST", "/v1/outcomes", addr)
+	m, err := n.agent.call(ctx, addr, http1.AppendBody(request, body), noticeTimeout)
 	n.agent.close() // on a kept connection a copy of this answer could be taken for that to the next notices
 	if err != nil {
 		return err
@@ -124,7 +124,7 @@
 }
 
 // append writes the notice as a line of JSON.
-func (n *Notice) append(b []byte) []byte {
+func (n *Notice) appendJSON(b []byte) []byte {
 	b = append(b, `{"message":`...)
 	b = strconv.AppendQuote(b, n.Trace) // printable ASCII only: the same as JSON's form
 	if !n.Returned {
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -17,12 +17,12 @@
 )
 
 const (
-	watchFor    = 3 * time.Second // a watch is held so long: short, so that two asks that fall silent are noticed in time
-	watchGrace  = 500 * time.Millisecond
-	listTimeout = time.Second
+	watchDuration = 3 * time.Second // a watch is held so long: short, so that two asks that fall silent are noticed in time
+	watchGrace    = 500 * time.Millisecond
+	listTimeout   = time.Second
 	// repeatedPause keeps an agent that repeats its answers from being asked without end, inside the time within which a
 	// watch has to go on.
-	repeatedPause = 50 * time.Millisecond
+	repeatedAnswerDelay = 50 * time.Millisecond
 )
 
 // MaxEndpoints is how many endpoints are known at most, over the life of a process; further ones are passed over.
@@ -39,11 +39,11 @@
 
 // SetZoneAndKind sets the endpoint's zone and kind by their names: their places in the settings, or one past the end of what these
 // know, which is nothing special.
-func (e *Endpoint) SetZoneAndKind(set *policy.Settings, zone, kind string) {
-	e.Zone = position(set.Zones, zone)
-	e.Kind = slices.IndexFunc(set.Kinds, func(k policy.DestKind) bool { return k.Name == kind })
+func (e *Endpoint) SetZoneAndKind(settings *policy.Settings, zone, kind string) {
+	e.Zone = indexOrLen(settings.Zones, zone)
+	e.Kind = slices.IndexFunc(settings.Kinds, func(k policy.DestKind) bool { return k.Name == kind })
 	if e.Kind < 0 {
-		e.Kind = len(set.Kinds)
+		e.Kind = len(settings.Kinds)
 	}
 }
 
@@ -60,49 +60,49 @@
 	Log      zerolog.Logger
 	Update   func(List)
 
-	agent   *client
-	pace    pace
-	parser  fastjson.Parser
-	ids     map[string]uint32 // an endpoint keeps its number as long as the process runs
-	version uint64
-	synced  bool   // the version stands for all that has been told, and nothing was missed since
-	of      string // the agent whose version it is
-	full    bool   // an endpoint past MaxEndpoints has been reported
-	names   bool   // entries carry names of zones and kinds in place of numbers
+	agent               *agentClient
+	backoff             backoff
+	parser              fastjson.Parser
+	ids                 map[string]uint32 // an endpoint keeps its number as long as the process runs
+	version             uint64
+	synced              bool   // the version stands for all that has been told, and nothing was missed since
+	versionAddr         string // the agent whose version it is
+	endpointLimitLogged bool   // an endpoint past MaxEndpoints has been reported
+	keepNames           bool   // entries carry names of zones and kinds in place of numbers
 }
 
 // errListTooLong is the error of a list over MaxList. What was known stays in force.
 var errListTooLong = errors.New("the list of endpoints is longer than the longest that is read: what was known stays in force")
 
 // NewWatch returns a Watch on the agent at addr. The seed spreads its calls over time.
-func NewWatch(addr string, set *policy.Settings, seed uint64, log zerolog.Logger, update func(List)) *Watch {
-	return &Watch{Settings: set, Log: log, Update: update, agent: newClient(addr), pace: newPace(set, seed), ids: map[string]uint32{}}
+func NewWatch(addr string, settings *policy.Settings, seed uint64, log zerolog.Logger, update func(List)) *Watch {
+	return &Watch{Settings: settings, Log: log, Update: update, agent: newAgentClient(addr), backoff: newBackoff(settings, seed), ids: map[string]uint32{}}
 }
 
 // NewDirectoryWatch returns a Watch for a control member, which keeps the list for others: it reads lists of up to
 // maxBody bytes and any number of endpoints, which carry names in place of numbers. It begins with what has changed
 // since version, 0 with the whole list.
-func NewDirectoryWatch(addr string, version uint64, maxBody int, seed uint64, log zerolog.Logger, update func(List)) *Watch {
-	set := &policy.Settings{Senders: 1}
-	w := NewWatch(addr, set, seed, log, update)
-	w.names, w.agent.maxBody = true, maxBody
-	w.version, w.synced, w.of = version, version != 0, addr
+func NewDirectoryWatch(addr string, version uint64, maxBodyBytes int, seed uint64, log zerolog.Logger, update func(List)) *Watch {
+	settings := &policy.Settings{Senders: 1}
+	w := NewWatch(addr, settings, seed, log, update)
+	w.keepNames, w.agent.maxBodyBytes = true, maxBodyBytes
+	w.version, w.synced, w.versionAddr = version, version != 0, addr
 	return w
 }
 
 // SetAddr makes the watch follow the agent at addr, beginning with its whole list: its
 // versions need not be the old one's.
-func (w *Watch) SetAddr(addr string) { w.agent.move(addr) }
+func (w *Watch) SetAddr(addr string) { w.agent.setAddr(addr) }
 
 // Restore takes the list as it was last had, before Run.
 func (w *Watch) Restore(text []byte) error {
 	if len(text) == 0 {
 		return nil
 	}
-	err := w.read(text)
+	err := w.load(text)
 	// What has changed since is asked for, not the whole list: that costs discovery a line for each endpoint, and
 	// a fleet that is started in one moment would overbook it for good.
-	w.synced, w.of = err == nil, w.agent.host()
+	w.synced, w.versionAddr = err == nil, w.agent.currentAddr()
 	return err
 }
 
@@ -116,42 +116,42 @@
 // the pace that the whole fleet settles at, until one is answered.
 func (w *Watch) Run(ctx context.Context) {
 	defer w.agent.close()
-	failed, answered, tooLong := 0, false, false
+	failures, answered, tooLongLogged := 0, false, false
 	for ctx.Err() == nil {
-		began := time.Now()
-		err := w.once(ctx)
+		start := time.Now()
+		err := w.requestList(ctx)
 		if err == nil {
-			if failed > 0 {
-				w.Log.Info().Int("tries", failed).Msg("discovery answers again")
+			if failures > 0 {
+				w.Log.Info().Int("tries", failures).Msg("discovery answers again")
 			}
-			failed, answered, tooLong = 0, true, false
+			failures, answered, tooLongLogged = 0, true, false
 			continue
 		}
-		failed++
+		failures++
 		switch {
 		case errors.Is(err, errListTooLong):
-			if !tooLong {
-				w.Log.Error().Err(err).Int("bytes_allowed", w.agent.maxBody).Msg("list of endpoints too long")
+			if !tooLongLogged {
+				w.Log.Error().Err(err).Int("bytes_allowed", w.agent.maxBodyBytes).Msg("list of endpoints too long")
 			}
-			tooLong = true
-		case failed == 1:
+			tooLongLogged = true
+		case failures == 1:
 			w.Log.Warn().Err(err).Msg("discovery does not answer")
 		}
-		if !pause(ctx, w.pace.next(failed, answered, time.Since(began))) {
+		if !sleep(ctx, w.backoff.pause(failures, answered, time.Since(start))) {
 			return
 		}
 	}
 }
 
-func (w *Watch) once(ctx context.Context) error {
-	path, timeout, host := "/discovery/hosts", listTimeout, w.agent.host()
-	if w.synced = w.synced && w.of == host; w.synced {
-		path = fmt.Sprintf("%s?index=%d&wait=%d", path, w.version, watchFor.Milliseconds())
-		timeout = watchFor + watchGrace
+func (w *Watch) requestList(ctx context.Context) error {
+	path, timeout, addr := "/discovery/hosts", listTimeout, w.agent.currentAddr()
+	if w.synced = w.synced && w.versionAddr == addr; w.synced {
+		path = fmt.Sprintf("%s?index=%d&wait=%d", path, w.version, watchDuration.Milliseconds())
+		timeout = watchDuration + watchGrace
 	}
-	request := append(http1.AppendRequest(nil, "GET", path, host), "\r\n"...)
-	asked := time.Now()
-	m, err := w.agent.do(ctx, host, request, timeout)
+	request := append(http1.AppendRequest(nil, "GET", path, addr), "\r\n"...)
+	start := time.Now()
+	m, err := w.agent.call(ctx, addr, request, timeout)
 	if errors.Is(err, http1.ErrTooLarge) {
 		err = errListTooLong
 	}
@@ -162,40 +162,40 @@
 	if m.Status != 200 { // turned away with nothing told: what it held last still goes for both sides
 		return fmt.Errorf("discovery answers %d", m.Status)
 	}
-	watched, from := w.synced, w.version
+	watched, fromVersion := w.synced, w.version
 	list, err := w.parse(m.Body)
 	if err != nil {
 		w.synced = false
 		return err
 	}
-	if watched && repeated(&list, from, time.Since(asked)) {
+	if watched && isRepeatedAnswer(&list, fromVersion, time.Since(start)) {
 		w.Log.Warn().Uint64("version", list.Version).Msg("discovery repeats an answer: asking on a new connection")
 		w.agent.close()
 		if list.Full { // of a version that is in force, so that nothing changes by it
-			w.take(list)
+			w.apply(list)
 		}
-		pause(ctx, repeatedPause)
+		sleep(ctx, repeatedAnswerDelay)
 		return nil
 	}
-	w.take(list)
-	w.synced, w.of = true, host
+	w.apply(list)
+	w.synced, w.versionAddr = true, addr
 	return nil
 }
 
 // repeated reports whether the answer to a watch from a version can't be its own, but is a copy of an earlier one:
 // there is no news in it, and the watch's time was not over. All later answers of that connection would come one late.
-func repeated(list *List, from uint64, took time.Duration) bool {
-	if list.Version > from {
+func isRepeatedAnswer(list *List, fromVersion uint64, elapsed time.Duration) bool {
+	if list.Version > fromVersion {
 		return false
 	}
-	return list.Version < from && !list.Full || list.Version == from && took < watchFor/2
+	return list.Version < fromVersion && !list.Full || list.Version == fromVersion && elapsed < watchDuration/2
 }
 
 // read takes one list in discovery's form.
-func (w *Watch) read(text []byte) error {
+func (w *Watch) load(text []byte) error {
 	list, err := w.parse(text)
 	if err == nil {
-		w.take(list)
+		w.apply(list)
 	}
 	return err
 }
@@ -212,25 +212,25 @@
 	}
 	list := List{Full: v.GetBool("full"), Version: v.GetUint64("version")}
 	for _, s := range servers.GetArray() {
-		if e, ok := w.entry(s); ok {
+		if e, ok := w.parseEndpoint(s); ok {
 			list.Endpoints = append(list.Endpoints, e)
 		}
 	}
-	if w.names && list.Full { // of a whole directory the parser would keep some kilobytes for each endpoint
+	if w.keepNames && list.Full { // of a whole directory the parser would keep some kilobytes for each endpoint
 		w.parser = fastjson.Parser{}
 	}
 	return list, nil
 }
 
 // take makes a list the one in force.
-func (w *Watch) take(list List) {
+func (w *Watch) apply(list List) {
 	w.version = list.Version
 	if list.Full || len(list.Endpoints) > 0 {
 		w.Update(list)
 	}
 }
 
-func (w *Watch) entry(s *fastjson.Value) (Endpoint, bool) {
+func (w *Watch) parseEndpoint(s *fastjson.Value) (Endpoint, bool) {
 	name := string(s.GetStringBytes("id"))
 	if name == "" {
 		return Endpoint{}, false
@@ -251,14 +251,14 @@
 		return Endpoint{}, false
 	}
 	e.Dest, e.Rating = s.GetInt("cell"), s.GetFloat64("weight")
-	if w.names {
+	if w.keepNames {
 		e.ZoneName, e.KindName = string(s.GetStringBytes("zone")), string(s.GetStringBytes("kind"))
 		return e, true
 	}
 	id, ok := w.ids[name]
 	if !ok {
 		if len(w.ids) >= MaxEndpoints {
-			w.reportFull(name)
+			w.logEndpointLimit(name)
 			return Endpoint{}, false
 		}
 		id = uint32(len(w.ids) + 1)
@@ -270,16 +270,16 @@
 }
 
 // reportFull logs, once, that an endpoint is passed over since no more are known.
-func (w *Watch) reportFull(name string) {
-	if w.full {
+func (w *Watch) logEndpointLimit(name string) {
+	if w.endpointLimitLogged {
 		return
 	}
-	w.full = true
+	w.endpointLimitLogged = true
 	w.Log.Error().Str("endpoint", name).Int("endpoints_allowed", MaxEndpoints).Msg("too many endpoints: this and further new ones are passed over")
 }
 
 // position is the place of name in list, or one past its end.
-func position(list []string, name string) int {
+func indexOrLen(list []string, name string) int {
 	if i := slices.Index(list, name); i >= 0 {
 		return i
 	}
--- a/internal/intake/rig_test.go
+++ b/internal/intake/rig_test.go
@@ -21,23 +21,23 @@
 	"sliptide/policy"
 )
 
-const patient = 10 * time.Second
+const testTimeout = 10 * time.Second
 
 // hooks are called in the connections that a door lets in; each may be nil.
 type hooks struct {
-	accepted func()         // before the server hears of a connection
-	wrote    func()         // after an answer is written, before the server goes on
-	closing  func(net.Conn) // once a connection, before the server closes any part of it
-	halved   func(net.Conn) // after the half-close
+	accepted   func()         // before the server hears of a connection
+	wrote      func()         // after an answer is written, before the server goes on
+	closing    func(net.Conn) // once a connection, before the server closes any part of it
+	halfClosed func(net.Conn) // after the half-close
 }
 
 // door is a listener whose connections call the hooks.
-type door struct {
+type hookedListener struct {
 	net.Listener
 	*hooks
 }
 
-func (d door) Accept() (net.Conn, error) {
+func (d hookedListener) Accept() (net.Conn, error) {
 	nc, err := d.Listener.Accept()
 	if err != nil {
 		return nil, err
@@ -62,7 +62,7 @@
 	return n, err
 }
 
-func (c *hookedConn) first() {
+func (c *hookedConn) beforeClose() {
 	c.once.Do(func() {
 		if c.closing != nil {
 			c.closing(c.TCPConn)
@@ -71,15 +71,15 @@
 }
 
 func (c *hookedConn) Close() error {
-	c.first()
+	c.beforeClose()
 	return c.TCPConn.Close()
 }
 
 func (c *hookedConn) CloseWrite() error {
-	c.first()
+	c.beforeClose()
 	err := c.TCPConn.CloseWrite()
-	if c.halved != nil {
-		c.halved(c.TCPConn)
+	if c.halfClosed != nil {
+		c.halfClosed(c.TCPConn)
 	}
 	return err
 }
@@ -87,11 +87,11 @@
 // rig is a server with a sender that has one destination, 3, at which nobody answers.
 type rig struct {
 	*Server
-	t    *testing.T
-	snd  *sender.Sender
-	ln   net.Listener
-	dir  string
-	addr string
+	t      *testing.T
+	sender *sender.Sender
+	ln     net.Listener
+	dir    string
+	addr   string
 }
 
 var rigSettings = policy.Settings{
@@ -100,9 +100,9 @@
 	Classes: []policy.Class{{Name: "safe", Aim: 15000, Deadline: 20000, Worth: 1, LateWorth: 0.5, Effect: policy.Safe}},
 }
 
-func newRig(t *testing.T, room int, h *hooks) *rig {
+func newRig(t *testing.T, maxConns int, h *hooks) *rig {
 	t.Helper()
-	silent, err := net.Listen("tcp", "127.0.0.1:0") // connections come up, and nobody answers
+	blackHole, err := net.Listen("tcp", "127.0.0.1:0") // connections come up, and nobody answers
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -111,32 +111,32 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	set := rigSettings
-	r.snd = sender.New(sender.Options{Settings: set, Seed: 1, Sockets: 10, Journal: jr, Restored: restored, Clock: sender.NewClock(),
+	settings := rigSettings
+	r.sender = sender.New(sender.Options{Settings: settings, Seed: 1, Sockets: 10, Journal: jr, Restored: restored, Clock: sender.NewClock(),
 		Log: zerolog.Nop(), Notices: func(discovery.Notice) {}})
-	go r.snd.Run()
-	r.snd.List(discovery.List{Full: true, Endpoints: []discovery.Endpoint{{
-		Endpoint: policy.Endpoint{ID: 1, Dest: 3, State: policy.Ready}, Name: "e", Addr: silent.Addr().String()}}})
-	r.Server = New(&set, r.snd, room, zerolog.Nop())
+	go r.sender.Run()
+	r.sender.List(discovery.List{Full: true, Endpoints: []discovery.Endpoint{{
+		Endpoint: policy.Endpoint{ID: 1, Dest: 3, State: policy.Ready}, Name: "e", Addr: blackHole.Addr().String()}}})
+	r.Server = New(&settings, r.sender, maxConns, zerolog.Nop())
 	r.SetReady()
 	if r.ln, err = net.Listen("tcp", "127.0.0.1:0"); err != nil {
 		t.Fatal(err)
 	}
 	r.addr = r.ln.Addr().String()
-	go r.Serve(door{r.ln, h})
+	go r.Serve(hookedListener{r.ln, h})
 	t.Cleanup(func() {
 		r.ln.Close()
-		r.snd.Stop()
-		r.snd.ClientsGone()
-		<-r.snd.Done()
+		r.sender.Stop()
+		r.sender.ClientsGone()
+		<-r.sender.Done()
 		jr.Close()
-		silent.Close()
+		blackHole.Close()
 	})
 	return r
 }
 
 // journaled tells what the next life would find, once the sender has left.
-func (r *rig) journaled() map[string]bool {
+func (r *rig) journaledTraces() map[string]bool {
 	r.t.Helper()
 	jr, restored, err := journal.Open(r.dir, statedir.NewSpace(1<<20).Account())
 	if err != nil {
@@ -151,20 +151,20 @@
 }
 
 // guest is a client's connection.
-type guest struct {
+type testClient struct {
 	net.Conn
 	rd *bufio.Reader
 }
 
-func (r *rig) visit() *guest {
+func (r *rig) connect() *testClient {
 	r.t.Helper()
 	nc, err := net.Dial("tcp", r.addr)
 	if err != nil {
 		r.t.Fatal(err)
 	}
 	r.t.Cleanup(func() { nc.Close() })
-	nc.SetDeadline(time.Now().Add(patient))
-	return &guest{nc, bufio.NewReader(nc)}
+	nc.SetDeadline(time.Now().Add(testTimeout))
+	return &testClient{nc, bufio.NewReader(nc)}
 }
 
 func request(id string) string {
@@ -172,13 +172,13 @@
 		"X-Route-To: dest=3\r\nContent-Length: 5\r\n\r\nhello", id)
 }
 
-func (g *guest) say(text string) error {
+func (g *testClient) send(text string) error {
 	_, err := io.WriteString(g, text)
 	return err
 }
 
 // hear reads one answer whole.
-func (g *guest) hear(t *testing.T) *http.Response {
+func (g *testClient) readResponse(t *testing.T) *http.Response {
 	t.Helper()
 	res, err := http.ReadResponse(g.rd, nil)
 	if err != nil {
@@ -191,25 +191,25 @@
 }
 
 // ends reports how the connection ends for the client: io.EOF where it was closed cleanly.
-func (g *guest) ends() error {
+func (g *testClient) readEnd() error {
 	_, err := g.rd.ReadByte()
 	return err
 }
 
-func (r *rig) cleanEnd(g *guest) {
+func (r *rig) expectCleanClose(g *testClient) {
 	r.t.Helper()
-	if err := g.ends(); !errors.Is(err, io.EOF) {
+	if err := g.readEnd(); !errors.Is(err, io.EOF) {
 		r.t.Errorf("the connection ends with %v, want a clean end", err)
 	}
 }
 
 // rested is a connection that has had so many answers and rests.
-func (r *rig) rested(name string, answers int) *guest {
+func (r *rig) connectAndIdle(name string, requests int) *testClient {
 	r.t.Helper()
-	g := r.visit()
-	for i := range answers {
-		g.say(request(fmt.Sprintf("%s-%d", name, i)))
-		if res := g.hear(r.t); res.StatusCode != 202 {
+	g := r.connect()
+	for i := range requests {
+		g.send(request(fmt.Sprintf("%s-%d", name, i)))
+		if res := g.readResponse(r.t); res.StatusCode != 202 {
 			r.t.Fatalf("answer %d", res.StatusCode)
 		}
 	}
@@ -217,15 +217,15 @@
 }
 
 // delayed reports whether the system may hold small writes back.
-func delayed(t *testing.T, nc *net.TCPConn) bool {
+func nagleEnabled(t *testing.T, nc *net.TCPConn) bool {
 	raw, err := nc.SyscallConn()
 	if err != nil {
 		t.Error(err)
 		return true
 	}
-	on := 0
+	noDelay := 0
 	raw.Control(func(fd uintptr) {
-		on, err = syscall.GetsockoptInt(int(fd), syscall.IPPROTO_TCP, syscall.TCP_NODELAY)
+		noDelay, err = syscall.GetsockoptInt(int(fd), syscall.IPPROTO_TCP, syscall.TCP_NODELAY)
 	})
-	return err != nil || on == 0
+	return err != nil || noDelay == 0
 }
--- a/internal/keys/keys.go
+++ b/internal/keys/keys.go
@@ -39,17 +39,17 @@
 	cfg := &tls.Config{MinVersion: tls.VersionTLS12}
 	var warnings []Warning
 	if f.CA != "" {
-		pool, certs, err := bundle(f.CA)
+		pool, certs, err := readBundle(f.CA)
 		if err != nil {
 			return nil, nil, err
 		}
 		cfg.RootCAs = pool
-		warnings = append(warnings, ending(f.CA, certs, now)...)
+		warnings = append(warnings, expiryWarnings(f.CA, certs, now)...)
 	}
 	if f.Cert == "" {
 		return cfg, warnings, nil
 	}
-	if err := private(f.Key); err != nil {
+	if err := checkKeyMode(f.Key); err != nil {
 		return nil, nil, err
 	}
 	pair, err := tls.LoadX509KeyPair(f.Cert, f.Key)
@@ -57,12 +57,12 @@
 		return nil, nil, fmt.Errorf("%s, %s: %w", f.Cert, f.Key, err)
 	}
 	cfg.Certificates = []tls.Certificate{pair}
-	warnings = append(warnings, ending(f.Cert, []*x509.Certificate{pair.Leaf}, now)...)
+	warnings = append(warnings, expiryWarnings(f.Cert, []*x509.Certificate{pair.Leaf}, now)...)
 	return cfg, warnings, nil
 }
 
 // private refuses a key that others may read.
-func private(file string) error {
+func checkKeyMode(file string) error {
 	info, err := os.Stat(file)
 	if err != nil {
 		return err
@@ -74,7 +74,7 @@
 }
 
 // bundle reads CA certificates.
-func bundle(file string) (*x509.CertPool, []*x509.Certificate, error) {
+func readBundle(file string) (*x509.CertPool, []*x509.Certificate, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
 		return nil, nil, err
@@ -104,7 +104,7 @@
 
 var errNoCert = errors.New("no certificate in PEM")
 
-func ending(file string, certs []*x509.Certificate, now time.Time) (list []Warning) {
+func expiryWarnings(file string, certs []*x509.Certificate, now time.Time) (list []Warning) {
 	for _, c := range certs {
 		if c != nil && now.Add(ExpiryWarningPeriod).After(c.NotAfter) {
 			list = append(list, Warning{file, c.Subject.CommonName, c.NotAfter})
--- a/internal/partners/partners.go
+++ b/internal/partners/partners.go
@@ -19,74 +19,74 @@
 
 // Registry is the partners of one operators' file. It is safe for concurrent use.
 type Registry struct {
-	now  func() time.Time
-	mu   sync.Mutex // over Load
-	list atomic.Pointer[map[int]*entry]
+	now     func() time.Time
+	mu      sync.Mutex // over Load
+	entries atomic.Pointer[map[int]*entry]
 }
 
 type entry struct {
-	set operator.Partner
-	out *outbound.Partner
-	tls atomic.Pointer[tls.Config]
+	settings operator.Partner
+	partner  *outbound.Partner
+	tls      atomic.Pointer[tls.Config]
 }
 
 // New returns an empty Registry. now is the time that certificates are judged by.
 func New(now func() time.Time) *Registry {
-	b := &Registry{now: now}
-	b.list.Store(&map[int]*entry{})
-	return b
+	r := &Registry{now: now}
+	r.entries.Store(&map[int]*entry{})
+	return r
 }
 
 // Load takes the partners of an operators' file; keys are read again. An error changes nothing. A partner
 // that is set as before keeps its connections, with the new keys for the next ones.
-func (b *Registry) Load(list []operator.Partner) ([]keys.Warning, error) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	old := *b.list.Load()
-	fresh := make(map[int]*entry, len(list))
-	read := make(map[int]*tls.Config, len(list))
+func (r *Registry) Load(list []operator.Partner) ([]keys.Warning, error) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	old := *r.entries.Load()
+	next := make(map[int]*entry, len(list))
+	loaded := make(map[int]*tls.Config, len(list))
 	var warnings []keys.Warning
-	for _, set := range list {
-		e := old[set.Dest]
-		if e == nil || e.set != set {
-			e = newEntry(set)
+	for _, settings := range list {
+		e := old[settings.Dest]
+		if e == nil || e.settings != settings {
+			e = newEntry(settings)
 		}
-		if set.Protocol == operator.TLS || set.Protocol == operator.H2 {
-			cfg, w, err := keys.Load(keys.Files{CA: set.CA, Cert: set.Cert, Key: set.Key}, b.now())
+		if settings.Protocol == operator.TLS || settings.Protocol == operator.H2 {
+			cfg, w, err := keys.Load(keys.Files{CA: settings.CA, Cert: settings.Cert, Key: settings.Key}, r.now())
 			if err != nil {
-				return nil, fmt.Errorf("partner of destination %d: %w", set.Dest, err)
+				return nil, fmt.Errorf("partner of destination %d: %w", settings.Dest, err)
 			}
-			read[set.Dest] = cfg
+			loaded[settings.Dest] = cfg
 			warnings = append(warnings, w...)
 		}
-		fresh[set.Dest] = e
+		next[settings.Dest] = e
 	}
-	for dest, cfg := range read {
-		fresh[dest].tls.Store(cfg)
+	for dest, cfg := range loaded {
+		next[dest].tls.Store(cfg)
 	}
-	b.list.Store(&fresh)
+	r.entries.Store(&next)
 	return warnings, nil
 }
 
-func newEntry(set operator.Partner) *entry {
-	e := &entry{set: set}
-	if set.Protocol == operator.Plain {
+func newEntry(settings operator.Partner) *entry {
+	e := &entry{settings: settings}
+	if settings.Protocol == operator.Plain {
 		return e
 	}
-	e.out = &outbound.Partner{
-		HTTP2: set.Protocol == operator.H2 || set.Protocol == operator.H2C, ServerName: set.ServerName,
-		MaxConns: set.MaxConns, PingAfter: set.PingAfter, PingFor: set.PingFor,
+	e.partner = &outbound.Partner{
+		HTTP2: settings.Protocol == operator.H2 || settings.Protocol == operator.H2C, ServerName: settings.ServerName,
+		MaxConns: settings.MaxConns, PingAfter: settings.PingAfter, PingFor: settings.PingFor,
 	}
-	if set.Protocol != operator.H2C {
-		e.out.TLS = e.tls.Load
+	if settings.Protocol != operator.H2C {
+		e.partner.TLS = e.tls.Load
 	}
 	return e
 }
 
 // Lookup returns how a destination is reached; nil: by plain HTTP/1.1.
-func (b *Registry) Lookup(dest int) *outbound.Partner {
-	if e := (*b.list.Load())[dest]; e != nil {
-		return e.out
+func (r *Registry) Lookup(dest int) *outbound.Partner {
+	if e := (*r.entries.Load())[dest]; e != nil {
+		return e.partner
 	}
 	return nil
 }
