--- a/internal/discovery/backoff.go
+++ b/internal/discovery/backoff.go
@@ -39,34 +39,34 @@
 
 // spread is the pause of at most longest after a first failure before any answer: all that are started in one
 // moment fail in one, and would ask again in one.
-func (p *backoff) initialPause(longest time.Duration) time.Duration {
-	return time.Duration(p.rng.Float64() * float64(longest))
+func (b *backoff) initialPause(longest time.Duration) time.Duration {
+	return time.Duration(b.rng.Float64() * float64(longest))
 }
 
 // settled is the pause of at most longest after a further failure before any answer: a fleet started in one moment is turned
 // away together, and pauses that begin short would keep discovery overbooked; these come to fleetRequests a
 // second over the fleet. Nothing is missed meanwhile: an agent that turns an ask away has told nothing.
-func (p *backoff) steadyPause(longest time.Duration) time.Duration {
-	return time.Duration(float64(longest) * (0.5 + 0.5*p.rng.Float64()))
+func (b *backoff) steadyPause(longest time.Duration) time.Duration {
+	return time.Duration(float64(longest) * (0.5 + 0.5*b.rng.Float64()))
 }
 
 // next is the pause after so many failures in a row, 1 or more; answered tells whether any ask of this
 // process has been answered, and spent how long the failed ask was out. An ask that was out while discovery
 // was silent leaves less for the pause: discovery may have come back just behind it with a change, which the
 // next ask has to bring before it counts as told. A watch may have been out for 3.5 s of the 6.
-func (p *backoff) pause(failures int, answered bool, elapsed time.Duration) time.Duration {
-	longest := min(p.longest, max(maxRetryInterval-elapsed, minPause))
+func (b *backoff) pause(failures int, answered bool, elapsed time.Duration) time.Duration {
+	longest := min(b.longest, max(maxRetryInterval-elapsed, minPause))
 	switch {
 	case answered:
-		return p.exponentialPause(failures, longest)
+		return b.exponentialPause(failures, longest)
 	case failures == 1:
-		return p.initialPause(longest)
+		return b.initialPause(longest)
 	}
-	return p.steadyPause(longest)
+	return b.steadyPause(longest)
 }
 
 // after is the pause of at most longest after so many failures in a row, 1 or more.
-func (p *backoff) exponentialPause(failures int, longest time.Duration) time.Duration {
-	base := min(float64(p.shortest)*math.Exp2(float64(min(failures-1, 30))), float64(longest))
-	return time.Duration(base * (0.5 + 0.5*p.rng.Float64()))
+func (b *backoff) exponentialPause(failures int, longest time.Duration) time.Duration {
+	base := min(float64(b.shortest)*math.Exp2(float64(min(failures-1, 30))), float64(longest))
+	return time.Duration(base * (0.5 + 0.5*b.rng.Float64()))
 }
--- a/internal/discovery/bounds_test.go
+++ b/internal/discovery/bounds_test.go
@@ -165,11 +165,11 @@
 	for _, senders := range []int{1, 3, 30, 43, 44, 80, 300, 10000} {
 		for _, elapsed := range []time.Duration{0, listTimeout, dialTimeout + listTimeout, watchDuration + watchGrace} {
 			for _, answered := range []bool{false, true} {
-				p := newBackoff(&policy.Settings{Senders: senders, Subscribe: true, AskWithin: 10000}, 1)
+				b := newBackoff(&policy.Settings{Senders: senders, Subscribe: true, AskWithin: 10000}, 1)
 				worst := time.Duration(0)
 				for failures := 1; failures <= 20; failures++ {
 					for range 200 {
-						worst = max(worst, elapsed+p.pause(failures, answered, elapsed))
+						worst = max(worst, elapsed+b.pause(failures, answered, elapsed))
 					}
 				}
 				if worst+answerTime > maxSilence {
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -138,12 +138,12 @@
 		{3, true, 10000, 200 * time.Millisecond}, {80, true, 10000, 5 * time.Second}, {80, true, 4000, 2 * time.Second},
 		{80, true, 0, 5 * time.Second}, {80, true, 1, 100 * time.Millisecond}, {80, false, 0, 5 * time.Second}, {1 << 30, true, 1e300, 5 * time.Second},
 	} {
-		p := newBackoff(&policy.Settings{Senders: c.senders, Subscribe: c.subscribe, AskWithin: c.within}, 1)
-		if p.longest.Round(time.Millisecond) != c.want {
-			t.Errorf("%d senders, within %g: %v, want %v", c.senders, c.within, p.longest, c.want)
+		b := newBackoff(&policy.Settings{Senders: c.senders, Subscribe: c.subscribe, AskWithin: c.within}, 1)
+		if b.longest.Round(time.Millisecond) != c.want {
+			t.Errorf("%d senders, within %g: %v, want %v", c.senders, c.within, b.longest, c.want)
 		}
 		for n := 1; n < 100; n++ {
-			if d := p.exponentialPause(n, p.longest); d < minPause/2 || d > p.longest {
+			if d := b.exponentialPause(n, b.longest); d < minPause/2 || d > b.longest {
 				t.Errorf("%d senders: pause %v after %d failures", c.senders, d, n)
 			}
 		}
@@ -158,11 +158,11 @@
 	const senders, seconds = 80, 60
 	var requests []float64
 	for i := range senders {
-		p := newBackoff(&policy.Settings{Senders: senders, Subscribe: true, AskWithin: 10000}, uint64(i))
+		b := newBackoff(&policy.Settings{Senders: senders, Subscribe: true, AskWithin: 10000}, uint64(i))
 		at := 0.0 // the first ask goes at once: a pause before it would be a gap in the watch
 		for n := 1; at < seconds; n++ {
 			requests = append(requests, at)
-			at += p.pause(n, false, 0).Seconds()
+			at += b.pause(n, false, 0).Seconds()
 		}
 	}
 	sort.Float64s(requests)
@@ -213,10 +213,10 @@
 func TestRepeatedSilenceIsDetectedInTime(t *testing.T) {
 	const margin = 200 * time.Millisecond // an answer's, and the machine's
 	for _, senders := range []int{1, 3, 30, 80, 300, 10000} {
-		p := newBackoff(&policy.Settings{Senders: senders, Subscribe: true, AskWithin: 10000}, 1)
+		b := newBackoff(&policy.Settings{Senders: senders, Subscribe: true, AskWithin: 10000}, 1)
 		firstPause, secondPause := time.Duration(0), time.Duration(0)
 		for range 1000 {
-			firstPause, secondPause = max(firstPause, p.pause(1, true, watchDuration+watchGrace)), max(secondPause, p.pause(2, true, listTimeout))
+			firstPause, secondPause = max(firstPause, b.pause(1, true, watchDuration+watchGrace)), max(secondPause, b.pause(2, true, listTimeout))
 		}
 		if at := watchDuration + watchGrace + firstPause + listTimeout + secondPause + margin; at > maxSilence {
 			t.Errorf("%d senders: the answer comes %v after the silence began", senders, at)
--- a/internal/intake/api.go
+++ b/internal/intake/api.go
@@ -11,13 +11,13 @@
 )
 
 const (
-	maxIDBytes       = 128   // bytes of an id or key
-	maxExpirySeconds = 86400 // seconds that a message may live
-	stoppingRetryMS  = 500.0 // milliseconds after which a client of a stopping sender should come again
+	maxIDBytes       = 128   // length of a trace id or idempotency key
+	maxExpirySeconds = 86400 // one day
+	stoppingRetryMS  = 500.0 // Retry-After of a sender that is starting or stopping, or answers too late
 	statusBusy       = 429
 )
 
-// route answers one request.
+// route dispatches a request by its path and returns the answer.
 func (s *Server) route(req *http1.Message, received time.Time) response {
 	path, _, _ := bytes.Cut(req.Path, []byte("?"))
 	switch string(path) {
@@ -41,7 +41,7 @@
 	return response{status: 404}
 }
 
-// handIn passes a message to the sender.
+// submit passes a message to the sender and returns the answer to its client.
 func (s *Server) submit(req *http1.Message, received time.Time) response {
 	if !s.ready.Load() || s.refusing.Load() {
 		return response{status: 503, retryAfterMS: stoppingRetryMS}
@@ -54,13 +54,13 @@
 	switch {
 	case verdict.Taken:
 		return response{status: 202, messageNum: verdict.Num}
-	case verdict.Known: // no number: what becomes of this answer says nothing of who handed it in first
+	case verdict.Known: // without a number: if this answer is lost, the message as first submitted must not be withdrawn
 		return response{status: 409, text: "X-Trace-Id was taken on before"}
 	case verdict.Elsewhere:
 		return response{status: 409, text: "another sender has taken this message over from the one that was lost"}
 	case verdict.Misdirected:
 		return response{status: 421, servedBy: verdict.Belongs, text: "other senders serve this destination"}
-	case verdict.NoRoute: // the list may be late: to come again does no harm
+	case verdict.NoRoute: // the endpoint list may be out of date, so that a retry may succeed
 		return response{status: 503, retryAfterMS: verdict.RetryAfter, text: "no such destination is listed"}
 	}
 	if verdict.Short {
@@ -69,10 +69,10 @@
 	return response{status: statusBusy, retryAfterMS: verdict.RetryAfter}
 }
 
-// orphan is the X-Second-Try of a message whose sender died or did not answer.
+// orphanResubmission is the value of X-Second-Try in a resubmission after a sender died or did not answer.
 const orphanResubmission = "again"
 
-// message reads a message from a request; wrong says what is missing or makes no sense.
+// parseMessage reads a message from a request. problem names a header that is missing or invalid; empty: there is none.
 func (s *Server) parseMessage(req *http1.Message) (msg sender.Message, problem string) {
 	h := &req.Headers
 	msg.Trace, msg.Key, msg.Body = h.Get("X-Trace-Id"), h.Get("Idempotency-Key"), req.Body
@@ -104,8 +104,8 @@
 	return msg, ""
 }
 
-// seconds reads plain decimal seconds. ParseFloat alone would also take hexadecimal,
-// exponents and infinity, which no client means.
+// parseSeconds reads seconds in plain decimal notation. ParseFloat alone would also accept hexadecimal numbers,
+// exponents and infinity, which no client sends on purpose.
 func parseSeconds(b []byte) (float64, bool) {
 	for _, c := range b {
 		if (c < '0' || c > '9') && c != '.' {
@@ -116,10 +116,10 @@
 	return f, err == nil
 }
 
-// fits reports whether an id or key can be passed on as it is.
+// validID reports whether a trace id or idempotency key can be sent to the partner unchanged.
 func validID(b []byte) bool { return len(b) <= maxIDBytes && http1.Clean(b) }
 
-// tenant is the position of a tenant, 0 where the settings have none.
+// tenantIndex returns the index of the tenant with that name, 0 if the settings have no tenants, -1 for an unknown name.
 func (s *Server) tenantIndex(name []byte) int {
 	for i := range s.settings.Tenants {
 		if s.settings.Tenants[i].Name == string(name) {
@@ -132,7 +132,7 @@
 	return -1
 }
 
-// dest reads the destination from a list of name=value, -1 if there is none.
+// parseDestination reads the destination from a list of name=value pairs. It returns -1 if there is none.
 func parseDestination(v []byte) int {
 	for _, pair := range bytes.FieldsFunc(v, func(r rune) bool { return r == ',' || r == ';' || r == ' ' }) {
 		if name, value, _ := bytes.Cut(pair, []byte("=")); string(name) == "dest" {
--- a/internal/intake/close_race_test.go
+++ b/internal/intake/close_race_test.go
@@ -9,9 +9,11 @@
 	"time"
 )
 
-// Each test forces one crossing of docs/design/crossings.md.
+// Each test forces one of the races of docs/design/crossings.md: a request, an answer or a signal that arrives just as
+// a connection is being closed.
 
-// The clock is read late after an answer was written in time: the client has heard 202, so the message stays.
+// Guards against the loss of an accepted message: the answer 202 was written in time, but the goroutine then read the
+// clock late and withdrew the message.
 func TestAcceptanceWrittenInTimeStands(t *testing.T) {
 	t.Parallel()
 	var late atomic.Bool
@@ -22,43 +24,44 @@
 		}
 		return time.Now()
 	}
-	g := r.connect()
-	g.send(request("m"))
-	if res := g.readResponse(t); res.StatusCode != 202 {
+	client := r.connect()
+	client.send(request("m"))
+	if res := client.readResponse(t); res.StatusCode != 202 {
 		t.Fatalf("answer %d", res.StatusCode)
 	}
 	late.Store(false)
-	g.send(request("n")) // in the sender's line behind a withdrawal of the first, had there been one
-	g.readResponse(t)
+	client.send(request("n")) // its answer comes only after a withdrawal of the first message, had there been one
+	client.readResponse(t)
 	r.terminateAndWait()
 	if !r.journaledTraces()["m"] {
-		t.Error("the message that its client heard was taken on is in no journal")
+		t.Error("message m was answered 202 and is not in the journal")
 	}
 }
 
-// A verdict that comes when its client is about to go is not told: the message is withdrawn, and refused.
+// A decision that comes after the client's time-out is not sent: the message is withdrawn and refused with 503, since
+// the client may already be resubmitting it to another sender.
 func TestLateAcceptanceIsRefused(t *testing.T) {
 	t.Parallel()
 	var reads atomic.Int32
 	r := newRig(t, 100, &hooks{})
 	r.now = func() time.Time {
-		if reads.Add(1) > 1 { // the first is of its arrival
+		if reads.Add(1) > 1 { // the first read is the time of arrival
 			return time.Now().Add(2 * clientTimeout)
 		}
 		return time.Now()
 	}
-	g := r.connect()
-	g.send(request("m"))
-	if res := g.readResponse(t); res.StatusCode != 503 || res.Header.Get("Retry-After") == "" {
-		t.Errorf("answer %d, Retry-After %q, want a 503 that says when to come again", res.StatusCode, res.Header.Get("Retry-After"))
+	client := r.connect()
+	client.send(request("m"))
+	if res := client.readResponse(t); res.StatusCode != 503 || res.Header.Get("Retry-After") == "" {
+		t.Errorf("answer %d, Retry-After %q, want 503 with Retry-After", res.StatusCode, res.Header.Get("Retry-After"))
 	}
 	r.terminateAndWait()
 	if r.journaledTraces()["m"] {
-		t.Error("the message that was refused is in the journal")
+		t.Error("message m was refused and is in the journal")
 	}
 }
 
-// shut ends the server as a SIGTERM does.
+// terminate stops the server the way a SIGTERM does.
 func (r *rig) terminate() {
 	r.t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
@@ -70,43 +73,43 @@
 	r.sender.ClientsGone()
 }
 
-// leave ends the server, and the sender with it.
+// terminateAndWait stops the server and waits until the sender has stopped too.
 func (r *rig) terminateAndWait() {
 	r.t.Helper()
 	r.terminate()
 	<-r.sender.Done()
 }
 
-// A request arrives in the very moment in which a connection that rests is closed. It is not served, and the
-// close is clean: a reset would take an answer along that is still on its way, and looks like a lost request.
+// A request arrives just as its idle connection is closed. It must not be served, and the close must be clean: a reset
+// could destroy an answer that is still on its way, and to the client it looks as if a request was lost.
 func TestRequestDuringCloseOfIdleConnection(t *testing.T) {
 	t.Parallel()
-	var g *testClient
-	r := newRig(t, 100, &hooks{closing: func(net.Conn) { g.send(request("crossing")) }})
-	g = r.connectAndIdle("m", 3)
+	var client *testClient
+	r := newRig(t, 100, &hooks{closing: func(net.Conn) { client.send(request("crossing")) }})
+	client = r.connectAndIdle("m", 3)
 	r.terminateAndWait()
-	r.expectCleanClose(g)
+	r.expectCleanClose(client)
 	if r.journaledTraces()["crossing"] {
-		t.Error("a request that came after the close was taken on")
+		t.Error("a request that arrived after the close was accepted")
 	}
 }
 
-// The same on a new connection that is drained by hand: its first request is read, and has to be answered.
+// The first request on a new connection arrives just as a drain closes the connection. The request must be answered.
 func TestRequestDuringCloseOfSilentConnection(t *testing.T) {
 	t.Parallel()
-	var g *testClient
-	r := newRig(t, 100, &hooks{closing: func(net.Conn) { g.send(request("crossing")) }})
-	g = r.connect()
-	r.waitUntil("the connection is there", func() bool { return r.countInState(silent) == 1 })
+	var client *testClient
+	r := newRig(t, 100, &hooks{closing: func(net.Conn) { client.send(request("crossing")) }})
+	client = r.connect()
+	r.waitUntil("no connection in state silent", func() bool { return r.countInState(silent) == 1 })
 	r.Drain()
-	if res := g.readResponse(t); res.StatusCode != 503 {
-		t.Errorf("a first request that came at the close is answered %d", res.StatusCode)
+	if res := client.readResponse(t); res.StatusCode != 503 {
+		t.Errorf("first request, sent during the close: answer %d, want 503", res.StatusCode)
 	}
-	r.expectCleanClose(g)
+	r.expectCleanClose(client)
 	r.Undrain()
 }
 
-// inState counts connections; the server's lock is held.
+// countInState counts the connections in that state. The caller holds the server's lock.
 func (r *rig) countInState(state int) (n int) {
 	for c := range r.conns {
 		c.mu.Lock()
@@ -118,8 +121,8 @@
 	return n
 }
 
-// until waits for what is under the server's lock.
-func (r *rig) waitUntil(what string, ok func() bool) {
+// waitUntil waits until ok returns true, and fails the test after testTimeout. It calls ok under the server's lock.
+func (r *rig) waitUntil(failure string, ok func() bool) {
 	r.t.Helper()
 	for end := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) {
 		r.mu.Lock()
@@ -129,22 +132,23 @@
 			return
 		}
 		if time.Now().After(end) {
-			r.t.Fatal(what)
+			r.t.Fatal(failure)
 		}
 	}
 }
 
-// More bytes come while the answer that closes the connection is on its way: it arrives whole, and then the end.
+// More bytes arrive while the answer that closes the connection is on its way. The client must receive the whole answer
+// and then a clean close: a close with unread bytes would reset the connection.
 func TestExtraBytesDoNotTruncateResponse(t *testing.T) {
 	t.Parallel()
-	var g *testClient
-	r := newRig(t, 100, &hooks{closing: func(net.Conn) { g.send(strings.Repeat("more ", 1000)) }})
-	g = r.connect()
-	g.send(strings.Replace(request("m"), "Host:", "Connection: close\r\nHost:", 1))
-	if res := g.readResponse(t); res.StatusCode != 202 {
+	var client *testClient
+	r := newRig(t, 100, &hooks{closing: func(net.Conn) { client.send(strings.Repeat("more ", 1000)) }})
+	client = r.connect()
+	client.send(strings.Replace(request("m"), "Host:", "Connection: close\r\nHost:", 1))
+	if res := client.readResponse(t); res.StatusCode != 202 {
 		t.Errorf("answer %d", res.StatusCode)
 	}
-	r.expectCleanClose(g)
+	r.expectCleanClose(client)
 	for _, c := range []struct {
 		text string
 		want int
@@ -153,17 +157,17 @@
 		{"no request at all\r\n\r\n", 400},
 		{"POST /api HTTP/1.1\r\nHost: a\r\n\r\nbody of no length", 411},
 	} {
-		g = r.connect()
-		g.send(c.text)
-		if res := g.readResponse(t); res.StatusCode != c.want {
+		client = r.connect()
+		client.send(c.text)
+		if res := client.readResponse(t); res.StatusCode != c.want {
 			t.Errorf("answer %d, want %d", res.StatusCode, c.want)
 		}
-		r.expectCleanClose(g)
+		r.expectCleanClose(client)
 	}
 }
 
-// A request whose bytes are still coming when the process is told to end gets 503 when it is whole, or when it does
-// not come whole; neither is taken on, and the server does not leave before.
+// Two requests are incomplete when the process is told to stop: one is completed later, the other is not. Both must be
+// answered 503, neither may be accepted, and the server must not stop before.
 func TestShutdownAnswersPartialRequests(t *testing.T) {
 	t.Parallel()
 	r := newRig(t, 100, &hooks{})
@@ -171,11 +175,11 @@
 	text := request("m")
 	completed.send(text[:40])
 	partial.send(text[:40])
-	r.waitUntil("both are being read", func() bool { return r.countInState(reading) == 2 })
+	r.waitUntil("not two connections in state reading", func() bool { return r.countInState(reading) == 2 })
 	r.RefuseMessages()
 	completed.send(text[40:])
 	r.mu.Lock()
-	for c := range r.conns { // of the two, who has not come whole: as if it had been coming for long
+	for c := range r.conns { // makes the incomplete request look as if it had begun to arrive drainReadingDelay ago
 		c.mu.Lock()
 		if c.state == reading {
 			c.since = c.since.Add(-drainReadingDelay)
@@ -188,86 +192,87 @@
 	for c := range r.conns {
 		c.mu.Lock()
 		if c.state == reading && !c.closeRequested {
-			t.Error("a request that does not come whole is not asked to end")
+			t.Error("a connection with an incomplete request is not asked to close")
 		}
 		c.mu.Unlock()
 	}
 	r.mu.Unlock()
 	done := make(chan struct{})
 	go func() { r.terminateAndWait(); close(done) }()
-	for _, g := range []*testClient{completed, partial} {
-		if res := g.readResponse(t); res.StatusCode != 503 || res.Header.Get("Retry-After") == "" {
-			t.Errorf("answer %d, Retry-After %q", res.StatusCode, res.Header.Get("Retry-After"))
+	for _, client := range []*testClient{completed, partial} {
+		if res := client.readResponse(t); res.StatusCode != 503 || res.Header.Get("Retry-After") == "" {
+			t.Errorf("answer %d, Retry-After %q, want 503 with Retry-After", res.StatusCode, res.Header.Get("Retry-After"))
 		}
-		r.expectCleanClose(g)
+		r.expectCleanClose(client)
 	}
 	<-done
 	if r.journaledTraces()["m"] {
-		t.Error("a request that came whole after the stop was taken on")
+		t.Error("a request that was completed after the stop was accepted")
 	}
 }
 
-// SIGTERM comes between a new connection and its first request: the client has time to write it, and is answered 503.
-// One that goes on saying nothing hears 503, which answers a request that crosses the close, and a clean end.
+// SIGTERM arrives between a new connection and its first request. The client must have time to write the request, which
+// is answered 503. A client that sends nothing gets a 503 too, which answers a request sent during the close, and then
+// a clean close.
 func TestNewConnectionDuringShutdown(t *testing.T) {
 	t.Parallel()
 	r := newRig(t, 100, &hooks{})
-	g, silentClient := r.connect(), r.connect()
-	r.waitUntil("both are there", func() bool { return r.countInState(silent) == 2 })
+	client, silentClient := r.connect(), r.connect()
+	r.waitUntil("not two connections in state silent", func() bool { return r.countInState(silent) == 2 })
 	r.RefuseMessages()
 	r.closeUnused()
 	r.mu.Lock()
 	for c := range r.conns {
 		c.mu.Lock()
 		if c.closeRequested {
-			t.Error("a new connection is closed before its client can write")
+			t.Error("a new connection is asked to close before its client can write")
 		}
 		c.mu.Unlock()
 	}
 	r.mu.Unlock()
-	g.send(request("m"))
-	if res := g.readResponse(t); res.StatusCode != 503 {
+	client.send(request("m"))
+	if res := client.readResponse(t); res.StatusCode != 503 {
 		t.Errorf("answer %d", res.StatusCode)
 	}
 	r.terminate()
 	if res := silentClient.readResponse(t); res.StatusCode != 503 {
-		t.Errorf("one that says nothing hears %d", res.StatusCode)
+		t.Errorf("silent client: answer %d, want 503", res.StatusCode)
 	}
 	r.expectCleanClose(silentClient)
 }
 
-// A connection is accepted while the server waits for the others to end. It is answered before the server leaves.
+// A connection is accepted while the server waits for the others to close. It must be answered before the server stops.
 func TestAcceptedWhileShuttingDown(t *testing.T) {
 	t.Parallel()
 	entered, proceed := make(chan struct{}), make(chan struct{})
 	r := newRig(t, 100, &hooks{accepted: func() { close(entered); <-proceed }})
-	g := r.connect()
-	g.send(request("m"))
-	<-entered // accepted by the system, and not yet among the server's
+	client := r.connect()
+	client.send(request("m"))
+	<-entered // accepted by the kernel, and not yet registered by the server
 	r.RefuseMessages()
 	r.ln.Close()
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	if r.closeUnused() {
-		t.Error("the server would leave while a connection is being accepted")
+		t.Error("the server would stop while a connection is being accepted")
 	}
 	close(proceed)
 	r.Shutdown(ctx)
-	if res := g.readResponse(t); res.StatusCode != 503 {
+	if res := client.readResponse(t); res.StatusCode != 503 {
 		t.Errorf("answer %d", res.StatusCode)
 	}
 }
 
-// Clients that go on sending on every connection up to the end are read, and dropped, and hold nobody up.
+// What clients send after the half-close must be read and discarded without a reset, and must not delay the shutdown.
 func TestClientsSendingAfterHalfClose(t *testing.T) {
 	t.Parallel()
 	r := newRig(t, 100, &hooks{})
-	g := r.connectAndIdle("m", 2)
+	client := r.connectAndIdle("m", 2)
 	r.terminate() // returns although the client does not close
-	r.expectCleanClose(g)
+	r.expectCleanClose(client)
 	for range 3 {
-		if err := g.send(request("after")); err != nil {
-			t.Fatalf("a connection that lingers is reset: %v", err)
+		if err := client.send(request("after")); err != nil {
+			t.Fatalf("a half-closed connection was reset: %v", err)
 		}
 	}
 	start := time.Now()
@@ -275,52 +280,52 @@
 	defer cancel()
 	r.WaitClosed(ctx)
 	if took := time.Since(start); took > 2*lingerTimeout {
-		t.Errorf("a client that does not close holds the server up for %v", took)
+		t.Errorf("a client that does not close its connection delayed the shutdown for %v", took)
 	}
 	<-r.sender.Done()
 	if r.journaledTraces()["after"] {
-		t.Error("a request that came after the half-close was taken on")
+		t.Error("a request that arrived after the half-close was accepted")
 	}
 }
 
-// Those that linger give their places up where these are needed: clients that never close cannot keep others out,
-// whether they are silent or send without end.
+// Half-closed connections must give up their slots when new clients need them: clients that never close their side
+// must not keep others out, whether they are silent or send without end.
 func TestLingeringConnectionsYieldSlots(t *testing.T) {
 	const maxConns = 16
 	for name, behave := range map[string]func(*testClient){
 		"silent": func(*testClient) {},
-		"flood": func(g *testClient) {
-			for g.send(strings.Repeat("x", 4096)) == nil {
+		"flood": func(client *testClient) {
+			for client.send(strings.Repeat("x", 4096)) == nil {
 			}
 		},
 	} {
 		r := newRig(t, maxConns, &hooks{})
 		for range 2 * maxConns {
-			g := r.connect()
-			g.send("nonsense\r\n\r\n")
-			g.readResponse(t)
-			go behave(g)
+			client := r.connect()
+			client.send("nonsense\r\n\r\n")
+			client.readResponse(t)
+			go behave(client)
 		}
 		start := time.Now()
-		g := r.connect()
-		g.send(request("m"))
-		if res := g.readResponse(t); res.StatusCode != 202 {
+		client := r.connect()
+		client.send(request("m"))
+		if res := client.readResponse(t); res.StatusCode != 202 {
 			t.Errorf("%s: answer %d", name, res.StatusCode)
 		}
 		if took := time.Since(start); took > clientTimeout {
-			t.Errorf("%s: answered after %v among those that linger", name, took)
+			t.Errorf("%s: answered after %v while half-closed connections held all slots", name, took)
 		}
 	}
 }
 
-// Answers leave at once: no socket of a client holds small writes back.
+// Answers must be sent at once: clients' sockets have TCP_NODELAY set, so that the kernel does not delay small writes.
 func TestClientSocketsSetNoDelay(t *testing.T) {
 	t.Parallel()
 	nagle := make(chan bool, 1)
 	r := newRig(t, 100, &hooks{halfClosed: func(nc net.Conn) { nagle <- nagleEnabled(t, nc.(*net.TCPConn)) }})
-	g := r.connect()
-	g.send("nonsense\r\n\r\n")
-	g.readResponse(t)
+	client := r.connect()
+	client.send("nonsense\r\n\r\n")
+	client.readResponse(t)
 	if <-nagle {
 		t.Error("TCP_NODELAY is not set")
 	}
--- a/internal/intake/intake.go
+++ b/internal/intake/intake.go
@@ -1,5 +1,5 @@
-// Package intake serves clients: it reads what they hand in, checks it, and
-// answers with the sender's verdict.
+// Package intake is the HTTP server that clients call. It reads and validates the messages that they submit, passes
+// them to the sender and answers with the sender's decision.
 package intake
 
 import (
@@ -22,90 +22,98 @@
 )
 
 const (
-	idleTimeout         = 30 * time.Second        // a connection between requests
-	minIdleAge          = 2 * time.Second         // one may be closed for want of room after this
-	minSingleUseAge     = 20 * time.Millisecond   // or this, if it has not handed in two messages
-	minReadingAge       = 100 * time.Millisecond  // a request that takes so long to arrive gives its place up: clients write it whole
-	firstByteTimeout    = 2 * time.Second         // a new one says nothing for so long
-	minSilentAge        = 100 * time.Millisecond  // and may be closed for want of room after this: clients write at once
-	firstRequestTimeout = 2500 * time.Millisecond // its first request is there by then; an answer is owed within 3 s
-	readTimeout         = 2 * time.Second         // a later request, from its first byte
-	writeTimeout        = time.Second             // an answer
-	finalReadTimeout    = 10 * time.Millisecond
-	lingerTimeout       = time.Second            // what a client still sends is read so long after the half-close,
-	shortLingerTimeout  = 50 * time.Millisecond  // or this, where its place is needed,
-	maxLingerBytes      = 256 << 10              // and no more bytes of it
-	clientTimeout       = 400 * time.Millisecond // how long a client waits for its answer
+	idleTimeout         = 30 * time.Second        // for a connection between requests
+	minIdleAge          = 2 * time.Second         // minimum age in state idle before eviction
+	minSingleUseAge     = 20 * time.Millisecond   // minimum age in state idleSingleUse before eviction
+	minReadingAge       = 100 * time.Millisecond  // minimum age in state reading before eviction: clients write at once
+	firstByteTimeout    = 2 * time.Second         // from accept to the first byte
+	minSilentAge        = 100 * time.Millisecond  // minimum age in state silent before eviction: clients write at once
+	firstRequestTimeout = 2500 * time.Millisecond // from accept to the end of the first request; its answer is due in 3 s
+	readTimeout         = 2 * time.Second         // for a later request, from its first byte to its end
+	writeTimeout        = time.Second             // for an answer
+	finalReadTimeout    = 10 * time.Millisecond   // for a request that arrives just as its connection is asked to close
+	lingerTimeout       = time.Second             // for reading after the half-close
+	shortLingerTimeout  = 50 * time.Millisecond   // for reading after the half-close while the slot is needed
+	maxLingerBytes      = 256 << 10               // read after the half-close
+	clientTimeout       = 400 * time.Millisecond  // a client stops waiting for its answer after this time
 	pollInterval        = 5 * time.Millisecond
-	acceptLogInterval   = time.Second            // between two lines on connections that can't be accepted
-	maxReservedSlots    = 16                     // places that are kept free where there are many
-	drainInterval       = 50 * time.Millisecond  // while clients are sent away, connections are looked at so often;
-	drainSilentDelay    = 200 * time.Millisecond // a new one that says nothing for so long is closed,
-	drainReadingDelay   = time.Second            // and one whose request has not come whole in so long
+	acceptLogInterval   = time.Second            // minimum time between two log lines on accept errors
+	maxReservedSlots    = 16                     // slots kept free for new connections; fewer on a small server
+	drainInterval       = 50 * time.Millisecond  // between two checks of all connections during a drain
+	drainSilentDelay    = 200 * time.Millisecond // a drain closes a new connection that sends nothing for this time
+	drainReadingDelay   = time.Second            // a drain closes a connection whose request is incomplete after this time
 )
 
-// Server accepts clients' connections.
+// Server accepts clients' connections and answers their requests.
 type Server struct {
 	settings   *policy.Settings
 	sender     *sender.Sender
 	log        zerolog.Logger
 	slots      chan struct{} // one token for each connection
 	ready      atomic.Bool
-	refusing   atomic.Bool   // nothing more is taken on
-	drainCount atomic.Uint64 // odd while clients are sent away by hand: the number of that drain
+	refusing   atomic.Bool   // no further message is accepted
+	drainCount atomic.Uint64 // incremented by Drain and Undrain: odd during a drain, which it identifies
 
-	lastEviction time.Time // of makeRoom alone
+	lastEviction time.Time // used by reserveSlot only
 	now          func() time.Time
 
 	mu          sync.Mutex
 	conns       map[*clientConn]bool
-	acceptLoops int // loops of Serve
+	acceptLoops int // running calls of Serve
 }
 
-// The states of a connection, in the order in which it may be closed for want of room. One
-// that has asked once costs its client nothing; one that is silent may be about to ask.
+// The states of a connection, in order of eviction. Closing a connection that was used once costs its client nothing;
+// the client of a silent connection may be about to send its first request. Connections in the states serving and
+// closing are not evicted. Many clients submit one message and keep their connection open for good: idleSingleUse is
+// the state of these.
 const (
-	idleSingleUse = iota // idle, and has not handed in two messages: many ask once and keep their connection for good
-	reading              // a request arrives
-	silent               // nothing has come yet
-	idle                 // between requests
+	idleSingleUse = iota // between requests, with fewer than two messages accepted
+	reading              // a request is arriving
+	silent               // no byte has arrived yet
+	idle                 // between requests, with two or more messages accepted
 	serving              // a request is being answered
-	closing              // half-closed: what still comes is read and dropped
+	closing              // half-closed: further bytes are read and discarded
 )
 
-// least is how long a connection is in its state before it may be closed for want of room.
-var minAges = [...]time.Duration{silent: minSilentAge, reading: minReadingAge, idleSingleUse: minSingleUseAge, idle: minIdleAge}
+// minAges holds, by state, how long a connection stays in its state before it may be evicted.
+var minAges = [...]time.Duration{
+	silent: minSilentAge, reading: minReadingAge, idleSingleUse: minSingleUseAge, idle: minIdleAge,
+}
 
-// client is one connection.
+// clientConn is a connection from a client.
 type clientConn struct {
 	nc             net.Conn
 	reader         *http1.Reader
 	writeBuf       []byte
 	acceptedAt     time.Time
-	hadRequest     bool       // it has had a request
-	submitted      int        // messages handed in
-	mu             sync.Mutex // over the three below and the read deadline
+	hadRequest     bool
+	accepted       int        // accepted messages
+	mu             sync.Mutex // guards the fields below and the read deadline of nc
 	state          int
-	since          time.Time // of its state
-	closeRequested bool      // to close, if nothing is on its way
+	since          time.Time // when the connection entered its state
+	closeRequested bool      // the connection closes unless a request is arriving
 }
 
-// New returns a Server with room for that many connections.
+// New returns a Server that serves up to maxConns connections at a time.
 func New(settings *policy.Settings, sender *sender.Sender, maxConns int, log zerolog.Logger) *Server {
-	return &Server{settings: settings, sender: sender, log: log, slots: make(chan struct{}, maxConns), conns: map[*clientConn]bool{}, now: time.Now}
+	return &Server{
+		settings: settings, sender: sender, log: log, slots: make(chan struct{}, maxConns),
+		conns: map[*clientConn]bool{}, now: time.Now,
+	}
 }
 
 // SetReady makes /up answer 200.
 func (s *Server) SetReady() { s.ready.Store(true) }
 
-// Available reports whether this process takes clients: it is ready, and neither stops nor sends them away.
+// Available reports whether clients should send to this process: it is ready, and neither stopping nor draining.
 func (s *Server) Available() bool {
 	return s.ready.Load() && !s.refusing.Load() && s.drainCount.Load()%2 == 0
 }
 
-// Drain sends clients away, as an operator asks: /up answers 503, so that the front sends no more, each
-// answer closes its connection, and connections without a request are closed. What comes meanwhile is
-// still taken on: the front goes on sending for a while, and a client's kept connection until it closes.
+// Drain moves clients away from this process, at an operator's request: /up answers 503, so that the load balancer
+// stops sending, each answer closes its connection, and connections without a request are closed. Messages that
+// arrive meanwhile are still accepted: the load balancer goes on sending for a while, and so does a client on a
+// persistent connection until that closes.
 func (s *Server) Drain() {
 	for {
 		n := s.drainCount.Load()
@@ -119,7 +127,7 @@
 	}
 }
 
-// Undrain takes clients again.
+// Undrain ends a drain: /up answers 200 again and connections are kept open.
 func (s *Server) Undrain() {
 	for {
 		n := s.drainCount.Load()
@@ -129,8 +137,7 @@
 	}
 }
 
-// sendAway closes connections that carry no request while that drain lasts: idle ones at once, a silent
-// new one once its client has had time to write, one whose request does not come whole after a while.
+// drainConns closes connections that carry no request until the drain with that number ends.
 func (s *Server) drainConns(drainNum uint64) {
 	for s.drainCount.Load() == drainNum {
 		s.mu.Lock()
@@ -142,9 +149,9 @@
 	}
 }
 
-// askAway asks a connection to close that carries no request: one that rests at once, a new one that is silent once its
-// client has had time to write, one whose request does not come whole after a while. Guards against a new client that
-// finds its connection closed with no answer as its first request arrives.
+// requestCloseIfUnused asks a connection that carries no request to close: an idle one at once, a new one only after
+// its client has had time to write a request, and one whose request is incomplete after drainReadingDelay. Without
+// the delay a new client could find its connection closed, without an answer, as its first request arrives.
 func (c *clientConn) requestCloseIfUnused() {
 	c.requestClose(idleSingleUse, 0)
 	c.requestClose(idle, 0)
@@ -152,7 +159,7 @@
 	c.requestClose(reading, drainReadingDelay)
 }
 
-// Serve accepts connections until the listener is closed.
+// Serve accepts connections from ln until it is closed.
 func (s *Server) Serve(ln net.Listener) {
 	s.addAcceptLoops(1)
 	defer s.addAcceptLoops(-1)
@@ -169,7 +176,7 @@
 				lastLogged = time.Now()
 				s.log.Warn().Err(err).Msg("accept")
 			}
-			time.Sleep(pollInterval) // out of descriptors: some will be free again
+			time.Sleep(pollInterval) // file descriptors may be exhausted until another connection closes
 			continue
 		}
 		c := &clientConn{nc: nc, reader: http1.NewReader(nc), acceptedAt: time.Now()}
@@ -186,9 +193,9 @@
 	s.mu.Unlock()
 }
 
-// makeRoom takes a place for one more connection. Where hardly one is left it closes those
-// that need theirs least, so that no client can hold them all, and so soon that a client
-// who comes in a crowd is served while it still waits.
+// reserveSlot takes a slot for one more connection. When few slots are left it evicts connections, so that no client
+// can hold all slots, and before the last slot is taken, so that during a burst of new connections each client is
+// still answered within its time-out.
 func (s *Server) reserveSlot() {
 	for {
 		reserved := min(maxReservedSlots, cap(s.slots)/8)
@@ -204,9 +211,8 @@
 	}
 }
 
-// relieve asks connections to close until so many are about to: first those that have asked
-// once, then those whose request does not come whole, those that never said a word, idle
-// ones. No more than are needed: a client may be about to write on any of them.
+// evict asks connections to close until need of them are closing, in the order of their states and the longest in its
+// state first. It asks no more than that: a client may be about to write on any of them.
 func (s *Server) evict(need int) {
 	type candidate struct {
 		c     *clientConn
@@ -235,8 +241,8 @@
 	}
 }
 
-// askToClose wakes a connection that has been in that state for so long. Under the lock,
-// or the deadline could hit a request that has just begun to arrive.
+// requestClose wakes up a connection that has been in the given state for at least minAge, so that it closes. The lock
+// keeps the state from changing meanwhile: the read deadline would interrupt a request that has just begun to arrive.
 func (c *clientConn) requestClose(state int, minAge time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -246,13 +252,13 @@
 	}
 }
 
-// wait returns when a request begins to arrive. One that arrives just as the
-// connection is asked to close is still served.
+// awaitRequest returns when a request begins to arrive. A request that arrives just as the connection is asked to close
+// is still served.
 func (c *clientConn) awaitRequest() error {
 	switch {
 	case !c.hadRequest:
 		c.setState(silent, c.acceptedAt.Add(firstByteTimeout))
-	case c.submitted < 2:
+	case c.accepted < 2:
 		c.setState(idleSingleUse, time.Now().Add(idleTimeout))
 	default:
 		c.setState(idle, time.Now().Add(idleTimeout))
@@ -270,7 +276,7 @@
 	return err
 }
 
-// enter changes the connection's state, in which it may read until the deadline.
+// setState changes the connection's state and sets the read deadline for that state.
 func (c *clientConn) setState(state int, deadline time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -278,16 +284,18 @@
 	c.nc.SetReadDeadline(deadline)
 }
 
-// RefuseMessages makes the server answer 503 to all that is handed in from now on.
+// RefuseMessages makes the server answer 503 to every message that is submitted from now on.
 func (s *Server) RefuseMessages() { s.refusing.Store(true) }
 
-// Shutdown closes the connections on which nothing is under way, and returns when nothing more can be handed in: no
-// listener is accepted from, and what had been read is answered. A connection is closed by a half-close first; what
-// a client still sends on it is read and dropped, and it may stay so beyond Shutdown, until its client closes too.
-// The listeners must be closed before or while it runs. One whose request does not come whole is answered 503.
+// Shutdown closes the connections that carry no request, and returns when no more messages can be submitted: no Serve is
+// running and every request that was read is answered. A request that stays incomplete is answered 503. The listeners
+// must be closed before or during Shutdown.
+//
+// A connection is half-closed first. What the client still sends is read and discarded, which may go on after Shutdown
+// has returned, until the client closes its side too.
 func (s *Server) Shutdown(ctx context.Context) { poll(ctx, s.closeUnused) }
 
-// poll returns when ok, or when the context ends.
+// poll returns when ok returns true, or when the context ends.
 func poll(ctx context.Context, ok func() bool) {
 	for !ok() {
 		select {
@@ -298,8 +306,9 @@
 	}
 }
 
-// quiet asks all connections to close that carry nothing, and reports whether none is left on which anything can be
-// handed in. A connection that has been accepted is among them before its loop can end.
+// closeUnused asks all connections that carry no request to close, and reports whether no message can be submitted any
+// more: no Serve is running and all connections are half-closed. Serve registers an accepted connection before it can
+// return, so that none is overlooked.
 func (s *Server) closeUnused() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -311,7 +320,7 @@
 	return done
 }
 
-// WaitClosed returns when every connection is closed, by its client or because it has lingered long enough.
+// WaitClosed returns when every connection is closed, by its client or after lingerTimeout.
 func (s *Server) WaitClosed(ctx context.Context) {
 	poll(ctx, func() bool {
 		s.mu.Lock()
@@ -320,7 +329,7 @@
 	})
 }
 
-// closes reports whether nothing more is served on the connection.
+// isClosing reports whether the connection is half-closed: no further request on it is served.
 func (c *clientConn) isClosing() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -340,10 +349,11 @@
 	c.linger()
 }
 
-// next serves one request and reports whether the connection goes on.
+// serveRequest serves one request and reports whether the connection stays open.
 func (s *Server) serveRequest(c *clientConn) bool {
 	if err := c.awaitRequest(); err != nil {
-		if !c.hadRequest && errors.Is(err, os.ErrDeadlineExceeded) { // a first request that crosses the close has its answer
+		// Answers the first request of a new connection if it arrives while the connection is being closed.
+		if !c.hadRequest && errors.Is(err, os.ErrDeadlineExceeded) {
 			c.writeResponse(&response{status: 503, retryAfterMS: stoppingRetryMS}, false)
 		}
 		return false
@@ -357,10 +367,11 @@
 	}
 	r := s.route(req, received)
 	if r.messageNum != 0 {
-		c.submitted++
-		// The clock is read before the answer is written: a verdict that is written in time stands, however late that
-		// is found out afterwards. Guards against a message that its client heard was taken on, and that is withdrawn.
-		if s.now().Sub(received) > clientTimeout { // its client is about to go, and comes again elsewhere: a refusal is due
+		c.accepted++
+		// The client is about to give up and to resubmit the message to another sender, so that it has to be refused.
+		// The clock is read before the answer is written, not after: a message whose acceptance reached its client
+		// must not be withdrawn.
+		if s.now().Sub(received) > clientTimeout {
 			s.withdraw(&r)
 			r = response{status: 503, retryAfterMS: stoppingRetryMS}
 		}
@@ -373,15 +384,16 @@
 	return keepAlive
 }
 
-// unheard takes a message back whose client was not told that it was taken on:
-// it may hand the message in again elsewhere.
+// withdraw takes an accepted message back whose client did not learn that it was accepted: the client may resubmit it
+// to another sender.
 func (s *Server) withdraw(r *response) {
 	if r.messageNum != 0 {
 		s.sender.Withdraw(r.messageNum)
 	}
 }
 
-// bad answers a request that could not be read, and ends the connection.
+// rejectUnreadable answers a request that could not be read, if an answer is possible. It returns false: the connection
+// must be closed.
 func (s *Server) rejectUnreadable(c *clientConn, err error) bool {
 	r := response{}
 	switch {
@@ -391,7 +403,7 @@
 		r.status = 411
 	case errors.Is(err, http1.ErrMalformed):
 		r.status = 400
-	case errors.Is(err, os.ErrDeadlineExceeded) && s.refusing.Load(): // it may come whole elsewhere
+	case errors.Is(err, os.ErrDeadlineExceeded) && s.refusing.Load(): // the client may submit it to another sender
 		r = response{status: 503, retryAfterMS: stoppingRetryMS}
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		r.status = 408
@@ -402,16 +414,16 @@
 	return false
 }
 
-// linger ends a connection on this side and reads on for a moment, serving nothing. Guards against a close over bytes
-// that are unread, or that arrive in the moment of the close (a request on a connection that rested, the rest of
-// one that was refused): it would reset the connection, and an answer that is still under way could be lost with it.
+// linger half-closes the connection and discards what the client still sends, up to lingerTimeout and maxLingerBytes.
+// Closing at once would reset the connection if bytes are unread or arrive at that moment (a request on an idle
+// connection, the rest of a refused one), and the client could lose an answer that is still on its way.
 func (c *clientConn) linger() {
 	c.mu.Lock()
 	c.state, c.since, c.closeRequested = closing, time.Now(), false
 	c.nc.SetReadDeadline(c.since.Add(lingerTimeout))
 	c.mu.Unlock()
 	if tc, ok := c.nc.(interface{ CloseWrite() error }); ok && tc.CloseWrite() != nil {
-		return // the client has gone
+		return // the client has closed the connection
 	}
 	var b [4096]byte
 	for n := 0; n < maxLingerBytes; {
@@ -423,15 +435,15 @@
 	}
 }
 
-// response is what a request is answered with.
+// response is the answer to a request.
 type response struct {
 	status       int
-	retryAfterMS float64 // milliseconds; 0 = none told
+	retryAfterMS float64 // value of Retry-After in milliseconds; 0 = no such header
 	allow        string
 	text         string
 	closeConn    bool
-	messageNum   uint64 // of the message that was taken on
-	// belongs are the senders that serve the message's destination, where this one does not.
+	messageNum   uint64 // number of the accepted message; 0 = none was accepted
+	// servedBy are the senders that serve the message's destination if this one does not.
 	servedBy []string
 }
 
--- a/internal/intake/rig_test.go
+++ b/internal/intake/rig_test.go
@@ -23,29 +23,29 @@
 
 const testTimeout = 10 * time.Second
 
-// hooks are called in the connections that a door lets in; each may be nil.
+// hooks are called on the connections of a hookedListener. Each may be nil.
 type hooks struct {
-	accepted   func()         // before the server hears of a connection
-	wrote      func()         // after an answer is written, before the server goes on
-	closing    func(net.Conn) // once a connection, before the server closes any part of it
+	accepted   func()         // before Accept returns a connection to the server
+	wrote      func()         // after each write, before it returns to the server
+	closing    func(net.Conn) // once for each connection, before it is closed or half-closed
 	halfClosed func(net.Conn) // after the half-close
 }
 
-// door is a listener whose connections call the hooks.
+// hookedListener is a listener whose connections call the hooks.
 type hookedListener struct {
 	net.Listener
 	*hooks
 }
 
-func (d hookedListener) Accept() (net.Conn, error) {
-	nc, err := d.Listener.Accept()
+func (l hookedListener) Accept() (net.Conn, error) {
+	nc, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	if d.accepted != nil {
-		d.accepted()
+	if l.accepted != nil {
+		l.accepted()
 	}
-	return &hookedConn{TCPConn: nc.(*net.TCPConn), hooks: d.hooks}, nil
+	return &hookedConn{TCPConn: nc.(*net.TCPConn), hooks: l.hooks}, nil
 }
 
 type hookedConn struct {
@@ -84,7 +84,7 @@
 	return err
 }
 
-// rig is a server with a sender that has one destination, 3, at which nobody answers.
+// rig is a server with a sender that has one destination, 3, whose endpoint accepts connections and never answers.
 type rig struct {
 	*Server
 	t      *testing.T
@@ -95,14 +95,16 @@
 }
 
 var rigSettings = policy.Settings{
-	Senders: 1, CallSlots: 10, MaxAttempts: 6, MaxHeld: 1000, KeepAlive: 10000, DialTimeout: 1500, Cold: 10000, ColdFrom: 0.25,
-	TipMultiple: 1.5, TipAfter: 3000, TellsRetry: true, MaxRetryAfter: 2000, X0: -1, X1: -1, Round: 1, Kinds: []policy.DestKind{{Batch: 1}},
+	Senders: 1, CallSlots: 10, MaxAttempts: 6, MaxHeld: 1000, KeepAlive: 10000, DialTimeout: 1500,
+	Cold: 10000, ColdFrom: 0.25,
+	TipMultiple: 1.5, TipAfter: 3000, TellsRetry: true, MaxRetryAfter: 2000, X0: -1, X1: -1, Round: 1,
+	Kinds:   []policy.DestKind{{Batch: 1}},
 	Classes: []policy.Class{{Name: "safe", Aim: 15000, Deadline: 20000, Worth: 1, LateWorth: 0.5, Effect: policy.Safe}},
 }
 
 func newRig(t *testing.T, maxConns int, h *hooks) *rig {
 	t.Helper()
-	blackHole, err := net.Listen("tcp", "127.0.0.1:0") // connections come up, and nobody answers
+	blackHole, err := net.Listen("tcp", "127.0.0.1:0") // the kernel accepts connections, and no request is answered
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -112,8 +114,9 @@
 		t.Fatal(err)
 	}
 	settings := rigSettings
-	r.sender = sender.New(sender.Options{Settings: settings, Seed: 1, Sockets: 10, Journal: jr, Restored: restored, Clock: sender.NewClock(),
-		Log: zerolog.Nop(), Notices: func(discovery.Notice) {}})
+	r.sender = sender.New(sender.Options{Settings: settings, Seed: 1, Sockets: 10, Journal: jr, Restored: restored,
+		Clock: sender.NewClock(),
+		Log:   zerolog.Nop(), Notices: func(discovery.Notice) {}})
 	go r.sender.Run()
 	r.sender.List(discovery.List{Full: true, Endpoints: []discovery.Endpoint{{
 		Endpoint: policy.Endpoint{ID: 1, Dest: 3, State: policy.Ready}, Name: "e", Addr: blackHole.Addr().String()}}})
@@ -135,7 +138,7 @@
 	return r
 }
 
-// journaled tells what the next life would find, once the sender has left.
+// journaledTraces returns the trace ids of the messages that the next run would restore. The sender must have stopped.
 func (r *rig) journaledTraces() map[string]bool {
 	r.t.Helper()
 	jr, restored, err := journal.Open(r.dir, statedir.NewSpace(1<<20).Account())
@@ -150,10 +153,10 @@
 	return held
 }
 
-// guest is a client's connection.
+// testClient is a client's side of a connection.
 type testClient struct {
 	net.Conn
-	rd *bufio.Reader
+	reader *bufio.Reader
 }
 
 func (r *rig) connect() *testClient {
@@ -172,51 +175,51 @@
 		"X-Route-To: dest=3\r\nContent-Length: 5\r\n\r\nhello", id)
 }
 
-func (g *testClient) send(text string) error {
-	_, err := io.WriteString(g, text)
+func (c *testClient) send(text string) error {
+	_, err := io.WriteString(c, text)
 	return err
 }
 
-// hear reads one answer whole.
-func (g *testClient) readResponse(t *testing.T) *http.Response {
+// readResponse reads one answer to the end of its body.
+func (c *testClient) readResponse(t *testing.T) *http.Response {
 	t.Helper()
-	res, err := http.ReadResponse(g.rd, nil)
+	res, err := http.ReadResponse(c.reader, nil)
 	if err != nil {
 		t.Fatalf("no answer: %v", err)
 	}
 	if _, err := io.ReadAll(res.Body); err != nil {
-		t.Fatalf("an answer cut short: %v", err)
+		t.Fatalf("incomplete answer: %v", err)
 	}
 	return res
 }
 
-// ends reports how the connection ends for the client: io.EOF where it was closed cleanly.
-func (g *testClient) readEnd() error {
-	_, err := g.rd.ReadByte()
+// readEnd returns the error that ends the connection for the client: io.EOF after a clean close.
+func (c *testClient) readEnd() error {
+	_, err := c.reader.ReadByte()
 	return err
 }
 
-func (r *rig) expectCleanClose(g *testClient) {
+func (r *rig) expectCleanClose(client *testClient) {
 	r.t.Helper()
-	if err := g.readEnd(); !errors.Is(err, io.EOF) {
-		r.t.Errorf("the connection ends with %v, want a clean end", err)
+	if err := client.readEnd(); !errors.Is(err, io.EOF) {
+		r.t.Errorf("the connection ends with %v, want a clean close", err)
 	}
 }
 
-// rested is a connection that has had so many answers and rests.
+// connectAndIdle returns an idle connection on which that many requests were answered.
 func (r *rig) connectAndIdle(name string, requests int) *testClient {
 	r.t.Helper()
-	g := r.connect()
+	client := r.connect()
 	for i := range requests {
-		g.send(request(fmt.Sprintf("%s-%d", name, i)))
-		if res := g.readResponse(r.t); res.StatusCode != 202 {
+		client.send(request(fmt.Sprintf("%s-%d", name, i)))
+		if res := client.readResponse(r.t); res.StatusCode != 202 {
 			r.t.Fatalf("answer %d", res.StatusCode)
 		}
 	}
-	return g
+	return client
 }
 
-// delayed reports whether the system may hold small writes back.
+// nagleEnabled reports whether the kernel may delay small writes: TCP_NODELAY is not set.
 func nagleEnabled(t *testing.T, nc *net.TCPConn) bool {
 	raw, err := nc.SyscallConn()
 	if err != nil {
