--- a/internal/discovery/backoff.go
+++ b/internal/discovery/backoff.go
@@ -9,51 +9,55 @@
 )
 
 const (
-	minPause              = 100 * time.Millisecond // the first pause after a failure, if one sender asks alone
-	fleetRetriesPerSecond = 20.0                   // failed asks a second that all senders together settle at, about
-	maxPauseRatio         = 16                     // the first pause is at least this part of the longest
-	maxPauseShare         = 0.5                    // part of the time within which the list must be asked for, that a pause may take
-	maxPause              = 5 * time.Second        // and no pause is longer, where the settings name no such time
-	maxRetryInterval      = 5 * time.Second        // from the start of a failed ask to the start of the next, at most: a change counts as told after 6 s
+	minPause              = 100 * time.Millisecond // the first pause after a failure, for a fleet of one sender
+	fleetRetriesPerSecond = 20.0                   // approximate rate at which retries of all senders together level off
+	maxPauseRatio         = 16                     // the longest pause is at most this multiple of the shortest
+	maxPauseShare         = 0.5                    // share of Settings.MaxSubscribeInterval that a pause may take
+	maxPause              = 5 * time.Second        // upper bound of every pause
+	// maxRetryInterval is the longest time from the start of a failed request to the start of the next one. Discovery
+	// counts a published change as known to every sender after 6 s: a second remains for the answer.
+	maxRetryInterval = 5 * time.Second
 )
 
-// pace says when the list is asked for. One agent that asks ten times a second does no harm; eighty that start
-// in one moment and each ask again at once keep discovery overbooked for good, and none of them learns of a
-// drain. Pauses double, up to where the whole fleet asks fleetRequests times a second, and are drawn by chance so
-// that no two senders stay in step. It has no clock and waits for nothing.
+// backoff computes the pauses between failed requests for the endpoint list. One sender that retries ten times a
+// second does no harm. Eighty senders that start at the same moment and retry at once overload discovery
+// permanently, and none of them learns of a drain. Pauses therefore double, until the whole fleet sends
+// fleetRetriesPerSecond, and have random jitter, so that no two senders stay in step. A backoff has no clock and
+// does not wait itself.
 type backoff struct {
 	rng               *rand.Rand
 	shortest, longest time.Duration
 }
 
 func newBackoff(settings *policy.Settings, seed uint64) backoff {
-	const mean = 0.75 // of what a pause is drawn from, half of it to all
+	const mean = 0.75 // a pause is drawn from 0.5 to 1 times its nominal length
 	longest := time.Duration(float64(max(settings.Senders, 1)) / fleetRetriesPerSecond / mean * float64(time.Second))
 	bound := maxPause
-	if share := settings.AskWithin * maxPauseShare; settings.Subscribe && share > 0 && share < float64(maxPause/time.Millisecond) {
+	if share := settings.MaxSubscribeInterval * maxPauseShare; settings.Subscribe && share > 0 && share < float64(maxPause/time.Millisecond) {
 		bound = time.Duration(share * float64(time.Millisecond))
 	}
 	longest = min(max(longest, minPause), max(bound, minPause))
 	return backoff{rng: rand.New(rand.NewPCG(seed, 0xd15c)), shortest: max(minPause, longest/maxPauseRatio), longest: longest}
 }
 
-// spread is the pause of at most longest after a first failure before any answer: all that are started in one
-// moment fail in one, and would ask again in one.
+// initialPause returns the pause, up to longest, after the first failure of a process that has had no answer yet.
+// Senders that start at the same moment fail at the same moment: the pause spreads their retries.
 func (b *backoff) initialPause(longest time.Duration) time.Duration {
 	return time.Duration(b.rng.Float64() * float64(longest))
 }
 
-// settled is the pause of at most longest after a further failure before any answer: a fleet started in one moment is turned
-// away together, and pauses that begin short would keep discovery overbooked; these come to fleetRequests a
-// second over the fleet. Nothing is missed meanwhile: an agent that turns an ask away has told nothing.
+// steadyPause returns the pause, up to longest, after a further failure of a process that has had no answer yet. A fleet
+// that starts at the same moment is refused together, and pauses that begin short would keep discovery overloaded; these
+// add up to fleetRetriesPerSecond for the fleet. No change is missed meanwhile: an agent that refuses a request does not
+// count any change as known to this sender.
 func (b *backoff) steadyPause(longest time.Duration) time.Duration {
 	return time.Duration(float64(longest) * (0.5 + 0.5*b.rng.Float64()))
 }
 
-// next is the pause after so many failures in a row, 1 or more; answered tells whether any ask of this
-// process has been answered, and spent how long the failed ask was out. An ask that was out while discovery
-// was silent leaves less for the pause: discovery may have come back just behind it with a change, which the
-// next ask has to bring before it counts as told. A watch may have been out for 3.5 s of the 6.
+// pause returns the pause after that many failures in a row, 1 or more. answered reports whether any request of this
+// process has been answered; elapsed is how long the failed request took. A request that timed out leaves less time for
+// the pause: discovery may have recovered right after it was sent, with a change that the next request has to fetch
+// before it counts as known to this sender. A watch alone may have taken 3.5 s of these 6 s.
 func (b *backoff) pause(failures int, answered bool, elapsed time.Duration) time.Duration {
 	longest := min(b.longest, max(maxRetryInterval-elapsed, minPause))
 	switch {
@@ -65,7 +69,7 @@
 	return b.steadyPause(longest)
 }
 
-// after is the pause of at most longest after so many failures in a row, 1 or more.
+// exponentialPause returns the pause, up to longest, after that many failures in a row, 1 or more.
 func (b *backoff) exponentialPause(failures int, longest time.Duration) time.Duration {
 	base := min(float64(b.shortest)*math.Exp2(float64(min(failures-1, 30))), float64(longest))
 	return time.Duration(base * (0.5 + 0.5*b.rng.Float64()))
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -1,5 +1,5 @@
-// Package discovery speaks with the platform's agent: it follows the list of
-// endpoints and hands in the notices of messages that end undelivered.
+// Package discovery is the client of the platform's discovery agent: it follows the list of endpoints and posts the
+// notices of messages that ended undelivered.
 package discovery
 
 import (
@@ -15,10 +15,10 @@
 
 const dialTimeout = time.Second
 
-// MaxList is the length in bytes of the longest list of endpoints that is read: some 60,000 endpoints.
+// MaxList is the maximum length of an endpoint list in bytes: some 60,000 endpoints.
 const MaxList = 8 << 20
 
-// client is one connection to the agent, opened at need.
+// agentClient calls the agent over one connection, which it opens on demand.
 type agentClient struct {
 	nc       net.Conn
 	connAddr string // where nc leads
@@ -71,7 +71,7 @@
 	if addrChanged {
 		return nil, errAddrChanged
 	}
-	if addr != c.connAddr || c.nc != nil && sockets.Look(c.nc) != sockets.Quiet {
+	if addr != c.connAddr || c.nc != nil && sockets.Check(c.nc) != sockets.Idle {
 		c.close()
 		c.connAddr = addr
 	}
--- a/internal/intake/api.go
+++ b/internal/intake/api.go
@@ -28,7 +28,7 @@
 		if !s.Available() {
 			return response{status: 503}
 		}
-		if reason := s.sender.Refuses(); reason != "" {
+		if reason := s.sender.RefusalReason(); reason != "" {
 			return response{status: 503, text: reason}
 		}
 		return response{status: 200}
@@ -50,21 +50,21 @@
 	if problem != "" {
 		return response{status: 400, text: problem}
 	}
-	verdict := s.sender.Take(&msg, received)
+	verdict := s.sender.Submit(&msg, received)
 	switch {
-	case verdict.Taken:
+	case verdict.Accepted:
 		return response{status: 202, messageNum: verdict.Num}
-	case verdict.Known: // without a number: if this answer is lost, the message as first submitted must not be withdrawn
+	case verdict.Duplicate: // without a number: if this answer is lost, the message as first submitted must not be withdrawn
 		return response{status: 409, text: "X-Trace-Id was taken on before"}
-	case verdict.Elsewhere:
+	case verdict.TakenOver:
 		return response{status: 409, text: "another sender has taken this message over from the one that was lost"}
 	case verdict.Misdirected:
-		return response{status: 421, servedBy: verdict.Belongs, text: "other senders serve this destination"}
+		return response{status: 421, servedBy: verdict.ServedBy, text: "other senders serve this destination"}
 	case verdict.NoRoute: // the endpoint list may be out of date, so that a retry may succeed
 		return response{status: 503, retryAfterMS: verdict.RetryAfter, text: "no such destination is listed"}
 	}
-	if verdict.Short {
-		return response{status: 503, retryAfterMS: verdict.RetryAfter, text: sender.Short}
+	if verdict.TooFewHolders {
+		return response{status: 503, retryAfterMS: verdict.RetryAfter, text: sender.TooFewHoldersReason}
 	}
 	return response{status: statusBusy, retryAfterMS: verdict.RetryAfter}
 }
@@ -94,13 +94,13 @@
 	if !ok || expiry <= 0 || expiry > maxExpirySeconds {
 		return msg, "X-Expires-In"
 	}
-	msg.Left = time.Duration(expiry * float64(time.Second))
+	msg.Remaining = time.Duration(expiry * float64(time.Second))
 	if msg.Dest = parseDestination(h.Get("X-Route-To")); msg.Dest < 0 {
 		return msg, "X-Route-To"
 	}
-	msg.Parent = h.Get("traceparent")
+	msg.TraceParent = h.Get("traceparent")
 	resubmission := h.Get("X-Second-Try")
-	msg.Again, msg.Orphan = len(resubmission) > 0, string(resubmission) == orphanResubmission
+	msg.Resubmitted, msg.Failover = len(resubmission) > 0, string(resubmission) == orphanResubmission
 	return msg, ""
 }
 
--- a/internal/intake/rig_test.go
+++ b/internal/intake/rig_test.go
@@ -96,9 +96,9 @@
 
 var rigSettings = policy.Settings{
 	Senders: 1, CallSlots: 10, MaxAttempts: 6, MaxHeld: 1000, KeepAlive: 10000, DialTimeout: 1500,
-	Cold: 10000, ColdFrom: 0.25,
-	TipMultiple: 1.5, TipAfter: 3000, TellsRetry: true, MaxRetryAfter: 2000, X0: -1, X1: -1, Round: 1,
-	Kinds:   []policy.DestKind{{Batch: 1}},
+	WarmUpDuration: 10000, ColdCapacity: 0.25,
+	OverloadMultiple: 1.5, OverloadWindow: 3000, SendsRetryAfter: true, MaxRetryAfter: 2000,
+	AllowanceIndex: -1, LimitIndex: -1, MinStepInterval: 1, Kinds: []policy.DestKind{{Batch: 1}},
 	Classes: []policy.Class{{Name: "safe", Aim: 15000, Deadline: 20000, Worth: 1, LateWorth: 0.5, Effect: policy.Safe}},
 }
 
@@ -114,11 +114,11 @@
 		t.Fatal(err)
 	}
 	settings := rigSettings
-	r.sender = sender.New(sender.Options{Settings: settings, Seed: 1, Sockets: 10, Journal: jr, Restored: restored,
+	r.sender = sender.New(sender.Options{Settings: settings, Seed: 1, MaxConns: 10, Journal: jr, Restored: restored,
 		Clock: sender.NewClock(),
-		Log:   zerolog.Nop(), Notices: func(discovery.Notice) {}})
+		Log: zerolog.Nop(), Notify: func(discovery.Notice) {}})
 	go r.sender.Run()
-	r.sender.List(discovery.List{Full: true, Endpoints: []discovery.Endpoint{{
+	r.sender.UpdateEndpoints(discovery.List{Full: true, Endpoints: []discovery.Endpoint{{
 		Endpoint: policy.Endpoint{ID: 1, Dest: 3, State: policy.Ready}, Name: "e", Addr: blackHole.Addr().String()}}})
 	r.Server = New(&settings, r.sender, maxConns, zerolog.Nop())
 	r.SetReady()
--- a/internal/outbound/answer.go
+++ b/internal/outbound/answer.go
@@ -123,11 +123,11 @@
 func (c *Call) event(i int, a answer) policy.Event {
 	return policy.Event{
 		Kind: policy.EvOutcome, ID: c.Items[i].ID, Attempt: c.Items[i].Attempt, Endpoint: c.Endpoint,
-		Outcome: a.outcome, Closed: a.closed, Wait: a.wait, Latency: c.latency(), Report: a.report,
+		Outcome: a.outcome, Final: a.closed, RequestedWait: a.wait, Latency: c.latency(), Report: a.report,
 	}
 }
 
-// Dropped is how a call ends that Drop gave up.
-func (c *Call) Dropped() []policy.Event { return c.events(answer{outcome: policy.Moot}) }
+// DroppedEvents is how a call ends that Drop gave up.
+func (c *Call) DroppedEvents() []policy.Event { return c.events(answer{outcome: policy.Moot}) }
 
 func (c *Call) latency() float64 { return float64(time.Since(c.SentAt)) / 1e6 }
--- a/internal/partners/partners.go
+++ b/internal/partners/partners.go
@@ -75,7 +75,7 @@
 	}
 	e.partner = &outbound.Partner{
 		HTTP2: settings.Protocol == operator.H2 || settings.Protocol == operator.H2C, ServerName: settings.ServerName,
-		MaxConns: settings.MaxConns, PingAfter: settings.PingAfter, PingFor: settings.PingFor,
+		MaxConns: settings.MaxConns, PingAfter: settings.PingAfter, PingTimeout: settings.PingFor,
 	}
 	if settings.Protocol != operator.H2C {
 		e.partner.TLS = e.tls.Load
--- a/internal/sender/observe.go
+++ b/internal/sender/observe.go
@@ -23,7 +23,7 @@
 	*telemetry.Recorder
 	lines    bool // a line in the log for each record of a message
 	log      zerolog.Logger
-	holds    map[int]policy.Hold // as told
+	holds    map[int]policy.WaitCause // as told
 	holdsAt  float64
 	gaugesAt float64
 	skipped  bool // a look was too soon after the last: one is due at holdsAt
@@ -64,7 +64,7 @@
 
 // closed tells of a connection to an endpoint that was closed. It is called on the connection's goroutine. What an
 // endpoint sent unasked is always worth a line; all else is one of the records.
-func (w *observer) closed(c outbound.Closing) {
+func (w *observer) closed(c outbound.CloseEvent) {
 	e := w.log.Log()
 	switch {
 	case c.Reason == outbound.CloseUnsolicited:
@@ -87,8 +87,8 @@
 	if !s.observer.On() {
 		return
 	}
-	s.observer.Push(telemetry.Record{Kind: telemetry.Taken, Num: e.Num, Dest: int32(e.Dest), Class: uint8(class), Again: e.Again, Restored: restored,
-		Attempt: int16(e.Attempts), At: s.now, Until: float64(e.Deadline), Text: e.Trace, Parent: parent([]byte(e.Parent))})
+	s.observer.Push(telemetry.Record{Kind: telemetry.Taken, Num: e.Num, Dest: int32(e.Dest), Class: uint8(class), Again: e.Resubmitted, Restored: restored,
+		Attempt: int16(e.Attempts), At: s.now, Until: float64(e.Deadline), Text: e.Trace, Parent: parent([]byte(e.TraceParent))})
 }
 
 func (s *Sender) observeRefused(dest int, why telemetry.Cause) {
@@ -110,7 +110,7 @@
 		return
 	}
 	s.observer.Push(telemetry.Record{Kind: telemetry.Ended, Num: e.ID, Dest: int32(c.Dest), Endpoint: c.Endpoint, Attempt: int16(e.Attempt), Outcome: uint8(e.Outcome),
-		MayHaveRun: e.Outcome != policy.OK && !e.Outcome.NeverRan(), Wait: e.Wait, At: s.now, Until: s.now - max(e.Latency, 0), Text: c.Addr, Left: s.told(e, s.set.X0), Value: s.told(e, s.set.X1)})
+		MayHaveRun: e.Outcome != policy.OK && !e.Outcome.NeverRan(), Wait: e.RequestedWait, At: s.now, Until: s.now - max(e.Latency, 0), Text: c.Addr, Left: s.told(e, s.set.AllowanceIndex), Value: s.told(e, s.set.LimitIndex)})
 }
 
 // told is a value of the report that came with an outcome, 0 if there was none.
@@ -134,8 +134,8 @@
 }
 
 var causes = [...]telemetry.Cause{
-	policy.HoldNone: telemetry.CauseNone, policy.HoldTold: telemetry.CauseTold, policy.HoldBreaker: telemetry.CauseBreaker,
-	policy.HoldCap: telemetry.CauseStorm, policy.HoldPace: telemetry.CausePace, policy.HoldSlot: telemetry.CauseSlot, policy.HoldRetry: telemetry.CauseRetry,
+	policy.CauseNoEndpoint: telemetry.CauseNone, policy.CauseRequestedWait: telemetry.CauseTold, policy.CauseBreaker: telemetry.CauseBreaker,
+	policy.CausePaceCap: telemetry.CauseStorm, policy.CausePace: telemetry.CausePace, policy.CauseSlot: telemetry.CauseSlot, policy.CauseRetry: telemetry.CauseRetry,
 }
 
 // observeStep tells, after a step, why messages wait where that has changed, and now and then the gauges.
@@ -149,8 +149,8 @@
 	}
 	w.holdsAt = s.now + holdsEvery
 	waiting := 0
-	fresh := make(map[int]policy.Hold, len(w.holds))
-	s.mod.EachWaiting(func(dest int, why policy.Hold) {
+	fresh := make(map[int]policy.WaitCause, len(w.holds))
+	s.mod.EachWaiting(func(dest int, why policy.WaitCause) {
 		waiting++
 		fresh[dest] = why
 		if old, told := w.holds[dest]; !told || old != why {
@@ -178,7 +178,7 @@
 	gauge(telemetry.BreakersOpen, float64(broken))
 	gauge(telemetry.Ramping, float64(warming))
 	gauge(telemetry.LimitTold, told)
-	gauge(telemetry.Connections, float64(s.pool.Open()))
+	gauge(telemetry.Connections, float64(s.pool.OpenConns()))
 	if s.guard != nil {
 		st := s.guard.Stats()
 		gauge(telemetry.StormPromised, float64(st.Promised))
@@ -190,7 +190,7 @@
 			live = 1
 		}
 		gauge(telemetry.FleetLive, live)
-		gauge(telemetry.FleetDuties, float64(s.fleet.Duties()))
+		gauge(telemetry.FleetDuties, float64(s.fleet.HeldDuties()))
 	}
 	if c := s.copies; c != nil {
 		held := 0.0
--- a/internal/sender/outcomes.go
+++ b/internal/sender/outcomes.go
@@ -15,7 +15,7 @@
 // takeOutcome books the end of a call.
 func (s *Sender) takeOutcome(c *outbound.Call, events []policy.Event) {
 	delete(s.calls, c)
-	if c.Given() { // see leaderEnds
+	if c.Abandoned() { // see leaderEnds
 		for i := range events {
 			if events[i].Outcome == policy.OK {
 				events[i].Outcome = policy.Timeout
@@ -25,9 +25,9 @@
 	s.events = append(s.events, events...)
 	for i := range events {
 		e := &events[i]
-		if e.Wait > 0 {
+		if e.RequestedWait > 0 {
 			s.hold(c)
-			s.noteWait(c, e.Wait)
+			s.noteWait(c, e.RequestedWait)
 		}
 		if e.Outcome != policy.Moot { // one that was not sent tells nothing
 			s.noteCall(c)
@@ -40,7 +40,7 @@
 		}
 		m.call = nil
 		s.observeEnded(c, e)
-		if e.Outcome == policy.OK || e.Closed {
+		if e.Outcome == policy.OK || e.Final {
 			end := telemetry.Delivered
 			if e.Outcome != policy.OK {
 				end = telemetry.Closed
@@ -49,7 +49,7 @@
 			s.over(m)
 			continue
 		}
-		s.journal.Outcome(m.Entry, !e.Outcome.NeverRan())
+		s.journal.EndAttempt(m.Entry, !e.Outcome.NeverRan())
 	}
 }
 
@@ -69,7 +69,7 @@
 	if c == nil || !c.Drop() {
 		return false
 	}
-	s.takeOutcome(c, c.Dropped())
+	s.takeOutcome(c, c.DroppedEvents())
 	return true
 }
 
@@ -91,7 +91,7 @@
 			}
 			m.call = nil
 			s.leaderEnds(c, m)
-			s.journal.Outcome(m.Entry, true)
+			s.journal.EndAttempt(m.Entry, true)
 			s.events = append(s.events, policy.Event{
 				Kind: policy.EvOutcome, ID: m.Num, Attempt: c.Items[i].Attempt, Endpoint: c.Endpoint,
 				Outcome: policy.Timeout, Latency: float64(time.Since(c.SentAt)) / 1e6,
@@ -123,7 +123,7 @@
 // lead makes this rare.
 func (s *Sender) leaderEnds(c *outbound.Call, m *message) {
 	if c != nil && len(c.Items) > 1 && c.Items[0].ID == m.Num {
-		c.GiveUp()
+		c.Abandon()
 	}
 }
 
@@ -136,11 +136,11 @@
 
 // owe ends a message that was taken on by a notice. It is over once that is taken.
 func (s *Sender) owe(e *journal.Entry, ending int, after float64) {
-	s.journal.Owe(e, ending, int64(after))
+	s.journal.OweNotice(e, ending, int64(after))
 	s.owed[e.Num] = e
 	s.notify(e)
 }
 
 func (s *Sender) notify(e *journal.Entry) {
-	s.notices(discovery.Notice{Num: e.Num, Trace: e.Trace, Returned: e.Ending == journal.HandedBack, RetryMS: e.RetryMS})
+	s.notices(discovery.Notice{Num: e.Num, Trace: e.Trace, Returned: e.Ending == journal.EndingReturned, RetryMS: e.RetryMS})
 }
