--- a/internal/discovery/backoff.go
+++ b/internal/discovery/backoff.go
@@ -33,7 +33,8 @@
 	const mean = 0.75 // a pause is drawn from 0.5 to 1 times its nominal length
 	longest := time.Duration(float64(max(settings.Senders, 1)) / fleetRetriesPerSecond / mean * float64(time.Second))
 	bound := maxPause
-	if share := settings.MaxSubscribeInterval * maxPauseShare; settings.Subscribe && share > 0 && share < float64(maxPause/time.Millisecond) {
+	if share := settings.MaxSubscribeInterval * maxPauseShare; settings.Subscribe &&
+		share > 0 && share < float64(maxPause/time.Millisecond) {
 		bound = time.Duration(share * float64(time.Millisecond))
 	}
 	longest = min(max(longest, minPause), max(bound, minPause))
--- a/internal/discovery/bounds_test.go
+++ b/internal/discovery/bounds_test.go
@@ -17,7 +17,7 @@
 	"sliptide/policy"
 )
 
-// listOf is a whole list of so many endpoints, each of a destination of its own.
+// listText returns a whole list with that many endpoints, each of a different destination.
 func listText(version, endpoints int) string {
 	var text strings.Builder
 	fmt.Fprintf(&text, `{"version":%d,"full":true,"servers":[`, version)
@@ -31,7 +31,8 @@
 	return text.String()
 }
 
-// scriptedAgent answers each ask with the next of its bodies, chunked if it says so, and is silent after the last.
+// startScriptedAgent starts an agent that answers each request with the next of the bodies and no request after the last
+// one. It sends the URI of each request to the returned channel.
 func startScriptedAgent(t *testing.T, chunked bool, bodies ...string) (addr string, requests <-chan string) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -79,7 +80,7 @@
 	return ln.Addr().String(), received
 }
 
-// syncBuffer is a log that the test reads while the watch writes it.
+// syncBuffer is a log that the test can read while the watch writes to it.
 type syncBuffer struct {
 	mu  sync.Mutex
 	buf bytes.Buffer
@@ -97,8 +98,8 @@
 	return b.buf.String()
 }
 
-// A list of some 500 endpoints and more is over the bound of other bodies (http1.MaxBody). It was taken for silence:
-// the log said that discovery does not answer, and the sender served nobody.
+// A list of some 500 endpoints or more exceeds the limit for other bodies (http1.MaxBody). Guards against a sender that
+// rejects such a list, logs that discovery does not answer, and serves no destination.
 func TestLongListIsAccepted(t *testing.T) {
 	const endpoints = 5000
 	for _, chunked := range []bool{false, true} {
@@ -115,8 +116,8 @@
 	}
 }
 
-// A list over MaxList is not taken, whichever way its length is told. The log says what is too long and what is
-// allowed, once, nothing that was known is taken away, and a list that fits is taken afterwards.
+// A list over MaxList is rejected, with a Content-Length and chunked. The log reports it once, with the allowed length.
+// The endpoints known before stay, and a shorter list is accepted afterwards.
 func TestOversizedListChangesNothing(t *testing.T) {
 	long := listText(8, 1) + strings.Repeat(" ", MaxList)
 	for _, chunked := range []bool{false, true} {
@@ -127,7 +128,8 @@
 		ctx, cancel := context.WithCancel(context.Background())
 		done := make(chan struct{})
 		go func() { w.Run(ctx); close(done) }()
-		expectRequests(t, requests, "/discovery/hosts", "/discovery/hosts?index=7&wait=3000", "/discovery/hosts", "/discovery/hosts", "/discovery/hosts?index=9&wait=3000")
+		expectRequests(t, requests, "/discovery/hosts", "/discovery/hosts?index=7&wait=3000",
+			"/discovery/hosts", "/discovery/hosts", "/discovery/hosts?index=9&wait=3000")
 		cancel()
 		<-done
 		close(lists)
@@ -136,15 +138,15 @@
 			sizes = append(sizes, len(l.Endpoints))
 		}
 		if fmt.Sprint(sizes) != "[3 2]" {
-			t.Errorf("chunked %t: lists of %v endpoints were taken, want 3 and 2", chunked, sizes)
+			t.Errorf("chunked %t: accepted lists of %v endpoints, want 3 and 2", chunked, sizes)
 		}
 		if n := strings.Count(log.String(), "list of endpoints too long"); n != 1 || !strings.Contains(log.String(), fmt.Sprintf(`"bytes_allowed":%d`, MaxList)) {
-			t.Errorf("chunked %t: said %d times:\n%s", chunked, n, log.String())
+			t.Errorf("chunked %t: logged %d times, want once with bytes_allowed:\n%s", chunked, n, log.String())
 		}
 	}
 }
 
-// An endpoint past the number that are known is passed over, and the log says so once.
+// Endpoints beyond MaxEndpoints are ignored, and the log reports it once.
 func TestEndpointsOverLimitAreLogged(t *testing.T) {
 	var log syncBuffer
 	accepted := 0
@@ -153,13 +155,13 @@
 		t.Fatal(err)
 	}
 	if n := strings.Count(log.String(), "too many endpoints"); accepted != MaxEndpoints || n != 1 {
-		t.Errorf("%d endpoints taken, want %d; said %d times:\n%s", accepted, MaxEndpoints, n, log.String())
+		t.Errorf("%d endpoints accepted, want %d; logged %d times:\n%s", accepted, MaxEndpoints, n, log.String())
 	}
 }
 
-// Discovery is silent and comes back with a change just behind an ask that it never answers: the next ask is out
-// in time for its answer to bring the change before it counts as told, for fleets of any size, after any number of
-// failures. A watch was out for 3.5 s, and a pause of up to 5 s followed.
+// Discovery is silent, and recovers with a change right after a request that it never answers. For fleets of any size
+// and after any number of failures, the next request must be sent early enough for its answer to report the change
+// before it counts as known to the sender. Guards against a watch of 3.5 s that is followed by a pause of up to 5 s.
 func TestRetryAfterTimeoutIsInTime(t *testing.T) {
 	const answerTime = time.Second
 	for _, senders := range []int{1, 3, 30, 43, 44, 80, 300, 10000} {
@@ -173,21 +175,23 @@
 					}
 				}
 				if worst+answerTime > maxSilence {
-					t.Errorf("%d senders, an ask out for %v, answered before %t: the next one is out %v after it", senders, elapsed, answered, worst)
+					t.Errorf("%d senders, request timed out after %v, answered before %t: the next one is sent %v after it was sent",
+						senders, elapsed, answered, worst)
 				}
 			}
 		}
 	}
 }
 
-// The same on sockets: a process of a large fleet starts with a known list while discovery is silent.
+// A process of a large fleet starts with a known list while discovery is silent. Its second request must be sent in time
+// for a change to be seen before it counts as known to the sender: here over sockets.
 func TestSilentAgentAtStartIsRetriedInTime(t *testing.T) {
 	t.Parallel()
 	const watchers = 8
 	var wg sync.WaitGroup
 	for seed := range uint64(watchers) {
 		wg.Go(func() {
-			addr, requests := startAgent(t) // silent from the first ask on
+			addr, requests := startAgent(t) // answers no request
 			w := NewWatch(addr, &policy.Settings{Senders: 300, Subscribe: true, MaxSubscribeInterval: 10000}, seed, zerolog.Nop(), func(List) {})
 			if err := w.Restore([]byte(listText(41, 1))); err != nil {
 				t.Error(err)
@@ -200,7 +204,7 @@
 			first := time.Now()
 			<-requests
 			if took := time.Since(first); took > maxSilence-500*time.Millisecond {
-				t.Errorf("seed %d: the second ask is out %v after the first", seed, took)
+				t.Errorf("seed %d: the second request was sent %v after the first", seed, took)
 			}
 			cancel()
 			<-done
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -21,26 +21,26 @@
 // agentClient calls the agent over one connection, which it opens on demand.
 type agentClient struct {
 	nc       net.Conn
-	connAddr string // where nc leads
+	connAddr string // the address that nc is connected to
 	reader   *http1.Reader
 
 	mu           sync.Mutex
 	addr         string
-	cancelCall   context.CancelFunc // ends the call that is out; nil: none has been made
-	maxBodyBytes int                // bytes of an answer
+	cancelCall   context.CancelFunc // cancels the current or last call; nil before the first
+	maxBodyBytes int                // maximum length of an answer's body
 }
 
 func newAgentClient(addr string) *agentClient { return &agentClient{addr: addr, maxBodyBytes: MaxList} }
 
-// host is the agent's address.
+// currentAddr returns the agent's address.
 func (c *agentClient) currentAddr() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.addr
 }
 
-// move makes all further calls go to another address. The one that is out ends: the
-// old agent takes no new connection and may hold a watch for long that tells nothing more.
+// setAddr makes all further calls go to another address and cancels a call in progress: the old agent may accept no new
+// connection and may hold a watch for its whole duration without reporting any further change.
 func (c *agentClient) setAddr(addr string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -53,14 +53,15 @@
 	}
 }
 
-// errMoved is the error of a call whose request was made for an agent that has been moved away from since.
+// errAddrChanged is returned by a call whose request was made for an address that is no longer the agent's.
 var errAddrChanged = errors.New("the agent's address has changed")
 
-// do makes one call to the agent at host, for which the request was made. After an error the connection is closed:
-// the agent may be silent for long, and a late answer must not be taken for that to a later call. Where the address
-// has changed since the request was made, nothing is sent: guards against a watch from the old agent's version that
-// the new one holds, while what it has counts as told. With a new connection it takes dialTimeout, or the time-out if
-// that is longer, at most in all.
+// call sends a request that was made for the agent at addr and returns the answer. It takes at most timeout on an open
+// connection, and at most the longer of timeout and dialTimeout on a new one.
+//
+// After an error the connection is closed, so that a late answer is not taken for the answer to a later call. If the
+// agent's address has changed since the request was made, nothing is sent: a watch from a version of the old agent
+// would make the new agent wait, while its endpoints already count as known to this sender.
 func (c *agentClient) call(ctx context.Context, addr string, request []byte, timeout time.Duration) (*http1.Message, error) {
 	ctx, cancel := context.WithTimeout(ctx, max(timeout, dialTimeout))
 	defer cancel()
@@ -76,7 +77,7 @@
 		c.connAddr = addr
 	}
 	m, err := c.roundTrip(ctx, request, timeout)
-	if err != nil || m.Close || m.Status/100 != 2 { // a copy of a refusal would be taken for the next answer
+	if err != nil || m.Close || m.Status/100 != 2 { // a duplicate of an error answer would be taken for the next answer
 		c.close()
 	}
 	return m, err
@@ -104,7 +105,7 @@
 		return nil, err
 	}
 	m, err := c.reader.Response()
-	nc.SetDeadline(time.Time{}) // an idle connection is looked at
+	nc.SetDeadline(time.Time{}) // an expired deadline would make sockets.Check fail on the idle connection
 	return m, err
 }
 
@@ -115,7 +116,7 @@
 	}
 }
 
-// pause waits, and reports whether the context still stands.
+// sleep waits for d or until the context ends. It reports whether the whole time has passed.
 func sleep(ctx context.Context, d time.Duration) bool {
 	select {
 	case <-ctx.Done():
--- a/internal/discovery/notices.go
+++ b/internal/discovery/notices.go
@@ -13,36 +13,37 @@
 )
 
 const (
-	noticeTimeout     = 150 * time.Millisecond // the agent answers at once; a notice twice does no harm, a late one does
+	noticeTimeout     = 150 * time.Millisecond // the agent answers at once; a late notice does harm, a duplicate does not
 	noticeRetryDelay  = 100 * time.Millisecond
-	maxNoticesPerCall = 200 // in one call; a line has under 300 bytes
+	maxNoticesPerCall = 200 // each takes less than 300 bytes
 )
 
-// Notice is the end of a message that was taken on and is not delivered.
+// Notice reports an accepted message that ended undelivered.
 type Notice struct {
 	Num      uint64
 	Trace    string
-	Returned bool // else given up
-	RetryMS  int64
+	Returned bool  // true: returned to its client; false: abandoned
+	RetryMS  int64 // when to resubmit a returned message, in milliseconds; 0 = unknown
 }
 
-// NoticeQueue hands in notices, each until it is taken.
+// NoticeQueue posts notices to the discovery agent and retries each until the agent acknowledges it.
 type NoticeQueue struct {
 	agent        *agentClient
 	log          zerolog.Logger
-	acknowledged func([]uint64) // takes the numbers of the messages whose notice was taken
+	acknowledged func([]uint64) // called with the numbers of the messages whose notices were acknowledged
 
 	mu    sync.Mutex
-	queue []Notice // as long as there are live messages at most
+	queue []Notice // bounded by the number of messages that the sender holds
 	wake  chan struct{}
 }
 
-// NewNoticeQueue returns a NoticeQueue that posts to the agent at addr.
+// NewNoticeQueue returns a NoticeQueue that posts to the agent at addr. It calls acknowledged with the numbers of the
+// messages whose notices the agent has acknowledged.
 func NewNoticeQueue(addr string, log zerolog.Logger, acknowledged func([]uint64)) *NoticeQueue {
 	return &NoticeQueue{agent: newAgentClient(addr), log: log, acknowledged: acknowledged, wake: make(chan struct{}, 1)}
 }
 
-// SetAddr makes all notices from now on go to the agent at addr.
+// SetAddr makes all further notices go to the agent at addr.
 func (n *NoticeQueue) SetAddr(addr string) { n.agent.setAddr(addr) }
 
 // Post queues a notice. It does not block.
@@ -56,7 +57,7 @@
 	}
 }
 
-// Run hands in what is queued until the context ends.
+// Run posts queued notices until the context ends.
 func (n *NoticeQueue) Run(ctx context.Context) {
 	defer n.agent.close()
 	failures := 0
@@ -74,9 +75,9 @@
 			if ctx.Err() != nil {
 				return
 			}
-			// The first failure may be the kept connection's alone: a new one is tried at once.
+			// A single failure may be due to a stale connection: a new one is tried at once.
 			if failures++; failures > 1 {
-				n.log.Warn().Err(err).Int("notices", len(batch)).Msg("notices not taken, trying again")
+				n.log.Warn().Err(err).Int("notices", len(batch)).Msg("cannot post notices to discovery, retrying")
 				sleep(ctx, noticeRetryDelay)
 			}
 			continue
@@ -86,14 +87,14 @@
 	}
 }
 
-// next is what the next call carries.
+// nextBatch returns the notices of the next call.
 func (n *NoticeQueue) nextBatch() []Notice {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.queue[:min(len(n.queue), maxNoticesPerCall)]
 }
 
-// drop takes a batch that was taken off the queue.
+// acknowledge removes a batch that the agent has acknowledged from the queue and reports it.
 func (n *NoticeQueue) acknowledge(batch []Notice) {
 	nums := make([]uint64, len(batch))
 	for i := range batch {
@@ -113,20 +114,20 @@
 	addr := n.agent.currentAddr()
 	request := http1.AppendRequest(nil, "POST", "/v1/outcomes", addr)
 	m, err := n.agent.call(ctx, addr, http1.AppendBody(request, body), noticeTimeout)
-	n.agent.close() // on a kept connection a copy of this answer could be taken for that to the next notices
+	n.agent.close() // a duplicate of this answer could be taken for the answer to the next batch
 	if err != nil {
 		return err
 	}
 	if m.Status != 204 {
-		return fmt.Errorf("the platform answers %d to notices", m.Status)
+		return fmt.Errorf("discovery answered %d to a POST of notices", m.Status)
 	}
 	return nil
 }
 
-// append writes the notice as a line of JSON.
+// appendJSON appends the notice to b as a line of JSON.
 func (n *Notice) appendJSON(b []byte) []byte {
 	b = append(b, `{"message":`...)
-	b = strconv.AppendQuote(b, n.Trace) // printable ASCII only: the same as JSON's form
+	b = strconv.AppendQuote(b, n.Trace) // printable ASCII only, for which Go and JSON quote alike
 	if !n.Returned {
 		return append(b, ",\"outcome\":\"given_up\"}\n"...)
 	}
--- a/internal/discovery/repeated_answer_test.go
+++ b/internal/discovery/repeated_answer_test.go
@@ -13,7 +13,7 @@
 
 const noContent = "HTTP/1.1 204 No Content\r\n\r\n"
 
-// Guards against notices that end by a copy of the answer to earlier ones, and are never handed in.
+// Guards against a notice that counts as acknowledged by a duplicate of the answer to an earlier one, and is never posted.
 func TestRepeatedAnswerDoesNotAcknowledgeLaterNotice(t *testing.T) {
 	agent := standin.NewRawPartner(t)
 	acknowledged := make(chan []uint64, 10)
@@ -27,13 +27,14 @@
 	n.Post(Notice{Num: 2, Trace: "b"})
 	second := <-agent.Calls
 	if second.Conn != 2 {
-		t.Errorf("the second notice goes out on connection %d, where a copy of the first answer may come", second.Conn)
+		t.Errorf("second notice posted on connection %d, want a new one without a duplicate of the first answer", second.Conn)
 	}
 	second.Write(noContent)
 	<-acknowledged
 }
 
-// Guards against a watch whose answers come one late, after the agent has written one twice: changes would come late.
+// The agent writes an answer twice. Guards against a watch that takes each further answer for that to the request before
+// it, so that changes are seen late.
 func TestRepeatedListDoesNotDelayLaterOnes(t *testing.T) {
 	agent := standin.NewRawPartner(t)
 	updates := make(chan List, 10)
@@ -49,10 +50,10 @@
 	(<-agent.Calls).Write(answer(41))
 	<-updates
 	watch := <-agent.Calls
-	watch.Write(answer(41)) // the copy; the watch's own answer is still to come
+	watch.Write(answer(41)) // a duplicate; the watch itself is not answered yet
 	retry := <-agent.Calls
 	if retry.Conn == watch.Conn || retry.URI() != "/discovery/hosts?index=41&wait=3000" {
-		t.Errorf("asked %s on connection %d, which owes an answer", retry.URI(), retry.Conn)
+		t.Errorf("requested %s on connection %d, want a watch from 41 on a new connection", retry.URI(), retry.Conn)
 	}
 	retry.Write(answer(42))
 	for l := range updates {
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -17,28 +17,31 @@
 )
 
 const (
-	watchDuration = 3 * time.Second // a watch is held so long: short, so that two asks that fall silent are noticed in time
-	watchGrace    = 500 * time.Millisecond
+	// watchDuration is how long the agent holds a watch without a change. It is short enough for a third request to be
+	// answered in time after a watch and the next request have both timed out.
+	watchDuration = 3 * time.Second
+	watchGrace    = 500 * time.Millisecond // for the answer to a watch, beyond watchDuration
 	listTimeout   = time.Second
-	// repeatedPause keeps an agent that repeats its answers from being asked without end, inside the time within which a
-	// watch has to go on.
+	// repeatedAnswerDelay limits the rate of requests to an agent that keeps repeating an answer. It is well within the
+	// time by which a watch has to be renewed.
 	repeatedAnswerDelay = 50 * time.Millisecond
 )
 
-// MaxEndpoints is how many endpoints are known at most, over the life of a process; further ones are passed over.
+// MaxEndpoints is the maximum number of endpoints that a process keeps numbers for during its run, removed endpoints
+// included. Further ones are ignored.
 const MaxEndpoints = 1 << 14
 
-// Endpoint is one line of the list, with where to reach it.
+// Endpoint is an entry of the endpoint list.
 type Endpoint struct {
 	policy.Endpoint
-	Name string // which it keeps over restarts of either side
+	Name string // stable across restarts of the sender and of discovery
 	Addr string
-	// What the list calls its zone and kind; empty but in a Directory's lists.
+	// ZoneName and KindName are the names in the list. They are set only in the lists of NewDirectoryWatch.
 	ZoneName, KindName string
 }
 
-// SetZoneAndKind sets the endpoint's zone and kind by their names: their places in the settings, or one past the end of what these
-// know, which is nothing special.
+// SetZoneAndKind sets the endpoint's zone and kind to the indexes of these names in the settings. A name that the
+// settings do not contain gets one past the last index, to which no special treatment applies.
 func (e *Endpoint) SetZoneAndKind(settings *policy.Settings, zone, kind string) {
 	e.Zone = indexOrLen(settings.Zones, zone)
 	e.Kind = slices.IndexFunc(settings.Kinds, func(k policy.DestKind) bool { return k.Name == kind })
@@ -47,14 +50,14 @@
 	}
 }
 
-// List is the whole list of endpoints, or changes to it.
+// List is the whole list of endpoints, or a set of changes to it.
 type List struct {
 	Full      bool
 	Version   uint64 // that the agent gave it
 	Endpoints []Endpoint
 }
 
-// Watch follows the list. Update takes each list, in order.
+// Watch follows the endpoint list by long polling. It calls Update with each list, in order.
 type Watch struct {
 	Settings *policy.Settings
 	Log      zerolog.Logger
@@ -63,25 +66,28 @@
 	agent               *agentClient
 	backoff             backoff
 	parser              fastjson.Parser
-	ids                 map[string]uint32 // an endpoint keeps its number as long as the process runs
+	ids                 map[string]uint32 // numbers by name; an endpoint keeps its number until the process ends
 	version             uint64
-	synced              bool   // the version stands for all that has been told, and nothing was missed since
-	versionAddr         string // the agent whose version it is
-	endpointLimitLogged bool   // an endpoint past MaxEndpoints has been reported
-	keepNames           bool   // entries carry names of zones and kinds in place of numbers
+	synced              bool   // every change up to version was received, and none can have been missed since
+	versionAddr         string // the agent that version comes from
+	endpointLimitLogged bool   // it was logged that an endpoint beyond MaxEndpoints is ignored
+	keepNames           bool   // endpoints get the names of their zones and kinds instead of numbers
 }
 
-// errListTooLong is the error of a list over MaxList. What was known stays in force.
-var errListTooLong = errors.New("the list of endpoints is longer than the longest that is read: what was known stays in force")
+// errListTooLong is returned for a list over the maximum length. The endpoints known before stay in effect.
+var errListTooLong = errors.New("the endpoint list exceeds the maximum length: the endpoints known before stay in effect")
 
-// NewWatch returns a Watch on the agent at addr. The seed spreads its calls over time.
+// NewWatch returns a Watch on the agent at addr. The seed determines the jitter of its retries.
 func NewWatch(addr string, settings *policy.Settings, seed uint64, log zerolog.Logger, update func(List)) *Watch {
-	return &Watch{Settings: settings, Log: log, Update: update, agent: newAgentClient(addr), backoff: newBackoff(settings, seed), ids: map[string]uint32{}}
+	return &Watch{
+		Settings: settings, Log: log, Update: update,
+		agent: newAgentClient(addr), backoff: newBackoff(settings, seed), ids: map[string]uint32{},
+	}
 }
 
-// NewDirectoryWatch returns a Watch for a control member, which keeps the list for others: it reads lists of up to
-// maxBody bytes and any number of endpoints, which carry names in place of numbers. It begins with what has changed
-// since version, 0 with the whole list.
+// NewDirectoryWatch returns a Watch for a control member, which serves the list to subscribers. It reads lists of up to
+// maxBodyBytes with any number of endpoints, whose zones and kinds it keeps as names instead of numbers. It begins with
+// the changes since version, or with the whole list if version is 0.
 func NewDirectoryWatch(addr string, version uint64, maxBodyBytes int, seed uint64, log zerolog.Logger, update func(List)) *Watch {
 	settings := &policy.Settings{Senders: 1}
 	w := NewWatch(addr, settings, seed, log, update)
@@ -90,30 +96,31 @@
 	return w
 }
 
-// SetAddr makes the watch follow the agent at addr, beginning with its whole list: its
-// versions need not be the old one's.
+// SetAddr makes the watch follow the agent at addr, beginning with its whole list: the versions of two agents are not
+// comparable.
 func (w *Watch) SetAddr(addr string) { w.agent.setAddr(addr) }
 
-// Restore takes the list as it was last had, before Run.
+// Restore applies the list that an earlier run received last. It is called before Run.
 func (w *Watch) Restore(text []byte) error {
 	if len(text) == 0 {
 		return nil
 	}
 	err := w.load(text)
-	// What has changed since is asked for, not the whole list: that costs discovery a line for each endpoint, and
-	// a fleet that is started in one moment would overbook it for good.
+	// The next request is for the changes since then. The whole list costs discovery one line for each endpoint: a fleet
+	// whose processes start at the same moment would overload it permanently.
 	w.synced, w.versionAddr = err == nil, w.agent.currentAddr()
 	return err
 }
 
-// Run follows the list until the context ends. Through silence it keeps asking, at the pace's times: with a
-// time-out, on a new connection, and for the whole list after a gap. An agent that turns it away leaves no gap.
+// Run follows the list until the context ends. While discovery does not answer, it retries with pauses: each request
+// has a time-out and goes out on a new connection, and it asks for the whole list if a change may have been missed. An
+// error answer from the agent does not mean that a change was missed.
 //
-// The first ask goes at once, also with a known list: whatever the agent holds counts as told, asked for or
-// not, so a pause before it is a gap in which a drain is missed. With a known list it is a watch from that
-// version, which the agent answers from what it holds. Where even that fails before any answer came, the
-// fleet started in one moment: the next ask is spread over the pace's whole span, and further ones come at
-// the pace that the whole fleet settles at, until one is answered.
+// The first request is sent at once, even if a list is known: what the agent holds counts as known to the sender,
+// requested or not, so that a drain could be missed during a pause. With a known list the first request is a watch from
+// its version, which the agent answers from what it holds. If that fails before any answer has come, probably the whole
+// fleet has started at the same moment: the next request is spread over the longest pause, and further ones are sent at
+// the rate at which the retries of the whole fleet level off, until one is answered.
 func (w *Watch) Run(ctx context.Context) {
 	defer w.agent.close()
 	failures, answered, tooLongLogged := 0, false, false
@@ -159,8 +166,8 @@
 		w.synced = false
 		return err
 	}
-	if m.Status != 200 { // turned away with nothing told: what it held last still goes for both sides
-		return fmt.Errorf("discovery answers %d", m.Status)
+	if m.Status != 200 { // the agent has reported nothing: the version is still valid for both sides
+		return fmt.Errorf("discovery answered %d to a request for the endpoint list", m.Status)
 	}
 	watched, fromVersion := w.synced, w.version
 	list, err := w.parse(m.Body)
@@ -169,9 +176,9 @@
 		return err
 	}
 	if watched && isRepeatedAnswer(&list, fromVersion, time.Since(start)) {
-		w.Log.Warn().Uint64("version", list.Version).Msg("discovery repeats an answer: asking on a new connection")
+		w.Log.Warn().Uint64("version", list.Version).Msg("discovery repeated an answer, retrying on a new connection")
 		w.agent.close()
-		if list.Full { // of a version that is in force, so that nothing changes by it
+		if list.Full { // its version is the one in effect, so that it changes nothing
 			w.apply(list)
 		}
 		sleep(ctx, repeatedAnswerDelay)
@@ -182,8 +189,9 @@
 	return nil
 }
 
-// repeated reports whether the answer to a watch from a version can't be its own, but is a copy of an earlier one:
-// there is no news in it, and the watch's time was not over. All later answers of that connection would come one late.
+// isRepeatedAnswer reports whether the answer to a watch from fromVersion must be a duplicate of an earlier answer: it
+// contains no change and came before the watch's duration was over. Every later answer on that connection would be that
+// to the request before.
 func isRepeatedAnswer(list *List, fromVersion uint64, elapsed time.Duration) bool {
 	if list.Version > fromVersion {
 		return false
@@ -191,7 +199,7 @@
 	return list.Version < fromVersion && !list.Full || list.Version == fromVersion && elapsed < watchDuration/2
 }
 
-// read takes one list in discovery's form.
+// load parses and applies a list in discovery's JSON format.
 func (w *Watch) load(text []byte) error {
 	list, err := w.parse(text)
 	if err == nil {
@@ -200,7 +208,7 @@
 	return err
 }
 
-// parse reads one list in discovery's form.
+// parse reads a list in discovery's JSON format.
 func (w *Watch) parse(text []byte) (List, error) {
 	v, err := w.parser.ParseBytes(text)
 	if err != nil {
@@ -208,7 +216,7 @@
 	}
 	servers := v.Get("servers")
 	if servers == nil || servers.Type() != fastjson.TypeArray {
-		return List{}, fmt.Errorf("list of endpoints: no servers")
+		return List{}, fmt.Errorf("list of endpoints: no \"servers\" array")
 	}
 	list := List{Full: v.GetBool("full"), Version: v.GetUint64("version")}
 	for _, s := range servers.GetArray() {
@@ -216,13 +224,13 @@
 			list.Endpoints = append(list.Endpoints, e)
 		}
 	}
-	if w.keepNames && list.Full { // of a whole directory the parser would keep some kilobytes for each endpoint
+	if w.keepNames && list.Full { // after a whole directory the parser would retain some kilobytes for each endpoint
 		w.parser = fastjson.Parser{}
 	}
 	return list, nil
 }
 
-// take makes a list the one in force.
+// apply records the list's version and passes the list to Update, unless it is an empty set of changes.
 func (w *Watch) apply(list List) {
 	w.version = list.Version
 	if list.Full || len(list.Endpoints) > 0 {
@@ -247,7 +255,8 @@
 		return Endpoint{}, false
 	}
 	if _, err := netip.ParseAddrPort(e.Addr); err != nil && e.State != policy.Gone {
-		w.Log.Warn().Str("endpoint", name).Str("addr", strconv.Quote(e.Addr)).Msg("no address: passed over")
+		w.Log.Warn().Str("endpoint", name).Str("addr", strconv.Quote(e.Addr)).
+			Msg("endpoint ignored: its address is not of the form IP:port")
 		return Endpoint{}, false
 	}
 	e.Dest, e.Rating = s.GetInt("cell"), s.GetFloat64("weight")
@@ -269,16 +278,17 @@
 	return e, true
 }
 
-// reportFull logs, once, that an endpoint is passed over since no more are known.
+// logEndpointLimit logs, the first time only, that an endpoint is ignored because of MaxEndpoints.
 func (w *Watch) logEndpointLimit(name string) {
 	if w.endpointLimitLogged {
 		return
 	}
 	w.endpointLimitLogged = true
-	w.Log.Error().Str("endpoint", name).Int("endpoints_allowed", MaxEndpoints).Msg("too many endpoints: this and further new ones are passed over")
+	w.Log.Error().Str("endpoint", name).Int("endpoints_allowed", MaxEndpoints).
+		Msg("too many endpoints: this and further new ones are ignored")
 }
 
-// position is the place of name in list, or one past its end.
+// indexOrLen returns the index of name in list, or len(list) if it is absent.
 func indexOrLen(list []string, name string) int {
 	if i := slices.Index(list, name); i >= 0 {
 		return i
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -19,7 +19,8 @@
 
 const oneEndpointList = `{"version":%d,"full":true,"servers":[{"id":"s-1","addr":"10.1.0.1:9000","cell":1,"state":"up"}]}`
 
-// agent answers each ask with the next of its statuses and hands over what was asked for.
+// startAgent starts an agent that answers each request with the next of the statuses: 0 is no answer, 1 is status 200 with
+// truncated JSON. After the last one it answers nothing. It sends the URI of each request to the returned channel.
 func startAgent(t *testing.T, statuses ...int) (addr string, requests <-chan string) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -54,9 +55,9 @@
 					received <- r.URL.RequestURI()
 					status, body := answer(), fmt.Sprintf(oneEndpointList, 42)
 					switch status {
-					case 0: // silent from here on
+					case 0:
 						continue
-					case 1: // a broken answer
+					case 1:
 						status, body = 200, `{"version":43,"servers":[{`
 					}
 					fmt.Fprintf(nc, "HTTP/1.1 %d x\r\nContent-Length: %d\r\n\r\n%s", status, len(body), body)
@@ -86,16 +87,16 @@
 		select {
 		case got := <-requests:
 			if got != w {
-				t.Fatalf("ask %d is %s, want %s", i, got, w)
+				t.Fatalf("request %d is %s, want %s", i, got, w)
 			}
 		case <-time.After(10 * time.Second):
-			t.Fatalf("ask %d never came", i)
+			t.Fatalf("request %d did not arrive", i)
 		}
 	}
 }
 
-// A fleet that starts in one moment must not ask for 80 whole lists: who has a list asks what has changed, also
-// after it was turned away.
+// Senders of a fleet that start at the same moment must not all request the whole list: a sender with a known list
+// requests the changes since then, also after an error answer.
 func TestKnownListIsWatchedNotRequestedAgain(t *testing.T) {
 	addr, requests := startAgent(t, 503, 503, 200, 503)
 	startWatch(t, addr, fmt.Sprintf(oneEndpointList, 41))
@@ -109,14 +110,14 @@
 	expectRequests(t, requests, "/discovery/hosts", "/discovery/hosts", "/discovery/hosts?index=42&wait=3000")
 }
 
-// What was broken on the way may have told something: only the whole list shows what was missed.
+// An answer that could not be read may have contained a change, which only the whole list shows.
 func TestWholeListAfterInvalidAnswer(t *testing.T) {
 	addr, requests := startAgent(t, 1, 200)
 	startWatch(t, addr, fmt.Sprintf(oneEndpointList, 41))
 	expectRequests(t, requests, "/discovery/hosts?index=41&wait=3000", "/discovery/hosts", "/discovery/hosts?index=42&wait=3000")
 }
 
-// Another agent's versions are its own.
+// The versions of two agents are not comparable: a new agent is asked for its whole list.
 func TestWholeListFromNewAgent(t *testing.T) {
 	oldAgent, oldRequests := startAgent(t, 200)
 	newAgent, newRequests := startAgent(t, 200)
@@ -126,7 +127,7 @@
 	expectRequests(t, newRequests, "/discovery/hosts", "/discovery/hosts?index=42&wait=3000")
 }
 
-// What the settings of a fleet make of the pauses. Absurd numbers are a fleet of one or as many as the bound allows.
+// The longest pause by the fleet's settings. Senders out of range count as one, or give the upper bound of the pauses.
 func TestPauseBounds(t *testing.T) {
 	for _, c := range []struct {
 		senders   int
@@ -140,7 +141,7 @@
 	} {
 		b := newBackoff(&policy.Settings{Senders: c.senders, Subscribe: c.subscribe, MaxSubscribeInterval: c.within}, 1)
 		if b.longest.Round(time.Millisecond) != c.want {
-			t.Errorf("%d senders, within %g: %v, want %v", c.senders, c.within, b.longest, c.want)
+			t.Errorf("%d senders, within %g ms: longest pause %v, want %v", c.senders, c.within, b.longest, c.want)
 		}
 		for n := 1; n < 100; n++ {
 			if d := b.exponentialPause(n, b.longest); d < minPause/2 || d > b.longest {
@@ -150,16 +151,16 @@
 	}
 }
 
-// Eighty senders of which every ask fails, all started in one moment, on a clock of their own: their asks stay
-// under six times what the fleet is meant to settle at in the first second, when a fleet without pauses asks
-// 800 times, and under twice as much from the next on: pauses that began short again after the first spread
-// asked 42 to 62 times a second in seconds 1 to 4, and kept discovery overbooked for good on the herd day.
+// Eighty senders start at the same moment, on a simulated clock, and every request fails. Their requests must stay below
+// six times fleetRetriesPerSecond in the first second, in which a fleet without pauses sends 800, and below twice that
+// rate afterwards. Guards against pauses that begin short again after the first one: with these the fleet sent 42 to 62
+// requests a second in seconds 1 to 4, which can overload discovery permanently.
 func TestFleetRequestsAreBoundedAndSpread(t *testing.T) {
 	const senders, seconds = 80, 60
 	var requests []float64
 	for i := range senders {
 		b := newBackoff(&policy.Settings{Senders: senders, Subscribe: true, MaxSubscribeInterval: 10000}, uint64(i))
-		at := 0.0 // the first ask goes at once: a pause before it would be a gap in the watch
+		at := 0.0 // the first request is sent at once: a change could be missed during a pause before it
 		for n := 1; at < seconds; n++ {
 			requests = append(requests, at)
 			at += b.pause(n, false, 0).Seconds()
@@ -172,16 +173,16 @@
 	}
 	for s, n := range perSecond {
 		if s == 0 && n > 6*fleetRetriesPerSecond || s > 0 && n > 2*fleetRetriesPerSecond {
-			t.Errorf("second %d: %d asks", s, n)
+			t.Errorf("second %d: %d requests", s, n)
 		}
 	}
-	t.Logf("asks a second: %v", perSecond)
+	t.Logf("requests a second: %v", perSecond)
 }
 
-// What the agent holds counts as told, asked for or not: a sender of a large fleet that starts with a known
-// list must not leave a gap before its first watch, or a drain told meanwhile goes unseen past its grace.
+// What the agent holds counts as known to the sender, requested or not. A sender of a large fleet that starts with a known
+// list must not pause before its first watch, or it sees a drain that is published meanwhile only after the grace period.
 func TestKnownListIsWatchedAtOnce(t *testing.T) {
-	const within = 250 * time.Millisecond // half of the tightest drain grace of the deployments
+	const within = 250 * time.Millisecond // half of the shortest grace period for a drain
 	for seed := range uint64(10) {
 		addr, requests := startAgent(t, 200)
 		w := NewWatch(addr, &policy.Settings{Senders: 300}, seed, zerolog.Nop(), func(List) {})
@@ -195,23 +196,23 @@
 		select {
 		case got := <-requests:
 			if took := time.Since(start); got != "/discovery/hosts?index=41&wait=3000" || took > within {
-				t.Errorf("seed %d: first ask %s after %v", seed, got, took)
+				t.Errorf("seed %d: first request %s after %v", seed, got, took)
 			}
 		case <-time.After(10 * time.Second):
-			t.Errorf("seed %d: no ask", seed)
+			t.Errorf("seed %d: no request", seed)
 		}
 		cancel()
 		<-done
 	}
 }
 
-// silenceMost is the time after which what was missed counts as told.
+// maxSilence is the time after which a change counts as known to a sender that discovery does not answer.
 const maxSilence = 6 * time.Second
 
-// A watch falls silent, and so does the ask for the whole list that follows: whatever the size of the fleet, the
-// third ask is out before what was missed counts as told.
+// A watch times out, and so does the request for the whole list that follows. Whatever the size of the fleet, the third
+// request must be answered before a change that was missed counts as known to the sender.
 func TestRepeatedSilenceIsDetectedInTime(t *testing.T) {
-	const margin = 200 * time.Millisecond // an answer's, and the machine's
+	const margin = 200 * time.Millisecond // for the answer and for delays of the machine
 	for _, senders := range []int{1, 3, 30, 80, 300, 10000} {
 		b := newBackoff(&policy.Settings{Senders: senders, Subscribe: true, MaxSubscribeInterval: 10000}, 1)
 		firstPause, secondPause := time.Duration(0), time.Duration(0)
@@ -219,12 +220,13 @@
 			firstPause, secondPause = max(firstPause, b.pause(1, true, watchDuration+watchGrace)), max(secondPause, b.pause(2, true, listTimeout))
 		}
 		if at := watchDuration + watchGrace + firstPause + listTimeout + secondPause + margin; at > maxSilence {
-			t.Errorf("%d senders: the answer comes %v after the silence began", senders, at)
+			t.Errorf("%d senders: the answer comes %v after discovery stopped answering", senders, at)
 		}
 	}
 }
 
-// The same on sockets: an endpoint that drains meanwhile is heard of in time.
+// A watch and the next request time out, and an endpoint drains meanwhile: the drain must be seen in time. Here over
+// sockets.
 func TestDrainIsSeenAfterTwoTimeouts(t *testing.T) {
 	t.Parallel()
 	addr, requests := startAgent(t, 200, 0, 0, 200)
@@ -240,12 +242,13 @@
 	silentSince := time.Now()
 	expectRequests(t, requests, "/discovery/hosts", "/discovery/hosts")
 	if took := (<-updates).Sub(silentSince); took > maxSilence {
-		t.Errorf("heard %v after the silence began", took)
+		t.Errorf("the list came %v after the agent stopped answering", took)
 	}
 }
 
-// The configuration moves discovery after a request was made for the old agent, and before it goes out: a watch from
-// the old one's version must not reach the new one, which would hold it while what it has counts as told.
+// The configuration changes discovery's address after a request was made for the old agent and before it is sent. A watch
+// from the old agent's version must not reach the new one, which would hold it while its own endpoints already count as
+// known to the sender.
 func TestRequestForOldAgentIsNotSentToNewAgent(t *testing.T) {
 	oldAgent, _ := startAgent(t, 200)
 	newAgent, newRequests := startAgent(t, 200)
@@ -261,6 +264,6 @@
 		t.Fatal(err)
 	}
 	if got := <-newRequests; got != "/first" {
-		t.Errorf("the new agent was asked for %s", got)
+		t.Errorf("the new agent received a request for %s, want /first", got)
 	}
 }
--- a/internal/intake/rig_test.go
+++ b/internal/intake/rig_test.go
@@ -116,7 +116,7 @@
 	settings := rigSettings
 	r.sender = sender.New(sender.Options{Settings: settings, Seed: 1, MaxConns: 10, Journal: jr, Restored: restored,
 		Clock: sender.NewClock(),
-		Log: zerolog.Nop(), Notify: func(discovery.Notice) {}})
+		Log:   zerolog.Nop(), Notify: func(discovery.Notice) {}})
 	go r.sender.Run()
 	r.sender.UpdateEndpoints(discovery.List{Full: true, Endpoints: []discovery.Endpoint{{
 		Endpoint: policy.Endpoint{ID: 1, Dest: 3, State: policy.Ready}, Name: "e", Addr: blackHole.Addr().String()}}})
