--- a/internal/keys/keys.go
+++ b/internal/keys/keys.go
@@ -1,6 +1,5 @@
-// Package keys reads what a sender proves itself and its partners with: CA bundles, certificates and keys,
-// in PEM. It checks them, warns before they expire, and makes TLS configurations of them (crypto/tls, 1.2
-// and up). It opens no connection.
+// Package keys loads CA bundles, certificates and private keys from PEM files, checks them, warns before they expire,
+// and builds TLS configurations from them (crypto/tls, version 1.2 and up). It opens no connection.
 package keys
 
 import (
@@ -13,28 +12,29 @@
 	"time"
 )
 
-// ExpiryWarningPeriod is how long before its end a certificate is warned of.
+// ExpiryWarningPeriod is how long before a certificate's expiry warnings begin.
 const ExpiryWarningPeriod = 14 * 24 * time.Hour
 
-// Files are where keys lie. An empty name: none.
+// Files are the names of PEM files. An empty name means that there is no such file.
 type Files struct {
-	CA        string // a bundle; else the system's
-	Cert, Key string // the sender's own, for partners that ask for it
+	CA        string // CA bundle; empty: the system's root certificates
+	Cert, Key string // this process's own, presented to peers that request a certificate
 }
 
-// Warning is a certificate that ends soon, or has ended.
+// Warning reports a certificate that expires soon or has expired.
 type Warning struct {
 	File    string
 	Subject string
 	Expires time.Time
 }
 
-// String is the warning in one line.
+// String returns the warning as one line.
 func (w Warning) String() string {
-	return fmt.Sprintf("%s: certificate of %q ends on %s", w.File, w.Subject, w.Expires.UTC().Format(time.DateOnly))
+	return fmt.Sprintf("%s: certificate of %q expires on %s", w.File, w.Subject, w.Expires.UTC().Format(time.DateOnly))
 }
 
-// Load reads the files and checks them at that time. Nothing is used of files of which one is wrong.
+// Load reads the files and returns a TLS configuration, with warnings for certificates that expire soon at time now.
+// If one of the files is invalid, it returns an error and no configuration.
 func Load(f Files, now time.Time) (*tls.Config, []Warning, error) {
 	cfg := &tls.Config{MinVersion: tls.VersionTLS12}
 	var warnings []Warning
@@ -61,19 +61,19 @@
 	return cfg, warnings, nil
 }
 
-// private refuses a key that others may read.
+// checkKeyMode returns an error if users other than the owner may read or write the key file.
 func checkKeyMode(file string) error {
 	info, err := os.Stat(file)
 	if err != nil {
 		return err
 	}
 	if mode := info.Mode().Perm(); mode&0o077 != 0 {
-		return fmt.Errorf("%s: others may read or write this key (mode %04o); allowed: 0600 or less", file, mode)
+		return fmt.Errorf("%s: others may read or write this private key (mode %04o); allowed: 0600 or less", file, mode)
 	}
 	return nil
 }
 
-// bundle reads CA certificates.
+// readBundle reads a file of CA certificates.
 func readBundle(file string) (*x509.CertPool, []*x509.Certificate, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
@@ -87,7 +87,7 @@
 			break
 		}
 		if block.Type != "CERTIFICATE" {
-			return nil, nil, fmt.Errorf("%s: a PEM block %q; allowed: CERTIFICATE", file, block.Type)
+			return nil, nil, fmt.Errorf("%s: unexpected PEM block %q; allowed: CERTIFICATE", file, block.Type)
 		}
 		c, err := x509.ParseCertificate(block.Bytes)
 		if err != nil {
--- a/internal/partners/partners.go
+++ b/internal/partners/partners.go
@@ -1,5 +1,5 @@
-// Package partners holds how each destination is reached, as the operators' file says: the protocol and the
-// keys. It is read while calls are made and replaced as a whole on a reload.
+// Package partners holds the protocol and the keys with which each destination is called, as the operators' file sets
+// them. Calls read them concurrently with a reload, which replaces all of them at once.
 package partners
 
 import (
@@ -14,13 +14,13 @@
 	"sliptide/internal/outbound"
 )
 
-// StreamsPerConn is how many calls the decision module takes a connection to an HTTP/2 partner to carry.
+// StreamsPerConn is the number of concurrent calls that the policy assumes on a connection to an HTTP/2 partner.
 const StreamsPerConn = 100
 
-// Registry is the partners of one operators' file. It is safe for concurrent use.
+// Registry holds the partners of an operators' file. It is safe for concurrent use.
 type Registry struct {
 	now     func() time.Time
-	mu      sync.Mutex // over Load
+	mu      sync.Mutex // serializes Load
 	entries atomic.Pointer[map[int]*entry]
 }
 
@@ -30,15 +30,15 @@
 	tls      atomic.Pointer[tls.Config]
 }
 
-// New returns an empty Registry. now is the time that certificates are judged by.
+// New returns an empty Registry. now returns the time by which certificates are checked for expiry.
 func New(now func() time.Time) *Registry {
 	r := &Registry{now: now}
 	r.entries.Store(&map[int]*entry{})
 	return r
 }
 
-// Load takes the partners of an operators' file; keys are read again. An error changes nothing. A partner
-// that is set as before keeps its connections, with the new keys for the next ones.
+// Load replaces the partners by those of an operators' file and reads all keys again. After an error nothing has
+// changed. A partner whose settings are the same keeps its open connections and uses the new keys for further ones.
 func (r *Registry) Load(list []operator.Partner) ([]keys.Warning, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -83,7 +83,7 @@
 	return e
 }
 
-// Lookup returns how a destination is reached; nil: by plain HTTP/1.1.
+// Lookup returns the partner of a destination. It returns nil if the destination is called over plain HTTP/1.1.
 func (r *Registry) Lookup(dest int) *outbound.Partner {
 	if e := (*r.entries.Load())[dest]; e != nil {
 		return e.partner
