--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -53,7 +53,7 @@
 // List is the whole list of endpoints, or a set of changes to it.
 type List struct {
 	Full      bool
-	Version   uint64 // that the agent gave it
+	Version   uint64 // assigned by the agent
 	Endpoints []Endpoint
 }
 
@@ -100,7 +100,7 @@
 // comparable.
 func (w *Watch) SetAddr(addr string) { w.agent.setAddr(addr) }
 
-// Restore applies the list that an earlier run received last. It is called before Run.
+// Restore applies the list from the configuration, as it was last received. It is called before Run.
 func (w *Watch) Restore(text []byte) error {
 	if len(text) == 0 {
 		return nil
