--- a/internal/outbound/answer.go
+++ b/internal/outbound/answer.go
@@ -11,72 +11,73 @@
 	"sliptide/policy"
 )
 
-// answer is what an endpoint's answer says of one message.
-type answer struct {
+// itemResult holds what a response says about one message.
+type itemResult struct {
 	outcome policy.Outcome
-	closed  bool // the message is over
-	wait    float64
+	closed  bool    // the message is over: no further attempt is made
+	wait    float64 // requested wait, in milliseconds
 	report  []float64
 }
 
-// answer maps a response, over HTTP/1.1 or HTTP/2, as the protocol's table does. get returns a header of
-// a name in lower case. A status that the table does not name counts as an error that may have run.
-func (p *Pool) answer(status int, get func(string) string, single bool) answer {
-	a := answer{outcome: policy.Error, report: p.report([]byte(get("endpoint-load-metrics")))}
-	if v, err := strconv.ParseFloat(get("retry-after"), 64); err == nil && v > 0 && v < 1e6 {
-		a.wait = math.Ceil(v * 1000)
+// classify maps an HTTP/1.1 or HTTP/2 response to a result, by the protocol's table of statuses. get returns
+// the header with a lower-case name. A status that is not in the table counts as an error that may have run.
+func (p *Pool) classify(status int, get func(string) string, single bool) itemResult {
+	result := itemResult{outcome: policy.Error, report: p.parseReport([]byte(get("endpoint-load-metrics")))}
+	if seconds, err := strconv.ParseFloat(get("retry-after"), 64); err == nil && seconds > 0 && seconds < 1e6 {
+		result.wait = math.Ceil(seconds * 1000)
 	}
 	switch status {
 	case 200:
-		a.outcome = policy.OK
+		result.outcome = policy.OK
 	case 429:
-		a.outcome = policy.Full
+		result.outcome = policy.Full
 	case 503:
-		a.outcome = policy.Full
+		result.outcome = policy.Full
 		if get("x-egress-full") != "" {
-			a.outcome = policy.Moot
+			result.outcome = policy.Moot
 		}
 	case 504:
-		a.outcome = policy.Moot
+		result.outcome = policy.Moot
 	case 410:
-		a.outcome, a.closed = policy.Moot, true
+		result.outcome, result.closed = policy.Moot, true
 	case 400, 413:
-		if !single { // the whole call could not be read
-			a.outcome = policy.Moot
+		if !single { // the endpoint could not read the bulk request: no message ran
+			result.outcome = policy.Moot
 		}
 	}
-	return a
+	return result
 }
 
-// report reads the values of a load report into the settings' positions. One of which
-// any part makes no sense is no report: half of it could hold a whole destination back.
-func (p *Pool) report(v []byte) []float64 {
-	if len(v) == 0 || max(p.opt.X0, p.opt.X1) < 0 {
+// parseReport reads the values of a load report into the positions that the settings
+// give them. A report with any invalid part is ignored as a whole: half of one could
+// throttle a whole destination.
+func (p *Pool) parseReport(header []byte) []float64 {
+	if len(header) == 0 || max(p.opt.X0, p.opt.X1) < 0 {
 		return nil
 	}
-	out := make([]float64, max(p.opt.X0, p.opt.X1)+1)
-	v = bytes.TrimPrefix(v, []byte("TEXT "))
-	for _, pair := range bytes.Split(v, []byte(",")) {
-		name, text, _ := bytes.Cut(bytes.TrimSpace(pair), []byte("="))
-		f, err := strconv.ParseFloat(string(text), 64)
-		if err != nil || !(f >= 0 && f < reportMost) {
+	values := make([]float64, max(p.opt.X0, p.opt.X1)+1)
+	header = bytes.TrimPrefix(header, []byte("TEXT "))
+	for _, pair := range bytes.Split(header, []byte(",")) {
+		name, number, _ := bytes.Cut(bytes.TrimSpace(pair), []byte("="))
+		value, err := strconv.ParseFloat(string(number), 64)
+		if err != nil || !(value >= 0 && value < maxReportValue) {
 			return nil
 		}
 		switch {
 		case string(name) == "x0" && p.opt.X0 >= 0:
-			out[p.opt.X0] = f
+			values[p.opt.X0] = value
 		case string(name) == "x1" && p.opt.X1 >= 0:
-			out[p.opt.X1] = f
+			values[p.opt.X1] = value
 		}
 	}
-	return out
+	return values
 }
 
-// reportMost bounds a report's values.
-const reportMost = 1e7
+// maxReportValue is the exclusive upper limit of the values of a load report.
+const maxReportValue = 1e7
 
-// states are the ends of one message in the answer to a bulk call.
-var states = map[string]answer{
+// bulkStates maps the states of a message in the response to a bulk call to results.
+var bulkStates = map[string]itemResult{
 	"accepted": {outcome: policy.OK},
 	"fault":    {outcome: policy.Error},
 	"deferred": {outcome: policy.Full},
@@ -84,50 +85,52 @@
 	"no_more":  {outcome: policy.Moot},
 }
 
-// each reads the end of each message from the answer to a bulk call. One that
-// the answer does not name may have run; whole is false then.
-func each(parser *fastjson.Parser, c *Call, body []byte, all answer) (events []policy.Event, whole bool) {
-	ends := make(map[string]answer, len(c.Items))
+// parseBulk reads the result of each message from the response to a bulk call. A message
+// that the response does not name may have run, and complete is false then.
+func parseBulk(parser *fastjson.Parser, c *Call, body []byte, common itemResult) (events []policy.Event, complete bool) {
+	results := make(map[string]itemResult, len(c.Items))
 	if v, err := parser.ParseBytes(body); err == nil {
 		for _, item := range v.GetArray() {
-			if a, ok := states[string(item.GetStringBytes("state"))]; ok {
-				a.wait, a.report = all.wait, all.report
-				ends[string(item.GetStringBytes("id"))] = a
+			if result, ok := bulkStates[string(item.GetStringBytes("state"))]; ok {
+				result.wait, result.report = common.wait, common.report
+				results[string(item.GetStringBytes("id"))] = result
 			}
 		}
 	}
-	unnamed := answer{outcome: policy.Error, wait: all.wait, report: all.report}
-	events, whole = make([]policy.Event, 0, len(c.Items)), true
+	unnamed := itemResult{outcome: policy.Error, wait: common.wait, report: common.report}
+	events, complete = make([]policy.Event, 0, len(c.Items)), true
 	for i := range c.Items {
-		a, ok := ends[c.Items[i].Trace]
+		result, ok := results[c.Items[i].Trace]
 		if !ok {
-			a, whole = unnamed, false
+			result, complete = unnamed, false
 		}
-		events = append(events, c.event(i, a))
+		events = append(events, c.eventFor(i, result))
 	}
-	return events, whole
+	return events, complete
 }
 
-// events gives all messages of a call the same end.
-func (c *Call) events(a answer) []policy.Event {
+// eventsFor returns the events that give all messages of a call, or the probe, the same result.
+func (c *Call) eventsFor(result itemResult) []policy.Event {
 	if len(c.Items) == 0 {
-		return []policy.Event{{Kind: policy.EvProbe, Endpoint: c.Endpoint, Outcome: a.outcome, Latency: c.latency(), Report: a.report}}
+		return []policy.Event{{
+			Kind: policy.EvProbe, Endpoint: c.Endpoint, Outcome: result.outcome, Latency: c.latencyMS(), Report: result.report,
+		}}
 	}
 	events := make([]policy.Event, 0, len(c.Items))
 	for i := range c.Items {
-		events = append(events, c.event(i, a))
+		events = append(events, c.eventFor(i, result))
 	}
 	return events
 }
 
-func (c *Call) event(i int, a answer) policy.Event {
+func (c *Call) eventFor(i int, result itemResult) policy.Event {
 	return policy.Event{
 		Kind: policy.EvOutcome, ID: c.Items[i].ID, Attempt: c.Items[i].Attempt, Endpoint: c.Endpoint,
-		Outcome: a.outcome, Closed: a.closed, Wait: a.wait, Latency: c.latency(), Report: a.report,
+		Outcome: result.outcome, Closed: result.closed, Wait: result.wait, Latency: c.latencyMS(), Report: result.report,
 	}
 }
 
-// DroppedEvents is how a call ends that Drop gave up.
-func (c *Call) DroppedEvents() []policy.Event { return c.events(answer{outcome: policy.Moot}) }
+// DroppedEvents returns the events of a call that Drop has cancelled.
+func (c *Call) DroppedEvents() []policy.Event { return c.eventsFor(itemResult{outcome: policy.Moot}) }
 
-func (c *Call) latency() float64 { return float64(time.Since(c.SentAt)) / 1e6 }
+func (c *Call) latencyMS() float64 { return float64(time.Since(c.SentAt)) / 1e6 }
--- a/internal/outbound/bench_test.go
+++ b/internal/outbound/bench_test.go
@@ -29,20 +29,20 @@
 				OnDone:  func(_ *Call, events []policy.Event) { done <- events[0].Outcome }})
 			body := make([]byte, 500)
 			b.ReportAllocs()
-			out := 0
+			inFlight := 0
 			for i := range b.N + 64 {
-				if out == 64 || i >= b.N {
-					if out == 0 {
+				if inFlight == 64 || i >= b.N {
+					if inFlight == 0 {
 						break
 					}
 					if o := <-done; o != policy.OK {
 						b.Fatal(o)
 					}
-					out--
+					inFlight--
 				}
 				if i < b.N {
 					pool.Go(&Call{Endpoint: 1, Addr: ln.Addr().String(), Items: []Item{{ID: uint64(i), Trace: "9b1f03aa5c7e2d41", Key: "5c0f6e1a2b3d4c59", Body: body}}, SentAt: time.Now(), Timeout: 10 * time.Second})
-					out++
+					inFlight++
 				}
 			}
 		})
--- a/internal/outbound/call.go
+++ b/internal/outbound/call.go
@@ -18,14 +18,14 @@
 	Body       []byte
 }
 
-// The states of a call's first byte.
+// The states of a call. It starts when its first byte is about to be written; one that is dropped before never starts.
 const (
-	waiting = iota
-	begun
-	dropped
+	stateWaiting = iota
+	stateStarted
+	stateDropped
 )
 
-// Call is one call to an endpoint: a message, several, or a probe (no items).
+// Call is one call to an endpoint, with one message, several messages, or none (a probe).
 type Call struct {
 	Endpoint uint32
 	Addr     string
@@ -33,36 +33,37 @@
 	Items    []Item
 	SentAt   time.Time
 	Timeout  time.Duration
-	// MayStart is asked immediately before the first byte; where it says no, the call never runs. nil: it may.
+	// MayStart is called immediately before the first byte is written. If it returns false, the call never runs. It may
+	// be nil.
 	MayStart func() bool
-	// WriteBy is the latest moment at which the request may be written; zero: no bound but the time-out. Guards
-	// against a repeat that waits for its connection, and arrives when the partner has forgotten the first.
+	// WriteBy is the latest time at which the request may be written; zero: no limit but the time-out. It prevents a
+	// retry that waits for its connection from arriving after the partner has forgotten the first attempt.
 	WriteBy time.Time
-	// NewConn asks for a new connection over HTTP/1.1. An endpoint answers a message that it knows at once, as a copy of
-	// an earlier answer would come.
+	// NewConn requires a new connection over HTTP/1.1. An endpoint responds at once to a message that it already knows,
+	// and on a reused connection that response could not be told from a copy of an earlier one.
 	NewConn bool
 
 	state atomic.Int32
 
-	mu    sync.Mutex // over the rest
-	given bool       // up, before its time: its messages are in doubt, whatever its answer says
-	nc    net.Conn   // that it is on, over HTTP/1.1
-	// of HTTP/2 alone
-	timer  *time.Timer
-	stream *h2.Stream
-	late   bool // it was to end before its stream was there
+	mu        sync.Mutex // guards the fields below
+	abandoned bool       // before its end: its messages may have run, whatever the response says
+	nc        net.Conn   // HTTP/1.1 connection that carries the call
+	// HTTP/2 only
+	timer         *time.Timer
+	stream        *h2.Stream
+	cancelOnStart bool // the call was to end before its stream was opened
 }
 
-// Drop gives up a call that has not written its first byte, and reports whether
-// it did. The call then never ran, and nobody else reports it.
-func (c *Call) Drop() bool { return c.state.CompareAndSwap(waiting, dropped) }
+// Drop cancels a call that has not started, and reports whether it did. The call then
+// never ran, and only the caller of Drop reports its end.
+func (c *Call) Drop() bool { return c.state.CompareAndSwap(stateWaiting, stateDropped) }
 
-// Abandon ends a call that has begun, with its connection or stream: each of its messages may have run. What has been
-// read of its answer counts for nothing, except that it was turned away. It does not block.
+// Abandon ends a call that has started, by closing its connection or cancelling its stream: each of its messages may have
+// run. A response that has already been read is ignored, unless it is a refusal. Abandon does not block.
 func (c *Call) Abandon() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.given, c.late = true, true
+	c.abandoned, c.cancelOnStart = true, true
 	if c.nc != nil {
 		c.nc.Close()
 	}
@@ -71,43 +72,43 @@
 	}
 }
 
-// Abandoned reports whether the call was given up.
+// Abandoned reports whether the call was abandoned.
 func (c *Call) Abandoned() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.given
+	return c.abandoned
 }
 
-// on notes the connection that the call goes out on; false: it was given up before.
-func (c *Call) on(nc net.Conn) bool {
+// attach records the connection that carries the call. It returns false if the call was already abandoned.
+func (c *Call) attach(nc net.Conn) bool {
 	if t, ok := nc.(*tls.Conn); ok {
-		nc = t.NetConn() // whose Close waits for nobody
+		nc = t.NetConn() // its Close does not wait for the peer, as that of tls.Conn may
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.nc = nc
-	return !c.given
+	return !c.abandoned
 }
 
-// off lets go of the connection, which the call may close no more; true: it was given up.
-func (c *Call) off() bool {
+// detach releases the connection, so that Abandon no longer closes it, and reports whether the call was abandoned.
+func (c *Call) detach() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.nc = nil
-	return c.given
+	return c.abandoned
 }
 
-// barred reports whether the call may not begin any more.
-func (c *Call) barred() bool {
+// startForbidden reports whether the call must not start any more.
+func (c *Call) startForbidden() bool {
 	return c.MayStart != nil && !c.MayStart() || !c.WriteBy.IsZero() && !time.Now().Before(c.WriteBy)
 }
 
-// earlier is at, or Until where that comes first.
-func (c *Call) earlier(at time.Time) time.Time {
-	if !c.WriteBy.IsZero() && c.WriteBy.Before(at) {
+// capAtWriteBy returns deadline, or WriteBy if that is earlier.
+func (c *Call) capAtWriteBy(deadline time.Time) time.Time {
+	if !c.WriteBy.IsZero() && c.WriteBy.Before(deadline) {
 		return c.WriteBy
 	}
-	return at
+	return deadline
 }
 
-func (c *Call) begin() bool { return c.state.CompareAndSwap(waiting, begun) }
+func (c *Call) tryStart() bool { return c.state.CompareAndSwap(stateWaiting, stateStarted) }
--- a/internal/outbound/closing.go
+++ b/internal/outbound/closing.go
@@ -1,49 +1,60 @@
 package outbound
 
-// CloseReason says why a connection over HTTP/1.1 to an endpoint was closed.
+// CloseReason says why an HTTP/1.1 connection to an endpoint was closed.
 type CloseReason uint8
 
-// The reasons.
+// The reasons for which a connection is closed.
 const (
-	CloseIdle                CloseReason = iota // idle for as long as a connection is kept
-	CloseEvicted                                // idle, and its place was needed
-	CloseByCaller                               // idle, and the decision module wants none kept
-	CloseReplaced                               // idle, and its endpoint has another address or is reached in another way
+	CloseIdle                CloseReason = iota // idle for the idle time-out
+	CloseEvicted                                // idle, and closed to stay within the connection limit
+	CloseByCaller                               // idle, and closed by CloseIdleConns
+	CloseReplaced                               // idle, and its endpoint has a new address or other partner settings
 	CloseByPeer                                 // the endpoint closed it while it was idle
-	CloseUnsolicited                            // the endpoint sent what nobody had asked for
-	CloseTrailingBytes                          // an answer had more behind it than belongs to it
+	CloseUnsolicited                            // the endpoint sent bytes while no request was outstanding
+	CloseTrailingBytes                          // a response was followed by bytes that do not belong to it
 	CloseWriteFailed                            // a request could not be written
-	CloseBroken                                 // it broke, or nothing came in time, before a whole answer
-	CloseMalformed                              // an answer could not be read
-	CloseRequested                              // an answer said that it closes
-	CloseAbandoned                              // its call was given up
-	CloseMismatch                               // an answer can't be that to the call that was out
-	CloseOtherStatus                            // an answer was no 200
-	CloseDistrusted                             // its endpoint has answered out of turn lately
-	CloseResponseTimeUnknown                    // nothing is known yet of how long its endpoint takes
+	CloseBroken                                 // it broke, or timed out, before a complete response
+	CloseMalformed                              // a response could not be parsed, or stalled
+	CloseRequested                              // a response announced the close
+	CloseAbandoned                              // its call was abandoned
+	CloseMismatch                               // a response cannot belong to the outstanding call
+	CloseOtherStatus                            // a response had a status other than 200
+	CloseDistrusted                             // its endpoint has recently sent unsolicited bytes or a mismatched response
+	CloseResponseTimeUnknown                    // the typical response time of its endpoint is not known yet
 )
 
 var closeReasons = [...]string{
-	CloseIdle: "idle", CloseEvicted: "evicted", CloseByCaller: "hung up", CloseReplaced: "replaced", CloseByPeer: "closed by the endpoint",
-	CloseUnsolicited: "unsolicited bytes", CloseTrailingBytes: "bytes behind an answer", CloseWriteFailed: "request not written", CloseBroken: "broken", CloseMalformed: "answer that cannot be read",
-	CloseRequested: "asked to close", CloseAbandoned: "call given up",
-	CloseMismatch: "answer of another call", CloseOtherStatus: "answer other than 200", CloseDistrusted: "endpoint answers out of turn",
-	CloseResponseTimeUnknown: "endpoint's time not known",
+	CloseIdle:                "idle",
+	CloseEvicted:             "evicted",
+	CloseByCaller:            "closed by the sender",
+	CloseReplaced:            "replaced",
+	CloseByPeer:              "closed by the endpoint",
+	CloseUnsolicited:         "unsolicited bytes",
+	CloseTrailingBytes:       "bytes after a response",
+	CloseWriteFailed:         "request not written",
+	CloseBroken:              "broken",
+	CloseMalformed:           "malformed response",
+	CloseRequested:           "close requested by the endpoint",
+	CloseAbandoned:           "call abandoned",
+	CloseMismatch:            "response to another call",
+	CloseOtherStatus:         "response other than 200",
+	CloseDistrusted:          "endpoint distrusted",
+	CloseResponseTimeUnknown: "response time unknown",
 }
 
-// String names the reason in the log.
+// String returns the reason as the log shows it.
 func (r CloseReason) String() string { return closeReasons[r] }
 
-// CloseEvent tells of one connection that was closed.
+// CloseEvent describes one closed connection.
 type CloseEvent struct {
 	Endpoint uint32
 	Addr     string
 	Reason   CloseReason
-	Answers  int // that it has carried
+	Answers  int // complete responses that it has carried
 }
 
-// closed tells of the end of a connection, where somebody listens.
-func (k *conn) closed(reason CloseReason) {
+// reportClosed passes the end of the connection to OnConnClosed.
+func (k *conn) reportClosed(reason CloseReason) {
 	if k.pool.opt.OnConnClosed != nil {
 		k.pool.opt.OnConnClosed(CloseEvent{Endpoint: k.endpoint, Addr: k.addr, Reason: reason, Answers: k.answers})
 	}
--- a/internal/outbound/conn.go
+++ b/internal/outbound/conn.go
@@ -15,29 +15,29 @@
 	"sliptide/policy"
 )
 
-// restWithin bounds the time from an answer's first byte to its last. One that has begun and does
-// not go on is spoilt; waiting for the call's own time-out would hold its slot for seconds.
-const restWithin = 400 * time.Millisecond
+// responseReadTimeout limits the time from the first byte of a response to its last. A response that
+// stalls counts as malformed; waiting for the call's own time-out would hold its slot for seconds.
+const responseReadTimeout = 400 * time.Millisecond
 
-// interimMost bounds the 1xx answers ahead of the real one.
-const interimMost = 8
+// maxInterimResponses limits the 1xx responses before the final one.
+const maxInterimResponses = 8
 
-// conn is one connection; its goroutine serves one call after another.
+// conn is one HTTP/1.1 connection; its goroutine serves one call after another.
 type conn struct {
-	pool     *Pool
-	partner  *Partner
-	endpoint uint32
-	addr     string
-	nc       net.Conn
-	rd       *http1.Reader
-	calls    chan *Call // closed to end the goroutine
-	usedAt   time.Time
-	freeAt   time.Time   // when it has rested after its last answer
-	begunAt  time.Time   // when the last answer began to arrive
-	answers  int         // whole answers that it has carried
-	reason   CloseReason // why calls was closed; written before that, under the pool's lock
-	wbuf     []byte
-	parser   fastjson.Parser
+	pool        *Pool
+	partner     *Partner
+	endpoint    uint32
+	addr        string
+	nc          net.Conn
+	reader      *http1.Reader
+	calls       chan *Call // closed to end the goroutine
+	usedAt      time.Time
+	reusableAt  time.Time   // end of the settle time after the last response
+	firstByteAt time.Time   // when the last response began to arrive
+	answers     int         // complete responses that it has carried
+	reason      CloseReason // why calls was closed; written before that, with the pool's lock held
+	writeBuf    []byte
+	parser      fastjson.Parser
 }
 
 // run dials for c and serves calls until the connection ends.
@@ -52,22 +52,22 @@
 	}
 	defer k.nc.Close()
 	for k.serve(c) {
-		if c = k.next(); c == nil {
-			k.closed(k.reason)
+		if c = k.nextCall(); c == nil {
+			k.reportClosed(k.reason)
 			return
 		}
 	}
 }
 
-// next is the next call of a connection that was parked; nil: it is to be closed.
-func (k *conn) next() *Call {
-	timer := time.NewTimer(k.pool.fresh())
+// nextCall waits for the next call of an idle connection. It returns nil if the connection is to be closed.
+func (k *conn) nextCall() *Call {
+	timer := time.NewTimer(k.pool.idleTimeout())
 	defer timer.Stop()
 	select {
 	case c := <-k.calls:
 		return c
 	case <-timer.C:
-		if k.pool.unpark(k) {
+		if k.pool.removeIdle(k) {
 			return nil
 		}
 		return <-k.calls
@@ -75,96 +75,97 @@
 }
 
 func (k *conn) dial(c *Call) bool {
-	limit := time.Now().Add(min(k.pool.opt.DialTimeout, time.Until(c.SentAt.Add(c.Timeout))))
-	ctx, cancel := context.WithDeadline(context.Background(), c.earlier(limit))
+	deadline := time.Now().Add(min(k.pool.opt.DialTimeout, time.Until(c.SentAt.Add(c.Timeout))))
+	ctx, cancel := context.WithDeadline(context.Background(), c.capAtWriteBy(deadline))
 	defer cancel()
 	partner := k.partner
 	if partner == nil {
 		partner = &Partner{}
-	} else if partner.TLS != nil && partner.HTTP2 { // it chose HTTP/1.1 when it was asked for more
-		one := *partner
-		one.HTTP2 = false
-		partner = &one
+	} else if partner.TLS != nil && partner.HTTP2 { // it chose HTTP/1.1 when HTTP/2 was offered
+		http1Only := *partner
+		http1Only.HTTP2 = false
+		partner = &http1Only
 	}
-	nc, _, err := k.pool.dial(ctx, partner, k.addr, func() bool { return c.state.Load() == waiting })
-	if err != nil && k.pool.withheld(c) { // its own bound came first: that says nothing of the endpoint
+	nc, _, err := k.pool.dial(ctx, partner, k.addr, func() bool { return c.state.Load() == stateWaiting })
+	if err != nil && k.pool.dropForbidden(c) { // WriteBy or MayStart ended it first: that says nothing about the endpoint
 		return false
 	}
 	if err != nil {
 		if k.partner != nil {
-			k.pool.complain(k.endpoint, k.addr, err)
+			k.pool.reportDialError(k.endpoint, k.addr, err)
 		}
-		k.pool.fail(c, policy.ConnectFailed)
+		k.pool.failUnsent(c, policy.ConnectFailed)
 		return false
 	}
-	k.nc, k.rd = nc, http1.NewReader(nc)
+	k.nc, k.reader = nc, http1.NewReader(nc)
 	return true
 }
 
-// serve makes one call and reports whether the connection can take another, for
-// which it is parked then.
+// serve makes one call and reports whether the connection can take another; it is
+// among the idle connections then.
 func (k *conn) serve(c *Call) bool {
-	if k.answers > 0 && !k.stillQuiet() {
-		k.pool.single(c, k.partner)
+	if k.answers > 0 && !k.stillIdle() {
+		k.pool.startHTTP1(c, k.partner)
 		return false
 	}
 	deadline := c.SentAt.Add(c.Timeout)
 	k.nc.SetDeadline(deadline)
-	k.wbuf = c.append(k.wbuf[:0])
-	if barred := c.barred(); barred || !c.begin() {
-		dropped := barred && c.Drop()
-		k.pool.park(k) // the call was dropped while it waited for the connection, which is as good as any
-		if dropped {   // told last: the next call, which this outcome may set free, has to find the connection
-			k.pool.end(c, policy.Moot)
+	k.writeBuf = c.appendRequest(k.writeBuf[:0])
+	if forbidden := c.startForbidden(); forbidden || !c.tryStart() {
+		dropped := forbidden && c.Drop()
+		k.pool.addIdle(k) // the call was dropped while it waited for the connection, which can still be used
+		if dropped {      // reported last: the next call, which this outcome may release, must find the connection idle
+			k.pool.finish(c, policy.Moot)
 		}
 		return true
 	}
-	k.nc.SetWriteDeadline(c.earlier(deadline))
-	if !c.on(k.nc) {
+	k.nc.SetWriteDeadline(c.capAtWriteBy(deadline))
+	if !c.attach(k.nc) {
 		k.nc.Close()
-		k.closed(CloseAbandoned)
-		k.pool.end(c, policy.ConnectFailed)
+		k.reportClosed(CloseAbandoned)
+		k.pool.finish(c, policy.ConnectFailed)
 		return false
 	}
-	if n, err := k.nc.Write(k.wbuf); err != nil {
+	if n, err := k.nc.Write(k.writeBuf); err != nil {
 		k.nc.Close()
-		c.off()
-		k.closed(CloseWriteFailed)
-		if n < len(k.wbuf) { // the last byte was not written: it never ran
-			k.pool.end(c, policy.ConnectFailed)
+		c.detach()
+		k.reportClosed(CloseWriteFailed)
+		if n < len(k.writeBuf) { // the last byte was not written: it never ran
+			k.pool.finish(c, policy.ConnectFailed)
 		} else {
-			k.pool.end(c, policy.Reset)
+			k.pool.finish(c, policy.Reset)
 		}
 		return false
 	}
-	written := time.Now()
-	m, err := k.response(deadline)
-	took := k.begunAt.Sub(written)
-	given := c.off()
-	if m.Status == http.StatusOK && k.mismatched(c, took) {
+	writtenAt := time.Now()
+	resp, err := k.readResponse(deadline)
+	responseTime := k.firstByteAt.Sub(writtenAt)
+	abandoned := c.detach()
+	if resp.Status == http.StatusOK && k.isMismatched(c, responseTime) {
 		k.nc.Close()
-		k.pool.suspect(k.endpoint)
-		k.closed(CloseMismatch)
-		k.pool.end(c, policy.Error) // it may have run: its own answer is still to come
+		k.pool.markSuspect(k.endpoint)
+		k.reportClosed(CloseMismatch)
+		k.pool.finish(c, policy.Error) // it may have run: its own response is still outstanding
 		return false
 	}
-	events, whole := k.read(c, m, err)
-	reason, more := k.afterAnswer(c, m, err, given, whole, took)
-	// Both before it is reported: a further attempt must not find this one open, and a call
-	// that the outcome sets free must find this connection, or it opens a new one.
-	if more {
-		k.pool.park(k)
+	events, complete := k.responseEvents(c, resp, err)
+	reason, reusable := k.checkReuse(c, resp, err, abandoned, complete, responseTime)
+	// The connection is closed or made idle before the outcome is reported: a further attempt
+	// must not run while this one is open, and a call that the outcome releases must find this
+	// connection idle, or it opens a new one.
+	if reusable {
+		k.pool.addIdle(k)
 	} else {
 		k.nc.Close()
-		k.closed(reason)
+		k.reportClosed(reason)
 	}
 	k.pool.opt.OnDone(c, events)
-	return more
+	return reusable
 }
 
-// stillQuiet looks at a kept connection once more, right before a request is written to it, and closes one that is not
-// as it was when the call was given to it.
-func (k *conn) stillQuiet() bool {
+// stillIdle checks a reused connection again, right before a request is written to it. It closes the connection if the
+// peer has closed it or sent bytes since the call was given to it.
+func (k *conn) stillIdle() bool {
 	reason := CloseByPeer
 	switch sockets.Check(k.nc) {
 	case sockets.Idle:
@@ -176,17 +177,18 @@
 		k.pool.mu.Unlock()
 	}
 	k.nc.Close()
-	k.closed(reason)
+	k.reportClosed(reason)
 	return false
 }
 
-// afterAnswer reports whether the connection can take a further call, and if not, why it is closed. whole: an answer to
-// several messages has named each of them; took: until it began.
-func (k *conn) afterAnswer(c *Call, m *http1.Message, err error, given, whole bool, took time.Duration) (reason CloseReason, more bool) {
+// checkReuse reports whether the connection can take a further call after a response, and if not, why it is closed.
+// complete is false if the response to a bulk call has left out a message. responseTime is the time to the first byte.
+func (k *conn) checkReuse(c *Call, resp *http1.Message, err error, abandoned, complete bool,
+	responseTime time.Duration) (reason CloseReason, reusable bool) {
 	switch {
-	case given:
+	case abandoned:
 		return CloseAbandoned, false
-	case errors.Is(err, errSpoilt):
+	case errors.Is(err, errMalformed):
 		return CloseMalformed, false
 	case err != nil:
 		return CloseBroken, false
@@ -195,67 +197,68 @@
 	k.pool.mu.Lock()
 	defer k.pool.mu.Unlock()
 	switch {
-	case m.Close:
+	case resp.Close:
 		return CloseRequested, false
-	case k.rd.Buffered(): // it came with the answer, and can end no later call
+	case k.reader.Buffered(): // the bytes arrived with the response, and cannot end a later call
 		return CloseTrailingBytes, false
-	case !whole:
-		k.pool.profileOf(k.endpoint).suspectUntil = time.Now().Add(suspectFor)
+	case !complete:
+		k.pool.profileOf(k.endpoint).suspectUntil = time.Now().Add(suspectDuration)
 		return CloseMismatch, false
-	case m.Status != http.StatusOK: // a copy of it could not be told from the next call's answer by its time
+	case resp.Status != http.StatusOK: // its copy could not be told from the response to the next call by the response time
 		return CloseOtherStatus, false
 	case k.pool.distrusted(k.endpoint):
 		return CloseDistrusted, false
 	}
-	k.pool.learn(c, took)
-	if len(c.Items) > 0 && k.pool.paceUnknown(k.endpoint) {
+	k.pool.learnResponseTime(c, responseTime)
+	if len(c.Items) > 0 && k.pool.responseTimeUnknown(k.endpoint) {
 		return CloseResponseTimeUnknown, false
 	}
 	return 0, true
 }
 
-// response reads the real answer. What begins before the deadline and is no answer is errSpoilt.
-func (k *conn) response(deadline time.Time) (*http1.Message, error) {
-	for range interimMost {
+// readResponse reads the final response. One that begins before the deadline but cannot be parsed, or stalls, gives
+// errMalformed.
+func (k *conn) readResponse(deadline time.Time) (*http1.Message, error) {
+	for range maxInterimResponses {
 		k.nc.SetReadDeadline(deadline)
-		if err := k.rd.Wait(); err != nil {
+		if err := k.reader.Wait(); err != nil {
 			return &http1.Message{}, err
 		}
-		k.begunAt = time.Now()
-		if rest := k.begunAt.Add(restWithin); rest.Before(deadline) {
-			k.nc.SetReadDeadline(rest)
+		k.firstByteAt = time.Now()
+		if readDeadline := k.firstByteAt.Add(responseReadTimeout); readDeadline.Before(deadline) {
+			k.nc.SetReadDeadline(readDeadline)
 		}
-		m, err := k.rd.Response()
+		resp, err := k.reader.Response()
 		switch {
 		case errors.Is(err, os.ErrDeadlineExceeded), errors.Is(err, http1.ErrMalformed), errors.Is(err, http1.ErrTooLarge):
-			return m, errSpoilt
-		case err != nil || m.Status >= 200:
-			return m, err
+			return resp, errMalformed
+		case err != nil || resp.Status >= 200:
+			return resp, err
 		}
 	}
-	return &http1.Message{}, errSpoilt
+	return &http1.Message{}, errMalformed
 }
 
-var errSpoilt = errors.New("answer that cannot be read")
+var errMalformed = errors.New("malformed response")
 
-// read turns an answer, or the lack of one, into the call's events. whole is false where an answer to several messages
-// leaves some out.
-func (k *conn) read(c *Call, m *http1.Message, err error) (events []policy.Event, whole bool) {
+// responseEvents converts a response, or the error in its place, to the call's events. complete is false if the response
+// to a bulk call leaves out a message.
+func (k *conn) responseEvents(c *Call, resp *http1.Message, err error) (events []policy.Event, complete bool) {
 	single := len(c.Items) <= 1
-	if err != nil && !(single && m.Status == http.StatusOK) {
-		o := policy.Reset
+	if err != nil && !(single && resp.Status == http.StatusOK) {
+		outcome := policy.Reset
 		switch {
 		case errors.Is(err, os.ErrDeadlineExceeded), c.Abandoned():
-			o = policy.Timeout
-		case errors.Is(err, errSpoilt):
-			o = policy.Error // the endpoint and the connection were there: neither a break nor silence
+			outcome = policy.Timeout
+		case errors.Is(err, errMalformed):
+			outcome = policy.Error // the endpoint responded over a working connection: neither a reset nor a time-out
 		}
-		return c.events(answer{outcome: o}), true
+		return c.eventsFor(itemResult{outcome: outcome}), true
 	}
-	get := func(name string) string { return string(m.Headers.Get(name)) }
-	a := k.pool.answer(m.Status, get, single)
-	if single || m.Status != http.StatusOK {
-		return c.events(a), true
+	get := func(name string) string { return string(resp.Headers.Get(name)) }
+	result := k.pool.classify(resp.Status, get, single)
+	if single || resp.Status != http.StatusOK {
+		return c.eventsFor(result), true
 	}
-	return each(&k.parser, c, m.Body, a)
+	return parseBulk(&k.parser, c, resp.Body, result)
 }
--- a/internal/outbound/dial_test.go
+++ b/internal/outbound/dial_test.go
@@ -13,7 +13,7 @@
 )
 
 // Guards against an attempt, and a mark against its endpoint, for a connection that failed on this side for a moment.
-func TestMomentaryFaultOfThisSideIsNoFailedAttempt(t *testing.T) {
+func TestTransientLocalDialErrorIsRetried(t *testing.T) {
 	partner := standin.NewRawPartner(t)
 	for _, errno := range []syscall.Errno{syscall.EADDRNOTAVAIL, syscall.ENFILE, syscall.EMFILE, syscall.ENOBUFS, syscall.ENETUNREACH, syscall.EINTR} {
 		t.Run(errno.Error(), func(t *testing.T) {
--- a/internal/outbound/matching.go
+++ b/internal/outbound/matching.go
@@ -5,67 +5,73 @@
 	"time"
 )
 
-// HTTP/1.1 does not say which request an answer belongs to: answers count by their order alone. An endpoint, or
-// something on the way to it, that writes one answer twice shifts all later ones on that connection by one. A
-// connection is therefore kept only while every answer fits the call that it ended.
+// HTTP/1.1 does not say which request a response belongs to: responses are matched by their order alone. An endpoint,
+// or an intermediary, that writes one response twice shifts all later ones on that connection by one. A connection is
+// therefore reused only while every response fits the call that it ended.
 
 const (
-	// distrustFor is how long each connection to an endpoint carries one call only after it has sent what nobody
-	// asked for; suspectFor, after an answer that came too early.
-	distrustFor = time.Minute
-	suspectFor  = 5 * time.Second
-	// spreadFrom is how many endpoints have to be distrusted at once for the fault to be taken for one of the way to all
-	// of them: then each connection to any endpoint carries one call only.
-	spreadFrom = 2
+	// Each connection to an endpoint carries only one call for distrustDuration after the endpoint has sent unsolicited
+	// bytes, and for suspectDuration after a response that did not fit its call.
+	distrustDuration = time.Minute
+	suspectDuration  = 5 * time.Second
+	// minDistrustedEndpoints is the number of endpoints distrusted at the same time from which the fault is attributed to
+	// the network path to all of them: then each connection to any endpoint carries only one call.
+	minDistrustedEndpoints = 2
 )
 
-// profileOf is what is known of an endpoint. The lock is held.
-func (p *Pool) profileOf(endpoint uint32) *answerProfile {
-	known := p.profiles[endpoint]
-	if known == nil {
-		known = &answerProfile{}
-		p.profiles[endpoint] = known
+// profileOf returns the profile of an endpoint, which it creates if there is none. The lock is held.
+func (p *Pool) profileOf(endpoint uint32) *responseProfile {
+	profile := p.profiles[endpoint]
+	if profile == nil {
+		profile = &responseProfile{}
+		p.profiles[endpoint] = profile
 	}
-	return known
+	return profile
 }
 
-// learn takes the time of a 200 that fits its call. An endpoint that knows a repeated message answers it at once, which
-// says nothing of its pace. The lock is held.
-func (p *Pool) learn(c *Call, took time.Duration) {
-	if c.firstAttempt() || len(c.Items) > 0 && took >= usualLeast {
-		p.profileOf(c.Endpoint).learn(took)
+// learnResponseTime records the response time of a 200 that fits its call. An endpoint that already knows a repeated
+// message responds at once, which says nothing about its typical response time. The lock is held.
+func (p *Pool) learnResponseTime(c *Call, responseTime time.Duration) {
+	if c.firstAttempt() || len(c.Items) > 0 && responseTime >= minTypicalTime {
+		p.profileOf(c.Endpoint).learn(responseTime)
 	}
 }
 
-// paceUnknown reports whether nothing is known of how long an endpoint takes for messages. The lock is held.
-func (p *Pool) paceUnknown(endpoint uint32) bool { return p.profileOf(endpoint).usual == 0 }
+// responseTimeUnknown reports whether the typical response time of an endpoint to messages is not known yet. The lock is
+// held.
+func (p *Pool) responseTimeUnknown(endpoint uint32) bool {
+	return p.profileOf(endpoint).typicalTime == 0
+}
 
-// noteUnsolicited notes that an endpoint has sent what nobody asked for. The lock is held.
+// noteUnsolicited records that an endpoint has sent unsolicited bytes. The lock is held.
 func (p *Pool) noteUnsolicited(endpoint uint32) {
 	now := time.Now()
 	profile := p.profileOf(endpoint)
 	if !now.Before(profile.distrustedUntil) {
-		p.offenders = append(p.offenders, endpoint)
+		p.distrustedEndpoints = append(p.distrustedEndpoints, endpoint)
 	}
-	profile.distrustedUntil = now.Add(distrustFor)
+	profile.distrustedUntil = now.Add(distrustDuration)
 }
 
-// suspect notes that an answer of an endpoint did not fit its call.
-func (p *Pool) suspect(endpoint uint32) {
+// markSuspect records that a response of an endpoint did not fit its call.
+func (p *Pool) markSuspect(endpoint uint32) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.profileOf(endpoint).suspectUntil = time.Now().Add(suspectFor)
+	p.profileOf(endpoint).suspectUntil = time.Now().Add(suspectDuration)
 }
 
-// distrusted reports whether connections to an endpoint carry one call only. The lock is held.
+// distrusted reports whether connections to an endpoint carry only one call each. The lock is held.
 func (p *Pool) distrusted(endpoint uint32) bool {
 	now := time.Now()
-	p.offenders = slices.DeleteFunc(p.offenders, func(e uint32) bool { return !now.Before(p.profiles[e].distrustedUntil) })
+	p.distrustedEndpoints = slices.DeleteFunc(p.distrustedEndpoints, func(e uint32) bool {
+		return !now.Before(p.profiles[e].distrustedUntil)
+	})
 	profile := p.profileOf(endpoint)
-	return len(p.offenders) >= spreadFrom || now.Before(profile.distrustedUntil) || now.Before(profile.suspectUntil)
+	return len(p.distrustedEndpoints) >= minDistrustedEndpoints || now.Before(profile.distrustedUntil) ||
+		now.Before(profile.suspectUntil)
 }
 
-// firstAttempt reports whether no message of a call has been sent before.
+// firstAttempt reports whether a call has messages and none of them has been sent before.
 func (c *Call) firstAttempt() bool {
 	for i := range c.Items {
 		if c.Items[i].Attempt > 0 {
@@ -75,13 +81,13 @@
 	return len(c.Items) > 0
 }
 
-// mismatched reports whether a 200 can't be the answer to a call: it came too early, on a connection that has carried
-// another. An answer to several messages names them, and is judged by that.
-func (k *conn) mismatched(c *Call, took time.Duration) bool {
+// isMismatched reports whether a 200 cannot be the response to a call: it came too early, on a connection that has
+// carried another call. The response to a bulk call names its messages, and is checked by their names instead.
+func (k *conn) isMismatched(c *Call, responseTime time.Duration) bool {
 	if k.answers == 0 || len(c.Items) != 1 {
 		return false
 	}
 	k.pool.mu.Lock()
 	defer k.pool.mu.Unlock()
-	return k.pool.profileOf(k.endpoint).early(took)
+	return k.pool.profileOf(k.endpoint).isEarly(responseTime)
 }
--- a/internal/outbound/matching_test.go
+++ b/internal/outbound/matching_test.go
@@ -10,7 +10,7 @@
 )
 
 // line is a Pool with one partner; its calls are made one after the other.
-type line struct {
+type poolTest struct {
 	*Pool
 	t       *testing.T
 	partner *standin.RawPartner
@@ -18,15 +18,15 @@
 	closed  chan CloseEvent
 }
 
-func newLine(t *testing.T) *line {
-	l := &line{t: t, partner: standin.NewRawPartner(t), ended: make(chan []policy.Event, 10), closed: make(chan CloseEvent, 10)}
+func newPoolTest(t *testing.T) *poolTest {
+	l := &poolTest{t: t, partner: standin.NewRawPartner(t), ended: make(chan []policy.Event, 10), closed: make(chan CloseEvent, 10)}
 	l.Pool = NewPool(Options{MaxConns: 4, KeepAlive: time.Minute, DialTimeout: time.Second, X0: -1, X1: -1,
 		OnDone: func(_ *Call, events []policy.Event) { l.ended <- events }, OnConnClosed: func(c CloseEvent) { l.closed <- c }})
 	return l
 }
 
 // call sends a message for each id, and returns the request as the partner has read it.
-func (l *line) call(ids ...string) *standin.RawCall {
+func (l *poolTest) call(ids ...string) *standin.RawCall {
 	c := &Call{Endpoint: 1, Addr: l.partner.Addr, SentAt: time.Now(), Timeout: 5 * time.Second}
 	for i, id := range ids {
 		c.Items = append(c.Items, Item{ID: uint64(i), Trace: id})
@@ -36,15 +36,15 @@
 }
 
 // answered sends one message and has it answered; it returns the connection's number.
-func (l *line) answered(text string) int {
+func (l *poolTest) callAndAnswer(response string) int {
 	c := l.call("m")
-	c.Write(text)
+	c.Write(response)
 	<-l.ended
 	return c.Conn
 }
 
 // kept returns the idle connection, once the partner's bytes have arrived where any are awaited.
-func (l *line) kept(want sockets.Condition) *conn {
+func (l *poolTest) waitIdle(want sockets.Condition) *conn {
 	l.mu.Lock()
 	k := l.idle[1][0]
 	l.mu.Unlock()
@@ -54,7 +54,7 @@
 	return k
 }
 
-func (l *line) wantClosed(reason CloseReason) {
+func (l *poolTest) wantClosed(reason CloseReason) {
 	l.t.Helper()
 	if c := <-l.closed; c.Reason != reason {
 		l.t.Errorf("closed: %v, want %v", c.Reason, reason)
@@ -62,15 +62,15 @@
 }
 
 // Guards against an endpoint that repeats answers late, when its copies look like the next call's answer.
-func TestEndpointThatRepeatsAnAnswerGetsOneCallAConnection(t *testing.T) {
-	l := newLine(t)
+func TestUnsolicitedResponseLimitsConnectionsToOneCall(t *testing.T) {
+	l := newPoolTest(t)
 	c := l.call("first")
 	c.Write(standin.OK)
 	<-l.ended
 	c.Write(standin.OK)
-	l.kept(sockets.Unsolicited)
+	l.waitIdle(sockets.Unsolicited)
 	for want := 2; want < 4; want++ {
-		if n := l.answered(standin.OK); n != want {
+		if n := l.callAndAnswer(standin.OK); n != want {
 			t.Errorf("on connection %d, want %d", n, want)
 		}
 	}
@@ -79,13 +79,13 @@
 }
 
 // Guards against a copy that arrives after a kept connection was chosen, and before the request is written.
-func TestCopyBeforeTheRequestMovesTheCallToANewConnection(t *testing.T) {
-	l := newLine(t)
+func TestUnsolicitedResponseBeforeRequestMovesCallToNewConnection(t *testing.T) {
+	l := newPoolTest(t)
 	first := l.call("first")
 	first.Write(standin.OK)
 	<-l.ended
-	k := l.kept(sockets.Idle)
-	if !l.unpark(k) {
+	k := l.waitIdle(sockets.Idle)
+	if !l.removeIdle(k) {
 		t.Fatal("the connection is not idle")
 	}
 	first.Write(standin.OK)
@@ -100,8 +100,8 @@
 }
 
 // Guards against an answer to several messages that is another call's: each may have run, and the connection ends.
-func TestAnswerThatNamesOtherMessagesEndsItsConnection(t *testing.T) {
-	l := newLine(t)
+func TestBulkResponseForOtherMessagesClosesConnection(t *testing.T) {
+	l := newPoolTest(t)
 	c := l.call("a", "b")
 	body := `[{"id":"x","state":"accepted"},{"id":"b","state":"accepted"}]`
 	c.Write("HTTP/1.1 200 OK\r\nContent-Length: 61\r\n\r\n" + body)
@@ -112,17 +112,17 @@
 }
 
 // Guards against a copy of a refusal, which would send a message again while it is out.
-func TestConnectionEndsAfterARefusal(t *testing.T) {
-	l := newLine(t)
-	l.answered(standin.Full)
+func TestConnectionIsClosedAfterNon200Response(t *testing.T) {
+	l := newPoolTest(t)
+	l.callAndAnswer(standin.Full)
 	l.wantClosed(CloseOtherStatus)
 }
 
 // Guards against a repeat whose answer comes at once, as a copy would, and is not believed.
-func TestRepeatInDoubtGoesOutOnANewConnection(t *testing.T) {
-	l := newLine(t)
-	l.answered(standin.OK)
-	l.kept(sockets.Idle)
+func TestNewConnBypassesIdleConnections(t *testing.T) {
+	l := newPoolTest(t)
+	l.callAndAnswer(standin.OK)
+	l.waitIdle(sockets.Idle)
 	l.Go(&Call{Endpoint: 1, Addr: l.partner.Addr, SentAt: time.Now(), Timeout: 5 * time.Second, NewConn: true, Items: []Item{{ID: 1, Attempt: 1, Trace: "again"}}})
 	if c := <-l.partner.Calls; c.Conn != 2 {
 		t.Errorf("on connection %d", c.Conn)
@@ -130,26 +130,26 @@
 }
 
 // Guards against a usual answer time that one fast answer ends, or that a slow spell makes call true answers copies.
-func TestEarlyFollowsTheFastAnswers(t *testing.T) {
-	var m answerProfile
+func TestTypicalTimeFollowsFastResponses(t *testing.T) {
+	var profile responseProfile
 	for range 20 {
-		m.learn(200 * time.Millisecond)
+		profile.learn(200 * time.Millisecond)
 	}
-	m.learn(time.Millisecond)
-	if !m.early(20 * time.Millisecond) {
-		t.Errorf("a usual answer takes %v after one fast answer", m.usual)
+	profile.learn(time.Millisecond)
+	if !profile.isEarly(20 * time.Millisecond) {
+		t.Errorf("a usual answer takes %v after one fast answer", profile.typicalTime)
 	}
 	for range 10 {
-		m.learn(600 * time.Millisecond)
+		profile.learn(600 * time.Millisecond)
 	}
-	if m.early(100 * time.Millisecond) {
-		t.Errorf("a usual answer takes %v after ten slow ones", m.usual)
+	if profile.isEarly(100 * time.Millisecond) {
+		t.Errorf("a usual answer takes %v after ten slow ones", profile.typicalTime)
 	}
 }
 
 // Guards against a connection that is kept before anything is known of its endpoint's pace: each copy would be believed.
-func TestConnectionIsNotKeptBeforeItsEndpointsPaceIsKnown(t *testing.T) {
-	l := newLine(t)
+func TestConnectionIsClosedWhileResponseTimeIsUnknown(t *testing.T) {
+	l := newPoolTest(t)
 	l.Go(&Call{Endpoint: 1, Addr: l.partner.Addr, SentAt: time.Now(), Timeout: 5 * time.Second, Items: []Item{{ID: 1, Attempt: 1, Trace: "again"}}})
 	(<-l.partner.Calls).Write(standin.OK) // at once, as to a message that it knows
 	<-l.ended
@@ -157,13 +157,13 @@
 }
 
 // Guards against connections that carry one call each for noise that comes with an answer, and can end no later call.
-func TestBytesBehindAnAnswerCostItsConnectionAlone(t *testing.T) {
-	l := newLine(t)
-	l.answered(standin.OK + "noise")
+func TestTrailingBytesCloseOnlyTheirConnection(t *testing.T) {
+	l := newPoolTest(t)
+	l.callAndAnswer(standin.OK + "noise")
 	l.wantClosed(CloseTrailingBytes)
-	l.answered(standin.OK)
-	l.kept(sockets.Idle)
-	if n := l.answered(standin.OK); n != 2 {
+	l.callAndAnswer(standin.OK)
+	l.waitIdle(sockets.Idle)
+	if n := l.callAndAnswer(standin.OK); n != 2 {
 		t.Errorf("on connection %d, want the kept one", n)
 	}
 }
--- a/internal/outbound/mux.go
+++ b/internal/outbound/mux.go
@@ -15,8 +15,8 @@
 	"sliptide/policy"
 )
 
-// mux is the HTTP/2 connections to one endpoint, and the calls that wait for one of them. Where a request
-// goes is decided by package placing; what its end means is fates.
+// mux holds the HTTP/2 connections to one endpoint, and the calls that wait for one of them. Package placing
+// decides which connection takes a request; streamOutcomes gives the outcome of each end of a stream.
 type mux struct {
 	pool     *Pool
 	partner  *Partner
@@ -24,219 +24,220 @@
 	dest     int
 	addr     string
 
-	mu      sync.Mutex
-	place   placing.Pool
-	conns   map[int]*h2.Conn
-	waiting []*Call
-	born    map[int]int // answers so far when a connection was dialled
-	answers int         // whole ones
-	plain   bool        // the partner chose HTTP/1.1 by ALPN
-	until   time.Time   // of a told wait: nothing that waits is sent
-	closing bool
-	dialAt  time.Time // the turn of the connection that was wanted last
+	mu            sync.Mutex
+	placement     placing.Pool
+	conns         map[int]*h2.Conn
+	waiting       []*Call
+	answersAtDial map[int]int // value of answers when a connection was dialled, by connection
+	answers       int         // complete responses received
+	http1Only     bool        // the partner chose HTTP/1.1 by ALPN
+	heldUntil     time.Time   // end of a requested wait, during which no waiting call is sent
+	retired       bool        // replaced by another mux
+	dialDueAt     time.Time   // turn of the connection that was requested last
 }
 
-// fates is what the end of a stream means to the decision module (RFC 9113 8.7; the protocol page's table).
-// A whole answer means what its status says. An answer with 200 for a single message is true as soon as its
-// head is there, whatever comes of the stream.
-var fates = map[h2.Fate]policy.Outcome{
+// streamOutcomes maps the end of a stream to an outcome for the decision module (RFC 9113 8.7). A complete
+// response is classified by its status. A 200 to a single message counts as soon as its header section has
+// arrived, however the stream ends.
+var streamOutcomes = map[h2.Fate]policy.Outcome{
 	h2.NeverRan:  policy.ConnectFailed, // the last byte was not written
-	h2.GoneAway:  policy.Moot,          // the peer closes in good order: nothing is wrong with it, another connection may take it
-	h2.Refused:   policy.Moot,          // no stream for it now: that is no rate, and must not cut the pace as Full does
-	h2.Broken:    policy.Reset,         // it may have run
-	h2.Silent:    policy.Timeout,       // it may have run, and the peer says nothing
-	h2.Cancelled: policy.Timeout,       // given up by us
-	h2.Spoilt:    policy.Error,         // answered, if in no way that can be read
+	h2.GoneAway:  policy.Moot,          // graceful shutdown: the peer is healthy, and another connection may take the call
+	h2.Refused:   policy.Moot,          // no free stream: that is no rate limit, and must not cut the pace as Full does
+	h2.Broken:    policy.Reset,         // the call may have run
+	h2.Silent:    policy.Timeout,       // the call may have run, and the peer does not respond
+	h2.Cancelled: policy.Timeout,       // cancelled by this side
+	h2.Spoilt:    policy.Error,         // there was a response, but a malformed one
 }
 
 func newMux(p *Pool, partner *Partner, c *Call) *mux {
 	return &mux{
-		pool: p, partner: partner, endpoint: c.Endpoint, dest: c.Dest, addr: c.Addr, conns: map[int]*h2.Conn{}, born: map[int]int{},
-		place: placing.Pool{Set: placing.Settings{
+		pool: p, partner: partner, endpoint: c.Endpoint, dest: c.Dest, addr: c.Addr,
+		conns: map[int]*h2.Conn{}, answersAtDial: map[int]int{},
+		placement: placing.Pool{Set: placing.Settings{
 			MaxConns: max(partner.MaxConns, 1), Ahead: 0.9, Expect: 100, IdleFor: float64(p.opt.KeepAlive.Milliseconds()),
 		}},
 	}
 }
 
-// start takes a call. It does not block.
+// start accepts a call. It does not block.
 func (m *mux) start(c *Call) {
-	left := time.Until(c.SentAt.Add(c.Timeout))
+	remaining := time.Until(c.SentAt.Add(c.Timeout))
 	c.mu.Lock()
-	c.timer = time.AfterFunc(max(left, 0), func() { m.expire(c) })
+	c.timer = time.AfterFunc(max(remaining, 0), func() { m.expire(c) })
 	c.mu.Unlock()
 	m.mu.Lock()
-	if m.plain {
+	if m.http1Only {
 		m.mu.Unlock()
-		m.pool.single(c, m.partner)
+		m.pool.startHTTP1(c, m.partner)
 		return
 	}
 	m.waiting = append(m.waiting, c)
-	ends := m.advance()
+	callbacks := m.dispatch()
 	m.mu.Unlock()
-	run(ends)
+	runAll(callbacks)
 }
 
-func run(list []func()) {
-	for _, f := range list {
-		f()
+func runAll(callbacks []func()) {
+	for _, callback := range callbacks {
+		callback()
 	}
 }
 
-// advance gives waiting calls to connections with room, and dials where that is wanted. The lock is held;
-// what it returns is to be called without it.
-func (m *mux) advance() (ends []func()) {
-	for len(m.waiting) > 0 && !time.Now().Before(m.until) {
+// dispatch gives waiting calls to connections with free streams, and dials further connections if needed. The lock
+// is held; the callbacks that it returns must be called without the lock.
+func (m *mux) dispatch() (callbacks []func()) {
+	for len(m.waiting) > 0 && !time.Now().Before(m.heldUntil) {
 		c := m.waiting[0]
-		if c.state.Load() != waiting { // dropped, or its time was up
+		if c.state.Load() != stateWaiting { // dropped or timed out
 			m.waiting = m.waiting[1:]
 			continue
 		}
-		pc := m.place.Place()
+		pc := m.placement.Place()
 		if pc == nil {
 			break
 		}
 		m.waiting = m.waiting[1:]
-		if c.barred() {
-			ends = append(ends, func() { m.pool.withheld(c) })
+		if c.startForbidden() {
+			callbacks = append(callbacks, func() { m.pool.dropForbidden(c) })
 			continue
 		}
-		if !c.begin() {
+		if !c.tryStart() {
 			continue
 		}
 		k := m.conns[pc.ID]
-		s, ok := k.Start(m.request(c), func(r h2.Result) { m.ended(c, r) })
-		m.note(pc, k)
-		if !ok { // the peer has changed its mind since: nothing was written
-			ends = append(ends, func() { m.pool.end(c, policy.Moot) })
+		s, ok := k.Start(m.newRequest(c), func(r h2.Result) { m.streamEnded(c, r) })
+		m.updatePlacement(pc, k)
+		if !ok { // the connection takes no more streams: nothing was written
+			callbacks = append(callbacks, func() { m.pool.finish(c, policy.Moot) })
 			continue
 		}
 		c.mu.Lock()
 		c.stream = s
-		late := c.late
+		cancelOnStart := c.cancelOnStart
 		c.mu.Unlock()
-		if late {
-			ends = append(ends, s.Cancel)
+		if cancelOnStart {
+			callbacks = append(callbacks, s.Cancel)
 		}
 	}
-	for m.place.WantsDial(len(m.waiting)) && !m.closing {
-		if !m.pool.reserve() {
-			if m.place.Len() == 0 {
-				ends = append(ends, m.failAll(policy.ConnectFailed)...)
+	for m.placement.WantsDial(len(m.waiting)) && !m.retired {
+		if !m.pool.reserveConn() {
+			if m.placement.Len() == 0 {
+				callbacks = append(callbacks, m.failWaiting(policy.ConnectFailed)...)
 			}
 			break
 		}
-		pc := m.place.Dial()
-		m.born[pc.ID] = m.answers
+		pc := m.placement.Dial()
+		m.answersAtDial[pc.ID] = m.answers
 		wait := m.pool.dialTurn(m.dest)
-		m.dialAt = time.Now().Add(wait)
+		m.dialDueAt = time.Now().Add(wait)
 		time.AfterFunc(wait, func() { m.dial(pc.ID) })
 	}
-	return ends
+	return callbacks
 }
 
-// failAll ends all calls that wait: none of them ran.
-func (m *mux) failAll(o policy.Outcome) (ends []func()) {
+// failWaiting ends all waiting calls, none of which ran. The callbacks must be called without the lock.
+func (m *mux) failWaiting(outcome policy.Outcome) (callbacks []func()) {
 	for _, c := range m.waiting {
-		if c.begin() {
-			ends = append(ends, func() { m.pool.end(c, o) })
+		if c.tryStart() {
+			callbacks = append(callbacks, func() { m.pool.finish(c, outcome) })
 		}
 	}
 	m.waiting = nil
-	return ends
+	return callbacks
 }
 
-// note takes over what a connection can take now.
-func (m *mux) note(pc *placing.Conn, k *h2.Conn) {
-	st := k.State()
-	pc.Limit, pc.Active = st.Limit, st.Active
-	if st.Draining || st.Lost != nil {
+// updatePlacement copies the stream limit, the open streams and the phase of a connection to its placing entry.
+func (m *mux) updatePlacement(pc *placing.Conn, k *h2.Conn) {
+	state := k.State()
+	pc.Limit, pc.Active = state.Limit, state.Active
+	if state.Draining || state.Lost != nil {
 		pc.Phase = placing.Draining
-	} else if st.Open {
+	} else if state.Open {
 		pc.Phase = placing.Open
 	}
 }
 
-// changed follows a connection: its limit, its streams, its end.
-func (m *mux) changed(id int, k *h2.Conn) {
+// connChanged handles a change of a connection: of its stream limit, of its open streams, or its end.
+func (m *mux) connChanged(id int, k *h2.Conn) {
 	m.mu.Lock()
-	pc := m.place.Get(id)
+	pc := m.placement.Get(id)
 	if pc == nil {
 		m.mu.Unlock()
 		return
 	}
-	m.conns[id] = k // SETTINGS may come before dial has entered it
-	m.note(pc, k)
+	m.conns[id] = k // registered here, since SETTINGS may arrive before h2.New returns
+	m.updatePlacement(pc, k)
 	pc.UsedAt = nowMS()
-	var ends []func()
+	var callbacks []func()
 	if k.State().Lost != nil {
-		// One that was of no use is a dial that failed: calls that wait must not dial again and again to a
-		// partner that accepts and closes.
-		useless := m.born[id] == m.answers
-		m.drop(id)
-		if useless && m.place.Len() == 0 {
-			ends = m.failAll(policy.ConnectFailed)
+		// A connection without any response since its dial counts as a failed dial: waiting calls must not
+		// dial again and again to a partner that accepts connections and closes them.
+		noAnswers := m.answersAtDial[id] == m.answers
+		m.removeConn(id)
+		if noAnswers && m.placement.Len() == 0 {
+			callbacks = m.failWaiting(policy.ConnectFailed)
 		}
 	}
-	ends = append(ends, m.advance()...)
-	if pc.Phase == placing.Draining || m.closing {
-		m.reap()
+	callbacks = append(callbacks, m.dispatch()...)
+	if pc.Phase == placing.Draining || m.retired {
+		m.closeUnused()
 	}
 	m.mu.Unlock()
-	run(ends)
+	runAll(callbacks)
 }
 
-// drop takes a connection out of the books. The lock is held.
-func (m *mux) drop(id int) {
-	m.place.Drop(id)
+// removeConn removes a connection from the mux and from the pool's count. The lock is held.
+func (m *mux) removeConn(id int) {
+	m.placement.Drop(id)
 	delete(m.conns, id)
-	delete(m.born, id)
-	m.pool.release()
+	delete(m.answersAtDial, id)
+	m.pool.releaseConn()
 }
 
-// started is a moment of this process, from which nowMS counts by the monotonic clock.
-var started = time.Now()
+// processStart is the origin of nowMS, which counts by the monotonic clock.
+var processStart = time.Now()
 
-func nowMS() float64 { return float64(time.Since(started)) / float64(time.Millisecond) }
+func nowMS() float64 { return float64(time.Since(processStart)) / float64(time.Millisecond) }
 
-// reap closes connections that are of no more use, and looks again when the next may be.
-func (m *mux) reap() {
-	for _, pc := range m.place.Idle(nowMS()) {
+// closeUnused closes the connections without open streams that are draining or have been idle too long. The lock is held.
+func (m *mux) closeUnused() {
+	for _, pc := range m.placement.Idle(nowMS()) {
 		if k := m.conns[pc.ID]; k != nil {
 			k.Close()
 		}
 	}
 }
 
-// dial brings a connection up.
+// dial establishes a connection.
 func (m *mux) dial(id int) {
 	ctx, cancel := context.WithTimeout(context.Background(), m.pool.opt.DialTimeout)
 	defer cancel()
 	nc, proto, err := m.pool.dial(ctx, m.partner, m.addr, func() bool { return true })
 	if err != nil {
-		m.pool.complain(m.endpoint, m.addr, err)
+		m.pool.reportDialError(m.endpoint, m.addr, err)
 	}
-	if err == nil && proto != "h2" { // the partner picked HTTP/1.1 (RFC 7301)
+	if err == nil && proto != "h2" { // the partner chose HTTP/1.1 by ALPN (RFC 7301)
 		nc.Close()
-		m.fallBack(id)
+		m.fallBackToHTTP1(id)
 		return
 	}
 	if err != nil {
 		m.mu.Lock()
-		m.drop(id)
-		var ends []func()
-		if m.place.Len() == 0 {
-			ends = m.failAll(policy.ConnectFailed)
+		m.removeConn(id)
+		var callbacks []func()
+		if m.placement.Len() == 0 {
+			callbacks = m.failWaiting(policy.ConnectFailed)
 		}
-		ends = append(ends, m.advance()...)
+		callbacks = append(callbacks, m.dispatch()...)
 		m.mu.Unlock()
-		run(ends)
+		runAll(callbacks)
 		return
 	}
 	k := h2.New(nc, h2.Options{
-		MaxBody: http1.MaxBody, RestIn: restWithin, PingAfter: m.partner.PingAfter, PingFor: m.partner.PingTimeout,
-		Changed: func(k *h2.Conn) { m.changed(id, k) },
+		MaxBody: http1.MaxBody, RestIn: responseReadTimeout, PingAfter: m.partner.PingAfter, PingFor: m.partner.PingTimeout,
+		Changed: func(k *h2.Conn) { m.connChanged(id, k) },
 	})
-	select { // a peer that accepts and says nothing is no connection
+	select { // a connection is usable only once the peer has sent its SETTINGS
 	case <-ctx.Done():
 	case <-k.Settled():
 		go m.watchIdle(id, k)
@@ -244,63 +245,63 @@
 	case <-k.Done():
 		return
 	}
-	m.pool.complain(m.endpoint, m.addr, errors.New("no SETTINGS in time"))
-	k.Abort(errors.New("no SETTINGS in time"))
+	m.pool.reportDialError(m.endpoint, m.addr, errors.New("HTTP/2: no SETTINGS received within the dial time-out"))
+	k.Abort(errors.New("HTTP/2: no SETTINGS received within the dial time-out"))
 }
 
-// watchIdle closes a connection that has not been used for the time that one may stand idle.
+// watchIdle closes unused connections periodically, until k ends.
 func (m *mux) watchIdle(id int, k *h2.Conn) {
-	t := time.NewTicker(max(m.pool.fresh()/2, 10*time.Millisecond))
-	defer t.Stop()
+	ticker := time.NewTicker(max(m.pool.idleTimeout()/2, 10*time.Millisecond))
+	defer ticker.Stop()
 	for {
 		select {
 		case <-k.Done():
 			return
-		case <-t.C:
+		case <-ticker.C:
 			m.mu.Lock()
-			m.reap()
+			m.closeUnused()
 			m.mu.Unlock()
 		}
 	}
 }
 
-// fallBack gives the calls that wait to HTTP/1.1, and all that come for a while.
-func (m *mux) fallBack(id int) {
+// fallBackToHTTP1 makes the waiting calls, and all later calls of this mux, over HTTP/1.1.
+func (m *mux) fallBackToHTTP1(id int) {
 	m.mu.Lock()
-	m.drop(id)
-	m.plain = true
+	m.removeConn(id)
+	m.http1Only = true
 	calls := m.waiting
 	m.waiting = nil
 	m.mu.Unlock()
 	for _, c := range calls {
-		m.pool.single(c, m.partner)
+		m.pool.startHTTP1(c, m.partner)
 	}
 }
 
-// expire ends a call whose time is up. One that still waits never ran: for a connection that does not come,
-// or for a stream of a peer that has no room.
+// expire ends a call that has timed out. One that still waits never ran: no connection was established, or the
+// peer allowed no further stream.
 func (m *mux) expire(c *Call) {
-	if c.begin() {
+	if c.tryStart() {
 		m.mu.Lock()
-		o := policy.ConnectFailed
+		outcome := policy.ConnectFailed
 		switch {
 		case len(m.conns) > 0:
-			o = policy.Full
-		case time.Now().Before(m.dialAt): // our own pace kept it, and says nothing of the partner
-			o = policy.Moot
+			outcome = policy.Full
+		case time.Now().Before(m.dialDueAt): // delayed by the pacing of dials, which says nothing about the partner
+			outcome = policy.Moot
 		}
-		for i, w := range m.waiting {
-			if w == c {
+		for i, waiting := range m.waiting {
+			if waiting == c {
 				m.waiting = append(m.waiting[:i:i], m.waiting[i+1:]...)
 				break
 			}
 		}
 		m.mu.Unlock()
-		m.pool.end(c, o)
+		m.pool.finish(c, outcome)
 		return
 	}
 	c.mu.Lock()
-	c.late = true
+	c.cancelOnStart = true
 	s := c.stream
 	c.mu.Unlock()
 	if s != nil {
@@ -308,30 +309,31 @@
 	}
 }
 
-// hangUp closes the connections that carry nothing.
-func (m *mux) hangUp() {
+// closeIdleConns closes the connections without open streams.
+func (m *mux) closeIdleConns() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for id, k := range m.conns {
-		if pc := m.place.Get(id); pc != nil && k.State().Active == 0 {
+		if pc := m.placement.Get(id); pc != nil && k.State().Active == 0 {
 			pc.Phase = placing.Draining
 			k.Close()
 		}
 	}
 }
 
-// retire closes what is idle now and the rest when it is: the partner is reached in another way from here on.
+// retire ends the waiting calls, closes the idle connections, and lets the others close once they are idle: the
+// endpoint has a new address or other partner settings.
 func (m *mux) retire() {
 	m.mu.Lock()
-	m.closing, m.place.Set.IdleFor = true, 0
-	ends := m.failAll(policy.Moot)
-	m.reap()
+	m.retired, m.placement.Set.IdleFor = true, 0
+	callbacks := m.failWaiting(policy.Moot)
+	m.closeUnused()
 	m.mu.Unlock()
-	run(ends)
+	runAll(callbacks)
 }
 
-// ended turns the end of a stream into the call's events.
-func (m *mux) ended(c *Call, r h2.Result) {
+// streamEnded converts the end of a stream to the call's events, and reports them.
+func (m *mux) streamEnded(c *Call, r h2.Result) {
 	c.mu.Lock()
 	if c.timer != nil {
 		c.timer.Stop()
@@ -344,40 +346,41 @@
 	}
 	single := len(c.Items) <= 1
 	if r.Fate != h2.Answered && !(single && r.Status == 200) {
-		m.pool.opt.OnDone(c, c.events(answer{outcome: fates[r.Fate]}))
+		m.pool.opt.OnDone(c, c.eventsFor(itemResult{outcome: streamOutcomes[r.Fate]}))
 		return
 	}
-	a := m.pool.answer(r.Status, r.Get, single)
-	if a.wait > 0 {
-		m.hold(time.Duration(a.wait) * time.Millisecond)
+	result := m.pool.classify(r.Status, r.Get, single)
+	if result.wait > 0 {
+		m.holdWaiting(time.Duration(result.wait) * time.Millisecond)
 	}
 	if single || r.Status != 200 {
-		m.pool.opt.OnDone(c, c.events(a))
+		m.pool.opt.OnDone(c, c.eventsFor(result))
 		return
 	}
 	var parser fastjson.Parser
-	events, _ := each(&parser, c, r.Body, a) // a stream carries the answer to its own request alone
+	events, _ := parseBulk(&parser, c, r.Body, result) // a stream carries only the response to its own request
 	m.pool.opt.OnDone(c, events)
 }
 
-// hold keeps back what waits for a stream when a wait is told. The stream that told it is free at once, and
-// the next in line would take it before the sender has heard of the wait and withdrawn it.
-func (m *mux) hold(wait time.Duration) {
+// holdWaiting holds the calls that wait for a stream during a requested wait. The stream whose response requested
+// it is free at once, and the next waiting call would take it before the sender has been informed of the wait and
+// has dropped that call.
+func (m *mux) holdWaiting(wait time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if until := time.Now().Add(wait); until.After(m.until) {
-		m.until = until
+	if until := time.Now().Add(wait); until.After(m.heldUntil) {
+		m.heldUntil = until
 	}
 	time.AfterFunc(wait+time.Millisecond, func() {
 		m.mu.Lock()
-		ends := m.advance()
+		callbacks := m.dispatch()
 		m.mu.Unlock()
-		run(ends)
+		runAll(callbacks)
 	})
 }
 
-// request is the call as HTTP/2 carries it.
-func (m *mux) request(c *Call) *h2.Request {
+// newRequest returns the HTTP/2 request of a call.
+func (m *mux) newRequest(c *Call) *h2.Request {
 	r := &h2.Request{Method: "POST", Scheme: "http", Authority: m.addr}
 	if m.partner.TLS != nil {
 		r.Scheme = "https"
@@ -385,21 +388,23 @@
 			r.Authority = m.partner.ServerName
 		}
 	}
-	expires := h2.Field{Name: "x-expires-in", Value: strconv.FormatFloat(max(time.Until(c.SentAt.Add(c.Timeout)).Seconds(), 0.001), 'f', 3, 64)}
+	expires := h2.Field{
+		Name: "x-expires-in", Value: strconv.FormatFloat(max(time.Until(c.SentAt.Add(c.Timeout)).Seconds(), 0.001), 'f', 3, 64),
+	}
 	switch len(c.Items) {
 	case 0:
 		r.Method, r.Path = "GET", "/alive"
 	case 1:
-		it := &c.Items[0]
-		r.Path, r.Body = "/inbox", it.Body
+		item := &c.Items[0]
+		r.Path, r.Body = "/inbox", item.Body
 		r.Fields = make([]h2.Field, 0, 3)
-		r.Fields = append(r.Fields, h2.Field{Name: "x-trace-id", Value: it.Trace, Private: true})
-		if it.Key != "" {
-			r.Fields = append(r.Fields, h2.Field{Name: "idempotency-key", Value: it.Key, Private: true})
+		r.Fields = append(r.Fields, h2.Field{Name: "x-trace-id", Value: item.Trace, Private: true})
+		if item.Key != "" {
+			r.Fields = append(r.Fields, h2.Field{Name: "idempotency-key", Value: item.Key, Private: true})
 		}
 		r.Fields = append(r.Fields, expires)
 	default:
-		r.Path, r.Body = "/inbox/bulk", c.bulk()
+		r.Path, r.Body = "/inbox/bulk", c.bulkBody()
 		r.Fields = append(r.Fields, h2.Field{Name: "content-type", Value: "application/json"}, expires)
 	}
 	return r
--- a/internal/outbound/mux_test.go
+++ b/internal/outbound/mux_test.go
@@ -12,7 +12,7 @@
 )
 
 // What the end of a stream means to the decision module: the table of docs/design/http2.md, row by row.
-func TestFatesToOutcomes(t *testing.T) {
+func TestStreamOutcomes(t *testing.T) {
 	for name, row := range map[string]struct {
 		reply  standin.Reply
 		items  int
@@ -62,18 +62,18 @@
 
 // A partner that floods, and one that reads nothing, cost the calls to another nothing: all of these are
 // answered in their time, while the two are at it.
-func TestBadPartnersHarmNoOther(t *testing.T) {
+func TestMisbehavingPartnersDoNotDelayOthers(t *testing.T) {
 	start := func(p *standin.H2) *standin.H2 {
 		t.Cleanup(p.Listen().Close)
 		return p
 	}
 	stop := make(chan struct{})
 	good := start(&standin.H2{})
-	floods := start(&standin.H2{Raw: func(nc net.Conn, fr *http2.Framer) {
+	flooding := start(&standin.H2{Raw: func(nc net.Conn, fr *http2.Framer) {
 		for fr.WritePing(false, [8]byte{}) == nil {
 		}
 	}})
-	deaf := start(&standin.H2{Raw: func(net.Conn, *http2.Framer) { <-stop }})
+	notReading := start(&standin.H2{Raw: func(net.Conn, *http2.Framer) { <-stop }})
 	t.Cleanup(func() { close(stop) })
 	type end struct {
 		endpoint uint32
@@ -87,12 +87,12 @@
 	call := func(endpoint uint32, addr string, timeout time.Duration, size int) {
 		pool.Go(&Call{Endpoint: endpoint, Addr: addr, SentAt: time.Now(), Timeout: timeout, Items: []Item{{ID: 1, Trace: "t", Body: make([]byte, size)}}})
 	}
-	bad := 0
+	outstanding := 0
 	for range 300 {
-		if bad < 20 {
-			call(2, floods.Addr(), 3*time.Second, 60000)
-			call(3, deaf.Addr(), 3*time.Second, 60000)
-			bad += 2
+		if outstanding < 20 {
+			call(2, flooding.Addr(), 3*time.Second, 60000)
+			call(3, notReading.Addr(), 3*time.Second, 60000)
+			outstanding += 2
 		}
 		call(1, good.Addr(), 3*time.Second, 100)
 		for e := range ended {
@@ -102,10 +102,10 @@
 				}
 				break
 			}
-			bad--
+			outstanding--
 		}
 	}
-	for ; bad > 0; bad-- { // and each of theirs ends too
+	for ; outstanding > 0; outstanding-- { // and each of theirs ends too
 		if e := <-ended; e.outcome == policy.OK {
 			t.Error("a bad partner answers")
 		}
--- a/internal/outbound/outbound.go
+++ b/internal/outbound/outbound.go
@@ -1,6 +1,6 @@
-// Package outbound makes the calls to endpoints: one goroutine a connection, a
-// pool of idle connections for each endpoint, and the outcome that each answer
-// or failure stands for.
+// Package outbound makes the calls to endpoints over HTTP/1.1 and HTTP/2. It keeps a
+// pool of connections for each endpoint, each served by its own goroutine, and maps
+// every response or failure to an outcome.
 package outbound
 
 import (
@@ -14,40 +14,41 @@
 	"sliptide/policy"
 )
 
-// idleMargin is kept from the time at which an idle connection is closed. A longer
-// one costs new connections to partners that are seldom called.
+// idleMargin is how long before the end of the keep-alive time an idle connection is
+// closed. A longer margin costs new connections to partners that are seldom called.
 const idleMargin = 500 * time.Millisecond
 
-// Options are what a Pool needs to know.
+// Options configures a Pool.
 type Options struct {
-	MaxConns    int
-	KeepAlive   time.Duration // how long a connection may stand idle
+	MaxConns    int           // HTTP/1.1 and HTTP/2 connections to all endpoints together
+	KeepAlive   time.Duration // maximum idle time of a connection
 	DialTimeout time.Duration
-	X0, X1      int // positions in a report; -1 = absent
-	// OnDone takes the events that a call ends with, in the order of its items. It must not be held up.
+	X0, X1      int // positions of the values x0 and x1 in a load report; -1: absent
+	// OnDone receives the events with which a call ends, in the order of its items. It must not block.
 	OnDone func(*Call, []policy.Event)
-	// Partner says how a destination is reached; nil, or a nil answer: plain HTTP/1.1.
+	// Partner returns how a destination is reached. If it is nil or returns nil, plain HTTP/1.1 is used.
 	Partner func(dest int) *Partner
-	// OnDialError is told why a connection could not be had, once in troubleGap for an endpoint; it may be nil.
+	// OnDialError receives the error of a connection that could not be established, at most once in
+	// dialErrorInterval for each endpoint. It may be nil.
 	OnDialError func(endpoint uint32, addr string, err error)
-	// OnConnClosed is told of each connection over HTTP/1.1 that is closed. It must not be held up; it may be nil.
+	// OnConnClosed is called for each HTTP/1.1 connection that is closed. It must not block; it may be nil.
 	OnConnClosed func(CloseEvent)
 
-	dial dialFunc // in place of a Partner's Dial, in tests; nil: none
+	dial dialFunc // replaces Partner.Dial in tests; may be nil
 }
 
-// dialFunc connects to an address, as a Partner's Dial does.
+// dialFunc connects to an address, as Partner.Dial does.
 type dialFunc func(ctx context.Context, addr string) (nc net.Conn, proto string, err error)
 
-// dial connects to an endpoint, or returns why it has refused. What fails on this side, for a moment, says nothing of the
-// endpoint: it is tried again while ctx stands and wanted says so.
+// dial connects to an endpoint. A transient error on this side says nothing about the endpoint, so dial retries it until
+// ctx is done or wanted returns false.
 func (p *Pool) dial(ctx context.Context, partner *Partner, addr string, wanted func() bool) (nc net.Conn, proto string, err error) {
-	connect := p.opt.dial
-	if connect == nil {
-		connect = partner.Dial
+	dialPartner := p.opt.dial
+	if dialPartner == nil {
+		dialPartner = partner.Dial
 	}
 	for {
-		nc, proto, err = connect(ctx, addr)
+		nc, proto, err = dialPartner(ctx, addr)
 		if err == nil || !transient.IsDialError(err) || !wanted() {
 			return nc, proto, err
 		}
@@ -59,26 +60,29 @@
 	}
 }
 
-// troubleGap is the time between two words on one endpoint.
-const troubleGap = 10 * time.Second
+// dialErrorInterval is the minimum time between two reported dial errors of one endpoint.
+const dialErrorInterval = 10 * time.Second
 
 // Pool holds the connections to all endpoints.
 type Pool struct {
-	opt  Options
-	mu   sync.Mutex
-	idle map[uint32][]*conn // by endpoint, last used last
-	open int
-	mux  map[uint32]*mux // by endpoint
-	told map[uint32]time.Time
-	// profiles is how endpoints answer over HTTP/1.1.
-	profiles  map[uint32]*answerProfile
-	offenders []uint32          // endpoints that have sent what nobody asked for
-	pace      map[int]*dialPace // by destination, of those whose connections are paced
+	opt         Options
+	mu          sync.Mutex
+	idle        map[uint32][]*conn // by endpoint, most recently used last
+	open        int
+	muxes       map[uint32]*mux      // by endpoint
+	dialErrorAt map[uint32]time.Time // last reported dial error, by endpoint
+	// profiles holds how endpoints respond over HTTP/1.1, by endpoint.
+	profiles            map[uint32]*responseProfile
+	distrustedEndpoints []uint32           // endpoints that have sent unsolicited bytes
+	dialPacers          map[int]*dialPacer // by destination; only for paced destinations
 }
 
 // NewPool returns a Pool without connections.
 func NewPool(opt Options) *Pool {
-	return &Pool{opt: opt, idle: map[uint32][]*conn{}, mux: map[uint32]*mux{}, told: map[uint32]time.Time{}, profiles: map[uint32]*answerProfile{}, pace: map[int]*dialPace{}}
+	return &Pool{
+		opt: opt, idle: map[uint32][]*conn{}, muxes: map[uint32]*mux{}, dialErrorAt: map[uint32]time.Time{},
+		profiles: map[uint32]*responseProfile{}, dialPacers: map[int]*dialPacer{},
+	}
 }
 
 // Go starts a call on an idle connection or a new one. It does not block.
@@ -88,15 +92,15 @@
 		partner = p.opt.Partner(c.Dest)
 	}
 	if partner == nil || !partner.HTTP2 {
-		p.single(c, partner)
+		p.startHTTP1(c, partner)
 		return
 	}
 	p.mu.Lock()
-	m := p.mux[c.Endpoint]
+	m := p.muxes[c.Endpoint]
 	old := m
 	if m == nil || m.addr != c.Addr || m.partner != partner {
 		m = newMux(p, partner, c)
-		p.mux[c.Endpoint] = m
+		p.muxes[c.Endpoint] = m
 	}
 	p.mu.Unlock()
 	if old != nil && old != m {
@@ -105,69 +109,71 @@
 	m.start(c)
 }
 
-// reserve takes room for a connection.
-func (p *Pool) reserve() bool {
+// reserveConn counts a new connection against MaxConns. At the limit it closes an idle connection first; without one it
+// returns false.
+func (p *Pool) reserveConn() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.open >= p.opt.MaxConns && !p.evict() {
+	if p.open >= p.opt.MaxConns && !p.evictOldest() {
 		return false
 	}
 	p.open++
 	return true
 }
 
-func (p *Pool) release() {
+func (p *Pool) releaseConn() {
 	p.mu.Lock()
 	p.open--
 	p.mu.Unlock()
 }
 
-// OpenConns is how many connections there are or come up.
+// OpenConns returns the number of connections that are open or being dialled.
 func (p *Pool) OpenConns() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.open
 }
 
-// complain tells why an endpoint could not be reached, where somebody listens.
-func (p *Pool) complain(endpoint uint32, addr string, err error) {
+// reportDialError passes a dial error to OnDialError, unless one of the same endpoint was reported within
+// dialErrorInterval.
+func (p *Pool) reportDialError(endpoint uint32, addr string, err error) {
 	if p.opt.OnDialError == nil {
 		return
 	}
 	p.mu.Lock()
-	soon := time.Since(p.told[endpoint]) < troubleGap
-	if !soon {
-		p.told[endpoint] = time.Now()
+	throttled := time.Since(p.dialErrorAt[endpoint]) < dialErrorInterval
+	if !throttled {
+		p.dialErrorAt[endpoint] = time.Now()
 	}
 	p.mu.Unlock()
-	if !soon {
+	if !throttled {
 		p.opt.OnDialError(endpoint, addr, err)
 	}
 }
 
-// single makes a call over HTTP/1.1, which carries one at a time on a connection.
-func (p *Pool) single(c *Call, partner *Partner) {
-	if p.onIdle(c, partner) {
+// startHTTP1 makes a call over HTTP/1.1, where a connection carries one call at a time.
+func (p *Pool) startHTTP1(c *Call, partner *Partner) {
+	if p.startOnIdleConn(c, partner) {
 		return
 	}
 	wait := p.dialTurn(c.Dest)
 	switch {
 	case wait <= 0:
-		p.connect(c, partner)
-	case wait >= time.Until(c.SentAt.Add(c.Timeout)): // its time is up before its turn: it never ran
-		go p.fail(c, policy.Moot)
-	default: // a connection that has become idle meanwhile is as good
+		p.startOnNewConn(c, partner)
+	case wait >= time.Until(c.SentAt.Add(c.Timeout)): // the call times out before its turn to dial: it never ran
+		go p.failUnsent(c, policy.Moot)
+	default: // a connection that has become idle in the meantime is used instead
 		time.AfterFunc(wait, func() {
-			if c.state.Load() == waiting && !p.onIdle(c, partner) {
-				p.connect(c, partner)
+			if c.state.Load() == stateWaiting && !p.startOnIdleConn(c, partner) {
+				p.startOnNewConn(c, partner)
 			}
 		})
 	}
 }
 
-// onIdle gives a call to a connection that stands idle, if there is one. A call that has to be believed goes out on a
-// new one, where no earlier answer can be taken for its own.
-func (p *Pool) onIdle(c *Call, partner *Partner) bool {
+// startOnIdleConn gives a call to an idle connection, if there is one. A call that requires a new connection never gets
+// an idle one, where the response to an earlier call could be taken for its own.
+func (p *Pool) startOnIdleConn(c *Call, partner *Partner) bool {
 	if c.NewConn {
 		return false
 	}
@@ -175,30 +181,30 @@
 	defer p.mu.Unlock()
 	now := time.Now()
 	for i := len(p.idle[c.Endpoint]) - 1; i >= 0; i-- {
-		list := p.idle[c.Endpoint]
-		k := list[i]
-		if now.Before(k.freeAt) {
+		idle := p.idle[c.Endpoint]
+		k := idle[i]
+		if now.Before(k.reusableAt) {
 			continue
 		}
-		p.idle[c.Endpoint] = append(list[:i:i], list[i+1:]...)
-		// An idle connection that its endpoint has closed (a crash, a restart) would turn a
-		// call that never ran into a reset, which may have run.
+		p.idle[c.Endpoint] = append(idle[:i:i], idle[i+1:]...)
+		// On a connection that its endpoint has closed (a crash, a restart), a call that
+		// never ran would end as a reset, which may have run.
 		reason, usable := p.usable(k, c, partner)
 		if usable {
-			k.calls <- c // holds one, and none is under way to a connection that was idle
+			k.calls <- c // does not block: it has space for one call, and an idle connection has none pending
 			return true
 		}
-		k.end(reason)
+		k.closeIdle(reason)
 	}
 	return false
 }
 
-// usable reports whether an idle connection can take a call, and if not, why it is closed.
+// usable reports whether an idle connection can take a call, and if not, the reason to close it.
 func (p *Pool) usable(k *conn, c *Call, partner *Partner) (CloseReason, bool) {
 	switch {
 	case k.addr != c.Addr || k.partner != partner:
 		return CloseReplaced, false
-	case time.Since(k.usedAt) >= p.fresh():
+	case time.Since(k.usedAt) >= p.idleTimeout():
 		return CloseIdle, false
 	}
 	switch sockets.Check(k.nc) {
@@ -214,41 +220,42 @@
 	return 0, true
 }
 
-// end makes an idle connection close. The pool's lock is held.
-func (k *conn) end(reason CloseReason) {
+// closeIdle ends the goroutine of an idle connection, which closes it. The pool's lock is held.
+func (k *conn) closeIdle(reason CloseReason) {
 	k.reason = reason
 	close(k.calls)
 }
 
-// connect makes a call on a new connection, if there is room for one.
-func (p *Pool) connect(c *Call, partner *Partner) {
-	if !p.reserve() {
-		go p.fail(c, policy.ConnectFailed)
+// startOnNewConn makes a call on a new connection, if the connection limit allows one.
+func (p *Pool) startOnNewConn(c *Call, partner *Partner) {
+	if !p.reserveConn() {
+		go p.failUnsent(c, policy.ConnectFailed)
 		return
 	}
 	k := &conn{pool: p, partner: partner, endpoint: c.Endpoint, addr: c.Addr, calls: make(chan *Call, 1)}
 	go k.run(c)
 }
 
-// fresh is how long an idle connection is used: inside the time at which the
-// other side may close it, by more than a request takes to get there.
-func (p *Pool) fresh() time.Duration {
+// idleTimeout returns how long an idle connection may be reused. It ends before the
+// peer may close the connection, by more than a request takes to arrive.
+func (p *Pool) idleTimeout() time.Duration {
 	return max(p.opt.KeepAlive-idleMargin, p.opt.KeepAlive/2)
 }
 
-// evict closes the connection that is idle the longest. The lock is held.
-func (p *Pool) evict() bool {
+// evictOldest closes the connection that has been idle the longest, and reports whether there was an idle one. The lock
+// is held.
+func (p *Pool) evictOldest() bool {
 	var oldest *conn
-	for _, list := range p.idle {
-		if len(list) > 0 && (oldest == nil || list[0].usedAt.Before(oldest.usedAt)) {
-			oldest = list[0]
+	for _, idle := range p.idle {
+		if len(idle) > 0 && (oldest == nil || idle[0].usedAt.Before(oldest.usedAt)) {
+			oldest = idle[0]
 		}
 	}
 	if oldest == nil {
 		return false
 	}
 	p.idle[oldest.endpoint] = p.idle[oldest.endpoint][1:]
-	oldest.end(CloseEvicted)
+	oldest.closeIdle(CloseEvicted)
 	return true
 }
 
@@ -257,58 +264,58 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, k := range p.idle[endpoint] {
-		k.end(CloseByCaller)
+		k.closeIdle(CloseByCaller)
 	}
 	delete(p.idle, endpoint)
-	if m := p.mux[endpoint]; m != nil {
-		go m.hangUp()
+	if m := p.muxes[endpoint]; m != nil {
+		go m.closeIdleConns()
 	}
 }
 
-// park puts k among the idle connections. The last call's deadline goes with it:
-// once it has passed, Look would take the connection for dead.
-func (p *Pool) park(k *conn) {
+// addIdle adds k to the idle connections. It clears the deadline of the last call:
+// once that has passed, sockets.Check would report the connection as closed.
+func (p *Pool) addIdle(k *conn) {
 	k.nc.SetDeadline(time.Time{})
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	k.usedAt = time.Now()
-	k.freeAt = k.usedAt.Add(p.profileOf(k.endpoint).settle())
+	k.reusableAt = k.usedAt.Add(p.profileOf(k.endpoint).settleTime())
 	p.idle[k.endpoint] = append(p.idle[k.endpoint], k)
 }
 
-// unpark takes k from the idle connections; false: a call is on its way to it.
-func (p *Pool) unpark(k *conn) bool {
+// removeIdle removes k from the idle connections. It returns false if a call has already been given to k.
+func (p *Pool) removeIdle(k *conn) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	list := p.idle[k.endpoint]
-	for i := range list {
-		if list[i] == k {
-			p.idle[k.endpoint] = append(list[:i:i], list[i+1:]...)
+	idle := p.idle[k.endpoint]
+	for i := range idle {
+		if idle[i] == k {
+			p.idle[k.endpoint] = append(idle[:i:i], idle[i+1:]...)
 			return true
 		}
 	}
 	return false
 }
 
-// fail ends a call of which no byte was written.
-func (p *Pool) fail(c *Call, o policy.Outcome) {
-	if c.begin() {
-		p.end(c, o)
+// failUnsent ends a call of which no byte was written.
+func (p *Pool) failUnsent(c *Call, outcome policy.Outcome) {
+	if c.tryStart() {
+		p.finish(c, outcome)
 	}
 }
 
-// end reports one outcome for all messages of a call.
-func (p *Pool) end(c *Call, o policy.Outcome) {
-	p.opt.OnDone(c, c.events(answer{outcome: o}))
+// finish reports one outcome for all messages of a call.
+func (p *Pool) finish(c *Call, outcome policy.Outcome) {
+	p.opt.OnDone(c, c.eventsFor(itemResult{outcome: outcome}))
 }
 
-// withheld drops a call that may not run any more, and reports whether it did.
-func (p *Pool) withheld(c *Call) bool {
-	if !c.barred() {
+// dropForbidden ends a call that must not start any more, and reports whether it is such a call.
+func (p *Pool) dropForbidden(c *Call) bool {
+	if !c.startForbidden() {
 		return false
 	}
 	if c.Drop() {
-		p.end(c, policy.Moot)
+		p.finish(c, policy.Moot)
 	}
 	return true
 }
--- a/internal/outbound/outbound_test.go
+++ b/internal/outbound/outbound_test.go
@@ -13,7 +13,7 @@
 )
 
 // peer is an endpoint that gives each call one answer and counts its connections.
-func peer(t *testing.T, answers ...string) (addr string, conns <-chan int) {
+func startPeer(t *testing.T, answers ...string) (addr string, conns <-chan int) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -40,9 +40,9 @@
 	return ln.Addr().String(), seen
 }
 
-func TestProbesReportsAndIdleTime(t *testing.T) {
+func TestProbesLoadReportsAndIdleTimeout(t *testing.T) {
 	ok := "HTTP/1.1 200 OK\r\nEndpoint-Load-Metrics: TEXT x1=25, y=9, x0=0.4\r\nContent-Length: 0\r\n\r\n"
-	addr, conns := peer(t, ok, ok, "HTTP/1.1 503 No\r\nRetry-After: 1.25\r\nContent-Length: 0\r\n\r\n")
+	addr, conns := startPeer(t, ok, ok, "HTTP/1.1 503 No\r\nRetry-After: 1.25\r\nContent-Length: 0\r\n\r\n")
 	ended := make(chan []policy.Event, 1)
 	p := NewPool(Options{MaxConns: 4, KeepAlive: 200 * time.Millisecond, DialTimeout: time.Second, X0: 0, X1: 1,
 		OnDone: func(_ *Call, events []policy.Event) { ended <- events }})
@@ -70,7 +70,7 @@
 
 // An answer that cannot be read ends its call at once, as an error that may have run (a
 // single 200 is true whatever follows), and no later call hears the rest of it.
-func TestSpoiltAnswers(t *testing.T) {
+func TestMalformedResponses(t *testing.T) {
 	ok := "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
 	for name, row := range map[string]struct {
 		answer  string
@@ -91,7 +91,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			addr, conns := peer(t, row.answer, ok)
+			addr, conns := startPeer(t, row.answer, ok)
 			ended := make(chan []policy.Event, 1)
 			p := NewPool(Options{MaxConns: 4, KeepAlive: time.Minute, DialTimeout: time.Second, X0: 0, X1: 1,
 				OnDone: func(_ *Call, events []policy.Event) { ended <- events }})
@@ -110,7 +110,7 @@
 
 // A call that was dropped is not made, and one that has begun is not dropped.
 func TestDrop(t *testing.T) {
-	addr, conns := peer(t, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
+	addr, conns := startPeer(t, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 	ended := make(chan *Call, 2)
 	p := NewPool(Options{MaxConns: 4, KeepAlive: time.Minute, DialTimeout: time.Second, X0: -1, X1: -1,
 		OnDone: func(c *Call, _ []policy.Event) { ended <- c }})
@@ -121,22 +121,22 @@
 	p.Go(dropped)
 	for p.idleCount(1) == 0 { // its connection is as good as any
 	}
-	made := &Call{Endpoint: 1, Addr: addr, SentAt: time.Now(), Timeout: 5 * time.Second}
-	p.Go(made)
-	if c := <-ended; c != made || made.Drop() || <-conns != 1 {
+	sent := &Call{Endpoint: 1, Addr: addr, SentAt: time.Now(), Timeout: 5 * time.Second}
+	p.Go(sent)
+	if c := <-ended; c != sent || sent.Drop() || <-conns != 1 {
 		t.Error("the dropped call ended, the other was dropped after its end, or its connection was wasted")
 	}
 }
 
 // A call that the end of another sets free finds that one's connection.
-func TestOutcomeComesAfterItsConnectionIsFree(t *testing.T) {
+func TestConnectionIsIdleBeforeOutcomeIsReported(t *testing.T) {
 	ok := "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
-	addr, conns := peer(t, ok, ok)
+	addr, conns := startPeer(t, ok, ok)
 	var p *Pool
-	left := 1
+	remaining := 1
 	p = NewPool(Options{MaxConns: 4, KeepAlive: time.Minute, DialTimeout: time.Second, X0: -1, X1: -1,
 		OnDone: func(*Call, []policy.Event) {
-			if left--; left == 0 {
+			if remaining--; remaining == 0 {
 				p.Go(&Call{Endpoint: 1, Addr: addr, SentAt: time.Now(), Timeout: time.Second})
 			}
 		}})
@@ -147,9 +147,9 @@
 }
 
 // An idle connection outlives the deadline of the call that it last carried.
-func TestConnectionOutlivesItsCallsDeadline(t *testing.T) {
+func TestIdleConnectionOutlivesCallDeadline(t *testing.T) {
 	ok := "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
-	addr, conns := peer(t, ok, ok)
+	addr, conns := startPeer(t, ok, ok)
 	ended := make(chan bool, 1)
 	p := NewPool(Options{MaxConns: 4, KeepAlive: time.Minute, DialTimeout: time.Second, X0: -1, X1: -1,
 		OnDone: func(*Call, []policy.Event) { ended <- true }})
@@ -178,8 +178,8 @@
 
 // TestWithheld: a call that may not run any more when its connection is there is never written, and says so once the
 // connection is parked: a call that this outcome sets free finds it, where it opened a second one before.
-func TestWithheld(t *testing.T) {
-	addr, conns := peer(t, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
+func TestForbiddenCallIsNeverWritten(t *testing.T) {
+	addr, conns := startPeer(t, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 	ended := make(chan []policy.Event, 1)
 	var p *Pool
 	p = NewPool(Options{MaxConns: 4, KeepAlive: time.Second, DialTimeout: time.Second, X0: -1, X1: -1,
--- a/internal/outbound/pace_test.go
+++ b/internal/outbound/pace_test.go
@@ -12,13 +12,13 @@
 )
 
 // accepts is a listener that notes when each connection comes.
-type accepts struct {
+type acceptTimes struct {
 	net.Listener
 	mu sync.Mutex
 	at []time.Time
 }
 
-func (a *accepts) Accept() (net.Conn, error) {
+func (a *acceptTimes) Accept() (net.Conn, error) {
 	nc, err := a.Listener.Accept()
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -28,25 +28,25 @@
 	return nc, err
 }
 
-func (a *accepts) times() []time.Time {
+func (a *acceptTimes) list() []time.Time {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return append([]time.Time(nil), a.at...)
 }
 
-func listen(t *testing.T) *accepts {
+func listen(t *testing.T) *acceptTimes {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	return &accepts{Listener: ln}
+	return &acceptTimes{Listener: ln}
 }
 
-const every = 80 * time.Millisecond // between two connections, at the pace of these tests
+const dialInterval = 80 * time.Millisecond // between two connections, at the pace of these tests
 
 // Calls that come at once to a partner that has come back open their connections one after the other. The n-th
 // comes n turns after the first at the earliest, however slow the machine.
-func TestDialsArePaced(t *testing.T) {
+func TestPaceDialsSpacesConnections(t *testing.T) {
 	for _, h2 := range []bool{false, true} {
 		const endpoints = 4
 		ended := make(chan policy.Outcome, endpoints)
@@ -58,8 +58,8 @@
 				return &Partner{HTTP2: true, MaxConns: 1}
 			},
 			OnDone: func(_ *Call, e []policy.Event) { ended <- e[0].Outcome }})
-		p.PaceDials(7, float64(time.Second/every))
-		var lns []*accepts
+		p.PaceDials(7, float64(time.Second/dialInterval))
+		var lns []*acceptTimes
 		for range endpoints {
 			ln := listen(t)
 			lns = append(lns, ln)
@@ -73,9 +73,9 @@
 				t.Cleanup(func() { s.Close() })
 			}
 		}
-		began := time.Now()
+		start := time.Now()
 		for i, ln := range lns {
-			p.Go(&Call{Endpoint: uint32(i + 1), Dest: 7, Addr: ln.Addr().String(), SentAt: began, Timeout: 10 * time.Second, Items: []Item{{ID: 1, Trace: "a"}}})
+			p.Go(&Call{Endpoint: uint32(i + 1), Dest: 7, Addr: ln.Addr().String(), SentAt: start, Timeout: 10 * time.Second, Items: []Item{{ID: 1, Trace: "a"}}})
 		}
 		for range endpoints {
 			if o := <-ended; o != policy.OK {
@@ -83,9 +83,9 @@
 			}
 		}
 		for i, ln := range lns {
-			at := ln.times()
-			if len(at) != 1 || at[0].Sub(began) < time.Duration(i)*every {
-				t.Errorf("HTTP/2 %t: connections of endpoint %d after %v, the first turn is after %v", h2, i+1, at[0].Sub(began), time.Duration(i)*every)
+			at := ln.list()
+			if len(at) != 1 || at[0].Sub(start) < time.Duration(i)*dialInterval {
+				t.Errorf("HTTP/2 %t: connections of endpoint %d after %v, the first turn is after %v", h2, i+1, at[0].Sub(start), time.Duration(i)*dialInterval)
 			}
 		}
 	}
@@ -93,7 +93,7 @@
 
 // A call whose turn is later than its time never ran, and says nothing of the partner; one that waits for its
 // turn takes a connection that becomes idle before; and without a pace there are no turns.
-func TestTurnsAreNoFailures(t *testing.T) {
+func TestWaitingForPacedDialIsNotAFailure(t *testing.T) {
 	ln := listen(t)
 	release := make(chan struct{})
 	s := &http.Server{Handler: http.HandlerFunc(func(http.ResponseWriter, *http.Request) { <-release })}
@@ -118,7 +118,7 @@
 			t.Errorf("outcome %v", o)
 		}
 	}
-	if n := len(ln.times()); n != 1 {
+	if n := len(ln.list()); n != 1 {
 		t.Errorf("%d connections, one was idle before the next turn", n)
 	}
 	p.PaceDials(7, 0)
--- a/internal/outbound/partner.go
+++ b/internal/outbound/partner.go
@@ -8,17 +8,17 @@
 	"time"
 )
 
-// Partner is how one partner is reached where it is not by plain HTTP/1.1.
+// Partner describes how a partner is reached other than by plain HTTP/1.1.
 type Partner struct {
-	HTTP2       bool // by prior knowledge, or as ALPN says with TLS
+	HTTP2       bool // by prior knowledge; with TLS, if ALPN selects it
 	TLS         func() *tls.Config
 	ServerName  string
 	MaxConns    int           // HTTP/2 connections to one endpoint
-	PingAfter   time.Duration // of silence with streams open
-	PingTimeout time.Duration
+	PingAfter   time.Duration // time without a frame from the peer, with streams open, before a PING
+	PingTimeout time.Duration // maximum time until the answer to a PING
 }
 
-// Dial connects, with the handshake of TLS where that is set; proto is what was agreed on, "h2" or "http/1.1".
+// Dial connects to addr, with a TLS handshake if TLS is set. proto is the negotiated protocol, "h2" or "http/1.1".
 func (p *Partner) Dial(ctx context.Context, addr string) (nc net.Conn, proto string, err error) {
 	nc, err = (&net.Dialer{}).DialContext(ctx, "tcp", addr)
 	if err != nil || p.TLS == nil {
@@ -38,7 +38,7 @@
 	t := tls.Client(nc, cfg)
 	if err := t.HandshakeContext(ctx); err != nil {
 		nc.Close()
-		return nil, "", fmt.Errorf("TLS: %w", err)
+		return nil, "", fmt.Errorf("TLS handshake: %w", err)
 	}
 	if proto = t.ConnectionState().NegotiatedProtocol; proto == "" {
 		proto = "http/1.1"
--- a/internal/outbound/profile.go
+++ b/internal/outbound/profile.go
@@ -3,49 +3,52 @@
 import "time"
 
 const (
-	// earlyShare is the part of an endpoint's usual answer time before which a 200 on a kept connection is taken for
-	// a copy of an earlier one.
-	earlyShare = 0.25
-	// settleShare is the part of the usual answer time, between settleMin and settleMax, that a connection rests after an
-	// answer: a copy that follows the answer arrives while no request is out.
-	settleShare = 0.5
-	settleMin   = 150 * time.Millisecond
-	settleMax   = 250 * time.Millisecond
-	// The usual answer time follows faster answers sooner than slower ones: it stands for the fast ones.
-	usualGainDown = 0.3
-	usualGainUp   = 0.05
-	// usualLeast is the usual answer time under which nothing can be told by time: a busy machine's noise is as long.
-	usualLeast = 20 * time.Millisecond
+	// earlyFraction is the fraction of an endpoint's typical response time before which a 200 on a reused connection is
+	// taken for a copy of an earlier response.
+	earlyFraction = 0.25
+	// After a response, a connection is not reused for settleFraction of the typical response time, at least minSettle
+	// and at most maxSettle: a copy that follows the response then arrives while no request is outstanding.
+	settleFraction = 0.5
+	minSettle      = 150 * time.Millisecond
+	maxSettle      = 250 * time.Millisecond
+	// The smoothing factors of the typical response time, for faster and for slower responses. It follows faster ones
+	// sooner, and so stands for the fast ones.
+	typicalGainDown = 0.3
+	typicalGainUp   = 0.05
+	// minTypicalTime is the typical response time below which responses are not judged by their time: scheduling delays
+	// on a busy machine are as long.
+	minTypicalTime = 20 * time.Millisecond
 )
 
-// answerProfile is what is known of how an endpoint answers. The zero value is that of one of which nothing is known.
-type answerProfile struct {
-	usual           time.Duration // from the last byte of a request to the first of its 200
-	distrustedUntil time.Time     // it has sent what nobody asked for, and is not trusted
-	suspectUntil    time.Time     // it has sent an answer that did not fit its call
+// responseProfile holds what is known of how an endpoint responds. The zero value is that of an unknown endpoint.
+type responseProfile struct {
+	typicalTime     time.Duration // typical time from the last byte of a request to the first byte of its 200
+	distrustedUntil time.Time     // after the endpoint has sent unsolicited bytes
+	suspectUntil    time.Time     // after a response that did not fit its call
 }
 
-// learn takes the time that a 200 took.
-func (a *answerProfile) learn(took time.Duration) {
-	gain := usualGainUp
+// learn updates the typical response time with that of one 200.
+func (r *responseProfile) learn(responseTime time.Duration) {
+	gain := typicalGainUp
 	switch {
-	case a.usual == 0:
+	case r.typicalTime == 0:
 		gain = 1
-	case took < a.usual:
-		gain = usualGainDown
+	case responseTime < r.typicalTime:
+		gain = typicalGainDown
 	}
-	a.usual += time.Duration(gain * float64(took-a.usual))
+	r.typicalTime += time.Duration(gain * float64(responseTime-r.typicalTime))
 }
 
-// early reports whether a 200 that took so long on a kept connection must be taken for a copy of an earlier one.
-func (a *answerProfile) early(took time.Duration) bool {
-	return a.usual >= usualLeast && float64(took) < earlyShare*float64(a.usual)
+// isEarly reports whether a 200 with this response time on a reused connection must be taken for a copy of an earlier
+// response.
+func (r *responseProfile) isEarly(responseTime time.Duration) bool {
+	return r.typicalTime >= minTypicalTime && float64(responseTime) < earlyFraction*float64(r.typicalTime)
 }
 
-// settle is how long a connection rests after an answer.
-func (a *answerProfile) settle() time.Duration {
-	if a.usual < usualLeast {
+// settleTime returns how long a connection is not reused after a response.
+func (r *responseProfile) settleTime() time.Duration {
+	if r.typicalTime < minTypicalTime {
 		return 0
 	}
-	return min(max(time.Duration(settleShare*float64(a.usual)), settleMin), settleMax)
+	return min(max(time.Duration(settleFraction*float64(r.typicalTime)), minSettle), maxSettle)
 }
--- a/internal/outbound/tls_test.go
+++ b/internal/outbound/tls_test.go
@@ -20,7 +20,7 @@
 )
 
 // secure is a partner over TLS; protocols as ALPN offers them.
-func secure(t *testing.T, cert tls.Certificate, change func(*httptest.Server)) *httptest.Server {
+func startTLSServer(t *testing.T, cert tls.Certificate, configure func(*httptest.Server)) *httptest.Server {
 	s := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
 		io.Copy(io.Discard, q.Body)
 		w.Header().Set("Endpoint-Load-Metrics", fmt.Sprintf("TEXT x0=%d, x1=25", q.ProtoMajor))
@@ -31,8 +31,8 @@
 	s.Config.ErrorLog = log.New(io.Discard, "", 0)
 	s.EnableHTTP2 = true
 	s.TLS = &tls.Config{Certificates: []tls.Certificate{cert}}
-	if change != nil {
-		change(s)
+	if configure != nil {
+		configure(s)
 	}
 	s.StartTLS()
 	t.Cleanup(s.Close)
@@ -40,22 +40,22 @@
 }
 
 // try makes one call and returns its event and what was told of trouble.
-func try(t *testing.T, p *Partner, addr string) (policy.Event, string) {
+func makeCall(t *testing.T, p *Partner, addr string) (policy.Event, string) {
 	t.Helper()
-	ended, trouble := make(chan policy.Event, 1), make(chan string, 10)
+	ended, dialErrors := make(chan policy.Event, 1), make(chan string, 10)
 	pool := NewPool(Options{MaxConns: 4, KeepAlive: time.Second, DialTimeout: 5 * time.Second, X0: 0, X1: 1,
 		Partner:     func(int) *Partner { return p },
-		OnDialError: func(_ uint32, _ string, err error) { trouble <- err.Error() },
+		OnDialError: func(_ uint32, _ string, err error) { dialErrors <- err.Error() },
 		OnDone:      func(_ *Call, events []policy.Event) { ended <- events[0] }})
 	pool.Go(&Call{Endpoint: 1, Addr: addr, Items: []Item{{ID: 1, Trace: "t", Body: []byte("b")}}, SentAt: time.Now(), Timeout: 10 * time.Second})
 	select {
 	case e := <-ended:
 		pool.CloseIdleConns(1)
-		told := ""
-		if len(trouble) > 0 {
-			told = <-trouble
+		dialError := ""
+		if len(dialErrors) > 0 {
+			dialError = <-dialErrors
 		}
-		return e, told
+		return e, dialError
 	case <-time.After(15 * time.Second):
 		t.Fatal("no end")
 		return policy.Event{}, ""
@@ -68,11 +68,11 @@
 	a, other := standin.NewAuthority("test CA"), standin.NewAuthority("other CA")
 	a.WriteCA(at("ca.pem"))
 	later := time.Now().Add(90 * 24 * time.Hour)
-	good := a.Pair("partner.example.org", later)
+	valid := a.Pair("partner.example.org", later)
 	standin.WritePair(a.Pair("sender.example.org", later), at("own.pem"), at("own.key"), 0o600)
 	ca := keys.Files{CA: at("ca.pem")}
 	ownFiles := keys.Files{CA: at("ca.pem"), Cert: at("own.pem"), Key: at("own.key")}
-	asksForOne := func(s *httptest.Server) {
+	requireClientCert := func(s *httptest.Server) {
 		s.TLS.ClientAuth, s.TLS.ClientCAs = tls.RequireAndVerifyClientCert, a.Pool()
 	}
 	var selfSigned *standin.Authority
@@ -85,27 +85,27 @@
 		major  float64 // HTTP version that the partner saw
 		says   string
 	}{
-		"HTTP/2":             {good, nil, ca, true, policy.OK, 2, ""},
-		"HTTP/1.1 by choice": {good, nil, ca, false, policy.OK, 1, ""},
-		"HTTP/1.1 by ALPN":   {good, func(s *httptest.Server) { s.EnableHTTP2 = false }, ca, true, policy.OK, 1, ""},
-		"mutual":             {good, asksForOne, ownFiles, true, policy.OK, 2, ""},
+		"HTTP/2":             {valid, nil, ca, true, policy.OK, 2, ""},
+		"HTTP/1.1 by choice": {valid, nil, ca, false, policy.OK, 1, ""},
+		"HTTP/1.1 by ALPN":   {valid, func(s *httptest.Server) { s.EnableHTTP2 = false }, ca, true, policy.OK, 1, ""},
+		"mutual":             {valid, requireClientCert, ownFiles, true, policy.OK, 2, ""},
 		"unknown CA":         {other.Pair("partner.example.org", later), nil, ca, true, policy.ConnectFailed, 0, "unknown authority"},
 		"self-signed":        {selfSigned.Pair("partner.example.org", later), nil, ca, true, policy.ConnectFailed, 0, "unknown authority"},
 		"wrong name":         {a.Pair("else.example.org", later), nil, ca, true, policy.ConnectFailed, 0, "else.example.org"},
 		"expired":            {a.Pair("partner.example.org", time.Now().Add(-time.Hour)), nil, ca, true, policy.ConnectFailed, 0, "expired"},
 		"expired, HTTP/1.1":  {a.Pair("partner.example.org", time.Now().Add(-time.Hour)), nil, ca, false, policy.ConnectFailed, 0, "expired"},
-		"too old a TLS":      {good, func(s *httptest.Server) { s.TLS.MaxVersion = tls.VersionTLS11 }, ca, true, policy.ConnectFailed, 0, "protocol version"},
+		"too old a TLS":      {valid, func(s *httptest.Server) { s.TLS.MaxVersion = tls.VersionTLS11 }, ca, true, policy.ConnectFailed, 0, "protocol version"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			cfg, _, err := keys.Load(row.files, time.Now())
 			if err != nil {
 				t.Fatal(err)
 			}
-			s := secure(t, row.cert, row.server)
+			s := startTLSServer(t, row.cert, row.server)
 			p := &Partner{HTTP2: row.h2, TLS: func() *tls.Config { return cfg }, ServerName: "partner.example.org", MaxConns: 2}
-			e, told := try(t, p, s.Listener.Addr().String())
-			if e.Outcome != row.want || row.major > 0 && (len(e.Report) == 0 || e.Report[0] != row.major) || !strings.Contains(told, row.says) || row.says != "" && told == "" {
-				t.Errorf("%+v, %q", e, told)
+			e, dialError := makeCall(t, p, s.Listener.Addr().String())
+			if e.Outcome != row.want || row.major > 0 && (len(e.Report) == 0 || e.Report[0] != row.major) || !strings.Contains(dialError, row.says) || row.says != "" && dialError == "" {
+				t.Errorf("%+v, %q", e, dialError)
 			}
 			if name == "mutual" && e.Wait == 0 {
 				t.Error("no certificate of ours was seen")
@@ -115,7 +115,7 @@
 }
 
 // Keys that are no good are refused with the file and what is allowed.
-func TestKeys(t *testing.T) {
+func TestInvalidKeyFiles(t *testing.T) {
 	dir := t.TempDir()
 	at := func(name string) string { return filepath.Join(dir, name) }
 	now := time.Now()
@@ -146,7 +146,7 @@
 }
 
 // A partner that accepts and closes, or says nothing, is no connection: calls end as never run, soon.
-func TestUselessConnections(t *testing.T) {
+func TestConnectionsWithoutSettingsFail(t *testing.T) {
 	for name, act := range map[string]func(net.Conn){"closes": func(nc net.Conn) { nc.Close() }, "silent": func(net.Conn) {}} {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
@@ -166,10 +166,10 @@
 		pool := NewPool(Options{MaxConns: 4, KeepAlive: time.Second, DialTimeout: 200 * time.Millisecond, X0: -1, X1: -1,
 			Partner: func(int) *Partner { return &Partner{HTTP2: true, MaxConns: 2} },
 			OnDone:  func(_ *Call, events []policy.Event) { ended <- events[0] }})
-		begin := time.Now()
-		pool.Go(&Call{Endpoint: 1, Addr: ln.Addr().String(), Items: []Item{{ID: 1, Trace: "t"}}, SentAt: begin, Timeout: 10 * time.Second})
-		if e := <-ended; e.Outcome != policy.ConnectFailed || time.Since(begin) > 5*time.Second {
-			t.Errorf("%s: %+v after %v", name, e, time.Since(begin))
+		start := time.Now()
+		pool.Go(&Call{Endpoint: 1, Addr: ln.Addr().String(), Items: []Item{{ID: 1, Trace: "t"}}, SentAt: start, Timeout: 10 * time.Second})
+		if e := <-ended; e.Outcome != policy.ConnectFailed || time.Since(start) > 5*time.Second {
+			t.Errorf("%s: %+v after %v", name, e, time.Since(start))
 		}
 	}
 }
--- a/internal/outbound/window_test.go
+++ b/internal/outbound/window_test.go
@@ -12,7 +12,7 @@
 
 // A repeat waits for its connection while the partner's window for repeats passes. It must not be written then, be it
 // that the connection never comes, that it comes late, or that the request waits for a turn to connect.
-func TestARepeatAfterItsWindowIsNotWritten(t *testing.T) {
+func TestRetryAfterWriteByIsNotWritten(t *testing.T) {
 	const window = 100 * time.Millisecond
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -22,7 +22,7 @@
 	ended := make(chan []policy.Event, 1)
 	p := NewPool(Options{MaxConns: 4, KeepAlive: time.Second, DialTimeout: time.Minute, X0: -1, X1: -1,
 		OnDone: func(_ *Call, events []policy.Event) { ended <- events }})
-	end := func(name string, c *Call) {
+	wantMoot := func(name string, c *Call) {
 		t.Helper()
 		select {
 		case ev := <-ended:
@@ -37,10 +37,10 @@
 		return &Call{Endpoint: 1, Addr: addr, Items: []Item{{ID: 1, Trace: "t"}}, SentAt: time.Now(), Timeout: time.Minute,
 			WriteBy: time.Now().Add(window)}
 	}
-	full := backlogged(t)
-	c := call(full)
+	fullAddr := listenWithFullBacklog(t)
+	c := call(fullAddr)
 	p.Go(c)
-	end("a connection that does not come up", c)
+	wantMoot("a connection that does not come up", c)
 
 	c = call(ln.Addr().String())
 	c.MayStart = func() bool { // asked with the connection there: as if it had taken so long
@@ -48,7 +48,7 @@
 		return true
 	}
 	p.Go(c)
-	end("a connection that comes up late", c)
+	wantMoot("a connection that comes up late", c)
 	nc, err := ln.Accept()
 	if err != nil {
 		t.Fatal(err)
@@ -61,11 +61,11 @@
 	p.Go(&Call{Endpoint: 2, Addr: ln.Addr().String(), Items: []Item{{ID: 2, Trace: "u"}}, SentAt: time.Now(), Timeout: time.Minute})
 	c = call(ln.Addr().String())
 	p.Go(c)
-	end("a turn to connect that comes late", c)
+	wantMoot("a turn to connect that comes late", c)
 }
 
 // backlogged is the address of a listener that takes no connection: its line is full, and nobody accepts.
-func backlogged(t *testing.T) string {
+func listenWithFullBacklog(t *testing.T) string {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
 	if err != nil {
--- a/internal/sockets/sockets.go
+++ b/internal/sockets/sockets.go
@@ -1,4 +1,4 @@
-// Package sockets tells the condition of a kept connection before it is used again.
+// Package sockets checks the condition of a kept-alive connection before it is reused.
 package sockets
 
 import (
@@ -8,18 +8,18 @@
 	"syscall"
 )
 
-// Condition is what can be seen of a connection that carries no request.
+// Condition is the observable condition of a connection without an outstanding request.
 type Condition uint8
 
-// The conditions.
+// The conditions of a connection.
 const (
-	Idle        Condition = iota // open, and nothing has come
-	Closed                       // the other side has closed it, or it is broken
-	Unsolicited                  // the other side has sent what nobody asked for
+	Idle        Condition = iota // open, and nothing has been received
+	Closed                       // closed by the peer, or broken
+	Unsolicited                  // the peer has sent bytes that answer no request
 )
 
-// Check tells the condition of a TCP connection, or of one with TLS over it, that carries no request. It reads nothing
-// and does not wait. The connection's read deadline must not have passed.
+// Check returns the condition of a TCP connection, or of a TLS connection over TCP, without an outstanding request. It
+// consumes no bytes and does not block. The connection's read deadline must not have passed.
 func Check(nc net.Conn) Condition {
 	if t, ok := nc.(*tls.Conn); ok {
 		nc = t.NetConn()
@@ -32,20 +32,20 @@
 	if err != nil {
 		return Closed
 	}
-	seen := Closed
+	condition := Closed
 	err = raw.Read(func(fd uintptr) bool {
 		var b [1]byte
 		n, _, err := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 		switch {
 		case errors.Is(err, syscall.EAGAIN), errors.Is(err, syscall.EINTR):
-			seen = Idle
+			condition = Idle
 		case err == nil && n > 0:
-			seen = Unsolicited
+			condition = Unsolicited
 		}
 		return true
 	})
 	if err != nil {
 		return Closed
 	}
-	return seen
+	return condition
 }
--- a/internal/transient/transient.go
+++ b/internal/transient/transient.go
@@ -1,4 +1,4 @@
-// Package transient tells errors of system calls that may succeed a moment later from those that will not.
+// Package transient distinguishes errors of system calls that may succeed shortly afterwards from permanent ones.
 package transient
 
 import (
@@ -7,43 +7,43 @@
 	"time"
 )
 
-// RetryInterval is the time between two tries.
+// RetryInterval is the time between two attempts of Retry.
 const RetryInterval = 20 * time.Millisecond
 
-// local are errors of this machine's resources: they say nothing of a peer, or of a file's content.
-var local = []error{
+// resourceErrors are errors of this machine's resources: they say nothing about a peer, or about a file's content.
+var resourceErrors = []error{
 	syscall.EAGAIN, syscall.EINTR, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL,
 }
 
-// disk are errors of a folder that can't be written to, or read, for a while.
-var disk = []error{syscall.EIO, syscall.ENOSPC, syscall.EDQUOT}
+// diskErrors are errors of a directory that temporarily can't be written or read.
+var diskErrors = []error{syscall.EIO, syscall.ENOSPC, syscall.EDQUOT}
 
-// IsResourceError reports whether err is of a resource of this machine that may be there again in a moment.
-func IsResourceError(err error) bool { return anyOf(err, local) }
+// IsResourceError reports whether err comes from a resource of this machine that may be available again shortly.
+func IsResourceError(err error) bool { return isAny(err, resourceErrors) }
 
-// IsDialError reports whether a connection failed by a fault on this side, for a moment: nothing was heard of the other.
+// IsDialError reports whether a connection failed by a transient fault on this side, which says nothing about the peer.
 func IsDialError(err error) bool {
 	return IsResourceError(err) || errors.Is(err, syscall.ENETUNREACH) || errors.Is(err, syscall.ENETDOWN)
 }
 
-// IsDiskError reports whether err is of a folder that may be read or written again in a while.
-func IsDiskError(err error) bool { return IsResourceError(err) || anyOf(err, disk) }
+// IsDiskError reports whether err comes from a directory that may be readable or writable again after a while.
+func IsDiskError(err error) bool { return IsResourceError(err) || isAny(err, diskErrors) }
 
-func anyOf(err error, list []error) bool {
-	for _, known := range list {
-		if errors.Is(err, known) {
+func isAny(err error, targets []error) bool {
+	for _, target := range targets {
+		if errors.Is(err, target) {
 			return true
 		}
 	}
 	return false
 }
 
-// Retry calls try, RetryInterval apart, until it succeeds, fails otherwise than passing says, or has failed for so long. It
+// Retry calls op every RetryInterval until it succeeds, returns an error that is not retryable, or timeout has passed. It
 // returns the last error.
-func Retry(long time.Duration, passing func(error) bool, try func() error) error {
-	for end := time.Now().Add(long); ; time.Sleep(RetryInterval) {
-		err := try()
-		if err == nil || !passing(err) || !time.Now().Before(end) {
+func Retry(timeout time.Duration, retryable func(error) bool, op func() error) error {
+	for deadline := time.Now().Add(timeout); ; time.Sleep(RetryInterval) {
+		err := op()
+		if err == nil || !retryable(err) || !time.Now().Before(deadline) {
 			return err
 		}
 	}
