--- a/cmd/sliptide/run.go
+++ b/cmd/sliptide/run.go
@@ -94,7 +94,7 @@
 	}
 	var kept *admin.Kept
 	err = transient.Retry(startFor, transient.IsDiskError, func() (err error) {
-		kept, err = admin.Open(fsys.Folder(cfg.State))
+		kept, err = admin.Open(fsys.ForDir(cfg.State))
 		return err
 	})
 	if err != nil {
@@ -112,7 +112,7 @@
 
 	// The sender and what it speaks with refer to each other: its calls are bound below.
 	var snd *sender.Sender
-	notices := discovery.NewNotices(cfg.Discovery, log, func(nums []uint64) { snd.Told(nums) })
+	notices := discovery.NewNoticeQueue(cfg.Discovery, log, func(nums []uint64) { snd.AckNotices(nums) })
 	sockets := cfg.Limits.Sockets - spareFiles
 	// The rest is for clients: many may hold a connection and say nothing.
 	calls := min(sockets*2/5, idleCalls+callsForSlot*cfg.Settings.CallSlots)
@@ -121,18 +121,18 @@
 		return fmt.Errorf("%w: telemetry: %w", cli.ErrConfig, err)
 	}
 	snd = sender.New(sender.Options{
-		Settings: cfg.Settings, Seed: cfg.Seed, Sockets: calls,
-		Journal: jr, Restored: restored, Notices: notices.Post, Memory: memory.get().Memory, Clock: clock, Log: log,
-		Partner: book.Of, Streams: partners.Streams, Storms: guard(cfg, op.Storms), Recorder: pipe.Records(), Records: op.Log.Records,
-		Out: kept.Out(), Heir: place.waiting(),
+		Settings: cfg.Settings, Seed: cfg.Seed, MaxConns: calls,
+		Journal: jr, Restored: restored, Notify: notices.Post, Knowledge: memory.get().Knowledge, Clock: clock, Log: log,
+		Partner: book.Lookup, HTTP2Streams: partners.StreamsPerConn, StormGuard: guard(cfg, op.Storms), Recorder: pipe.Records(), LogRecords: op.Log.Records,
+		Disabled: kept.Out(), Successor: place.waiting(),
 	})
 	team, err := newMembership(cfg, op, space, log)
 	if err != nil {
 		return err
 	}
 	team.bind(snd, op, cfg.Settings.Senders)
-	kept.Bind(snd.TakeOut)
-	go kept.Follow(ctx, snd.Follow, log)
+	kept.Bind(snd.SetDisabled)
+	go kept.Follow(ctx, snd.ApplyDisabled, log)
 	listed := make(chan struct{}, 1)
 	source, err := openSource(cfg, op, snd, log, func() {
 		select {
@@ -150,17 +150,17 @@
 			return fmt.Errorf("RELAY_ADMIN: %w", err)
 		}
 		defer aln.Close()
-		calls := admin.Calls{Ready: server.Up, Disable: kept.Disable, Enable: kept.Enable, Drain: server.Drain, Undrain: server.Undrain}
+		calls := admin.Calls{Ready: server.Available, Disable: kept.Disable, Enable: kept.Enable, Drain: server.Drain, Undrain: server.Undrain}
 		go admin.New(calls, log).Serve(aln)
 	}
 	go reload(ctx, hup, log, operatorFile, book, func(cfg *config.Config, op *operator.File) {
-		source.Move(cfg.Discovery)
-		notices.Move(cfg.Discovery)
-		memory.get().Keeper.Set(op.Knowledge)
-		snd.Retune(cfg.Settings)
+		source.SetAddr(cfg.Discovery)
+		notices.SetAddr(cfg.Discovery)
+		memory.get().Writer.Set(op.Knowledge)
+		snd.UpdateSettings(cfg.Settings)
 		team.retune(op)
 	})
-	if k := memory.get().Keeper; k != nil {
+	if k := memory.get().Writer; k != nil {
 		go k.Run()
 	}
 	if place.waiting() {
@@ -179,16 +179,16 @@
 	defer patience.Stop()
 	select {
 	case <-listed: // the list is at hand, and the journal is replayed
-		server.Ready()
+		server.SetReady()
 		<-stop
 	case <-patience.C:
 		log.Warn().Dur("after", op.Ready.Patience).Msg("ready without a list of endpoints")
-		server.Ready()
+		server.SetReady()
 		<-stop
 	case <-stop:
 	}
 	away := make(chan struct{})
-	upgraded := !place.waiting() && statedir.HeirWaits(cfg.State)
+	upgraded := !place.waiting() && statedir.SuccessorWaiting(cfg.State)
 	go func() { // what it holds is handed on at once, while its own calls still end
 		defer close(away)
 		if team.stays() {
@@ -221,13 +221,13 @@
 // startClock starts the sender's clock where its timeline in the folder goes on, whatever has become of the wall clock
 // since an earlier life. A folder that can't be written to for a while delays nothing.
 func startClock(ctx context.Context, dir string, space *statedir.Space, log zerolog.Logger) sender.Clock {
-	space.Account().Claim(timeline.Room)
-	reading, err := timeline.Read(sender.Wall())
+	space.Account().Claim(timeline.DiskBytes)
+	reading, err := timeline.Read(sender.WallClock())
 	if err != nil {
 		log.Warn().Err(err).Msg("the wall clock is taken for the time")
 		return sender.NewClockAt(reading.Wall)
 	}
-	files := fsys.Folder(dir)
+	files := fsys.ForDir(dir)
 	start, anchor, err := timeline.Start(files, reading)
 	if err != nil {
 		log.Warn().Err(err).Msg("the timeline of an earlier life is of no use")
@@ -235,9 +235,9 @@
 	if anchor == nil {
 		return sender.NewClockAt(start)
 	}
-	if err := timeline.Keep(files, anchor); err != nil {
+	if err := timeline.Save(files, anchor); err != nil {
 		log.Warn().Err(err).Msg("the timeline is not kept, trying again")
-		go timeline.KeepTrying(files, anchor, ctx.Done())
+		go timeline.RetrySave(files, anchor, ctx.Done())
 	}
 	return sender.NewClockAt(start)
 }
@@ -248,13 +248,13 @@
 	clock sender.Clock, box *memoryBox, log zerolog.Logger) (*journal.Journal, []*journal.Entry, error) {
 	if place.waiting() {
 		log.Info().Msg("another process holds the state folder: starting beside it, to take over when it leaves")
-		jr, err := journal.OpenHeir(fsys.Folder(cfg.State), room)
+		jr, err := journal.OpenSuccessor(fsys.ForDir(cfg.State), room)
 		return jr, nil, err
 	}
 	m := openMemory(cfg, op.Knowledge, space, clock, log)
 	m.room.YieldTo(room)
 	box.set(m)
-	return journal.OpenIn(fsys.Folder(cfg.State), room)
+	return journal.OpenFS(fsys.ForDir(cfg.State), room)
 }
 
 // openTelemetry starts the way to a collector, nil where the part is off.
@@ -315,7 +315,7 @@
 
 // memory is what the sender knows over restarts, with its room in the folder.
 type memory struct {
-	sender.Memory
+	sender.Knowledge
 	room *statedir.Account
 }
 
@@ -323,11 +323,11 @@
 // take their room.
 func openMemory(cfg *config.Config, set operator.Knowledge, space *statedir.Space, clock sender.Clock, log zerolog.Logger) memory {
 	m := memory{room: space.Account()}
-	files := fsys.Folder(cfg.State)
+	files := fsys.ForDir(cfg.State)
 	if !set.Enabled {
 		var left int64
 		for _, name := range store.Names {
-			left += statedir.Blocks(files.Size(name))
+			left += statedir.RoundToBlocks(files.Size(name))
 		}
 		m.room.Reserve(left)
 		m.room.Claim(left)
@@ -347,28 +347,28 @@
 		log.Warn().Str("of", book.Sender).Msg("knowledge is another sender's")
 	}
 	log.Info().Int("destinations", len(book.Dests)).Int("waits", len(book.Waits)).Msg("knowledge of an earlier life")
-	m.Memory = sender.Memory{Set: set, Book: book.Clone()}
-	m.Keeper = keeper.New(keeper.Options{Set: set, Store: st, Book: book, Room: m.room, Log: log, Clock: clock.Now, Wall: clock.Now})
+	m.Knowledge = sender.Knowledge{Settings: set, Facts: book.Clone()}
+	m.Writer = keeper.New(keeper.Options{Set: set, Store: st, Book: book, Room: m.room, Log: log, Clock: clock.Now, Wall: clock.Now})
 	return m
 }
 
 func (m *memory) close() {
 	ctx, cancel := context.WithTimeout(context.Background(), knowBy)
 	defer cancel()
-	m.Keeper.Close(ctx)
+	m.Writer.Close(ctx)
 }
 
 // warn tells of certificates that end soon.
 func warn(log zerolog.Logger, list []keys.Warning) {
 	for _, w := range list {
-		log.Warn().Str("file", w.File).Str("subject", w.Subject).Time("ends", w.Ends).Msg("a certificate ends soon, or has ended")
+		log.Warn().Str("file", w.File).Str("subject", w.Subject).Time("ends", w.Expires).Msg("a certificate ends soon, or has ended")
 	}
 }
 
 // reload reads the configuration again on each SIGHUP. Discovery may have moved, classes may have come and
 // gone, fewer attempts may be allowed; all else takes effect at the next start. A file that makes no sense
 // (empty, cut off, short of a key, a deadline or attempts not over 0) changes nothing, its discovery neither.
-func reload(ctx context.Context, hup <-chan os.Signal, log zerolog.Logger, operatorFile string, book *partners.Book, use func(cfg *config.Config, op *operator.File)) {
+func reload(ctx context.Context, hup <-chan os.Signal, log zerolog.Logger, operatorFile string, book *partners.Registry, use func(cfg *config.Config, op *operator.File)) {
 	daily := time.NewTicker(24 * time.Hour) // keys too: a certificate ends without anybody's doing
 	defer daily.Stop()
 	for {
@@ -401,13 +401,13 @@
 func shutdown(server *intake.Server, snd *sender.Sender, ln net.Listener) {
 	ctx, cancel := context.WithTimeout(context.Background(), leaveBy)
 	defer cancel()
-	server.Refuse()
+	server.RefuseMessages()
 	snd.Stop()
 	time.AfterFunc(clientsCome, func() { ln.Close() })
 	server.Shutdown(ctx)
 	snd.ClientsGone()
 	<-snd.Done()
-	server.Wait(ctx)
+	server.WaitClosed(ctx)
 }
 
 // clientRoom is how many clients' connections there may be: as descriptors allow, and so
--- a/cmd/sliptide/source.go
+++ b/cmd/sliptide/source.go
@@ -25,8 +25,8 @@
 type listSource interface {
 	// Run follows the source until the context ends.
 	Run(ctx context.Context)
-	// Move goes on at another discovery agent, where there is one.
-	Move(addr string)
+	// SetAddr goes on at another discovery agent, where there is one.
+	SetAddr(addr string)
 }
 
 // openSource makes the source that the operators' file names. listed is told whenever the sender has a list to work with.
@@ -36,13 +36,13 @@
 	}
 	asked := false // discovery is: what comes from here on is its word, an empty list too
 	watch := discovery.NewWatch(cfg.Discovery, &cfg.Settings, cfg.Seed, log, func(l discovery.List) {
-		snd.List(l)
-		if !asked && len(l.Entries) == 0 {
+		snd.UpdateEndpoints(l)
+		if !asked && len(l.Endpoints) == 0 {
 			return // a known list without entries would meet the first messages with 503
 		}
 		listed()
 	})
-	if err := watch.Known(cfg.Known); err != nil {
+	if err := watch.Restore(cfg.Known); err != nil {
 		log.Warn().Err(err).Msg("known is of no use, waiting for discovery")
 	}
 	asked = true
@@ -67,12 +67,12 @@
 		with = loaded
 	}
 	source := &shardSource{}
-	snd.Shard(set.Replicas, func(ids []shard.ID) { source.subscriber.Release(ids) })
+	snd.EnableSharding(set.Replicas, func(ids []shard.ID) { source.subscriber.Release(ids) })
 	view := sharding.NewView(&cfg.Settings, log)
 	o := subscriber.Options{Name: cfg.Name, Region: set.Region, Zone: set.Zone, Weight: uint32(set.Weight), TLS: with, Log: log, Now: fleet.Now,
 		Hold: snd.HeldShards(), Released: view.Forget,
 		Apply: func(a *directory.Applied) {
-			snd.Sharded(view.Take(a))
+			snd.UpdateShards(view.Take(a))
 			if len(a.Assigned) > 0 {
 				log.Info().Int("assigned", len(a.Assigned)).Int("endpoints", view.Len()).Uint64("version", a.To).Msg("directory: shards assigned")
 				listed()
@@ -88,5 +88,5 @@
 // Run implements listSource.
 func (s *shardSource) Run(ctx context.Context) { s.subscriber.Run(ctx) }
 
-// Move implements listSource: notices alone go to discovery.
-func (s *shardSource) Move(string) {}
+// SetAddr implements listSource: notices alone go to discovery.
+func (s *shardSource) SetAddr(string) {}
--- a/internal/outbound/answer.go
+++ b/internal/outbound/answer.go
@@ -126,7 +126,7 @@
 func (c *Call) eventFor(i int, result itemResult) policy.Event {
 	return policy.Event{
 		Kind: policy.EvOutcome, ID: c.Items[i].ID, Attempt: c.Items[i].Attempt, Endpoint: c.Endpoint,
-		Outcome: result.outcome, Closed: result.closed, Wait: result.wait, Latency: c.latencyMS(), Report: result.report,
+		Outcome: result.outcome, Final: result.closed, RequestedWait: result.wait, Latency: c.latencyMS(), Report: result.report,
 	}
 }
 
--- a/internal/outbound/tls_test.go
+++ b/internal/outbound/tls_test.go
@@ -107,7 +107,7 @@
 			if e.Outcome != row.want || row.major > 0 && (len(e.Report) == 0 || e.Report[0] != row.major) || !strings.Contains(dialError, row.says) || row.says != "" && dialError == "" {
 				t.Errorf("%+v, %q", e, dialError)
 			}
-			if name == "mutual" && e.Wait == 0 {
+			if name == "mutual" && e.RequestedWait == 0 {
 				t.Error("no certificate of ours was seen")
 			}
 		})
--- a/internal/sender/journal_test.go
+++ b/internal/sender/journal_test.go
@@ -18,15 +18,15 @@
 // failingBench is a bench whose folder fails as fault says.
 func failingBench(t *testing.T, fault func(op string) fsys.Fault) *bench {
 	t.Helper()
-	files := &fsys.Faulty{FS: fsys.OS{Dir: t.TempDir()}, On: func(_ int, op, _ string) fsys.Fault { return fault(op) }}
-	j, restored, err := journal.OpenIn(files, statedir.NewSpace(1<<20).Account())
+	files := &fsys.Faulty{FS: fsys.OS{Dir: t.TempDir()}, Inject: func(_ int, op, _ string) fsys.Fault { return fault(op) }}
+	j, restored, err := journal.OpenFS(files, statedir.NewSpace(1<<20).Account())
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { j.Close() })
 	b := &bench{t: t, journal: j, notices: make(chan discovery.Notice, 100)}
-	b.Sender = New(Options{Settings: benchSettings(), Seed: 1, Sockets: 10, Journal: j, Restored: restored, Clock: NewClock(), Log: zerolog.Nop(),
-		Notices: func(n discovery.Notice) { b.notices <- n }})
+	b.Sender = New(Options{Settings: benchSettings(), Seed: 1, MaxConns: 10, Journal: j, Restored: restored, Clock: NewClock(), Log: zerolog.Nop(),
+		Notify: func(n discovery.Notice) { b.notices <- n }})
 	b.dests[3] = true
 	b.next()
 	return b
@@ -37,7 +37,7 @@
 	var down atomic.Bool
 	b := failingBench(t, func(op string) (f fsys.Fault) {
 		if down.Load() {
-			f = fsys.Fault{Err: syscall.EIO, Bytes: 1 << 20} // all is written, and said to have failed
+			f = fsys.Fault{Err: syscall.EIO, BytesWritten: 1 << 20} // all is written, and said to have failed
 		}
 		return f
 	})
@@ -49,7 +49,7 @@
 	}
 	down.Store(false)
 	b.await("the verdict", func() bool { return len(verdict) > 0 })
-	if v := <-verdict; !v.Taken {
+	if v := <-verdict; !v.Accepted {
 		t.Errorf("%+v though its record is written", v)
 	}
 }
@@ -66,13 +66,13 @@
 	partner := standin.NewRawPartner(t)
 	long, short := b.hand("long", 1, 15*time.Second), b.hand("short", 1, 400*time.Millisecond)
 	b.next()
-	if !(<-long).Taken || !(<-short).Taken {
+	if !(<-long).Accepted || !(<-short).Accepted {
 		t.Fatal("not taken on")
 	}
 	down.Store(true)
 	b.list(partner.Addr)
 	b.await("the short message ends by a notice", func() bool { return len(b.notices) > 0 })
-	if v := <-b.hand("more", 1, 10*time.Second); v.Taken {
+	if v := <-b.hand("more", 1, 10*time.Second); v.Accepted {
 		t.Error("taken on without a journal")
 	}
 	for _, m := range b.msgs {
