--- a/internal/outbound/answer.go
+++ b/internal/outbound/answer.go
@@ -13,10 +13,10 @@
 
 // itemResult holds what a response says about one message.
 type itemResult struct {
-	outcome policy.Outcome
-	closed  bool    // the message is over: no further attempt is made
-	wait    float64 // requested wait, in milliseconds
-	report  []float64
+	outcome       policy.Outcome
+	final         bool    // the message is over: no further attempt is made
+	requestedWait float64 // by Retry-After, in milliseconds
+	report        []float64
 }
 
 // classify maps an HTTP/1.1 or HTTP/2 response to a result, by the protocol's table of statuses. get returns
@@ -24,7 +24,7 @@
 func (p *Pool) classify(status int, get func(string) string, single bool) itemResult {
 	result := itemResult{outcome: policy.Error, report: p.parseReport([]byte(get("endpoint-load-metrics")))}
 	if seconds, err := strconv.ParseFloat(get("retry-after"), 64); err == nil && seconds > 0 && seconds < 1e6 {
-		result.wait = math.Ceil(seconds * 1000)
+		result.requestedWait = math.Ceil(seconds * 1000)
 	}
 	switch status {
 	case 200:
@@ -39,7 +39,7 @@
 	case 504:
 		result.outcome = policy.Moot
 	case 410:
-		result.outcome, result.closed = policy.Moot, true
+		result.outcome, result.final = policy.Moot, true
 	case 400, 413:
 		if !single { // the endpoint could not read the bulk request: no message ran
 			result.outcome = policy.Moot
@@ -81,7 +81,7 @@
 	"accepted": {outcome: policy.OK},
 	"fault":    {outcome: policy.Error},
 	"deferred": {outcome: policy.Full},
-	"expired":  {outcome: policy.Moot, closed: true},
+	"expired":  {outcome: policy.Moot, final: true},
 	"no_more":  {outcome: policy.Moot},
 }
 
@@ -92,12 +92,12 @@
 	if v, err := parser.ParseBytes(body); err == nil {
 		for _, item := range v.GetArray() {
 			if result, ok := bulkStates[string(item.GetStringBytes("state"))]; ok {
-				result.wait, result.report = common.wait, common.report
+				result.requestedWait, result.report = common.requestedWait, common.report
 				results[string(item.GetStringBytes("id"))] = result
 			}
 		}
 	}
-	unnamed := itemResult{outcome: policy.Error, wait: common.wait, report: common.report}
+	unnamed := itemResult{outcome: policy.Error, requestedWait: common.requestedWait, report: common.report}
 	events, complete = make([]policy.Event, 0, len(c.Items)), true
 	for i := range c.Items {
 		result, ok := results[c.Items[i].Trace]
@@ -126,7 +126,8 @@
 func (c *Call) eventFor(i int, result itemResult) policy.Event {
 	return policy.Event{
 		Kind: policy.EvOutcome, ID: c.Items[i].ID, Attempt: c.Items[i].Attempt, Endpoint: c.Endpoint,
-		Outcome: result.outcome, Final: result.closed, RequestedWait: result.wait, Latency: c.latencyMS(), Report: result.report,
+		Outcome: result.outcome, Final: result.final, RequestedWait: result.requestedWait, Latency: c.latencyMS(),
+		Report: result.report,
 	}
 }
 
--- a/internal/outbound/bench_test.go
+++ b/internal/outbound/bench_test.go
@@ -11,7 +11,10 @@
 
 // BenchmarkCalls makes calls with 64 in flight to net/http's server, over each protocol.
 func BenchmarkCalls(b *testing.B) {
-	for name, partner := range map[string]*Partner{"http1": nil, "h2": {HTTP2: true, MaxConns: 4, PingAfter: 5 * time.Second, PingTimeout: 2 * time.Second}} {
+	for name, partner := range map[string]*Partner{
+		"http1": nil,
+		"h2":    {HTTP2: true, MaxConns: 4, PingAfter: 5 * time.Second, PingTimeout: 2 * time.Second},
+	} {
 		b.Run(name, func(b *testing.B) {
 			ln, err := net.Listen("tcp", "127.0.0.1:0")
 			if err != nil {
@@ -41,7 +44,11 @@
 					inFlight--
 				}
 				if i < b.N {
-					pool.Go(&Call{Endpoint: 1, Addr: ln.Addr().String(), Items: []Item{{ID: uint64(i), Trace: "9b1f03aa5c7e2d41", Key: "5c0f6e1a2b3d4c59", Body: body}}, SentAt: time.Now(), Timeout: 10 * time.Second})
+					pool.Go(&Call{
+						Endpoint: 1, Addr: ln.Addr().String(),
+						Items:  []Item{{ID: uint64(i), Trace: "9b1f03aa5c7e2d41", Key: "5c0f6e1a2b3d4c59", Body: body}},
+						SentAt: time.Now(), Timeout: 10 * time.Second,
+					})
 					inFlight++
 				}
 			}
--- a/internal/outbound/call.go
+++ b/internal/outbound/call.go
@@ -58,8 +58,8 @@
 // never ran, and only the caller of Drop reports its end.
 func (c *Call) Drop() bool { return c.state.CompareAndSwap(stateWaiting, stateDropped) }
 
-// Abandon ends a call that has started, by closing its connection or cancelling its stream: each of its messages may have
-// run. A response that has already been read is ignored, unless it is a refusal. Abandon does not block.
+// Abandon ends a call that has started, by closing its connection or cancelling its stream: each of its messages may
+// have run. A response that has already been read is ignored, unless it is a refusal. Abandon does not block.
 func (c *Call) Abandon() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/outbound/conn.go
+++ b/internal/outbound/conn.go
@@ -241,8 +241,8 @@
 
 var errMalformed = errors.New("malformed response")
 
-// responseEvents converts a response, or the error in its place, to the call's events. complete is false if the response
-// to a bulk call leaves out a message.
+// responseEvents converts a response, or the error in its place, to the call's events. complete is false if the
+// response to a bulk call leaves out a message.
 func (k *conn) responseEvents(c *Call, resp *http1.Message, err error) (events []policy.Event, complete bool) {
 	single := len(c.Items) <= 1
 	if err != nil && !(single && resp.Status == http.StatusOK) {
--- a/internal/outbound/dial_test.go
+++ b/internal/outbound/dial_test.go
@@ -12,30 +12,35 @@
 	"sliptide/policy"
 )
 
-// Guards against an attempt, and a mark against its endpoint, for a connection that failed on this side for a moment.
+// Guards against a failed attempt, held against the endpoint, when a connection fails with a transient error on this
+// side.
 func TestTransientLocalDialErrorIsRetried(t *testing.T) {
 	partner := standin.NewRawPartner(t)
-	for _, errno := range []syscall.Errno{syscall.EADDRNOTAVAIL, syscall.ENFILE, syscall.EMFILE, syscall.ENOBUFS, syscall.ENETUNREACH, syscall.EINTR} {
+	for _, errno := range []syscall.Errno{
+		syscall.EADDRNOTAVAIL, syscall.ENFILE, syscall.EMFILE, syscall.ENOBUFS, syscall.ENETUNREACH, syscall.EINTR,
+	} {
 		t.Run(errno.Error(), func(t *testing.T) {
-			tries := 0
+			attempts := 0
 			ended := make(chan []policy.Event, 1)
 			p := NewPool(Options{MaxConns: 4, KeepAlive: time.Minute, DialTimeout: time.Second, X0: -1, X1: -1,
 				OnDone: func(_ *Call, events []policy.Event) { ended <- events },
 				dial: func(ctx context.Context, addr string) (net.Conn, string, error) {
-					if tries++; tries < 3 {
+					if attempts++; attempts < 3 {
 						return nil, "", &net.OpError{Op: "dial", Err: os.NewSyscallError("connect", errno)}
 					}
 					return (&Partner{}).Dial(ctx, addr)
 				}})
-			p.Go(&Call{Endpoint: 1, Addr: partner.Addr, SentAt: time.Now(), Timeout: 5 * time.Second, Items: []Item{{ID: 1, Trace: "m"}}})
+			p.Go(&Call{
+				Endpoint: 1, Addr: partner.Addr, SentAt: time.Now(), Timeout: 5 * time.Second, Items: []Item{{ID: 1, Trace: "m"}},
+			})
 			select {
 			case c := <-partner.Calls:
 				c.Write(standin.OK)
 			case events := <-ended:
-				t.Fatalf("%v after %d tries", events[0].Outcome, tries)
+				t.Fatalf("outcome %v after %d dials", events[0].Outcome, attempts)
 			}
 			if events := <-ended; events[0].Outcome != policy.OK {
-				t.Errorf("%v after %d tries", events[0].Outcome, tries)
+				t.Errorf("outcome %v after %d dials, want OK", events[0].Outcome, attempts)
 			}
 		})
 	}
--- a/internal/outbound/matching.go
+++ b/internal/outbound/matching.go
@@ -14,8 +14,8 @@
 	// bytes, and for suspectDuration after a response that did not fit its call.
 	distrustDuration = time.Minute
 	suspectDuration  = 5 * time.Second
-	// minDistrustedEndpoints is the number of endpoints distrusted at the same time from which the fault is attributed to
-	// the network path to all of them: then each connection to any endpoint carries only one call.
+	// minDistrustedEndpoints is the number of endpoints distrusted at the same time from which the fault is attributed
+	// to the network path to all of them: then each connection to any endpoint carries only one call.
 	minDistrustedEndpoints = 2
 )
 
@@ -37,8 +37,8 @@
 	}
 }
 
-// responseTimeUnknown reports whether the typical response time of an endpoint to messages is not known yet. The lock is
-// held.
+// responseTimeUnknown reports whether the typical response time of an endpoint to messages is not known yet. The lock
+// is held.
 func (p *Pool) responseTimeUnknown(endpoint uint32) bool {
 	return p.profileOf(endpoint).typicalTime == 0
 }
--- a/internal/outbound/matching_test.go
+++ b/internal/outbound/matching_test.go
@@ -9,7 +9,7 @@
 	"sliptide/policy"
 )
 
-// line is a Pool with one partner; its calls are made one after the other.
+// poolTest is a Pool with one partner, for tests that make one call after another.
 type poolTest struct {
 	*Pool
 	t       *testing.T
@@ -19,117 +19,129 @@
 }
 
 func newPoolTest(t *testing.T) *poolTest {
-	l := &poolTest{t: t, partner: standin.NewRawPartner(t), ended: make(chan []policy.Event, 10), closed: make(chan CloseEvent, 10)}
-	l.Pool = NewPool(Options{MaxConns: 4, KeepAlive: time.Minute, DialTimeout: time.Second, X0: -1, X1: -1,
-		OnDone: func(_ *Call, events []policy.Event) { l.ended <- events }, OnConnClosed: func(c CloseEvent) { l.closed <- c }})
-	return l
+	pt := &poolTest{
+		t: t, partner: standin.NewRawPartner(t), ended: make(chan []policy.Event, 10), closed: make(chan CloseEvent, 10),
+	}
+	pt.Pool = NewPool(Options{MaxConns: 4, KeepAlive: time.Minute, DialTimeout: time.Second, X0: -1, X1: -1,
+		OnDone: func(_ *Call, events []policy.Event) { pt.ended <- events }, OnConnClosed: func(c CloseEvent) { pt.closed <- c }})
+	return pt
 }
 
-// call sends a message for each id, and returns the request as the partner has read it.
-func (l *poolTest) call(ids ...string) *standin.RawCall {
-	c := &Call{Endpoint: 1, Addr: l.partner.Addr, SentAt: time.Now(), Timeout: 5 * time.Second}
+// call makes one call with a message for each id, and returns the request as the partner has read it.
+func (pt *poolTest) call(ids ...string) *standin.RawCall {
+	c := &Call{Endpoint: 1, Addr: pt.partner.Addr, SentAt: time.Now(), Timeout: 5 * time.Second}
 	for i, id := range ids {
 		c.Items = append(c.Items, Item{ID: uint64(i), Trace: id})
 	}
-	l.Go(c)
-	return <-l.partner.Calls
+	pt.Go(c)
+	return <-pt.partner.Calls
 }
 
-// answered sends one message and has it answered; it returns the connection's number.
-func (l *poolTest) callAndAnswer(response string) int {
-	c := l.call("m")
+// callAndAnswer sends one message, writes the response, and returns the number of the connection that carried the call.
+func (pt *poolTest) callAndAnswer(response string) int {
+	c := pt.call("m")
 	c.Write(response)
-	<-l.ended
+	<-pt.ended
 	return c.Conn
 }
 
-// kept returns the idle connection, once the partner's bytes have arrived where any are awaited.
-func (l *poolTest) waitIdle(want sockets.Condition) *conn {
-	l.mu.Lock()
-	k := l.idle[1][0]
-	l.mu.Unlock()
+// waitIdle waits until sockets.Check reports the condition for the idle connection, and returns the connection.
+func (pt *poolTest) waitIdle(want sockets.Condition) *conn {
+	pt.mu.Lock()
+	k := pt.idle[1][0]
+	pt.mu.Unlock()
 	for sockets.Check(k.nc) != want {
 		time.Sleep(time.Millisecond)
 	}
 	return k
 }
 
-func (l *poolTest) wantClosed(reason CloseReason) {
-	l.t.Helper()
-	if c := <-l.closed; c.Reason != reason {
-		l.t.Errorf("closed: %v, want %v", c.Reason, reason)
+func (pt *poolTest) wantClosed(reason CloseReason) {
+	pt.t.Helper()
+	if c := <-pt.closed; c.Reason != reason {
+		pt.t.Errorf("connection closed: %v, want: %v", c.Reason, reason)
 	}
 }
 
-// Guards against an endpoint that repeats answers late, when its copies look like the next call's answer.
+// Guards against an endpoint that sends a response twice, late: the copy would be taken for the response to the next
+// call.
 func TestUnsolicitedResponseLimitsConnectionsToOneCall(t *testing.T) {
-	l := newPoolTest(t)
-	c := l.call("first")
+	pt := newPoolTest(t)
+	c := pt.call("first")
 	c.Write(standin.OK)
-	<-l.ended
+	<-pt.ended
 	c.Write(standin.OK)
-	l.waitIdle(sockets.Unsolicited)
+	pt.waitIdle(sockets.Unsolicited)
 	for want := 2; want < 4; want++ {
-		if n := l.callAndAnswer(standin.OK); n != want {
-			t.Errorf("on connection %d, want %d", n, want)
+		if n := pt.callAndAnswer(standin.OK); n != want {
+			t.Errorf("call on connection %d, want %d", n, want)
 		}
 	}
-	l.wantClosed(CloseUnsolicited)
-	l.wantClosed(CloseDistrusted)
+	pt.wantClosed(CloseUnsolicited)
+	pt.wantClosed(CloseDistrusted)
 }
 
-// Guards against a copy that arrives after a kept connection was chosen, and before the request is written.
+// Guards against a copy of a response that arrives after an idle connection was chosen for a call, and before the
+// request is written.
 func TestUnsolicitedResponseBeforeRequestMovesCallToNewConnection(t *testing.T) {
-	l := newPoolTest(t)
-	first := l.call("first")
+	pt := newPoolTest(t)
+	first := pt.call("first")
 	first.Write(standin.OK)
-	<-l.ended
-	k := l.waitIdle(sockets.Idle)
-	if !l.removeIdle(k) {
-		t.Fatal("the connection is not idle")
+	<-pt.ended
+	k := pt.waitIdle(sockets.Idle)
+	if !pt.removeIdle(k) {
+		t.Fatal("the connection is not among the idle ones")
 	}
 	first.Write(standin.OK)
 	for sockets.Check(k.nc) != sockets.Unsolicited {
 		time.Sleep(time.Millisecond)
 	}
-	k.calls <- &Call{Endpoint: 1, Addr: l.partner.Addr, SentAt: time.Now(), Timeout: 5 * time.Second, Items: []Item{{ID: 1, Trace: "second"}}}
-	if c := <-l.partner.Calls; c.ID != "second" || c.Conn != 2 {
-		t.Errorf("call for %q on connection %d", c.ID, c.Conn)
+	k.calls <- &Call{
+		Endpoint: 1, Addr: pt.partner.Addr, SentAt: time.Now(), Timeout: 5 * time.Second, Items: []Item{{ID: 1, Trace: "second"}},
+	}
+	if c := <-pt.partner.Calls; c.ID != "second" || c.Conn != 2 {
+		t.Errorf("call %q on connection %d, want \"second\" on 2", c.ID, c.Conn)
 	}
-	l.wantClosed(CloseUnsolicited)
+	pt.wantClosed(CloseUnsolicited)
 }
 
-// Guards against an answer to several messages that is another call's: each may have run, and the connection ends.
+// Guards against a response to a bulk call that belongs to another call: a message that it does not name may have run,
+// and the connection is closed.
 func TestBulkResponseForOtherMessagesClosesConnection(t *testing.T) {
-	l := newPoolTest(t)
-	c := l.call("a", "b")
+	pt := newPoolTest(t)
+	c := pt.call("a", "b")
 	body := `[{"id":"x","state":"accepted"},{"id":"b","state":"accepted"}]`
 	c.Write("HTTP/1.1 200 OK\r\nContent-Length: 61\r\n\r\n" + body)
-	if got := <-l.ended; got[0].Outcome != policy.Error || got[1].Outcome != policy.OK {
-		t.Errorf("%v and %v with an answer of %d bytes", got[0].Outcome, got[1].Outcome, len(body))
+	if got := <-pt.ended; got[0].Outcome != policy.Error || got[1].Outcome != policy.OK {
+		t.Errorf("outcomes %v and %v after a response of %d bytes", got[0].Outcome, got[1].Outcome, len(body))
 	}
-	l.wantClosed(CloseMismatch)
+	pt.wantClosed(CloseMismatch)
 }
 
-// Guards against a copy of a refusal, which would send a message again while it is out.
+// Guards against a copy of a refusal, taken for the response to the next call: its message would be sent again while
+// the call still runs.
 func TestConnectionIsClosedAfterNon200Response(t *testing.T) {
-	l := newPoolTest(t)
-	l.callAndAnswer(standin.Full)
-	l.wantClosed(CloseOtherStatus)
+	pt := newPoolTest(t)
+	pt.callAndAnswer(standin.Full)
+	pt.wantClosed(CloseOtherStatus)
 }
 
-// Guards against a repeat whose answer comes at once, as a copy would, and is not believed.
+// Guards against a retry whose response comes at once and is taken for a copy of an earlier response.
 func TestNewConnBypassesIdleConnections(t *testing.T) {
-	l := newPoolTest(t)
-	l.callAndAnswer(standin.OK)
-	l.waitIdle(sockets.Idle)
-	l.Go(&Call{Endpoint: 1, Addr: l.partner.Addr, SentAt: time.Now(), Timeout: 5 * time.Second, NewConn: true, Items: []Item{{ID: 1, Attempt: 1, Trace: "again"}}})
-	if c := <-l.partner.Calls; c.Conn != 2 {
-		t.Errorf("on connection %d", c.Conn)
+	pt := newPoolTest(t)
+	pt.callAndAnswer(standin.OK)
+	pt.waitIdle(sockets.Idle)
+	pt.Go(&Call{
+		Endpoint: 1, Addr: pt.partner.Addr, SentAt: time.Now(), Timeout: 5 * time.Second, NewConn: true,
+		Items: []Item{{ID: 1, Attempt: 1, Trace: "again"}},
+	})
+	if c := <-pt.partner.Calls; c.Conn != 2 {
+		t.Errorf("call on connection %d, want 2", c.Conn)
 	}
 }
 
-// Guards against a usual answer time that one fast answer ends, or that a slow spell makes call true answers copies.
+// Guards against a typical response time that collapses after one fast response, or that rises so far in a slow period
+// that later responses are taken for copies.
 func TestTypicalTimeFollowsFastResponses(t *testing.T) {
 	var profile responseProfile
 	for range 20 {
@@ -137,33 +149,38 @@
 	}
 	profile.learn(time.Millisecond)
 	if !profile.isEarly(20 * time.Millisecond) {
-		t.Errorf("a usual answer takes %v after one fast answer", profile.typicalTime)
+		t.Errorf("typical response time %v after one fast response", profile.typicalTime)
 	}
 	for range 10 {
 		profile.learn(600 * time.Millisecond)
 	}
 	if profile.isEarly(100 * time.Millisecond) {
-		t.Errorf("a usual answer takes %v after ten slow ones", profile.typicalTime)
+		t.Errorf("typical response time %v after ten slow responses", profile.typicalTime)
 	}
 }
 
-// Guards against a connection that is kept before anything is known of its endpoint's pace: each copy would be believed.
+// Guards against a connection that is reused before the typical response time of its endpoint is known: a copy of an
+// earlier response could not be detected.
 func TestConnectionIsClosedWhileResponseTimeIsUnknown(t *testing.T) {
-	l := newPoolTest(t)
-	l.Go(&Call{Endpoint: 1, Addr: l.partner.Addr, SentAt: time.Now(), Timeout: 5 * time.Second, Items: []Item{{ID: 1, Attempt: 1, Trace: "again"}}})
-	(<-l.partner.Calls).Write(standin.OK) // at once, as to a message that it knows
-	<-l.ended
-	l.wantClosed(CloseResponseTimeUnknown)
+	pt := newPoolTest(t)
+	pt.Go(&Call{
+		Endpoint: 1, Addr: pt.partner.Addr, SentAt: time.Now(), Timeout: 5 * time.Second,
+		Items: []Item{{ID: 1, Attempt: 1, Trace: "again"}},
+	})
+	(<-pt.partner.Calls).Write(standin.OK) // at once, as to a message that the partner already knows
+	<-pt.ended
+	pt.wantClosed(CloseResponseTimeUnknown)
 }
 
-// Guards against connections that carry one call each for noise that comes with an answer, and can end no later call.
+// Guards against distrust of an endpoint for extra bytes that arrive with a response, and so cannot end a later call:
+// only their connection is closed.
 func TestTrailingBytesCloseOnlyTheirConnection(t *testing.T) {
-	l := newPoolTest(t)
-	l.callAndAnswer(standin.OK + "noise")
-	l.wantClosed(CloseTrailingBytes)
-	l.callAndAnswer(standin.OK)
-	l.waitIdle(sockets.Idle)
-	if n := l.callAndAnswer(standin.OK); n != 2 {
-		t.Errorf("on connection %d, want the kept one", n)
+	pt := newPoolTest(t)
+	pt.callAndAnswer(standin.OK + "noise")
+	pt.wantClosed(CloseTrailingBytes)
+	pt.callAndAnswer(standin.OK)
+	pt.waitIdle(sockets.Idle)
+	if n := pt.callAndAnswer(standin.OK); n != 2 {
+		t.Errorf("call on connection %d, want 2, the idle one", n)
 	}
 }
--- a/internal/outbound/mux.go
+++ b/internal/outbound/mux.go
@@ -199,7 +199,8 @@
 
 func nowMS() float64 { return float64(time.Since(processStart)) / float64(time.Millisecond) }
 
-// closeUnused closes the connections without open streams that are draining or have been idle too long. The lock is held.
+// closeUnused closes the connections without open streams that are draining or have been idle too long. The lock is
+// held.
 func (m *mux) closeUnused() {
 	for _, pc := range m.placement.Idle(nowMS()) {
 		if k := m.conns[pc.ID]; k != nil {
@@ -350,8 +351,8 @@
 		return
 	}
 	result := m.pool.classify(r.Status, r.Get, single)
-	if result.wait > 0 {
-		m.holdWaiting(time.Duration(result.wait) * time.Millisecond)
+	if result.requestedWait > 0 {
+		m.holdWaiting(time.Duration(result.requestedWait) * time.Millisecond)
 	}
 	if single || r.Status != 200 {
 		m.pool.opt.OnDone(c, c.eventsFor(result))
--- a/internal/outbound/outbound.go
+++ b/internal/outbound/outbound.go
@@ -40,9 +40,10 @@
 // dialFunc connects to an address, as Partner.Dial does.
 type dialFunc func(ctx context.Context, addr string) (nc net.Conn, proto string, err error)
 
-// dial connects to an endpoint. A transient error on this side says nothing about the endpoint, so dial retries it until
-// ctx is done or wanted returns false.
-func (p *Pool) dial(ctx context.Context, partner *Partner, addr string, wanted func() bool) (nc net.Conn, proto string, err error) {
+// dial connects to an endpoint. A transient error on this side says nothing about the endpoint, so dial retries it
+// until ctx is done or wanted returns false.
+func (p *Pool) dial(ctx context.Context, partner *Partner, addr string,
+	wanted func() bool) (nc net.Conn, proto string, err error) {
 	dialPartner := p.opt.dial
 	if dialPartner == nil {
 		dialPartner = partner.Dial
--- a/internal/outbound/outbound_test.go
+++ b/internal/outbound/outbound_test.go
@@ -12,32 +12,33 @@
 	"sliptide/policy"
 )
 
-// peer is an endpoint that gives each call one answer and counts its connections.
-func startPeer(t *testing.T, answers ...string) (addr string, conns <-chan int) {
+// startPeer starts an endpoint that gives each call the next response. conns receives the number of the connection,
+// from 1, for each call.
+func startPeer(t *testing.T, responses ...string) (addr string, conns <-chan int) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { ln.Close() })
-	seen := make(chan int, len(answers))
+	connNumbers := make(chan int, len(responses))
 	go func() {
 		for n := 1; ; n++ {
 			nc, err := ln.Accept()
 			if err != nil {
 				return
 			}
-			for r := bufio.NewReader(nc); len(answers) > 0; {
+			for r := bufio.NewReader(nc); len(responses) > 0; {
 				if _, err := http.ReadRequest(r); err != nil {
 					break
 				}
-				fmt.Fprint(nc, answers[0])
-				answers = answers[1:]
-				seen <- n
+				fmt.Fprint(nc, responses[0])
+				responses = responses[1:]
+				connNumbers <- n
 			}
 			nc.Close()
 		}
 	}()
-	return ln.Addr().String(), seen
+	return ln.Addr().String(), connNumbers
 }
 
 func TestProbesLoadReportsAndIdleTimeout(t *testing.T) {
@@ -55,7 +56,7 @@
 		if i > 0 {
 			c.Items = []Item{{ID: 3, Attempt: 2, Trace: "t"}}
 		}
-		if i == 2 { // an idle connection is closed before its time is up
+		if i == 2 { // the idle connection is closed before its keep-alive time ends
 			for p.openCount() > 0 {
 			}
 		}
@@ -68,47 +69,50 @@
 	}
 }
 
-// An answer that cannot be read ends its call at once, as an error that may have run (a
-// single 200 is true whatever follows), and no later call hears the rest of it.
+// Guards against a malformed response that holds its call until the time-out, or whose rest is read as the
+// response to a later call. The call ends at once, as an error that may have run; a 200 to a single message
+// counts whatever follows.
 func TestMalformedResponses(t *testing.T) {
 	ok := "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
 	for name, row := range map[string]struct {
-		answer  string
-		outcome policy.Outcome
-		conn    int // of the next call
+		response string
+		outcome  policy.Outcome
+		nextConn int // number of the connection of the next call
 	}{
-		"noise":                {"\x00\x07\xffnoise", policy.Error, 2},
-		"head without end":     {"HTTP/1.1 500 No\r\nX: y", policy.Error, 2},
-		"a true 200":           {"HTTP/1.1 200 OK\r\nX: y", policy.OK, 2},
-		"3 GB":                 {"HTTP/1.1 503 No\r\nContent-Length: 3000000000\r\n\r\nx", policy.Error, 2},
-		"short of its length":  {"HTTP/1.1 429 No\r\nRetry-After: 9\r\nContent-Length: 50\r\n\r\nx", policy.Error, 2},
-		"answers ahead":        {"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Hints\r\nLink: x\r\n\r\n" + ok, policy.OK, 1},
-		"a protocol unasked":   {"HTTP/1.1 101 Switching Protocols\r\n\r\n", policy.Error, 2},
-		"a second copy":        {ok + ok, policy.OK, 2},
-		"noise behind":         {ok + "noise", policy.OK, 2},
-		"report of nonsense":   {"HTTP/1.1 200 OK\r\nEndpoint-Load-Metrics: TEXT x0=0.1, x1=zz\r\nContent-Length: 0\r\n\r\n", policy.OK, 1},
-		"report beyond reason": {"HTTP/1.1 200 OK\r\nEndpoint-Load-Metrics: TEXT x0=-1, x1=25\r\nContent-Length: 0\r\n\r\n", policy.OK, 1},
+		"noise":                              {"\x00\x07\xffnoise", policy.Error, 2},
+		"head without an end":                {"HTTP/1.1 500 No\r\nX: y", policy.Error, 2},
+		"200 without an end":                 {"HTTP/1.1 200 OK\r\nX: y", policy.OK, 2},
+		"body of 3 GB":                       {"HTTP/1.1 503 No\r\nContent-Length: 3000000000\r\n\r\nx", policy.Error, 2},
+		"body shorter than announced":        {"HTTP/1.1 429 No\r\nRetry-After: 9\r\nContent-Length: 50\r\n\r\nx", policy.Error, 2},
+		"interim responses":                  {"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Hints\r\nLink: x\r\n\r\n" + ok, policy.OK, 1},
+		"unrequested protocol switch":        {"HTTP/1.1 101 Switching Protocols\r\n\r\n", policy.Error, 2},
+		"response twice":                     {ok + ok, policy.OK, 2},
+		"noise after a response":             {ok + "noise", policy.OK, 2},
+		"load report with a malformed value": {"HTTP/1.1 200 OK\r\nEndpoint-Load-Metrics: TEXT x0=0.1, x1=zz\r\nContent-Length: 0\r\n\r\n", policy.OK, 1},
+		"load report with a negative value":  {"HTTP/1.1 200 OK\r\nEndpoint-Load-Metrics: TEXT x0=-1, x1=25\r\nContent-Length: 0\r\n\r\n", policy.OK, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			addr, conns := startPeer(t, row.answer, ok)
+			addr, conns := startPeer(t, row.response, ok)
 			ended := make(chan []policy.Event, 1)
 			p := NewPool(Options{MaxConns: 4, KeepAlive: time.Minute, DialTimeout: time.Second, X0: 0, X1: 1,
 				OnDone: func(_ *Call, events []policy.Event) { ended <- events }})
 			for i, want := range []policy.Outcome{row.outcome, policy.OK} {
-				p.Go(&Call{Endpoint: 1, Addr: addr, SentAt: time.Now(), Timeout: 5 * time.Second, Items: []Item{{ID: 1, Trace: "t"}}})
+				p.Go(&Call{
+					Endpoint: 1, Addr: addr, SentAt: time.Now(), Timeout: 5 * time.Second, Items: []Item{{ID: 1, Trace: "t"}},
+				})
 				if e := (<-ended)[0]; e.Outcome != want || e.Report != nil || e.RequestedWait != 0 || e.Latency > 2000 {
 					t.Errorf("call %d: %+v, want outcome %d", i, e, want)
 				}
-				if n := <-conns; n != []int{1, row.conn}[i] {
-					t.Errorf("call %d on connection %d", i, n)
+				if n := <-conns; n != []int{1, row.nextConn}[i] {
+					t.Errorf("call %d on connection %d, not the expected one", i, n)
 				}
 			}
 		})
 	}
 }
 
-// A call that was dropped is not made, and one that has begun is not dropped.
+// TestDrop checks that a dropped call is not made, and that a call that has started cannot be dropped.
 func TestDrop(t *testing.T) {
 	addr, conns := startPeer(t, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 	ended := make(chan *Call, 2)
@@ -116,19 +120,20 @@
 		OnDone: func(c *Call, _ []policy.Event) { ended <- c }})
 	dropped := &Call{Endpoint: 1, Addr: addr, SentAt: time.Now(), Timeout: time.Second}
 	if !dropped.Drop() {
-		t.Error("a call that waits was not dropped")
+		t.Error("Drop of a waiting call failed")
 	}
 	p.Go(dropped)
-	for p.idleCount(1) == 0 { // its connection is as good as any
+	for p.idleCount(1) == 0 { // its connection becomes idle and can be used
 	}
 	sent := &Call{Endpoint: 1, Addr: addr, SentAt: time.Now(), Timeout: 5 * time.Second}
 	p.Go(sent)
 	if c := <-ended; c != sent || sent.Drop() || <-conns != 1 {
-		t.Error("the dropped call ended, the other was dropped after its end, or its connection was wasted")
+		t.Error("the dropped call was reported, the other could be dropped after its end, or the idle connection was not reused")
 	}
 }
 
-// A call that the end of another sets free finds that one's connection.
+// Guards against a new connection for a call that the outcome of another call releases: the connection of that call is
+// idle by then.
 func TestConnectionIsIdleBeforeOutcomeIsReported(t *testing.T) {
 	ok := "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
 	addr, conns := startPeer(t, ok, ok)
@@ -142,11 +147,11 @@
 		}})
 	p.Go(&Call{Endpoint: 1, Addr: addr, SentAt: time.Now(), Timeout: time.Second})
 	if a, b := <-conns, <-conns; a != 1 || b != 1 {
-		t.Errorf("calls on connections %d and %d", a, b)
+		t.Errorf("calls on connections %d and %d, want both on 1", a, b)
 	}
 }
 
-// An idle connection outlives the deadline of the call that it last carried.
+// Guards against an idle connection that is closed when the deadline of the last call on it passes.
 func TestIdleConnectionOutlivesCallDeadline(t *testing.T) {
 	ok := "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
 	addr, conns := startPeer(t, ok, ok)
@@ -158,9 +163,9 @@
 		p.Go(c)
 		<-ended
 		if n := <-conns; n != 1 {
-			t.Errorf("call %d on connection %d", i, n)
+			t.Errorf("call %d on connection %d, want 1", i, n)
 		}
-		<-time.After(time.Until(c.SentAt.Add(c.Timeout + time.Millisecond))) // its deadline passes
+		<-time.After(time.Until(c.SentAt.Add(c.Timeout + time.Millisecond))) // until the deadline of the call has passed
 	}
 }
 
@@ -176,8 +181,9 @@
 	return len(p.idle[endpoint])
 }
 
-// TestWithheld: a call that may not run any more when its connection is there is never written, and says so once the
-// connection is parked: a call that this outcome sets free finds it, where it opened a second one before.
+// Guards against a call that is written although it must not start any more once its connection is there, and against
+// an outcome that is reported before the connection is idle: a call that the outcome releases then opened a second
+// connection.
 func TestForbiddenCallIsNeverWritten(t *testing.T) {
 	addr, conns := startPeer(t, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 	ended := make(chan []policy.Event, 1)
@@ -185,18 +191,21 @@
 	p = NewPool(Options{MaxConns: 4, KeepAlive: time.Second, DialTimeout: time.Second, X0: -1, X1: -1,
 		OnDone: func(_ *Call, events []policy.Event) {
 			if n := p.idleCount(7); n != 1 {
-				t.Errorf("%v is told with %d connections parked, want 1", events[0].Outcome, n)
+				t.Errorf("outcome %v is reported with %d idle connections, want 1", events[0].Outcome, n)
 			}
 			ended <- events
 		}})
-	for _, may := range []bool{false, true} {
-		c := &Call{Endpoint: 7, Addr: addr, SentAt: time.Now(), Timeout: time.Second, Items: []Item{{ID: 3, Trace: "t"}}, MayStart: func() bool { return may }}
+	for _, mayStart := range []bool{false, true} {
+		c := &Call{
+			Endpoint: 7, Addr: addr, SentAt: time.Now(), Timeout: time.Second, Items: []Item{{ID: 3, Trace: "t"}},
+			MayStart: func() bool { return mayStart },
+		}
 		p.Go(c)
-		if got := (<-ended)[0].Outcome; may != (got == policy.OK) || !may && got != policy.Moot {
-			t.Errorf("may run %v: %v", may, got)
+		if got := (<-ended)[0].Outcome; mayStart != (got == policy.OK) || !mayStart && got != policy.Moot {
+			t.Errorf("MayStart %t: outcome %v", mayStart, got)
 		}
 	}
 	if n := <-conns; n != 1 {
-		t.Errorf("the call that may run came on connection %d", n)
+		t.Errorf("the allowed call came on connection %d, want 1", n)
 	}
 }
--- a/internal/outbound/pace_test.go
+++ b/internal/outbound/pace_test.go
@@ -11,41 +11,41 @@
 	"sliptide/policy"
 )
 
-// accepts is a listener that notes when each connection comes.
-type acceptTimes struct {
+// timedListener is a listener that records when it accepts each connection.
+type timedListener struct {
 	net.Listener
-	mu sync.Mutex
-	at []time.Time
+	mu         sync.Mutex
+	acceptedAt []time.Time
 }
 
-func (a *acceptTimes) Accept() (net.Conn, error) {
+func (a *timedListener) Accept() (net.Conn, error) {
 	nc, err := a.Listener.Accept()
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if err == nil {
-		a.at = append(a.at, time.Now())
+		a.acceptedAt = append(a.acceptedAt, time.Now())
 	}
 	return nc, err
 }
 
-func (a *acceptTimes) list() []time.Time {
+func (a *timedListener) acceptTimes() []time.Time {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return append([]time.Time(nil), a.at...)
+	return append([]time.Time(nil), a.acceptedAt...)
 }
 
-func listen(t *testing.T) *acceptTimes {
+func listenTimed(t *testing.T) *timedListener {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	return &acceptTimes{Listener: ln}
+	return &timedListener{Listener: ln}
 }
 
-const dialInterval = 80 * time.Millisecond // between two connections, at the pace of these tests
+const dialInterval = 80 * time.Millisecond // between two dials in these tests
 
-// Calls that come at once to a partner that has come back open their connections one after the other. The n-th
-// comes n turns after the first at the earliest, however slow the machine.
+// Guards against connections that are opened all at once by calls that start at the same time, as after an outage. The
+// n-th connection comes n turns after the first at the earliest, however slow the machine.
 func TestPaceDialsSpacesConnections(t *testing.T) {
 	for _, h2 := range []bool{false, true} {
 		const endpoints = 4
@@ -59,9 +59,9 @@
 			},
 			OnDone: func(_ *Call, e []policy.Event) { ended <- e[0].Outcome }})
 		p.PaceDials(7, float64(time.Second/dialInterval))
-		var lns []*acceptTimes
+		var lns []*timedListener
 		for range endpoints {
-			ln := listen(t)
+			ln := listenTimed(t)
 			lns = append(lns, ln)
 			if h2 {
 				s := &standin.H2{On: func(*standin.Request) standin.Reply { return standin.Reply{Status: 200} }}
@@ -75,7 +75,10 @@
 		}
 		start := time.Now()
 		for i, ln := range lns {
-			p.Go(&Call{Endpoint: uint32(i + 1), Dest: 7, Addr: ln.Addr().String(), SentAt: start, Timeout: 10 * time.Second, Items: []Item{{ID: 1, Trace: "a"}}})
+			p.Go(&Call{
+				Endpoint: uint32(i + 1), Dest: 7, Addr: ln.Addr().String(), SentAt: start, Timeout: 10 * time.Second,
+				Items: []Item{{ID: 1, Trace: "a"}},
+			})
 		}
 		for range endpoints {
 			if o := <-ended; o != policy.OK {
@@ -83,18 +86,20 @@
 			}
 		}
 		for i, ln := range lns {
-			at := ln.list()
+			at := ln.acceptTimes()
 			if len(at) != 1 || at[0].Sub(start) < time.Duration(i)*dialInterval {
-				t.Errorf("HTTP/2 %t: connections of endpoint %d after %v, the first turn is after %v", h2, i+1, at[0].Sub(start), time.Duration(i)*dialInterval)
+				t.Errorf("HTTP/2 %t: connection to endpoint %d after %v, want %v or later",
+					h2, i+1, at[0].Sub(start), time.Duration(i)*dialInterval)
 			}
 		}
 	}
 }
 
-// A call whose turn is later than its time never ran, and says nothing of the partner; one that waits for its
-// turn takes a connection that becomes idle before; and without a pace there are no turns.
+// Guards against a call that fails, or counts against the partner, because of the pacing of dials. A call that times
+// out before its turn never ran; one that waits takes a connection that becomes idle first; without pacing no call
+// waits.
 func TestWaitingForPacedDialIsNotAFailure(t *testing.T) {
-	ln := listen(t)
+	ln := listenTimed(t)
 	release := make(chan struct{})
 	s := &http.Server{Handler: http.HandlerFunc(func(http.ResponseWriter, *http.Request) { <-release })}
 	go s.Serve(ln)
@@ -104,12 +109,15 @@
 		OnDone: func(_ *Call, e []policy.Event) { ended <- e[0].Outcome }})
 	p.PaceDials(7, 4)
 	call := func(timeout time.Duration) {
-		p.Go(&Call{Endpoint: 1, Dest: 7, Addr: ln.Addr().String(), SentAt: time.Now(), Timeout: timeout, Items: []Item{{ID: 1, Trace: "a"}}})
+		p.Go(&Call{
+			Endpoint: 1, Dest: 7, Addr: ln.Addr().String(), SentAt: time.Now(), Timeout: timeout,
+			Items: []Item{{ID: 1, Trace: "a"}},
+		})
 	}
 	call(10 * time.Second)
 	call(20 * time.Millisecond)
 	if o := <-ended; o != policy.Moot {
-		t.Errorf("its turn never came: outcome %v", o)
+		t.Errorf("call that timed out before its turn: outcome %v, want Moot", o)
 	}
 	call(10 * time.Second)
 	close(release)
@@ -118,11 +126,11 @@
 			t.Errorf("outcome %v", o)
 		}
 	}
-	if n := len(ln.list()); n != 1 {
-		t.Errorf("%d connections, one was idle before the next turn", n)
+	if n := len(ln.acceptTimes()); n != 1 {
+		t.Errorf("%d connections, want 1, which was idle before the next turn", n)
 	}
 	p.PaceDials(7, 0)
 	if wait := p.dialTurn(7); wait != 0 {
-		t.Errorf("a turn after %v without a pace", wait)
+		t.Errorf("turn after %v without pacing, want 0", wait)
 	}
 }
--- a/internal/outbound/tls_test.go
+++ b/internal/outbound/tls_test.go
@@ -19,7 +19,8 @@
 	"sliptide/policy"
 )
 
-// secure is a partner over TLS; protocols as ALPN offers them.
+// startTLSServer starts a partner over TLS. It reports the HTTP version of a request as x0 of the load report, and
+// answers with Retry-After if it has seen a client certificate.
 func startTLSServer(t *testing.T, cert tls.Certificate, configure func(*httptest.Server)) *httptest.Server {
 	s := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
 		io.Copy(io.Discard, q.Body)
@@ -39,7 +40,7 @@
 	return s
 }
 
-// try makes one call and returns its event and what was told of trouble.
+// makeCall makes one call and returns its event and the reported dial error, if any.
 func makeCall(t *testing.T, p *Partner, addr string) (policy.Event, string) {
 	t.Helper()
 	ended, dialErrors := make(chan policy.Event, 1), make(chan string, 10)
@@ -47,7 +48,9 @@
 		Partner:     func(int) *Partner { return p },
 		OnDialError: func(_ uint32, _ string, err error) { dialErrors <- err.Error() },
 		OnDone:      func(_ *Call, events []policy.Event) { ended <- events[0] }})
-	pool.Go(&Call{Endpoint: 1, Addr: addr, Items: []Item{{ID: 1, Trace: "t", Body: []byte("b")}}, SentAt: time.Now(), Timeout: 10 * time.Second})
+	pool.Go(&Call{
+		Endpoint: 1, Addr: addr, Items: []Item{{ID: 1, Trace: "t", Body: []byte("b")}}, SentAt: time.Now(), Timeout: 10 * time.Second,
+	})
 	select {
 	case e := <-ended:
 		pool.CloseIdleConns(1)
@@ -57,44 +60,44 @@
 		}
 		return e, dialError
 	case <-time.After(15 * time.Second):
-		t.Fatal("no end")
+		t.Fatal("the call has not ended within 15 s")
 		return policy.Event{}, ""
 	}
 }
 
 func TestTLS(t *testing.T) {
 	dir := t.TempDir()
-	at := func(name string) string { return filepath.Join(dir, name) }
-	a, other := standin.NewAuthority("test CA"), standin.NewAuthority("other CA")
-	a.WriteCA(at("ca.pem"))
-	later := time.Now().Add(90 * 24 * time.Hour)
-	valid := a.Pair("partner.example.org", later)
-	standin.WritePair(a.Pair("sender.example.org", later), at("own.pem"), at("own.key"), 0o600)
-	ca := keys.Files{CA: at("ca.pem")}
-	ownFiles := keys.Files{CA: at("ca.pem"), Cert: at("own.pem"), Key: at("own.key")}
+	path := func(name string) string { return filepath.Join(dir, name) }
+	testCA, otherCA := standin.NewAuthority("test CA"), standin.NewAuthority("other CA")
+	testCA.WriteCA(path("ca.pem"))
+	notAfter := time.Now().Add(90 * 24 * time.Hour)
+	valid := testCA.Pair("partner.example.org", notAfter)
+	standin.WritePair(testCA.Pair("sender.example.org", notAfter), path("own.pem"), path("own.key"), 0o600)
+	caOnly := keys.Files{CA: path("ca.pem")}
+	clientCert := keys.Files{CA: path("ca.pem"), Cert: path("own.pem"), Key: path("own.key")}
 	requireClientCert := func(s *httptest.Server) {
-		s.TLS.ClientAuth, s.TLS.ClientCAs = tls.RequireAndVerifyClientCert, a.Pool()
+		s.TLS.ClientAuth, s.TLS.ClientCAs = tls.RequireAndVerifyClientCert, testCA.Pool()
 	}
 	var selfSigned *standin.Authority
 	for name, row := range map[string]struct {
-		cert   tls.Certificate
-		server func(*httptest.Server)
-		files  keys.Files
-		h2     bool
-		want   policy.Outcome
-		major  float64 // HTTP version that the partner saw
-		says   string
+		cert      tls.Certificate
+		server    func(*httptest.Server)
+		files     keys.Files
+		h2        bool
+		want      policy.Outcome
+		wantMajor float64 // HTTP version that the partner saw
+		wantError string
 	}{
-		"HTTP/2":             {valid, nil, ca, true, policy.OK, 2, ""},
-		"HTTP/1.1 by choice": {valid, nil, ca, false, policy.OK, 1, ""},
-		"HTTP/1.1 by ALPN":   {valid, func(s *httptest.Server) { s.EnableHTTP2 = false }, ca, true, policy.OK, 1, ""},
-		"mutual":             {valid, requireClientCert, ownFiles, true, policy.OK, 2, ""},
-		"unknown CA":         {other.Pair("partner.example.org", later), nil, ca, true, policy.ConnectFailed, 0, "unknown authority"},
-		"self-signed":        {selfSigned.Pair("partner.example.org", later), nil, ca, true, policy.ConnectFailed, 0, "unknown authority"},
-		"wrong name":         {a.Pair("else.example.org", later), nil, ca, true, policy.ConnectFailed, 0, "else.example.org"},
-		"expired":            {a.Pair("partner.example.org", time.Now().Add(-time.Hour)), nil, ca, true, policy.ConnectFailed, 0, "expired"},
-		"expired, HTTP/1.1":  {a.Pair("partner.example.org", time.Now().Add(-time.Hour)), nil, ca, false, policy.ConnectFailed, 0, "expired"},
-		"too old a TLS":      {valid, func(s *httptest.Server) { s.TLS.MaxVersion = tls.VersionTLS11 }, ca, true, policy.ConnectFailed, 0, "protocol version"},
+		"HTTP/2":              {valid, nil, caOnly, true, policy.OK, 2, ""},
+		"HTTP/1.1 by setting": {valid, nil, caOnly, false, policy.OK, 1, ""},
+		"HTTP/1.1 by ALPN":    {valid, func(s *httptest.Server) { s.EnableHTTP2 = false }, caOnly, true, policy.OK, 1, ""},
+		"mutual":              {valid, requireClientCert, clientCert, true, policy.OK, 2, ""},
+		"unknown CA":          {otherCA.Pair("partner.example.org", notAfter), nil, caOnly, true, policy.ConnectFailed, 0, "unknown authority"},
+		"self-signed":         {selfSigned.Pair("partner.example.org", notAfter), nil, caOnly, true, policy.ConnectFailed, 0, "unknown authority"},
+		"wrong name":          {testCA.Pair("else.example.org", notAfter), nil, caOnly, true, policy.ConnectFailed, 0, "else.example.org"},
+		"expired":             {testCA.Pair("partner.example.org", time.Now().Add(-time.Hour)), nil, caOnly, true, policy.ConnectFailed, 0, "expired"},
+		"expired, HTTP/1.1":   {testCA.Pair("partner.example.org", time.Now().Add(-time.Hour)), nil, caOnly, false, policy.ConnectFailed, 0, "expired"},
+		"TLS 1.1 only":        {valid, func(s *httptest.Server) { s.TLS.MaxVersion = tls.VersionTLS11 }, caOnly, true, policy.ConnectFailed, 0, "protocol version"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			cfg, _, err := keys.Load(row.files, time.Now())
@@ -104,50 +107,52 @@
 			s := startTLSServer(t, row.cert, row.server)
 			p := &Partner{HTTP2: row.h2, TLS: func() *tls.Config { return cfg }, ServerName: "partner.example.org", MaxConns: 2}
 			e, dialError := makeCall(t, p, s.Listener.Addr().String())
-			if e.Outcome != row.want || row.major > 0 && (len(e.Report) == 0 || e.Report[0] != row.major) || !strings.Contains(dialError, row.says) || row.says != "" && dialError == "" {
-				t.Errorf("%+v, %q", e, dialError)
+			if e.Outcome != row.want || row.wantMajor > 0 && (len(e.Report) == 0 || e.Report[0] != row.wantMajor) ||
+				!strings.Contains(dialError, row.wantError) || row.wantError != "" && dialError == "" {
+				t.Errorf("event %+v, dial error %q", e, dialError)
 			}
 			if name == "mutual" && e.RequestedWait == 0 {
-				t.Error("no certificate of ours was seen")
+				t.Error("the partner has seen no client certificate")
 			}
 		})
 	}
 }
 
-// Keys that are no good are refused with the file and what is allowed.
+// TestInvalidKeyFiles checks that an error for an invalid key file names the file or what is allowed.
 func TestInvalidKeyFiles(t *testing.T) {
 	dir := t.TempDir()
-	at := func(name string) string { return filepath.Join(dir, name) }
+	path := func(name string) string { return filepath.Join(dir, name) }
 	now := time.Now()
-	a := standin.NewAuthority("test CA")
-	a.WriteCA(at("ca.pem"))
-	soon := a.Pair("sender.example.org", now.Add(13*24*time.Hour))
-	standin.WritePair(soon, at("own.pem"), at("own.key"), 0o600)
-	standin.WritePair(soon, at("own.pem"), at("open.key"), 0o640)
-	os.WriteFile(at("empty.pem"), nil, 0o600)
+	testCA := standin.NewAuthority("test CA")
+	testCA.WriteCA(path("ca.pem"))
+	expiring := testCA.Pair("sender.example.org", now.Add(13*24*time.Hour))
+	standin.WritePair(expiring, path("own.pem"), path("own.key"), 0o600)
+	standin.WritePair(expiring, path("own.pem"), path("open.key"), 0o640)
+	os.WriteFile(path("empty.pem"), nil, 0o600)
 	for name, row := range map[string]struct {
-		files keys.Files
-		says  string
+		files     keys.Files
+		wantError string
 	}{
-		"readable by others": {keys.Files{Cert: at("own.pem"), Key: at("open.key")}, "others may read"},
+		"readable by others": {keys.Files{Cert: path("own.pem"), Key: path("open.key")}, "others may read"},
 		"no such file":       {keys.Files{CA: "/nowhere.pem"}, "/nowhere.pem"},
-		"an empty bundle":    {keys.Files{CA: at("empty.pem")}, "no certificate in PEM"},
-		"a key as bundle":    {keys.Files{CA: at("own.key")}, "allowed: CERTIFICATE"},
-		"not a pair":         {keys.Files{Cert: at("ca.pem"), Key: at("own.key")}, "private key"},
+		"an empty bundle":    {keys.Files{CA: path("empty.pem")}, "no certificate in PEM"},
+		"a key as bundle":    {keys.Files{CA: path("own.key")}, "allowed: CERTIFICATE"},
+		"not a pair":         {keys.Files{Cert: path("ca.pem"), Key: path("own.key")}, "private key"},
 	} {
-		if _, _, err := keys.Load(row.files, now); err == nil || !strings.Contains(err.Error(), row.says) {
-			t.Errorf("%s: %v", name, err)
+		if _, _, err := keys.Load(row.files, now); err == nil || !strings.Contains(err.Error(), row.wantError) {
+			t.Errorf("%s: error %v", name, err)
 		}
 	}
-	_, warnings, err := keys.Load(keys.Files{Cert: at("own.pem"), Key: at("own.key")}, now)
+	_, warnings, err := keys.Load(keys.Files{Cert: path("own.pem"), Key: path("own.key")}, now)
 	if err != nil || len(warnings) != 1 || !strings.Contains(warnings[0].String(), "sender.example.org") {
-		t.Errorf("%v %v", warnings, err)
+		t.Errorf("warnings %v, error %v, want one warning on sender.example.org", warnings, err)
 	}
 }
 
-// A partner that accepts and closes, or says nothing, is no connection: calls end as never run, soon.
+// Guards against calls that wait for a partner that accepts connections and closes them, or sends no SETTINGS: they end
+// soon as never run.
 func TestConnectionsWithoutSettingsFail(t *testing.T) {
-	for name, act := range map[string]func(net.Conn){"closes": func(nc net.Conn) { nc.Close() }, "silent": func(net.Conn) {}} {
+	for name, serve := range map[string]func(net.Conn){"closes": func(nc net.Conn) { nc.Close() }, "silent": func(net.Conn) {}} {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
@@ -159,7 +164,7 @@
 				if err != nil {
 					return
 				}
-				act(nc)
+				serve(nc)
 			}
 		}()
 		ended := make(chan policy.Event, 1)
@@ -167,7 +172,9 @@
 			Partner: func(int) *Partner { return &Partner{HTTP2: true, MaxConns: 2} },
 			OnDone:  func(_ *Call, events []policy.Event) { ended <- events[0] }})
 		start := time.Now()
-		pool.Go(&Call{Endpoint: 1, Addr: ln.Addr().String(), Items: []Item{{ID: 1, Trace: "t"}}, SentAt: start, Timeout: 10 * time.Second})
+		pool.Go(&Call{
+			Endpoint: 1, Addr: ln.Addr().String(), Items: []Item{{ID: 1, Trace: "t"}}, SentAt: start, Timeout: 10 * time.Second,
+		})
 		if e := <-ended; e.Outcome != policy.ConnectFailed || time.Since(start) > 5*time.Second {
 			t.Errorf("%s: %+v after %v", name, e, time.Since(start))
 		}
--- a/internal/outbound/window_test.go
+++ b/internal/outbound/window_test.go
@@ -10,8 +10,8 @@
 	"sliptide/policy"
 )
 
-// A repeat waits for its connection while the partner's window for repeats passes. It must not be written then, be it
-// that the connection never comes, that it comes late, or that the request waits for a turn to connect.
+// Guards against a retry that is written after WriteBy, when the partner's idempotency window has passed: the
+// connection is never established, is established late, or the call waits for its turn to dial.
 func TestRetryAfterWriteByIsNotWritten(t *testing.T) {
 	const window = 100 * time.Millisecond
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -25,12 +25,12 @@
 	wantMoot := func(name string, c *Call) {
 		t.Helper()
 		select {
-		case ev := <-ended:
-			if ev[0].Outcome != policy.Moot {
-				t.Errorf("%s: outcome %v, want that it was not sent", name, ev[0].Outcome)
+		case events := <-ended:
+			if events[0].Outcome != policy.Moot {
+				t.Errorf("%s: outcome %v, want Moot (not sent)", name, events[0].Outcome)
 			}
 		case <-time.After(5 * time.Second):
-			t.Fatalf("%s: the call does not end", name)
+			t.Fatalf("%s: the call has not ended within 5 s", name)
 		}
 	}
 	call := func(addr string) *Call {
@@ -40,15 +40,15 @@
 	fullAddr := listenWithFullBacklog(t)
 	c := call(fullAddr)
 	p.Go(c)
-	wantMoot("a connection that does not come up", c)
+	wantMoot("connection never established", c)
 
 	c = call(ln.Addr().String())
-	c.MayStart = func() bool { // asked with the connection there: as if it had taken so long
+	c.MayStart = func() bool { // called once the connection is there: as if it had been established late
 		c.WriteBy = time.Now()
 		return true
 	}
 	p.Go(c)
-	wantMoot("a connection that comes up late", c)
+	wantMoot("connection established late", c)
 	nc, err := ln.Accept()
 	if err != nil {
 		t.Fatal(err)
@@ -58,13 +58,15 @@
 	p = NewPool(Options{MaxConns: 4, KeepAlive: time.Second, DialTimeout: time.Minute, X0: -1, X1: -1,
 		OnDone: func(_ *Call, events []policy.Event) { ended <- events }})
 	p.PaceDials(0, 4)
-	p.Go(&Call{Endpoint: 2, Addr: ln.Addr().String(), Items: []Item{{ID: 2, Trace: "u"}}, SentAt: time.Now(), Timeout: time.Minute})
+	p.Go(&Call{
+		Endpoint: 2, Addr: ln.Addr().String(), Items: []Item{{ID: 2, Trace: "u"}}, SentAt: time.Now(), Timeout: time.Minute,
+	})
 	c = call(ln.Addr().String())
 	p.Go(c)
-	wantMoot("a turn to connect that comes late", c)
+	wantMoot("late turn to dial", c)
 }
 
-// backlogged is the address of a listener that takes no connection: its line is full, and nobody accepts.
+// listenWithFullBacklog returns the address of a listener that accepts no connection and whose backlog is full.
 func listenWithFullBacklog(t *testing.T) string {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
@@ -87,6 +89,6 @@
 		}
 		t.Cleanup(func() { nc.Close() })
 	}
-	t.Fatal("its line is never full")
+	t.Fatal("the listen backlog is not full after 8 connections")
 	return ""
 }
