--- a/internal/outbound/closing.go
+++ b/internal/outbound/closing.go
@@ -54,8 +54,8 @@
 }
 
 // reportClosed passes the end of the connection to OnConnClosed.
-func (k *conn) reportClosed(reason CloseReason) {
-	if k.pool.opt.OnConnClosed != nil {
-		k.pool.opt.OnConnClosed(CloseEvent{Endpoint: k.endpoint, Addr: k.addr, Reason: reason, Answers: k.answers})
+func (cn *conn) reportClosed(reason CloseReason) {
+	if cn.pool.opt.OnConnClosed != nil {
+		cn.pool.opt.OnConnClosed(CloseEvent{Endpoint: cn.endpoint, Addr: cn.addr, Reason: reason, Answers: cn.answers})
 	}
 }
--- a/internal/outbound/conn.go
+++ b/internal/outbound/conn.go
@@ -41,44 +41,44 @@
 }
 
 // run dials for c and serves calls until the connection ends.
-func (k *conn) run(c *Call) {
+func (cn *conn) run(c *Call) {
 	defer func() {
-		k.pool.mu.Lock()
-		k.pool.open--
-		k.pool.mu.Unlock()
+		cn.pool.mu.Lock()
+		cn.pool.open--
+		cn.pool.mu.Unlock()
 	}()
-	if !k.dial(c) {
+	if !cn.dial(c) {
 		return
 	}
-	defer k.nc.Close()
-	for k.serve(c) {
-		if c = k.nextCall(); c == nil {
-			k.reportClosed(k.reason)
+	defer cn.nc.Close()
+	for cn.serve(c) {
+		if c = cn.nextCall(); c == nil {
+			cn.reportClosed(cn.reason)
 			return
 		}
 	}
 }
 
 // nextCall waits for the next call of an idle connection. It returns nil if the connection is to be closed.
-func (k *conn) nextCall() *Call {
-	timer := time.NewTimer(k.pool.idleTimeout())
+func (cn *conn) nextCall() *Call {
+	timer := time.NewTimer(cn.pool.idleTimeout())
 	defer timer.Stop()
 	select {
-	case c := <-k.calls:
+	case c := <-cn.calls:
 		return c
 	case <-timer.C:
-		if k.pool.removeIdle(k) {
+		if cn.pool.removeIdle(cn) {
 			return nil
 		}
-		return <-k.calls
+		return <-cn.calls
 	}
 }
 
-func (k *conn) dial(c *Call) bool {
-	deadline := time.Now().Add(min(k.pool.opt.DialTimeout, time.Until(c.SentAt.Add(c.Timeout))))
+func (cn *conn) dial(c *Call) bool {
+	deadline := time.Now().Add(min(cn.pool.opt.DialTimeout, time.Until(c.SentAt.Add(c.Timeout))))
 	ctx, cancel := context.WithDeadline(context.Background(), c.capAtWriteBy(deadline))
 	defer cancel()
-	partner := k.partner
+	partner := cn.partner
 	if partner == nil {
 		partner = &Partner{}
 	} else if partner.TLS != nil && partner.HTTP2 { // it chose HTTP/1.1 when HTTP/2 was offered
@@ -86,104 +86,104 @@
 		http1Only.HTTP2 = false
 		partner = &http1Only
 	}
-	nc, _, err := k.pool.dial(ctx, partner, k.addr, func() bool { return c.state.Load() == stateWaiting })
-	if err != nil && k.pool.dropForbidden(c) { // WriteBy or MayStart ended it first: that says nothing about the endpoint
+	nc, _, err := cn.pool.dial(ctx, partner, cn.addr, func() bool { return c.state.Load() == stateWaiting })
+	if err != nil && cn.pool.dropForbidden(c) { // WriteBy or MayStart ended it first: that says nothing about the endpoint
 		return false
 	}
 	if err != nil {
-		if k.partner != nil {
-			k.pool.reportDialError(k.endpoint, k.addr, err)
+		if cn.partner != nil {
+			cn.pool.reportDialError(cn.endpoint, cn.addr, err)
 		}
-		k.pool.failUnsent(c, policy.ConnectFailed)
+		cn.pool.failUnsent(c, policy.ConnectFailed)
 		return false
 	}
-	k.nc, k.reader = nc, http1.NewReader(nc)
+	cn.nc, cn.reader = nc, http1.NewReader(nc)
 	return true
 }
 
 // serve makes one call and reports whether the connection can take another; it is
 // among the idle connections then.
-func (k *conn) serve(c *Call) bool {
-	if k.answers > 0 && !k.stillIdle() {
-		k.pool.startHTTP1(c, k.partner)
+func (cn *conn) serve(c *Call) bool {
+	if cn.answers > 0 && !cn.stillIdle() {
+		cn.pool.startHTTP1(c, cn.partner)
 		return false
 	}
 	deadline := c.SentAt.Add(c.Timeout)
-	k.nc.SetDeadline(deadline)
-	k.writeBuf = c.appendRequest(k.writeBuf[:0])
+	cn.nc.SetDeadline(deadline)
+	cn.writeBuf = c.appendRequest(cn.writeBuf[:0])
 	if forbidden := c.startForbidden(); forbidden || !c.tryStart() {
 		dropped := forbidden && c.Drop()
-		k.pool.addIdle(k) // the call was dropped while it waited for the connection, which can still be used
-		if dropped {      // reported last: the next call, which this outcome may release, must find the connection idle
-			k.pool.finish(c, policy.Moot)
+		cn.pool.addIdle(cn) // the call was dropped while it waited for the connection, which can still be used
+		if dropped {        // reported last: the next call, which this outcome may release, must find the connection idle
+			cn.pool.finish(c, policy.Moot)
 		}
 		return true
 	}
-	k.nc.SetWriteDeadline(c.capAtWriteBy(deadline))
-	if !c.attach(k.nc) {
-		k.nc.Close()
-		k.reportClosed(CloseAbandoned)
-		k.pool.finish(c, policy.ConnectFailed)
+	cn.nc.SetWriteDeadline(c.capAtWriteBy(deadline))
+	if !c.attach(cn.nc) {
+		cn.nc.Close()
+		cn.reportClosed(CloseAbandoned)
+		cn.pool.finish(c, policy.ConnectFailed)
 		return false
 	}
-	if n, err := k.nc.Write(k.writeBuf); err != nil {
-		k.nc.Close()
+	if n, err := cn.nc.Write(cn.writeBuf); err != nil {
+		cn.nc.Close()
 		c.detach()
-		k.reportClosed(CloseWriteFailed)
-		if n < len(k.writeBuf) { // the last byte was not written: it never ran
-			k.pool.finish(c, policy.ConnectFailed)
+		cn.reportClosed(CloseWriteFailed)
+		if n < len(cn.writeBuf) { // the last byte was not written: it never ran
+			cn.pool.finish(c, policy.ConnectFailed)
 		} else {
-			k.pool.finish(c, policy.Reset)
+			cn.pool.finish(c, policy.Reset)
 		}
 		return false
 	}
 	writtenAt := time.Now()
-	resp, err := k.readResponse(deadline)
-	responseTime := k.firstByteAt.Sub(writtenAt)
+	resp, err := cn.readResponse(deadline)
+	responseTime := cn.firstByteAt.Sub(writtenAt)
 	abandoned := c.detach()
-	if resp.Status == http.StatusOK && k.isMismatched(c, responseTime) {
-		k.nc.Close()
-		k.pool.markSuspect(k.endpoint)
-		k.reportClosed(CloseMismatch)
-		k.pool.finish(c, policy.Error) // it may have run: its own response is still outstanding
+	if resp.Status == http.StatusOK && cn.isMismatched(c, responseTime) {
+		cn.nc.Close()
+		cn.pool.markSuspect(cn.endpoint)
+		cn.reportClosed(CloseMismatch)
+		cn.pool.finish(c, policy.Error) // it may have run: its own response is still outstanding
 		return false
 	}
-	events, complete := k.responseEvents(c, resp, err)
-	reason, reusable := k.checkReuse(c, resp, err, abandoned, complete, responseTime)
+	events, complete := cn.responseEvents(c, resp, err)
+	reason, reusable := cn.checkReuse(c, resp, err, abandoned, complete, responseTime)
 	// The connection is closed or made idle before the outcome is reported: a further attempt
 	// must not run while this one is open, and a call that the outcome releases must find this
 	// connection idle, or it opens a new one.
 	if reusable {
-		k.pool.addIdle(k)
+		cn.pool.addIdle(cn)
 	} else {
-		k.nc.Close()
-		k.reportClosed(reason)
+		cn.nc.Close()
+		cn.reportClosed(reason)
 	}
-	k.pool.opt.OnDone(c, events)
+	cn.pool.opt.OnDone(c, events)
 	return reusable
 }
 
 // stillIdle checks a reused connection again, right before a request is written to it. It closes the connection if the
 // peer has closed it or sent bytes since the call was given to it.
-func (k *conn) stillIdle() bool {
+func (cn *conn) stillIdle() bool {
 	reason := CloseByPeer
-	switch sockets.Check(k.nc) {
+	switch sockets.Check(cn.nc) {
 	case sockets.Idle:
 		return true
 	case sockets.Unsolicited:
 		reason = CloseUnsolicited
-		k.pool.mu.Lock()
-		k.pool.noteUnsolicited(k.endpoint)
-		k.pool.mu.Unlock()
+		cn.pool.mu.Lock()
+		cn.pool.noteUnsolicited(cn.endpoint)
+		cn.pool.mu.Unlock()
 	}
-	k.nc.Close()
-	k.reportClosed(reason)
+	cn.nc.Close()
+	cn.reportClosed(reason)
 	return false
 }
 
 // checkReuse reports whether the connection can take a further call after a response, and if not, why it is closed.
 // complete is false if the response to a bulk call has left out a message. responseTime is the time to the first byte.
-func (k *conn) checkReuse(c *Call, resp *http1.Message, err error, abandoned, complete bool,
+func (cn *conn) checkReuse(c *Call, resp *http1.Message, err error, abandoned, complete bool,
 	responseTime time.Duration) (reason CloseReason, reusable bool) {
 	switch {
 	case abandoned:
@@ -193,24 +193,24 @@
 	case err != nil:
 		return CloseBroken, false
 	}
-	k.answers++
-	k.pool.mu.Lock()
-	defer k.pool.mu.Unlock()
+	cn.answers++
+	cn.pool.mu.Lock()
+	defer cn.pool.mu.Unlock()
 	switch {
 	case resp.Close:
 		return CloseRequested, false
-	case k.reader.Buffered(): // the bytes arrived with the response, and cannot end a later call
+	case cn.reader.Buffered(): // the bytes arrived with the response, and cannot end a later call
 		return CloseTrailingBytes, false
 	case !complete:
-		k.pool.profileOf(k.endpoint).suspectUntil = time.Now().Add(suspectDuration)
+		cn.pool.profileOf(cn.endpoint).suspectUntil = time.Now().Add(suspectDuration)
 		return CloseMismatch, false
 	case resp.Status != http.StatusOK: // its copy could not be told from the response to the next call by the response time
 		return CloseOtherStatus, false
-	case k.pool.distrusted(k.endpoint):
+	case cn.pool.distrusted(cn.endpoint):
 		return CloseDistrusted, false
 	}
-	k.pool.learnResponseTime(c, responseTime)
-	if len(c.Items) > 0 && k.pool.responseTimeUnknown(k.endpoint) {
+	cn.pool.learnResponseTime(c, responseTime)
+	if len(c.Items) > 0 && cn.pool.responseTimeUnknown(cn.endpoint) {
 		return CloseResponseTimeUnknown, false
 	}
 	return 0, true
@@ -218,17 +218,17 @@
 
 // readResponse reads the final response. One that begins before the deadline but cannot be parsed, or stalls, gives
 // errMalformed.
-func (k *conn) readResponse(deadline time.Time) (*http1.Message, error) {
+func (cn *conn) readResponse(deadline time.Time) (*http1.Message, error) {
 	for range maxInterimResponses {
-		k.nc.SetReadDeadline(deadline)
-		if err := k.reader.Wait(); err != nil {
+		cn.nc.SetReadDeadline(deadline)
+		if err := cn.reader.Wait(); err != nil {
 			return &http1.Message{}, err
 		}
-		k.firstByteAt = time.Now()
-		if readDeadline := k.firstByteAt.Add(responseReadTimeout); readDeadline.Before(deadline) {
-			k.nc.SetReadDeadline(readDeadline)
+		cn.firstByteAt = time.Now()
+		if readDeadline := cn.firstByteAt.Add(responseReadTimeout); readDeadline.Before(deadline) {
+			cn.nc.SetReadDeadline(readDeadline)
 		}
-		resp, err := k.reader.Response()
+		resp, err := cn.reader.Response()
 		switch {
 		case errors.Is(err, os.ErrDeadlineExceeded), errors.Is(err, http1.ErrMalformed), errors.Is(err, http1.ErrTooLarge):
 			return resp, errMalformed
@@ -243,7 +243,7 @@
 
 // responseEvents converts a response, or the error in its place, to the call's events. complete is false if the
 // response to a bulk call leaves out a message.
-func (k *conn) responseEvents(c *Call, resp *http1.Message, err error) (events []policy.Event, complete bool) {
+func (cn *conn) responseEvents(c *Call, resp *http1.Message, err error) (events []policy.Event, complete bool) {
 	single := len(c.Items) <= 1
 	if err != nil && !(single && resp.Status == http.StatusOK) {
 		outcome := policy.Reset
@@ -256,9 +256,9 @@
 		return c.eventsFor(itemResult{outcome: outcome}), true
 	}
 	get := func(name string) string { return string(resp.Headers.Get(name)) }
-	result := k.pool.classify(resp.Status, get, single)
+	result := cn.pool.classify(resp.Status, get, single)
 	if single || resp.Status != http.StatusOK {
 		return c.eventsFor(result), true
 	}
-	return parseBulk(&k.parser, c, resp.Body, result)
+	return parseBulk(&cn.parser, c, resp.Body, result)
 }
--- a/internal/outbound/matching.go
+++ b/internal/outbound/matching.go
@@ -83,11 +83,11 @@
 
 // isMismatched reports whether a 200 cannot be the response to a call: it came too early, on a connection that has
 // carried another call. The response to a bulk call names its messages, and is checked by their names instead.
-func (k *conn) isMismatched(c *Call, responseTime time.Duration) bool {
-	if k.answers == 0 || len(c.Items) != 1 {
+func (cn *conn) isMismatched(c *Call, responseTime time.Duration) bool {
+	if cn.answers == 0 || len(c.Items) != 1 {
 		return false
 	}
-	k.pool.mu.Lock()
-	defer k.pool.mu.Unlock()
-	return k.pool.profileOf(k.endpoint).isEarly(responseTime)
+	cn.pool.mu.Lock()
+	defer cn.pool.mu.Unlock()
+	return cn.pool.profileOf(cn.endpoint).isEarly(responseTime)
 }
--- a/internal/outbound/matching_test.go
+++ b/internal/outbound/matching_test.go
@@ -48,12 +48,12 @@
 // waitIdle waits until sockets.Check reports the condition for the idle connection, and returns the connection.
 func (pt *poolTest) waitIdle(want sockets.Condition) *conn {
 	pt.mu.Lock()
-	k := pt.idle[1][0]
+	cn := pt.idle[1][0]
 	pt.mu.Unlock()
-	for sockets.Check(k.nc) != want {
+	for sockets.Check(cn.nc) != want {
 		time.Sleep(time.Millisecond)
 	}
-	return k
+	return cn
 }
 
 func (pt *poolTest) wantClosed(reason CloseReason) {
@@ -88,15 +88,15 @@
 	first := pt.call("first")
 	first.Write(standin.OK)
 	<-pt.ended
-	k := pt.waitIdle(sockets.Idle)
-	if !pt.removeIdle(k) {
+	cn := pt.waitIdle(sockets.Idle)
+	if !pt.removeIdle(cn) {
 		t.Fatal("the connection is not among the idle ones")
 	}
 	first.Write(standin.OK)
-	for sockets.Check(k.nc) != sockets.Unsolicited {
+	for sockets.Check(cn.nc) != sockets.Unsolicited {
 		time.Sleep(time.Millisecond)
 	}
-	k.calls <- &Call{
+	cn.calls <- &Call{
 		Endpoint: 1, Addr: pt.partner.Addr, SentAt: time.Now(), Timeout: 5 * time.Second, Items: []Item{{ID: 1, Trace: "second"}},
 	}
 	if c := <-pt.partner.Calls; c.ID != "second" || c.Conn != 2 {
--- a/internal/outbound/mux.go
+++ b/internal/outbound/mux.go
@@ -104,9 +104,9 @@
 		if !c.tryStart() {
 			continue
 		}
-		k := m.conns[pc.ID]
-		s, ok := k.Start(m.newRequest(c), func(r h2.Result) { m.streamEnded(c, r) })
-		m.updatePlacement(pc, k)
+		hc := m.conns[pc.ID]
+		s, ok := hc.Start(m.newRequest(c), func(r h2.Result) { m.streamEnded(c, r) })
+		m.updatePlacement(pc, hc)
 		if !ok { // the connection takes no more streams: nothing was written
 			callbacks = append(callbacks, func() { m.pool.finish(c, policy.Moot) })
 			continue
@@ -147,8 +147,8 @@
 }
 
 // updatePlacement copies the stream limit, the open streams and the phase of a connection to its placing entry.
-func (m *mux) updatePlacement(pc *placing.Conn, k *h2.Conn) {
-	state := k.State()
+func (m *mux) updatePlacement(pc *placing.Conn, hc *h2.Conn) {
+	state := hc.State()
 	pc.Limit, pc.Active = state.Limit, state.Active
 	if state.Draining || state.Lost != nil {
 		pc.Phase = placing.Draining
@@ -158,18 +158,18 @@
 }
 
 // connChanged handles a change of a connection: of its stream limit, of its open streams, or its end.
-func (m *mux) connChanged(id int, k *h2.Conn) {
+func (m *mux) connChanged(id int, hc *h2.Conn) {
 	m.mu.Lock()
 	pc := m.placement.Get(id)
 	if pc == nil {
 		m.mu.Unlock()
 		return
 	}
-	m.conns[id] = k // registered here, since SETTINGS may arrive before h2.New returns
-	m.updatePlacement(pc, k)
+	m.conns[id] = hc // registered here, since SETTINGS may arrive before h2.New returns
+	m.updatePlacement(pc, hc)
 	pc.UsedAt = nowMS()
 	var callbacks []func()
-	if k.State().Lost != nil {
+	if hc.State().Lost != nil {
 		// A connection without any response since its dial counts as a failed dial: waiting calls must not
 		// dial again and again to a partner that accepts connections and closes them.
 		noAnswers := m.answersAtDial[id] == m.answers
@@ -203,8 +203,8 @@
 // held.
 func (m *mux) closeUnused() {
 	for _, pc := range m.placement.Idle(nowMS()) {
-		if k := m.conns[pc.ID]; k != nil {
-			k.Close()
+		if hc := m.conns[pc.ID]; hc != nil {
+			hc.Close()
 		}
 	}
 }
@@ -234,29 +234,29 @@
 		runAll(callbacks)
 		return
 	}
-	k := h2.New(nc, h2.Options{
+	hc := h2.New(nc, h2.Options{
 		MaxBody: http1.MaxBody, RestIn: responseReadTimeout, PingAfter: m.partner.PingAfter, PingFor: m.partner.PingTimeout,
-		Changed: func(k *h2.Conn) { m.connChanged(id, k) },
+		Changed: func(hc *h2.Conn) { m.connChanged(id, hc) },
 	})
 	select { // a connection is usable only once the peer has sent its SETTINGS
 	case <-ctx.Done():
-	case <-k.Settled():
-		go m.watchIdle(id, k)
+	case <-hc.Settled():
+		go m.watchIdle(id, hc)
 		return
-	case <-k.Done():
+	case <-hc.Done():
 		return
 	}
 	m.pool.reportDialError(m.endpoint, m.addr, errors.New("HTTP/2: no SETTINGS received within the dial time-out"))
-	k.Abort(errors.New("HTTP/2: no SETTINGS received within the dial time-out"))
+	hc.Abort(errors.New("HTTP/2: no SETTINGS received within the dial time-out"))
 }
 
-// watchIdle closes unused connections periodically, until k ends.
-func (m *mux) watchIdle(id int, k *h2.Conn) {
+// watchIdle closes unused connections periodically, until hc ends.
+func (m *mux) watchIdle(id int, hc *h2.Conn) {
 	ticker := time.NewTicker(max(m.pool.idleTimeout()/2, 10*time.Millisecond))
 	defer ticker.Stop()
 	for {
 		select {
-		case <-k.Done():
+		case <-hc.Done():
 			return
 		case <-ticker.C:
 			m.mu.Lock()
@@ -314,10 +314,10 @@
 func (m *mux) closeIdleConns() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	for id, k := range m.conns {
-		if pc := m.placement.Get(id); pc != nil && k.State().Active == 0 {
+	for id, hc := range m.conns {
+		if pc := m.placement.Get(id); pc != nil && hc.State().Active == 0 {
 			pc.Phase = placing.Draining
-			k.Close()
+			hc.Close()
 		}
 	}
 }
--- a/internal/outbound/outbound.go
+++ b/internal/outbound/outbound.go
@@ -183,48 +183,48 @@
 	now := time.Now()
 	for i := len(p.idle[c.Endpoint]) - 1; i >= 0; i-- {
 		idle := p.idle[c.Endpoint]
-		k := idle[i]
-		if now.Before(k.reusableAt) {
+		cn := idle[i]
+		if now.Before(cn.reusableAt) {
 			continue
 		}
 		p.idle[c.Endpoint] = append(idle[:i:i], idle[i+1:]...)
 		// On a connection that its endpoint has closed (a crash, a restart), a call that
 		// never ran would end as a reset, which may have run.
-		reason, usable := p.usable(k, c, partner)
+		reason, usable := p.usable(cn, c, partner)
 		if usable {
-			k.calls <- c // does not block: it has space for one call, and an idle connection has none pending
+			cn.calls <- c // does not block: it has space for one call, and an idle connection has none pending
 			return true
 		}
-		k.closeIdle(reason)
+		cn.closeIdle(reason)
 	}
 	return false
 }
 
 // usable reports whether an idle connection can take a call, and if not, the reason to close it.
-func (p *Pool) usable(k *conn, c *Call, partner *Partner) (CloseReason, bool) {
+func (p *Pool) usable(cn *conn, c *Call, partner *Partner) (CloseReason, bool) {
 	switch {
-	case k.addr != c.Addr || k.partner != partner:
+	case cn.addr != c.Addr || cn.partner != partner:
 		return CloseReplaced, false
-	case time.Since(k.usedAt) >= p.idleTimeout():
+	case time.Since(cn.usedAt) >= p.idleTimeout():
 		return CloseIdle, false
 	}
-	switch sockets.Check(k.nc) {
+	switch sockets.Check(cn.nc) {
 	case sockets.Closed:
 		return CloseByPeer, false
 	case sockets.Unsolicited:
-		p.noteUnsolicited(k.endpoint)
+		p.noteUnsolicited(cn.endpoint)
 		return CloseUnsolicited, false
 	}
-	if p.distrusted(k.endpoint) {
+	if p.distrusted(cn.endpoint) {
 		return CloseDistrusted, false
 	}
 	return 0, true
 }
 
 // closeIdle ends the goroutine of an idle connection, which closes it. The pool's lock is held.
-func (k *conn) closeIdle(reason CloseReason) {
-	k.reason = reason
-	close(k.calls)
+func (cn *conn) closeIdle(reason CloseReason) {
+	cn.reason = reason
+	close(cn.calls)
 }
 
 // startOnNewConn makes a call on a new connection, if the connection limit allows one.
@@ -233,8 +233,8 @@
 		go p.failUnsent(c, policy.ConnectFailed)
 		return
 	}
-	k := &conn{pool: p, partner: partner, endpoint: c.Endpoint, addr: c.Addr, calls: make(chan *Call, 1)}
-	go k.run(c)
+	cn := &conn{pool: p, partner: partner, endpoint: c.Endpoint, addr: c.Addr, calls: make(chan *Call, 1)}
+	go cn.run(c)
 }
 
 // idleTimeout returns how long an idle connection may be reused. It ends before the
@@ -264,8 +264,8 @@
 func (p *Pool) CloseIdleConns(endpoint uint32) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for _, k := range p.idle[endpoint] {
-		k.closeIdle(CloseByCaller)
+	for _, cn := range p.idle[endpoint] {
+		cn.closeIdle(CloseByCaller)
 	}
 	delete(p.idle, endpoint)
 	if m := p.muxes[endpoint]; m != nil {
@@ -273,25 +273,25 @@
 	}
 }
 
-// addIdle adds k to the idle connections. It clears the deadline of the last call:
+// addIdle adds cn to the idle connections. It clears the deadline of the last call:
 // once that has passed, sockets.Check would report the connection as closed.
-func (p *Pool) addIdle(k *conn) {
-	k.nc.SetDeadline(time.Time{})
+func (p *Pool) addIdle(cn *conn) {
+	cn.nc.SetDeadline(time.Time{})
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	k.usedAt = time.Now()
-	k.reusableAt = k.usedAt.Add(p.profileOf(k.endpoint).settleTime())
-	p.idle[k.endpoint] = append(p.idle[k.endpoint], k)
+	cn.usedAt = time.Now()
+	cn.reusableAt = cn.usedAt.Add(p.profileOf(cn.endpoint).settleTime())
+	p.idle[cn.endpoint] = append(p.idle[cn.endpoint], cn)
 }
 
-// removeIdle removes k from the idle connections. It returns false if a call has already been given to k.
-func (p *Pool) removeIdle(k *conn) bool {
+// removeIdle removes cn from the idle connections. It returns false if a call has already been given to cn.
+func (p *Pool) removeIdle(cn *conn) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	idle := p.idle[k.endpoint]
+	idle := p.idle[cn.endpoint]
 	for i := range idle {
-		if idle[i] == k {
-			p.idle[k.endpoint] = append(idle[:i:i], idle[i+1:]...)
+		if idle[i] == cn {
+			p.idle[cn.endpoint] = append(idle[:i:i], idle[i+1:]...)
 			return true
 		}
 	}
