--- a/cmd/sliptide/knowledge_test.go
+++ b/cmd/sliptide/knowledge_test.go
@@ -37,7 +37,7 @@
 }
 
 // awaitFile waits until the state folder has a readable knowledge file for which ok holds.
-func (r *rig) awaitFile(name string, ok func(*knowledge.Book) bool) {
+func (r *rig) awaitFile(name string, ok func(*knowledge.Facts) bool) {
 	r.t.Helper()
 	for end := time.Now().Add(patient); ; {
 		if text, err := os.ReadFile(filepath.Join(r.state, name)); err == nil {
@@ -70,7 +70,7 @@
 			told := time.Now()
 			c.status(429, "Retry-After", "4.000")
 			if row.kept {
-				r.awaitFile(store.WaitsName, func(b *knowledge.Book) bool { return len(b.Waits) == 1 })
+				r.awaitFile(store.WaitsName, func(b *knowledge.Facts) bool { return len(b.Waits) == 1 })
 				if late := time.Since(told); late > 2*time.Second { // 50 ms, and what a busy machine adds
 					t.Errorf("on disk after %v", late)
 				}
@@ -111,8 +111,8 @@
 		r.take(id, 0, 10, "")
 		r.callFor(id).status(200, "Endpoint-Load-Metrics", "TEXT x0=0.5, x1=25")
 	}
-	r.awaitFile(store.BookName, func(b *knowledge.Book) bool {
-		return b.Dests[0] != nil && b.Dests[0].Shared.AdvertisedLimit == 25 && len(b.Dests[0].Endpoints) == 1
+	r.awaitFile(store.SnapshotName, func(b *knowledge.Facts) bool {
+		return b.Dests[0] != nil && b.Dests[0].SharedRoute.AdvertisedLimit == 25 && len(b.Dests[0].Endpoints) == 1
 	})
 	if _, errs, status := command(t, "knowledge", "forget", r.state); status != 1 || !strings.Contains(errs, "another sender") {
 		t.Errorf("forget while it runs: %d %s", status, errs)
@@ -135,7 +135,7 @@
 	if out, _, status := command(t, "knowledge", "verify", r.state); status != 0 || !strings.Contains(out, "fine") {
 		t.Errorf("verify: %d %s", status, out)
 	}
-	file := filepath.Join(r.state, store.BookName)
+	file := filepath.Join(r.state, store.SnapshotName)
 	text, _ := os.ReadFile(file)
 	text[len(text)-1] ^= 4
 	os.WriteFile(file, text, 0o600)
@@ -340,7 +340,7 @@
 		r.kill(syscall.SIGKILL)
 		close(dead)
 		book := knowledge.New("")
-		for _, name := range []string{store.BookName, store.WaitsName} {
+		for _, name := range []string{store.SnapshotName, store.WaitsName} {
 			text, err := os.ReadFile(filepath.Join(r.state, name))
 			if errors.Is(err, os.ErrNotExist) {
 				continue
@@ -351,7 +351,7 @@
 			}
 			files++
 			book.Merge(b)
-			if name == store.BookName {
+			if name == store.SnapshotName {
 				snapshots++
 			}
 		}
--- a/cmd/sliptide/run.go
+++ b/cmd/sliptide/run.go
@@ -156,7 +156,7 @@
 	go reload(ctx, hup, log, operatorFile, book, func(cfg *config.Config, op *operator.File) {
 		source.SetAddr(cfg.Discovery)
 		notices.SetAddr(cfg.Discovery)
-		memory.get().Writer.Set(op.Knowledge)
+		memory.get().Writer.UpdateSettings(op.Knowledge)
 		snd.UpdateSettings(cfg.Settings)
 		team.retune(op)
 	})
@@ -290,7 +290,7 @@
 	for _, l := range set.Limits {
 		limits[l.Dest] = l.Rate
 	}
-	return storm.New(storm.SettingsOf(&cfg.Settings, limits), cfg.Seed)
+	return storm.New(storm.SettingsFrom(&cfg.Settings, limits), cfg.Seed)
 }
 
 // configure reads both configuration files. A file that can't be read for a moment is tried again: a SIGHUP comes once.
@@ -326,7 +326,7 @@
 	files := fsys.ForDir(cfg.State)
 	if !set.Enabled {
 		var left int64
-		for _, name := range store.Names {
+		for _, name := range store.FileNames {
 			left += statedir.RoundToBlocks(files.Size(name))
 		}
 		m.room.Reserve(left)
@@ -338,9 +338,9 @@
 		set.MaxSize = most
 	}
 	m.room.Reserve(set.MaxSize)
-	st, book, problems := store.Open(store.Options{FS: files, Room: m.room, Max: set.MaxSize, Sync: set.Sync}, cfg.Name)
+	st, book, problems := store.Open(store.Options{FS: files, Account: m.room, MaxBytes: set.MaxSize, Sync: set.Sync}, cfg.Name)
 	for _, p := range problems {
-		log.Warn().Str("file", p.File).Err(p.Err).Bool("set_aside", p.Aside).Bool("left_untouched", p.Untold).
+		log.Warn().Str("file", p.File).Err(p.Err).Bool("set_aside", p.SetAside).Bool("left_untouched", p.LeftUntouched).
 			Msg("knowledge: a file is of no use")
 	}
 	if book.Sender != cfg.Name {
@@ -348,7 +348,7 @@
 	}
 	log.Info().Int("destinations", len(book.Dests)).Int("waits", len(book.Waits)).Msg("knowledge of an earlier life")
 	m.Knowledge = sender.Knowledge{Settings: set, Facts: book.Clone()}
-	m.Writer = keeper.New(keeper.Options{Set: set, Store: st, Book: book, Room: m.room, Log: log, Clock: clock.Now, Wall: clock.Now})
+	m.Writer = keeper.New(keeper.Options{Settings: set, Store: st, Facts: book, Account: m.room, Log: log, Clock: clock.Now, WallClock: clock.Now})
 	return m
 }
 
--- a/cmd/sliptide/wallclock_test.go
+++ b/cmd/sliptide/wallclock_test.go
@@ -19,7 +19,7 @@
 			r.take("waits", 0, 15, "")
 			told := time.Now()
 			r.callFor("waits").status(503, "Retry-After", "1.500")
-			r.awaitFile("knowledge.waits", func(b *knowledge.Book) bool { return len(b.Waits) > 0 })
+			r.awaitFile("knowledge.waits", func(b *knowledge.Facts) bool { return len(b.Waits) > 0 })
 			r.take("long", 7, 12, "") // nowhere to go yet
 			r.take("short", 7, 2, "")
 			taken := time.Now()
--- a/internal/cli/knowledge.go
+++ b/internal/cli/knowledge.go
@@ -34,7 +34,7 @@
 		return []string{path}, nil
 	}
 	var list []string
-	for _, name := range []string{store.BookName, store.WaitsName} {
+	for _, name := range []string{store.SnapshotName, store.WaitsName} {
 		full := filepath.Join(path, name)
 		if _, err := os.Lstat(full); err == nil {
 			list = append(list, full)
@@ -46,7 +46,7 @@
 	return list, nil
 }
 
-func decode(file string) (*knowledge.Book, int, error) {
+func decode(file string) (*knowledge.Facts, int, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
 		return nil, 0, err
@@ -85,7 +85,7 @@
 			return err
 		}
 		book.Merge(b)
-		book.Sender, book.Written = b.Sender, max(book.Written, b.Written)
+		book.Sender, book.WrittenAt = b.Sender, max(book.WrittenAt, b.WrittenAt)
 	}
 	v := viewOf(book, env.Now(), set.Knowledge.HalfLives)
 	if c.JSON {
@@ -134,26 +134,26 @@
 	Limit      float64 `json:"limit_per_s,omitempty"`
 }
 
-func viewOf(b *knowledge.Book, now float64, h operator.HalfLives) *view {
-	v := &view{Sender: b.Sender, Written: time.UnixMilli(b.Written).UTC(), AgeSeconds: round(now-float64(b.Written)) / 1e3,
+func viewOf(b *knowledge.Facts, now float64, h operator.HalfLives) *view {
+	v := &view{Sender: b.Sender, Written: time.UnixMilli(b.WrittenAt).UTC(), AgeSeconds: round(now-float64(b.WrittenAt)) / 1e3,
 		Waits: []waitView{}, Destinations: []destView{}}
-	for _, w := range b.Routes() {
+	for _, w := range b.SortedWaits() {
 		if left := w.End(now) - now; left > 0 {
 			v.Waits = append(v.Waits, waitView{w.Dest, w.Endpoint, round(left)})
 		}
 	}
-	for _, n := range b.Numbers() {
+	for _, n := range b.DestNumbers() {
 		d := b.Dests[n]
 		shared := policy.RouteFacts{}
-		if d.Shared != nil {
-			shared = *d.Shared
+		if d.SharedRoute != nil {
+			shared = *d.SharedRoute
 		}
-		dv := destView{Dest: n, AgeSeconds: round(now-d.At) / 1e3, Limit: shared.AdvertisedLimit, Reported: shared.LimitReported,
-			LimitLeft: share(now-d.At, h.Limit), Pace: shared.Pace, LatencyMS: d.Latency.Mean,
-			Theta: d.Control.Theta, EXMS: d.Control.EX, Endpoints: []endpointView{}}
+		dv := destView{Dest: n, AgeSeconds: round(now-d.LearnedAt) / 1e3, Limit: shared.AdvertisedLimit, Reported: shared.LimitReported,
+			LimitLeft: share(now-d.LearnedAt, h.Limit), Pace: shared.Pace, LatencyMS: d.Latency.Mean,
+			Theta: d.Admission.Theta, EXMS: d.Admission.EX, Endpoints: []endpointView{}}
 		for _, e := range d.Endpoints {
-			ev := endpointView{Name: e.Name, AgeSeconds: round(now-e.At) / 1e3, Health: healthName(e.Health),
-				Weight: share(now-e.At, h.Health), Fails: e.Failures, Base: e.RateBeforeOutage}
+			ev := endpointView{Name: e.Name, AgeSeconds: round(now-e.LearnedAt) / 1e3, Health: healthName(e.Health),
+				Weight: share(now-e.LearnedAt, h.Health), Fails: e.Failures, Base: e.RateBeforeOutage}
 			if e.OwnRoute != nil {
 				ev.Limit = e.OwnRoute.AdvertisedLimit
 			}
@@ -279,7 +279,7 @@
 		return c.some(env)
 	}
 	n := 0
-	for _, name := range store.Names {
+	for _, name := range store.FileNames {
 		err := os.Remove(filepath.Join(c.Path, name))
 		switch {
 		case err == nil:
@@ -324,7 +324,7 @@
 			return err
 		}
 	}
-	if err := os.Remove(filepath.Join(c.Path, store.PrevName)); err != nil && !errors.Is(err, fs.ErrNotExist) {
+	if err := os.Remove(filepath.Join(c.Path, store.PreviousName)); err != nil && !errors.Is(err, fs.ErrNotExist) {
 		return err
 	}
 	fmt.Fprintf(env.Out, "%s: %d destinations forgotten\n", c.Path, len(c.Dest))
--- a/internal/fleet/trial/trial.go
+++ b/internal/fleet/trial/trial.go
@@ -75,7 +75,7 @@
 	number int
 	hush   bool // as last told
 	holds  bool
-	order  storm.Order
+	order  storm.Throttle
 }
 
 // New returns a Board that has heard of nothing.
@@ -85,7 +85,7 @@
 }
 
 // Ordered takes what storms ask at a partner, and returns what is asked in its place.
-func (b *Board) Ordered(now float64, o storm.Order) storm.Order {
+func (b *Board) Ordered(now float64, o storm.Throttle) storm.Throttle {
 	if b == nil {
 		return o
 	}
@@ -155,7 +155,7 @@
 }
 
 // Changed returns the orders that time or news have changed since they were given.
-func (b *Board) Changed(now float64) (list []storm.Order) {
+func (b *Board) Changed(now float64) (list []storm.Throttle) {
 	if b == nil {
 		return nil
 	}
@@ -164,7 +164,7 @@
 			list = append(list, b.adjusted(now, d))
 		}
 	}
-	slices.SortFunc(list, func(x, y storm.Order) int { return x.Dest - y.Dest })
+	slices.SortFunc(list, func(x, y storm.Throttle) int { return x.Dest - y.Dest })
 	return list
 }
 
@@ -205,7 +205,7 @@
 }
 
 // adjusted is the order as it stands with what is known of the duty.
-func (b *Board) adjusted(now float64, d *dest) storm.Order {
+func (b *Board) adjusted(now float64, d *dest) storm.Throttle {
 	d.hush, d.holds = b.state(now, d)
 	o := d.order
 	if !d.hush && !d.holds {
--- a/internal/fleet/trial/trial_test.go
+++ b/internal/fleet/trial/trial_test.go
@@ -7,8 +7,8 @@
 	"sliptide/internal/storm"
 )
 
-func outage(rate float64) storm.Order {
-	return storm.Order{Dest: 7, Phase: storm.Outage, Paces: []storm.Pace{{Rate: rate}}, Dials: 1}
+func outage(rate float64) storm.Throttle {
+	return storm.Throttle{Dest: 7, Phase: storm.Outage, Paces: []storm.Pace{{Rate: rate}}, DialRate: 1}
 }
 
 func board() *Board {
@@ -92,18 +92,18 @@
 	if acts := b.Acts(); len(acts) != 2 || acts[0].Say != "down 1" || acts[1].Say != "down 2" {
 		t.Errorf("words %v", acts)
 	}
-	o := b.Ordered(1300, storm.Order{Dest: 7, Phase: storm.Returning, Paces: []storm.Pace{{Rate: 0.05}}})
+	o := b.Ordered(1300, storm.Throttle{Dest: 7, Phase: storm.Returning, Paces: []storm.Pace{{Rate: 0.05}}})
 	if acts := b.Acts(); len(acts) != 1 || acts[0].Say != "open 3" || o.Paces[0].Rate != 0.05 {
 		t.Errorf("back: %v, %v", acts, o)
 	}
-	b.Ordered(20000, storm.Order{Dest: 7, Phase: storm.Calm, Paces: []storm.Pace{{}}})
+	b.Ordered(20000, storm.Throttle{Dest: 7, Phase: storm.Calm, Paces: []storm.Pace{{}}})
 	if acts := b.Acts(); len(acts) != 1 || !acts[0].Leave {
 		t.Errorf("calm: %v", acts)
 	}
 	// One that takes the duty over while it sees the partner back says so.
 	b = board()
 	b.Ordered(0, outage(0.05))
-	b.Ordered(1000, storm.Order{Dest: 7, Phase: storm.Returning, Paces: []storm.Pace{{Rate: 0.05}}})
+	b.Ordered(1000, storm.Throttle{Dest: 7, Phase: storm.Returning, Paces: []storm.Pace{{Rate: 0.05}}})
 	b.Acts()
 	b.Heard(1100, 7, News{Holder: "n1", Mine: true, Word: "down 9"})
 	if acts := b.Acts(); len(acts) != 1 || acts[0].Say != "open 1" {
--- a/internal/knowledge/age.go
+++ b/internal/knowledge/age.go
@@ -20,8 +20,8 @@
 
 // Prior is what is held to be so where nothing was learned.
 type Prior struct {
-	Rating float64 // calls a second that the list gives the destination; 0 = none
-	Usual  float64 // milliseconds, usual latency of a call; 0 = not known
+	Rating         float64 // calls a second that the list gives the destination; 0 = none
+	TypicalLatency float64 // milliseconds, usual latency of a call; 0 = not known
 }
 
 // Weight is what a fact of that age in milliseconds still counts: 2^(-age/half-life). One from the
@@ -44,11 +44,11 @@
 // End is when a wait is over by a clock that stands at now: it binds for its whole length at most, so
 // that a clock set back makes no wait longer than it was told.
 func (w Wait) End(now float64) float64 {
-	return min(float64(w.Until), now+float64(w.Until-w.Told))
+	return min(float64(w.Until), now+float64(w.Until-w.ReceivedAt))
 }
 
 // Expire drops waits that are over and what weighs next to nothing.
-func (b *Book) Expire(now float64, h operator.HalfLives) {
+func (b *Facts) Expire(now float64, h operator.HalfLives) {
 	for k, w := range b.Waits {
 		if w.End(now) <= now {
 			delete(b.Waits, k)
@@ -56,13 +56,13 @@
 	}
 	longest := max(h.Limit, h.Pace, h.Health, h.Latency, h.Control)
 	for n, d := range b.Dests {
-		if Weight(now-d.At, longest) < least {
+		if Weight(now-d.LearnedAt, longest) < least {
 			delete(b.Dests, n)
 			continue
 		}
 		fresh := make([]Endpoint, 0, len(d.Endpoints))
 		for _, e := range d.Endpoints {
-			if Weight(now-e.At, max(h.Limit, h.Pace, h.Health)) >= least {
+			if Weight(now-e.LearnedAt, max(h.Limit, h.Pace, h.Health)) >= least {
 				fresh = append(fresh, e)
 			}
 		}
@@ -72,13 +72,13 @@
 			b.Dests[n] = &kept
 		}
 	}
-	for name, u := range b.Usual {
-		if Weight(now-u.At, h.Latency) < least {
-			delete(b.Usual, name)
+	for name, u := range b.ClassLatency {
+		if Weight(now-u.LearnedAt, h.Latency) < least {
+			delete(b.ClassLatency, name)
 		}
 	}
 	for name, d := range b.Dials {
-		if Weight(now-d.At, h.Connections) < least {
+		if Weight(now-d.LearnedAt, h.Connections) < least {
 			delete(b.Dials, name)
 		}
 	}
@@ -86,22 +86,22 @@
 
 // Recall returns what is still to be held of a destination, blended with the prior by its weight, and
 // false if nothing is known. The endpoints keep their names; their IDs are the caller's to set.
-func (b *Book) Recall(dest int, now float64, h operator.HalfLives, prior Prior) (*Destination, bool) {
+func (b *Facts) AgedDestination(dest int, now float64, h operator.HalfLives, prior Prior) (*Destination, bool) {
 	d := b.Dests[dest]
 	wait := b.waitOf(Route{Dest: dest}, now)
 	if d == nil {
-		d = &Destination{Dest: dest, At: now, Control: policy.InitialAdmission()}
+		d = &Destination{Dest: dest, LearnedAt: now, Admission: policy.InitialAdmission()}
 		if wait == 0 && !b.waitsApart(dest) {
 			return nil, false
 		}
 	}
-	r := &Destination{Dest: dest, At: d.At, Shared: &policy.RouteFacts{LastOK: now}}
-	if d.Shared != nil {
-		r.Shared = agedRoute(d.Shared, d.At, now, h, prior)
+	r := &Destination{Dest: dest, LearnedAt: d.LearnedAt, SharedRoute: &policy.RouteFacts{LastOK: now}}
+	if d.SharedRoute != nil {
+		r.SharedRoute = agedRoute(d.SharedRoute, d.LearnedAt, now, h, prior)
 	}
-	r.Shared.WaitUntil = wait
-	r.Latency = agedLatency(d.Latency, now-d.At, h, prior.Usual)
-	r.Control = agedControl(d.Control, now, Weight(now-d.At, h.Control))
+	r.SharedRoute.WaitUntil = wait
+	r.Latency = agedLatency(d.Latency, now-d.LearnedAt, h, prior.TypicalLatency)
+	r.Admission = agedControl(d.Admission, now, Weight(now-d.LearnedAt, h.Control))
 	known := map[string]bool{}
 	for _, e := range d.Endpoints {
 		known[e.Name] = true
@@ -109,7 +109,7 @@
 	}
 	for k, w := range b.Waits { // told by an endpoint of which nothing else is known
 		if k.Dest == dest && k.Endpoint != "" && !known[k.Endpoint] {
-			e := Endpoint{Name: k.Endpoint, At: float64(w.Told)}
+			e := Endpoint{Name: k.Endpoint, LearnedAt: float64(w.ReceivedAt)}
 			e.LastOK = math.Inf(-1)
 			r.Endpoints = append(r.Endpoints, b.recallEndpoint(e, dest, wait, now, h, prior))
 		}
@@ -117,7 +117,7 @@
 	return r, true
 }
 
-func (b *Book) waitsApart(dest int) bool {
+func (b *Facts) waitsApart(dest int) bool {
 	for k := range b.Waits {
 		if k.Dest == dest && k.Endpoint != "" {
 			return true
@@ -127,7 +127,7 @@
 }
 
 // waitOf is the end of a route's wait, 0 if none binds.
-func (b *Book) waitOf(r Route, now float64) float64 {
+func (b *Facts) waitOf(r Route, now float64) float64 {
 	if w, ok := b.Waits[r]; ok {
 		if end := w.End(now); end > now {
 			return end
@@ -138,13 +138,13 @@
 
 // recallEndpoint ages what is known of an endpoint. The destination's wait binds it too: if the
 // settings have made a route apart of it meanwhile, what its destination told still holds.
-func (b *Book) recallEndpoint(e Endpoint, dest int, wait, now float64, h operator.HalfLives, prior Prior) Endpoint {
+func (b *Facts) recallEndpoint(e Endpoint, dest int, wait, now float64, h operator.HalfLives, prior Prior) Endpoint {
 	apart := &policy.RouteFacts{LastOK: now}
 	if e.OwnRoute != nil {
-		apart = agedRoute(e.OwnRoute, e.At, now, h, prior)
+		apart = agedRoute(e.OwnRoute, e.LearnedAt, now, h, prior)
 	}
 	apart.WaitUntil = max(wait, b.waitOf(Route{dest, e.Name}, now))
-	e.EndpointFacts = agedHealth(e.EndpointFacts, e.At, now, Weight(now-e.At, h.Health))
+	e.EndpointFacts = agedHealth(e.EndpointFacts, e.LearnedAt, now, Weight(now-e.LearnedAt, h.Health))
 	e.OwnRoute = apart
 	return e
 }
@@ -223,22 +223,22 @@
 }
 
 // RecallGeneral returns what is still to be held beside destinations, for these classes and kinds.
-func (b *Book) RecallGeneral(now float64, h operator.HalfLives, set *policy.Settings) policy.GeneralFacts {
+func (b *Facts) AgedGeneral(now float64, h operator.HalfLives, set *policy.Settings) policy.GeneralFacts {
 	g := policy.GeneralFacts{ClassLatency: make([]policy.LatencyFacts, len(set.Classes)), Dials: make([]policy.DialFacts, len(set.Kinds))}
 	for i, c := range set.Classes {
-		if u, ok := b.Usual[c.Name]; ok {
-			g.ClassLatency[i] = agedLatency(u.LatencyFacts, now-u.At, h, 0)
+		if u, ok := b.ClassLatency[c.Name]; ok {
+			g.ClassLatency[i] = agedLatency(u.LatencyFacts, now-u.LearnedAt, h, 0)
 		}
 	}
 	for i, k := range set.Kinds {
 		if d, ok := b.Dials[k.Name]; ok {
-			g.Dials[i].FailureShare = Weight(now-d.At, h.Connections) * finite(d.FailureShare, 0, 1)
-			g.Dials[i].ScarceUntil = min(d.ScarceUntil, now+max(d.ScarceUntil-d.At, 0))
+			g.Dials[i].FailureShare = Weight(now-d.LearnedAt, h.Connections) * finite(d.FailureShare, 0, 1)
+			g.Dials[i].ScarceUntil = min(d.ScarceUntil, now+max(d.ScarceUntil-d.LearnedAt, 0))
 		}
 	}
-	g.StaleShare = Weight(now-b.Staleness.At, h.Connections) * finite(b.Staleness.Share, 0, 1)
+	g.StaleShare = Weight(now-b.Staleness.LearnedAt, h.Connections) * finite(b.Staleness.StaleShare, 0, 1)
 	if g.StaleShare >= least {
-		g.MinStaleIdle = finite(b.Staleness.Gap, 0, maxMS)
+		g.MinStaleIdle = finite(b.Staleness.MinStaleIdle, 0, maxMS)
 	} else {
 		g.StaleShare = 0
 	}
--- a/internal/knowledge/keeper/keeper.go
+++ b/internal/knowledge/keeper/keeper.go
@@ -25,17 +25,17 @@
 
 // Options are what a Keeper works with.
 type Options struct {
-	Set   operator.Knowledge
-	Store *store.Store
-	Book  *knowledge.Book // as read at the start; the Keeper's own from here on
-	Room  *statedir.Account
-	Log   zerolog.Logger
-	Clock func() float64 // the sender's clock: Unix milliseconds that no step of the wall clock moves
-	Wall  func() float64 // the wall clock, in Unix milliseconds
+	Settings  operator.Knowledge
+	Store     *store.Store
+	Facts     *knowledge.Facts // as read at the start; the Keeper's own from here on
+	Account   *statedir.Account
+	Log       zerolog.Logger
+	Clock     func() float64 // the sender's clock: Unix milliseconds that no step of the wall clock moves
+	WallClock func() float64 // the wall clock, in Unix milliseconds
 }
 
 // Keeper takes facts and writes them. A nil Keeper takes nothing.
-type Keeper struct {
+type Writer struct {
 	o     Options
 	wake  chan struct{} // a wait was told
 	sets  chan operator.Knowledge
@@ -44,30 +44,30 @@
 	stop  sync.Once
 
 	mu   sync.Mutex
-	news *knowledge.Book // since the writer last looked
+	news *knowledge.Facts // since the writer last looked
 
-	book     *knowledge.Book // the writer's from here on
-	shift    float64         // wall clock less the sender's, when waits were last written
-	trouble  time.Time       // when it was last told
-	shrunkAt int             // destinations left out of the last one
+	book     *knowledge.Facts // the writer's from here on
+	shift    float64          // wall clock less the sender's, when waits were last written
+	trouble  time.Time        // when it was last told
+	shrunkAt int              // destinations left out of the last one
 }
 
 // New returns a Keeper; Run makes it write.
-func New(o Options) *Keeper {
-	return &Keeper{
-		o: o, book: o.Book, news: knowledge.New(o.Book.Sender), shift: o.Wall() - o.Clock(),
+func New(o Options) *Writer {
+	return &Writer{
+		o: o, book: o.Facts, news: knowledge.New(o.Facts.Sender), shift: o.WallClock() - o.Clock(),
 		wake: make(chan struct{}, 1), sets: make(chan operator.Knowledge, 1), ended: make(chan struct{}), done: make(chan struct{}),
 	}
 }
 
 // Wait notes a told wait, by the sender's clock. It is on disk soon after, whatever else waits to be
 // written.
-func (k *Keeper) Wait(w knowledge.Wait) {
+func (k *Writer) AddWait(w knowledge.Wait) {
 	if k == nil {
 		return
 	}
 	k.mu.Lock()
-	k.news.Tell(w)
+	k.news.AddWait(w)
 	k.mu.Unlock()
 	select {
 	case k.wake <- struct{}{}:
@@ -76,14 +76,14 @@
 }
 
 // Learn notes what is known of destinations and, unless nil, beside them. The facts are the Keeper's.
-func (k *Keeper) Learn(list []*knowledge.Destination, general *knowledge.Book) {
+func (k *Writer) AddFacts(list []*knowledge.Destination, general *knowledge.Facts) {
 	if k == nil {
 		return
 	}
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	for _, d := range list {
-		k.news.Learn(d)
+		k.news.MergeDestination(d)
 	}
 	if general != nil {
 		k.news.Merge(general)
@@ -92,7 +92,7 @@
 
 // Set takes new half-lives, a new time between snapshots and a new choice of sync. The room stays as it
 // was at the start.
-func (k *Keeper) Set(set operator.Knowledge) {
+func (k *Writer) UpdateSettings(set operator.Knowledge) {
 	if k == nil {
 		return
 	}
@@ -103,9 +103,9 @@
 }
 
 // Run writes until Close: waits at once, all else every WriteEvery.
-func (k *Keeper) Run() {
+func (k *Writer) Run() {
 	defer close(k.done)
-	snapshots := time.NewTicker(k.o.Set.WriteEvery)
+	snapshots := time.NewTicker(k.o.Settings.WriteEvery)
 	defer snapshots.Stop()
 	steps := time.NewTicker(stepLook)
 	defer steps.Stop()
@@ -118,15 +118,15 @@
 			k.waits(false)
 			k.pause(waitsGap)
 		case <-steps.C:
-			if d := k.o.Wall() - k.o.Clock() - k.shift; d > stepLeast || d < -stepLeast {
+			if d := k.o.WallClock() - k.o.Clock() - k.shift; d > stepLeast || d < -stepLeast {
 				k.waits(true) // those on disk are told by a clock that is no more
 			}
 		case <-snapshots.C:
 			k.snapshot()
-		case <-k.o.Room.YieldRequested():
+		case <-k.o.Account.YieldRequested():
 			k.yield()
 		case set := <-k.sets:
-			k.o.Set.HalfLives, k.o.Set.WriteEvery = set.HalfLives, set.WriteEvery
+			k.o.Settings.HalfLives, k.o.Settings.WriteEvery = set.HalfLives, set.WriteEvery
 			k.o.Store.SetSync(set.Sync)
 			snapshots.Reset(set.WriteEvery)
 		}
@@ -134,7 +134,7 @@
 }
 
 // pause waits, unless the Keeper ends.
-func (k *Keeper) pause(d time.Duration) {
+func (k *Writer) pause(d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
@@ -145,7 +145,7 @@
 
 // Close writes a last snapshot and ends, or leaves it at what is written when ctx ends: a stop must not
 // hang on a disk.
-func (k *Keeper) Close(ctx context.Context) {
+func (k *Writer) Close(ctx context.Context) {
 	if k == nil {
 		return
 	}
@@ -158,13 +158,13 @@
 }
 
 // take moves the news into the book and reports whether a wait was among them.
-func (k *Keeper) take() (waits bool) {
+func (k *Writer) take() (waits bool) {
 	k.mu.Lock()
 	news := k.news
 	k.news = knowledge.New(news.Sender)
 	k.mu.Unlock()
 	for _, w := range news.Waits {
-		waits = k.book.Tell(w) || waits
+		waits = k.book.AddWait(w) || waits
 	}
 	news.Waits = nil
 	k.book.Merge(news)
@@ -173,53 +173,53 @@
 
 // onDisk is the book by the wall clock, as a later life will read it: the sender's clock may have parted
 // from that since it started. Only the waits need it to the millisecond.
-func (k *Keeper) onDisk() *knowledge.Book {
+func (k *Writer) onDisk() *knowledge.Facts {
 	now := k.o.Clock()
-	k.book.Expire(now, k.o.Set.HalfLives)
-	k.shift = k.o.Wall() - now
+	k.book.Expire(now, k.o.Settings.HalfLives)
+	k.shift = k.o.WallClock() - now
 	b := *k.book
-	b.Written = int64(k.o.Wall())
+	b.WrittenAt = int64(k.o.WallClock())
 	b.Waits = make(map[knowledge.Route]knowledge.Wait, len(k.book.Waits))
 	for r, w := range k.book.Waits {
-		w.Told += int64(k.shift)
+		w.ReceivedAt += int64(k.shift)
 		w.Until += int64(k.shift)
 		b.Waits[r] = w
 	}
 	return &b
 }
 
-func (k *Keeper) waits(anyway bool) {
+func (k *Writer) waits(anyway bool) {
 	if !k.take() && !anyway {
 		return
 	}
 	k.report(k.o.Store.SaveWaits(k.onDisk()))
 }
 
-func (k *Keeper) snapshot() {
+func (k *Writer) snapshot() {
 	k.take()
 	b := k.onDisk()
 	left := b.Clone() // Fit drops from the copy: what finds no room now may find some later
-	left.Written = b.Written
-	dropped := left.Fit(k.o.Store.Room(), store.SizeOf)
+	left.WrittenAt = b.WrittenAt
+	dropped := left.EvictToFit(k.o.Store.MaxSnapshotSize(), store.EncodedSize)
 	if dropped != k.shrunkAt {
 		k.o.Log.Warn().Int("destinations", len(k.book.Dests)).Int("left_out", dropped).Msg("knowledge: room for part of it only")
 		k.shrunkAt = dropped
 	}
-	k.report(k.o.Store.Save(left))
+	k.report(k.o.Store.SaveSnapshot(left))
 }
 
 // yield gives room to the journal: copies first, then the snapshot. The next one is as large as there
 // is room then.
-func (k *Keeper) yield() {
-	before := k.o.Room.Claimed()
-	k.report(k.o.Store.Shrink())
-	if k.o.Room.Claimed() == before {
-		k.report(k.o.Store.Drop())
+func (k *Writer) yield() {
+	before := k.o.Account.Claimed()
+	k.report(k.o.Store.RemoveOldFiles())
+	if k.o.Account.Claimed() == before {
+		k.report(k.o.Store.RemoveSnapshot())
 	}
 }
 
 // report logs trouble, now and then: knowledge that can't be written costs no message.
-func (k *Keeper) report(err error) {
+func (k *Writer) report(err error) {
 	if err == nil || time.Since(k.trouble) < complainIn {
 		return
 	}
--- a/internal/knowledge/keeper/keeper_test.go
+++ b/internal/knowledge/keeper/keeper_test.go
@@ -38,7 +38,7 @@
 }
 
 type rig struct {
-	*Keeper
+	*Writer
 	clocks
 	files *fsys.Faulty
 	log   *syncBuffer
@@ -73,8 +73,8 @@
 	room := space.Account()
 	set := operator.Default().Knowledge
 	set.WriteEvery = time.Hour // a test asks for what it wants
-	st, book, _ := store.Open(store.Options{FS: r.files, Room: room, Max: set.MaxSize}, "n0")
-	r.Keeper = New(Options{Set: set, Store: st, Book: book, Room: room, Log: zerolog.New(r.log), Clock: r.clock, Wall: r.wallNow})
+	st, book, _ := store.Open(store.Options{FS: r.files, Account: room, MaxBytes: set.MaxSize}, "n0")
+	r.Writer = New(Options{Settings: set, Store: st, Facts: book, Account: room, Log: zerolog.New(r.log), Clock: r.clock, WallClock: r.wallNow})
 	return r
 }
 
@@ -95,7 +95,7 @@
 	}
 }
 
-func (r *rig) read(t *testing.T, name string) *knowledge.Book {
+func (r *rig) read(t *testing.T, name string) *knowledge.Facts {
 	t.Helper()
 	text, err := r.files.FS.Read(name)
 	if err != nil {
@@ -119,7 +119,7 @@
 }
 
 func wait(dest int, told, length int64) knowledge.Wait {
-	return knowledge.Wait{Route: knowledge.Route{Dest: dest}, Told: 1.8e12 + told, Until: 1.8e12 + told + length}
+	return knowledge.Wait{Route: knowledge.Route{Dest: dest}, ReceivedAt: 1.8e12 + told, Until: 1.8e12 + told + length}
 }
 
 // A disk that hangs holds up nothing that the sender's goroutine calls, and a stop is not held past its
@@ -135,18 +135,18 @@
 		return fsys.Fault{}
 	})
 	go r.Run()
-	r.Wait(wait(1, 0, 5000))
+	r.AddWait(wait(1, 0, 5000))
 	<-hung
 	for i := range 1000 { // would never come back if any of it waited for the writer
-		r.Wait(wait(i%50, 10, 6000))
-		r.Learn([]*knowledge.Destination{{Dest: i % 50, At: 1.8e12}}, nil)
+		r.AddWait(wait(i%50, 10, 6000))
+		r.AddFacts([]*knowledge.Destination{{Dest: i % 50, LearnedAt: 1.8e12}}, nil)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	r.Close(ctx)
 	close(hang)
 	<-r.done
-	if b := r.read(t, store.BookName); len(b.Waits) != 50 || len(b.Dests) != 50 {
+	if b := r.read(t, store.SnapshotName); len(b.Waits) != 50 || len(b.Dests) != 50 {
 		t.Errorf("%d waits, %d destinations", len(b.Waits), len(b.Dests))
 	}
 }
@@ -155,11 +155,11 @@
 func TestWaitAtOnce(t *testing.T) {
 	r := newRig(t, statedir.NewSpace(1<<20), fine)
 	go r.Run()
-	r.Learn([]*knowledge.Destination{{Dest: 4, At: 1.8e12}}, nil)
-	r.Wait(wait(3, 0, 700))
+	r.AddFacts([]*knowledge.Destination{{Dest: 4, LearnedAt: 1.8e12}}, nil)
+	r.AddWait(wait(3, 0, 700))
 	r.await(t, "rename "+store.WaitsName)
 	r.close(t)
-	b := r.read(t, store.BookName)
+	b := r.read(t, store.SnapshotName)
 	if b.Waits[knowledge.Route{Dest: 3}].Until != 1.8e12+700 || b.Dests[4] == nil {
 		t.Errorf("%+v", b)
 	}
@@ -169,13 +169,13 @@
 // by it, and are as long as before.
 func TestClockStepped(t *testing.T) {
 	r := newRig(t, statedir.NewSpace(1<<20), fine)
-	r.Keeper.Wait(wait(3, 0, 60000))
+	r.Writer.AddWait(wait(3, 0, 60000))
 	go r.Run()
 	r.await(t, "rename "+store.WaitsName)
 	r.set(func() { r.wall -= 3600e3; r.now += 1000 })
 	r.await(t, "rename "+store.WaitsName)
 	r.close(t)
-	w := r.read(t, store.BookName).Waits[knowledge.Route{Dest: 3}]
+	w := r.read(t, store.SnapshotName).Waits[knowledge.Route{Dest: 3}]
 	if left := w.End(1.8e12-3600e3) - (1.8e12 - 3600e3); left != 59000 {
 		t.Errorf("%v left", left)
 	}
@@ -195,14 +195,14 @@
 	})
 	go r.Run()
 	for i := range 20 {
-		r.Wait(wait(i, 0, 9000))
+		r.AddWait(wait(i, 0, 9000))
 		r.await(t, "write "+store.WaitsName+".new")
 	}
 	mu.Lock()
 	full = false
 	mu.Unlock()
 	r.close(t)
-	if b := r.read(t, store.BookName); len(b.Waits) != 20 {
+	if b := r.read(t, store.SnapshotName); len(b.Waits) != 20 {
 		t.Errorf("%d waits", len(b.Waits))
 	}
 	if n := bytes.Count([]byte(r.log.String()), []byte("not written")); n != 1 {
@@ -215,41 +215,41 @@
 	space := statedir.NewSpace(32 << 10)
 	r := newRig(t, space, fine)
 	journal := space.Account()
-	r.o.Room.YieldTo(journal)
+	r.o.Account.YieldTo(journal)
 	var list []*knowledge.Destination
 	for i := range 60 {
-		list = append(list, &knowledge.Destination{Dest: i, At: 1.8e12, Shared: &policy.RouteFacts{AdvertisedLimit: 5}, Control: policy.InitialAdmission(),
-			Endpoints: []knowledge.Endpoint{{Name: fmt.Sprintf("endpoint-%040d", i), At: 1.8e12}}})
+		list = append(list, &knowledge.Destination{Dest: i, LearnedAt: 1.8e12, SharedRoute: &policy.RouteFacts{AdvertisedLimit: 5}, Admission: policy.InitialAdmission(),
+			Endpoints: []knowledge.Endpoint{{Name: fmt.Sprintf("endpoint-%040d", i), LearnedAt: 1.8e12}}})
 	}
-	r.Learn(list, nil)
+	r.AddFacts(list, nil)
 	r.snapshot()
 	r.snapshot()
 	var gone []string
 	for !journal.Claim(32 << 10) {
-		<-r.o.Room.YieldRequested() // what Run waits for
+		<-r.o.Account.YieldRequested() // what Run waits for
 		r.yield()
 		if gone = append(gone, "step"); len(gone) > 2 {
-			t.Fatalf("still %d bytes claimed", r.o.Room.Claimed())
+			t.Fatalf("still %d bytes claimed", r.o.Account.Claimed())
 		}
 	}
-	if len(gone) != 2 || r.files.Size(store.BookName) != 0 {
-		t.Errorf("%d steps, %d bytes left", len(gone), r.files.Size(store.BookName))
+	if len(gone) != 2 || r.files.Size(store.SnapshotName) != 0 {
+		t.Errorf("%d steps, %d bytes left", len(gone), r.files.Size(store.SnapshotName))
 	}
 	r.snapshot() // there is no room now: nothing is lost but the file
-	if r.files.Size(store.BookName) != 0 || len(r.book.Dests) != 60 {
-		t.Errorf("%d bytes, %d destinations", r.files.Size(store.BookName), len(r.book.Dests))
+	if r.files.Size(store.SnapshotName) != 0 || len(r.book.Dests) != 60 {
+		t.Errorf("%d bytes, %d destinations", r.files.Size(store.SnapshotName), len(r.book.Dests))
 	}
 	journal.Claim(0)
-	if r.snapshot(); len(r.read(t, store.BookName).Dests) == 0 {
+	if r.snapshot(); len(r.read(t, store.SnapshotName).Dests) == 0 {
 		t.Error("nothing written though there is room again")
 	}
 }
 
 // A Keeper that is not there takes whatever it is told.
 func TestNil(t *testing.T) {
-	var k *Keeper
-	k.Wait(wait(1, 0, 10))
-	k.Learn(nil, nil)
-	k.Set(operator.Knowledge{})
+	var k *Writer
+	k.AddWait(wait(1, 0, 10))
+	k.AddFacts(nil, nil)
+	k.UpdateSettings(operator.Knowledge{})
 	k.Close(context.Background())
 }
--- a/internal/knowledge/knowledge.go
+++ b/internal/knowledge/knowledge.go
@@ -23,79 +23,79 @@
 // Wait is a wait that a partner told. It does not fade.
 type Wait struct {
 	Route
-	Told  int64 // when it was heard
-	Until int64 // nothing is sent before
+	ReceivedAt int64 // when it was heard
+	Until      int64 // nothing is sent before
 }
 
 // Endpoint is what is known of one endpoint, under the name that discovery gives it. The address is
 // left out on purpose: a new machine at an old address is a new machine.
 type Endpoint struct {
-	Name string
-	At   float64 // when it was learned
+	Name      string
+	LearnedAt float64 // when it was learned
 	policy.EndpointFacts
 }
 
 // Destination is what is known of one destination. It is never changed once it is in a Book, so that
 // Books may share it.
 type Destination struct {
-	Dest      int
-	At        float64
-	Shared    *policy.RouteFacts
-	Latency   policy.LatencyFacts
-	Control   policy.AdmissionFacts
-	Endpoints []Endpoint // by name
+	Dest        int
+	LearnedAt   float64
+	SharedRoute *policy.RouteFacts
+	Latency     policy.LatencyFacts
+	Admission   policy.AdmissionFacts
+	Endpoints   []Endpoint // by name
 }
 
 // Usual is the usual call latency of a class of messages.
-type Usual struct {
-	At float64
+type ClassLatency struct {
+	LearnedAt float64
 	policy.LatencyFacts
 }
 
 // Dials is how connecting to one kind of destination fares.
 type Dials struct {
-	At float64
+	LearnedAt float64
 	policy.DialFacts
 }
 
 // Staleness is how calls on idle connections fare.
 type Staleness struct {
-	At    float64
-	Share float64 // failing
-	Gap   float64 // milliseconds, shortest idle time of those that failed; 0 = none
+	LearnedAt    float64
+	StaleShare   float64 // failing
+	MinStaleIdle float64 // milliseconds, shortest idle time of those that failed; 0 = none
 }
 
 // Book is all that a sender knows. It is not safe for concurrent use.
-type Book struct {
-	Sender    string
-	Written   int64 // 0: never
-	Waits     map[Route]Wait
-	Dests     map[int]*Destination
-	Usual     map[string]Usual // by class
-	Dials     map[string]Dials // by kind
-	Staleness Staleness
+type Facts struct {
+	Sender       string
+	WrittenAt    int64 // 0: never
+	Waits        map[Route]Wait
+	Dests        map[int]*Destination
+	ClassLatency map[string]ClassLatency // by class
+	Dials        map[string]Dials        // by kind
+	Staleness    Staleness
 }
 
 // New returns an empty Book.
-func New(sender string) *Book {
-	return &Book{
+func New(sender string) *Facts {
+	return &Facts{
 		Sender: sender, Waits: map[Route]Wait{}, Dests: map[int]*Destination{},
-		Usual: map[string]Usual{}, Dials: map[string]Dials{},
+		ClassLatency: map[string]ClassLatency{}, Dials: map[string]Dials{},
 	}
 }
 
 // Clone returns a Book of its own with the same facts.
-func (b *Book) Clone() *Book {
+func (b *Facts) Clone() *Facts {
 	c := New(b.Sender)
-	c.Written = b.Written
+	c.WrittenAt = b.WrittenAt
 	c.Merge(b)
 	return c
 }
 
 // Tell notes a told wait and reports whether it binds longer than what is known. A wait never shortens
 // another: each was told, so each binds.
-func (b *Book) Tell(w Wait) bool {
-	if w.Until <= w.Told || b.Waits[w.Route].Until >= w.Until {
+func (b *Facts) AddWait(w Wait) bool {
+	if w.Until <= w.ReceivedAt || b.Waits[w.Route].Until >= w.Until {
 		return false
 	}
 	b.Waits[w.Route] = w
@@ -104,13 +104,13 @@
 
 // Learn takes what a sender now knows of a destination. Endpoints that it does not name are kept as
 // they were: they may not be listed yet, and expire in time.
-func (b *Book) Learn(d *Destination) {
+func (b *Facts) MergeDestination(d *Destination) {
 	old := b.Dests[d.Dest]
 	if old == nil {
 		b.Dests[d.Dest] = d
 		return
 	}
-	if old.At > d.At {
+	if old.LearnedAt > d.LearnedAt {
 		old, d = d, old
 	}
 	merged := *d
@@ -130,7 +130,7 @@
 			all, old = append(all, old[0]), old[1:]
 		default:
 			later := new[0]
-			if old[0].At > later.At {
+			if old[0].LearnedAt > later.LearnedAt {
 				later = old[0]
 			}
 			all, old, new = append(all, later), old[1:], new[1:]
@@ -140,30 +140,30 @@
 }
 
 // Merge takes all that o knows; of two facts of one thing the later learned one stays.
-func (b *Book) Merge(o *Book) {
+func (b *Facts) Merge(o *Facts) {
 	for _, w := range o.Waits {
-		b.Tell(w)
+		b.AddWait(w)
 	}
 	for _, d := range o.Dests {
-		b.Learn(d)
+		b.MergeDestination(d)
 	}
-	for name, u := range o.Usual {
-		if u.At >= b.Usual[name].At {
-			b.Usual[name] = u
+	for name, u := range o.ClassLatency {
+		if u.LearnedAt >= b.ClassLatency[name].LearnedAt {
+			b.ClassLatency[name] = u
 		}
 	}
 	for name, d := range o.Dials {
-		if d.At >= b.Dials[name].At {
+		if d.LearnedAt >= b.Dials[name].LearnedAt {
 			b.Dials[name] = d
 		}
 	}
-	if o.Staleness.At >= b.Staleness.At {
+	if o.Staleness.LearnedAt >= b.Staleness.LearnedAt {
 		b.Staleness = o.Staleness
 	}
 }
 
 // Routes lists the waits by destination and endpoint.
-func (b *Book) Routes() []Wait {
+func (b *Facts) SortedWaits() []Wait {
 	list := make([]Wait, 0, len(b.Waits))
 	for _, w := range b.Waits {
 		list = append(list, w)
@@ -175,7 +175,7 @@
 }
 
 // Numbers lists the destinations in order.
-func (b *Book) Numbers() []int {
+func (b *Facts) DestNumbers() []int {
 	list := make([]int, 0, len(b.Dests))
 	for n := range b.Dests {
 		list = append(list, n)
@@ -187,7 +187,7 @@
 // Fit keeps the destinations that matter most within max, as size tells, and returns how many it
 // dropped. Those that a wait binds or an outage holds matter most, since forgetting them costs the
 // partner; then those with most traffic; then those learned last. Waits all stay.
-func (b *Book) Fit(max int, size func(*Destination) int) (dropped int) {
+func (b *Facts) EvictToFit(max int, size func(*Destination) int) (dropped int) {
 	list := make([]ranked, 0, len(b.Dests))
 	total := 0
 	for _, d := range b.Dests {
@@ -206,7 +206,7 @@
 	slices.SortFunc(list, func(x, y ranked) int {
 		return cmp.Or(
 			-compareBool(bound[x.d.Dest], bound[y.d.Dest]), -compareBool(x.sick, y.sick),
-			cmp.Compare(y.rate, x.rate), cmp.Compare(y.d.At, x.d.At), cmp.Compare(x.d.Dest, y.d.Dest))
+			cmp.Compare(y.rate, x.rate), cmp.Compare(y.d.LearnedAt, x.d.LearnedAt), cmp.Compare(x.d.Dest, y.d.Dest))
 	})
 	left := max
 	for _, r := range list {
@@ -231,7 +231,7 @@
 			r.rate += f.CallRate
 		}
 	}
-	add(r.d.Shared)
+	add(r.d.SharedRoute)
 	for i := range r.d.Endpoints {
 		e := &r.d.Endpoints[i]
 		r.sick = r.sick || e.Health != policy.Healthy
--- a/internal/knowledge/knowledge_test.go
+++ b/internal/knowledge/knowledge_test.go
@@ -29,8 +29,8 @@
 func TestWaits(t *testing.T) {
 	b := New("n0")
 	r := Route{Dest: 3}
-	told := func(at, until int64) Wait { return Wait{Route: r, Told: now + at, Until: now + until} }
-	if !b.Tell(told(0, 500)) || b.Tell(told(10, 400)) || b.Tell(told(20, 20)) || !b.Tell(told(30, 900)) {
+	told := func(at, until int64) Wait { return Wait{Route: r, ReceivedAt: now + at, Until: now + until} }
+	if !b.AddWait(told(0, 500)) || b.AddWait(told(10, 400)) || b.AddWait(told(20, 20)) || !b.AddWait(told(30, 900)) {
 		t.Error("which waits bind")
 	}
 	for clock, left := range map[float64]float64{now + 30: 870, now + 899: 1, now + 901: -1, now - 3600e3: 870} {
@@ -46,30 +46,30 @@
 
 func dest(n int, at float64, eps ...Endpoint) *Destination {
 	return &Destination{
-		Dest: n, At: at, Control: policy.InitialAdmission(), Endpoints: eps,
-		Shared:  &policy.RouteFacts{AdvertisedLimit: 10, LimitReported: true, Pace: 8, LastOK: at, CallRate: 4},
-		Latency: policy.LatencyFacts{Mean: 300, Dev: 50, N: 40},
+		Dest: n, LearnedAt: at, Admission: policy.InitialAdmission(), Endpoints: eps,
+		SharedRoute: &policy.RouteFacts{AdvertisedLimit: 10, LimitReported: true, Pace: 8, LastOK: at, CallRate: 4},
+		Latency:     policy.LatencyFacts{Mean: 300, Dev: 50, N: 40},
 	}
 }
 
 func endpoint(name string, at float64, h policy.Health) Endpoint {
-	return Endpoint{Name: name, At: at, EndpointFacts: policy.EndpointFacts{
+	return Endpoint{Name: name, LearnedAt: at, EndpointFacts: policy.EndpointFacts{
 		Health: h, Failures: 4, LastFailure: at - 100, OpenedAt: at - 2000, NextTrial: at + 700, RampStart: at - 1000, RateBeforeOutage: 2, LastOK: at - 3000}}
 }
 
 // What is learned replaces what was known; an endpoint that is not named again stays for a while.
 func TestLearnMerges(t *testing.T) {
 	b := New("n0")
-	b.Learn(dest(1, now, endpoint("a", now, policy.Broken), endpoint("b", now, policy.Healthy)))
-	b.Learn(dest(1, now+10, endpoint("b", now+10, policy.Ramping), endpoint("c", now+10, policy.Healthy)))
-	b.Learn(dest(1, now+5, endpoint("c", now+5, policy.Broken))) // comes late
+	b.MergeDestination(dest(1, now, endpoint("a", now, policy.Broken), endpoint("b", now, policy.Healthy)))
+	b.MergeDestination(dest(1, now+10, endpoint("b", now+10, policy.Ramping), endpoint("c", now+10, policy.Healthy)))
+	b.MergeDestination(dest(1, now+5, endpoint("c", now+5, policy.Broken))) // comes late
 	d := b.Dests[1]
 	got := ""
 	for _, e := range d.Endpoints {
-		got += fmt.Sprint(e.Name, e.Health, e.At-now, " ")
+		got += fmt.Sprint(e.Name, e.Health, e.LearnedAt-now, " ")
 	}
-	if got != "a1 0 b2 10 c0 10 " || d.At != now+10 {
-		t.Errorf("%s at %v", got, d.At-now)
+	if got != "a1 0 b2 10 c0 10 " || d.LearnedAt != now+10 {
+		t.Errorf("%s at %v", got, d.LearnedAt-now)
 	}
 	c := b.Clone()
 	if !reflect.DeepEqual(b, c) {
@@ -80,18 +80,18 @@
 // A limit fades towards the list's rating, in proportion.
 func TestLimitFades(t *testing.T) {
 	b := New("n0")
-	b.Learn(dest(1, now))
+	b.MergeDestination(dest(1, now))
 	half := float64(halves.Limit) / 1e6
 	for _, row := range []struct {
 		age, rating, told float64
 		sure              bool
 	}{{0, 40, 10, true}, {half, 40, 20, true}, {10 * half, 40, 39.9, false}, {half, 0, 10, true}, {2 * half, 0, 10, false}, {4 * half, 0, 0, false}} {
-		d, ok := b.Recall(1, now+row.age, halves, Prior{Rating: row.rating})
-		if !ok || math.Abs(d.Shared.AdvertisedLimit-row.told) > 0.1 || d.Shared.LimitReported != row.sure {
-			t.Errorf("%+v: %+v", row, d.Shared)
+		d, ok := b.AgedDestination(1, now+row.age, halves, Prior{Rating: row.rating})
+		if !ok || math.Abs(d.SharedRoute.AdvertisedLimit-row.told) > 0.1 || d.SharedRoute.LimitReported != row.sure {
+			t.Errorf("%+v: %+v", row, d.SharedRoute)
 		}
-		if d.Shared.Pace > 0 && d.Shared.Pace > math.Max(d.Shared.AdvertisedLimit, 10) {
-			t.Errorf("%+v: pace %v", row, d.Shared.Pace)
+		if d.SharedRoute.Pace > 0 && d.SharedRoute.Pace > math.Max(d.SharedRoute.AdvertisedLimit, 10) {
+			t.Errorf("%+v: pace %v", row, d.SharedRoute.Pace)
 		}
 	}
 }
@@ -99,8 +99,8 @@
 // An outage, a trial and a ramp go on where they were; one that is long past is over.
 func TestHealthGoesOn(t *testing.T) {
 	b := New("n0")
-	b.Learn(dest(1, now, endpoint("a", now, policy.Broken), endpoint("b", now, policy.Ramping)))
-	d, _ := b.Recall(1, now+600, halves, Prior{})
+	b.MergeDestination(dest(1, now, endpoint("a", now, policy.Broken), endpoint("b", now, policy.Ramping)))
+	d, _ := b.AgedDestination(1, now+600, halves, Prior{})
 	a, r := d.Endpoints[0], d.Endpoints[1]
 	if a.Health != policy.Broken || a.NextTrial != now+700 || a.OpenedAt != now-2000 || a.RateBeforeOutage > 2 || a.RateBeforeOutage < 1.9 {
 		t.Errorf("broken: %+v", a)
@@ -108,7 +108,7 @@
 	if r.Health != policy.Ramping || r.RampStart != now-1000 {
 		t.Errorf("ramping: %+v", r)
 	}
-	d, _ = b.Recall(1, now+7*86400e3, halves, Prior{})
+	d, _ = b.AgedDestination(1, now+7*86400e3, halves, Prior{})
 	if e := d.Endpoints[0]; e.Health != policy.Healthy || e.Failures != 0 {
 		t.Errorf("after a week: %+v", e)
 	}
@@ -120,17 +120,17 @@
 // By a clock set back an hour, what was learned lies in the future: no time is later than it was short.
 func TestFromTheFuture(t *testing.T) {
 	b := New("n0")
-	b.Learn(dest(1, now, endpoint("a", now, policy.Broken), endpoint("b", now, policy.Ramping)))
+	b.MergeDestination(dest(1, now, endpoint("a", now, policy.Broken), endpoint("b", now, policy.Ramping)))
 	clock := now - 3600e3
-	d, _ := b.Recall(1, clock, halves, Prior{Rating: 40})
+	d, _ := b.AgedDestination(1, clock, halves, Prior{Rating: 40})
 	if a := d.Endpoints[0]; a.NextTrial > clock+700 || a.OpenedAt > clock || a.LastFailure > clock {
 		t.Errorf("broken: %+v", a)
 	}
 	if r := d.Endpoints[1]; r.RampStart > clock || r.LastOK > clock {
 		t.Errorf("ramping: %+v", r)
 	}
-	if !near(d.Shared.AdvertisedLimit, 20) {
-		t.Errorf("limit %v, want half-way to the rating", d.Shared.AdvertisedLimit)
+	if !near(d.SharedRoute.AdvertisedLimit, 20) {
+		t.Errorf("limit %v, want half-way to the rating", d.SharedRoute.AdvertisedLimit)
 	}
 }
 
@@ -138,10 +138,10 @@
 // destination stays.
 func TestReplacedEndpoints(t *testing.T) {
 	b := New("n0")
-	b.Learn(dest(1, now, endpoint("old", now, policy.Broken)))
-	b.Tell(Wait{Route: Route{Dest: 1}, Told: now, Until: now + 900})
-	d, _ := b.Recall(1, now, halves, Prior{})
-	if len(d.Endpoints) != 1 || d.Endpoints[0].Name != "old" || d.Shared.WaitUntil != now+900 || d.Latency.N != 40 {
+	b.MergeDestination(dest(1, now, endpoint("old", now, policy.Broken)))
+	b.AddWait(Wait{Route: Route{Dest: 1}, ReceivedAt: now, Until: now + 900})
+	d, _ := b.AgedDestination(1, now, halves, Prior{})
+	if len(d.Endpoints) != 1 || d.Endpoints[0].Name != "old" || d.SharedRoute.WaitUntil != now+900 || d.Latency.N != 40 {
 		t.Errorf("%+v", d)
 	}
 }
@@ -149,21 +149,21 @@
 // A wait binds where nothing else is known, and where settings have made routes of a destination's endpoints.
 func TestWaitAlone(t *testing.T) {
 	b := New("n0")
-	b.Tell(Wait{Route: Route{Dest: 1}, Told: now, Until: now + 900})
-	b.Tell(Wait{Route: Route{Dest: 2, Endpoint: "x"}, Told: now, Until: now + 500})
-	d, ok := b.Recall(1, now, halves, Prior{})
-	if !ok || d.Shared.WaitUntil != now+900 || d.Shared.AdvertisedLimit != 0 {
+	b.AddWait(Wait{Route: Route{Dest: 1}, ReceivedAt: now, Until: now + 900})
+	b.AddWait(Wait{Route: Route{Dest: 2, Endpoint: "x"}, ReceivedAt: now, Until: now + 500})
+	d, ok := b.AgedDestination(1, now, halves, Prior{})
+	if !ok || d.SharedRoute.WaitUntil != now+900 || d.SharedRoute.AdvertisedLimit != 0 {
 		t.Errorf("%+v", d)
 	}
-	d, ok = b.Recall(2, now, halves, Prior{})
-	if !ok || len(d.Endpoints) != 1 || d.Endpoints[0].OwnRoute.WaitUntil != now+500 || d.Shared.WaitUntil != 0 {
+	d, ok = b.AgedDestination(2, now, halves, Prior{})
+	if !ok || len(d.Endpoints) != 1 || d.Endpoints[0].OwnRoute.WaitUntil != now+500 || d.SharedRoute.WaitUntil != 0 {
 		t.Errorf("%+v", d)
 	}
-	if _, ok = b.Recall(3, now, halves, Prior{}); ok {
+	if _, ok = b.AgedDestination(3, now, halves, Prior{}); ok {
 		t.Error("something is known of nothing")
 	}
-	b.Learn(dest(1, now, endpoint("a", now, policy.Healthy)))
-	if d, _ = b.Recall(1, now, halves, Prior{}); d.Endpoints[0].OwnRoute.WaitUntil != now+900 {
+	b.MergeDestination(dest(1, now, endpoint("a", now, policy.Healthy)))
+	if d, _ = b.AgedDestination(1, now, halves, Prior{}); d.Endpoints[0].OwnRoute.WaitUntil != now+900 {
 		t.Error("the destination's wait does not bind its endpoint")
 	}
 }
@@ -173,18 +173,18 @@
 	b := New("n0")
 	for i := range 100 {
 		d := dest(i, now-float64(i))
-		d.Shared.CallRate = float64(i % 50)
+		d.SharedRoute.CallRate = float64(i % 50)
 		if i == 7 {
 			d.Endpoints = []Endpoint{endpoint("a", now, policy.Ramping)}
 		}
-		b.Learn(d)
+		b.MergeDestination(d)
 	}
-	b.Tell(Wait{Route: Route{Dest: 3}, Told: now, Until: now + 900})
-	dropped := b.Fit(10, func(*Destination) int { return 2 })
-	if dropped != 95 || fmt.Sprint(b.Numbers()) != "[3 7 48 49 99]" || len(b.Waits) != 1 {
-		t.Errorf("%d dropped, kept %v", dropped, b.Numbers())
+	b.AddWait(Wait{Route: Route{Dest: 3}, ReceivedAt: now, Until: now + 900})
+	dropped := b.EvictToFit(10, func(*Destination) int { return 2 })
+	if dropped != 95 || fmt.Sprint(b.DestNumbers()) != "[3 7 48 49 99]" || len(b.Waits) != 1 {
+		t.Errorf("%d dropped, kept %v", dropped, b.DestNumbers())
 	}
-	if b.Fit(10, func(*Destination) int { return 2 }) != 0 {
+	if b.EvictToFit(10, func(*Destination) int { return 2 }) != 0 {
 		t.Error("what fits is dropped")
 	}
 }
@@ -192,21 +192,21 @@
 // Classes, kinds and numbers that make no sense are passed over.
 func TestNonsense(t *testing.T) {
 	b := New("n0")
-	b.Usual["gone"] = Usual{now, policy.LatencyFacts{Mean: 100, N: 5}}
-	b.Usual["note"] = Usual{now, policy.LatencyFacts{Mean: 200, N: 5}}
+	b.ClassLatency["gone"] = ClassLatency{now, policy.LatencyFacts{Mean: 100, N: 5}}
+	b.ClassLatency["note"] = ClassLatency{now, policy.LatencyFacts{Mean: 200, N: 5}}
 	b.Dials["gone"] = Dials{now, policy.DialFacts{FailureShare: 1}}
 	set := &policy.Settings{Classes: []policy.Class{{Name: "new"}, {Name: "note"}}, Kinds: []policy.DestKind{{Name: "k"}}}
-	g := b.RecallGeneral(now, halves, set)
+	g := b.AgedGeneral(now, halves, set)
 	if g.ClassLatency[0].N != 0 || g.ClassLatency[1].Mean != 200 || g.Dials[0].FailureShare != 0 {
 		t.Errorf("%+v", g)
 	}
 	bad := dest(1, now, endpoint("a", now, 77))
-	bad.Shared.AdvertisedLimit, bad.Shared.Pace, bad.Latency.Mean = math.NaN(), math.Inf(1), -4
-	bad.Control.Theta[1], bad.Control.Pa = math.NaN(), math.Inf(-1)
-	b.Learn(bad)
-	d, _ := b.Recall(1, now, halves, Prior{})
-	if d.Shared.AdvertisedLimit != 0 || d.Shared.Pace != 0 || d.Latency.N != 0 || d.Control != d.Control || d.Endpoints[0].Health != policy.Healthy {
-		t.Errorf("%+v %+v", d, d.Shared)
+	bad.SharedRoute.AdvertisedLimit, bad.SharedRoute.Pace, bad.Latency.Mean = math.NaN(), math.Inf(1), -4
+	bad.Admission.Theta[1], bad.Admission.Pa = math.NaN(), math.Inf(-1)
+	b.MergeDestination(bad)
+	d, _ := b.AgedDestination(1, now, halves, Prior{})
+	if d.SharedRoute.AdvertisedLimit != 0 || d.SharedRoute.Pace != 0 || d.Latency.N != 0 || d.Admission != d.Admission || d.Endpoints[0].Health != policy.Healthy {
+		t.Errorf("%+v %+v", d, d.SharedRoute)
 	}
 }
 
@@ -214,11 +214,11 @@
 func TestControlFades(t *testing.T) {
 	f := policy.InitialAdmission()
 	d := dest(1, now)
-	d.Control.Theta, d.Control.Pa, d.Control.EX = [2]float64{2, 1.5}, 0.2, 800
+	d.Admission.Theta, d.Admission.Pa, d.Admission.EX = [2]float64{2, 1.5}, 0.2, 800
 	b := New("n0")
-	b.Learn(d)
-	r, _ := b.Recall(1, now+float64(halves.Control)/1e6, halves, Prior{})
-	if !near(r.Control.Theta[0], (2+f.Theta[0])/2) || !near(r.Control.Pa, 0.6) || !near(r.Control.EX, 400) {
-		t.Errorf("%+v", r.Control)
+	b.MergeDestination(d)
+	r, _ := b.AgedDestination(1, now+float64(halves.Control)/1e6, halves, Prior{})
+	if !near(r.Admission.Theta[0], (2+f.Theta[0])/2) || !near(r.Admission.Pa, 0.6) || !near(r.Admission.EX, 400) {
+		t.Errorf("%+v", r.Admission)
 	}
 }
--- a/internal/knowledge/store/codec.go
+++ b/internal/knowledge/store/codec.go
@@ -36,21 +36,23 @@
 
 // Errors of Decode. Damage has an offset.
 var (
-	ErrNewer  = errors.New("the format is newer than this program")
-	ErrNoRoom = errors.New("no room in the folder")
+	ErrNewerFormat = errors.New("the format is newer than this program")
+	ErrNoSpace     = errors.New("no room in the folder")
 )
 
 // Damage is what makes a file unreadable.
-type Damage struct {
+type DamageError struct {
 	Offset int // of the first byte that is wrong, or where something is missing
-	What   string
+	Reason string
 }
 
 // Error says what is wrong, and where.
-func (d *Damage) Error() string { return fmt.Sprintf("damaged at byte %d: %s", d.Offset, d.What) }
+func (d *DamageError) Error() string {
+	return fmt.Sprintf("damaged at byte %d: %s", d.Offset, d.Reason)
+}
 
 // Encode returns the file of b.
-func Encode(b *knowledge.Book) ([]byte, error) {
+func Encode(b *knowledge.Facts) ([]byte, error) {
 	m := toPB(b)
 	text := make([]byte, headSize, headSize+proto.Size(m))
 	text, err := proto.MarshalOptions{Deterministic: true}.MarshalAppend(text, m)
@@ -72,7 +74,7 @@
 }
 
 // Decode reads a file of this format or an older one. Errors are ErrNewer or of type *Damage.
-func Decode(text []byte) (*knowledge.Book, error) {
+func Decode(text []byte) (*knowledge.Facts, error) {
 	version, payload, err := unframe(text)
 	if err != nil {
 		return nil, err
@@ -81,82 +83,82 @@
 	case 1:
 		var m pb.BookV1
 		if err := proto.Unmarshal(payload, &m); err != nil {
-			return nil, &Damage{headSize, err.Error()}
+			return nil, &DamageError{headSize, err.Error()}
 		}
 		return fromV1(&m), nil
 	case Version:
 		var m pb.BookV2
 		if err := proto.Unmarshal(payload, &m); err != nil {
-			return nil, &Damage{headSize, err.Error()}
+			return nil, &DamageError{headSize, err.Error()}
 		}
 		return fromPB(&m), nil
 	}
-	return nil, &Damage{8, fmt.Sprintf("format version %d was never one", version)}
+	return nil, &DamageError{8, fmt.Sprintf("format version %d was never one", version)}
 }
 
 // unframe checks the header and returns the payload.
 func unframe(text []byte) (version uint32, payload []byte, err error) {
 	switch {
 	case len(text) == 0:
-		return 0, nil, &Damage{0, "the file is empty"}
+		return 0, nil, &DamageError{0, "the file is empty"}
 	case len(text) < headSize:
-		return 0, nil, &Damage{len(text), "it ends within the header"}
+		return 0, nil, &DamageError{len(text), "it ends within the header"}
 	case string(text[:8]) != magic:
-		return 0, nil, &Damage{0, "it does not begin as a knowledge file"}
+		return 0, nil, &DamageError{0, "it does not begin as a knowledge file"}
 	case xxhash.Sum64(text[:32]) != binary.BigEndian.Uint64(text[32:]):
-		return 0, nil, &Damage{8, "the header's checksum is wrong"}
+		return 0, nil, &DamageError{8, "the header's checksum is wrong"}
 	}
 	version, payload = binary.BigEndian.Uint32(text[8:]), text[headSize:]
 	if version > Version {
-		return 0, nil, fmt.Errorf("version %d: %w (%d)", version, ErrNewer, Version)
+		return 0, nil, fmt.Errorf("version %d: %w (%d)", version, ErrNewerFormat, Version)
 	}
 	length := binary.BigEndian.Uint64(text[16:])
 	switch {
 	case uint64(len(payload)) < length:
-		return 0, nil, &Damage{len(text), fmt.Sprintf("it ends %d bytes early", length-uint64(len(payload)))}
+		return 0, nil, &DamageError{len(text), fmt.Sprintf("it ends %d bytes early", length-uint64(len(payload)))}
 	case uint64(len(payload)) > length || length > maxText:
-		return 0, nil, &Damage{headSize + int(min(length, maxText)), "there is more than the header tells"}
+		return 0, nil, &DamageError{headSize + int(min(length, maxText)), "there is more than the header tells"}
 	case xxhash.Sum64(payload) != binary.BigEndian.Uint64(text[24:]):
-		return 0, nil, &Damage{headSize, "the payload's checksum is wrong"}
+		return 0, nil, &DamageError{headSize, "the payload's checksum is wrong"}
 	}
 	return version, payload, nil
 }
 
 // SizeOf is how many bytes a destination takes in a file.
-func SizeOf(d *knowledge.Destination) int {
+func EncodedSize(d *knowledge.Destination) int {
 	n := proto.Size(destToPB(d))
 	return n + 1 + len(binary.AppendUvarint(nil, uint64(n)))
 }
 
 // fromV1 carries a file of version 1 over. When its waits were told was not noted: no later than the
 // file was written.
-func fromV1(m *pb.BookV1) *knowledge.Book {
+func fromV1(m *pb.BookV1) *knowledge.Facts {
 	b := knowledge.New(m.Sender)
-	b.Written = m.WrittenMs
+	b.WrittenAt = m.WrittenMs
 	for _, w := range m.Waits {
-		b.Tell(knowledge.Wait{Route: knowledge.Route{Dest: int(w.Dest), Endpoint: w.Endpoint}, Told: m.WrittenMs, Until: w.UntilMs})
+		b.AddWait(knowledge.Wait{Route: knowledge.Route{Dest: int(w.Dest), Endpoint: w.Endpoint}, ReceivedAt: m.WrittenMs, Until: w.UntilMs})
 	}
 	return b
 }
 
-func toPB(b *knowledge.Book) *pb.BookV2 {
-	m := &pb.BookV2{Sender: b.Sender, WrittenMs: b.Written}
-	for _, w := range b.Routes() {
-		m.Waits = append(m.Waits, &pb.Wait{Dest: int64(w.Dest), Endpoint: w.Endpoint, ToldMs: w.Told, UntilMs: w.Until})
+func toPB(b *knowledge.Facts) *pb.BookV2 {
+	m := &pb.BookV2{Sender: b.Sender, WrittenMs: b.WrittenAt}
+	for _, w := range b.SortedWaits() {
+		m.Waits = append(m.Waits, &pb.Wait{Dest: int64(w.Dest), Endpoint: w.Endpoint, ToldMs: w.ReceivedAt, UntilMs: w.Until})
 	}
-	for _, n := range b.Numbers() {
+	for _, n := range b.DestNumbers() {
 		m.Destinations = append(m.Destinations, destToPB(b.Dests[n]))
 	}
-	for _, name := range sorted(b.Usual) {
-		u := b.Usual[name]
-		m.Usual = append(m.Usual, &pb.Usual{Class: name, AtMs: int64(u.At), Latency: latencyToPB(u.LatencyFacts)})
+	for _, name := range sorted(b.ClassLatency) {
+		u := b.ClassLatency[name]
+		m.Usual = append(m.Usual, &pb.Usual{Class: name, AtMs: int64(u.LearnedAt), Latency: latencyToPB(u.LatencyFacts)})
 	}
 	for _, name := range sorted(b.Dials) {
 		d := b.Dials[name]
-		m.Dials = append(m.Dials, &pb.Dials{Kind: name, AtMs: int64(d.At), Failed: float32(d.FailureShare), ShortUntilMs: int64(d.ScarceUntil)})
+		m.Dials = append(m.Dials, &pb.Dials{Kind: name, AtMs: int64(d.LearnedAt), Failed: float32(d.FailureShare), ShortUntilMs: int64(d.ScarceUntil)})
 	}
-	if s := b.Staleness; s.At != 0 {
-		m.Staleness = &pb.Staleness{AtMs: int64(s.At), Share: float32(s.Share), GapMs: float32(s.Gap)}
+	if s := b.Staleness; s.LearnedAt != 0 {
+		m.Staleness = &pb.Staleness{AtMs: int64(s.LearnedAt), Share: float32(s.StaleShare), GapMs: float32(s.MinStaleIdle)}
 	}
 	return m
 }
@@ -170,23 +172,23 @@
 	return names
 }
 
-func fromPB(m *pb.BookV2) *knowledge.Book {
+func fromPB(m *pb.BookV2) *knowledge.Facts {
 	b := knowledge.New(m.Sender)
-	b.Written = m.WrittenMs
+	b.WrittenAt = m.WrittenMs
 	for _, w := range m.Waits {
-		b.Tell(knowledge.Wait{Route: knowledge.Route{Dest: int(w.Dest), Endpoint: w.Endpoint}, Told: w.ToldMs, Until: w.UntilMs})
+		b.AddWait(knowledge.Wait{Route: knowledge.Route{Dest: int(w.Dest), Endpoint: w.Endpoint}, ReceivedAt: w.ToldMs, Until: w.UntilMs})
 	}
 	for _, d := range m.Destinations {
-		b.Learn(destFromPB(d))
+		b.MergeDestination(destFromPB(d))
 	}
 	for _, u := range m.Usual {
-		b.Usual[u.Class] = knowledge.Usual{At: float64(u.AtMs), LatencyFacts: latencyFromPB(u.Latency)}
+		b.ClassLatency[u.Class] = knowledge.ClassLatency{LearnedAt: float64(u.AtMs), LatencyFacts: latencyFromPB(u.Latency)}
 	}
 	for _, d := range m.Dials {
-		b.Dials[d.Kind] = knowledge.Dials{At: float64(d.AtMs), DialFacts: policy.DialFacts{FailureShare: float64(d.Failed), ScarceUntil: float64(d.ShortUntilMs)}}
+		b.Dials[d.Kind] = knowledge.Dials{LearnedAt: float64(d.AtMs), DialFacts: policy.DialFacts{FailureShare: float64(d.Failed), ScarceUntil: float64(d.ShortUntilMs)}}
 	}
 	if s := m.Staleness; s != nil {
-		b.Staleness = knowledge.Staleness{At: float64(s.AtMs), Share: float64(s.Share), Gap: float64(s.GapMs)}
+		b.Staleness = knowledge.Staleness{LearnedAt: float64(s.AtMs), StaleShare: float64(s.Share), MinStaleIdle: float64(s.GapMs)}
 	}
 	return b
 }
@@ -208,10 +210,10 @@
 }
 
 func destToPB(d *knowledge.Destination) *pb.Destination {
-	at := math.Trunc(d.At)
-	c := &d.Control
+	at := math.Trunc(d.LearnedAt)
+	c := &d.Admission
 	m := &pb.Destination{
-		Dest: int64(d.Dest), AtMs: int64(at), Shared: routeToPB(d.Shared, at), Latency: latencyToPB(d.Latency),
+		Dest: int64(d.Dest), AtMs: int64(at), Shared: routeToPB(d.SharedRoute, at), Latency: latencyToPB(d.Latency),
 		Control: &pb.Control{
 			SeenAgo: ago(at, c.LastArrival), Lambda: float32(c.Lambda), ExMs: float32(c.EX),
 			Theta: []float32{float32(c.Theta[0]), float32(c.Theta[1])},
@@ -221,7 +223,7 @@
 	}
 	for i := range d.Endpoints {
 		e := &d.Endpoints[i]
-		at := math.Trunc(e.At)
+		at := math.Trunc(e.LearnedAt)
 		m.Endpoints = append(m.Endpoints, &pb.Endpoint{
 			Name: e.Name, AtMs: int64(at), Health: uint32(e.Health), Fails: uint32(max(e.Failures, 0)),
 			FailAgo: ago(at, e.LastFailure), FailShare: float32(e.FailureShare), Hung: e.Unresponsive, Mute: e.Unanswered, Leaks: e.AnsweredError,
@@ -235,11 +237,11 @@
 func destFromPB(m *pb.Destination) *knowledge.Destination {
 	at := float64(m.AtMs)
 	d := &knowledge.Destination{
-		Dest: int(m.Dest), At: at, Shared: routeFromPB(m.Shared, at), Latency: latencyFromPB(m.Latency),
-		Control: policy.InitialAdmission(),
+		Dest: int(m.Dest), LearnedAt: at, SharedRoute: routeFromPB(m.Shared, at), Latency: latencyFromPB(m.Latency),
+		Admission: policy.InitialAdmission(),
 	}
 	if c := m.Control; c != nil && len(c.Theta) == 2 && len(c.P) == 4 {
-		d.Control = policy.AdmissionFacts{
+		d.Admission = policy.AdmissionFacts{
 			LastArrival: since(at, c.SeenAgo, 0), Lambda: float64(c.Lambda), EX: float64(c.ExMs),
 			Theta: [2]float64{float64(c.Theta[0]), float64(c.Theta[1])},
 			P:     [2][2]float64{{float64(c.P[0]), float64(c.P[1])}, {float64(c.P[2]), float64(c.P[3])}},
@@ -248,7 +250,7 @@
 	}
 	for _, e := range m.Endpoints {
 		at := float64(e.AtMs)
-		d.Endpoints = append(d.Endpoints, knowledge.Endpoint{Name: e.Name, At: at, EndpointFacts: policy.EndpointFacts{
+		d.Endpoints = append(d.Endpoints, knowledge.Endpoint{Name: e.Name, LearnedAt: at, EndpointFacts: policy.EndpointFacts{
 			Health: policy.Health(min(e.Health, 255)), Failures: int(e.Fails), LastFailure: since(at, e.FailAgo, 0),
 			FailureShare: float64(e.FailShare), Unresponsive: e.Hung, Unanswered: e.Mute, AnsweredError: e.Leaks, FailedTrials: int(e.Trials),
 			OpenedAt: since(at, e.OpenAgo, 0), NextTrial: since(at, e.TrialAgo, 0), RampStart: since(at, e.RampAgo, 0),
--- a/internal/knowledge/store/store.go
+++ b/internal/knowledge/store/store.go
@@ -17,15 +17,15 @@
 
 // The files.
 const (
-	BookName  = "knowledge"       // the snapshot
-	PrevName  = "knowledge.prev"  // the one before, where there is room
-	WaitsName = "knowledge.waits" // told waits since, in the same form
-	badName   = "knowledge.bad"   // what could not be read, the last such
-	newSuffix = ".new"
+	SnapshotName = "knowledge"       // the snapshot
+	PreviousName = "knowledge.prev"  // the one before, where there is room
+	WaitsName    = "knowledge.waits" // told waits since, in the same form
+	badName      = "knowledge.bad"   // what could not be read, the last such
+	newSuffix    = ".new"
 )
 
 // Names are the names of all files that a Store may write.
-var Names = []string{BookName, PrevName, WaitsName, badName, BookName + newSuffix, WaitsName + newSuffix}
+var FileNames = []string{SnapshotName, PreviousName, WaitsName, badName, SnapshotName + newSuffix, WaitsName + newSuffix}
 
 // Store is the files of one folder.
 type Store struct {
@@ -39,51 +39,51 @@
 
 // Options are what a Store works with.
 type Options struct {
-	FS   fsys.FS
-	Room *statedir.Account // claims what the files take
-	Max  int64             // bytes that all files may take, one that replaces another included
-	Sync bool              // fsync files and folder before and after a rename
+	FS       fsys.FS
+	Account  *statedir.Account // claims what the files take
+	MaxBytes int64             // bytes that all files may take, one that replaces another included
+	Sync     bool              // fsync files and folder before and after a rename
 }
 
 // Problem is one thing that was wrong with a file, for the log.
 type Problem struct {
-	File   string
-	Err    error
-	Aside  bool // it is now knowledge.bad, or gone if that could not be
-	Untold bool // it is of a newer format and left as it is
+	File          string
+	Err           error
+	SetAside      bool // it is now knowledge.bad, or gone if that could not be
+	LeftUntouched bool // it is of a newer format and left as it is
 }
 
 // Open reads what the folder holds, the later of what its files know. There always is a Book, if an
 // empty one.
-func Open(o Options, sender string) (*Store, *knowledge.Book, []Problem) {
-	s := &Store{fs: o.FS, room: o.Room, max: o.Max, sync: o.Sync, sizes: map[string]int64{}, held: map[string]bool{}}
+func Open(o Options, sender string) (*Store, *knowledge.Facts, []Problem) {
+	s := &Store{fs: o.FS, room: o.Account, max: o.MaxBytes, sync: o.Sync, sizes: map[string]int64{}, held: map[string]bool{}}
 	book := knowledge.New(sender)
 	var problems []Problem
-	for _, name := range []string{BookName, WaitsName} { // copies that were not finished
+	for _, name := range []string{SnapshotName, WaitsName} { // copies that were not finished
 		if err := s.fs.Remove(name + newSuffix); err != nil {
 			problems = append(problems, Problem{File: name + newSuffix, Err: err})
 		}
 	}
-	read, p := s.read(BookName)
+	read, p := s.read(SnapshotName)
 	problems = append(problems, p...)
 	if read == nil { // else what came before it says nothing new
-		read, p = s.read(PrevName)
+		read, p = s.read(PreviousName)
 		problems = append(problems, p...)
 	}
 	if read != nil {
 		book.Merge(read)
-		book.Written = read.Written
+		book.WrittenAt = read.WrittenAt
 	}
 	waits, p := s.read(WaitsName)
 	problems = append(problems, p...)
 	if waits != nil {
 		book.Merge(waits)
 	}
-	for _, name := range Names {
+	for _, name := range FileNames {
 		s.sizes[name] = statedir.RoundToBlocks(s.fs.Size(name))
 	}
 	if !s.claim(0) {
-		s.Shrink()
+		s.RemoveOldFiles()
 	}
 	return s, book, problems
 }
@@ -92,12 +92,12 @@
 func (s *Store) SetSync(sync bool) { s.sync = sync }
 
 // read reads one file; nil if there is none that can be read.
-func (s *Store) read(name string) (*knowledge.Book, []Problem) {
+func (s *Store) read(name string) (*knowledge.Facts, []Problem) {
 	text, err := s.fs.Read(name)
 	if errors.Is(err, fs.ErrNotExist) {
 		return nil, nil
 	}
-	var book *knowledge.Book
+	var book *knowledge.Facts
 	if err == nil {
 		book, err = Decode(text)
 	}
@@ -105,14 +105,14 @@
 		return book, nil
 	}
 	p := Problem{File: name, Err: err}
-	if errors.Is(err, ErrNewer) {
-		s.held[name], p.Untold = true, true
+	if errors.Is(err, ErrNewerFormat) {
+		s.held[name], p.LeftUntouched = true, true
 		return nil, []Problem{p}
 	}
 	if err := errors.Join(s.fs.Remove(badName), s.fs.Rename(name, badName)); err != nil {
 		p.Err = errors.Join(p.Err, fmt.Errorf("cannot be set aside: %w", err))
 	} else {
-		p.Aside = true
+		p.SetAside = true
 	}
 	return nil, []Problem{p}
 }
@@ -129,15 +129,15 @@
 
 // Room is how many bytes a snapshot may have now: with the waits as they are, twice it (the one that is
 // replaced, and the new one) must fit.
-func (s *Store) Room() int {
+func (s *Store) MaxSnapshotSize() int {
 	limit := min(s.max, s.room.Limit()) - 2*s.sizes[WaitsName]
 	return int(max(limit/2-2*headSize, 0))
 }
 
 // Save writes a snapshot of at most Room bytes. The waits' file goes, since the snapshot has them too.
-func (s *Store) Save(b *knowledge.Book) error {
-	if s.held[BookName] {
-		return fmt.Errorf("%s: %w", BookName, ErrNewer)
+func (s *Store) SaveSnapshot(b *knowledge.Facts) error {
+	if s.held[SnapshotName] {
+		return fmt.Errorf("%s: %w", SnapshotName, ErrNewerFormat)
 	}
 	text, err := Encode(b)
 	if err != nil {
@@ -147,37 +147,37 @@
 	keep := true
 	if !s.claim(need) { // what could not be read, and the generation before, go first
 		keep = false
-		if err := s.Shrink(); err != nil {
+		if err := s.RemoveOldFiles(); err != nil {
 			return err
 		}
 		if !s.claim(need) {
-			return fmt.Errorf("%s: %d bytes: %w", BookName, need, ErrNoRoom)
+			return fmt.Errorf("%s: %d bytes: %w", SnapshotName, need, ErrNoSpace)
 		}
 	}
-	if err := s.replace(BookName, text, need, keep); err != nil {
+	if err := s.replace(SnapshotName, text, need, keep); err != nil {
 		return err
 	}
 	return s.remove(WaitsName)
 }
 
 // SaveWaits writes the waits of b alone: little, and often.
-func (s *Store) SaveWaits(b *knowledge.Book) error {
+func (s *Store) SaveWaits(b *knowledge.Facts) error {
 	if s.held[WaitsName] {
-		return fmt.Errorf("%s: %w", WaitsName, ErrNewer)
+		return fmt.Errorf("%s: %w", WaitsName, ErrNewerFormat)
 	}
 	only := knowledge.New(b.Sender)
-	only.Written, only.Waits = b.Written, b.Waits
+	only.WrittenAt, only.Waits = b.WrittenAt, b.Waits
 	text, err := Encode(only)
 	if err != nil {
 		return err
 	}
 	need := statedir.RoundToBlocks(int64(len(text)))
 	if !s.claim(need) {
-		if err := s.Shrink(); err != nil {
+		if err := s.RemoveOldFiles(); err != nil {
 			return err
 		}
 		if !s.claim(need) {
-			return fmt.Errorf("%s: %d bytes: %w", WaitsName, need, ErrNoRoom)
+			return fmt.Errorf("%s: %d bytes: %w", WaitsName, need, ErrNoSpace)
 		}
 	}
 	return s.replace(WaitsName, text, need, false)
@@ -194,11 +194,11 @@
 		return err
 	}
 	s.sizes[fresh] = need
-	if keep && s.sizes[name] > 0 && !s.held[PrevName] {
-		if err := s.fs.Link(name, PrevName); err == nil {
-			s.sizes[PrevName] = s.sizes[name]
+	if keep && s.sizes[name] > 0 && !s.held[PreviousName] {
+		if err := s.fs.Link(name, PreviousName); err == nil {
+			s.sizes[PreviousName] = s.sizes[name]
 		} else {
-			s.sizes[PrevName] = statedir.RoundToBlocks(s.fs.Size(PrevName))
+			s.sizes[PreviousName] = statedir.RoundToBlocks(s.fs.Size(PreviousName))
 		}
 	}
 	if err := s.fs.Rename(fresh, name); err != nil {
@@ -220,15 +220,15 @@
 func (s *Store) settle() { s.claim(0) }
 
 // Shrink gives up what is not needed: the generation before, and what could not be read.
-func (s *Store) Shrink() error {
-	err := errors.Join(s.remove(PrevName), s.remove(badName))
+func (s *Store) RemoveOldFiles() error {
+	err := errors.Join(s.remove(PreviousName), s.remove(badName))
 	s.claim(0)
 	return err
 }
 
 // Drop gives up the snapshot itself: the journal needs the room. Waits stay.
-func (s *Store) Drop() error {
-	err := s.remove(BookName)
+func (s *Store) RemoveSnapshot() error {
+	err := s.remove(SnapshotName)
 	s.claim(0)
 	return err
 }
--- a/internal/knowledge/store/store_test.go
+++ b/internal/knowledge/store/store_test.go
@@ -32,26 +32,26 @@
 )
 
 // sample is a book with one of everything; n tells several apart.
-func sample(n int) *knowledge.Book {
+func sample(n int) *knowledge.Facts {
 	b := knowledge.New("n0")
-	b.Written = now + int64(n)
-	b.Tell(knowledge.Wait{Route: knowledge.Route{Dest: 1}, Told: now, Until: now + 900 + int64(n)})
-	b.Tell(knowledge.Wait{Route: knowledge.Route{Dest: 2, Endpoint: "s-9"}, Told: now, Until: now + 500})
-	b.Learn(destination(1, 2))
-	b.Usual["note"] = knowledge.Usual{At: now, LatencyFacts: policy.LatencyFacts{Mean: 300, Dev: 40, N: 12}}
-	b.Dials["one"] = knowledge.Dials{At: now, DialFacts: policy.DialFacts{FailureShare: 0.25, ScarceUntil: now + 60000}}
-	b.Staleness = knowledge.Staleness{At: now, Share: 0.5, Gap: 2500}
+	b.WrittenAt = now + int64(n)
+	b.AddWait(knowledge.Wait{Route: knowledge.Route{Dest: 1}, ReceivedAt: now, Until: now + 900 + int64(n)})
+	b.AddWait(knowledge.Wait{Route: knowledge.Route{Dest: 2, Endpoint: "s-9"}, ReceivedAt: now, Until: now + 500})
+	b.MergeDestination(destination(1, 2))
+	b.ClassLatency["note"] = knowledge.ClassLatency{LearnedAt: now, LatencyFacts: policy.LatencyFacts{Mean: 300, Dev: 40, N: 12}}
+	b.Dials["one"] = knowledge.Dials{LearnedAt: now, DialFacts: policy.DialFacts{FailureShare: 0.25, ScarceUntil: now + 60000}}
+	b.Staleness = knowledge.Staleness{LearnedAt: now, StaleShare: 0.5, MinStaleIdle: 2500}
 	return b
 }
 
 func destination(n, endpoints int) *knowledge.Destination {
 	d := &knowledge.Destination{
-		Dest: n, At: now, Shared: &policy.RouteFacts{AdvertisedLimit: 10, LimitReported: true, Pace: 8, LastOK: now - 50, CallRate: 4, AcceptedRate: 3, DeliveredRate: 2.5},
-		Latency: policy.LatencyFacts{Mean: 300, Dev: 50, N: 40},
-		Control: policy.AdmissionFacts{LastArrival: now - 10, Lambda: 0.0078125, EX: 120, Theta: [2]float64{1.5, 0.5}, P: [2][2]float64{{1, 0.25}, {0.25, 1}}, Pam: 0.75, Pa: 0.5},
+		Dest: n, LearnedAt: now, SharedRoute: &policy.RouteFacts{AdvertisedLimit: 10, LimitReported: true, Pace: 8, LastOK: now - 50, CallRate: 4, AcceptedRate: 3, DeliveredRate: 2.5},
+		Latency:   policy.LatencyFacts{Mean: 300, Dev: 50, N: 40},
+		Admission: policy.AdmissionFacts{LastArrival: now - 10, Lambda: 0.0078125, EX: 120, Theta: [2]float64{1.5, 0.5}, P: [2][2]float64{{1, 0.25}, {0.25, 1}}, Pam: 0.75, Pa: 0.5},
 	}
 	for i := range endpoints {
-		d.Endpoints = append(d.Endpoints, knowledge.Endpoint{Name: fmt.Sprintf("s-%08x", n*10+i), At: now - 100, EndpointFacts: policy.EndpointFacts{
+		d.Endpoints = append(d.Endpoints, knowledge.Endpoint{Name: fmt.Sprintf("s-%08x", n*10+i), LearnedAt: now - 100, EndpointFacts: policy.EndpointFacts{
 			Health: policy.Health(i % 3), Failures: i, LastFailure: now - 300, FailureShare: 0.25, Unresponsive: i == 1, Unanswered: true, AnsweredError: i == 0, FailedTrials: 2,
 			OpenedAt: now - 2000, NextTrial: now + 700, RampStart: now - 1000, RateBeforeOutage: 2, LastOK: math.Inf(-1),
 		}})
@@ -59,9 +59,9 @@
 	return d
 }
 
-func openIn(t *testing.T, files fsys.FS) (*Store, *knowledge.Book, []Problem) {
+func openIn(t *testing.T, files fsys.FS) (*Store, *knowledge.Facts, []Problem) {
 	t.Helper()
-	return Open(Options{FS: files, Room: statedir.NewSpace(1 << 20).Account(), Max: room, Sync: true}, "n0")
+	return Open(Options{FS: files, Account: statedir.NewSpace(1 << 20).Account(), MaxBytes: room, Sync: true}, "n0")
 }
 
 func TestRoundTrip(t *testing.T) {
@@ -77,7 +77,7 @@
 	if again, _ := Encode(got); !bytes.Equal(again, text) {
 		t.Error("the same book gives other bytes")
 	}
-	if n, size := len(text)-headSize, SizeOf(want.Dests[1]); size > n || size < n/2 {
+	if n, size := len(text)-headSize, EncodedSize(want.Dests[1]); size > n || size < n/2 {
 		t.Errorf("a destination is said to take %d of %d bytes", size, n)
 	}
 }
@@ -89,14 +89,14 @@
 	before, _ := Encode(sample(-1))
 	check := func(what string, damaged []byte) {
 		dir := t.TempDir()
-		os.WriteFile(filepath.Join(dir, BookName), damaged, 0o600)
-		os.WriteFile(filepath.Join(dir, PrevName), before, 0o600)
+		os.WriteFile(filepath.Join(dir, SnapshotName), damaged, 0o600)
+		os.WriteFile(filepath.Join(dir, PreviousName), before, 0o600)
 		_, b, problems := openIn(t, fsys.OS{Dir: dir})
-		var d *Damage
-		if len(problems) != 1 || !problems[0].Aside || !errors.As(problems[0].Err, &d) || d.Offset > len(text) {
+		var d *DamageError
+		if len(problems) != 1 || !problems[0].SetAside || !errors.As(problems[0].Err, &d) || d.Offset > len(text) {
 			t.Fatalf("%s: %+v", what, problems)
 		}
-		if b.Written != now-1 || len(b.Dests) != 1 {
+		if b.WrittenAt != now-1 || len(b.Dests) != 1 {
 			t.Fatalf("%s: the generation before is not taken: %+v", what, b)
 		}
 		if aside, _ := os.ReadFile(filepath.Join(dir, badName)); !bytes.Equal(aside, damaged) {
@@ -122,7 +122,7 @@
 			if s.SaveWaits(sample(10*i)) == nil {
 				done = 10 * i
 			}
-			if s.Save(sample(10*i+1)) == nil {
+			if s.SaveSnapshot(sample(10*i+1)) == nil {
 				done = 10*i + 1
 			}
 		}
@@ -157,7 +157,7 @@
 				if w, ok := b.Waits[knowledge.Route{Dest: 1}]; ok {
 					got = int(w.Until - now - 900)
 				}
-				if len(problems) > 0 || got < done || b.Written != 0 && int(b.Written-now) > got {
+				if len(problems) > 0 || got < done || b.WrittenAt != 0 && int(b.WrittenAt-now) > got {
 					t.Fatalf("%v at operation %d, %s, %+v: wrote %d, read %d, %+v", err, at, op, fault, done, got, problems)
 				}
 				if got >= 11 && got%10 == 1 && len(b.Dests) != 1 {
@@ -179,8 +179,8 @@
 		}
 		return fsys.Fault{}
 	}}
-	files.Write(BookName, text, false)
-	files.Write(BookName, text, false)
+	files.Write(SnapshotName, text, false)
+	files.Write(SnapshotName, text, false)
 	if _, b, problems := openIn(t, fsys.OS{Dir: dir}); len(problems) == 0 || len(b.Dests) > 0 {
 		t.Error("a torn file passes")
 	}
@@ -190,11 +190,11 @@
 // store writes again if it can.
 func TestOddFiles(t *testing.T) {
 	for name, lay := range map[string]func(dir string){
-		"empty":         func(dir string) { os.WriteFile(filepath.Join(dir, BookName), nil, 0o600) },
-		"a folder":      func(dir string) { os.Mkdir(filepath.Join(dir, BookName), 0o700) },
-		"a full folder": func(dir string) { os.MkdirAll(filepath.Join(dir, BookName, "x"), 0o700) },
-		"dangling link": func(dir string) { os.Symlink("/nowhere/at/all", filepath.Join(dir, BookName)) },
-		"unfinished":    func(dir string) { os.WriteFile(filepath.Join(dir, BookName+newSuffix), []byte("x"), 0o600) },
+		"empty":         func(dir string) { os.WriteFile(filepath.Join(dir, SnapshotName), nil, 0o600) },
+		"a folder":      func(dir string) { os.Mkdir(filepath.Join(dir, SnapshotName), 0o700) },
+		"a full folder": func(dir string) { os.MkdirAll(filepath.Join(dir, SnapshotName, "x"), 0o700) },
+		"dangling link": func(dir string) { os.Symlink("/nowhere/at/all", filepath.Join(dir, SnapshotName)) },
+		"unfinished":    func(dir string) { os.WriteFile(filepath.Join(dir, SnapshotName+newSuffix), []byte("x"), 0o600) },
 	} {
 		dir := t.TempDir()
 		lay(dir)
@@ -202,7 +202,7 @@
 		if len(b.Dests) != 0 {
 			t.Errorf("%s: %+v", name, b)
 		}
-		if err := s.Save(sample(0)); err != nil {
+		if err := s.SaveSnapshot(sample(0)); err != nil {
 			t.Errorf("%s: %v", name, err)
 		}
 		if _, b, problems := openIn(t, fsys.OS{Dir: dir}); len(b.Dests) != 1 || len(problems) > 0 {
@@ -211,12 +211,12 @@
 	}
 	// Not allowed to read it (a test as root is allowed everything).
 	files := &fsys.Faulty{FS: fsys.OS{Dir: t.TempDir()}, Inject: func(_ int, op, name string) fsys.Fault {
-		if op == "read" && name == BookName || op == "rename" && name == badName {
+		if op == "read" && name == SnapshotName || op == "rename" && name == badName {
 			return fsys.Fault{Err: fs.ErrPermission}
 		}
 		return fsys.Fault{}
 	}}
-	if _, b, problems := openIn(t, files); len(problems) != 1 || problems[0].Aside || len(b.Dests) != 0 {
+	if _, b, problems := openIn(t, files); len(problems) != 1 || problems[0].SetAside || len(b.Dests) != 0 {
 		t.Errorf("no permission: %+v", problems)
 	}
 }
@@ -226,39 +226,39 @@
 	dir := t.TempDir()
 	text, _ := Encode(sample(0))
 	frame(text, Version+1)
-	os.WriteFile(filepath.Join(dir, BookName), text, 0o600)
+	os.WriteFile(filepath.Join(dir, SnapshotName), text, 0o600)
 	s, b, problems := openIn(t, fsys.OS{Dir: dir})
-	if len(problems) != 1 || !problems[0].Untold || !errors.Is(problems[0].Err, ErrNewer) || len(b.Dests) != 0 {
+	if len(problems) != 1 || !problems[0].LeftUntouched || !errors.Is(problems[0].Err, ErrNewerFormat) || len(b.Dests) != 0 {
 		t.Errorf("%+v", problems)
 	}
-	if err := s.Save(sample(1)); !errors.Is(err, ErrNewer) {
+	if err := s.SaveSnapshot(sample(1)); !errors.Is(err, ErrNewerFormat) {
 		t.Errorf("save: %v", err)
 	}
 	if err := s.SaveWaits(sample(1)); err != nil { // these are in a file of their own
 		t.Error(err)
 	}
-	s.Shrink()
-	s.Drop()
-	if still, _ := os.ReadFile(filepath.Join(dir, BookName)); !bytes.Equal(still, text) {
+	s.RemoveOldFiles()
+	s.RemoveSnapshot()
+	if still, _ := os.ReadFile(filepath.Join(dir, SnapshotName)); !bytes.Equal(still, text) {
 		t.Error("the newer file was changed")
 	}
 	prev := t.TempDir() // the generation before is a file like any other
-	os.WriteFile(filepath.Join(prev, PrevName), text, 0o600)
+	os.WriteFile(filepath.Join(prev, PreviousName), text, 0o600)
 	s, _, _ = openIn(t, fsys.OS{Dir: prev})
 	for range 2 {
-		if err := s.Save(sample(2)); err != nil {
+		if err := s.SaveSnapshot(sample(2)); err != nil {
 			t.Error(err)
 		}
 	}
-	s.Shrink()
-	if still, _ := os.ReadFile(filepath.Join(prev, PrevName)); !bytes.Equal(still, text) {
+	s.RemoveOldFiles()
+	if still, _ := os.ReadFile(filepath.Join(prev, PreviousName)); !bytes.Equal(still, text) {
 		t.Error("the newer generation before was changed")
 	}
 	if _, b, _ := openIn(t, fsys.OS{Dir: dir}); len(b.Waits) != 2 {
 		t.Errorf("waits: %+v", b.Waits)
 	}
 	frame(text, 0)
-	if _, err := Decode(text); err == nil || errors.Is(err, ErrNewer) {
+	if _, err := Decode(text); err == nil || errors.Is(err, ErrNewerFormat) {
 		t.Errorf("version 0: %v", err)
 	}
 }
@@ -275,8 +275,8 @@
 		os.WriteFile("testdata/v2.knowledge", v2, 0o600)
 	}
 	v1 := knowledge.New("n0")
-	v1.Written, v1.Waits = now, sample(0).Waits
-	for file, want := range map[string]*knowledge.Book{"v1": v1, "v2": sample(0)} {
+	v1.WrittenAt, v1.Waits = now, sample(0).Waits
+	for file, want := range map[string]*knowledge.Facts{"v1": v1, "v2": sample(0)} {
 		text, err := os.ReadFile("testdata/" + file + ".knowledge")
 		if err != nil {
 			t.Fatal(err)
@@ -286,12 +286,12 @@
 			t.Errorf("%s: %v\n got %+v\nwant %+v", file, err, got, want)
 		}
 		dir := t.TempDir() // and it is carried over: the next write is of this version
-		os.WriteFile(filepath.Join(dir, BookName), text, 0o600)
+		os.WriteFile(filepath.Join(dir, SnapshotName), text, 0o600)
 		s, b, problems := openIn(t, fsys.OS{Dir: dir})
-		if err := s.Save(b); err != nil || len(problems) > 0 {
+		if err := s.SaveSnapshot(b); err != nil || len(problems) > 0 {
 			t.Errorf("%s: %v %+v", file, err, problems)
 		}
-		now, _ := os.ReadFile(filepath.Join(dir, BookName))
+		now, _ := os.ReadFile(filepath.Join(dir, SnapshotName))
 		if v := binary.BigEndian.Uint32(now[8:]); v != Version {
 			t.Errorf("%s is written again as version %d", file, v)
 		}
@@ -305,10 +305,10 @@
 	journal, mine := space.Account(), space.Account()
 	mine.YieldTo(journal)
 	mine.Reserve(room)
-	s, _, _ := Open(Options{FS: fsys.OS{Dir: dir}, Room: mine, Max: room}, "n0")
+	s, _, _ := Open(Options{FS: fsys.OS{Dir: dir}, Account: mine, MaxBytes: room}, "n0")
 	big := knowledge.New("n0")
 	for i := range 500 {
-		big.Learn(destination(i, 2))
+		big.MergeDestination(destination(i, 2))
 	}
 	taken := func() (sum int64) {
 		list, _ := os.ReadDir(dir)
@@ -320,9 +320,9 @@
 	}
 	for i, need := range []int64{0, 50 << 10, 90 << 10, 100 << 10, 60 << 10, 0} {
 		if !journal.Claim(need) {
-			s.Shrink()
+			s.RemoveOldFiles()
 			if !journal.Claim(need) {
-				s.Drop()
+				s.RemoveSnapshot()
 			}
 			if !journal.Claim(need) {
 				t.Fatalf("step %d: no room for the journal's %d", i, need)
@@ -330,9 +330,9 @@
 		}
 		for range 3 {
 			b := big.Clone()
-			b.Fit(s.Room(), SizeOf)
-			err := s.Save(b)
-			if err != nil && !errors.Is(err, ErrNoRoom) {
+			b.EvictToFit(s.MaxSnapshotSize(), EncodedSize)
+			err := s.SaveSnapshot(b)
+			if err != nil && !errors.Is(err, ErrNoSpace) {
 				t.Fatal(err)
 			}
 			if used := taken(); used > mine.Claimed() || used+need > 100<<10 || used > room {
@@ -343,7 +343,7 @@
 			}
 		}
 	}
-	if err := s.Save(big); !errors.Is(err, ErrNoRoom) || !strings.Contains(err.Error(), BookName) {
+	if err := s.SaveSnapshot(big); !errors.Is(err, ErrNoSpace) || !strings.Contains(err.Error(), SnapshotName) {
 		t.Errorf("more than there is room for: %v", err)
 	}
 }
@@ -352,7 +352,7 @@
 func TestTenThousand(t *testing.T) {
 	b := knowledge.New("n0")
 	for i := range 10000 {
-		b.Learn(destination(i, 2))
+		b.MergeDestination(destination(i, 2))
 	}
 	text, err := Encode(b)
 	if err != nil || len(text) > 10000*400 {
@@ -391,10 +391,10 @@
 	})
 }
 
-func benchBook(n int) *knowledge.Book {
+func benchBook(n int) *knowledge.Facts {
 	b := knowledge.New("n0")
 	for i := range n {
-		b.Learn(destination(i, 2))
+		b.MergeDestination(destination(i, 2))
 	}
 	return b
 }
@@ -432,9 +432,9 @@
 		for _, sync := range []bool{false, true} {
 			book := benchBook(n)
 			b.Run(fmt.Sprintf("%d/sync=%t", n, sync), func(b *testing.B) {
-				s, _, _ := Open(Options{FS: fsys.OS{Dir: b.TempDir()}, Room: statedir.NewSpace(1 << 30).Account(), Max: 1 << 30, Sync: sync}, "n0")
+				s, _, _ := Open(Options{FS: fsys.OS{Dir: b.TempDir()}, Account: statedir.NewSpace(1 << 30).Account(), MaxBytes: 1 << 30, Sync: sync}, "n0")
 				for range b.N {
-					if err := s.Save(book); err != nil {
+					if err := s.SaveSnapshot(book); err != nil {
 						b.Fatal(err)
 					}
 				}
--- a/internal/lab/world/node.go
+++ b/internal/lab/world/node.go
@@ -86,7 +86,7 @@
 		for i := range n.w.partners {
 			limits[i] = p.limitOf()
 		}
-		n.guard = storm.New(storm.SettingsOf(&n.set, limits), seed)
+		n.guard = storm.New(storm.SettingsFrom(&n.set, limits), seed)
 		fallthrough
 	case Before:
 		n.mod = policy.New(n.set, seed)
@@ -115,7 +115,7 @@
 			ev.List = append(ev.List, l)
 		}
 	}
-	n.guard.Listed(now, ev.List, ev.FullList)
+	n.guard.UpdateEndpoints(now, ev.List, ev.FullList)
 	n.events = append(n.events, ev)
 	n.due(now)
 }
@@ -132,7 +132,7 @@
 // take is a message handed in.
 func (n *node) take(now float64, m *message) {
 	again := n.w.p.Marks && m.tries > 1
-	n.guard.Arrived(now, m.partner, m.key, again)
+	n.guard.RecordArrival(now, m.partner, m.key, again)
 	if n.downUntil > now || n.set.MaxHeld > 0 && len(n.held) >= n.set.MaxHeld {
 		n.w.refused(now, m, n.comeBack(now, m, min(1000, max(n.set.MaxRetryAfter, 1))))
 		return
@@ -146,7 +146,7 @@
 
 func (n *node) hold(now float64, m *message) {
 	n.held[m.id] = m
-	n.guard.Held(now, m.partner, 1)
+	n.guard.AdjustHeld(now, m.partner, 1)
 }
 
 func (n *node) forget(now float64, m *message) {
@@ -154,21 +154,21 @@
 		return
 	}
 	delete(n.held, m.id)
-	n.guard.Held(now, m.partner, -1)
+	n.guard.AdjustHeld(now, m.partner, -1)
 }
 
 func (n *node) comeBack(now float64, m *message, least float64) float64 {
-	return n.guard.Refused(now, m.partner, m.key, max(m.until-now, 0), least)
+	return n.guard.RetryAfter(now, m.partner, m.key, max(m.until-now, 0), least)
 }
 
 // step lets the brain decide, and carries out what it does.
 func (n *node) step(now float64) {
 	n.stepAt, n.lastStep = math.Inf(1), now
-	for _, o := range n.trials(now, n.guard.Orders(now)) {
+	for _, o := range n.trials(now, n.guard.Throttles(now)) {
 		for _, p := range o.Paces {
 			n.events = append(n.events, policy.Event{Kind: policy.EvPace, Dest: o.Dest, Endpoint: p.Endpoint, Pace: p.Rate})
 		}
-		n.paceDials(o.Dest, o.Dials)
+		n.paceDials(o.Dest, o.DialRate)
 	}
 	n.actions = n.brain.Step(now, n.events, n.actions[:0])
 	n.events = n.events[:0]
@@ -179,7 +179,7 @@
 	for _, c := range n.sends {
 		n.start(now, c)
 	}
-	if at := min(n.guard.Next(), n.board.Next()); at < n.lookAt || n.lookAt <= now {
+	if at := min(n.guard.NextDue(), n.board.Next()); at < n.lookAt || n.lookAt <= now {
 		if n.lookAt = at; !math.IsInf(at, 1) {
 			n.w.queue.push(event{at: max(at, now+1), kind: evLook, node: n})
 		}
@@ -295,7 +295,7 @@
 		e := policy.Event{Kind: policy.EvOutcome, ID: c.ids[i], Endpoint: c.at.id, Attempt: c.tries[i], Outcome: c.outcome,
 			RequestedWait: c.wait, Latency: now - c.sentAt, Report: rep}
 		n.events = append(n.events, e)
-		n.guard.Outcome(now, &e)
+		n.guard.RecordOutcome(now, &e)
 		n.tried(now, c.at.partner.id, &e)
 		if m.call == c {
 			m.call = nil
@@ -352,7 +352,7 @@
 	if n.w.team != nil {
 		n.w.team.join(now+gap, n)
 	}
-	n.guard.Recall(now+gap, facts)
+	n.guard.Restore(now+gap, facts)
 	n.stepAt, n.lookAt = math.Inf(1), math.Inf(1)
 	if n.mod != nil {
 		n.events = append(n.events, policy.Event{Kind: policy.EvFacts, Facts: facts})
@@ -365,7 +365,7 @@
 	slices.Sort(ids)
 	for _, id := range ids {
 		m := n.held[id]
-		n.guard.Held(now, m.partner, 1)
+		n.guard.AdjustHeld(now, m.partner, 1)
 		e := policy.Event{Kind: policy.EvMessage, ID: id, Remaining: m.until - now - gap, Dest: m.partner, Restored: true, Attempts: m.attempts, MayHaveRun: m.doubt}
 		if m.doubt {
 			e.MayHaveRunAge = now + gap - m.doubtAt
--- a/internal/lab/world/team.go
+++ b/internal/lab/world/team.go
@@ -76,7 +76,7 @@
 }
 
 // trials changes what storms ask of a node, as internal/sender does.
-func (n *node) trials(now float64, list []storm.Order) []storm.Order {
+func (n *node) trials(now float64, list []storm.Throttle) []storm.Throttle {
 	if n.board == nil {
 		return list
 	}
--- a/internal/sender/lists.go
+++ b/internal/sender/lists.go
@@ -85,7 +85,7 @@
 			}
 		}
 	}
-	s.guard.Listed(s.now, ev.List, ev.FullList)
+	s.guard.UpdateEndpoints(s.now, ev.List, ev.FullList)
 	s.events = append(s.events, ev)
 	s.heedListed(ev.List)
 	s.hushNew()
--- a/internal/sender/memory.go
+++ b/internal/sender/memory.go
@@ -20,8 +20,8 @@
 
 // Memory is what a Sender works with to know over restarts. The zero Memory keeps nothing.
 type Knowledge struct {
-	Writer   *keeper.Keeper // takes what is learned; nil: nothing is kept
-	Facts    *knowledge.Book
+	Writer   *keeper.Writer // takes what is learned; nil: nothing is kept
+	Facts    *knowledge.Facts
 	Settings operator.Knowledge
 }
 
@@ -41,7 +41,7 @@
 		return
 	}
 	s.memory = memory{Knowledge: m, heard: map[uint32]bool{}, touched: map[int]bool{}}
-	g := m.Facts.RecallGeneral(s.now, m.Settings.HalfLives, &s.set)
+	g := m.Facts.AgedGeneral(s.now, m.Settings.HalfLives, &s.set)
 	for _, u := range g.ClassLatency {
 		s.memory.usual = cmp.Or(s.memory.usual, u.Mean)
 	}
@@ -74,20 +74,20 @@
 	}
 	var facts []policy.DestFacts
 	for dest, rating := range ratings {
-		if d, ok := m.Facts.Recall(dest, s.now, m.Settings.HalfLives, knowledge.Prior{Rating: rating, Usual: m.usual}); ok {
+		if d, ok := m.Facts.AgedDestination(dest, s.now, m.Settings.HalfLives, knowledge.Prior{Rating: rating, TypicalLatency: m.usual}); ok {
 			facts = append(facts, numbered(d, ids))
 		}
 	}
 	if len(facts) > 0 {
 		slices.SortFunc(facts, func(a, b policy.DestFacts) int { return cmp.Compare(a.Dest, b.Dest) })
 		s.events = append(s.events, policy.Event{Kind: policy.EvFacts, Facts: facts})
-		s.guard.Recall(s.now, facts)
+		s.guard.Restore(s.now, facts)
 	}
 }
 
 // numbered is d as the module takes it, with the endpoints that ids names.
 func numbered(d *knowledge.Destination, ids map[string]uint32) policy.DestFacts {
-	f := policy.DestFacts{Dest: d.Dest, SharedRoute: d.Shared, Latency: d.Latency, Admission: d.Control}
+	f := policy.DestFacts{Dest: d.Dest, SharedRoute: d.SharedRoute, Latency: d.Latency, Admission: d.Admission}
 	for _, e := range d.Endpoints {
 		if id, ok := ids[e.Name]; ok {
 			e.EndpointFacts.ID = id
@@ -107,7 +107,7 @@
 	until := int64(s.now+wait) + 1
 	s.journal.SetHold(journal.Hold{Kind: journal.HoldWait, Dest: r.Dest, Endpoint: r.Endpoint, Until: until}, int64(s.now))
 	if s.memory.Writer != nil {
-		s.memory.Writer.Wait(knowledge.Wait{Route: r, Told: int64(s.now), Until: until})
+		s.memory.Writer.AddWait(knowledge.Wait{Route: r, ReceivedAt: int64(s.now), Until: until})
 	}
 }
 
@@ -132,7 +132,7 @@
 	if m.Writer == nil || len(m.round) == 0 && (len(m.touched) == 0 || !all && s.now < m.roundAt) {
 		return
 	}
-	var general *knowledge.Book
+	var general *knowledge.Facts
 	if len(m.round) == 0 {
 		m.roundAt = s.now + float64(m.Settings.WriteEvery.Milliseconds())
 		general = s.general()
@@ -156,7 +156,7 @@
 	if m.round = m.round[n:]; len(m.round) == 0 {
 		m.round = nil
 	}
-	m.Writer.Learn(list, general)
+	m.Writer.AddFacts(list, general)
 }
 
 // tellAt is when facts are due to be told; false if there are none.
@@ -170,10 +170,10 @@
 
 // named is f as the books take it.
 func (s *Sender) named(f policy.DestFacts) *knowledge.Destination {
-	d := &knowledge.Destination{Dest: f.Dest, At: s.now, Shared: f.SharedRoute, Latency: f.Latency, Control: f.Admission}
+	d := &knowledge.Destination{Dest: f.Dest, LearnedAt: s.now, SharedRoute: f.SharedRoute, Latency: f.Latency, Admission: f.Admission}
 	for _, e := range f.Endpoints {
 		if name := s.addrs[e.ID].Name; name != "" && s.memory.heard[e.ID] {
-			d.Endpoints = append(d.Endpoints, knowledge.Endpoint{Name: name, At: s.now, EndpointFacts: e})
+			d.Endpoints = append(d.Endpoints, knowledge.Endpoint{Name: name, LearnedAt: s.now, EndpointFacts: e})
 		}
 	}
 	slices.SortFunc(d.Endpoints, func(a, b knowledge.Endpoint) int { return cmp.Compare(a.Name, b.Name) })
@@ -181,18 +181,18 @@
 }
 
 // general is what belongs to no one destination, by the names of classes and kinds.
-func (s *Sender) general() *knowledge.Book {
+func (s *Sender) general() *knowledge.Facts {
 	g, b := s.mod.GeneralFacts(), knowledge.New("")
 	for i, u := range g.ClassLatency {
 		if u.N > 0 {
-			b.Usual[s.set.Classes[i].Name] = knowledge.Usual{At: s.now, LatencyFacts: u}
+			b.ClassLatency[s.set.Classes[i].Name] = knowledge.ClassLatency{LearnedAt: s.now, LatencyFacts: u}
 		}
 	}
 	for i, d := range g.Dials {
 		if i < len(s.set.Kinds) && (d.FailureShare > 0 || d.ScarceUntil > 0) {
-			b.Dials[s.set.Kinds[i].Name] = knowledge.Dials{At: s.now, DialFacts: d}
+			b.Dials[s.set.Kinds[i].Name] = knowledge.Dials{LearnedAt: s.now, DialFacts: d}
 		}
 	}
-	b.Staleness = knowledge.Staleness{At: s.now, Share: g.StaleShare, Gap: g.MinStaleIdle}
+	b.Staleness = knowledge.Staleness{LearnedAt: s.now, StaleShare: g.StaleShare, MinStaleIdle: g.MinStaleIdle}
 	return b
 }
--- a/internal/sender/observe.go
+++ b/internal/sender/observe.go
@@ -127,7 +127,7 @@
 	}
 }
 
-func (s *Sender) observeStorm(o *storm.Order) {
+func (s *Sender) observeStorm(o *storm.Throttle) {
 	if s.observer.On() {
 		s.observer.Push(telemetry.Record{Kind: telemetry.Phase, Dest: int32(o.Dest), Value: float64(o.Phase), At: s.now})
 	}
@@ -181,8 +181,8 @@
 	gauge(telemetry.Connections, float64(s.pool.OpenConns()))
 	if s.guard != nil {
 		st := s.guard.Stats()
-		gauge(telemetry.StormPromised, float64(st.Promised))
-		gauge(telemetry.StormOverbooked, float64(st.Overbooked))
+		gauge(telemetry.StormPromised, float64(st.Reserved))
+		gauge(telemetry.StormOverbooked, float64(st.Unreserved))
 	}
 	if s.fleet != nil {
 		live := 0.0
--- a/internal/sender/orders.go
+++ b/internal/sender/orders.go
@@ -60,13 +60,13 @@
 		o.verdict <- Verdict{NoRoute: true, RetryAfter: s.busyRetry()}
 		return
 	case !s.stopAt.IsZero(), s.halted, left <= 0, s.copyRefuses(), s.set.MaxHeld > 0 && len(s.msgs) >= s.set.MaxHeld, !s.journal.HasSpace(len(m.Body)):
-		s.guard.Arrived(s.now, m.Dest, keyHash(m.Key), m.Resubmitted)
+		s.guard.RecordArrival(s.now, m.Dest, keyHash(m.Key), m.Resubmitted)
 		s.observeRefused(m.Dest, s.whyNot())
 		o.verdict <- Verdict{RetryAfter: s.comeBack(m.Dest, m.Key, max(left, 0), s.busyRetry()), TooFewHolders: s.copyRefuses()}
 		return
 	}
-	s.guard.Arrived(s.now, m.Dest, keyHash(m.Key), m.Resubmitted)
-	s.guard.Held(s.now, m.Dest, 1)
+	s.guard.RecordArrival(s.now, m.Dest, keyHash(m.Key), m.Resubmitted)
+	s.guard.AdjustHeld(s.now, m.Dest, 1)
 	e := &journal.Entry{
 		Num: s.journal.NextNumber(), Trace: string(m.Trace), Key: string(m.Key), Class: s.set.Classes[m.Class].Name,
 		OrderingKey: m.OrderingKey, Dest: m.Dest, Resubmitted: m.Resubmitted, Deadline: int64(s.now + left), Body: slices.Clone(m.Body),
--- a/internal/sender/outcomes.go
+++ b/internal/sender/outcomes.go
@@ -32,7 +32,7 @@
 		if e.Outcome != policy.Moot { // one that was not sent tells nothing
 			s.noteCall(c)
 		}
-		s.guard.Outcome(s.now, e)
+		s.guard.RecordOutcome(s.now, e)
 		s.tried(c.Dest, e)
 		m := s.msgs[e.ID]
 		if m == nil || m.call != c {
@@ -131,7 +131,7 @@
 	s.leaderEnds(m.call, m)
 	delete(s.msgs, m.Num)
 	delete(s.traces, m.Trace)
-	s.guard.Held(s.now, m.Dest, -1)
+	s.guard.AdjustHeld(s.now, m.Dest, -1)
 }
 
 // owe ends a message that was taken on by a notice. It is over once that is taken.
--- a/internal/sender/sender.go
+++ b/internal/sender/sender.go
@@ -297,7 +297,7 @@
 	}
 	s.msgs[e.Num] = &message{Entry: e, class: class}
 	s.traces[e.Trace] = e.Num
-	s.guard.Held(s.now, e.Dest, 1)
+	s.guard.AdjustHeld(s.now, e.Dest, 1)
 	s.observeTaken(e, class, true)
 	ev := policy.Event{
 		Kind: policy.EvMessage, ID: e.Num, Class: class, Key: e.OrderingKey, Remaining: left, Resubmitted: e.Resubmitted,
@@ -480,7 +480,7 @@
 	if !s.stopAt.IsZero() {
 		wait = min(wait, 50*time.Millisecond)
 	}
-	wait = min(wait, millis(min(s.guard.Next()-s.clock.Now(), 1e6)))
+	wait = min(wait, millis(min(s.guard.NextDue()-s.clock.Now(), 1e6)))
 	if s.trials != nil {
 		wait = min(wait, millis(min(s.trials.board.Next()-s.clock.Now(), 1e6)))
 	}
--- a/internal/sender/storm.go
+++ b/internal/sender/storm.go
@@ -19,7 +19,7 @@
 	if !s.set.SendsRetryAfter {
 		return least
 	}
-	return s.guard.Refused(s.now, dest, keyHash(key), left, least)
+	return s.guard.RetryAfter(s.now, dest, keyHash(key), left, least)
 }
 
 // weather carries out what storms ask, ahead of a step: the module learns the paces, the pool how many
@@ -29,11 +29,11 @@
 		for _, p := range o.Paces {
 			s.events = append(s.events, policy.Event{Kind: policy.EvPace, Dest: o.Dest, Endpoint: p.Endpoint, Pace: p.Rate})
 		}
-		s.pool.PaceDials(o.Dest, o.Dials)
+		s.pool.PaceDials(o.Dest, o.DialRate)
 		s.observeStorm(&o)
 		st := s.guard.Stats()
-		s.log.Info().Int("dest", o.Dest).Stringer("phase", o.Phase).Interface("paces", o.Paces).Float64("dials", o.Dials).
-			Int("held", o.Held).Int("promised", st.Promised).Int("overbooked", st.Overbooked).
-			Int("kept", st.Kept).Int("early", st.Early).Msg("storm")
+		s.log.Info().Int("dest", o.Dest).Stringer("phase", o.Phase).Interface("paces", o.Paces).Float64("dials", o.DialRate).
+			Int("held", o.Held).Int("promised", st.Reserved).Int("overbooked", st.Unreserved).
+			Int("kept", st.OnTime).Int("early", st.Early).Msg("storm")
 	}
 }
--- a/internal/sender/trials.go
+++ b/internal/sender/trials.go
@@ -81,8 +81,8 @@
 }
 
 // weatherOrders are what storms ask, as the fleet's trials change it.
-func (s *Sender) weatherOrders() []storm.Order {
-	list := s.guard.Orders(s.now)
+func (s *Sender) weatherOrders() []storm.Throttle {
+	list := s.guard.Throttles(s.now)
 	if s.trials == nil {
 		return list
 	}
--- a/internal/storm/bench_test.go
+++ b/internal/storm/bench_test.go
@@ -11,15 +11,15 @@
 func BenchmarkRefused(b *testing.B) {
 	for name, horizon := range map[string]float64{"5s": 5000, "60s": 60000} {
 		b.Run(name, func(b *testing.B) {
-			r := &rig{New(Settings{Senders: 3, MaxRetryAfter: horizon, X1: 0}, 7), 1000}
-			r.Listed(r.now, []policy.Endpoint{{ID: 1, State: policy.Ready, Dest: 7}}, true)
+			r := &rig{New(Settings{Senders: 3, MaxRetryAfter: horizon, LimitIndex: 0}, 7), 1000}
+			r.UpdateEndpoints(r.now, []policy.Endpoint{{ID: 1, State: policy.Ready, Dest: 7}}, true)
 			for range 5 {
 				r.now += 600
 				r.call(1, policy.ConnectFailed, 0)
 			}
 			b.ReportAllocs()
 			for i := range b.N {
-				r.Refused(r.now, 7, uint64(i), 1e6, 200)
+				r.RetryAfter(r.now, 7, uint64(i), 1e6, 200)
 			}
 		})
 	}
@@ -31,9 +31,9 @@
 	b.ReportAllocs()
 	for range b.N {
 		r.now++
-		r.Arrived(r.now, 7, 0, false)
+		r.RecordArrival(r.now, 7, 0, false)
 		r.call(1, policy.OK, 0)
-		r.Orders(r.now)
+		r.Throttles(r.now)
 	}
 }
 
@@ -47,7 +47,7 @@
 	}
 	runtime.GC()
 	runtime.ReadMemStats(&before)
-	g.Listed(0, list, false)
+	g.UpdateEndpoints(0, list, false)
 	runtime.GC()
 	runtime.ReadMemStats(&after)
 	b.ReportMetric(float64(after.HeapAlloc-before.HeapAlloc)/float64(b.N), "B/destination")
--- a/internal/storm/storm.go
+++ b/internal/storm/storm.go
@@ -76,18 +76,18 @@
 	Senders       int
 	MaxRetryAfter float64         // bound of what clients are told; 0 = none
 	Limits        map[int]float64 // calls a second that the operators state, by destination
-	X1            int             // position of the limit in a report; -1: none
-	Rated         bool            // Endpoint.Rating is a rate in calls a second
+	LimitIndex    int             // position of the limit in a report; -1: none
+	RatingIsRate  bool            // Endpoint.Rating is a rate in calls a second
 	OwnLimits     []bool          // by kind: endpoints are limited each for itself
 }
 
 // Order is what a storm asks of the sender. A zero Pace or Dials means none is asked.
-type Order struct {
-	Dest  int
-	Paces []Pace
-	Dials float64 // connections a second that may be opened to its endpoints
-	Phase Phase
-	Held  int // messages held there
+type Throttle struct {
+	Dest     int
+	Paces    []Pace
+	DialRate float64 // connections a second that may be opened to its endpoints
+	Phase    Phase
+	Held     int // messages held there
 }
 
 // Pace is the most that goes to one route: calls a second, evenly spaced.
@@ -112,9 +112,9 @@
 // Stats count what a Guard has seen and given.
 type Stats struct {
 	Storms     int // outages and surges that began
-	Promised   int // come-back times that are reservations
-	Overbooked int // refusals for which no second was free
-	Kept       int // refusals handed in again when told or later,
+	Reserved   int // come-back times that are reservations
+	Unreserved int // refusals for which no second was free
+	OnTime     int // refusals handed in again when told or later,
 	Early      int // and before that
 }
 
@@ -175,8 +175,8 @@
 }
 
 // SettingsOf is what a Guard needs of a sender's settings, with the limits that the operators state.
-func SettingsOf(set *policy.Settings, limits map[int]float64) Settings {
-	s := Settings{Senders: set.Senders, MaxRetryAfter: set.MaxRetryAfter, Limits: limits, X1: set.LimitIndex, Rated: set.RatingIsRate}
+func SettingsFrom(set *policy.Settings, limits map[int]float64) Settings {
+	s := Settings{Senders: set.Senders, MaxRetryAfter: set.MaxRetryAfter, Limits: limits, LimitIndex: set.LimitIndex, RatingIsRate: set.RatingIsRate}
 	for _, k := range set.Kinds {
 		s.OwnLimits = append(s.OwnLimits, k.OwnLimits)
 	}
@@ -200,7 +200,7 @@
 }
 
 // Listed takes news of the list of endpoints, as the decision module gets it.
-func (g *Guard) Listed(now float64, list []policy.Endpoint, full bool) {
+func (g *Guard) UpdateEndpoints(now float64, list []policy.Endpoint, full bool) {
 	if g == nil {
 		return
 	}
@@ -228,7 +228,7 @@
 			if e.apart {
 				e.dest.eps = append(e.dest.eps, l.ID)
 			}
-			if g.set.Rated && l.Rating > 0 && !math.IsInf(l.Rating, 0) {
+			if g.set.RatingIsRate && l.Rating > 0 && !math.IsInf(l.Rating, 0) {
 				g.tell(e, l.Rating, true)
 			}
 		}
@@ -298,7 +298,7 @@
 // Recall takes up what an earlier life knew of destinations, ahead of the list that names them: an outage or a
 // return that went on then goes on now. What that life had promised is not known any more; as long as it may
 // bind, nothing is promised before it.
-func (g *Guard) Recall(now float64, facts []policy.DestFacts) {
+func (g *Guard) Restore(now float64, facts []policy.DestFacts) {
 	if g == nil {
 		return
 	}
@@ -353,7 +353,7 @@
 }
 
 // Outcome takes the end of an attempt that was sent; it passes over whatever is no EvOutcome.
-func (g *Guard) Outcome(now float64, e *policy.Event) {
+func (g *Guard) RecordOutcome(now float64, e *policy.Event) {
 	if g == nil || e.Kind != policy.EvOutcome || e.Outcome == policy.Moot {
 		return
 	}
@@ -362,7 +362,7 @@
 		return
 	}
 	d := ep.dest
-	if x := g.set.X1; x >= 0 && x < len(e.Report) && e.Report[x] > 0 && !math.IsInf(e.Report[x], 0) {
+	if x := g.set.LimitIndex; x >= 0 && x < len(e.Report) && e.Report[x] > 0 && !math.IsInf(e.Report[x], 0) {
 		g.tell(ep, e.Report[x], false)
 	}
 	if e.RequestedWait > 0 && !ep.apart {
@@ -422,7 +422,7 @@
 }
 
 // Arrived takes a message that was handed in. key names the message over all its tries, 0 if nothing does.
-func (g *Guard) Arrived(now float64, id int, key uint64, again bool) {
+func (g *Guard) RecordArrival(now float64, id int, key uint64, again bool) {
 	if g == nil {
 		return
 	}
@@ -433,7 +433,7 @@
 	if a, ok := g.asks.take(key); ok {
 		again = true
 		if now >= a.until-slot/2 {
-			g.stats.Kept++
+			g.stats.OnTime++
 		} else {
 			g.stats.Early++
 			if d.book != nil && a.booked {
@@ -460,7 +460,7 @@
 // Held says by how much the number of messages that the sender holds for a destination has changed. What the
 // journal brings back counts before any list has named its destination: a storm that seems to hold nothing is
 // over too soon, and the backlog goes out at once.
-func (g *Guard) Held(now float64, id, by int) {
+func (g *Guard) AdjustHeld(now float64, id, by int) {
 	if g == nil {
 		return
 	}
@@ -473,7 +473,7 @@
 // Refused says after how many milliseconds the client of a refused message should come again. least is what the
 // decision module says; in calm that is the answer. left is how long the message may still be delivered: one
 // that would come too late takes nobody's place. The answer is never under least but for the bound on it.
-func (g *Guard) Refused(now float64, id int, key uint64, left, least float64) float64 {
+func (g *Guard) RetryAfter(now float64, id int, key uint64, left, least float64) float64 {
 	if g == nil || g.dests[id] == nil {
 		return least
 	}
@@ -495,10 +495,10 @@
 	}
 	earliest := max(now+least, d.waits, d.blockTil-slot)
 	if at, ok := d.book.reserve(now, earliest, now+min(horizon, left)-slot, g.room(d, now)); ok {
-		g.stats.Promised++
+		g.stats.Reserved++
 		return min(at+slot*g.rng.Float64()-now, horizon), true
 	}
-	g.stats.Overbooked++
+	g.stats.Unreserved++
 	lo := min(max(least, horizon/2, earliest-now), horizon) // a told wait binds those without a place, too
 	return lo + (horizon-lo)*g.rng.Float64(), false
 }
@@ -563,7 +563,7 @@
 
 // Orders returns what has changed since the last call: paces and connections while there is a storm, and once
 // their end. It is called ahead of each step of the decision module.
-func (g *Guard) Orders(now float64) (list []Order) {
+func (g *Guard) Throttles(now float64) (list []Throttle) {
 	if g == nil || !g.news && now < g.lookAt { // a step costs nothing for storms that stand
 		return nil
 	}
@@ -582,16 +582,16 @@
 		}
 		g.lookAt = min(g.lookAt, d.lookAt)
 	}
-	slices.SortFunc(list, func(a, b Order) int { return a.Dest - b.Dest })
+	slices.SortFunc(list, func(a, b Throttle) int { return a.Dest - b.Dest })
 	return list
 }
 
 // order is what is asked at a destination now.
-func (g *Guard) order(d *dest) Order {
+func (g *Guard) order(d *dest) Throttle {
 	d.dirty = false
-	o := Order{Dest: d.id, Phase: d.phase, Held: d.held, Paces: g.paces(d)}
+	o := Throttle{Dest: d.id, Phase: d.phase, Held: d.held, Paces: g.paces(d)}
 	if d.phase != Calm {
-		o.Dials = max(dialShare*g.part(d), dialLeast)
+		o.DialRate = max(dialShare*g.part(d), dialLeast)
 		return o
 	}
 	d.ordered = false
@@ -635,7 +635,7 @@
 }
 
 // Next is when Orders is due again, +Inf if never.
-func (g *Guard) Next() float64 {
+func (g *Guard) NextDue() float64 {
 	if g == nil {
 		return math.Inf(1)
 	}
--- a/internal/storm/storm_test.go
+++ b/internal/storm/storm_test.go
@@ -20,18 +20,18 @@
 }
 
 func newRig(senders int) *rig {
-	r := &rig{New(Settings{Senders: senders, MaxRetryAfter: horizon, X1: 0}, 7), 1000}
+	r := &rig{New(Settings{Senders: senders, MaxRetryAfter: horizon, LimitIndex: 0}, 7), 1000}
 	var list []policy.Endpoint
 	for id := uint32(1); id <= 4; id++ {
 		list = append(list, policy.Endpoint{ID: id, State: policy.Ready, Dest: 7})
 	}
-	r.Listed(r.now, list, true)
+	r.UpdateEndpoints(r.now, list, true)
 	return r
 }
 
 // call ends a call to an endpoint.
 func (r *rig) call(ep uint32, o policy.Outcome, wait float64) {
-	r.Outcome(r.now, &policy.Event{Kind: policy.EvOutcome, Endpoint: ep, Outcome: o, RequestedWait: wait, Report: []float64{forty}})
+	r.RecordOutcome(r.now, &policy.Event{Kind: policy.EvOutcome, Endpoint: ep, Outcome: o, RequestedWait: wait, Report: []float64{forty}})
 }
 
 // down makes calls fail until the guard has seen it.
@@ -62,11 +62,11 @@
 // pace is what Orders says of the destination's one route, and the connections.
 func (r *rig) pace(t *testing.T) (rate, dials float64) {
 	t.Helper()
-	o := r.Orders(r.now)
+	o := r.Throttles(r.now)
 	if len(o) != 1 || len(o[0].Paces) != 1 || o[0].Dest != 7 {
 		t.Fatalf("orders %+v, want one for destination 7", o)
 	}
-	return o[0].Paces[0].Rate, o[0].Dials
+	return o[0].Paces[0].Rate, o[0].DialRate
 }
 
 // In calm nothing is said: the ordinary path is as without a Guard.
@@ -74,16 +74,16 @@
 	r := newRig(3)
 	for i := range 1000 {
 		r.now += 20
-		r.Arrived(r.now, 7, uint64(i+1), false)
+		r.RecordArrival(r.now, 7, uint64(i+1), false)
 		r.call(1, []policy.Outcome{policy.OK, policy.Full, policy.Error}[i%3], 0)
-		if after := r.Refused(r.now, 7, uint64(i+1), 5000, 321); after != 321 {
+		if after := r.RetryAfter(r.now, 7, uint64(i+1), 5000, 321); after != 321 {
 			t.Fatalf("told %v in calm", after)
 		}
-		if o := r.Orders(r.now); len(o) > 0 {
+		if o := r.Throttles(r.now); len(o) > 0 {
 			t.Fatalf("orders %+v in calm", o)
 		}
 	}
-	if !math.IsInf(r.Next(), 1) {
+	if !math.IsInf(r.NextDue(), 1) {
 		t.Error("a look is due in calm")
 	}
 }
@@ -99,13 +99,13 @@
 	if dials < 1 || dials > rate {
 		t.Errorf("%.2f connections a second at a pace of %.2f", dials, rate)
 	}
-	r.Held(r.now, 7, 100)
+	r.AdjustHeld(r.now, 7, 100)
 	r.now += 15000
 	r.back(t)
 	r.now += settleLeast + 1
-	r.Orders(r.now)
+	r.Throttles(r.now)
 	r.expect(t, Returning) // 100 messages wait
-	r.Held(r.now, 7, -95)
+	r.AdjustHeld(r.now, 7, -95)
 	r.now += lookEvery + 1
 	if rate, dials = r.pace(t); rate != 0 || dials != 0 {
 		t.Errorf("after the storm a pace of %v and %v connections a second", rate, dials)
@@ -121,7 +121,7 @@
 	for i := range 6 {
 		r.now += 3000
 		r.back(t)
-		r.Orders(r.now)
+		r.Throttles(r.now)
 		r.now += 2000
 		for range 3 {
 			r.now += 500
@@ -144,11 +144,11 @@
 	r := newRig(3)
 	r.down(t)
 	r.pace(t)
-	r.Outcome(r.now, &policy.Event{Kind: policy.EvOutcome, Endpoint: 1, Outcome: policy.OK, Report: []float64{forty / 4}})
+	r.RecordOutcome(r.now, &policy.Event{Kind: policy.EvOutcome, Endpoint: 1, Outcome: policy.OK, Report: []float64{forty / 4}})
 	if rate, _ := r.pace(t); 3*rate > forty/4 {
 		t.Errorf("pace %.2f, three of which are over the new limit %v", rate, forty/4)
 	}
-	r.Outcome(r.now, &policy.Event{Kind: policy.EvOutcome, Endpoint: 2, Outcome: policy.OK, Report: []float64{forty / 8}})
+	r.RecordOutcome(r.now, &policy.Event{Kind: policy.EvOutcome, Endpoint: 2, Outcome: policy.OK, Report: []float64{forty / 8}})
 	if rate, _ := r.pace(t); 3*rate > forty/8 { // while the return is under way
 		t.Errorf("pace %.2f, three of which are over the newest limit %v", rate, forty/8)
 	}
@@ -173,14 +173,14 @@
 
 // What a journal brings back is held before its destination is listed.
 func TestRestoredMessagesAreHeld(t *testing.T) {
-	g := New(Settings{Senders: 3, X1: -1, Limits: map[int]float64{7: forty}}, 1)
-	g.Held(0, 7, 100)
+	g := New(Settings{Senders: 3, LimitIndex: -1, Limits: map[int]float64{7: forty}}, 1)
+	g.AdjustHeld(0, 7, 100)
 	r := &rig{g, 0}
-	r.Recall(r.now, []policy.DestFacts{{Dest: 7, Endpoints: []policy.EndpointFacts{{ID: 1, Health: policy.Broken}}}})
-	r.Listed(r.now, []policy.Endpoint{{ID: 1, State: policy.Ready, Dest: 7}}, true)
+	r.Restore(r.now, []policy.DestFacts{{Dest: 7, Endpoints: []policy.EndpointFacts{{ID: 1, Health: policy.Broken}}}})
+	r.UpdateEndpoints(r.now, []policy.Endpoint{{ID: 1, State: policy.Ready, Dest: 7}}, true)
 	r.call(1, policy.OK, 0)
 	r.now += settleLeast + 1
-	r.Orders(r.now)
+	r.Throttles(r.now)
 	r.expect(t, Returning)
 }
 
@@ -210,7 +210,7 @@
 			}
 		}
 		for i := range 200 {
-			at := r.now + r.Refused(r.now, 7, uint64(i+1), 1e6, row.least)
+			at := r.now + r.RetryAfter(r.now, 7, uint64(i+1), 1e6, row.least)
 			if at < min(end, r.now+horizon) || at < r.now+row.least || at > r.now+horizon {
 				t.Fatalf("%s: told to come at %.0f; wait until %.0f, least %v", row.name, at-r.now, end-r.now, row.least)
 			}
@@ -226,16 +226,16 @@
 		r.down(t)
 		rate, _ := r.pace(t)
 		var booked []float64
-		for key := uint64(1); r.Stats().Overbooked < 50; key++ {
+		for key := uint64(1); r.Stats().Unreserved < 50; key++ {
 			if key > 10000 {
 				t.Fatalf("%d senders: no end of places", senders)
 			}
-			n := r.Stats().Promised
-			after := r.Refused(r.now, 7, key, 1e6, 200)
+			n := r.Stats().Reserved
+			after := r.RetryAfter(r.now, 7, key, 1e6, 200)
 			if after < 200 || after > horizon {
 				t.Fatalf("told %v", after)
 			}
-			if r.Stats().Promised > n {
+			if r.Stats().Reserved > n {
 				booked = append(booked, r.now+after)
 			}
 		}
@@ -263,12 +263,12 @@
 		r.down(t)
 		for range fresh {
 			r.now += 10
-			r.Arrived(r.now, 7, 0, false)
+			r.RecordArrival(r.now, 7, 0, false)
 		}
-		for key := uint64(1); r.Stats().Overbooked < 5; key++ {
-			r.Refused(r.now, 7, key, 1e6, 200)
+		for key := uint64(1); r.Stats().Unreserved < 5; key++ {
+			r.RetryAfter(r.now, 7, key, 1e6, 200)
 		}
-		return r.Stats().Promised
+		return r.Stats().Reserved
 	}
 	alone, crowded := promised(0), promised(300)
 	if crowded*2 > alone || crowded == 0 {
@@ -280,17 +280,17 @@
 func TestPlacesAreNotWasted(t *testing.T) {
 	r := newRig(3)
 	r.down(t)
-	for key := uint64(1); r.Stats().Overbooked == 0; key++ {
-		r.Refused(r.now, 7, key, 1e6, 200)
+	for key := uint64(1); r.Stats().Unreserved == 0; key++ {
+		r.RetryAfter(r.now, 7, key, 1e6, 200)
 	}
 	n := r.Stats()
-	r.Refused(r.now, 7, 9999, 150, 200)
-	if s := r.Stats(); s.Promised != n.Promised {
+	r.RetryAfter(r.now, 7, 9999, 150, 200)
+	if s := r.Stats(); s.Reserved != n.Reserved {
 		t.Error("a place went to a message whose time is up before it")
 	}
-	r.Arrived(r.now, 7, 3, false) // ignores what it was told
-	r.Refused(r.now, 7, 3, 1e6, 200)
-	if s := r.Stats(); s.Early != 1 || s.Promised != n.Promised+1 {
+	r.RecordArrival(r.now, 7, 3, false) // ignores what it was told
+	r.RetryAfter(r.now, 7, 3, 1e6, 200)
+	if s := r.Stats(); s.Early != 1 || s.Reserved != n.Reserved+1 {
 		t.Errorf("stats %+v after %+v: the place of one that came early was not free", s, n)
 	}
 }
@@ -301,7 +301,7 @@
 	r.call(1, policy.OK, 0)
 	for range 200 {
 		r.now += 20
-		r.Arrived(r.now, 7, 0, true)
+		r.RecordArrival(r.now, 7, 0, true)
 	}
 	r.expect(t, Surge)
 	if rate, _ := r.pace(t); rate > forty/3 {
@@ -315,8 +315,8 @@
 	own.call(1, policy.OK, 0)
 	for i := range 200 {
 		own.now += 20
-		own.Refused(own.now, 7, uint64(i+1), 5000, 200)
-		own.Arrived(own.now, 7, uint64(i+1), true)
+		own.RetryAfter(own.now, 7, uint64(i+1), 5000, 200)
+		own.RecordArrival(own.now, 7, uint64(i+1), true)
 	}
 	own.expect(t, Calm)
 }
@@ -336,13 +336,13 @@
 	blind.call(1, policy.OK, 0)
 	for range 200 {
 		blind.now += 20
-		blind.Arrived(blind.now, 7, 0, true)
+		blind.RecordArrival(blind.now, 7, 0, true)
 	}
 	rate, _ := blind.pace(t)
 	sum += rate + 1
 
 	again := newRig(5)
-	again.Recall(again.now, []policy.DestFacts{{Dest: 7, SharedRoute: &policy.RouteFacts{AdvertisedLimit: forty, WaitUntil: again.now + 900},
+	again.Restore(again.now, []policy.DestFacts{{Dest: 7, SharedRoute: &policy.RouteFacts{AdvertisedLimit: forty, WaitUntil: again.now + 900},
 		Endpoints: []policy.EndpointFacts{{ID: 1, Health: policy.Broken, LastOK: math.Inf(-1)}, {ID: 2, Health: policy.Broken}}}})
 	again.expect(t, Outage)
 	rate, _ = again.pace(t)
@@ -351,7 +351,7 @@
 		t.Errorf("together %.1f in the worst second, limit %v", sum, forty)
 	}
 	// What the earlier life has promised may still be kept: nothing is promised before that is over.
-	if after := again.Refused(again.now, 7, 1, 1e6, 200); after < horizon-2*slot {
+	if after := again.RetryAfter(again.now, 7, 1, 1e6, 200); after < horizon-2*slot {
 		t.Errorf("promised %v ms after a restart", after)
 	}
 	again.back(t)
@@ -360,7 +360,7 @@
 // One endpoint that has come back of several that are down is a healthy part: no storm.
 func TestHealthyDestinationIsNotRecalledAsDown(t *testing.T) {
 	r := newRig(3)
-	r.Recall(r.now, []policy.DestFacts{{Dest: 7, Endpoints: []policy.EndpointFacts{{ID: 1, Health: policy.Broken}, {ID: 2}}}})
+	r.Restore(r.now, []policy.DestFacts{{Dest: 7, Endpoints: []policy.EndpointFacts{{ID: 1, Health: policy.Broken}, {ID: 2}}}})
 	r.expect(t, Calm)
 }
 
@@ -370,11 +370,11 @@
 	r.down(t)
 	for range 1000 {
 		r.now += lookEvery
-		r.Orders(r.now)
+		r.Throttles(r.now)
 	}
 	r.expect(t, Calm)
-	if s := r.Stats(); s.Storms != 1 || !math.IsInf(r.Next(), 1) {
-		t.Errorf("%d storms, next look at %v", s.Storms, r.Next())
+	if s := r.Stats(); s.Storms != 1 || !math.IsInf(r.NextDue(), 1) {
+		t.Errorf("%d storms, next look at %v", s.Storms, r.NextDue())
 	}
 }
 
@@ -392,7 +392,7 @@
 			if rate == 50 {
 				r.call(2, policy.OK, 0)
 			}
-			r.Orders(r.now)
+			r.Throttles(r.now)
 		}
 		r.expect(t, want)
 	}
@@ -400,12 +400,12 @@
 
 // Endpoints with limits of their own are paced each for itself.
 func TestOwnLimits(t *testing.T) {
-	g := New(Settings{Senders: 3, MaxRetryAfter: horizon, X1: -1, Rated: true, OwnLimits: []bool{true}}, 1)
-	g.Listed(0, []policy.Endpoint{{ID: 1, State: policy.Ready, Dest: 7, Rating: 30}, {ID: 2, State: policy.Ready, Dest: 7, Rating: 12}}, true)
+	g := New(Settings{Senders: 3, MaxRetryAfter: horizon, LimitIndex: -1, RatingIsRate: true, OwnLimits: []bool{true}}, 1)
+	g.UpdateEndpoints(0, []policy.Endpoint{{ID: 1, State: policy.Ready, Dest: 7, Rating: 30}, {ID: 2, State: policy.Ready, Dest: 7, Rating: 12}}, true)
 	for i := range 4 {
-		g.Outcome(float64(i)*1000, &policy.Event{Kind: policy.EvOutcome, Endpoint: uint32(1 + i%2), Outcome: policy.Timeout})
+		g.RecordOutcome(float64(i)*1000, &policy.Event{Kind: policy.EvOutcome, Endpoint: uint32(1 + i%2), Outcome: policy.Timeout})
 	}
-	o := g.Orders(4000)
+	o := g.Throttles(4000)
 	if len(o) != 1 || len(o[0].Paces) != 2 || 3*(o[0].Paces[0].Rate+1) > 30.001 || 3*(o[0].Paces[1].Rate+1) > 12.001 {
 		t.Fatalf("%+v", o)
 	}
@@ -448,14 +448,14 @@
 			case 0, 1:
 				r.call(uint32(b%5), policy.Outcome(b%8), float64(b%3)*400)
 			case 2:
-				r.Arrived(r.now, 7, key, b&64 != 0)
+				r.RecordArrival(r.now, 7, key, b&64 != 0)
 			case 3:
-				r.Held(r.now, 7, int(int8(b)))
+				r.AdjustHeld(r.now, 7, int(int8(b)))
 			case 4:
-				r.Orders(r.now)
+				r.Throttles(r.now)
 			default:
 				least := float64(b)
-				if after := r.Refused(r.now, 7, key, float64(i)*100, least); after < least || after > horizon {
+				if after := r.RetryAfter(r.now, 7, key, float64(i)*100, least); after < least || after > horizon {
 					t.Fatalf("told %v, least %v", after, least)
 				}
 			}
