--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -89,7 +89,7 @@
 		if err != nil {
 			return nil, err
 		}
-		c.nc, c.reader = nc, http1.NewReaderBound(nc, c.maxBodyBytes)
+		c.nc, c.reader = nc, http1.NewReaderLimit(nc, c.maxBodyBytes)
 	}
 	nc := c.nc
 	deadline, _ := ctx.Deadline()
@@ -104,7 +104,7 @@
 	if _, err := nc.Write(request); err != nil {
 		return nil, err
 	}
-	m, err := c.reader.Response()
+	m, err := c.reader.ReadResponse()
 	nc.SetDeadline(time.Time{}) // an expired deadline would make sockets.Check fail on the idle connection
 	return m, err
 }
--- a/internal/intake/api.go
+++ b/internal/intake/api.go
@@ -117,7 +117,7 @@
 }
 
 // validID reports whether a trace id or idempotency key can be sent to the partner unchanged.
-func validID(b []byte) bool { return len(b) <= maxIDBytes && http1.Clean(b) }
+func validID(b []byte) bool { return len(b) <= maxIDBytes && http1.ValidHeaderValue(b) }
 
 // tenantIndex returns the index of the tenant with that name, 0 if the settings have no tenants, -1 for an unknown name.
 func (s *Server) tenantIndex(name []byte) int {
--- a/internal/intake/intake.go
+++ b/internal/intake/intake.go
@@ -358,7 +358,7 @@
 		}
 		return false
 	}
-	req, err := c.reader.Request()
+	req, err := c.reader.ReadRequest()
 	received := s.now()
 	c.setState(serving, time.Time{})
 	c.hadRequest = true
@@ -448,7 +448,7 @@
 }
 
 func (c *clientConn) writeResponse(r *response, keepAlive bool) error {
-	b := http1.AppendStatus(c.writeBuf[:0], r.status)
+	b := http1.AppendStatusLine(c.writeBuf[:0], r.status)
 	if r.retryAfterMS > 0 {
 		b = http1.AppendSeconds(b, "Retry-After", r.retryAfterMS)
 	}
--- a/internal/outbound/mux.go
+++ b/internal/outbound/mux.go
@@ -39,22 +39,22 @@
 // streamOutcomes maps the end of a stream to an outcome for the decision module (RFC 9113 8.7). A complete
 // response is classified by its status. A 200 to a single message counts as soon as its header section has
 // arrived, however the stream ends.
-var streamOutcomes = map[h2.Fate]policy.Outcome{
-	h2.NeverRan:  policy.ConnectFailed, // the last byte was not written
-	h2.GoneAway:  policy.Moot,          // graceful shutdown: the peer is healthy, and another connection may take the call
-	h2.Refused:   policy.Moot,          // no free stream: that is no rate limit, and must not cut the pace as Full does
-	h2.Broken:    policy.Reset,         // the call may have run
-	h2.Silent:    policy.Timeout,       // the call may have run, and the peer does not respond
-	h2.Cancelled: policy.Timeout,       // cancelled by this side
-	h2.Spoilt:    policy.Error,         // there was a response, but a malformed one
+var streamOutcomes = map[h2.Outcome]policy.Outcome{
+	h2.NeverRan:        policy.ConnectFailed, // the last byte was not written
+	h2.GoneAway:        policy.Moot,          // graceful shutdown: the peer is healthy, and another connection may take the call
+	h2.Refused:         policy.Moot,          // no free stream: that is no rate limit, and must not cut the pace as Full does
+	h2.Broken:          policy.Reset,         // the call may have run
+	h2.Unresponsive:    policy.Timeout,       // the call may have run, and the peer does not respond
+	h2.Cancelled:       policy.Timeout,       // cancelled by this side
+	h2.InvalidResponse: policy.Error,         // there was a response, but a malformed one
 }
 
 func newMux(p *Pool, partner *Partner, c *Call) *mux {
 	return &mux{
 		pool: p, partner: partner, endpoint: c.Endpoint, dest: c.Dest, addr: c.Addr,
 		conns: map[int]*h2.Conn{}, answersAtDial: map[int]int{},
-		placement: placing.Pool{Set: placing.Settings{
-			MaxConns: max(partner.MaxConns, 1), Ahead: 0.9, Expect: 100, IdleFor: float64(p.opt.KeepAlive.Milliseconds()),
+		placement: placing.Pool{Settings: placing.Settings{
+			MaxConns: max(partner.MaxConns, 1), DialThreshold: 0.9, ExpectedStreams: 100, IdleTimeout: float64(p.opt.KeepAlive.Milliseconds()),
 		}},
 	}
 }
@@ -92,7 +92,7 @@
 			m.waiting = m.waiting[1:]
 			continue
 		}
-		pc := m.placement.Place()
+		pc := m.placement.Pick()
 		if pc == nil {
 			break
 		}
@@ -119,14 +119,14 @@
 			callbacks = append(callbacks, s.Cancel)
 		}
 	}
-	for m.placement.WantsDial(len(m.waiting)) && !m.retired {
+	for m.placement.ShouldDial(len(m.waiting)) && !m.retired {
 		if !m.pool.reserveConn() {
 			if m.placement.Len() == 0 {
 				callbacks = append(callbacks, m.failWaiting(policy.ConnectFailed)...)
 			}
 			break
 		}
-		pc := m.placement.Dial()
+		pc := m.placement.Add()
 		m.answersAtDial[pc.ID] = m.answers
 		wait := m.pool.dialTurn(m.dest)
 		m.dialDueAt = time.Now().Add(wait)
@@ -188,7 +188,7 @@
 
 // removeConn removes a connection from the mux and from the pool's count. The lock is held.
 func (m *mux) removeConn(id int) {
-	m.placement.Drop(id)
+	m.placement.Remove(id)
 	delete(m.conns, id)
 	delete(m.answersAtDial, id)
 	m.pool.releaseConn()
@@ -202,7 +202,7 @@
 // closeUnused closes the connections without open streams that are draining or have been idle too long. The lock is
 // held.
 func (m *mux) closeUnused() {
-	for _, pc := range m.placement.Idle(nowMS()) {
+	for _, pc := range m.placement.Closable(nowMS()) {
 		if hc := m.conns[pc.ID]; hc != nil {
 			hc.Close()
 		}
@@ -235,12 +235,12 @@
 		return
 	}
 	hc := h2.New(nc, h2.Options{
-		MaxBody: http1.MaxBody, RestIn: responseReadTimeout, PingAfter: m.partner.PingAfter, PingFor: m.partner.PingTimeout,
-		Changed: func(hc *h2.Conn) { m.connChanged(id, hc) },
+		MaxBody: http1.MaxBody, BodyTimeout: responseReadTimeout, ReadIdleTimeout: m.partner.PingAfter, PingTimeout: m.partner.PingTimeout,
+		OnChange: func(hc *h2.Conn) { m.connChanged(id, hc) },
 	})
 	select { // a connection is usable only once the peer has sent its SETTINGS
 	case <-ctx.Done():
-	case <-hc.Settled():
+	case <-hc.Ready():
 		go m.watchIdle(id, hc)
 		return
 	case <-hc.Done():
@@ -326,7 +326,7 @@
 // endpoint has a new address or other partner settings.
 func (m *mux) retire() {
 	m.mu.Lock()
-	m.retired, m.placement.Set.IdleFor = true, 0
+	m.retired, m.placement.Settings.IdleTimeout = true, 0
 	callbacks := m.failWaiting(policy.Moot)
 	m.closeUnused()
 	m.mu.Unlock()
@@ -340,14 +340,14 @@
 		c.timer.Stop()
 	}
 	c.mu.Unlock()
-	if r.Fate == h2.Answered {
+	if r.Outcome == h2.Answered {
 		m.mu.Lock()
 		m.answers++
 		m.mu.Unlock()
 	}
 	single := len(c.Items) <= 1
-	if r.Fate != h2.Answered && !(single && r.Status == 200) {
-		m.pool.opt.OnDone(c, c.eventsFor(itemResult{outcome: streamOutcomes[r.Fate]}))
+	if r.Outcome != h2.Answered && !(single && r.Status == 200) {
+		m.pool.opt.OnDone(c, c.eventsFor(itemResult{outcome: streamOutcomes[r.Outcome]}))
 		return
 	}
 	result := m.pool.classify(r.Status, r.Get, single)
@@ -399,9 +399,9 @@
 		item := &c.Items[0]
 		r.Path, r.Body = "/inbox", item.Body
 		r.Fields = make([]h2.Field, 0, 3)
-		r.Fields = append(r.Fields, h2.Field{Name: "x-trace-id", Value: item.Trace, Private: true})
+		r.Fields = append(r.Fields, h2.Field{Name: "x-trace-id", Value: item.Trace, Sensitive: true})
 		if item.Key != "" {
-			r.Fields = append(r.Fields, h2.Field{Name: "idempotency-key", Value: item.Key, Private: true})
+			r.Fields = append(r.Fields, h2.Field{Name: "idempotency-key", Value: item.Key, Sensitive: true})
 		}
 		r.Fields = append(r.Fields, expires)
 	default:
