--- a/internal/sender/cutshort_test.go
+++ b/internal/sender/bulkdeadline_test.go
@@ -18,7 +18,7 @@
 
 // TestEndedIsNotSentOn: two messages share a call that waits for its connection. The time of one of them is up
 // meanwhile, so that it ends with a notice. When the connection is there, it must not go out with the other one.
-func TestEndedIsNotSentOn(t *testing.T) {
+func TestExpiredMessageIsNotSentWithBatch(t *testing.T) {
 	bodies := make(chan string, 10)
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
 		b, _ := io.ReadAll(q.Body)
@@ -37,12 +37,12 @@
 		Classes: []policy.Class{{Name: "safe", Aim: 2000, Deadline: 20000, Worth: 1, LateWorth: 0.5, Effect: policy.Safe}},
 	}, Seed: 1, MaxConns: 10, Journal: j, Clock: NewClock(), Log: zerolog.Nop(), Notify: func(n discovery.Notice) { notices <- n }})
 	s.pool.PaceDials(3, 2)
-	s.takeList(&discovery.List{Full: true, Entries: []discovery.Endpoint{{Endpoint: policy.Endpoint{ID: 1, Dest: 3, State: policy.Ready}, Name: "e", Addr: srv.Listener.Addr().String()}}})
-	step := func() { s.tick(); s.step() }
-	take := func(trace string, left time.Duration) {
-		s.takeOrder(&order{msg: &Message{Trace: []byte(trace), Dest: 3, Remaining: left, Body: []byte(trace)}, received: time.Now(), verdict: make(chan Verdict, 1)})
+	s.handleList(&discovery.List{Full: true, Entries: []discovery.Endpoint{{Endpoint: policy.Endpoint{ID: 1, Dest: 3, State: policy.Ready}, Name: "e", Addr: srv.Listener.Addr().String()}}})
+	step := func() { s.updateNow(); s.step() }
+	submit := func(trace string, left time.Duration) {
+		s.handleSubmission(&submission{msg: &Message{Trace: []byte(trace), Dest: 3, Remaining: left, Body: []byte(trace)}, received: time.Now(), verdict: make(chan Verdict, 1)})
 	}
-	take("first", 10*time.Second) // its connection has the turn that is free, and is kept busy by nobody
+	submit("first", 10*time.Second) // its connection has the turn that is free, and is kept busy by nobody
 	step()
 	next := func() string {
 		select {
@@ -56,11 +56,11 @@
 	next()
 	s.pool.HangUp(1)
 	for len(s.calls) > 0 { // the first call has ended
-		s.take(<-s.in)
+		s.handleInput(<-s.inputs)
 	}
 	s.pool.HangUp(1)
-	take("short", 200*time.Millisecond)
-	take("long", 10*time.Second)
+	submit("short", 200*time.Millisecond)
+	submit("long", 10*time.Second)
 	step()
 	if len(s.calls) != 1 {
 		t.Fatalf("%d calls, want one of both messages", len(s.calls))
@@ -70,9 +70,9 @@
 		select {
 		case n := <-notices:
 			ended = n.Trace == "short"
-		case in := <-s.in:
-			s.tick()
-			s.take(in)
+		case in := <-s.inputs:
+			s.updateNow()
+			s.handleInput(in)
 		case <-time.After(time.Millisecond):
 		}
 	}
@@ -83,7 +83,7 @@
 			select {
 			case <-done:
 				return
-			case in := <-s.in: // what the pool reports while nobody steps
+			case in := <-s.inputs: // what the pool reports while nobody steps
 				_ = in
 			}
 		}
--- a/internal/sender/lead_test.go
+++ b/internal/sender/callorder_test.go
@@ -10,7 +10,7 @@
 
 // TestTheLongestLivedLeads: of the messages that share a call, one ends before the answer (its time is up), and one was
 // taken on in this very step, so that its client may yet be found gone. Neither may be named first.
-func TestTheLongestLivedLeads(t *testing.T) {
+func TestLongestLivedMessageIsFirstInCall(t *testing.T) {
 	first := make(chan string, 10)
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
 		var items []struct{ ID string }
@@ -21,23 +21,23 @@
 		first <- items[0].ID
 	}))
 	defer srv.Close()
-	b := newBench(t, t.TempDir(), "", benchSettings())
-	b.dests[3] = true
-	b.hand("short", 0, 300*time.Millisecond)
-	b.hand("settled", 0, 10*time.Second)
-	b.next() // nobody is listed yet: both wait
-	for _, m := range b.msgs {
-		m.takenAt -= 2 * heardIn
+	b := newTestSender(t, t.TempDir(), "", testSettings())
+	b.listedDests[3] = true
+	b.submit("short", 0, 300*time.Millisecond)
+	b.submit("settled", 0, 10*time.Second)
+	b.nextStep() // nobody is listed yet: both wait
+	for _, m := range b.messages {
+		m.acceptedAt -= 2 * disconnectDetectionMS
 	}
-	b.hand("fresh", 0, 19*time.Second)
-	b.list(srv.Listener.Addr().String())
-	b.next()
+	b.submit("fresh", 0, 19*time.Second)
+	b.listEndpoint(srv.Listener.Addr().String())
+	b.nextStep()
 	select {
 	case id := <-first:
 		if id != "settled" {
 			t.Errorf("%q leads the call, want the longest-lived of those whose client was answered", id)
 		}
-	case <-time.After(patient):
+	case <-time.After(testTimeout):
 		t.Fatal("no call")
 	}
 }
--- a/internal/sender/calls.go
+++ b/internal/sender/calls.go
@@ -13,52 +13,52 @@
 // This file sends: it makes calls of what the module decides.
 
 // send enters an attempt. Sends of one step to one endpoint share a call.
-func (s *Sender) send(a *policy.Action) {
-	m, e := s.msgs[a.ID], s.addrs[a.Endpoint]
-	if m == nil || m.call != nil || e.Addr == "" || s.stopping(sendFor) || s.handing {
+func (s *Sender) beginAttempt(a *policy.Action) {
+	m, e := s.messages[a.ID], s.endpoints[a.Endpoint]
+	if m == nil || m.call != nil || e.Addr == "" || s.stoppedFor(stopSendWindow) || s.handingOver {
 		return
 	}
 	item := outbound.Item{ID: m.Num, Attempt: m.Attempts, Trace: m.Trace, Key: m.Key, Body: m.Body}
 	s.journal.Start(m.Entry, int64(s.now), e.Zone)
-	c := s.callTo(e, &item)
-	m.call, m.cutAt = c, math.Inf(1)
-	if a.After >= s.untilDeadline(m) { // else the whole call ends then, and with its connection
-		m.cutAt = s.now + a.After
+	c := s.callFor(e, &item)
+	m.call, m.attemptDeadline = c, math.Inf(1)
+	if a.After >= s.timeLeftMS(m) { // else the whole call ends then, and with its connection
+		m.attemptDeadline = s.now + a.After
 	}
 	s.observeBegan(m, c, item.Attempt)
 	c.Items = append(c.Items, item)
 	c.Fresh = c.Fresh || m.DoubtAt != 0
-	c.Timeout = max(c.Timeout, millis(a.After))
-	if until, bound := s.repeatUntil(m); bound && (c.Until.IsZero() || until.Before(c.Until)) {
+	c.Timeout = max(c.Timeout, fromMillis(a.After))
+	if until, bound := s.repeatDeadline(m); bound && (c.Until.IsZero() || until.Before(c.Until)) {
 		c.Until = until
 	}
 }
 
 // repeatShare is the part of an idempotency window within which a repeat has to be written. The module decides on one
 // within a smaller part, and a request takes a moment to arrive.
-const repeatShare = 0.95
+const repeatWindowShare = 0.95
 
 // repeatUntil is the latest moment at which a further attempt of m may be written, if its class binds it: while the
 // partner still drops repeats of an attempt that may have run.
-func (s *Sender) repeatUntil(m *message) (until time.Time, bound bool) {
-	c := s.set.Classes[m.class]
+func (s *Sender) repeatDeadline(m *message) (until time.Time, bound bool) {
+	c := s.settings.Classes[m.class]
 	if m.DoubtAt == 0 || c.Effect != policy.Keyed {
 		return time.Time{}, false
 	}
-	left := float64(m.DoubtAt) + c.MemorySpan*repeatShare - s.now
-	return time.Now().Add(millis(left)), true
+	left := float64(m.DoubtAt) + c.MemorySpan*repeatWindowShare - s.now
+	return time.Now().Add(fromMillis(left)), true
 }
 
 // untilDeadline is how long m may still be delivered, with what its rounding may hide.
-func (s *Sender) untilDeadline(m *message) float64 { return float64(m.Deadline) - s.now - 2 }
+func (s *Sender) timeLeftMS(m *message) float64 { return float64(m.Deadline) - s.now - 2 }
 
 // callTo is the call of this step to e that has room for item, or a new one.
-func (s *Sender) callTo(e discovery.Endpoint, item *outbound.Item) *outbound.Call {
+func (s *Sender) callFor(e discovery.Endpoint, item *outbound.Item) *outbound.Call {
 	batch := 1
-	if e.Kind < len(s.set.Kinds) {
-		batch = s.set.Kinds[e.Kind].Batch
+	if e.Kind < len(s.settings.Kinds) {
+		batch = s.settings.Kinds[e.Kind].Batch
 	}
-	for _, c := range s.sends {
+	for _, c := range s.newCalls {
 		if c.Endpoint != e.ID || len(c.Items) == 0 || len(c.Items) >= batch {
 			continue
 		}
@@ -71,42 +71,42 @@
 		}
 	}
 	c := &outbound.Call{Endpoint: e.ID, Addr: e.Addr, Dest: e.Dest, SentAt: time.Now()}
-	s.sends = append(s.sends, c)
+	s.newCalls = append(s.newCalls, c)
 	return c
 }
 
 // dispatch starts the calls of this step.
-func (s *Sender) dispatch(kept bool) {
-	for _, c := range s.sends {
+func (s *Sender) dispatch(journalled bool) {
+	for _, c := range s.newCalls {
 		s.calls[c] = true
-		s.lead(c)
-		if !kept { // an attempt that no journal knows must not begin
-			s.drop(c)
-			s.again = true
+		s.chooseFirst(c)
+		if !journalled { // an attempt that no journal knows must not begin
+			s.dropUnsent(c)
+			s.stepDue = true
 			continue
 		}
-		s.goWithLease(c)
+		s.startCall(c)
 	}
-	clear(s.sends)
-	s.sends = s.sends[:0]
+	clear(s.newCalls)
+	s.newCalls = s.newCalls[:0]
 }
 
 // heardIn is the time, in milliseconds, after which a client that went before its answer has been noticed.
-const heardIn = 50.0
+const disconnectDetectionMS = 50.0
 
 // lead puts the message that is likeliest to live until the answer first in a call of several: the one with the
 // most time left, of those whose clients have surely had theirs. Guards against a call whose first message ends
 // while it is out, because its time is up or its client has gone: a partner that knows a call by its first message
 // may then count its whole answer for nothing, for the others too, which this sender takes for delivered.
-func (s *Sender) lead(c *outbound.Call) {
+func (s *Sender) chooseFirst(c *outbound.Call) {
 	var best *message
 	at := 0
-	heard := func(m *message) bool { return m.takenAt+heardIn < s.now }
+	answered := func(m *message) bool { return m.acceptedAt+disconnectDetectionMS < s.now }
 	for i := range c.Items {
-		m := s.msgs[c.Items[i].ID]
+		m := s.messages[c.Items[i].ID]
 		switch {
 		case m == nil:
-		case best == nil, heard(m) && !heard(best), heard(m) == heard(best) && m.Deadline > best.Deadline:
+		case best == nil, answered(m) && !answered(best), answered(m) == answered(best) && m.Deadline > best.Deadline:
 			best, at = m, i
 		}
 	}
--- a/internal/sender/classes.go
+++ b/internal/sender/classes.go
@@ -17,12 +17,12 @@
 
 func newClassTable(present []policy.Class) *classTable {
 	t := &classTable{byName: map[string]int{}}
-	return t.with(present)
+	return t.withPresent(present)
 }
 
 // with is a table in which the present classes are these. A class whose definition is unchanged keeps its
 // position; one that is new or defined anew gets the next.
-func (t *classTable) with(present []policy.Class) *classTable {
+func (t *classTable) withPresent(present []policy.Class) *classTable {
 	next := &classTable{all: slices.Clone(t.all), byName: make(map[string]int, len(t.byName)+len(present))}
 	for name, i := range t.byName {
 		next.byName[name] = i
@@ -42,21 +42,21 @@
 // were taken on and end without a call, since the settings changed between two lives. Clients cannot name it.
 func (s *Sender) unknownClass() int {
 	const longest = 24 * 3600e3 // the deadline is the message's own
-	stand := policy.Class{Aim: longest, Deadline: longest, Worth: 1, LateWorth: 1, Effect: policy.Unsafe}
+	placeholder := policy.Class{Aim: longest, Deadline: longest, Worth: 1, LateWorth: 1, Effect: policy.Unsafe}
 	t := s.classes.Load()
-	if i := slices.Index(t.all, stand); i >= 0 {
+	if i := slices.Index(t.all, placeholder); i >= 0 {
 		return i
 	}
-	t = t.with(nil)
-	t.all = append(t.all, stand)
-	s.useClasses(t, s.set.MaxAttempts)
+	t = t.withPresent(nil)
+	t.all = append(t.all, placeholder)
+	s.useClasses(t, s.settings.MaxAttempts)
 	return len(t.all) - 1
 }
 
 // useClasses makes a table and the attempts allowed known, to the module from the next step on.
 func (s *Sender) useClasses(t *classTable, attempts int) {
 	s.classes.Store(t)
-	s.set.Classes, s.set.MaxAttempts = t.all, attempts
+	s.settings.Classes, s.settings.MaxAttempts = t.all, attempts
 	s.events = append(s.events, policy.Event{Kind: policy.EvSettings, Settings: &policy.Settings{Classes: t.all, MaxAttempts: attempts}})
 }
 
@@ -72,10 +72,10 @@
 
 // Retune takes settings read anew: classes that appear or are defined anew are taken on from the next
 // step on, and the attempts allowed hold for all messages. All else waits for the next start.
-func (s *Sender) UpdateSettings(set policy.Settings) { s.post(input{retune: &set}) }
+func (s *Sender) UpdateSettings(set policy.Settings) { s.post(input{settings: &set}) }
 
-func (s *Sender) takeRetune(set *policy.Settings) {
-	t := s.classes.Load().with(set.Classes)
+func (s *Sender) handleSettings(set *policy.Settings) {
+	t := s.classes.Load().withPresent(set.Classes)
 	s.useClasses(t, set.MaxAttempts)
 	s.log.Info().Int("classes", len(set.Classes)).Int("known", len(t.all)).Int("max_attempts", set.MaxAttempts).Msg("settings read anew")
 }
--- a/internal/sender/clock.go
+++ b/internal/sender/clock.go
@@ -14,7 +14,7 @@
 // tests of machines whose clocks disagree, which set it when they link the program.
 var wallShift string
 
-var shift, _ = time.ParseDuration(wallShift)
+var wallOffset, _ = time.ParseDuration(wallShift)
 
 // NewClock returns a Clock that starts now.
 func NewClock() Clock { return Clock{time.Now(), WallClock()} }
@@ -27,5 +27,5 @@
 
 // Wall is the wall clock in Unix milliseconds, which may have been stepped since.
 func WallClock() float64 {
-	return float64(time.Now().Add(shift).UnixNano()) / 1e6
+	return float64(time.Now().Add(wallOffset).UnixNano()) / 1e6
 }
--- a/internal/sender/copies.go
+++ b/internal/sender/copies.go
@@ -22,13 +22,13 @@
 // before, waits in line for the holders' word. The sender's goroutine waits for nobody: the word comes as news.
 
 // hushedPace holds all calls back without counting one: the lease on this sender's own journal is over.
-const hushedPace = 1e-3
+const suspendedPace = 1e-3
 
 // placeEvery is between two looks at where copies go.
-const placeEvery = 50 * time.Millisecond
+const placementInterval = 50 * time.Millisecond
 
 // newsMost bounds the holders' words that wait for a step.
-const newsMost = 4096
+const maxQueuedFrames = 4096
 
 // CopySettings are how the journal is copied.
 type CopySettings struct {
@@ -52,81 +52,81 @@
 
 // copier is a sender's part in the copies of journals.
 type copier struct {
-	set      CopySettings
-	fleet    CopyFleet
-	owner    *copies.Owner
-	heirs    map[string]*heirOf
-	pending  map[uint64]*journal.Entry // being taken over: of no module yet
-	lines    []copyLine
-	told     []*taking // whose 202 goes out with this step, once its record has
-	claim    *claim    // of the messages that are handed in again in this step
-	live     bool      // the lease on this sender's own journal holds
-	asked    []string
-	inc      uint64 // of the folder
-	wantAt   time.Time
-	placeAt  time.Time // of the next look at where copies go
-	short    uint64    // messages that were refused, or taken on without copies
-	status   atomic.Pointer[copies.Status]
-	statusAt time.Time
+	settings         CopySettings
+	fleet            CopyFleet
+	owner            *copies.Owner
+	takeovers        map[string]*takeover
+	pendingEntries   map[uint64]*journal.Entry // being taken over: of no module yet
+	waits            []holderWait
+	confirmed        []*pendingSubmission // whose 202 goes out with this step, once its record has
+	claim            *claim               // of the messages that are handed in again in this step
+	leaseHeld        bool                 // the lease on this sender's own journal holds
+	requestedHolders []string
+	incarnation      uint64 // of the folder
+	requestedAt      time.Time
+	nextPlacement    time.Time // of the next look at where copies go
+	shortCount       uint64    // messages that were refused, or taken on without copies
+	status           atomic.Pointer[copies.Status]
+	nextStatus       time.Time
 
 	mu    sync.Mutex
-	inbox []copyNews
+	inbox []copyInput
 }
 
-type copyNews struct {
+type copyInput struct {
 	from  string
 	frame *pb.Frame
-	do    func() // or something to be done on the sender's goroutine
+	run   func() // or something to be done on the sender's goroutine
 }
 
 // heirOf is a taking over.
-type heirOf struct {
+type takeover struct {
 	*copies.Heir
-	began int64          // nanoseconds
-	nums  []uint64       // of the entries in this journal
-	holds []journal.Hold // where nothing may be sent, by this sender's clock
+	startedAt int64          // nanoseconds
+	entryNums []uint64       // of the entries in this journal
+	holds     []journal.Hold // where nothing may be sent, by this sender's clock
 }
 
 // copyLine waits for the holders' word on a batch.
-type copyLine struct {
-	seq    uint64
-	needed int // holders that must have the batch
-	till   time.Time
-	claims []*claim // that must be answered, too
-	orders []*taking
-	calls  []*outbound.Call
-	done   func(kept bool)
+type holderWait struct {
+	seq         uint64
+	required    int // holders that must have the batch
+	deadline    time.Time
+	claims      []*claim // that must be answered, too
+	submissions []*pendingSubmission
+	calls       []*outbound.Call
+	done        func(kept bool)
 }
 
 // Copy gives the sender its part in copies, before Run.
 func (s *Sender) EnableCopies(f CopyFleet, set CopySettings) {
-	s.copies = &copier{set: set, fleet: f, heirs: map[string]*heirOf{}, pending: map[uint64]*journal.Entry{}, live: true}
+	s.copies = &copier{settings: set, fleet: f, takeovers: map[string]*takeover{}, pendingEntries: map[uint64]*journal.Entry{}, leaseHeld: true}
 	s.copies.owner = copies.NewOwner(set.Name, 0)
 	s.journal.Tap()
-	for _, m := range s.msgs { // of an earlier life
+	for _, m := range s.messages { // of an earlier life
 		if m.Sure = true; m.Origin != "" {
-			s.copies.pending[m.Num] = m.Entry
+			s.copies.pendingEntries[m.Num] = m.Entry
 			s.forget(m)
 		}
 	}
-	s.events = slices.DeleteFunc(s.events, func(e policy.Event) bool { return s.copies.pending[e.ID] != nil })
-	for _, id := range s.out.IDs() {
-		s.holdByHand(id, true)
+	s.events = slices.DeleteFunc(s.events, func(e policy.Event) bool { return s.copies.pendingEntries[e.ID] != nil })
+	for _, id := range s.disabled.IDs() {
+		s.recordDisabled(id, true)
 	}
 }
 
 // CopyNews takes a frame of copies from a member. It does not wait.
 func (s *Sender) ReceiveCopyFrame(from string, f *pb.Frame) {
-	s.copyNews(copyNews{from: from, frame: f})
+	s.enqueueCopyInput(copyInput{from: from, frame: f})
 }
 
-func (s *Sender) copyNews(n copyNews) {
+func (s *Sender) enqueueCopyInput(n copyInput) {
 	c := s.copies
 	if c == nil {
 		return
 	}
 	c.mu.Lock()
-	if n.do != nil || len(c.inbox) < newsMost { // a holder's word that is lost comes again with its next one
+	if n.run != nil || len(c.inbox) < maxQueuedFrames { // a holder's word that is lost comes again with its next one
 		c.inbox = append(c.inbox, n)
 	}
 	c.mu.Unlock()
@@ -136,13 +136,13 @@
 // Kick makes a step come soon, for news that wait. It does not wait.
 func (s *Sender) Wake() {
 	select {
-	case s.in <- input{kick: true}:
+	case s.inputs <- input{wake: true}:
 	default: // a step is due anyway
 	}
 }
 
 // copyStep takes what has come for copies, ahead of a step of the module.
-func (s *Sender) copyStep() {
+func (s *Sender) stepCopies() {
 	c := s.copies
 	if c == nil {
 		return
@@ -154,43 +154,43 @@
 	c.mu.Unlock()
 	for _, n := range inbox {
 		switch {
-		case n.do != nil:
-			n.do()
+		case n.run != nil:
+			n.run()
 		case n.frame.GetCopied() != nil:
 			c.owner.Copied(now, n.from, n.frame.GetCopied())
 		case n.frame.GetSealed() != nil:
-			if h := c.heirs[n.frame.GetSealed().Owner]; h != nil {
+			if h := c.takeovers[n.frame.GetSealed().Owner]; h != nil {
 				h.Sealed(now, n.from, n.frame.GetSealed())
 			}
 		}
 	}
 	c.owner.Clock(int64(s.clock.Now()) - now/1e6)
 	look := c.fleet.View()
-	s.ownJournal(look)
+	s.checkOwnLease(look)
 	s.settlePending(look)
-	s.inherit(now, look)
-	s.reopen()
-	s.copyLines()
-	s.publishCopies()
+	s.stepTakeovers(now, look)
+	s.readmitEndpoints()
+	s.settleWaits()
+	s.publishCopyStatus()
 }
 
 // ownJournal begins the epoch of this sender's own journal, or notices that its lease is over.
-func (s *Sender) ownJournal(look *fleet.Look) {
+func (s *Sender) checkOwnLease(look *fleet.Look) {
 	c := s.copies
-	name := duty.Own(c.set.Name)
-	if time.Since(c.wantAt) > time.Second {
-		c.wantAt = time.Now()
+	name := duty.Own(c.settings.Name)
+	if time.Since(c.requestedAt) > time.Second {
+		c.requestedAt = time.Now()
 		c.fleet.Request(name, "")
 	}
-	d := look.Own[c.set.Name]
+	d := look.Own[c.settings.Name]
 	live := look.Mine(d) && c.fleet.Token(name) == d.Token
-	if live != c.live {
-		c.live = live
-		s.hush(!live)
-		if why := TooFewHoldersReason; s.copyRefuses() {
-			s.refuses.Store(&why)
+	if live != c.leaseHeld {
+		c.leaseHeld = live
+		s.suspendCalls(!live)
+		if why := TooFewHoldersReason; s.lacksLease() {
+			s.refusal.Store(&why)
 		} else {
-			s.refuses.Store(nil)
+			s.refusal.Store(nil)
 		}
 		s.log.Info().Bool("held", live).Msg("copies: the lease on this sender's journal")
 	}
@@ -201,27 +201,27 @@
 		return
 	}
 	if c.owner.Epoch() != d.Token {
-		c.inc = c.fleet.Incarnation()
-		c.owner.Of(c.inc)
-		if a := look.Adopted[c.set.Name]; a != nil && a.Incarnation == c.inc {
-			s.handedOn(a)
+		c.incarnation = c.fleet.Incarnation()
+		c.owner.Of(c.incarnation)
+		if a := look.Adopted[c.settings.Name]; a != nil && a.Incarnation == c.incarnation {
+			s.dropAdopted(a)
 		}
 		c.owner.Begin(d.Token)
-		c.asked = nil
+		c.requestedHolders = nil
 	}
-	if slices.Equal(d.Holders, c.asked) {
-		c.asked = nil
+	if slices.Equal(d.Holders, c.requestedHolders) {
+		c.requestedHolders = nil
 	}
-	c.owner.Holders(counted(d.Holders, c.asked))
-	if now := time.Now(); now.After(c.placeAt) { // members come and go in seconds: not at every step
-		c.placeAt = now.Add(placeEvery)
+	c.owner.Holders(countedHolders(d.Holders, c.requestedHolders))
+	if now := time.Now(); now.After(c.nextPlacement) { // members come and go in seconds: not at every step
+		c.nextPlacement = now.Add(placementInterval)
 		s.placeCopies(look, d)
 	}
 }
 
 // counted are the holders whose word counts: not one that the fleet is being asked to let go, whose copy an heir may not
 // be told of any more.
-func counted(holders, asked []string) []string {
+func countedHolders(holders, asked []string) []string {
 	if asked == nil {
 		return holders
 	}
@@ -236,36 +236,36 @@
 	for _, p := range look.Present {
 		there = append(there, placement.Member{Name: p.Name, Zone: p.Zone, Full: slices.Contains(full, p.Name)})
 	}
-	wanted := placement.Choose(c.set.Name, c.set.Zone, c.set.Count, there)
+	wanted := placement.Choose(c.settings.Name, c.settings.Zone, c.settings.Count, there)
 	next := placement.Next(d.Holders, wanted, c.owner.Synced, look.Is)
-	if slices.Equal(next, d.Holders) || slices.Equal(next, c.asked) {
+	if slices.Equal(next, d.Holders) || slices.Equal(next, c.requestedHolders) {
 		return
 	}
-	c.asked = next
+	c.requestedHolders = next
 	c.fleet.Propose(&pb.Command{What: &pb.Command_Keep{Keep: &pb.Keep{Session: look.Session, Duty: d.Name, Token: d.Token, Holders: next}}}, func(_ *pb.Answer, err error) {
 		if err != nil { // else it stands until the news of it are here
-			s.copyNews(copyNews{do: func() { c.asked = nil }})
+			s.enqueueCopyInput(copyInput{run: func() { c.requestedHolders = nil }})
 		}
 	})
 }
 
 // handedOn drops what an heir has taken over while this sender was away, and exactly that.
-func (s *Sender) handedOn(a *pb.Adoption) {
+func (s *Sender) dropAdopted(a *pb.Adoption) {
 	n := 0
-	for _, m := range s.msgs {
+	for _, m := range s.messages {
 		if m.Num <= a.Upto && m.Origin == "" {
 			s.events = append(s.events, policy.Event{Kind: policy.EvWithdrawn, ID: m.Num})
-			s.drop(m.call)
+			s.dropUnsent(m.call)
 			s.observeOver(m.Entry, telemetry.Withdrawn, 0)
 			s.journal.End(m.Entry)
-			s.past.add(m.Trace, s.now)
+			s.ended.add(m.Trace, s.now)
 			s.forget(m)
 			n++
 		}
 	}
-	for num, e := range s.owed {
+	for num, e := range s.pendingNotices {
 		if num <= a.Upto {
-			delete(s.owed, num)
+			delete(s.pendingNotices, num)
 			s.journal.End(e)
 			n++
 		}
@@ -275,35 +275,35 @@
 }
 
 // hush holds all calls back, or lets them go on.
-func (s *Sender) hush(on bool) {
+func (s *Sender) suspendCalls(on bool) {
 	pace := 0.0
 	if on {
-		pace = hushedPace
+		pace = suspendedPace
 	}
-	for dest := range s.dests {
+	for dest := range s.listedDests {
 		s.events = append(s.events, policy.Event{Kind: policy.EvPace, Dest: dest, Pace: pace})
 	}
 	for c := range s.calls { // what has not begun does not begin
 		if on && len(c.Items) > 0 {
-			s.drop(c)
+			s.dropUnsent(c)
 		}
 	}
-	for id := range s.addrs {
-		if s.apart(id) {
-			s.events = append(s.events, policy.Event{Kind: policy.EvPace, Dest: s.addrs[id].Dest, Endpoint: id, Pace: pace})
+	for id := range s.endpoints {
+		if s.hasOwnLimits(id) {
+			s.events = append(s.events, policy.Event{Kind: policy.EvPace, Dest: s.endpoints[id].Dest, Endpoint: id, Pace: pace})
 		}
 	}
 }
 
 // hushNew holds calls back at what a list has named while the lease is over.
-func (s *Sender) hushNew() {
-	if s.copies != nil && !s.copies.live {
-		s.hush(true)
+func (s *Sender) suspendListed() {
+	if s.copies != nil && !s.copies.leaseHeld {
+		s.suspendCalls(true)
 	}
 }
 
 // copyOut copies what a step has written. It returns the batch's number.
-func (s *Sender) copyOut() uint64 {
+func (s *Sender) sendCopies() uint64 {
 	c := s.copies
 	now := fleet.Now()
 	seq := uint64(0)
@@ -313,9 +313,9 @@
 	for _, o := range c.owner.Take(now, s.journal.Snapshot) {
 		c.fleet.SendCopy(o.To, o.Frame)
 	}
-	for i := range c.lines {
-		if c.lines[i].seq == 0 {
-			c.lines[i].seq = max(seq, 1)
+	for i := range c.waits {
+		if c.waits[i].seq == 0 {
+			c.waits[i].seq = max(seq, 1)
 		}
 	}
 	return seq
@@ -323,56 +323,56 @@
 
 // copyWait puts a step's answers and calls in line for the holders' word, and for the fleet's on what was handed in
 // again. What need not wait is left.
-func (s *Sender) copyWait(seq uint64) {
+func (s *Sender) awaitHolders(seq uint64) {
 	c := s.copies
-	s.askAgain()
-	first, till := len(c.lines), time.Now().Add(c.set.Timeout)
-	line := func(needed int, claims []*claim) *copyLine {
-		for i := first; i < len(c.lines); i++ {
-			if c.lines[i].needed == needed && slices.Equal(c.lines[i].claims, claims) {
-				return &c.lines[i]
+	s.proposeClaim()
+	first, deadline := len(c.waits), time.Now().Add(c.settings.Timeout)
+	waitFor := func(needed int, claims []*claim) *holderWait {
+		for i := first; i < len(c.waits); i++ {
+			if c.waits[i].required == needed && slices.Equal(c.waits[i].claims, claims) {
+				return &c.waits[i]
 			}
 		}
-		c.lines = append(c.lines, copyLine{seq: seq, needed: needed, claims: claims, till: till})
-		return &c.lines[len(c.lines)-1]
+		c.waits = append(c.waits, holderWait{seq: seq, required: needed, claims: claims, deadline: deadline})
+		return &c.waits[len(c.waits)-1]
 	}
-	s.orders = slices.DeleteFunc(s.orders, func(t *taking) bool {
+	s.submissions = slices.DeleteFunc(s.submissions, func(t *pendingSubmission) bool {
 		if !t.refused {
-			l := line(c.needs(t.entry.Class), s.openClaims(t.entry.Num))
-			l.orders = append(l.orders, t)
+			l := waitFor(c.requiredFor(t.entry.Class), s.openClaims(t.entry.Num))
+			l.submissions = append(l.submissions, t)
 		}
 		return !t.refused
 	})
-	s.sends = slices.DeleteFunc(s.sends, func(call *outbound.Call) bool {
-		if !s.mustWait(call) {
+	s.newCalls = slices.DeleteFunc(s.newCalls, func(call *outbound.Call) bool {
+		if !s.mustAwaitHolders(call) {
 			return false
 		}
 		s.calls[call] = true
 		needed := 0
 		var nums []uint64
 		for i := range call.Items {
-			if m := s.msgs[call.Items[i].ID]; m != nil {
-				needed, nums = max(needed, c.needs(m.Class)), append(nums, m.Num)
+			if m := s.messages[call.Items[i].ID]; m != nil {
+				needed, nums = max(needed, c.requiredFor(m.Class)), append(nums, m.Num)
 			}
 		}
-		l := line(needed, s.openClaims(nums...))
+		l := waitFor(needed, s.openClaims(nums...))
 		l.calls = append(l.calls, call)
 		return true
 	})
 }
 
 // needs is how many holders must have a message of a class.
-func (c *copier) needs(class string) int {
-	if n, set := c.set.RequiredByClass[class]; set {
+func (c *copier) requiredFor(class string) int {
+	if n, set := c.settings.RequiredByClass[class]; set {
 		return n
 	}
-	return c.set.Required
+	return c.settings.Required
 }
 
 // most is what any class needs: what is taken over may be of each.
-func (c *copier) most() int {
-	n := c.set.Required
-	for _, v := range c.set.RequiredByClass {
+func (c *copier) maxRequired() int {
+	n := c.settings.Required
+	for _, v := range c.settings.RequiredByClass {
 		n = max(n, v)
 	}
 	return n
@@ -380,9 +380,9 @@
 
 // mustWait reports whether a call's first byte waits for copies: of a message whose client has no answer yet, and of
 // one of a class that must never take effect twice.
-func (s *Sender) mustWait(call *outbound.Call) bool {
+func (s *Sender) mustAwaitHolders(call *outbound.Call) bool {
 	for i := range call.Items {
-		m := s.msgs[call.Items[i].ID]
+		m := s.messages[call.Items[i].ID]
 		if m == nil {
 			continue
 		}
@@ -394,104 +394,104 @@
 }
 
 // copyTell gives the answers whose records this step has written and sent.
-func (s *Sender) copyTell() {
-	for _, t := range s.copies.told {
+func (s *Sender) answerConfirmed() {
+	for _, t := range s.copies.confirmed {
 		t.verdict <- Verdict{Accepted: true, Num: t.entry.Num}
 	}
-	s.copies.told = s.copies.told[:0]
+	s.copies.confirmed = s.copies.confirmed[:0]
 }
 
 // copyLines lets go on what the holders have, and gives up what they do not have in time.
-func (s *Sender) copyLines() {
+func (s *Sender) settleWaits() {
 	c := s.copies
 	now := time.Now()
-	lines := c.lines
-	c.lines = nil
+	lines := c.waits
+	c.waits = nil
 	for _, l := range lines {
-		kept := l.seq != 0 && c.live && c.owner.Committed(l.needed) >= l.seq && answered(l.claims)
-		if !kept && now.Before(l.till) {
-			c.lines = append(c.lines, l)
+		kept := l.seq != 0 && c.leaseHeld && c.owner.Committed(l.required) >= l.seq && allAnswered(l.claims)
+		if !kept && now.Before(l.deadline) {
+			c.waits = append(c.waits, l)
 			continue
 		}
-		s.lineEnds(&l, kept)
+		s.endWait(&l, kept)
 	}
 }
 
 // copyLeave ends what still waits for holders when the sender leaves: nothing of it is taken on.
-func (s *Sender) copyLeave() {
+func (s *Sender) failWaits() {
 	if s.copies == nil {
 		return
 	}
-	lines := s.copies.lines
-	s.copies.lines = nil
+	lines := s.copies.waits
+	s.copies.waits = nil
 	for i := range lines {
-		s.lineEnds(&lines[i], false)
+		s.endWait(&lines[i], false)
 	}
-	s.copyTell()
+	s.answerConfirmed()
 }
 
-func (s *Sender) lineEnds(l *copyLine, kept bool) {
+func (s *Sender) endWait(l *holderWait, kept bool) {
 	if l.done != nil {
 		l.done(kept)
 	}
-	go202 := kept || s.copies.set.AcceptUncopied
+	accept := kept || s.copies.settings.AcceptUncopied
 	if !kept {
-		s.copies.short += uint64(len(l.orders))
+		s.copies.shortCount += uint64(len(l.submissions))
 	}
-	for _, t := range l.orders {
-		m := s.msgs[t.entry.Num]
+	for _, t := range l.submissions {
+		m := s.messages[t.entry.Num]
 		switch {
 		case m == nil: // over already
-			t.verdict <- Verdict{RetryAfter: lateLeast}
+			t.verdict <- Verdict{RetryAfter: maxBusyRetryMS}
 		case m.claim.has(m.Entry): // an heir's: nothing was sent of it here
-			s.takeBack(m, telemetry.CauseRoom)
+			s.revoke(m, telemetry.CauseRoom)
 			t.verdict <- Verdict{TakenOver: true}
-		case go202:
+		case accept:
 			s.journal.Confirm(m.Entry)
-			s.copies.told = append(s.copies.told, t)
+			s.copies.confirmed = append(s.copies.confirmed, t)
 		default:
-			s.takeBack(m, telemetry.CauseRoom)
-			t.verdict <- Verdict{RetryAfter: s.busyRetry(), TooFewHolders: true}
+			s.revoke(m, telemetry.CauseRoom)
+			t.verdict <- Verdict{RetryAfter: s.busyRetryAfter(), TooFewHolders: true}
 		}
 	}
 	for _, call := range l.calls {
-		if go202 && s.calls[call] && !s.elsewhere(call) {
-			s.goWithLease(call)
+		if accept && s.calls[call] && !s.anyTakenOver(call) {
+			s.startCall(call)
 		} else {
-			s.drop(call)
-			s.again = true
+			s.dropUnsent(call)
+			s.stepDue = true
 		}
 	}
 }
 
 // takeBack withdraws a message whose client hears that it is not taken on.
-func (s *Sender) takeBack(m *message, why telemetry.Cause) {
+func (s *Sender) revoke(m *message, why telemetry.Cause) {
 	s.observeOver(m.Entry, telemetry.NotTaken, 0)
 	s.observeRefused(m.Dest, why)
 	s.events = append(s.events, policy.Event{Kind: policy.EvWithdrawn, ID: m.Num})
-	s.again = true
-	s.drop(m.call)
+	s.stepDue = true
+	s.dropUnsent(m.call)
 	s.journal.End(m.Entry)
 	s.forget(m)
 }
 
 // goWithLease starts a call whose first byte goes out only while the lease on this sender's journal holds: it may wait
 // for its connection, or the process be stopped, until that is over.
-func (s *Sender) goWithLease(call *outbound.Call) {
+func (s *Sender) startCall(call *outbound.Call) {
 	if c := s.copies; c != nil && len(call.Items) > 0 {
-		name, epoch := duty.Own(c.set.Name), c.owner.Epoch()
+		name, epoch := duty.Own(c.settings.Name), c.owner.Epoch()
 		call.May = func() bool { return c.fleet.Token(name) == epoch }
 	}
 	s.pool.Go(call)
 }
 
 // copyRefuses reports whether nothing can be taken on for want of the lease, or of anybody to copy to.
-func (s *Sender) copyRefuses() bool {
-	return s.copies != nil && !s.copies.set.AcceptUncopied && !s.copies.live
+func (s *Sender) lacksLease() bool {
+	return s.copies != nil && !s.copies.settings.AcceptUncopied && !s.copies.leaseHeld
 }
 
 // copyNext is when copies want a step by time alone.
-func (s *Sender) copyNext(wait time.Duration) time.Duration {
+func (s *Sender) untilCopyStep(wait time.Duration) time.Duration {
 	c := s.copies
 	if c == nil {
 		return wait
@@ -500,11 +500,11 @@
 	if at, due := c.owner.Next(); due {
 		wait = min(wait, time.Duration(at-fleet.Now()))
 	}
-	for i := range c.lines {
-		wait = min(wait, time.Until(c.lines[i].till))
+	for i := range c.waits {
+		wait = min(wait, time.Until(c.waits[i].deadline))
 	}
-	if at, due := s.shut.Next(); due {
-		wait = min(wait, millis(at-s.clock.Now()))
+	if at, due := s.avoided.Next(); due {
+		wait = min(wait, fromMillis(at-s.clock.Now()))
 	}
 	return wait
 }
@@ -514,7 +514,7 @@
 
 // Refuses is why this sender takes nothing on, for /up; empty: it does. It is safe for concurrent use.
 func (s *Sender) RefusalReason() string {
-	if why := s.refuses.Load(); why != nil {
+	if why := s.refusal.Load(); why != nil {
 		return *why
 	}
 	return ""
--- a/internal/sender/copystatus.go
+++ b/internal/sender/copystatus.go
@@ -9,19 +9,19 @@
 )
 
 // statusEvery is between two statuses of copies that operators may ask for.
-const statusEvery = 200 * time.Millisecond
+const statusInterval = 200 * time.Millisecond
 
 // publishCopies makes the status readable for operators, now and then.
-func (s *Sender) publishCopies() {
+func (s *Sender) publishCopyStatus() {
 	c := s.copies
-	if now := time.Now(); now.Before(c.statusAt) {
+	if now := time.Now(); now.Before(c.nextStatus) {
 		return
 	} else {
-		c.statusAt = now.Add(statusEvery)
+		c.nextStatus = now.Add(statusInterval)
 	}
-	st := copies.Status{Held: c.live, Holders: c.owner.Lags(fleet.Now()), Short: c.short}
-	for i := range c.lines {
-		st.Waiting += len(c.lines[i].orders) + len(c.lines[i].calls)
+	st := copies.Status{Held: c.leaseHeld, Holders: c.owner.Lags(fleet.Now()), Short: c.shortCount}
+	for i := range c.waits {
+		st.Waiting += len(c.waits[i].submissions) + len(c.waits[i].calls)
 	}
 	for _, h := range st.Holders {
 		if !h.Whole {
--- a/internal/sender/leaderends_test.go
+++ b/internal/sender/firstmessage_test.go
@@ -15,15 +15,15 @@
 )
 
 // bulkPeer takes calls of several messages and answers each when told to, naming all as accepted.
-type bulkPeer struct {
+type bulkPartner struct {
 	*httptest.Server
 	called chan []string
 	answer chan struct{}
 	closed chan struct{} // the sender has closed a call's connection
 }
 
-func newBulkPeer(t *testing.T) *bulkPeer {
-	p := &bulkPeer{called: make(chan []string, 10), answer: make(chan struct{}), closed: make(chan struct{}, 10)}
+func newBulkPartner(t *testing.T) *bulkPartner {
+	p := &bulkPartner{called: make(chan []string, 10), answer: make(chan struct{}), closed: make(chan struct{}, 10)}
 	p.Server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
 		var items []struct{ ID string }
 		json.NewDecoder(q.Body).Decode(&items)
@@ -45,7 +45,7 @@
 }
 
 // answerNow answers the call that is out, if it is still there to be answered.
-func (p *bulkPeer) answerNow() {
+func (p *bulkPartner) answerNow() {
 	select {
 	case p.answer <- struct{}{}:
 	case <-p.closed:
@@ -53,31 +53,31 @@
 }
 
 // leaderAndOther makes a call that a message with little time left leads, since its client has surely been answered.
-func leaderAndOther(t *testing.T) (b *bench, p *bulkPeer, leader, other *message) {
+func startBulkCall(t *testing.T) (b *testSender, p *bulkPartner, first, other *message) {
 	t.Helper()
-	p = newBulkPeer(t)
-	b = newBench(t, t.TempDir(), "", benchSettings())
-	b.dests[3] = true
-	b.hand("leader", 0, 1500*time.Millisecond)
-	b.next() // nobody is listed yet
-	leader = b.msgs[b.traces["leader"]]
-	leader.takenAt -= 2 * heardIn
-	b.hand("other", 2, 20*time.Second)
-	other = b.msgs[b.traces["other"]]
-	b.list(p.Listener.Addr().String())
-	b.next()
+	p = newBulkPartner(t)
+	b = newTestSender(t, t.TempDir(), "", testSettings())
+	b.listedDests[3] = true
+	b.submit("leader", 0, 1500*time.Millisecond)
+	b.nextStep() // nobody is listed yet
+	first = b.messages[b.numByTrace["leader"]]
+	first.acceptedAt -= 2 * disconnectDetectionMS
+	b.submit("other", 2, 20*time.Second)
+	other = b.messages[b.numByTrace["other"]]
+	b.listEndpoint(p.Listener.Addr().String())
+	b.nextStep()
 	select {
 	case ids := <-p.called:
 		if len(ids) != 2 || ids[0] != "leader" {
 			t.Fatalf("the call has %v", ids)
 		}
-	case <-time.After(patient):
+	case <-time.After(testTimeout):
 		t.Fatal("no call")
 	}
-	return b, p, leader, other
+	return b, p, first, other
 }
 
-func (b *bench) inDoubt(m *message) {
+func (b *testSender) expectMayHaveRun(m *message) {
 	b.t.Helper()
 	if m.DoubtAt == 0 {
 		b.t.Errorf("%s is taken for delivered, or not in doubt: %+v", m.Trace, m.Entry)
@@ -85,62 +85,62 @@
 }
 
 // The first message of a call ends, and only then comes the answer, which names the others as accepted.
-func TestTheLeaderEndsBeforeTheAnswer(t *testing.T) {
-	b, p, _, other := leaderAndOther(t)
+func TestFirstMessageEndsBeforeAnswer(t *testing.T) {
+	b, p, _, other := startBulkCall(t)
 	b.await("the leader does not end", func() bool { return len(b.notices) > 0 })
 	p.answerNow()
 	b.await("the call does not end", func() bool { return len(b.calls) == 0 })
-	b.inDoubt(other)
+	b.expectMayHaveRun(other)
 }
 
 // The answer is read first, but the leader's end is stepped before it is taken.
-func TestTheAnswerIsReadBeforeTheLeaderEnds(t *testing.T) {
-	b, p, leader, other := leaderAndOther(t)
+func TestAnswerIsReadBeforeFirstMessageEnds(t *testing.T) {
+	b, p, first, other := startBulkCall(t)
 	p.answer <- struct{}{}
-	for end := time.Now().Add(patient); len(b.in) == 0; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); len(b.inputs) == 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("no answer")
 		}
 	}
-	leader.cutAt = 0 // its time is up, and the answer waits to be taken
-	b.next()
+	first.attemptDeadline = 0 // its time is up, and the answer waits to be taken
+	b.nextStep()
 	b.await("the call does not end", func() bool { return len(b.calls) == 0 })
-	b.inDoubt(other)
+	b.expectMayHaveRun(other)
 }
 
 // The client of the leader is found gone while the call is out.
-func TestTheLeaderIsWithdrawn(t *testing.T) {
-	b, p, leader, other := leaderAndOther(t)
-	b.take(input{gone: leader.Num})
+func TestFirstMessageIsWithdrawn(t *testing.T) {
+	b, p, first, other := startBulkCall(t)
+	b.handleInput(input{withdrawn: first.Num})
 	p.answerNow()
 	b.await("the call does not end", func() bool { return len(b.calls) == 0 })
-	b.inDoubt(other)
+	b.expectMayHaveRun(other)
 }
 
 // Any other message of a call ends without the rest.
-func TestAnotherThanTheLeaderEnds(t *testing.T) {
-	b, p, leader, other := leaderAndOther(t)
-	other.cutAt = 0
-	b.next()
-	if other.call != nil || leader.call == nil || leader.call.Given() {
+func TestOtherThanFirstMessageEnds(t *testing.T) {
+	b, p, first, other := startBulkCall(t)
+	other.attemptDeadline = 0
+	b.nextStep()
+	if other.call != nil || first.call == nil || first.call.Given() {
 		t.Fatal("the call is given up, or holds on to what has ended")
 	}
 	p.answer <- struct{}{}
 	b.await("the call does not end", func() bool { return len(b.calls) == 0 })
-	if !b.past.ids["leader"] {
+	if !b.ended.ids["leader"] {
 		t.Error("the leader is not delivered")
 	}
 }
 
 // A call is given up before it has a connection's write before it: nothing is written any more.
-func TestGivenUpBeforeItsWrite(t *testing.T) {
+func TestCallAbandonedBeforeWrite(t *testing.T) {
 	ln := listen(t)
-	b := newBench(t, t.TempDir(), "", benchSettings())
-	c := &outbound.Call{Endpoint: 1, Addr: ln.Addr().String(), Dest: 3, SentAt: time.Now(), Timeout: patient,
+	b := newTestSender(t, t.TempDir(), "", testSettings())
+	c := &outbound.Call{Endpoint: 1, Addr: ln.Addr().String(), Dest: 3, SentAt: time.Now(), Timeout: testTimeout,
 		Items: []outbound.Item{{ID: 7, Trace: "a"}, {ID: 8, Trace: "b"}}}
 	c.May = func() bool { c.GiveUp(); return true }
 	b.pool.Go(c)
-	in := <-b.in
+	in := <-b.inputs
 	for _, e := range in.events {
 		if !e.Outcome.NeverRan() {
 			t.Errorf("outcome %v of what was not written", e.Outcome)
@@ -151,7 +151,7 @@
 		t.Fatal(err)
 	}
 	defer nc.Close()
-	nc.SetReadDeadline(time.Now().Add(patient))
+	nc.SetReadDeadline(time.Now().Add(testTimeout))
 	if n, err := nc.Read(make([]byte, 1)); n > 0 || err == nil || isTimeout(err) {
 		t.Errorf("%d bytes, %v, want a close with nothing written", n, err)
 	}
--- a/internal/sender/holds.go
+++ b/internal/sender/holds.go
@@ -11,9 +11,9 @@
 
 // drainHold is how long, in milliseconds, an heir keeps away from an endpoint that the lost sender's list said drains:
 // its own list says so within seconds, too.
-const drainHold = 30e3
+const adoptedDrainMS = 30e3
 
-func (s *Sender) holdByHand(id string, out bool) {
+func (s *Sender) recordDisabled(id string, out bool) {
 	h := journal.Hold{Kind: journal.HoldHand, Endpoint: id}
 	if out {
 		h.Until = journal.Forever
@@ -21,19 +21,19 @@
 	s.journal.Hold(h, int64(s.now))
 }
 
-func (s *Sender) holdListed(e *discovery.Endpoint) {
+func (s *Sender) recordDraining(e *discovery.Endpoint) {
 	if s.copies == nil || e.State == policy.Gone {
 		return
 	}
 	h := journal.Hold{Kind: journal.HoldDrain, Dest: e.Dest, Endpoint: e.Name}
 	if e.State != policy.Ready {
-		h.Until = int64(s.now + drainHold)
+		h.Until = int64(s.now + adoptedDrainMS)
 	}
 	s.journal.Hold(h, int64(s.now))
 }
 
 // bringHolds takes what the owner knew into the copies of this journal, by this sender's clock.
-func (s *Sender) bringHolds(h *heirOf, shift int64) {
+func (s *Sender) importHolds(h *takeover, shift int64) {
 	h.holds = nil
 	for _, x := range journal.ReplayHolds(h.Found.Records) {
 		if x.Until != journal.Forever {
@@ -49,23 +49,23 @@
 }
 
 // heed makes waits bind that a lost owner was told: for all messages of this sender from this step on.
-func (s *Sender) heed(holds []journal.Hold) {
+func (s *Sender) honourWaits(holds []journal.Hold) {
 	var facts []policy.DestFacts
 	for _, x := range holds {
 		if x.Kind != journal.HoldWait || float64(x.Until) <= s.now {
 			continue
 		}
-		told := &policy.RouteFacts{WaitUntil: float64(x.Until)}
+		wait := &policy.RouteFacts{WaitUntil: float64(x.Until)}
 		f := policy.DestFacts{Dest: x.Dest, Control: policy.FreshControl()}
-		if id, named := s.names[x.Endpoint]; x.Endpoint == "" {
-			f.Shared = told
-		} else if _, listed := s.addrs[id]; named && listed {
-			f.Endpoints = []policy.EndpointFacts{{ID: id, Apart: told}}
+		if id, named := s.endpointIDs[x.Endpoint]; x.Endpoint == "" {
+			f.Shared = wait
+		} else if _, listed := s.endpoints[id]; named && listed {
+			f.Endpoints = []policy.EndpointFacts{{ID: id, Apart: wait}}
 		}
 		facts = append(facts, f)
 		for c := range s.calls { // what has not begun would reach the partner inside its wait
-			if c.Dest == x.Dest && (x.Endpoint == "" || s.addrs[c.Endpoint].Name == x.Endpoint) {
-				s.drop(c)
+			if c.Dest == x.Dest && (x.Endpoint == "" || s.endpoints[c.Endpoint].Name == x.Endpoint) {
+				s.dropUnsent(c)
 			}
 		}
 	}
@@ -75,7 +75,7 @@
 }
 
 // heedListed makes waits that the journal keeps bind at what a list names: after a restart the module learns of them here.
-func (s *Sender) heedListed(list []policy.Endpoint) {
+func (s *Sender) honourListedWaits(list []policy.Endpoint) {
 	if s.copies == nil {
 		return
 	}
@@ -89,31 +89,31 @@
 			holds = append(holds, h)
 		}
 	}
-	s.heed(holds)
+	s.honourWaits(holds)
 }
 
 // keepShut keeps away from endpoints that a lost owner kept away from, as long as this sender has messages of it.
-func (s *Sender) keepShut(holds []journal.Hold, till float64) {
+func (s *Sender) avoidEndpoints(holds []journal.Hold, till float64) {
 	for _, x := range holds {
 		if x.Kind == journal.HoldWait || till <= s.now {
 			continue
 		}
-		s.shut.Add(x.Endpoint, min(till, float64(x.Until)))
-		s.relist(x.Endpoint)
+		s.avoided.Add(x.Endpoint, min(till, float64(x.Until)))
+		s.reapplyEndpoint(x.Endpoint)
 		s.log.Info().Str("endpoint", x.Endpoint).Msg("copies: nothing goes to this endpoint while messages of the lost sender are left, as it kept away from it")
 	}
 }
 
 // reopen puts endpoints back that need not be kept away from any more.
-func (s *Sender) reopen() {
-	for _, id := range s.shut.Over(s.now) {
-		s.relist(id)
+func (s *Sender) readmitEndpoints() {
+	for _, id := range s.avoided.Over(s.now) {
+		s.reapplyEndpoint(id)
 	}
 }
 
 // relist tells the module of an endpoint anew.
-func (s *Sender) relist(name string) {
-	if e, listed := s.addrs[s.names[name]]; listed && e.Name == name {
-		s.takeList(&discovery.List{Entries: []discovery.Endpoint{e}})
+func (s *Sender) reapplyEndpoint(name string) {
+	if e, listed := s.endpoints[s.endpointIDs[name]]; listed && e.Name == name {
+		s.handleList(&discovery.List{Entries: []discovery.Endpoint{e}})
 	}
 }
--- a/internal/sender/journal_test.go
+++ b/internal/sender/journal_test.go
@@ -16,7 +16,7 @@
 )
 
 // failingBench is a bench whose folder fails as fault says.
-func failingBench(t *testing.T, fault func(op string) fsys.Fault) *bench {
+func newFailingTestSender(t *testing.T, fault func(op string) fsys.Fault) *testSender {
 	t.Helper()
 	files := &fsys.Faulty{FS: fsys.OS{Dir: t.TempDir()}, On: func(_ int, op, _ string) fsys.Fault { return fault(op) }}
 	j, restored, err := journal.OpenIn(files, statedir.NewSpace(1<<20).Account())
@@ -24,26 +24,26 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { j.Close() })
-	b := &bench{t: t, journal: j, notices: make(chan discovery.Notice, 100)}
-	b.Sender = New(Options{Settings: benchSettings(), Seed: 1, MaxConns: 10, Journal: j, Restored: restored, Clock: NewClock(), Log: zerolog.Nop(),
+	b := &testSender{t: t, journal: j, notices: make(chan discovery.Notice, 100)}
+	b.Sender = New(Options{Settings: testSettings(), Seed: 1, MaxConns: 10, Journal: j, Restored: restored, Clock: NewClock(), Log: zerolog.Nop(),
 		Notify: func(n discovery.Notice) { b.notices <- n }})
-	b.dests[3] = true
-	b.next()
+	b.listedDests[3] = true
+	b.nextStep()
 	return b
 }
 
 // Guards against a refusal of a message whose record is on the disk, whole, and is sent by the next life.
-func TestNoVerdictWhileTheRecordMayStand(t *testing.T) {
+func TestNoVerdictWhileRecordMayBeOnDisk(t *testing.T) {
 	var down atomic.Bool
-	b := failingBench(t, func(op string) (f fsys.Fault) {
+	b := newFailingTestSender(t, func(op string) (f fsys.Fault) {
 		if down.Load() {
 			f = fsys.Fault{Err: syscall.EIO, Bytes: 1 << 20} // all is written, and said to have failed
 		}
 		return f
 	})
 	down.Store(true)
-	verdict := b.hand("m", 1, 10*time.Second)
-	b.next()
+	verdict := b.submit("m", 1, 10*time.Second)
+	b.nextStep()
 	if len(verdict) > 0 {
 		t.Fatalf("%+v while its record may stand", <-verdict)
 	}
@@ -57,25 +57,25 @@
 // Guards against messages whose attempts are used up by a disk that fails, and against ends that wait for it.
 func TestFailingDiskUsesUpNoAttempts(t *testing.T) {
 	var down atomic.Bool
-	b := failingBench(t, func(string) (f fsys.Fault) {
+	b := newFailingTestSender(t, func(string) (f fsys.Fault) {
 		if down.Load() {
 			f.Err = syscall.ENOSPC
 		}
 		return f
 	})
 	partner := standin.NewRawPartner(t)
-	long, short := b.hand("long", 1, 15*time.Second), b.hand("short", 1, 400*time.Millisecond)
-	b.next()
+	long, short := b.submit("long", 1, 15*time.Second), b.submit("short", 1, 400*time.Millisecond)
+	b.nextStep()
 	if !(<-long).Accepted || !(<-short).Accepted {
 		t.Fatal("not taken on")
 	}
 	down.Store(true)
-	b.list(partner.Addr)
+	b.listEndpoint(partner.Addr)
 	b.await("the short message ends by a notice", func() bool { return len(b.notices) > 0 })
-	if v := <-b.hand("more", 1, 10*time.Second); v.Accepted {
+	if v := <-b.submit("more", 1, 10*time.Second); v.Accepted {
 		t.Error("taken on without a journal")
 	}
-	for _, m := range b.msgs {
+	for _, m := range b.messages {
 		if m.Trace != "long" || m.Attempts > 1 {
 			t.Errorf("%s has had %d attempts, none of which began", m.Trace, m.Attempts)
 		}
--- a/internal/sender/memory.go
+++ b/internal/sender/knowledge.go
@@ -14,8 +14,8 @@
 )
 
 const (
-	tellMost  = 64    // destinations told in one step: a sender with thousands must not stall on it
-	recallFor = 600e3 // milliseconds after the start that what an earlier life knew is at hand
+	maxDestsPerWrite = 64    // destinations told in one step: a sender with thousands must not stall on it
+	recallWindowMS   = 600e3 // milliseconds after the start that what an earlier life knew is at hand
 )
 
 // Memory is what a Sender works with to know over restarts. The zero Memory keeps nothing.
@@ -27,66 +27,66 @@
 
 // memory carries facts between the module, which knows endpoints by number, and the books, which know
 // them by name.
-type memory struct {
+type knowledgeState struct {
 	Knowledge
-	usual   float64         // latency of a call, of an earlier life
-	heard   map[uint32]bool // endpoints that calls of this life have told of
-	touched map[int]bool    // destinations with news since they were told
-	round   []int           // of these, those that this round still tells
-	roundAt float64         // when the next round is due
+	usualLatencyMS    float64         // latency of a call, of an earlier life
+	observedEndpoints map[uint32]bool // endpoints that calls of this life have told of
+	changedDests      map[int]bool    // destinations with news since they were told
+	unwrittenDests    []int           // of these, those that this round still tells
+	nextWriteAt       float64         // when the next round is due
 }
 
-func (s *Sender) remember(m Knowledge) {
+func (s *Sender) setKnowledge(m Knowledge) {
 	if m.Writer == nil {
 		return
 	}
-	s.memory = memory{Knowledge: m, heard: map[uint32]bool{}, touched: map[int]bool{}}
-	g := m.Facts.RecallGeneral(s.now, m.Settings.HalfLives, &s.set)
+	s.knowledge = knowledgeState{Knowledge: m, observedEndpoints: map[uint32]bool{}, changedDests: map[int]bool{}}
+	g := m.Facts.RecallGeneral(s.now, m.Settings.HalfLives, &s.settings)
 	for _, u := range g.Usual {
-		s.memory.usual = cmp.Or(s.memory.usual, u.Mean)
+		s.knowledge.usualLatencyMS = cmp.Or(s.knowledge.usualLatencyMS, u.Mean)
 	}
-	s.mod.RecallGeneral(g)
+	s.module.RecallGeneral(g)
 }
 
 // recall gives the module what an earlier life knew of the endpoints that a list names for the first
 // time, ahead of that list: a told wait binds from this very step on.
 func (s *Sender) recall(l *discovery.List) {
-	m := &s.memory
+	m := &s.knowledge
 	if m.Facts == nil {
 		return
 	}
-	if s.now-s.clock.startMS > recallFor {
+	if s.now-s.clock.startMS > recallWindowMS {
 		m.Facts = nil // its destinations are not listed any more
 		return
 	}
 	ratings := map[int]float64{}
 	ids := map[string]uint32{}
 	for _, e := range l.Entries {
-		if _, known := s.addrs[e.ID]; known || e.State == policy.Gone {
+		if _, known := s.endpoints[e.ID]; known || e.State == policy.Gone {
 			continue
 		}
 		ids[e.Name] = e.ID
 		rating := 0.0
-		if s.set.Rated {
+		if s.settings.Rated {
 			rating = e.Rating
 		}
 		ratings[e.Dest] = max(ratings[e.Dest], rating)
 	}
 	var facts []policy.DestFacts
 	for dest, rating := range ratings {
-		if d, ok := m.Facts.Recall(dest, s.now, m.Settings.HalfLives, knowledge.Prior{Rating: rating, Usual: m.usual}); ok {
-			facts = append(facts, numbered(d, ids))
+		if d, ok := m.Facts.Recall(dest, s.now, m.Settings.HalfLives, knowledge.Prior{Rating: rating, Usual: m.usualLatencyMS}); ok {
+			facts = append(facts, withEndpointIDs(d, ids))
 		}
 	}
 	if len(facts) > 0 {
 		slices.SortFunc(facts, func(a, b policy.DestFacts) int { return cmp.Compare(a.Dest, b.Dest) })
 		s.events = append(s.events, policy.Event{Kind: policy.EvFacts, Facts: facts})
-		s.guard.Recall(s.now, facts)
+		s.stormGuard.Recall(s.now, facts)
 	}
 }
 
 // numbered is d as the module takes it, with the endpoints that ids names.
-func numbered(d *knowledge.Destination, ids map[string]uint32) policy.DestFacts {
+func withEndpointIDs(d *knowledge.Destination, ids map[string]uint32) policy.DestFacts {
 	f := policy.DestFacts{Dest: d.Dest, Shared: d.Shared, Latency: d.Latency, Control: d.Control}
 	for _, e := range d.Endpoints {
 		if id, ok := ids[e.Name]; ok {
@@ -98,81 +98,81 @@
 }
 
 // noteWait tells of a wait that was just heard.
-func (s *Sender) noteWait(c *outbound.Call, wait float64) {
+func (s *Sender) recordWait(c *outbound.Call, wait float64) {
 	r := knowledge.Route{Dest: c.Dest}
-	if s.apart(c.Endpoint) {
-		r.Endpoint = s.addrs[c.Endpoint].Name
+	if s.hasOwnLimits(c.Endpoint) {
+		r.Endpoint = s.endpoints[c.Endpoint].Name
 	}
 	// Its end is rounded up: the partner counts from when its answer was written.
 	until := int64(s.now+wait) + 1
 	s.journal.Hold(journal.Hold{Kind: journal.HoldWait, Dest: r.Dest, Endpoint: r.Endpoint, Until: until}, int64(s.now))
-	if s.memory.Writer != nil {
-		s.memory.Writer.Wait(knowledge.Wait{Route: r, Told: int64(s.now), Until: until})
+	if s.knowledge.Writer != nil {
+		s.knowledge.Writer.Wait(knowledge.Wait{Route: r, Told: int64(s.now), Until: until})
 	}
 }
 
 // apart reports whether an endpoint is a route of its own.
-func (s *Sender) apart(id uint32) bool {
-	kind := s.addrs[id].Kind
-	return kind < len(s.set.Kinds) && s.set.Kinds[kind].OwnLimits
+func (s *Sender) hasOwnLimits(id uint32) bool {
+	kind := s.endpoints[id].Kind
+	return kind < len(s.settings.Kinds) && s.settings.Kinds[kind].OwnLimits
 }
 
 // noteCall notes that a call's end has told something of its endpoint.
-func (s *Sender) noteCall(c *outbound.Call) {
-	if s.memory.Writer != nil {
-		s.memory.heard[c.Endpoint] = true
-		s.memory.touched[c.Dest] = true
+func (s *Sender) recordCall(c *outbound.Call) {
+	if s.knowledge.Writer != nil {
+		s.knowledge.observedEndpoints[c.Endpoint] = true
+		s.knowledge.changedDests[c.Dest] = true
 	}
 }
 
 // tell gives the keeper what has changed, a bounded part in each step. What no call of this life has
 // told of is left as the earlier life wrote it, or its age would be lost.
-func (s *Sender) tell(all bool) {
-	m := &s.memory
-	if m.Writer == nil || len(m.round) == 0 && (len(m.touched) == 0 || !all && s.now < m.roundAt) {
+func (s *Sender) writeKnowledge(all bool) {
+	m := &s.knowledge
+	if m.Writer == nil || len(m.unwrittenDests) == 0 && (len(m.changedDests) == 0 || !all && s.now < m.nextWriteAt) {
 		return
 	}
 	var general *knowledge.Book
-	if len(m.round) == 0 {
-		m.roundAt = s.now + float64(m.Settings.WriteEvery.Milliseconds())
-		general = s.general()
+	if len(m.unwrittenDests) == 0 {
+		m.nextWriteAt = s.now + float64(m.Settings.WriteEvery.Milliseconds())
+		general = s.generalFacts()
 	}
-	if len(m.round) == 0 || all {
-		for dest := range m.touched {
-			m.round = append(m.round, dest)
+	if len(m.unwrittenDests) == 0 || all {
+		for dest := range m.changedDests {
+			m.unwrittenDests = append(m.unwrittenDests, dest)
 		}
-		clear(m.touched)
+		clear(m.changedDests)
 	}
-	n := min(len(m.round), tellMost)
+	n := min(len(m.unwrittenDests), maxDestsPerWrite)
 	if all {
-		n = len(m.round)
+		n = len(m.unwrittenDests)
 	}
 	list := make([]*knowledge.Destination, 0, n)
-	for _, dest := range m.round[:n] {
-		if f, ok := s.mod.Facts(dest); ok {
-			list = append(list, s.named(f))
+	for _, dest := range m.unwrittenDests[:n] {
+		if f, ok := s.module.Facts(dest); ok {
+			list = append(list, s.withEndpointNames(f))
 		}
 	}
-	if m.round = m.round[n:]; len(m.round) == 0 {
-		m.round = nil
+	if m.unwrittenDests = m.unwrittenDests[n:]; len(m.unwrittenDests) == 0 {
+		m.unwrittenDests = nil
 	}
 	m.Writer.Learn(list, general)
 }
 
 // tellAt is when facts are due to be told; false if there are none.
-func (s *Sender) tellAt() (float64, bool) {
-	m := &s.memory
-	if len(m.round) > 0 {
+func (s *Sender) nextKnowledgeWrite() (float64, bool) {
+	m := &s.knowledge
+	if len(m.unwrittenDests) > 0 {
 		return s.now, true
 	}
-	return m.roundAt, len(m.touched) > 0
+	return m.nextWriteAt, len(m.changedDests) > 0
 }
 
 // named is f as the books take it.
-func (s *Sender) named(f policy.DestFacts) *knowledge.Destination {
+func (s *Sender) withEndpointNames(f policy.DestFacts) *knowledge.Destination {
 	d := &knowledge.Destination{Dest: f.Dest, At: s.now, Shared: f.Shared, Latency: f.Latency, Control: f.Control}
 	for _, e := range f.Endpoints {
-		if name := s.addrs[e.ID].Name; name != "" && s.memory.heard[e.ID] {
+		if name := s.endpoints[e.ID].Name; name != "" && s.knowledge.observedEndpoints[e.ID] {
 			d.Endpoints = append(d.Endpoints, knowledge.Endpoint{Name: name, At: s.now, EndpointFacts: e})
 		}
 	}
@@ -181,16 +181,16 @@
 }
 
 // general is what belongs to no one destination, by the names of classes and kinds.
-func (s *Sender) general() *knowledge.Book {
-	g, b := s.mod.GeneralFacts(), knowledge.New("")
+func (s *Sender) generalFacts() *knowledge.Book {
+	g, b := s.module.GeneralFacts(), knowledge.New("")
 	for i, u := range g.Usual {
 		if u.N > 0 {
-			b.Usual[s.set.Classes[i].Name] = knowledge.Usual{At: s.now, LatencyFacts: u}
+			b.Usual[s.settings.Classes[i].Name] = knowledge.Usual{At: s.now, LatencyFacts: u}
 		}
 	}
 	for i, d := range g.Dials {
-		if i < len(s.set.Kinds) && (d.Failed > 0 || d.ShortUntil > 0) {
-			b.Dials[s.set.Kinds[i].Name] = knowledge.Dials{At: s.now, DialFacts: d}
+		if i < len(s.settings.Kinds) && (d.Failed > 0 || d.ShortUntil > 0) {
+			b.Dials[s.settings.Kinds[i].Name] = knowledge.Dials{At: s.now, DialFacts: d}
 		}
 	}
 	b.Staleness = knowledge.Staleness{At: s.now, Share: g.Stale, Gap: g.StaleGap}
--- a/internal/sender/observe.go
+++ b/internal/sender/observe.go
@@ -13,36 +13,36 @@
 )
 
 const (
-	holdsEvery  = 10.0   // milliseconds between two looks at why messages wait
-	gaugesEvery = 1000.0 // and between two sets of gauges
+	holdsInterval  = 10.0   // milliseconds between two looks at why messages wait
+	gaugesInterval = 1000.0 // and between two sets of gauges
 )
 
 // observer tells telemetry, and the log where that is wanted, what the sender does. All of it is a push into a
 // bounded queue or a line; with a nil Recorder and without lines it is nothing.
 type observer struct {
 	*telemetry.Recorder
-	lines    bool // a line in the log for each record of a message
-	log      zerolog.Logger
-	holds    map[int]policy.Hold // as told
-	holdsAt  float64
-	gaugesAt float64
-	skipped  bool // a look was too soon after the last: one is due at holdsAt
+	logRecords    bool // a line in the log for each record of a message
+	log           zerolog.Logger
+	reportedHolds map[int]policy.Hold // as told
+	nextHolds     float64
+	nextGauges    float64
+	holdsSkipped  bool // a look was too soon after the last: one is due at holdsAt
 }
 
 // On tells whether records are wanted.
-func (w *observer) On() bool { return w.lines || w.Recorder.On() }
+func (w *observer) On() bool { return w.logRecords || w.Recorder.On() }
 
 // Push tells of one thing.
 func (w *observer) Push(r telemetry.Record) {
-	if w.lines {
-		w.line(&r)
+	if w.logRecords {
+		w.logRecord(&r)
 	}
 	w.Recorder.Push(r)
 }
 
 // line writes a record of a message, for "sliptide lab count". A message is named by its number; the record of its
 // taking on has the id that its client gave it, too.
-func (w *observer) line(r *telemetry.Record) {
+func (w *observer) logRecord(r *telemetry.Record) {
 	e := w.log.Log().Int32("dest", r.Dest)
 	switch r.Kind {
 	case telemetry.Taken:
@@ -69,13 +69,13 @@
 	switch {
 	case c.Reason == outbound.CloseUnsolicited:
 		e = w.log.Warn()
-	case !w.lines:
+	case !w.logRecords:
 		return
 	}
 	e.Uint32("endpoint", c.Endpoint).Str("addr", c.Addr).Stringer("reason", c.Reason).Int("answers", c.Answers).Str("record", "closed").Send()
 }
 
-func parent(v []byte) *telemetry.Parent {
+func parseParent(v []byte) *telemetry.Parent {
 	if len(v) == 0 {
 		return nil
 	}
@@ -88,7 +88,7 @@
 		return
 	}
 	s.observer.Push(telemetry.Record{Kind: telemetry.Taken, Num: e.Num, Dest: int32(e.Dest), Class: uint8(class), Again: e.Again, Restored: restored,
-		Attempt: int16(e.Attempts), At: s.now, Until: float64(e.Deadline), Text: e.Trace, Parent: parent([]byte(e.Parent))})
+		Attempt: int16(e.Attempts), At: s.now, Until: float64(e.Deadline), Text: e.Trace, Parent: parseParent([]byte(e.Parent))})
 }
 
 func (s *Sender) observeRefused(dest int, why telemetry.Cause) {
@@ -110,11 +110,11 @@
 		return
 	}
 	s.observer.Push(telemetry.Record{Kind: telemetry.Ended, Num: e.ID, Dest: int32(c.Dest), Endpoint: c.Endpoint, Attempt: int16(e.Attempt), Outcome: uint8(e.Outcome),
-		MayHaveRun: e.Outcome != policy.OK && !e.Outcome.NeverRan(), Wait: e.Wait, At: s.now, Until: s.now - max(e.Latency, 0), Text: c.Addr, Left: s.told(e, s.set.X0), Value: s.told(e, s.set.X1)})
+		MayHaveRun: e.Outcome != policy.OK && !e.Outcome.NeverRan(), Wait: e.Wait, At: s.now, Until: s.now - max(e.Latency, 0), Text: c.Addr, Left: s.reportField(e, s.settings.X0), Value: s.reportField(e, s.settings.X1)})
 }
 
 // told is a value of the report that came with an outcome, 0 if there was none.
-func (s *Sender) told(e *policy.Event, field int) float64 {
+func (s *Sender) reportField(e *policy.Event, field int) float64 {
 	if field < 0 || field >= len(e.Report) {
 		return 0
 	}
@@ -133,7 +133,7 @@
 	}
 }
 
-var causes = [...]telemetry.Cause{
+var holdCauses = [...]telemetry.Cause{
 	policy.HoldNone: telemetry.CauseNone, policy.HoldTold: telemetry.CauseTold, policy.HoldBreaker: telemetry.CauseBreaker,
 	policy.HoldCap: telemetry.CauseStorm, policy.HoldPace: telemetry.CausePace, policy.HoldSlot: telemetry.CauseSlot, policy.HoldRetry: telemetry.CauseRetry,
 }
@@ -144,43 +144,43 @@
 	if !w.On() {
 		return
 	}
-	if w.skipped = s.now < w.holdsAt; w.skipped {
+	if w.holdsSkipped = s.now < w.nextHolds; w.holdsSkipped {
 		return
 	}
-	w.holdsAt = s.now + holdsEvery
+	w.nextHolds = s.now + holdsInterval
 	waiting := 0
-	fresh := make(map[int]policy.Hold, len(w.holds))
-	s.mod.EachWaiting(func(dest int, why policy.Hold) {
+	current := make(map[int]policy.Hold, len(w.reportedHolds))
+	s.module.EachWaiting(func(dest int, why policy.Hold) {
 		waiting++
-		fresh[dest] = why
-		if old, told := w.holds[dest]; !told || old != why {
-			w.Push(telemetry.Record{Kind: telemetry.Holds, Dest: int32(dest), Cause: causes[why], At: s.now})
+		current[dest] = why
+		if old, told := w.reportedHolds[dest]; !told || old != why {
+			w.Push(telemetry.Record{Kind: telemetry.Holds, Dest: int32(dest), Cause: holdCauses[why], At: s.now})
 		}
 	})
-	for dest := range w.holds {
-		if _, still := fresh[dest]; !still {
+	for dest := range w.reportedHolds {
+		if _, still := current[dest]; !still {
 			w.Push(telemetry.Record{Kind: telemetry.Holds, Dest: int32(dest), At: s.now})
 		}
 	}
-	w.holds = fresh
-	if s.now < w.gaugesAt {
+	w.reportedHolds = current
+	if s.now < w.nextGauges {
 		return
 	}
-	w.gaugesAt = s.now + gaugesEvery
+	w.nextGauges = s.now + gaugesInterval
 	gauge := func(name telemetry.Name, v float64) {
 		w.Push(telemetry.Record{Kind: telemetry.Gauge, Name: name, Value: v, At: s.now})
 	}
-	gauge(telemetry.Held, float64(len(s.msgs)))
+	gauge(telemetry.Held, float64(len(s.messages)))
 	gauge(telemetry.CallsOut, float64(len(s.calls)))
 	gauge(telemetry.Waiting, float64(waiting))
 	gauge(telemetry.JournalBytes, float64(s.journal.Size()))
-	broken, warming, told := s.mod.Overview()
-	gauge(telemetry.BreakersOpen, float64(broken))
-	gauge(telemetry.Ramping, float64(warming))
-	gauge(telemetry.LimitTold, told)
+	openBreakers, ramping, advertised := s.module.Overview()
+	gauge(telemetry.BreakersOpen, float64(openBreakers))
+	gauge(telemetry.Ramping, float64(ramping))
+	gauge(telemetry.LimitTold, advertised)
 	gauge(telemetry.Connections, float64(s.pool.Open()))
-	if s.guard != nil {
-		st := s.guard.Stats()
+	if s.stormGuard != nil {
+		st := s.stormGuard.Stats()
 		gauge(telemetry.StormPromised, float64(st.Promised))
 		gauge(telemetry.StormOverbooked, float64(st.Overbooked))
 	}
@@ -194,30 +194,30 @@
 	}
 	if c := s.copies; c != nil {
 		held := 0.0
-		if c.live {
+		if c.leaseHeld {
 			held = 1
 		}
 		gauge(telemetry.CopiesHeld, held)
 		gauge(telemetry.CopiesLag, float64(c.owner.Furthest()))
-		gauge(telemetry.CopiesWaiting, float64(len(c.lines)))
-		gauge(telemetry.CopiesShort, float64(c.short))
+		gauge(telemetry.CopiesWaiting, float64(len(c.waits)))
+		gauge(telemetry.CopiesShort, float64(c.shortCount))
 	}
 }
 
 // observeWait is when observeStep wants to be called again while messages are held: a reason changes with time alone.
-func (s *Sender) observeWait(wait time.Duration) time.Duration {
+func (s *Sender) untilObservation(wait time.Duration) time.Duration {
 	switch {
-	case !s.observer.On() || len(s.msgs) == 0:
+	case !s.observer.On() || len(s.messages) == 0:
 		return wait
-	case s.observer.skipped:
-		return min(wait, millis(s.observer.holdsAt-s.clock.Now()))
+	case s.observer.holdsSkipped:
+		return min(wait, fromMillis(s.observer.nextHolds-s.clock.Now()))
 	}
 	return min(wait, 100*time.Millisecond)
 }
 
 // whyNot is why nothing more is taken on.
-func (s *Sender) whyNot() telemetry.Cause {
-	if !s.stopAt.IsZero() {
+func (s *Sender) refusalCause() telemetry.Cause {
+	if !s.stopRequestedAt.IsZero() {
 		return telemetry.CauseStop
 	}
 	return telemetry.CauseRoom
--- a/internal/sender/outcomes.go
+++ b/internal/sender/outcomes.go
@@ -13,7 +13,7 @@
 // This file ends things: calls, attempts, and messages with their notices.
 
 // takeOutcome books the end of a call.
-func (s *Sender) takeOutcome(c *outbound.Call, events []policy.Event) {
+func (s *Sender) handleOutcome(c *outbound.Call, events []policy.Event) {
 	delete(s.calls, c)
 	if c.Given() { // see leaderEnds
 		for i := range events {
@@ -26,15 +26,15 @@
 	for i := range events {
 		e := &events[i]
 		if e.Wait > 0 {
-			s.hold(c)
-			s.noteWait(c, e.Wait)
+			s.dropCallsWithin(c)
+			s.recordWait(c, e.Wait)
 		}
 		if e.Outcome != policy.Moot { // one that was not sent tells nothing
-			s.noteCall(c)
+			s.recordCall(c)
 		}
-		s.guard.Outcome(s.now, e)
-		s.tried(c.Dest, e)
-		m := s.msgs[e.ID]
+		s.stormGuard.Outcome(s.now, e)
+		s.recordFailedCall(c.Dest, e)
+		m := s.messages[e.ID]
 		if m == nil || m.call != c {
 			continue
 		}
@@ -46,7 +46,7 @@
 				end = telemetry.Closed
 			}
 			s.observeOver(m.Entry, end, 0)
-			s.over(m)
+			s.complete(m)
 			continue
 		}
 		s.journal.Outcome(m.Entry, !e.Outcome.NeverRan())
@@ -55,42 +55,42 @@
 
 // hold keeps calls back that still wait for their connection when a wait is told:
 // they would reach the destination inside it.
-func (s *Sender) hold(told *outbound.Call) {
-	apart := s.apart(told.Endpoint)
+func (s *Sender) dropCallsWithin(requested *outbound.Call) {
+	ownLimits := s.hasOwnLimits(requested.Endpoint)
 	for c := range s.calls {
-		if c.Dest == told.Dest && (!apart || c.Endpoint == told.Endpoint) {
-			s.drop(c)
+		if c.Dest == requested.Dest && (!ownLimits || c.Endpoint == requested.Endpoint) {
+			s.dropUnsent(c)
 		}
 	}
 }
 
 // drop gives up a call that has not begun, and reports whether it did; its messages learn at once that it never ran.
-func (s *Sender) drop(c *outbound.Call) bool {
+func (s *Sender) dropUnsent(c *outbound.Call) bool {
 	if c == nil || !c.Drop() {
 		return false
 	}
-	s.takeOutcome(c, c.Dropped())
+	s.handleOutcome(c, c.Dropped())
 	return true
 }
 
 // cutShort ends attempts whose time is up in a call that goes on for others: a
 // message with little time left would otherwise be out beyond its deadline with
 // the rest of a bulk call, and its end would come too late.
-func (s *Sender) cutShort() {
+func (s *Sender) endExpiredAttempts() {
 	for c := range s.calls {
 		if len(c.Items) < 2 {
 			continue // its connection ends it
 		}
 		for i := range c.Items {
-			m := s.msgs[c.Items[i].ID]
-			if m == nil || m.call != c || m.cutAt > s.now {
+			m := s.messages[c.Items[i].ID]
+			if m == nil || m.call != c || m.attemptDeadline > s.now {
 				continue
 			}
-			if s.drop(c) { // it still waits for its connection, and would take along what is ended by then
+			if s.dropUnsent(c) { // it still waits for its connection, and would take along what is ended by then
 				break
 			}
 			m.call = nil
-			s.leaderEnds(c, m)
+			s.abandonIfFirst(c, m)
 			s.journal.Outcome(m.Entry, true)
 			s.events = append(s.events, policy.Event{
 				Kind: policy.EvOutcome, ID: m.Num, Attempt: c.Items[i].Attempt, Endpoint: c.Endpoint,
@@ -101,19 +101,19 @@
 	}
 }
 
-func (s *Sender) takeTold(nums []uint64) {
+func (s *Sender) handleAckedNotices(nums []uint64) {
 	for _, num := range nums {
-		if e := s.owed[num]; e != nil {
-			delete(s.owed, num)
+		if e := s.pendingNotices[num]; e != nil {
+			delete(s.pendingNotices, num)
 			s.journal.End(e)
 		}
 	}
 }
 
 // over forgets a message to which nothing more is owed.
-func (s *Sender) over(m *message) {
+func (s *Sender) complete(m *message) {
 	s.journal.End(m.Entry)
-	s.past.add(m.Trace, s.now)
+	s.ended.add(m.Trace, s.now)
 	s.forget(m)
 }
 
@@ -121,26 +121,26 @@
 // Guards against an answer that a partner writes to a call that it knows by that message: it names the others as
 // accepted, and may count for nothing. They are in doubt from here on, whichever comes first, the end or the answer.
 // lead makes this rare.
-func (s *Sender) leaderEnds(c *outbound.Call, m *message) {
+func (s *Sender) abandonIfFirst(c *outbound.Call, m *message) {
 	if c != nil && len(c.Items) > 1 && c.Items[0].ID == m.Num {
 		c.GiveUp()
 	}
 }
 
 func (s *Sender) forget(m *message) {
-	s.leaderEnds(m.call, m)
-	delete(s.msgs, m.Num)
-	delete(s.traces, m.Trace)
-	s.guard.Held(s.now, m.Dest, -1)
+	s.abandonIfFirst(m.call, m)
+	delete(s.messages, m.Num)
+	delete(s.numByTrace, m.Trace)
+	s.stormGuard.Held(s.now, m.Dest, -1)
 }
 
 // owe ends a message that was taken on by a notice. It is over once that is taken.
-func (s *Sender) owe(e *journal.Entry, ending int, after float64) {
+func (s *Sender) endWithNotice(e *journal.Entry, ending int, after float64) {
 	s.journal.Owe(e, ending, int64(after))
-	s.owed[e.Num] = e
-	s.notify(e)
+	s.pendingNotices[e.Num] = e
+	s.sendNotice(e)
 }
 
-func (s *Sender) notify(e *journal.Entry) {
-	s.notices(discovery.Notice{Num: e.Num, Trace: e.Trace, HandedBack: e.Ending == journal.HandedBack, RetryMS: e.RetryMS})
+func (s *Sender) sendNotice(e *journal.Entry) {
+	s.notify(discovery.Notice{Num: e.Num, Trace: e.Trace, HandedBack: e.Ending == journal.HandedBack, RetryMS: e.RetryMS})
 }
--- a/internal/sender/window_test.go
+++ b/internal/sender/repeatwindow_test.go
@@ -10,11 +10,11 @@
 
 // A repeat of what may have run carries the end of its partner's window with it, from the first attempt that may have
 // run; a first attempt, and a class that may be repeated at will, carry none.
-func TestARepeatCarriesItsWindow(t *testing.T) {
-	b := newBench(t, t.TempDir(), listen(t).Addr().String(), benchSettings())
-	b.hand("keyed", 1, 20*time.Second)
-	b.hand("safe", 0, 20*time.Second)
-	b.next()
+func TestRepeatCarriesWindowEnd(t *testing.T) {
+	b := newTestSender(t, t.TempDir(), listen(t).Addr().String(), testSettings())
+	b.submit("keyed", 1, 20*time.Second)
+	b.submit("safe", 0, 20*time.Second)
+	b.nextStep()
 	only := func() *outbound.Call {
 		t.Helper()
 		if len(b.calls) != 1 {
@@ -29,7 +29,7 @@
 	if !first.Until.IsZero() {
 		t.Errorf("a first attempt is bound: %v", first.Until)
 	}
-	began := time.UnixMilli(b.msgs[b.traces["keyed"]].DoubtAt)
+	began := time.UnixMilli(b.messages[b.numByTrace["keyed"]].DoubtAt)
 	if !began.Equal(time.UnixMilli(0)) {
 		t.Fatalf("in doubt before its call has ended: %v", began)
 	}
@@ -37,16 +37,16 @@
 	for _, it := range first.Items {
 		events = append(events, policy.Event{Kind: policy.EvOutcome, ID: it.ID, Endpoint: 1, Outcome: policy.Reset})
 	}
-	b.take(input{call: first, events: events})
-	b.next()
-	m, safe := b.msgs[b.traces["keyed"]], b.msgs[b.traces["safe"]]
+	b.handleInput(input{call: first, events: events})
+	b.nextStep()
+	m, safe := b.messages[b.numByTrace["keyed"]], b.messages[b.numByTrace["safe"]]
 	b.await("no repeat", func() bool { return m.call != nil })
-	window := float64(m.DoubtAt) + benchClasses[1].MemorySpan
+	window := float64(m.DoubtAt) + testClasses[1].MemorySpan
 	left := window - b.now - float64(time.Until(m.call.Until))/1e6
-	if m.call.Until.IsZero() || left <= 0 || left > benchClasses[1].MemorySpan {
+	if m.call.Until.IsZero() || left <= 0 || left > testClasses[1].MemorySpan {
 		t.Errorf("the repeat may be written until %v, %g ms before the window's end", m.call.Until, left)
 	}
-	if _, bound := b.repeatUntil(safe); bound || safe.DoubtAt == 0 {
+	if _, bound := b.repeatDeadline(safe); bound || safe.DoubtAt == 0 {
 		t.Error("a class that may be repeated at will is bound")
 	}
 }
--- a/internal/sender/restored_test.go
+++ b/internal/sender/restored_test.go
@@ -12,43 +12,43 @@
 
 // Messages of each effect are taken on, and the process is killed before any is sent. The next life tries them all:
 // also where its settings lack their class, and where they define it anew.
-func TestWhatIsRestoredUntriedIsTried(t *testing.T) {
+func TestRestoredUnsentMessagesAreSent(t *testing.T) {
 	for name, change := range map[string]func(*policy.Settings){
 		"same settings":       func(*policy.Settings) {},
-		"classes defined new": func(set *policy.Settings) { set.Classes = turned(set.Classes) },
+		"classes defined new": func(set *policy.Settings) { set.Classes = rotateEffects(set.Classes) },
 		"classes gone":        func(set *policy.Settings) { set.Classes = []policy.Class{{Name: "other", Aim: 100, Deadline: 100}} },
 	} {
 		dir := t.TempDir()
-		b := newBench(t, dir, "", benchSettings())
-		b.dests[3] = true // and no endpoint yet
+		b := newTestSender(t, dir, "", testSettings())
+		b.listedDests[3] = true // and no endpoint yet
 		for i := range 30 {
-			b.hand(string(rune('A'+i)), i%3, 20*time.Second)
+			b.submit(string(rune('A'+i)), i%3, 20*time.Second)
 		}
-		b.next()
+		b.nextStep()
 		b.journal.Close()
 
 		called := make(chan string, 100)
 		srv := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, q *http.Request) { called <- q.Header.Get("X-Trace-Id") }))
-		set := benchSettings()
+		set := testSettings()
 		set.Kinds = []policy.DestKind{{Batch: 1}}
 		change(&set)
-		next := newBench(t, dir, srv.Listener.Addr().String(), set)
-		tried := map[string]bool{}
-		next.await(name+": not all are tried", func() bool {
+		restarted := newTestSender(t, dir, srv.Listener.Addr().String(), set)
+		sent := map[string]bool{}
+		restarted.await(name+": not all are tried", func() bool {
 			for len(called) > 0 {
-				tried[<-called] = true
+				sent[<-called] = true
 			}
-			return len(tried) == 30
+			return len(sent) == 30
 		})
-		if len(next.notices) > 0 {
-			t.Errorf("%s: %d given up without a call", name, len(next.notices))
+		if len(restarted.notices) > 0 {
+			t.Errorf("%s: %d given up without a call", name, len(restarted.notices))
 		}
 		srv.Close()
 	}
 }
 
 // turned gives each class another effect.
-func turned(classes []policy.Class) []policy.Class {
+func rotateEffects(classes []policy.Class) []policy.Class {
 	out := slices.Clone(classes)
 	for i := range out {
 		out[i].Effect = classes[(i+1)%len(classes)].Effect
@@ -59,27 +59,27 @@
 
 // One that may have run, of a class that the settings lack, is not repeated: it ends at once. Nor may a client hand
 // one in under what stands for that class.
-func TestRestoredOfAnUnknownClassIsNotRepeated(t *testing.T) {
+func TestRestoredMessageOfUnknownClassIsNotRepeated(t *testing.T) {
 	dir, ln := t.TempDir(), listen(t)
-	b := newBench(t, dir, ln.Addr().String(), benchSettings())
-	b.hand("m", 0, 20*time.Second)
-	b.next()
-	if b.msgs[b.traces["m"]].call == nil {
+	b := newTestSender(t, dir, ln.Addr().String(), testSettings())
+	b.submit("m", 0, 20*time.Second)
+	b.nextStep()
+	if b.messages[b.numByTrace["m"]].call == nil {
 		t.Fatal("no call")
 	}
 	b.journal.Close()
-	set := benchSettings()
+	set := testSettings()
 	set.Classes = []policy.Class{{Name: "other", Aim: 2000, Deadline: 20000, Worth: 1}}
-	next := newBench(t, dir, ln.Addr().String(), set)
-	next.next()
-	if len(next.calls) > 0 {
+	restarted := newTestSender(t, dir, ln.Addr().String(), set)
+	restarted.nextStep()
+	if len(restarted.calls) > 0 {
 		t.Error("a message that may have run was sent again")
 	}
-	if n := <-next.notices; n.Trace != "m" || n.HandedBack {
+	if n := <-restarted.notices; n.Trace != "m" || n.HandedBack {
 		t.Errorf("notice %+v, want that it was given up", n)
 	}
 	for _, name := range []string{"", "safe"} {
-		if i, _ := next.ClassOf([]byte(name)); i >= 0 {
+		if i, _ := restarted.ClassOf([]byte(name)); i >= 0 {
 			t.Errorf("clients can name %q, class %d", name, i)
 		}
 	}
--- a/internal/sender/again.go
+++ b/internal/sender/resubmission.go
@@ -14,19 +14,19 @@
 
 // claim is what the fleet is asked about the messages of one step that were handed in again.
 type claim struct {
-	keys  []uint64
-	done  bool     // it has answered
-	taken []uint64 // of these, those that an heir has
+	keys      []uint64
+	answered  bool     // it has answered
+	takenOver []uint64 // of these, those that an heir has
 }
 
 // has reports whether an heir has the message of an entry.
 func (c *claim) has(e *journal.Entry) bool {
-	return c != nil && slices.Contains(c.taken, keyHash([]byte(e.Key)))
+	return c != nil && slices.Contains(c.takenOver, keyHash([]byte(e.Key)))
 }
 
 // answered reports whether the fleet has said what it was asked.
-func answered(claims []*claim) bool {
-	return !slices.ContainsFunc(claims, func(c *claim) bool { return !c.done })
+func allAnswered(claims []*claim) bool {
+	return !slices.ContainsFunc(claims, func(c *claim) bool { return !c.answered })
 }
 
 // claimFor is the claim of a message that is being taken on; nil: it needs none.
@@ -43,7 +43,7 @@
 }
 
 // askAgain asks the fleet about what was handed in again in this step.
-func (s *Sender) askAgain() {
+func (s *Sender) proposeClaim() {
 	c := s.copies
 	q := c.claim
 	if c.claim = nil; q == nil {
@@ -53,14 +53,14 @@
 		if err != nil {
 			return // without a word the messages are refused when their time to wait is over
 		}
-		s.copyNews(copyNews{do: func() { q.done, q.taken = true, a.GetKeys() }})
+		s.enqueueCopyInput(copyInput{run: func() { q.answered, q.takenOver = true, a.GetKeys() }})
 	})
 }
 
 // openClaims are the claims of messages that are not answered yet.
 func (s *Sender) openClaims(nums ...uint64) (list []*claim) {
 	for _, num := range nums {
-		if m := s.msgs[num]; m != nil && m.claim != nil && !m.claim.done && !slices.Contains(list, m.claim) {
+		if m := s.messages[num]; m != nil && m.claim != nil && !m.claim.answered && !slices.Contains(list, m.claim) {
 			list = append(list, m.claim)
 		}
 	}
@@ -68,9 +68,9 @@
 }
 
 // elsewhere reports whether an heir has a message of a call.
-func (s *Sender) elsewhere(call *outbound.Call) bool {
+func (s *Sender) anyTakenOver(call *outbound.Call) bool {
 	for i := range call.Items {
-		if m := s.msgs[call.Items[i].ID]; m != nil && m.claim.has(m.Entry) {
+		if m := s.messages[call.Items[i].ID]; m != nil && m.claim.has(m.Entry) {
 			return true
 		}
 	}
--- a/internal/sender/rig_test.go
+++ b/internal/sender/rig_test.go
@@ -14,7 +14,7 @@
 )
 
 // bench is a Sender whose steps the test makes itself, with one endpoint.
-type bench struct {
+type testSender struct {
 	*Sender
 	t       *testing.T
 	dir     string
@@ -23,24 +23,24 @@
 }
 
 // classes of each effect, in this order.
-var benchClasses = []policy.Class{
+var testClasses = []policy.Class{
 	{Name: "safe", Aim: 2000, Deadline: 20000, Worth: 1, LateWorth: 0.5, Effect: policy.Safe},
 	{Name: "keyed", Aim: 2000, Deadline: 20000, Worth: 1, LateWorth: 0.5, Effect: policy.Keyed, MemorySpan: 2000},
 	{Name: "unsafe", Aim: 2000, Deadline: 20000, Worth: 1, LateWorth: 0.5, Effect: policy.Unsafe},
 }
 
-func benchSettings() policy.Settings {
+func testSettings() policy.Settings {
 	return policy.Settings{
 		Senders: 1, CallSlots: 10, MaxAttempts: 6, MaxHeld: 100, KeepAlive: 10000, DialTimeout: 1500, Cold: 10000, ColdFrom: 0.25,
 		TipMultiple: 1.5, TipAfter: 3000, TellsRetry: true, MaxRetryAfter: 2000, X0: -1, X1: -1, Round: 1,
-		Kinds: []policy.DestKind{{Batch: 5}}, Classes: benchClasses,
+		Kinds: []policy.DestKind{{Batch: 5}}, Classes: testClasses,
 	}
 }
 
 // newBench opens dir's journal; addr is of the endpoint of destination 3.
-func newBench(t *testing.T, dir, addr string, set policy.Settings) *bench {
+func newTestSender(t *testing.T, dir, addr string, set policy.Settings) *testSender {
 	t.Helper()
-	b := &bench{t: t, dir: dir, notices: make(chan discovery.Notice, 100)}
+	b := &testSender{t: t, dir: dir, notices: make(chan discovery.Notice, 100)}
 	j, restored, err := journal.Open(dir, statedir.NewSpace(1<<20).Account())
 	if err != nil {
 		t.Fatal(err)
@@ -50,46 +50,46 @@
 	b.Sender = New(Options{Settings: set, Seed: 1, MaxConns: 10, Journal: j, Restored: restored, Clock: NewClock(), Log: zerolog.Nop(),
 		Notify: func(n discovery.Notice) { b.notices <- n }})
 	if addr != "" {
-		b.list(addr)
+		b.listEndpoint(addr)
 	}
 	return b
 }
 
 // list lists the endpoint of destination 3.
-func (b *bench) list(addr string) {
-	b.takeList(&discovery.List{Full: true, Entries: []discovery.Endpoint{{Endpoint: policy.Endpoint{ID: 1, Dest: 3, State: policy.Ready}, Name: "e", Addr: addr}}})
+func (b *testSender) listEndpoint(addr string) {
+	b.handleList(&discovery.List{Full: true, Entries: []discovery.Endpoint{{Endpoint: policy.Endpoint{ID: 1, Dest: 3, State: policy.Ready}, Name: "e", Addr: addr}}})
 }
 
 // next makes one step at the present time.
-func (b *bench) next() {
-	b.tick()
+func (b *testSender) nextStep() {
+	b.updateNow()
 	b.step()
 }
 
 // hand hands a message in for the next step.
-func (b *bench) hand(trace string, class int, left time.Duration) chan Verdict {
-	o := &order{msg: &Message{Trace: []byte(trace), Key: []byte("k-" + trace), Class: class, Dest: 3, Remaining: left, Body: []byte(trace)}, received: time.Now(), verdict: make(chan Verdict, 1)}
-	b.takeOrder(o)
+func (b *testSender) submit(trace string, class int, left time.Duration) chan Verdict {
+	o := &submission{msg: &Message{Trace: []byte(trace), Key: []byte("k-" + trace), Class: class, Dest: 3, Remaining: left, Body: []byte(trace)}, received: time.Now(), verdict: make(chan Verdict, 1)}
+	b.handleSubmission(o)
 	return o.verdict
 }
 
 // await takes what happens on the sockets until ok, stepping.
-func (b *bench) await(what string, ok func() bool) {
+func (b *testSender) await(what string, ok func() bool) {
 	b.t.Helper()
-	for end := time.After(patient); !ok(); {
+	for end := time.After(testTimeout); !ok(); {
 		select {
-		case in := <-b.in:
-			b.tick()
-			b.take(in)
+		case in := <-b.inputs:
+			b.updateNow()
+			b.handleInput(in)
 		case <-time.After(time.Millisecond):
 		case <-end:
 			b.t.Fatal(what)
 		}
-		b.next()
+		b.nextStep()
 	}
 }
 
-const patient = 10 * time.Second
+const testTimeout = 10 * time.Second
 
 // listen is an endpoint's address, closed with the test.
 func listen(t *testing.T) *net.TCPListener {
--- a/internal/sender/sender.go
+++ b/internal/sender/sender.go
@@ -22,16 +22,16 @@
 )
 
 const (
-	queued    = 256                     // inputs that wait for the next step
-	batchMost = 512                     // inputs of one step
-	sendFor   = 2500 * time.Millisecond // after the stop, new calls still begin so long
-	stopAfter = 3000 * time.Millisecond // and the sender leaves at the latest then
-	pastFor   = 30000.0                 // milliseconds that the id of a message that is over is known
-	pastMost  = 8192                    // ids of these, at most
-	dialMost  = 500.0                   // milliseconds that a connection may take to come up
-	lateLeast = 1000.0                  // retry-after where there is no room, in milliseconds
-
-	journalRetry = 20 * time.Millisecond // between two tries to write the journal
+	inputQueueSize     = 256                     // inputs that wait for the next step
+	maxStepInputs      = 512                     // inputs of one step
+	stopSendWindow     = 2500 * time.Millisecond // after the stop, new calls still begin so long
+	stopTimeout        = 3000 * time.Millisecond // and the sender leaves at the latest then
+	endedIDRetentionMS = 30000.0                 // milliseconds that the id of a message that is over is known
+	maxEndedIDs        = 8192                    // ids of these, at most
+	maxDialTimeoutMS   = 500.0                   // milliseconds that a connection may take to come up
+	maxBusyRetryMS     = 1000.0                  // retry-after where there is no room, in milliseconds
+
+	journalRetryInterval = 20 * time.Millisecond // between two tries to write the journal
 )
 
 // MaxDestinations is how many destinations a sender knows at most; a message for a further one is refused.
@@ -72,32 +72,32 @@
 
 // input is one thing that has happened.
 type input struct {
-	order   *order
-	call    *outbound.Call // ended, with these events
-	events  []policy.Event
-	list    *discovery.List
-	sharded *sharding.Update
-	told    []uint64 // messages whose notice was taken
-	gone    uint64   // message that its client never heard was taken on
-	out     *outOrder
-	retune  *policy.Settings
+	submission   *submission
+	call         *outbound.Call // ended, with these events
+	events       []policy.Event
+	list         *discovery.List
+	shardUpdate  *sharding.Update
+	ackedNotices []uint64 // messages whose notice was taken
+	withdrawn    uint64   // message that its client never heard was taken on
+	disable      *disableRequest
+	settings     *policy.Settings
 	// takeOver ends the waiting of an heir; handOver stops a sender whose heir waits.
-	takeOver    *takeOver
+	upgrade     *upgradeTakeover
 	stop        bool
 	handOver    bool
 	clientsGone bool // nothing more is handed in or withdrawn
-	kick        bool // there is news of the fleet
+	wake        bool // there is news of the fleet
 }
 
 // outOrder takes an endpoint out by hand, or puts it back.
-type outOrder struct {
-	id    string
-	out   bool
-	known bool // another process of this sender has taken it: no list need have named it here
-	done  chan error
+type disableRequest struct {
+	id         string
+	disabled   bool
+	replicated bool // another process of this sender has taken it: no list need have named it here
+	done       chan error
 }
 
-type order struct {
+type submission struct {
 	msg      *Message
 	received time.Time
 	verdict  chan Verdict
@@ -106,31 +106,31 @@
 // message is one message in the sender's hands, until it is over.
 type message struct {
 	*journal.Entry
-	class   int            // position in the settings, of the definition that it was taken on under
-	takenAt float64        // 0: in an earlier life
-	call    *outbound.Call // that is out with it
-	cutAt   float64        // when the attempt's time is up
-	claim   *claim         // the fleet is asked whether an heir has it; nil: it need not be
+	class           int            // position in the settings, of the definition that it was taken on under
+	acceptedAt      float64        // 0: in an earlier life
+	call            *outbound.Call // that is out with it
+	attemptDeadline float64        // when the attempt's time is up
+	claim           *claim         // the fleet is asked whether an heir has it; nil: it need not be
 }
 
 // past knows the ids of messages that are over, for a while.
-type past struct {
-	ids  map[string]bool
-	line []pastID // oldest first
+type endedIDs struct {
+	ids   map[string]bool
+	queue []endedID // oldest first
 }
 
-type pastID struct {
-	trace string
-	at    float64
+type endedID struct {
+	trace   string
+	endedAt float64
 }
 
-func (p *past) add(trace string, now float64) {
-	for len(p.line) > 0 && (len(p.line) >= pastMost || now-p.line[0].at > pastFor) {
-		delete(p.ids, p.line[0].trace)
-		p.line = p.line[1:]
+func (p *endedIDs) add(trace string, now float64) {
+	for len(p.queue) > 0 && (len(p.queue) >= maxEndedIDs || now-p.queue[0].endedAt > endedIDRetentionMS) {
+		delete(p.ids, p.queue[0].trace)
+		p.queue = p.queue[1:]
 	}
 	p.ids[trace] = true
-	p.line = append(p.line, pastID{trace, now})
+	p.queue = append(p.queue, endedID{trace, now})
 }
 
 // Options are the parts that a Sender works with.
@@ -158,62 +158,62 @@
 
 // Sender carries out what the decision module decides.
 type Sender struct {
-	set     policy.Settings
-	mod     *policy.Sender
-	log     zerolog.Logger
-	journal *journal.Journal
-	notices func(discovery.Notice)
-	pool    *outbound.Pool
-	in      chan input
-	done    chan struct{}
-
-	clock    Clock
-	now      float64
-	memory   memory
-	guard    *storm.Guard
-	fleet    Fleet                  // nil: none
-	copies   *copier                // nil: the journal is not copied
-	refuses  atomic.Pointer[string] // why nothing is taken on, as Refuses tells; nil: it is
-	trials   *trials                // nil: not shared
-	shards   *shards                // nil: all destinations are served
-	observer observer
-
-	msgs    map[uint64]*message // taken on and not over, and not waiting for a notice
-	traces  map[string]uint64
-	past    past                          // ids of messages that were taken on and are over
-	dests   map[int]bool                  // that have been listed
-	full    bool                          // a destination past MaxDestinations has been reported
-	owed    map[uint64]*journal.Entry     // whose notice is not taken yet
-	addrs   map[uint32]discovery.Endpoint // as listed, without what was said by hand
-	names   map[string]uint32             // every endpoint that a list has named
-	out     operate.Out
-	shut    operate.Shut               // endpoints that a lost sender kept away from, whose messages are this one's
-	classes atomic.Pointer[classTable] // shared with intake
-	heir    bool
-	waiting []discovery.List // lists that an heir holds back
-	partner func(dest int) *outbound.Partner
-	streams int
-	calls   map[*outbound.Call]bool // out
-	events  []policy.Event
-	actions []policy.Action
-	orders  []*taking
-	sends   []*outbound.Call // of this step
-	again   bool             // events are left for a further step
-	halted  bool             // the journal can't be written: nothing is taken on or sent
-	timer   *time.Timer
-	timerAt float64
-	token   uint32
-	stopAt  time.Time // zero: not stopping
-	handing bool      // stopping for an heir: no further call begins
-	gone    bool      // the clients are
+	settings policy.Settings
+	module   *policy.Sender
+	log      zerolog.Logger
+	journal  *journal.Journal
+	notify   func(discovery.Notice)
+	pool     *outbound.Pool
+	inputs   chan input
+	done     chan struct{}
+
+	clock      Clock
+	now        float64
+	knowledge  knowledgeState
+	stormGuard *storm.Guard
+	fleet      Fleet                  // nil: none
+	copies     *copier                // nil: the journal is not copied
+	refusal    atomic.Pointer[string] // why nothing is taken on, as Refuses tells; nil: it is
+	trials     *trials                // nil: not shared
+	shards     *shards                // nil: all destinations are served
+	observer   observer
+
+	messages        map[uint64]*message // taken on and not over, and not waiting for a notice
+	numByTrace      map[string]uint64
+	ended           endedIDs                      // ids of messages that were taken on and are over
+	listedDests     map[int]bool                  // that have been listed
+	destLimitLogged bool                          // a destination past MaxDestinations has been reported
+	pendingNotices  map[uint64]*journal.Entry     // whose notice is not taken yet
+	endpoints       map[uint32]discovery.Endpoint // as listed, without what was said by hand
+	endpointIDs     map[string]uint32             // every endpoint that a list has named
+	disabled        operate.Out
+	avoided         operate.Shut               // endpoints that a lost sender kept away from, whose messages are this one's
+	classes         atomic.Pointer[classTable] // shared with intake
+	successor       bool
+	heldLists       []discovery.List // lists that an heir holds back
+	partner         func(dest int) *outbound.Partner
+	http2Streams    int
+	calls           map[*outbound.Call]bool // out
+	events          []policy.Event
+	actions         []policy.Action
+	submissions     []*pendingSubmission
+	newCalls        []*outbound.Call // of this step
+	stepDue         bool             // events are left for a further step
+	journalFailed   bool             // the journal can't be written: nothing is taken on or sent
+	timer           *time.Timer
+	timerAt         float64
+	timerToken      uint32
+	stopRequestedAt time.Time // zero: not stopping
+	handingOver     bool      // stopping for an heir: no further call begins
+	clientsGone     bool      // the clients are
 }
 
 // taking is a message of this step that waits for its verdict.
-type taking struct {
-	*order
-	entry   *journal.Entry
-	refused bool
-	after   float64
+type pendingSubmission struct {
+	*submission
+	entry        *journal.Entry
+	refused      bool
+	retryAfterMS float64
 }
 
 // New returns a Sender; what was restored is given to the module in Run's first step.
@@ -223,59 +223,59 @@
 	o.Settings.StreamsPerConn = 1
 	// A connection comes up in a few round trips or not at all. Waiting longer for one to a machine
 	// that is cut off holds a slot, and the module learns of the outage that much later.
-	o.Settings.DialTimeout = min(cmp.Or(o.Settings.DialTimeout, dialMost), dialMost)
+	o.Settings.DialTimeout = min(cmp.Or(o.Settings.DialTimeout, maxDialTimeoutMS), maxDialTimeoutMS)
 	s := &Sender{
-		set: o.Settings, mod: policy.New(o.Settings, o.Seed), log: o.Log,
-		journal: o.Journal, notices: o.Notify,
-		in: make(chan input, queued), done: make(chan struct{}),
-		clock: o.Clock, guard: o.StormGuard, observer: observer{Recorder: o.Recorder, lines: o.LogRecords, log: o.Log},
-		partner: o.Partner, streams: o.HTTP2Streams,
-		msgs:   map[uint64]*message{},
-		traces: map[string]uint64{},
-		past:   past{ids: map[string]bool{}},
-		dests:  map[int]bool{},
-		owed:   map[uint64]*journal.Entry{},
-		addrs:  map[uint32]discovery.Endpoint{},
-		names:  map[string]uint32{},
-		out:    o.Disabled.Clone(),
-		heir:   o.Successor,
-		calls:  map[*outbound.Call]bool{},
-		timer:  time.NewTimer(time.Hour),
+		settings: o.Settings, module: policy.New(o.Settings, o.Seed), log: o.Log,
+		journal: o.Journal, notify: o.Notify,
+		inputs: make(chan input, inputQueueSize), done: make(chan struct{}),
+		clock: o.Clock, stormGuard: o.StormGuard, observer: observer{Recorder: o.Recorder, logRecords: o.LogRecords, log: o.Log},
+		partner: o.Partner, http2Streams: o.HTTP2Streams,
+		messages:       map[uint64]*message{},
+		numByTrace:     map[string]uint64{},
+		ended:          endedIDs{ids: map[string]bool{}},
+		listedDests:    map[int]bool{},
+		pendingNotices: map[uint64]*journal.Entry{},
+		endpoints:      map[uint32]discovery.Endpoint{},
+		endpointIDs:    map[string]uint32{},
+		disabled:       o.Disabled.Clone(),
+		successor:      o.Successor,
+		calls:          map[*outbound.Call]bool{},
+		timer:          time.NewTimer(time.Hour),
 	}
 	s.classes.Store(newClassTable(o.Settings.Classes))
-	s.set.Classes = s.classes.Load().all
+	s.settings.Classes = s.classes.Load().all
 	s.pool = outbound.NewPool(outbound.Options{
 		MaxConns:    o.MaxConns,
-		KeepAlive:   or(millis(o.Settings.KeepAlive), 30*time.Second),
-		DialTimeout: millis(o.Settings.DialTimeout),
+		KeepAlive:   durationOr(fromMillis(o.Settings.KeepAlive), 30*time.Second),
+		DialTimeout: fromMillis(o.Settings.DialTimeout),
 		X0:          o.Settings.X0, X1: o.Settings.X1,
 		Partner: o.Partner,
 		Trouble: func(endpoint uint32, addr string, err error) {
 			o.Log.Warn().Uint32("endpoint", endpoint).Str("addr", addr).Err(err).Msg("partner: no connection")
 		},
 		Closed: s.observer.closed,
-		Done:   func(c *outbound.Call, events []policy.Event) { s.in <- input{call: c, events: events} },
+		Done:   func(c *outbound.Call, events []policy.Event) { s.inputs <- input{call: c, events: events} },
 	})
-	s.tick()
-	s.remember(o.Knowledge)
+	s.updateNow()
+	s.setKnowledge(o.Knowledge)
 	for _, e := range o.Restored {
 		s.restore(e)
 	}
-	s.again = true // the first step is due at once
+	s.stepDue = true // the first step is due at once
 	return s
 }
 
 // or is v, or what stands in where the settings tell none.
-func or(v, none time.Duration) time.Duration {
+func durationOr(v, none time.Duration) time.Duration {
 	if v > 0 {
 		return v
 	}
 	return none
 }
 
-func millis(ms float64) time.Duration { return time.Duration(ms * 1e6) }
+func fromMillis(ms float64) time.Duration { return time.Duration(ms * 1e6) }
 
-func (s *Sender) tick() { s.now = s.clock.Now() }
+func (s *Sender) updateNow() { s.now = s.clock.Now() }
 
 // restore takes up a message of an earlier life.
 func (s *Sender) restore(e *journal.Entry) {
@@ -283,21 +283,21 @@
 	left := float64(e.Deadline) - s.now
 	switch {
 	case e.Origin != "" && s.copies != nil: // being taken over when the last life ended
-		s.copies.pending[e.Num] = e
+		s.copies.pendingEntries[e.Num] = e
 		return
 	case e.Ending != journal.NotEnding: // the module had decided; its notice may not have been taken
-		s.owed[e.Num] = e
-		s.notify(e)
+		s.pendingNotices[e.Num] = e
+		s.sendNotice(e)
 		return
 	case left <= 0:
-		s.owe(e, journal.GivenUp, 0)
+		s.endWithNotice(e, journal.GivenUp, 0)
 		return
 	case class < 0:
 		class = s.unknownClass()
 	}
-	s.msgs[e.Num] = &message{Entry: e, class: class}
-	s.traces[e.Trace] = e.Num
-	s.guard.Held(s.now, e.Dest, 1)
+	s.messages[e.Num] = &message{Entry: e, class: class}
+	s.numByTrace[e.Trace] = e.Num
+	s.stormGuard.Held(s.now, e.Dest, 1)
 	s.observeTaken(e, class, true)
 	ev := policy.Event{
 		Kind: policy.EvMessage, ID: e.Num, Class: class, Key: e.Item, Left: left, Again: e.Again,
@@ -310,11 +310,11 @@
 }
 
 // Told takes the numbers of messages whose notice was taken.
-func (s *Sender) AckNotices(nums []uint64) { s.post(input{told: nums}) }
+func (s *Sender) AckNotices(nums []uint64) { s.post(input{ackedNotices: nums}) }
 
 func (s *Sender) post(in input) {
 	select {
-	case s.in <- in:
+	case s.inputs <- in:
 	case <-s.done:
 	}
 }
@@ -322,36 +322,36 @@
 // Run steps the module until the sender has stopped.
 func (s *Sender) Run() {
 	defer close(s.done)
-	defer s.tell(true)
-	defer s.leave()
-	round := millis(s.set.Round)
-	for !s.left() {
-		s.gather()
-		began := time.Now()
+	defer s.writeKnowledge(true)
+	defer s.shutDown()
+	round := fromMillis(s.settings.Round)
+	for !s.exitDue() {
+		s.collectInputs()
+		startedAt := time.Now()
 		s.step()
 		// A step a round at most, as the module is used to: sends that come close together share a call.
-		if rest := round - time.Since(began); rest > 0 {
+		if rest := round - time.Since(startedAt); rest > 0 {
 			time.Sleep(rest)
 		}
 	}
 }
 
 // gather waits for something to happen and takes all that has.
-func (s *Sender) gather() {
-	if !s.again {
+func (s *Sender) collectInputs() {
+	if !s.stepDue {
 		select {
-		case in := <-s.in:
-			s.tick()
-			s.take(in)
+		case in := <-s.inputs:
+			s.updateNow()
+			s.handleInput(in)
 		case <-s.timer.C:
 		}
 	}
-	s.again = false
-	s.tick()
-	for range batchMost {
+	s.stepDue = false
+	s.updateNow()
+	for range maxStepInputs {
 		select {
-		case in := <-s.in:
-			s.take(in)
+		case in := <-s.inputs:
+			s.handleInput(in)
 		default:
 			return
 		}
@@ -359,39 +359,39 @@
 }
 
 // take turns an input into events of the next step.
-func (s *Sender) take(in input) {
+func (s *Sender) handleInput(in input) {
 	switch {
-	case in.order != nil:
-		s.takeOrder(in.order)
+	case in.submission != nil:
+		s.handleSubmission(in.submission)
 	case in.call != nil:
-		s.takeOutcome(in.call, in.events)
+		s.handleOutcome(in.call, in.events)
 	case in.list != nil:
-		s.takeList(in.list)
-	case in.sharded != nil:
-		s.takeSharded(in.sharded)
-	case in.told != nil:
-		s.takeTold(in.told)
-	case in.gone != 0:
-		if m := s.msgs[in.gone]; m != nil {
+		s.handleList(in.list)
+	case in.shardUpdate != nil:
+		s.handleShardUpdate(in.shardUpdate)
+	case in.ackedNotices != nil:
+		s.handleAckedNotices(in.ackedNotices)
+	case in.withdrawn != 0:
+		if m := s.messages[in.withdrawn]; m != nil {
 			s.events = append(s.events, policy.Event{Kind: policy.EvWithdrawn, ID: m.Num})
-			s.drop(m.call)
+			s.dropUnsent(m.call)
 			s.observeOver(m.Entry, telemetry.Withdrawn, 0)
 			s.journal.End(m.Entry)
 			s.forget(m)
 		}
-	case in.out != nil:
-		in.out.done <- s.takeOut(in.out)
-	case in.retune != nil:
-		s.takeRetune(in.retune)
-	case in.takeOver != nil:
-		in.takeOver.done <- s.takeTakeOver(in.takeOver)
+	case in.disable != nil:
+		in.disable.done <- s.handleDisable(in.disable)
+	case in.settings != nil:
+		s.handleSettings(in.settings)
+	case in.upgrade != nil:
+		in.upgrade.done <- s.handleTakeOver(in.upgrade)
 	case in.clientsGone:
-		s.gone = true
+		s.clientsGone = true
 	case in.stop:
-		s.handing = s.handing || in.handOver
-		if s.stopAt.IsZero() {
-			s.stopAt = time.Now()
-			s.log.Info().Int("held", len(s.msgs)).Int("calls", len(s.calls)).Msg("stopping")
+		s.handingOver = s.handingOver || in.handOver
+		if s.stopRequestedAt.IsZero() {
+			s.stopRequestedAt = time.Now()
+			s.log.Info().Int("held", len(s.messages)).Int("calls", len(s.calls)).Msg("stopping")
 		}
 	}
 }
@@ -399,59 +399,59 @@
 // step lets the module decide and carries out its actions: first all is written
 // to the journal, then clients are answered, then the calls go out.
 func (s *Sender) step() {
-	if s.token != 0 && s.now >= s.timerAt {
-		s.events = append(s.events, policy.Event{Kind: policy.EvTimer, Token: s.token})
-		s.token = 0
+	if s.timerToken != 0 && s.now >= s.timerAt {
+		s.events = append(s.events, policy.Event{Kind: policy.EvTimer, Token: s.timerToken})
+		s.timerToken = 0
 	}
-	s.copyStep()
-	s.leaveShards(false)
-	s.cutShort()
-	s.weather()
-	s.actions = s.mod.Step(s.now, s.events, s.actions[:0])
+	s.stepCopies()
+	s.releaseLeavingShards(false)
+	s.endExpiredAttempts()
+	s.applyStormOrders()
+	s.actions = s.module.Step(s.now, s.events, s.actions[:0])
 	s.events = s.events[:0]
 	for i := range s.actions {
-		s.act(&s.actions[i])
+		s.execute(&s.actions[i])
 	}
 	err := s.journal.Flush()
-	s.noteJournal(err)
+	s.handleFlushResult(err)
 	if s.copies != nil && err == nil {
-		s.copyWait(s.copyOut())
-		s.copyTell()
+		s.awaitHolders(s.sendCopies())
+		s.answerConfirmed()
 	}
-	s.answer(err == nil)
+	s.answerSubmissions(err == nil)
 	s.dispatch(err == nil)
 	s.observeStep()
-	s.tell(false)
-	s.arm()
+	s.writeKnowledge(false)
+	s.armTimer()
 }
 
 // noteJournal takes the result of writing the journal. While it can't be written, the module begins no attempt, which
 // would count though it never ran; it goes on with the final answers of messages whose time is up.
-func (s *Sender) noteJournal(err error) {
-	if s.halted == (err != nil) {
+func (s *Sender) handleFlushResult(err error) {
+	if s.journalFailed == (err != nil) {
 		return
 	}
-	s.halted = err != nil
-	s.mod.Halt(s.halted)
-	if s.halted {
+	s.journalFailed = err != nil
+	s.module.Halt(s.journalFailed)
+	if s.journalFailed {
 		s.log.Error().Err(err).Msg("the journal can't be written: nothing is taken on or sent")
 		return
 	}
 	s.log.Info().Msg("the journal is written again")
-	s.again = true // what waits may go out
+	s.stepDue = true // what waits may go out
 }
 
-func (s *Sender) act(a *policy.Action) {
+func (s *Sender) execute(a *policy.Action) {
 	switch a.Kind {
 	case policy.ActSend:
-		s.send(a)
+		s.beginAttempt(a)
 	case policy.ActRefuse, policy.ActFail:
-		s.finish(a)
+		s.endUndelivered(a)
 	case policy.ActTimer:
-		s.token, s.timerAt = a.Token, s.now+a.After
+		s.timerToken, s.timerAt = a.Token, s.now+a.After
 	case policy.ActProbe:
-		if e, ok := s.addrs[a.Endpoint]; ok {
-			s.sends = append(s.sends, &outbound.Call{Endpoint: e.ID, Addr: e.Addr, Dest: e.Dest, SentAt: time.Now(), Timeout: millis(s.set.DialTimeout)})
+		if e, ok := s.endpoints[a.Endpoint]; ok {
+			s.newCalls = append(s.newCalls, &outbound.Call{Endpoint: e.ID, Addr: e.Addr, Dest: e.Dest, SentAt: time.Now(), Timeout: fromMillis(s.settings.DialTimeout)})
 		}
 	case policy.ActHangUp:
 		s.pool.HangUp(a.Endpoint)
@@ -462,35 +462,35 @@
 }
 
 // arm sets the one timer to the module's, or to the next look at a stop.
-func (s *Sender) arm() {
+func (s *Sender) armTimer() {
 	wait := time.Hour
-	if s.token != 0 {
-		wait = millis(s.timerAt - s.clock.Now())
+	if s.timerToken != 0 {
+		wait = fromMillis(s.timerAt - s.clock.Now())
 	}
-	if s.halted {
-		wait = min(wait, journalRetry)
+	if s.journalFailed {
+		wait = min(wait, journalRetryInterval)
 	}
 	for c := range s.calls {
 		for i := range c.Items {
-			if m := s.msgs[c.Items[i].ID]; len(c.Items) > 1 && m != nil && m.call == c {
-				wait = min(wait, millis(min(m.cutAt-s.clock.Now(), 1e6)))
+			if m := s.messages[c.Items[i].ID]; len(c.Items) > 1 && m != nil && m.call == c {
+				wait = min(wait, fromMillis(min(m.attemptDeadline-s.clock.Now(), 1e6)))
 			}
 		}
 	}
-	if !s.stopAt.IsZero() {
+	if !s.stopRequestedAt.IsZero() {
 		wait = min(wait, 50*time.Millisecond)
 	}
-	wait = min(wait, millis(min(s.guard.Next()-s.clock.Now(), 1e6)))
+	wait = min(wait, fromMillis(min(s.stormGuard.Next()-s.clock.Now(), 1e6)))
 	if s.trials != nil {
-		wait = min(wait, millis(min(s.trials.board.Next()-s.clock.Now(), 1e6)))
+		wait = min(wait, fromMillis(min(s.trials.state.Next()-s.clock.Now(), 1e6)))
 	}
 	if s.shards != nil && len(s.shards.leaving) > 0 {
-		wait = min(wait, millis(leaveLook))
+		wait = min(wait, fromMillis(leaveCheckIntervalMS))
 	}
-	wait = s.observeWait(wait)
-	if at, due := s.tellAt(); due {
-		wait = min(wait, millis(at-s.clock.Now()))
+	wait = s.untilObservation(wait)
+	if at, due := s.nextKnowledgeWrite(); due {
+		wait = min(wait, fromMillis(at-s.clock.Now()))
 	}
-	wait = s.copyNext(wait)
+	wait = s.untilCopyStep(wait)
 	s.timer.Reset(max(wait, 0))
 }
--- a/internal/sender/stopping.go
+++ b/internal/sender/stopping.go
@@ -19,27 +19,29 @@
 func (s *Sender) ClientsGone() { s.post(input{clientsGone: true}) }
 
 // left reports whether a stopping sender may leave.
-func (s *Sender) left() bool { return !s.stopAt.IsZero() && s.mayLeave(time.Since(s.stopAt)) }
+func (s *Sender) exitDue() bool {
+	return !s.stopRequestedAt.IsZero() && s.mayExit(time.Since(s.stopRequestedAt))
+}
 
 // mayLeave reports whether a sender may leave that was told to stop so long ago.
-func (s *Sender) mayLeave(age time.Duration) bool {
-	if s.handing && len(s.calls) == 0 {
+func (s *Sender) mayExit(age time.Duration) bool {
+	if s.handingOver && len(s.calls) == 0 {
 		return true
 	}
-	return age >= stopAfter || s.gone && len(s.calls) == 0 && (age >= sendFor || len(s.msgs) == 0)
+	return age >= stopTimeout || s.clientsGone && len(s.calls) == 0 && (age >= stopSendWindow || len(s.messages) == 0)
 }
 
 // leave books what has happened up to the last moment, for the next life: outcomes that came after the last step, and
 // that a call which still waits for its connection will never run. Guards against a message that was delivered, or
 // surely was not sent, and of which the journal says that it may have run: the next life would repeat it, or give
 // it up where its class forbids that. What was handed in and is in no journal is left: its client is refused.
-func (s *Sender) leave() {
-	s.tick()
+func (s *Sender) shutDown() {
+	s.updateNow()
 	for {
 		select {
-		case in := <-s.in:
-			if in.call != nil || in.told != nil || in.gone != 0 {
-				s.take(in)
+		case in := <-s.inputs:
+			if in.call != nil || in.ackedNotices != nil || in.withdrawn != 0 {
+				s.handleInput(in)
 			}
 			continue
 		default:
@@ -47,15 +49,15 @@
 		break
 	}
 	for c := range s.calls {
-		s.drop(c)
+		s.dropUnsent(c)
 	}
-	s.copyLeave()
+	s.failWaits()
 	if err := s.journal.Flush(); err != nil {
 		s.log.Error().Err(err).Msg("leaving: the last outcomes are not in the journal")
 	}
 }
 
 // stopping reports whether the stop began that long ago.
-func (s *Sender) stopping(d time.Duration) bool {
-	return !s.stopAt.IsZero() && time.Since(s.stopAt) >= d
+func (s *Sender) stoppedFor(d time.Duration) bool {
+	return !s.stopRequestedAt.IsZero() && time.Since(s.stopRequestedAt) >= d
 }
--- a/internal/sender/stopping_test.go
+++ b/internal/sender/stopping_test.go
@@ -10,7 +10,7 @@
 )
 
 // nextLife is what the journal of a sender that has left holds.
-func (b *bench) nextLife() map[string]*journal.Entry {
+func (b *testSender) reopenJournal() map[string]*journal.Entry {
 	b.t.Helper()
 	j, restored, err := journal.Open(b.dir, statedir.NewSpace(1<<20).Account())
 	if err != nil {
@@ -25,98 +25,98 @@
 }
 
 // A verdict is given, and the sender leaves, before who handed the message in looks: the verdict counts.
-func TestAVerdictGivenBeforeTheEndCounts(t *testing.T) {
-	b := newBench(t, t.TempDir(), "", benchSettings())
+func TestVerdictGivenBeforeExitIsReturned(t *testing.T) {
+	b := newTestSender(t, t.TempDir(), "", testSettings())
 	close(b.done)
 	for range 100 { // where both are ready, select picks by chance
-		o := &order{verdict: make(chan Verdict, 1)}
+		o := &submission{verdict: make(chan Verdict, 1)}
 		o.verdict <- Verdict{Accepted: true, Num: 7}
-		if v := b.verdictOn(o); !v.Accepted {
+		if v := b.awaitVerdict(o); !v.Accepted {
 			t.Fatal("a message that was taken on is answered as refused")
 		}
 	}
-	if v := b.verdictOn(&order{verdict: make(chan Verdict, 1)}); v.Accepted || v.RetryAfter <= 0 {
+	if v := b.awaitVerdict(&submission{verdict: make(chan Verdict, 1)}); v.Accepted || v.RetryAfter <= 0 {
 		t.Errorf("a message that no step saw: %+v, want a refusal that says when to come again", v)
 	}
 }
 
 // A client is found gone after the sender was told to stop and had nothing left to do: the withdrawal must not be
 // lost, or the next life sends what its client was told nothing of and hands in again.
-func TestWithdrawnAfterTheStop(t *testing.T) {
-	b := newBench(t, t.TempDir(), listen(t).Addr().String(), benchSettings())
-	verdict := b.hand("m", 0, 20*time.Second)
-	b.next()
+func TestWithdrawalAfterStop(t *testing.T) {
+	b := newTestSender(t, t.TempDir(), listen(t).Addr().String(), testSettings())
+	verdict := b.submit("m", 0, 20*time.Second)
+	b.nextStep()
 	num := (<-verdict).Num
-	b.take(input{stop: true})
+	b.handleInput(input{stop: true})
 	for c := range b.calls {
 		delete(b.calls, c) // its call has ended
 	}
-	if b.mayLeave(sendFor) {
+	if b.mayExit(stopSendWindow) {
 		t.Fatal("the sender leaves while its clients are still being answered")
 	}
 	b.Withdraw(num)
 	b.ClientsGone()
-	b.await("the sender stays", func() bool { return b.mayLeave(sendFor) })
-	b.leave()
-	if b.nextLife()["m"] != nil {
+	b.await("the sender stays", func() bool { return b.mayExit(stopSendWindow) })
+	b.shutDown()
+	if b.reopenJournal()["m"] != nil {
 		t.Error("the next life has a message that was withdrawn")
 	}
 }
 
 // An outcome, the platform's yes to a notice and a withdrawal come in after the last step: all are in the journal.
-func TestWhatComesAfterTheLastStepIsBooked(t *testing.T) {
+func TestInputsAfterLastStepAreJournalled(t *testing.T) {
 	ln := listen(t)
-	b := newBench(t, t.TempDir(), ln.Addr().String(), benchSettings())
-	delivered := b.hand("delivered", 2, 20*time.Second)
-	b.next()
+	b := newTestSender(t, t.TempDir(), ln.Addr().String(), testSettings())
+	delivered := b.submit("delivered", 2, 20*time.Second)
+	b.nextStep()
 	<-delivered
-	m := b.msgs[b.traces["delivered"]]
+	m := b.messages[b.numByTrace["delivered"]]
 	if m == nil || m.call == nil {
 		t.Fatal("no call went out")
 	}
 	c := m.call
-	b.list("") // nowhere to go for the others
-	gone, told := b.hand("gone", 0, 20*time.Second), b.hand("told", 0, 20*time.Second)
-	b.next()
-	n, e := (<-gone).Num, b.msgs[(<-told).Num]
-	b.drop(e.call)
+	b.listEndpoint("") // nowhere to go for the others
+	withdrawn, notified := b.submit("gone", 0, 20*time.Second), b.submit("told", 0, 20*time.Second)
+	b.nextStep()
+	n, e := (<-withdrawn).Num, b.messages[(<-notified).Num]
+	b.dropUnsent(e.call)
 	b.forget(e)
-	b.owe(e.Entry, journal.HandedBack, 0)
-	b.next()
+	b.endWithNotice(e.Entry, journal.HandedBack, 0)
+	b.nextStep()
 	b.post(input{call: c, events: []policy.Event{{Kind: policy.EvOutcome, ID: m.Num, Endpoint: 1, Outcome: policy.OK}}})
 	b.AckNotices([]uint64{e.Num})
 	b.Withdraw(n)
-	b.leave()
-	for name, e := range b.nextLife() {
+	b.shutDown()
+	for name, e := range b.reopenJournal() {
 		t.Errorf("the next life still has %s: %+v", name, e)
 	}
 }
 
 // A call waits for its connection when the sender leaves: it will never run, so the next life may send the message,
 // also of a class that forbids what may have run to be repeated.
-func TestACallWithoutConnectionNeverRan(t *testing.T) {
-	b := newBench(t, t.TempDir(), "", benchSettings())
+func TestCallWithoutConnectionNeverRan(t *testing.T) {
+	b := newTestSender(t, t.TempDir(), "", testSettings())
 	b.pool.PaceDials(3, 1)
 	ln := listen(t)
-	b.list(ln.Addr().String())
-	b.hand("begun", 2, 20*time.Second)
-	b.next()
+	b.listEndpoint(ln.Addr().String())
+	b.submit("begun", 2, 20*time.Second)
+	b.nextStep()
 	nc, err := ln.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer nc.Close()
-	nc.SetReadDeadline(time.Now().Add(patient))
+	nc.SetReadDeadline(time.Now().Add(testTimeout))
 	if _, err := nc.Read(make([]byte, 1)); err != nil { // it has begun
 		t.Fatal(err)
 	}
-	b.hand("waiting", 2, 20*time.Second)
-	b.next()
+	b.submit("waiting", 2, 20*time.Second)
+	b.nextStep()
 	if len(b.calls) != 2 {
 		t.Fatalf("%d calls, want one that has begun and one that waits", len(b.calls))
 	}
-	b.leave()
-	next := b.nextLife()
+	b.shutDown()
+	next := b.reopenJournal()
 	if e := next["begun"]; e == nil || e.DoubtAt == 0 {
 		t.Errorf("begun: %+v, want one that may have run", e)
 	}
@@ -126,21 +126,21 @@
 }
 
 // What waits to be handed in when the sender leaves is not taken on, and its client hears so.
-func TestHandedInAtTheEnd(t *testing.T) {
-	b := newBench(t, t.TempDir(), "", benchSettings())
+func TestSubmissionDuringExitIsRefused(t *testing.T) {
+	b := newTestSender(t, t.TempDir(), "", testSettings())
 	answer := make(chan Verdict)
 	go func() {
 		answer <- b.Submit(&Message{Trace: []byte("m"), Key: []byte("k"), Dest: 3, Remaining: time.Second}, time.Now())
 	}()
-	for len(b.in) == 0 {
+	for len(b.inputs) == 0 {
 		time.Sleep(time.Millisecond)
 	}
-	b.leave()
+	b.shutDown()
 	close(b.done)
 	if v := <-answer; v.Accepted || v.RetryAfter <= 0 {
 		t.Errorf("%+v, want a refusal that says when to come again", v)
 	}
-	if b.nextLife()["m"] != nil {
+	if b.reopenJournal()["m"] != nil {
 		t.Error("it is in the journal")
 	}
 }
--- a/internal/sender/storm.go
+++ b/internal/sender/storm.go
@@ -15,23 +15,23 @@
 }
 
 // comeBack is when the client of a refused message should come again.
-func (s *Sender) comeBack(dest int, key []byte, left, least float64) float64 {
-	if !s.set.TellsRetry {
+func (s *Sender) refusalRetryAfter(dest int, key []byte, left, least float64) float64 {
+	if !s.settings.TellsRetry {
 		return least
 	}
-	return s.guard.Refused(s.now, dest, keyHash(key), left, least)
+	return s.stormGuard.Refused(s.now, dest, keyHash(key), left, least)
 }
 
 // weather carries out what storms ask, ahead of a step: the module learns the paces, the pool how many
 // connections may be opened.
-func (s *Sender) weather() {
-	for _, o := range s.weatherOrders() {
+func (s *Sender) applyStormOrders() {
+	for _, o := range s.stormOrders() {
 		for _, p := range o.Paces {
 			s.events = append(s.events, policy.Event{Kind: policy.EvPace, Dest: o.Dest, Endpoint: p.Endpoint, Pace: p.Rate})
 		}
 		s.pool.PaceDials(o.Dest, o.Dials)
 		s.observeStorm(&o)
-		st := s.guard.Stats()
+		st := s.stormGuard.Stats()
 		s.log.Info().Int("dest", o.Dest).Stringer("phase", o.Phase).Interface("paces", o.Paces).Float64("dials", o.Dials).
 			Int("held", o.Held).Int("promised", st.Promised).Int("overbooked", st.Overbooked).
 			Int("kept", st.Kept).Int("early", st.Early).Msg("storm")
--- a/internal/sender/orders.go
+++ b/internal/sender/submissions.go
@@ -14,18 +14,18 @@
 // Take hands in a message and waits for the verdict, which comes with the next step.
 // The message's slices must stay as they are until then.
 func (s *Sender) Submit(m *Message, received time.Time) Verdict {
-	o := &order{msg: m, received: received, verdict: make(chan Verdict, 1)}
+	o := &submission{msg: m, received: received, verdict: make(chan Verdict, 1)}
 	select {
-	case s.in <- input{order: o}:
+	case s.inputs <- input{submission: o}:
 	case <-s.done:
-		return Verdict{RetryAfter: lateLeast}
+		return Verdict{RetryAfter: maxBusyRetryMS}
 	}
-	return s.verdictOn(o)
+	return s.awaitVerdict(o)
 }
 
 // verdictOn waits for the verdict on an order that the sender has. One that was given before the sender left counts:
 // guards against a message that is in the journal and is answered as refused.
-func (s *Sender) verdictOn(o *order) Verdict {
+func (s *Sender) awaitVerdict(o *submission) Verdict {
 	select {
 	case v := <-o.verdict:
 		return v
@@ -35,18 +35,18 @@
 	case v := <-o.verdict: // both were ready
 		return v
 	default: // no step has seen it, and none will
-		return Verdict{RetryAfter: lateLeast}
+		return Verdict{RetryAfter: maxBusyRetryMS}
 	}
 }
 
 // Withdraw tells that the client of a message was not told that it was taken on.
-func (s *Sender) Withdraw(num uint64) { s.post(input{gone: num}) }
+func (s *Sender) Withdraw(num uint64) { s.post(input{withdrawn: num}) }
 
-func (s *Sender) takeOrder(o *order) {
+func (s *Sender) handleSubmission(o *submission) {
 	m := o.msg
 	left := float64(m.Remaining-time.Since(o.received)) / 1e6
-	switch _, held := s.traces[string(m.Trace)]; {
-	case held, s.past.ids[string(m.Trace)]:
+	switch _, held := s.numByTrace[string(m.Trace)]; {
+	case held, s.ended.ids[string(m.Trace)]:
 		// Every hand-in has an id of its own, so this is no client's of ours. It must not share the
 		// fate of the first: were its answer unheard, a message that is owed an end would be withdrawn.
 		o.verdict <- Verdict{Duplicate: true}
@@ -55,33 +55,33 @@
 		s.observeRefused(m.Dest, telemetry.CauseRoute)
 		o.verdict <- s.misdirection(m.Dest)
 		return
-	case !s.dests[m.Dest]: // nothing could be done with it but hold it until its time is up
+	case !s.listedDests[m.Dest]: // nothing could be done with it but hold it until its time is up
 		s.observeRefused(m.Dest, telemetry.CauseRoute)
-		o.verdict <- Verdict{NoRoute: true, RetryAfter: s.busyRetry()}
+		o.verdict <- Verdict{NoRoute: true, RetryAfter: s.busyRetryAfter()}
 		return
-	case !s.stopAt.IsZero(), s.halted, left <= 0, s.copyRefuses(), s.set.MaxHeld > 0 && len(s.msgs) >= s.set.MaxHeld, !s.journal.Room(len(m.Body)):
-		s.guard.Arrived(s.now, m.Dest, keyHash(m.Key), m.Resubmitted)
-		s.observeRefused(m.Dest, s.whyNot())
-		o.verdict <- Verdict{RetryAfter: s.comeBack(m.Dest, m.Key, max(left, 0), s.busyRetry()), TooFewHolders: s.copyRefuses()}
+	case !s.stopRequestedAt.IsZero(), s.journalFailed, left <= 0, s.lacksLease(), s.settings.MaxHeld > 0 && len(s.messages) >= s.settings.MaxHeld, !s.journal.Room(len(m.Body)):
+		s.stormGuard.Arrived(s.now, m.Dest, keyHash(m.Key), m.Resubmitted)
+		s.observeRefused(m.Dest, s.refusalCause())
+		o.verdict <- Verdict{RetryAfter: s.refusalRetryAfter(m.Dest, m.Key, max(left, 0), s.busyRetryAfter()), TooFewHolders: s.lacksLease()}
 		return
 	}
-	s.guard.Arrived(s.now, m.Dest, keyHash(m.Key), m.Resubmitted)
-	s.guard.Held(s.now, m.Dest, 1)
+	s.stormGuard.Arrived(s.now, m.Dest, keyHash(m.Key), m.Resubmitted)
+	s.stormGuard.Held(s.now, m.Dest, 1)
 	e := &journal.Entry{
-		Num: s.journal.Next(), Trace: string(m.Trace), Key: string(m.Key), Class: s.set.Classes[m.Class].Name,
+		Num: s.journal.Next(), Trace: string(m.Trace), Key: string(m.Key), Class: s.settings.Classes[m.Class].Name,
 		Item: m.OrderingKey, Dest: m.Dest, Again: m.Resubmitted, Deadline: int64(s.now + left), Body: slices.Clone(m.Body),
 	}
-	if m.Tenant < len(s.set.Tenants) {
-		e.Tenant = s.set.Tenants[m.Tenant].Name
+	if m.Tenant < len(s.settings.Tenants) {
+		e.Tenant = s.settings.Tenants[m.Tenant].Name
 	}
 	if s.observer.On() {
-		e.Parent = parent(m.TraceParent).Text()
+		e.Parent = parseParent(m.TraceParent).Text()
 	}
 	s.journal.Take(e)
-	s.msgs[e.Num] = &message{Entry: e, class: m.Class, takenAt: s.now, claim: s.claimFor(m)}
-	s.traces[e.Trace] = e.Num
+	s.messages[e.Num] = &message{Entry: e, class: m.Class, acceptedAt: s.now, claim: s.claimFor(m)}
+	s.numByTrace[e.Trace] = e.Num
 	s.observeTaken(e, m.Class, false)
-	s.orders = append(s.orders, &taking{order: o, entry: e})
+	s.submissions = append(s.submissions, &pendingSubmission{submission: o, entry: e})
 	s.events = append(s.events, policy.Event{
 		Kind: policy.EvMessage, ID: e.Num, Class: m.Class, Tenant: m.Tenant, Key: m.OrderingKey, Left: left,
 		Again: m.Resubmitted, Dest: m.Dest,
@@ -89,53 +89,55 @@
 }
 
 // busyRetry is when to come again where there is no room.
-func (s *Sender) busyRetry() float64 { return min(lateLeast, max(s.set.MaxRetryAfter, 1)) }
+func (s *Sender) busyRetryAfter() float64 {
+	return min(maxBusyRetryMS, max(s.settings.MaxRetryAfter, 1))
+}
 
 // answer gives the verdicts of this step.
-func (s *Sender) answer(kept bool) {
-	torn := !kept && s.journal.Torn()
-	waiting := s.orders[:0]
-	for _, t := range s.orders {
+func (s *Sender) answerSubmissions(journalled bool) {
+	torn := !journalled && s.journal.Torn()
+	unsettled := s.submissions[:0]
+	for _, t := range s.submissions {
 		switch {
-		case torn && time.Since(t.received) < verdictWithin: // neither is true yet: the next life might find its record
-			waiting = append(waiting, t)
+		case torn && time.Since(t.received) < clientAnswerTimeout: // neither is true yet: the next life might find its record
+			unsettled = append(unsettled, t)
 		case t.refused:
-			t.verdict <- Verdict{RetryAfter: t.after}
-		case !kept: // it is in no journal: the module must not hold it
+			t.verdict <- Verdict{RetryAfter: t.retryAfterMS}
+		case !journalled: // it is in no journal: the module must not hold it
 			s.observeOver(t.entry, telemetry.NotTaken, 0)
 			s.observeRefused(t.entry.Dest, telemetry.CauseRoom)
 			s.events = append(s.events, policy.Event{Kind: policy.EvWithdrawn, ID: t.entry.Num})
-			s.again = true
-			if m := s.msgs[t.entry.Num]; m != nil {
+			s.stepDue = true
+			if m := s.messages[t.entry.Num]; m != nil {
 				s.journal.End(m.Entry)
 				s.forget(m)
 			}
-			t.verdict <- Verdict{RetryAfter: lateLeast}
+			t.verdict <- Verdict{RetryAfter: maxBusyRetryMS}
 		default:
 			t.verdict <- Verdict{Accepted: true, Num: t.entry.Num}
 		}
 	}
-	clear(s.orders[len(waiting):])
-	s.orders = waiting
+	clear(s.submissions[len(unsettled):])
+	s.submissions = unsettled
 }
 
 // verdictWithin is how long a client waits for its answer: a later one is heard by nobody.
-const verdictWithin = 400 * time.Millisecond
+const clientAnswerTimeout = 400 * time.Millisecond
 
 // finish ends a message undelivered. One of this step is refused by its answer,
 // any other, which was taken on, ends with a notice.
-func (s *Sender) finish(a *policy.Action) {
-	m := s.msgs[a.ID]
+func (s *Sender) endUndelivered(a *policy.Action) {
+	m := s.messages[a.ID]
 	if m == nil {
 		return
 	}
 	after := a.After
 	if a.Kind == policy.ActRefuse {
-		after = s.comeBack(m.Dest, []byte(m.Key), max(float64(m.Deadline)-s.now, 0), after)
+		after = s.refusalRetryAfter(m.Dest, []byte(m.Key), max(float64(m.Deadline)-s.now, 0), after)
 	}
-	for _, t := range s.orders {
+	for _, t := range s.submissions {
 		if t.entry == m.Entry {
-			t.refused, t.after = true, after
+			t.refused, t.retryAfterMS = true, after
 			s.observeOver(m.Entry, telemetry.NotTaken, 0)
 			s.observeRefused(m.Dest, telemetry.CauseLoad)
 			s.journal.End(m.Entry)
@@ -143,13 +145,13 @@
 			return
 		}
 	}
-	s.drop(m.call)
-	s.past.add(m.Trace, s.now)
+	s.dropUnsent(m.call)
+	s.ended.add(m.Trace, s.now)
 	s.forget(m)
 	ending := journal.GivenUp
 	if a.Kind == policy.ActRefuse {
 		ending = journal.HandedBack
 	}
 	s.observeOver(m.Entry, [...]telemetry.End{journal.GivenUp: telemetry.GivenUp, journal.HandedBack: telemetry.HandedBack}[ending], after)
-	s.owe(m.Entry, ending, after)
+	s.endWithNotice(m.Entry, ending, after)
 }
--- a/internal/sender/trials.go
+++ b/internal/sender/trials.go
@@ -21,10 +21,10 @@
 // trials is a sender's part in the trials that a fleet shares. News of duties come on a goroutine of the fleet's
 // and wait here, the last of each, for the next step: the fleet waits for no sender, nor a sender for the fleet.
 type trials struct {
-	board *trial.Board
-	fleet Fleet
-	mu    sync.Mutex
-	news  map[int]trial.News
+	state   *trial.Board
+	fleet   Fleet
+	mu      sync.Mutex
+	updates map[int]trial.News
 }
 
 // Heard takes news of a duty.
@@ -35,7 +35,7 @@
 	}
 	t := s.trials
 	t.mu.Lock()
-	t.news[dest] = n
+	t.updates[dest] = n
 	t.mu.Unlock()
 	s.Wake()
 }
@@ -45,7 +45,7 @@
 
 // ShareTrials gives it its part in the trials that the fleet shares, before Run.
 func (s *Sender) ShareTrials(f Fleet, set trial.Settings) {
-	s.trials = &trials{board: trial.New(set), fleet: f, news: map[int]trial.News{}}
+	s.trials = &trials{state: trial.New(set), fleet: f, updates: map[int]trial.News{}}
 }
 
 func (t *trials) step(now float64) {
@@ -53,21 +53,21 @@
 		return
 	}
 	t.mu.Lock()
-	news := t.news
-	t.news = map[int]trial.News{}
+	news := t.updates
+	t.updates = map[int]trial.News{}
 	t.mu.Unlock()
-	t.board.Live(t.fleet.Live())
+	t.state.Live(t.fleet.Live())
 	for dest, n := range news {
-		t.board.Heard(now, dest, n)
+		t.state.Heard(now, dest, n)
 	}
 }
 
 // act carries out what the board asks about duties.
-func (t *trials) act(zone string) {
+func (t *trials) requestDuties(zone string) {
 	if t == nil {
 		return
 	}
-	for _, a := range t.board.Acts() {
+	for _, a := range t.state.Acts() {
 		name := trial.Duty(a.Dest)
 		switch {
 		case a.Want:
@@ -81,30 +81,30 @@
 }
 
 // weatherOrders are what storms ask, as the fleet's trials change it.
-func (s *Sender) weatherOrders() []storm.Order {
-	list := s.guard.Orders(s.now)
+func (s *Sender) stormOrders() []storm.Order {
+	list := s.stormGuard.Orders(s.now)
 	if s.trials == nil {
 		return list
 	}
 	s.trials.step(s.now)
 	for i := range list {
-		list[i] = s.trials.board.Ordered(s.now, list[i])
+		list[i] = s.trials.state.Ordered(s.now, list[i])
 	}
-	list = append(list, s.trials.board.Changed(s.now)...)
-	s.trials.act(s.zoneName())
+	list = append(list, s.trials.state.Changed(s.now)...)
+	s.trials.requestDuties(s.zoneName())
 	return list
 }
 
 func (s *Sender) zoneName() string {
-	if s.set.Zone >= 0 && s.set.Zone < len(s.set.Zones) {
-		return s.set.Zones[s.set.Zone]
+	if s.settings.Zone >= 0 && s.settings.Zone < len(s.settings.Zones) {
+		return s.settings.Zones[s.settings.Zone]
 	}
 	return ""
 }
 
 // tried tells the fleet's trials of a call that failed.
-func (s *Sender) tried(dest int, e *policy.Event) {
+func (s *Sender) recordFailedCall(dest int, e *policy.Event) {
 	if s.trials != nil && e.Kind == policy.EvOutcome && e.Outcome != policy.OK && e.Outcome != policy.Moot {
-		s.trials.board.Tried(s.now, dest)
+		s.trials.state.Tried(s.now, dest)
 	}
 }
--- a/internal/sender/upgrade.go
+++ b/internal/sender/upgrade.go
@@ -14,18 +14,18 @@
 // is the heir's from then on.
 
 // takeOver is what the heir is given when the present version has left.
-type takeOver struct {
-	memory Knowledge
-	out    operate.Out
-	done   chan error
+type upgradeTakeover struct {
+	knowledge Knowledge
+	disabled  operate.Out
+	done      chan error
 }
 
 // TakeOver makes an heir the sender, once the present version has left the folder: memory is what that one
 // knew, read anew, and out the endpoints taken out by hand as the folder keeps them. It returns when the
 // module holds all of it.
-func (s *Sender) TakeOver(memory Knowledge, out operate.Out) error {
-	t := &takeOver{memory: memory, out: out, done: make(chan error, 1)}
-	s.post(input{takeOver: t})
+func (s *Sender) TakeOver(knowledge Knowledge, disabled operate.Out) error {
+	t := &upgradeTakeover{knowledge: knowledge, disabled: disabled, done: make(chan error, 1)}
+	s.post(input{upgrade: t})
 	select {
 	case err := <-t.done:
 		return err
@@ -34,24 +34,24 @@
 	}
 }
 
-func (s *Sender) takeTakeOver(t *takeOver) error {
-	if !s.heir {
+func (s *Sender) handleTakeOver(t *upgradeTakeover) error {
+	if !s.successor {
 		return nil
 	}
 	entries, err := s.journal.TakeOver()
 	if err != nil {
 		return err
 	}
-	s.heir = false
+	s.successor = false
 	for _, e := range entries {
 		s.restore(e)
 	}
-	s.remember(t.memory)
-	s.out = t.out
-	lists := s.waiting
-	s.waiting = nil
+	s.setKnowledge(t.knowledge)
+	s.disabled = t.disabled
+	lists := s.heldLists
+	s.heldLists = nil
 	for i := range lists {
-		s.takeList(&lists[i])
+		s.handleList(&lists[i])
 	}
 	s.log.Info().Int("restored", len(entries)).Int("lists", len(lists)).Msg("took over from the version before")
 	return nil
@@ -61,10 +61,10 @@
 // on, and its endpoints count as named for calls by hand.
 func (s *Sender) holdList(l *discovery.List) {
 	for _, e := range l.Entries {
-		s.names[e.Name] = e.ID
-		if e.State != 0 && len(s.dests) < MaxDestinations {
-			s.dests[e.Dest] = true
+		s.endpointIDs[e.Name] = e.ID
+		if e.State != 0 && len(s.listedDests) < MaxDestinations {
+			s.listedDests[e.Dest] = true
 		}
 	}
-	s.waiting = append(s.waiting, *l)
+	s.heldLists = append(s.heldLists, *l)
 }
