--- a/internal/sender/holds.go
+++ b/internal/sender/holds.go
@@ -56,11 +56,11 @@
 			continue
 		}
 		wait := &policy.RouteFacts{WaitUntil: float64(x.Until)}
-		f := policy.DestFacts{Dest: x.Dest, Control: policy.FreshControl()}
+		f := policy.DestFacts{Dest: x.Dest, Admission: policy.InitialAdmission()}
 		if id, named := s.endpointIDs[x.Endpoint]; x.Endpoint == "" {
-			f.Shared = wait
+			f.SharedRoute = wait
 		} else if _, listed := s.endpoints[id]; named && listed {
-			f.Endpoints = []policy.EndpointFacts{{ID: id, Apart: wait}}
+			f.Endpoints = []policy.EndpointFacts{{ID: id, OwnRoute: wait}}
 		}
 		facts = append(facts, f)
 		for c := range s.calls { // what has not begun would reach the partner inside its wait
--- a/internal/sender/outcomes.go
+++ b/internal/sender/outcomes.go
@@ -25,9 +25,9 @@
 	s.events = append(s.events, events...)
 	for i := range events {
 		e := &events[i]
-		if e.Wait > 0 {
+		if e.RequestedWait > 0 {
 			s.dropCallsWithin(c)
-			s.recordWait(c, e.Wait)
+			s.recordWait(c, e.RequestedWait)
 		}
 		if e.Outcome != policy.Moot { // one that was not sent tells nothing
 			s.recordCall(c)
@@ -40,7 +40,7 @@
 		}
 		m.call = nil
 		s.observeEnded(c, e)
-		if e.Outcome == policy.OK || e.Closed {
+		if e.Outcome == policy.OK || e.Final {
 			end := telemetry.Delivered
 			if e.Outcome != policy.OK {
 				end = telemetry.Closed
--- a/internal/sender/repeatwindow_test.go
+++ b/internal/sender/repeatwindow_test.go
@@ -41,9 +41,9 @@
 	b.nextStep()
 	m, safe := b.messages[b.numByTrace["keyed"]], b.messages[b.numByTrace["safe"]]
 	b.await("no repeat", func() bool { return m.call != nil })
-	window := float64(m.DoubtAt) + testClasses[1].MemorySpan
+	window := float64(m.DoubtAt) + testClasses[1].DedupWindow
 	left := window - b.now - float64(time.Until(m.call.Until))/1e6
-	if m.call.Until.IsZero() || left <= 0 || left > testClasses[1].MemorySpan {
+	if m.call.Until.IsZero() || left <= 0 || left > testClasses[1].DedupWindow {
 		t.Errorf("the repeat may be written until %v, %g ms before the window's end", m.call.Until, left)
 	}
 	if _, bound := b.repeatDeadline(safe); bound || safe.DoubtAt == 0 {
--- a/internal/sender/submissions.go
+++ b/internal/sender/submissions.go
@@ -83,8 +83,8 @@
 	s.observeTaken(e, m.Class, false)
 	s.submissions = append(s.submissions, &pendingSubmission{submission: o, entry: e})
 	s.events = append(s.events, policy.Event{
-		Kind: policy.EvMessage, ID: e.Num, Class: m.Class, Tenant: m.Tenant, Key: m.OrderingKey, Left: left,
-		Again: m.Resubmitted, Dest: m.Dest,
+		Kind: policy.EvMessage, ID: e.Num, Class: m.Class, Tenant: m.Tenant, Key: m.OrderingKey, Remaining: left,
+		Resubmitted: m.Resubmitted, Dest: m.Dest,
 	})
 }
 
