--- a/internal/sender/calls.go
+++ b/internal/sender/calls.go
@@ -10,9 +10,9 @@
 	"sliptide/policy"
 )
 
-// This file sends: it makes calls of what the module decides.
+// This file groups the attempts of a step into calls and starts them.
 
-// send enters an attempt. Sends of one step to one endpoint share a call.
+// beginAttempt records an attempt and adds it to a call. Attempts of one step at one endpoint share a call.
 func (s *Sender) beginAttempt(a *policy.Action) {
 	m, e := s.messages[a.ID], s.endpoints[a.Endpoint]
 	if m == nil || m.call != nil || e.Addr == "" || s.stoppedFor(stopSendWindow) || s.handingOver {
@@ -22,7 +22,7 @@
 	s.journal.Start(m.Entry, int64(s.now), e.Zone)
 	c := s.callFor(e, &item)
 	m.call, m.attemptDeadline = c, math.Inf(1)
-	if a.After >= s.timeLeftMS(m) { // else the whole call ends then, and with its connection
+	if a.After >= s.timeLeftMS(m) { // otherwise the timeout of the whole call ends it
 		m.attemptDeadline = s.now + a.After
 	}
 	s.observeBegan(m, c, item.Attempt)
@@ -34,12 +34,12 @@
 	}
 }
 
-// repeatShare is the part of an idempotency window within which a repeat has to be written. The module decides on one
-// within a smaller part, and a request takes a moment to arrive.
+// repeatWindowShare is the part of an idempotency window within which a repeat must be written. The module decides within
+// a smaller part, and the request takes some time to arrive.
 const repeatWindowShare = 0.95
 
-// repeatUntil is the latest moment at which a further attempt of m may be written, if its class binds it: while the
-// partner still drops repeats of an attempt that may have run.
+// repeatDeadline returns the latest time at which a further attempt of m may be written: until then the partner drops
+// repeats of an attempt that may have run. bound is false if the class of m or its attempts so far set no such limit.
 func (s *Sender) repeatDeadline(m *message) (until time.Time, bound bool) {
 	c := s.settings.Classes[m.class]
 	if m.DoubtAt == 0 || c.Effect != policy.Keyed {
@@ -49,10 +49,10 @@
 	return time.Now().Add(fromMillis(left)), true
 }
 
-// untilDeadline is how long m may still be delivered, with what its rounding may hide.
+// timeLeftMS is the time until the deadline of m, less 2 ms for the rounding of stored times.
 func (s *Sender) timeLeftMS(m *message) float64 { return float64(m.Deadline) - s.now - 2 }
 
-// callTo is the call of this step to e that has room for item, or a new one.
+// callFor returns the call of this step to e that can take item, or a new one.
 func (s *Sender) callFor(e discovery.Endpoint, item *outbound.Item) *outbound.Call {
 	batch := 1
 	if e.Kind < len(s.settings.Kinds) {
@@ -75,12 +75,12 @@
 	return c
 }
 
-// dispatch starts the calls of this step.
+// dispatch starts the calls of this step. journalled reports whether the journal was written.
 func (s *Sender) dispatch(journalled bool) {
 	for _, c := range s.newCalls {
 		s.calls[c] = true
 		s.chooseFirst(c)
-		if !journalled { // an attempt that no journal knows must not begin
+		if !journalled { // an attempt that is not in the journal must not begin
 			s.dropUnsent(c)
 			s.stepDue = true
 			continue
@@ -91,13 +91,13 @@
 	s.newCalls = s.newCalls[:0]
 }
 
-// heardIn is the time, in milliseconds, after which a client that went before its answer has been noticed.
+// disconnectDetectionMS is the time after which a client that disconnected before its answer has been detected.
 const disconnectDetectionMS = 50.0
 
-// lead puts the message that is likeliest to live until the answer first in a call of several: the one with the
-// most time left, of those whose clients have surely had theirs. Guards against a call whose first message ends
-// while it is out, because its time is up or its client has gone: a partner that knows a call by its first message
-// may then count its whole answer for nothing, for the others too, which this sender takes for delivered.
+// chooseFirst puts the message that is most likely to outlast a bulk call first in it: the one with the most time left
+// among those whose clients have surely received their answer. If the first message ends during the call, because it
+// expires or its client is gone, a partner that identifies the call by that message may discard its whole answer, while
+// this sender would count the other messages as delivered.
 func (s *Sender) chooseFirst(c *outbound.Call) {
 	var best *message
 	at := 0
--- a/internal/sender/classes.go
+++ b/internal/sender/classes.go
@@ -6,10 +6,10 @@
 	"sliptide/policy"
 )
 
-// classTable is every class that this process has known, in the order in which each came: a position never
-// changes its meaning, so that a message under way keeps its class when the settings change. A name stands
-// for its present definition, or for its last one where it has vanished: a client's message that was on its
-// way when the file changed is still taken on. A table is never changed once it is shared.
+// classTable holds every class definition that this process has seen, in order of appearance. An index never changes its
+// meaning, so a message keeps its class when the settings change. A name maps to its present definition, or to the last
+// one if the class was removed: a message that a client sent before the change is still accepted. A table is immutable
+// once it is shared.
 type classTable struct {
 	all    []policy.Class
 	byName map[string]int
@@ -20,8 +20,8 @@
 	return t.withPresent(present)
 }
 
-// with is a table in which the present classes are these. A class whose definition is unchanged keeps its
-// position; one that is new or defined anew gets the next.
+// withPresent returns a table with these present classes. A class with an unchanged definition keeps its index; a new or
+// redefined one gets the next.
 func (t *classTable) withPresent(present []policy.Class) *classTable {
 	next := &classTable{all: slices.Clone(t.all), byName: make(map[string]int, len(t.byName)+len(present))}
 	for name, i := range t.byName {
@@ -37,11 +37,11 @@
 	return next
 }
 
-// unknownClass is the position of what stands for the class of a restored message that the settings lack. Nothing is
-// known of its effect, so that what may have run is not repeated; untried, it is tried. Guards against messages that
-// were taken on and end without a call, since the settings changed between two lives. Clients cannot name it.
+// unknownClass returns the index of a placeholder for the class of a restored message that the settings lack. Its effect is
+// unknown, so a message that may have run is not repeated, but one that was never sent is sent: accepted messages must
+// not end without a call because the settings changed between two processes. Clients cannot name the placeholder.
 func (s *Sender) unknownClass() int {
-	const longest = 24 * 3600e3 // the deadline is the message's own
+	const longest = 24 * 3600e3 // each message keeps its own deadline
 	placeholder := policy.Class{Aim: longest, Deadline: longest, Worth: 1, LateWorth: 1, Effect: policy.Unsafe}
 	t := s.classes.Load()
 	if i := slices.Index(t.all, placeholder); i >= 0 {
@@ -53,14 +53,15 @@
 	return len(t.all) - 1
 }
 
-// useClasses makes a table and the attempts allowed known, to the module from the next step on.
+// useClasses puts a table and the allowed number of attempts into use, for the module from the next step on.
 func (s *Sender) useClasses(t *classTable, attempts int) {
 	s.classes.Store(t)
 	s.settings.Classes, s.settings.MaxAttempts = t.all, attempts
 	s.events = append(s.events, policy.Event{Kind: policy.EvSettings, Settings: &policy.Settings{Classes: t.all, MaxAttempts: attempts}})
 }
 
-// ClassOf is the position of the class of that name and its definition; -1 where no class has it.
+// ClassOf returns the index and the definition of the class with that name; -1 if there is none. It is safe for
+// concurrent use.
 func (s *Sender) ClassOf(name []byte) (int, policy.Class) {
 	t := s.classes.Load()
 	i, ok := t.byName[string(name)]
@@ -70,8 +71,8 @@
 	return i, t.all[i]
 }
 
-// Retune takes settings read anew: classes that appear or are defined anew are taken on from the next
-// step on, and the attempts allowed hold for all messages. All else waits for the next start.
+// UpdateSettings applies reloaded settings: new and redefined classes are in use from the next step on, and the allowed
+// number of attempts applies to all messages. All other settings take effect at the next start.
 func (s *Sender) UpdateSettings(set policy.Settings) { s.post(input{settings: &set}) }
 
 func (s *Sender) handleSettings(set *policy.Settings) {
--- a/internal/sender/clock.go
+++ b/internal/sender/clock.go
@@ -2,16 +2,16 @@
 
 import "time"
 
-// Clock is the sender's time in milliseconds. It follows the monotonic clock, so that no step of the
-// wall clock moves a deadline; it starts at Unix time, or where the sender's timeline goes on from an earlier life. The
-// journal's deadlines and the knowledge file's times are told in it.
+// Clock is the sender's clock, in milliseconds. It follows the monotonic clock, so that a step of the wall clock moves no
+// deadline. It starts at Unix time, or where the sender's timeline continues from an earlier process. Deadlines in the
+// journal and times in the knowledge file are times of this clock.
 type Clock struct {
 	start   time.Time
 	startMS float64
 }
 
-// wallShift is by how much this machine's wall clock is off, as time.ParseDuration reads it. It is empty but in
-// tests of machines whose clocks disagree, which set it when they link the program.
+// wallShift is an offset of this machine's wall clock, in the format of time.ParseDuration. Tests of machines whose clocks
+// disagree set it when they link the program; it is empty otherwise.
 var wallShift string
 
 var wallOffset, _ = time.ParseDuration(wallShift)
@@ -19,13 +19,13 @@
 // NewClock returns a Clock that starts now.
 func NewClock() Clock { return Clock{time.Now(), WallClock()} }
 
-// NewClockAt returns a Clock that starts now, at that time in Unix milliseconds.
+// NewClockAt returns a Clock that starts now and reads startMS, in Unix milliseconds.
 func NewClockAt(startMS float64) Clock { return Clock{time.Now(), startMS} }
 
-// Now is the time.
+// Now returns the time in milliseconds.
 func (c Clock) Now() float64 { return c.startMS + float64(time.Since(c.start))/1e6 }
 
-// Wall is the wall clock in Unix milliseconds, which may have been stepped since.
+// WallClock returns the wall clock in Unix milliseconds. Unlike a Clock it may be stepped.
 func WallClock() float64 {
 	return float64(time.Now().Add(wallOffset).UnixNano()) / 1e6
 }
--- a/internal/sender/copystatus.go
+++ b/internal/sender/copystatus.go
@@ -8,10 +8,10 @@
 	"sliptide/internal/fleet/copies"
 )
 
-// statusEvery is between two statuses of copies that operators may ask for.
+// statusInterval is the interval between updates of the copies' status.
 const statusInterval = 200 * time.Millisecond
 
-// publishCopies makes the status readable for operators, now and then.
+// publishCopyStatus publishes the copies' status for operators, at most once in statusInterval.
 func (s *Sender) publishCopyStatus() {
 	c := s.copies
 	if now := time.Now(); now.Before(c.nextStatus) {
@@ -31,7 +31,7 @@
 	c.status.Store(&st)
 }
 
-// CopyStatus is the status as JSON; empty: there are no copies. It is safe for concurrent use.
+// CopyStatus returns the copies' status as JSON; empty: the journal has no copies. It is safe for concurrent use.
 func (s *Sender) CopyStatus() string {
 	if s.copies == nil || s.copies.status.Load() == nil {
 		return ""
--- a/internal/sender/endpoints.go
+++ b/internal/sender/endpoints.go
@@ -6,18 +6,18 @@
 	"sliptide/policy"
 )
 
-// This file takes news of endpoints: by the list, and by hand.
+// This file handles updates of endpoints: endpoint lists, and endpoints disabled or enabled by an operator.
 
-// List takes news of the list of endpoints.
+// UpdateEndpoints applies an update of the endpoint list.
 func (s *Sender) UpdateEndpoints(l discovery.List) { s.post(input{list: &l}) }
 
-// TakeOut takes an endpoint out by hand (out) or puts it back. It returns once the module holds to it:
-// nothing new goes there from then on. An endpoint that no list has named is operate.ErrNeverListed.
+// SetDisabled disables or enables an endpoint for an operator. It returns when the change is in force: no new call goes
+// to a disabled endpoint from then on. If no list has named the endpoint, it returns operate.ErrNeverListed.
 func (s *Sender) SetDisabled(id string, disabled bool) error {
 	return s.requestDisable(id, disabled, false)
 }
 
-// Follow takes an endpoint out or puts it back as another process of this sender did: named or not.
+// ApplyDisabled repeats a change that another process of this sender made, also for an endpoint that was never listed.
 func (s *Sender) ApplyDisabled(id string, disabled bool) error {
 	return s.requestDisable(id, disabled, true)
 }
@@ -33,30 +33,30 @@
 	}
 }
 
-// takeOut carries out an order by hand: the module hears of the endpoint as if listed anew.
+// handleDisable executes a disable request. The module receives the endpoint as if it had been listed again.
 func (s *Sender) handleDisable(o *disableRequest) error {
 	id, named := s.endpointIDs[o.id]
-	if !named && !o.replicated && !s.disabled.Has(o.id) { // one taken out in an earlier life may not be listed yet
+	if !named && !o.replicated && !s.disabled.Has(o.id) { // one disabled in an earlier process may not be listed yet
 		return operate.ErrNeverListed
 	}
 	if err := s.disabled.Set(o.id, o.disabled); err != nil {
 		return err
 	}
 	s.recordDisabled(o.id, o.disabled)
-	s.log.Info().Str("endpoint", o.id).Bool("out", o.disabled).Msg("endpoint taken out by hand, or put back")
+	s.log.Info().Str("endpoint", o.id).Bool("out", o.disabled).Msg("endpoint disabled or enabled by an operator")
 	if e, listed := s.endpoints[id]; named && listed {
 		s.handleList(&discovery.List{Entries: []discovery.Endpoint{e}})
 	}
 	return nil
 }
 
-// reportFull logs, once, that a destination is not served since no more are known.
+// logDestLimit logs, once, that a destination is not served because of MaxDestinations.
 func (s *Sender) logDestLimit(dest int) {
 	if s.destLimitLogged {
 		return
 	}
 	s.destLimitLogged = true
-	s.log.Error().Int("dest", dest).Int("destinations_allowed", MaxDestinations).Msg("too many destinations: messages for this and further ones are refused")
+	s.log.Error().Int("dest", dest).Int("destinations_allowed", MaxDestinations).Msg("destination limit reached: messages for this and further destinations are refused")
 }
 
 func (s *Sender) handleList(l *discovery.List) {
@@ -94,8 +94,7 @@
 	s.honourListedWaits(ev.List)
 	s.suspendListed()
 	for c := range s.calls {
-		// Nothing new may reach an endpoint that drains or is gone, and a call that still
-		// waits for its connection is new.
+		// An endpoint that is draining or gone must receive no new call; an unsent call is new.
 		if ready, named := listed[c.Endpoint]; !ready && (named || l.Full) {
 			s.dropUnsent(c)
 		}
--- a/internal/sender/holds.go
+++ b/internal/sender/holds.go
@@ -6,11 +6,11 @@
 	"sliptide/policy"
 )
 
-// This file keeps away from where nothing may be sent: what this sender knows of that goes with the copies of its
-// journal, and what a lost sender knew binds its heir.
+// This file handles holds: destinations and endpoints to which nothing may be sent. A sender's holds are copied with its
+// journal, so that a member that takes over its messages honours them.
 
-// drainHold is how long, in milliseconds, an heir keeps away from an endpoint that the lost sender's list said drains:
-// its own list says so within seconds, too.
+// adoptedDrainMS is how long a successor avoids an endpoint that the lost sender had listed as draining. Its own list
+// shows the drain within seconds.
 const adoptedDrainMS = 30e3
 
 func (s *Sender) recordDisabled(id string, out bool) {
@@ -32,7 +32,7 @@
 	s.journal.Hold(h, int64(s.now))
 }
 
-// bringHolds takes what the owner knew into the copies of this journal, by this sender's clock.
+// importHolds copies the holds of the lost owner into this journal; shift converts their times to this sender's clock.
 func (s *Sender) importHolds(h *takeover, shift int64) {
 	h.holds = nil
 	for _, x := range journal.ReplayHolds(h.Found.Records) {
@@ -41,14 +41,14 @@
 		}
 		if x.Until > int64(s.now) {
 			h.holds = append(h.holds, x)
-			if x.Kind == journal.HoldWait { // the others end with the messages that are taken over
+			if x.Kind == journal.HoldWait { // other holds end with the messages that are taken over
 				s.journal.Hold(x, int64(s.now))
 			}
 		}
 	}
 }
 
-// heed makes waits bind that a lost owner was told: for all messages of this sender from this step on.
+// honourWaits applies requested waits, of a lost owner or from the journal, to all messages from this step on.
 func (s *Sender) honourWaits(holds []journal.Hold) {
 	var facts []policy.DestFacts
 	for _, x := range holds {
@@ -63,7 +63,7 @@
 			f.Endpoints = []policy.EndpointFacts{{ID: id, OwnRoute: wait}}
 		}
 		facts = append(facts, f)
-		for c := range s.calls { // what has not begun would reach the partner inside its wait
+		for c := range s.calls { // an unsent call would reach the partner during the wait
 			if c.Dest == x.Dest && (x.Endpoint == "" || s.endpoints[c.Endpoint].Name == x.Endpoint) {
 				s.dropUnsent(c)
 			}
@@ -74,7 +74,7 @@
 	}
 }
 
-// heedListed makes waits that the journal keeps bind at what a list names: after a restart the module learns of them here.
+// honourListedWaits applies the journal's waits to listed endpoints. After a restart the module learns of them here.
 func (s *Sender) honourListedWaits(list []policy.Endpoint) {
 	if s.copies == nil {
 		return
@@ -92,7 +92,7 @@
 	s.honourWaits(holds)
 }
 
-// keepShut keeps away from endpoints that a lost owner kept away from, as long as this sender has messages of it.
+// avoidEndpoints avoids the endpoints that a lost owner avoided, at most until the time until.
 func (s *Sender) avoidEndpoints(holds []journal.Hold, till float64) {
 	for _, x := range holds {
 		if x.Kind == journal.HoldWait || till <= s.now {
@@ -100,18 +100,18 @@
 		}
 		s.avoided.Add(x.Endpoint, min(till, float64(x.Until)))
 		s.reapplyEndpoint(x.Endpoint)
-		s.log.Info().Str("endpoint", x.Endpoint).Msg("copies: nothing goes to this endpoint while messages of the lost sender are left, as it kept away from it")
+		s.log.Info().Str("endpoint", x.Endpoint).Msg("copies: endpoint avoided, as by the lost sender, while messages taken over from it are left")
 	}
 }
 
-// reopen puts endpoints back that need not be kept away from any more.
+// readmitEndpoints uses endpoints again that need not be avoided any longer.
 func (s *Sender) readmitEndpoints() {
 	for _, id := range s.avoided.Over(s.now) {
 		s.reapplyEndpoint(id)
 	}
 }
 
-// relist tells the module of an endpoint anew.
+// reapplyEndpoint passes an endpoint to the module again, as last listed.
 func (s *Sender) reapplyEndpoint(name string) {
 	if e, listed := s.endpoints[s.endpointIDs[name]]; listed && e.Name == name {
 		s.handleList(&discovery.List{Entries: []discovery.Endpoint{e}})
--- a/internal/sender/knowledge.go
+++ b/internal/sender/knowledge.go
@@ -14,25 +14,25 @@
 )
 
 const (
-	maxDestsPerWrite = 64    // destinations told in one step: a sender with thousands must not stall on it
-	recallWindowMS   = 600e3 // milliseconds after the start that what an earlier life knew is at hand
+	maxDestsPerWrite = 64    // destinations written in one step: a sender with thousands must not stall on them
+	recallWindowMS   = 600e3 // how long after the start the earlier process's knowledge is kept for recall
 )
 
-// Memory is what a Sender works with to know over restarts. The zero Memory keeps nothing.
+// Knowledge is what a Sender needs to keep its knowledge over restarts. The zero value keeps nothing.
 type Knowledge struct {
-	Writer   *keeper.Keeper // takes what is learned; nil: nothing is kept
+	Writer   *keeper.Keeper // stores what is learned; nil: nothing is kept
 	Facts    *knowledge.Book
 	Settings operator.Knowledge
 }
 
-// memory carries facts between the module, which knows endpoints by number, and the books, which know
-// them by name.
+// knowledgeState transfers facts between the module, which identifies endpoints by number, and the stored knowledge,
+// which identifies them by name.
 type knowledgeState struct {
 	Knowledge
-	usualLatencyMS    float64         // latency of a call, of an earlier life
-	observedEndpoints map[uint32]bool // endpoints that calls of this life have told of
-	changedDests      map[int]bool    // destinations with news since they were told
-	unwrittenDests    []int           // of these, those that this round still tells
+	usualLatencyMS    float64         // usual latency of a call in the earlier process
+	observedEndpoints map[uint32]bool // endpoints about which calls of this process have told something
+	changedDests      map[int]bool    // destinations with changes since their last write
+	unwrittenDests    []int           // of these, the ones left in the present round of writes
 	nextWriteAt       float64         // when the next round is due
 }
 
@@ -48,15 +48,15 @@
 	s.module.RestoreGeneral(g)
 }
 
-// recall gives the module what an earlier life knew of the endpoints that a list names for the first
-// time, ahead of that list: a told wait binds from this very step on.
+// recall gives the module the earlier process's knowledge of endpoints that a list names for the first time. It comes
+// before the list, so that a requested wait is honoured from this step on.
 func (s *Sender) recall(l *discovery.List) {
 	m := &s.knowledge
 	if m.Facts == nil {
 		return
 	}
 	if s.now-s.clock.startMS > recallWindowMS {
-		m.Facts = nil // its destinations are not listed any more
+		m.Facts = nil // destinations that are not listed by now are gone
 		return
 	}
 	ratings := map[int]float64{}
@@ -85,7 +85,7 @@
 	}
 }
 
-// numbered is d as the module takes it, with the endpoints that ids names.
+// withEndpointIDs converts d for the module, with those of its endpoints that are in ids.
 func withEndpointIDs(d *knowledge.Destination, ids map[string]uint32) policy.DestFacts {
 	f := policy.DestFacts{Dest: d.Dest, SharedRoute: d.Shared, Latency: d.Latency, Admission: d.Control}
 	for _, e := range d.Endpoints {
@@ -97,13 +97,13 @@
 	return f
 }
 
-// noteWait tells of a wait that was just heard.
+// recordWait records a wait that a partner has just requested, in the journal and the knowledge.
 func (s *Sender) recordWait(c *outbound.Call, wait float64) {
 	r := knowledge.Route{Dest: c.Dest}
 	if s.hasOwnLimits(c.Endpoint) {
 		r.Endpoint = s.endpoints[c.Endpoint].Name
 	}
-	// Its end is rounded up: the partner counts from when its answer was written.
+	// Its end is rounded up, since the partner counts from the time at which it wrote its answer.
 	until := int64(s.now+wait) + 1
 	s.journal.Hold(journal.Hold{Kind: journal.HoldWait, Dest: r.Dest, Endpoint: r.Endpoint, Until: until}, int64(s.now))
 	if s.knowledge.Writer != nil {
@@ -111,13 +111,13 @@
 	}
 }
 
-// apart reports whether an endpoint is a route of its own.
+// hasOwnLimits reports whether an endpoint is of a kind whose endpoints have limits of their own.
 func (s *Sender) hasOwnLimits(id uint32) bool {
 	kind := s.endpoints[id].Kind
 	return kind < len(s.settings.Kinds) && s.settings.Kinds[kind].OwnLimits
 }
 
-// noteCall notes that a call's end has told something of its endpoint.
+// recordCall notes that knowledge of the endpoint and the destination of an ended call has changed.
 func (s *Sender) recordCall(c *outbound.Call) {
 	if s.knowledge.Writer != nil {
 		s.knowledge.observedEndpoints[c.Endpoint] = true
@@ -125,8 +125,9 @@
 	}
 }
 
-// tell gives the keeper what has changed, a bounded part in each step. What no call of this life has
-// told of is left as the earlier life wrote it, or its age would be lost.
+// writeKnowledge passes changed facts to the writer, a bounded number in each step unless all is set. Endpoints about
+// which no call of this process has told anything stay as the earlier process wrote them; their age would be lost
+// otherwise.
 func (s *Sender) writeKnowledge(all bool) {
 	m := &s.knowledge
 	if m.Writer == nil || len(m.unwrittenDests) == 0 && (len(m.changedDests) == 0 || !all && s.now < m.nextWriteAt) {
@@ -159,7 +160,7 @@
 	m.Writer.Learn(list, general)
 }
 
-// tellAt is when facts are due to be told; false if there are none.
+// nextKnowledgeWrite returns when changed facts are due to be written; false if there are none.
 func (s *Sender) nextKnowledgeWrite() (float64, bool) {
 	m := &s.knowledge
 	if len(m.unwrittenDests) > 0 {
@@ -168,7 +169,7 @@
 	return m.nextWriteAt, len(m.changedDests) > 0
 }
 
-// named is f as the books take it.
+// withEndpointNames converts f for the stored knowledge.
 func (s *Sender) withEndpointNames(f policy.DestFacts) *knowledge.Destination {
 	d := &knowledge.Destination{Dest: f.Dest, At: s.now, Shared: f.SharedRoute, Latency: f.Latency, Control: f.Admission}
 	for _, e := range f.Endpoints {
@@ -180,7 +181,7 @@
 	return d
 }
 
-// general is what belongs to no one destination, by the names of classes and kinds.
+// generalFacts returns the facts that belong to no single destination, by the names of classes and kinds.
 func (s *Sender) generalFacts() *knowledge.Book {
 	g, b := s.module.GeneralFacts(), knowledge.New("")
 	for i, u := range g.ClassLatency {
--- a/internal/sender/observe.go
+++ b/internal/sender/observe.go
@@ -13,26 +13,26 @@
 )
 
 const (
-	holdsInterval  = 10.0   // milliseconds between two looks at why messages wait
-	gaugesInterval = 1000.0 // and between two sets of gauges
+	holdsInterval  = 10.0   // milliseconds between checks why messages wait
+	gaugesInterval = 1000.0 // milliseconds between sets of gauges
 )
 
-// observer tells telemetry, and the log where that is wanted, what the sender does. All of it is a push into a
-// bounded queue or a line; with a nil Recorder and without lines it is nothing.
+// observer records the sender's activity in telemetry and, if enabled, in the log. Each record is a push into a bounded
+// queue or a log line; with a nil Recorder and without logRecords nothing is recorded.
 type observer struct {
 	*telemetry.Recorder
-	logRecords    bool // a line in the log for each record of a message
+	logRecords    bool // log each record of a message
 	log           zerolog.Logger
-	reportedHolds map[int]policy.WaitCause // as told
+	reportedHolds map[int]policy.WaitCause // as last reported, by destination
 	nextHolds     float64
 	nextGauges    float64
-	holdsSkipped  bool // a look was too soon after the last: one is due at holdsAt
+	holdsSkipped  bool // a check was skipped; the next is due at nextHolds
 }
 
-// On tells whether records are wanted.
+// On reports whether records are wanted.
 func (w *observer) On() bool { return w.logRecords || w.Recorder.On() }
 
-// Push tells of one thing.
+// Push records r.
 func (w *observer) Push(r telemetry.Record) {
 	if w.logRecords {
 		w.logRecord(&r)
@@ -40,8 +40,8 @@
 	w.Recorder.Push(r)
 }
 
-// line writes a record of a message, for "sliptide lab count". A message is named by its number; the record of its
-// taking on has the id that its client gave it, too.
+// logRecord logs a record of a message, for "sliptide lab count". Records identify a message by its number; the record of
+// its acceptance also has the ID that its client gave it.
 func (w *observer) logRecord(r *telemetry.Record) {
 	e := w.log.Log().Int32("dest", r.Dest)
 	switch r.Kind {
@@ -62,8 +62,8 @@
 	e.Uint64("num", r.Num).Str("record", r.Kind.String()).Send()
 }
 
-// closed tells of a connection to an endpoint that was closed. It is called on the connection's goroutine. What an
-// endpoint sent unasked is always worth a line; all else is one of the records.
+// closed logs that a connection to an endpoint was closed. It is called on the connection's goroutine. Unsolicited bytes
+// from an endpoint are always logged, other reasons only with logRecords.
 func (w *observer) closed(c outbound.Closing) {
 	e := w.log.Log()
 	switch {
@@ -82,7 +82,7 @@
 	return telemetry.ParseParent(v)
 }
 
-// observeTaken tells of a message that is held from here on.
+// observeTaken records an accepted or restored message.
 func (s *Sender) observeTaken(e *journal.Entry, class int, restored bool) {
 	if !s.observer.On() {
 		return
@@ -97,14 +97,14 @@
 	}
 }
 
-// observeBegan tells of an attempt.
+// observeBegan records the start of an attempt.
 func (s *Sender) observeBegan(m *message, c *outbound.Call, attempt int) {
 	if s.observer.On() {
 		s.observer.Push(telemetry.Record{Kind: telemetry.Began, Num: m.Num, Dest: int32(m.Dest), Endpoint: c.Endpoint, Attempt: int16(attempt), At: s.now})
 	}
 }
 
-// observeEnded tells how an attempt ended.
+// observeEnded records the outcome of an attempt.
 func (s *Sender) observeEnded(c *outbound.Call, e *policy.Event) {
 	if !s.observer.On() || e.Kind != policy.EvOutcome {
 		return
@@ -113,7 +113,7 @@
 		MayHaveRun: e.Outcome != policy.OK && !e.Outcome.NeverRan(), Wait: e.RequestedWait, At: s.now, Until: s.now - max(e.Latency, 0), Text: c.Addr, Left: s.reportField(e, s.settings.AllowanceIndex), Value: s.reportField(e, s.settings.LimitIndex)})
 }
 
-// told is a value of the report that came with an outcome, 0 if there was none.
+// reportField returns a value of the endpoint's report that came with an outcome; 0 if there is none.
 func (s *Sender) reportField(e *policy.Event, field int) float64 {
 	if field < 0 || field >= len(e.Report) {
 		return 0
@@ -138,7 +138,7 @@
 	policy.CausePaceCap: telemetry.CauseStorm, policy.CausePace: telemetry.CausePace, policy.CauseSlot: telemetry.CauseSlot, policy.CauseRetry: telemetry.CauseRetry,
 }
 
-// observeStep tells, after a step, why messages wait where that has changed, and now and then the gauges.
+// observeStep records, after a step, the destinations whose reason to wait has changed, and periodically the gauges.
 func (s *Sender) observeStep() {
 	w := &s.observer
 	if !w.On() {
@@ -204,7 +204,7 @@
 	}
 }
 
-// observeWait is when observeStep wants to be called again while messages are held: a reason changes with time alone.
+// untilObservation limits the wait for the next step while messages are held: reasons to wait change with time alone.
 func (s *Sender) untilObservation(wait time.Duration) time.Duration {
 	switch {
 	case !s.observer.On() || len(s.messages) == 0:
@@ -215,7 +215,7 @@
 	return min(wait, 100*time.Millisecond)
 }
 
-// whyNot is why nothing more is taken on.
+// refusalCause returns why a message is refused.
 func (s *Sender) refusalCause() telemetry.Cause {
 	if !s.stopRequestedAt.IsZero() {
 		return telemetry.CauseStop
--- a/internal/sender/outcomes.go
+++ b/internal/sender/outcomes.go
@@ -10,12 +10,12 @@
 	"sliptide/policy"
 )
 
-// This file ends things: calls, attempts, and messages with their notices.
+// This file handles the ends of calls, attempts and messages, and sends notices.
 
-// takeOutcome books the end of a call.
+// handleOutcome records the end of a call.
 func (s *Sender) handleOutcome(c *outbound.Call, events []policy.Event) {
 	delete(s.calls, c)
-	if c.Given() { // see leaderEnds
+	if c.Given() { // its answer may count for nothing, see abandonIfFirst
 		for i := range events {
 			if events[i].Outcome == policy.OK {
 				events[i].Outcome = policy.Timeout
@@ -29,7 +29,7 @@
 			s.dropCallsWithin(c)
 			s.recordWait(c, e.RequestedWait)
 		}
-		if e.Outcome != policy.Moot { // one that was not sent tells nothing
+		if e.Outcome != policy.Moot { // an unsent call tells nothing about its endpoint
 			s.recordCall(c)
 		}
 		s.stormGuard.Outcome(s.now, e)
@@ -53,8 +53,8 @@
 	}
 }
 
-// hold keeps calls back that still wait for their connection when a wait is told:
-// they would reach the destination inside it.
+// dropCallsWithin drops unsent calls that the wait requested by a partner covers: they would reach the destination during
+// the wait.
 func (s *Sender) dropCallsWithin(requested *outbound.Call) {
 	ownLimits := s.hasOwnLimits(requested.Endpoint)
 	for c := range s.calls {
@@ -64,7 +64,7 @@
 	}
 }
 
-// drop gives up a call that has not begun, and reports whether it did; its messages learn at once that it never ran.
+// dropUnsent drops a call that has not begun and records that it never ran. It reports whether the call was dropped.
 func (s *Sender) dropUnsent(c *outbound.Call) bool {
 	if c == nil || !c.Drop() {
 		return false
@@ -73,20 +73,19 @@
 	return true
 }
 
-// cutShort ends attempts whose time is up in a call that goes on for others: a
-// message with little time left would otherwise be out beyond its deadline with
-// the rest of a bulk call, and its end would come too late.
+// endExpiredAttempts ends attempts that have timed out in a call that continues for other messages. Otherwise a message
+// with little time left would stay in a bulk call beyond its deadline, and its notice would come too late.
 func (s *Sender) endExpiredAttempts() {
 	for c := range s.calls {
 		if len(c.Items) < 2 {
-			continue // its connection ends it
+			continue // the connection's timeout ends it
 		}
 		for i := range c.Items {
 			m := s.messages[c.Items[i].ID]
 			if m == nil || m.call != c || m.attemptDeadline > s.now {
 				continue
 			}
-			if s.dropUnsent(c) { // it still waits for its connection, and would take along what is ended by then
+			if s.dropUnsent(c) { // an unsent call would still send the message after its end
 				break
 			}
 			m.call = nil
@@ -110,17 +109,17 @@
 	}
 }
 
-// over forgets a message to which nothing more is owed.
+// complete ends a message that needs no notice.
 func (s *Sender) complete(m *message) {
 	s.journal.End(m.Entry)
 	s.ended.add(m.Trace, s.now)
 	s.forget(m)
 }
 
-// leaderEnds gives a call of several up whose first message ends, or is no longer out with it, before the answer.
-// Guards against an answer that a partner writes to a call that it knows by that message: it names the others as
-// accepted, and may count for nothing. They are in doubt from here on, whichever comes first, the end or the answer.
-// lead makes this rare.
+// abandonIfFirst abandons a bulk call whose first message ends, or leaves the call, before the answer. A partner may
+// identify a call by its first message; its answer may then be void for the other messages too, although it names them
+// as accepted. They are treated as possibly delivered from then on, whichever comes first, the end or the answer.
+// chooseFirst makes this rare.
 func (s *Sender) abandonIfFirst(c *outbound.Call, m *message) {
 	if c != nil && len(c.Items) > 1 && c.Items[0].ID == m.Num {
 		c.GiveUp()
@@ -134,7 +133,7 @@
 	s.stormGuard.Held(s.now, m.Dest, -1)
 }
 
-// owe ends a message that was taken on by a notice. It is over once that is taken.
+// endWithNotice ends an accepted message with a notice. Its journal entry is kept until the notice is accepted.
 func (s *Sender) endWithNotice(e *journal.Entry, ending int, after float64) {
 	s.journal.Owe(e, ending, int64(after))
 	s.pendingNotices[e.Num] = e
--- a/internal/sender/resubmission.go
+++ b/internal/sender/resubmission.go
@@ -8,28 +8,28 @@
 	"sliptide/internal/outbound"
 )
 
-// This file sees to messages that are handed in again since their sender died or did not answer. With copies, an heir
-// may have them too. So the fleet is asked before the client hears 202 and before anything is sent: who said first
-// that it has the message, keeps it.
+// This file handles messages that are resubmitted because their sender failed or did not answer. With copies, a successor
+// may hold them too. The fleet is therefore asked before the client receives 202 and before anything is sent: the sender
+// that claimed the message first keeps it.
 
-// claim is what the fleet is asked about the messages of one step that were handed in again.
+// claim is a query to the fleet about the messages resubmitted in one step.
 type claim struct {
 	keys      []uint64
-	answered  bool     // it has answered
-	takenOver []uint64 // of these, those that an heir has
+	answered  bool     // the fleet has answered
+	takenOver []uint64 // of these, those that a successor holds
 }
 
-// has reports whether an heir has the message of an entry.
+// has reports whether a successor holds the message of an entry.
 func (c *claim) has(e *journal.Entry) bool {
 	return c != nil && slices.Contains(c.takenOver, keyHash([]byte(e.Key)))
 }
 
-// answered reports whether the fleet has said what it was asked.
+// allAnswered reports whether the fleet has answered all claims.
 func allAnswered(claims []*claim) bool {
 	return !slices.ContainsFunc(claims, func(c *claim) bool { return !c.answered })
 }
 
-// claimFor is the claim of a message that is being taken on; nil: it needs none.
+// claimFor adds a submitted message to the claim of this step and returns the claim; nil: the message needs none.
 func (s *Sender) claimFor(m *Message) *claim {
 	key := keyHash(m.Key)
 	if s.copies == nil || !m.Failover || key == 0 {
@@ -42,7 +42,7 @@
 	return s.copies.claim
 }
 
-// askAgain asks the fleet about what was handed in again in this step.
+// proposeClaim submits the claim of this step to the fleet.
 func (s *Sender) proposeClaim() {
 	c := s.copies
 	q := c.claim
@@ -51,13 +51,13 @@
 	}
 	c.fleet.Propose(&pb.Command{What: &pb.Command_Again{Again: &pb.Again{Session: c.fleet.View().Session, Keys: q.keys}}}, func(a *pb.Answer, err error) {
 		if err != nil {
-			return // without a word the messages are refused when their time to wait is over
+			return // without an answer the messages are refused when their wait times out
 		}
 		s.enqueueCopyInput(copyInput{run: func() { q.answered, q.takenOver = true, a.GetKeys() }})
 	})
 }
 
-// openClaims are the claims of messages that are not answered yet.
+// openClaims returns the unanswered claims of messages.
 func (s *Sender) openClaims(nums ...uint64) (list []*claim) {
 	for _, num := range nums {
 		if m := s.messages[num]; m != nil && m.claim != nil && !m.claim.answered && !slices.Contains(list, m.claim) {
@@ -67,7 +67,7 @@
 	return list
 }
 
-// elsewhere reports whether an heir has a message of a call.
+// anyTakenOver reports whether a successor holds a message of a call.
 func (s *Sender) anyTakenOver(call *outbound.Call) bool {
 	for i := range call.Items {
 		if m := s.messages[call.Items[i].ID]; m != nil && m.claim.has(m.Entry) {
--- a/internal/sender/sender.go
+++ b/internal/sender/sender.go
@@ -1,6 +1,6 @@
-// Package sender owns the decision module. One goroutine takes what happens on
-// the sockets as events, batches them into steps of the module, and carries out
-// its actions. The lives and deadlines of all messages are here alone.
+// Package sender connects the decision module (package policy) to the sockets, the journal and the clock. One goroutine
+// collects inputs, passes them to the module as events in batched steps, and executes the actions that it returns.
+// That goroutine alone holds the state and the deadline of every message.
 package sender
 
 import (
@@ -22,78 +22,76 @@
 )
 
 const (
-	inputQueueSize     = 256                     // inputs that wait for the next step
-	maxStepInputs      = 512                     // inputs of one step
-	stopSendWindow     = 2500 * time.Millisecond // after the stop, new calls still begin so long
-	stopTimeout        = 3000 * time.Millisecond // and the sender leaves at the latest then
-	endedIDRetentionMS = 30000.0                 // milliseconds that the id of a message that is over is known
-	maxEndedIDs        = 8192                    // ids of these, at most
-	maxDialTimeoutMS   = 500.0                   // milliseconds that a connection may take to come up
-	maxBusyRetryMS     = 1000.0                  // retry-after where there is no room, in milliseconds
-
-	journalRetryInterval = 20 * time.Millisecond // between two tries to write the journal
+	inputQueueSize     = 256                     // inputs buffered for the next step
+	maxStepInputs      = 512                     // inputs handled in one step
+	stopSendWindow     = 2500 * time.Millisecond // how long after a stop request new calls may begin
+	stopTimeout        = 3000 * time.Millisecond // how long after a stop request the sender exits at the latest
+	endedIDRetentionMS = 30000.0                 // how long the ID of an ended message is remembered
+	maxEndedIDs        = 8192                    // IDs of ended messages that are remembered
+	maxDialTimeoutMS   = 500.0                   // limit on the settings' dial timeout, see New
+	maxBusyRetryMS     = 1000.0                  // limit on the Retry-After of a refusal for lack of capacity
+
+	journalRetryInterval = 20 * time.Millisecond
 )
 
-// MaxDestinations is how many destinations a sender knows at most; a message for a further one is refused.
+// MaxDestinations limits the destinations that a sender serves; messages for further ones are refused.
 const MaxDestinations = 1 << 12
 
-// errStopped is the error of an order that came after the sender left.
+// errStopped is returned by requests that arrive after the sender has exited.
 var errStopped = errors.New("the sender has stopped")
 
-// Message is one message that a client hands in, whatever protocol it came by.
-// Its fields may be slices of the buffer that it was read into: they are copied
-// when the sender takes it on.
+// Message is a message submitted by a client, independent of the client's protocol. Its fields may be slices of the
+// read buffer: the sender copies them when it accepts the message.
 type Message struct {
 	Trace, Key  []byte
-	Class       int // position in the settings
+	Class       int // index into the classes, as ClassOf returns it
 	Tenant      int
 	Dest        int
-	OrderingKey uint64 // what it is about, for classes that keep their order; 0 = none
+	OrderingKey uint64 // messages of a class that keeps order are ordered within a key; 0 = none
 	Resubmitted bool
-	Failover    bool          // again since its sender died or did not answer: an heir may have it
-	Remaining   time.Duration // how long it may still be delivered
+	Failover    bool          // resubmitted because its previous sender failed or did not answer: a successor may hold it
+	Remaining   time.Duration // time left until its deadline
 	Body        []byte
-	TraceParent []byte // the trace context that the client sent, as it stands in its header; nil: none
+	TraceParent []byte // the client's traceparent header; nil = none
 }
 
-// Verdict is the answer to a message that was handed in.
+// Verdict is the result of a submission.
 type Verdict struct {
 	Accepted  bool
-	Num       uint64 // the sender's number, if taken
-	Duplicate bool   // not taken: another with this id was
-	TakenOver bool   // not taken: an heir has it from the sender that was lost
-	NoRoute   bool   // not taken: its destination has never been listed
-	// Misdirected: not taken, its destination belongs to others, whose names Belongs tells, the first choice first.
+	Num       uint64 // the sender's number for the message, if accepted
+	Duplicate bool   // refused: a message with this ID was accepted before
+	TakenOver bool   // refused: another sender took it over from the lost one
+	NoRoute   bool   // refused: its destination has never been listed
+	// Misdirected: refused, since other members serve its destination. ServedBy names them in order of preference.
 	Misdirected   bool
 	ServedBy      []string
-	TooFewHolders bool // not taken: too few members can be reached to copy it
+	TooFewHolders bool // refused: too few members are reachable to hold its copies
 	RetryAfter    float64
 }
 
-// input is one thing that has happened.
+// input is an occurrence for the sender's goroutine. Exactly one field is set, or one group of fields.
 type input struct {
 	submission   *submission
-	call         *outbound.Call // ended, with these events
+	call         *outbound.Call // an ended call, with its events
 	events       []policy.Event
 	list         *discovery.List
 	shardUpdate  *sharding.Update
-	ackedNotices []uint64 // messages whose notice was taken
-	withdrawn    uint64   // message that its client never heard was taken on
+	ackedNotices []uint64 // numbers of messages whose notice was accepted
+	withdrawn    uint64   // number of a message whose client did not receive the 202
 	disable      *disableRequest
 	settings     *policy.Settings
-	// takeOver ends the waiting of an heir; handOver stops a sender whose heir waits.
-	upgrade     *upgradeTakeover
-	stop        bool
-	handOver    bool
-	clientsGone bool // nothing more is handed in or withdrawn
-	wake        bool // there is news of the fleet
+	upgrade      *upgradeTakeover // makes a waiting successor the active sender
+	stop         bool
+	handOver     bool // with stop: a successor is waiting
+	clientsGone  bool // no further submissions or withdrawals follow
+	wake         bool // fleet updates are queued
 }
 
-// outOrder takes an endpoint out by hand, or puts it back.
+// disableRequest is an operator's request to disable or enable an endpoint.
 type disableRequest struct {
 	id         string
 	disabled   bool
-	replicated bool // another process of this sender has taken it: no list need have named it here
+	replicated bool // already applied by another process of this sender: the endpoint need not have been listed here
 	done       chan error
 }
 
@@ -103,17 +101,17 @@
 	verdict  chan Verdict
 }
 
-// message is one message in the sender's hands, until it is over.
+// message is an accepted message that has not ended.
 type message struct {
 	*journal.Entry
-	class           int            // position in the settings, of the definition that it was taken on under
-	acceptedAt      float64        // 0: in an earlier life
-	call            *outbound.Call // that is out with it
-	attemptDeadline float64        // when the attempt's time is up
-	claim           *claim         // the fleet is asked whether an heir has it; nil: it need not be
+	class           int            // index of the class definition under which it was accepted
+	acceptedAt      float64        // 0: by an earlier process
+	call            *outbound.Call // the call in progress with it
+	attemptDeadline float64        // when its attempt ends apart from the rest of its call; +Inf: with the call
+	claim           *claim         // the query whether a successor holds it; nil: not needed
 }
 
-// past knows the ids of messages that are over, for a while.
+// endedIDs remembers the IDs of recently ended messages.
 type endedIDs struct {
 	ids   map[string]bool
 	queue []endedID // oldest first
@@ -133,30 +131,30 @@
 	p.queue = append(p.queue, endedID{trace, now})
 }
 
-// Options are the parts that a Sender works with.
+// Options holds the configuration and the collaborators of a Sender.
 type Options struct {
 	Settings  policy.Settings
 	Seed      uint64
-	MaxConns  int // connections to endpoints, at most
+	MaxConns  int // limit on connections to endpoints
 	Journal   *journal.Journal
 	Restored  []*journal.Entry
 	Notify    func(discovery.Notice)
 	Knowledge Knowledge
 	Clock     Clock
-	// Partner says how a destination is reached; nil: all by plain HTTP/1.1. Streams is how many calls the
-	// module takes a connection to carry where that is HTTP/2.
+	// Partner returns how a destination is reached; nil: all by plain HTTP/1.1. HTTP2Streams is the number of concurrent
+	// calls that the module assumes on an HTTP/2 connection.
 	Partner      func(dest int) *outbound.Partner
 	HTTP2Streams int
-	StormGuard   *storm.Guard        // nil: storms are not damped
-	Recorder     *telemetry.Recorder // nil: nobody observes
-	LogRecords   bool                // a line in the log for each thing that happens to a message
-	Disabled     operate.Out         // endpoints taken out by hand, which count as draining
-	// Heir: a new version started beside the present one, which sends nothing until TakeOver.
+	StormGuard   *storm.Guard        // nil: no storm control
+	Recorder     *telemetry.Recorder // nil: no telemetry
+	LogRecords   bool                // log each record of a message
+	Disabled     operate.Out         // endpoints disabled by an operator, which count as draining
+	// Successor: this is a new version, started beside the running one. It sends nothing until TakeOver.
 	Successor bool
 	Log       zerolog.Logger
 }
 
-// Sender carries out what the decision module decides.
+// Sender executes the decisions of the module.
 type Sender struct {
 	settings policy.Settings
 	module   *policy.Sender
@@ -171,44 +169,44 @@
 	now        float64
 	knowledge  knowledgeState
 	stormGuard *storm.Guard
-	fleet      Fleet                  // nil: none
-	copies     *copier                // nil: the journal is not copied
-	refusal    atomic.Pointer[string] // why nothing is taken on, as Refuses tells; nil: it is
-	trials     *trials                // nil: not shared
+	fleet      Fleet                  // nil: not a member of a fleet
+	copies     *copier                // nil: the journal has no copies
+	refusal    atomic.Pointer[string] // why no message is accepted, see RefusalReason; nil: messages are accepted
+	trials     *trials                // nil: trials are not shared
 	shards     *shards                // nil: all destinations are served
 	observer   observer
 
-	messages        map[uint64]*message // taken on and not over, and not waiting for a notice
+	messages        map[uint64]*message // accepted and not ended, without those in pendingNotices
 	numByTrace      map[string]uint64
-	ended           endedIDs                      // ids of messages that were taken on and are over
-	listedDests     map[int]bool                  // that have been listed
-	destLimitLogged bool                          // a destination past MaxDestinations has been reported
-	pendingNotices  map[uint64]*journal.Entry     // whose notice is not taken yet
-	endpoints       map[uint32]discovery.Endpoint // as listed, without what was said by hand
-	endpointIDs     map[string]uint32             // every endpoint that a list has named
+	ended           endedIDs
+	listedDests     map[int]bool
+	destLimitLogged bool                          // the log has said that MaxDestinations is exceeded
+	pendingNotices  map[uint64]*journal.Entry     // ended messages whose notice has not been accepted yet
+	endpoints       map[uint32]discovery.Endpoint // as listed, regardless of disabled and avoided
+	endpointIDs     map[string]uint32             // of every endpoint that has been listed, by name
 	disabled        operate.Out
-	avoided         operate.Shut               // endpoints that a lost sender kept away from, whose messages are this one's
+	avoided         operate.Shut               // endpoints that the lost sender of adopted messages avoided
 	classes         atomic.Pointer[classTable] // shared with intake
 	successor       bool
-	heldLists       []discovery.List // lists that an heir holds back
+	heldLists       []discovery.List // endpoint lists that a successor holds until TakeOver
 	partner         func(dest int) *outbound.Partner
 	http2Streams    int
-	calls           map[*outbound.Call]bool // out
+	calls           map[*outbound.Call]bool // in progress
 	events          []policy.Event
 	actions         []policy.Action
 	submissions     []*pendingSubmission
-	newCalls        []*outbound.Call // of this step
-	stepDue         bool             // events are left for a further step
-	journalFailed   bool             // the journal can't be written: nothing is taken on or sent
+	newCalls        []*outbound.Call // of the current step
+	stepDue         bool             // a step is due without further input
+	journalFailed   bool             // the last journal write failed: no message is accepted or sent
 	timer           *time.Timer
 	timerAt         float64
 	timerToken      uint32
-	stopRequestedAt time.Time // zero: not stopping
-	handingOver     bool      // stopping for an heir: no further call begins
-	clientsGone     bool      // the clients are
+	stopRequestedAt time.Time // zero: no stop requested
+	handingOver     bool      // stopping for a waiting successor: no further call begins
+	clientsGone     bool      // no further submissions or withdrawals follow
 }
 
-// taking is a message of this step that waits for its verdict.
+// pendingSubmission is a submission of the current step that awaits its verdict.
 type pendingSubmission struct {
 	*submission
 	entry        *journal.Entry
@@ -216,13 +214,13 @@
 	retryAfterMS float64
 }
 
-// New returns a Sender; what was restored is given to the module in Run's first step.
+// New returns a Sender. Restored messages reach the module in Run's first step.
 func New(o Options) *Sender {
-	// However many the settings allow on a connection, HTTP/1.1 carries one call at a time:
-	// the module must know which calls need a new one.
+	// HTTP/1.1 carries one call at a time on a connection, whatever the settings allow: the module must know which
+	// calls need a new connection.
 	o.Settings.StreamsPerConn = 1
-	// A connection comes up in a few round trips or not at all. Waiting longer for one to a machine
-	// that is cut off holds a slot, and the module learns of the outage that much later.
+	// A connection is established within a few round trips or not at all. A longer timeout would hold a slot while a
+	// machine is unreachable, and the module would learn of the outage later.
 	o.Settings.DialTimeout = min(cmp.Or(o.Settings.DialTimeout, maxDialTimeoutMS), maxDialTimeoutMS)
 	s := &Sender{
 		settings: o.Settings, module: policy.New(o.Settings, o.Seed), log: o.Log,
@@ -251,7 +249,7 @@
 		X0:          o.Settings.AllowanceIndex, X1: o.Settings.LimitIndex,
 		Partner: o.Partner,
 		Trouble: func(endpoint uint32, addr string, err error) {
-			o.Log.Warn().Uint32("endpoint", endpoint).Str("addr", addr).Err(err).Msg("partner: no connection")
+			o.Log.Warn().Uint32("endpoint", endpoint).Str("addr", addr).Err(err).Msg("partner: connection to endpoint failed")
 		},
 		Closed: s.observer.closed,
 		Done:   func(c *outbound.Call, events []policy.Event) { s.inputs <- input{call: c, events: events} },
@@ -261,11 +259,11 @@
 	for _, e := range o.Restored {
 		s.restore(e)
 	}
-	s.stepDue = true // the first step is due at once
+	s.stepDue = true // restored messages are handled without waiting for input
 	return s
 }
 
-// or is v, or what stands in where the settings tell none.
+// durationOr returns v, or none if v is not set.
 func durationOr(v, none time.Duration) time.Duration {
 	if v > 0 {
 		return v
@@ -277,15 +275,15 @@
 
 func (s *Sender) updateNow() { s.now = s.clock.Now() }
 
-// restore takes up a message of an earlier life.
+// restore adds a message from the journal of an earlier process.
 func (s *Sender) restore(e *journal.Entry) {
 	class, _ := s.ClassOf([]byte(e.Class))
 	left := float64(e.Deadline) - s.now
 	switch {
-	case e.Origin != "" && s.copies != nil: // being taken over when the last life ended
+	case e.Origin != "" && s.copies != nil: // its takeover was in progress when the earlier process ended
 		s.copies.pendingEntries[e.Num] = e
 		return
-	case e.Ending != journal.NotEnding: // the module had decided; its notice may not have been taken
+	case e.Ending != journal.NotEnding: // ended; its notice may not have been accepted
 		s.pendingNotices[e.Num] = e
 		s.sendNotice(e)
 		return
@@ -309,7 +307,7 @@
 	s.events = append(s.events, ev)
 }
 
-// Told takes the numbers of messages whose notice was taken.
+// AckNotices reports the messages, by number, whose notices were accepted.
 func (s *Sender) AckNotices(nums []uint64) { s.post(input{ackedNotices: nums}) }
 
 func (s *Sender) post(in input) {
@@ -319,7 +317,7 @@
 	}
 }
 
-// Run steps the module until the sender has stopped.
+// Run steps the module until the sender exits.
 func (s *Sender) Run() {
 	defer close(s.done)
 	defer s.writeKnowledge(true)
@@ -329,14 +327,14 @@
 		s.collectInputs()
 		startedAt := time.Now()
 		s.step()
-		// A step a round at most, as the module is used to: sends that come close together share a call.
+		// At most one step in MinStepInterval, as the module expects: sends close to each other share a call.
 		if rest := round - time.Since(startedAt); rest > 0 {
 			time.Sleep(rest)
 		}
 	}
 }
 
-// gather waits for something to happen and takes all that has.
+// collectInputs waits for an input or the timer, then handles the queued inputs.
 func (s *Sender) collectInputs() {
 	if !s.stepDue {
 		select {
@@ -358,7 +356,7 @@
 	}
 }
 
-// take turns an input into events of the next step.
+// handleInput turns an input into events of the next step.
 func (s *Sender) handleInput(in input) {
 	switch {
 	case in.submission != nil:
@@ -396,8 +394,8 @@
 	}
 }
 
-// step lets the module decide and carries out its actions: first all is written
-// to the journal, then clients are answered, then the calls go out.
+// step runs the module and executes its actions. The journal is written first, then clients are answered, then calls
+// start.
 func (s *Sender) step() {
 	if s.timerToken != 0 && s.now >= s.timerAt {
 		s.events = append(s.events, policy.Event{Kind: policy.EvTimer, Token: s.timerToken})
@@ -425,8 +423,8 @@
 	s.armTimer()
 }
 
-// noteJournal takes the result of writing the journal. While it can't be written, the module begins no attempt, which
-// would count though it never ran; it goes on with the final answers of messages whose time is up.
+// handleFlushResult handles the result of a journal write. While writes fail, the module begins no attempts, which would
+// count although they never ran; messages that reach their deadline still end.
 func (s *Sender) handleFlushResult(err error) {
 	if s.journalFailed == (err != nil) {
 		return
@@ -434,11 +432,11 @@
 	s.journalFailed = err != nil
 	s.module.SetHalted(s.journalFailed)
 	if s.journalFailed {
-		s.log.Error().Err(err).Msg("the journal can't be written: nothing is taken on or sent")
+		s.log.Error().Err(err).Msg("the journal can't be written: no message is accepted or sent")
 		return
 	}
-	s.log.Info().Msg("the journal is written again")
-	s.stepDue = true // what waits may go out
+	s.log.Info().Msg("the journal can be written again: accepting and sending messages")
+	s.stepDue = true // waiting messages may be sent
 }
 
 func (s *Sender) execute(a *policy.Action) {
@@ -457,11 +455,11 @@
 		s.pool.HangUp(a.Endpoint)
 	case policy.ActLog:
 		s.log.Info().Msg(a.Text)
-	case policy.ActSubscribe: // the watch of the list always stands
+	case policy.ActSubscribe: // the list subscription is permanent
 	}
 }
 
-// arm sets the one timer to the module's, or to the next look at a stop.
+// armTimer sets the timer to the earliest time at which a step is due without input.
 func (s *Sender) armTimer() {
 	wait := time.Hour
 	if s.timerToken != 0 {
--- a/internal/sender/shards.go
+++ b/internal/sender/shards.go
@@ -7,29 +7,31 @@
 	"sliptide/policy"
 )
 
-// This file keeps a sender to the destinations of its shards, where the fleet has them: messages for others are refused
-// with word of who serves them, and what is known of a destination goes with its shard, once nothing of it is held here.
+// This file restricts a sender of a sharded fleet to the destinations of its shards. Messages for other destinations are
+// refused with the names of the members that serve them. The state of a destination is dropped with its shard, once no
+// message or call of the shard is left here.
 
-// leaveLook is how often, in milliseconds, shards that are leaving are looked at.
+// leaveCheckIntervalMS is the interval between checks whether leaving shards can be released.
 const leaveCheckIntervalMS = 250.0
 
-// shards is what a sender knows of the assignment.
+// shards is a sender's view of the assignment of shards.
 type shards struct {
-	release   func([]shard.ID) // tells that nothing is left of shards; it must not wait
-	locator   *shard.Locator   // of the own region's members
+	release   func([]shard.ID) // reports shards of which nothing is left; must not block
+	locator   *shard.Locator   // of the members of the sender's own region
 	assigned  map[shard.ID]bool
-	leaving   map[shard.ID]bool // unassigned, with messages left
+	leaving   map[shard.ID]bool // unassigned, but not released yet
 	dests     map[shard.ID]map[int]bool
 	nextCheck float64
 }
 
-// Shard makes the sender serve the destinations of its shards alone: none until they are told. Each shard has so many
-// replicas in a region. release is told of shards of which nothing is left here. It is called before Run.
+// EnableSharding restricts the sender to the destinations of its assigned shards, of which it has none at first. replicas
+// is the number of replicas of a shard in a region. release is called with shards of which nothing is left here. It is
+// called before Run.
 func (s *Sender) EnableSharding(replicas int, release func([]shard.ID)) {
 	s.shards = &shards{release: release, locator: shard.NewLocator(replicas), assigned: map[shard.ID]bool{}, leaving: map[shard.ID]bool{}, dests: map[shard.ID]map[int]bool{}}
 }
 
-// HeldShards are the shards of destinations that restored messages are for: the sender has to learn of them whoever
+// HeldShards returns the shards of the restored messages' destinations: the sender needs their endpoints whichever member
 // serves them now. It is called before Run.
 func (s *Sender) HeldShards() (ids []shard.ID) {
 	seen := map[shard.ID]bool{}
@@ -37,17 +39,17 @@
 		if id := shard.Of(uint64(m.Dest)); !seen[id] {
 			seen[id] = true
 			ids = append(ids, id)
-			s.shards.leaving[id] = true // until they are assigned, if they are
+			s.shards.leaving[id] = true // until the shard is assigned, if it ever is
 		}
 	}
 	return ids
 }
 
-// Sharded takes what the subscription has learned.
+// UpdateShards applies an update from the subscription to the directory.
 func (s *Sender) UpdateShards(u sharding.Update) { s.post(input{shardUpdate: &u}) }
 
-// takeSharded takes an update: shards that come are served from this step on, and nothing new is taken on for those that
-// go.
+// handleShardUpdate applies an update: assigned shards are served from this step on, and no message is accepted for
+// unassigned ones.
 func (s *Sender) handleShardUpdate(u *sharding.Update) {
 	sh := s.shards
 	if u.AllMembers {
@@ -77,21 +79,22 @@
 	s.releaseLeavingShards(true)
 }
 
-// misdirected reports whether a message is for a destination that others serve.
+// misdirected reports whether other members serve the destination.
 func (s *Sender) misdirected(dest int) bool {
 	return s.shards != nil && !s.shards.assigned[shard.Of(uint64(dest))]
 }
 
-// misdirection is the verdict on such a message: who serves its destination, by what is known here.
+// misdirection returns the verdict on a misdirected message, with the members that serve its destination as far as known.
 func (s *Sender) misdirection(dest int) Verdict {
 	names := s.shards.locator.Replicas(shard.Of(uint64(dest)))
-	if len(names) == 0 { // nothing is known yet
+	if len(names) == 0 { // the members are not known yet
 		return Verdict{NoRoute: true, RetryAfter: s.busyRetryAfter()}
 	}
 	return Verdict{Misdirected: true, ServedBy: names}
 }
 
-// leaveShards forgets destinations of shards that are leaving, once no message of them is held and no call is out.
+// releaseLeavingShards releases leaving shards of which no message is held and no call is in progress. It checks at most
+// once in leaveCheckIntervalMS unless now is set.
 func (s *Sender) releaseLeavingShards(now bool) {
 	sh := s.shards
 	if sh == nil || len(sh.leaving) == 0 || !now && s.now < sh.nextCheck {
@@ -117,8 +120,8 @@
 	}
 }
 
-// forgetShards drops all that is known of shards' destinations. Many may leave in one moment: their endpoints are looked
-// through once for all.
+// forgetShards drops all state of the shards' destinations. Many shards may leave at once, so it scans the endpoints once
+// for all of them.
 func (s *Sender) forgetShards(ids []shard.ID) {
 	sh := s.shards
 	leaving := map[int]bool{}
@@ -153,7 +156,7 @@
 	}
 }
 
-// shrunk is a copy of a map of which most has been deleted: a map keeps the room that it once needed.
+// shrinkMap returns a copy of a map of which most was deleted, since a map never gives up the memory that it has grown to.
 func shrinkMap[K comparable, V any](m map[K]V) map[K]V {
 	shrunk := make(map[K]V, len(m))
 	for k, v := range m {
--- a/internal/sender/stopping.go
+++ b/internal/sender/stopping.go
@@ -2,28 +2,28 @@
 
 import "time"
 
-// This file ends a sender.
+// This file stops a sender.
 
-// Stop makes the sender take on nothing more, let its calls end, and leave.
+// Stop makes the sender refuse new messages, wait for its calls to end and exit.
 func (s *Sender) Stop() { s.post(input{stop: true}) }
 
-// HandOver stops the sender for an heir that waits: no further call begins, and it leaves as soon as the
-// calls out have ended. What it holds is in the journal, for the heir.
+// HandOver stops the sender in favour of a waiting successor: no further call begins, and it exits when the calls in
+// progress have ended. The successor finds the remaining messages in the journal.
 func (s *Sender) HandOver() { s.post(input{stop: true, handOver: true}) }
 
-// Done is closed when the sender has left.
+// Done returns a channel that is closed when the sender has exited.
 func (s *Sender) Done() <-chan struct{} { return s.done }
 
-// ClientsGone tells a stopping sender that nothing more is handed in, nor will a client be found gone that it would
-// have to withdraw a message of: until then it stays.
+// ClientsGone tells a stopping sender that no submission or withdrawal will follow. Until then it does not exit, unless
+// stopTimeout passes.
 func (s *Sender) ClientsGone() { s.post(input{clientsGone: true}) }
 
-// left reports whether a stopping sender may leave.
+// exitDue reports whether a stopping sender may exit now.
 func (s *Sender) exitDue() bool {
 	return !s.stopRequestedAt.IsZero() && s.mayExit(time.Since(s.stopRequestedAt))
 }
 
-// mayLeave reports whether a sender may leave that was told to stop so long ago.
+// mayExit reports whether the sender may exit when the stop was requested that long ago.
 func (s *Sender) mayExit(age time.Duration) bool {
 	if s.handingOver && len(s.calls) == 0 {
 		return true
@@ -31,10 +31,10 @@
 	return age >= stopTimeout || s.clientsGone && len(s.calls) == 0 && (age >= stopSendWindow || len(s.messages) == 0)
 }
 
-// leave books what has happened up to the last moment, for the next life: outcomes that came after the last step, and
-// that a call which still waits for its connection will never run. Guards against a message that was delivered, or
-// surely was not sent, and of which the journal says that it may have run: the next life would repeat it, or give
-// it up where its class forbids that. What was handed in and is in no journal is left: its client is refused.
+// shutDown journals, for the next process, the outcomes that came after the last step, and that unsent calls never ran.
+// Without this the journal would say of messages that were delivered, or surely not sent, that they may have run: the
+// next process would repeat them, or abandon them where their class forbids repeats. Queued submissions that are not in
+// the journal are left: their clients are refused.
 func (s *Sender) shutDown() {
 	s.updateNow()
 	for {
@@ -53,11 +53,11 @@
 	}
 	s.failWaits()
 	if err := s.journal.Flush(); err != nil {
-		s.log.Error().Err(err).Msg("leaving: the last outcomes are not in the journal")
+		s.log.Error().Err(err).Msg("stopping: the last outcomes could not be written to the journal")
 	}
 }
 
-// stopping reports whether the stop began that long ago.
+// stoppedFor reports whether a stop was requested at least that long ago.
 func (s *Sender) stoppedFor(d time.Duration) bool {
 	return !s.stopRequestedAt.IsZero() && time.Since(s.stopRequestedAt) >= d
 }
--- a/internal/sender/storm.go
+++ b/internal/sender/storm.go
@@ -6,7 +6,7 @@
 	"sliptide/policy"
 )
 
-// keyHash names a message over all its tries: its idempotency key, which stays when the id changes.
+// keyHash identifies a message over all its submissions by its idempotency key, which stays when the ID changes.
 func keyHash(key []byte) uint64 {
 	if len(key) == 0 {
 		return 0
@@ -14,7 +14,7 @@
 	return xxhash.Sum64(key)
 }
 
-// comeBack is when the client of a refused message should come again.
+// refusalRetryAfter returns the Retry-After, in milliseconds, for the client of a refused message.
 func (s *Sender) refusalRetryAfter(dest int, key []byte, left, least float64) float64 {
 	if !s.settings.SendsRetryAfter {
 		return least
@@ -22,8 +22,8 @@
 	return s.stormGuard.Refused(s.now, dest, keyHash(key), left, least)
 }
 
-// weather carries out what storms ask, ahead of a step: the module learns the paces, the pool how many
-// connections may be opened.
+// applyStormOrders executes the orders of storm control before a step: paces go to the module, dial rates to the
+// connection pool.
 func (s *Sender) applyStormOrders() {
 	for _, o := range s.stormOrders() {
 		for _, p := range o.Paces {
--- a/internal/sender/submissions.go
+++ b/internal/sender/submissions.go
@@ -9,10 +9,10 @@
 	"sliptide/policy"
 )
 
-// This file takes messages on: what is handed in, and the answer that its client hears.
+// This file accepts or refuses submitted messages and answers their clients.
 
-// Take hands in a message and waits for the verdict, which comes with the next step.
-// The message's slices must stay as they are until then.
+// Submit submits a message and waits for its verdict, usually that of the next step. The message's slices must not change
+// until then.
 func (s *Sender) Submit(m *Message, received time.Time) Verdict {
 	o := &submission{msg: m, received: received, verdict: make(chan Verdict, 1)}
 	select {
@@ -23,8 +23,8 @@
 	return s.awaitVerdict(o)
 }
 
-// verdictOn waits for the verdict on an order that the sender has. One that was given before the sender left counts:
-// guards against a message that is in the journal and is answered as refused.
+// awaitVerdict waits for the verdict on a queued submission. A verdict given before the sender exited counts: otherwise a
+// message that is in the journal could be answered as refused.
 func (s *Sender) awaitVerdict(o *submission) Verdict {
 	select {
 	case v := <-o.verdict:
@@ -32,14 +32,14 @@
 	case <-s.done:
 	}
 	select {
-	case v := <-o.verdict: // both were ready
+	case v := <-o.verdict: // given before the exit
 		return v
-	default: // no step has seen it, and none will
+	default: // no step has handled the submission, and none will
 		return Verdict{RetryAfter: maxBusyRetryMS}
 	}
 }
 
-// Withdraw tells that the client of a message was not told that it was taken on.
+// Withdraw reports that the client of an accepted message did not receive the answer.
 func (s *Sender) Withdraw(num uint64) { s.post(input{withdrawn: num}) }
 
 func (s *Sender) handleSubmission(o *submission) {
@@ -47,15 +47,15 @@
 	left := float64(m.Remaining-time.Since(o.received)) / 1e6
 	switch _, held := s.numByTrace[string(m.Trace)]; {
 	case held, s.ended.ids[string(m.Trace)]:
-		// Every hand-in has an id of its own, so this is no client's of ours. It must not share the
-		// fate of the first: were its answer unheard, a message that is owed an end would be withdrawn.
+		// Every submission has an ID of its own, so this is not a client's retry. It gets no number: if its answer
+		// were lost, the first message would be withdrawn although its client is owed an end.
 		o.verdict <- Verdict{Duplicate: true}
 		return
 	case s.misdirected(m.Dest):
 		s.observeRefused(m.Dest, telemetry.CauseRoute)
 		o.verdict <- s.misdirection(m.Dest)
 		return
-	case !s.listedDests[m.Dest]: // nothing could be done with it but hold it until its time is up
+	case !s.listedDests[m.Dest]: // it could only be held until its deadline
 		s.observeRefused(m.Dest, telemetry.CauseRoute)
 		o.verdict <- Verdict{NoRoute: true, RetryAfter: s.busyRetryAfter()}
 		return
@@ -88,22 +88,22 @@
 	})
 }
 
-// busyRetry is when to come again where there is no room.
+// busyRetryAfter is the Retry-After, in milliseconds, of a refusal for lack of capacity.
 func (s *Sender) busyRetryAfter() float64 {
 	return min(maxBusyRetryMS, max(s.settings.MaxRetryAfter, 1))
 }
 
-// answer gives the verdicts of this step.
+// answerSubmissions gives the verdicts of this step. journalled reports whether the journal was written.
 func (s *Sender) answerSubmissions(journalled bool) {
 	torn := !journalled && s.journal.Torn()
 	unsettled := s.submissions[:0]
 	for _, t := range s.submissions {
 		switch {
-		case torn && time.Since(t.received) < clientAnswerTimeout: // neither is true yet: the next life might find its record
+		case torn && time.Since(t.received) < clientAnswerTimeout: // undecided: its record may be on disk
 			unsettled = append(unsettled, t)
 		case t.refused:
 			t.verdict <- Verdict{RetryAfter: t.retryAfterMS}
-		case !journalled: // it is in no journal: the module must not hold it
+		case !journalled: // not in the journal: the module must not keep it
 			s.observeOver(t.entry, telemetry.NotTaken, 0)
 			s.observeRefused(t.entry.Dest, telemetry.CauseRoom)
 			s.events = append(s.events, policy.Event{Kind: policy.EvWithdrawn, ID: t.entry.Num})
@@ -121,11 +121,11 @@
 	s.submissions = unsettled
 }
 
-// verdictWithin is how long a client waits for its answer: a later one is heard by nobody.
+// clientAnswerTimeout is how long a client waits for its answer; later answers reach no client.
 const clientAnswerTimeout = 400 * time.Millisecond
 
-// finish ends a message undelivered. One of this step is refused by its answer,
-// any other, which was taken on, ends with a notice.
+// endUndelivered ends a message that was not delivered: one submitted in this step is refused, any other was accepted and
+// ends with a notice.
 func (s *Sender) endUndelivered(a *policy.Action) {
 	m := s.messages[a.ID]
 	if m == nil {
--- a/internal/sender/trials.go
+++ b/internal/sender/trials.go
@@ -8,18 +8,18 @@
 	"sliptide/policy"
 )
 
-// Fleet is what a sender needs of the fleet that it is a member of. None of its calls waits.
+// Fleet is the fleet of which a sender is a member. No method blocks.
 type Fleet interface {
 	Request(duty, zone string)
 	Release(duty string, end bool)
 	Publish(duty, word string)
-	Token(duty string) uint64 // the fencing token of a duty that is held at this moment, 0 if it is not
-	HeldDuties() int          // how many are held at this moment
-	Live() bool               // whether what is heard of the fleet can be relied on at this moment
+	Token(duty string) uint64 // the fencing token of a duty that this member holds now; 0 if it does not
+	HeldDuties() int          // the number of duties held now
+	Live() bool               // whether this member's view of the fleet can be relied on now
 }
 
-// trials is a sender's part in the trials that a fleet shares. News of duties come on a goroutine of the fleet's
-// and wait here, the last of each, for the next step: the fleet waits for no sender, nor a sender for the fleet.
+// trials is a sender's part in the half-open trials that a fleet shares. Updates of duties arrive on a goroutine of the
+// fleet; the latest of each duty is kept for the next step, so that neither side blocks the other.
 type trials struct {
 	state   *trial.Board
 	fleet   Fleet
@@ -27,7 +27,7 @@
 	updates map[int]trial.News
 }
 
-// Heard takes news of a duty.
+// UpdateDuty queues an update of a duty for the next step.
 func (s *Sender) UpdateDuty(duty string, n trial.News) {
 	dest, ok := trial.Dest(duty)
 	if s.trials == nil || !ok {
@@ -40,10 +40,10 @@
 	s.Wake()
 }
 
-// Join gives the sender the fleet, before Run.
+// SetFleet makes the sender a member of a fleet. It is called before Run.
 func (s *Sender) SetFleet(f Fleet) { s.fleet = f }
 
-// ShareTrials gives it its part in the trials that the fleet shares, before Run.
+// ShareTrials makes the sender share trials with the fleet. It is called before Run.
 func (s *Sender) ShareTrials(f Fleet, set trial.Settings) {
 	s.trials = &trials{state: trial.New(set), fleet: f, updates: map[int]trial.News{}}
 }
@@ -62,7 +62,7 @@
 	}
 }
 
-// act carries out what the board asks about duties.
+// requestDuties requests, releases and updates duties as the shared trials demand.
 func (t *trials) requestDuties(zone string) {
 	if t == nil {
 		return
@@ -80,7 +80,7 @@
 	}
 }
 
-// weatherOrders are what storms ask, as the fleet's trials change it.
+// stormOrders returns the orders of storm control, as adjusted by the fleet's shared trials.
 func (s *Sender) stormOrders() []storm.Order {
 	list := s.stormGuard.Orders(s.now)
 	if s.trials == nil {
@@ -102,7 +102,7 @@
 	return ""
 }
 
-// tried tells the fleet's trials of a call that failed.
+// recordFailedCall reports a failed call to the shared trials.
 func (s *Sender) recordFailedCall(dest int, e *policy.Event) {
 	if s.trials != nil && e.Kind == policy.EvOutcome && e.Outcome != policy.OK && e.Outcome != policy.Moot {
 		s.trials.state.Tried(s.now, dest)
--- a/internal/sender/upgrade.go
+++ b/internal/sender/upgrade.go
@@ -5,24 +5,24 @@
 	"sliptide/internal/operate"
 )
 
-// A new version of the program may start while this one serves, in the same lasting folder: the heir. The
-// two are one sender to the partners, so that only one of them may send at a time: the heir takes clients
-// at once and journals what it takes on, but tells its module of no endpoint until the present one has
-// left. Then it takes over the present one's journal and knowledge, as the next life of a restart would,
-// and its module hears of the lists that came meanwhile, in order. The present one, told to stop while an
-// heir waits, begins no further call and leaves as soon as its calls out have ended: what it still holds
-// is the heir's from then on.
+// This file implements the sender's side of an upgrade. A new version of the program, the successor, starts in the same
+// state directory while the running version serves. To partners both are one sender, so only one of them may send. The
+// successor serves clients at once and journals the messages that it accepts, but gives its module no endpoints until
+// the running version has exited. Then it takes over the other's journal and knowledge, as after a restart, and gives
+// its module the endpoint lists that came meanwhile, in order. The running version, when stopped with a successor
+// waiting, begins no further call and exits when its calls in progress have ended; the messages that it still holds go
+// to the successor.
 
-// takeOver is what the heir is given when the present version has left.
+// upgradeTakeover carries what a successor receives when the running version has exited.
 type upgradeTakeover struct {
 	knowledge Knowledge
 	disabled  operate.Out
 	done      chan error
 }
 
-// TakeOver makes an heir the sender, once the present version has left the folder: memory is what that one
-// knew, read anew, and out the endpoints taken out by hand as the folder keeps them. It returns when the
-// module holds all of it.
+// TakeOver makes a successor the active sender after the running version has released the state directory. knowledge is
+// that version's knowledge and disabled the endpoints disabled by operators, both read again from the directory. It
+// returns when the module has all of it.
 func (s *Sender) TakeOver(knowledge Knowledge, disabled operate.Out) error {
 	t := &upgradeTakeover{knowledge: knowledge, disabled: disabled, done: make(chan error, 1)}
 	s.post(input{upgrade: t})
@@ -57,8 +57,8 @@
 	return nil
 }
 
-// holdList keeps a list for the module until the heir takes over. Its destinations are served from now
-// on, and its endpoints count as named for calls by hand.
+// holdList keeps an endpoint list for the module until the successor takes over. Messages for its destinations are
+// accepted from now on, and operators can disable its endpoints.
 func (s *Sender) holdList(l *discovery.List) {
 	for _, e := range l.Entries {
 		s.endpointIDs[e.Name] = e.ID
