--- a/cmd/sliptide/run.go
+++ b/cmd/sliptide/run.go
@@ -74,7 +74,7 @@
 	}
 	warn(log, warnings)
 	var place *place
-	err = transient.Retry(startFor, transient.Disk, func() (err error) {
+	err = transient.Retry(startFor, transient.IsDiskError, func() (err error) {
 		place, err = takePlace(cfg.State, cfg.Listen, log)
 		return err
 	})
@@ -93,8 +93,8 @@
 		return err
 	}
 	var kept *admin.Kept
-	err = transient.Retry(startFor, transient.Disk, func() (err error) {
-		kept, err = admin.Open(fsys.Folder(cfg.State))
+	err = transient.Retry(startFor, transient.IsDiskError, func() (err error) {
+		kept, err = admin.Open(fsys.ForDir(cfg.State))
 		return err
 	})
 	if err != nil {
@@ -102,7 +102,7 @@
 	}
 	space.Account().Claim(admin.Room)
 	var ln net.Listener
-	err = transient.Retry(startFor, transient.Local, func() (err error) {
+	err = transient.Retry(startFor, transient.IsResourceError, func() (err error) {
 		ln, err = listen(cfg.Listen)
 		return err
 	})
@@ -112,7 +112,7 @@
 
 	// The sender and what it speaks with refer to each other: its calls are bound below.
 	var snd *sender.Sender
-	notices := discovery.NewNotices(cfg.Discovery, log, func(nums []uint64) { snd.AckNotices(nums) })
+	notices := discovery.NewNoticeQueue(cfg.Discovery, log, func(nums []uint64) { snd.AckNotices(nums) })
 	sockets := cfg.Limits.Sockets - spareFiles
 	// The rest is for clients: many may hold a connection and say nothing.
 	calls := min(sockets*2/5, idleCalls+callsForSlot*cfg.Settings.CallSlots)
@@ -123,7 +123,7 @@
 	snd = sender.New(sender.Options{
 		Settings: cfg.Settings, Seed: cfg.Seed, MaxConns: calls,
 		Journal: jr, Restored: restored, Notify: notices.Post, Knowledge: memory.get().Knowledge, Clock: clock, Log: log,
-		Partner: book.Of, HTTP2Streams: partners.Streams, StormGuard: guard(cfg, op.Storms), Recorder: pipe.Records(), LogRecords: op.Log.Records,
+		Partner: book.Lookup, HTTP2Streams: partners.StreamsPerConn, StormGuard: guard(cfg, op.Storms), Recorder: pipe.Records(), LogRecords: op.Log.Records,
 		Disabled: kept.Out(), Successor: place.waiting(),
 	})
 	team, err := newMembership(cfg, op, space, log)
@@ -150,12 +150,12 @@
 			return fmt.Errorf("RELAY_ADMIN: %w", err)
 		}
 		defer aln.Close()
-		calls := admin.Calls{Ready: server.Up, Disable: kept.Disable, Enable: kept.Enable, Drain: server.Drain, Undrain: server.Undrain}
+		calls := admin.Calls{Ready: server.Available, Disable: kept.Disable, Enable: kept.Enable, Drain: server.Drain, Undrain: server.Undrain}
 		go admin.New(calls, log).Serve(aln)
 	}
 	go reload(ctx, hup, log, operatorFile, book, func(cfg *config.Config, op *operator.File) {
-		source.Move(cfg.Discovery)
-		notices.Move(cfg.Discovery)
+		source.SetAddr(cfg.Discovery)
+		notices.SetAddr(cfg.Discovery)
 		memory.get().Writer.Set(op.Knowledge)
 		snd.UpdateSettings(cfg.Settings)
 		team.retune(op)
@@ -179,16 +179,16 @@
 	defer patience.Stop()
 	select {
 	case <-listed: // the list is at hand, and the journal is replayed
-		server.Ready()
+		server.SetReady()
 		<-stop
 	case <-patience.C:
 		log.Warn().Dur("after", op.Ready.Patience).Msg("ready without a list of endpoints")
-		server.Ready()
+		server.SetReady()
 		<-stop
 	case <-stop:
 	}
 	away := make(chan struct{})
-	upgraded := !place.waiting() && statedir.HeirWaits(cfg.State)
+	upgraded := !place.waiting() && statedir.SuccessorWaiting(cfg.State)
 	go func() { // what it holds is handed on at once, while its own calls still end
 		defer close(away)
 		if team.stays() {
@@ -210,8 +210,8 @@
 	m := memory.get()
 	m.close()
 	closeTelemetry(pipe)
-	flushed := transient.Retry(closeBy, transient.Disk, jr.Flush) // Close tries once, and lets go of the file
-	if err := errors.Join(flushed, jr.Close()); err != nil {      // what it can't note is in doubt to the next life
+	flushed := transient.Retry(closeBy, transient.IsDiskError, jr.Flush) // Close tries once, and lets go of the file
+	if err := errors.Join(flushed, jr.Close()); err != nil {             // what it can't note is in doubt to the next life
 		log.Error().Err(err).Msg("the journal's last records are not written")
 	}
 	log.Info().Msg("stopped")
@@ -221,13 +221,13 @@
 // startClock starts the sender's clock where its timeline in the folder goes on, whatever has become of the wall clock
 // since an earlier life. A folder that can't be written to for a while delays nothing.
 func startClock(ctx context.Context, dir string, space *statedir.Space, log zerolog.Logger) sender.Clock {
-	space.Account().Claim(timeline.Room)
+	space.Account().Claim(timeline.DiskBytes)
 	reading, err := timeline.Read(sender.WallClock())
 	if err != nil {
 		log.Warn().Err(err).Msg("the wall clock is taken for the time")
 		return sender.NewClockAt(reading.Wall)
 	}
-	files := fsys.Folder(dir)
+	files := fsys.ForDir(dir)
 	start, anchor, err := timeline.Start(files, reading)
 	if err != nil {
 		log.Warn().Err(err).Msg("the timeline of an earlier life is of no use")
@@ -235,9 +235,9 @@
 	if anchor == nil {
 		return sender.NewClockAt(start)
 	}
-	if err := timeline.Keep(files, anchor); err != nil {
+	if err := timeline.Save(files, anchor); err != nil {
 		log.Warn().Err(err).Msg("the timeline is not kept, trying again")
-		go timeline.KeepTrying(files, anchor, ctx.Done())
+		go timeline.RetrySave(files, anchor, ctx.Done())
 	}
 	return sender.NewClockAt(start)
 }
@@ -248,13 +248,13 @@
 	clock sender.Clock, box *memoryBox, log zerolog.Logger) (*journal.Journal, []*journal.Entry, error) {
 	if place.waiting() {
 		log.Info().Msg("another process holds the state folder: starting beside it, to take over when it leaves")
-		jr, err := journal.OpenHeir(fsys.Folder(cfg.State), room)
+		jr, err := journal.OpenSuccessor(fsys.ForDir(cfg.State), room)
 		return jr, nil, err
 	}
 	m := openMemory(cfg, op.Knowledge, space, clock, log)
 	m.room.YieldTo(room)
 	box.set(m)
-	return journal.OpenIn(fsys.Folder(cfg.State), room)
+	return journal.OpenFS(fsys.ForDir(cfg.State), room)
 }
 
 // openTelemetry starts the way to a collector, nil where the part is off.
@@ -295,7 +295,7 @@
 
 // configure reads both configuration files. A file that can't be read for a moment is tried again: a SIGHUP comes once.
 func configure(operatorFile string, load func(getenv func(string) string) (*config.Config, error)) (cfg *config.Config, op *operator.File, err error) {
-	err = transient.Retry(readFor, transient.Disk, func() (err error) {
+	err = transient.Retry(readFor, transient.IsDiskError, func() (err error) {
 		var operr error
 		cfg, err = load(os.Getenv)
 		op, operr = loadOperator(operatorFile)
@@ -323,11 +323,11 @@
 // take their room.
 func openMemory(cfg *config.Config, set operator.Knowledge, space *statedir.Space, clock sender.Clock, log zerolog.Logger) memory {
 	m := memory{room: space.Account()}
-	files := fsys.Folder(cfg.State)
+	files := fsys.ForDir(cfg.State)
 	if !set.Enabled {
 		var left int64
 		for _, name := range store.Names {
-			left += statedir.Blocks(files.Size(name))
+			left += statedir.RoundToBlocks(files.Size(name))
 		}
 		m.room.Reserve(left)
 		m.room.Claim(left)
@@ -361,14 +361,14 @@
 // warn tells of certificates that end soon.
 func warn(log zerolog.Logger, list []keys.Warning) {
 	for _, w := range list {
-		log.Warn().Str("file", w.File).Str("subject", w.Subject).Time("ends", w.Ends).Msg("a certificate ends soon, or has ended")
+		log.Warn().Str("file", w.File).Str("subject", w.Subject).Time("ends", w.Expires).Msg("a certificate ends soon, or has ended")
 	}
 }
 
 // reload reads the configuration again on each SIGHUP. Discovery may have moved, classes may have come and
 // gone, fewer attempts may be allowed; all else takes effect at the next start. A file that makes no sense
 // (empty, cut off, short of a key, a deadline or attempts not over 0) changes nothing, its discovery neither.
-func reload(ctx context.Context, hup <-chan os.Signal, log zerolog.Logger, operatorFile string, book *partners.Book, use func(cfg *config.Config, op *operator.File)) {
+func reload(ctx context.Context, hup <-chan os.Signal, log zerolog.Logger, operatorFile string, book *partners.Registry, use func(cfg *config.Config, op *operator.File)) {
 	daily := time.NewTicker(24 * time.Hour) // keys too: a certificate ends without anybody's doing
 	defer daily.Stop()
 	for {
@@ -401,13 +401,13 @@
 func shutdown(server *intake.Server, snd *sender.Sender, ln net.Listener) {
 	ctx, cancel := context.WithTimeout(context.Background(), leaveBy)
 	defer cancel()
-	server.Refuse()
+	server.RefuseMessages()
 	snd.Stop()
 	time.AfterFunc(clientsCome, func() { ln.Close() })
 	server.Shutdown(ctx)
 	snd.ClientsGone()
 	<-snd.Done()
-	server.Wait(ctx)
+	server.WaitClosed(ctx)
 }
 
 // clientRoom is how many clients' connections there may be: as descriptors allow, and so
--- a/internal/sender/calls.go
+++ b/internal/sender/calls.go
@@ -19,7 +19,7 @@
 		return
 	}
 	item := outbound.Item{ID: m.Num, Attempt: m.Attempts, Trace: m.Trace, Key: m.Key, Body: m.Body}
-	s.journal.Start(m.Entry, int64(s.now), e.Zone)
+	s.journal.StartAttempt(m.Entry, int64(s.now), e.Zone)
 	c := s.callFor(e, &item)
 	m.call, m.attemptDeadline = c, math.Inf(1)
 	if a.After >= s.timeLeftMS(m) { // otherwise the timeout of the whole call ends it
@@ -27,10 +27,10 @@
 	}
 	s.observeBegan(m, c, item.Attempt)
 	c.Items = append(c.Items, item)
-	c.Fresh = c.Fresh || m.DoubtAt != 0
+	c.NewConn = c.NewConn || m.MayHaveRunAt != 0
 	c.Timeout = max(c.Timeout, fromMillis(a.After))
-	if until, bound := s.repeatDeadline(m); bound && (c.Until.IsZero() || until.Before(c.Until)) {
-		c.Until = until
+	if until, bound := s.repeatDeadline(m); bound && (c.WriteBy.IsZero() || until.Before(c.WriteBy)) {
+		c.WriteBy = until
 	}
 }
 
@@ -42,10 +42,10 @@
 // repeats of an attempt that may have run. bound is false if the class of m or its attempts so far set no such limit.
 func (s *Sender) repeatDeadline(m *message) (until time.Time, bound bool) {
 	c := s.settings.Classes[m.class]
-	if m.DoubtAt == 0 || c.Effect != policy.Keyed {
+	if m.MayHaveRunAt == 0 || c.Effect != policy.Keyed {
 		return time.Time{}, false
 	}
-	left := float64(m.DoubtAt) + c.DedupWindow*repeatWindowShare - s.now
+	left := float64(m.MayHaveRunAt) + c.DedupWindow*repeatWindowShare - s.now
 	return time.Now().Add(fromMillis(left)), true
 }
 
--- a/internal/sender/copies.go
+++ b/internal/sender/copies.go
@@ -102,9 +102,9 @@
 func (s *Sender) EnableCopies(f CopyFleet, set CopySettings) {
 	s.copies = &copier{settings: set, fleet: f, takeovers: map[string]*takeover{}, pendingEntries: map[uint64]*journal.Entry{}, leaseHeld: true}
 	s.copies.owner = copies.NewOwner(set.Name, 0)
-	s.journal.Tap()
+	s.journal.EnableCopies()
 	for _, m := range s.messages { // of an earlier life
-		if m.Sure = true; m.Origin != "" {
+		if m.Confirmed = true; m.TakeoverDuty != "" {
 			s.copies.pendingEntries[m.Num] = m.Entry
 			s.forget(m)
 		}
@@ -253,7 +253,7 @@
 func (s *Sender) dropAdopted(a *pb.Adoption) {
 	n := 0
 	for _, m := range s.messages {
-		if m.Num <= a.Upto && m.Origin == "" {
+		if m.Num <= a.Upto && m.TakeoverDuty == "" {
 			s.events = append(s.events, policy.Event{Kind: policy.EvWithdrawn, ID: m.Num})
 			s.dropUnsent(m.call)
 			s.observeOver(m.Entry, telemetry.Withdrawn, 0)
@@ -270,7 +270,7 @@
 			n++
 		}
 	}
-	s.journal.Skip(a.Upto)
+	s.journal.SkipNumbers(a.Upto)
 	s.log.Info().Int("messages", n).Str("heir", a.By).Msg("copies: messages were taken over while this sender was away")
 }
 
@@ -307,8 +307,8 @@
 	c := s.copies
 	now := fleet.Now()
 	seq := uint64(0)
-	if records := s.journal.Tapped(); len(records) > 0 {
-		seq = c.owner.Append(now, records, s.journal.Last(), func() []byte { return journal.Compact(s.journal.Snapshot()) })
+	if records := s.journal.RecordsToCopy(); len(records) > 0 {
+		seq = c.owner.Append(now, records, s.journal.LastNumber(), func() []byte { return journal.Compact(s.journal.Snapshot()) })
 	}
 	for _, o := range c.owner.Take(now, s.journal.Snapshot) {
 		c.fleet.SendCopy(o.To, o.Frame)
@@ -386,7 +386,7 @@
 		if m == nil {
 			continue
 		}
-		if !m.Sure || s.forbidsRepeats(m.Class) {
+		if !m.Confirmed || s.forbidsRepeats(m.Class) {
 			return true
 		}
 	}
@@ -480,7 +480,7 @@
 func (s *Sender) startCall(call *outbound.Call) {
 	if c := s.copies; c != nil && len(call.Items) > 0 {
 		name, epoch := duty.Own(c.settings.Name), c.owner.Epoch()
-		call.May = func() bool { return c.fleet.Token(name) == epoch }
+		call.MayStart = func() bool { return c.fleet.Token(name) == epoch }
 	}
 	s.pool.Go(call)
 }
--- a/internal/sender/endpoints.go
+++ b/internal/sender/endpoints.go
@@ -45,7 +45,7 @@
 	s.recordDisabled(o.id, o.disabled)
 	s.log.Info().Str("endpoint", o.id).Bool("out", o.disabled).Msg("endpoint disabled or enabled by an operator")
 	if e, listed := s.endpoints[id]; named && listed {
-		s.handleList(&discovery.List{Entries: []discovery.Endpoint{e}})
+		s.handleList(&discovery.List{Endpoints: []discovery.Endpoint{e}})
 	}
 	return nil
 }
@@ -66,8 +66,8 @@
 	}
 	s.recall(l)
 	ev := policy.Event{Kind: policy.EvList, FullList: l.Full}
-	listed := make(map[uint32]bool, len(l.Entries))
-	for _, e := range l.Entries {
+	listed := make(map[uint32]bool, len(l.Endpoints))
+	for _, e := range l.Endpoints {
 		s.endpointIDs[e.Name] = e.ID
 		if e.State != policy.Gone {
 			s.endpoints[e.ID] = e
--- a/internal/sender/firstmessage_test.go
+++ b/internal/sender/firstmessage_test.go
@@ -79,7 +79,7 @@
 
 func (b *testSender) expectMayHaveRun(m *message) {
 	b.t.Helper()
-	if m.DoubtAt == 0 {
+	if m.MayHaveRunAt == 0 {
 		b.t.Errorf("%s is taken for delivered, or not in doubt: %+v", m.Trace, m.Entry)
 	}
 }
@@ -122,7 +122,7 @@
 	b, p, first, other := startBulkCall(t)
 	other.attemptDeadline = 0
 	b.nextStep()
-	if other.call != nil || first.call == nil || first.call.Given() {
+	if other.call != nil || first.call == nil || first.call.Abandoned() {
 		t.Fatal("the call is given up, or holds on to what has ended")
 	}
 	p.answer <- struct{}{}
@@ -138,7 +138,7 @@
 	b := newTestSender(t, t.TempDir(), "", testSettings())
 	c := &outbound.Call{Endpoint: 1, Addr: ln.Addr().String(), Dest: 3, SentAt: time.Now(), Timeout: testTimeout,
 		Items: []outbound.Item{{ID: 7, Trace: "a"}, {ID: 8, Trace: "b"}}}
-	c.May = func() bool { c.GiveUp(); return true }
+	c.MayStart = func() bool { c.Abandon(); return true }
 	b.pool.Go(c)
 	in := <-b.inputs
 	for _, e := range in.events {
--- a/internal/sender/holds.go
+++ b/internal/sender/holds.go
@@ -14,11 +14,11 @@
 const adoptedDrainMS = 30e3
 
 func (s *Sender) recordDisabled(id string, out bool) {
-	h := journal.Hold{Kind: journal.HoldHand, Endpoint: id}
+	h := journal.Hold{Kind: journal.HoldDisabled, Endpoint: id}
 	if out {
 		h.Until = journal.Forever
 	}
-	s.journal.Hold(h, int64(s.now))
+	s.journal.SetHold(h, int64(s.now))
 }
 
 func (s *Sender) recordDraining(e *discovery.Endpoint) {
@@ -29,7 +29,7 @@
 	if e.State != policy.Ready {
 		h.Until = int64(s.now + adoptedDrainMS)
 	}
-	s.journal.Hold(h, int64(s.now))
+	s.journal.SetHold(h, int64(s.now))
 }
 
 // importHolds copies the holds of the lost owner into this journal; shift converts their times to this sender's clock.
@@ -42,7 +42,7 @@
 		if x.Until > int64(s.now) {
 			h.holds = append(h.holds, x)
 			if x.Kind == journal.HoldWait { // other holds end with the messages that are taken over
-				s.journal.Hold(x, int64(s.now))
+				s.journal.SetHold(x, int64(s.now))
 			}
 		}
 	}
@@ -114,6 +114,6 @@
 // reapplyEndpoint passes an endpoint to the module again, as last listed.
 func (s *Sender) reapplyEndpoint(name string) {
 	if e, listed := s.endpoints[s.endpointIDs[name]]; listed && e.Name == name {
-		s.handleList(&discovery.List{Entries: []discovery.Endpoint{e}})
+		s.handleList(&discovery.List{Endpoints: []discovery.Endpoint{e}})
 	}
 }
--- a/internal/sender/knowledge.go
+++ b/internal/sender/knowledge.go
@@ -61,7 +61,7 @@
 	}
 	ratings := map[int]float64{}
 	ids := map[string]uint32{}
-	for _, e := range l.Entries {
+	for _, e := range l.Endpoints {
 		if _, known := s.endpoints[e.ID]; known || e.State == policy.Gone {
 			continue
 		}
@@ -105,7 +105,7 @@
 	}
 	// Its end is rounded up, since the partner counts from the time at which it wrote its answer.
 	until := int64(s.now+wait) + 1
-	s.journal.Hold(journal.Hold{Kind: journal.HoldWait, Dest: r.Dest, Endpoint: r.Endpoint, Until: until}, int64(s.now))
+	s.journal.SetHold(journal.Hold{Kind: journal.HoldWait, Dest: r.Dest, Endpoint: r.Endpoint, Until: until}, int64(s.now))
 	if s.knowledge.Writer != nil {
 		s.knowledge.Writer.Wait(knowledge.Wait{Route: r, Told: int64(s.now), Until: until})
 	}
--- a/internal/sender/observe.go
+++ b/internal/sender/observe.go
@@ -64,7 +64,7 @@
 
 // closed logs that a connection to an endpoint was closed. It is called on the connection's goroutine. Unsolicited bytes
 // from an endpoint are always logged, other reasons only with logRecords.
-func (w *observer) closed(c outbound.Closing) {
+func (w *observer) closed(c outbound.CloseEvent) {
 	e := w.log.Log()
 	switch {
 	case c.Reason == outbound.CloseUnsolicited:
@@ -87,8 +87,8 @@
 	if !s.observer.On() {
 		return
 	}
-	s.observer.Push(telemetry.Record{Kind: telemetry.Taken, Num: e.Num, Dest: int32(e.Dest), Class: uint8(class), Again: e.Again, Restored: restored,
-		Attempt: int16(e.Attempts), At: s.now, Until: float64(e.Deadline), Text: e.Trace, Parent: parseParent([]byte(e.Parent))})
+	s.observer.Push(telemetry.Record{Kind: telemetry.Taken, Num: e.Num, Dest: int32(e.Dest), Class: uint8(class), Again: e.Resubmitted, Restored: restored,
+		Attempt: int16(e.Attempts), At: s.now, Until: float64(e.Deadline), Text: e.Trace, Parent: parseParent([]byte(e.TraceParent))})
 }
 
 func (s *Sender) observeRefused(dest int, why telemetry.Cause) {
@@ -178,7 +178,7 @@
 	gauge(telemetry.BreakersOpen, float64(openBreakers))
 	gauge(telemetry.Ramping, float64(ramping))
 	gauge(telemetry.LimitTold, advertised)
-	gauge(telemetry.Connections, float64(s.pool.Open()))
+	gauge(telemetry.Connections, float64(s.pool.OpenConns()))
 	if s.stormGuard != nil {
 		st := s.stormGuard.Stats()
 		gauge(telemetry.StormPromised, float64(st.Promised))
--- a/internal/sender/outcomes.go
+++ b/internal/sender/outcomes.go
@@ -15,7 +15,7 @@
 // handleOutcome records the end of a call.
 func (s *Sender) handleOutcome(c *outbound.Call, events []policy.Event) {
 	delete(s.calls, c)
-	if c.Given() { // its answer may count for nothing, see abandonIfFirst
+	if c.Abandoned() { // its answer may count for nothing, see abandonIfFirst
 		for i := range events {
 			if events[i].Outcome == policy.OK {
 				events[i].Outcome = policy.Timeout
@@ -49,7 +49,7 @@
 			s.complete(m)
 			continue
 		}
-		s.journal.Outcome(m.Entry, !e.Outcome.NeverRan())
+		s.journal.EndAttempt(m.Entry, !e.Outcome.NeverRan())
 	}
 }
 
@@ -69,7 +69,7 @@
 	if c == nil || !c.Drop() {
 		return false
 	}
-	s.handleOutcome(c, c.Dropped())
+	s.handleOutcome(c, c.DroppedEvents())
 	return true
 }
 
@@ -90,7 +90,7 @@
 			}
 			m.call = nil
 			s.abandonIfFirst(c, m)
-			s.journal.Outcome(m.Entry, true)
+			s.journal.EndAttempt(m.Entry, true)
 			s.events = append(s.events, policy.Event{
 				Kind: policy.EvOutcome, ID: m.Num, Attempt: c.Items[i].Attempt, Endpoint: c.Endpoint,
 				Outcome: policy.Timeout, Latency: float64(time.Since(c.SentAt)) / 1e6,
@@ -122,7 +122,7 @@
 // chooseFirst makes this rare.
 func (s *Sender) abandonIfFirst(c *outbound.Call, m *message) {
 	if c != nil && len(c.Items) > 1 && c.Items[0].ID == m.Num {
-		c.GiveUp()
+		c.Abandon()
 	}
 }
 
@@ -135,11 +135,11 @@
 
 // endWithNotice ends an accepted message with a notice. Its journal entry is kept until the notice is accepted.
 func (s *Sender) endWithNotice(e *journal.Entry, ending int, after float64) {
-	s.journal.Owe(e, ending, int64(after))
+	s.journal.OweNotice(e, ending, int64(after))
 	s.pendingNotices[e.Num] = e
 	s.sendNotice(e)
 }
 
 func (s *Sender) sendNotice(e *journal.Entry) {
-	s.notify(discovery.Notice{Num: e.Num, Trace: e.Trace, HandedBack: e.Ending == journal.HandedBack, RetryMS: e.RetryMS})
+	s.notify(discovery.Notice{Num: e.Num, Trace: e.Trace, Returned: e.Ending == journal.EndingReturned, RetryMS: e.RetryMS})
 }
--- a/internal/sender/repeatwindow_test.go
+++ b/internal/sender/repeatwindow_test.go
@@ -26,10 +26,10 @@
 		return nil
 	}
 	first := only()
-	if !first.Until.IsZero() {
-		t.Errorf("a first attempt is bound: %v", first.Until)
+	if !first.WriteBy.IsZero() {
+		t.Errorf("a first attempt is bound: %v", first.WriteBy)
 	}
-	began := time.UnixMilli(b.messages[b.numByTrace["keyed"]].DoubtAt)
+	began := time.UnixMilli(b.messages[b.numByTrace["keyed"]].MayHaveRunAt)
 	if !began.Equal(time.UnixMilli(0)) {
 		t.Fatalf("in doubt before its call has ended: %v", began)
 	}
@@ -41,12 +41,12 @@
 	b.nextStep()
 	m, safe := b.messages[b.numByTrace["keyed"]], b.messages[b.numByTrace["safe"]]
 	b.await("no repeat", func() bool { return m.call != nil })
-	window := float64(m.DoubtAt) + testClasses[1].DedupWindow
-	left := window - b.now - float64(time.Until(m.call.Until))/1e6
-	if m.call.Until.IsZero() || left <= 0 || left > testClasses[1].DedupWindow {
-		t.Errorf("the repeat may be written until %v, %g ms before the window's end", m.call.Until, left)
+	window := float64(m.MayHaveRunAt) + testClasses[1].DedupWindow
+	left := window - b.now - float64(time.Until(m.call.WriteBy))/1e6
+	if m.call.WriteBy.IsZero() || left <= 0 || left > testClasses[1].DedupWindow {
+		t.Errorf("the repeat may be written until %v, %g ms before the window's end", m.call.WriteBy, left)
 	}
-	if _, bound := b.repeatDeadline(safe); bound || safe.DoubtAt == 0 {
+	if _, bound := b.repeatDeadline(safe); bound || safe.MayHaveRunAt == 0 {
 		t.Error("a class that may be repeated at will is bound")
 	}
 }
--- a/internal/sender/rig_test.go
+++ b/internal/sender/rig_test.go
@@ -57,7 +57,7 @@
 
 // list lists the endpoint of destination 3.
 func (b *testSender) listEndpoint(addr string) {
-	b.handleList(&discovery.List{Full: true, Entries: []discovery.Endpoint{{Endpoint: policy.Endpoint{ID: 1, Dest: 3, State: policy.Ready}, Name: "e", Addr: addr}}})
+	b.handleList(&discovery.List{Full: true, Endpoints: []discovery.Endpoint{{Endpoint: policy.Endpoint{ID: 1, Dest: 3, State: policy.Ready}, Name: "e", Addr: addr}}})
 }
 
 // next makes one step at the present time.
--- a/internal/sender/sender.go
+++ b/internal/sender/sender.go
@@ -248,11 +248,11 @@
 		DialTimeout: fromMillis(o.Settings.DialTimeout),
 		X0:          o.Settings.AllowanceIndex, X1: o.Settings.LimitIndex,
 		Partner: o.Partner,
-		Trouble: func(endpoint uint32, addr string, err error) {
+		OnDialError: func(endpoint uint32, addr string, err error) {
 			o.Log.Warn().Uint32("endpoint", endpoint).Str("addr", addr).Err(err).Msg("partner: connection to endpoint failed")
 		},
-		Closed: s.observer.closed,
-		Done:   func(c *outbound.Call, events []policy.Event) { s.inputs <- input{call: c, events: events} },
+		OnConnClosed: s.observer.closed,
+		OnDone:       func(c *outbound.Call, events []policy.Event) { s.inputs <- input{call: c, events: events} },
 	})
 	s.updateNow()
 	s.setKnowledge(o.Knowledge)
@@ -280,15 +280,15 @@
 	class, _ := s.ClassOf([]byte(e.Class))
 	left := float64(e.Deadline) - s.now
 	switch {
-	case e.Origin != "" && s.copies != nil: // its takeover was in progress when the earlier process ended
+	case e.TakeoverDuty != "" && s.copies != nil: // its takeover was in progress when the earlier process ended
 		s.copies.pendingEntries[e.Num] = e
 		return
-	case e.Ending != journal.NotEnding: // ended; its notice may not have been accepted
+	case e.Ending != journal.EndingNone: // ended; its notice may not have been accepted
 		s.pendingNotices[e.Num] = e
 		s.sendNotice(e)
 		return
 	case left <= 0:
-		s.endWithNotice(e, journal.GivenUp, 0)
+		s.endWithNotice(e, journal.EndingAbandoned, 0)
 		return
 	case class < 0:
 		class = s.unknownClass()
@@ -298,11 +298,11 @@
 	s.stormGuard.Held(s.now, e.Dest, 1)
 	s.observeTaken(e, class, true)
 	ev := policy.Event{
-		Kind: policy.EvMessage, ID: e.Num, Class: class, Key: e.Item, Remaining: left, Resubmitted: e.Again,
-		Dest: e.Dest, Restored: true, Attempts: e.Attempts, MayHaveRun: e.DoubtAt != 0, MayHaveRunZone: e.DoubtZone,
+		Kind: policy.EvMessage, ID: e.Num, Class: class, Key: e.OrderingKey, Remaining: left, Resubmitted: e.Resubmitted,
+		Dest: e.Dest, Restored: true, Attempts: e.Attempts, MayHaveRun: e.MayHaveRunAt != 0, MayHaveRunZone: e.MayHaveRunZone,
 	}
 	if ev.MayHaveRun {
-		ev.MayHaveRunAge = s.now - float64(e.DoubtAt)
+		ev.MayHaveRunAge = s.now - float64(e.MayHaveRunAt)
 	}
 	s.events = append(s.events, ev)
 }
@@ -452,7 +452,7 @@
 			s.newCalls = append(s.newCalls, &outbound.Call{Endpoint: e.ID, Addr: e.Addr, Dest: e.Dest, SentAt: time.Now(), Timeout: fromMillis(s.settings.DialTimeout)})
 		}
 	case policy.ActCloseIdle:
-		s.pool.HangUp(a.Endpoint)
+		s.pool.CloseIdleConns(a.Endpoint)
 	case policy.ActLog:
 		s.log.Info().Msg(a.Text)
 	case policy.ActSubscribe: // the list subscription is permanent
--- a/internal/sender/shards.go
+++ b/internal/sender/shards.go
@@ -74,7 +74,7 @@
 		sh.leaving[id] = true
 	}
 	if len(u.Entries) > 0 {
-		s.handleList(&discovery.List{Entries: u.Entries})
+		s.handleList(&discovery.List{Endpoints: u.Entries})
 	}
 	s.releaseLeavingShards(true)
 }
@@ -144,10 +144,10 @@
 		}
 	}
 	if len(gone) > 0 {
-		s.handleList(&discovery.List{Entries: gone})
+		s.handleList(&discovery.List{Endpoints: gone})
 	}
 	for _, e := range gone {
-		s.pool.HangUp(e.ID)
+		s.pool.CloseIdleConns(e.ID)
 		delete(s.endpoints, e.ID)
 		delete(s.endpointIDs, e.Name)
 	}
--- a/internal/sender/stopping_test.go
+++ b/internal/sender/stopping_test.go
@@ -81,7 +81,7 @@
 	n, e := (<-withdrawn).Num, b.messages[(<-notified).Num]
 	b.dropUnsent(e.call)
 	b.forget(e)
-	b.endWithNotice(e.Entry, journal.HandedBack, 0)
+	b.endWithNotice(e.Entry, journal.EndingReturned, 0)
 	b.nextStep()
 	b.post(input{call: c, events: []policy.Event{{Kind: policy.EvOutcome, ID: m.Num, Endpoint: 1, Outcome: policy.OK}}})
 	b.AckNotices([]uint64{e.Num})
@@ -117,10 +117,10 @@
 	}
 	b.shutDown()
 	next := b.reopenJournal()
-	if e := next["begun"]; e == nil || e.DoubtAt == 0 {
+	if e := next["begun"]; e == nil || e.MayHaveRunAt == 0 {
 		t.Errorf("begun: %+v, want one that may have run", e)
 	}
-	if e := next["waiting"]; e == nil || e.DoubtAt != 0 || e.Attempts != 1 {
+	if e := next["waiting"]; e == nil || e.MayHaveRunAt != 0 || e.Attempts != 1 {
 		t.Errorf("waiting: %+v, want one that surely has not run, and an attempt that counts", e)
 	}
 }
--- a/internal/sender/submissions.go
+++ b/internal/sender/submissions.go
@@ -59,7 +59,7 @@
 		s.observeRefused(m.Dest, telemetry.CauseRoute)
 		o.verdict <- Verdict{NoRoute: true, RetryAfter: s.busyRetryAfter()}
 		return
-	case !s.stopRequestedAt.IsZero(), s.journalFailed, left <= 0, s.lacksLease(), s.settings.MaxHeld > 0 && len(s.messages) >= s.settings.MaxHeld, !s.journal.Room(len(m.Body)):
+	case !s.stopRequestedAt.IsZero(), s.journalFailed, left <= 0, s.lacksLease(), s.settings.MaxHeld > 0 && len(s.messages) >= s.settings.MaxHeld, !s.journal.HasSpace(len(m.Body)):
 		s.stormGuard.Arrived(s.now, m.Dest, keyHash(m.Key), m.Resubmitted)
 		s.observeRefused(m.Dest, s.refusalCause())
 		o.verdict <- Verdict{RetryAfter: s.refusalRetryAfter(m.Dest, m.Key, max(left, 0), s.busyRetryAfter()), TooFewHolders: s.lacksLease()}
@@ -68,16 +68,16 @@
 	s.stormGuard.Arrived(s.now, m.Dest, keyHash(m.Key), m.Resubmitted)
 	s.stormGuard.Held(s.now, m.Dest, 1)
 	e := &journal.Entry{
-		Num: s.journal.Next(), Trace: string(m.Trace), Key: string(m.Key), Class: s.settings.Classes[m.Class].Name,
-		Item: m.OrderingKey, Dest: m.Dest, Again: m.Resubmitted, Deadline: int64(s.now + left), Body: slices.Clone(m.Body),
+		Num: s.journal.NextNumber(), Trace: string(m.Trace), Key: string(m.Key), Class: s.settings.Classes[m.Class].Name,
+		OrderingKey: m.OrderingKey, Dest: m.Dest, Resubmitted: m.Resubmitted, Deadline: int64(s.now + left), Body: slices.Clone(m.Body),
 	}
 	if m.Tenant < len(s.settings.Tenants) {
 		e.Tenant = s.settings.Tenants[m.Tenant].Name
 	}
 	if s.observer.On() {
-		e.Parent = parseParent(m.TraceParent).Text()
+		e.TraceParent = parseParent(m.TraceParent).Text()
 	}
-	s.journal.Take(e)
+	s.journal.Accept(e)
 	s.messages[e.Num] = &message{Entry: e, class: m.Class, acceptedAt: s.now, claim: s.claimFor(m)}
 	s.numByTrace[e.Trace] = e.Num
 	s.observeTaken(e, m.Class, false)
@@ -148,10 +148,10 @@
 	s.dropUnsent(m.call)
 	s.ended.add(m.Trace, s.now)
 	s.forget(m)
-	ending := journal.GivenUp
+	ending := journal.EndingAbandoned
 	if a.Kind == policy.ActRefuse {
-		ending = journal.HandedBack
+		ending = journal.EndingReturned
 	}
-	s.observeOver(m.Entry, [...]telemetry.End{journal.GivenUp: telemetry.GivenUp, journal.HandedBack: telemetry.HandedBack}[ending], after)
+	s.observeOver(m.Entry, [...]telemetry.End{journal.EndingAbandoned: telemetry.GivenUp, journal.EndingReturned: telemetry.HandedBack}[ending], after)
 	s.endWithNotice(m.Entry, ending, after)
 }
--- a/internal/sender/takeover.go
+++ b/internal/sender/takeover.go
@@ -85,22 +85,22 @@
 	var keys []uint64
 	suspected := 0
 	for _, e := range journal.Replay(h.Found.Records) {
-		if e.Origin != "" && duty.Agreed(look.Adopted[ownerOf(e.Origin)], e.Token).GetBy() != h.Owner {
+		if e.TakeoverDuty != "" && duty.Agreed(look.Adopted[ownerOf(e.TakeoverDuty)], e.TakeoverToken).GetBy() != h.Owner {
 			continue // it was being taken over itself, and that was not agreed on
 		}
-		e.Num, e.Origin, e.Token = s.journal.Next(), d.Name, d.Token
+		e.Num, e.TakeoverDuty, e.TakeoverToken = s.journal.NextNumber(), d.Name, d.Token
 		e.Deadline += shift
-		if e.DoubtAt != 0 {
-			e.DoubtAt += shift
+		if e.MayHaveRunAt != 0 {
+			e.MayHaveRunAt += shift
 		}
-		if e.DoubtAt == 0 && s.forbidsRepeats(e.Class) && !h.Complete(c.requiredFor(e.Class)) {
-			e.DoubtAt = int64(s.now) // it may have run: who knows of it is away
+		if e.MayHaveRunAt == 0 && s.forbidsRepeats(e.Class) && !h.Complete(c.requiredFor(e.Class)) {
+			e.MayHaveRunAt = int64(s.now) // it may have run: who knows of it is away
 			suspected++
 		}
-		s.journal.Take(e)
+		s.journal.Accept(e)
 		c.pendingEntries[e.Num] = e
 		h.entryNums = append(h.entryNums, e.Num)
-		if k := keyHash([]byte(e.Key)); k != 0 && e.Sure && e.Ending == journal.NotEnding {
+		if k := keyHash([]byte(e.Key)); k != 0 && e.Confirmed && e.Ending == journal.EndingNone {
 			keys = append(keys, k)
 		}
 	}
@@ -151,18 +151,18 @@
 	n, confirmed, avoidUntil := 0, 0, s.now
 	s.honourWaits(holds)
 	for num, e := range s.copies.pendingEntries {
-		if ownerOf(e.Origin) != owner || e.Token != token {
+		if ownerOf(e.TakeoverDuty) != owner || e.TakeoverToken != token {
 			continue
 		}
 		delete(s.copies.pendingEntries, num)
-		s.journal.Adopted(e)
+		s.journal.FinishTakeover(e)
 		n++
 		switch {
-		case e.Ending == journal.NotEnding && !e.Sure:
+		case e.Ending == journal.EndingNone && !e.Confirmed:
 			// Its client may have been refused: it is handed back, and never sent.
-			s.endWithNotice(e, journal.HandedBack, 0)
-		case e.Ending == journal.NotEnding && slices.Contains(elsewhere, keyHash([]byte(e.Key))):
-			s.endWithNotice(e, journal.GivenUp, 0)
+			s.endWithNotice(e, journal.EndingReturned, 0)
+		case e.Ending == journal.EndingNone && slices.Contains(elsewhere, keyHash([]byte(e.Key))):
+			s.endWithNotice(e, journal.EndingAbandoned, 0)
 		default:
 			confirmed, avoidUntil = confirmed+1, max(avoidUntil, float64(e.Deadline))
 			s.restore(e)
@@ -185,7 +185,7 @@
 	}
 	open := map[try]bool{}
 	for _, e := range c.pendingEntries {
-		open[try{ownerOf(e.Origin), e.Token}] = true
+		open[try{ownerOf(e.TakeoverDuty), e.TakeoverToken}] = true
 	}
 	for t := range open {
 		a, d, h := look.Adopted[t.owner], look.Own[t.owner], c.takeovers[t.owner]
@@ -199,7 +199,7 @@
 		case a != nil && a.Token > t.token, look.Mine(d) && d.Token > t.token, d != nil && !look.Mine(d), d == nil:
 			// The duty is another's now, or nobody's: it was not agreed on, and never will be.
 			for num, e := range c.pendingEntries {
-				if ownerOf(e.Origin) == t.owner && e.Token == t.token {
+				if ownerOf(e.TakeoverDuty) == t.owner && e.TakeoverToken == t.token {
 					delete(c.pendingEntries, num)
 					s.journal.End(e)
 				}
--- a/internal/sender/upgrade.go
+++ b/internal/sender/upgrade.go
@@ -60,7 +60,7 @@
 // holdList keeps an endpoint list for the module until the successor takes over. Messages for its destinations are
 // accepted from now on, and operators can disable its endpoints.
 func (s *Sender) holdList(l *discovery.List) {
-	for _, e := range l.Entries {
+	for _, e := range l.Endpoints {
 		s.endpointIDs[e.Name] = e.ID
 		if e.State != 0 && len(s.listedDests) < MaxDestinations {
 			s.listedDests[e.Dest] = true
