--- a/internal/sender/copies.go
+++ b/internal/sender/copies.go
@@ -17,55 +17,56 @@
 	"sliptide/policy"
 )
 
-// This file copies the journal to further members and takes over those of lost ones, by internal/fleet/copies. A
-// step's records go out after it has written them; what the client hears, and each first byte that must not go
-// before, waits in line for the holders' word. The sender's goroutine waits for nobody: the word comes as news.
+// This file copies the journal to other members, by means of internal/fleet/copies. The records of a step are sent after
+// the journal has been written. Answers to clients, and calls that must not begin earlier, are queued until the holders
+// acknowledge the records. The sender's goroutine never blocks on this: acknowledgements arrive as inputs.
 
-// hushedPace holds all calls back without counting one: the lease on this sender's own journal is over.
+// suspendedPace, in calls a second, suspends all calls while the lease on this sender's journal is lost: no call becomes
+// due at that pace, whereas 0 would mean no limit.
 const suspendedPace = 1e-3
 
-// placeEvery is between two looks at where copies go.
+// placementInterval is the interval between checks of the placement of copies.
 const placementInterval = 50 * time.Millisecond
 
-// newsMost bounds the holders' words that wait for a step.
+// maxQueuedFrames limits the frames from holders that are queued for a step.
 const maxQueuedFrames = 4096
 
-// CopySettings are how the journal is copied.
+// CopySettings configures the copies of the journal.
 type CopySettings struct {
 	Name            string
 	Zone            string
-	Count           int
-	Required        int
-	RequiredByClass map[string]int // of classes that wait for another number of copies, by name
-	Timeout         time.Duration
-	AcceptUncopied  bool // where too few holders can be reached: take messages on all the same
+	Count           int            // copies of the journal
+	Required        int            // holders that must acknowledge a record
+	RequiredByClass map[string]int // for classes with another number, by name
+	Timeout         time.Duration  // limit on the wait for acknowledgements
+	AcceptUncopied  bool           // accept messages although too few holders are reachable
 }
 
-// CopyFleet is what copies need of the fleet. None of its calls waits.
+// CopyFleet is the fleet as copies need it. No method blocks.
 type CopyFleet interface {
 	Fleet
 	View() *fleet.Look
 	SendCopy(to string, f *pb.Frame)
 	Propose(c *pb.Command, done func(*pb.Answer, error))
-	Incarnation() uint64 // of this member's folder; 0: it has not joined yet
+	Incarnation() uint64 // of this member's state directory; 0: it has not joined yet
 }
 
-// copier is a sender's part in the copies of journals.
+// copier is a sender's state for copies of its journal and for takeovers of others.
 type copier struct {
 	settings         CopySettings
 	fleet            CopyFleet
 	owner            *copies.Owner
 	takeovers        map[string]*takeover
-	pendingEntries   map[uint64]*journal.Entry // being taken over: of no module yet
+	pendingEntries   map[uint64]*journal.Entry // being taken over: not given to the module yet
 	waits            []holderWait
-	confirmed        []*pendingSubmission // whose 202 goes out with this step, once its record has
-	claim            *claim               // of the messages that are handed in again in this step
-	leaseHeld        bool                 // the lease on this sender's own journal holds
+	confirmed        []*pendingSubmission // to be answered 202 at the end of this step
+	claim            *claim               // of the messages resubmitted in this step
+	leaseHeld        bool                 // the lease on this sender's own journal is held
 	requestedHolders []string
-	incarnation      uint64 // of the folder
+	incarnation      uint64 // of the state directory
 	requestedAt      time.Time
-	nextPlacement    time.Time // of the next look at where copies go
-	shortCount       uint64    // messages that were refused, or taken on without copies
+	nextPlacement    time.Time // when the placement of copies is checked next
+	shortCount       uint64    // messages refused, or accepted uncopied, for lack of holders
 	status           atomic.Pointer[copies.Status]
 	nextStatus       time.Time
 
@@ -73,37 +74,38 @@
 	inbox []copyInput
 }
 
+// copyInput is a frame from another member, or a function to run on the sender's goroutine.
 type copyInput struct {
 	from  string
 	frame *pb.Frame
-	run   func() // or something to be done on the sender's goroutine
+	run   func()
 }
 
-// heirOf is a taking over.
+// takeover is the takeover of a lost owner's journal.
 type takeover struct {
 	*copies.Heir
-	startedAt int64          // nanoseconds
-	entryNums []uint64       // of the entries in this journal
-	holds     []journal.Hold // where nothing may be sent, by this sender's clock
+	startedAt int64          // in nanoseconds of fleet.Now
+	entryNums []uint64       // of the imported entries in this journal
+	holds     []journal.Hold // of the lost owner, by this sender's clock
 }
 
-// copyLine waits for the holders' word on a batch.
+// holderWait is a wait for the acknowledgement of a batch of records by its holders.
 type holderWait struct {
 	seq         uint64
-	required    int // holders that must have the batch
+	required    int // holders that must acknowledge the batch
 	deadline    time.Time
-	claims      []*claim // that must be answered, too
+	claims      []*claim // that must be answered as well
 	submissions []*pendingSubmission
 	calls       []*outbound.Call
 	done        func(kept bool)
 }
 
-// Copy gives the sender its part in copies, before Run.
+// EnableCopies makes the sender copy its journal to other members. It is called before Run.
 func (s *Sender) EnableCopies(f CopyFleet, set CopySettings) {
 	s.copies = &copier{settings: set, fleet: f, takeovers: map[string]*takeover{}, pendingEntries: map[uint64]*journal.Entry{}, leaseHeld: true}
 	s.copies.owner = copies.NewOwner(set.Name, 0)
 	s.journal.EnableCopies()
-	for _, m := range s.messages { // of an earlier life
+	for _, m := range s.messages { // of an earlier process
 		if m.Confirmed = true; m.TakeoverDuty != "" {
 			s.copies.pendingEntries[m.Num] = m.Entry
 			s.forget(m)
@@ -115,7 +117,7 @@
 	}
 }
 
-// CopyNews takes a frame of copies from a member. It does not wait.
+// ReceiveCopyFrame queues a frame about copies from a member. It does not block.
 func (s *Sender) ReceiveCopyFrame(from string, f *pb.Frame) {
 	s.enqueueCopyInput(copyInput{from: from, frame: f})
 }
@@ -126,22 +128,22 @@
 		return
 	}
 	c.mu.Lock()
-	if n.run != nil || len(c.inbox) < maxQueuedFrames { // a holder's word that is lost comes again with its next one
+	if n.run != nil || len(c.inbox) < maxQueuedFrames { // a dropped acknowledgement is covered by the holder's next one
 		c.inbox = append(c.inbox, n)
 	}
 	c.mu.Unlock()
 	s.Wake()
 }
 
-// Kick makes a step come soon, for news that wait. It does not wait.
+// Wake makes a step handle queued updates soon. It does not block.
 func (s *Sender) Wake() {
 	select {
 	case s.inputs <- input{wake: true}:
-	default: // a step is due anyway
+	default: // queued inputs make a step due anyway
 	}
 }
 
-// copyStep takes what has come for copies, ahead of a step of the module.
+// stepCopies handles queued inputs of copies and advances waits and takeovers, before the step of the module.
 func (s *Sender) stepCopies() {
 	c := s.copies
 	if c == nil {
@@ -174,7 +176,8 @@
 	s.publishCopyStatus()
 }
 
-// ownJournal begins the epoch of this sender's own journal, or notices that its lease is over.
+// checkOwnLease follows the lease on this sender's own journal: it begins an epoch when the lease is gained, and suspends
+// calls when it is lost.
 func (s *Sender) checkOwnLease(look *fleet.Look) {
 	c := s.copies
 	name := duty.Own(c.settings.Name)
@@ -192,7 +195,7 @@
 		} else {
 			s.refusal.Store(nil)
 		}
-		s.log.Info().Bool("held", live).Msg("copies: the lease on this sender's journal")
+		s.log.Info().Bool("held", live).Msg("copies: lease on this sender's journal gained or lost")
 	}
 	if !live {
 		if !look.Mine(d) {
@@ -213,14 +216,14 @@
 		c.requestedHolders = nil
 	}
 	c.owner.Holders(countedHolders(d.Holders, c.requestedHolders))
-	if now := time.Now(); now.After(c.nextPlacement) { // members come and go in seconds: not at every step
+	if now := time.Now(); now.After(c.nextPlacement) { // members change within seconds, not with every step
 		c.nextPlacement = now.Add(placementInterval)
 		s.placeCopies(look, d)
 	}
 }
 
-// counted are the holders whose word counts: not one that the fleet is being asked to let go, whose copy an heir may not
-// be told of any more.
+// countedHolders returns the holders whose acknowledgements count. A holder whose removal has been requested does not: a
+// successor may not be told of its copy any more.
 func countedHolders(holders, asked []string) []string {
 	if asked == nil {
 		return holders
@@ -228,7 +231,7 @@
 	return slices.DeleteFunc(slices.Clone(holders), func(name string) bool { return !slices.Contains(asked, name) })
 }
 
-// placeCopies asks the fleet for other holders where the members ask for them.
+// placeCopies requests other holders from the fleet if the present members call for it.
 func (s *Sender) placeCopies(look *fleet.Look, d *pb.Duty) {
 	c := s.copies
 	full := c.owner.Full(fleet.Now())
@@ -243,13 +246,13 @@
 	}
 	c.requestedHolders = next
 	c.fleet.Propose(&pb.Command{What: &pb.Command_Keep{Keep: &pb.Keep{Session: look.Session, Duty: d.Name, Token: d.Token, Holders: next}}}, func(_ *pb.Answer, err error) {
-		if err != nil { // else it stands until the news of it are here
+		if err != nil { // otherwise the request stands until the view shows its result
 			s.enqueueCopyInput(copyInput{run: func() { c.requestedHolders = nil }})
 		}
 	})
 }
 
-// handedOn drops what an heir has taken over while this sender was away, and exactly that.
+// dropAdopted drops exactly the messages that a successor took over while this sender was away.
 func (s *Sender) dropAdopted(a *pb.Adoption) {
 	n := 0
 	for _, m := range s.messages {
@@ -274,7 +277,7 @@
 	s.log.Info().Int("messages", n).Str("heir", a.By).Msg("copies: messages were taken over while this sender was away")
 }
 
-// hush holds all calls back, or lets them go on.
+// suspendCalls suspends all calls, or lets them proceed.
 func (s *Sender) suspendCalls(on bool) {
 	pace := 0.0
 	if on {
@@ -283,7 +286,7 @@
 	for dest := range s.listedDests {
 		s.events = append(s.events, policy.Event{Kind: policy.EvPace, Dest: dest, Pace: pace})
 	}
-	for c := range s.calls { // what has not begun does not begin
+	for c := range s.calls { // unsent calls must not begin
 		if on && len(c.Items) > 0 {
 			s.dropUnsent(c)
 		}
@@ -295,14 +298,14 @@
 	}
 }
 
-// hushNew holds calls back at what a list has named while the lease is over.
+// suspendListed suspends calls to newly listed destinations and endpoints while the lease is lost.
 func (s *Sender) suspendListed() {
 	if s.copies != nil && !s.copies.leaseHeld {
 		s.suspendCalls(true)
 	}
 }
 
-// copyOut copies what a step has written. It returns the batch's number.
+// sendCopies sends the records of a step to the holders. It returns the number of the batch, 0 if there are none.
 func (s *Sender) sendCopies() uint64 {
 	c := s.copies
 	now := fleet.Now()
@@ -321,8 +324,8 @@
 	return seq
 }
 
-// copyWait puts a step's answers and calls in line for the holders' word, and for the fleet's on what was handed in
-// again. What need not wait is left.
+// awaitHolders queues the answers and calls of a step until the holders have acknowledged the batch, and until the fleet
+// has answered about resubmitted messages. Those that need not wait stay in submissions and newCalls.
 func (s *Sender) awaitHolders(seq uint64) {
 	c := s.copies
 	s.proposeClaim()
@@ -361,7 +364,7 @@
 	})
 }
 
-// needs is how many holders must have a message of a class.
+// requiredFor returns how many holders must acknowledge a message of a class.
 func (c *copier) requiredFor(class string) int {
 	if n, set := c.settings.RequiredByClass[class]; set {
 		return n
@@ -369,7 +372,7 @@
 	return c.settings.Required
 }
 
-// most is what any class needs: what is taken over may be of each.
+// maxRequired returns the highest number that any class requires, since adopted messages may be of every class.
 func (c *copier) maxRequired() int {
 	n := c.settings.Required
 	for _, v := range c.settings.RequiredByClass {
@@ -378,8 +381,8 @@
 	return n
 }
 
-// mustWait reports whether a call's first byte waits for copies: of a message whose client has no answer yet, and of
-// one of a class that must never take effect twice.
+// mustAwaitHolders reports whether a call must not begin before its messages are copied: if it has a message whose client
+// has no answer yet, or one whose class forbids repeats.
 func (s *Sender) mustAwaitHolders(call *outbound.Call) bool {
 	for i := range call.Items {
 		m := s.messages[call.Items[i].ID]
@@ -393,7 +396,7 @@
 	return false
 }
 
-// copyTell gives the answers whose records this step has written and sent.
+// answerConfirmed answers the submissions whose confirmation this step has written and sent.
 func (s *Sender) answerConfirmed() {
 	for _, t := range s.copies.confirmed {
 		t.verdict <- Verdict{Accepted: true, Num: t.entry.Num}
@@ -401,7 +404,7 @@
 	s.copies.confirmed = s.copies.confirmed[:0]
 }
 
-// copyLines lets go on what the holders have, and gives up what they do not have in time.
+// settleWaits ends the waits that are satisfied and those that have timed out.
 func (s *Sender) settleWaits() {
 	c := s.copies
 	now := time.Now()
@@ -417,7 +420,7 @@
 	}
 }
 
-// copyLeave ends what still waits for holders when the sender leaves: nothing of it is taken on.
+// failWaits ends all waits, unsatisfied, when the sender exits.
 func (s *Sender) failWaits() {
 	if s.copies == nil {
 		return
@@ -441,9 +444,9 @@
 	for _, t := range l.submissions {
 		m := s.messages[t.entry.Num]
 		switch {
-		case m == nil: // over already
+		case m == nil: // already ended
 			t.verdict <- Verdict{RetryAfter: maxBusyRetryMS}
-		case m.claim.has(m.Entry): // an heir's: nothing was sent of it here
+		case m.claim.has(m.Entry): // a successor holds it; this sender has sent nothing
 			s.revoke(m, telemetry.CauseRoom)
 			t.verdict <- Verdict{TakenOver: true}
 		case accept:
@@ -464,7 +467,7 @@
 	}
 }
 
-// takeBack withdraws a message whose client hears that it is not taken on.
+// revoke withdraws a message whose client is about to receive a refusal.
 func (s *Sender) revoke(m *message, why telemetry.Cause) {
 	s.observeOver(m.Entry, telemetry.NotTaken, 0)
 	s.observeRefused(m.Dest, why)
@@ -475,8 +478,8 @@
 	s.forget(m)
 }
 
-// goWithLease starts a call whose first byte goes out only while the lease on this sender's journal holds: it may wait
-// for its connection, or the process be stopped, until that is over.
+// startCall starts a call. Its first byte is written only while the lease on this sender's journal is held: the lease may
+// end while the call waits for its connection or the process is suspended.
 func (s *Sender) startCall(call *outbound.Call) {
 	if c := s.copies; c != nil && len(call.Items) > 0 {
 		name, epoch := duty.Own(c.settings.Name), c.owner.Epoch()
@@ -485,18 +488,18 @@
 	s.pool.Go(call)
 }
 
-// copyRefuses reports whether nothing can be taken on for want of the lease, or of anybody to copy to.
+// lacksLease reports whether messages must be refused because the lease on this sender's journal is lost.
 func (s *Sender) lacksLease() bool {
 	return s.copies != nil && !s.copies.settings.AcceptUncopied && !s.copies.leaseHeld
 }
 
-// copyNext is when copies want a step by time alone.
+// untilCopyStep limits the wait for the next step to what copies and takeovers need.
 func (s *Sender) untilCopyStep(wait time.Duration) time.Duration {
 	c := s.copies
 	if c == nil {
 		return wait
 	}
-	wait = min(wait, 50*time.Millisecond) // the lease, the holders and what is taken over are looked at
+	wait = min(wait, 50*time.Millisecond) // the lease, the holders and takeovers are polled
 	if at, due := c.owner.Next(); due {
 		wait = min(wait, time.Duration(at-fleet.Now()))
 	}
@@ -509,10 +512,11 @@
 	return wait
 }
 
-// Short says why messages are refused, for their clients, /up and the log.
+// TooFewHoldersReason is the reason for a refusal as clients and /up receive it.
 const TooFewHoldersReason = "too few members can be reached to copy what is taken on"
 
-// Refuses is why this sender takes nothing on, for /up; empty: it does. It is safe for concurrent use.
+// RefusalReason returns why this sender accepts no messages, for /up; empty: it accepts them. It is safe for concurrent
+// use.
 func (s *Sender) RefusalReason() string {
 	if why := s.refusal.Load(); why != nil {
 		return *why
--- a/internal/sender/takeover.go
+++ b/internal/sender/takeover.go
@@ -12,13 +12,14 @@
 	"sliptide/policy"
 )
 
-// This file takes over what a lost owner had: its copies are sealed and read, put into this sender's own journal and
-// copied, agreed on by the fleet, and only then sent.
+// This file takes over the messages of lost owners: the copies of an owner's journal are sealed and read, its entries are
+// written to this sender's journal and copied, the fleet agrees to the adoption, and only then are the messages sent.
 
-// handOnAfter is how long an heir waits for its own journal with what it has found of another's.
+// releaseDelay, in nanoseconds, is how long a takeover waits for the lease on this sender's own journal before it is
+// released to another member.
 const releaseDelay = int64(2 * time.Second)
 
-// ownerOf is the owner of a journal's duty; empty: it is none.
+// ownerOf returns the owner of a journal from the name of its duty; empty: the name is of no such duty.
 func ownerOf(name string) string {
 	if n := len(duty.Own("")); len(name) > n {
 		return name[n:]
@@ -26,20 +27,20 @@
 	return ""
 }
 
-// shifts is what moves times of the owner's clock to this sender's, in milliseconds: deadlines rather too early, waits
-// rather too late. Where no holder knows the owner's clock any more, all machines' clocks are taken to agree, as after a
-// restart of one's own.
+// clockOffsets returns the offsets, in milliseconds, that convert times of the owner's clock to this sender's. Deadlines
+// err on the early side, waits on the late side. If no holder knows the owner's clock, the clocks are assumed to agree,
+// as after a restart of the same machine.
 func (s *Sender) clockOffsets(h *takeover) (deadlines, waits int64) {
 	least, most, known := h.Clock()
 	if !known {
-		s.log.Warn().Str("owner", h.Owner).Msg("copies: nobody knows the lost sender's clock: its deadlines go by this machine's")
+		s.log.Warn().Str("owner", h.Owner).Msg("copies: no holder knows the lost sender's clock: its deadlines are taken by this machine's clock")
 		return 0, 0
 	}
 	own := int64(s.clock.Now()) - fleet.Now()/1e6
 	return own - least, own - most
 }
 
-// inherit takes over what lost owners had whose duty this member holds.
+// stepTakeovers starts and advances the takeovers of lost owners whose duties this member holds.
 func (s *Sender) stepTakeovers(now int64, look *fleet.Look) {
 	c := s.copies
 	for owner, d := range look.Own {
@@ -59,10 +60,10 @@
 		case copies.Ready:
 			if c.leaseHeld {
 				s.importEntries(h, d)
-			} else if now-h.startedAt > releaseDelay { // it can copy nothing: another one may, or the owner that is back
+			} else if now-h.startedAt > releaseDelay { // no lease: another member may copy them
 				c.fleet.Propose(&pb.Command{What: &pb.Command_Release{Release: &pb.Release{Session: look.Session, Duty: d.Name, Token: d.Token, Keep: true}}}, func(*pb.Answer, error) {})
 				h.startedAt = now
-				s.log.Info().Str("owner", owner).Msg("copies: handed on to another heir, as this sender does not hold its own journal")
+				s.log.Info().Str("owner", owner).Msg("copies: takeover released to another member, as this sender lacks the lease on its own journal")
 			}
 		case copies.Done:
 			delete(c.takeovers, owner)
@@ -76,7 +77,8 @@
 	return class >= 0 && s.settings.Classes[class].Effect == policy.Unsafe
 }
 
-// bring puts what was found into this sender's own journal; once that is copied, the fleet is asked to agree.
+// importEntries writes the entries found to this sender's own journal. Once they are copied, the fleet is asked to agree to
+// the adoption.
 func (s *Sender) importEntries(h *takeover, d *pb.Duty) {
 	c := s.copies
 	h.Stage, h.entryNums = copies.Copying, nil
@@ -86,7 +88,7 @@
 	suspected := 0
 	for _, e := range journal.Replay(h.Found.Records) {
 		if e.TakeoverDuty != "" && duty.Agreed(look.Adopted[ownerOf(e.TakeoverDuty)], e.TakeoverToken).GetBy() != h.Owner {
-			continue // it was being taken over itself, and that was not agreed on
+			continue // the lost owner was taking it over itself, without agreement
 		}
 		e.Num, e.TakeoverDuty, e.TakeoverToken = s.journal.NextNumber(), d.Name, d.Token
 		e.Deadline += shift
@@ -94,7 +96,7 @@
 			e.MayHaveRunAt += shift
 		}
 		if e.MayHaveRunAt == 0 && s.forbidsRepeats(e.Class) && !h.Complete(c.requiredFor(e.Class)) {
-			e.MayHaveRunAt = int64(s.now) // it may have run: who knows of it is away
+			e.MayHaveRunAt = int64(s.now) // a holder that may know of an attempt is unreachable
 			suspected++
 		}
 		s.journal.Accept(e)
@@ -106,9 +108,9 @@
 	}
 	s.importHolds(h, waits)
 	if suspected > 0 {
-		s.log.Warn().Str("owner", h.Owner).Int("messages", suspected).Msg("copies: holders are away that may know of attempts: messages whose class forbids repeats are not sent")
+		s.log.Warn().Str("owner", h.Owner).Int("messages", suspected).Msg("copies: holders that may know of attempts are unreachable: messages whose class forbids repeats are not sent")
 	}
-	s.stepDue = true // they are written, and copied, by this very step: to as many as are left, where few are
+	s.stepDue = true // this step writes and copies the entries, to fewer holders if fewer members are left
 	c.waits = append(c.waits, holderWait{required: max(min(c.maxRequired(), len(c.fleet.View().Present)-1), 0), deadline: time.Now().Add(time.Second), done: func(kept bool) {
 		if !kept {
 			s.abandonTakeover(h)
@@ -122,7 +124,7 @@
 	}})
 }
 
-// discard gives up a try to take over; it begins again where the duty is still held.
+// abandonTakeover abandons an attempt at a takeover. A new one begins if the duty is still held.
 func (s *Sender) abandonTakeover(h *takeover) {
 	for _, num := range h.entryNums {
 		if e := s.copies.pendingEntries[num]; e != nil {
@@ -135,18 +137,19 @@
 	}
 }
 
-// adopted takes what the fleet says of a taking over. Without a word, the look at what is agreed on tells.
+// handleAdoption handles the fleet's answer to an adoption. After an error settlePending learns the result from the view.
 func (s *Sender) handleAdoption(h *takeover, elsewhere []uint64, err error) {
 	if err != nil {
-		s.log.Warn().Err(err).Str("owner", h.Owner).Msg("copies: the fleet has not agreed yet that these messages are taken over")
-		return // settlePending finds out
+		s.log.Warn().Err(err).Str("owner", h.Owner).Msg("copies: the fleet has not confirmed the takeover yet")
+		return
 	}
 	s.activateEntries(h.Owner, h.Epoch, h.holds, elsewhere)
 	h.Stage = copies.Done
 }
 
-// activate makes the entries of an agreed taking over this sender's messages. Those with a key of elsewhere were handed
-// in again at another sender, which answers for them: they are given up by a notice about their old id, and not sent.
+// activateEntries makes the entries of an agreed takeover this sender's messages. Entries with a key in elsewhere were
+// resubmitted to another sender, which is responsible for them now: they are not sent but abandoned, with a notice about
+// their old ID.
 func (s *Sender) activateEntries(owner string, token uint64, holds []journal.Hold, elsewhere []uint64) {
 	n, confirmed, avoidUntil := 0, 0, s.now
 	s.honourWaits(holds)
@@ -159,7 +162,7 @@
 		n++
 		switch {
 		case e.Ending == journal.EndingNone && !e.Confirmed:
-			// Its client may have been refused: it is handed back, and never sent.
+			// Its client may have been refused: it is returned and never sent.
 			s.endWithNotice(e, journal.EndingReturned, 0)
 		case e.Ending == journal.EndingNone && slices.Contains(elsewhere, keyHash([]byte(e.Key))):
 			s.endWithNotice(e, journal.EndingAbandoned, 0)
@@ -173,7 +176,7 @@
 	s.log.Info().Str("owner", owner).Int("messages", n).Int("sure", confirmed).Int("elsewhere", len(elsewhere)).Msg("copies: took over")
 }
 
-// settlePending finds out what came of takings over whose end this sender has not heard of, of an earlier life too.
+// settlePending resolves takeovers, also those of an earlier process, whose result this sender has not received.
 func (s *Sender) settlePending(look *fleet.Look) {
 	c := s.copies
 	if len(c.pendingEntries) == 0 || look.Session == 0 {
@@ -197,7 +200,7 @@
 			}
 			s.activateEntries(t.owner, t.token, holds, duty.Agreed(a, t.token).Elsewhere)
 		case a != nil && a.Token > t.token, look.Mine(d) && d.Token > t.token, d != nil && !look.Mine(d), d == nil:
-			// The duty is another's now, or nobody's: it was not agreed on, and never will be.
+			// Another member holds the duty now, or none: the adoption was not agreed to and never will be.
 			for num, e := range c.pendingEntries {
 				if ownerOf(e.TakeoverDuty) == t.owner && e.TakeoverToken == t.token {
 					delete(c.pendingEntries, num)
