--- a/internal/sender/bulkdeadline_test.go
+++ b/internal/sender/bulkdeadline_test.go
@@ -16,8 +16,8 @@
 	"sliptide/policy"
 )
 
-// TestEndedIsNotSentOn: two messages share a call that waits for its connection. The time of one of them is up
-// meanwhile, so that it ends with a notice. When the connection is there, it must not go out with the other one.
+// Two messages share a call that waits for its connection, and one expires meanwhile and ends with a notice. It must not be
+// sent with the other one when the connection is established.
 func TestExpiredMessageIsNotSentWithBatch(t *testing.T) {
 	bodies := make(chan string, 10)
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
@@ -42,14 +42,14 @@
 	submit := func(trace string, left time.Duration) {
 		s.handleSubmission(&submission{msg: &Message{Trace: []byte(trace), Dest: 3, Remaining: left, Body: []byte(trace)}, received: time.Now(), verdict: make(chan Verdict, 1)})
 	}
-	submit("first", 10*time.Second) // its connection has the turn that is free, and is kept busy by nobody
+	submit("first", 10*time.Second) // uses the dial that is allowed at once
 	step()
 	next := func() string {
 		select {
 		case b := <-bodies:
 			return b
 		case <-time.After(10 * time.Second):
-			t.Fatal("no call")
+			t.Fatal("no call received")
 			return ""
 		}
 	}
@@ -63,7 +63,7 @@
 	submit("long", 10*time.Second)
 	step()
 	if len(s.calls) != 1 {
-		t.Fatalf("%d calls, want one of both messages", len(s.calls))
+		t.Fatalf("%d calls, want one with both messages", len(s.calls))
 	}
 	for ended := false; !ended; {
 		step()
@@ -83,7 +83,7 @@
 			select {
 			case <-done:
 				return
-			case in := <-s.inputs: // what the pool reports while nobody steps
+			case in := <-s.inputs: // results from the pool, while no step is run
 				_ = in
 			}
 		}
@@ -92,7 +92,7 @@
 		select {
 		case b := <-bodies:
 			if strings.Contains(b, "short") || strings.Contains(b, "c2hvcnQ") {
-				t.Fatal("a message was sent on after its notice")
+				t.Fatal("a message was sent after its notice")
 			}
 			return
 		case <-time.After(2 * time.Millisecond):
--- a/internal/sender/callorder_test.go
+++ b/internal/sender/callorder_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// TestTheLongestLivedLeads: of the messages that share a call, one ends before the answer (its time is up), and one was
-// taken on in this very step, so that its client may yet be found gone. Neither may be named first.
+// Of the messages that share a call, one expires before the answer, and one was accepted in this step, so that its client
+// may still turn out to be gone. Neither may be the first in the call.
 func TestLongestLivedMessageIsFirstInCall(t *testing.T) {
 	first := make(chan string, 10)
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
@@ -25,19 +25,19 @@
 	b.listedDests[3] = true
 	b.submit("short", 0, 300*time.Millisecond)
 	b.submit("settled", 0, 10*time.Second)
-	b.nextStep() // nobody is listed yet: both wait
+	b.runStep() // no endpoint is listed yet: both wait
 	for _, m := range b.messages {
 		m.acceptedAt -= 2 * disconnectDetectionMS
 	}
 	b.submit("fresh", 0, 19*time.Second)
 	b.listEndpoint(srv.Listener.Addr().String())
-	b.nextStep()
+	b.runStep()
 	select {
 	case id := <-first:
 		if id != "settled" {
-			t.Errorf("%q leads the call, want the longest-lived of those whose client was answered", id)
+			t.Errorf("%q is first in the call, want the message with the most time left whose client was answered", id)
 		}
 	case <-time.After(testTimeout):
-		t.Fatal("no call")
+		t.Fatal("no call received")
 	}
 }
--- a/internal/sender/copies.go
+++ b/internal/sender/copies.go
@@ -97,7 +97,7 @@
 	claims      []*claim // that must be answered as well
 	submissions []*pendingSubmission
 	calls       []*outbound.Call
-	done        func(kept bool)
+	done        func(acknowledged bool)
 }
 
 // EnableCopies makes the sender copy its journal to other members. It is called before Run.
@@ -122,14 +122,14 @@
 	s.enqueueCopyInput(copyInput{from: from, frame: f})
 }
 
-func (s *Sender) enqueueCopyInput(n copyInput) {
+func (s *Sender) enqueueCopyInput(in copyInput) {
 	c := s.copies
 	if c == nil {
 		return
 	}
 	c.mu.Lock()
-	if n.run != nil || len(c.inbox) < maxQueuedFrames { // a dropped acknowledgement is covered by the holder's next one
-		c.inbox = append(c.inbox, n)
+	if in.run != nil || len(c.inbox) < maxQueuedFrames { // a dropped acknowledgement is covered by the holder's next one
+		c.inbox = append(c.inbox, in)
 	}
 	c.mu.Unlock()
 	s.Wake()
@@ -154,23 +154,23 @@
 	inbox := c.inbox
 	c.inbox = nil
 	c.mu.Unlock()
-	for _, n := range inbox {
+	for _, in := range inbox {
 		switch {
-		case n.run != nil:
-			n.run()
-		case n.frame.GetCopied() != nil:
-			c.owner.Copied(now, n.from, n.frame.GetCopied())
-		case n.frame.GetSealed() != nil:
-			if h := c.takeovers[n.frame.GetSealed().Owner]; h != nil {
-				h.Sealed(now, n.from, n.frame.GetSealed())
+		case in.run != nil:
+			in.run()
+		case in.frame.GetCopied() != nil:
+			c.owner.Copied(now, in.from, in.frame.GetCopied())
+		case in.frame.GetSealed() != nil:
+			if t := c.takeovers[in.frame.GetSealed().Owner]; t != nil {
+				t.Sealed(now, in.from, in.frame.GetSealed())
 			}
 		}
 	}
 	c.owner.Clock(int64(s.clock.Now()) - now/1e6)
-	look := c.fleet.View()
-	s.checkOwnLease(look)
-	s.settlePending(look)
-	s.stepTakeovers(now, look)
+	view := c.fleet.View()
+	s.checkOwnLease(view)
+	s.settlePending(view)
+	s.stepTakeovers(now, view)
 	s.readmitEndpoints()
 	s.settleWaits()
 	s.publishCopyStatus()
@@ -178,27 +178,27 @@
 
 // checkOwnLease follows the lease on this sender's own journal: it begins an epoch when the lease is gained, and suspends
 // calls when it is lost.
-func (s *Sender) checkOwnLease(look *fleet.Look) {
+func (s *Sender) checkOwnLease(view *fleet.Look) {
 	c := s.copies
 	name := duty.Own(c.settings.Name)
 	if time.Since(c.requestedAt) > time.Second {
 		c.requestedAt = time.Now()
 		c.fleet.Request(name, "")
 	}
-	d := look.Own[c.settings.Name]
-	live := look.Mine(d) && c.fleet.Token(name) == d.Token
-	if live != c.leaseHeld {
-		c.leaseHeld = live
-		s.suspendCalls(!live)
-		if why := TooFewHoldersReason; s.lacksLease() {
-			s.refusal.Store(&why)
+	d := view.Own[c.settings.Name]
+	held := view.Mine(d) && c.fleet.Token(name) == d.Token
+	if held != c.leaseHeld {
+		c.leaseHeld = held
+		s.suspendCalls(!held)
+		if reason := TooFewHoldersReason; s.lacksLease() {
+			s.refusal.Store(&reason)
 		} else {
 			s.refusal.Store(nil)
 		}
-		s.log.Info().Bool("held", live).Msg("copies: lease on this sender's journal gained or lost")
+		s.log.Info().Bool("held", held).Msg("copies: lease on this sender's journal gained or lost")
 	}
-	if !live {
-		if !look.Mine(d) {
+	if !held {
+		if !view.Mine(d) {
 			c.owner.Begin(0)
 		}
 		return
@@ -206,7 +206,7 @@
 	if c.owner.Epoch() != d.Token {
 		c.incarnation = c.fleet.Incarnation()
 		c.owner.Of(c.incarnation)
-		if a := look.Adopted[c.settings.Name]; a != nil && a.Incarnation == c.incarnation {
+		if a := view.Adopted[c.settings.Name]; a != nil && a.Incarnation == c.incarnation {
 			s.dropAdopted(a)
 		}
 		c.owner.Begin(d.Token)
@@ -218,34 +218,34 @@
 	c.owner.Holders(countedHolders(d.Holders, c.requestedHolders))
 	if now := time.Now(); now.After(c.nextPlacement) { // members change within seconds, not with every step
 		c.nextPlacement = now.Add(placementInterval)
-		s.placeCopies(look, d)
+		s.placeCopies(view, d)
 	}
 }
 
 // countedHolders returns the holders whose acknowledgements count. A holder whose removal has been requested does not: a
 // successor may not be told of its copy any more.
-func countedHolders(holders, asked []string) []string {
-	if asked == nil {
+func countedHolders(holders, requested []string) []string {
+	if requested == nil {
 		return holders
 	}
-	return slices.DeleteFunc(slices.Clone(holders), func(name string) bool { return !slices.Contains(asked, name) })
+	return slices.DeleteFunc(slices.Clone(holders), func(name string) bool { return !slices.Contains(requested, name) })
 }
 
 // placeCopies requests other holders from the fleet if the present members call for it.
-func (s *Sender) placeCopies(look *fleet.Look, d *pb.Duty) {
+func (s *Sender) placeCopies(view *fleet.Look, d *pb.Duty) {
 	c := s.copies
 	full := c.owner.Full(fleet.Now())
-	var there []placement.Member
-	for _, p := range look.Present {
-		there = append(there, placement.Member{Name: p.Name, Zone: p.Zone, Full: slices.Contains(full, p.Name)})
+	var present []placement.Member
+	for _, p := range view.Present {
+		present = append(present, placement.Member{Name: p.Name, Zone: p.Zone, Full: slices.Contains(full, p.Name)})
 	}
-	wanted := placement.Choose(c.settings.Name, c.settings.Zone, c.settings.Count, there)
-	next := placement.Next(d.Holders, wanted, c.owner.Synced, look.Is)
+	wanted := placement.Choose(c.settings.Name, c.settings.Zone, c.settings.Count, present)
+	next := placement.Next(d.Holders, wanted, c.owner.Synced, view.Is)
 	if slices.Equal(next, d.Holders) || slices.Equal(next, c.requestedHolders) {
 		return
 	}
 	c.requestedHolders = next
-	c.fleet.Propose(&pb.Command{What: &pb.Command_Keep{Keep: &pb.Keep{Session: look.Session, Duty: d.Name, Token: d.Token, Holders: next}}}, func(_ *pb.Answer, err error) {
+	c.fleet.Propose(&pb.Command{What: &pb.Command_Keep{Keep: &pb.Keep{Session: view.Session, Duty: d.Name, Token: d.Token, Holders: next}}}, func(_ *pb.Answer, err error) {
 		if err != nil { // otherwise the request stands until the view shows its result
 			s.enqueueCopyInput(copyInput{run: func() { c.requestedHolders = nil }})
 		}
@@ -330,19 +330,19 @@
 	c := s.copies
 	s.proposeClaim()
 	first, deadline := len(c.waits), time.Now().Add(c.settings.Timeout)
-	waitFor := func(needed int, claims []*claim) *holderWait {
+	waitFor := func(required int, claims []*claim) *holderWait {
 		for i := first; i < len(c.waits); i++ {
-			if c.waits[i].required == needed && slices.Equal(c.waits[i].claims, claims) {
+			if c.waits[i].required == required && slices.Equal(c.waits[i].claims, claims) {
 				return &c.waits[i]
 			}
 		}
-		c.waits = append(c.waits, holderWait{seq: seq, required: needed, claims: claims, deadline: deadline})
+		c.waits = append(c.waits, holderWait{seq: seq, required: required, claims: claims, deadline: deadline})
 		return &c.waits[len(c.waits)-1]
 	}
 	s.submissions = slices.DeleteFunc(s.submissions, func(t *pendingSubmission) bool {
 		if !t.refused {
-			l := waitFor(c.requiredFor(t.entry.Class), s.openClaims(t.entry.Num))
-			l.submissions = append(l.submissions, t)
+			wait := waitFor(c.requiredFor(t.entry.Class), s.openClaims(t.entry.Num))
+			wait.submissions = append(wait.submissions, t)
 		}
 		return !t.refused
 	})
@@ -351,15 +351,15 @@
 			return false
 		}
 		s.calls[call] = true
-		needed := 0
+		required := 0
 		var nums []uint64
 		for i := range call.Items {
 			if m := s.messages[call.Items[i].ID]; m != nil {
-				needed, nums = max(needed, c.requiredFor(m.Class)), append(nums, m.Num)
+				required, nums = max(required, c.requiredFor(m.Class)), append(nums, m.Num)
 			}
 		}
-		l := waitFor(needed, s.openClaims(nums...))
-		l.calls = append(l.calls, call)
+		wait := waitFor(required, s.openClaims(nums...))
+		wait.calls = append(wait.calls, call)
 		return true
 	})
 }
@@ -408,15 +408,15 @@
 func (s *Sender) settleWaits() {
 	c := s.copies
 	now := time.Now()
-	lines := c.waits
+	waits := c.waits
 	c.waits = nil
-	for _, l := range lines {
-		kept := l.seq != 0 && c.leaseHeld && c.owner.Committed(l.required) >= l.seq && allAnswered(l.claims)
-		if !kept && now.Before(l.deadline) {
-			c.waits = append(c.waits, l)
+	for _, wait := range waits {
+		acknowledged := wait.seq != 0 && c.leaseHeld && c.owner.Committed(wait.required) >= wait.seq && allAnswered(wait.claims)
+		if !acknowledged && now.Before(wait.deadline) {
+			c.waits = append(c.waits, wait)
 			continue
 		}
-		s.endWait(&l, kept)
+		s.endWait(&wait, acknowledged)
 	}
 }
 
@@ -425,23 +425,23 @@
 	if s.copies == nil {
 		return
 	}
-	lines := s.copies.waits
+	waits := s.copies.waits
 	s.copies.waits = nil
-	for i := range lines {
-		s.endWait(&lines[i], false)
+	for i := range waits {
+		s.endWait(&waits[i], false)
 	}
 	s.answerConfirmed()
 }
 
-func (s *Sender) endWait(l *holderWait, kept bool) {
-	if l.done != nil {
-		l.done(kept)
+func (s *Sender) endWait(wait *holderWait, acknowledged bool) {
+	if wait.done != nil {
+		wait.done(acknowledged)
 	}
-	accept := kept || s.copies.settings.AcceptUncopied
-	if !kept {
-		s.copies.shortCount += uint64(len(l.submissions))
+	accept := acknowledged || s.copies.settings.AcceptUncopied
+	if !acknowledged {
+		s.copies.shortCount += uint64(len(wait.submissions))
 	}
-	for _, t := range l.submissions {
+	for _, t := range wait.submissions {
 		m := s.messages[t.entry.Num]
 		switch {
 		case m == nil: // already ended
@@ -457,7 +457,7 @@
 			t.verdict <- Verdict{RetryAfter: s.busyRetryAfter(), TooFewHolders: true}
 		}
 	}
-	for _, call := range l.calls {
+	for _, call := range wait.calls {
 		if accept && s.calls[call] && !s.anyTakenOver(call) {
 			s.startCall(call)
 		} else {
--- a/internal/sender/firstmessage_test.go
+++ b/internal/sender/firstmessage_test.go
@@ -14,16 +14,16 @@
 	"sliptide/internal/outbound"
 )
 
-// bulkPeer takes calls of several messages and answers each when told to, naming all as accepted.
+// bulkPartner receives bulk calls and answers each on demand, with all messages accepted.
 type bulkPartner struct {
 	*httptest.Server
-	called chan []string
+	calls  chan []string
 	answer chan struct{}
-	closed chan struct{} // the sender has closed a call's connection
+	closed chan struct{} // the sender closed the connection of a call
 }
 
 func newBulkPartner(t *testing.T) *bulkPartner {
-	p := &bulkPartner{called: make(chan []string, 10), answer: make(chan struct{}), closed: make(chan struct{}, 10)}
+	p := &bulkPartner{calls: make(chan []string, 10), answer: make(chan struct{}), closed: make(chan struct{}, 10)}
 	p.Server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
 		var items []struct{ ID string }
 		json.NewDecoder(q.Body).Decode(&items)
@@ -32,7 +32,7 @@
 			ids = append(ids, it.ID)
 			ends = append(ends, fmt.Sprintf(`{"id":%q,"state":"accepted"}`, it.ID))
 		}
-		p.called <- ids
+		p.calls <- ids
 		select {
 		case <-p.answer:
 			io.WriteString(w, "["+strings.Join(ends, ",")+"]")
@@ -44,7 +44,7 @@
 	return p
 }
 
-// answerNow answers the call that is out, if it is still there to be answered.
+// answerNow answers the call in progress, unless its connection was closed.
 func (p *bulkPartner) answerNow() {
 	select {
 	case p.answer <- struct{}{}:
@@ -52,87 +52,88 @@
 	}
 }
 
-// leaderAndOther makes a call that a message with little time left leads, since its client has surely been answered.
+// startBulkCall starts a call of two messages. The first has little time left; it is first because its client has surely
+// been answered.
 func startBulkCall(t *testing.T) (b *testSender, p *bulkPartner, first, other *message) {
 	t.Helper()
 	p = newBulkPartner(t)
 	b = newTestSender(t, t.TempDir(), "", testSettings())
 	b.listedDests[3] = true
 	b.submit("leader", 0, 1500*time.Millisecond)
-	b.nextStep() // nobody is listed yet
+	b.runStep() // no endpoint is listed yet
 	first = b.messages[b.numByTrace["leader"]]
 	first.acceptedAt -= 2 * disconnectDetectionMS
 	b.submit("other", 2, 20*time.Second)
 	other = b.messages[b.numByTrace["other"]]
 	b.listEndpoint(p.Listener.Addr().String())
-	b.nextStep()
+	b.runStep()
 	select {
-	case ids := <-p.called:
+	case ids := <-p.calls:
 		if len(ids) != 2 || ids[0] != "leader" {
-			t.Fatalf("the call has %v", ids)
+			t.Fatalf("the call has messages %v, want leader and another", ids)
 		}
 	case <-time.After(testTimeout):
-		t.Fatal("no call")
+		t.Fatal("no call received")
 	}
 	return b, p, first, other
 }
 
-func (b *testSender) expectMayHaveRun(m *message) {
+func (b *testSender) wantMayHaveRun(m *message) {
 	b.t.Helper()
 	if m.MayHaveRunAt == 0 {
-		b.t.Errorf("%s is taken for delivered, or not in doubt: %+v", m.Trace, m.Entry)
+		b.t.Errorf("%s is not recorded as possibly delivered: %+v", m.Trace, m.Entry)
 	}
 }
 
-// The first message of a call ends, and only then comes the answer, which names the others as accepted.
+// The first message of a call ends before the answer, which names the others as accepted.
 func TestFirstMessageEndsBeforeAnswer(t *testing.T) {
 	b, p, _, other := startBulkCall(t)
-	b.await("the leader does not end", func() bool { return len(b.notices) > 0 })
+	b.await("the first message does not end", func() bool { return len(b.notices) > 0 })
 	p.answerNow()
 	b.await("the call does not end", func() bool { return len(b.calls) == 0 })
-	b.expectMayHaveRun(other)
+	b.wantMayHaveRun(other)
 }
 
-// The answer is read first, but the leader's end is stepped before it is taken.
+// The answer is read first, but a step ends the first message before the answer is handled.
 func TestAnswerIsReadBeforeFirstMessageEnds(t *testing.T) {
 	b, p, first, other := startBulkCall(t)
 	p.answer <- struct{}{}
 	for end := time.Now().Add(testTimeout); len(b.inputs) == 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("no answer")
+			t.Fatal("no answer received")
 		}
 	}
-	first.attemptDeadline = 0 // its time is up, and the answer waits to be taken
-	b.nextStep()
+	first.attemptDeadline = 0 // it times out while the answer is queued
+	b.runStep()
 	b.await("the call does not end", func() bool { return len(b.calls) == 0 })
-	b.expectMayHaveRun(other)
+	b.wantMayHaveRun(other)
 }
 
-// The client of the leader is found gone while the call is out.
+// The client of the first message is found to be gone during the call.
 func TestFirstMessageIsWithdrawn(t *testing.T) {
 	b, p, first, other := startBulkCall(t)
 	b.handleInput(input{withdrawn: first.Num})
 	p.answerNow()
 	b.await("the call does not end", func() bool { return len(b.calls) == 0 })
-	b.expectMayHaveRun(other)
+	b.wantMayHaveRun(other)
 }
 
-// Any other message of a call ends without the rest.
+// Any other message of a call can end without ending the call.
 func TestOtherThanFirstMessageEnds(t *testing.T) {
 	b, p, first, other := startBulkCall(t)
 	other.attemptDeadline = 0
-	b.nextStep()
+	b.runStep()
 	if other.call != nil || first.call == nil || first.call.Abandoned() {
-		t.Fatal("the call is given up, or holds on to what has ended")
+		t.Fatal("the call is abandoned, or still has the message that ended")
 	}
 	p.answer <- struct{}{}
 	b.await("the call does not end", func() bool { return len(b.calls) == 0 })
 	if !b.ended.ids["leader"] {
-		t.Error("the leader is not delivered")
+		t.Error("the first message is not delivered")
 	}
 }
 
-// A call is given up before it has a connection's write before it: nothing is written any more.
+// A call that is abandoned right before it is written must not be written.
 func TestCallAbandonedBeforeWrite(t *testing.T) {
 	ln := listen(t)
 	b := newTestSender(t, t.TempDir(), "", testSettings())
@@ -143,7 +144,7 @@
 	in := <-b.inputs
 	for _, e := range in.events {
 		if !e.Outcome.NeverRan() {
-			t.Errorf("outcome %v of what was not written", e.Outcome)
+			t.Errorf("outcome %v of a call that was not written", e.Outcome)
 		}
 	}
 	nc, err := ln.Accept()
@@ -153,7 +154,7 @@
 	defer nc.Close()
 	nc.SetReadDeadline(time.Now().Add(testTimeout))
 	if n, err := nc.Read(make([]byte, 1)); n > 0 || err == nil || isTimeout(err) {
-		t.Errorf("%d bytes, %v, want a close with nothing written", n, err)
+		t.Errorf("read %d bytes, %v, want a close with nothing written", n, err)
 	}
 }
 
--- a/internal/sender/holds.go
+++ b/internal/sender/holds.go
@@ -13,9 +13,9 @@
 // shows the drain within seconds.
 const adoptedDrainMS = 30e3
 
-func (s *Sender) recordDisabled(id string, out bool) {
+func (s *Sender) recordDisabled(id string, disabled bool) {
 	h := journal.Hold{Kind: journal.HoldDisabled, Endpoint: id}
-	if out {
+	if disabled {
 		h.Until = journal.Forever
 	}
 	s.journal.SetHold(h, int64(s.now))
@@ -33,14 +33,14 @@
 }
 
 // importHolds copies the holds of the lost owner into this journal; shift converts their times to this sender's clock.
-func (s *Sender) importHolds(h *takeover, shift int64) {
-	h.holds = nil
-	for _, x := range journal.ReplayHolds(h.Found.Records) {
+func (s *Sender) importHolds(t *takeover, offset int64) {
+	t.holds = nil
+	for _, x := range journal.ReplayHolds(t.Found.Records) {
 		if x.Until != journal.Forever {
-			x.Until += shift
+			x.Until += offset
 		}
 		if x.Until > int64(s.now) {
-			h.holds = append(h.holds, x)
+			t.holds = append(t.holds, x)
 			if x.Kind == journal.HoldWait { // other holds end with the messages that are taken over
 				s.journal.SetHold(x, int64(s.now))
 			}
@@ -93,12 +93,12 @@
 }
 
 // avoidEndpoints avoids the endpoints that a lost owner avoided, at most until the time until.
-func (s *Sender) avoidEndpoints(holds []journal.Hold, till float64) {
+func (s *Sender) avoidEndpoints(holds []journal.Hold, until float64) {
 	for _, x := range holds {
-		if x.Kind == journal.HoldWait || till <= s.now {
+		if x.Kind == journal.HoldWait || until <= s.now {
 			continue
 		}
-		s.avoided.Add(x.Endpoint, min(till, float64(x.Until)))
+		s.avoided.Add(x.Endpoint, min(until, float64(x.Until)))
 		s.reapplyEndpoint(x.Endpoint)
 		s.log.Info().Str("endpoint", x.Endpoint).Msg("copies: endpoint avoided, as by the lost sender, while messages taken over from it are left")
 	}
--- a/internal/sender/journal_test.go
+++ b/internal/sender/journal_test.go
@@ -15,7 +15,7 @@
 	"sliptide/internal/statedir"
 )
 
-// failingBench is a bench whose folder fails as fault says.
+// newFailingTestSender returns a testSender whose state directory fails as fault says.
 func newFailingTestSender(t *testing.T, fault func(op string) fsys.Fault) *testSender {
 	t.Helper()
 	files := &fsys.Faulty{FS: fsys.OS{Dir: t.TempDir()}, Inject: func(_ int, op, _ string) fsys.Fault { return fault(op) }}
@@ -28,33 +28,34 @@
 	b.Sender = New(Options{Settings: testSettings(), Seed: 1, MaxConns: 10, Journal: j, Restored: restored, Clock: NewClock(), Log: zerolog.Nop(),
 		Notify: func(n discovery.Notice) { b.notices <- n }})
 	b.listedDests[3] = true
-	b.nextStep()
+	b.runStep()
 	return b
 }
 
-// Guards against a refusal of a message whose record is on the disk, whole, and is sent by the next life.
+// A write that fails after all of its bytes were written must not lead to a refusal: the next process would find the record
+// and send the message.
 func TestNoVerdictWhileRecordMayBeOnDisk(t *testing.T) {
 	var down atomic.Bool
 	b := newFailingTestSender(t, func(op string) (f fsys.Fault) {
 		if down.Load() {
-			f = fsys.Fault{Err: syscall.EIO, BytesWritten: 1 << 20} // all is written, and said to have failed
+			f = fsys.Fault{Err: syscall.EIO, BytesWritten: 1 << 20} // writes everything, but reports an error
 		}
 		return f
 	})
 	down.Store(true)
 	verdict := b.submit("m", 1, 10*time.Second)
-	b.nextStep()
+	b.runStep()
 	if len(verdict) > 0 {
-		t.Fatalf("%+v while its record may stand", <-verdict)
+		t.Fatalf("verdict %+v while the record may be on disk", <-verdict)
 	}
 	down.Store(false)
-	b.await("the verdict", func() bool { return len(verdict) > 0 })
+	b.await("no verdict", func() bool { return len(verdict) > 0 })
 	if v := <-verdict; !v.Accepted {
-		t.Errorf("%+v though its record is written", v)
+		t.Errorf("verdict %+v although the record is written", v)
 	}
 }
 
-// Guards against messages whose attempts are used up by a disk that fails, and against ends that wait for it.
+// While the disk fails, messages must not use up attempts, and their ends must not wait for it.
 func TestFailingDiskUsesUpNoAttempts(t *testing.T) {
 	var down atomic.Bool
 	b := newFailingTestSender(t, func(string) (f fsys.Fault) {
@@ -65,24 +66,24 @@
 	})
 	partner := standin.NewRawPartner(t)
 	long, short := b.submit("long", 1, 15*time.Second), b.submit("short", 1, 400*time.Millisecond)
-	b.nextStep()
+	b.runStep()
 	if !(<-long).Accepted || !(<-short).Accepted {
-		t.Fatal("not taken on")
+		t.Fatal("messages are not accepted")
 	}
 	down.Store(true)
 	b.listEndpoint(partner.Addr)
-	b.await("the short message ends by a notice", func() bool { return len(b.notices) > 0 })
+	b.await("the short message does not end with a notice", func() bool { return len(b.notices) > 0 })
 	if v := <-b.submit("more", 1, 10*time.Second); v.Accepted {
-		t.Error("taken on without a journal")
+		t.Error("message accepted without a journal")
 	}
 	for _, m := range b.messages {
 		if m.Trace != "long" || m.Attempts > 1 {
-			t.Errorf("%s has had %d attempts, none of which began", m.Trace, m.Attempts)
+			t.Errorf("%s has %d attempts, none of which began", m.Trace, m.Attempts)
 		}
 	}
 	if len(partner.Calls) > 0 {
-		t.Error("a call went out that is in no journal")
+		t.Error("a call was sent that is not in the journal")
 	}
 	down.Store(false)
-	b.await("the long message is sent", func() bool { return len(partner.Calls) > 0 })
+	b.await("the long message is not sent", func() bool { return len(partner.Calls) > 0 })
 }
--- a/internal/sender/observe.go
+++ b/internal/sender/observe.go
@@ -121,9 +121,9 @@
 	return e.Report[field]
 }
 
-func (s *Sender) observeOver(e *journal.Entry, end telemetry.End, after float64) {
+func (s *Sender) observeOver(e *journal.Entry, end telemetry.End, wait float64) {
 	if s.observer.On() {
-		s.observer.Push(telemetry.Record{Kind: telemetry.Over, Num: e.Num, Dest: int32(e.Dest), End: end, Wait: after, At: s.now})
+		s.observer.Push(telemetry.Record{Kind: telemetry.Over, Num: e.Num, Dest: int32(e.Dest), End: end, Wait: wait, At: s.now})
 	}
 }
 
@@ -153,7 +153,7 @@
 	s.module.EachWaiting(func(dest int, why policy.WaitCause) {
 		waiting++
 		current[dest] = why
-		if old, told := w.reportedHolds[dest]; !told || old != why {
+		if old, reported := w.reportedHolds[dest]; !reported || old != why {
 			w.Push(telemetry.Record{Kind: telemetry.Holds, Dest: int32(dest), Cause: holdCauses[why], At: s.now})
 		}
 	})
--- a/internal/sender/outcomes.go
+++ b/internal/sender/outcomes.go
@@ -134,8 +134,8 @@
 }
 
 // endWithNotice ends an accepted message with a notice. Its journal entry is kept until the notice is accepted.
-func (s *Sender) endWithNotice(e *journal.Entry, ending int, after float64) {
-	s.journal.OweNotice(e, ending, int64(after))
+func (s *Sender) endWithNotice(e *journal.Entry, ending int, retryAfterMS float64) {
+	s.journal.OweNotice(e, ending, int64(retryAfterMS))
 	s.pendingNotices[e.Num] = e
 	s.sendNotice(e)
 }
--- a/internal/sender/restored_test.go
+++ b/internal/sender/restored_test.go
@@ -10,8 +10,8 @@
 	"sliptide/policy"
 )
 
-// Messages of each effect are taken on, and the process is killed before any is sent. The next life tries them all:
-// also where its settings lack their class, and where they define it anew.
+// Messages of each effect are accepted, and the process is killed before any is sent. The next process must send all of
+// them, also if its settings lack or redefine their class.
 func TestRestoredUnsentMessagesAreSent(t *testing.T) {
 	for name, change := range map[string]func(*policy.Settings){
 		"same settings":       func(*policy.Settings) {},
@@ -20,11 +20,11 @@
 	} {
 		dir := t.TempDir()
 		b := newTestSender(t, dir, "", testSettings())
-		b.listedDests[3] = true // and no endpoint yet
+		b.listedDests[3] = true // no endpoint is listed yet
 		for i := range 30 {
 			b.submit(string(rune('A'+i)), i%3, 20*time.Second)
 		}
-		b.nextStep()
+		b.runStep()
 		b.journal.Close()
 
 		called := make(chan string, 100)
@@ -34,20 +34,20 @@
 		change(&set)
 		restarted := newTestSender(t, dir, srv.Listener.Addr().String(), set)
 		sent := map[string]bool{}
-		restarted.await(name+": not all are tried", func() bool {
+		restarted.await(name+": not all messages are sent", func() bool {
 			for len(called) > 0 {
 				sent[<-called] = true
 			}
 			return len(sent) == 30
 		})
 		if len(restarted.notices) > 0 {
-			t.Errorf("%s: %d given up without a call", name, len(restarted.notices))
+			t.Errorf("%s: %d messages abandoned without a call", name, len(restarted.notices))
 		}
 		srv.Close()
 	}
 }
 
-// turned gives each class another effect.
+// rotateEffects gives each class another effect.
 func rotateEffects(classes []policy.Class) []policy.Class {
 	out := slices.Clone(classes)
 	for i := range out {
@@ -57,30 +57,30 @@
 	return out
 }
 
-// One that may have run, of a class that the settings lack, is not repeated: it ends at once. Nor may a client hand
-// one in under what stands for that class.
+// A message that may have run, of a class that the settings lack, is not repeated but ends at once. Clients must not be
+// able to use the placeholder for that class.
 func TestRestoredMessageOfUnknownClassIsNotRepeated(t *testing.T) {
 	dir, ln := t.TempDir(), listen(t)
 	b := newTestSender(t, dir, ln.Addr().String(), testSettings())
 	b.submit("m", 0, 20*time.Second)
-	b.nextStep()
+	b.runStep()
 	if b.messages[b.numByTrace["m"]].call == nil {
-		t.Fatal("no call")
+		t.Fatal("no call in progress")
 	}
 	b.journal.Close()
 	set := testSettings()
 	set.Classes = []policy.Class{{Name: "other", Aim: 2000, Deadline: 20000, Worth: 1}}
 	restarted := newTestSender(t, dir, ln.Addr().String(), set)
-	restarted.nextStep()
+	restarted.runStep()
 	if len(restarted.calls) > 0 {
 		t.Error("a message that may have run was sent again")
 	}
 	if n := <-restarted.notices; n.Trace != "m" || n.Returned {
-		t.Errorf("notice %+v, want that it was given up", n)
+		t.Errorf("notice %+v, want one that m was abandoned", n)
 	}
 	for _, name := range []string{"", "safe"} {
 		if i, _ := restarted.ClassOf([]byte(name)); i >= 0 {
-			t.Errorf("clients can name %q, class %d", name, i)
+			t.Errorf("clients can use class %q, index %d", name, i)
 		}
 	}
 }
--- a/internal/sender/resubmission.go
+++ b/internal/sender/resubmission.go
@@ -45,15 +45,15 @@
 // proposeClaim submits the claim of this step to the fleet.
 func (s *Sender) proposeClaim() {
 	c := s.copies
-	q := c.claim
-	if c.claim = nil; q == nil {
+	query := c.claim
+	if c.claim = nil; query == nil {
 		return
 	}
-	c.fleet.Propose(&pb.Command{What: &pb.Command_Again{Again: &pb.Again{Session: c.fleet.View().Session, Keys: q.keys}}}, func(a *pb.Answer, err error) {
+	c.fleet.Propose(&pb.Command{What: &pb.Command_Again{Again: &pb.Again{Session: c.fleet.View().Session, Keys: query.keys}}}, func(a *pb.Answer, err error) {
 		if err != nil {
 			return // without an answer the messages are refused when their wait times out
 		}
-		s.enqueueCopyInput(copyInput{run: func() { q.answered, q.takenOver = true, a.GetKeys() }})
+		s.enqueueCopyInput(copyInput{run: func() { query.answered, query.takenOver = true, a.GetKeys() }})
 	})
 }
 
--- a/internal/sender/rig_test.go
+++ b/internal/sender/rig_test.go
@@ -13,7 +13,7 @@
 	"sliptide/policy"
 )
 
-// bench is a Sender whose steps the test makes itself, with one endpoint.
+// testSender is a Sender with one endpoint, whose steps the test runs itself.
 type testSender struct {
 	*Sender
 	t       *testing.T
@@ -22,7 +22,7 @@
 	notices chan discovery.Notice
 }
 
-// classes of each effect, in this order.
+// testClasses has a class of each effect.
 var testClasses = []policy.Class{
 	{Name: "safe", Aim: 2000, Deadline: 20000, Worth: 1, LateWorth: 0.5, Effect: policy.Safe},
 	{Name: "keyed", Aim: 2000, Deadline: 20000, Worth: 1, LateWorth: 0.5, Effect: policy.Keyed, DedupWindow: 2000},
@@ -37,7 +37,7 @@
 	}
 }
 
-// newBench opens dir's journal; addr is of the endpoint of destination 3.
+// newTestSender opens the journal in dir. addr is the endpoint of destination 3, empty for none.
 func newTestSender(t *testing.T, dir, addr string, set policy.Settings) *testSender {
 	t.Helper()
 	b := &testSender{t: t, dir: dir, notices: make(chan discovery.Notice, 100)}
@@ -55,25 +55,25 @@
 	return b
 }
 
-// list lists the endpoint of destination 3.
+// listEndpoint lists the endpoint of destination 3.
 func (b *testSender) listEndpoint(addr string) {
 	b.handleList(&discovery.List{Full: true, Endpoints: []discovery.Endpoint{{Endpoint: policy.Endpoint{ID: 1, Dest: 3, State: policy.Ready}, Name: "e", Addr: addr}}})
 }
 
-// next makes one step at the present time.
-func (b *testSender) nextStep() {
+// runStep runs one step at the present time.
+func (b *testSender) runStep() {
 	b.updateNow()
 	b.step()
 }
 
-// hand hands a message in for the next step.
+// submit submits a message for the next step.
 func (b *testSender) submit(trace string, class int, left time.Duration) chan Verdict {
 	o := &submission{msg: &Message{Trace: []byte(trace), Key: []byte("k-" + trace), Class: class, Dest: 3, Remaining: left, Body: []byte(trace)}, received: time.Now(), verdict: make(chan Verdict, 1)}
 	b.handleSubmission(o)
 	return o.verdict
 }
 
-// await takes what happens on the sockets until ok, stepping.
+// await handles inputs and runs steps until ok returns true.
 func (b *testSender) await(what string, ok func() bool) {
 	b.t.Helper()
 	for end := time.After(testTimeout); !ok(); {
@@ -85,13 +85,13 @@
 		case <-end:
 			b.t.Fatal(what)
 		}
-		b.nextStep()
+		b.runStep()
 	}
 }
 
 const testTimeout = 10 * time.Second
 
-// listen is an endpoint's address, closed with the test.
+// listen returns a listener that is closed with the test.
 func listen(t *testing.T) *net.TCPListener {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/sender/sender.go
+++ b/internal/sender/sender.go
@@ -264,11 +264,11 @@
 }
 
 // durationOr returns v, or none if v is not set.
-func durationOr(v, none time.Duration) time.Duration {
+func durationOr(v, fallback time.Duration) time.Duration {
 	if v > 0 {
 		return v
 	}
-	return none
+	return fallback
 }
 
 func fromMillis(ms float64) time.Duration { return time.Duration(ms * 1e6) }
--- a/internal/sender/shards_test.go
+++ b/internal/sender/shards_test.go
@@ -13,7 +13,7 @@
 	"sliptide/policy"
 )
 
-// shardsOf are the shards of destinations, each once.
+// shardsOf returns the shards of destinations, each once.
 func shardsOf(destinations ...int) (ids []shard.ID) {
 	for _, d := range destinations {
 		if id := shard.Of(uint64(d)); !slices.Contains(ids, id) {
@@ -32,12 +32,12 @@
 	return list
 }
 
-// handTo hands a message for a destination in and makes a step.
+// submitTo submits a message for a destination, runs a step and returns the verdict.
 func (b *testSender) submitTo(trace string, dest int) Verdict {
 	b.t.Helper()
 	o := &submission{msg: &Message{Trace: []byte(trace), Class: 0, Dest: dest, Remaining: 20 * time.Second, Body: []byte(trace)}, received: time.Now(), verdict: make(chan Verdict, 1)}
 	b.handleSubmission(o)
-	b.nextStep()
+	b.runStep()
 	return verdictOf(b.t, o.verdict)
 }
 
@@ -47,40 +47,40 @@
 	case v := <-verdicts:
 		return v
 	default:
-		t.Fatal("a step without a verdict")
+		t.Fatal("no verdict after a step")
 		return Verdict{}
 	}
 }
 
-// A message for another's destination is refused with word of who serves it and leaves nothing behind, before anything
-// is known with none; what is assigned is served from that step on.
+// A message for a destination that others serve is refused with their names and leaves no state behind; before the members
+// are known it is refused without names. An assigned shard is served from that step on.
 func TestMisdirectedMessageIsRefused(t *testing.T) {
 	b := newTestSender(t, t.TempDir(), "", testSettings())
 	b.EnableSharding(2, func([]shard.ID) {})
 	if v := b.submitTo("early", 3); !v.NoRoute || v.RetryAfter == 0 {
-		t.Errorf("before anything is known: %+v", v)
+		t.Errorf("before the members are known: %+v", v)
 	}
 	members := []shard.Member{{Name: "a", Zone: "1", Weight: 1}, {Name: "b", Zone: "2", Weight: 1}, {Name: "c", Zone: "3", Weight: 1}}
 	b.handleShardUpdate(&sharding.Update{AllMembers: true, Joined: members, Entries: endpointsAt("127.0.0.1:9", 3), Assigned: shardsOf(3)})
 	table := shard.NewTable(2)
 	table.Update(members, nil)
 	if v := b.submitTo("foreign", 4); !v.Misdirected || !slices.Equal(v.ServedBy, table.Replicas(shard.Of(4))) {
-		t.Errorf("for another's destination: %+v, want the replicas %v", v, table.Replicas(shard.Of(4)))
+		t.Errorf("for a destination of other members: %+v, want the replicas %v", v, table.Replicas(shard.Of(4)))
 	}
 	if len(b.messages) != 0 || b.Sender.journal.LastNumber() != 0 {
-		t.Errorf("a message that was refused is held, or in the journal")
+		t.Errorf("a refused message is held, or in the journal")
 	}
 	if v := b.submitTo("own", 3); !v.Accepted {
-		t.Errorf("for an own destination: %+v", v)
+		t.Errorf("for an assigned destination: %+v", v)
 	}
 	b.handleShardUpdate(&sharding.Update{Unassigned: shardsOf(3)})
 	if v := b.submitTo("late", 3); !v.Misdirected {
-		t.Errorf("once it is unassigned: %+v", v)
+		t.Errorf("after it was unassigned: %+v", v)
 	}
 }
 
-// What is known of a destination goes with its shard: the sender's books are empty of it, and memory falls back, once
-// nothing of it is held. A shard of which a message is held stays until that has ended.
+// The state of destinations is dropped with their shards and its memory is freed. A shard of which a message is held stays
+// until the message has ended.
 func TestMemoryIsFreedWhenShardsLeave(t *testing.T) {
 	const destinations = 3000
 	heap := func() int64 {
@@ -97,35 +97,35 @@
 	for d := range all {
 		all[d] = d
 	}
-	b.nextStep()
+	b.runStep()
 	before := heap()
 	ids := shardsOf(all...)
 	b.handleShardUpdate(&sharding.Update{Entries: endpointsAt("127.0.0.1:9", all...), Assigned: ids})
-	b.nextStep()
+	b.runStep()
 	full := heap()
 	if v := b.submitTo("held", 7); !v.Accepted {
 		t.Fatalf("%+v", v)
 	}
 	b.handleShardUpdate(&sharding.Update{Unassigned: ids})
-	b.nextStep()
+	b.runStep()
 	if slices.Contains(released, shard.Of(7)) || len(released) != len(ids)-1 {
-		t.Errorf("%d of %d shards were released, with a message of one of them held", len(released), len(ids))
+		t.Errorf("%d of %d shards were released, want all but the one whose message is held", len(released), len(ids))
 	}
 	if len(b.endpoints) == 0 || len(b.endpoints) > 3 {
 		t.Errorf("%d endpoints are known, want those of the shard whose message is held", len(b.endpoints))
 	}
-	for _, m := range b.messages { // its client was never told
+	for _, m := range b.messages { // its client did not receive the answer
 		b.handleInput(input{withdrawn: m.Num})
 	}
 	b.await("the last shard is not released", func() bool { return slices.Contains(released, shard.Of(7)) })
 	if n := len(b.endpoints) + len(b.endpointIDs) + len(b.listedDests) + len(b.shards.dests) + len(b.shards.leaving) + len(b.shards.assigned); n != 0 {
-		t.Errorf("%d entries of shards that left", n)
+		t.Errorf("%d entries of released shards are left", n)
 	}
-	b.module.Step(b.now+61e3, nil, nil) // the module remembers an endpoint that left for a minute
+	b.module.Step(b.now+61e3, nil, nil) // the module remembers a removed endpoint for a minute
 	after := heap()
 	runtime.KeepAlive(b)
 	t.Logf("heap before %d KB, with %d destinations %d KB, after they left %d KB", before>>10, destinations, full>>10, after>>10)
 	if after-before > (full-before)/5 {
-		t.Errorf("of %d KB that %d destinations took %d KB are left", (full-before)>>10, destinations, (after-before)>>10)
+		t.Errorf("of the %d KB that %d destinations used, %d KB are still in use", (full-before)>>10, destinations, (after-before)>>10)
 	}
 }
--- a/internal/sender/submissions.go
+++ b/internal/sender/submissions.go
@@ -131,13 +131,13 @@
 	if m == nil {
 		return
 	}
-	after := a.After
+	retryAfterMS := a.After
 	if a.Kind == policy.ActRefuse {
-		after = s.refusalRetryAfter(m.Dest, []byte(m.Key), max(float64(m.Deadline)-s.now, 0), after)
+		retryAfterMS = s.refusalRetryAfter(m.Dest, []byte(m.Key), max(float64(m.Deadline)-s.now, 0), retryAfterMS)
 	}
 	for _, t := range s.submissions {
 		if t.entry == m.Entry {
-			t.refused, t.retryAfterMS = true, after
+			t.refused, t.retryAfterMS = true, retryAfterMS
 			s.observeOver(m.Entry, telemetry.NotTaken, 0)
 			s.observeRefused(m.Dest, telemetry.CauseLoad)
 			s.journal.End(m.Entry)
@@ -152,6 +152,6 @@
 	if a.Kind == policy.ActRefuse {
 		ending = journal.EndingReturned
 	}
-	s.observeOver(m.Entry, [...]telemetry.End{journal.EndingAbandoned: telemetry.GivenUp, journal.EndingReturned: telemetry.HandedBack}[ending], after)
-	s.endWithNotice(m.Entry, ending, after)
+	s.observeOver(m.Entry, [...]telemetry.End{journal.EndingAbandoned: telemetry.GivenUp, journal.EndingReturned: telemetry.HandedBack}[ending], retryAfterMS)
+	s.endWithNotice(m.Entry, ending, retryAfterMS)
 }
--- a/internal/sender/takeover.go
+++ b/internal/sender/takeover.go
@@ -30,10 +30,10 @@
 // clockOffsets returns the offsets, in milliseconds, that convert times of the owner's clock to this sender's. Deadlines
 // err on the early side, waits on the late side. If no holder knows the owner's clock, the clocks are assumed to agree,
 // as after a restart of the same machine.
-func (s *Sender) clockOffsets(h *takeover) (deadlines, waits int64) {
-	least, most, known := h.Clock()
+func (s *Sender) clockOffsets(t *takeover) (deadlines, waits int64) {
+	least, most, known := t.Clock()
 	if !known {
-		s.log.Warn().Str("owner", h.Owner).Msg("copies: no holder knows the lost sender's clock: its deadlines are taken by this machine's clock")
+		s.log.Warn().Str("owner", t.Owner).Msg("copies: no holder knows the lost sender's clock: its deadlines are taken by this machine's clock")
 		return 0, 0
 	}
 	own := int64(s.clock.Now()) - fleet.Now()/1e6
@@ -41,28 +41,28 @@
 }
 
 // stepTakeovers starts and advances the takeovers of lost owners whose duties this member holds.
-func (s *Sender) stepTakeovers(now int64, look *fleet.Look) {
+func (s *Sender) stepTakeovers(now int64, view *fleet.Look) {
 	c := s.copies
-	for owner, d := range look.Own {
-		if owner == c.settings.Name || !look.Mine(d) || c.fleet.Token(d.Name) != d.Token {
+	for owner, d := range view.Own {
+		if owner == c.settings.Name || !view.Mine(d) || c.fleet.Token(d.Name) != d.Token {
 			continue
 		}
-		h := c.takeovers[owner]
-		if h == nil || h.Epoch != d.Token {
-			h = &takeover{Heir: copies.NewHeir(owner, d.Token, d.Holders, look.Adopted[owner]), startedAt: now}
-			c.takeovers[owner] = h
+		t := c.takeovers[owner]
+		if t == nil || t.Epoch != d.Token {
+			t = &takeover{Heir: copies.NewHeir(owner, d.Token, d.Holders, view.Adopted[owner]), startedAt: now}
+			c.takeovers[owner] = t
 			s.log.Info().Str("owner", owner).Strs("holders", d.Holders).Msg("copies: taking over from a lost sender")
 		}
-		for _, o := range h.Take(now) {
+		for _, o := range t.Take(now) {
 			c.fleet.SendCopy(o.To, o.Frame)
 		}
-		switch h.Look(look.Is) {
+		switch t.Look(view.Is) {
 		case copies.Ready:
 			if c.leaseHeld {
-				s.importEntries(h, d)
-			} else if now-h.startedAt > releaseDelay { // no lease: another member may copy them
-				c.fleet.Propose(&pb.Command{What: &pb.Command_Release{Release: &pb.Release{Session: look.Session, Duty: d.Name, Token: d.Token, Keep: true}}}, func(*pb.Answer, error) {})
-				h.startedAt = now
+				s.importEntries(t, d)
+			} else if now-t.startedAt > releaseDelay { // no lease: another member may copy them
+				c.fleet.Propose(&pb.Command{What: &pb.Command_Release{Release: &pb.Release{Session: view.Session, Duty: d.Name, Token: d.Token, Keep: true}}}, func(*pb.Answer, error) {})
+				t.startedAt = now
 				s.log.Info().Str("owner", owner).Msg("copies: takeover released to another member, as this sender lacks the lease on its own journal")
 			}
 		case copies.Done:
@@ -79,78 +79,78 @@
 
 // importEntries writes the entries found to this sender's own journal. Once they are copied, the fleet is asked to agree to
 // the adoption.
-func (s *Sender) importEntries(h *takeover, d *pb.Duty) {
+func (s *Sender) importEntries(t *takeover, d *pb.Duty) {
 	c := s.copies
-	h.Stage, h.entryNums = copies.Copying, nil
-	shift, waits := s.clockOffsets(h)
-	look := c.fleet.View()
+	t.Stage, t.entryNums = copies.Copying, nil
+	deadlineOffset, waitOffset := s.clockOffsets(t)
+	view := c.fleet.View()
 	var keys []uint64
 	suspected := 0
-	for _, e := range journal.Replay(h.Found.Records) {
-		if e.TakeoverDuty != "" && duty.Agreed(look.Adopted[ownerOf(e.TakeoverDuty)], e.TakeoverToken).GetBy() != h.Owner {
+	for _, e := range journal.Replay(t.Found.Records) {
+		if e.TakeoverDuty != "" && duty.Agreed(view.Adopted[ownerOf(e.TakeoverDuty)], e.TakeoverToken).GetBy() != t.Owner {
 			continue // the lost owner was taking it over itself, without agreement
 		}
 		e.Num, e.TakeoverDuty, e.TakeoverToken = s.journal.NextNumber(), d.Name, d.Token
-		e.Deadline += shift
+		e.Deadline += deadlineOffset
 		if e.MayHaveRunAt != 0 {
-			e.MayHaveRunAt += shift
+			e.MayHaveRunAt += deadlineOffset
 		}
-		if e.MayHaveRunAt == 0 && s.forbidsRepeats(e.Class) && !h.Complete(c.requiredFor(e.Class)) {
+		if e.MayHaveRunAt == 0 && s.forbidsRepeats(e.Class) && !t.Complete(c.requiredFor(e.Class)) {
 			e.MayHaveRunAt = int64(s.now) // a holder that may know of an attempt is unreachable
 			suspected++
 		}
 		s.journal.Accept(e)
 		c.pendingEntries[e.Num] = e
-		h.entryNums = append(h.entryNums, e.Num)
+		t.entryNums = append(t.entryNums, e.Num)
 		if k := keyHash([]byte(e.Key)); k != 0 && e.Confirmed && e.Ending == journal.EndingNone {
 			keys = append(keys, k)
 		}
 	}
-	s.importHolds(h, waits)
+	s.importHolds(t, waitOffset)
 	if suspected > 0 {
-		s.log.Warn().Str("owner", h.Owner).Int("messages", suspected).Msg("copies: holders that may know of attempts are unreachable: messages whose class forbids repeats are not sent")
+		s.log.Warn().Str("owner", t.Owner).Int("messages", suspected).Msg("copies: holders that may know of attempts are unreachable: messages whose class forbids repeats are not sent")
 	}
 	s.stepDue = true // this step writes and copies the entries, to fewer holders if fewer members are left
-	c.waits = append(c.waits, holderWait{required: max(min(c.maxRequired(), len(c.fleet.View().Present)-1), 0), deadline: time.Now().Add(time.Second), done: func(kept bool) {
-		if !kept {
-			s.abandonTakeover(h)
+	c.waits = append(c.waits, holderWait{required: max(min(c.maxRequired(), len(c.fleet.View().Present)-1), 0), deadline: time.Now().Add(time.Second), done: func(acknowledged bool) {
+		if !acknowledged {
+			s.abandonTakeover(t)
 			return
 		}
-		h.Stage = copies.Adopting
-		adopt := &pb.Adopt{Session: d.Session, Duty: d.Name, Token: d.Token, Incarnation: h.Found.Incarnation, Upto: h.Found.Upto, Keys: keys}
+		t.Stage = copies.Adopting
+		adopt := &pb.Adopt{Session: d.Session, Duty: d.Name, Token: d.Token, Incarnation: t.Found.Incarnation, Upto: t.Found.Upto, Keys: keys}
 		c.fleet.Propose(&pb.Command{What: &pb.Command_Adopt{Adopt: adopt}}, func(a *pb.Answer, err error) {
-			s.enqueueCopyInput(copyInput{run: func() { s.handleAdoption(h, a.GetKeys(), err) }})
+			s.enqueueCopyInput(copyInput{run: func() { s.handleAdoption(t, a.GetKeys(), err) }})
 		})
 	}})
 }
 
 // abandonTakeover abandons an attempt at a takeover. A new one begins if the duty is still held.
-func (s *Sender) abandonTakeover(h *takeover) {
-	for _, num := range h.entryNums {
+func (s *Sender) abandonTakeover(t *takeover) {
+	for _, num := range t.entryNums {
 		if e := s.copies.pendingEntries[num]; e != nil {
 			delete(s.copies.pendingEntries, num)
 			s.journal.End(e)
 		}
 	}
-	if s.copies.takeovers[h.Owner] == h {
-		delete(s.copies.takeovers, h.Owner)
+	if s.copies.takeovers[t.Owner] == t {
+		delete(s.copies.takeovers, t.Owner)
 	}
 }
 
 // handleAdoption handles the fleet's answer to an adoption. After an error settlePending learns the result from the view.
-func (s *Sender) handleAdoption(h *takeover, elsewhere []uint64, err error) {
+func (s *Sender) handleAdoption(t *takeover, keysElsewhere []uint64, err error) {
 	if err != nil {
-		s.log.Warn().Err(err).Str("owner", h.Owner).Msg("copies: the fleet has not confirmed the takeover yet")
+		s.log.Warn().Err(err).Str("owner", t.Owner).Msg("copies: the fleet has not confirmed the takeover yet")
 		return
 	}
-	s.activateEntries(h.Owner, h.Epoch, h.holds, elsewhere)
-	h.Stage = copies.Done
+	s.activateEntries(t.Owner, t.Epoch, t.holds, keysElsewhere)
+	t.Stage = copies.Done
 }
 
 // activateEntries makes the entries of an agreed takeover this sender's messages. Entries with a key in elsewhere were
 // resubmitted to another sender, which is responsible for them now: they are not sent but abandoned, with a notice about
 // their old ID.
-func (s *Sender) activateEntries(owner string, token uint64, holds []journal.Hold, elsewhere []uint64) {
+func (s *Sender) activateEntries(owner string, token uint64, holds []journal.Hold, keysElsewhere []uint64) {
 	n, confirmed, avoidUntil := 0, 0, s.now
 	s.honourWaits(holds)
 	for num, e := range s.copies.pendingEntries {
@@ -164,7 +164,7 @@
 		case e.Ending == journal.EndingNone && !e.Confirmed:
 			// Its client may have been refused: it is returned and never sent.
 			s.endWithNotice(e, journal.EndingReturned, 0)
-		case e.Ending == journal.EndingNone && slices.Contains(elsewhere, keyHash([]byte(e.Key))):
+		case e.Ending == journal.EndingNone && slices.Contains(keysElsewhere, keyHash([]byte(e.Key))):
 			s.endWithNotice(e, journal.EndingAbandoned, 0)
 		default:
 			confirmed, avoidUntil = confirmed+1, max(avoidUntil, float64(e.Deadline))
@@ -173,42 +173,42 @@
 	}
 	s.avoidEndpoints(holds, avoidUntil)
 	s.stepDue = true
-	s.log.Info().Str("owner", owner).Int("messages", n).Int("sure", confirmed).Int("elsewhere", len(elsewhere)).Msg("copies: took over")
+	s.log.Info().Str("owner", owner).Int("messages", n).Int("sure", confirmed).Int("elsewhere", len(keysElsewhere)).Msg("copies: took over")
 }
 
 // settlePending resolves takeovers, also those of an earlier process, whose result this sender has not received.
-func (s *Sender) settlePending(look *fleet.Look) {
+func (s *Sender) settlePending(view *fleet.Look) {
 	c := s.copies
-	if len(c.pendingEntries) == 0 || look.Session == 0 {
+	if len(c.pendingEntries) == 0 || view.Session == 0 {
 		return
 	}
-	type try struct {
+	type attemptKey struct {
 		owner string
 		token uint64
 	}
-	open := map[try]bool{}
+	pending := map[attemptKey]bool{}
 	for _, e := range c.pendingEntries {
-		open[try{ownerOf(e.TakeoverDuty), e.TakeoverToken}] = true
+		pending[attemptKey{ownerOf(e.TakeoverDuty), e.TakeoverToken}] = true
 	}
-	for t := range open {
-		a, d, h := look.Adopted[t.owner], look.Own[t.owner], c.takeovers[t.owner]
+	for key := range pending {
+		adoption, d, t := view.Adopted[key.owner], view.Own[key.owner], c.takeovers[key.owner]
 		switch {
-		case duty.Agreed(a, t.token).GetBy() == c.settings.Name:
+		case duty.Agreed(adoption, key.token).GetBy() == c.settings.Name:
 			var holds []journal.Hold
-			if h != nil && h.Epoch == t.token {
-				h.Stage, holds = copies.Done, h.holds
+			if t != nil && t.Epoch == key.token {
+				t.Stage, holds = copies.Done, t.holds
 			}
-			s.activateEntries(t.owner, t.token, holds, duty.Agreed(a, t.token).Elsewhere)
-		case a != nil && a.Token > t.token, look.Mine(d) && d.Token > t.token, d != nil && !look.Mine(d), d == nil:
+			s.activateEntries(key.owner, key.token, holds, duty.Agreed(adoption, key.token).Elsewhere)
+		case adoption != nil && adoption.Token > key.token, view.Mine(d) && d.Token > key.token, d != nil && !view.Mine(d), d == nil:
 			// Another member holds the duty now, or none: the adoption was not agreed to and never will be.
 			for num, e := range c.pendingEntries {
-				if ownerOf(e.TakeoverDuty) == t.owner && e.TakeoverToken == t.token {
+				if ownerOf(e.TakeoverDuty) == key.owner && e.TakeoverToken == key.token {
 					delete(c.pendingEntries, num)
 					s.journal.End(e)
 				}
 			}
-			if h != nil && h.Epoch == t.token {
-				delete(c.takeovers, t.owner)
+			if t != nil && t.Epoch == key.token {
+				delete(c.takeovers, key.owner)
 			}
 		}
 	}
--- a/internal/sender/trials.go
+++ b/internal/sender/trials.go
@@ -53,12 +53,12 @@
 		return
 	}
 	t.mu.Lock()
-	news := t.updates
+	updates := t.updates
 	t.updates = map[int]trial.News{}
 	t.mu.Unlock()
 	t.state.Live(t.fleet.Live())
-	for dest, n := range news {
-		t.state.Heard(now, dest, n)
+	for dest, update := range updates {
+		t.state.Heard(now, dest, update)
 	}
 }
 
