--- a/internal/sender/calls.go
+++ b/internal/sender/calls.go
@@ -25,7 +25,7 @@
 	if a.After >= s.timeLeftMS(m) { // otherwise the timeout of the whole call ends it
 		m.attemptDeadline = s.now + a.After
 	}
-	s.observeBegan(m, c, item.Attempt)
+	s.observeAttemptStart(m, c, item.Attempt)
 	c.Items = append(c.Items, item)
 	c.NewConn = c.NewConn || m.MayHaveRunAt != 0
 	c.Timeout = max(c.Timeout, fromMillis(a.After))
--- a/internal/sender/copies.go
+++ b/internal/sender/copies.go
@@ -47,8 +47,8 @@
 	Fleet
 	View() *fleet.Look
 	SendCopy(to string, f *pb.Frame)
-	Propose(c *pb.Command, done func(*pb.Answer, error))
-	Incarnation() uint64 // of this member's state directory; 0: it has not joined yet
+	Propose(c *pb.Command, done func(*pb.Answer, error)) // proposes a command; done is called on another goroutine
+	Incarnation() uint64                                 // of this member's state directory; 0: it has not joined yet
 }
 
 // copier is a sender's state for copies of its journal and for takeovers of others.
@@ -259,7 +259,7 @@
 		if m.Num <= a.Upto && m.TakeoverDuty == "" {
 			s.events = append(s.events, policy.Event{Kind: policy.EvWithdrawn, ID: m.Num})
 			s.dropUnsent(m.call)
-			s.observeOver(m.Entry, telemetry.Withdrawn, 0)
+			s.observeMessageEnd(m.Entry, telemetry.Withdrawn, 0)
 			s.journal.End(m.Entry)
 			s.ended.add(m.Trace, s.now)
 			s.forget(m)
@@ -469,7 +469,7 @@
 
 // revoke withdraws a message whose client is about to receive a refusal.
 func (s *Sender) revoke(m *message, why telemetry.Cause) {
-	s.observeOver(m.Entry, telemetry.NotTaken, 0)
+	s.observeMessageEnd(m.Entry, telemetry.NotTaken, 0)
 	s.observeRefused(m.Dest, why)
 	s.events = append(s.events, policy.Event{Kind: policy.EvWithdrawn, ID: m.Num})
 	s.stepDue = true
--- a/internal/sender/endpoints.go
+++ b/internal/sender/endpoints.go
@@ -23,10 +23,10 @@
 }
 
 func (s *Sender) requestDisable(id string, disabled, replicated bool) error {
-	o := &disableRequest{id: id, disabled: disabled, replicated: replicated, done: make(chan error, 1)}
-	s.post(input{disable: o})
+	req := &disableRequest{id: id, disabled: disabled, replicated: replicated, done: make(chan error, 1)}
+	s.post(input{disable: req})
 	select {
-	case err := <-o.done:
+	case err := <-req.done:
 		return err
 	case <-s.done:
 		return errStopped
@@ -34,16 +34,16 @@
 }
 
 // handleDisable executes a disable request. The module receives the endpoint as if it had been listed again.
-func (s *Sender) handleDisable(o *disableRequest) error {
-	id, named := s.endpointIDs[o.id]
-	if !named && !o.replicated && !s.disabled.Has(o.id) { // one disabled in an earlier process may not be listed yet
+func (s *Sender) handleDisable(req *disableRequest) error {
+	id, named := s.endpointIDs[req.id]
+	if !named && !req.replicated && !s.disabled.Has(req.id) { // one disabled in an earlier process may not be listed yet
 		return operate.ErrNeverListed
 	}
-	if err := s.disabled.Set(o.id, o.disabled); err != nil {
+	if err := s.disabled.Set(req.id, req.disabled); err != nil {
 		return err
 	}
-	s.recordDisabled(o.id, o.disabled)
-	s.log.Info().Str("endpoint", o.id).Bool("out", o.disabled).Msg("endpoint disabled or enabled by an operator")
+	s.recordDisabled(req.id, req.disabled)
+	s.log.Info().Str("endpoint", req.id).Bool("out", req.disabled).Msg("endpoint disabled or enabled by an operator")
 	if e, listed := s.endpoints[id]; named && listed {
 		s.handleList(&discovery.List{Endpoints: []discovery.Endpoint{e}})
 	}
--- a/internal/sender/holds.go
+++ b/internal/sender/holds.go
@@ -35,14 +35,14 @@
 // importHolds copies the holds of the lost owner into this journal; shift converts their times to this sender's clock.
 func (s *Sender) importHolds(t *takeover, offset int64) {
 	t.holds = nil
-	for _, x := range journal.ReplayHolds(t.Found.Records) {
-		if x.Until != journal.Forever {
-			x.Until += offset
+	for _, hold := range journal.ReplayHolds(t.Found.Records) {
+		if hold.Until != journal.Forever {
+			hold.Until += offset
 		}
-		if x.Until > int64(s.now) {
-			t.holds = append(t.holds, x)
-			if x.Kind == journal.HoldWait { // other holds end with the messages that are taken over
-				s.journal.SetHold(x, int64(s.now))
+		if hold.Until > int64(s.now) {
+			t.holds = append(t.holds, hold)
+			if hold.Kind == journal.HoldWait { // other holds end with the messages that are taken over
+				s.journal.SetHold(hold, int64(s.now))
 			}
 		}
 	}
@@ -51,20 +51,20 @@
 // honourWaits applies requested waits, of a lost owner or from the journal, to all messages from this step on.
 func (s *Sender) honourWaits(holds []journal.Hold) {
 	var facts []policy.DestFacts
-	for _, x := range holds {
-		if x.Kind != journal.HoldWait || float64(x.Until) <= s.now {
+	for _, hold := range holds {
+		if hold.Kind != journal.HoldWait || float64(hold.Until) <= s.now {
 			continue
 		}
-		wait := &policy.RouteFacts{WaitUntil: float64(x.Until)}
-		f := policy.DestFacts{Dest: x.Dest, Admission: policy.InitialAdmission()}
-		if id, named := s.endpointIDs[x.Endpoint]; x.Endpoint == "" {
+		wait := &policy.RouteFacts{WaitUntil: float64(hold.Until)}
+		f := policy.DestFacts{Dest: hold.Dest, Admission: policy.InitialAdmission()}
+		if id, named := s.endpointIDs[hold.Endpoint]; hold.Endpoint == "" {
 			f.SharedRoute = wait
 		} else if _, listed := s.endpoints[id]; named && listed {
 			f.Endpoints = []policy.EndpointFacts{{ID: id, OwnRoute: wait}}
 		}
 		facts = append(facts, f)
 		for c := range s.calls { // an unsent call would reach the partner during the wait
-			if c.Dest == x.Dest && (x.Endpoint == "" || s.endpoints[c.Endpoint].Name == x.Endpoint) {
+			if c.Dest == hold.Dest && (hold.Endpoint == "" || s.endpoints[c.Endpoint].Name == hold.Endpoint) {
 				s.dropUnsent(c)
 			}
 		}
@@ -94,13 +94,13 @@
 
 // avoidEndpoints avoids the endpoints that a lost owner avoided, at most until the time until.
 func (s *Sender) avoidEndpoints(holds []journal.Hold, until float64) {
-	for _, x := range holds {
-		if x.Kind == journal.HoldWait || until <= s.now {
+	for _, hold := range holds {
+		if hold.Kind == journal.HoldWait || until <= s.now {
 			continue
 		}
-		s.avoided.Add(x.Endpoint, min(until, float64(x.Until)))
-		s.reapplyEndpoint(x.Endpoint)
-		s.log.Info().Str("endpoint", x.Endpoint).Msg("copies: endpoint avoided, as by the lost sender, while messages taken over from it are left")
+		s.avoided.Add(hold.Endpoint, min(until, float64(hold.Until)))
+		s.reapplyEndpoint(hold.Endpoint)
+		s.log.Info().Str("endpoint", hold.Endpoint).Msg("copies: endpoint avoided, as by the lost sender, while messages taken over from it are left")
 	}
 }
 
--- a/internal/sender/knowledge.go
+++ b/internal/sender/knowledge.go
@@ -36,12 +36,12 @@
 	nextWriteAt       float64         // when the next round is due
 }
 
-func (s *Sender) setKnowledge(m Knowledge) {
-	if m.Writer == nil {
+func (s *Sender) setKnowledge(k Knowledge) {
+	if k.Writer == nil {
 		return
 	}
-	s.knowledge = knowledgeState{Knowledge: m, observedEndpoints: map[uint32]bool{}, changedDests: map[int]bool{}}
-	g := m.Facts.RecallGeneral(s.now, m.Settings.HalfLives, &s.settings)
+	s.knowledge = knowledgeState{Knowledge: k, observedEndpoints: map[uint32]bool{}, changedDests: map[int]bool{}}
+	g := k.Facts.RecallGeneral(s.now, k.Settings.HalfLives, &s.settings)
 	for _, u := range g.ClassLatency {
 		s.knowledge.usualLatencyMS = cmp.Or(s.knowledge.usualLatencyMS, u.Mean)
 	}
@@ -51,12 +51,12 @@
 // recall gives the module the earlier process's knowledge of endpoints that a list names for the first time. It comes
 // before the list, so that a requested wait is honoured from this step on.
 func (s *Sender) recall(l *discovery.List) {
-	m := &s.knowledge
-	if m.Facts == nil {
+	k := &s.knowledge
+	if k.Facts == nil {
 		return
 	}
 	if s.now-s.clock.startMS > recallWindowMS {
-		m.Facts = nil // destinations that are not listed by now are gone
+		k.Facts = nil // destinations that are not listed by now are not expected any more
 		return
 	}
 	ratings := map[int]float64{}
@@ -74,7 +74,7 @@
 	}
 	var facts []policy.DestFacts
 	for dest, rating := range ratings {
-		if d, ok := m.Facts.Recall(dest, s.now, m.Settings.HalfLives, knowledge.Prior{Rating: rating, Usual: m.usualLatencyMS}); ok {
+		if d, ok := k.Facts.Recall(dest, s.now, k.Settings.HalfLives, knowledge.Prior{Rating: rating, Usual: k.usualLatencyMS}); ok {
 			facts = append(facts, withEndpointIDs(d, ids))
 		}
 	}
@@ -129,44 +129,44 @@
 // which no call of this process has told anything stay as the earlier process wrote them; their age would be lost
 // otherwise.
 func (s *Sender) writeKnowledge(all bool) {
-	m := &s.knowledge
-	if m.Writer == nil || len(m.unwrittenDests) == 0 && (len(m.changedDests) == 0 || !all && s.now < m.nextWriteAt) {
+	k := &s.knowledge
+	if k.Writer == nil || len(k.unwrittenDests) == 0 && (len(k.changedDests) == 0 || !all && s.now < k.nextWriteAt) {
 		return
 	}
 	var general *knowledge.Book
-	if len(m.unwrittenDests) == 0 {
-		m.nextWriteAt = s.now + float64(m.Settings.WriteEvery.Milliseconds())
+	if len(k.unwrittenDests) == 0 {
+		k.nextWriteAt = s.now + float64(k.Settings.WriteEvery.Milliseconds())
 		general = s.generalFacts()
 	}
-	if len(m.unwrittenDests) == 0 || all {
-		for dest := range m.changedDests {
-			m.unwrittenDests = append(m.unwrittenDests, dest)
+	if len(k.unwrittenDests) == 0 || all {
+		for dest := range k.changedDests {
+			k.unwrittenDests = append(k.unwrittenDests, dest)
 		}
-		clear(m.changedDests)
+		clear(k.changedDests)
 	}
-	n := min(len(m.unwrittenDests), maxDestsPerWrite)
+	n := min(len(k.unwrittenDests), maxDestsPerWrite)
 	if all {
-		n = len(m.unwrittenDests)
+		n = len(k.unwrittenDests)
 	}
 	list := make([]*knowledge.Destination, 0, n)
-	for _, dest := range m.unwrittenDests[:n] {
+	for _, dest := range k.unwrittenDests[:n] {
 		if f, ok := s.module.Facts(dest); ok {
 			list = append(list, s.withEndpointNames(f))
 		}
 	}
-	if m.unwrittenDests = m.unwrittenDests[n:]; len(m.unwrittenDests) == 0 {
-		m.unwrittenDests = nil
+	if k.unwrittenDests = k.unwrittenDests[n:]; len(k.unwrittenDests) == 0 {
+		k.unwrittenDests = nil
 	}
-	m.Writer.Learn(list, general)
+	k.Writer.Learn(list, general)
 }
 
 // nextKnowledgeWrite returns when changed facts are due to be written; false if there are none.
 func (s *Sender) nextKnowledgeWrite() (float64, bool) {
-	m := &s.knowledge
-	if len(m.unwrittenDests) > 0 {
+	k := &s.knowledge
+	if len(k.unwrittenDests) > 0 {
 		return s.now, true
 	}
-	return m.nextWriteAt, len(m.changedDests) > 0
+	return k.nextWriteAt, len(k.changedDests) > 0
 }
 
 // withEndpointNames converts f for the stored knowledge.
--- a/internal/sender/observe.go
+++ b/internal/sender/observe.go
@@ -30,20 +30,20 @@
 }
 
 // On reports whether records are wanted.
-func (w *observer) On() bool { return w.logRecords || w.Recorder.On() }
+func (o *observer) On() bool { return o.logRecords || o.Recorder.On() }
 
 // Push records r.
-func (w *observer) Push(r telemetry.Record) {
-	if w.logRecords {
-		w.logRecord(&r)
+func (o *observer) Push(r telemetry.Record) {
+	if o.logRecords {
+		o.logRecord(&r)
 	}
-	w.Recorder.Push(r)
+	o.Recorder.Push(r)
 }
 
 // logRecord logs a record of a message, for "sliptide lab count". Records identify a message by its number; the record of
 // its acceptance also has the ID that its client gave it.
-func (w *observer) logRecord(r *telemetry.Record) {
-	e := w.log.Log().Int32("dest", r.Dest)
+func (o *observer) logRecord(r *telemetry.Record) {
+	e := o.log.Log().Int32("dest", r.Dest)
 	switch r.Kind {
 	case telemetry.Taken:
 		e = e.Str("trace", r.Text).Bool("again", r.Again).Bool("restored", r.Restored)
@@ -64,12 +64,12 @@
 
 // closed logs that a connection to an endpoint was closed. It is called on the connection's goroutine. Unsolicited bytes
 // from an endpoint are always logged, other reasons only with logRecords.
-func (w *observer) closed(c outbound.CloseEvent) {
-	e := w.log.Log()
+func (o *observer) closed(c outbound.CloseEvent) {
+	e := o.log.Log()
 	switch {
 	case c.Reason == outbound.CloseUnsolicited:
-		e = w.log.Warn()
-	case !w.logRecords:
+		e = o.log.Warn()
+	case !o.logRecords:
 		return
 	}
 	e.Uint32("endpoint", c.Endpoint).Str("addr", c.Addr).Stringer("reason", c.Reason).Int("answers", c.Answers).Str("record", "closed").Send()
@@ -82,8 +82,8 @@
 	return telemetry.ParseParent(v)
 }
 
-// observeTaken records an accepted or restored message.
-func (s *Sender) observeTaken(e *journal.Entry, class int, restored bool) {
+// observeAccepted records an accepted or restored message.
+func (s *Sender) observeAccepted(e *journal.Entry, class int, restored bool) {
 	if !s.observer.On() {
 		return
 	}
@@ -97,15 +97,15 @@
 	}
 }
 
-// observeBegan records the start of an attempt.
-func (s *Sender) observeBegan(m *message, c *outbound.Call, attempt int) {
+// observeAttemptStart records the start of an attempt.
+func (s *Sender) observeAttemptStart(m *message, c *outbound.Call, attempt int) {
 	if s.observer.On() {
 		s.observer.Push(telemetry.Record{Kind: telemetry.Began, Num: m.Num, Dest: int32(m.Dest), Endpoint: c.Endpoint, Attempt: int16(attempt), At: s.now})
 	}
 }
 
-// observeEnded records the outcome of an attempt.
-func (s *Sender) observeEnded(c *outbound.Call, e *policy.Event) {
+// observeAttemptEnd records the outcome of an attempt.
+func (s *Sender) observeAttemptEnd(c *outbound.Call, e *policy.Event) {
 	if !s.observer.On() || e.Kind != policy.EvOutcome {
 		return
 	}
@@ -121,7 +121,7 @@
 	return e.Report[field]
 }
 
-func (s *Sender) observeOver(e *journal.Entry, end telemetry.End, wait float64) {
+func (s *Sender) observeMessageEnd(e *journal.Entry, end telemetry.End, wait float64) {
 	if s.observer.On() {
 		s.observer.Push(telemetry.Record{Kind: telemetry.Over, Num: e.Num, Dest: int32(e.Dest), End: end, Wait: wait, At: s.now})
 	}
@@ -140,35 +140,35 @@
 
 // observeStep records, after a step, the destinations whose reason to wait has changed, and periodically the gauges.
 func (s *Sender) observeStep() {
-	w := &s.observer
-	if !w.On() {
+	o := &s.observer
+	if !o.On() {
 		return
 	}
-	if w.holdsSkipped = s.now < w.nextHolds; w.holdsSkipped {
+	if o.holdsSkipped = s.now < o.nextHolds; o.holdsSkipped {
 		return
 	}
-	w.nextHolds = s.now + holdsInterval
+	o.nextHolds = s.now + holdsInterval
 	waiting := 0
-	current := make(map[int]policy.WaitCause, len(w.reportedHolds))
+	current := make(map[int]policy.WaitCause, len(o.reportedHolds))
 	s.module.EachWaiting(func(dest int, why policy.WaitCause) {
 		waiting++
 		current[dest] = why
-		if old, reported := w.reportedHolds[dest]; !reported || old != why {
-			w.Push(telemetry.Record{Kind: telemetry.Holds, Dest: int32(dest), Cause: holdCauses[why], At: s.now})
+		if old, reported := o.reportedHolds[dest]; !reported || old != why {
+			o.Push(telemetry.Record{Kind: telemetry.Holds, Dest: int32(dest), Cause: holdCauses[why], At: s.now})
 		}
 	})
-	for dest := range w.reportedHolds {
+	for dest := range o.reportedHolds {
 		if _, still := current[dest]; !still {
-			w.Push(telemetry.Record{Kind: telemetry.Holds, Dest: int32(dest), At: s.now})
+			o.Push(telemetry.Record{Kind: telemetry.Holds, Dest: int32(dest), At: s.now})
 		}
 	}
-	w.reportedHolds = current
-	if s.now < w.nextGauges {
+	o.reportedHolds = current
+	if s.now < o.nextGauges {
 		return
 	}
-	w.nextGauges = s.now + gaugesInterval
+	o.nextGauges = s.now + gaugesInterval
 	gauge := func(name telemetry.Name, v float64) {
-		w.Push(telemetry.Record{Kind: telemetry.Gauge, Name: name, Value: v, At: s.now})
+		o.Push(telemetry.Record{Kind: telemetry.Gauge, Name: name, Value: v, At: s.now})
 	}
 	gauge(telemetry.Held, float64(len(s.messages)))
 	gauge(telemetry.CallsOut, float64(len(s.calls)))
--- a/internal/sender/outcomes.go
+++ b/internal/sender/outcomes.go
@@ -39,13 +39,13 @@
 			continue
 		}
 		m.call = nil
-		s.observeEnded(c, e)
+		s.observeAttemptEnd(c, e)
 		if e.Outcome == policy.OK || e.Final {
 			end := telemetry.Delivered
 			if e.Outcome != policy.OK {
 				end = telemetry.Closed
 			}
-			s.observeOver(m.Entry, end, 0)
+			s.observeMessageEnd(m.Entry, end, 0)
 			s.complete(m)
 			continue
 		}
@@ -95,7 +95,7 @@
 				Kind: policy.EvOutcome, ID: m.Num, Attempt: c.Items[i].Attempt, Endpoint: c.Endpoint,
 				Outcome: policy.Timeout, Latency: float64(time.Since(c.SentAt)) / 1e6,
 			})
-			s.observeEnded(c, &s.events[len(s.events)-1])
+			s.observeAttemptEnd(c, &s.events[len(s.events)-1])
 		}
 	}
 }
--- a/internal/sender/rig_test.go
+++ b/internal/sender/rig_test.go
@@ -68,9 +68,9 @@
 
 // submit submits a message for the next step.
 func (b *testSender) submit(trace string, class int, left time.Duration) chan Verdict {
-	o := &submission{msg: &Message{Trace: []byte(trace), Key: []byte("k-" + trace), Class: class, Dest: 3, Remaining: left, Body: []byte(trace)}, received: time.Now(), verdict: make(chan Verdict, 1)}
-	b.handleSubmission(o)
-	return o.verdict
+	sub := &submission{msg: &Message{Trace: []byte(trace), Key: []byte("k-" + trace), Class: class, Dest: 3, Remaining: left, Body: []byte(trace)}, received: time.Now(), verdict: make(chan Verdict, 1)}
+	b.handleSubmission(sub)
+	return sub.verdict
 }
 
 // await handles inputs and runs steps until ok returns true.
--- a/internal/sender/sender.go
+++ b/internal/sender/sender.go
@@ -263,7 +263,7 @@
 	return s
 }
 
-// durationOr returns v, or none if v is not set.
+// durationOr returns v, or fallback if v is not set.
 func durationOr(v, fallback time.Duration) time.Duration {
 	if v > 0 {
 		return v
@@ -296,7 +296,7 @@
 	s.messages[e.Num] = &message{Entry: e, class: class}
 	s.numByTrace[e.Trace] = e.Num
 	s.stormGuard.Held(s.now, e.Dest, 1)
-	s.observeTaken(e, class, true)
+	s.observeAccepted(e, class, true)
 	ev := policy.Event{
 		Kind: policy.EvMessage, ID: e.Num, Class: class, Key: e.OrderingKey, Remaining: left, Resubmitted: e.Resubmitted,
 		Dest: e.Dest, Restored: true, Attempts: e.Attempts, MayHaveRun: e.MayHaveRunAt != 0, MayHaveRunZone: e.MayHaveRunZone,
@@ -322,13 +322,13 @@
 	defer close(s.done)
 	defer s.writeKnowledge(true)
 	defer s.shutDown()
-	round := fromMillis(s.settings.MinStepInterval)
+	interval := fromMillis(s.settings.MinStepInterval)
 	for !s.exitDue() {
 		s.collectInputs()
 		startedAt := time.Now()
 		s.step()
 		// At most one step in MinStepInterval, as the module expects: sends close to each other share a call.
-		if rest := round - time.Since(startedAt); rest > 0 {
+		if rest := interval - time.Since(startedAt); rest > 0 {
 			time.Sleep(rest)
 		}
 	}
@@ -373,7 +373,7 @@
 		if m := s.messages[in.withdrawn]; m != nil {
 			s.events = append(s.events, policy.Event{Kind: policy.EvWithdrawn, ID: m.Num})
 			s.dropUnsent(m.call)
-			s.observeOver(m.Entry, telemetry.Withdrawn, 0)
+			s.observeMessageEnd(m.Entry, telemetry.Withdrawn, 0)
 			s.journal.End(m.Entry)
 			s.forget(m)
 		}
--- a/internal/sender/shards_test.go
+++ b/internal/sender/shards_test.go
@@ -35,10 +35,10 @@
 // submitTo submits a message for a destination, runs a step and returns the verdict.
 func (b *testSender) submitTo(trace string, dest int) Verdict {
 	b.t.Helper()
-	o := &submission{msg: &Message{Trace: []byte(trace), Class: 0, Dest: dest, Remaining: 20 * time.Second, Body: []byte(trace)}, received: time.Now(), verdict: make(chan Verdict, 1)}
-	b.handleSubmission(o)
+	sub := &submission{msg: &Message{Trace: []byte(trace), Class: 0, Dest: dest, Remaining: 20 * time.Second, Body: []byte(trace)}, received: time.Now(), verdict: make(chan Verdict, 1)}
+	b.handleSubmission(sub)
 	b.runStep()
-	return verdictOf(b.t, o.verdict)
+	return verdictOf(b.t, sub.verdict)
 }
 
 func verdictOf(t *testing.T, verdicts chan Verdict) Verdict {
--- a/internal/sender/stopping_test.go
+++ b/internal/sender/stopping_test.go
@@ -29,9 +29,9 @@
 	b := newTestSender(t, t.TempDir(), "", testSettings())
 	close(b.done)
 	for range 100 { // select chooses at random if both channels are ready
-		o := &submission{verdict: make(chan Verdict, 1)}
-		o.verdict <- Verdict{Accepted: true, Num: 7}
-		if v := b.awaitVerdict(o); !v.Accepted {
+		sub := &submission{verdict: make(chan Verdict, 1)}
+		sub.verdict <- Verdict{Accepted: true, Num: 7}
+		if v := b.awaitVerdict(sub); !v.Accepted {
 			t.Fatal("an accepted message is answered as refused")
 		}
 	}
--- a/internal/sender/submissions.go
+++ b/internal/sender/submissions.go
@@ -14,25 +14,25 @@
 // Submit submits a message and waits for its verdict, usually that of the next step. The message's slices must not change
 // until then.
 func (s *Sender) Submit(m *Message, received time.Time) Verdict {
-	o := &submission{msg: m, received: received, verdict: make(chan Verdict, 1)}
+	sub := &submission{msg: m, received: received, verdict: make(chan Verdict, 1)}
 	select {
-	case s.inputs <- input{submission: o}:
+	case s.inputs <- input{submission: sub}:
 	case <-s.done:
 		return Verdict{RetryAfter: maxBusyRetryMS}
 	}
-	return s.awaitVerdict(o)
+	return s.awaitVerdict(sub)
 }
 
 // awaitVerdict waits for the verdict on a queued submission. A verdict given before the sender exited counts: otherwise a
 // message that is in the journal could be answered as refused.
-func (s *Sender) awaitVerdict(o *submission) Verdict {
+func (s *Sender) awaitVerdict(sub *submission) Verdict {
 	select {
-	case v := <-o.verdict:
+	case v := <-sub.verdict:
 		return v
 	case <-s.done:
 	}
 	select {
-	case v := <-o.verdict: // given before the exit
+	case v := <-sub.verdict: // given before the exit
 		return v
 	default: // no step has handled the submission, and none will
 		return Verdict{RetryAfter: maxBusyRetryMS}
@@ -42,27 +42,27 @@
 // Withdraw reports that the client of an accepted message did not receive the answer.
 func (s *Sender) Withdraw(num uint64) { s.post(input{withdrawn: num}) }
 
-func (s *Sender) handleSubmission(o *submission) {
-	m := o.msg
-	left := float64(m.Remaining-time.Since(o.received)) / 1e6
+func (s *Sender) handleSubmission(sub *submission) {
+	m := sub.msg
+	left := float64(m.Remaining-time.Since(sub.received)) / 1e6
 	switch _, held := s.numByTrace[string(m.Trace)]; {
 	case held, s.ended.ids[string(m.Trace)]:
 		// Every submission has an ID of its own, so this is not a client's retry. It gets no number: if its answer
 		// were lost, the first message would be withdrawn although its client is owed an end.
-		o.verdict <- Verdict{Duplicate: true}
+		sub.verdict <- Verdict{Duplicate: true}
 		return
 	case s.misdirected(m.Dest):
 		s.observeRefused(m.Dest, telemetry.CauseRoute)
-		o.verdict <- s.misdirection(m.Dest)
+		sub.verdict <- s.misdirection(m.Dest)
 		return
 	case !s.listedDests[m.Dest]: // it could only be held until its deadline
 		s.observeRefused(m.Dest, telemetry.CauseRoute)
-		o.verdict <- Verdict{NoRoute: true, RetryAfter: s.busyRetryAfter()}
+		sub.verdict <- Verdict{NoRoute: true, RetryAfter: s.busyRetryAfter()}
 		return
 	case !s.stopRequestedAt.IsZero(), s.journalFailed, left <= 0, s.lacksLease(), s.settings.MaxHeld > 0 && len(s.messages) >= s.settings.MaxHeld, !s.journal.HasSpace(len(m.Body)):
 		s.stormGuard.Arrived(s.now, m.Dest, keyHash(m.Key), m.Resubmitted)
 		s.observeRefused(m.Dest, s.refusalCause())
-		o.verdict <- Verdict{RetryAfter: s.refusalRetryAfter(m.Dest, m.Key, max(left, 0), s.busyRetryAfter()), TooFewHolders: s.lacksLease()}
+		sub.verdict <- Verdict{RetryAfter: s.refusalRetryAfter(m.Dest, m.Key, max(left, 0), s.busyRetryAfter()), TooFewHolders: s.lacksLease()}
 		return
 	}
 	s.stormGuard.Arrived(s.now, m.Dest, keyHash(m.Key), m.Resubmitted)
@@ -80,8 +80,8 @@
 	s.journal.Accept(e)
 	s.messages[e.Num] = &message{Entry: e, class: m.Class, acceptedAt: s.now, claim: s.claimFor(m)}
 	s.numByTrace[e.Trace] = e.Num
-	s.observeTaken(e, m.Class, false)
-	s.submissions = append(s.submissions, &pendingSubmission{submission: o, entry: e})
+	s.observeAccepted(e, m.Class, false)
+	s.submissions = append(s.submissions, &pendingSubmission{submission: sub, entry: e})
 	s.events = append(s.events, policy.Event{
 		Kind: policy.EvMessage, ID: e.Num, Class: m.Class, Tenant: m.Tenant, Key: m.OrderingKey, Remaining: left,
 		Resubmitted: m.Resubmitted, Dest: m.Dest,
@@ -104,7 +104,7 @@
 		case t.refused:
 			t.verdict <- Verdict{RetryAfter: t.retryAfterMS}
 		case !journalled: // not in the journal: the module must not keep it
-			s.observeOver(t.entry, telemetry.NotTaken, 0)
+			s.observeMessageEnd(t.entry, telemetry.NotTaken, 0)
 			s.observeRefused(t.entry.Dest, telemetry.CauseRoom)
 			s.events = append(s.events, policy.Event{Kind: policy.EvWithdrawn, ID: t.entry.Num})
 			s.stepDue = true
@@ -138,7 +138,7 @@
 	for _, t := range s.submissions {
 		if t.entry == m.Entry {
 			t.refused, t.retryAfterMS = true, retryAfterMS
-			s.observeOver(m.Entry, telemetry.NotTaken, 0)
+			s.observeMessageEnd(m.Entry, telemetry.NotTaken, 0)
 			s.observeRefused(m.Dest, telemetry.CauseLoad)
 			s.journal.End(m.Entry)
 			s.forget(m)
@@ -152,6 +152,6 @@
 	if a.Kind == policy.ActRefuse {
 		ending = journal.EndingReturned
 	}
-	s.observeOver(m.Entry, [...]telemetry.End{journal.EndingAbandoned: telemetry.GivenUp, journal.EndingReturned: telemetry.HandedBack}[ending], retryAfterMS)
+	s.observeMessageEnd(m.Entry, [...]telemetry.End{journal.EndingAbandoned: telemetry.GivenUp, journal.EndingReturned: telemetry.HandedBack}[ending], retryAfterMS)
 	s.endWithNotice(m.Entry, ending, retryAfterMS)
 }
--- a/internal/sender/takeover.go
+++ b/internal/sender/takeover.go
@@ -147,7 +147,7 @@
 	t.Stage = copies.Done
 }
 
-// activateEntries makes the entries of an agreed takeover this sender's messages. Entries with a key in elsewhere were
+// activateEntries makes the entries of an agreed takeover this sender's messages. Entries with a key in keysElsewhere were
 // resubmitted to another sender, which is responsible for them now: they are not sent but abandoned, with a notice about
 // their old ID.
 func (s *Sender) activateEntries(owner string, token uint64, holds []journal.Hold, keysElsewhere []uint64) {
--- a/internal/sender/trials.go
+++ b/internal/sender/trials.go
@@ -10,12 +10,12 @@
 
 // Fleet is the fleet of which a sender is a member. No method blocks.
 type Fleet interface {
-	Request(duty, zone string)
-	Release(duty string, end bool)
-	Publish(duty, word string)
-	Token(duty string) uint64 // the fencing token of a duty that this member holds now; 0 if it does not
-	HeldDuties() int          // the number of duties held now
-	Live() bool               // whether this member's view of the fleet can be relied on now
+	Request(duty, zone string)     // requests a duty, or a place in its queue
+	Release(duty string, end bool) // gives a duty up; end: no member needs it any longer
+	Publish(duty, word string)     // publishes a word about a duty that this member holds
+	Token(duty string) uint64      // the fencing token of a duty that this member holds now; 0 if it does not
+	HeldDuties() int               // the number of duties held now
+	Live() bool                    // whether this member's view of the fleet can be relied on now
 }
 
 // trials is a sender's part in the half-open trials that a fleet shares. Updates of duties arrive on a goroutine of the
