--- a/internal/sender/firstmessage_test.go
+++ b/internal/sender/firstmessage_test.go
@@ -70,7 +70,7 @@
 	select {
 	case ids := <-p.calls:
 		if len(ids) != 2 || ids[0] != "leader" {
-			t.Fatalf("the call has messages %v, want leader and another", ids)
+			t.Fatalf("the call has messages %v, want the first message and another", ids)
 		}
 	case <-time.After(testTimeout):
 		t.Fatal("no call received")
--- a/internal/sender/holds.go
+++ b/internal/sender/holds.go
@@ -32,7 +32,7 @@
 	s.journal.SetHold(h, int64(s.now))
 }
 
-// importHolds copies the holds of the lost owner into this journal; shift converts their times to this sender's clock.
+// importHolds copies the holds of the lost owner into this journal; offset converts their times to this sender's clock.
 func (s *Sender) importHolds(t *takeover, offset int64) {
 	t.holds = nil
 	for _, hold := range journal.ReplayHolds(t.Found.Records) {
--- a/internal/sender/observe.go
+++ b/internal/sender/observe.go
@@ -13,20 +13,20 @@
 )
 
 const (
-	holdsInterval  = 10.0   // milliseconds between checks why messages wait
-	gaugesInterval = 1000.0 // milliseconds between sets of gauges
+	waitCausesInterval = 10.0   // milliseconds between checks why messages wait
+	gaugesInterval     = 1000.0 // milliseconds between sets of gauges
 )
 
 // observer records the sender's activity in telemetry and, if enabled, in the log. Each record is a push into a bounded
 // queue or a log line; with a nil Recorder and without logRecords nothing is recorded.
 type observer struct {
 	*telemetry.Recorder
-	logRecords    bool // log each record of a message
-	log           zerolog.Logger
-	reportedHolds map[int]policy.WaitCause // as last reported, by destination
-	nextHolds     float64
-	nextGauges    float64
-	holdsSkipped  bool // a check was skipped; the next is due at nextHolds
+	logRecords     bool // log each record of a message
+	log            zerolog.Logger
+	reportedCauses map[int]policy.WaitCause // as last reported, by destination
+	nextCauses     float64
+	nextGauges     float64
+	causesSkipped  bool // a check was skipped; the next is due at nextCauses
 }
 
 // On reports whether records are wanted.
@@ -133,7 +133,7 @@
 	}
 }
 
-var holdCauses = [...]telemetry.Cause{
+var telemetryCauses = [...]telemetry.Cause{
 	policy.CauseNoEndpoint: telemetry.CauseNone, policy.CauseRequestedWait: telemetry.CauseTold, policy.CauseBreaker: telemetry.CauseBreaker,
 	policy.CausePaceCap: telemetry.CauseStorm, policy.CausePace: telemetry.CausePace, policy.CauseSlot: telemetry.CauseSlot, policy.CauseRetry: telemetry.CauseRetry,
 }
@@ -144,25 +144,25 @@
 	if !o.On() {
 		return
 	}
-	if o.holdsSkipped = s.now < o.nextHolds; o.holdsSkipped {
+	if o.causesSkipped = s.now < o.nextCauses; o.causesSkipped {
 		return
 	}
-	o.nextHolds = s.now + holdsInterval
+	o.nextCauses = s.now + waitCausesInterval
 	waiting := 0
-	current := make(map[int]policy.WaitCause, len(o.reportedHolds))
+	current := make(map[int]policy.WaitCause, len(o.reportedCauses))
 	s.module.EachWaiting(func(dest int, why policy.WaitCause) {
 		waiting++
 		current[dest] = why
-		if old, reported := o.reportedHolds[dest]; !reported || old != why {
-			o.Push(telemetry.Record{Kind: telemetry.Holds, Dest: int32(dest), Cause: holdCauses[why], At: s.now})
+		if old, reported := o.reportedCauses[dest]; !reported || old != why {
+			o.Push(telemetry.Record{Kind: telemetry.Holds, Dest: int32(dest), Cause: telemetryCauses[why], At: s.now})
 		}
 	})
-	for dest := range o.reportedHolds {
+	for dest := range o.reportedCauses {
 		if _, still := current[dest]; !still {
 			o.Push(telemetry.Record{Kind: telemetry.Holds, Dest: int32(dest), At: s.now})
 		}
 	}
-	o.reportedHolds = current
+	o.reportedCauses = current
 	if s.now < o.nextGauges {
 		return
 	}
@@ -209,8 +209,8 @@
 	switch {
 	case !s.observer.On() || len(s.messages) == 0:
 		return wait
-	case s.observer.holdsSkipped:
-		return min(wait, fromMillis(s.observer.nextHolds-s.clock.Now()))
+	case s.observer.causesSkipped:
+		return min(wait, fromMillis(s.observer.nextCauses-s.clock.Now()))
 	}
 	return min(wait, 100*time.Millisecond)
 }
