--- a/internal/intake/rig_test.go
+++ b/internal/intake/rig_test.go
@@ -21,31 +21,31 @@
 	"sliptide/policy"
 )
 
-const patient = 10 * time.Second
+const testTimeout = 10 * time.Second
 
-// hooks are called in the connections that a door lets in; each may be nil.
+// hooks are called on the connections of a hookedListener. Each may be nil.
 type hooks struct {
-	accepted func()         // before the server hears of a connection
-	wrote    func()         // after an answer is written, before the server goes on
-	closing  func(net.Conn) // once a connection, before the server closes any part of it
-	halved   func(net.Conn) // after the half-close
+	accepted   func()         // before Accept returns a connection to the server
+	wrote      func()         // after each write, before it returns to the server
+	closing    func(net.Conn) // once for each connection, before it is closed or half-closed
+	halfClosed func(net.Conn) // after the half-close
 }
 
-// door is a listener whose connections call the hooks.
-type door struct {
+// hookedListener is a listener whose connections call the hooks.
+type hookedListener struct {
 	net.Listener
 	*hooks
 }
 
-func (d door) Accept() (net.Conn, error) {
-	nc, err := d.Listener.Accept()
+func (l hookedListener) Accept() (net.Conn, error) {
+	nc, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	if d.accepted != nil {
-		d.accepted()
+	if l.accepted != nil {
+		l.accepted()
 	}
-	return &hookedConn{TCPConn: nc.(*net.TCPConn), hooks: d.hooks}, nil
+	return &hookedConn{TCPConn: nc.(*net.TCPConn), hooks: l.hooks}, nil
 }
 
 type hookedConn struct {
@@ -62,7 +62,7 @@
 	return n, err
 }
 
-func (c *hookedConn) first() {
+func (c *hookedConn) beforeClose() {
 	c.once.Do(func() {
 		if c.closing != nil {
 			c.closing(c.TCPConn)
@@ -71,38 +71,40 @@
 }
 
 func (c *hookedConn) Close() error {
-	c.first()
+	c.beforeClose()
 	return c.TCPConn.Close()
 }
 
 func (c *hookedConn) CloseWrite() error {
-	c.first()
+	c.beforeClose()
 	err := c.TCPConn.CloseWrite()
-	if c.halved != nil {
-		c.halved(c.TCPConn)
+	if c.halfClosed != nil {
+		c.halfClosed(c.TCPConn)
 	}
 	return err
 }
 
-// rig is a server with a sender that has one destination, 3, at which nobody answers.
+// rig is a server with a sender that has one destination, 3, whose endpoint accepts connections and never answers.
 type rig struct {
 	*Server
-	t    *testing.T
-	snd  *sender.Sender
-	ln   net.Listener
-	dir  string
-	addr string
+	t      *testing.T
+	sender *sender.Sender
+	ln     net.Listener
+	dir    string
+	addr   string
 }
 
 var rigSettings = policy.Settings{
-	Senders: 1, CallSlots: 10, MaxAttempts: 6, MaxHeld: 1000, KeepAlive: 10000, DialTimeout: 1500, WarmUpDuration: 10000, ColdCapacity: 0.25,
-	OverloadMultiple: 1.5, OverloadWindow: 3000, SendsRetryAfter: true, MaxRetryAfter: 2000, AllowanceIndex: -1, LimitIndex: -1, MinStepInterval: 1, Kinds: []policy.DestKind{{Batch: 1}},
+	Senders: 1, CallSlots: 10, MaxAttempts: 6, MaxHeld: 1000, KeepAlive: 10000, DialTimeout: 1500,
+	WarmUpDuration: 10000, ColdCapacity: 0.25,
+	OverloadMultiple: 1.5, OverloadWindow: 3000, SendsRetryAfter: true, MaxRetryAfter: 2000,
+	AllowanceIndex: -1, LimitIndex: -1, MinStepInterval: 1, Kinds: []policy.DestKind{{Batch: 1}},
 	Classes: []policy.Class{{Name: "safe", Aim: 15000, Deadline: 20000, Worth: 1, LateWorth: 0.5, Effect: policy.Safe}},
 }
 
-func newRig(t *testing.T, room int, h *hooks) *rig {
+func newRig(t *testing.T, maxConns int, h *hooks) *rig {
 	t.Helper()
-	silent, err := net.Listen("tcp", "127.0.0.1:0") // connections come up, and nobody answers
+	blackHole, err := net.Listen("tcp", "127.0.0.1:0") // the kernel accepts connections, and no request is answered
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -111,32 +113,33 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	set := rigSettings
-	r.snd = sender.New(sender.Options{Settings: set, Seed: 1, MaxConns: 10, Journal: jr, Restored: restored, Clock: sender.NewClock(),
-		Log: zerolog.Nop(), Notify: func(discovery.Notice) {}})
-	go r.snd.Run()
-	r.snd.UpdateEndpoints(discovery.List{Full: true, Endpoints: []discovery.Endpoint{{
-		Endpoint: policy.Endpoint{ID: 1, Dest: 3, State: policy.Ready}, Name: "e", Addr: silent.Addr().String()}}})
-	r.Server = New(&set, r.snd, room, zerolog.Nop())
+	settings := rigSettings
+	r.sender = sender.New(sender.Options{Settings: settings, Seed: 1, MaxConns: 10, Journal: jr, Restored: restored,
+		Clock: sender.NewClock(),
+		Log:   zerolog.Nop(), Notify: func(discovery.Notice) {}})
+	go r.sender.Run()
+	r.sender.UpdateEndpoints(discovery.List{Full: true, Endpoints: []discovery.Endpoint{{
+		Endpoint: policy.Endpoint{ID: 1, Dest: 3, State: policy.Ready}, Name: "e", Addr: blackHole.Addr().String()}}})
+	r.Server = New(&settings, r.sender, maxConns, zerolog.Nop())
 	r.SetReady()
 	if r.ln, err = net.Listen("tcp", "127.0.0.1:0"); err != nil {
 		t.Fatal(err)
 	}
 	r.addr = r.ln.Addr().String()
-	go r.Serve(door{r.ln, h})
+	go r.Serve(hookedListener{r.ln, h})
 	t.Cleanup(func() {
 		r.ln.Close()
-		r.snd.Stop()
-		r.snd.ClientsGone()
-		<-r.snd.Done()
+		r.sender.Stop()
+		r.sender.ClientsGone()
+		<-r.sender.Done()
 		jr.Close()
-		silent.Close()
+		blackHole.Close()
 	})
 	return r
 }
 
-// journaled tells what the next life would find, once the sender has left.
-func (r *rig) journaled() map[string]bool {
+// journaledTraces returns the trace ids of the messages that the next run would restore. The sender must have stopped.
+func (r *rig) journaledTraces() map[string]bool {
 	r.t.Helper()
 	jr, restored, err := journal.Open(r.dir, statedir.NewSpace(1<<20).Account())
 	if err != nil {
@@ -150,21 +153,21 @@
 	return held
 }
 
-// guest is a client's connection.
-type guest struct {
+// testClient is a client's side of a connection.
+type testClient struct {
 	net.Conn
-	rd *bufio.Reader
+	reader *bufio.Reader
 }
 
-func (r *rig) visit() *guest {
+func (r *rig) connect() *testClient {
 	r.t.Helper()
 	nc, err := net.Dial("tcp", r.addr)
 	if err != nil {
 		r.t.Fatal(err)
 	}
 	r.t.Cleanup(func() { nc.Close() })
-	nc.SetDeadline(time.Now().Add(patient))
-	return &guest{nc, bufio.NewReader(nc)}
+	nc.SetDeadline(time.Now().Add(testTimeout))
+	return &testClient{nc, bufio.NewReader(nc)}
 }
 
 func request(id string) string {
@@ -172,60 +175,60 @@
 		"X-Route-To: dest=3\r\nContent-Length: 5\r\n\r\nhello", id)
 }
 
-func (g *guest) say(text string) error {
-	_, err := io.WriteString(g, text)
+func (c *testClient) send(text string) error {
+	_, err := io.WriteString(c, text)
 	return err
 }
 
-// hear reads one answer whole.
-func (g *guest) hear(t *testing.T) *http.Response {
+// readResponse reads one answer to the end of its body.
+func (c *testClient) readResponse(t *testing.T) *http.Response {
 	t.Helper()
-	res, err := http.ReadResponse(g.rd, nil)
+	res, err := http.ReadResponse(c.reader, nil)
 	if err != nil {
 		t.Fatalf("no answer: %v", err)
 	}
 	if _, err := io.ReadAll(res.Body); err != nil {
-		t.Fatalf("an answer cut short: %v", err)
+		t.Fatalf("incomplete answer: %v", err)
 	}
 	return res
 }
 
-// ends reports how the connection ends for the client: io.EOF where it was closed cleanly.
-func (g *guest) ends() error {
-	_, err := g.rd.ReadByte()
+// readEnd returns the error that ends the connection for the client: io.EOF after a clean close.
+func (c *testClient) readEnd() error {
+	_, err := c.reader.ReadByte()
 	return err
 }
 
-func (r *rig) cleanEnd(g *guest) {
+func (r *rig) expectCleanClose(client *testClient) {
 	r.t.Helper()
-	if err := g.ends(); !errors.Is(err, io.EOF) {
-		r.t.Errorf("the connection ends with %v, want a clean end", err)
+	if err := client.readEnd(); !errors.Is(err, io.EOF) {
+		r.t.Errorf("the connection ends with %v, want a clean close", err)
 	}
 }
 
-// rested is a connection that has had so many answers and rests.
-func (r *rig) rested(name string, answers int) *guest {
+// connectAndIdle returns an idle connection on which that many requests were answered.
+func (r *rig) connectAndIdle(name string, requests int) *testClient {
 	r.t.Helper()
-	g := r.visit()
-	for i := range answers {
-		g.say(request(fmt.Sprintf("%s-%d", name, i)))
-		if res := g.hear(r.t); res.StatusCode != 202 {
+	client := r.connect()
+	for i := range requests {
+		client.send(request(fmt.Sprintf("%s-%d", name, i)))
+		if res := client.readResponse(r.t); res.StatusCode != 202 {
 			r.t.Fatalf("answer %d", res.StatusCode)
 		}
 	}
-	return g
+	return client
 }
 
-// delayed reports whether the system may hold small writes back.
-func delayed(t *testing.T, nc *net.TCPConn) bool {
+// nagleEnabled reports whether the kernel may delay small writes: TCP_NODELAY is not set.
+func nagleEnabled(t *testing.T, nc *net.TCPConn) bool {
 	raw, err := nc.SyscallConn()
 	if err != nil {
 		t.Error(err)
 		return true
 	}
-	on := 0
+	noDelay := 0
 	raw.Control(func(fd uintptr) {
-		on, err = syscall.GetsockoptInt(int(fd), syscall.IPPROTO_TCP, syscall.TCP_NODELAY)
+		noDelay, err = syscall.GetsockoptInt(int(fd), syscall.IPPROTO_TCP, syscall.TCP_NODELAY)
 	})
-	return err != nil || on == 0
+	return err != nil || noDelay == 0
 }
