--- /dev/null
+++ b/internal/sender/endpoints.go
@@ -0,0 +1,102 @@
+package sender
+
+import (
+	"sliptide/internal/discovery"
+	"sliptide/internal/operate"
+	"sliptide/policy"
+)
+
+// This file handles updates of endpoints: endpoint lists, and endpoints disabled or enabled by an operator.
+
+// UpdateEndpoints applies an update of the endpoint list.
+func (s *Sender) UpdateEndpoints(l discovery.List) { s.post(input{list: &l}) }
+
+// SetDisabled disables or enables an endpoint for an operator. It returns when the change is in force: no new call goes
+// to a disabled endpoint from then on. If no list has named the endpoint, it returns operate.ErrNeverListed.
+func (s *Sender) SetDisabled(id string, disabled bool) error {
+	return s.requestDisable(id, disabled, false)
+}
+
+// ApplyDisabled repeats a change that another process of this sender made, also for an endpoint that was never listed.
+func (s *Sender) ApplyDisabled(id string, disabled bool) error {
+	return s.requestDisable(id, disabled, true)
+}
+
+func (s *Sender) requestDisable(id string, disabled, replicated bool) error {
+	req := &disableRequest{id: id, disabled: disabled, replicated: replicated, done: make(chan error, 1)}
+	s.post(input{disable: req})
+	select {
+	case err := <-req.done:
+		return err
+	case <-s.done:
+		return errStopped
+	}
+}
+
+// handleDisable executes a disable request. The module receives the endpoint as if it had been listed again.
+func (s *Sender) handleDisable(req *disableRequest) error {
+	id, named := s.endpointIDs[req.id]
+	if !named && !req.replicated && !s.disabled.Has(req.id) { // one disabled in an earlier process may not be listed yet
+		return operate.ErrNeverListed
+	}
+	if err := s.disabled.Set(req.id, req.disabled); err != nil {
+		return err
+	}
+	s.recordDisabled(req.id, req.disabled)
+	s.log.Info().Str("endpoint", req.id).Bool("out", req.disabled).Msg("endpoint disabled or enabled by an operator")
+	if e, listed := s.endpoints[id]; named && listed {
+		s.handleList(&discovery.List{Endpoints: []discovery.Endpoint{e}})
+	}
+	return nil
+}
+
+// logDestLimit logs, once, that a destination is not served because of MaxDestinations.
+func (s *Sender) logDestLimit(dest int) {
+	if s.destLimitLogged {
+		return
+	}
+	s.destLimitLogged = true
+	s.log.Error().Int("dest", dest).Int("destinations_allowed", MaxDestinations).Msg("destination limit reached: messages for this and further destinations are refused")
+}
+
+func (s *Sender) handleList(l *discovery.List) {
+	if s.successor {
+		s.holdList(l)
+		return
+	}
+	s.recall(l)
+	ev := policy.Event{Kind: policy.EvList, FullList: l.Full}
+	listed := make(map[uint32]bool, len(l.Endpoints))
+	for _, e := range l.Endpoints {
+		s.endpointIDs[e.Name] = e.ID
+		if e.State != policy.Gone {
+			s.endpoints[e.ID] = e
+		}
+		s.recordDraining(&e)
+		e.State = s.avoided.State(e.Name, s.disabled.State(e.Name, e.State), s.now)
+		if s.partner != nil {
+			if p := s.partner(e.Dest); p != nil && p.HTTP2 {
+				e.Endpoint.Streams = s.http2Streams
+			}
+		}
+		ev.List = append(ev.List, e.Endpoint)
+		listed[e.ID] = e.State == policy.Ready
+		if e.State != policy.Gone {
+			if len(s.listedDests) < MaxDestinations {
+				s.listedDests[e.Dest] = true
+			} else if !s.listedDests[e.Dest] {
+				s.logDestLimit(e.Dest)
+			}
+		}
+	}
+	s.stormGuard.UpdateEndpoints(s.now, ev.List, ev.FullList)
+	s.events = append(s.events, ev)
+	s.honourListedWaits(ev.List)
+	s.suspendListed()
+	for c := range s.calls {
+		// An endpoint that is draining or gone must receive no new call; an unsent call is new.
+		if ready, named := listed[c.Endpoint]; !ready && (named || l.Full) {
+			s.dropUnsent(c)
+		}
+	}
+}
