--- a/internal/discovery/bounds_test.go
+++ b/internal/discovery/bounds_test.go
@@ -17,8 +17,8 @@
 	"sliptide/policy"
 )
 
-// listOf is a whole list of so many endpoints, each of a destination of its own.
-func listOf(version, endpoints int) string {
+// listText returns a whole list with that many endpoints, each of a different destination.
+func listText(version, endpoints int) string {
 	var text strings.Builder
 	fmt.Fprintf(&text, `{"version":%d,"full":true,"servers":[`, version)
 	for i := range endpoints {
@@ -31,14 +31,15 @@
 	return text.String()
 }
 
-// scriptedAgent answers each ask with the next of its bodies, chunked if it says so, and is silent after the last.
-func scriptedAgent(t *testing.T, chunked bool, bodies ...string) (addr string, asked <-chan string) {
+// startScriptedAgent starts an agent that answers each request with the next of the bodies and no request after the last
+// one. It sends the URI of each request to the returned channel.
+func startScriptedAgent(t *testing.T, chunked bool, bodies ...string) (addr string, requests <-chan string) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { ln.Close() })
-	asks := make(chan string, 64)
+	received := make(chan string, 64)
 	var mu sync.Mutex
 	next := func() (body string, ok bool) {
 		mu.Lock()
@@ -56,7 +57,7 @@
 			if err != nil {
 				return
 			}
-			asks <- request.URL.RequestURI()
+			received <- request.URL.RequestURI()
 			body, ok := next()
 			switch {
 			case !ok:
@@ -76,10 +77,10 @@
 			go serve(nc)
 		}
 	}()
-	return ln.Addr().String(), asks
+	return ln.Addr().String(), received
 }
 
-// syncBuffer is a log that the test reads while the watch writes it.
+// syncBuffer is a log that the test can read while the watch writes to it.
 type syncBuffer struct {
 	mu  sync.Mutex
 	buf bytes.Buffer
@@ -97,15 +98,15 @@
 	return b.buf.String()
 }
 
-// A list of some 500 endpoints and more is over the bound of other bodies (http1.MaxBody). It was taken for silence:
-// the log said that discovery does not answer, and the sender served nobody.
-func TestALongListIsTaken(t *testing.T) {
+// A list of some 500 endpoints or more exceeds the limit for other bodies (http1.MaxBody). Guards against a sender that
+// rejects such a list, logs that discovery does not answer, and serves no destination.
+func TestLongListIsAccepted(t *testing.T) {
 	const endpoints = 5000
 	for _, chunked := range []bool{false, true} {
-		addr, _ := scriptedAgent(t, chunked, listOf(7, endpoints))
+		addr, _ := startScriptedAgent(t, chunked, listText(7, endpoints))
 		lists := make(chan List, 1)
 		w := NewWatch(addr, &policy.Settings{}, 1, zerolog.Nop(), func(l List) { lists <- l })
-		if err := w.once(context.Background()); err != nil {
+		if err := w.requestList(context.Background()); err != nil {
 			t.Fatalf("chunked %t: %v", chunked, err)
 		}
 		if l := <-lists; !l.Full || len(l.Endpoints) != endpoints {
@@ -115,19 +116,20 @@
 	}
 }
 
-// A list over MaxList is not taken, whichever way its length is told. The log says what is too long and what is
-// allowed, once, nothing that was known is taken away, and a list that fits is taken afterwards.
-func TestAListPastTheBoundChangesNothing(t *testing.T) {
-	long := listOf(8, 1) + strings.Repeat(" ", MaxList)
+// A list over MaxList is rejected, with a Content-Length and chunked. The log reports it once, with the allowed length.
+// The endpoints known before stay, and a shorter list is accepted afterwards.
+func TestOversizedListChangesNothing(t *testing.T) {
+	long := listText(8, 1) + strings.Repeat(" ", MaxList)
 	for _, chunked := range []bool{false, true} {
-		addr, asked := scriptedAgent(t, chunked, listOf(7, 3), long, long, listOf(9, 2))
+		addr, requests := startScriptedAgent(t, chunked, listText(7, 3), long, long, listText(9, 2))
 		lists := make(chan List, 4)
 		var log syncBuffer
 		w := NewWatch(addr, &policy.Settings{}, 1, zerolog.New(&log), func(l List) { lists <- l })
 		ctx, cancel := context.WithCancel(context.Background())
 		done := make(chan struct{})
 		go func() { w.Run(ctx); close(done) }()
-		expect(t, asked, "/discovery/hosts", "/discovery/hosts?index=7&wait=3000", "/discovery/hosts", "/discovery/hosts", "/discovery/hosts?index=9&wait=3000")
+		expectRequests(t, requests, "/discovery/hosts", "/discovery/hosts?index=7&wait=3000",
+			"/discovery/hosts", "/discovery/hosts", "/discovery/hosts?index=9&wait=3000")
 		cancel()
 		<-done
 		close(lists)
@@ -136,75 +138,77 @@
 			sizes = append(sizes, len(l.Endpoints))
 		}
 		if fmt.Sprint(sizes) != "[3 2]" {
-			t.Errorf("chunked %t: lists of %v endpoints were taken, want 3 and 2", chunked, sizes)
+			t.Errorf("chunked %t: accepted lists of %v endpoints, want 3 and 2", chunked, sizes)
 		}
 		if n := strings.Count(log.String(), "list of endpoints too long"); n != 1 || !strings.Contains(log.String(), fmt.Sprintf(`"bytes_allowed":%d`, MaxList)) {
-			t.Errorf("chunked %t: said %d times:\n%s", chunked, n, log.String())
+			t.Errorf("chunked %t: logged %d times, want once with bytes_allowed:\n%s", chunked, n, log.String())
 		}
 	}
 }
 
-// An endpoint past the number that are known is passed over, and the log says so once.
-func TestEndpointsPastTheBoundAreReported(t *testing.T) {
+// Endpoints beyond MaxEndpoints are ignored, and the log reports it once.
+func TestEndpointsOverLimitAreLogged(t *testing.T) {
 	var log syncBuffer
-	taken := 0
-	w := NewWatch("127.0.0.1:1", &policy.Settings{}, 1, zerolog.New(&log), func(l List) { taken = len(l.Endpoints) })
-	if err := w.Restore([]byte(listOf(1, MaxEndpoints+2))); err != nil {
+	accepted := 0
+	w := NewWatch("127.0.0.1:1", &policy.Settings{}, 1, zerolog.New(&log), func(l List) { accepted = len(l.Endpoints) })
+	if err := w.Restore([]byte(listText(1, MaxEndpoints+2))); err != nil {
 		t.Fatal(err)
 	}
-	if n := strings.Count(log.String(), "too many endpoints"); taken != MaxEndpoints || n != 1 {
-		t.Errorf("%d endpoints taken, want %d; said %d times:\n%s", taken, MaxEndpoints, n, log.String())
+	if n := strings.Count(log.String(), "too many endpoints"); accepted != MaxEndpoints || n != 1 {
+		t.Errorf("%d endpoints accepted, want %d; logged %d times:\n%s", accepted, MaxEndpoints, n, log.String())
 	}
 }
 
-// Discovery is silent and comes back with a change just behind an ask that it never answers: the next ask is out
-// in time for its answer to bring the change before it counts as told, for fleets of any size, after any number of
-// failures. A watch was out for 3.5 s, and a pause of up to 5 s followed.
-func TestAnAskAfterASilentOneComesInTime(t *testing.T) {
-	const answer = time.Second
+// Discovery is silent, and recovers with a change right after a request that it never answers. For fleets of any size
+// and after any number of failures, the next request must be sent early enough for its answer to report the change
+// before it counts as known to the sender. Guards against a watch of 3.5 s that is followed by a pause of up to 5 s.
+func TestRetryAfterTimeoutIsInTime(t *testing.T) {
+	const answerTime = time.Second
 	for _, senders := range []int{1, 3, 30, 43, 44, 80, 300, 10000} {
-		for _, spent := range []time.Duration{0, listTimeout, dialTimeout + listTimeout, watchFor + watchGrace} {
+		for _, elapsed := range []time.Duration{0, listTimeout, dialTimeout + listTimeout, watchDuration + watchGrace} {
 			for _, answered := range []bool{false, true} {
-				p := newPace(&policy.Settings{Senders: senders, Subscribe: true, MaxSubscribeInterval: 10000}, 1)
+				b := newBackoff(&policy.Settings{Senders: senders, Subscribe: true, MaxSubscribeInterval: 10000}, 1)
 				worst := time.Duration(0)
 				for failures := 1; failures <= 20; failures++ {
 					for range 200 {
-						worst = max(worst, spent+p.next(failures, answered, spent))
+						worst = max(worst, elapsed+b.pause(failures, answered, elapsed))
 					}
 				}
-				if worst+answer > silenceMost {
-					t.Errorf("%d senders, an ask out for %v, answered before %t: the next one is out %v after it", senders, spent, answered, worst)
+				if worst+answerTime > maxSilence {
+					t.Errorf("%d senders, request timed out after %v, answered before %t: the next one is sent %v after it was sent",
+						senders, elapsed, answered, worst)
 				}
 			}
 		}
 	}
 }
 
-// The same on sockets: a process of a large fleet starts with a known list while discovery is silent.
-func TestSilentAtTheStartIsAskedAgainInTime(t *testing.T) {
+// A process of a large fleet starts with a known list while discovery is silent. Its second request must be sent in time
+// for a change to be seen before it counts as known to the sender: here over sockets.
+func TestSilentAgentAtStartIsRetriedInTime(t *testing.T) {
 	t.Parallel()
 	const watchers = 8
-	var wait sync.WaitGroup
+	var wg sync.WaitGroup
 	for seed := range uint64(watchers) {
-		wait.Go(func() {
-			addr, asked := agent(t) // silent from the first ask on
+		wg.Go(func() {
+			addr, requests := startAgent(t) // answers no request
 			w := NewWatch(addr, &policy.Settings{Senders: 300, Subscribe: true, MaxSubscribeInterval: 10000}, seed, zerolog.Nop(), func(List) {})
-			if err := w.Restore([]byte(listOf(41, 1))); err != nil {
+			if err := w.Restore([]byte(listText(41, 1))); err != nil {
 				t.Error(err)
 				return
 			}
 			ctx, cancel := context.WithCancel(context.Background())
 			done := make(chan struct{})
 			go func() { w.Run(ctx); close(done) }()
-			<-asked
+			<-requests
 			first := time.Now()
-			<-asked
-			if took := time.Since(first); took > silenceMost-500*time.Millisecond {
-				t.Errorf("seed %d: the second ask is out %v after the first", seed, took)
+			<-requests
+			if took := time.Since(first); took > maxSilence-500*time.Millisecond {
+				t.Errorf("seed %d: the second request was sent %v after the first", seed, took)
 			}
 			cancel()
 			<-done
 		})
 	}
-	wait.Wait()
+	wg.Wait()
 }
--- a/internal/outbound/window_test.go
+++ b/internal/outbound/window_test.go
@@ -10,9 +10,9 @@
 	"sliptide/policy"
 )
 
-// A repeat waits for its connection while the partner's window for repeats passes. It must not be written then, be it
-// that the connection never comes, that it comes late, or that the request waits for a turn to connect.
-func TestARepeatAfterItsWindowIsNotWritten(t *testing.T) {
+// Guards against a retry that is written after WriteBy, when the partner's idempotency window has passed: the
+// connection is never established, is established late, or the call waits for its turn to dial.
+func TestRetryAfterWriteByIsNotWritten(t *testing.T) {
 	const window = 100 * time.Millisecond
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -22,33 +22,33 @@
 	ended := make(chan []policy.Event, 1)
 	p := NewPool(Options{MaxConns: 4, KeepAlive: time.Second, DialTimeout: time.Minute, X0: -1, X1: -1,
 		OnDone: func(_ *Call, events []policy.Event) { ended <- events }})
-	end := func(name string, c *Call) {
+	wantMoot := func(name string, c *Call) {
 		t.Helper()
 		select {
-		case ev := <-ended:
-			if ev[0].Outcome != policy.Moot {
-				t.Errorf("%s: outcome %v, want that it was not sent", name, ev[0].Outcome)
+		case events := <-ended:
+			if events[0].Outcome != policy.Moot {
+				t.Errorf("%s: outcome %v, want Moot (not sent)", name, events[0].Outcome)
 			}
 		case <-time.After(5 * time.Second):
-			t.Fatalf("%s: the call does not end", name)
+			t.Fatalf("%s: the call has not ended within 5 s", name)
 		}
 	}
 	call := func(addr string) *Call {
 		return &Call{Endpoint: 1, Addr: addr, Items: []Item{{ID: 1, Trace: "t"}}, SentAt: time.Now(), Timeout: time.Minute,
 			WriteBy: time.Now().Add(window)}
 	}
-	full := backlogged(t)
-	c := call(full)
+	fullAddr := listenWithFullBacklog(t)
+	c := call(fullAddr)
 	p.Go(c)
-	end("a connection that does not come up", c)
+	wantMoot("connection never established", c)
 
 	c = call(ln.Addr().String())
-	c.MayStart = func() bool { // asked with the connection there: as if it had taken so long
+	c.MayStart = func() bool { // called once the connection is there: as if it had been established late
 		c.WriteBy = time.Now()
 		return true
 	}
 	p.Go(c)
-	end("a connection that comes up late", c)
+	wantMoot("connection established late", c)
 	nc, err := ln.Accept()
 	if err != nil {
 		t.Fatal(err)
@@ -58,14 +58,16 @@
 	p = NewPool(Options{MaxConns: 4, KeepAlive: time.Second, DialTimeout: time.Minute, X0: -1, X1: -1,
 		OnDone: func(_ *Call, events []policy.Event) { ended <- events }})
 	p.PaceDials(0, 4)
-	p.Go(&Call{Endpoint: 2, Addr: ln.Addr().String(), Items: []Item{{ID: 2, Trace: "u"}}, SentAt: time.Now(), Timeout: time.Minute})
+	p.Go(&Call{
+		Endpoint: 2, Addr: ln.Addr().String(), Items: []Item{{ID: 2, Trace: "u"}}, SentAt: time.Now(), Timeout: time.Minute,
+	})
 	c = call(ln.Addr().String())
 	p.Go(c)
-	end("a turn to connect that comes late", c)
+	wantMoot("late turn to dial", c)
 }
 
-// backlogged is the address of a listener that takes no connection: its line is full, and nobody accepts.
-func backlogged(t *testing.T) string {
+// listenWithFullBacklog returns the address of a listener that accepts no connection and whose backlog is full.
+func listenWithFullBacklog(t *testing.T) string {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
 	if err != nil {
@@ -87,6 +89,6 @@
 		}
 		t.Cleanup(func() { nc.Close() })
 	}
-	t.Fatal("its line is never full")
+	t.Fatal("the listen backlog is not full after 8 connections")
 	return ""
 }
--- a/internal/sender/outcomes.go
+++ b/internal/sender/outcomes.go
@@ -10,12 +10,12 @@
 	"sliptide/policy"
 )
 
-// This file ends things: calls, attempts, and messages with their notices.
+// This file handles the ends of calls, attempts and messages, and sends notices.
 
-// takeOutcome books the end of a call.
-func (s *Sender) takeOutcome(c *outbound.Call, events []policy.Event) {
+// handleOutcome records the end of a call.
+func (s *Sender) handleOutcome(c *outbound.Call, events []policy.Event) {
 	delete(s.calls, c)
-	if c.Abandoned() { // see leaderEnds
+	if c.Abandoned() { // its answer may count for nothing, see abandonIfFirst
 		for i := range events {
 			if events[i].Outcome == policy.OK {
 				events[i].Outcome = policy.Timeout
@@ -26,121 +26,120 @@
 	for i := range events {
 		e := &events[i]
 		if e.RequestedWait > 0 {
-			s.hold(c)
-			s.noteWait(c, e.RequestedWait)
+			s.dropCallsWithin(c)
+			s.recordWait(c, e.RequestedWait)
 		}
-		if e.Outcome != policy.Moot { // one that was not sent tells nothing
-			s.noteCall(c)
+		if e.Outcome != policy.Moot { // an unsent call tells nothing about its endpoint
+			s.recordCall(c)
 		}
-		s.guard.Outcome(s.now, e)
-		s.tried(c.Dest, e)
-		m := s.msgs[e.ID]
+		s.stormGuard.RecordOutcome(s.now, e)
+		s.recordFailedCall(c.Dest, e)
+		m := s.messages[e.ID]
 		if m == nil || m.call != c {
 			continue
 		}
 		m.call = nil
-		s.observeEnded(c, e)
+		s.observeAttemptEnd(c, e)
 		if e.Outcome == policy.OK || e.Final {
 			end := telemetry.Delivered
 			if e.Outcome != policy.OK {
 				end = telemetry.Closed
 			}
-			s.observeOver(m.Entry, end, 0)
-			s.over(m)
+			s.observeMessageEnd(m.Entry, end, 0)
+			s.complete(m)
 			continue
 		}
 		s.journal.EndAttempt(m.Entry, !e.Outcome.NeverRan())
 	}
 }
 
-// hold keeps calls back that still wait for their connection when a wait is told:
-// they would reach the destination inside it.
-func (s *Sender) hold(told *outbound.Call) {
-	apart := s.apart(told.Endpoint)
+// dropCallsWithin drops unsent calls that the wait requested by a partner covers: they would reach the destination during
+// the wait.
+func (s *Sender) dropCallsWithin(requested *outbound.Call) {
+	ownLimits := s.hasOwnLimits(requested.Endpoint)
 	for c := range s.calls {
-		if c.Dest == told.Dest && (!apart || c.Endpoint == told.Endpoint) {
-			s.drop(c)
+		if c.Dest == requested.Dest && (!ownLimits || c.Endpoint == requested.Endpoint) {
+			s.dropUnsent(c)
 		}
 	}
 }
 
-// drop gives up a call that has not begun, and reports whether it did; its messages learn at once that it never ran.
-func (s *Sender) drop(c *outbound.Call) bool {
+// dropUnsent drops a call that has not begun and records that it never ran. It reports whether the call was dropped.
+func (s *Sender) dropUnsent(c *outbound.Call) bool {
 	if c == nil || !c.Drop() {
 		return false
 	}
-	s.takeOutcome(c, c.DroppedEvents())
+	s.handleOutcome(c, c.DroppedEvents())
 	return true
 }
 
-// cutShort ends attempts whose time is up in a call that goes on for others: a
-// message with little time left would otherwise be out beyond its deadline with
-// the rest of a bulk call, and its end would come too late.
-func (s *Sender) cutShort() {
+// endExpiredAttempts ends attempts that have timed out in a call that continues for other messages. Otherwise a message
+// with little time left would stay in a bulk call beyond its deadline, and its notice would come too late.
+func (s *Sender) endExpiredAttempts() {
 	for c := range s.calls {
 		if len(c.Items) < 2 {
-			continue // its connection ends it
+			continue // the connection's timeout ends it
 		}
 		for i := range c.Items {
-			m := s.msgs[c.Items[i].ID]
-			if m == nil || m.call != c || m.cutAt > s.now {
+			m := s.messages[c.Items[i].ID]
+			if m == nil || m.call != c || m.attemptDeadline > s.now {
 				continue
 			}
-			if s.drop(c) { // it still waits for its connection, and would take along what is ended by then
+			if s.dropUnsent(c) { // an unsent call would still send the message after its end
 				break
 			}
 			m.call = nil
-			s.leaderEnds(c, m)
+			s.abandonIfFirst(c, m)
 			s.journal.EndAttempt(m.Entry, true)
 			s.events = append(s.events, policy.Event{
 				Kind: policy.EvOutcome, ID: m.Num, Attempt: c.Items[i].Attempt, Endpoint: c.Endpoint,
 				Outcome: policy.Timeout, Latency: float64(time.Since(c.SentAt)) / 1e6,
 			})
-			s.observeEnded(c, &s.events[len(s.events)-1])
+			s.observeAttemptEnd(c, &s.events[len(s.events)-1])
 		}
 	}
 }
 
-func (s *Sender) takeTold(nums []uint64) {
+func (s *Sender) handleAckedNotices(nums []uint64) {
 	for _, num := range nums {
-		if e := s.owed[num]; e != nil {
-			delete(s.owed, num)
+		if e := s.pendingNotices[num]; e != nil {
+			delete(s.pendingNotices, num)
 			s.journal.End(e)
 		}
 	}
 }
 
-// over forgets a message to which nothing more is owed.
-func (s *Sender) over(m *message) {
+// complete ends a message that needs no notice.
+func (s *Sender) complete(m *message) {
 	s.journal.End(m.Entry)
-	s.past.add(m.Trace, s.now)
+	s.ended.add(m.Trace, s.now)
 	s.forget(m)
 }
 
-// leaderEnds gives a call of several up whose first message ends, or is no longer out with it, before the answer.
-// Guards against an answer that a partner writes to a call that it knows by that message: it names the others as
-// accepted, and may count for nothing. They are in doubt from here on, whichever comes first, the end or the answer.
-// lead makes this rare.
-func (s *Sender) leaderEnds(c *outbound.Call, m *message) {
+// abandonIfFirst abandons a bulk call whose first message ends, or leaves the call, before the answer. A partner may
+// identify a call by its first message; its answer may then be void for the other messages too, although it names them
+// as accepted. They are treated as possibly delivered from then on, whichever comes first, the end or the answer.
+// chooseFirst makes this rare.
+func (s *Sender) abandonIfFirst(c *outbound.Call, m *message) {
 	if c != nil && len(c.Items) > 1 && c.Items[0].ID == m.Num {
 		c.Abandon()
 	}
 }
 
 func (s *Sender) forget(m *message) {
-	s.leaderEnds(m.call, m)
-	delete(s.msgs, m.Num)
-	delete(s.traces, m.Trace)
-	s.guard.Held(s.now, m.Dest, -1)
+	s.abandonIfFirst(m.call, m)
+	delete(s.messages, m.Num)
+	delete(s.numByTrace, m.Trace)
+	s.stormGuard.AdjustHeld(s.now, m.Dest, -1)
 }
 
-// owe ends a message that was taken on by a notice. It is over once that is taken.
-func (s *Sender) owe(e *journal.Entry, ending int, after float64) {
-	s.journal.OweNotice(e, ending, int64(after))
-	s.owed[e.Num] = e
-	s.notify(e)
+// endWithNotice ends an accepted message with a notice. Its journal entry is kept until the notice is accepted.
+func (s *Sender) endWithNotice(e *journal.Entry, ending int, retryAfterMS float64) {
+	s.journal.OweNotice(e, ending, int64(retryAfterMS))
+	s.pendingNotices[e.Num] = e
+	s.sendNotice(e)
 }
 
-func (s *Sender) notify(e *journal.Entry) {
-	s.notices(discovery.Notice{Num: e.Num, Trace: e.Trace, Returned: e.Ending == journal.EndingReturned, RetryMS: e.RetryMS})
+func (s *Sender) sendNotice(e *journal.Entry) {
+	s.notify(discovery.Notice{Num: e.Num, Trace: e.Trace, Returned: e.Ending == journal.EndingReturned, RetryMS: e.RetryMS})
 }
--- a/internal/sender/shards.go
+++ b/internal/sender/shards.go
@@ -7,48 +7,50 @@
 	"sliptide/policy"
 )
 
-// This file keeps a sender to the destinations of its shards, where the fleet has them: messages for others are refused
-// with word of who serves them, and what is known of a destination goes with its shard, once nothing of it is held here.
+// This file restricts a sender of a sharded fleet to the destinations of its shards. Messages for other destinations are
+// refused with the names of the members that serve them. The state of a destination is dropped with its shard, once no
+// message or call of the shard is left here.
 
-// leaveLook is how often, in milliseconds, shards that are leaving are looked at.
-const leaveLook = 250.0
+// leaveCheckIntervalMS is the interval between checks whether leaving shards can be released.
+const leaveCheckIntervalMS = 250.0
 
-// shards is what a sender knows of the assignment.
+// shards is a sender's view of the assignment of shards.
 type shards struct {
-	release func([]shard.ID) // tells that nothing is left of shards; it must not wait
-	locator *shard.Locator   // of the own region's members
-	serves  map[shard.ID]bool
-	leaving map[shard.ID]bool // unassigned, with messages left
-	dests   map[shard.ID]map[int]bool
-	lookAt  float64
+	release   func([]shard.ID) // reports shards of which nothing is left; must not block
+	locator   *shard.Locator   // of the members of the sender's own region
+	assigned  map[shard.ID]bool
+	leaving   map[shard.ID]bool // unassigned, but not released yet
+	dests     map[shard.ID]map[int]bool
+	nextCheck float64
 }
 
-// Shard makes the sender serve the destinations of its shards alone: none until they are told. Each shard has so many
-// replicas in a region. release is told of shards of which nothing is left here. It is called before Run.
+// EnableSharding restricts the sender to the destinations of its assigned shards, of which it has none at first. replicas
+// is the number of replicas of a shard in a region. release is called with shards of which nothing is left here. It is
+// called before Run.
 func (s *Sender) EnableSharding(replicas int, release func([]shard.ID)) {
-	s.shards = &shards{release: release, locator: shard.NewLocator(replicas), serves: map[shard.ID]bool{}, leaving: map[shard.ID]bool{}, dests: map[shard.ID]map[int]bool{}}
+	s.shards = &shards{release: release, locator: shard.NewLocator(replicas), assigned: map[shard.ID]bool{}, leaving: map[shard.ID]bool{}, dests: map[shard.ID]map[int]bool{}}
 }
 
-// HeldShards are the shards of destinations that restored messages are for: the sender has to learn of them whoever
+// HeldShards returns the shards of the restored messages' destinations: the sender needs their endpoints whichever member
 // serves them now. It is called before Run.
 func (s *Sender) HeldShards() (ids []shard.ID) {
 	seen := map[shard.ID]bool{}
-	for _, m := range s.msgs {
+	for _, m := range s.messages {
 		if id := shard.Of(uint64(m.Dest)); !seen[id] {
 			seen[id] = true
 			ids = append(ids, id)
-			s.shards.leaving[id] = true // until they are assigned, if they are
+			s.shards.leaving[id] = true // until the shard is assigned, if it ever is
 		}
 	}
 	return ids
 }
 
-// Sharded takes what the subscription has learned.
-func (s *Sender) UpdateShards(u sharding.Update) { s.post(input{sharded: &u}) }
+// UpdateShards applies an update from the subscription to the directory.
+func (s *Sender) UpdateShards(u sharding.Update) { s.post(input{shardUpdate: &u}) }
 
-// takeSharded takes an update: shards that come are served from this step on, and nothing new is taken on for those that
-// go.
-func (s *Sender) takeSharded(u *sharding.Update) {
+// handleShardUpdate applies an update: assigned shards are served from this step on, and no message is accepted for
+// unassigned ones.
+func (s *Sender) handleShardUpdate(u *sharding.Update) {
 	sh := s.shards
 	if u.AllMembers {
 		sh.locator.Update(nil, sh.locator.Names())
@@ -64,42 +66,43 @@
 		}
 	}
 	for _, id := range u.Assigned {
-		sh.serves[id] = true
+		sh.assigned[id] = true
 		delete(sh.leaving, id)
 	}
 	for _, id := range u.Unassigned {
-		delete(sh.serves, id)
+		delete(sh.assigned, id)
 		sh.leaving[id] = true
 	}
 	if len(u.Entries) > 0 {
-		s.takeList(&discovery.List{Endpoints: u.Entries})
+		s.handleList(&discovery.List{Endpoints: u.Entries})
 	}
-	s.leaveShards(true)
+	s.releaseLeavingShards(true)
 }
 
-// misdirected reports whether a message is for a destination that others serve.
+// misdirected reports whether other members serve the destination.
 func (s *Sender) misdirected(dest int) bool {
-	return s.shards != nil && !s.shards.serves[shard.Of(uint64(dest))]
+	return s.shards != nil && !s.shards.assigned[shard.Of(uint64(dest))]
 }
 
-// misdirection is the verdict on such a message: who serves its destination, by what is known here.
+// misdirection returns the verdict on a misdirected message, with the members that serve its destination as far as known.
 func (s *Sender) misdirection(dest int) Verdict {
 	names := s.shards.locator.Replicas(shard.Of(uint64(dest)))
-	if len(names) == 0 { // nothing is known yet
-		return Verdict{NoRoute: true, RetryAfter: s.busyRetry()}
+	if len(names) == 0 { // the members are not known yet
+		return Verdict{NoRoute: true, RetryAfter: s.busyRetryAfter()}
 	}
 	return Verdict{Misdirected: true, ServedBy: names}
 }
 
-// leaveShards forgets destinations of shards that are leaving, once no message of them is held and no call is out.
-func (s *Sender) leaveShards(now bool) {
+// releaseLeavingShards releases leaving shards of which no message is held and no call is in progress. It checks at most
+// once in leaveCheckIntervalMS unless now is set.
+func (s *Sender) releaseLeavingShards(now bool) {
 	sh := s.shards
-	if sh == nil || len(sh.leaving) == 0 || !now && s.now < sh.lookAt {
+	if sh == nil || len(sh.leaving) == 0 || !now && s.now < sh.nextCheck {
 		return
 	}
-	sh.lookAt = s.now + leaveLook
+	sh.nextCheck = s.now + leaveCheckIntervalMS
 	busy := map[shard.ID]bool{}
-	for _, m := range s.msgs {
+	for _, m := range s.messages {
 		busy[shard.Of(uint64(m.Dest))] = true
 	}
 	for c := range s.calls {
@@ -117,15 +120,15 @@
 	}
 }
 
-// forgetShards drops all that is known of shards' destinations. Many may leave in one moment: their endpoints are looked
-// through once for all.
+// forgetShards drops all state of the shards' destinations. Many shards may leave at once, so it scans the endpoints once
+// for all of them.
 func (s *Sender) forgetShards(ids []shard.ID) {
 	sh := s.shards
 	leaving := map[int]bool{}
 	for _, id := range ids {
 		for dest := range sh.dests[id] {
 			leaving[dest] = true
-			delete(s.dests, dest)
+			delete(s.listedDests, dest)
 		}
 		delete(sh.dests, id)
 		delete(sh.leaving, id)
@@ -134,30 +137,30 @@
 		return
 	}
 	var gone []discovery.Endpoint
-	for _, e := range s.addrs {
+	for _, e := range s.endpoints {
 		if leaving[e.Dest] {
 			e.State = policy.Gone
 			gone = append(gone, e)
 		}
 	}
 	if len(gone) > 0 {
-		s.takeList(&discovery.List{Endpoints: gone})
+		s.handleList(&discovery.List{Endpoints: gone})
 	}
 	for _, e := range gone {
 		s.pool.CloseIdleConns(e.ID)
-		delete(s.addrs, e.ID)
-		delete(s.names, e.Name)
+		delete(s.endpoints, e.ID)
+		delete(s.endpointIDs, e.Name)
 	}
-	if len(gone) > len(s.addrs) {
-		s.addrs, s.names, s.dests, sh.dests = shrunk(s.addrs), shrunk(s.names), shrunk(s.dests), shrunk(sh.dests)
+	if len(gone) > len(s.endpoints) {
+		s.endpoints, s.endpointIDs, s.listedDests, sh.dests = shrinkMap(s.endpoints), shrinkMap(s.endpointIDs), shrinkMap(s.listedDests), shrinkMap(sh.dests)
 	}
 }
 
-// shrunk is a copy of a map of which most has been deleted: a map keeps the room that it once needed.
-func shrunk[K comparable, V any](m map[K]V) map[K]V {
-	small := make(map[K]V, len(m))
+// shrinkMap returns a copy of a map of which most was deleted, since a map never gives up the memory that it has grown to.
+func shrinkMap[K comparable, V any](m map[K]V) map[K]V {
+	shrunk := make(map[K]V, len(m))
 	for k, v := range m {
-		small[k] = v
+		shrunk[k] = v
 	}
-	return small
+	return shrunk
 }
