--- a/internal/h2/h2.go
+++ b/internal/h2/h2.go
@@ -78,7 +78,7 @@
 	Status  int // 0 if no response headers were received; may be set with any outcome
 	Fields  []Field
 	Body    []byte
-	Err     error // set for GoneAway, Broken, Unresponsive and InvalidResponse
+	Err     error // cause of a failure; nil if the request was answered, may be nil after Cancel
 }
 
 // Get returns the value of the first field with the given name, or "" if there is none.
--- a/internal/h2/h2_test.go
+++ b/internal/h2/h2_test.go
@@ -268,7 +268,8 @@
 	wantOutcome(t, result, h2.Unresponsive)
 }
 
-// A partner that does not read must not hold requests back: all of them end, and only one counts as sent.
+// A partner that does not read affects only its own connection, and memory stays bounded: all requests end, and only
+// one of them counts as sent.
 func TestPartnerReadsNothing(t *testing.T) {
 	release := make(chan struct{})
 	t.Cleanup(func() { close(release) })
--- a/internal/h2/placing/placing.go
+++ b/internal/h2/placing/placing.go
@@ -27,7 +27,7 @@
 	Phase  Phase
 	Limit  int     // streams that the peer permits; may be 0 temporarily
 	Active int     // open streams
-	UsedAt float64 // time in milliseconds at which its state last changed: it opened, or a stream ended
+	UsedAt float64 // time in milliseconds at which it opened or its last stream ended
 }
 
 // FreeStreams returns the number of further streams that the connection accepts.
