--- a/policy/api.go
+++ b/policy/api.go
@@ -1,83 +1,83 @@
 // Package policy decides when and where a sender delivers outbound messages.
 //
-// This file is the interface of the decision module: the settings it starts
-// from, the events it is told and the actions it answers with. It holds facts
-// only; every decision and every tuned value is in policy.go.
+// This file is the interface of the module: the settings that it starts with, the
+// events that it receives and the actions that it returns. The decisions and their
+// parameters are in policy.go.
 //
-// Times are milliseconds. The caller owns the clock.
+// Times are in milliseconds and come from the caller's clock.
 package policy
 
-// Effect tells what may be done with a message that may already have run.
+// Effect says whether a message that may already have run may be sent again.
 type Effect uint8
 
 // The effects of a class of message.
 const (
 	Safe   Effect = iota // may be repeated without restriction
-	Keyed                // repeats are dropped within the class's memory span
+	Keyed                // the destination drops repeats within the class's dedup window
 	Unsafe               // must never run twice
 )
 
 // Class describes one class of message.
 type Class struct {
 	Name        string
-	Aim         float64 // delivered within this time it earns its full worth
-	Deadline    float64 // how long it may be delivered at all
+	Aim         float64 // target latency: a message delivered within it earns its full worth
+	Deadline    float64 // time within which it may be delivered
 	Worth       float64
-	LateWorth   float64 // share of the worth left at the deadline
+	LateWorth   float64 // share of the worth that is left at the deadline
 	Effect      Effect
 	ZoneScope   bool    // keyed: only endpoints of the same zone drop repeats
 	DedupWindow float64 // keyed: how long repeats are dropped
-	Ordered     bool    // messages of one key go one at a time, in order
+	Ordered     bool    // messages of one key are sent one at a time, in order
 }
 
 // Tenant describes one tenant of the service.
 type Tenant struct {
 	Name  string
-	Quota float64 // messages a second within its share, over all senders
+	Quota float64 // messages per second within its share, over all senders
 }
 
 // DestKind describes one kind of destination.
 type DestKind struct {
 	Name      string
-	OwnLimits bool // endpoints are routes apart, each with its own limit
+	OwnLimits bool // each endpoint has a limit of its own
 	Batch     int  // messages that one call may carry
 }
 
-// Settings are the facts a sender starts with.
+// Settings is the configuration of a sender.
 type Settings struct {
 	Index, Senders             int
 	Zone                       int
-	Zones                      []string // names, by position
+	Zones                      []string // names, by index
 	MinStepInterval            float64  // least interval between steps
 	Classes                    []Class
 	Tenants                    []Tenant
 	Kinds                      []DestKind
-	ZoneFees                   []float64 // price of a message to a route apart, by zone
-	CrossZoneFee               float64   // price of an attempt that crosses zones, in points of G a first try
-	CallSlots                  int
-	WorthHalves                bool // worth halves with each further aim, else falls evenly
+	ZoneFees                   []float64 // fee of a message to an endpoint, by the endpoint's zone
+	CrossZoneFee               float64   // fee of a call to another zone, in score points per first attempt
+	CallSlots                  int       // calls that may be in flight at once
+	WorthHalves                bool      // late worth halves with each further aim of delay; otherwise it falls linearly
 	OverShareWorth             float64
-	RatingIsRate               bool // Endpoint.Rating is a rate in calls a second
-	AllowanceIndex, LimitIndex int  // positions in a report of the allowance left and the limit; -1 if absent
+	RatingIsRate               bool // Endpoint.Rating is a rate in calls per second
+	AllowanceIndex, LimitIndex int  // indexes in a report of the allowance left and of the limit; -1: absent
 	MayCancel                  bool
 	MayProbe                   bool
-	MarksResubmissions         bool // Event.Again is told
-	SendsRetryAfter            bool // clients are given the retry-after of a refusal
+	MarksResubmissions         bool // clients mark resubmissions: Event.Resubmitted is set
+	SendsRetryAfter            bool // refusals to clients carry a Retry-After
 	MaxRetryAfter              float64
 	MaxAttempts                int
-	MaxHeld                    int
-	StreamsPerConn             int
+	MaxHeld                    int // capacity for held messages
+	StreamsPerConn             int // calls that a connection carries at once
 	KeepAlive                  float64
 	DialTimeout                float64
-	Subscribe                  bool    // discovery is sent on request only
-	MaxSubscribeInterval       float64 // with Subscribe: how often the list must be asked for
+	Subscribe                  bool    // the endpoint list is sent on request only
+	MaxSubscribeInterval       float64 // with Subscribe: longest interval between requests for the list
 	AnswerSlack                float64 // how late a final answer may still come
 	DrainGrace                 float64
-	WarmUpDuration             float64 // a destination is warm this long after an outage
+	WarmUpDuration             float64 // time after an outage until a destination is warm
 	ColdCapacity               float64 // share of its capacity that a cold destination has
-	OverloadMultiple           float64
-	OverloadWindow             float64
-	KeyPause                   float64 // how long a key rests after an attempt in doubt
+	OverloadMultiple           float64 // multiple of its present capacity that overloads a destination
+	OverloadWindow             float64 // time at that load after which it collapses
+	KeyPause                   float64 // pause of a key after an attempt that may still run
 }
 
 // EndpointState is the listed state of an endpoint.
@@ -90,7 +90,7 @@
 	Draining EndpointState = 2
 )
 
-// Endpoint is one line of the list of endpoints.
+// Endpoint is an entry of the endpoint list.
 type Endpoint struct {
 	ID     uint32
 	State  EndpointState
@@ -98,30 +98,32 @@
 	Kind   int
 	Dest   int
 	Rating float64
-	// Streams is how many calls a connection there carries at once; 0: Settings.StreamsPerConn. Of its first line.
+	// Streams is the number of calls that a connection there carries at once; 0 means Settings.StreamsPerConn. Only the
+	// first entry of an endpoint sets it.
 	Streams int
 }
 
-// EventKind tells the events apart.
+// EventKind is the kind of an event.
 type EventKind uint8
 
-// The events. The fields that each one sets are named beside it.
+// The kinds of events, with the fields that each one sets.
 const (
-	EvList      EventKind = iota // List, Full; Failed if the list could not be had
-	EvMessage                    // ID, Class, Tenant, Key, Left, Again, Dest; if Restored: Attempts, Doubtful, DoubtAge, Zone
-	EvOutcome                    // ID, Endpoint, Attempt, Outcome, Wait, Latency, Closed, Report
+	EvList      EventKind = iota // List, FullList; Failed if the list could not be fetched
+	EvMessage                    // ID, Class, Tenant, Key, Remaining, Resubmitted, Dest; if Restored: Attempts, MayHaveRun*
+	EvOutcome                    // ID, Endpoint, Attempt, Outcome, RequestedWait, Latency, Final, Report
 	EvWithdrawn                  // ID
 	EvTimer                      // Token
 	EvProbe                      // Endpoint, Outcome, Latency, Report
-	EvFacts                      // Facts, of an earlier life, on what lists of this same step name for the first time
-	EvPace                       // Dest, or Endpoint of one with a limit of its own; Pace, which caps what goes there
-	EvSettings                   // Settings read anew: Classes, a list that only grows, and MaxAttempts
+	EvFacts                      // Facts of an earlier run, for endpoints that are first listed in this same step
+	EvPace                       // Dest, or Endpoint of one with a limit of its own; Pace, which caps the calls there
+	EvSettings                   // Settings read again: Classes, a list that only grows, and MaxAttempts
 )
 
-// Outcome tells how an attempt ended.
+// Outcome is how an attempt ended.
 type Outcome uint8
 
-// The outcomes. Full, ConnectFailed and Moot prove that the attempt never ran.
+// The outcomes. Full, ConnectFailed and Moot prove that the attempt never ran. Full is a refusal by a limit; Moot
+// says nothing about the endpoint.
 const (
 	OK Outcome = iota
 	Error
@@ -135,59 +137,59 @@
 
 var outcomeNames = [...]string{"ok", "error", "full", "timeout", "connect_failed", "reset", "cancelled", "moot"}
 
-// String is the outcome in a word.
+// String returns the name of the outcome.
 func (o Outcome) String() string { return outcomeNames[min(int(o), len(outcomeNames)-1)] }
 
 // NeverRan reports whether the outcome proves that the attempt did not run.
 func (o Outcome) NeverRan() bool { return o == Full || o == ConnectFailed || o == Moot }
 
-// Event is one thing that the sender is told.
+// Event is an input of the sender.
 type Event struct {
 	Kind           EventKind
 	ID             uint64
 	Class          int
 	Tenant         int
-	Key            uint64 // 0 = none
-	Remaining      float64
-	Resubmitted    bool // handed in again by its client, or taken over from a sender that died
+	Key            uint64  // 0: none
+	Remaining      float64 // time until the deadline
+	Resubmitted    bool    // by its client, or taken over from a sender that died
 	Dest           int
-	Restored       bool    // taken on in an earlier life of the sender, from its journal
+	Restored       bool    // accepted in an earlier run of the sender, from its journal
 	Attempts       int     // Restored: attempts made so far; they count towards MaxAttempts
-	MayHaveRun     bool    // Restored: one of them may have run:
-	MayHaveRunAge  float64 // how long ago the first of these was sent; less than the clock itself,
-	MayHaveRunZone int     // and the zone of its endpoint
+	MayHaveRun     bool    // Restored: one of the attempts may have run
+	MayHaveRunAge  float64 // Restored: time since the first such attempt was sent; less than the clock's time
+	MayHaveRunZone int     // Restored: zone of the endpoint of that attempt
 	Endpoint       uint32
 	Attempt        int
 	Outcome        Outcome
-	RequestedWait  float64 // the wait that was told; 0 = none
+	RequestedWait  float64 // wait that the partner asks for; 0: none
 	Latency        float64
-	Final          bool
+	Final          bool // the message has ended: it gets no further attempt or answer
 	Report         []float64
 	Token          uint32
 	List           []Endpoint
-	FullList       bool // List replaces the list held before
+	FullList       bool // List replaces all earlier lists
 	Failed         bool
 	Facts          []DestFacts
-	Pace           float64 // calls a second; 0 = no longer
+	Pace           float64 // calls per second; 0: the cap ends
 	Settings       *Settings
 }
 
-// ActionKind tells the actions apart.
+// ActionKind is the kind of an action.
 type ActionKind uint8
 
-// The actions. The fields that each one sets are named beside it.
+// The kinds of actions, with the fields that each one sets.
 const (
 	ActSend      ActionKind = iota // ID, Endpoint, After = time-out
-	ActRefuse                      // ID, After = retry-after; a promise that it never ran or may be repeated
-	ActFail                        // ID
+	ActRefuse                      // ID, After = Retry-After; promises that the message never ran or may be repeated
+	ActFail                        // ID; the message may have run
 	ActTimer                       // Token, After
 	ActProbe                       // Endpoint
-	ActCloseIdle                   // Endpoint
-	ActSubscribe                   // none
+	ActCloseIdle                   // Endpoint whose idle connections are closed
+	ActSubscribe                   // none; requests the endpoint list
 	ActLog                         // Text
 )
 
-// Action is one thing that the sender does.
+// Action is an output of the sender.
 type Action struct {
 	Kind     ActionKind
 	ID       uint64
--- a/policy/facts.go
+++ b/policy/facts.go
@@ -1,8 +1,8 @@
 package policy
 
-// This file tells what a Sender has learned and takes it up again in a later life. It is bookkeeping: it
-// copies state out and in, and decides nothing. Times are on the caller's clock; what they mean in a later
-// life, and how much of it still holds, is the caller's matter (internal/knowledge).
+// This file exports what a Sender has learned and restores it in a later run. It copies state and decides nothing.
+// Times are on the caller's clock; converting and ageing them for a later run is up to the caller
+// (internal/knowledge).
 
 import (
 	"math"
@@ -19,102 +19,103 @@
 	Ramping Health = Health(ramping)
 )
 
-// RouteFacts are what is known of a limit: a destination's, or an endpoint's where routes are apart.
+// RouteFacts holds what is known of a route: a destination, or an endpoint with a limit of its own.
 type RouteFacts struct {
-	WaitUntil       float64 // told: nothing goes before; 0 = none
-	AdvertisedLimit float64 // the whole limit in calls a second, as told; 0 = none
+	WaitUntil       float64 // end of the requested wait; 0: none
+	AdvertisedLimit float64 // whole limit in calls per second; 0: none
 	LimitReported   bool    // by the partner, not only by the list
-	Pace            float64 // own pace in calls a second; 0 = none
+	Pace            float64 // own pace in calls per second; 0: none
 	LastOK          float64 // when a call last succeeded
-	CallRate        float64 // calls a second of late,
-	AcceptedRate    float64 // those taken on,
-	DeliveredRate   float64 // and messages delivered
+	CallRate        float64 // recent calls per second
+	AcceptedRate    float64 // recent accepted calls per second
+	DeliveredRate   float64 // recent deliveries of messages per second
 }
 
-// LatencyFacts are a smoothed latency, its mean deviation, and the calls that they come from.
+// LatencyFacts holds a smoothed latency, its mean deviation in ms and the number of calls behind it.
 type LatencyFacts struct {
 	Mean, Dev float64
 	N         int
 }
 
-// ControlFacts are a destination's admission controller.
+// AdmissionFacts holds the state of a destination's admission controller.
 type AdmissionFacts struct {
-	LastArrival float64 // when a message last came
-	Lambda      float64 // messages a millisecond; 0 = not known
-	EX          float64
-	Theta       [2]float64
-	P           [2][2]float64
-	Pam         float64
-	Pa          float64
+	LastArrival float64       // when a message last arrived
+	Lambda      float64       // arrival rate in messages per millisecond; 0: unknown
+	EX          float64       // E[X], mean waiting time per delivery, in ms
+	Theta       [2]float64    // model parameters
+	P           [2][2]float64 // RLS covariance
+	Pam         float64       // predicted admission probability
+	Pa          float64       // admission probability
 }
 
-// EndpointFacts are what is known of one endpoint.
+// EndpointFacts holds what is known of one endpoint.
 type EndpointFacts struct {
 	ID               uint32
 	Health           Health
-	Failures         int     // failures in a row
-	LastFailure      float64 // the last of them
-	FailureShare     float64
-	Unresponsive     bool // the last failure was silence,
-	Unanswered       bool // no answer,
-	AnsweredError    bool // or an answer
-	FailedTrials     int
-	OpenedAt         float64
-	NextTrial        float64
-	RampStart        float64
-	RateBeforeOutage float64 // own delivered rate before the outage
-	LastOK           float64 // -Inf: never
-	OwnRoute         *RouteFacts
-}
-
-// DestFacts are what is known of one destination.
+	Failures         int         // in a row
+	LastFailure      float64     // time of the last failure
+	FailureShare     float64     // failing share of calls (EWMA)
+	Unresponsive     bool        // the last failure was silence
+	Unanswered       bool        // the last failure came without an answer
+	AnsweredError    bool        // the last failure was an error answer
+	FailedTrials     int         // since the breaker opened
+	OpenedAt         float64     // when the breaker opened
+	NextTrial        float64     // earliest time of the next trial
+	RampStart        float64     // when the ramp began
+	RateBeforeOutage float64     // own delivered rate before the outage, in messages per second
+	LastOK           float64     // -Inf: never
+	OwnRoute         *RouteFacts // nil where the limit is the destination's
+}
+
+// DestFacts holds what is known of one destination.
 type DestFacts struct {
 	Dest        int
-	SharedRoute *RouteFacts // the limit that its endpoints share; nil where each has its own
+	SharedRoute *RouteFacts // limit that its endpoints share; nil where each has its own
 	Latency     LatencyFacts
 	Admission   AdmissionFacts
-	Endpoints   []EndpointFacts // by rising ID
+	Endpoints   []EndpointFacts // by ascending ID
 }
 
-// DialFacts are how connecting to one kind of destination fares.
+// DialFacts holds how connecting to one kind of destination succeeds.
 type DialFacts struct {
-	FailureShare float64
-	ScarceUntil  float64
+	FailureShare float64 // failing share of first connection attempts
+	ScarceUntil  float64 // no idle connection is kept until then
 }
 
-// GeneralFacts are what belongs to no one destination.
+// GeneralFacts holds what does not belong to a single destination.
 type GeneralFacts struct {
 	ClassLatency []LatencyFacts // by class
 	Dials        []DialFacts    // by kind
 	StaleShare   float64        // failing share of calls on idle connections
-	MinStaleIdle float64        // shortest idle time of those that failed; 0 = none
+	MinStaleIdle float64        // shortest idle time of those that failed, in ms; 0: none
 }
 
-// FreshControl is a controller that has learned nothing: the prior of a remembered one.
+// InitialAdmission returns the state of an admission controller that has learned nothing.
 func InitialAdmission() AdmissionFacts {
-	var c controller
+	var c admissionController
 	c.reset(0)
 	return c.facts()
 }
 
-// Facts tells what is known of a destination, and false if there is none of that number.
+// Facts returns what is known of a destination, and false if there is none with that number.
 func (s *Sender) Facts(dest int) (DestFacts, bool) {
-	d := s.dests[dest]
+	d := s.destinations[dest]
 	if d == nil {
 		return DestFacts{}, false
 	}
-	f := DestFacts{Dest: dest, Latency: d.lat.facts(), Admission: d.ctl.facts()}
-	if d.shared != nil {
-		f.SharedRoute = d.shared.facts(s.now)
+	f := DestFacts{Dest: dest, Latency: d.latency.facts(), Admission: d.admission.facts()}
+	if d.sharedRoute != nil {
+		f.SharedRoute = d.sharedRoute.facts(s.now)
 	}
-	f.Endpoints = make([]EndpointFacts, 0, len(d.eps))
-	for _, ep := range d.eps {
+	f.Endpoints = make([]EndpointFacts, 0, len(d.endpoints))
+	for _, ep := range d.endpoints {
 		e := EndpointFacts{
-			ID: ep.id, Health: Health(ep.state), Failures: ep.fails, LastFailure: ep.failAt, FailureShare: ep.failShare,
-			Unresponsive: ep.hung, Unanswered: ep.mute, AnsweredError: ep.leaks, FailedTrials: ep.trials, OpenedAt: ep.openAt,
-			NextTrial: ep.nextTrial, RampStart: ep.rampAt, RateBeforeOutage: ep.base, LastOK: ep.lastOK,
+			ID: ep.id, Health: Health(ep.breaker), Failures: ep.failures, LastFailure: ep.lastFailure,
+			FailureShare: ep.failureShare, Unresponsive: ep.unresponsive, Unanswered: ep.unanswered,
+			AnsweredError: ep.answeredError, FailedTrials: ep.failedTrials, OpenedAt: ep.openedAt,
+			NextTrial: ep.nextTrial, RampStart: ep.rampStart, RateBeforeOutage: ep.rateBeforeOutage, LastOK: ep.lastOK,
 		}
-		if ep.route != d.shared {
+		if ep.route != d.sharedRoute {
 			e.OwnRoute = ep.route.facts(s.now)
 		}
 		f.Endpoints = append(f.Endpoints, e)
@@ -122,72 +123,72 @@
 	return f, true
 }
 
-// GeneralFacts tells what belongs to no one destination.
+// GeneralFacts returns what does not belong to a single destination.
 func (s *Sender) GeneralFacts() GeneralFacts {
-	g := GeneralFacts{StaleShare: s.stale}
-	if !math.IsInf(s.staleGap, 0) {
-		g.MinStaleIdle = s.staleGap
+	g := GeneralFacts{StaleShare: s.staleShare}
+	if !math.IsInf(s.minStaleIdle, 0) {
+		g.MinStaleIdle = s.minStaleIdle
 	}
-	for i := range s.usual {
-		g.ClassLatency = append(g.ClassLatency, s.usual[i].facts())
+	for i := range s.classLatency {
+		g.ClassLatency = append(g.ClassLatency, s.classLatency[i].facts())
 	}
-	for i := range s.dials {
-		g.Dials = append(g.Dials, DialFacts{s.dials[i].failed, s.dials[i].shortUntil})
+	for i := range s.dialStats {
+		g.Dials = append(g.Dials, DialFacts{s.dialStats[i].failureShare, s.dialStats[i].scarceUntil})
 	}
 	return g
 }
 
-// RecallGeneral takes up what belongs to no one destination, before the first Step.
+// RestoreGeneral restores what does not belong to a single destination. Call it before the first Step.
 func (s *Sender) RestoreGeneral(g GeneralFacts) {
-	for i := range min(len(g.ClassLatency), len(s.usual)) {
-		s.usual[i].recall(g.ClassLatency[i])
+	for i := range min(len(g.ClassLatency), len(s.classLatency)) {
+		s.classLatency[i].restore(g.ClassLatency[i])
 	}
-	for i := range min(len(g.Dials), len(s.dials)) {
-		s.dials[i].failed, s.dials[i].shortUntil = g.Dials[i].FailureShare, g.Dials[i].ScarceUntil
+	for i := range min(len(g.Dials), len(s.dialStats)) {
+		s.dialStats[i].failureShare, s.dialStats[i].scarceUntil = g.Dials[i].FailureShare, g.Dials[i].ScarceUntil
 	}
-	if s.stale = g.StaleShare; g.MinStaleIdle > 0 {
-		s.staleGap = g.MinStaleIdle
+	if s.staleShare = g.StaleShare; g.MinStaleIdle > 0 {
+		s.minStaleIdle = g.MinStaleIdle
 	}
 }
 
-// recall keeps the facts of an event until this step's lists have named the endpoints that they are of.
-func (s *Sender) recall(list []DestFacts) {
-	s.recalled = map[int]*DestFacts{}
+// keepFacts keeps the facts of an event until the lists of this step have named their endpoints.
+func (s *Sender) keepFacts(list []DestFacts) {
+	s.restoredFacts = map[int]*DestFacts{}
 	for i := range list {
-		s.recalled[list[i].Dest] = &list[i]
-		s.bind(&list[i])
+		s.restoredFacts[list[i].Dest] = &list[i]
+		s.applyWaits(&list[i])
 	}
 }
 
-// bind makes waits that were told to another sender, whose messages this one takes over, binding where the
-// destination is known already.
-func (s *Sender) bind(f *DestFacts) {
-	d := s.dests[f.Dest]
+// applyWaits applies waits requested from another sender, whose messages this one takes over, where the destination
+// is already known.
+func (s *Sender) applyWaits(f *DestFacts) {
+	d := s.destinations[f.Dest]
 	if d == nil {
 		return
 	}
-	if d.shared != nil && f.SharedRoute != nil {
-		d.shared.waitUntil = max(d.shared.waitUntil, f.SharedRoute.WaitUntil)
+	if d.sharedRoute != nil && f.SharedRoute != nil {
+		d.sharedRoute.waitUntil = max(d.sharedRoute.waitUntil, f.SharedRoute.WaitUntil)
 	}
-	for _, ep := range d.eps {
+	for _, ep := range d.endpoints {
 		i := slices.IndexFunc(f.Endpoints, func(e EndpointFacts) bool { return e.ID == ep.id })
-		if i >= 0 && f.Endpoints[i].OwnRoute != nil && ep.route != d.shared {
+		if i >= 0 && f.Endpoints[i].OwnRoute != nil && ep.route != d.sharedRoute {
 			ep.route.waitUntil = max(ep.route.waitUntil, f.Endpoints[i].OwnRoute.WaitUntil)
 		}
 	}
 }
 
-// recallEndpoint gives a new endpoint what is known of it and, if it is the first there, its destination.
-func (s *Sender) recallEndpoint(ep *endpoint) {
-	f := s.recalled[ep.dest.id]
+// restoreEndpoint restores a new endpoint and, if it is the first one there, its destination.
+func (s *Sender) restoreEndpoint(ep *endpoint) {
+	f := s.restoredFacts[ep.dest.id]
 	if f == nil {
 		return
 	}
-	if d := ep.dest; len(d.eps) == 1 {
-		d.lat.recall(f.Latency)
-		d.ctl.recall(f.Admission, s.now)
-		if d.shared != nil && f.SharedRoute != nil {
-			d.shared.recall(f.SharedRoute, s.now)
+	if d := ep.dest; len(d.endpoints) == 1 {
+		d.latency.restore(f.Latency)
+		d.admission.restore(f.Admission, s.now)
+		if d.sharedRoute != nil && f.SharedRoute != nil {
+			d.sharedRoute.restore(f.SharedRoute, s.now)
 		}
 	}
 	i := slices.IndexFunc(f.Endpoints, func(e EndpointFacts) bool { return e.ID == ep.id })
@@ -195,20 +196,23 @@
 		return
 	}
 	e := &f.Endpoints[i]
-	ep.state, ep.fails, ep.failAt, ep.failShare = breaker(min(e.Health, Ramping)), e.Failures, e.LastFailure, e.FailureShare
-	ep.hung, ep.mute, ep.leaks, ep.trials = e.Unresponsive, e.Unanswered, e.AnsweredError, e.FailedTrials
-	ep.openAt, ep.nextTrial, ep.rampAt, ep.base, ep.lastOK = e.OpenedAt, e.NextTrial, e.RampStart, e.RateBeforeOutage, e.LastOK
-	// Its ramp goes on, but what it saved up of its budget is taken as spent.
-	ep.budget = bucket{0, s.now}
-	if ep.route != ep.dest.shared && e.OwnRoute != nil {
-		ep.route.recall(e.OwnRoute, s.now)
+	ep.breaker, ep.failures, ep.lastFailure, ep.failureShare =
+		breakerState(min(e.Health, Ramping)), e.Failures, e.LastFailure, e.FailureShare
+	ep.unresponsive, ep.unanswered, ep.answeredError, ep.failedTrials =
+		e.Unresponsive, e.Unanswered, e.AnsweredError, e.FailedTrials
+	ep.openedAt, ep.nextTrial, ep.rampStart, ep.rateBeforeOutage, ep.lastOK =
+		e.OpenedAt, e.NextTrial, e.RampStart, e.RateBeforeOutage, e.LastOK
+	// A ramp continues, but with an empty budget.
+	ep.rampBudget = tokenBucket{0, s.now}
+	if ep.route != ep.dest.sharedRoute && e.OwnRoute != nil {
+		ep.route.restore(e.OwnRoute, s.now)
 	}
 }
 
 func (r *route) facts(now float64) *RouteFacts {
 	f := &RouteFacts{
-		AdvertisedLimit: r.told, LimitReported: r.reported, Pace: r.limit, LastOK: r.lastOK,
-		CallRate: r.tried.get(now), AcceptedRate: r.accepted.get(now), DeliveredRate: r.delivered.get(now),
+		AdvertisedLimit: r.advertisedLimit, LimitReported: r.limitReported, Pace: r.pace, LastOK: r.lastOK,
+		CallRate: r.callRate.rate(now), AcceptedRate: r.acceptedRate.rate(now), DeliveredRate: r.deliveredRate.rate(now),
 	}
 	if r.waitUntil > now {
 		f.WaitUntil = r.waitUntil
@@ -216,32 +220,36 @@
 	return f
 }
 
-func (r *route) recall(f *RouteFacts, now float64) {
-	r.waitUntil, r.told, r.reported, r.limit, r.lastOK = f.WaitUntil, f.AdvertisedLimit, f.LimitReported, f.Pace, f.LastOK
-	r.tried, r.accepted, r.delivered = meter{f.CallRate, now}, meter{f.AcceptedRate, now}, meter{f.DeliveredRate, now}
-	r.grownAt = now
+func (r *route) restore(f *RouteFacts, now float64) {
+	r.waitUntil, r.advertisedLimit, r.limitReported, r.pace, r.lastOK =
+		f.WaitUntil, f.AdvertisedLimit, f.LimitReported, f.Pace, f.LastOK
+	r.callRate, r.acceptedRate, r.deliveredRate =
+		rateMeter{f.CallRate, now}, rateMeter{f.AcceptedRate, now}, rateMeter{f.DeliveredRate, now}
+	r.raisedAt = now
 }
 
-func (l *latency) facts() LatencyFacts { return LatencyFacts{l.mean, l.dev, l.n} }
+func (l *latency) facts() LatencyFacts { return LatencyFacts{l.mean, l.deviation, l.samples} }
 
-func (l *latency) recall(f LatencyFacts) {
+func (l *latency) restore(f LatencyFacts) {
 	if f.N > 0 {
-		l.mean, l.dev, l.n = f.Mean, f.Dev, f.N
+		l.mean, l.deviation, l.samples = f.Mean, f.Dev, f.N
 	}
 }
 
-func (c *controller) facts() AdmissionFacts {
-	return AdmissionFacts{LastArrival: c.seen, Lambda: c.lambda, EX: c.ex, Theta: c.theta, P: c.p, Pam: c.pam, Pa: c.pa}
+func (c *admissionController) facts() AdmissionFacts {
+	return AdmissionFacts{
+		LastArrival: c.lastArrival, Lambda: c.lambda, EX: c.ex, Theta: c.theta, P: c.p, Pam: c.pam, Pa: c.pa,
+	}
 }
 
-// recall starts a period with what is known; the error and correction of the last one are not.
-func (c *controller) recall(f AdmissionFacts, now float64) {
-	arrivals := c.arrivals // restored messages may have come first
+// restore starts a control period from the facts, which do not contain the error and correction of the last one.
+func (c *admissionController) restore(f AdmissionFacts, now float64) {
+	arrivals := c.arrivals // restored messages may have arrived before the list
 	c.reset(now)
 	if c.arrivals = arrivals; arrivals == 0 {
-		c.seen = min(f.LastArrival, now)
+		c.lastArrival = min(f.LastArrival, now)
 	}
 	c.lambda, c.ex, c.theta, c.p = f.Lambda, f.EX, f.Theta, f.P
-	c.pam, c.pa = f.Pam, min(max(f.Pa, minAdmit), 1)
-	c.theta[1] = max(c.theta[1], theta2Floor)
+	c.pam, c.pa = f.Pam, min(max(f.Pa, minAdmission), 1)
+	c.theta[1] = max(c.theta[1], minTheta2)
 }
--- a/policy/scale_test.go
+++ b/policy/fleet_test.go
@@ -10,93 +10,93 @@
 )
 
 // crowd drives many Senders that share nothing against one destination of one endpoint.
-type crowd struct {
-	now  float64
-	all  []*rig
-	held uint64
-	sent []float64 // when calls reached the endpoint
+type fleet struct {
+	now       float64
+	rigs      []*rig
+	submitted uint64
+	callTimes []float64 // when calls reached the endpoint
 
-	calls    map[*rig]int
-	told     map[*rig]bool
-	toldSent []float64 // those of senders that were told of an outage
+	calls             map[*rig]int
+	informed          map[*rig]bool
+	informedCallTimes []float64 // those of senders that were told of an outage
 
-	ends map[uint64]int // final answers of each message, where it is not nil
+	finalAnswers map[uint64]int // final answers of each message, where it is not nil
 
-	only uint32 // count calls to this endpoint alone; 0 = to all
-	tell bool   // whoever is answered anything but OK knows from then on
+	onlyEndpoint  uint32 // count calls to this endpoint alone; 0 = to all
+	trackInformed bool   // whoever is answered anything but OK knows from then on
 }
 
-func newCrowd(t *testing.T, n int, set Settings, eps ...Endpoint) *crowd {
+func newFleet(t *testing.T, n int, set Settings, eps ...Endpoint) *fleet {
 	t.Helper()
 	if len(eps) == 0 {
 		eps = []Endpoint{ready(1, 0, 2)}
 	}
-	c := &crowd{now: 1000, calls: map[*rig]int{}, told: map[*rig]bool{}}
+	c := &fleet{now: 1000, calls: map[*rig]int{}, informed: map[*rig]bool{}}
 	set.Senders = n
 	for i := range n {
 		set.Index = i
-		r := &rig{t: t, s: New(set, uint64(i+1)), now: c.now, attempts: map[uint64]int{}, on: map[uint64]uint32{}}
+		r := &rig{t: t, s: New(set, uint64(i+1)), now: c.now, attempts: map[uint64]int{}, lastEndpoint: map[uint64]uint32{}}
 		r.step(Event{Kind: EvList, FullList: true, List: eps})
-		c.all = append(c.all, r)
+		c.rigs = append(c.rigs, r)
 	}
 	return c
 }
 
 // run plays until a time, a message every gap for the next sender in turn; answer decides each call's end.
-func (c *crowd) run(to, gap float64, answer func(now float64) Outcome) {
+func (c *fleet) run(to, interval float64, answer func(now float64) Outcome) {
 	next := c.now
 	for c.now < to {
 		c.now += 10
-		for _, r := range c.all {
+		for _, r := range c.rigs {
 			r.now = c.now
-			var as []Action
-			if r.s.armed <= c.now {
-				as = r.step(Event{Kind: EvTimer, Token: r.s.token})
+			var actions []Action
+			if r.s.timerAt <= c.now {
+				actions = r.step(Event{Kind: EvTimer, Token: r.s.timerToken})
 			}
-			c.settle(r, as, answer)
+			c.answerCalls(r, actions, answer)
 		}
-		for ; gap > 0 && next <= c.now; next += gap {
-			r := c.all[int(c.held)%len(c.all)]
-			c.held++
-			c.settle(r, r.message(c.held, clsKeyed, 0, 0), answer)
+		for ; interval > 0 && next <= c.now; next += interval {
+			r := c.rigs[int(c.submitted)%len(c.rigs)]
+			c.submitted++
+			c.answerCalls(r, r.message(c.submitted, classKeyed, 0, 0), answer)
 		}
 	}
 }
 
 // settle answers each call at once, and those that the answers set off.
-func (c *crowd) settle(r *rig, as []Action, answer func(now float64) Outcome) {
-	c.deliver(r, as, func(now float64) (Outcome, []float64) { return answer(now), nil })
+func (c *fleet) answerCalls(r *rig, actions []Action, answer func(now float64) Outcome) {
+	c.answerWithReport(r, actions, func(now float64) (Outcome, []float64) { return answer(now), nil })
 }
 
 // deliver is settle with a report in each answer.
-func (c *crowd) deliver(r *rig, as []Action, answer func(now float64) (Outcome, []float64)) {
-	for i := 0; i < len(as); i++ {
-		if c.ends != nil && (as[i].Kind == ActRefuse || as[i].Kind == ActFail) {
-			c.ends[as[i].ID]++
+func (c *fleet) answerWithReport(r *rig, actions []Action, answer func(now float64) (Outcome, []float64)) {
+	for i := 0; i < len(actions); i++ {
+		if c.finalAnswers != nil && (actions[i].Kind == ActRefuse || actions[i].Kind == ActFail) {
+			c.finalAnswers[actions[i].ID]++
 		}
-		if as[i].Kind != ActSend {
+		if actions[i].Kind != ActSend {
 			continue
 		}
-		o, report := answer(c.now)
-		if c.ends != nil && o == OK {
-			c.ends[as[i].ID]++
+		outcome, report := answer(c.now)
+		if c.finalAnswers != nil && outcome == OK {
+			c.finalAnswers[actions[i].ID]++
 		}
-		if c.only == 0 || as[i].Endpoint == c.only {
-			c.sent = append(c.sent, c.now)
-			if c.calls[r]++; c.told[r] {
-				c.toldSent = append(c.toldSent, c.now)
+		if c.onlyEndpoint == 0 || actions[i].Endpoint == c.onlyEndpoint {
+			c.callTimes = append(c.callTimes, c.now)
+			if c.calls[r]++; c.informed[r] {
+				c.informedCallTimes = append(c.informedCallTimes, c.now)
 			}
-			if c.tell && o != OK {
-				c.told[r] = true
+			if c.trackInformed && outcome != OK {
+				c.informed[r] = true
 			}
 		}
-		e := r.outcome(as[i].ID, o, 0)
+		e := r.outcome(actions[i].ID, outcome, 0)
 		e.Report = report
-		as = append(as, r.step(e)...)
+		actions = append(actions, r.step(e)...)
 	}
 }
 
-func count(times []float64, from, to float64) (n float64) {
+func countBetween(times []float64, from, to float64) (n float64) {
 	for _, at := range times {
 		if at >= from && at < to {
 			n++
@@ -110,23 +110,23 @@
 func TestManySendersOneColdEndpoint(t *testing.T) {
 	for _, n := range []int{20, 60, 400} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
-			c := newCrowd(t, n, testSettings())
-			const back = 13000.0 // an outage of 12 s; the limit is 6 a second, traffic 2.5
-			c.run(back, 400, func(float64) Outcome { return ConnectFailed })
-			if len(c.sent) == 0 {
+			c := newFleet(t, n, testSettings())
+			const backAt = 13000.0 // an outage of 12 s; the limit is 6 a second, traffic 2.5
+			c.run(backAt, 400, func(float64) Outcome { return ConnectFailed })
+			if len(c.callTimes) == 0 {
 				t.Fatal("nobody tried")
 			}
-			for _, r := range c.all {
-				c.told[r] = c.calls[r] > 0
+			for _, r := range c.rigs {
+				c.informed[r] = c.calls[r] > 0
 			}
-			c.sent, c.toldSent = nil, nil
-			c.run(back+9000, 400, func(float64) Outcome { return OK })
-			for from := back; from < back+9000; from += 250 {
-				budget := 6 * (0.25 + 0.75*(from+1500-back)/10000) * 1.5 * 3
-				all, told := count(c.sent, from, from+3000), count(c.toldSent, from, from+3000)
-				if all > budget && told >= all*2/3 {
+			c.callTimes, c.informedCallTimes = nil, nil
+			c.run(backAt+9000, 400, func(float64) Outcome { return OK })
+			for from := backAt; from < backAt+9000; from += 250 {
+				budget := 6 * (0.25 + 0.75*(from+1500-backAt)/10000) * 1.5 * 3
+				all, informed := countBetween(c.callTimes, from, from+3000), countBetween(c.informedCallTimes, from, from+3000)
+				if all > budget && informed >= all*2/3 {
 					t.Fatalf("in the 3 s from %v ms after the return %v calls, %v by senders that knew, over %v",
-						from-back, all, told, budget)
+						from-backAt, all, informed, budget)
 				}
 			}
 		})
@@ -135,14 +135,14 @@
 
 // push is the largest sum of calls in a window of TipAfter after a return, over what a cold endpoint of warm
 // capacity full a second takes before it falls, and the largest number by senders that knew in such a window.
-func (c *crowd) push(set Settings, back, full float64) (sum, told float64) {
-	for from := back; from+set.OverloadWindow <= back+set.WarmUpDuration; from += 100 {
-		cold := full * (set.ColdCapacity + (1-set.ColdCapacity)*(from+set.OverloadWindow/2-back)/set.WarmUpDuration)
-		may := cold * set.OverloadMultiple * set.OverloadWindow / 1000
-		sum = max(sum, count(c.sent, from, from+set.OverloadWindow)/may)
-		told = max(told, count(c.toldSent, from, from+set.OverloadWindow)/may)
-	}
-	return sum, told
+func (c *fleet) overloadShares(set Settings, backAt, warmRate float64) (total, informed float64) {
+	for from := backAt; from+set.OverloadWindow <= backAt+set.WarmUpDuration; from += 100 {
+		cold := warmRate * (set.ColdCapacity + (1-set.ColdCapacity)*(from+set.OverloadWindow/2-backAt)/set.WarmUpDuration)
+		allowed := cold * set.OverloadMultiple * set.OverloadWindow / 1000
+		total = max(total, countBetween(c.callTimes, from, from+set.OverloadWindow)/allowed)
+		informed = max(informed, countBetween(c.informedCallTimes, from, from+set.OverloadWindow)/allowed)
+	}
+	return total, informed
 }
 
 // Incident L0d7904: three routes of a destination crashed together. Each sender that held one message tried all
@@ -151,22 +151,22 @@
 	for _, n := range []int{60, 100, 200, 400} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
 			set := testSettings()
-			c := newCrowd(t, n, set, ready(1, 0, 1), ready(2, 0, 1), ready(3, 0, 1))
-			c.only, c.tell = 2, true
-			const fails, back = 4000.0, 15000.0 // traffic 8 a second for all three, capacity 4 each
-			up := func(now float64) Outcome {
-				if now >= fails && now < back {
+			c := newFleet(t, n, set, ready(1, 0, 1), ready(2, 0, 1), ready(3, 0, 1))
+			c.onlyEndpoint, c.trackInformed = 2, true
+			const downAt, backAt = 4000.0, 15000.0 // traffic 8 a second for all three, capacity 4 each
+			answer := func(now float64) Outcome {
+				if now >= downAt && now < backAt {
 					return ConnectFailed
 				}
 				return OK
 			}
-			c.run(back, 125, up)
-			c.sent, c.toldSent, c.tell = nil, nil, false
-			c.run(back+set.WarmUpDuration, 125, up)
-			if sum, told := c.push(set, back, 4); told > 2 { // chance adds up to as much again
-				t.Fatalf("calls reach %.2f of what tips the endpoint, those of senders that knew %.2f", sum, told)
+			c.run(backAt, 125, answer)
+			c.callTimes, c.informedCallTimes, c.trackInformed = nil, nil, false
+			c.run(backAt+set.WarmUpDuration, 125, answer)
+			if total, informed := c.overloadShares(set, backAt, 4); informed > 2 { // chance adds up to as much again
+				t.Fatalf("calls reach %.2f of what tips the endpoint, those of senders that knew %.2f", total, informed)
 			} else {
-				t.Logf("calls %.2f, of senders that knew %.2f of what tips it", sum, told)
+				t.Logf("calls %.2f, of senders that knew %.2f of what tips it", total, informed)
 			}
 		})
 	}
@@ -175,59 +175,59 @@
 // Incident h497441: an outage came as refusals. One `full` opens no breaker, so each light sender that met one tried
 // again within 4 s, and two thirds of what a returning endpoint got came from those. Whatever the number of senders,
 // the calls of those that knew stay under the two thirds that the rule counts.
-func TestRefusedSendersStayApart(t *testing.T) {
+func TestRefusedSendersSpreadRetries(t *testing.T) {
 	for _, n := range []int{100, 400} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
 			set := testSettings()
-			var sum, told float64
-			const days = 5 // chance is in every day
-			for day := range days {
-				c := newCrowd(t, n, set, ready(1, 0, 2))
-				c.held, c.tell = uint64(day*17), true
-				const shut, back = 16000.0, 30000.0 // traffic 4 a second, capacity 6
+			var total, informed float64
+			const runs = 5 // chance is in every day
+			for run := range runs {
+				c := newFleet(t, n, set, ready(1, 0, 2))
+				c.submitted, c.trackInformed = uint64(run*17), true
+				const downAt, backAt = 16000.0, 30000.0 // traffic 4 a second, capacity 6
 				answer := func(now float64) Outcome {
-					if now >= shut && now < back {
+					if now >= downAt && now < backAt {
 						return Full
 					}
 					return OK
 				}
-				c.run(back, 250, answer)
-				c.sent, c.toldSent, c.tell = nil, nil, false
-				c.run(back+set.WarmUpDuration, 250, answer)
-				a, b := c.push(set, back, 6)
-				sum, told = sum+a/days, told+b/days
+				c.run(backAt, 250, answer)
+				c.callTimes, c.informedCallTimes, c.trackInformed = nil, nil, false
+				c.run(backAt+set.WarmUpDuration, 250, answer)
+				runTotal, runInformed := c.overloadShares(set, backAt, 6)
+				total, informed = total+runTotal/runs, informed+runInformed/runs
 			}
-			t.Logf("calls %.2f, of senders that knew %.2f of what tips it", sum, told)
-			if told > 0.65*sum || told > 2 {
-				t.Fatalf("calls reach %.2f of what tips the endpoint, those of senders that knew %.2f", sum, told)
+			t.Logf("calls %.2f, of senders that knew %.2f of what tips it", total, informed)
+			if informed > 0.65*total || informed > 2 {
+				t.Fatalf("calls reach %.2f of what tips the endpoint, those of senders that knew %.2f", total, informed)
 			}
 		})
 	}
 }
 
 // Told that its allowance is used up, a destination is at its limit: nobody waits as for an outage.
-func TestAllowanceTellsShutFromLimit(t *testing.T) {
+func TestAllowanceSeparatesOutageFromLimit(t *testing.T) {
 	set := testSettings()
 	set.Senders, set.AllowanceIndex = 300, 0
-	waits := func(left float64) (long int) {
+	countLongWaits := func(allowanceLeft float64) (long int) {
 		for seed := range uint64(200) {
-			r := &rig{t: t, s: New(set, seed), now: 1000, attempts: map[uint64]int{}, on: map[uint64]uint32{}}
+			r := &rig{t: t, s: New(set, seed), now: 1000, attempts: map[uint64]int{}, lastEndpoint: map[uint64]uint32{}}
 			r.step(Event{Kind: EvList, FullList: true, List: []Endpoint{ready(1, 0, 1)}})
 			r.now = 9000
-			r.message(1, clsKeyed, 0, 0)
+			r.message(1, classKeyed, 0, 0)
 			e := r.outcome(1, Full, 0)
-			e.Report = []float64{left}
+			e.Report = []float64{allowanceLeft}
 			r.step(e)
-			if r.s.freeAt(r.s.eps[1]) > r.now+4000 {
+			if r.s.nextCallAt(r.s.endpoints[1]) > r.now+4000 {
 				long++
 			}
 		}
 		return long
 	}
-	if long := waits(0.1); long > 0 {
+	if long := countLongWaits(0.1); long > 0 {
 		t.Errorf("%d of 200 take a limit for an outage", long)
 	}
-	if long := waits(0.95); long < 80 || long > 160 {
+	if long := countLongWaits(0.95); long < 80 || long > 160 {
 		t.Errorf("%d of 200 take one that is shut for an outage", long)
 	}
 }
@@ -236,63 +236,63 @@
 // near an even share each, whatever the number of senders.
 func TestPacesOfManySendersFall(t *testing.T) {
 	for _, n := range []int{20, 60, 400} {
-		c := newCrowd(t, n, testSettings())
+		c := newFleet(t, n, testSettings())
 		for i := range 3 * n { // each has something to send
-			r := c.all[i%n]
-			c.held++
-			c.settle(r, r.message(c.held, clsKeyed, 0, 0), func(float64) Outcome { return Full })
+			r := c.rigs[i%n]
+			c.submitted++
+			c.answerCalls(r, r.message(c.submitted, classKeyed, 0, 0), func(float64) Outcome { return Full })
 		}
 		c.run(16000, 0, func(float64) Outcome { return Full })
-		if rate := count(c.sent, 11000, 16000) / 5; rate > 0.15*float64(n) {
+		if rate := countBetween(c.callTimes, 11000, 16000) / 5; rate > 0.15*float64(n) {
 			t.Fatalf("%d senders still call %v times a second", n, rate)
 		}
 	}
 }
 
 // Incident: an endpoint added in an outage was taken as well and got all that was held at once.
-func TestNewEndpointInheritsOutage(t *testing.T) {
+func TestNewEndpointSharesOutage(t *testing.T) {
 	set := testSettings()
 	set.Senders = 100
 	r := newRig(t, set, ready(1, 0, 2))
 	for id := uint64(1); id <= 3; id++ {
-		r.message(id, clsKeyed, 0, 0)
+		r.message(id, classKeyed, 0, 0)
 		if r.attempts[id] > 0 {
 			r.reply(id, ConnectFailed, 0)
 		}
 	}
 	as := r.step(Event{Kind: EvList, List: []Endpoint{ready(2, 0, 2)}})
 	for id := uint64(1); id <= 3; id++ {
-		r.never(as, ActSend, id, "new endpoint of a destination in outage")
+		r.forbidAction(as, ActSend, id, "new endpoint of a destination in outage")
 	}
-	if r.s.eps[2].state != open {
+	if r.s.endpoints[2].breaker != open {
 		t.Fatal("a new endpoint does not share its route's outage")
 	}
 	other := newRig(t, set, ready(1, 0, 2))
-	other.message(1, clsKeyed, 0, 0)
+	other.message(1, classKeyed, 0, 0)
 	other.reply(1, OK, 0)
 	other.step(Event{Kind: EvList, List: []Endpoint{ready(2, 0, 2)}})
-	if other.s.eps[2].state != closed {
+	if other.s.endpoints[2].breaker != closed {
 		t.Fatal("a new endpoint of a healthy destination is held back")
 	}
 }
 
 // Incident: the list dropped a silent endpoint and named it again on its return; forgotten, it got all at once.
-func TestListedAgainInOutage(t *testing.T) {
+func TestRelistedEndpointKeepsOutage(t *testing.T) {
 	set := testSettings()
 	set.Senders = 100
 	r := newRig(t, set, ready(1, 0, 2))
-	r.message(1, clsKeyed, 0, 0)
+	r.message(1, classKeyed, 0, 0)
 	r.reply(1, ConnectFailed, 0)
 	r.step(Event{Kind: EvList, List: []Endpoint{{ID: 1, State: Gone}}})
 	r.run(r.now + 1000)
-	r.never(r.step(Event{Kind: EvList, List: []Endpoint{ready(1, 0, 2)}}), ActSend, 1, "listed again")
-	if r.s.eps[1].state != open {
+	r.forbidAction(r.step(Event{Kind: EvList, List: []Endpoint{ready(1, 0, 2)}}), ActSend, 1, "listed again")
+	if r.s.endpoints[1].breaker != open {
 		t.Fatal("an outage is forgotten with the list")
 	}
 }
 
 // Incident: idle connections of hundreds of senders kept each other out of endpoints that take few.
-func TestNoIdleConnectionsWhereTheyAreShort(t *testing.T) {
+func TestNoIdleConnectionsWhenScarce(t *testing.T) {
 	set := testSettings()
 	set.Senders = 100
 	var eps []Endpoint
@@ -300,7 +300,7 @@
 		eps = append(eps, ready(uint32(i+1), i, 2))
 	}
 	r := newRig(t, set, eps...)
-	hangsUp := func(as []Action) bool {
+	closesIdle := func(as []Action) bool {
 		for _, a := range as {
 			if a.Kind == ActCloseIdle {
 				return true
@@ -308,43 +308,43 @@
 		}
 		return false
 	}
-	r.message(1, clsKeyed, 0, 0)
-	if hangsUp(r.reply(1, OK, 0)) {
+	r.message(1, classKeyed, 0, 0)
+	if closesIdle(r.reply(1, OK, 0)) {
 		t.Fatal("hangs up without need")
 	}
 	for d := 1; d <= 4; d++ {
-		r.message(uint64(d+1), clsKeyed, d, 0)
+		r.message(uint64(d+1), classKeyed, d, 0)
 		r.reply(uint64(d+1), ConnectFailed, 0)
 	}
-	r.message(9, clsKeyed, 5, 0)
-	if !hangsUp(r.reply(9, OK, 0)) {
+	r.message(9, classKeyed, 5, 0)
+	if !closesIdle(r.reply(9, OK, 0)) {
 		t.Fatal("keeps an idle connection where connections are short")
 	}
 }
 
 // A fresh message with little time left can still reach its aim; one handed in again is old.
-func TestLittleTimeLeftIsNotOld(t *testing.T) {
+func TestShortRemainingTimeIsNotLate(t *testing.T) {
 	set := testSettings()
 	set.MarksResubmissions = true
 	r := newRig(t, set)
-	r.step(Event{Kind: EvMessage, ID: 1, Class: clsSafe, Remaining: 1500},
-		Event{Kind: EvMessage, ID: 2, Class: clsSafe, Remaining: 1500, Resubmitted: true})
-	if fresh, again := r.s.worth(r.s.msgs[1]), r.s.worth(r.s.msgs[2]); fresh <= again {
-		t.Fatalf("worth of a fresh message %v, of one handed in again %v", fresh, again)
+	r.step(Event{Kind: EvMessage, ID: 1, Class: classSafe, Remaining: 1500},
+		Event{Kind: EvMessage, ID: 2, Class: classSafe, Remaining: 1500, Resubmitted: true})
+	if fresh, resubmitted := r.s.worth(r.s.messages[1]), r.s.worth(r.s.messages[2]); fresh <= resubmitted {
+		t.Fatalf("worth of a fresh message %v, of one handed in again %v", fresh, resubmitted)
 	}
 }
 
 // A sender that lives for weeks does not grow with endpoints, destinations and keys that come and go.
-func TestForgets(t *testing.T) {
+func TestStateIsBounded(t *testing.T) {
 	r := newRig(t, testSettings())
 	for i := range 2000 {
 		id := uint32(i + 1)
 		r.now += 5000
 		r.step(Event{Kind: EvList, List: []Endpoint{ready(id, i, 1)}})
-		r.message(uint64(id), clsOrdered, i, uint64(id))
+		r.message(uint64(id), classOrdered, i, uint64(id))
 		r.reply(uint64(id), Timeout, 0)
 		r.run(r.now + 1000)
-		if m := r.s.msgs[uint64(id)]; m != nil && m.out != nil {
+		if m := r.s.messages[uint64(id)]; m != nil && m.inFlight != nil {
 			r.reply(uint64(id), OK, 0)
 		}
 		if i%2 == 0 {
@@ -355,8 +355,8 @@
 	}
 	r.run(r.now + 60000)
 	s := r.s
-	if n := len(s.msgs) + len(s.eps) + len(s.dests) + len(s.keys) + len(s.dials[0].endpoints); n > 20 {
-		t.Fatalf("remembers msgs=%d eps=%d dests=%d keys=%d", len(s.msgs), len(s.eps), len(s.dests), len(s.keys))
+	if n := len(s.messages) + len(s.endpoints) + len(s.destinations) + len(s.keyQueues) + len(s.dialStats[0].endpoints); n > 20 {
+		t.Fatalf("remembers msgs=%d eps=%d dests=%d keys=%d", len(s.messages), len(s.endpoints), len(s.destinations), len(s.keyQueues))
 	}
 }
 
@@ -384,48 +384,48 @@
 
 // window is a destination that takes so many calls in each second, counts refused ones too and reports its limit,
 // with noise, in each answer.
-type window struct {
-	limit      float64
-	from       float64
-	seen       float64
-	ok, full   int
-	down, back float64 // it refuses connections in between
-	noise      *rand.Rand
+type limitedPartner struct {
+	limit             float64
+	windowStart       float64
+	calls             float64
+	accepted, refused int
+	downAt, backAt    float64 // it refuses connections in between
+	rng               *rand.Rand
 }
 
-func (w *window) answer(now float64) (Outcome, []float64) {
-	if now-w.from >= 1000 {
-		w.from, w.seen = now, 0
+func (w *limitedPartner) answer(now float64) (Outcome, []float64) {
+	if now-w.windowStart >= 1000 {
+		w.windowStart, w.calls = now, 0
 	}
-	if now >= w.down && now < w.back {
+	if now >= w.downAt && now < w.backAt {
 		return ConnectFailed, nil
 	}
-	w.seen++
-	report := []float64{max(0, 1-w.seen/w.limit), w.limit * (0.9 + 0.2*w.noise.Float64())}
-	if w.seen > w.limit {
-		w.full++
+	w.calls++
+	report := []float64{max(0, 1-w.calls/w.limit), w.limit * (0.9 + 0.2*w.rng.Float64())}
+	if w.calls > w.limit {
+		w.refused++
 		return Full, report
 	}
-	w.ok++
+	w.accepted++
 	return OK, report
 }
 
 // play runs a crowd against w until a time, with messages that come by chance at this rate a second in all.
-func (c *crowd) play(to, rate float64, w *window) {
-	rng := w.noise
+func (c *fleet) runPoisson(to, rate float64, w *limitedPartner) {
+	rng := w.rng
 	next := c.now
 	for c.now < to {
 		c.now += 10
-		for _, r := range c.all {
+		for _, r := range c.rigs {
 			r.now = c.now
-			if r.s.armed <= c.now {
-				c.deliver(r, r.step(Event{Kind: EvTimer, Token: r.s.token}), w.answer)
+			if r.s.timerAt <= c.now {
+				c.answerWithReport(r, r.step(Event{Kind: EvTimer, Token: r.s.timerToken}), w.answer)
 			}
 		}
 		for ; next <= c.now; next += rng.ExpFloat64() * 1000 / rate {
-			r := c.all[rng.IntN(len(c.all))]
-			c.held++
-			c.deliver(r, r.message(c.held, clsKeyed, 0, 0), w.answer)
+			r := c.rigs[rng.IntN(len(c.rigs))]
+			c.submitted++
+			c.answerWithReport(r, r.message(c.submitted, classKeyed, 0, 0), w.answer)
 		}
 	}
 }
@@ -433,26 +433,26 @@
 // Incident join+vast: each of 80 senders cut its own pace at a refusal and grew it again with time, while the
 // destination told its limit in each answer. Where the limit fell, 4 in 10 calls of such a crowd were refused, and
 // refused calls used up what was left. Told, a limit is kept to and used: as it stands, fallen to a third, and back.
-func TestCrowdUsesAToldLimit(t *testing.T) {
+func TestFleetUsesAdvertisedLimit(t *testing.T) {
 	for _, n := range []int{20, 80, 200} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
 			set := testSettings()
 			set.AllowanceIndex, set.LimitIndex, set.RatingIsRate = 0, 1, true
-			c := newCrowd(t, n, set, Endpoint{ID: 1, State: Ready, Kind: 2, Rating: 75})
-			w := &window{limit: 60, noise: rand.New(rand.NewPCG(uint64(n), 1))}
-			for _, p := range []struct {
-				name              string
-				limit, settle     float64
-				length, use, full float64
+			c := newFleet(t, n, set, Endpoint{ID: 1, State: Ready, Kind: 2, Rating: 75})
+			w := &limitedPartner{limit: 60, rng: rand.New(rand.NewPCG(uint64(n), 1))}
+			for _, phase := range []struct {
+				name                        string
+				limit, settle               float64
+				length, minUsed, maxRefused float64
 			}{{"at first", 60, 3000, 20000, 0.7, 0.06}, {"fallen", 20, 3000, 9000, 0.7, 0.2}, {"back", 60, 4000, 15000, 0.7, 0.06}} {
-				w.limit = p.limit
-				c.play(c.now+p.settle, 60, w)
-				w.ok, w.full = 0, 0
-				c.play(c.now+p.length, 60, w)
-				used, refused := float64(w.ok)/(p.limit*p.length/1000), float64(w.full)/float64(w.ok+w.full)
-				t.Logf("%s: %.2f of the limit used, %.3f of the calls refused", p.name, used, refused)
-				if used < p.use || refused > p.full {
-					t.Errorf("%s: %.2f of the limit used, %.2f at least; %.3f of the calls refused, %.2f at most", p.name, used, p.use, refused, p.full)
+				w.limit = phase.limit
+				c.runPoisson(c.now+phase.settle, 60, w)
+				w.accepted, w.refused = 0, 0
+				c.runPoisson(c.now+phase.length, 60, w)
+				used, refused := float64(w.accepted)/(phase.limit*phase.length/1000), float64(w.refused)/float64(w.accepted+w.refused)
+				t.Logf("%s: %.2f of the limit used, %.3f of the calls refused", phase.name, used, refused)
+				if used < phase.minUsed || refused > phase.maxRefused {
+					t.Errorf("%s: %.2f of the limit used, %.2f at least; %.3f of the calls refused, %.2f at most", phase.name, used, phase.minUsed, refused, phase.maxRefused)
 				}
 			}
 		})
@@ -463,27 +463,27 @@
 // from its own small rate before, though the limit was told. A partner that is back is found soon and used up to what
 // it can take, and no more: calls by senders that knew of the outage stay under what tips it, for the least spare
 // capacity over a limit that there is (1.15), whatever the number of senders and the time that it was down.
-func TestCrowdFindsAToldPartnerBack(t *testing.T) {
+func TestFleetRecoversToAdvertisedLimit(t *testing.T) {
 	for _, n := range []int{20, 80, 200} {
 		for _, down := range []float64{2000, 5000, 15000} {
 			t.Run(fmt.Sprint(n, " senders, down ", down), func(t *testing.T) {
 				set := testSettings()
 				set.AllowanceIndex, set.LimitIndex, set.RatingIsRate, set.ColdCapacity, set.WarmUpDuration = 0, 1, true, 0.23, 9100
-				c := newCrowd(t, n, set, Endpoint{ID: 1, State: Ready, Kind: 2, Rating: 150})
-				w := &window{limit: 150, noise: rand.New(rand.NewPCG(uint64(n), 2))}
+				c := newFleet(t, n, set, Endpoint{ID: 1, State: Ready, Kind: 2, Rating: 150})
+				w := &limitedPartner{limit: 150, rng: rand.New(rand.NewPCG(uint64(n), 2))}
 				const before, rate = 12000.0, 120.0
-				w.down, w.back = before, before+down
-				c.tell = true
-				c.play(w.back, rate, w)
-				c.sent, c.toldSent, w.ok, w.full, c.tell = nil, nil, 0, 0, false
-				c.play(w.back+set.WarmUpDuration, rate, w)
-				c.play(w.back+set.WarmUpDuration+1000, rate, w)
-				sum, told := c.push(set, w.back, 1.15*w.limit)
-				could := w.limit * (set.ColdCapacity + 1) / 2 * set.WarmUpDuration / 1000
-				used := count(c.sent, w.back, w.back+set.WarmUpDuration) / could
-				t.Logf("calls %.2f, of senders that knew %.2f of what tips it; %.2f of what it can take till it is warm", sum, told, used)
-				if sum > 1 || used < 0.6 { // those that saw nothing of it included
-					t.Errorf("calls reach %.2f of what tips it, 1 at most; %.2f of what it can take is used, 0.6 at least", sum, used)
+				w.downAt, w.backAt = before, before+down
+				c.trackInformed = true
+				c.runPoisson(w.backAt, rate, w)
+				c.callTimes, c.informedCallTimes, w.accepted, w.refused, c.trackInformed = nil, nil, 0, 0, false
+				c.runPoisson(w.backAt+set.WarmUpDuration, rate, w)
+				c.runPoisson(w.backAt+set.WarmUpDuration+1000, rate, w)
+				total, informed := c.overloadShares(set, w.backAt, 1.15*w.limit)
+				capacity := w.limit * (set.ColdCapacity + 1) / 2 * set.WarmUpDuration / 1000
+				used := countBetween(c.callTimes, w.backAt, w.backAt+set.WarmUpDuration) / capacity
+				t.Logf("calls %.2f, of senders that knew %.2f of what tips it; %.2f of what it can take till it is warm", total, informed, used)
+				if total > 1 || used < 0.6 { // those that saw nothing of it included
+					t.Errorf("calls reach %.2f of what tips it, 1 at most; %.2f of what it can take is used, 0.6 at least", total, used)
 				}
 			})
 		}
@@ -493,15 +493,15 @@
 // Incident join+vast: of three endpoints alike every sender took the one that stands first in the list, since ids
 // sort alike everywhere. It got 1,405 of 1,451 calls and refused a third of them, its queue full, with half of the
 // limit unused. Among equals the calls of a crowd are even.
-func TestCrowdSpreadsOverEqualEndpoints(t *testing.T) {
+func TestFleetSpreadsOverEqualEndpoints(t *testing.T) {
 	for _, n := range []int{20, 80, 200} {
 		for _, eps := range [][]Endpoint{{ready(1, 0, 2), ready(2, 0, 2)}, {ready(1, 0, 2), ready(2, 0, 2), ready(3, 0, 2)}} {
 			for _, ep := range eps {
-				c := newCrowd(t, n, testSettings(), eps...)
-				c.only = ep.ID
+				c := newFleet(t, n, testSettings(), eps...)
+				c.onlyEndpoint = ep.ID
 				c.run(21000, 10, func(float64) Outcome { return OK })
-				even := float64(c.held) / float64(len(eps))
-				if got := float64(len(c.sent)); got < 0.8*even || got > 1.2*even {
+				even := float64(c.submitted) / float64(len(eps))
+				if got := float64(len(c.callTimes)); got < 0.8*even || got > 1.2*even {
 					t.Errorf("%d senders: endpoint %d of %d got %.0f calls, an even part is %.0f", n, ep.ID, len(eps), got, even)
 				}
 			}
@@ -510,60 +510,60 @@
 }
 
 // reborn ends a sender and starts it again with its facts, the list and what it held, as the journal brings it back.
-func (c *crowd) reborn(r *rig, seed uint64, eps ...Endpoint) *rig {
+func (c *fleet) restart(r *rig, seed uint64, eps ...Endpoint) *rig {
 	f, _ := r.s.Facts(0)
 	events := []Event{{Kind: EvFacts, Facts: []DestFacts{f}}, {Kind: EvList, FullList: true, List: eps}}
-	n := &rig{t: r.t, s: New(r.s.set, seed), now: c.now, attempts: map[uint64]int{}, on: map[uint64]uint32{}}
-	for id, m := range r.s.msgs {
-		n.attempts[id] = m.attempts
-		events = append(events, Event{Kind: EvMessage, ID: id, Class: clsKeyed, Remaining: m.deadline - c.now, Restored: true, Attempts: m.attempts})
+	next := &rig{t: r.t, s: New(r.s.settings, seed), now: c.now, attempts: map[uint64]int{}, lastEndpoint: map[uint64]uint32{}}
+	for id, m := range r.s.messages {
+		next.attempts[id] = m.attempts
+		events = append(events, Event{Kind: EvMessage, ID: id, Class: classKeyed, Remaining: m.deadline - c.now, Restored: true, Attempts: m.attempts})
 	}
 	slices.SortFunc(events[2:], func(a, b Event) int { return cmp.Compare(a.ID, b.ID) })
-	n.last = n.step(events...)
-	return n
+	next.lastActions = next.step(events...)
+	return next
 }
 
 // The herd: seven of ten senders are killed at once under load and come back together with what they held, while a
 // wait that the partner told them goes on. The wait stands, no call goes out in it, the limit is used after it, and
 // every message has one final answer.
-func TestCrowdComesBackTogether(t *testing.T) {
+func TestFleetRestartsTogether(t *testing.T) {
 	for _, n := range []int{20, 80, 200} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
 			set := testSettings()
 			set.AllowanceIndex, set.LimitIndex, set.RatingIsRate = 0, 1, true
 			eps := []Endpoint{{ID: 1, State: Ready, Kind: 2, Rating: 60}}
-			c := newCrowd(t, n, set, eps...)
-			c.ends = map[uint64]int{}
-			w := &window{limit: 60, noise: rand.New(rand.NewPCG(uint64(n), 3))}
-			c.play(9000, 70, w)
+			c := newFleet(t, n, set, eps...)
+			c.finalAnswers = map[uint64]int{}
+			w := &limitedPartner{limit: 60, rng: rand.New(rand.NewPCG(uint64(n), 3))}
+			c.runPoisson(9000, 70, w)
 			const wait = 1500.0
 			killed := n * 7 / 10
-			for i, r := range c.all {
-				r.s.dests[0].shared.waitUntil = c.now + wait
+			for i, r := range c.rigs {
+				r.s.destinations[0].sharedRoute.waitUntil = c.now + wait
 				if i < killed {
 					r.now = c.now
-					c.all[i] = c.reborn(r, uint64(1000+i), eps...)
+					c.rigs[i] = c.restart(r, uint64(1000+i), eps...)
 				}
 			}
 			until := c.now + wait
-			w.ok, w.full = 0, 0
-			for _, r := range c.all[:killed] {
-				c.deliver(r, r.last, w.answer) // what the start sent
+			w.accepted, w.refused = 0, 0
+			for _, r := range c.rigs[:killed] {
+				c.answerWithReport(r, r.lastActions, w.answer) // what the start sent
 			}
-			c.play(until-20, 70, w)
-			if w.ok+w.full > 0 {
-				t.Fatalf("%d calls inside a told wait", w.ok+w.full)
+			c.runPoisson(until-20, 70, w)
+			if w.accepted+w.refused > 0 {
+				t.Fatalf("%d calls inside a told wait", w.accepted+w.refused)
 			}
-			c.play(until+10000, 70, w)
-			if refused := float64(w.full) / float64(w.ok+w.full); refused > 0.25 || w.ok < 400 {
-				t.Errorf("%d calls taken on in 10 s, 400 at least; %.2f of the calls refused, 0.25 at most", w.ok, refused)
+			c.runPoisson(until+10000, 70, w)
+			if refused := float64(w.refused) / float64(w.accepted+w.refused); refused > 0.25 || w.accepted < 400 {
+				t.Errorf("%d calls taken on in 10 s, 400 at least; %.2f of the calls refused, 0.25 at most", w.accepted, refused)
 			} else {
-				t.Logf("%d calls taken on in 10 s, %.2f refused", w.ok, refused)
+				t.Logf("%d calls taken on in 10 s, %.2f refused", w.accepted, refused)
 			}
-			c.play(c.now+25000, 1e-6, w) // all is over
-			for id := uint64(1); id <= c.held; id++ {
-				if c.ends[id] != 1 {
-					t.Fatalf("message %d has %d final answers", id, c.ends[id])
+			c.runPoisson(c.now+25000, 1e-6, w) // all is over
+			for id := uint64(1); id <= c.submitted; id++ {
+				if c.finalAnswers[id] != 1 {
+					t.Fatalf("message %d has %d final answers", id, c.finalAnswers[id])
 				}
 			}
 		})
@@ -571,14 +571,14 @@
 }
 
 // What the settings say of the fleet may be absurd: nothing panics, and one sender alone goes on.
-func TestAbsurdFleetSettings(t *testing.T) {
+func TestExtremeFleetSettings(t *testing.T) {
 	for _, n := range []int{math.MinInt32, -1, 0, 1, 2, 8, 9, math.MaxInt32} {
 		for _, index := range []int{math.MinInt32, -1, 0, n, math.MaxInt32} {
 			set := testSettings()
 			set.AllowanceIndex, set.LimitIndex, set.RatingIsRate, set.Senders, set.Index = 0, 1, true, n, index
 			r := newRig(t, set, Endpoint{ID: 1, State: Ready, Kind: 2, Rating: 10}, Endpoint{ID: 2, State: Ready, Kind: 2, Rating: 10})
 			for id := uint64(1); id < 20; id++ {
-				r.message(id, clsKeyed, 0, 0)
+				r.message(id, classKeyed, 0, 0)
 				if r.attempts[id] > 0 {
 					e := r.outcome(id, []Outcome{OK, Full, ConnectFailed}[id%3], 0)
 					e.Report = []float64{0.5, 10}
--- a/policy/fuzz_test.go
+++ b/policy/fuzz_test.go
@@ -8,12 +8,12 @@
 
 // simulate drives a Sender with a random legal stream of events and checks the rules that one sender can
 // be checked for alone.
-func simulate(t *testing.T, seed uint64, steps int, see func([]Action)) {
+func simulate(t *testing.T, seed uint64, steps int, observe func([]Action)) {
 	t.Helper()
-	simulateOn(t, testSettings(), seed, steps, see)
+	simulateWith(t, testSettings(), seed, steps, observe)
 }
 
-func simulateOn(t *testing.T, set Settings, seed uint64, steps int, see func([]Action)) {
+func simulateWith(t *testing.T, set Settings, seed uint64, steps int, observe func([]Action)) {
 	t.Helper()
 	rng := rand.New(rand.NewPCG(seed, 1))
 	set.CallSlots = 1 + rng.IntN(8)
@@ -28,29 +28,29 @@
 	}
 	dests := list[len(list)-1].Dest + 1
 	type msg struct {
-		class          int
-		dest           int
-		deadline       float64
-		attempts       int
-		out            uint32 // endpoint + 0
-		isOut, ended   bool
-		doubt          bool
-		doubtAt, until float64
+		class                   int
+		dest                    int
+		deadline                float64
+		attempts                int
+		endpoint                uint32 // endpoint + 0
+		inFlight, ended         bool
+		mayHaveRun              bool
+		mayHaveRunAt, timeoutAt float64
 	}
 	msgs := map[uint64]*msg{}
 	ids := []uint64{}
 	var timers []struct {
-		at  float64
-		tok uint32
+		at    float64
+		token uint32
 	}
-	drained := map[uint32]bool{}
-	waits := map[int]float64{}
-	epOf := map[uint32]Endpoint{}
+	notReady := map[uint32]bool{}
+	waitUntil := map[int]float64{}
+	endpointByID := map[uint32]Endpoint{}
 	for _, e := range list {
-		epOf[e.ID] = e
+		endpointByID[e.ID] = e
 	}
 	route := func(ep uint32) int {
-		e := epOf[ep]
+		e := endpointByID[ep]
 		if set.Kinds[e.Kind].OwnLimits {
 			return 1000 + int(ep)
 		}
@@ -59,31 +59,31 @@
 	probes := []uint32{}
 	events := []Event{{Kind: EvList, FullList: true, List: list}}
 	for range steps {
-		out := s.Step(now, events, nil)
-		see(out)
-		for _, a := range out {
+		actions := s.Step(now, events, nil)
+		observe(actions)
+		for _, a := range actions {
 			switch a.Kind {
 			case ActSend:
 				m := msgs[a.ID]
 				switch {
 				case m == nil || m.ended:
 					t.Fatalf("seed %d: send after the end of %d", seed, a.ID)
-				case m.isOut:
+				case m.inFlight:
 					t.Fatalf("seed %d: two attempts of %d out", seed, a.ID)
-				case drained[a.Endpoint]:
+				case notReady[a.Endpoint]:
 					t.Fatalf("seed %d: send to drained %d", seed, a.Endpoint)
-				case epOf[a.Endpoint].Dest != m.dest:
+				case endpointByID[a.Endpoint].Dest != m.dest:
 					t.Fatalf("seed %d: wrong destination", seed)
-				case waits[route(a.Endpoint)] > now:
+				case waitUntil[route(a.Endpoint)] > now:
 					t.Fatalf("seed %d: send in a told wait", seed)
-				case m.doubt && set.Classes[m.class].Effect == Unsafe:
+				case m.mayHaveRun && set.Classes[m.class].Effect == Unsafe:
 					t.Fatalf("seed %d: unsafe repeat", seed)
-				case m.doubt && set.Classes[m.class].Effect == Keyed && now > m.doubtAt+set.Classes[m.class].DedupWindow:
+				case m.mayHaveRun && set.Classes[m.class].Effect == Keyed && now > m.mayHaveRunAt+set.Classes[m.class].DedupWindow:
 					t.Fatalf("seed %d: keyed repeat past the span", seed)
 				}
-				m.isOut, m.out, m.until = true, a.Endpoint, now+a.After
-				if !m.doubt {
-					m.doubtAt = now
+				m.inFlight, m.endpoint, m.timeoutAt = true, a.Endpoint, now+a.After
+				if !m.mayHaveRun {
+					m.mayHaveRunAt = now
 				}
 				m.attempts++
 			case ActRefuse, ActFail:
@@ -91,7 +91,7 @@
 				if m == nil || m.ended {
 					t.Fatalf("seed %d: second answer to %d", seed, a.ID)
 				}
-				if a.Kind == ActRefuse && m.doubt && set.Classes[m.class].Effect == Unsafe {
+				if a.Kind == ActRefuse && m.mayHaveRun && set.Classes[m.class].Effect == Unsafe {
 					t.Fatalf("seed %d: refusal of an unsafe message in doubt", seed)
 				}
 				if now > m.deadline+set.AnswerSlack+25 {
@@ -100,11 +100,11 @@
 				m.ended = true
 			case ActTimer:
 				timers = append(timers, struct {
-					at  float64
-					tok uint32
+					at    float64
+					token uint32
 				}{now + a.After, a.Token})
 			case ActProbe:
-				if waits[route(a.Endpoint)] > now {
+				if waitUntil[route(a.Endpoint)] > now {
 					t.Fatalf("seed %d: probe in a told wait", seed)
 				}
 				probes = append(probes, a.Endpoint)
@@ -114,7 +114,7 @@
 		events = nil
 		for i := 0; i < len(timers); {
 			if timers[i].at <= now {
-				events = append(events, Event{Kind: EvTimer, Token: timers[i].tok})
+				events = append(events, Event{Kind: EvTimer, Token: timers[i].token})
 				timers = append(timers[:i], timers[i+1:]...)
 				continue
 			}
@@ -130,21 +130,21 @@
 			if !m.ended && now > m.deadline+40 {
 				t.Fatalf("seed %d: no answer to %d", seed, id)
 			}
-			if m.isOut && (now >= m.until || rng.IntN(8) == 0) {
+			if m.inFlight && (now >= m.timeoutAt || rng.IntN(8) == 0) {
 				o := Outcome(rng.IntN(7))
-				if now >= m.until {
+				if now >= m.timeoutAt {
 					o = Timeout
 				}
-				e := Event{Kind: EvOutcome, ID: id, Endpoint: m.out, Attempt: m.attempts - 1, Outcome: o,
+				e := Event{Kind: EvOutcome, ID: id, Endpoint: m.endpoint, Attempt: m.attempts - 1, Outcome: o,
 					Latency: rng.Float64() * 500, Final: o == OK || m.ended}
 				if o == Full && rng.IntN(2) == 0 {
 					e.RequestedWait = 1 + rng.Float64()*1000
-					r := route(m.out)
-					waits[r] = max(waits[r], now+e.RequestedWait)
+					rt := route(m.endpoint)
+					waitUntil[rt] = max(waitUntil[rt], now+e.RequestedWait)
 				}
-				m.isOut = false
+				m.inFlight = false
 				if !o.NeverRan() && o != OK {
-					m.doubt = true
+					m.mayHaveRun = true
 				}
 				m.ended = m.ended || o == OK
 				events = append(events, e)
@@ -162,7 +162,7 @@
 		if rng.IntN(60) == 0 {
 			e := list[rng.IntN(len(list))]
 			e.State = []EndpointState{Draining, Gone, Ready}[rng.IntN(3)]
-			drained[e.ID] = e.State != Ready
+			notReady[e.ID] = e.State != Ready
 			events = append(events, Event{Kind: EvList, List: []Endpoint{e}})
 		}
 		if rng.IntN(40) == 0 && len(ids) > 0 {
@@ -176,7 +176,7 @@
 	}
 }
 
-func TestRandomStreamsKeepTheRules(t *testing.T) {
+func TestRandomEventsKeepInvariants(t *testing.T) {
 	for seed := range uint64(60) {
 		simulate(t, seed, 1500, func([]Action) {})
 	}
--- a/policy/names_test.go
+++ b/policy/names_test.go
@@ -29,7 +29,7 @@
 	}
 	for seed := range uint64(50) {
 		run := func(set Settings) (all []string) {
-			simulateOn(t, set, seed, 400, func(actions []Action) {
+			simulateWith(t, set, seed, 400, func(actions []Action) {
 				for _, a := range actions {
 					all = append(all, fmt.Sprintf("%+v", a))
 				}
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -1,16 +1,22 @@
 package policy
 
-// The decisions of sliptide. The interface (settings, events, actions) is in api.go.
+// This file holds the decisions of the module: admission, scheduling, choice of endpoint, rate control and
+// circuit breaking. The interface (settings, events, actions) is in api.go, the state in state.go.
 //
-// A message goes: intake (random refusal by the destination's controller), its destination's queue, a
-// slot turn, a call to one endpoint, an outcome. Words used below:
+// A message passes admission (random refusal by the admission controller of its destination), the queue of
+// its destination, a turn for a call slot, a call to one endpoint, and an outcome. Terms:
 //
-//   - A route is what a limit and a told wait hit: a destination, or one endpoint where these have limits
-//     of their own. Pace (token bucket, AIMD) and waits are kept per route; health (circuit breaker,
-//     half-open trials, slow start) per endpoint, since an outage may take only some of them.
-//   - A destination waits while it holds messages that its own pace, limit or share of slots keeps back.
-//     Time in an outage or in the ramp after it is not waiting for a slot: the controller rests then, or
-//     it would refuse fresh traffic for a backlog that the outage, not the load, has made.
+//   - A route is the unit to which a limit and a requested wait apply: a destination, or a single endpoint
+//     where endpoints have limits of their own. Pace (token bucket, AIMD) and requested waits are kept per
+//     route. Health (circuit breaker, half-open trials, slow start) is kept per endpoint, since an outage
+//     may affect only some of them.
+//   - A destination is throttled while its own pace, limit or share of call slots holds back messages in
+//     its queue. Time in an outage, or in the ramp after it, does not count: the admission controller is
+//     idle then, otherwise it would refuse new messages for a backlog that comes from the outage and not
+//     from the load.
+//   - A small fleet has at most maxSmallFleet senders; a large fleet has more.
+//   - A busy sender makes enough calls on a route to find its limit by itself (see canMeasure); a light
+//     sender makes fewer.
 
 import (
 	"cmp"
@@ -19,415 +25,558 @@
 	"slices"
 )
 
-// Tuned values. All times are milliseconds; all rates are per second.
+// Parameters of the decisions. Each comment names the unit; a value without a unit is a plain factor or
+// share.
 const (
-	period      = 1000.0 // T, the controller's period
-	gain        = 0.3    // EWMA weight of a new period in arrival rate and E[X]
-	rlsP0       = 1.0    // p0: how freely the first samples move theta
-	theta1Start = 1.0    // a delay error lasts, without a correction
-	theta2Start = 0.5    // admitting all for a period adds half a Dref
-	theta2Floor = 0.25
-	minAdmit    = 0.1     // the paper's clamp
-	ageAfter    = 30000.0 // an idle destination's controller starts afresh
-	drefShare   = 0.1     // Dref is at least this share of the aim
-	latGain     = 0.2     // EWMA weight of a call's latency
-	latDevs     = 4.0     // mean deviations that a usual call stays under
-	timeoutOf   = 3.0     // a time-out is so many times mean + 4 deviations; slow calls still work
-	timeoutLo   = 2500.0  // and never under this
-	suspectLo   = 1200.0  // the oldest call out this long at least before its endpoint is suspect
-	meterTau    = 6000.0  // memory of the rate meters
-	fewSenders  = 8       // so few share a limit in parts that each can measure
-	paceBusy    = 1.0     // calls a second on a route over which a sender sees enough to judge it by itself:
-	cutTo       = 0.8     // its pace falls to this part of what is taken on, once a round trip,
-	growShare   = 0.06    // and rises by this part a second
-	growLow     = 2.5     // of a pace of so much at least
-	cutBy       = 0.5     // a light sender's pace falls by this on `full`
-	growBy      = 0.15    // and rises by this on success: four in five calls are taken on when both balance
-	recoverIn   = 15000.0 // a pace rises e-fold in this time without refusals
-	recoverBy   = 0.2     // but by no more than this for each call that it allows
-	paceFirst   = 0.8     // a pace of which nothing is known starts here at the first `full`
-	paceLeast   = 0.02
-	evenPart    = 0.9    // many senders keep to this part of an even share of a told limit, as calls come by
-	evenDepth   = 3.0    // chance, and what of it is not used is saved up for so many calls
-	toldGain    = 0.3    // EWMA weight of a report of a limit,
-	toldNoise   = 0.3    // unless it differs by more than this part: then the limit has changed
-	starveWait  = 1200.0 // a told wait over this is a debt: refusals count there. It, or
-	starveAfter = 4      // so many refusals in a row, bring a pace to
-	starveShare = 0.8    // this times an even share of a told limit
-	equalsCost  = 0.1    // weight of a sender's own order among equals, under all that makes endpoints differ
-	routeCrowd  = 10.0   // a limit of so many calls a second is shared by chance rather than by cost
-	burstFor    = 500.0  // token bucket depth, as time at the pace
-	retryLo     = 200.0  // least retry-after of a refusal, and pause before the list is asked for again
-	retryDelay  = 150.0  // first pause of a message after a failed attempt
-	staleLeast  = 1000.0 // idle connections younger than this are not doubted
-	staleGain   = 0.25   // EWMA weight of a call on an idle connection
-	staleShare  = 0.3    // failing share of such calls above which they are not trusted
-	staleForget = 0.01
-	dialGain    = 0.2     // EWMA weight of a message's first connection to a kind of destination
-	dialShort   = 0.45    // failing share of these above which connections are short there
-	dialSoon    = 3500.0  // or a success that comes so soon after a connection was turned away
-	dialFor     = 60000.0 // how long none is kept idle then
-	doubtFor    = 1000.0  // an endpoint that failed is passed over for its siblings about so long
-	aliveFor    = 500.0   // an endpoint that succeeded so lately, with calls out, is not down
-	openAfter   = 4       // failures in a row that open a breaker, where successes were seen lately
-	openShare   = 0.8     // failing share (EWMA) that opens it
-	shutAfter   = 4       // refusals in a row, without success for shutFor, that mean shut,
-	shutFor     = 2000.0
-	shutWait    = 3000.0 // or a told wait over this: waits at a limit are short
-	leftShut    = 0.5    // share of its allowance left at which one that refuses may be shut:
-	doubtShare  = 0.6    // this share of light senders takes it so
-	shutPause   = 0.2    // part of the first pause after refusals alone
-	trialLo     = 500.0  // first pause before a trial
-	trialHi     = 2500.0
-	trialLeast  = 1000.0  // time-out of a trial at least
-	trialDense  = 300.0   // for each sender, where most of them hold something
-	trialFew    = 150.0   // for each sender, where many try: the first pause is this times their number,
-	trialFirst  = 12000.0 // up to this
-	forgetAfter = 60000.0 // an endpoint that left the list is remembered so long: it may come back, cold
-	followAfter = 3000.0  // an endpoint that succeeded so lately does not follow a failed one of its route
-	trialAge    = 2.0     // senders that hold something for an outage grow with its age: so does the pause,
-	trialPer    = 600.0   // up to this times the number of senders, which is enough when all hold something
-	trialMargin = 0.85    // part of what tips a destination in its first cold moment that all trials make up
-	capTrials   = 0.2     // share of a pace from outside that trials may take
-	rampMargin  = 0.65    // share of what fail-back allows that is used; other senders ramp at their own
-	rampDepth   = 0.2     // the ramp's budget saves up this part of TipAfter
-	baseLeast   = 0.25    // own rate before an outage is taken as this at least, for
-	toldJump    = 1.5     // a told limit that rises by this is no noise
-	toldSure    = 1.3     // a limit that was told is under the capacity: the ramp may rely on more of it
-	ratedSure   = 0.6     // a rating of the list may be up to half too high; an outage's ramp relies on so much
-	baseFew     = 4.0     // so many senders; more share it
-	itemWeight  = 0.25    // a further message in a call, as a share of a call
-	crossCost   = 20.0    // a point of G that a call to another zone costs, in calls out there
-	spanMargin  = 0.9     // share of a key's memory span that is used
-	holdShare   = 0.9     // share of the holding room above which the least worth is given back
-	logGap      = 200.0   // between two log lines
-	jitter      = 0.3     // pauses of senders that fail together differ by up to this part either way,
-	jitterMany  = 0.6     // or this, where many would come back in step
-	lastMoment  = 40.0    // a held message is answered so long before its time at the latest
+	// Admission control.
+
+	// Control period T, in ms.
+	controlPeriod = 1000.0
+	// EWMA weight of a new control period in the arrival rate and in the mean waiting time E[X].
+	periodGain = 0.3
+	// Initial diagonal of the RLS covariance matrix. A larger value lets the first samples move theta further.
+	rlsInitialP = 1.0
+	// Initial theta1: without a correction, a delay error persists from one period to the next.
+	initialTheta1 = 1.0
+	// Initial theta2: admitting every message for one period adds half of the target delay Dref to the delay.
+	initialTheta2 = 0.5
+	// Lower bound of theta2, by which the control law divides.
+	minTheta2 = 0.25
+	// Lower bound of the admission probability, as in Liu et al.
+	minAdmission = 0.1
+	// Time without arrivals after which a destination's controller starts afresh, in ms.
+	controllerResetDelay = 30000.0
+	// The target delay Dref is at least this share of the aim.
+	minDrefShare = 0.1
+
+	// Call latency and time-outs.
+
+	// EWMA weight of a call in the latency of a destination or class and in the failure share of an endpoint.
+	callGain = 0.2
+	// Mean deviations above the mean latency within which a normal call ends.
+	latencyDeviations = 4.0
+	// Time-out of a call as a multiple of mean + latencyDeviations × deviation, so that slow calls still
+	// succeed.
+	timeoutMultiple = 3.0
+	// Lower bound of the time-out of a call, in ms.
+	minCallTimeout = 2500.0
+	// Least age of the oldest call in flight at which its endpoint may be suspected, in ms.
+	minSuspectAge = 1200.0
+
+	// Pace of a route.
+
+	// Time constant of the rate meters, in ms.
+	rateMeterTau = 6000.0
+	// Largest number of senders whose parts of a shared limit are big enough for each to measure by itself.
+	maxSmallFleet = 8
+	// Calls per second on a route above which a sender of a large fleet sees enough to measure the limit by
+	// itself.
+	minBusyRate = 1.0
+	// At a refusal, a busy sender's pace falls to this share of its accepted rate, at most once per round
+	// trip.
+	busyCutFactor = 0.8
+	// Share of its pace by which a busy sender's pace rises per second.
+	busyGrowthRate = 0.06
+	// The growth of a busy sender's pace is computed from at least this pace, in calls per second.
+	minGrowthPace = 2.5
+	// Share of its pace by which a light sender's pace falls at a refusal.
+	lightCut = 0.5
+	// Share by which a light sender's pace rises on success. With lightCut, four in five calls are accepted in
+	// balance.
+	lightGrowth = 0.15
+	// Time without refusals in which a light sender's pace rises e-fold, in ms.
+	paceRecoveryTau = 15000.0
+	// Upper bound, per call that a light sender's pace allows, of the exponent by which that pace rises with
+	// time.
+	maxRecoveryPerCall = 0.2
+	// Pace at the first refusal on a route of which nothing is known, in calls per second.
+	initialPace = 0.8
+	// Lower bound of a light sender's pace, in calls per second.
+	minPace = 0.02
+	// Share of its even part of an advertised limit that a sender of a large fleet uses: arrivals are random.
+	evenShareUse = 0.9
+	// Bucket depth for an even part of an advertised limit, in calls: an unused part is saved up to this.
+	evenShareBurst = 3.0
+	// EWMA weight of a report of a limit that differs by at most limitReportNoise.
+	limitReportGain = 0.3
+	// Relative difference above which a reported limit has changed and is taken over at once.
+	limitReportNoise = 0.3
+	// Requested wait, in ms, above which the destination is assumed to count refused calls against its limit.
+	debtWait = 1200.0
+	// Refusals in a row from which the destination is assumed to count refused calls against its limit.
+	debtRefusals = 4
+	// Share of an even part of the advertised limit that the pace falls to where refused calls count against
+	// the limit.
+	debtPaceShare = 0.8
+
+	// Choice of endpoint, in units of one call in flight.
+
+	// Weight of each sender's own order among equal endpoints; below all costs by which endpoints differ.
+	senderOrderCost = 0.1
+	// Scale of the random cost, in calls per second: up to a limit of this size, chance outweighs the other
+	// costs.
+	randomRouteCost = 10.0
+
+	// Token buckets and pauses of messages.
+
+	// Depth of a pace's token bucket, as time at the pace in ms.
+	burstDuration = 500.0
+	// Least Retry-After of a refusal, and least pause before the endpoint list is requested again, in ms.
+	minRetryAfter = 200.0
+	// Pause of a message after its first failed attempt, in ms. It doubles with each further attempt.
+	initialRetryDelay = 150.0
+
+	// Idle connections that have died unnoticed.
+
+	// Connections idle for less than this, in ms, are not suspected.
+	minSuspectIdle = 1000.0
+	// EWMA weight of a call on an idle connection in the failing share of such calls.
+	staleGain = 0.25
+	// Failing share of calls on idle connections above which idle connections are not trusted.
+	maxStaleShare = 0.3
+	// Part of the failing share that is forgotten each time an idle connection is replaced.
+	staleDecay = 0.01
+
+	// Scarce connections: a kind of destination accepts too few for all senders.
+
+	// EWMA weight of a message's first connection attempt in the failing share of a kind of destination.
+	dialGain = 0.2
+	// Failing share of first connection attempts above which connections are scarce at a kind of destination.
+	maxDialFailureShare = 0.45
+	// A connection made within this time after a refused one, in ms, shows scarcity: no outage ends so soon.
+	scarceSuccessWindow = 3500.0
+	// Time for which no idle connection is kept where connections are scarce, in ms.
+	scarceDuration = 60000.0
+
+	// Circuit breaker.
+
+	// Time constant in which the extra cost of an endpoint that failed decays, in ms.
+	suspicionTau = 1000.0
+	// An endpoint with calls in flight and a success within this time, in ms, is not down.
+	aliveWindow = 500.0
+	// Failures in a row that open a breaker that has seen recent successes.
+	breakerFailures = 4
+	// Failing share of calls (EWMA) that opens a breaker.
+	breakerFailureShare = 0.8
+	// Refusals in a row that, without a success for unavailableWindow, show an unavailable destination.
+	unavailableRefusals = 4
+	// Time without a success, in ms, after which unavailableRefusals refusals open the breaker.
+	unavailableWindow = 2000.0
+	// Requested wait, in ms, above which a destination is unavailable: waits for a limit are shorter.
+	unavailableWait = 3000.0
+	// Share of its allowance left above which a route that refuses may be unavailable rather than at its
+	// limit.
+	minUnusedAllowance = 0.5
+	// Share of the light senders that treat a route that refuses with much of its allowance left as
+	// unavailable.
+	unavailableSenderShare = 0.6
+	// Share of the first pause before a trial that is used after refusals alone, which may come from a limit.
+	refusalPauseShare = 0.2
+
+	// Half-open trials.
+
+	// First pause before a trial, and least pause between the trials of one sender, in ms.
+	minTrialPause = 500.0
+	// Upper bound to which the pause grows with the number of failed trials, in ms.
+	maxTrialBackoff = 2500.0
+	// Lower bound of the time-out of a trial, in ms.
+	minTrialTimeout = 1000.0
+	// Pause before a trial where most senders hold messages for the destination, in ms per sender.
+	denseTrialPause = 300.0
+	// First pause before a trial in a large fleet, in ms per sender, up to maxFirstTrialPause.
+	trialPausePerSender = 150.0
+	// Upper bound of the first pause before a trial, in ms.
+	maxFirstTrialPause = 12000.0
+	// Time for which an endpoint off the list is remembered, in ms: it may come back, cold.
+	removedEndpointRetention = 60000.0
+	// An endpoint with a success within this time, in ms, does not follow a failed one of its route.
+	recentSuccessWindow = 3000.0
+	// Pause before a trial as a multiple of the outage's age, since the number of senders that hold messages
+	// grows with it.
+	trialPauseAgeFactor = 2.0
+	// Upper bound of the part of a pause that grows with the outage's age, in ms per sender. It suffices when
+	// every sender holds messages.
+	maxAgePausePerSender = 600.0
+	// Share of the load that overloads a destination just back, and cold, that all trials together may reach.
+	trialOverloadShare = 0.85
+	// Share of a pace cap that trials may use.
+	trialPaceShare = 0.2
+
+	// Slow start after an outage.
+
+	// Share of the load allowed by fail-back rules that a ramp uses: other senders ramp at rates of their own.
+	rampMargin = 0.65
+	// The ramp's budget saves up calls for this share of OverloadWindow.
+	rampBurstShare = 0.2
+	// Least rate before an outage from which a ramp starts, in calls per second, where up to
+	// minBaseRateSenders send.
+	minBaseRate = 0.25
+	// Factor from which a rise of an advertised limit cannot be noise.
+	limitJump = 1.5
+	// Factor on an even part of a reported limit for a ramp: a reported limit is below the capacity.
+	reportedLimitTrust = 1.3
+	// Factor on an even part of the list's rating for a ramp: the rating may be up to half too high.
+	ratingTrust = 0.6
+	// Number of senders above which minBaseRate is divided among them.
+	minBaseRateSenders = 4.0
+
+	// Costs, margins and jitter.
+
+	// Weight of each further message in a call, as a share of a call.
+	batchItemWeight = 0.25
+	// Cost of a call to another zone per unit of CrossZoneFee, in calls in flight.
+	crossZoneCost = 20.0
+	// Share of a key's dedup window within which a message is sent again.
+	dedupMargin = 0.9
+	// Share of MaxHeld above which the messages of least worth are shed.
+	maxHeldShare = 0.9
+	// Least interval between two log lines, in ms.
+	minLogInterval = 200.0
+	// Largest relative deviation of a pause in a small fleet, so that senders that fail together spread out.
+	pauseJitter = 0.3
+	// Largest relative deviation of a pause in a large fleet, where many senders would come back in step.
+	largeFleetJitter = 0.6
+	// A held message is answered at least this long before its deadline, in ms.
+	answerMargin = 40.0
 )
 
-// Step takes one batch of events in order, makes one pass that sends, and appends the actions.
+// Step processes a batch of events in order, dispatches messages once and appends the resulting actions.
 func (s *Sender) Step(now float64, events []Event, actions []Action) []Action {
-	s.now, s.out = now, actions
+	s.now, s.actions = now, actions
 	s.steps++
 	s.sweep()
 	for i := range events {
 		e := &events[i]
 		switch e.Kind {
 		case EvList:
-			s.list(e)
+			s.updateEndpoints(e)
 		case EvFacts:
-			s.recall(e.Facts)
+			s.keepFacts(e.Facts)
 		case EvPace:
-			s.cap(e)
+			s.setPaceCap(e)
 		case EvSettings:
-			s.retune(e.Settings)
+			s.applySettings(e.Settings)
 		case EvMessage:
-			s.take(e)
+			s.admit(e)
 		case EvOutcome:
-			s.outcome(e)
+			s.handleOutcome(e)
 		case EvWithdrawn:
-			if m := s.msgs[e.ID]; m != nil && !m.ended {
+			if m := s.messages[e.ID]; m != nil && !m.ended {
 				s.end(m)
 			}
 		case EvTimer:
-			if e.Token == s.token {
-				s.armed = math.Inf(1)
+			if e.Token == s.timerToken {
+				s.timerAt = math.Inf(1)
 			}
 		}
 	}
-	for len(s.wakes) > 0 && s.wakes[0].at <= now {
-		s.due(heap.Pop(&s.wakes).(wake).m)
+	for len(s.timers) > 0 && s.timers[0].at <= now {
+		s.checkSendDeadline(heap.Pop(&s.timers).(sendTimer).m)
 	}
-	if now >= s.askAt {
-		s.askAt = math.Inf(1)
-		s.out = append(s.out, Action{Kind: ActSubscribe})
+	if now >= s.subscribeAt {
+		s.subscribeAt = math.Inf(1)
+		s.actions = append(s.actions, Action{Kind: ActSubscribe})
 	}
-	s.relieve()
-	next := min(s.pass(), s.askAt)
-	if len(s.wakes) > 0 {
-		next = min(next, s.wakes[0].at)
+	s.shed()
+	next := min(s.dispatch(), s.subscribeAt)
+	if len(s.timers) > 0 {
+		next = min(next, s.timers[0].at)
 	}
-	s.arm(next)
-	actions, s.out = s.out, nil
+	s.armTimer(next)
+	actions, s.actions = s.actions, nil
 	return actions
 }
 
-// list follows the list of endpoints. An endpoint that drains or is gone gets nothing new from this very
-// step on, well inside the grace.
-func (s *Sender) list(e *Event) {
+// updateEndpoints applies a list of endpoints. An endpoint that drains or is gone receives nothing new from
+// this step on, well within the drain grace period.
+func (s *Sender) updateEndpoints(e *Event) {
 	if e.Failed {
-		if s.set.Subscribe {
-			s.askAt = s.now + retryLo*(1+4*s.rng.Float64())
+		if s.settings.Subscribe {
+			s.subscribeAt = s.now + minRetryAfter*(1+4*s.rng.Float64())
 		}
 		return
 	}
 	if e.FullList {
-		s.keepOnly(e.List)
+		s.retainListed(e.List)
 	}
-	for _, l := range e.List {
-		if l.State == Gone {
-			s.retire(s.eps[l.ID])
+	for _, listed := range e.List {
+		if listed.State == Gone {
+			s.retire(s.endpoints[listed.ID])
 			continue
 		}
-		ep := s.eps[l.ID]
+		ep := s.endpoints[listed.ID]
 		if ep == nil {
-			ep = s.newEndpoint(l)
-			s.inherit(ep)
-			s.recallEndpoint(ep)
-			if r := ep.route; s.set.RatingIsRate && r.told == 0 && l.Rating > 0 && !math.IsInf(l.Rating, 0) {
-				r.told, r.limit = l.Rating, l.Rating
-				if s.shared(r) { // many start in one moment: a call is saved up by each on average, not by each
-					r.limit, r.tokens.v = evenPart*s.even(r), 2*s.rng.Float64()
+			ep = s.addEndpoint(listed)
+			s.shareOutage(ep)
+			s.restoreEndpoint(ep)
+			if r := ep.route; s.settings.RatingIsRate && r.advertisedLimit == 0 &&
+				listed.Rating > 0 && !math.IsInf(listed.Rating, 0) {
+				r.advertisedLimit, r.pace = listed.Rating, listed.Rating
+				if s.usesEvenShare(r) {
+					// Many senders start at the same moment: the initial level is random, one call on average.
+					r.pace, r.paceTokens.level = evenShareUse*s.evenShare(r), 2*s.rng.Float64()
 				}
 			}
 		}
-		ep.ready, ep.goneAt = l.State == Ready, 0
+		ep.ready, ep.removedAt = listed.State == Ready, 0
 	}
 }
 
-// inherit keeps a new endpoint from taking at once all that an outage of its route has made wait: the
-// destination behind it is as cold as behind the others.
-func (s *Sender) inherit(ep *endpoint) {
-	for _, o := range ep.route.endpoints {
-		if o.state == open {
-			s.follow(ep, o)
-		} else if o != ep && o.ready {
-			ep.state = closed
+// shareOutage puts a new endpoint under the breaker of its route if that is in an outage. Otherwise the
+// endpoint would receive the whole backlog at once, and the destination behind it is as cold as behind the
+// others.
+func (s *Sender) shareOutage(ep *endpoint) {
+	for _, other := range ep.route.endpoints {
+		if other.breaker == open {
+			s.followBreaker(ep, other)
+		} else if other != ep && other.ready {
+			ep.breaker = closed
 			return
 		}
 	}
 }
 
-// take admits or refuses a message that was handed in.
-func (s *Sender) take(e *Event) {
-	if s.msgs[e.ID] != nil {
+// admit accepts or refuses a new or restored message.
+func (s *Sender) admit(e *Event) {
+	if s.messages[e.ID] != nil {
 		return
 	}
-	if e.Class < 0 || e.Class >= len(s.set.Classes) || !(e.Remaining > 0) {
-		s.out = append(s.out, Action{Kind: ActRefuse, ID: e.ID})
+	if e.Class < 0 || e.Class >= len(s.settings.Classes) || !(e.Remaining > 0) {
+		s.actions = append(s.actions, Action{Kind: ActRefuse, ID: e.ID})
 		return
 	}
-	c, d := &s.set.Classes[e.Class], s.destOf(e.Dest)
-	left := min(e.Remaining, c.Deadline)
-	m := &message{id: e.ID, class: c, kind: e.Class, dest: d, arrived: s.now, doubtAt: -1}
-	m.deadline = s.now + left
+	c, d := &s.settings.Classes[e.Class], s.destination(e.Dest)
+	remaining := min(e.Remaining, c.Deadline)
+	m := &message{id: e.ID, class: c, classIndex: e.Class, dest: d, arrived: s.now, mayHaveRunAt: -1}
+	m.deadline = s.now + remaining
 	m.aimAt = m.deadline - c.Deadline + c.Aim
-	if s.set.MarksResubmissions && !e.Resubmitted && !e.Restored || !s.set.MarksResubmissions && !e.Restored && left <= c.Aim {
-		m.aimAt = s.now + c.Aim // fresh: its client has little patience, it has not waited
-	}
-	s.account(d)
-	d.ctl.arrive(s.now)
-	s.control(d)
-	s.msgs[m.id] = m
+	if s.settings.MarksResubmissions && !e.Resubmitted && !e.Restored ||
+		!s.settings.MarksResubmissions && !e.Restored && remaining <= c.Aim {
+		// A new message with little time left has an impatient client; it has not waited.
+		m.aimAt = s.now + c.Aim
+	}
+	s.accrueWait(d)
+	d.admission.countArrival(s.now)
+	s.updateController(d)
+	s.messages[m.id] = m
 	s.held++
 	if c.Ordered && e.Key != 0 {
-		s.join(m, e.Key)
+		s.joinKey(m, e.Key)
 	}
-	if e.Restored { // its intake was decided in an earlier life; what its attempts allow is not over
+	if e.Restored { // accepted in an earlier run: only its attempts and its deadline can end it
 		m.attempts = e.Attempts
 		if e.MayHaveRun {
-			m.doubtAt, m.doubtZone = s.now-e.MayHaveRunAge, e.MayHaveRunZone
+			m.mayHaveRunAt, m.mayHaveRunZone = s.now-e.MayHaveRunAge, e.MayHaveRunZone
 		}
-		if m.attempts >= s.set.MaxAttempts || m.doubtAt >= 0 && c.Effect == Unsafe || s.lastSend(m) <= s.now {
-			s.finish(m)
+		if m.attempts >= s.settings.MaxAttempts || m.mayHaveRunAt >= 0 && c.Effect == Unsafe ||
+			s.sendDeadline(m) <= s.now {
+			s.endUndelivered(m)
 			return
 		}
-	} else if d.blocked && s.rng.Float64() >= d.ctl.pa {
+	} else if d.throttled && s.rng.Float64() >= d.admission.pa {
 		s.refuse(m)
 		return
 	}
 	s.enqueue(m)
-	s.wake(m)
+	s.setSendTimer(m)
 }
 
-// lastSend is the last moment at which m may still be sent.
-func (s *Sender) lastSend(m *message) float64 {
-	at := m.deadline - max(s.callTime(m), lastMoment)
-	if m.doubtAt >= 0 && m.class.Effect == Keyed {
-		at = min(at, m.doubtAt+m.class.DedupWindow*spanMargin)
+// sendDeadline returns the last moment at which m may still be sent.
+func (s *Sender) sendDeadline(m *message) float64 {
+	at := m.deadline - max(s.callTime(m), answerMargin)
+	if m.mayHaveRunAt >= 0 && m.class.Effect == Keyed {
+		at = min(at, m.mayHaveRunAt+m.class.DedupWindow*dedupMargin)
 	}
 	return at
 }
 
-// due is the late-refusal timer: a held message whose time left is under a usual call is answered unsent.
-func (s *Sender) due(m *message) {
-	if m.ended || m.out != nil {
+// checkSendDeadline handles a send timer: a held message with less time left than a normal call takes is
+// answered without being sent.
+func (s *Sender) checkSendDeadline(m *message) {
+	if m.ended || m.inFlight != nil {
 		return
 	}
-	if s.lastSend(m) > s.now {
-		s.wake(m)
+	if s.sendDeadline(m) > s.now {
+		s.setSendTimer(m)
 		return
 	}
-	s.finish(m)
+	s.endUndelivered(m)
 }
 
-// finish gives the final answer that the message's attempts allow.
-func (s *Sender) finish(m *message) {
-	if m.doubtAt < 0 || m.class.Effect == Safe || m.class.Effect == Keyed && !m.class.ZoneScope {
+// endUndelivered gives the final answer that the attempts of m allow: a refusal promises that m never ran
+// or may be repeated safely.
+func (s *Sender) endUndelivered(m *message) {
+	if m.mayHaveRunAt < 0 || m.class.Effect == Safe || m.class.Effect == Keyed && !m.class.ZoneScope {
 		s.refuse(m)
 		return
 	}
-	s.out = append(s.out, Action{Kind: ActFail, ID: m.id})
+	s.actions = append(s.actions, Action{Kind: ActFail, ID: m.id})
 	s.end(m)
 }
 
+// refuse returns m undelivered, with a Retry-After where clients are given one.
 func (s *Sender) refuse(m *message) {
 	after := 0.0
-	if s.set.SendsRetryAfter {
-		after = min(s.set.MaxRetryAfter, max(m.dest.ctl.ex*float64(len(m.dest.queue)), retryLo))
+	if s.settings.SendsRetryAfter {
+		after = min(s.settings.MaxRetryAfter, max(m.dest.admission.ex*float64(len(m.dest.queue)), minRetryAfter))
 	}
-	s.out = append(s.out, Action{Kind: ActRefuse, ID: m.id, After: after})
+	s.actions = append(s.actions, Action{Kind: ActRefuse, ID: m.id, After: after})
 	s.end(m)
 }
 
-// relieve gives back the messages of least worth when the holding room is nearly used up, from the longest
-// queue first: one destination's outage must not get the others' messages turned away. Harm: a backlog that
-// would have drained in time is cut; only above holdShare.
-func (s *Sender) relieve() {
-	excess := s.held - int(holdShare*float64(s.set.MaxHeld))
-	if s.set.MaxHeld <= 0 || excess <= 0 {
+// shed returns the messages of least worth when the capacity for held messages is nearly used up, from the
+// longest queue first, so that an outage of one destination does not cause refusals for the others.
+// Drawback: a backlog that would have drained in time is cut, though only above maxHeldShare.
+func (s *Sender) shed() {
+	excess := s.held - int(maxHeldShare*float64(s.settings.MaxHeld))
+	if s.settings.MaxHeld <= 0 || excess <= 0 {
 		return
 	}
-	for i, n := range shorten(s.waiting, excess) {
+	for i, n := range shedCounts(s.waiting, excess) {
 		d := s.waiting[i]
 		for _, m := range s.leastWorth(d.queue, n) {
-			s.finish(m)
+			s.endUndelivered(m)
 		}
-		s.compact(d)
+		s.dropShed(d)
 	}
 }
 
-// update closes a period: predictor (eq. 4), RLS (eqs. 9, 10) and control law (eq. 11) with n=1, m=0, d=1.
-// The error is taken relative to Dref. oldest is the age of the oldest held message, which stands in for
-// the delay when nothing was sent: a silent destination's samples would come only at its time-outs.
-func (c *controller) update(now, dref, oldest float64, acting bool) {
-	elapsed := now - c.since
-	if elapsed < period {
+// update ends a control period: predictor (eq. 4), RLS (eqs. 9, 10) and control law (eq. 11) of Liu et al.
+// with n=1, m=0, d=1. The error is relative to Dref. oldest is the age of the oldest held message, which replaces the
+// delay when nothing was sent: a silent destination would yield samples only at its time-outs.
+func (c *admissionController) update(now, dref, oldest float64, active bool) {
+	elapsed := now - c.periodStart
+	if elapsed < controlPeriod {
 		return
 	}
 	rate := float64(c.arrivals) / elapsed
 	if c.lambda == 0 {
 		c.lambda = rate
 	}
-	c.lambda += gain * (rate - c.lambda)
-	d := oldest
+	c.lambda += periodGain * (rate - c.lambda)
+	delay := oldest
 	if c.sent > 0 {
-		d = c.delays / float64(c.sent)
+		delay = c.delaySum / float64(c.sent)
 	}
 	arrived := c.arrivals > 0
-	c.since, c.arrivals, c.delays, c.sent = now, 0, 0, 0
-	if !acting {
-		c.rest()
+	c.periodStart, c.arrivals, c.delaySum, c.sent = now, 0, 0, 0
+	if !active {
+		c.admitAll()
 		return
 	}
-	if c.done > 0 {
-		x := c.waited / c.done
+	if c.delivered > 0 {
+		x := c.waitingTime / c.delivered
 		if c.ex == 0 {
 			c.ex = x
 		}
-		c.ex += gain * (x - c.ex)
-		c.waited, c.done = 0, 0
+		c.ex += periodGain * (x - c.ex)
+		c.waitingTime, c.delivered = 0, 0
 	} else {
-		c.ex = max(c.ex, c.waited)
+		c.ex = max(c.ex, c.waitingTime)
 	}
-	if arrived && c.ex > 0 { // no arrivals keep the last Pa
+	if arrived && c.ex > 0 { // without arrivals the last value is kept
 		c.pam = (dref - c.ex) / (c.lambda * dref * c.ex)
 	}
-	y := (d - dref) / dref
-	if c.primed {
-		c.learn(y)
+	y := (delay - dref) / dref
+	if c.hasPrevious {
+		c.updateTheta(y)
 	}
-	c.y, c.u, c.primed = y, -c.theta[0]*y/c.theta[1], true
-	c.pa = min(max(c.pam+c.u, minAdmit), 1)
+	c.y, c.u, c.hasPrevious = y, -c.theta[0]*y/c.theta[1], true
+	c.pa = min(max(c.pam+c.u, minAdmission), 1)
 }
 
-// control closes a due period of d's controller.
-func (s *Sender) control(d *dest) {
-	if math.IsInf(s.aim, 1) {
+// updateController ends the control period of d if it is due.
+func (s *Sender) updateController(d *destination) {
+	if math.IsInf(s.minAim, 1) {
 		return
 	}
-	was := d.ctl.pa
-	d.ctl.update(s.now, max(s.aim-d.lat.mean, drefShare*s.aim), d.oldest(s.now), d.blocked)
-	if was == 1 && d.ctl.pa < 1 {
+	previous := d.admission.pa
+	d.admission.update(s.now, max(s.minAim-d.latency.mean, minDrefShare*s.minAim),
+		d.oldestAge(s.now), d.throttled)
+	if previous == 1 && d.admission.pa < 1 {
 		s.log("refusing", d.id, 0)
 	}
 }
 
-// pass gives the free slots to the waiting destinations in turn, fewest calls out first, and returns when
-// the next pass could do more.
-func (s *Sender) pass() float64 {
+// dispatch gives the free call slots to the waiting destinations in turn, fewest calls in flight first, and
+// returns the time at which the next dispatch could do more.
+func (s *Sender) dispatch() float64 {
 	next := math.Inf(1)
-	ready := s.stillWaiting()
+	candidates := s.pruneWaiting()
 	if s.halted {
-		ready = nil
+		candidates = nil
 	}
-	s.doubtful = 0
+	s.suspectCalls = 0
 	for _, c := range s.calls {
-		if s.suspect(c.ep) {
-			s.doubtful++
+		if s.suspected(c.ep) {
+			s.suspectCalls++
 		}
 	}
-	for len(ready) > 0 {
-		d := slices.MinFunc(ready, func(a, b *dest) int { return cmp.Or(a.out-b.out, cmp.Compare(a.turn, b.turn)) })
+	for len(candidates) > 0 {
+		d := slices.MinFunc(candidates, func(a, b *destination) int {
+			return cmp.Or(a.callsInFlight-b.callsInFlight, cmp.Compare(a.virtualTime, b.virtualTime))
+		})
 		at := s.serve(d)
 		if at > s.now || len(d.queue) == 0 {
 			next = min(next, at)
-			ready = without(ready, d)
+			candidates = remove(candidates, d)
 		}
 	}
 	for _, d := range s.waiting {
-		s.account(d)
-		// Rest: in an outage of the whole destination nothing waits for a slot, and no load has made the backlog.
-		// Harm: a long outage fills the holding room.
-		d.sick = true
-		for _, ep := range d.eps {
-			d.sick = d.sick && (!ep.ready || s.suspect(ep))
-		}
-		d.markSick()
-		ownSlots := d.out*max(len(s.waiting), 1) >= s.set.CallSlots
-		d.blocked = len(d.queue) > 0 && !d.sick && (s.busy < s.set.CallSlots || ownSlots)
-		s.control(d)
+		s.accrueWait(d)
+		// In an outage of the whole destination no message waits for a slot and the backlog does not come from
+		// load: the controller stays idle. Drawback: a long outage fills the capacity for held messages.
+		d.unavailable = true
+		for _, ep := range d.endpoints {
+			d.unavailable = d.unavailable && (!ep.ready || s.suspected(ep))
+		}
+		d.markHeldInOutage()
+		shareUsed := d.callsInFlight*max(len(s.waiting), 1) >= s.settings.CallSlots
+		d.throttled = len(d.queue) > 0 && !d.unavailable && (s.slotsInUse < s.settings.CallSlots || shareUsed)
+		s.updateController(d)
 	}
 	return next
 }
 
-// serve makes one call for d if it may, and returns s.now if it did, else when it could at the earliest.
-func (s *Sender) serve(d *dest) float64 {
+// serve makes one call for d if it may. It returns s.now if it did, otherwise the earliest time at which it
+// could.
+func (s *Sender) serve(d *destination) float64 {
 	var best *endpoint
 	next, bestCost := math.Inf(1), 0.0
-	for i, ep := range d.eps {
-		at := s.freeAt(ep)
+	for i, ep := range d.endpoints {
+		at := s.nextCallAt(ep)
 		if at > s.now {
 			next = min(next, at)
 			continue
 		}
-		// A new connection, a foreign zone and a toll cost; calls out there and an empty bucket mean delay.
-		cost := float64(len(ep.calls)) + 10*ep.toll - 0.2*min(ep.route.tokens.v, 3)
-		if len(ep.calls) >= ep.conns*ep.stream || s.now-ep.usedAt > 0.9*s.set.KeepAlive {
+		// A new connection, another zone and a zone fee cost; calls in flight and an empty bucket mean delay.
+		cost := float64(len(ep.calls)) + 10*ep.zoneFee - 0.2*min(ep.route.paceTokens.level, 3)
+		if len(ep.calls) >= ep.conns*ep.streamsPerConn || s.now-ep.lastUsed > 0.9*s.settings.KeepAlive {
 			cost += 0.7
 		}
-		if ep.zone != s.set.Zone {
-			cost += 0.2 + crossCost*s.set.CrossZoneFee
+		if ep.zone != s.settings.Zone {
+			cost += 0.2 + crossZoneCost*s.settings.CrossZoneFee
 		}
-		if !s.few() { // among equals each sender has its own first, or all would fill the same one's queue
-			cost += equalsCost * float64((i+s.set.Index)%len(d.eps)) / float64(len(d.eps))
+		if !s.smallFleet() {
+			// Each sender has its own order among equal endpoints, or all would fill the queue of the same one.
+			cost += senderOrderCost * float64((i+s.settings.Index)%len(d.endpoints)) / float64(len(d.endpoints))
 		}
-		if len(ep.route.endpoints) < len(d.eps) && !s.few() {
-			// Routes apart with small limits: by chance and limit, or all senders would choose alike.
-			cost += s.rng.ExpFloat64() * routeCrowd / max(ep.route.told, 1)
+		if len(ep.route.endpoints) < len(d.endpoints) && !s.smallFleet() {
+			// Endpoints with small limits of their own are chosen by limit and chance, or all senders would choose
+			// alike.
+			cost += s.rng.ExpFloat64() * randomRouteCost / max(ep.route.advertisedLimit, 1)
 		}
-		if ep.state == open {
-			cost += float64(ep.trials)
+		if ep.breaker == open {
+			cost += float64(ep.failedTrials)
 		}
-		if s.suspect(ep) {
-			// A sibling without doubts goes first: the fault may be this endpoint's or the way to it. Not for good,
-			// or one failure idles it as long as the sibling has a queue.
-			doubt := 5.0
-			if ep.state == closed && len(ep.calls) == 0 {
-				doubt *= math.Exp((ep.failAt - s.now) / doubtFor)
+		if s.suspected(ep) {
+			// An endpoint that is not suspected goes first: the fault may lie with this one or on the way to it. The
+			// penalty decays, or one failure would idle the endpoint for as long as the other one has a queue.
+			penalty := 5.0
+			if ep.breaker == closed && len(ep.calls) == 0 {
+				penalty *= math.Exp((ep.lastFailure - s.now) / suspicionTau)
 			}
-			cost += doubt
+			cost += penalty
 		}
 		if best == nil || cost < bestCost {
 			best, bestCost = ep, cost
@@ -436,37 +585,38 @@
 	if best == nil {
 		return next
 	}
-	joins := best.step != nil && best.stepN == s.steps && best.step.size < best.batch
-	if !joins && s.busy >= s.set.CallSlots {
+	joins := best.stepCall != nil && best.stepSeq == s.steps && best.stepCall.size < best.maxBatch
+	if !joins && s.slotsInUse >= s.settings.CallSlots {
 		return math.Inf(1)
 	}
-	room := best.batch
+	free := best.maxBatch
 	if joins {
-		room -= best.step.size
+		free -= best.stepCall.size
 	}
-	sent, later, took := 0, 0.0, 0.0
-	for sent < room {
-		m, at := s.choose(d, best)
+	sent, messageAt, callTime := 0, 0.0, 0.0
+	for sent < free {
+		m, at := s.chooseMessage(d, best)
 		if m == nil {
-			later = at
+			messageAt = at
 			break
 		}
-		took = s.callTime(m)
+		callTime = s.callTime(m)
 		s.send(m, best)
 		sent++
 	}
 	if sent == 0 {
-		return min(next, later)
+		return min(next, messageAt)
 	}
-	// Turns are weighed by slot time: a call takes one for each message that it carries. Guards short and full
-	// calls against slow destinations where slots are few; harm: a slow destination waits longer.
-	s.turns = max(s.turns, d.turn)
-	d.turn = s.turns + took/float64(sent)
+	// Turns are weighted by slot time; the messages of a call share the time of one slot. This protects short
+	// and full calls from slow destinations where slots are few. Drawback: a slow destination waits longer.
+	s.virtualTime = max(s.virtualTime, d.virtualTime)
+	d.virtualTime = s.virtualTime + callTime/float64(sent)
 	return s.now
 }
 
-// choose returns the message of d that is worth most at ep now, or when one may be sent there.
-func (s *Sender) choose(d *dest, ep *endpoint) (*message, float64) {
+// chooseMessage returns the message of d that is worth most at target now, or the time at which one may be
+// sent there.
+func (s *Sender) chooseMessage(d *destination, target *endpoint) (*message, float64) {
 	var best *message
 	next, bestRank := math.Inf(1), 0.0
 	for _, m := range d.queue {
@@ -474,25 +624,26 @@
 			next = min(next, m.notBefore)
 			continue
 		}
-		if s.lastSend(m) <= s.now || m.doubtAt >= 0 && m.class.ZoneScope && m.doubtZone != ep.zone {
+		if s.sendDeadline(m) <= s.now ||
+			m.mayHaveRunAt >= 0 && m.class.ZoneScope && m.mayHaveRunZone != target.zone {
 			continue
 		}
 		if m.key != 0 {
-			q := s.keys[m.key]
-			if q.line[0] != m {
+			q := s.keyQueues[m.key]
+			if q.messages[0] != m {
 				continue
 			}
-			if q.rest > s.now && q.owner != m {
-				next = min(next, q.rest)
+			if q.pausedUntil > s.now && q.pausedFor != m {
+				next = min(next, q.pausedUntil)
 				continue
 			}
 		}
 		rank := s.worth(m)
 		if s.now+s.callTime(m) > m.aimAt {
-			rank *= 0.6 // an aim that is out of reach can wait for those that are in reach
+			rank *= 0.6 // a message that misses its aim anyway yields to those that can meet theirs
 		}
-		if ep.state == open && ep.hung && m.class.Effect == Unsafe {
-			rank *= 0.01 // a trial may be lost for good
+		if target.breaker == open && target.unresponsive && m.class.Effect == Unsafe {
+			rank *= 0.01 // a lost trial cannot be repeated
 		}
 		if best == nil || rank > bestRank || rank == bestRank && m.deadline < best.deadline {
 			best, bestRank = m, rank
@@ -501,8 +652,9 @@
 	return best, next
 }
 
-// freeAt is when ep may next be called: after told waits, back-off, pace, breaker, ramp and bulkhead.
-func (s *Sender) freeAt(ep *endpoint) float64 {
+// nextCallAt returns when ep may next be called, after requested waits, back-off, pace, breaker, ramp and
+// bulkhead.
+func (s *Sender) nextCallAt(ep *endpoint) float64 {
 	if !ep.ready {
 		return math.Inf(1)
 	}
@@ -510,32 +662,32 @@
 	if r.waitUntil > s.now {
 		return r.waitUntil
 	}
-	if ep.step != nil && ep.stepN == s.steps && ep.step.size < ep.batch {
-		return s.now // joins a call that is paid for
+	if ep.stepCall != nil && ep.stepSeq == s.steps && ep.stepCall.size < ep.maxBatch {
+		return s.now // joins a call that the limits have already counted
 	}
-	out := len(ep.calls)
-	switch ep.state {
+	inFlight := len(ep.calls)
+	switch ep.breaker {
 	case closed:
-		if ep.fails > 0 && ep.nextTrial > s.now {
+		if ep.failures > 0 && ep.nextTrial > s.now {
 			return ep.nextTrial
 		}
 	case open:
-		if ep.leaks && s.few() {
-			// It answers, if mostly with errors: what a cold destination can take in any case goes on, since each call
-			// may be the one that is taken on, and shows at once that the outage is over.
-			if at := s.rampAt(ep, s.set.ColdCapacity); at > s.now {
+		if ep.answeredError && s.smallFleet() {
+			// The endpoint answers, if mostly with errors. Calls that even a cold destination can take go on: each
+			// may be the one that is accepted, which shows at once that the outage is over.
+			if at := s.nextRampCallAt(ep, s.settings.ColdCapacity); at > s.now {
 				return at
 			}
 			break
 		}
-		if out > 0 {
+		if inFlight > 0 {
 			return math.Inf(1)
 		}
-		for _, o := range ep.dest.eps {
-			if o == ep || o.route != r && s.few() || o.state != open || len(o.calls) == 0 {
+		for _, other := range ep.dest.endpoints {
+			if other == ep || other.route != r && s.smallFleet() || other.breaker != open || len(other.calls) == 0 {
 				continue
 			}
-			if o.calls[len(o.calls)-1].sentAt >= o.nextTrial-1 {
+			if other.calls[len(other.calls)-1].sentAt >= other.nextTrial-1 {
 				return math.Inf(1)
 			}
 		}
@@ -543,441 +695,477 @@
 			return ep.nextTrial
 		}
 	case ramping:
-		t := (s.now - ep.rampAt) / max(s.set.WarmUpDuration, 1)
-		if t >= 1 {
-			ep.state = closed
+		progress := (s.now - ep.rampStart) / max(s.settings.WarmUpDuration, 1)
+		if progress >= 1 {
+			ep.breaker = closed
 			s.log("warm", ep.dest.id, ep.id)
 			break
 		}
-		share := s.set.ColdCapacity + (1-s.set.ColdCapacity)*t
-		if at := s.rampAt(ep, share); at > s.now {
+		share := s.settings.ColdCapacity + (1-s.settings.ColdCapacity)*progress
+		if at := s.nextRampCallAt(ep, share); at > s.now {
 			return at
 		}
 	}
-	// Bulkhead: a suspect endpoint (failing, in outage or ramp, or its oldest call far over its usual latency)
-	// may hold a few slots only, and all of them together a third, so that hung calls do not starve the
-	// healthy. It answers slowness, silence and pauses alike; it harms an endpoint whose calls differ widely.
-	if ep.dest.out >= max(s.set.CallSlots-1, 1) {
+	// Bulkhead: a suspected endpoint (failing, in outage or ramp, or with its oldest call far over its usual
+	// latency) may hold a fifth of the slots, and all suspected ones together a third, so that hung calls
+	// leave slots to the healthy. Slowness, silence and pauses are treated alike. Drawback: it slows an
+	// endpoint whose call latencies differ widely.
+	if ep.dest.callsInFlight >= max(s.settings.CallSlots-1, 1) {
 		return math.Inf(1)
 	}
-	if s.suspect(ep) && (out >= max(s.set.CallSlots/5, 1) || s.doubtful >= max(s.set.CallSlots/3, 1)) {
+	if s.suspected(ep) && (inFlight >= max(s.settings.CallSlots/5, 1) ||
+		s.suspectCalls >= max(s.settings.CallSlots/3, 1)) {
 		return math.Inf(1)
 	}
-	if r.limit > 0 {
-		r.limit = max(r.limit, r.cap) // what an outage has left of it counts for little beside a known limit
-		depth := max(1, r.limit*burstFor/1000)
-		if s.shared(r) {
-			depth = evenDepth
+	if r.pace > 0 {
+		r.pace = max(r.pace, r.paceCap) // a pace cut by an outage says less than a known limit
+		depth := max(1, r.pace*burstDuration/1000)
+		if s.usesEvenShare(r) {
+			depth = evenShareBurst
 		}
-		if at := r.tokens.fill(s.now, r.limit/1000, depth); at > s.now {
-			r.bound = true
+		if at := r.paceTokens.refill(s.now, r.pace/1000, depth); at > s.now {
+			r.heldBack = true
 			return at
 		}
 	}
-	if r.cap > 0 { // a pace from outside, evenly spaced: burst upon burst of many senders would add up
-		return r.capTokens.fill(s.now, r.cap/1000, 1)
+	if r.paceCap > 0 { // calls under a cap are evenly spaced: bursts of many senders would add up
+		return r.capTokens.refill(s.now, r.paceCap/1000, 1)
 	}
 	return s.now
 }
 
-// rampAt is when ep may next be called if its destination has this share of its capacity.
-func (s *Sender) rampAt(ep *endpoint, share float64) float64 {
+// nextRampCallAt returns when ep may next be called if its destination has this share of its capacity.
+func (s *Sender) nextRampCallAt(ep *endpoint, share float64) float64 {
 	r := ep.route
-	own := max(ep.base, baseLeast*min(1, baseFew/s.senders()), r.cap/float64(max(r.listed(), 1)))
-	if s.few() || s.shared(r) { // its part of a told limit, which is under the capacity, may be much more
-		sure := ratedSure
-		if r.reported {
-			sure = toldSure
-		}
-		own = max(own, sure*s.even(r)/float64(max(r.listed(), 1)))
-	}
-	rate := own * share * s.set.OverloadMultiple * rampMargin / 1000
-	return ep.budget.fill(s.now, rate, 1+rate*s.set.OverloadWindow*rampDepth)
+	ownRate := max(ep.rateBeforeOutage, minBaseRate*min(1, minBaseRateSenders/s.senders()),
+		r.paceCap/float64(max(r.readyEndpoints(), 1)))
+	if s.smallFleet() || s.usesEvenShare(r) {
+		// The sender's part of an advertised limit may be far above its own rate before the outage.
+		trust := ratingTrust
+		if r.limitReported {
+			trust = reportedLimitTrust
+		}
+		ownRate = max(ownRate, trust*s.evenShare(r)/float64(max(r.readyEndpoints(), 1)))
+	}
+	rate := ownRate * share * s.settings.OverloadMultiple * rampMargin / 1000
+	return ep.rampBudget.refill(s.now, rate, 1+rate*s.settings.OverloadWindow*rampBurstShare)
 }
 
-func (s *Sender) suspect(ep *endpoint) bool {
-	if ep.state != closed || ep.fails > 1 || ep.fails == 1 && ep.mute { // one answered error may happen anywhere
+// suspected reports whether ep may be failing. A single error answer does not count: it may happen
+// anywhere.
+func (s *Sender) suspected(ep *endpoint) bool {
+	if ep.breaker != closed || ep.failures > 1 || ep.failures == 1 && ep.unanswered {
 		return true
 	}
 	return len(ep.calls) > 0 && ep.lastOK < ep.calls[0].sentAt &&
-		s.now-ep.calls[0].sentAt > max(suspectLo, 1.5*ep.dest.lat.high(latDevs))
+		s.now-ep.calls[0].sentAt > max(minSuspectAge, 1.5*ep.dest.latency.upperBound(latencyDeviations))
 }
 
-// send calls ep with m; sends of one step to one endpoint share a call as far as it allows.
+// send calls ep with m. Messages sent to one endpoint in the same step share a call up to the endpoint's
+// batch size.
 func (s *Sender) send(m *message, ep *endpoint) {
 	d := m.dest
-	c := ep.step
-	if c == nil || ep.stepN != s.steps || c.size >= ep.batch {
+	c := ep.stepCall
+	if c == nil || ep.stepSeq != s.steps || c.size >= ep.maxBatch {
 		c = s.startCall(m, ep)
-		if s.suspect(ep) {
-			s.doubtful++
+		if s.suspected(ep) {
+			s.suspectCalls++
 		}
-		ep.route.count(s.now)
-		if ep.state != closed {
-			ep.budget.v--
+		ep.route.countCall(s.now)
+		if ep.breaker != closed {
+			ep.rampBudget.level--
 		}
-		if c.idle >= s.staleGap && s.stale > staleShare {
-			s.hangUp(ep)
-			c.idle = 0
-			s.stale *= 1 - staleForget
+		if c.idleTime >= s.minStaleIdle && s.staleShare > maxStaleShare {
+			s.closeIdle(ep)
+			c.idleTime = 0
+			s.staleShare *= 1 - staleDecay
 		}
-		s.connect(c)
-	} else if ep.state != closed {
-		ep.budget.v -= itemWeight
+		s.useConnection(c)
+	} else if ep.breaker != closed {
+		ep.rampBudget.level -= batchItemWeight
 	}
-	c.left++
+	c.pending++
 	c.size++
-	if m.attempts == 0 && !m.sick {
-		s.account(d)
-		d.ctl.delays += s.now - m.arrived
-		d.ctl.sent++
-	}
-	m.attempts, m.out = m.attempts+1, c
-	s.unqueue(m)
-	limit := max(timeoutOf*d.lat.high(latDevs), timeoutLo) * ep.stretch
-	if ep.state == open { // the sooner a silent one is over, the sooner the next may find it back
-		limit = max(timeoutOf*d.lat.high(latDevs), trialLeast) * min(ep.stretch, 2)
-	}
-	s.out = append(s.out, Action{Kind: ActSend, ID: m.id, Endpoint: ep.id, After: min(limit, m.deadline-s.now)})
+	if m.attempts == 0 && !m.heldInOutage {
+		s.accrueWait(d)
+		d.admission.delaySum += s.now - m.arrived
+		d.admission.sent++
+	}
+	m.attempts, m.inFlight = m.attempts+1, c
+	s.dequeue(m)
+	timeout := max(timeoutMultiple*d.latency.upperBound(latencyDeviations), minCallTimeout) * ep.timeoutBackoff
+	if ep.breaker == open { // an unanswered trial must end soon, so that the next can find the endpoint back
+		timeout = max(timeoutMultiple*d.latency.upperBound(latencyDeviations), minTrialTimeout) *
+			min(ep.timeoutBackoff, 2)
+	}
+	s.actions = append(s.actions, Action{
+		Kind: ActSend, ID: m.id, Endpoint: ep.id, After: min(timeout, m.deadline-s.now),
+	})
 }
 
-// outcome takes the end of an attempt.
-func (s *Sender) outcome(e *Event) {
-	m := s.msgs[e.ID]
-	if m == nil || m.out == nil || e.Attempt != m.attempts-1 {
+// handleOutcome processes the end of an attempt.
+func (s *Sender) handleOutcome(e *Event) {
+	m := s.messages[e.ID]
+	if m == nil || m.inFlight == nil || e.Attempt != m.attempts-1 {
 		return
 	}
-	c, d := m.out, m.dest
-	m.out = nil
-	if c.left--; c.left == 0 {
-		s.release(c)
-		if len(c.ep.calls) == 0 && s.now < s.dials[c.ep.kind].shortUntil {
-			s.hangUp(c.ep)
+	c, d := m.inFlight, m.dest
+	m.inFlight = nil
+	if c.pending--; c.pending == 0 {
+		s.endCall(c)
+		if len(c.ep.calls) == 0 && s.now < s.dialStats[c.ep.kind].scarceUntil {
+			s.closeIdle(c.ep)
 		}
 	}
-	if e.RequestedWait > 0 { // each message of a call may be told its own
+	if e.RequestedWait > 0 { // each message of a call may come with its own wait
 		c.ep.route.waitUntil = max(c.ep.route.waitUntil, s.now+e.RequestedWait+1)
 	}
-	s.report(c.ep.route, e.Report)
-	if !c.told && e.Outcome != Moot {
-		c.told = true
-		s.health(c, e.Outcome, e.RequestedWait)
+	s.applyReport(c.ep.route, e.Report)
+	if !c.counted && e.Outcome != Moot {
+		c.counted = true
+		s.recordResult(c, e.Outcome, e.RequestedWait)
 	}
 	if e.Outcome == OK {
-		c.ep.route.delivered.add(s.now, 1)
-		d.lat.add(e.Latency)
-		s.usual[m.kind].add(e.Latency)
-		if d.blocked {
-			d.ctl.done++
+		c.ep.route.deliveredRate.add(s.now, 1)
+		d.latency.add(e.Latency)
+		s.classLatency[m.classIndex].add(e.Latency)
+		if d.throttled {
+			d.admission.delivered++
 		}
 	}
 	if !e.Outcome.NeverRan() && e.Outcome != OK {
-		if m.doubtAt < 0 {
-			m.doubtAt, m.doubtZone = c.sentAt, c.ep.zone
+		if m.mayHaveRunAt < 0 {
+			m.mayHaveRunAt, m.mayHaveRunZone = c.sentAt, c.ep.zone
 		}
-		if q := s.keys[m.key]; m.key != 0 && q != nil && e.Outcome != Error {
-			q.rest, q.owner = max(q.rest, s.now+s.set.KeyPause), m
+		if q := s.keyQueues[m.key]; m.key != 0 && q != nil && e.Outcome != Error {
+			q.pausedUntil, q.pausedFor = max(q.pausedUntil, s.now+s.settings.KeyPause), m
 		}
 	}
 	switch {
 	case m.ended:
-		s.settle(m)
+		s.forgetMessage(m)
 	case e.Final || e.Outcome == OK:
 		s.end(m)
-	case m.doubtAt >= 0 && m.class.Effect == Unsafe, m.attempts >= s.set.MaxAttempts, s.lastSend(m) <= s.now:
-		s.finish(m)
+	case m.mayHaveRunAt >= 0 && m.class.Effect == Unsafe, m.attempts >= s.settings.MaxAttempts,
+		s.sendDeadline(m) <= s.now:
+		s.endUndelivered(m)
 	default:
 		if e.Outcome != Full {
-			m.notBefore = s.now + s.around(retryDelay*math.Exp2(float64(m.attempts-1)))
+			m.notBefore = s.now + s.jittered(initialRetryDelay*math.Exp2(float64(m.attempts-1)))
 		}
 		s.enqueue(m)
-		s.wake(m)
+		s.setSendTimer(m)
 	}
 }
 
-// report takes what a destination told of its limit.
-func (s *Sender) report(r *route, rep []float64) {
-	r.left = field(rep, s.set.AllowanceIndex)
-	if x1 := field(rep, s.set.LimitIndex); x1 > 0 && !math.IsInf(x1, 0) {
-		if r.reported && x1 > toldJump*r.told { // a squeeze is over: the pace follows as it did when the limit fell
-			r.limit *= x1 / r.told
+// applyReport takes over the allowance and the limit that a destination reports.
+func (s *Sender) applyReport(r *route, values []float64) {
+	r.allowanceLeft = reportField(values, s.settings.AllowanceIndex)
+	if limit := reportField(values, s.settings.LimitIndex); limit > 0 && !math.IsInf(limit, 0) {
+		if r.limitReported && limit > limitJump*r.advertisedLimit { // the pace follows a rise as it follows a fall
+			r.pace *= limit / r.advertisedLimit
 		}
-		if !s.few() && r.reported && math.Abs(x1-r.told) < toldNoise*r.told {
-			x1 = r.told + toldGain*(x1-r.told)
+		if !s.smallFleet() && r.limitReported &&
+			math.Abs(limit-r.advertisedLimit) < limitReportNoise*r.advertisedLimit {
+			limit = r.advertisedLimit + limitReportGain*(limit-r.advertisedLimit)
 		}
-		r.told, r.reported = x1, true
-		if s.shared(r) {
-			r.limit = evenPart * s.even(r)
+		r.advertisedLimit, r.limitReported = limit, true
+		if s.usesEvenShare(r) {
+			r.pace = evenShareUse * s.evenShare(r)
 		}
-		if r.limit == 0 || r.limit > x1 {
-			r.limit = x1
+		if r.pace == 0 || r.pace > limit {
+			r.pace = limit
 		}
-		if s.few() { // a limit that is back must not be crept up to from what was left of it meanwhile
-			r.limit = max(r.limit, s.even(r)/2)
+		if s.smallFleet() { // growth alone would take too long to reach a limit that has risen again
+			r.pace = max(r.pace, s.evenShare(r)/2)
 		}
 	}
 }
 
-// health counts the fate of a call for its endpoint and route.
-func (s *Sender) health(c *call, o Outcome, wait float64) {
+// recordResult counts the result of a call for its endpoint and route.
+func (s *Sender) recordResult(c *call, outcome Outcome, wait float64) {
 	ep, sentAt := c.ep, c.sentAt
 	r := ep.route
-	s.staleness(c, o)
-	s.dialled(c, o)
+	s.learnStaleness(c, outcome)
+	s.learnScarcity(c, outcome)
 	switch {
-	case o == OK:
-		r.fulls, r.lastOK, ep.lastOK = 0, s.now, s.now
-		r.accepted.add(s.now, 1)
-		ep.fails, ep.stretch, ep.hung = 0, 1, false
-		ep.failShare *= 1 - latGain
-		s.grow(r, growBy)
-		if ep.state == open {
-			ep.state, ep.rampAt, ep.budget = ramping, s.now, bucket{0, s.now}
-			if s.shared(r) { // trials are far apart: it has been back for half the time since the last, on average
-				ep.rampAt -= min((s.now-ep.failAt)/2, s.set.OverloadWindow/2)
+	case outcome == OK:
+		r.refusals, r.lastOK, ep.lastOK = 0, s.now, s.now
+		r.acceptedRate.add(s.now, 1)
+		ep.failures, ep.timeoutBackoff, ep.unresponsive = 0, 1, false
+		ep.failureShare *= 1 - callGain
+		s.raisePace(r, lightGrowth)
+		if ep.breaker == open {
+			ep.breaker, ep.rampStart, ep.rampBudget = ramping, s.now, tokenBucket{0, s.now}
+			if s.usesEvenShare(r) {
+				// Trials are far apart: on average the endpoint has been back for half the time since the last one.
+				ep.rampStart -= min((s.now-ep.lastFailure)/2, s.settings.OverloadWindow/2)
 			}
-			ep.failShare = 0
+			ep.failureShare = 0
 			s.log("ramp", ep.dest.id, ep.id)
 		}
-	case o == Full:
-		s.refused(ep, wait, sentAt)
-	case c.idle > staleLeast && s.stale > staleShare: // its connection was at fault
+	case outcome == Full:
+		s.handleRefusal(ep, wait, sentAt)
+	case c.idleTime > minSuspectIdle && s.staleShare > maxStaleShare: // the idle connection was at fault
 	default:
-		if s.turnedAway(c, o) && s.now-ep.lastOK < aliveFor && len(ep.calls) > 0 {
-			return // others succeed: its connections, not the endpoint, are short
-		}
-		ep.fails++
-		ep.failAt, ep.mute, ep.leaks = s.now, o != Error, o == Error
-		ep.failShare += latGain * (1 - ep.failShare)
-		ep.hung = !s.turnedAway(c, o) && (o == Timeout || o == ConnectFailed)
-		if o == Timeout {
-			ep.stretch = min(ep.stretch*2, 4)
-		}
-		// A light sender has no successes to weigh a failure against, and hundreds of its like would try again
-		// at once: few successes lately, few failures open. Harm: one lost call delays its next there.
-		seen := int(r.accepted.get(s.now) * meterTau / 1000)
-		if c.idle > staleLeast || s.turnedAway(c, o) && s.now < s.dials[ep.kind].shortUntil {
-			seen++ // its idle connection may be at fault, or room for one was short
-		}
-		// One answered error in a ramp is no new outage: beginning it again for each would keep what waits from an
-		// endpoint that works.
-		worse := ep.state == open || ep.state == ramping && (ep.fails > 1 || ep.mute || !s.few())
-		if worse || ep.fails >= openAfter || ep.fails > seen && !s.few() || ep.failShare > openShare {
-			s.open(ep)
-		} else if ep.lastOK < s.now-followAfter { // nothing says that it is up
-			ep.nextTrial = s.now + s.around(s.fewPause())
-		}
-	}
-}
-
-// staleness learns whether connections die while idle: calls on them then go unanswered (or break) though
-// the endpoint is well. Past the shortest idle time that failed, a fresh connection is used instead.
-func (s *Sender) staleness(c *call, o Outcome) {
-	c.ep.usedAt = s.now
-	if c.idle < staleLeast {
+		if s.connectionRefused(c, outcome) && s.now-ep.lastOK < aliveWindow && len(ep.calls) > 0 {
+			return // other calls succeed: connections are scarce, the endpoint is up
+		}
+		ep.failures++
+		ep.lastFailure, ep.unanswered, ep.answeredError = s.now, outcome != Error, outcome == Error
+		ep.failureShare += callGain * (1 - ep.failureShare)
+		ep.unresponsive = !s.connectionRefused(c, outcome) && (outcome == Timeout || outcome == ConnectFailed)
+		if outcome == Timeout {
+			ep.timeoutBackoff = min(ep.timeoutBackoff*2, 4)
+		}
+		// A light sender has few successes to weigh a failure against, and hundreds of light senders would try
+		// again at once. So with few recent successes, few failures open the breaker. Drawback: one lost call
+		// delays the next.
+		successes := int(r.acceptedRate.rate(s.now) * rateMeterTau / 1000)
+		if c.idleTime > minSuspectIdle ||
+			s.connectionRefused(c, outcome) && s.now < s.dialStats[ep.kind].scarceUntil {
+			successes++ // the idle connection may be at fault, or connections are scarce
+		}
+		// One error answer in a ramp is no new outage: starting the ramp again for each would keep the backlog
+		// from an endpoint that works.
+		reopen := ep.breaker == open ||
+			ep.breaker == ramping && (ep.failures > 1 || ep.unanswered || !s.smallFleet())
+		if reopen || ep.failures >= breakerFailures || ep.failures > successes && !s.smallFleet() ||
+			ep.failureShare > breakerFailureShare {
+			s.openBreaker(ep)
+		} else if ep.lastOK < s.now-recentSuccessWindow { // no recent sign that the endpoint is up
+			ep.nextTrial = s.now + s.jittered(s.minFailurePause())
+		}
+	}
+}
+
+// learnStaleness learns whether connections die while idle: calls on them then go unanswered or break
+// although the endpoint works. A connection idle for longer than the shortest idle time that failed is then
+// replaced.
+func (s *Sender) learnStaleness(c *call, outcome Outcome) {
+	c.ep.lastUsed = s.now
+	if c.idleTime < minSuspectIdle {
 		return
 	}
-	switch o {
+	switch outcome {
 	case OK:
-		s.stale *= 1 - staleGain
-		if s.stale < staleShare {
-			s.staleGap = math.Inf(1)
+		s.staleShare *= 1 - staleGain
+		if s.staleShare < maxStaleShare {
+			s.minStaleIdle = math.Inf(1)
 		}
 	case Timeout, Reset, Cancelled:
-		s.stale += staleGain * (1 - s.stale)
-		s.staleGap = min(s.staleGap, c.idle)
+		s.staleShare += staleGain * (1 - s.staleShare)
+		s.minStaleIdle = min(s.minStaleIdle, c.idleTime)
 	}
 }
 
-// turnedAway tells a connection that was refused at once from one that found nobody.
-func (s *Sender) turnedAway(c *call, o Outcome) bool {
-	return o == ConnectFailed && s.now-c.sentAt < s.set.DialTimeout/2
+// connectionRefused reports whether a connection was refused at once, rather than left unanswered.
+func (s *Sender) connectionRefused(c *call, outcome Outcome) bool {
+	return outcome == ConnectFailed && s.now-c.sentAt < s.settings.DialTimeout/2
 }
 
-// dialled learns for each kind of destination whether connections are short there: first tries of messages
-// then fail to connect, whatever the destination, and idle connections keep other senders out. None is kept
-// at that kind for a while, then. Harm: an outage of most of a kind looks alike and costs handshakes.
-func (s *Sender) dialled(c *call, o Outcome) {
-	k := &s.dials[c.ep.kind]
-	away := s.turnedAway(c, o)
-	soon := o == OK && c.dials && s.now-c.ep.awayAt < dialSoon // no outage ends so soon, room comes and goes
-	if away {
-		c.ep.awayAt = s.now
-	}
-	if c.first && c.dials {
-		k.failed *= 1 - dialGain
-		if away {
-			k.failed += dialGain
-		}
-	}
-	if s.few() || !soon && (!away || k.failed < dialShort) {
+// learnScarcity learns, for each kind of destination, whether connections are scarce there: first attempts
+// of messages then fail to connect, whatever the destination, and idle connections keep other senders out.
+// No idle connection is kept at that kind for a while. Drawback: an outage of most of a kind looks the same
+// and costs handshakes.
+func (s *Sender) learnScarcity(c *call, outcome Outcome) {
+	kind := &s.dialStats[c.ep.kind]
+	refused := s.connectionRefused(c, outcome)
+	// An outage does not end so soon after a refused connection; scarcity does.
+	recovered := outcome == OK && c.newConnection && s.now-c.ep.connRefusedAt < scarceSuccessWindow
+	if refused {
+		c.ep.connRefusedAt = s.now
+	}
+	if c.firstAttempt && c.newConnection {
+		kind.failureShare *= 1 - dialGain
+		if refused {
+			kind.failureShare += dialGain
+		}
+	}
+	if s.smallFleet() || !recovered && (!refused || kind.failureShare < maxDialFailureShare) {
 		return
 	}
-	learnt := s.now >= k.shortUntil
-	k.shortUntil = s.now + dialFor
-	for _, ep := range k.endpoints {
-		if learnt && ep.state == open && ep.trials == 0 && !ep.hung {
-			ep.state, ep.fails = closed, 0 // it had no room
+	newlyScarce := s.now >= kind.scarceUntil
+	kind.scarceUntil = s.now + scarceDuration
+	for _, ep := range kind.endpoints {
+		if newlyScarce && ep.breaker == open && ep.failedTrials == 0 && !ep.unresponsive {
+			ep.breaker, ep.failures = closed, 0 // it was short of connections, not down
 		}
 		if ep.conns > 0 && len(ep.calls) == 0 {
-			s.hangUp(ep)
+			s.closeIdle(ep)
 		}
 	}
 }
 
-// refused learns from `full`. A busy sender's pace follows what is taken on; a light one's starts low, halves
-// and may fall to seconds between calls, so that all paces together come near the limit, whatever their
-// number. The next call is spread by chance. Long waits, or refusals only for a while, mean shut: then cold.
-func (s *Sender) refused(ep *endpoint, wait, sentAt float64) {
+// handleRefusal learns from the outcome Full. A busy sender's pace follows its accepted rate. A light
+// sender's pace starts low, halves and may fall to seconds between calls, so that all paces together come
+// near the limit whatever the number of senders. The next call is spread at random. Long requested waits,
+// or refusals alone for a while, mean that the destination is unavailable: the breaker opens, and it is
+// cold when it comes back.
+func (s *Sender) handleRefusal(ep *endpoint, wait, sentAt float64) {
 	r := ep.route
-	if r.fulls++; r.fulls == 1 {
-		r.fullSince = s.now
+	if r.refusals++; r.refusals == 1 {
+		r.refusedSince = s.now
 	}
-	s.grow(r, 0)
-	even := s.even(r)
+	s.raisePace(r, 0)
+	share := s.evenShare(r)
 	switch {
-	case s.shared(r): // the report that came with it says more than the refusal
-	case s.busyOn(r): // it sees enough to tell what is taken on
+	case s.usesEvenShare(r): // the report in the answer says more than the refusal
+	case s.canMeasure(r): // its own calls show the rate that is accepted
 		if sentAt >= r.cutAt {
 			r.cutAt = s.now
-			took := r.accepted.get(s.now)
-			if r.limit > 0 {
-				took = min(max(took, r.limit/2), r.limit)
+			accepted := r.acceptedRate.rate(s.now)
+			if r.pace > 0 {
+				accepted = min(max(accepted, r.pace/2), r.pace)
 			}
-			r.limit = max(took*cutTo, paceFirst/2)
-			if s.set.LimitIndex >= 0 { // a rating of the list may be far off, a report is not
-				r.limit = max(r.limit, even/2)
+			r.pace = max(accepted*busyCutFactor, initialPace/2)
+			if s.settings.LimitIndex >= 0 { // a report is accurate; a rating of the list may be far off
+				r.pace = max(r.pace, share/2)
 			}
 		}
-	case s.set.LimitIndex >= 0 && r.told > 0 && (wait > starveWait || r.fulls >= starveAfter):
-		r.limit = max(even*starveShare, paceLeast) // refusals that count may use the limit up
+	case s.settings.LimitIndex >= 0 && r.advertisedLimit > 0 && (wait > debtWait || r.refusals >= debtRefusals):
+		r.pace = max(share*debtPaceShare, minPace) // refused calls may use up the limit
 	default:
-		if r.limit == 0 || r.limit > paceFirst { // it held nothing back
-			r.limit = paceFirst
-		}
-		r.limit = max(r.limit*(1-cutBy), paceLeast)
-	}
-	// A shut destination looks like one at its limit to who meets it once; but much of its allowance is left, if
-	// that is told. By chance a part of those that know of no success waits as after a failure, or most calls on
-	// a return are by these. Harm: late at a mere limit, or where a report is late.
-	room := s.rng.Float64() - 0.5
-	shut := s.now-r.lastOK > meterTau && (s.set.AllowanceIndex < 0 || r.left > leftShut)
-	if shut && !s.busyOn(r) && s.rng.Float64() < doubtShare {
-		room = min(room, 1-r.limit*s.around(s.fewPause())/1000)
-	}
-	r.tokens = bucket{min(r.tokens.v, room), s.now}
-	if ep.state == open || ep.fails > 0 && !s.few() {
-		s.open(ep)
-	} else if wait > shutWait && !s.few() || r.fulls >= shutAfter && s.now-max(r.fullSince, r.lastOK) > shutFor {
-		for _, o := range r.endpoints {
-			s.open(o)
+		if r.pace == 0 || r.pace > initialPace { // the pace held nothing back
+			r.pace = initialPace
+		}
+		r.pace = max(r.pace*(1-lightCut), minPace)
+	}
+	// To a sender that meets it once, an unavailable destination looks like one at its limit, but much of its
+	// allowance, if reported, is left. A random part of the senders without a recent success waits as after a
+	// failure; otherwise most calls to a destination that comes back would come from these. Drawback: calls
+	// are delayed at a mere limit, or where a report is late.
+	tokens := s.rng.Float64() - 0.5
+	unavailable := s.now-r.lastOK > rateMeterTau &&
+		(s.settings.AllowanceIndex < 0 || r.allowanceLeft > minUnusedAllowance)
+	if unavailable && !s.canMeasure(r) && s.rng.Float64() < unavailableSenderShare {
+		tokens = min(tokens, 1-r.pace*s.jittered(s.minFailurePause())/1000)
+	}
+	r.paceTokens = tokenBucket{min(r.paceTokens.level, tokens), s.now}
+	if ep.breaker == open || ep.failures > 0 && !s.smallFleet() {
+		s.openBreaker(ep)
+	} else if wait > unavailableWait && !s.smallFleet() ||
+		r.refusals >= unavailableRefusals && s.now-max(r.refusedSince, r.lastOK) > unavailableWindow {
+		for _, other := range r.endpoints {
+			s.openBreaker(other)
 		}
 	}
 }
 
-// even is a sender's part of a told limit.
-func (s *Sender) even(r *route) float64 { return r.told / s.senders() }
+// evenShare returns a sender's even part of an advertised limit, in calls per second.
+func (s *Sender) evenShare(r *route) float64 { return r.advertisedLimit / s.senders() }
 
-// shared tells whether answers report a route's limit and too many share it for each to find its part by its
-// own calls: a sender that calls once in two seconds learns of a refusal long after others made up for it.
-// All keep to an even part then. Harm: what one leaves unused is lost to the others, up to 1 - evenPart and
-// the chance in who gets how many messages.
-func (s *Sender) shared(r *route) bool { return !s.few() && s.set.LimitIndex >= 0 && r.told > 0 }
+// usesEvenShare reports whether answers report the route's limit and too many senders share it for each to
+// find its part by its own calls: a sender that calls once in two seconds learns of a refusal long after
+// others have made up for it. All keep to an even part then. Drawback: what one sender leaves unused is
+// lost to the others, up to 1 - evenShareUse plus the random differences in how many messages each
+// receives.
+func (s *Sender) usesEvenShare(r *route) bool {
+	return !s.smallFleet() && s.settings.LimitIndex >= 0 && r.advertisedLimit > 0
+}
 
-// few tells whether so few send that each one's own traffic shows what a destination does.
-func (s *Sender) few() bool { return s.set.Senders <= fewSenders }
+// smallFleet reports whether there are so few senders that each one's own traffic shows the state of a
+// destination.
+func (s *Sender) smallFleet() bool { return s.settings.Senders <= maxSmallFleet }
 
-// busyOn tells whether the sender's own calls say enough of a route's limit: few share it, or it calls often.
-func (s *Sender) busyOn(r *route) bool {
-	return s.few() || r.tried.get(s.now) > paceBusy
+// canMeasure reports whether the sender's own calls show a route's limit: few senders share it, or this one
+// calls often.
+func (s *Sender) canMeasure(r *route) bool {
+	return s.smallFleet() || r.callRate.rate(s.now) > minBusyRate
 }
 
-// grow raises a pace with time and, where it held messages back, with success, up to a limit that was told.
-func (s *Sender) grow(r *route, by float64) {
-	if r.limit > 0 && !s.shared(r) {
-		dt := s.now - r.grownAt
-		if s.busyOn(r) {
-			if r.bound && by > 0 {
-				r.limit += min(dt, 1000) / 1000 * growShare * max(r.limit, growLow)
+// raisePace raises a pace with time and, where it held messages back, with success, up to the advertised
+// limit.
+func (s *Sender) raisePace(r *route, growth float64) {
+	if r.pace > 0 && !s.usesEvenShare(r) {
+		elapsed := s.now - r.raisedAt
+		if s.canMeasure(r) {
+			if r.heldBack && growth > 0 {
+				r.pace += min(elapsed, 1000) / 1000 * busyGrowthRate * max(r.pace, minGrowthPace)
 			}
 		} else {
-			if r.bound {
-				r.limit *= 1 + by
+			if r.heldBack {
+				r.pace *= 1 + growth
 			}
-			r.limit *= math.Exp(min(dt/recoverIn, dt*r.limit/1000*recoverBy))
+			r.pace *= math.Exp(min(elapsed/paceRecoveryTau, elapsed*r.pace/1000*maxRecoveryPerCall))
 		}
-		if s.set.LimitIndex >= 0 && r.told > 0 {
-			r.limit = min(r.limit, r.told)
+		if s.settings.LimitIndex >= 0 && r.advertisedLimit > 0 {
+			r.pace = min(r.pace, r.advertisedLimit)
 		}
 	}
-	r.bound, r.grownAt = r.bound && by == 0, s.now
+	r.heldBack, r.raisedAt = r.heldBack && growth == 0, s.now
 }
 
-// open opens the breaker of ep, or puts its next trial off. The rate before the outage is kept: the ramp
-// back starts from a part of it.
-func (s *Sender) open(ep *endpoint) {
-	if ep.state == closed {
-		ep.base = ep.route.delivered.v / float64(max(ep.route.listed(), 1))
-		ep.trials, ep.openAt, ep.stretch = 0, s.now, 1
-		ep.budget = bucket{0, s.now}
+// openBreaker opens the breaker of ep, or postpones its next trial. It keeps the rate before the outage,
+// from a part of which the ramp starts.
+func (s *Sender) openBreaker(ep *endpoint) {
+	if ep.breaker == closed {
+		ep.rateBeforeOutage = ep.route.deliveredRate.perSecond / float64(max(ep.route.readyEndpoints(), 1))
+		ep.failedTrials, ep.openedAt, ep.timeoutBackoff = 0, s.now, 1
+		ep.rampBudget = tokenBucket{0, s.now}
 		s.log("breaker open", ep.dest.id, ep.id)
-	} else if ep.state == open {
-		ep.trials++
+	} else if ep.breaker == open {
+		ep.failedTrials++
 	}
-	ep.state = open
+	ep.breaker = open
 	n := s.senders()
-	least := s.fewPause()
-	if ep.fails == 0 { // taken for shut by refusals alone: it may be a limit
-		least *= shutPause
-	}
-	pause := max(min(trialLo*math.Pow(1.5, float64(ep.trials)), trialHi), least)
-	from := max(s.now, ep.route.waitUntil) // all that were told a wait come back at its end
-	pause = max(pause, min(trialAge*(from-ep.openAt), trialPer*n))
-	pause = max(pause, n*trialDense*min(float64(len(ep.dest.queue)-1)/2, 1)) // several here: most hold some
-	ep.nextTrial = s.trialBy(ep.route, from+s.around(pause))
-	for _, o := range ep.dest.eps { // they come back, and are pushed over, together
-		s.follow(o, ep)
+	minPause := s.minFailurePause()
+	if ep.failures == 0 { // opened by refusals alone, which may come from a limit
+		minPause *= refusalPauseShare
+	}
+	pause := max(min(minTrialPause*math.Pow(1.5, float64(ep.failedTrials)), maxTrialBackoff), minPause)
+	from := max(s.now, ep.route.waitUntil) // senders with a requested wait come back at its end
+	pause = max(pause, min(trialPauseAgeFactor*(from-ep.openedAt), maxAgePausePerSender*n))
+	// Where this sender holds several messages, most senders hold some.
+	pause = max(pause, n*denseTrialPause*min(float64(len(ep.dest.queue)-1)/2, 1))
+	ep.nextTrial = s.advanceTrial(ep.route, from+s.jittered(pause))
+	for _, other := range ep.dest.endpoints { // endpoints of one destination recover and are overloaded together
+		s.followBreaker(other, ep)
 	}
 }
 
-// trialBy puts a trial forward where the limit is known: all senders' trials together stay under what tips
-// the destination in the moment that it is back.
-func (s *Sender) trialBy(r *route, at float64) float64 {
-	rate := capTrials * r.cap
-	if s.shared(r) {
-		rate = trialMargin * s.set.OverloadMultiple * s.set.ColdCapacity * s.even(r)
+// advanceTrial brings a trial forward where the limit is known: the trials of all senders together stay
+// below the load that overloads the destination at the moment it comes back.
+func (s *Sender) advanceTrial(r *route, at float64) float64 {
+	rate := trialPaceShare * r.paceCap
+	if s.usesEvenShare(r) {
+		rate = trialOverloadShare * s.settings.OverloadMultiple * s.settings.ColdCapacity * s.evenShare(r)
 	}
 	if rate <= 0 {
 		return at
 	}
-	return min(at, max(s.now, r.waitUntil)+s.around(max(trialLo, 1000/rate)))
+	return min(at, max(s.now, r.waitUntil)+s.jittered(max(minTrialPause, 1000/rate)))
 }
 
-// around spreads the pauses of senders that fail together: the more there are, the wider.
-func (s *Sender) around(v float64) float64 {
-	if s.few() {
-		return s.between(v*(1-jitter), v*(1+jitter))
+// jittered returns a random pause around the given one, to spread senders that fail together; wider in a
+// large fleet.
+func (s *Sender) jittered(pause float64) float64 {
+	if s.smallFleet() {
+		return s.uniform(pause*(1-pauseJitter), pause*(1+pauseJitter))
 	}
-	return s.between(v*(1-jitterMany), v*(1+jitterMany))
+	return s.uniform(pause*(1-largeFleetJitter), pause*(1+largeFleetJitter))
 }
 
-// fewPause is the least pause after a failure where many senders fail alike.
-func (s *Sender) fewPause() float64 { return min(trialFew*float64(s.set.Senders), trialFirst) }
+// minFailurePause returns the least pause after a failure where many senders fail alike.
+func (s *Sender) minFailurePause() float64 {
+	return min(trialPausePerSender*float64(s.settings.Senders), maxFirstTrialPause)
+}
 
-// follow puts an endpoint without a success lately under the breaker of one that failed on its route. Routes
-// apart mostly fail together, and a held message fits each: a failed trial at one puts off the others, or all
-// that return get the sum. Harm: a route that is back alone waits up to a first pause longer.
-func (s *Sender) follow(o, failed *endpoint) {
+// followBreaker puts an endpoint without a recent success under the breaker of one that failed on its
+// route. Endpoints with limits of their own mostly fail together, and a held message fits any of them: a
+// failed trial at one postpones the others, otherwise all that come back receive the sum of the trials.
+// Drawback: one that comes back alone waits up to one first pause longer.
+func (s *Sender) followBreaker(ep, failed *endpoint) {
 	switch {
-	case s.few():
-	case o.route != failed.route:
-		if o.state == open {
-			o.nextTrial = max(o.nextTrial, min(failed.nextTrial, s.now+s.fewPause()*(1+jitterMany)))
-		}
-	case o.state == open:
-		o.nextTrial = max(o.nextTrial, failed.nextTrial)
-	case s.now-o.lastOK > followAfter:
-		o.state, o.trials = open, 0
-		o.base, o.openAt, o.nextTrial = failed.base, failed.openAt, failed.nextTrial
+	case s.smallFleet():
+	case ep.route != failed.route:
+		if ep.breaker == open {
+			ep.nextTrial = max(ep.nextTrial, min(failed.nextTrial, s.now+s.minFailurePause()*(1+largeFleetJitter)))
+		}
+	case ep.breaker == open:
+		ep.nextTrial = max(ep.nextTrial, failed.nextTrial)
+	case s.now-ep.lastOK > recentSuccessWindow:
+		ep.breaker, ep.failedTrials = open, 0
+		ep.rateBeforeOutage, ep.openedAt, ep.nextTrial = failed.rateBeforeOutage, failed.openedAt, failed.nextTrial
 	}
 }
--- a/policy/relief_test.go
+++ b/policy/shedding_test.go
@@ -10,12 +10,12 @@
 
 // oneByOne is what relieve gives back, worked out one message at a time: of the longest queue, the first of several,
 // the message that is worth least, the first of several.
-func oneByOne(s *Sender) (ids []uint64) {
+func shedOneByOne(s *Sender) (ids []uint64) {
 	queues := make([][]*message, len(s.waiting))
 	for i, d := range s.waiting {
 		queues[i] = slices.Clone(d.queue)
 	}
-	for held := s.held; float64(held) > holdShare*float64(s.set.MaxHeld); held-- {
+	for held := s.held; float64(held) > maxHeldShare*float64(s.settings.MaxHeld); held-- {
 		longest := 0
 		for i := range queues {
 			if len(queues[i]) > len(queues[longest]) {
@@ -27,14 +27,14 @@
 		}
 		least := slices.MinFunc(queues[longest], func(a, b *message) int { return cmp.Compare(s.worth(a), s.worth(b)) })
 		ids = append(ids, least.id)
-		queues[longest] = without(queues[longest], least)
+		queues[longest] = remove(queues[longest], least)
 	}
 	return ids
 }
 
 // TestReliefAsOneByOne: what is given back at once is what would be given back one after the other, for queues of all
 // lengths, also when all is given back; and nothing that was given back stays in a queue.
-func TestReliefAsOneByOne(t *testing.T) {
+func TestSheddingMatchesOneByOne(t *testing.T) {
 	for seed := range uint64(300) {
 		rng := rand.New(rand.NewPCG(seed, 5))
 		set := testSettings()
@@ -49,14 +49,14 @@
 				Key: uint64(rng.IntN(4)), Remaining: 5000 + 10000*rng.Float64()})
 			r.now += 20 * rng.Float64()
 		}
-		r.s.set.MaxHeld = 1 + rng.IntN(total)
+		r.s.settings.MaxHeld = 1 + rng.IntN(total)
 		r.s.now = r.now
-		want := oneByOne(r.s)
+		want := shedOneByOne(r.s)
 		slices.Sort(want)
-		r.s.out = nil
-		r.s.relieve()
+		r.s.actions = nil
+		r.s.shed()
 		var got []uint64
-		for _, a := range r.s.out {
+		for _, a := range r.s.actions {
 			got = append(got, a.ID)
 		}
 		slices.Sort(got)
@@ -82,9 +82,9 @@
 // that grows with the journal, not with its square: 100,000 messages kept a sender from its first new one for half a
 // minute. The best of three runs each, so that another load does not decide; sixteen times as many take
 // 256 times as long where each one given back costs a look at all.
-func TestReliefOfAWholeJournal(t *testing.T) {
-	const few, growth = 2000, 16
-	took := func(messages int) time.Duration {
+func TestSheddingOfWholeJournal(t *testing.T) {
+	const baseCount, growth = 2000, 16
+	duration := func(messages int) time.Duration {
 		best := time.Hour
 		for range 3 {
 			set := testSettings()
@@ -92,20 +92,20 @@
 			r := newRig(t, set)
 			events := make([]Event, messages)
 			for i := range events {
-				events[i] = Event{Kind: EvMessage, ID: uint64(i + 1), Class: clsSafe, Dest: 1, Remaining: 20000, Restored: true}
+				events[i] = Event{Kind: EvMessage, ID: uint64(i + 1), Class: classSafe, Dest: 1, Remaining: 20000, Restored: true}
 			}
-			began := time.Now()
+			start := time.Now()
 			r.step(events...)
-			best = min(best, time.Since(began))
+			best = min(best, time.Since(start))
 			if r.s.held > set.MaxHeld {
 				t.Fatalf("holds %d of %d", r.s.held, set.MaxHeld)
 			}
 		}
 		return best
 	}
-	short, long := took(few), took(growth*few)
-	t.Logf("%d messages: %v; %d: %v", few, short, growth*few, long)
+	short, long := duration(baseCount), duration(growth*baseCount)
+	t.Logf("%d messages: %v; %d: %v", baseCount, short, growth*baseCount, long)
 	if long > short*growth*4 {
-		t.Errorf("%d messages take %v, %d take %v: more than four times their share", few, short, growth*few, long)
+		t.Errorf("%d messages take %v, %d take %v: more than four times their share", baseCount, short, growth*baseCount, long)
 	}
 }
--- a/policy/state.go
+++ b/policy/state.go
@@ -1,6 +1,6 @@
 package policy
 
-// This file holds the state of a Sender and its bookkeeping; it decides nothing. See policy.go.
+// This file holds the state of a Sender and its bookkeeping. The decisions are in policy.go.
 
 import (
 	"cmp"
@@ -11,75 +11,78 @@
 	"slices"
 )
 
-type breaker uint8
+// breakerState is the state of an endpoint's circuit breaker.
+type breakerState uint8
 
 const (
-	closed breaker = iota
+	closed breakerState = iota
 	open
-	ramping
+	ramping // slow start after an outage
 )
 
-// meter is an exponentially decaying rate a second.
-type meter struct{ v, at float64 }
+// rateMeter is an exponentially decaying rate per second.
+type rateMeter struct{ perSecond, at float64 }
 
-func (m *meter) add(now, n float64) { m.v, m.at = m.get(now)+n*1000/meterTau, now }
+func (m *rateMeter) add(now, n float64) { m.perSecond, m.at = m.rate(now)+n*1000/rateMeterTau, now }
 
-func (m *meter) get(now float64) float64 {
-	return m.v * math.Exp((m.at-now)/meterTau)
+func (m *rateMeter) rate(now float64) float64 {
+	return m.perSecond * math.Exp((m.at-now)/rateMeterTau)
 }
 
-// bucket is a token bucket; fill tops it up and tells when it holds a whole token.
-type bucket struct{ v, at float64 }
+// tokenBucket is a token bucket.
+type tokenBucket struct{ level, at float64 }
 
-func (b *bucket) fill(now, rate, depth float64) float64 {
-	b.v, b.at = min(b.v+rate*(now-b.at), depth), now
-	if b.v >= 1 {
+// refill adds the tokens due since the last call and returns now if there is a whole token, otherwise the time at
+// which there will be one. The rate is in tokens per millisecond.
+func (b *tokenBucket) refill(now, rate, depth float64) float64 {
+	b.level, b.at = min(b.level+rate*(now-b.at), depth), now
+	if b.level >= 1 {
 		return now
 	}
-	return now + max((1-b.v)/rate, 1)
+	return now + max((1-b.level)/rate, 1)
 }
 
-// latency is a smoothed call latency with its mean deviation.
+// latency is a smoothed call latency with its mean deviation, in ms.
 type latency struct {
-	mean, dev float64
-	n         int
+	mean, deviation float64
+	samples         int
 }
 
 func (l *latency) add(v float64) {
-	if l.n++; l.n == 1 {
-		l.mean, l.dev = v, v/2
+	if l.samples++; l.samples == 1 {
+		l.mean, l.deviation = v, v/2
 		return
 	}
-	l.dev += latGain * (math.Abs(v-l.mean) - l.dev)
-	l.mean += latGain * (v - l.mean)
+	l.deviation += callGain * (math.Abs(v-l.mean) - l.deviation)
+	l.mean += callGain * (v - l.mean)
 }
 
-func (l *latency) high(devs float64) float64 { return l.mean + devs*l.dev }
+func (l *latency) upperBound(devs float64) float64 { return l.mean + devs*l.deviation }
 
-// route is what a limit, a told wait and a pace belong to.
+// route holds the limit, the requested wait and the pace of a destination, or of an endpoint with a limit of its own.
 type route struct {
-	waitUntil float64 // told: nothing goes before
-	limit     float64 // own pace in calls a second; 0 = none known
-	left      float64 // share of its allowance left, as told by a report
-	told      float64 // whole limit as told by the list or a report; 0 = none
-	reported  bool    // by a report
-	tokens    bucket
-	cap       float64 // pace from outside, calls a second; 0 = none
-	capTokens bucket
-	grownAt   float64
-	cutAt     float64
-	bound     bool // the pace held a message back since it last grew
-	fulls     int  // refusals since the last success
-	fullSince float64
-	lastOK    float64
-	tried     meter // calls
-	accepted  meter // calls taken on
-	delivered meter // messages delivered
-	endpoints []*endpoint
-}
-
-// listed counts the endpoints of r that are ready.
-func (r *route) listed() (n int) {
+	waitUntil       float64 // end of the requested wait: no call goes out before
+	pace            float64 // own pace in calls per second; 0: none known
+	allowanceLeft   float64 // share of the allowance left, from the last report
+	advertisedLimit float64 // whole limit from the list or a report, in calls per second; 0: none
+	limitReported   bool    // advertisedLimit comes from a report
+	paceTokens      tokenBucket
+	paceCap         float64 // pace cap set by the caller, in calls per second; 0: none
+	capTokens       tokenBucket
+	raisedAt        float64 // last time at which raisePace ran
+	cutAt           float64 // last time at which a busy sender cut the pace
+	heldBack        bool    // the pace held a message back since it was last raised
+	refusals        int     // in a row since the last success
+	refusedSince    float64 // time of the first of them
+	lastOK          float64
+	callRate        rateMeter // calls
+	acceptedRate    rateMeter // calls accepted
+	deliveredRate   rateMeter // messages delivered
+	endpoints       []*endpoint
+}
+
+// readyEndpoints counts the endpoints of r that are ready.
+func (r *route) readyEndpoints() (n int) {
 	for _, ep := range r.endpoints {
 		if ep.ready {
 			n++
@@ -88,359 +91,375 @@
 	return n
 }
 
-// count books a call.
-func (r *route) count(now float64) {
-	r.tried.add(now, 1)
-	r.capTokens.v--
-	if r.limit > 0 {
-		r.tokens.v--
+// countCall counts a call against the pace and the pace cap.
+func (r *route) countCall(now float64) {
+	r.callRate.add(now, 1)
+	r.capTokens.level--
+	if r.pace > 0 {
+		r.paceTokens.level--
 	}
 }
 
-// call is one call out, with one message or, where a destination allows, several.
+// call is a call in flight, with one message or, where the destination allows it, several.
 type call struct {
-	ep     *endpoint
-	sentAt float64
-	left   int // messages without an outcome
-	size   int
-	idle   float64 // how long its connection had been idle; 0 = new or in use
-	told   bool    // its fate has been counted
-	first  bool    // it opened with a message's first attempt
-	dials  bool    // it needed a new connection
+	ep            *endpoint
+	sentAt        float64
+	pending       int     // messages without an outcome
+	size          int     // messages
+	idleTime      float64 // how long its connection had been idle; 0: new or in use
+	counted       bool    // its result has been recorded
+	firstAttempt  bool    // it was opened by a message's first attempt
+	newConnection bool    // it needed a new connection
 }
 
+// endpoint is an endpoint of a destination, with its health.
 type endpoint struct {
-	id     uint32
-	dest   *dest
-	route  *route
-	kind   int // position in Sender.dials
-	zone   int
-	toll   float64
-	batch  int
-	stream int // calls that a connection carries
-	ready  bool
-	calls  []*call // out, oldest first
-	step   *call   // the call that this step's sends to it share
-	stepN  uint64
-	conns  int
-	usedAt float64
-	goneAt float64 // when it left the list; 0 = listed
-	awayAt float64 // when a connection was last turned away
-	lastOK float64
-
-	state     breaker
-	fails     int     // failures in a row
-	failAt    float64 // the last of them
-	mute      bool    // and it was no answer
-	leaks     bool    // it was an answer: an open breaker lets some calls through
-	failShare float64 // EWMA
-	stretch   float64 // factor on time-outs after time-outs
-	hung      bool    // the last failure was silence
-	trials    int
-	openAt    float64
-	nextTrial float64
-	base      float64 // own delivered rate before the outage
-	rampAt    float64
-	budget    bucket
-}
-
-// dials is what is known of connecting to one kind of destination.
-type dials struct {
-	failed     float64 // share that fails (EWMA)
-	shortUntil float64
-	endpoints  []*endpoint
-}
-
-type dest struct {
-	id      int
-	eps     []*endpoint
-	shared  *route
-	queue   []*message
-	out     int     // calls
-	turn    float64 // slot time had, as in start-time fair queueing
-	lat     latency
-	ctl     controller
-	listed  bool // in Sender.waiting
-	blocked bool // its own pace or share holds its messages back
-	sick    bool // no endpoint but in outage or ramp
-	accAt   float64
-}
-
+	id             uint32
+	dest           *destination
+	route          *route
+	kind           int // index in Sender.dialStats
+	zone           int
+	zoneFee        float64
+	maxBatch       int // messages that a call may carry
+	streamsPerConn int // calls that a connection carries
+	ready          bool
+	calls          []*call // in flight, oldest first
+	stepCall       *call   // call that the messages sent here in the same step share
+	stepSeq        uint64  // step of stepCall
+	conns          int     // open connections, as far as known
+	lastUsed       float64 // when a connection was last used
+	removedAt      float64 // when it left the list; 0: listed
+	connRefusedAt  float64 // when a connection was last refused
+	lastOK         float64
+
+	breaker          breakerState
+	failures         int         // in a row
+	lastFailure      float64     // time of the last failure
+	unanswered       bool        // the last failure came without an answer
+	answeredError    bool        // the last failure was an error answer: an open breaker lets some calls through
+	failureShare     float64     // EWMA
+	timeoutBackoff   float64     // factor on time-outs, doubled by each time-out
+	unresponsive     bool        // the last failure was silence
+	failedTrials     int         // since the breaker opened
+	openedAt         float64     // when the breaker opened
+	nextTrial        float64     // earliest time of the next trial
+	rateBeforeOutage float64     // own delivered rate before the outage
+	rampStart        float64     // when the ramp began
+	rampBudget       tokenBucket // calls that a ramp or an open breaker allows
+}
+
+// dialStats records how connecting to one kind of destination succeeds.
+type dialStats struct {
+	failureShare float64 // failing share of first attempts (EWMA)
+	scarceUntil  float64 // no idle connection is kept until then
+	endpoints    []*endpoint
+}
+
+// destination is a destination with its queue.
+type destination struct {
+	id            int
+	endpoints     []*endpoint
+	sharedRoute   *route // nil where endpoints have limits of their own
+	queue         []*message
+	callsInFlight int
+	virtualTime   float64 // slot time received, as in start-time fair queueing
+	latency       latency
+	admission     admissionController
+	waiting       bool    // in Sender.waiting
+	throttled     bool    // its own pace or share of slots holds its messages back
+	unavailable   bool    // every endpoint is in an outage or a ramp
+	accruedAt     float64 // when its waiting time was last added up
+}
+
+// message is a message that has been accepted and has not ended, or has ended with an attempt in flight.
 type message struct {
-	id        uint64
-	class     *Class
-	kind      int // its class's position
-	key       uint64
-	dest      *dest
-	arrived   float64
-	aimAt     float64
-	deadline  float64
-	attempts  int
-	out       *call
-	doubtAt   float64 // first send that may have run; <0 = none
-	doubtZone int
-	notBefore float64
-	sick      bool // was held through an outage: its wait says nothing of the load
-	ended     bool
-	picked    bool // given back by relieve, which takes all that it picks off their queue at once
-}
-
-// keyQueue is the order of the messages of one key.
+	id             uint64
+	class          *Class
+	classIndex     int
+	key            uint64
+	dest           *destination
+	arrived        float64
+	aimAt          float64 // when its aim ends
+	deadline       float64
+	attempts       int
+	inFlight       *call   // call of its attempt in flight; nil: none
+	mayHaveRunAt   float64 // first send that may have run; negative: none
+	mayHaveRunZone int     // zone of that send's endpoint
+	notBefore      float64 // end of its pause after a failed attempt
+	heldInOutage   bool    // held through an outage: its wait says nothing about the load
+	ended          bool
+	shed           bool // chosen by shed, which removes its messages from their queue all at once
+}
+
+// keyQueue holds the messages of one key, in order.
 type keyQueue struct {
-	line  []*message
-	rest  float64
-	owner *message // whose attempt the key rests for
+	messages    []*message
+	pausedUntil float64  // no other message of the key is sent before
+	pausedFor   *message // message whose attempt the key is paused for
 }
 
-type wake struct {
-	at float64
-	n  uint64
-	m  *message
+// sendTimer is due at the send deadline of a message.
+type sendTimer struct {
+	at  float64
+	seq uint64
+	m   *message
 }
 
-type wakes []wake
+// timerHeap orders send timers by time, then by creation.
+type timerHeap []sendTimer
 
-func (w wakes) Len() int           { return len(w) }
-func (w wakes) Less(i, j int) bool { return w[i].at < w[j].at || w[i].at == w[j].at && w[i].n < w[j].n }
-func (w wakes) Swap(i, j int)      { w[i], w[j] = w[j], w[i] }
-func (w *wakes) Push(x any)        { *w = append(*w, x.(wake)) }
-func (w *wakes) Pop() any {
+func (w timerHeap) Len() int { return len(w) }
+func (w timerHeap) Less(i, j int) bool {
+	return w[i].at < w[j].at || w[i].at == w[j].at && w[i].seq < w[j].seq
+}
+func (w timerHeap) Swap(i, j int) { w[i], w[j] = w[j], w[i] }
+func (w *timerHeap) Push(x any)   { *w = append(*w, x.(sendTimer)) }
+func (w *timerHeap) Pop() any {
 	old := *w
 	x := old[len(old)-1]
 	*w = old[:len(old)-1]
 	return x
 }
 
-// Sender decides for one sender. It is not safe for concurrent use.
+// Sender makes the decisions of one sender. It is not safe for concurrent use.
 type Sender struct {
-	set      Settings
-	rng      *rand.Rand
-	now      float64
-	aim      float64             // the tightest of the classes
-	msgs     map[uint64]*message // taken and not ended, or ended with an attempt out
-	dests    map[int]*dest
-	eps      map[uint32]*endpoint
-	keys     map[uint64]*keyQueue
-	gone     []*endpoint // off the list, oldest first
-	resting  []uint64    // keys without messages, by the end of their rest
-	waiting  []*dest     // with messages queued
-	usual    []latency
-	dials    []dials // by kind
-	stale    float64 // share of calls on idle connections that fail (EWMA)
-	staleGap float64 // shortest idle time of those that failed
-	held     int
-	halted   bool    // no attempt may begin
-	calls    []*call // out
-	doubtful int     // slots that suspect endpoints hold
-	busy     int     // slots
-	turns    float64 // where the turns stand
-	steps    uint64
-	wakes    wakes
-	wakeN    uint64
-	armed    float64 // when the timer of token comes
-	token    uint32
-	askAt    float64
-	logAt    float64
-	out      []Action
-	recalled map[int]*DestFacts // of an earlier life, for the lists of this step; by destination
-}
-
-func (s *Sender) destOf(id int) *dest {
-	d := s.dests[id]
+	settings      Settings
+	rng           *rand.Rand
+	now           float64             // of the current step
+	minAim        float64             // tightest aim of the classes
+	messages      map[uint64]*message // accepted and not ended, or ended with an attempt in flight
+	destinations  map[int]*destination
+	endpoints     map[uint32]*endpoint
+	keyQueues     map[uint64]*keyQueue
+	removed       []*endpoint    // off the list, oldest first
+	pausedKeys    []uint64       // keys without messages, in the order in which they became empty
+	waiting       []*destination // destinations with messages queued
+	classLatency  []latency      // by class
+	dialStats     []dialStats    // by kind
+	staleShare    float64        // failing share of calls on idle connections (EWMA)
+	minStaleIdle  float64        // shortest idle time of those that failed
+	held          int            // messages accepted and not ended
+	halted        bool           // no attempt may begin
+	calls         []*call        // in flight
+	suspectCalls  int            // slots held by suspected endpoints
+	slotsInUse    int
+	virtualTime   float64 // of the slot turns
+	steps         uint64
+	timers        timerHeap
+	timerSeq      uint64
+	timerAt       float64 // when the timer of timerToken fires
+	timerToken    uint32
+	subscribeAt   float64            // when the list is requested next
+	loggedAt      float64            // when the last log line was written
+	actions       []Action           // of the current step
+	restoredFacts map[int]*DestFacts // facts of an earlier run for the lists of this step, by destination
+}
+
+// destination returns the destination of that number, creating it if needed.
+func (s *Sender) destination(id int) *destination {
+	d := s.destinations[id]
 	if d == nil {
-		d = &dest{id: id}
-		d.ctl.reset(s.now)
-		s.dests[id] = d
+		d = &destination{id: id}
+		d.admission.reset(s.now)
+		s.destinations[id] = d
 	}
 	return d
 }
 
+// enqueue puts m at the end of its destination's queue.
 func (s *Sender) enqueue(m *message) {
 	d := m.dest
 	d.queue = append(d.queue, m)
-	if !d.listed {
-		d.listed = true
-		d.accAt = s.now
-		d.turn = max(d.turn, s.turns)
+	if !d.waiting {
+		d.waiting = true
+		d.accruedAt = s.now
+		d.virtualTime = max(d.virtualTime, s.virtualTime)
 		s.waiting = append(s.waiting, d)
 	}
 }
 
-// end forgets a message; one with an attempt out is kept for its outcome.
+// end ends a message. One with an attempt in flight is kept until its outcome.
 func (s *Sender) end(m *message) {
 	m.ended = true
 	s.held--
-	s.unqueue(m)
-	s.settle(m)
+	s.dequeue(m)
+	s.forgetMessage(m)
 }
 
-func (s *Sender) unqueue(m *message) {
-	if m.picked {
+func (s *Sender) dequeue(m *message) {
+	if m.shed {
 		return
 	}
-	m.dest.queue = without(m.dest.queue, m)
+	m.dest.queue = remove(m.dest.queue, m)
 }
 
-// settle takes a message that is over and has no attempt out from the books and from its key's line.
-func (s *Sender) settle(m *message) {
-	if !m.ended || m.out != nil {
+// forgetMessage removes a message that has ended and has no attempt in flight, also from the queue of its key.
+func (s *Sender) forgetMessage(m *message) {
+	if !m.ended || m.inFlight != nil {
 		return
 	}
-	delete(s.msgs, m.id)
-	if q := s.keys[m.key]; m.key != 0 && q != nil {
-		q.line = without(q.line, m)
+	delete(s.messages, m.id)
+	if q := s.keyQueues[m.key]; m.key != 0 && q != nil {
+		q.messages = remove(q.messages, m)
 		switch {
-		case len(q.line) > 0:
-		case q.rest <= s.now:
-			delete(s.keys, m.key)
+		case len(q.messages) > 0:
+		case q.pausedUntil <= s.now:
+			delete(s.keyQueues, m.key)
 		default:
-			s.resting = append(s.resting, m.key)
+			s.pausedKeys = append(s.pausedKeys, m.key)
 		}
 	}
-	s.dropDest(m.dest)
+	s.dropDestination(m.dest)
 }
 
-// log tells staff of a change of state, a few lines a second at most.
-func (s *Sender) log(what string, dest int, ep uint32) {
-	if s.now-s.logAt < logGap {
+// log reports a change of state, at most one line per minLogInterval.
+func (s *Sender) log(event string, dest int, ep uint32) {
+	if s.now-s.loggedAt < minLogInterval {
 		return
 	}
-	s.logAt = s.now
-	s.out = append(s.out, Action{Kind: ActLog, Text: fmt.Sprintf("%s dest=%d endpoint=%d", what, dest, ep)})
+	s.loggedAt = s.now
+	s.actions = append(s.actions, Action{Kind: ActLog, Text: fmt.Sprintf("%s dest=%d endpoint=%d", event, dest, ep)})
 }
 
-// controller is Liu et al.'s admission control for one destination.
-type controller struct {
-	since    float64
-	seen     float64
-	arrivals int
-	lambda   float64 // messages a millisecond
-	waited   float64 // time waiting, and deliveries completed in it
-	done     float64
-	ex       float64
-	delays   float64
-	sent     int
-	theta    [2]float64
-	p        [2][2]float64
-	y, u     float64
-	primed   bool // y and u hold the last period's values
-	pam      float64
-	pa       float64
+// admissionController is the admission control of Liu et al. for one destination.
+type admissionController struct {
+	periodStart float64
+	lastArrival float64
+	arrivals    int           // in this period
+	lambda      float64       // arrival rate in messages per millisecond
+	waitingTime float64       // time during which messages waited
+	delivered   float64       // deliveries in that time
+	ex          float64       // E[X], mean waiting time per delivery
+	delaySum    float64       // queueing delays of the messages sent in this period
+	sent        int           // messages sent in this period
+	theta       [2]float64    // model parameters
+	p           [2][2]float64 // RLS covariance
+	y, u        float64       // relative delay error and correction of the last period
+	hasPrevious bool          // y and u hold the values of the last period
+	pam         float64       // predicted admission probability
+	pa          float64       // admission probability
 }
 
-func (c *controller) reset(now float64) {
-	*c = controller{since: now, seen: now, pa: 1, pam: 1, theta: [2]float64{theta1Start, theta2Start}}
-	c.p[0][0], c.p[1][1] = rlsP0, rlsP0
+// reset starts the controller afresh: it admits everything.
+func (c *admissionController) reset(now float64) {
+	*c = admissionController{
+		periodStart: now, lastArrival: now, pa: 1, pam: 1, theta: [2]float64{initialTheta1, initialTheta2},
+	}
+	c.p[0][0], c.p[1][1] = rlsInitialP, rlsInitialP
 }
 
-// without takes v from list, which keeps its order.
-func without[T comparable](list []T, v T) []T {
+// remove removes v from list and keeps the order.
+func remove[T comparable](list []T, v T) []T {
 	if i := slices.Index(list, v); i >= 0 {
 		return slices.Delete(list, i, i+1)
 	}
 	return list
 }
 
-// New returns a Sender that starts from the settings; its random numbers come from the seed alone.
+// New returns a Sender with the given settings. All its random numbers derive from the seed.
 func New(set Settings, seed uint64) *Sender {
 	s := &Sender{
-		set:      set,
-		aim:      math.Inf(1),
-		rng:      rand.New(rand.NewPCG(seed, 0x9e3779b97f4a7c15)),
-		msgs:     map[uint64]*message{},
-		dests:    map[int]*dest{},
-		eps:      map[uint32]*endpoint{},
-		keys:     map[uint64]*keyQueue{},
-		dials:    make([]dials, max(len(set.Kinds), 1)),
-		armed:    math.Inf(1),
-		askAt:    math.Inf(1),
-		logAt:    math.Inf(-1),
-		staleGap: math.Inf(1),
-	}
-	s.retune(&set)
+		settings:     set,
+		minAim:       math.Inf(1),
+		rng:          rand.New(rand.NewPCG(seed, 0x9e3779b97f4a7c15)),
+		messages:     map[uint64]*message{},
+		destinations: map[int]*destination{},
+		endpoints:    map[uint32]*endpoint{},
+		keyQueues:    map[uint64]*keyQueue{},
+		dialStats:    make([]dialStats, max(len(set.Kinds), 1)),
+		timerAt:      math.Inf(1),
+		subscribeAt:  math.Inf(1),
+		loggedAt:     math.Inf(-1),
+		minStaleIdle: math.Inf(1),
+	}
+	s.applySettings(&set)
 	if set.Subscribe {
-		s.askAt = math.Inf(-1)
+		s.subscribeAt = math.Inf(-1)
 	}
 	return s
 }
 
-// retune takes settings read anew. Classes only grow, so that a message under way keeps its class and its
-// position; the attempts allowed hold for all from here on.
-func (s *Sender) retune(set *Settings) {
-	s.set.Classes, s.set.MaxAttempts = set.Classes, set.MaxAttempts
-	for len(s.usual) < len(set.Classes) {
-		s.usual = append(s.usual, latency{})
+// applySettings applies settings that were read again. The list of classes only grows, so a message in progress keeps
+// its class and index. The new number of attempts applies to all messages.
+func (s *Sender) applySettings(set *Settings) {
+	s.settings.Classes, s.settings.MaxAttempts = set.Classes, set.MaxAttempts
+	for len(s.classLatency) < len(set.Classes) {
+		s.classLatency = append(s.classLatency, latency{})
 	}
-	s.aim = math.Inf(1)
+	s.minAim = math.Inf(1)
 	for _, c := range set.Classes {
 		if c.Aim > 0 {
-			s.aim = min(s.aim, c.Aim)
+			s.minAim = min(s.minAim, c.Aim)
 		}
 	}
 }
 
-// account books the waiting time of d up to now.
-func (s *Sender) account(d *dest) {
-	if d.blocked {
-		d.ctl.waited += s.now - d.accAt
+// accrueWait adds the waiting time of d up to now.
+func (s *Sender) accrueWait(d *destination) {
+	if d.throttled {
+		d.admission.waitingTime += s.now - d.accruedAt
 	}
-	d.accAt = s.now
+	d.accruedAt = s.now
 }
 
-// cap sets the pace that a route is given from outside. It starts at any point of the time between two calls:
-// senders that are given theirs in one moment must not call in step.
-func (s *Sender) cap(e *Event) {
+// setPaceCap sets the pace cap of a route. The bucket starts at a random level: senders that receive their caps at
+// the same moment must not call in step.
+func (s *Sender) setPaceCap(e *Event) {
 	r := (*route)(nil)
-	if ep := s.eps[e.Endpoint]; ep != nil {
+	if ep := s.endpoints[e.Endpoint]; ep != nil {
 		r = ep.route
-	} else if d := s.dests[e.Dest]; d != nil && e.Endpoint == 0 {
-		r = d.shared
+	} else if d := s.destinations[e.Dest]; d != nil && e.Endpoint == 0 {
+		r = d.sharedRoute
 	}
 	if r == nil {
 		return
 	}
-	if r.cap == 0 {
-		r.capTokens = bucket{s.rng.Float64(), s.now}
+	if r.paceCap == 0 {
+		r.capTokens = tokenBucket{s.rng.Float64(), s.now}
 	}
-	r.cap = e.Pace
+	r.paceCap = e.Pace
 	for _, ep := range r.endpoints {
-		if ep.state == open {
-			ep.nextTrial = s.trialBy(r, ep.nextTrial)
+		if ep.breaker == open {
+			ep.nextTrial = s.advanceTrial(r, ep.nextTrial)
 		}
 	}
 }
 
-// newEndpoint enters an endpoint into its destination, and its route if it is the first there.
-func (s *Sender) newEndpoint(l Endpoint) *endpoint {
+// addEndpoint adds an endpoint to its destination, and a route if it is the first one there or has a limit of its
+// own.
+func (s *Sender) addEndpoint(listed Endpoint) *endpoint {
 	kind := DestKind{Batch: 1}
-	if l.Kind < len(s.set.Kinds) {
-		kind = s.set.Kinds[l.Kind]
+	if listed.Kind < len(s.settings.Kinds) {
+		kind = s.settings.Kinds[listed.Kind]
+	}
+	d := s.destination(listed.Dest)
+	ep := &endpoint{
+		id: listed.ID, dest: d, zone: listed.Zone, maxBatch: max(kind.Batch, 1), timeoutBackoff: 1,
+		lastOK: math.Inf(-1), connRefusedAt: math.Inf(-1),
 	}
-	d := s.destOf(l.Dest)
-	ep := &endpoint{id: l.ID, dest: d, zone: l.Zone, batch: max(kind.Batch, 1), stretch: 1, lastOK: math.Inf(-1), awayAt: math.Inf(-1)}
-	ep.stream = max(cmp.Or(l.Streams, s.set.StreamsPerConn), 1)
-	ep.route = d.shared
+	ep.streamsPerConn = max(cmp.Or(listed.Streams, s.settings.StreamsPerConn), 1)
+	ep.route = d.sharedRoute
 	if kind.OwnLimits || ep.route == nil {
-		ep.route = &route{lastOK: s.now, tokens: bucket{1, s.now}}
+		ep.route = &route{lastOK: s.now, paceTokens: tokenBucket{1, s.now}}
 		if !kind.OwnLimits {
-			d.shared = ep.route
+			d.sharedRoute = ep.route
 		}
 	}
-	if l.Zone < len(s.set.ZoneFees) {
-		ep.toll = s.set.ZoneFees[l.Zone]
+	if listed.Zone < len(s.settings.ZoneFees) {
+		ep.zoneFee = s.settings.ZoneFees[listed.Zone]
 	}
 	ep.route.endpoints = append(ep.route.endpoints, ep)
-	d.eps = append(d.eps, ep)
-	slices.SortFunc(d.eps, func(a, b *endpoint) int { return cmp.Compare(a.id, b.id) })
-	s.eps[l.ID] = ep
-	if ep.kind = l.Kind; ep.kind < 0 || ep.kind >= len(s.dials) {
+	d.endpoints = append(d.endpoints, ep)
+	slices.SortFunc(d.endpoints, func(a, b *endpoint) int { return cmp.Compare(a.id, b.id) })
+	s.endpoints[listed.ID] = ep
+	if ep.kind = listed.Kind; ep.kind < 0 || ep.kind >= len(s.dialStats) {
 		ep.kind = 0
 	}
-	s.dials[ep.kind].endpoints = append(s.dials[ep.kind].endpoints, ep)
+	s.dialStats[ep.kind].endpoints = append(s.dialStats[ep.kind].endpoints, ep)
 	return ep
 }
 
-// worth is what m would still earn if it were sent now.
+// worth returns the worth of m if it were sent now.
 func (s *Sender) worth(m *message) float64 {
 	c := m.class
 	done := s.now + s.callTime(m)
@@ -448,21 +467,22 @@
 		return c.Worth
 	}
 	late := done - m.aimAt
-	if s.set.WorthHalves {
+	if s.settings.WorthHalves {
 		return c.Worth * max(c.LateWorth, math.Exp2(-late/max(c.Aim, 1)))
 	}
 	return c.Worth * max(c.LateWorth, 1-(1-c.LateWorth)*late/(c.Deadline-c.Aim))
 }
 
-// callTime is the smoothed latency of a call for m: the destination's, or its class's while unknown.
+// callTime returns the smoothed latency of a call for m: of its destination, or of its class while that is unknown.
 func (s *Sender) callTime(m *message) float64 {
-	if m.dest.lat.n > 0 {
-		return m.dest.lat.mean
+	if m.dest.latency.samples > 0 {
+		return m.dest.latency.mean
 	}
-	return s.usual[m.kind].mean
+	return s.classLatency[m.classIndex].mean
 }
 
-func (c *controller) learn(y float64) {
+// updateTheta is the RLS step for the relative delay error y.
+func (c *admissionController) updateTheta(y float64) {
 	f := [2]float64{c.y, c.u}
 	pf := [2]float64{c.p[0][0]*f[0] + c.p[0][1]*f[1], c.p[1][0]*f[0] + c.p[1][1]*f[1]}
 	k := 1 / (1 + f[0]*pf[0] + f[1]*pf[1])
@@ -471,73 +491,73 @@
 			c.p[i][j] -= k * pf[i] * pf[j]
 		}
 	}
-	miss := y - f[0]*c.theta[0] - f[1]*c.theta[1]
+	predictionError := y - f[0]*c.theta[0] - f[1]*c.theta[1]
 	pf = [2]float64{c.p[0][0]*f[0] + c.p[0][1]*f[1], c.p[1][0]*f[0] + c.p[1][1]*f[1]}
-	c.theta[0] += pf[0] * miss
-	c.theta[1] = max(c.theta[1]+pf[1]*miss, theta2Floor)
+	c.theta[0] += pf[0] * predictionError
+	c.theta[1] = max(c.theta[1]+pf[1]*predictionError, minTheta2)
 }
 
-// wake sets the late-refusal timer of m.
-func (s *Sender) wake(m *message) {
-	s.wakeN++
-	heap.Push(&s.wakes, wake{at: s.lastSend(m), n: s.wakeN, m: m})
+// setSendTimer sets the timer of m's send deadline.
+func (s *Sender) setSendTimer(m *message) {
+	s.timerSeq++
+	heap.Push(&s.timers, sendTimer{at: s.sendDeadline(m), seq: s.timerSeq, m: m})
 }
 
-// arm asks for a timer where none is due by then.
-func (s *Sender) arm(next float64) {
-	if next < s.armed {
-		s.armed = max(next, s.now+1)
-		s.token++
-		s.out = append(s.out, Action{Kind: ActTimer, Token: s.token, After: s.armed - s.now})
+// armTimer requests a timer for next unless an earlier one is set.
+func (s *Sender) armTimer(next float64) {
+	if next < s.timerAt {
+		s.timerAt = max(next, s.now+1)
+		s.timerToken++
+		s.actions = append(s.actions, Action{Kind: ActTimer, Token: s.timerToken, After: s.timerAt - s.now})
 	}
 }
 
-// startCall enters a call to ep that m opens.
+// startCall records a new call to ep that m opens.
 func (s *Sender) startCall(m *message, ep *endpoint) *call {
-	c := &call{ep: ep, sentAt: s.now, first: m.attempts == 0}
-	ep.step, ep.stepN = c, s.steps
-	if s.now-ep.usedAt > s.set.KeepAlive && len(ep.calls) == 0 {
+	c := &call{ep: ep, sentAt: s.now, firstAttempt: m.attempts == 0}
+	ep.stepCall, ep.stepSeq = c, s.steps
+	if s.now-ep.lastUsed > s.settings.KeepAlive && len(ep.calls) == 0 {
 		ep.conns = 0
 	}
 	if len(ep.calls) == 0 && ep.conns > 0 {
-		c.idle = s.now - ep.usedAt
+		c.idleTime = s.now - ep.lastUsed
 	}
 	ep.calls = append(ep.calls, c)
 	s.calls = append(s.calls, c)
-	m.dest.out++
-	s.busy++
+	m.dest.callsInFlight++
+	s.slotsInUse++
 	return c
 }
 
-// connect books the connection that c takes.
-func (s *Sender) connect(c *call) {
-	ep, streams := c.ep, c.ep.stream
-	c.dials = len(ep.calls) > ep.conns*streams
-	ep.conns, ep.usedAt = max(ep.conns, (len(ep.calls)+streams-1)/streams), s.now
+// useConnection records the connection that c uses.
+func (s *Sender) useConnection(c *call) {
+	ep, streams := c.ep, c.ep.streamsPerConn
+	c.newConnection = len(ep.calls) > ep.conns*streams
+	ep.conns, ep.lastUsed = max(ep.conns, (len(ep.calls)+streams-1)/streams), s.now
 }
 
-// hangUp closes the idle connections to ep.
-func (s *Sender) hangUp(ep *endpoint) {
-	s.out = append(s.out, Action{Kind: ActCloseIdle, Endpoint: ep.id})
+// closeIdle closes the idle connections to ep.
+func (s *Sender) closeIdle(ep *endpoint) {
+	s.actions = append(s.actions, Action{Kind: ActCloseIdle, Endpoint: ep.id})
 	ep.conns = 0
 }
 
-// release frees the slot of a call of which every message has its outcome.
-func (s *Sender) release(c *call) {
-	s.busy--
-	c.ep.dest.out--
-	c.ep.calls = without(c.ep.calls, c)
-	s.calls = without(s.calls, c)
+// endCall frees the slot of a call once each of its messages has an outcome.
+func (s *Sender) endCall(c *call) {
+	s.slotsInUse--
+	c.ep.dest.callsInFlight--
+	c.ep.calls = remove(c.ep.calls, c)
+	s.calls = remove(s.calls, c)
 }
 
-// stillWaiting takes destinations without a queue off the list of those that wait, and returns a copy of it.
-func (s *Sender) stillWaiting() []*dest {
+// pruneWaiting removes destinations with an empty queue from the waiting list and returns a copy of the list.
+func (s *Sender) pruneWaiting() []*destination {
 	kept := s.waiting[:0]
 	for _, d := range s.waiting {
 		if len(d.queue) == 0 {
-			s.account(d)
-			d.listed, d.blocked = false, false
-			d.ctl.rest()
+			s.accrueWait(d)
+			d.waiting, d.throttled = false, false
+			d.admission.admitAll()
 			continue
 		}
 		kept = append(kept, d)
@@ -547,34 +567,34 @@
 	return slices.Clone(kept)
 }
 
-// join puts m at the end of its key's line.
-func (s *Sender) join(m *message, key uint64) {
-	q := s.keys[key]
+// joinKey puts m at the end of its key's queue.
+func (s *Sender) joinKey(m *message, key uint64) {
+	q := s.keyQueues[key]
 	if q == nil {
 		q = &keyQueue{}
-		s.keys[key] = q
+		s.keyQueues[key] = q
 	}
-	m.key, q.line = key, append(q.line, m)
+	m.key, q.messages = key, append(q.messages, m)
 }
 
-// oldest is the age of the oldest held message that no outage has kept.
-func (d *dest) oldest(now float64) float64 {
+// oldestAge returns the age of the oldest queued message that was not held in an outage.
+func (d *destination) oldestAge(now float64) float64 {
 	for _, m := range d.queue {
-		if !m.sick {
+		if !m.heldInOutage {
 			return now - m.arrived
 		}
 	}
 	return 0
 }
 
-// keepOnly retires the endpoints that a full list does not hold.
-func (s *Sender) keepOnly(list []Endpoint) {
+// retainListed retires the endpoints that a full list does not contain.
+func (s *Sender) retainListed(list []Endpoint) {
 	listed := make(map[uint32]bool, len(list))
 	for _, l := range list {
 		listed[l.ID] = true
 	}
-	for _, d := range s.dests {
-		for _, ep := range d.eps {
+	for _, d := range s.destinations {
+		for _, ep := range d.endpoints {
 			if !listed[ep.id] {
 				s.retire(ep)
 			}
@@ -582,85 +602,85 @@
 	}
 }
 
-// retire marks an endpoint that left the list. It is remembered for forgetAfter: one that left in an outage
-// may be listed again when it comes back cold.
+// retire marks an endpoint that left the list. It is remembered for removedEndpointRetention: one that left in an
+// outage may be listed again, cold.
 func (s *Sender) retire(ep *endpoint) {
-	if ep != nil && ep.goneAt == 0 {
-		ep.ready, ep.goneAt = false, s.now
-		s.gone = append(s.gone, ep)
+	if ep != nil && ep.removedAt == 0 {
+		ep.ready, ep.removedAt = false, s.now
+		s.removed = append(s.removed, ep)
 	}
 }
 
-// forget takes an endpoint from the books; calls out there keep it until they end.
-func (s *Sender) forget(ep *endpoint) {
-	delete(s.eps, ep.id)
-	ep.dest.eps = without(ep.dest.eps, ep)
-	ep.route.endpoints = without(ep.route.endpoints, ep)
-	k := &s.dials[ep.kind]
-	k.endpoints = without(k.endpoints, ep)
-	s.dropDest(ep.dest)
+// forgetEndpoint removes an endpoint. Calls in flight there refer to it until they end.
+func (s *Sender) forgetEndpoint(ep *endpoint) {
+	delete(s.endpoints, ep.id)
+	ep.dest.endpoints = remove(ep.dest.endpoints, ep)
+	ep.route.endpoints = remove(ep.route.endpoints, ep)
+	kind := &s.dialStats[ep.kind]
+	kind.endpoints = remove(kind.endpoints, ep)
+	s.dropDestination(ep.dest)
 }
 
-// dropDest forgets a destination without endpoints, messages and calls.
-func (s *Sender) dropDest(d *dest) {
-	if len(d.eps) == 0 && len(d.queue) == 0 && d.out == 0 && s.dests[d.id] == d {
-		delete(s.dests, d.id)
+// dropDestination removes a destination that has no endpoints, messages or calls.
+func (s *Sender) dropDestination(d *destination) {
+	if len(d.endpoints) == 0 && len(d.queue) == 0 && d.callsInFlight == 0 && s.destinations[d.id] == d {
+		delete(s.destinations, d.id)
 	}
 }
 
-// sweep forgets endpoints that are gone for long, and keys whose rest is over and that no message holds.
+// sweep removes endpoints that left the list long ago, and keys whose pause is over and that no message holds.
 func (s *Sender) sweep() {
-	s.recalled = nil
-	for len(s.gone) > 0 && (s.gone[0].goneAt == 0 || s.now-s.gone[0].goneAt > forgetAfter) {
-		if ep := s.gone[0]; ep.goneAt > 0 && s.eps[ep.id] == ep {
-			s.forget(s.gone[0])
+	s.restoredFacts = nil
+	for len(s.removed) > 0 && (s.removed[0].removedAt == 0 || s.now-s.removed[0].removedAt > removedEndpointRetention) {
+		if ep := s.removed[0]; ep.removedAt > 0 && s.endpoints[ep.id] == ep {
+			s.forgetEndpoint(s.removed[0])
 		}
-		s.gone[0] = nil // or the list's array would keep it
-		s.gone = s.gone[1:]
+		s.removed[0] = nil // otherwise the underlying array would retain it
+		s.removed = s.removed[1:]
 	}
-	for len(s.resting) > 0 {
-		q := s.keys[s.resting[0]]
-		if q != nil && q.rest > s.now {
+	for len(s.pausedKeys) > 0 {
+		q := s.keyQueues[s.pausedKeys[0]]
+		if q != nil && q.pausedUntil > s.now {
 			return
 		}
-		if q != nil && len(q.line) == 0 {
-			delete(s.keys, s.resting[0])
+		if q != nil && len(q.messages) == 0 {
+			delete(s.keyQueues, s.pausedKeys[0])
 		}
-		s.resting = s.resting[1:]
+		s.pausedKeys = s.pausedKeys[1:]
 	}
 }
 
-// markSick marks the messages that an outage of d keeps.
-func (d *dest) markSick() {
+// markHeldInOutage marks the messages that an outage of d holds.
+func (d *destination) markHeldInOutage() {
 	for _, m := range d.queue {
-		m.sick = m.sick || d.sick
+		m.heldInOutage = m.heldInOutage || d.unavailable
 	}
 }
 
-// field is a value of a report, 0 if it is absent.
-func field(rep []float64, i int) float64 {
-	if i < 0 || i >= len(rep) {
+// reportField returns a value of a report, 0 if it is absent.
+func reportField(values []float64, index int) float64 {
+	if index < 0 || index >= len(values) {
 		return 0
 	}
-	return rep[i]
+	return values[index]
 }
 
-// senders is how many share a limit.
-func (s *Sender) senders() float64 { return float64(max(s.set.Senders, 1)) }
+// senders returns the number of senders that share a limit.
+func (s *Sender) senders() float64 { return float64(max(s.settings.Senders, 1)) }
 
-// between draws evenly from a range.
-func (s *Sender) between(lo, hi float64) float64 { return lo + (hi-lo)*s.rng.Float64() }
+// uniform returns a random value between lo and hi.
+func (s *Sender) uniform(lo, hi float64) float64 { return lo + (hi-lo)*s.rng.Float64() }
 
-// arrive counts a message handed in; an idle controller starts afresh.
-func (c *controller) arrive(now float64) {
-	if now-c.seen > ageAfter {
+// countArrival counts an incoming message. A controller that was idle for long starts afresh.
+func (c *admissionController) countArrival(now float64) {
+	if now-c.lastArrival > controllerResetDelay {
 		c.reset(now)
 	}
-	c.seen = now
+	c.lastArrival = now
 	c.arrivals++
 }
 
-// rest admits all and forgets E[X]: no message of the destination waits.
-func (c *controller) rest() {
-	c.pa, c.pam, c.ex, c.waited, c.done, c.primed = 1, 1, 0, 0, 0, false
+// admitAll makes the controller admit everything and forget E[X]: no message of the destination waits.
+func (c *admissionController) admitAll() {
+	c.pa, c.pam, c.ex, c.waitingTime, c.delivered, c.hasPrevious = 1, 1, 0, 0, 0, false
 }
--- a/policy/holding_test.go
+++ b/policy/wait_cause_test.go
@@ -6,9 +6,9 @@
 )
 
 // Why messages wait, and that asking changes nothing: the sender that is asked acts as the one that is not.
-func TestHolding(t *testing.T) {
+func TestWaitCauses(t *testing.T) {
 	eps := []Endpoint{{ID: 1, State: Ready, Kind: 2}}
-	for name, row := range map[string]struct {
+	for name, test := range map[string]struct {
 		slots  int
 		events []Event
 		want   WaitCause
@@ -20,33 +20,33 @@
 		"slot":    {2, nil, CauseSlot},
 		"gone":    {10, []Event{{Kind: EvList, List: []Endpoint{{ID: 1, State: Draining, Kind: 2}}}}, CauseNoEndpoint},
 	} {
-		run := func(ask bool) (all [][]Action, why map[int]WaitCause) {
+		run := func(query bool) (all [][]Action, causes map[int]WaitCause) {
 			set := testSettings()
-			set.CallSlots = row.slots
+			set.CallSlots = test.slots
 			s := New(set, 3)
 			step := func(now float64, events ...Event) {
 				all = append(all, append([]Action(nil), s.Step(now, events, nil)...))
-				why = map[int]WaitCause{}
-				if ask {
-					s.EachWaiting(func(dest int, h WaitCause) { why[dest] = h })
+				causes = map[int]WaitCause{}
+				if query {
+					s.EachWaiting(func(dest int, cause WaitCause) { causes[dest] = cause })
 					s.Overview()
 				}
 			}
-			step(1000, Event{Kind: EvList, FullList: true, List: eps}, Event{Kind: EvMessage, ID: 1, Class: clsSafe, Remaining: 20000})
-			step(1010, row.events...)
-			step(1011, Event{Kind: EvMessage, ID: 2, Class: clsSafe, Remaining: 20000}, Event{Kind: EvMessage, ID: 3, Class: clsSafe, Remaining: 20000})
-			last := why
+			step(1000, Event{Kind: EvList, FullList: true, List: eps}, Event{Kind: EvMessage, ID: 1, Class: classSafe, Remaining: 20000})
+			step(1010, test.events...)
+			step(1011, Event{Kind: EvMessage, ID: 2, Class: classSafe, Remaining: 20000}, Event{Kind: EvMessage, ID: 3, Class: classSafe, Remaining: 20000})
+			lastCauses := causes
 			for now := 1100.0; now < 9000; now += 100 {
 				step(now)
 			}
-			return all, last
+			return all, lastCauses
 		}
-		asked, why := run(true)
-		if left, _ := run(false); !reflect.DeepEqual(asked, left) {
+		queried, causes := run(true)
+		if unqueried, _ := run(false); !reflect.DeepEqual(queried, unqueried) {
 			t.Errorf("%s: a sender that is asked acts otherwise", name)
 		}
-		if why[0] != row.want {
-			t.Errorf("%s: waits for %d, want %d", name, why[0], row.want)
+		if causes[0] != test.want {
+			t.Errorf("%s: waits for %d, want %d", name, causes[0], test.want)
 		}
 	}
 }
