--- a/internal/sender/cutshort_test.go
+++ b/internal/sender/cutshort_test.go
@@ -35,12 +35,12 @@
 		Senders: 1, CallSlots: 10, MaxAttempts: 6, MaxHeld: 100, KeepAlive: 10000, DialTimeout: 1000, WarmUpDuration: 10000, ColdCapacity: 0.25,
 		OverloadMultiple: 1.5, OverloadWindow: 3000, SendsRetryAfter: true, MaxRetryAfter: 2000, AllowanceIndex: -1, LimitIndex: -1, Kinds: []policy.DestKind{{Batch: 5}},
 		Classes: []policy.Class{{Name: "safe", Aim: 2000, Deadline: 20000, Worth: 1, LateWorth: 0.5, Effect: policy.Safe}},
-	}, Seed: 1, Sockets: 10, Journal: j, Clock: NewClock(), Log: zerolog.Nop(), Notices: func(n discovery.Notice) { notices <- n }})
+	}, Seed: 1, MaxConns: 10, Journal: j, Clock: NewClock(), Log: zerolog.Nop(), Notify: func(n discovery.Notice) { notices <- n }})
 	s.pool.PaceDials(3, 2)
-	s.takeList(&discovery.List{Full: true, Entries: []discovery.Endpoint{{Endpoint: policy.Endpoint{ID: 1, Dest: 3, State: policy.Ready}, Name: "e", Addr: srv.Listener.Addr().String()}}})
+	s.takeList(&discovery.List{Full: true, Endpoints: []discovery.Endpoint{{Endpoint: policy.Endpoint{ID: 1, Dest: 3, State: policy.Ready}, Name: "e", Addr: srv.Listener.Addr().String()}}})
 	step := func() { s.tick(); s.step() }
 	take := func(trace string, left time.Duration) {
-		s.takeOrder(&order{msg: &Message{Trace: []byte(trace), Dest: 3, Left: left, Body: []byte(trace)}, received: time.Now(), verdict: make(chan Verdict, 1)})
+		s.takeOrder(&order{msg: &Message{Trace: []byte(trace), Dest: 3, Remaining: left, Body: []byte(trace)}, received: time.Now(), verdict: make(chan Verdict, 1)})
 	}
 	take("first", 10*time.Second) // its connection has the turn that is free, and is kept busy by nobody
 	step()
@@ -54,11 +54,11 @@
 		}
 	}
 	next()
-	s.pool.HangUp(1)
+	s.pool.CloseIdleConns(1)
 	for len(s.calls) > 0 { // the first call has ended
 		s.take(<-s.in)
 	}
-	s.pool.HangUp(1)
+	s.pool.CloseIdleConns(1)
 	take("short", 200*time.Millisecond)
 	take("long", 10*time.Second)
 	step()
--- a/internal/sender/inherit.go
+++ b/internal/sender/inherit.go
@@ -43,7 +43,7 @@
 func (s *Sender) inherit(now int64, look *fleet.Look) {
 	c := s.copies
 	for owner, d := range look.Own {
-		if owner == c.set.Name || !look.Mine(d) || c.fleet.Held(d.Name) != d.Token {
+		if owner == c.set.Name || !look.Mine(d) || c.fleet.Token(d.Name) != d.Token {
 			continue
 		}
 		h := c.heirs[owner]
@@ -60,13 +60,13 @@
 			if c.live {
 				s.bring(h, d)
 			} else if now-h.began > handOnAfter { // it can copy nothing: another one may, or the owner that is back
-				c.fleet.Ask(&pb.Command{What: &pb.Command_Release{Release: &pb.Release{Session: look.Session, Duty: d.Name, Token: d.Token, Keep: true}}}, func(*pb.Answer, error) {})
+				c.fleet.Propose(&pb.Command{What: &pb.Command_Release{Release: &pb.Release{Session: look.Session, Duty: d.Name, Token: d.Token, Keep: true}}}, func(*pb.Answer, error) {})
 				h.began = now
 				s.log.Info().Str("owner", owner).Msg("copies: handed on to another heir, as this sender does not hold its own journal")
 			}
 		case copies.Done:
 			delete(c.heirs, owner)
-			c.fleet.Leave(d.Name, false)
+			c.fleet.Release(d.Name, false)
 		}
 	}
 }
@@ -81,26 +81,26 @@
 	c := s.copies
 	h.Stage, h.nums = copies.Copying, nil
 	shift, waits := s.shifts(h)
-	look := c.fleet.Look()
+	look := c.fleet.View()
 	var keys []uint64
 	doubted := 0
 	for _, e := range journal.Replay(h.Found.Records) {
-		if e.Origin != "" && duty.Agreed(look.Adopted[ownerOf(e.Origin)], e.Token).GetBy() != h.Owner {
+		if e.TakeoverDuty != "" && duty.Agreed(look.Adopted[ownerOf(e.TakeoverDuty)], e.TakeoverToken).GetBy() != h.Owner {
 			continue // it was being taken over itself, and that was not agreed on
 		}
-		e.Num, e.Origin, e.Token = s.journal.Next(), d.Name, d.Token
+		e.Num, e.TakeoverDuty, e.TakeoverToken = s.journal.NextNumber(), d.Name, d.Token
 		e.Deadline += shift
-		if e.DoubtAt != 0 {
-			e.DoubtAt += shift
+		if e.MayHaveRunAt != 0 {
+			e.MayHaveRunAt += shift
 		}
-		if e.DoubtAt == 0 && s.forbidsRepeats(e.Class) && !h.Complete(c.needs(e.Class)) {
-			e.DoubtAt = int64(s.now) // it may have run: who knows of it is away
+		if e.MayHaveRunAt == 0 && s.forbidsRepeats(e.Class) && !h.Complete(c.needs(e.Class)) {
+			e.MayHaveRunAt = int64(s.now) // it may have run: who knows of it is away
 			doubted++
 		}
-		s.journal.Take(e)
+		s.journal.Accept(e)
 		c.pending[e.Num] = e
 		h.nums = append(h.nums, e.Num)
-		if k := keyHash([]byte(e.Key)); k != 0 && e.Sure && e.Ending == journal.NotEnding {
+		if k := keyHash([]byte(e.Key)); k != 0 && e.Confirmed && e.Ending == journal.EndingNone {
 			keys = append(keys, k)
 		}
 	}
@@ -109,14 +109,14 @@
 		s.log.Warn().Str("owner", h.Owner).Int("messages", doubted).Msg("copies: holders are away that may know of attempts: messages whose class forbids repeats are not sent")
 	}
 	s.again = true // they are written, and copied, by this very step: to as many as are left, where few are
-	c.lines = append(c.lines, copyLine{needed: max(min(c.most(), len(c.fleet.Look().Present)-1), 0), till: time.Now().Add(time.Second), done: func(kept bool) {
+	c.lines = append(c.lines, copyLine{needed: max(min(c.most(), len(c.fleet.View().Present)-1), 0), till: time.Now().Add(time.Second), done: func(kept bool) {
 		if !kept {
 			s.discard(h)
 			return
 		}
 		h.Stage = copies.Adopting
 		adopt := &pb.Adopt{Session: d.Session, Duty: d.Name, Token: d.Token, Incarnation: h.Found.Incarnation, Upto: h.Found.Upto, Keys: keys}
-		c.fleet.Ask(&pb.Command{What: &pb.Command_Adopt{Adopt: adopt}}, func(a *pb.Answer, err error) {
+		c.fleet.Propose(&pb.Command{What: &pb.Command_Adopt{Adopt: adopt}}, func(a *pb.Answer, err error) {
 			s.copyNews(copyNews{do: func() { s.adopted(h, a.GetKeys(), err) }})
 		})
 	}})
@@ -151,18 +151,18 @@
 	n, sure, till := 0, 0, s.now
 	s.heed(holds)
 	for num, e := range s.copies.pending {
-		if ownerOf(e.Origin) != owner || e.Token != token {
+		if ownerOf(e.TakeoverDuty) != owner || e.TakeoverToken != token {
 			continue
 		}
 		delete(s.copies.pending, num)
-		s.journal.Adopted(e)
+		s.journal.FinishTakeover(e)
 		n++
 		switch {
-		case e.Ending == journal.NotEnding && !e.Sure:
+		case e.Ending == journal.EndingNone && !e.Confirmed:
 			// Its client may have been refused: it is handed back, and never sent.
-			s.owe(e, journal.HandedBack, 0)
-		case e.Ending == journal.NotEnding && slices.Contains(elsewhere, keyHash([]byte(e.Key))):
-			s.owe(e, journal.GivenUp, 0)
+			s.owe(e, journal.EndingReturned, 0)
+		case e.Ending == journal.EndingNone && slices.Contains(elsewhere, keyHash([]byte(e.Key))):
+			s.owe(e, journal.EndingAbandoned, 0)
 		default:
 			sure, till = sure+1, max(till, float64(e.Deadline))
 			s.restore(e)
@@ -185,7 +185,7 @@
 	}
 	open := map[try]bool{}
 	for _, e := range c.pending {
-		open[try{ownerOf(e.Origin), e.Token}] = true
+		open[try{ownerOf(e.TakeoverDuty), e.TakeoverToken}] = true
 	}
 	for t := range open {
 		a, d, h := look.Adopted[t.owner], look.Own[t.owner], c.heirs[t.owner]
@@ -199,7 +199,7 @@
 		case a != nil && a.Token > t.token, look.Mine(d) && d.Token > t.token, d != nil && !look.Mine(d), d == nil:
 			// The duty is another's now, or nobody's: it was not agreed on, and never will be.
 			for num, e := range c.pending {
-				if ownerOf(e.Origin) == t.owner && e.Token == t.token {
+				if ownerOf(e.TakeoverDuty) == t.owner && e.TakeoverToken == t.token {
 					delete(c.pending, num)
 					s.journal.End(e)
 				}
--- a/internal/sender/observe.go
+++ b/internal/sender/observe.go
@@ -64,7 +64,7 @@
 
 // closed tells of a connection to an endpoint that was closed. It is called on the connection's goroutine. What an
 // endpoint sent unasked is always worth a line; all else is one of the records.
-func (w *observer) closed(c outbound.Closing) {
+func (w *observer) closed(c outbound.CloseEvent) {
 	e := w.log.Log()
 	switch {
 	case c.Reason == outbound.CloseUnsolicited:
@@ -87,8 +87,8 @@
 	if !s.observer.On() {
 		return
 	}
-	s.observer.Push(telemetry.Record{Kind: telemetry.Taken, Num: e.Num, Dest: int32(e.Dest), Class: uint8(class), Again: e.Again, Restored: restored,
-		Attempt: int16(e.Attempts), At: s.now, Until: float64(e.Deadline), Text: e.Trace, Parent: parent([]byte(e.Parent))})
+	s.observer.Push(telemetry.Record{Kind: telemetry.Taken, Num: e.Num, Dest: int32(e.Dest), Class: uint8(class), Again: e.Resubmitted, Restored: restored,
+		Attempt: int16(e.Attempts), At: s.now, Until: float64(e.Deadline), Text: e.Trace, Parent: parent([]byte(e.TraceParent))})
 }
 
 func (s *Sender) observeRefused(dest int, why telemetry.Cause) {
@@ -178,7 +178,7 @@
 	gauge(telemetry.BreakersOpen, float64(broken))
 	gauge(telemetry.Ramping, float64(warming))
 	gauge(telemetry.LimitTold, told)
-	gauge(telemetry.Connections, float64(s.pool.Open()))
+	gauge(telemetry.Connections, float64(s.pool.OpenConns()))
 	if s.guard != nil {
 		st := s.guard.Stats()
 		gauge(telemetry.StormPromised, float64(st.Promised))
@@ -190,7 +190,7 @@
 			live = 1
 		}
 		gauge(telemetry.FleetLive, live)
-		gauge(telemetry.FleetDuties, float64(s.fleet.Duties()))
+		gauge(telemetry.FleetDuties, float64(s.fleet.HeldDuties()))
 	}
 	if c := s.copies; c != nil {
 		held := 0.0
