--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -1,5 +1,5 @@
-// Command adapter hosts instances of the decision module on the simulator's
-// wire: batches on standard input, replies on standard output.
+// Command adapter runs instances of the decision module for the simulator. It reads batches in the simulator's wire
+// format from standard input and writes a reply for each to standard output.
 package main
 
 import (
@@ -19,82 +19,82 @@
 	}
 }
 
-// instance is one sender and what the current batch holds for it.
+// instance is a sender and the events that the current batch holds for it.
 type instance struct {
 	id      uint32
 	sender  *policy.Sender
 	events  []policy.Event
-	touched bool
+	pending bool
 }
 
-// serve answers every batch of in until it ends.
+// serve replies to every batch from in until the input ends.
 func serve(in io.Reader, out io.Writer) error {
-	dec := wire.NewDecoder(bufio.NewReaderSize(in, 1<<16))
-	w := bufio.NewWriterSize(out, 1<<16)
+	decoder := wire.NewDecoder(bufio.NewReaderSize(in, 1<<16))
+	writer := bufio.NewWriterSize(out, 1<<16)
 	instances := map[uint32]*instance{}
-	var order []*instance
+	var pending []*instance
 	var actions []policy.Action
 	var reply wire.Reply
 	for {
-		b, err := dec.Next()
+		batch, err := decoder.Next()
 		if err == io.EOF {
 			return nil
 		}
 		if err != nil {
 			return err
 		}
-		order = order[:0]
-		for i := range b.Records {
-			r := &b.Records[i]
-			it := instances[r.Instance]
+		pending = pending[:0]
+		for i := range batch.Records {
+			record := &batch.Records[i]
+			inst := instances[record.Instance]
 			switch {
-			case r.What == wire.Start:
-				if it == nil {
-					it = &instance{id: r.Instance}
-					instances[r.Instance] = it
+			case record.What == wire.Start:
+				if inst == nil {
+					inst = &instance{id: record.Instance}
+					instances[record.Instance] = inst
 				}
-				it.sender, it.events = policy.New(r.Settings, r.Seed), it.events[:0]
-			case it == nil || it.sender == nil:
+				inst.sender, inst.events = policy.New(record.Settings, record.Seed), inst.events[:0]
+			case inst == nil || inst.sender == nil:
 				continue
-			case r.What == wire.Stop:
-				it.sender, it.events = nil, it.events[:0]
+			case record.What == wire.Stop:
+				inst.sender, inst.events = nil, inst.events[:0]
 				continue
 			default:
-				it.events = append(it.events, r.Event)
+				inst.events = append(inst.events, record.Event)
 			}
-			if !it.touched {
-				it.touched = true
-				order = append(order, it)
+			if !inst.pending {
+				inst.pending = true
+				pending = append(pending, inst)
 			}
 		}
 		reply.Reset()
-		for _, it := range order {
-			it.touched = false
-			if it.sender == nil {
+		for _, inst := range pending {
+			inst.pending = false
+			if inst.sender == nil {
 				continue
 			}
-			if actions, err = step(it, b.Now, actions[:0]); err != nil {
-				reply.Fault(it.id, err.Error())
+			if actions, err = step(inst, batch.Now, actions[:0]); err != nil {
+				reply.Fault(inst.id, err.Error())
 			} else {
-				reply.Add(it.id, actions)
+				reply.Add(inst.id, actions)
 			}
-			it.events = it.events[:0]
+			inst.events = inst.events[:0]
 		}
-		if err := reply.Write(w, b.Seq); err != nil {
+		if err := reply.Write(writer, batch.Seq); err != nil {
 			return err
 		}
-		if err := w.Flush(); err != nil {
-			return fmt.Errorf("reply to batch %d: %w", b.Seq, err)
+		if err := writer.Flush(); err != nil {
+			return fmt.Errorf("reply to batch %d: %w", batch.Seq, err)
 		}
 	}
 }
 
-// step runs one batch of an instance and turns a panic into an error.
-func step(it *instance, now float64, actions []policy.Action) (out []policy.Action, err error) {
+// step passes a batch of events to an instance and converts a panic to an error.
+func step(inst *instance, now float64, actions []policy.Action) (out []policy.Action, err error) {
 	defer func() {
 		if p := recover(); p != nil {
 			err = fmt.Errorf("decision module: %v", p)
 		}
 	}()
-	return it.sender.Step(now, it.events, actions), nil
+	return inst.sender.Step(now, inst.events, actions), nil
 }
--- a/cmd/adapter/main_test.go
+++ b/cmd/adapter/main_test.go
@@ -8,14 +8,16 @@
 	"testing"
 )
 
-const info = "family_info.call_slots=4\nlimits.max_attempts=3\nlimits.most_held=50\nservices.count=1\n" +
+const settings = "family_info.call_slots=4\nlimits.max_attempts=3\nlimits.most_held=50\nservices.count=1\n" +
 	"services.0.deadline=10000\nservices.0.aim=2000\nservices.0.effect=safe\nservices.0.worth=1\n"
 
+// record returns a record in the simulator's wire format.
 func record(code byte, fields []byte) []byte {
 	b := binary.BigEndian.AppendUint32([]byte{code}, uint32(len(fields)))
 	return append(b, fields...)
 }
 
+// batch returns a batch of records in the simulator's wire format.
 func batch(seq uint32, now float64, records ...[]byte) []byte {
 	body := bytes.Join(records, nil)
 	b := binary.BigEndian.AppendUint32(nil, uint32(len(records)))
@@ -25,17 +27,18 @@
 	return append(b, body...)
 }
 
-func provision(id uint32) []byte {
-	f := binary.BigEndian.AppendUint32(nil, id)
-	f = binary.BigEndian.AppendUint64(f, 9)
-	f = binary.BigEndian.AppendUint32(f, uint32(len(info)))
-	return record(0, append(f, info...))
+// startRecord returns the record that starts an instance.
+func startRecord(id uint32) []byte {
+	fields := binary.BigEndian.AppendUint32(nil, id)
+	fields = binary.BigEndian.AppendUint64(fields, 9)
+	fields = binary.BigEndian.AppendUint32(fields, uint32(len(settings)))
+	return record(0, append(fields, settings...))
 }
 
-func TestEmptyBatchAndEnd(t *testing.T) {
+func TestEmptyAndTruncatedBatch(t *testing.T) {
 	var out bytes.Buffer
 	if err := serve(bytes.NewReader(batch(1, 8412, []byte{}[:0])[:20]), &out); err == nil {
-		t.Fatal("a count over an empty body passes")
+		t.Fatal("a batch that counts one record and has an empty body is accepted")
 	}
 	out.Reset()
 	empty := batch(1, 8412)
@@ -47,28 +50,30 @@
 	}
 }
 
-func TestRestartInOneBatchForgets(t *testing.T) {
+func TestRestartWithinBatchDropsState(t *testing.T) {
 	u32 := func(v uint32) []byte { return binary.BigEndian.AppendUint32(nil, v) }
-	order := func(id uint64) []byte {
-		f := binary.BigEndian.AppendUint64(u32(3), id)
-		f = append(f, make([]byte, 14)...)
-		f = binary.BigEndian.AppendUint64(f, math.Float64bits(0)) // its time is up
-		f = append(f, make([]byte, 14)...)
-		return record(2, f)
+	messageRecord := func(id uint64) []byte {
+		fields := binary.BigEndian.AppendUint64(u32(3), id)
+		fields = append(fields, make([]byte, 14)...)
+		fields = binary.BigEndian.AppendUint64(fields, math.Float64bits(0)) // no time left
+		fields = append(fields, make([]byte, 14)...)
+		return record(2, fields)
 	}
-	in := append(batch(1, 10, provision(3)), batch(2, 20, order(5), record(9, u32(3)), provision(3), order(6))...)
-	in = append(in, batch(3, 30, order(7), record(9, u32(3)))...)
+	in := append(batch(1, 10, startRecord(3)),
+		batch(2, 20, messageRecord(5), record(9, u32(3)), startRecord(3), messageRecord(6))...)
+	in = append(in, batch(3, 30, messageRecord(7), record(9, u32(3)))...)
 	var out bytes.Buffer
 	if err := serve(bytes.NewReader(in), &out); err != nil {
 		t.Fatal(err)
 	}
 	id := func(v uint64) []byte { return binary.BigEndian.AppendUint64(nil, v) }
-	if bytes.Contains(out.Bytes(), id(5)) || !bytes.Contains(out.Bytes(), id(6)) || bytes.Contains(out.Bytes(), id(7)) {
+	if bytes.Contains(out.Bytes(), id(5)) || !bytes.Contains(out.Bytes(), id(6)) ||
+		bytes.Contains(out.Bytes(), id(7)) {
 		t.Fatalf("replies %x", out.Bytes())
 	}
 }
 
-func TestFaultNamesBatchAndRecord(t *testing.T) {
+func TestErrorNamesBatchAndRecord(t *testing.T) {
 	in := batch(4, 10, record(2, []byte{0}))
 	err := serve(bytes.NewReader(in), &bytes.Buffer{})
 	if err == nil || !strings.Contains(err.Error(), "batch 4: record 0 (code 2): sender") {
--- a/policy/api.go
+++ b/policy/api.go
@@ -109,7 +109,7 @@
 // The kinds of events, with the fields that each one sets.
 const (
 	EvList      EventKind = iota // List, FullList; Failed if the list could not be fetched
-	EvMessage                    // ID, Class, Tenant, Key, Remaining, Resubmitted, Dest; if Restored: Attempts, MayHaveRun*
+	EvMessage                    // ID, Class, Tenant, Key, Remaining, Resubmitted, Dest; Restored: Attempts, MayHaveRun*
 	EvOutcome                    // ID, Endpoint, Attempt, Outcome, RequestedWait, Latency, Final, Report
 	EvWithdrawn                  // ID
 	EvTimer                      // Token
--- a/policy/facts_test.go
+++ b/policy/facts_test.go
@@ -6,15 +6,16 @@
 	"testing"
 )
 
-// reborn is a rig whose sender has taken up what r's knows, as after a restart that took no time.
+// restarted returns a rig whose sender has restored the facts of r's sender, as after a restart that took no time.
 func (r *rig) restarted(eps []Endpoint, dests []int, before ...Event) *rig {
 	r.t.Helper()
-	next := &rig{t: r.t, s: New(r.s.settings, 8), now: r.now, attempts: map[uint64]int{}, lastEndpoint: map[uint64]uint32{}}
+	next := &rig{t: r.t, s: New(r.s.settings, 8), now: r.now,
+		attempts: map[uint64]int{}, lastEndpoint: map[uint64]uint32{}}
 	var facts []DestFacts
 	for _, d := range dests {
 		f, ok := r.s.Facts(d)
 		if !ok {
-			r.t.Fatalf("no facts of %d", d)
+			r.t.Fatalf("no facts of destination %d", d)
 		}
 		facts = append(facts, f)
 	}
@@ -32,11 +33,14 @@
 	return n
 }
 
-// What is told and taken up again is told the same.
+// Facts that are exported and restored are exported the same again.
 func TestFactsRoundTrip(t *testing.T) {
 	set := testSettings()
 	set.AllowanceIndex, set.LimitIndex = 0, 1
-	eps := []Endpoint{{ID: 1, State: Ready, Kind: 2, Dest: 1}, {ID: 2, State: Ready, Kind: 2, Dest: 1}, {ID: 3, State: Ready, Kind: 1, Dest: 2}, {ID: 4, State: Ready, Kind: 1, Dest: 2}}
+	eps := []Endpoint{
+		{ID: 1, State: Ready, Kind: 2, Dest: 1}, {ID: 2, State: Ready, Kind: 2, Dest: 1},
+		{ID: 3, State: Ready, Kind: 1, Dest: 2}, {ID: 4, State: Ready, Kind: 1, Dest: 2},
+	}
 	r := newRig(t, set, eps...)
 	for i, o := range []Outcome{OK, OK, Error, Full, Timeout, OK, Timeout, Timeout, Timeout, Timeout, Timeout} {
 		for dest := range 2 {
@@ -54,34 +58,37 @@
 	for dest := 1; dest <= 2; dest++ {
 		before, _ := r.s.Facts(dest)
 		after, _ := restarted.s.Facts(dest)
-		if dest == 1 && (before.SharedRoute == nil || before.SharedRoute.AdvertisedLimit != 12) || dest == 2 && (before.SharedRoute != nil || before.Endpoints[0].OwnRoute == nil) {
+		if dest == 1 && (before.SharedRoute == nil || before.SharedRoute.AdvertisedLimit != 12) ||
+			dest == 2 && (before.SharedRoute != nil || before.Endpoints[0].OwnRoute == nil) {
 			t.Errorf("facts %+v", before)
 		}
 		if before.Latency.N == 0 || !reflect.DeepEqual(before, after) {
-			t.Errorf("destination %d:\nwas %+v %+v\n is %+v %+v", dest, before, before.SharedRoute, after, after.SharedRoute)
+			t.Errorf("destination %d:\nbefore %+v %+v\nafter  %+v %+v",
+				dest, before, before.SharedRoute, after, after.SharedRoute)
 		}
 	}
 	if g := restarted.s.GeneralFacts(); !reflect.DeepEqual(g, r.s.GeneralFacts()) || g.ClassLatency[0].N == 0 {
-		t.Errorf("general %+v", g)
+		t.Errorf("general facts %+v", g)
 	}
 }
 
-// A wait that was told before a restart binds after it: for new messages and for restored ones, which are
-// there before any list is.
+// A wait requested before a restart applies after it: to new messages, and to restored ones, which arrive before any
+// list.
 func TestWaitOutlastsRestart(t *testing.T) {
-	for _, kind := range []int{1, 2} { // a limit of its own, and a shared one
+	for _, kind := range []int{1, 2} { // endpoints with limits of their own, and a shared limit
 		eps := []Endpoint{{ID: 1, State: Ready, Kind: kind, Dest: 1}}
 		r := newRig(t, testSettings(), eps...)
 		r.message(1, classSafe, 1, 0)
 		r.reply(1, Full, 1500)
 		waitStart := r.now
 		r.now += 600
-		restarted := r.restarted(eps, []int{1}, Event{Kind: EvMessage, ID: 7, Dest: 1, Remaining: 15000, Restored: true, Attempts: 1})
+		restarted := r.restarted(eps, []int{1},
+			Event{Kind: EvMessage, ID: 7, Dest: 1, Remaining: 15000, Restored: true, Attempts: 1})
 		if countSends(restarted.lastActions) > 0 {
-			t.Fatalf("kind %d: a restored message is sent in the wait", kind)
+			t.Fatalf("kind %d: a restored message is sent during the wait", kind)
 		}
 		if countSends(restarted.message(8, classSafe, 1, 0))+countSends(restarted.run(waitStart+1499)) > 0 {
-			t.Fatalf("kind %d: sent in the wait", kind)
+			t.Fatalf("kind %d: a message is sent during the wait", kind)
 		}
 		if countSends(restarted.run(waitStart+2500)) == 0 {
 			t.Fatalf("kind %d: nothing sent after the wait", kind)
@@ -89,7 +96,7 @@
 	}
 }
 
-// A ramp goes on where it was: after a restart in its middle no more is sent than without one.
+// A ramp continues after a restart in its middle: no more is sent than without a restart.
 func TestRampOutlastsRestart(t *testing.T) {
 	eps := []Endpoint{{ID: 1, State: Ready, Kind: 2, Dest: 1}}
 	sent := func(restart, facts bool) int {
@@ -124,19 +131,21 @@
 			rampStart := r.s.endpoints[1].rampStart
 			r = r.restarted(eps, dests)
 			if facts && (r.s.endpoints[1].breaker != ramping || r.s.endpoints[1].rampStart != rampStart) {
-				t.Fatal("the ramp is lost")
+				t.Fatal("the ramp does not continue after the restart")
 			}
 		}
 		return drive(r.now+2000, OK)
 	}
 	uninterrupted, restored, withoutFacts := sent(false, false), sent(true, true), sent(true, false)
 	if restored > uninterrupted+uninterrupted/5+1 || withoutFacts <= restored {
-		t.Errorf("calls in 2 s of a ramp: %d without a restart, %d after one, %d after one that forgot", uninterrupted, restored, withoutFacts)
+		t.Errorf("calls in 2 s of a ramp: %d without a restart, %d after one, %d after one without facts",
+			uninterrupted, restored, withoutFacts)
 	}
-	t.Logf("calls in 2 s of a ramp: %d without a restart, %d after one, %d after one that forgot", uninterrupted, restored, withoutFacts)
+	t.Logf("calls in 2 s of a ramp: %d without a restart, %d after one, %d after one without facts",
+		uninterrupted, restored, withoutFacts)
 }
 
-// A broken endpoint stays broken until the trial that was due, and a healthy sibling does not heal it.
+// An endpoint with an open breaker keeps its due trial over a restart, whether or not another endpoint is healthy.
 func TestTrialOutlastsRestart(t *testing.T) {
 	eps := []Endpoint{{ID: 1, State: Ready, Kind: 2, Dest: 1}, {ID: 2, State: Ready, Kind: 2, Dest: 1}}
 	r := newRig(t, testSettings(), eps...)
@@ -146,32 +155,33 @@
 	r.s.openBreaker(ep)
 	due := ep.nextTrial
 	restarted := r.restarted(eps, []int{1})
-	if got := restarted.s.endpoints[2]; got.breaker != open || got.nextTrial != due || restarted.s.endpoints[1].breaker != closed {
+	if got := restarted.s.endpoints[2]; got.breaker != open || got.nextTrial != due ||
+		restarted.s.endpoints[1].breaker != closed {
 		t.Errorf("state %v, trial at %v, want %v", got.breaker, got.nextTrial, due)
 	}
 	for id := uint64(1); id < 5; id++ {
 		if restarted.message(id, classSafe, 1, 0); restarted.lastEndpoint[id] == 2 {
-			t.Error("the broken endpoint is called before its trial")
+			t.Error("the endpoint is called before its trial is due")
 		}
 	}
 }
 
-// Facts of what no list names, or of a step before, change nothing.
+// Facts of endpoints that no list names, or from an earlier step, have no effect.
 func TestFactsApplyToListedEndpointsOnly(t *testing.T) {
 	eps := []Endpoint{{ID: 1, State: Ready, Kind: 2, Dest: 1}}
 	r := newRig(t, testSettings())
 	r.step(Event{Kind: EvFacts, Facts: []DestFacts{{Dest: 1, SharedRoute: &RouteFacts{WaitUntil: math.Inf(1)}}}})
 	r.step(Event{Kind: EvList, FullList: true, List: eps})
 	if _, ok := r.s.Facts(9); ok {
-		t.Error("facts of a destination that there is not")
+		t.Error("facts of an unknown destination")
 	}
 	if countSends(r.message(1, classSafe, 1, 0)) != 1 {
-		t.Error("facts of an earlier step bind")
+		t.Error("facts of an earlier step take effect")
 	}
 }
 
-// A limit that fell tenfold while the sender was down: the first answer that tells it brings the pace down, so
-// what was remembered costs a second's burst at most.
+// When a limit has fallen tenfold while the sender was down, the first answer that reports it reduces the pace, so
+// that the restored pace costs at most one second's burst.
 func TestLimitFellWhileDown(t *testing.T) {
 	set := testSettings()
 	set.AllowanceIndex, set.LimitIndex = 0, 1
@@ -183,7 +193,7 @@
 	r.step(e)
 	restarted := r.restarted(eps, []int{1})
 	if got := restarted.s.destinations[1].sharedRoute.pace; got != 50 {
-		t.Fatalf("remembered pace %v", got)
+		t.Fatalf("restored pace %v", got)
 	}
 	restarted.message(2, classSafe, 1, 0)
 	e = restarted.outcome(2, Full, 0)
@@ -196,7 +206,7 @@
 	for id := uint64(10); id < 60; id++ {
 		sent += countSends(restarted.message(id, classSafe, 1, 0))
 	}
-	if sent > 3 { // half a second of five a second, and one that is under way
+	if sent > 3 { // half a second at 5 per second, and one call in flight
 		t.Errorf("%d calls at once", sent)
 	}
 }
--- a/policy/fleet_test.go
+++ b/policy/fleet_test.go
@@ -9,21 +9,21 @@
 	"testing"
 )
 
-// crowd drives many Senders that share nothing against one destination of one endpoint.
+// fleet drives many independent Senders against the same endpoints of one destination.
 type fleet struct {
 	now       float64
 	rigs      []*rig
-	submitted uint64
-	callTimes []float64 // when calls reached the endpoint
+	submitted uint64    // messages
+	callTimes []float64 // times of the calls that reached the endpoint
 
 	calls             map[*rig]int
 	informed          map[*rig]bool
-	informedCallTimes []float64 // those of senders that were told of an outage
+	informedCallTimes []float64 // those of senders that had seen the outage
 
-	finalAnswers map[uint64]int // final answers of each message, where it is not nil
+	finalAnswers map[uint64]int // number of final answers by message; nil: not counted
 
-	onlyEndpoint  uint32 // count calls to this endpoint alone; 0 = to all
-	trackInformed bool   // whoever is answered anything but OK knows from then on
+	onlyEndpoint  uint32 // count calls to this endpoint alone; 0: to all
+	trackInformed bool   // a sender with an outcome other than OK counts as informed from then on
 }
 
 func newFleet(t *testing.T, n int, set Settings, eps ...Endpoint) *fleet {
@@ -42,7 +42,8 @@
 	return c
 }
 
-// run plays until a time, a message every gap for the next sender in turn; answer decides each call's end.
+// run advances to a time and submits a message every interval, to each sender in turn; answer decides the outcome of
+// each call.
 func (c *fleet) run(to, interval float64, answer func(now float64) Outcome) {
 	next := c.now
 	for c.now < to {
@@ -63,12 +64,12 @@
 	}
 }
 
-// settle answers each call at once, and those that the answers set off.
+// answerCalls answers each call at once, and also the calls that follow from the answers.
 func (c *fleet) answerCalls(r *rig, actions []Action, answer func(now float64) Outcome) {
 	c.answerWithReport(r, actions, func(now float64) (Outcome, []float64) { return answer(now), nil })
 }
 
-// deliver is settle with a report in each answer.
+// answerWithReport is answerCalls with a report in each answer.
 func (c *fleet) answerWithReport(r *rig, actions []Action, answer func(now float64) (Outcome, []float64)) {
 	for i := 0; i < len(actions); i++ {
 		if c.finalAnswers != nil && (actions[i].Kind == ActRefuse || actions[i].Kind == ActFail) {
@@ -105,16 +106,17 @@
 	return n
 }
 
-// Incident: hundreds of senders that each held something tried a cold endpoint within a second. The rule as it is
-// counted: more than it can take, two thirds of it from senders that knew.
+// Hundreds of senders that each held a message used to try a cold endpoint within one second. An overload counts
+// against the senders if there are more calls than the endpoint can take and two thirds of them come from senders
+// that had seen the outage.
 func TestManySendersOneColdEndpoint(t *testing.T) {
 	for _, n := range []int{20, 60, 400} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
 			c := newFleet(t, n, testSettings())
-			const backAt = 13000.0 // an outage of 12 s; the limit is 6 a second, traffic 2.5
+			const backAt = 13000.0 // an outage of 12 s; limit 6 per second, traffic 2.5 per second
 			c.run(backAt, 400, func(float64) Outcome { return ConnectFailed })
 			if len(c.callTimes) == 0 {
-				t.Fatal("nobody tried")
+				t.Fatal("no sender tried the endpoint")
 			}
 			for _, r := range c.rigs {
 				c.informed[r] = c.calls[r] > 0
@@ -125,7 +127,7 @@
 				budget := 6 * (0.25 + 0.75*(from+1500-backAt)/10000) * 1.5 * 3
 				all, informed := countBetween(c.callTimes, from, from+3000), countBetween(c.informedCallTimes, from, from+3000)
 				if all > budget && informed >= all*2/3 {
-					t.Fatalf("in the 3 s from %v ms after the return %v calls, %v by senders that knew, over %v",
+					t.Fatalf("in the 3 s from %v ms after the return: %v calls, %v by senders that had seen the outage; limit %v",
 						from-backAt, all, informed, budget)
 				}
 			}
@@ -133,8 +135,9 @@
 	}
 }
 
-// push is the largest sum of calls in a window of TipAfter after a return, over what a cold endpoint of warm
-// capacity full a second takes before it falls, and the largest number by senders that knew in such a window.
+// overloadShares returns the largest number of calls in any OverloadWindow after a return, relative to the number
+// that overloads a cold endpoint whose warm capacity is warmRate per second: of all senders, and of those that had
+// seen the outage.
 func (c *fleet) overloadShares(set Settings, backAt, warmRate float64) (total, informed float64) {
 	for from := backAt; from+set.OverloadWindow <= backAt+set.WarmUpDuration; from += 100 {
 		cold := warmRate * (set.ColdCapacity + (1-set.ColdCapacity)*(from+set.OverloadWindow/2-backAt)/set.WarmUpDuration)
@@ -145,15 +148,15 @@
 	return total, informed
 }
 
-// Incident L0d7904: three routes of a destination crashed together. Each sender that held one message tried all
-// three, each on its own breaker's time, and the returning ones got three times what one message is worth.
+// Three endpoints with limits of their own crashed together. Each sender that held one message tried all three, each
+// by its own breaker's schedule, and the endpoints that came back received three calls for each message.
 func TestOneTrialForRoutesThatFailTogether(t *testing.T) {
 	for _, n := range []int{60, 100, 200, 400} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
 			set := testSettings()
 			c := newFleet(t, n, set, ready(1, 0, 1), ready(2, 0, 1), ready(3, 0, 1))
 			c.onlyEndpoint, c.trackInformed = 2, true
-			const downAt, backAt = 4000.0, 15000.0 // traffic 8 a second for all three, capacity 4 each
+			const downAt, backAt = 4000.0, 15000.0 // traffic 8 per second for all three, capacity 4 per second each
 			answer := func(now float64) Outcome {
 				if now >= downAt && now < backAt {
 					return ConnectFailed
@@ -163,28 +166,28 @@
 			c.run(backAt, 125, answer)
 			c.callTimes, c.informedCallTimes, c.trackInformed = nil, nil, false
 			c.run(backAt+set.WarmUpDuration, 125, answer)
-			if total, informed := c.overloadShares(set, backAt, 4); informed > 2 { // chance adds up to as much again
-				t.Fatalf("calls reach %.2f of what tips the endpoint, those of senders that knew %.2f", total, informed)
+			if total, informed := c.overloadShares(set, backAt, 4); informed > 2 { // random variation adds up to as much again
+				t.Fatalf("calls reach %.2f of the overload, those of senders that had seen the outage %.2f", total, informed)
 			} else {
-				t.Logf("calls %.2f, of senders that knew %.2f of what tips it", total, informed)
+				t.Logf("calls %.2f of the overload, of senders that had seen the outage %.2f", total, informed)
 			}
 		})
 	}
 }
 
-// Incident h497441: an outage came as refusals. One `full` opens no breaker, so each light sender that met one tried
-// again within 4 s, and two thirds of what a returning endpoint got came from those. Whatever the number of senders,
-// the calls of those that knew stay under the two thirds that the rule counts.
+// An outage appeared as refusals. One Full opens no breaker, so each light sender that received one tried again
+// within 4 s, and two thirds of the calls to the endpoint that came back were theirs. For any number of senders, the
+// calls of those that had seen the outage must stay below the two thirds from which an overload counts against them.
 func TestRefusedSendersSpreadRetries(t *testing.T) {
 	for _, n := range []int{100, 400} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
 			set := testSettings()
 			var total, informed float64
-			const runs = 5 // chance is in every day
+			const runs = 5 // each run varies at random
 			for run := range runs {
 				c := newFleet(t, n, set, ready(1, 0, 2))
 				c.submitted, c.trackInformed = uint64(run*17), true
-				const downAt, backAt = 16000.0, 30000.0 // traffic 4 a second, capacity 6
+				const downAt, backAt = 16000.0, 30000.0 // traffic 4 per second, capacity 6 per second
 				answer := func(now float64) Outcome {
 					if now >= downAt && now < backAt {
 						return Full
@@ -197,15 +200,15 @@
 				runTotal, runInformed := c.overloadShares(set, backAt, 6)
 				total, informed = total+runTotal/runs, informed+runInformed/runs
 			}
-			t.Logf("calls %.2f, of senders that knew %.2f of what tips it", total, informed)
+			t.Logf("calls %.2f of the overload, of senders that had seen the outage %.2f", total, informed)
 			if informed > 0.65*total || informed > 2 {
-				t.Fatalf("calls reach %.2f of what tips the endpoint, those of senders that knew %.2f", total, informed)
+				t.Fatalf("calls reach %.2f of the overload, those of senders that had seen the outage %.2f", total, informed)
 			}
 		})
 	}
 }
 
-// Told that its allowance is used up, a destination is at its limit: nobody waits as for an outage.
+// A destination that reports a used-up allowance is at its limit: no sender waits as for an outage.
 func TestAllowanceSeparatesOutageFromLimit(t *testing.T) {
 	set := testSettings()
 	set.Senders, set.AllowanceIndex = 300, 0
@@ -228,28 +231,28 @@
 		t.Errorf("%d of 200 take a limit for an outage", long)
 	}
 	if long := countLongWaits(0.95); long < 80 || long > 160 {
-		t.Errorf("%d of 200 take one that is shut for an outage", long)
+		t.Errorf("%d of 200 take an unavailable endpoint for an outage, want 80 to 160", long)
 	}
 }
 
-// Incident: floors of paces added up to many times a limit. Under lasting refusals the sum of all calls falls
-// near an even share each, whatever the number of senders.
+// Lower bounds of paces used to add up to many times a limit. Under lasting refusals the sum of all calls must fall
+// to near an even share each, for any number of senders.
 func TestPacesOfManySendersFall(t *testing.T) {
 	for _, n := range []int{20, 60, 400} {
 		c := newFleet(t, n, testSettings())
-		for i := range 3 * n { // each has something to send
+		for i := range 3 * n { // each sender holds messages
 			r := c.rigs[i%n]
 			c.submitted++
 			c.answerCalls(r, r.message(c.submitted, classKeyed, 0, 0), func(float64) Outcome { return Full })
 		}
 		c.run(16000, 0, func(float64) Outcome { return Full })
 		if rate := countBetween(c.callTimes, 11000, 16000) / 5; rate > 0.15*float64(n) {
-			t.Fatalf("%d senders still call %v times a second", n, rate)
+			t.Fatalf("%d senders still make %v calls per second", n, rate)
 		}
 	}
 }
 
-// Incident: an endpoint added in an outage was taken as well and got all that was held at once.
+// An endpoint added during an outage was taken to be healthy and received the whole backlog at once.
 func TestNewEndpointSharesOutage(t *testing.T) {
 	set := testSettings()
 	set.Senders = 100
@@ -260,12 +263,12 @@
 			r.reply(id, ConnectFailed, 0)
 		}
 	}
-	as := r.step(Event{Kind: EvList, List: []Endpoint{ready(2, 0, 2)}})
+	actions := r.step(Event{Kind: EvList, List: []Endpoint{ready(2, 0, 2)}})
 	for id := uint64(1); id <= 3; id++ {
-		r.forbidAction(as, ActSend, id, "new endpoint of a destination in outage")
+		r.forbidAction(actions, ActSend, id, "new endpoint of a destination in an outage")
 	}
 	if r.s.endpoints[2].breaker != open {
-		t.Fatal("a new endpoint does not share its route's outage")
+		t.Fatal("the breaker of a new endpoint is not open during an outage of its route")
 	}
 	other := newRig(t, set, ready(1, 0, 2))
 	other.message(1, classKeyed, 0, 0)
@@ -276,7 +279,8 @@
 	}
 }
 
-// Incident: the list dropped a silent endpoint and named it again on its return; forgotten, it got all at once.
+// Discovery removed a silent endpoint from the list and listed it again on its return. A sender that had forgotten
+// its state sent it the whole backlog at once.
 func TestRelistedEndpointKeepsOutage(t *testing.T) {
 	set := testSettings()
 	set.Senders = 100
@@ -287,11 +291,11 @@
 	r.run(r.now + 1000)
 	r.forbidAction(r.step(Event{Kind: EvList, List: []Endpoint{ready(1, 0, 2)}}), ActSend, 1, "listed again")
 	if r.s.endpoints[1].breaker != open {
-		t.Fatal("an outage is forgotten with the list")
+		t.Fatal("the breaker is forgotten when the endpoint leaves the list")
 	}
 }
 
-// Incident: idle connections of hundreds of senders kept each other out of endpoints that take few.
+// Idle connections of hundreds of senders kept each other out of endpoints that accept few connections.
 func TestNoIdleConnectionsWhenScarce(t *testing.T) {
 	set := testSettings()
 	set.Senders = 100
@@ -300,8 +304,8 @@
 		eps = append(eps, ready(uint32(i+1), i, 2))
 	}
 	r := newRig(t, set, eps...)
-	closesIdle := func(as []Action) bool {
-		for _, a := range as {
+	closesIdle := func(actions []Action) bool {
+		for _, a := range actions {
 			if a.Kind == ActCloseIdle {
 				return true
 			}
@@ -310,7 +314,7 @@
 	}
 	r.message(1, classKeyed, 0, 0)
 	if closesIdle(r.reply(1, OK, 0)) {
-		t.Fatal("hangs up without need")
+		t.Fatal("closes an idle connection without need")
 	}
 	for d := 1; d <= 4; d++ {
 		r.message(uint64(d+1), classKeyed, d, 0)
@@ -318,11 +322,11 @@
 	}
 	r.message(9, classKeyed, 5, 0)
 	if !closesIdle(r.reply(9, OK, 0)) {
-		t.Fatal("keeps an idle connection where connections are short")
+		t.Fatal("keeps an idle connection where connections are scarce")
 	}
 }
 
-// A fresh message with little time left can still reach its aim; one handed in again is old.
+// A new message with little time left can still reach its aim; a resubmitted one has already waited.
 func TestShortRemainingTimeIsNotLate(t *testing.T) {
 	set := testSettings()
 	set.MarksResubmissions = true
@@ -330,11 +334,11 @@
 	r.step(Event{Kind: EvMessage, ID: 1, Class: classSafe, Remaining: 1500},
 		Event{Kind: EvMessage, ID: 2, Class: classSafe, Remaining: 1500, Resubmitted: true})
 	if fresh, resubmitted := r.s.worth(r.s.messages[1]), r.s.worth(r.s.messages[2]); fresh <= resubmitted {
-		t.Fatalf("worth of a fresh message %v, of one handed in again %v", fresh, resubmitted)
+		t.Fatalf("worth of a new message %v, of a resubmitted one %v", fresh, resubmitted)
 	}
 }
 
-// A sender that lives for weeks does not grow with endpoints, destinations and keys that come and go.
+// The state of a sender that runs for weeks does not grow with endpoints, destinations and keys that come and go.
 func TestStateIsBounded(t *testing.T) {
 	r := newRig(t, testSettings())
 	for i := range 2000 {
@@ -355,12 +359,14 @@
 	}
 	r.run(r.now + 60000)
 	s := r.s
-	if n := len(s.messages) + len(s.endpoints) + len(s.destinations) + len(s.keyQueues) + len(s.dialStats[0].endpoints); n > 20 {
-		t.Fatalf("remembers msgs=%d eps=%d dests=%d keys=%d", len(s.messages), len(s.endpoints), len(s.destinations), len(s.keyQueues))
+	if n := len(s.messages) + len(s.endpoints) + len(s.destinations) + len(s.keyQueues) +
+		len(s.dialStats[0].endpoints); n > 20 {
+		t.Fatalf("remembers %d messages, %d endpoints, %d destinations, %d keys",
+			len(s.messages), len(s.endpoints), len(s.destinations), len(s.keyQueues))
 	}
 }
 
-// BenchmarkStep shows what one message with its outcome costs beside many held ones and a long list.
+// BenchmarkStep measures one message with its outcome, for a short and a long endpoint list.
 func BenchmarkStep(b *testing.B) {
 	for _, n := range []int{10, 1000} {
 		b.Run(fmt.Sprint(n, " endpoints"), func(b *testing.B) {
@@ -382,14 +388,14 @@
 	}
 }
 
-// window is a destination that takes so many calls in each second, counts refused ones too and reports its limit,
-// with noise, in each answer.
+// limitedPartner is a destination that accepts a fixed number of calls in each second, counts refused ones too and
+// reports its limit, with noise, in each answer.
 type limitedPartner struct {
 	limit             float64
 	windowStart       float64
 	calls             float64
 	accepted, refused int
-	downAt, backAt    float64 // it refuses connections in between
+	downAt, backAt    float64 // it refuses connections from downAt to backAt
 	rng               *rand.Rand
 }
 
@@ -410,7 +416,7 @@
 	return OK, report
 }
 
-// play runs a crowd against w until a time, with messages that come by chance at this rate a second in all.
+// runPoisson advances the fleet against w to a time; messages arrive at random, at the given total rate per second.
 func (c *fleet) runPoisson(to, rate float64, w *limitedPartner) {
 	rng := w.rng
 	next := c.now
@@ -430,9 +436,10 @@
 	}
 }
 
-// Incident join+vast: each of 80 senders cut its own pace at a refusal and grew it again with time, while the
-// destination told its limit in each answer. Where the limit fell, 4 in 10 calls of such a crowd were refused, and
-// refused calls used up what was left. Told, a limit is kept to and used: as it stands, fallen to a third, and back.
+// Each of 80 senders used to cut its own pace at a refusal and raise it again with time, although the destination
+// reported its limit in each answer. When the limit fell, 4 in 10 calls were refused, and refused calls used up the
+// remaining limit. An advertised limit must be kept and used: at its first value, after a fall to a third, and after
+// its return.
 func TestFleetUsesAdvertisedLimit(t *testing.T) {
 	for _, n := range []int{20, 80, 200} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
@@ -444,25 +451,31 @@
 				name                        string
 				limit, settle               float64
 				length, minUsed, maxRefused float64
-			}{{"at first", 60, 3000, 20000, 0.7, 0.06}, {"fallen", 20, 3000, 9000, 0.7, 0.2}, {"back", 60, 4000, 15000, 0.7, 0.06}} {
+			}{
+				{"at first", 60, 3000, 20000, 0.7, 0.06},
+				{"fallen", 20, 3000, 9000, 0.7, 0.2},
+				{"back", 60, 4000, 15000, 0.7, 0.06},
+			} {
 				w.limit = phase.limit
 				c.runPoisson(c.now+phase.settle, 60, w)
 				w.accepted, w.refused = 0, 0
 				c.runPoisson(c.now+phase.length, 60, w)
-				used, refused := float64(w.accepted)/(phase.limit*phase.length/1000), float64(w.refused)/float64(w.accepted+w.refused)
+				used, refused := float64(w.accepted)/(phase.limit*phase.length/1000),
+					float64(w.refused)/float64(w.accepted+w.refused)
 				t.Logf("%s: %.2f of the limit used, %.3f of the calls refused", phase.name, used, refused)
 				if used < phase.minUsed || refused > phase.maxRefused {
-					t.Errorf("%s: %.2f of the limit used, %.2f at least; %.3f of the calls refused, %.2f at most", phase.name, used, phase.minUsed, refused, phase.maxRefused)
+					t.Errorf("%s: %.2f of the limit used, want %.2f at least; %.3f of the calls refused, want %.2f at most",
+						phase.name, used, phase.minUsed, refused, phase.maxRefused)
 				}
 			}
 		})
 	}
 }
 
-// Incident zone+vast: after an outage of 5 s each of 80 senders waited up to 19 s for its first trial, and came back
-// from its own small rate before, though the limit was told. A partner that is back is found soon and used up to what
-// it can take, and no more: calls by senders that knew of the outage stay under what tips it, for the least spare
-// capacity over a limit that there is (1.15), whatever the number of senders and the time that it was down.
+// After an outage of 5 s each of 80 senders waited up to 19 s for its first trial and ramped from its own small
+// earlier rate, although the limit was advertised. A partner that is back must be found soon and used up to its
+// capacity, but no further: calls by senders that had seen the outage stay below the overload, with the smallest
+// ratio of capacity to limit that occurs (1.15), for any number of senders and any length of the outage.
 func TestFleetRecoversToAdvertisedLimit(t *testing.T) {
 	for _, n := range []int{20, 80, 200} {
 		for _, down := range []float64{2000, 5000, 15000} {
@@ -481,18 +494,20 @@
 				total, informed := c.overloadShares(set, w.backAt, 1.15*w.limit)
 				capacity := w.limit * (set.ColdCapacity + 1) / 2 * set.WarmUpDuration / 1000
 				used := countBetween(c.callTimes, w.backAt, w.backAt+set.WarmUpDuration) / capacity
-				t.Logf("calls %.2f, of senders that knew %.2f of what tips it; %.2f of what it can take till it is warm", total, informed, used)
-				if total > 1 || used < 0.6 { // those that saw nothing of it included
-					t.Errorf("calls reach %.2f of what tips it, 1 at most; %.2f of what it can take is used, 0.6 at least", total, used)
+				t.Logf("calls %.2f of the overload, of senders that had seen the outage %.2f; %.2f of the capacity used until warm",
+					total, informed, used)
+				if total > 1 || used < 0.6 { // including senders that had not seen the outage
+					t.Errorf("calls reach %.2f of the overload, want 1 at most; %.2f of the capacity used, want 0.6 at least",
+						total, used)
 				}
 			})
 		}
 	}
 }
 
-// Incident join+vast: of three endpoints alike every sender took the one that stands first in the list, since ids
-// sort alike everywhere. It got 1,405 of 1,451 calls and refused a third of them, its queue full, with half of the
-// limit unused. Among equals the calls of a crowd are even.
+// Of three equal endpoints every sender chose the first one of the list, since IDs have the same order everywhere.
+// That endpoint received 1,405 of 1,451 calls and refused a third of them because its queue was full, while half of
+// the limit was unused. The calls of a fleet must spread evenly over equal endpoints.
 func TestFleetSpreadsOverEqualEndpoints(t *testing.T) {
 	for _, n := range []int{20, 80, 200} {
 		for _, eps := range [][]Endpoint{{ready(1, 0, 2), ready(2, 0, 2)}, {ready(1, 0, 2), ready(2, 0, 2), ready(3, 0, 2)}} {
@@ -502,30 +517,34 @@
 				c.run(21000, 10, func(float64) Outcome { return OK })
 				even := float64(c.submitted) / float64(len(eps))
 				if got := float64(len(c.callTimes)); got < 0.8*even || got > 1.2*even {
-					t.Errorf("%d senders: endpoint %d of %d got %.0f calls, an even part is %.0f", n, ep.ID, len(eps), got, even)
+					t.Errorf("%d senders: endpoint %d of %d received %.0f calls, an even part is %.0f",
+						n, ep.ID, len(eps), got, even)
 				}
 			}
 		}
 	}
 }
 
-// reborn ends a sender and starts it again with its facts, the list and what it held, as the journal brings it back.
+// restart ends a sender and starts it again with its facts, the list and the messages it held, as restored from the
+// journal.
 func (c *fleet) restart(r *rig, seed uint64, eps ...Endpoint) *rig {
 	f, _ := r.s.Facts(0)
 	events := []Event{{Kind: EvFacts, Facts: []DestFacts{f}}, {Kind: EvList, FullList: true, List: eps}}
-	next := &rig{t: r.t, s: New(r.s.settings, seed), now: c.now, attempts: map[uint64]int{}, lastEndpoint: map[uint64]uint32{}}
+	next := &rig{t: r.t, s: New(r.s.settings, seed), now: c.now,
+		attempts: map[uint64]int{}, lastEndpoint: map[uint64]uint32{}}
 	for id, m := range r.s.messages {
 		next.attempts[id] = m.attempts
-		events = append(events, Event{Kind: EvMessage, ID: id, Class: classKeyed, Remaining: m.deadline - c.now, Restored: true, Attempts: m.attempts})
+		events = append(events, Event{Kind: EvMessage, ID: id, Class: classKeyed, Remaining: m.deadline - c.now,
+			Restored: true, Attempts: m.attempts})
 	}
 	slices.SortFunc(events[2:], func(a, b Event) int { return cmp.Compare(a.ID, b.ID) })
 	next.lastActions = next.step(events...)
 	return next
 }
 
-// The herd: seven of ten senders are killed at once under load and come back together with what they held, while a
-// wait that the partner told them goes on. The wait stands, no call goes out in it, the limit is used after it, and
-// every message has one final answer.
+// Seven of ten senders are killed at once under load and restart together with the messages they held, during a wait
+// that the partner requested. No call goes out during the wait, the limit is used after it, and every message has one
+// final answer.
 func TestFleetRestartsTogether(t *testing.T) {
 	for _, n := range []int{20, 80, 200} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
@@ -548,19 +567,20 @@
 			until := c.now + wait
 			w.accepted, w.refused = 0, 0
 			for _, r := range c.rigs[:killed] {
-				c.answerWithReport(r, r.lastActions, w.answer) // what the start sent
+				c.answerWithReport(r, r.lastActions, w.answer) // the calls made at the start
 			}
 			c.runPoisson(until-20, 70, w)
 			if w.accepted+w.refused > 0 {
-				t.Fatalf("%d calls inside a told wait", w.accepted+w.refused)
+				t.Fatalf("%d calls during a requested wait", w.accepted+w.refused)
 			}
 			c.runPoisson(until+10000, 70, w)
 			if refused := float64(w.refused) / float64(w.accepted+w.refused); refused > 0.25 || w.accepted < 400 {
-				t.Errorf("%d calls taken on in 10 s, 400 at least; %.2f of the calls refused, 0.25 at most", w.accepted, refused)
+				t.Errorf("%d calls accepted in 10 s, want 400 at least; %.2f of the calls refused, want 0.25 at most",
+					w.accepted, refused)
 			} else {
-				t.Logf("%d calls taken on in 10 s, %.2f refused", w.accepted, refused)
+				t.Logf("%d calls accepted in 10 s, %.2f refused", w.accepted, refused)
 			}
-			c.runPoisson(c.now+25000, 1e-6, w) // all is over
+			c.runPoisson(c.now+25000, 1e-6, w) // until all messages have ended
 			for id := uint64(1); id <= c.submitted; id++ {
 				if c.finalAnswers[id] != 1 {
 					t.Fatalf("message %d has %d final answers", id, c.finalAnswers[id])
@@ -570,13 +590,14 @@
 	}
 }
 
-// What the settings say of the fleet may be absurd: nothing panics, and one sender alone goes on.
+// Extreme numbers of senders in the settings cause no panic, and a sender of a small fleet still sends.
 func TestExtremeFleetSettings(t *testing.T) {
 	for _, n := range []int{math.MinInt32, -1, 0, 1, 2, 8, 9, math.MaxInt32} {
 		for _, index := range []int{math.MinInt32, -1, 0, n, math.MaxInt32} {
 			set := testSettings()
 			set.AllowanceIndex, set.LimitIndex, set.RatingIsRate, set.Senders, set.Index = 0, 1, true, n, index
-			r := newRig(t, set, Endpoint{ID: 1, State: Ready, Kind: 2, Rating: 10}, Endpoint{ID: 2, State: Ready, Kind: 2, Rating: 10})
+			r := newRig(t, set, Endpoint{ID: 1, State: Ready, Kind: 2, Rating: 10},
+				Endpoint{ID: 2, State: Ready, Kind: 2, Rating: 10})
 			for id := uint64(1); id < 20; id++ {
 				r.message(id, classKeyed, 0, 0)
 				if r.attempts[id] > 0 {
@@ -587,7 +608,7 @@
 				r.run(r.now + 500)
 			}
 			if n <= 8 && len(r.attempts) == 0 {
-				t.Errorf("%d senders, number %d: nothing was sent", n, index)
+				t.Errorf("%d senders, index %d: nothing was sent", n, index)
 			}
 		}
 	}
--- a/policy/fuzz_test.go
+++ b/policy/fuzz_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// simulate drives a Sender with a random legal stream of events and checks the rules that one sender can
-// be checked for alone.
+// simulate drives a Sender with a random valid stream of events and checks the rules that can be checked for a single
+// sender.
 func simulate(t *testing.T, seed uint64, steps int, observe func([]Action)) {
 	t.Helper()
 	simulateWith(t, testSettings(), seed, steps, observe)
@@ -32,7 +32,7 @@
 		dest                    int
 		deadline                float64
 		attempts                int
-		endpoint                uint32 // endpoint + 0
+		endpoint                uint32 // of the attempt in flight
 		inFlight, ended         bool
 		mayHaveRun              bool
 		mayHaveRunAt, timeoutAt float64
@@ -67,19 +67,19 @@
 				m := msgs[a.ID]
 				switch {
 				case m == nil || m.ended:
-					t.Fatalf("seed %d: send after the end of %d", seed, a.ID)
+					t.Fatalf("seed %d: message %d sent after its end", seed, a.ID)
 				case m.inFlight:
-					t.Fatalf("seed %d: two attempts of %d out", seed, a.ID)
+					t.Fatalf("seed %d: two attempts of message %d in flight", seed, a.ID)
 				case notReady[a.Endpoint]:
-					t.Fatalf("seed %d: send to drained %d", seed, a.Endpoint)
+					t.Fatalf("seed %d: message sent to endpoint %d, which is not ready", seed, a.Endpoint)
 				case endpointByID[a.Endpoint].Dest != m.dest:
-					t.Fatalf("seed %d: wrong destination", seed)
+					t.Fatalf("seed %d: message sent to another destination", seed)
 				case waitUntil[route(a.Endpoint)] > now:
-					t.Fatalf("seed %d: send in a told wait", seed)
+					t.Fatalf("seed %d: message sent during a requested wait", seed)
 				case m.mayHaveRun && set.Classes[m.class].Effect == Unsafe:
-					t.Fatalf("seed %d: unsafe repeat", seed)
+					t.Fatalf("seed %d: unsafe message sent again after it may have run", seed)
 				case m.mayHaveRun && set.Classes[m.class].Effect == Keyed && now > m.mayHaveRunAt+set.Classes[m.class].DedupWindow:
-					t.Fatalf("seed %d: keyed repeat past the span", seed)
+					t.Fatalf("seed %d: keyed message sent again after its dedup window", seed)
 				}
 				m.inFlight, m.endpoint, m.timeoutAt = true, a.Endpoint, now+a.After
 				if !m.mayHaveRun {
@@ -89,13 +89,13 @@
 			case ActRefuse, ActFail:
 				m := msgs[a.ID]
 				if m == nil || m.ended {
-					t.Fatalf("seed %d: second answer to %d", seed, a.ID)
+					t.Fatalf("seed %d: second final answer to message %d", seed, a.ID)
 				}
 				if a.Kind == ActRefuse && m.mayHaveRun && set.Classes[m.class].Effect == Unsafe {
-					t.Fatalf("seed %d: refusal of an unsafe message in doubt", seed)
+					t.Fatalf("seed %d: refusal of an unsafe message that may have run", seed)
 				}
 				if now > m.deadline+set.AnswerSlack+25 {
-					t.Fatalf("seed %d: answer %v ms late", seed, now-m.deadline)
+					t.Fatalf("seed %d: final answer %v ms late", seed, now-m.deadline)
 				}
 				m.ended = true
 			case ActTimer:
@@ -105,7 +105,7 @@
 				}{now + a.After, a.Token})
 			case ActProbe:
 				if waitUntil[route(a.Endpoint)] > now {
-					t.Fatalf("seed %d: probe in a told wait", seed)
+					t.Fatalf("seed %d: probe during a requested wait", seed)
 				}
 				probes = append(probes, a.Endpoint)
 			}
@@ -128,7 +128,7 @@
 		for _, id := range ids {
 			m := msgs[id]
 			if !m.ended && now > m.deadline+40 {
-				t.Fatalf("seed %d: no answer to %d", seed, id)
+				t.Fatalf("seed %d: no final answer to message %d", seed, id)
 			}
 			if m.inFlight && (now >= m.timeoutAt || rng.IntN(8) == 0) {
 				o := Outcome(rng.IntN(7))
@@ -168,7 +168,7 @@
 		if rng.IntN(40) == 0 && len(ids) > 0 {
 			id := ids[rng.IntN(len(ids))]
 			if id == uint64(len(ids)) {
-				continue // it may be of this very batch
+				continue // its message event may be in this batch
 			}
 			msgs[id].ended = true
 			events = append([]Event{{Kind: EvWithdrawn, ID: id}}, events...)
--- a/policy/names_test.go
+++ b/policy/names_test.go
@@ -6,7 +6,8 @@
 	"testing"
 )
 
-// Two deployments whose settings differ in names alone get the same decisions, whatever happens.
+// Names in the settings must not influence decisions: two deployments whose settings differ in names alone decide
+// alike.
 func TestNamesDecideNothing(t *testing.T) {
 	named := testSettings()
 	if len(named.Tenants) == 0 {
@@ -38,10 +39,10 @@
 		}
 		one, two := run(named), run(other)
 		if len(one) == 0 {
-			t.Fatal("nothing was decided")
+			t.Fatal("no action was taken")
 		}
 		if !slices.Equal(one, two) {
-			t.Fatalf("seed %d: settings that differ in names alone get other decisions", seed)
+			t.Fatalf("seed %d: settings that differ in names alone lead to different actions", seed)
 		}
 	}
 }
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -442,8 +442,8 @@
 }
 
 // update ends a control period: predictor (eq. 4), RLS (eqs. 9, 10) and control law (eq. 11) of Liu et al.
-// with n=1, m=0, d=1. The error is relative to Dref. oldest is the age of the oldest held message, which replaces the
-// delay when nothing was sent: a silent destination would yield samples only at its time-outs.
+// with n=1, m=0, d=1. The error is relative to Dref. oldest is the age of the oldest held message, which
+// replaces the delay when nothing was sent: a silent destination would yield samples only at its time-outs.
 func (c *admissionController) update(now, dref, oldest float64, active bool) {
 	elapsed := now - c.periodStart
 	if elapsed < controlPeriod {
@@ -740,7 +740,7 @@
 	ownRate := max(ep.rateBeforeOutage, minBaseRate*min(1, minBaseRateSenders/s.senders()),
 		r.paceCap/float64(max(r.readyEndpoints(), 1)))
 	if s.smallFleet() || s.usesEvenShare(r) {
-		// The sender's part of an advertised limit may be far above its own rate before the outage.
+		// An advertised limit is below the capacity, and a sender's part of it may be far above its rate before.
 		trust := ratingTrust
 		if r.limitReported {
 			trust = reportedLimitTrust
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -14,11 +14,13 @@
 	classOrdered
 )
 
-// testSettings describes two kinds of destination: shared limits with batches of 5, and routes apart.
+// testSettings describes three kinds of destination: a shared limit with batches of 5, endpoints with limits of their
+// own, and a shared limit with single messages.
 func testSettings() Settings {
 	return Settings{
 		Senders: 2, CallSlots: 10, MaxAttempts: 6, MaxHeld: 100, StreamsPerConn: 1, KeepAlive: 10000,
-		DialTimeout: 1000, DrainGrace: 500, WarmUpDuration: 10000, ColdCapacity: 0.25, OverloadMultiple: 1.5, OverloadWindow: 3000,
+		DialTimeout: 1000, DrainGrace: 500, WarmUpDuration: 10000, ColdCapacity: 0.25,
+		OverloadMultiple: 1.5, OverloadWindow: 3000,
 		KeyPause: 4000, SendsRetryAfter: true, MaxRetryAfter: 2000, AllowanceIndex: -1, LimitIndex: -1,
 		Kinds: []DestKind{{Batch: 5}, {Batch: 1, OwnLimits: true}, {Batch: 1}},
 		Classes: []Class{
@@ -58,7 +60,7 @@
 	return r.lastActions
 }
 
-// run steps to a time, firing timers as they come due, and returns all actions.
+// run advances to a time, fires the timers that come due and returns all actions.
 func (r *rig) run(to float64) []Action {
 	var all []Action
 	for r.now < to {
@@ -117,19 +119,19 @@
 	r.requireAction(r.message(1, classSafe, 0, 0), ActSend, 1, "idle destination")
 	r.forbidAction(r.reply(1, OK, 0), ActFail, 1, "delivered")
 	if r.s.held != 0 || len(r.s.messages) != 0 {
-		t.Fatalf("held %d, known %d after the end", r.s.held, len(r.s.messages))
+		t.Fatalf("%d messages held, %d remembered after the end", r.s.held, len(r.s.messages))
 	}
 }
 
-// Rule 1: a message that cannot be sent is answered once, before its time.
+// A message that cannot be sent is answered once, before its deadline.
 func TestHeldMessageIsAnsweredOnceInTime(t *testing.T) {
 	r := newRig(t, testSettings()) // no endpoint is listed
 	r.message(1, classUnsafe, 3, 0)
-	r.forbidAction(r.run(1000+20000-answerMargin-100), ActRefuse, 1, "before the last moment")
-	r.requireAction(r.run(1000+20000), ActRefuse, 1, "at the last moment")
+	r.forbidAction(r.run(1000+20000-answerMargin-100), ActRefuse, 1, "before the answer is due")
+	r.requireAction(r.run(1000+20000), ActRefuse, 1, "at the deadline")
 	for _, a := range r.run(30000) {
 		if a.ID == 1 {
-			t.Fatalf("second answer %+v", a)
+			t.Fatalf("second final answer %+v", a)
 		}
 	}
 }
@@ -137,11 +139,11 @@
 func TestExpiredMessageIsRefused(t *testing.T) {
 	r := newRig(t, testSettings(), ready(1, 0, 2))
 	r.requireAction(r.step(Event{Kind: EvMessage, ID: 1, Remaining: 0}), ActRefuse, 1, "no time left")
-	r.requireAction(r.step(Event{Kind: EvMessage, ID: 2, Remaining: math.NaN()}), ActRefuse, 2, "time is no number")
+	r.requireAction(r.step(Event{Kind: EvMessage, ID: 2, Remaining: math.NaN()}), ActRefuse, 2, "time left is NaN")
 	r.requireAction(r.step(Event{Kind: EvMessage, ID: 3, Remaining: 100, Class: 99}), ActRefuse, 3, "unknown class")
 }
 
-// Late refusal: with less time left than a usual call nothing is sent.
+// With less time left than a normal call takes, nothing is sent.
 func TestLateRefusal(t *testing.T) {
 	r := newRig(t, testSettings(), ready(1, 0, 2))
 	r.message(1, classSafe, 0, 0)
@@ -152,36 +154,36 @@
 	r.requireAction(r.step(Event{Kind: EvMessage, ID: 3, Remaining: 510}), ActSend, 3, "510 ms left of a 500 ms call")
 }
 
-// Rule 2: after an outcome in doubt an unsafe message is failed, never sent or refused.
+// An unsafe message that may have run is failed, never sent again or refused.
 func TestUnsafeMessageThatMayHaveRunFails(t *testing.T) {
 	for _, o := range []Outcome{Error, Timeout, Reset, Cancelled} {
 		r := newRig(t, testSettings(), ready(1, 0, 2))
 		r.message(1, classUnsafe, 0, 0)
-		r.requireAction(r.reply(1, o, 0), ActFail, 1, "in doubt")
+		r.requireAction(r.reply(1, o, 0), ActFail, 1, "may have run")
 		r.forbidAction(r.run(25000), ActSend, 1, "after the end")
 	}
 	for _, o := range []Outcome{ConnectFailed, Full} {
 		r := newRig(t, testSettings(), ready(1, 0, 2))
 		r.message(1, classUnsafe, 0, 0)
 		r.forbidAction(r.reply(1, o, 0), ActFail, 1, "never ran")
-		r.requireAction(r.run(15000), ActSend, 1, "never ran, goes again")
+		r.requireAction(r.run(15000), ActSend, 1, "never ran, sent again")
 	}
 }
 
-// Rule 2: a keyed message in doubt is repeated inside its memory span only.
+// A keyed message that may have run is sent again within its dedup window only.
 func TestKeyedRetriesWithinDedupWindowOnly(t *testing.T) {
 	r := newRig(t, testSettings(), ready(1, 0, 2))
 	r.message(1, classKeyed, 0, 0)
 	r.reply(1, Timeout, 0)
-	r.requireAction(r.run(4000), ActSend, 1, "inside the span")
+	r.requireAction(r.run(4000), ActSend, 1, "within the dedup window")
 
 	r = newRig(t, testSettings(), ready(1, 0, 2))
 	r.message(1, classKeyed, 0, 0)
 	r.reply(1, Timeout, 0)
 	r.step(Event{Kind: EvList, List: []Endpoint{{ID: 1, State: Draining}}})
 	r.run(1000 + 8000*dedupMargin + 100)
-	as := r.step(Event{Kind: EvList, List: []Endpoint{ready(1, 0, 2)}})
-	r.forbidAction(append(as, r.run(20000)...), ActSend, 1, "past the span")
+	actions := r.step(Event{Kind: EvList, List: []Endpoint{ready(1, 0, 2)}})
+	r.forbidAction(append(actions, r.run(20000)...), ActSend, 1, "after the dedup window")
 }
 
 func TestZoneScopedRetryStaysInZoneAndIsNotRefused(t *testing.T) {
@@ -190,13 +192,13 @@
 	r := newRig(t, set, ready(1, 0, 2))
 	r.message(1, classKeyed, 0, 0)
 	r.step(Event{Kind: EvList, List: []Endpoint{{ID: 1, State: Gone}, {ID: 2, State: Ready, Zone: 1, Kind: 2}}})
-	as := append(r.reply(1, Timeout, 0), r.run(22000)...)
-	r.forbidAction(as, ActSend, 1, "another zone may run it again")
-	r.forbidAction(as, ActRefuse, 1, "a refusal promises that it is safe")
-	r.requireAction(as, ActFail, 1, "final answer")
+	actions := append(r.reply(1, Timeout, 0), r.run(22000)...)
+	r.forbidAction(actions, ActSend, 1, "another zone may run it again")
+	r.forbidAction(actions, ActRefuse, 1, "a refusal promises that a repeat is safe")
+	r.requireAction(actions, ActFail, 1, "final answer")
 }
 
-// Rule 3: nothing new to an endpoint that drains or is gone; ready again, it is used.
+// An endpoint that drains or is gone receives nothing new; once ready again, it is used.
 func TestDrain(t *testing.T) {
 	for _, st := range []EndpointState{Draining, Gone} {
 		r := newRig(t, testSettings(), ready(1, 0, 2))
@@ -209,7 +211,8 @@
 	r.forbidAction(r.message(1, classSafe, 0, 0), ActSend, 1, "not in the full list")
 }
 
-// Rule 5: a told wait silences the whole route until it is over, and a route apart alone.
+// A requested wait stops the whole route until it is over; for an endpoint with a limit of its own, it stops that
+// endpoint alone.
 func TestRequestedWait(t *testing.T) {
 	r := newRig(t, testSettings(), ready(1, 0, 2), ready(2, 0, 2))
 	r.message(1, classSafe, 0, 0)
@@ -220,8 +223,8 @@
 			t.Fatalf("sent during the wait: %+v", a)
 		}
 	}
-	as := r.run(6000)
-	if findAction(as, ActSend, 1) == nil && findAction(as, ActSend, 2) == nil {
+	actions := r.run(6000)
+	if findAction(actions, ActSend, 1) == nil && findAction(actions, ActSend, 2) == nil {
 		t.Fatal("nothing sent after the wait")
 	}
 
@@ -235,7 +238,7 @@
 	}
 }
 
-// Found by the bench: every message of a batched call may be told a wait of its own.
+// Every message of a batched call may come with a requested wait of its own; the longest applies.
 func TestLongestWaitOfBatchApplies(t *testing.T) {
 	r := newRig(t, testSettings(), ready(1, 0, 0))
 	r.step(Event{Kind: EvMessage, ID: 1, Remaining: 20000}, Event{Kind: EvMessage, ID: 2, Remaining: 20000})
@@ -250,22 +253,22 @@
 	}
 }
 
-// Rule 6: messages of one key go one at a time, in order, and rest after doubt.
+// Messages of one key are sent one at a time and in order, and the key pauses after an attempt that may still run.
 func TestKeyOrder(t *testing.T) {
 	r := newRig(t, testSettings(), ready(1, 0, 2), ready(2, 1, 2))
 	r.message(1, classOrdered, 0, 9)
-	r.forbidAction(r.message(2, classOrdered, 1, 9), ActSend, 2, "the first is out")
+	r.forbidAction(r.message(2, classOrdered, 1, 9), ActSend, 2, "the first one is in flight")
 	r.requireAction(r.message(3, classOrdered, 1, 8), ActSend, 3, "another key")
-	r.requireAction(r.reply(1, OK, 0), ActSend, 2, "its turn")
+	r.requireAction(r.reply(1, OK, 0), ActSend, 2, "the first one is delivered")
 
 	r = newRig(t, testSettings(), ready(1, 0, 2))
 	r.message(1, classOrdered, 0, 9)
 	r.message(2, classOrdered, 0, 9)
 	r.step(Event{Kind: EvWithdrawn, ID: 1})
-	r.forbidAction(r.run(2000), ActSend, 2, "withdrawn, but its attempt is out")
-	as := append(r.reply(1, Timeout, 0), r.run(2000+3990)...)
-	r.forbidAction(as, ActSend, 2, "the key rests")
-	r.requireAction(r.run(8000), ActSend, 2, "rest is over")
+	r.forbidAction(r.run(2000), ActSend, 2, "withdrawn, but its attempt is in flight")
+	actions := append(r.reply(1, Timeout, 0), r.run(2000+3990)...)
+	r.forbidAction(actions, ActSend, 2, "the key is paused")
+	r.requireAction(r.run(8000), ActSend, 2, "the pause is over")
 }
 
 func TestOneAttemptInFlight(t *testing.T) {
@@ -274,12 +277,12 @@
 	r.forbidAction(r.run(9000), ActSend, 1, "the first attempt has no outcome")
 }
 
-// Rule 4: after an outage the ramp stays under multiple x present capacity x span, as a share of our own
-// rate before it.
+// After an outage the ramp stays below overload multiple × present capacity × window, as a share of the sender's own
+// rate before the outage.
 func TestRampAfterOutage(t *testing.T) {
 	r := newRig(t, testSettings(), ready(1, 0, 2))
 	id := uint64(0)
-	for r.now < 21000 { // 2 a second for 20 s
+	for r.now < 21000 { // 2 per second for 20 s
 		r.now += 500
 		id++
 		r.message(id, classSafe, 0, 0)
@@ -289,13 +292,13 @@
 	for (r.s.endpoints[1].breaker != open || r.s.slotsInUse > 0) && r.now < 40000 { // outage
 		r.now += 250
 		id++
-		as := r.message(id, classSafe, 0, 0)
-		for i := 0; i < len(as); i++ {
-			if as[i].Kind == ActSend {
+		actions := r.message(id, classSafe, 0, 0)
+		for i := 0; i < len(actions); i++ {
+			if actions[i].Kind == ActSend {
 				if r.s.endpoints[1].breaker != open {
 					fails++
 				}
-				as = append(as, r.reply(as[i].ID, ConnectFailed, 0)...)
+				actions = append(actions, r.reply(actions[i].ID, ConnectFailed, 0)...)
 			}
 		}
 	}
@@ -308,12 +311,12 @@
 	}
 	var sent []float64
 	for r.now < 60000 && r.s.endpoints[1].breaker != closed {
-		as := r.run(r.now + 50)
+		actions := r.run(r.now + 50)
 		id++
 		if id%5 == 0 {
-			as = append(as, r.message(id, classSafe, 0, 0)...)
+			actions = append(actions, r.message(id, classSafe, 0, 0)...)
 		}
-		for _, a := range as {
+		for _, a := range actions {
 			if a.Kind == ActSend && r.s.endpoints[1].breaker != closed {
 				sent = append(sent, r.now)
 				r.reply(a.ID, OK, 0)
@@ -321,7 +324,7 @@
 		}
 	}
 	if len(sent) < 3 {
-		t.Fatal("never came back")
+		t.Fatal("the endpoint was not used again after the outage")
 	}
 	for i, at := range sent {
 		n := 0.0
@@ -332,12 +335,12 @@
 		}
 		share := 0.25 + 0.75*(at+1500-sent[0])/10000
 		if allowed := 1.5*base*share*3 + 1; n > allowed {
-			t.Fatalf("%v sends in the 3 s from %v, allowed %v", n, at, allowed)
+			t.Fatalf("%v calls in the 3 s from %v, allowed %v", n, at, allowed)
 		}
 	}
 }
 
-// A breaker lets one trial out at a time.
+// An open breaker allows one trial at a time.
 func TestOneTrialAtATime(t *testing.T) {
 	r := newRig(t, testSettings(), ready(1, 0, 2))
 	for id := uint64(1); id <= 20; id++ {
@@ -350,7 +353,7 @@
 			}
 		}
 	}
-	for id := uint64(1); id <= 20; id++ { // the rest of what was out
+	for id := uint64(1); id <= 20; id++ { // the other calls in flight
 		if m := r.s.messages[id]; m != nil && m.inFlight != nil {
 			r.reply(id, ConnectFailed, 0)
 		}
@@ -361,15 +364,15 @@
 		maxInFlight = max(maxInFlight, r.s.slotsInUse)
 	}
 	if maxInFlight != 1 {
-		t.Fatalf("%d calls out to an endpoint in outage", maxInFlight)
+		t.Fatalf("%d calls in flight to an endpoint in an outage, want 1", maxInFlight)
 	}
 }
 
-// The controller against hand-worked values.
+// The controller's results equal values computed by hand.
 func TestControllerArithmetic(t *testing.T) {
 	var c admissionController
 	c.reset(0)
-	for range 4 { // 4 a second
+	for range 4 { // 4 per second
 		c.countArrival(500)
 	}
 	c.waitingTime, c.delivered = 1000, 2 // E[X] = 500 ms
@@ -390,7 +393,7 @@
 	if math.Abs(c.theta[0]-want[0]) > 1e-9 || math.Abs(c.theta[1]-want[1]) > 1e-9 {
 		t.Fatalf("theta %v want %v", c.theta, want)
 	}
-	// Far over Dref the clamp holds, and without arrivals the predictor's last value is kept.
+	// Far above Dref the lower bound applies, and without arrivals the predictor's last value is kept.
 	lastPam := c.pam
 	c.delaySum, c.sent = 90000, 1
 	c.update(3000, 2000, 0, true)
@@ -399,7 +402,7 @@
 	}
 	c.update(4000, 2000, 0, false)
 	if c.pa != 1 || c.ex != 0 {
-		t.Fatalf("at rest: pa %v, E[X] %v", c.pa, c.ex)
+		t.Fatalf("idle: pa %v, E[X] %v", c.pa, c.ex)
 	}
 }
 
@@ -409,22 +412,22 @@
 	c.y, c.u, c.hasPrevious = 0, 3, true
 	c.updateTheta(-9)
 	if c.theta[1] != minTheta2 {
-		t.Fatalf("theta2 %v", c.theta[1])
+		t.Fatalf("theta2 %v is not at its lower bound", c.theta[1])
 	}
 }
 
-// Overload: a destination that is kept back refuses at random early and says when to come again.
+// Under overload, a throttled destination refuses at random at admission and sends a Retry-After.
 func TestRefusesUnderBacklog(t *testing.T) {
 	set := testSettings()
 	set.LimitIndex, set.MaxHeld = 0, 10000
 	r := newRig(t, set, ready(1, 0, 2))
 	refused, atIntake := 0, 0
-	for i := range 400 { // 8 a second against a pace of 2
+	for i := range 400 { // 8 per second against a pace of 2
 		r.now += 125
 		id := uint64(i + 1)
-		as := r.message(id, classSafe, 0, 0)
-		as = append(as, r.run(r.now+1)...)
-		for _, a := range as {
+		actions := r.message(id, classSafe, 0, 0)
+		actions = append(actions, r.run(r.now+1)...)
+		for _, a := range actions {
 			switch {
 			case a.Kind == ActSend:
 				e := r.outcome(a.ID, OK, 0)
@@ -442,22 +445,22 @@
 		}
 	}
 	if refused < 100 || atIntake < refused/2 {
-		t.Fatalf("refused %d, at intake %d", refused, atIntake)
+		t.Fatalf("refused %d, at admission %d", refused, atIntake)
 	}
 }
 
-// A limit without a wait brings the pace down and a short back-off; messages stay held.
+// A refusal without a requested wait reduces the pace and causes a short back-off; the message stays held.
 func TestFullBacksOff(t *testing.T) {
 	r := newRig(t, testSettings(), ready(1, 0, 2))
 	r.message(1, classSafe, 0, 0)
 	r.forbidAction(r.reply(1, Full, 0), ActRefuse, 1, "held, not refused")
 	if p := r.s.endpoints[1].route.pace; p == 0 || p > initialPace {
-		t.Fatalf("pace %v after full", p)
+		t.Fatalf("pace %v after a refusal", p)
 	}
-	r.requireAction(r.run(1000+1.6*1000/initialPace/(1-lightCut)), ActSend, 1, "at the pace")
+	r.requireAction(r.run(1000+1.6*1000/initialPace/(1-lightCut)), ActSend, 1, "after the back-off")
 }
 
-// Incident: many silent endpoints must leave slots to the healthy.
+// Many unresponsive endpoints must leave call slots to the healthy ones.
 func TestHungCallsLeaveSlots(t *testing.T) {
 	set := testSettings()
 	set.CallSlots = 9
@@ -467,19 +470,19 @@
 	}
 	r := newRig(t, set, eps...)
 	id := uint64(0)
-	for i := range 20 { // a first failure makes each suspect
+	for i := range 20 { // a first failure makes each endpoint suspected
 		id++
 		r.message(id, classSafe, i, 0)
 		r.reply(id, Timeout, 0)
 	}
-	r.run(r.now + 1000) // repeats go out and hang
+	r.run(r.now + 1000) // the retries are sent and hang
 	if r.s.slotsInUse > 3 {
-		t.Fatalf("%d of 9 slots with suspect endpoints", r.s.slotsInUse)
+		t.Fatalf("%d of 9 slots held by suspected endpoints", r.s.slotsInUse)
 	}
 	r.requireAction(r.message(1000, classSafe, 100, 0), ActSend, 1000, "healthy destination")
 }
 
-// Incident: idle connections die silently; once that is learnt, a fresh one is used.
+// Idle connections can die unnoticed. Once a sender has learned that, it uses new connections.
 func TestStaleConnections(t *testing.T) {
 	r := newRig(t, testSettings(), ready(1, 0, 2))
 	id := uint64(0)
@@ -489,17 +492,17 @@
 		for _, a := range r.message(id, classSafe, 0, 0) {
 			closedIdle = closedIdle || a.Kind == ActCloseIdle
 		}
-		r.reply(id, OK, 0) // fresh or young: answered
+		r.reply(id, OK, 0) // new, or idle for a short time: answered
 		r.run(r.now + 4000)
 		if closedIdle {
 			break
 		}
 		id++
-		as := r.message(id, classSafe, 0, 0)
-		for _, a := range as {
+		actions := r.message(id, classSafe, 0, 0)
+		for _, a := range actions {
 			closedIdle = closedIdle || a.Kind == ActCloseIdle
 		}
-		if !closedIdle { // on a connection idle for 4 s: lost
+		if !closedIdle { // the call on a connection idle for 4 s is lost
 			r.reply(id, Timeout, 0)
 			for _, a := range r.run(r.now + 2000) {
 				if a.Kind == ActSend {
@@ -509,7 +512,7 @@
 		}
 	}
 	if !closedIdle {
-		t.Fatal("keeps trusting idle connections that lose calls")
+		t.Fatal("idle connections that lose calls are still used")
 	}
 }
 
@@ -519,7 +522,7 @@
 	for i := range 150 {
 		r.message(uint64(i+1), classSafe, 5, 0)
 		if float64(r.s.held) > maxHeldShare*float64(set.MaxHeld) {
-			t.Fatalf("holds %d", r.s.held)
+			t.Fatalf("%d messages held", r.s.held)
 		}
 	}
 }
@@ -536,7 +539,7 @@
 	r.forbidAction(r.message(1, classSafe, 0, 0), ActSend, 1, "no slots")
 	r.step(Event{Kind: EvWithdrawn, ID: 1}, Event{Kind: EvWithdrawn, ID: 1})
 	if r.s.held != 0 {
-		t.Fatalf("held %d", r.s.held)
+		t.Fatalf("%d messages held after withdrawal", r.s.held)
 	}
 }
 
@@ -544,8 +547,8 @@
 	set := testSettings()
 	set.Subscribe = true
 	s := New(set, 1)
-	if as := s.Step(10, nil, nil); len(as) == 0 || as[0].Kind != ActSubscribe {
-		t.Fatalf("no subscription at the start: %+v", as)
+	if actions := s.Step(10, nil, nil); len(actions) == 0 || actions[0].Kind != ActSubscribe {
+		t.Fatalf("no subscription at the start: %+v", actions)
 	}
 	s.Step(20, []Event{{Kind: EvList, Failed: true}}, nil)
 	resubscribed := false
@@ -555,23 +558,23 @@
 		}
 	}
 	if !resubscribed {
-		t.Fatal("a failed subscription is not asked for again")
+		t.Fatal("a failed subscription is not retried")
 	}
 }
 
 func TestDeterminism(t *testing.T) {
 	play := func() [][]Action {
 		var all [][]Action
-		simulate(t, 3, 400, func(as []Action) { all = append(all, append([]Action(nil), as...)) })
+		simulate(t, 3, 400, func(actions []Action) { all = append(all, append([]Action(nil), actions...)) })
 		return all
 	}
 	if a, b := play(), play(); !reflect.DeepEqual(a, b) {
-		t.Fatal("equal events and seed gave other actions")
+		t.Fatal("equal events and seeds gave different actions")
 	}
 }
 
-// In an outage of the whole destination the controller rests: fresh messages are held, not refused; while one
-// endpoint is well it acts.
+// In an outage of the whole destination the controller is idle: new messages are held, not refused. While one
+// endpoint works, the controller acts.
 func TestControllerIdleInOutageOnly(t *testing.T) {
 	for _, allEndpoints := range []bool{true, false} {
 		r := newRig(t, testSettings(), ready(1, 0, 2), ready(2, 0, 2))
@@ -582,24 +585,27 @@
 		r.s.endpoints[1].route.waitUntil = 1e9
 		r.message(1, classSafe, 0, 0)
 		if d := r.s.destinations[0]; d.throttled == allEndpoints {
-			t.Fatalf("whole outage %v: acting %v", allEndpoints, d.throttled)
+			t.Fatalf("all endpoints in outage %v: throttled %v", allEndpoints, d.throttled)
 		}
 	}
 }
 
-// What was taken on in an earlier life is not refused at intake; its attempts count, and one that may have run
-// binds as it did then.
+// A message accepted in an earlier run is not refused at admission. Its attempts count, and an attempt that may have
+// run has the same consequences as before the restart.
 func TestRestoredMessages(t *testing.T) {
 	for name, test := range map[string]struct {
 		e    Event
 		want ActionKind
 	}{
-		"untouched":             {Event{Class: classUnsafe}, ActSend},
-		"a call that never ran": {Event{Class: classUnsafe, Attempts: 1}, ActSend},
-		"unsafe in doubt":       {Event{Class: classUnsafe, Attempts: 1, MayHaveRun: true, MayHaveRunAge: 10}, ActFail},
-		"keyed in its span":     {Event{Class: classKeyed, Attempts: 1, MayHaveRun: true, MayHaveRunAge: 5000}, ActSend},
-		"keyed past its span":   {Event{Class: classKeyed, Attempts: 1, MayHaveRun: true, MayHaveRunAge: 7900}, ActRefuse},
-		"no attempts left":      {Event{Class: classKeyed, Attempts: 6}, ActRefuse},
+		"untouched":                 {Event{Class: classUnsafe}, ActSend},
+		"an attempt that never ran": {Event{Class: classUnsafe, Attempts: 1}, ActSend},
+		"unsafe, may have run": {Event{Class: classUnsafe, Attempts: 1, MayHaveRun: true, MayHaveRunAge: 10},
+			ActFail},
+		"keyed within its dedup window": {Event{Class: classKeyed, Attempts: 1, MayHaveRun: true, MayHaveRunAge: 5000},
+			ActSend},
+		"keyed after its dedup window": {Event{Class: classKeyed, Attempts: 1, MayHaveRun: true, MayHaveRunAge: 7900},
+			ActRefuse},
+		"no attempts left": {Event{Class: classKeyed, Attempts: 6}, ActRefuse},
 	} {
 		r := newRig(t, testSettings(), Endpoint{ID: 1, State: Ready, Kind: 2, Dest: 3})
 		r.now = 1e6
@@ -611,12 +617,12 @@
 	}
 }
 
-// One error that was answered idles no endpoint while its sibling works, and one silence not for good: either would
-// halve a destination for as long as the sibling has a queue.
+// A single error answer does not idle an endpoint while another one works, and a single time-out does not idle it for
+// good. Either would halve a destination's capacity for as long as the other endpoint has a queue.
 func TestEndpointIsUsedAgainAfterOneFailure(t *testing.T) {
 	for o, delay := range map[Outcome]float64{Error: 0, Timeout: 3000} {
 		r := newRig(t, testSettings(), ready(1, 0, 2), ready(2, 0, 2))
-		for id := range uint64(2) { // both have been called, and are up
+		for id := range uint64(2) { // both have been called and are up
 			r.message(1+id, classSafe, 0, 0)
 		}
 		r.reply(1, OK, 0)
@@ -629,13 +635,13 @@
 		r.message(4, classSafe, 0, 0)
 		r.message(5, classSafe, 0, 0)
 		if r.lastEndpoint[4] != failed && r.lastEndpoint[5] != failed {
-			t.Errorf("outcome %d: endpoint %d gets nothing", o, failed)
+			t.Errorf("outcome %d: endpoint %d receives no calls", o, failed)
 		}
 	}
 }
 
-// After an outage a destination is ramped up from its part of the limit that it told, where that is more than the
-// rate before: what has waited would else expire at a destination that could take it.
+// After an outage a ramp starts from the sender's part of the advertised limit where that exceeds its rate before the
+// outage. Otherwise held messages would expire at a destination that could accept them.
 func TestRampFromAdvertisedLimit(t *testing.T) {
 	countSent := func(limit float64) (n int) {
 		set := testSettings()
@@ -674,7 +680,7 @@
 	}
 }
 
-// A ramp goes on after one answered error and begins again after two in a row, or after silence.
+// A ramp continues after one error answer and starts again after two in a row or after silence.
 func TestErrorsInRamp(t *testing.T) {
 	for name, test := range map[string]struct {
 		outcomes []Outcome
@@ -699,13 +705,14 @@
 	}
 }
 
-// An open breaker lets some calls through while its endpoint answers, no more than a cold destination takes; where
-// nobody answers it lets one trial through at a time.
+// An open breaker allows some calls while its endpoint answers, no more than a cold destination can take. Where there
+// is no answer it allows one trial at a time.
 func TestOpenBreakerAllowsCallsWhileAnswered(t *testing.T) {
 	countSent := func(o Outcome) (n int) {
 		r := newRig(t, testSettings(), ready(1, 0, 2))
 		ep := r.s.endpoints[1]
-		ep.rateBeforeOutage, ep.breaker, ep.failures, ep.answeredError, ep.unanswered = 20, open, breakerFailures, o == Error, o != Error
+		ep.rateBeforeOutage, ep.breaker, ep.failures, ep.answeredError, ep.unanswered =
+			20, open, breakerFailures, o == Error, o != Error
 		ep.openedAt, ep.nextTrial, ep.rampBudget = r.now, r.now+minTrialPause, tokenBucket{0, r.now}
 		for id := range uint64(40) {
 			r.message(id+1, classSafe, 0, 0)
@@ -720,17 +727,17 @@
 		}
 		return n
 	}
-	cold := 20 * 0.25 * 1.5 * 3 // what fail-back allows in 3 s, from all senders
+	cold := 20 * 0.25 * 1.5 * 3 // calls that fail-back rules allow in 3 s, from all senders
 	if n := countSent(Error); n < 8 || float64(n) > cold {
 		t.Errorf("%d calls in 3 s to an endpoint that answers with errors", n)
 	}
 	if n := countSent(Timeout); n > 4 {
-		t.Errorf("%d calls in 3 s to one that is silent", n)
+		t.Errorf("%d calls in 3 s to an endpoint that is silent", n)
 	}
 }
 
-// A told limit that falls for a while takes the pace with it, and brings it back: creeping up by a few parts in a
-// hundred a second would hold messages for longer than they live.
+// An advertised limit that falls for a while takes the pace down and up again with it. Growth by a few per cent per
+// second would hold messages beyond their deadlines.
 func TestPaceFollowsAdvertisedLimit(t *testing.T) {
 	set := testSettings()
 	set.AllowanceIndex, set.LimitIndex = 0, 1
@@ -751,21 +758,24 @@
 		t.Errorf("pace %v under a limit of 2", l)
 	}
 	if l := answerWithLimit(3, OK, 20); l < 15 {
-		t.Errorf("pace %v under a limit that is 20 again", l)
+		t.Errorf("pace %v under a limit that is back at 20", l)
 	}
 	r.s.endpoints[1].route.pace, r.s.endpoints[1].route.paceTokens.level = 0.5, 1
 	if l := answerWithLimit(4, OK, 21); l < 5 {
-		t.Errorf("pace %v, under half an even share of 21", l)
+		t.Errorf("pace %v, less than half of an even share of 21", l)
 	}
 }
 
-// A pace from outside spaces the calls evenly, and senders that are given theirs in one moment do not call in step.
+// A pace cap spaces the calls evenly, and senders that receive their caps at the same moment do not call in step.
 func TestPaceCap(t *testing.T) {
 	const senders, rate = 60, 2.0
 	immediate := 0
 	for seed := range uint64(senders) {
 		s := New(testSettings(), seed)
-		events := []Event{{Kind: EvList, FullList: true, List: []Endpoint{{ID: 1, State: Ready, Kind: 2}}}, {Kind: EvPace, Pace: rate}}
+		events := []Event{
+			{Kind: EvList, FullList: true, List: []Endpoint{{ID: 1, State: Ready, Kind: 2}}},
+			{Kind: EvPace, Pace: rate},
+		}
 		for id := range uint64(10) {
 			events = append(events, Event{Kind: EvMessage, ID: id + 1, Class: classSafe, Remaining: 20000})
 		}
@@ -785,46 +795,47 @@
 		}
 		for i := range sentAt {
 			if i > 0 && sentAt[i]-sentAt[i-1] < 1000/rate-10 {
-				t.Fatalf("seed %d: calls at %v, at a pace of %v a second", seed, sentAt, rate)
+				t.Fatalf("seed %d: calls at %v, under a cap of %v per second", seed, sentAt, rate)
 			}
 		}
 		if len(sentAt) < 5 || len(sentAt) > 7 {
-			t.Fatalf("seed %d: %d calls in 3 s at %v a second", seed, len(sentAt), rate)
+			t.Fatalf("seed %d: %d calls in 3 s, under a cap of %v per second", seed, len(sentAt), rate)
 		}
-		s.Step(4000, []Event{{Kind: EvPace}}, nil) // no longer
+		s.Step(4000, []Event{{Kind: EvPace}}, nil) // the cap ends
 		if n := len(s.destinations[0].queue); n != 0 {
-			t.Errorf("seed %d: %d still wait when the pace has ended", seed, n)
+			t.Errorf("seed %d: %d messages still wait after the cap has ended", seed, n)
 		}
 	}
 	if immediate > senders/4 {
-		t.Errorf("%d of %d senders call in the moment in which they were given a pace", immediate, senders)
+		t.Errorf("%d of %d senders call at the moment they receive their cap", immediate, senders)
 	}
 }
 
-// Settings read anew: a new class is taken at once, a message under way keeps its own class, and fewer
-// attempts hold for it as well.
+// After a change of settings a new class is accepted at once, a message in progress keeps its class, and a lower
+// maximum of attempts applies to it as well.
 func TestSettingsChange(t *testing.T) {
 	set := testSettings()
 	r := newRig(t, set, ready(1, 0, 2))
 	r.message(1, classSafe, 0, 0)
 	r.reply(1, Error, 0)
-	r.run(r.now + 1000) // its second attempt is out
+	r.run(r.now + 1000) // its second attempt is in flight
 	if r.attempts[1] != 2 {
 		t.Fatalf("%d attempts", r.attempts[1])
 	}
 	changed := set
-	changed.Classes = append(slices.Clone(set.Classes), Class{Name: "new", Aim: 500, Deadline: 5000, Worth: 2, Effect: Unsafe})
+	changed.Classes = append(slices.Clone(set.Classes),
+		Class{Name: "new", Aim: 500, Deadline: 5000, Worth: 2, Effect: Unsafe})
 	changed.MaxAttempts = 2
 	r.step(Event{Kind: EvSettings, Settings: &changed})
 	r.requireAction(r.message(2, len(changed.Classes)-1, 0, 0), ActSend, 2, "a message of the new class")
 	r.requireAction(r.reply(1, Error, 0), ActRefuse, 1, "its attempts are used up under the new settings")
 	if m := r.s.messages[2]; m == nil || m.class.Effect != Unsafe || r.s.minAim != 500 {
-		t.Fatalf("the new class is not in force: %+v, aim %v", m, r.s.minAim)
+		t.Fatalf("the new class does not apply: %+v, aim %v", m, r.s.minAim)
 	}
 }
 
-// A call to another zone costs what the settings charge for it: with a fee, a sender takes its own zone's
-// endpoint though a connection to it must be opened first; without one, the warm connection elsewhere.
+// With a fee for calls to another zone, a sender uses the endpoint of its own zone although it needs a new connection
+// there. Without a fee, it uses the open connection in the other zone.
 func TestCrossZoneFee(t *testing.T) {
 	for _, test := range []struct {
 		fee  float64
@@ -835,7 +846,7 @@
 		remote := Endpoint{ID: 2, State: Ready, Dest: 0, Kind: 2, Zone: 1}
 		r := newRig(t, set, remote)
 		r.message(1, classSafe, 0, 0)
-		r.reply(1, OK, 0) // the connection to the far one is warm now
+		r.reply(1, OK, 0) // leaves an open connection to the remote endpoint
 		r.step(Event{Kind: EvList, List: []Endpoint{ready(1, 0, 2)}})
 		r.requireAction(r.message(2, classSafe, 0, 0), ActSend, 2, "a second message")
 		if r.lastEndpoint[2] != test.want {
--- a/policy/shedding_test.go
+++ b/policy/shedding_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// oneByOne is what relieve gives back, worked out one message at a time: of the longest queue, the first of several,
-// the message that is worth least, the first of several.
+// shedOneByOne returns the messages that shed must choose, worked out one at a time: of the longest queue, or the
+// first of several, the message of least worth, or the first of several.
 func shedOneByOne(s *Sender) (ids []uint64) {
 	queues := make([][]*message, len(s.waiting))
 	for i, d := range s.waiting {
@@ -32,8 +32,8 @@
 	return ids
 }
 
-// TestReliefAsOneByOne: what is given back at once is what would be given back one after the other, for queues of all
-// lengths, also when all is given back; and nothing that was given back stays in a queue.
+// Shedding many messages at once chooses the same messages as shedding one by one, for queues of all lengths and also
+// when all are shed. No message that was shed stays in a queue.
 func TestSheddingMatchesOneByOne(t *testing.T) {
 	for seed := range uint64(300) {
 		rng := rand.New(rand.NewPCG(seed, 5))
@@ -45,8 +45,9 @@
 		r := newRig(t, set)
 		total, destinations := 1+rng.IntN(200), 1+rng.IntN(8)
 		for id := range total {
-			r.step(Event{Kind: EvMessage, ID: uint64(id + 1), Class: rng.IntN(len(set.Classes)), Dest: min(rng.IntN(destinations), rng.IntN(destinations)),
-				Key: uint64(rng.IntN(4)), Remaining: 5000 + 10000*rng.Float64()})
+			r.step(Event{Kind: EvMessage, ID: uint64(id + 1), Class: rng.IntN(len(set.Classes)),
+				Dest: min(rng.IntN(destinations), rng.IntN(destinations)),
+				Key:  uint64(rng.IntN(4)), Remaining: 5000 + 10000*rng.Float64()})
 			r.now += 20 * rng.Float64()
 		}
 		r.s.settings.MaxHeld = 1 + rng.IntN(total)
@@ -61,13 +62,13 @@
 		}
 		slices.Sort(got)
 		if !slices.Equal(got, want) {
-			t.Fatalf("seed %d: gives back %v, one by one %v", seed, got, want)
+			t.Fatalf("seed %d: shed %v, one by one %v", seed, got, want)
 		}
 		queued := 0
 		for _, d := range r.s.waiting {
 			for _, m := range d.queue {
 				if m.ended {
-					t.Errorf("seed %d: message %d is over and queued", seed, m.id)
+					t.Errorf("seed %d: message %d has ended and is still queued", seed, m.id)
 				}
 			}
 			queued += len(d.queue)
@@ -78,10 +79,10 @@
 	}
 }
 
-// TestReliefOfAWholeJournal: a restart that finds a journal far over the holding room gives the surplus back in time
-// that grows with the journal, not with its square: 100,000 messages kept a sender from its first new one for half a
-// minute. The best of three runs each, so that another load does not decide; sixteen times as many take
-// 256 times as long where each one given back costs a look at all.
+// A restart that finds a journal far above the capacity for held messages must shed the surplus in time proportional
+// to the journal. With a scan of all messages for each one shed, 100,000 messages delayed a sender's first new
+// message by half a minute, and sixteen times as many messages took 256 times as long. The best of three runs is
+// used, so that other load on the machine does not decide.
 func TestSheddingOfWholeJournal(t *testing.T) {
 	const baseCount, growth = 2000, 16
 	duration := func(messages int) time.Duration {
@@ -98,7 +99,7 @@
 			r.step(events...)
 			best = min(best, time.Since(start))
 			if r.s.held > set.MaxHeld {
-				t.Fatalf("holds %d of %d", r.s.held, set.MaxHeld)
+				t.Fatalf("%d messages held, maximum %d", r.s.held, set.MaxHeld)
 			}
 		}
 		return best
@@ -106,6 +107,7 @@
 	short, long := duration(baseCount), duration(growth*baseCount)
 	t.Logf("%d messages: %v; %d: %v", baseCount, short, growth*baseCount, long)
 	if long > short*growth*4 {
-		t.Errorf("%d messages take %v, %d take %v: more than four times their share", baseCount, short, growth*baseCount, long)
+		t.Errorf("%d messages take %v, %d take %v: more than four times the proportional time",
+			baseCount, short, growth*baseCount, long)
 	}
 }
--- a/policy/wait_cause_test.go
+++ b/policy/wait_cause_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// Why messages wait, and that asking changes nothing: the sender that is asked acts as the one that is not.
+// EachWaiting reports the cause of a wait, and the queries change nothing: a sender that is queried acts like one
+// that is not.
 func TestWaitCauses(t *testing.T) {
 	eps := []Endpoint{{ID: 1, State: Ready, Kind: 2}}
 	for name, test := range map[string]struct {
@@ -13,12 +14,15 @@
 		events []Event
 		want   WaitCause
 	}{
-		"told":    {10, []Event{{Kind: EvOutcome, ID: 1, Endpoint: 1, Outcome: Full, RequestedWait: 5000, Latency: 5}}, CauseRequestedWait},
-		"breaker": {10, []Event{{Kind: EvOutcome, ID: 1, Endpoint: 1, Outcome: ConnectFailed, Latency: 5}}, CauseBreaker},
-		"cap":     {10, []Event{{Kind: EvPace, Pace: 0.01}}, CausePaceCap},
-		"pace":    {10, []Event{{Kind: EvOutcome, ID: 1, Endpoint: 1, Outcome: Full, Latency: 5}}, CausePace},
-		"slot":    {2, nil, CauseSlot},
-		"gone":    {10, []Event{{Kind: EvList, List: []Endpoint{{ID: 1, State: Draining, Kind: 2}}}}, CauseNoEndpoint},
+		"requested wait": {10, []Event{{Kind: EvOutcome, ID: 1, Endpoint: 1, Outcome: Full, RequestedWait: 5000, Latency: 5}},
+			CauseRequestedWait},
+		"breaker": {10, []Event{{Kind: EvOutcome, ID: 1, Endpoint: 1, Outcome: ConnectFailed, Latency: 5}},
+			CauseBreaker},
+		"pace cap": {10, []Event{{Kind: EvPace, Pace: 0.01}}, CausePaceCap},
+		"pace": {10, []Event{{Kind: EvOutcome, ID: 1, Endpoint: 1, Outcome: Full, Latency: 5}},
+			CausePace},
+		"slot":        {2, nil, CauseSlot},
+		"no endpoint": {10, []Event{{Kind: EvList, List: []Endpoint{{ID: 1, State: Draining, Kind: 2}}}}, CauseNoEndpoint},
 	} {
 		run := func(query bool) (all [][]Action, causes map[int]WaitCause) {
 			set := testSettings()
@@ -32,9 +36,11 @@
 					s.Overview()
 				}
 			}
-			step(1000, Event{Kind: EvList, FullList: true, List: eps}, Event{Kind: EvMessage, ID: 1, Class: classSafe, Remaining: 20000})
+			step(1000, Event{Kind: EvList, FullList: true, List: eps},
+				Event{Kind: EvMessage, ID: 1, Class: classSafe, Remaining: 20000})
 			step(1010, test.events...)
-			step(1011, Event{Kind: EvMessage, ID: 2, Class: classSafe, Remaining: 20000}, Event{Kind: EvMessage, ID: 3, Class: classSafe, Remaining: 20000})
+			step(1011, Event{Kind: EvMessage, ID: 2, Class: classSafe, Remaining: 20000},
+				Event{Kind: EvMessage, ID: 3, Class: classSafe, Remaining: 20000})
 			lastCauses := causes
 			for now := 1100.0; now < 9000; now += 100 {
 				step(now)
@@ -43,10 +49,10 @@
 		}
 		queried, causes := run(true)
 		if unqueried, _ := run(false); !reflect.DeepEqual(queried, unqueried) {
-			t.Errorf("%s: a sender that is asked acts otherwise", name)
+			t.Errorf("%s: a sender that is queried acts differently", name)
 		}
 		if causes[0] != test.want {
-			t.Errorf("%s: waits for %d, want %d", name, causes[0], test.want)
+			t.Errorf("%s: wait cause %d, want %d", name, causes[0], test.want)
 		}
 	}
 }
