--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -17,15 +17,16 @@
 	"sliptide/policy"
 )
 
-const oneEndpoint = `{"version":%d,"full":true,"servers":[{"id":"s-1","addr":"10.1.0.1:9000","cell":1,"state":"up"}]}`
+const oneEndpointList = `{"version":%d,"full":true,"servers":[{"id":"s-1","addr":"10.1.0.1:9000","cell":1,"state":"up"}]}`
 
-// agent answers each ask with the next of its statuses and hands over what was asked for.
-func agent(t *testing.T, statuses ...int) (addr string, asked <-chan string) {
+// startAgent starts an agent that answers each request with the next of the statuses: 0 is no answer, 1 is status 200 with
+// truncated JSON. After the last one it answers nothing. It sends the URI of each request to the returned channel.
+func startAgent(t *testing.T, statuses ...int) (addr string, requests <-chan string) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	asks := make(chan string, 64)
+	received := make(chan string, 64)
 	var mu sync.Mutex
 	answer := func() int {
 		mu.Lock()
@@ -51,12 +52,12 @@
 					if err != nil {
 						return
 					}
-					asks <- r.URL.RequestURI()
-					status, body := answer(), fmt.Sprintf(oneEndpoint, 42)
+					received <- r.URL.RequestURI()
+					status, body := answer(), fmt.Sprintf(oneEndpointList, 42)
 					switch status {
-					case 0: // silent from here on
+					case 0:
 						continue
-					case 1: // a broken answer
+					case 1:
 						status, body = 200, `{"version":43,"servers":[{`
 					}
 					fmt.Fprintf(nc, "HTTP/1.1 %d x\r\nContent-Length: %d\r\n\r\n%s", status, len(body), body)
@@ -65,10 +66,10 @@
 		}
 	}()
 	t.Cleanup(func() { ln.Close() })
-	return ln.Addr().String(), asks
+	return ln.Addr().String(), received
 }
 
-func follow(t *testing.T, addr string, known string) *Watch {
+func startWatch(t *testing.T, addr string, known string) *Watch {
 	w := NewWatch(addr, &policy.Settings{}, 1, zerolog.Nop(), func(List) {})
 	if err := w.Restore([]byte(known)); err != nil {
 		t.Fatal(err)
@@ -80,53 +81,53 @@
 	return w
 }
 
-func expect(t *testing.T, asked <-chan string, want ...string) {
+func expectRequests(t *testing.T, requests <-chan string, want ...string) {
 	t.Helper()
 	for i, w := range want {
 		select {
-		case got := <-asked:
+		case got := <-requests:
 			if got != w {
-				t.Fatalf("ask %d is %s, want %s", i, got, w)
+				t.Fatalf("request %d is %s, want %s", i, got, w)
 			}
 		case <-time.After(10 * time.Second):
-			t.Fatalf("ask %d never came", i)
+			t.Fatalf("request %d did not arrive", i)
 		}
 	}
 }
 
-// A fleet that starts in one moment must not ask for 80 whole lists: who has a list asks what has changed, also
-// after it was turned away.
-func TestKnownListIsFollowedNotAskedForAgain(t *testing.T) {
-	addr, asked := agent(t, 503, 503, 200, 503)
-	follow(t, addr, fmt.Sprintf(oneEndpoint, 41))
+// Senders of a fleet that start at the same moment must not all request the whole list: a sender with a known list
+// requests the changes since then, also after an error answer.
+func TestKnownListIsWatchedNotRequestedAgain(t *testing.T) {
+	addr, requests := startAgent(t, 503, 503, 200, 503)
+	startWatch(t, addr, fmt.Sprintf(oneEndpointList, 41))
 	const from41, from42 = "/discovery/hosts?index=41&wait=3000", "/discovery/hosts?index=42&wait=3000"
-	expect(t, asked, from41, from41, from41, from42, from42)
+	expectRequests(t, requests, from41, from41, from41, from42, from42)
 }
 
-func TestWithoutAListTheWholeIsAskedFor(t *testing.T) {
-	addr, asked := agent(t, 503, 200)
-	follow(t, addr, "")
-	expect(t, asked, "/discovery/hosts", "/discovery/hosts", "/discovery/hosts?index=42&wait=3000")
+func TestWholeListIsRequestedWithoutKnownList(t *testing.T) {
+	addr, requests := startAgent(t, 503, 200)
+	startWatch(t, addr, "")
+	expectRequests(t, requests, "/discovery/hosts", "/discovery/hosts", "/discovery/hosts?index=42&wait=3000")
 }
 
-// What was broken on the way may have told something: only the whole list shows what was missed.
-func TestWholeListAfterABrokenAnswer(t *testing.T) {
-	addr, asked := agent(t, 1, 200)
-	follow(t, addr, fmt.Sprintf(oneEndpoint, 41))
-	expect(t, asked, "/discovery/hosts?index=41&wait=3000", "/discovery/hosts", "/discovery/hosts?index=42&wait=3000")
+// An answer that could not be read may have contained a change, which only the whole list shows.
+func TestWholeListAfterInvalidAnswer(t *testing.T) {
+	addr, requests := startAgent(t, 1, 200)
+	startWatch(t, addr, fmt.Sprintf(oneEndpointList, 41))
+	expectRequests(t, requests, "/discovery/hosts?index=41&wait=3000", "/discovery/hosts", "/discovery/hosts?index=42&wait=3000")
 }
 
-// Another agent's versions are its own.
-func TestWholeListFromANewAgent(t *testing.T) {
-	one, askedOne := agent(t, 200)
-	two, askedTwo := agent(t, 200)
-	w := follow(t, one, fmt.Sprintf(oneEndpoint, 41))
-	expect(t, askedOne, "/discovery/hosts?index=41&wait=3000", "/discovery/hosts?index=42&wait=3000")
-	w.SetAddr(two)
-	expect(t, askedTwo, "/discovery/hosts", "/discovery/hosts?index=42&wait=3000")
+// The versions of two agents are not comparable: a new agent is asked for its whole list.
+func TestWholeListFromNewAgent(t *testing.T) {
+	oldAgent, oldRequests := startAgent(t, 200)
+	newAgent, newRequests := startAgent(t, 200)
+	w := startWatch(t, oldAgent, fmt.Sprintf(oneEndpointList, 41))
+	expectRequests(t, oldRequests, "/discovery/hosts?index=41&wait=3000", "/discovery/hosts?index=42&wait=3000")
+	w.SetAddr(newAgent)
+	expectRequests(t, newRequests, "/discovery/hosts", "/discovery/hosts?index=42&wait=3000")
 }
 
-// What the settings of a fleet make of the pauses. Absurd numbers are a fleet of one or as many as the bound allows.
+// The longest pause by the fleet's settings. Senders out of range count as one, or give the upper bound of the pauses.
 func TestPauseBounds(t *testing.T) {
 	for _, c := range []struct {
 		senders   int
@@ -138,129 +139,131 @@
 		{3, true, 10000, 200 * time.Millisecond}, {80, true, 10000, 5 * time.Second}, {80, true, 4000, 2 * time.Second},
 		{80, true, 0, 5 * time.Second}, {80, true, 1, 100 * time.Millisecond}, {80, false, 0, 5 * time.Second}, {1 << 30, true, 1e300, 5 * time.Second},
 	} {
-		p := newPace(&policy.Settings{Senders: c.senders, Subscribe: c.subscribe, MaxSubscribeInterval: c.within}, 1)
-		if p.most.Round(time.Millisecond) != c.want {
-			t.Errorf("%d senders, within %g: %v, want %v", c.senders, c.within, p.most, c.want)
+		b := newBackoff(&policy.Settings{Senders: c.senders, Subscribe: c.subscribe, MaxSubscribeInterval: c.within}, 1)
+		if b.longest.Round(time.Millisecond) != c.want {
+			t.Errorf("%d senders, within %g ms: longest pause %v, want %v", c.senders, c.within, b.longest, c.want)
 		}
 		for n := 1; n < 100; n++ {
-			if d := p.after(n, p.most); d < minPause/2 || d > p.most {
+			if d := b.exponentialPause(n, b.longest); d < minPause/2 || d > b.longest {
 				t.Errorf("%d senders: pause %v after %d failures", c.senders, d, n)
 			}
 		}
 	}
 }
 
-// Eighty senders of which every ask fails, all started in one moment, on a clock of their own: their asks stay
-// under six times what the fleet is meant to settle at in the first second, when a fleet without pauses asks
-// 800 times, and under twice as much from the next on: pauses that began short again after the first spread
-// asked 42 to 62 times a second in seconds 1 to 4, and kept discovery overbooked for good on the herd day.
-func TestFleetAsksAreBoundedAndSpread(t *testing.T) {
+// Eighty senders start at the same moment, on a simulated clock, and every request fails. Their requests must stay below
+// six times fleetRetriesPerSecond in the first second, in which a fleet without pauses sends 800, and below twice that
+// rate afterwards. Guards against pauses that begin short again after the first one: with these the fleet sent 42 to 62
+// requests a second in seconds 1 to 4, which can overload discovery permanently.
+func TestFleetRequestsAreBoundedAndSpread(t *testing.T) {
 	const senders, seconds = 80, 60
-	var asks []float64
+	var requests []float64
 	for i := range senders {
-		p := newPace(&policy.Settings{Senders: senders, Subscribe: true, MaxSubscribeInterval: 10000}, uint64(i))
-		at := 0.0 // the first ask goes at once: a pause before it would be a gap in the watch
+		b := newBackoff(&policy.Settings{Senders: senders, Subscribe: true, MaxSubscribeInterval: 10000}, uint64(i))
+		at := 0.0 // the first request is sent at once: a change could be missed during a pause before it
 		for n := 1; at < seconds; n++ {
-			asks = append(asks, at)
-			at += p.next(n, false, 0).Seconds()
+			requests = append(requests, at)
+			at += b.pause(n, false, 0).Seconds()
 		}
 	}
-	sort.Float64s(asks)
+	sort.Float64s(requests)
 	perSecond := make([]int, seconds)
-	for _, at := range asks {
+	for _, at := range requests {
 		perSecond[int(at)]++
 	}
 	for s, n := range perSecond {
-		if s == 0 && n > 6*fleetRequests || s > 0 && n > 2*fleetRequests {
-			t.Errorf("second %d: %d asks", s, n)
+		if s == 0 && n > 6*fleetRetriesPerSecond || s > 0 && n > 2*fleetRetriesPerSecond {
+			t.Errorf("second %d: %d requests", s, n)
 		}
 	}
-	t.Logf("asks a second: %v", perSecond)
+	t.Logf("requests a second: %v", perSecond)
 }
 
-// What the agent holds counts as told, asked for or not: a sender of a large fleet that starts with a known
-// list must not leave a gap before its first watch, or a drain told meanwhile goes unseen past its grace.
+// What the agent holds counts as known to the sender, requested or not. A sender of a large fleet that starts with a known
+// list must not pause before its first watch, or it sees a drain that is published meanwhile only after the grace period.
 func TestKnownListIsWatchedAtOnce(t *testing.T) {
-	const within = 250 * time.Millisecond // half of the tightest drain grace of the deployments
+	const within = 250 * time.Millisecond // half of the shortest grace period for a drain
 	for seed := range uint64(10) {
-		addr, asked := agent(t, 200)
+		addr, requests := startAgent(t, 200)
 		w := NewWatch(addr, &policy.Settings{Senders: 300}, seed, zerolog.Nop(), func(List) {})
-		if err := w.Restore([]byte(fmt.Sprintf(oneEndpoint, 41))); err != nil {
+		if err := w.Restore([]byte(fmt.Sprintf(oneEndpointList, 41))); err != nil {
 			t.Fatal(err)
 		}
 		ctx, cancel := context.WithCancel(context.Background())
 		done := make(chan struct{})
-		began := time.Now()
+		start := time.Now()
 		go func() { w.Run(ctx); close(done) }()
 		select {
-		case got := <-asked:
-			if took := time.Since(began); got != "/discovery/hosts?index=41&wait=3000" || took > within {
-				t.Errorf("seed %d: first ask %s after %v", seed, got, took)
+		case got := <-requests:
+			if took := time.Since(start); got != "/discovery/hosts?index=41&wait=3000" || took > within {
+				t.Errorf("seed %d: first request %s after %v", seed, got, took)
 			}
 		case <-time.After(10 * time.Second):
-			t.Errorf("seed %d: no ask", seed)
+			t.Errorf("seed %d: no request", seed)
 		}
 		cancel()
 		<-done
 	}
 }
 
-// silenceMost is the time after which what was missed counts as told.
-const silenceMost = 6 * time.Second
+// maxSilence is the time after which a change counts as known to a sender that discovery does not answer.
+const maxSilence = 6 * time.Second
 
-// A watch falls silent, and so does the ask for the whole list that follows: whatever the size of the fleet, the
-// third ask is out before what was missed counts as told.
-func TestSilenceAfterSilenceIsFoundInTime(t *testing.T) {
-	const way = 200 * time.Millisecond // an answer's, and the machine's
+// A watch times out, and so does the request for the whole list that follows. Whatever the size of the fleet, the third
+// request must be answered before a change that was missed counts as known to the sender.
+func TestRepeatedSilenceIsDetectedInTime(t *testing.T) {
+	const margin = 200 * time.Millisecond // for the answer and for delays of the machine
 	for _, senders := range []int{1, 3, 30, 80, 300, 10000} {
-		p := newPace(&policy.Settings{Senders: senders, Subscribe: true, MaxSubscribeInterval: 10000}, 1)
-		first, second := time.Duration(0), time.Duration(0)
+		b := newBackoff(&policy.Settings{Senders: senders, Subscribe: true, MaxSubscribeInterval: 10000}, 1)
+		firstPause, secondPause := time.Duration(0), time.Duration(0)
 		for range 1000 {
-			first, second = max(first, p.next(1, true, watchFor+watchGrace)), max(second, p.next(2, true, listTimeout))
+			firstPause, secondPause = max(firstPause, b.pause(1, true, watchDuration+watchGrace)), max(secondPause, b.pause(2, true, listTimeout))
 		}
-		if at := watchFor + watchGrace + first + listTimeout + second + way; at > silenceMost {
-			t.Errorf("%d senders: the answer comes %v after the silence began", senders, at)
+		if at := watchDuration + watchGrace + firstPause + listTimeout + secondPause + margin; at > maxSilence {
+			t.Errorf("%d senders: the answer comes %v after discovery stopped answering", senders, at)
 		}
 	}
 }
 
-// The same on sockets: an endpoint that drains meanwhile is heard of in time.
-func TestDrainIsHeardAfterTwoSilences(t *testing.T) {
+// A watch and the next request time out, and an endpoint drains meanwhile: the drain must be seen in time. Here over
+// sockets.
+func TestDrainIsSeenAfterTwoTimeouts(t *testing.T) {
 	t.Parallel()
-	addr, asked := agent(t, 200, 0, 0, 200)
-	heard := make(chan time.Time, 8)
-	w := NewWatch(addr, &policy.Settings{}, 1, zerolog.Nop(), func(List) { heard <- time.Now() })
+	addr, requests := startAgent(t, 200, 0, 0, 200)
+	updates := make(chan time.Time, 8)
+	w := NewWatch(addr, &policy.Settings{}, 1, zerolog.Nop(), func(List) { updates <- time.Now() })
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() { w.Run(ctx); close(done) }()
 	t.Cleanup(func() { cancel(); <-done })
-	expect(t, asked, "/discovery/hosts")
-	<-heard
-	expect(t, asked, "/discovery/hosts?index=42&wait=3000")
-	silent := time.Now()
-	expect(t, asked, "/discovery/hosts", "/discovery/hosts")
-	if took := (<-heard).Sub(silent); took > silenceMost {
-		t.Errorf("heard %v after the silence began", took)
+	expectRequests(t, requests, "/discovery/hosts")
+	<-updates
+	expectRequests(t, requests, "/discovery/hosts?index=42&wait=3000")
+	silentSince := time.Now()
+	expectRequests(t, requests, "/discovery/hosts", "/discovery/hosts")
+	if took := (<-updates).Sub(silentSince); took > maxSilence {
+		t.Errorf("the list came %v after the agent stopped answering", took)
 	}
 }
 
-// The configuration moves discovery after a request was made for the old agent, and before it goes out: a watch from
-// the old one's version must not reach the new one, which would hold it while what it has counts as told.
-func TestARequestForTheOldAgentIsNotSentToTheNew(t *testing.T) {
-	one, _ := agent(t, 200)
-	two, askedTwo := agent(t, 200)
-	c := newClient(one)
+// The configuration changes discovery's address after a request was made for the old agent and before it is sent. A watch
+// from the old agent's version must not reach the new one, which would hold it while its own endpoints already count as
+// known to the sender.
+func TestRequestForOldAgentIsNotSentToNewAgent(t *testing.T) {
+	oldAgent, _ := startAgent(t, 200)
+	newAgent, newRequests := startAgent(t, 200)
+	c := newAgentClient(oldAgent)
 	defer c.close()
-	host := c.host()
-	c.move(two)
+	addr := c.currentAddr()
+	c.setAddr(newAgent)
 	request := []byte("GET /discovery/hosts?index=41&wait=3000 HTTP/1.1\r\nHost: a\r\n\r\n")
-	if _, err := c.do(context.Background(), host, request, time.Second); !errors.Is(err, errMoved) {
-		t.Errorf("error %v, want %v", err, errMoved)
+	if _, err := c.call(context.Background(), addr, request, time.Second); !errors.Is(err, errAddrChanged) {
+		t.Errorf("error %v, want %v", err, errAddrChanged)
 	}
-	if _, err := c.do(context.Background(), c.host(), []byte("GET /first HTTP/1.1\r\nHost: b\r\n\r\n"), time.Second); err != nil {
+	if _, err := c.call(context.Background(), c.currentAddr(), []byte("GET /first HTTP/1.1\r\nHost: b\r\n\r\n"), time.Second); err != nil {
 		t.Fatal(err)
 	}
-	if got := <-askedTwo; got != "/first" {
-		t.Errorf("the new agent was asked for %s", got)
+	if got := <-newRequests; got != "/first" {
+		t.Errorf("the new agent received a request for %s, want /first", got)
 	}
 }
--- a/internal/keys/keys.go
+++ b/internal/keys/keys.go
@@ -1,6 +1,5 @@
-// Package keys reads what a sender proves itself and its partners with: CA bundles, certificates and keys,
-// in PEM. It checks them, warns before they expire, and makes TLS configurations of them (crypto/tls, 1.2
-// and up). It opens no connection.
+// Package keys loads CA bundles, certificates and private keys from PEM files, checks them, warns before they expire,
+// and builds TLS configurations from them (crypto/tls, version 1.2 and up). It opens no connection.
 package keys
 
 import (
@@ -13,43 +12,44 @@
 	"time"
 )
 
-// ExpiryWarningPeriod is how long before its end a certificate is warned of.
+// ExpiryWarningPeriod is how long before a certificate's expiry warnings begin.
 const ExpiryWarningPeriod = 14 * 24 * time.Hour
 
-// Files are where keys lie. An empty name: none.
+// Files are the names of PEM files. An empty name means that there is no such file.
 type Files struct {
-	CA        string // a bundle; else the system's
-	Cert, Key string // the sender's own, for partners that ask for it
+	CA        string // CA bundle; empty: the system's root certificates
+	Cert, Key string // this process's own, presented to peers that request a certificate
 }
 
-// Warning is a certificate that ends soon, or has ended.
+// Warning reports a certificate that expires soon or has expired.
 type Warning struct {
 	File    string
 	Subject string
 	Expires time.Time
 }
 
-// String is the warning in one line.
+// String returns the warning as one line.
 func (w Warning) String() string {
-	return fmt.Sprintf("%s: certificate of %q ends on %s", w.File, w.Subject, w.Expires.UTC().Format(time.DateOnly))
+	return fmt.Sprintf("%s: certificate of %q expires on %s", w.File, w.Subject, w.Expires.UTC().Format(time.DateOnly))
 }
 
-// Load reads the files and checks them at that time. Nothing is used of files of which one is wrong.
+// Load reads the files and returns a TLS configuration, with warnings for certificates that expire soon at time now.
+// If one of the files is invalid, it returns an error and no configuration.
 func Load(f Files, now time.Time) (*tls.Config, []Warning, error) {
 	cfg := &tls.Config{MinVersion: tls.VersionTLS12}
 	var warnings []Warning
 	if f.CA != "" {
-		pool, certs, err := bundle(f.CA)
+		pool, certs, err := readBundle(f.CA)
 		if err != nil {
 			return nil, nil, err
 		}
 		cfg.RootCAs = pool
-		warnings = append(warnings, ending(f.CA, certs, now)...)
+		warnings = append(warnings, expiryWarnings(f.CA, certs, now)...)
 	}
 	if f.Cert == "" {
 		return cfg, warnings, nil
 	}
-	if err := private(f.Key); err != nil {
+	if err := checkKeyMode(f.Key); err != nil {
 		return nil, nil, err
 	}
 	pair, err := tls.LoadX509KeyPair(f.Cert, f.Key)
@@ -57,24 +57,24 @@
 		return nil, nil, fmt.Errorf("%s, %s: %w", f.Cert, f.Key, err)
 	}
 	cfg.Certificates = []tls.Certificate{pair}
-	warnings = append(warnings, ending(f.Cert, []*x509.Certificate{pair.Leaf}, now)...)
+	warnings = append(warnings, expiryWarnings(f.Cert, []*x509.Certificate{pair.Leaf}, now)...)
 	return cfg, warnings, nil
 }
 
-// private refuses a key that others may read.
-func private(file string) error {
+// checkKeyMode returns an error if users other than the owner may read or write the key file.
+func checkKeyMode(file string) error {
 	info, err := os.Stat(file)
 	if err != nil {
 		return err
 	}
 	if mode := info.Mode().Perm(); mode&0o077 != 0 {
-		return fmt.Errorf("%s: others may read or write this key (mode %04o); allowed: 0600 or less", file, mode)
+		return fmt.Errorf("%s: others may read or write this private key (mode %04o); allowed: 0600 or less", file, mode)
 	}
 	return nil
 }
 
-// bundle reads CA certificates.
-func bundle(file string) (*x509.CertPool, []*x509.Certificate, error) {
+// readBundle reads a file of CA certificates.
+func readBundle(file string) (*x509.CertPool, []*x509.Certificate, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
 		return nil, nil, err
@@ -87,7 +87,7 @@
 			break
 		}
 		if block.Type != "CERTIFICATE" {
-			return nil, nil, fmt.Errorf("%s: a PEM block %q; allowed: CERTIFICATE", file, block.Type)
+			return nil, nil, fmt.Errorf("%s: unexpected PEM block %q; allowed: CERTIFICATE", file, block.Type)
 		}
 		c, err := x509.ParseCertificate(block.Bytes)
 		if err != nil {
@@ -104,7 +104,7 @@
 
 var errNoCert = errors.New("no certificate in PEM")
 
-func ending(file string, certs []*x509.Certificate, now time.Time) (list []Warning) {
+func expiryWarnings(file string, certs []*x509.Certificate, now time.Time) (list []Warning) {
 	for _, c := range certs {
 		if c != nil && now.Add(ExpiryWarningPeriod).After(c.NotAfter) {
 			list = append(list, Warning{file, c.Subject.CommonName, c.NotAfter})
