--- a/policy/facts.go
+++ b/policy/facts.go
@@ -55,7 +55,7 @@
 	Failures         int         // in a row
 	LastFailure      float64     // time of the last failure
 	FailureShare     float64     // failing share of calls (EWMA)
-	Unresponsive     bool        // the last failure was silence
+	Unresponsive     bool        // the last failure was a time-out of the call or of its connection
 	Unanswered       bool        // the last failure came without an answer
 	AnsweredError    bool        // the last failure was an error answer
 	FailedTrials     int         // since the breaker opened
--- a/policy/fleet_test.go
+++ b/policy/fleet_test.go
@@ -31,64 +31,64 @@
 	if len(eps) == 0 {
 		eps = []Endpoint{ready(1, 0, 2)}
 	}
-	c := &fleet{now: 1000, calls: map[*rig]int{}, informed: map[*rig]bool{}}
+	f := &fleet{now: 1000, calls: map[*rig]int{}, informed: map[*rig]bool{}}
 	set.Senders = n
 	for i := range n {
 		set.Index = i
-		r := &rig{t: t, s: New(set, uint64(i+1)), now: c.now, attempts: map[uint64]int{}, lastEndpoint: map[uint64]uint32{}}
+		r := &rig{t: t, s: New(set, uint64(i+1)), now: f.now, attempts: map[uint64]int{}, lastEndpoint: map[uint64]uint32{}}
 		r.step(Event{Kind: EvList, FullList: true, List: eps})
-		c.rigs = append(c.rigs, r)
+		f.rigs = append(f.rigs, r)
 	}
-	return c
+	return f
 }
 
 // run advances to a time and submits a message every interval, to each sender in turn; answer decides the outcome of
 // each call.
-func (c *fleet) run(to, interval float64, answer func(now float64) Outcome) {
-	next := c.now
-	for c.now < to {
-		c.now += 10
-		for _, r := range c.rigs {
-			r.now = c.now
+func (f *fleet) run(to, interval float64, answer func(now float64) Outcome) {
+	next := f.now
+	for f.now < to {
+		f.now += 10
+		for _, r := range f.rigs {
+			r.now = f.now
 			var actions []Action
-			if r.s.timerAt <= c.now {
+			if r.s.timerAt <= f.now {
 				actions = r.step(Event{Kind: EvTimer, Token: r.s.timerToken})
 			}
-			c.answerCalls(r, actions, answer)
+			f.answerCalls(r, actions, answer)
 		}
-		for ; interval > 0 && next <= c.now; next += interval {
-			r := c.rigs[int(c.submitted)%len(c.rigs)]
-			c.submitted++
-			c.answerCalls(r, r.message(c.submitted, classKeyed, 0, 0), answer)
+		for ; interval > 0 && next <= f.now; next += interval {
+			r := f.rigs[int(f.submitted)%len(f.rigs)]
+			f.submitted++
+			f.answerCalls(r, r.message(f.submitted, classKeyed, 0, 0), answer)
 		}
 	}
 }
 
 // answerCalls answers each call at once, and also the calls that follow from the answers.
-func (c *fleet) answerCalls(r *rig, actions []Action, answer func(now float64) Outcome) {
-	c.answerWithReport(r, actions, func(now float64) (Outcome, []float64) { return answer(now), nil })
+func (f *fleet) answerCalls(r *rig, actions []Action, answer func(now float64) Outcome) {
+	f.answerWithReport(r, actions, func(now float64) (Outcome, []float64) { return answer(now), nil })
 }
 
 // answerWithReport is answerCalls with a report in each answer.
-func (c *fleet) answerWithReport(r *rig, actions []Action, answer func(now float64) (Outcome, []float64)) {
+func (f *fleet) answerWithReport(r *rig, actions []Action, answer func(now float64) (Outcome, []float64)) {
 	for i := 0; i < len(actions); i++ {
-		if c.finalAnswers != nil && (actions[i].Kind == ActRefuse || actions[i].Kind == ActFail) {
-			c.finalAnswers[actions[i].ID]++
+		if f.finalAnswers != nil && (actions[i].Kind == ActRefuse || actions[i].Kind == ActFail) {
+			f.finalAnswers[actions[i].ID]++
 		}
 		if actions[i].Kind != ActSend {
 			continue
 		}
-		outcome, report := answer(c.now)
-		if c.finalAnswers != nil && outcome == OK {
-			c.finalAnswers[actions[i].ID]++
+		outcome, report := answer(f.now)
+		if f.finalAnswers != nil && outcome == OK {
+			f.finalAnswers[actions[i].ID]++
 		}
-		if c.onlyEndpoint == 0 || actions[i].Endpoint == c.onlyEndpoint {
-			c.callTimes = append(c.callTimes, c.now)
-			if c.calls[r]++; c.informed[r] {
-				c.informedCallTimes = append(c.informedCallTimes, c.now)
+		if f.onlyEndpoint == 0 || actions[i].Endpoint == f.onlyEndpoint {
+			f.callTimes = append(f.callTimes, f.now)
+			if f.calls[r]++; f.informed[r] {
+				f.informedCallTimes = append(f.informedCallTimes, f.now)
 			}
-			if c.trackInformed && outcome != OK {
-				c.informed[r] = true
+			if f.trackInformed && outcome != OK {
+				f.informed[r] = true
 			}
 		}
 		e := r.outcome(actions[i].ID, outcome, 0)
@@ -112,20 +112,20 @@
 func TestManySendersOneColdEndpoint(t *testing.T) {
 	for _, n := range []int{20, 60, 400} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
-			c := newFleet(t, n, testSettings())
+			f := newFleet(t, n, testSettings())
 			const backAt = 13000.0 // an outage of 12 s; limit 6 per second, traffic 2.5 per second
-			c.run(backAt, 400, func(float64) Outcome { return ConnectFailed })
-			if len(c.callTimes) == 0 {
+			f.run(backAt, 400, func(float64) Outcome { return ConnectFailed })
+			if len(f.callTimes) == 0 {
 				t.Fatal("no sender tried the endpoint")
 			}
-			for _, r := range c.rigs {
-				c.informed[r] = c.calls[r] > 0
+			for _, r := range f.rigs {
+				f.informed[r] = f.calls[r] > 0
 			}
-			c.callTimes, c.informedCallTimes = nil, nil
-			c.run(backAt+9000, 400, func(float64) Outcome { return OK })
+			f.callTimes, f.informedCallTimes = nil, nil
+			f.run(backAt+9000, 400, func(float64) Outcome { return OK })
 			for from := backAt; from < backAt+9000; from += 250 {
 				budget := 6 * (0.25 + 0.75*(from+1500-backAt)/10000) * 1.5 * 3
-				all, informed := countBetween(c.callTimes, from, from+3000), countBetween(c.informedCallTimes, from, from+3000)
+				all, informed := countBetween(f.callTimes, from, from+3000), countBetween(f.informedCallTimes, from, from+3000)
 				if all > budget && informed >= all*2/3 {
 					t.Fatalf("in the 3 s from %v ms after the return: %v calls, %v by senders that had seen the outage; limit %v",
 						from-backAt, all, informed, budget)
@@ -138,12 +138,12 @@
 // overloadShares returns the largest number of calls in any OverloadWindow after a return, relative to the number
 // that overloads a cold endpoint whose warm capacity is warmRate per second: of all senders, and of those that had
 // seen the outage.
-func (c *fleet) overloadShares(set Settings, backAt, warmRate float64) (total, informed float64) {
+func (f *fleet) overloadShares(set Settings, backAt, warmRate float64) (total, informed float64) {
 	for from := backAt; from+set.OverloadWindow <= backAt+set.WarmUpDuration; from += 100 {
 		cold := warmRate * (set.ColdCapacity + (1-set.ColdCapacity)*(from+set.OverloadWindow/2-backAt)/set.WarmUpDuration)
 		allowed := cold * set.OverloadMultiple * set.OverloadWindow / 1000
-		total = max(total, countBetween(c.callTimes, from, from+set.OverloadWindow)/allowed)
-		informed = max(informed, countBetween(c.informedCallTimes, from, from+set.OverloadWindow)/allowed)
+		total = max(total, countBetween(f.callTimes, from, from+set.OverloadWindow)/allowed)
+		informed = max(informed, countBetween(f.informedCallTimes, from, from+set.OverloadWindow)/allowed)
 	}
 	return total, informed
 }
@@ -154,8 +154,8 @@
 	for _, n := range []int{60, 100, 200, 400} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
 			set := testSettings()
-			c := newFleet(t, n, set, ready(1, 0, 1), ready(2, 0, 1), ready(3, 0, 1))
-			c.onlyEndpoint, c.trackInformed = 2, true
+			f := newFleet(t, n, set, ready(1, 0, 1), ready(2, 0, 1), ready(3, 0, 1))
+			f.onlyEndpoint, f.trackInformed = 2, true
 			const downAt, backAt = 4000.0, 15000.0 // traffic 8 per second for all three, capacity 4 per second each
 			answer := func(now float64) Outcome {
 				if now >= downAt && now < backAt {
@@ -163,10 +163,10 @@
 				}
 				return OK
 			}
-			c.run(backAt, 125, answer)
-			c.callTimes, c.informedCallTimes, c.trackInformed = nil, nil, false
-			c.run(backAt+set.WarmUpDuration, 125, answer)
-			if total, informed := c.overloadShares(set, backAt, 4); informed > 2 { // random variation adds up to as much again
+			f.run(backAt, 125, answer)
+			f.callTimes, f.informedCallTimes, f.trackInformed = nil, nil, false
+			f.run(backAt+set.WarmUpDuration, 125, answer)
+			if total, informed := f.overloadShares(set, backAt, 4); informed > 2 { // random variation adds up to as much again
 				t.Fatalf("calls reach %.2f of the overload, those of senders that had seen the outage %.2f", total, informed)
 			} else {
 				t.Logf("calls %.2f of the overload, of senders that had seen the outage %.2f", total, informed)
@@ -185,8 +185,8 @@
 			var total, informed float64
 			const runs = 5 // each run varies at random
 			for run := range runs {
-				c := newFleet(t, n, set, ready(1, 0, 2))
-				c.submitted, c.trackInformed = uint64(run*17), true
+				f := newFleet(t, n, set, ready(1, 0, 2))
+				f.submitted, f.trackInformed = uint64(run*17), true
 				const downAt, backAt = 16000.0, 30000.0 // traffic 4 per second, capacity 6 per second
 				answer := func(now float64) Outcome {
 					if now >= downAt && now < backAt {
@@ -194,10 +194,10 @@
 					}
 					return OK
 				}
-				c.run(backAt, 250, answer)
-				c.callTimes, c.informedCallTimes, c.trackInformed = nil, nil, false
-				c.run(backAt+set.WarmUpDuration, 250, answer)
-				runTotal, runInformed := c.overloadShares(set, backAt, 6)
+				f.run(backAt, 250, answer)
+				f.callTimes, f.informedCallTimes, f.trackInformed = nil, nil, false
+				f.run(backAt+set.WarmUpDuration, 250, answer)
+				runTotal, runInformed := f.overloadShares(set, backAt, 6)
 				total, informed = total+runTotal/runs, informed+runInformed/runs
 			}
 			t.Logf("calls %.2f of the overload, of senders that had seen the outage %.2f", total, informed)
@@ -239,14 +239,14 @@
 // to near an even share each, for any number of senders.
 func TestPacesOfManySendersFall(t *testing.T) {
 	for _, n := range []int{20, 60, 400} {
-		c := newFleet(t, n, testSettings())
+		f := newFleet(t, n, testSettings())
 		for i := range 3 * n { // each sender holds messages
-			r := c.rigs[i%n]
-			c.submitted++
-			c.answerCalls(r, r.message(c.submitted, classKeyed, 0, 0), func(float64) Outcome { return Full })
+			r := f.rigs[i%n]
+			f.submitted++
+			f.answerCalls(r, r.message(f.submitted, classKeyed, 0, 0), func(float64) Outcome { return Full })
 		}
-		c.run(16000, 0, func(float64) Outcome { return Full })
-		if rate := countBetween(c.callTimes, 11000, 16000) / 5; rate > 0.15*float64(n) {
+		f.run(16000, 0, func(float64) Outcome { return Full })
+		if rate := countBetween(f.callTimes, 11000, 16000) / 5; rate > 0.15*float64(n) {
 			t.Fatalf("%d senders still make %v calls per second", n, rate)
 		}
 	}
@@ -399,39 +399,40 @@
 	rng               *rand.Rand
 }
 
-func (w *limitedPartner) answer(now float64) (Outcome, []float64) {
-	if now-w.windowStart >= 1000 {
-		w.windowStart, w.calls = now, 0
+func (partner *limitedPartner) answer(now float64) (Outcome, []float64) {
+	if now-partner.windowStart >= 1000 {
+		partner.windowStart, partner.calls = now, 0
 	}
-	if now >= w.downAt && now < w.backAt {
+	if now >= partner.downAt && now < partner.backAt {
 		return ConnectFailed, nil
 	}
-	w.calls++
-	report := []float64{max(0, 1-w.calls/w.limit), w.limit * (0.9 + 0.2*w.rng.Float64())}
-	if w.calls > w.limit {
-		w.refused++
+	partner.calls++
+	report := []float64{max(0, 1-partner.calls/partner.limit), partner.limit * (0.9 + 0.2*partner.rng.Float64())}
+	if partner.calls > partner.limit {
+		partner.refused++
 		return Full, report
 	}
-	w.accepted++
+	partner.accepted++
 	return OK, report
 }
 
-// runPoisson advances the fleet against w to a time; messages arrive at random, at the given total rate per second.
-func (c *fleet) runPoisson(to, rate float64, w *limitedPartner) {
-	rng := w.rng
-	next := c.now
-	for c.now < to {
-		c.now += 10
-		for _, r := range c.rigs {
-			r.now = c.now
-			if r.s.timerAt <= c.now {
-				c.answerWithReport(r, r.step(Event{Kind: EvTimer, Token: r.s.timerToken}), w.answer)
+// runPoisson advances the fleet against partner to a time; messages arrive at random, at the given total rate per
+// second.
+func (f *fleet) runPoisson(to, rate float64, partner *limitedPartner) {
+	rng := partner.rng
+	next := f.now
+	for f.now < to {
+		f.now += 10
+		for _, r := range f.rigs {
+			r.now = f.now
+			if r.s.timerAt <= f.now {
+				f.answerWithReport(r, r.step(Event{Kind: EvTimer, Token: r.s.timerToken}), partner.answer)
 			}
 		}
-		for ; next <= c.now; next += rng.ExpFloat64() * 1000 / rate {
-			r := c.rigs[rng.IntN(len(c.rigs))]
-			c.submitted++
-			c.answerWithReport(r, r.message(c.submitted, classKeyed, 0, 0), w.answer)
+		for ; next <= f.now; next += rng.ExpFloat64() * 1000 / rate {
+			r := f.rigs[rng.IntN(len(f.rigs))]
+			f.submitted++
+			f.answerWithReport(r, r.message(f.submitted, classKeyed, 0, 0), partner.answer)
 		}
 	}
 }
@@ -445,8 +446,8 @@
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
 			set := testSettings()
 			set.AllowanceIndex, set.LimitIndex, set.RatingIsRate = 0, 1, true
-			c := newFleet(t, n, set, Endpoint{ID: 1, State: Ready, Kind: 2, Rating: 75})
-			w := &limitedPartner{limit: 60, rng: rand.New(rand.NewPCG(uint64(n), 1))}
+			f := newFleet(t, n, set, Endpoint{ID: 1, State: Ready, Kind: 2, Rating: 75})
+			partner := &limitedPartner{limit: 60, rng: rand.New(rand.NewPCG(uint64(n), 1))}
 			for _, phase := range []struct {
 				name                        string
 				limit, settle               float64
@@ -456,12 +457,12 @@
 				{"fallen", 20, 3000, 9000, 0.7, 0.2},
 				{"back", 60, 4000, 15000, 0.7, 0.06},
 			} {
-				w.limit = phase.limit
-				c.runPoisson(c.now+phase.settle, 60, w)
-				w.accepted, w.refused = 0, 0
-				c.runPoisson(c.now+phase.length, 60, w)
-				used, refused := float64(w.accepted)/(phase.limit*phase.length/1000),
-					float64(w.refused)/float64(w.accepted+w.refused)
+				partner.limit = phase.limit
+				f.runPoisson(f.now+phase.settle, 60, partner)
+				partner.accepted, partner.refused = 0, 0
+				f.runPoisson(f.now+phase.length, 60, partner)
+				used, refused := float64(partner.accepted)/(phase.limit*phase.length/1000),
+					float64(partner.refused)/float64(partner.accepted+partner.refused)
 				t.Logf("%s: %.2f of the limit used, %.3f of the calls refused", phase.name, used, refused)
 				if used < phase.minUsed || refused > phase.maxRefused {
 					t.Errorf("%s: %.2f of the limit used, want %.2f at least; %.3f of the calls refused, want %.2f at most",
@@ -482,18 +483,18 @@
 			t.Run(fmt.Sprint(n, " senders, down ", down), func(t *testing.T) {
 				set := testSettings()
 				set.AllowanceIndex, set.LimitIndex, set.RatingIsRate, set.ColdCapacity, set.WarmUpDuration = 0, 1, true, 0.23, 9100
-				c := newFleet(t, n, set, Endpoint{ID: 1, State: Ready, Kind: 2, Rating: 150})
-				w := &limitedPartner{limit: 150, rng: rand.New(rand.NewPCG(uint64(n), 2))}
+				f := newFleet(t, n, set, Endpoint{ID: 1, State: Ready, Kind: 2, Rating: 150})
+				partner := &limitedPartner{limit: 150, rng: rand.New(rand.NewPCG(uint64(n), 2))}
 				const before, rate = 12000.0, 120.0
-				w.downAt, w.backAt = before, before+down
-				c.trackInformed = true
-				c.runPoisson(w.backAt, rate, w)
-				c.callTimes, c.informedCallTimes, w.accepted, w.refused, c.trackInformed = nil, nil, 0, 0, false
-				c.runPoisson(w.backAt+set.WarmUpDuration, rate, w)
-				c.runPoisson(w.backAt+set.WarmUpDuration+1000, rate, w)
-				total, informed := c.overloadShares(set, w.backAt, 1.15*w.limit)
-				capacity := w.limit * (set.ColdCapacity + 1) / 2 * set.WarmUpDuration / 1000
-				used := countBetween(c.callTimes, w.backAt, w.backAt+set.WarmUpDuration) / capacity
+				partner.downAt, partner.backAt = before, before+down
+				f.trackInformed = true
+				f.runPoisson(partner.backAt, rate, partner)
+				f.callTimes, f.informedCallTimes, partner.accepted, partner.refused, f.trackInformed = nil, nil, 0, 0, false
+				f.runPoisson(partner.backAt+set.WarmUpDuration, rate, partner)
+				f.runPoisson(partner.backAt+set.WarmUpDuration+1000, rate, partner)
+				total, informed := f.overloadShares(set, partner.backAt, 1.15*partner.limit)
+				capacity := partner.limit * (set.ColdCapacity + 1) / 2 * set.WarmUpDuration / 1000
+				used := countBetween(f.callTimes, partner.backAt, partner.backAt+set.WarmUpDuration) / capacity
 				t.Logf("calls %.2f of the overload, of senders that had seen the outage %.2f; %.2f of the capacity used until warm",
 					total, informed, used)
 				if total > 1 || used < 0.6 { // including senders that had not seen the outage
@@ -512,11 +513,11 @@
 	for _, n := range []int{20, 80, 200} {
 		for _, eps := range [][]Endpoint{{ready(1, 0, 2), ready(2, 0, 2)}, {ready(1, 0, 2), ready(2, 0, 2), ready(3, 0, 2)}} {
 			for _, ep := range eps {
-				c := newFleet(t, n, testSettings(), eps...)
-				c.onlyEndpoint = ep.ID
-				c.run(21000, 10, func(float64) Outcome { return OK })
-				even := float64(c.submitted) / float64(len(eps))
-				if got := float64(len(c.callTimes)); got < 0.8*even || got > 1.2*even {
+				f := newFleet(t, n, testSettings(), eps...)
+				f.onlyEndpoint = ep.ID
+				f.run(21000, 10, func(float64) Outcome { return OK })
+				even := float64(f.submitted) / float64(len(eps))
+				if got := float64(len(f.callTimes)); got < 0.8*even || got > 1.2*even {
 					t.Errorf("%d senders: endpoint %d of %d received %.0f calls, an even part is %.0f",
 						n, ep.ID, len(eps), got, even)
 				}
@@ -527,14 +528,14 @@
 
 // restart ends a sender and starts it again with its facts, the list and the messages it held, as restored from the
 // journal.
-func (c *fleet) restart(r *rig, seed uint64, eps ...Endpoint) *rig {
-	f, _ := r.s.Facts(0)
-	events := []Event{{Kind: EvFacts, Facts: []DestFacts{f}}, {Kind: EvList, FullList: true, List: eps}}
-	next := &rig{t: r.t, s: New(r.s.settings, seed), now: c.now,
+func (f *fleet) restart(r *rig, seed uint64, eps ...Endpoint) *rig {
+	facts, _ := r.s.Facts(0)
+	events := []Event{{Kind: EvFacts, Facts: []DestFacts{facts}}, {Kind: EvList, FullList: true, List: eps}}
+	next := &rig{t: r.t, s: New(r.s.settings, seed), now: f.now,
 		attempts: map[uint64]int{}, lastEndpoint: map[uint64]uint32{}}
 	for id, m := range r.s.messages {
 		next.attempts[id] = m.attempts
-		events = append(events, Event{Kind: EvMessage, ID: id, Class: classKeyed, Remaining: m.deadline - c.now,
+		events = append(events, Event{Kind: EvMessage, ID: id, Class: classKeyed, Remaining: m.deadline - f.now,
 			Restored: true, Attempts: m.attempts})
 	}
 	slices.SortFunc(events[2:], func(a, b Event) int { return cmp.Compare(a.ID, b.ID) })
@@ -551,39 +552,40 @@
 			set := testSettings()
 			set.AllowanceIndex, set.LimitIndex, set.RatingIsRate = 0, 1, true
 			eps := []Endpoint{{ID: 1, State: Ready, Kind: 2, Rating: 60}}
-			c := newFleet(t, n, set, eps...)
-			c.finalAnswers = map[uint64]int{}
-			w := &limitedPartner{limit: 60, rng: rand.New(rand.NewPCG(uint64(n), 3))}
-			c.runPoisson(9000, 70, w)
+			f := newFleet(t, n, set, eps...)
+			f.finalAnswers = map[uint64]int{}
+			partner := &limitedPartner{limit: 60, rng: rand.New(rand.NewPCG(uint64(n), 3))}
+			f.runPoisson(9000, 70, partner)
 			const wait = 1500.0
 			killed := n * 7 / 10
-			for i, r := range c.rigs {
-				r.s.destinations[0].sharedRoute.waitUntil = c.now + wait
+			for i, r := range f.rigs {
+				r.s.destinations[0].sharedRoute.waitUntil = f.now + wait
 				if i < killed {
-					r.now = c.now
-					c.rigs[i] = c.restart(r, uint64(1000+i), eps...)
+					r.now = f.now
+					f.rigs[i] = f.restart(r, uint64(1000+i), eps...)
 				}
 			}
-			until := c.now + wait
-			w.accepted, w.refused = 0, 0
-			for _, r := range c.rigs[:killed] {
-				c.answerWithReport(r, r.lastActions, w.answer) // the calls made at the start
+			until := f.now + wait
+			partner.accepted, partner.refused = 0, 0
+			for _, r := range f.rigs[:killed] {
+				f.answerWithReport(r, r.lastActions, partner.answer) // the calls made at the start
 			}
-			c.runPoisson(until-20, 70, w)
-			if w.accepted+w.refused > 0 {
-				t.Fatalf("%d calls during a requested wait", w.accepted+w.refused)
+			f.runPoisson(until-20, 70, partner)
+			if partner.accepted+partner.refused > 0 {
+				t.Fatalf("%d calls during a requested wait", partner.accepted+partner.refused)
 			}
-			c.runPoisson(until+10000, 70, w)
-			if refused := float64(w.refused) / float64(w.accepted+w.refused); refused > 0.25 || w.accepted < 400 {
+			f.runPoisson(until+10000, 70, partner)
+			if refused := float64(partner.refused) / float64(partner.accepted+partner.refused); refused > 0.25 ||
+				partner.accepted < 400 {
 				t.Errorf("%d calls accepted in 10 s, want 400 at least; %.2f of the calls refused, want 0.25 at most",
-					w.accepted, refused)
+					partner.accepted, refused)
 			} else {
-				t.Logf("%d calls accepted in 10 s, %.2f refused", w.accepted, refused)
+				t.Logf("%d calls accepted in 10 s, %.2f refused", partner.accepted, refused)
 			}
-			c.runPoisson(c.now+25000, 1e-6, w) // until all messages have ended
-			for id := uint64(1); id <= c.submitted; id++ {
-				if c.finalAnswers[id] != 1 {
-					t.Fatalf("message %d has %d final answers", id, c.finalAnswers[id])
+			f.runPoisson(f.now+25000, 1e-6, partner) // until all messages have ended
+			for id := uint64(1); id <= f.submitted; id++ {
+				if f.finalAnswers[id] != 1 {
+					t.Fatalf("message %d has %d final answers", id, f.finalAnswers[id])
 				}
 			}
 		})
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -1108,16 +1108,16 @@
 		ep.failedTrials++
 	}
 	ep.breaker = open
-	n := s.senders()
+	senders := s.senders()
 	minPause := s.minFailurePause()
 	if ep.failures == 0 { // opened by refusals alone, which may come from a limit
 		minPause *= refusalPauseShare
 	}
 	pause := max(min(minTrialPause*math.Pow(1.5, float64(ep.failedTrials)), maxTrialBackoff), minPause)
 	from := max(s.now, ep.route.waitUntil) // senders with a requested wait come back at its end
-	pause = max(pause, min(trialPauseAgeFactor*(from-ep.openedAt), maxAgePausePerSender*n))
+	pause = max(pause, min(trialPauseAgeFactor*(from-ep.openedAt), maxAgePausePerSender*senders))
 	// Where this sender holds several messages, most senders hold some.
-	pause = max(pause, n*denseTrialPause*min(float64(len(ep.dest.queue)-1)/2, 1))
+	pause = max(pause, senders*denseTrialPause*min(float64(len(ep.dest.queue)-1)/2, 1))
 	ep.nextTrial = s.advanceTrial(ep.route, from+s.jittered(pause))
 	for _, other := range ep.dest.endpoints { // endpoints of one destination recover and are overloaded together
 		s.followBreaker(other, ep)
--- a/policy/state.go
+++ b/policy/state.go
@@ -139,7 +139,7 @@
 	answeredError    bool        // the last failure was an error answer: an open breaker lets some calls through
 	failureShare     float64     // EWMA
 	timeoutBackoff   float64     // factor on time-outs, doubled by each time-out
-	unresponsive     bool        // the last failure was silence
+	unresponsive     bool        // the last failure was a time-out of the call or of its connection
 	failedTrials     int         // since the breaker opened
 	openedAt         float64     // when the breaker opened
 	nextTrial        float64     // earliest time of the next trial
@@ -208,16 +208,16 @@
 // timerHeap orders send timers by time, then by creation.
 type timerHeap []sendTimer
 
-func (w timerHeap) Len() int { return len(w) }
-func (w timerHeap) Less(i, j int) bool {
-	return w[i].at < w[j].at || w[i].at == w[j].at && w[i].seq < w[j].seq
+func (h timerHeap) Len() int { return len(h) }
+func (h timerHeap) Less(i, j int) bool {
+	return h[i].at < h[j].at || h[i].at == h[j].at && h[i].seq < h[j].seq
 }
-func (w timerHeap) Swap(i, j int) { w[i], w[j] = w[j], w[i] }
-func (w *timerHeap) Push(x any)   { *w = append(*w, x.(sendTimer)) }
-func (w *timerHeap) Pop() any {
-	old := *w
+func (h timerHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
+func (h *timerHeap) Push(x any)   { *h = append(*h, x.(sendTimer)) }
+func (h *timerHeap) Pop() any {
+	old := *h
 	x := old[len(old)-1]
-	*w = old[:len(old)-1]
+	*h = old[:len(old)-1]
 	return x
 }
 
--- a/policy/wait_cause.go
+++ b/policy/wait_cause.go
@@ -18,7 +18,7 @@
 
 // EachWaiting calls visit for each destination with queued messages, with the cause at the endpoint that is nearest
 // to a call.
-func (s *Sender) EachWaiting(visit func(dest int, why WaitCause)) {
+func (s *Sender) EachWaiting(visit func(dest int, cause WaitCause)) {
 	for _, d := range s.waiting {
 		if len(d.queue) == 0 {
 			continue
@@ -33,25 +33,26 @@
 	}
 }
 
-// Overview counts the endpoints whose breaker is open and those that are ramping, and adds up the advertised limits.
-func (s *Sender) Overview() (broken, warming int, told float64) {
+// Overview returns the number of endpoints whose breaker is open, of those that are ramping, and the sum of the
+// advertised limits.
+func (s *Sender) Overview() (openCount, rampingCount int, limitSum float64) {
 	for _, d := range s.destinations {
 		if d.sharedRoute != nil {
-			told += d.sharedRoute.advertisedLimit
+			limitSum += d.sharedRoute.advertisedLimit
 		}
 		for _, ep := range d.endpoints {
 			switch ep.breaker {
 			case open:
-				broken++
+				openCount++
 			case ramping:
-				warming++
+				rampingCount++
 			}
 			if ep.route != d.sharedRoute {
-				told += ep.route.advertisedLimit
+				limitSum += ep.route.advertisedLimit
 			}
 		}
 	}
-	return broken, warming, told
+	return openCount, rampingCount, limitSum
 }
 
 // causeAt returns why ep, which is ready, is not called.
