--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -48,7 +48,7 @@
 			record := &batch.Records[i]
 			inst := instances[record.Instance]
 			switch {
-			case record.What == wire.Start:
+			case record.Kind == wire.KindStart:
 				if inst == nil {
 					inst = &instance{id: record.Instance}
 					instances[record.Instance] = inst
@@ -56,7 +56,7 @@
 				inst.sender, inst.events = policy.New(record.Settings, record.Seed), inst.events[:0]
 			case inst == nil || inst.sender == nil:
 				continue
-			case record.What == wire.Stop:
+			case record.Kind == wire.KindStop:
 				inst.sender, inst.events = nil, inst.events[:0]
 				continue
 			default:
--- /dev/null
+++ b/internal/sender/firstmessage_test.go
@@ -0,0 +1,164 @@
+package sender
+
+import (
+	"encoding/json"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"net/http/httptest"
+	"strings"
+	"testing"
+	"time"
+
+	"sliptide/internal/outbound"
+)
+
+// bulkPartner receives bulk calls and answers each on demand, with all messages accepted.
+type bulkPartner struct {
+	*httptest.Server
+	calls  chan []string
+	answer chan struct{}
+	closed chan struct{} // the sender closed the connection of a call
+}
+
+func newBulkPartner(t *testing.T) *bulkPartner {
+	p := &bulkPartner{calls: make(chan []string, 10), answer: make(chan struct{}), closed: make(chan struct{}, 10)}
+	p.Server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
+		var items []struct{ ID string }
+		json.NewDecoder(q.Body).Decode(&items)
+		var ids, ends []string
+		for _, it := range items {
+			ids = append(ids, it.ID)
+			ends = append(ends, fmt.Sprintf(`{"id":%q,"state":"accepted"}`, it.ID))
+		}
+		p.calls <- ids
+		select {
+		case <-p.answer:
+			io.WriteString(w, "["+strings.Join(ends, ",")+"]")
+		case <-q.Context().Done():
+			p.closed <- struct{}{}
+		}
+	}))
+	t.Cleanup(p.Server.Close)
+	return p
+}
+
+// answerNow answers the call in progress, unless its connection was closed.
+func (p *bulkPartner) answerNow() {
+	select {
+	case p.answer <- struct{}{}:
+	case <-p.closed:
+	}
+}
+
+// startBulkCall starts a call of two messages. The first has little time left; it is first because its client has surely
+// been answered.
+func startBulkCall(t *testing.T) (b *testSender, p *bulkPartner, first, other *message) {
+	t.Helper()
+	p = newBulkPartner(t)
+	b = newTestSender(t, t.TempDir(), "", testSettings())
+	b.listedDests[3] = true
+	b.submit("leader", 0, 1500*time.Millisecond)
+	b.runStep() // no endpoint is listed yet
+	first = b.messages[b.numByTrace["leader"]]
+	first.acceptedAt -= 2 * disconnectDetectionMS
+	b.submit("other", 2, 20*time.Second)
+	other = b.messages[b.numByTrace["other"]]
+	b.listEndpoint(p.Listener.Addr().String())
+	b.runStep()
+	select {
+	case ids := <-p.calls:
+		if len(ids) != 2 || ids[0] != "leader" {
+			t.Fatalf("the call has messages %v, want the first message and another", ids)
+		}
+	case <-time.After(testTimeout):
+		t.Fatal("no call received")
+	}
+	return b, p, first, other
+}
+
+func (b *testSender) wantMayHaveRun(m *message) {
+	b.t.Helper()
+	if m.MayHaveRunAt == 0 {
+		b.t.Errorf("%s is not recorded as possibly delivered: %+v", m.Trace, m.Entry)
+	}
+}
+
+// The first message of a call ends before the answer, which names the others as accepted.
+func TestFirstMessageEndsBeforeAnswer(t *testing.T) {
+	b, p, _, other := startBulkCall(t)
+	b.await("the first message does not end", func() bool { return len(b.notices) > 0 })
+	p.answerNow()
+	b.await("the call does not end", func() bool { return len(b.calls) == 0 })
+	b.wantMayHaveRun(other)
+}
+
+// The answer is read first, but a step ends the first message before the answer is handled.
+func TestAnswerIsReadBeforeFirstMessageEnds(t *testing.T) {
+	b, p, first, other := startBulkCall(t)
+	p.answer <- struct{}{}
+	for end := time.Now().Add(testTimeout); len(b.inputs) == 0; time.Sleep(time.Millisecond) {
+		if time.Now().After(end) {
+			t.Fatal("no answer received")
+		}
+	}
+	first.attemptDeadline = 0 // it times out while the answer is queued
+	b.runStep()
+	b.await("the call does not end", func() bool { return len(b.calls) == 0 })
+	b.wantMayHaveRun(other)
+}
+
+// The client of the first message is found to be gone during the call.
+func TestFirstMessageIsWithdrawn(t *testing.T) {
+	b, p, first, other := startBulkCall(t)
+	b.handleInput(input{withdrawn: first.Num})
+	p.answerNow()
+	b.await("the call does not end", func() bool { return len(b.calls) == 0 })
+	b.wantMayHaveRun(other)
+}
+
+// Any other message of a call can end without ending the call.
+func TestOtherThanFirstMessageEnds(t *testing.T) {
+	b, p, first, other := startBulkCall(t)
+	other.attemptDeadline = 0
+	b.runStep()
+	if other.call != nil || first.call == nil || first.call.Abandoned() {
+		t.Fatal("the call is abandoned, or still has the message that ended")
+	}
+	p.answer <- struct{}{}
+	b.await("the call does not end", func() bool { return len(b.calls) == 0 })
+	if !b.ended.ids["leader"] {
+		t.Error("the first message is not delivered")
+	}
+}
+
+// A call that is abandoned right before it is written must not be written.
+func TestCallAbandonedBeforeWrite(t *testing.T) {
+	ln := listen(t)
+	b := newTestSender(t, t.TempDir(), "", testSettings())
+	c := &outbound.Call{Endpoint: 1, Addr: ln.Addr().String(), Dest: 3, SentAt: time.Now(), Timeout: testTimeout,
+		Items: []outbound.Item{{ID: 7, Trace: "a"}, {ID: 8, Trace: "b"}}}
+	c.MayStart = func() bool { c.Abandon(); return true }
+	b.pool.Go(c)
+	in := <-b.inputs
+	for _, e := range in.events {
+		if !e.Outcome.NeverRan() {
+			t.Errorf("outcome %v of a call that was not written", e.Outcome)
+		}
+	}
+	nc, err := ln.Accept()
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer nc.Close()
+	nc.SetReadDeadline(time.Now().Add(testTimeout))
+	if n, err := nc.Read(make([]byte, 1)); n > 0 || err == nil || isTimeout(err) {
+		t.Errorf("read %d bytes, %v, want a close with nothing written", n, err)
+	}
+}
+
+func isTimeout(err error) bool {
+	e, ok := err.(net.Error)
+	return ok && e.Timeout()
+}
