--- a/cmd/sliptide/source.go
+++ b/cmd/sliptide/source.go
@@ -71,8 +71,8 @@
 	view := sharding.NewView(&cfg.Settings, log)
 	o := subscriber.Options{Name: cfg.Name, Region: set.Region, Zone: set.Zone, Weight: uint32(set.Weight), TLS: with, Log: log, Now: fleet.Now,
 		Hold: snd.HeldShards(), Released: view.Forget,
-		Apply: func(a *directory.Applied) {
-			snd.UpdateShards(view.Take(a))
+		Apply: func(a *directory.AppliedUpdate) {
+			snd.UpdateShards(view.Apply(a))
 			if len(a.Assigned) > 0 {
 				log.Info().Int("assigned", len(a.Assigned)).Int("endpoints", view.Len()).Uint64("version", a.To).Msg("directory: shards assigned")
 				listed()
--- a/internal/cli/control.go
+++ b/internal/cli/control.go
@@ -65,9 +65,9 @@
 	}
 	answered := 0
 	for _, m := range set.Members {
-		a, err := askAt(m.Directory, with, &pb.Ask{Status: &pb.Status{}})
+		a, err := askAt(m.DirectoryAddr, with, &pb.Ask{Status: &pb.Status{}})
 		if err != nil {
-			fmt.Fprintf(env.Err, "%s at %s: %v\n", m.Name, m.Directory, err)
+			fmt.Fprintf(env.Err, "%s at %s: %v\n", m.Name, m.DirectoryAddr, err)
 			continue
 		}
 		answered++
@@ -79,7 +79,7 @@
 		if err := json.Unmarshal([]byte(a.Status), &s); err != nil {
 			return err
 		}
-		fmt.Fprintf(env.Out, "%s: leader %q, version %d, discovery's %d, %d endpoints, %d members, %d subscribed here\n", s.Name, s.Leader, s.Version, s.Source, s.Endpoints, s.Members, s.Subscribers)
+		fmt.Fprintf(env.Out, "%s: leader %q, version %d, discovery's %d, %d endpoints, %d members, %d subscribed here\n", s.Name, s.Leader, s.Version, s.DiscoveryVersion, s.Endpoints, s.Members, s.Subscribers)
 	}
 	if answered == 0 {
 		return fmt.Errorf("no control member answers")
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -44,13 +44,13 @@
 
 // Status is what a control member tells operators.
 type Status struct {
-	Name        string `json:"name"`
-	Leader      string `json:"leader"` // empty: none is known
-	Version     uint64 `json:"version"`
-	Source      uint64 `json:"source"` // the version of discovery
-	Endpoints   int    `json:"endpoints"`
-	Members     int    `json:"members"`
-	Subscribers int    `json:"subscribers"` // here
+	Name             string `json:"name"`
+	Leader           string `json:"leader"` // empty: none is known
+	Version          uint64 `json:"version"`
+	DiscoveryVersion uint64 `json:"source"` // the version of discovery
+	Endpoints        int    `json:"endpoints"`
+	Members          int    `json:"members"`
+	Subscribers      int    `json:"subscribers"` // here
 }
 
 // Control is a control member. Its state belongs to the goroutine of Run.
@@ -109,23 +109,23 @@
 	if err != nil {
 		return nil, err
 	}
-	if err := os.MkdirAll(s.State, 0o700); err != nil {
+	if err := os.MkdirAll(s.StateDir, 0o700); err != nil {
 		return nil, err
 	}
 	groupListener, err := net.Listen("tcp", c.self.Addr)
 	if err != nil {
 		return nil, fmt.Errorf("addr: %w", err)
 	}
-	directoryListener, err := net.Listen("tcp", c.self.Directory)
+	directoryListener, err := net.Listen("tcp", c.self.DirectoryAddr)
 	if err != nil {
 		return nil, errors.Join(fmt.Errorf("directory: %w", err), groupListener.Close())
 	}
-	set := fleet.Settings{Name: s.Name, Weight: 1, Terms: lease.Terms{Length: s.Lease, Drift: s.Drift}, Election: s.Election, Hash: s.hash(), Client: client, Server: server}
+	set := fleet.Settings{Name: s.Name, Weight: 1, Terms: lease.Terms{Length: s.Lease, Drift: s.ClockDrift}, Election: s.ElectionTimeout, Hash: s.hash(), Client: client, Server: server}
 	for _, m := range s.Members {
 		set.Members = append(set.Members, fleet.Peer{Name: m.Name, Addr: m.Addr, Zone: m.Region, Voter: m.Voter})
 	}
 	set.Minimum = len(set.Voters())
-	c.member, err = fleet.Open(fleet.Options{Settings: set, Files: fsys.OS{Dir: s.State}, Log: o.Log, Watch: c.heardOfLeader}, groupListener)
+	c.member, err = fleet.Open(fleet.Options{Settings: set, Files: fsys.OS{Dir: s.StateDir}, Log: o.Log, Watch: c.heardOfLeader}, groupListener)
 	if err != nil {
 		return nil, errors.Join(err, groupListener.Close(), directoryListener.Close())
 	}
@@ -141,7 +141,7 @@
 
 // hash is of what must be alike in all control members' files.
 func (s *Settings) hash() uint64 {
-	text := fmt.Sprint(s.Lease, s.Drift, s.Election, s.Replicas)
+	text := fmt.Sprint(s.Lease, s.ClockDrift, s.ElectionTimeout, s.Replicas)
 	for _, m := range s.Members {
 		if m.Voter {
 			text += " " + m.Name
@@ -155,7 +155,7 @@
 	list := map[string]string{}
 	for _, m := range c.o.Settings.Members {
 		if c.self.Name < m.Name {
-			list[m.Name] = m.Directory
+			list[m.Name] = m.DirectoryAddr
 		}
 	}
 	return list
@@ -216,7 +216,7 @@
 func (c *Control) Run(ctx context.Context) {
 	tick := time.NewTicker(tickEvery)
 	defer tick.Stop()
-	c.o.Log.Info().Str("directory", c.self.Directory).Msg("control member started")
+	c.o.Log.Info().Str("directory", c.self.DirectoryAddr).Msg("control member started")
 	for ctx.Err() == nil {
 		select {
 		case <-ctx.Done():
@@ -247,7 +247,7 @@
 		c.publisher.Receive(in.from, in.frame, now)
 	case *pb.Frame_Report:
 		if c.lead != nil {
-			again := c.lead.roster.Report(in.from, c.regionOf(in.from), w.Report, now)
+			again := c.lead.roster.HandleReport(in.from, c.regionOf(in.from), w.Report, now)
 			c.net.Send(in.from, &pb.Frame{What: &pb.Frame_Reported{Reported: &pb.Reported{Seq: w.Report.Seq, Again: again}}})
 		}
 	case *pb.Frame_Reported:
@@ -260,21 +260,21 @@
 }
 
 // learn takes what the member that leads has told.
-func (c *Control) learn(a *directory.Applied) {
+func (c *Control) learn(a *directory.AppliedUpdate) {
 	if a == nil {
 		return
 	}
-	change, err := c.dir.Take(a)
+	change, err := c.dir.ApplyUpdate(a)
 	switch {
-	case errors.Is(err, directory.ErrOld):
+	case errors.Is(err, directory.ErrStale):
 	case err == nil && a.AllShards:
-		c.publisher.Changed(change)
+		c.publisher.ApplyChange(change)
 		go debug.FreeOSMemory() // what the snapshot's parts took: several times what is kept
 	case err != nil: // the next subscription begins with a snapshot
 		c.o.Log.Error().Err(err).Msg("directory: an update does not fit")
 		c.follows.Resume(0)
 	default:
-		c.publisher.Changed(change)
+		c.publisher.ApplyChange(change)
 	}
 }
 
@@ -283,7 +283,7 @@
 	c.seeWhoLeads(ctx, now)
 	if c.lead != nil {
 		c.admitMembers(now)
-	} else if c.follows.Tick(now); c.follows.Lost() && c.followed != "" {
+	} else if c.follows.Tick(now); c.follows.ShouldReconnect() && c.followed != "" {
 		c.follows.Connect(c.followed, now)
 	}
 	c.report(now)
@@ -292,7 +292,7 @@
 		return
 	}
 	c.statusAt = now
-	c.status.Store(&Status{Name: c.self.Name, Leader: c.leaderName(), Version: c.dir.Version(), Source: c.dir.Source(), Endpoints: c.dir.Len(),
+	c.status.Store(&Status{Name: c.self.Name, Leader: c.leaderName(), Version: c.dir.Version(), DiscoveryVersion: c.dir.DiscoveryVersion(), Endpoints: c.dir.Len(),
 		Members: len(c.dir.Members()), Subscribers: len(c.publisher.Subscribers())})
 }
 
@@ -320,9 +320,9 @@
 	c.lead = &leadership{token: token, roster: directory.NewRoster(c.regions(), now), stop: stop}
 	c.followed, c.again = "", true
 	c.o.Log.Info().Uint64("token", token).Uint64("version", c.dir.Version()).Msg("directory: leads")
-	c.publish(c.dir.Source(), nil, nil, nil)
+	c.publish(c.dir.DiscoveryVersion(), nil, nil, nil)
 	// The watch goes on where the leader before had come to.
-	watch := discovery.NewDirectoryWatch(c.o.Settings.Discovery, c.dir.Source(), int(c.o.Settings.MaxList), rand.Uint64(), c.o.Log, func(l discovery.List) {
+	watch := discovery.NewDirectoryWatch(c.o.Settings.DiscoveryAddr, c.dir.DiscoveryVersion(), int(c.o.Settings.MaxListBytes), rand.Uint64(), c.o.Log, func(l discovery.List) {
 		c.toLoop(watching, token, l)
 	})
 	go watch.Run(watching)
@@ -364,11 +364,11 @@
 	}
 	changed := l.endpoints
 	if l.full {
-		changed = c.dir.Difference(l.endpoints)
+		changed = c.dir.Diff(l.endpoints)
 	}
 	for i := range changed {
 		if e := &changed[i]; e.State == pb.EndpointState_REMOVED {
-			if destination, held := c.dir.Locate(e.ID); held {
+			if destination, held := c.dir.DestinationOf(e.ID); held {
 				e.Destination = destination
 			}
 		}
@@ -383,7 +383,7 @@
 		return
 	}
 	if change, news := c.dir.Publish(directory.FirstVersion(c.lead.token), source, endpoints, joined, left); news {
-		c.publisher.Changed(change)
+		c.publisher.ApplyChange(change)
 	}
 }
 
@@ -395,7 +395,7 @@
 	c.lead.rosterAt = now
 	joined, left := c.lead.roster.Tick(c.dir.Members(), now)
 	if len(joined)+len(left) > 0 {
-		c.publish(c.dir.Source(), nil, joined, left)
+		c.publish(c.dir.DiscoveryVersion(), nil, joined, left)
 	}
 }
 
@@ -409,16 +409,16 @@
 		return
 	}
 	members := c.publisher.Subscribers()
-	sum := directory.Sum(members)
+	sum := directory.NameHashSum(members)
 	changed := c.again || sum != c.reported
 	if !changed && now-c.reportAt < int64(reportEvery) {
 		return
 	}
 	c.reportSeq++
-	r := directory.ReportOf(c.reportSeq, members, changed)
+	r := directory.NewReport(c.reportSeq, members, changed)
 	c.reportAt, c.reported, c.again = now, sum, false
 	if c.lead != nil {
-		c.again = c.lead.roster.Report(c.self.Name, c.self.Region, r, now)
+		c.again = c.lead.roster.HandleReport(c.self.Name, c.self.Region, r, now)
 		return
 	}
 	c.net.Send(leader, &pb.Frame{What: &pb.Frame_Report{Report: r}})
@@ -426,10 +426,10 @@
 
 // flush sends what the publisher and the subscription have made.
 func (c *Control) flush() {
-	for _, o := range c.publisher.Take() {
+	for _, o := range c.publisher.TakeFrames() {
 		c.net.Send(o.To, o.Frame)
 	}
-	for _, o := range c.follows.Take() {
+	for _, o := range c.follows.TakeFrames() {
 		c.net.Send(o.To, o.Frame)
 	}
 }
--- a/internal/control/settings.go
+++ b/internal/control/settings.go
@@ -17,26 +17,26 @@
 
 // Member is one control member by the settings.
 type Member struct {
-	Name      string
-	Addr      string // where it takes links of the group
-	Directory string // where it takes links of subscribers
-	Region    string
-	Voter     bool
+	Name          string
+	Addr          string // where it takes links of the group
+	DirectoryAddr string // where it takes links of subscribers
+	Region        string
+	Voter         bool
 }
 
 // Settings are what a control member is told.
 type Settings struct {
-	Name      string // of this member
-	State     string // its folder
-	Discovery string // address of the discovery agent
-	Replicas  int
-	Members   []Member
-	Lease     time.Duration
-	Drift     float64
-	Election  time.Duration
-	CA        string
-	Cert, Key string
-	MaxList   int64 // bytes of the list that discovery answers with
+	Name            string // of this member
+	StateDir        string // its folder
+	DiscoveryAddr   string // address of the discovery agent
+	Replicas        int
+	Members         []Member
+	Lease           time.Duration
+	ClockDrift      float64
+	ElectionTimeout time.Duration
+	CA              string
+	Cert, Key       string
+	MaxListBytes    int64 // bytes of the list that discovery answers with
 }
 
 // Self is this member's own line.
@@ -62,10 +62,10 @@
 		Attrs: []attribute{
 			{Name: "version", Required: true, Doc: "The form of this file.", Values: strictxml.OneOf("1")},
 			{Name: "name", Required: true, Doc: "This member's name, one of those below.", Values: name, Text: func(s *Settings, v string) { s.Name = v }},
-			{Name: "state", Required: true, Doc: "The folder that lasts, which belongs to this member alone.", Values: path, Text: func(s *Settings, v string) { s.State = v }},
-			{Name: "discovery", Required: true, Doc: "Address of the discovery agent.", Values: addr, Text: func(s *Settings, v string) { s.Discovery = v }},
+			{Name: "state", Required: true, Doc: "The folder that lasts, which belongs to this member alone.", Values: path, Text: func(s *Settings, v string) { s.StateDir = v }},
+			{Name: "discovery", Required: true, Doc: "Address of the discovery agent.", Values: addr, Text: func(s *Settings, v string) { s.DiscoveryAddr = v }},
 			{Name: "replicas", Fallback: "2", Doc: "Senders of each region that serve a destination; alike in all members' files and the senders'.", Values: strictxml.Whole(1, 5), Put: func(s *Settings, v int64) { s.Replicas = int(v) }},
-			{Name: "max-list", Fallback: "1GiB", Doc: "The longest list of endpoints that is read.", Values: strictxml.Sized(64<<10, 1<<34), Put: func(s *Settings, v int64) { s.MaxList = v }},
+			{Name: "max-list", Fallback: "1GiB", Doc: "The longest list of endpoints that is read.", Values: strictxml.Sized(64<<10, 1<<34), Put: func(s *Settings, v int64) { s.MaxListBytes = v }},
 			{Name: "ca", Doc: "CA certificates in PEM that the members' and senders' own are signed by. With cert and key: links use TLS both ways.", Values: path, Text: func(s *Settings, v string) { s.CA = v }},
 			{Name: "cert", Doc: "This member's certificate in PEM.", Values: path, Text: func(s *Settings, v string) { s.Cert = v }},
 			{Name: "key", Doc: "Its key in PEM, which nobody else may read.", Values: path, Text: func(s *Settings, v string) { s.Key = v }},
@@ -76,7 +76,7 @@
 			Attrs: []attribute{
 				{Name: "name", Required: true, Doc: "Its name.", Values: name, Text: func(s *Settings, v string) { last(s).Name = v }},
 				{Name: "addr", Required: true, Doc: "Where it takes links of the other control members' group.", Values: addr, Text: func(s *Settings, v string) { last(s).Addr = v }},
-				{Name: "directory", Required: true, Doc: "Where it takes links of senders and control members that subscribe.", Values: addr, Text: func(s *Settings, v string) { last(s).Directory = v }},
+				{Name: "directory", Required: true, Doc: "Where it takes links of senders and control members that subscribe.", Values: addr, Text: func(s *Settings, v string) { last(s).DirectoryAddr = v }},
 				{Name: "region", Required: true, Doc: "Where it stands.", Values: name, Text: func(s *Settings, v string) { last(s).Region = v }},
 				{Name: "voter", Fallback: "false", Doc: "It votes on who leads. 3 or 5 members do, in different regions where there are several.", Values: strictxml.OneOf("false", "true"), Put: func(s *Settings, v int64) { last(s).Voter = v == 1 }},
 			},
@@ -84,8 +84,8 @@
 			Name: "duties", Doc: "How long the member that leads may rely on it.",
 			Attrs: []attribute{
 				{Name: "lease", Fallback: "2s", Doc: "A leader that is cut off or stopped gives up within it; at least twice the election time.", Values: strictxml.Between(200*time.Millisecond, time.Minute), Put: func(s *Settings, v int64) { s.Lease = time.Duration(v) }},
-				{Name: "drift", Fallback: "0.05", Doc: "The share by which a member's clock may run fast or slow.", Values: strictxml.OneOf("0.01", "0.02", "0.05", "0.1", "0.2"), Put: func(s *Settings, v int64) { s.Drift = drifts[v] }},
-				{Name: "election", Fallback: "500ms", Doc: "A voter that hears nothing of a leader for so long asks to lead.", Values: strictxml.Between(100*time.Millisecond, 20*time.Second), Put: func(s *Settings, v int64) { s.Election = time.Duration(v) }},
+				{Name: "drift", Fallback: "0.05", Doc: "The share by which a member's clock may run fast or slow.", Values: strictxml.OneOf("0.01", "0.02", "0.05", "0.1", "0.2"), Put: func(s *Settings, v int64) { s.ClockDrift = drifts[v] }},
+				{Name: "election", Fallback: "500ms", Doc: "A voter that hears nothing of a leader for so long asks to lead.", Values: strictxml.Between(100*time.Millisecond, 20*time.Second), Put: func(s *Settings, v int64) { s.ElectionTimeout = time.Duration(v) }},
 			},
 		}},
 	}
@@ -105,7 +105,7 @@
 	if what, allowed := s.check(); what != "" {
 		return nil, &strictxml.Error{File: path, What: what, Allowed: allowed}
 	}
-	for _, name := range []*string{&s.State, &s.CA, &s.Cert, &s.Key} {
+	for _, name := range []*string{&s.StateDir, &s.CA, &s.Cert, &s.Key} {
 		if *name != "" && !filepath.IsAbs(*name) {
 			*name = filepath.Join(filepath.Dir(path), *name)
 		}
@@ -121,7 +121,7 @@
 		if m.Voter {
 			voters++
 		}
-		for _, addr := range []string{m.Addr, m.Directory} {
+		for _, addr := range []string{m.Addr, m.DirectoryAddr} {
 			if bad := checkAddr(addr, s.Cert != ""); bad != "" {
 				return fmt.Sprintf("member %q: address %q", m.Name, addr), bad
 			}
@@ -136,8 +136,8 @@
 		return fmt.Sprintf("%d members have voter=\"true\"", voters), "3 or 5, so that a majority stays when one or two are lost"
 	case s.Self().Name == "":
 		return fmt.Sprintf("name=%q is no <member>", s.Name), "the name of one of them"
-	case s.Lease < 2*s.Election:
-		return fmt.Sprintf("duties: lease=%q", s.Lease), fmt.Sprintf("%v or more: two election times, or each election would end the lease", 2*s.Election)
+	case s.Lease < 2*s.ElectionTimeout:
+		return fmt.Sprintf("duties: lease=%q", s.Lease), fmt.Sprintf("%v or more: two election times, or each election would end the lease", 2*s.ElectionTimeout)
 	case (s.Cert == "") != (s.Key == "") || (s.Cert == "") != (s.CA == ""):
 		return "ca, cert and key", "all or none"
 	}
--- a/internal/control/settings_test.go
+++ b/internal/control/settings_test.go
@@ -29,7 +29,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if s.Self().Region != "r1" || s.Replicas != 2 || s.Lease != 2*time.Second || len(s.Members) != 3 || !filepath.IsAbs(s.State) || s.MaxList != 1<<30 {
+	if s.Self().Region != "r1" || s.Replicas != 2 || s.Lease != 2*time.Second || len(s.Members) != 3 || !filepath.IsAbs(s.StateDir) || s.MaxListBytes != 1<<30 {
 		t.Errorf("%+v", s)
 	}
 	for _, bad := range []struct{ from, to, want string }{
@@ -66,7 +66,7 @@
 	}
 	s, _ := Load("../../example/control-1.xml")
 	for i, c := range f.Fleet.Shards.Control {
-		if m := s.Members[i]; m.Name != c.Name || m.Directory != c.Addr {
+		if m := s.Members[i]; m.Name != c.Name || m.DirectoryAddr != c.Addr {
 			t.Errorf("the sender's %+v is the control member's %+v", c, m)
 		}
 	}
--- a/internal/fleet/directory/assign.go
+++ b/internal/fleet/directory/assign.go
@@ -13,7 +13,7 @@
 	if t := p.tables[region]; t != nil {
 		return t
 	}
-	t := shard.NewTableOf(p.replicas, p.shards)
+	t := shard.NewTableWithShards(p.replicas, p.shards)
 	var list []shard.Member
 	for _, m := range p.dir.Members() {
 		if m.Region == region {
@@ -26,7 +26,7 @@
 }
 
 // Changed takes a change that the directory has taken.
-func (p *Publisher) Changed(c Change) {
+func (p *Publisher) ApplyChange(c Change) {
 	for i := range c.Endpoints {
 		for s := range p.byShard[c.Endpoints[i].Shard()] {
 			p.dirty[s] = true
--- a/internal/fleet/directory/directory.go
+++ b/internal/fleet/directory/directory.go
@@ -35,8 +35,8 @@
 
 // Errors of Apply.
 var (
-	ErrOld = errors.New("the change is of a version that is known already")
-	ErrGap = errors.New("the change does not follow the version that is known")
+	ErrStale = errors.New("the change is of a version that is known already")
+	ErrGap   = errors.New("the change does not follow the version that is known")
 )
 
 // Endpoint is one endpoint of a destination.
@@ -53,12 +53,12 @@
 func (e *Endpoint) Shard() shard.ID { return shard.Of(e.Destination) }
 
 // Message is the endpoint as a message.
-func (e *Endpoint) Message() *pb.Endpoint {
+func (e *Endpoint) Proto() *pb.Endpoint {
 	return &pb.Endpoint{Id: e.ID, Destination: e.Destination, Addr: e.Addr, Zone: e.Zone, Kind: e.Kind, Weight: e.Weight, State: e.State}
 }
 
 // EndpointOf is the endpoint that a message tells.
-func EndpointOf(m *pb.Endpoint) Endpoint {
+func EndpointFromProto(m *pb.Endpoint) Endpoint {
 	return Endpoint{ID: m.Id, Addr: m.Addr, Zone: m.Zone, Kind: m.Kind, Destination: m.Destination, Weight: m.Weight, State: m.State}
 }
 
@@ -73,31 +73,31 @@
 }
 
 // MemberOf is the member that a record tells.
-func MemberOf(r *pb.MemberRecord) Member {
+func MemberFromProto(r *pb.MemberRecord) Member {
 	return Member{Region: r.Region, Member: shard.Member{Name: r.Name, Zone: r.Zone, Weight: r.Weight}}
 }
 
 // Change is what became different from one version to the next that was published.
 type Change struct {
-	From, To  uint64
-	Source    uint64 // of discovery, as of To
-	Endpoints []Endpoint
-	Joined    []Member
-	Left      []Member
+	From, To         uint64
+	DiscoveryVersion uint64 // of discovery, as of To
+	Endpoints        []Endpoint
+	Joined           []Member
+	Left             []Member
 }
 
 func (c *Change) entries() int { return len(c.Endpoints) + len(c.Joined) + len(c.Left) }
 
 // Directory is the state of one control member.
 type Directory struct {
-	version uint64
-	source  uint64
-	shards  [shard.Count][]Endpoint // by ID, without removed ones
-	count   int
-	members map[string]Member
-	log     []Change          // the latest, without holes
-	logged  int               // entries in the log
-	names   map[string]string // zones and kinds, each kept once
+	version          uint64
+	discoveryVersion uint64
+	shards           [shard.Count][]Endpoint // by ID, without removed ones
+	count            int
+	members          map[string]Member
+	log              []Change          // the latest, without holes
+	logged           int               // entries in the log
+	names            map[string]string // zones and kinds, each kept once
 }
 
 // New returns an empty directory of version 0.
@@ -107,7 +107,7 @@
 func (d *Directory) Version() uint64 { return d.version }
 
 // Source is the version of discovery that was published last, 0 if none was.
-func (d *Directory) Source() uint64 { return d.source }
+func (d *Directory) DiscoveryVersion() uint64 { return d.discoveryVersion }
 
 // Len is how many endpoints there are.
 func (d *Directory) Len() int { return d.count }
@@ -156,7 +156,7 @@
 // least. Endpoints and members that are as told already are left out; where nothing is left and least is reached, no
 // change is made.
 func (d *Directory) Publish(least, source uint64, endpoints []Endpoint, joined, left []Member) (Change, bool) {
-	c := Change{From: d.version, To: max(d.version+1, least), Source: source}
+	c := Change{From: d.version, To: max(d.version+1, least), DiscoveryVersion: source}
 	for _, e := range endpoints {
 		if d.put(e) {
 			c.Endpoints = append(c.Endpoints, e)
@@ -171,7 +171,7 @@
 	for _, m := range joined {
 		d.join(m, &c)
 	}
-	if c.entries() == 0 && source == d.source && d.version >= least {
+	if c.entries() == 0 && source == d.discoveryVersion && d.version >= least {
 		return Change{}, false
 	}
 	d.enter(c)
@@ -194,7 +194,7 @@
 // enter appends a change that the state has taken. One that is larger than the whole log may be ends it: subscribers
 // get snapshots then.
 func (d *Directory) enter(c Change) {
-	d.version, d.source = c.To, c.Source
+	d.version, d.discoveryVersion = c.To, c.DiscoveryVersion
 	if c.entries() > maxLogEntries {
 		d.log, d.logged = nil, 0
 		return
@@ -215,11 +215,11 @@
 func (d *Directory) Apply(c Change) (Change, error) {
 	switch {
 	case c.To <= d.version:
-		return Change{}, fmt.Errorf("%w: %d, known is %d", ErrOld, c.To, d.version)
+		return Change{}, fmt.Errorf("%w: %d, known is %d", ErrStale, c.To, d.version)
 	case c.From != d.version:
 		return Change{}, fmt.Errorf("%w: from %d, known is %d", ErrGap, c.From, d.version)
 	}
-	made := Change{From: c.From, To: c.To, Source: c.Source, Endpoints: c.Endpoints}
+	made := Change{From: c.From, To: c.To, DiscoveryVersion: c.DiscoveryVersion, Endpoints: c.Endpoints}
 	for _, e := range c.Endpoints {
 		d.put(e)
 	}
@@ -238,11 +238,11 @@
 
 // Load replaces all that is held by a snapshot, and returns the change that leads there from what was held, so that
 // subscribers here need no snapshot in their turn. A snapshot that is not later than what is held is ErrOld.
-func (d *Directory) Load(version, source uint64, endpoints []Endpoint, members []Member) (Change, error) {
+func (d *Directory) LoadSnapshot(version, source uint64, endpoints []Endpoint, members []Member) (Change, error) {
 	if version <= d.version {
-		return Change{}, fmt.Errorf("%w: a snapshot of %d, known is %d", ErrOld, version, d.version)
+		return Change{}, fmt.Errorf("%w: a snapshot of %d, known is %d", ErrStale, version, d.version)
 	}
-	c := Change{From: d.version, To: version, Source: source, Endpoints: d.Difference(endpoints)}
+	c := Change{From: d.version, To: version, DiscoveryVersion: source, Endpoints: d.Diff(endpoints)}
 	for _, e := range c.Endpoints {
 		d.put(e)
 	}
@@ -265,7 +265,7 @@
 // those that the list lacks, as removed.
 //
 // Of several lines of one endpoint the last holds.
-func (d *Directory) Difference(list []Endpoint) (changed []Endpoint) {
+func (d *Directory) Diff(list []Endpoint) (changed []Endpoint) {
 	type key struct {
 		id    string
 		shard shard.ID
@@ -299,7 +299,7 @@
 
 // Since are the changes after a version; the first may hold some that the version has already. false: the log does not
 // reach back to it, or the version is one of a leader of which this member has not heard all.
-func (d *Directory) Since(version uint64) ([]Change, bool) {
+func (d *Directory) ChangesSince(version uint64) ([]Change, bool) {
 	if version == 0 || version > d.version {
 		return nil, false
 	}
@@ -322,16 +322,16 @@
 }
 
 // Take applies what a subscription to the member that leads has learned, and returns the change that it made.
-func (d *Directory) Take(a *Applied) (Change, error) {
+func (d *Directory) ApplyUpdate(a *AppliedUpdate) (Change, error) {
 	if a.AllShards && a.AllMembers {
-		return d.Load(a.To, a.Source, a.Endpoints, a.Joined)
+		return d.LoadSnapshot(a.To, a.DiscoveryVersion, a.Endpoints, a.Joined)
 	}
-	c := Change{From: a.From, To: a.To, Source: a.Source, Endpoints: a.Endpoints, Joined: a.Joined, Left: a.Left}
+	c := Change{From: a.From, To: a.To, DiscoveryVersion: a.DiscoveryVersion, Endpoints: a.Endpoints, Joined: a.Joined, Left: a.Left}
 	return d.Apply(c)
 }
 
 // Locate is the destination of an endpoint that is held, by a look at all of them; for the rare line that names none.
-func (d *Directory) Locate(id string) (destination uint64, held bool) {
+func (d *Directory) DestinationOf(id string) (destination uint64, held bool) {
 	for i := range d.shards {
 		list := d.shards[i]
 		at, there := slices.BinarySearchFunc(list, id, func(x Endpoint, id string) int { return cmp.Compare(x.ID, id) })
--- a/internal/fleet/directory/directory_test.go
+++ b/internal/fleet/directory/directory_test.go
@@ -37,7 +37,7 @@
 		list = append(list, endpoint(d, 1))
 	}
 	c, _ := p.dir.Publish(FirstVersion(1), 1, list, []Member{member("s")}, nil)
-	p.pub.Changed(c)
+	p.pub.ApplyChange(c)
 	p.sub = NewSubscription(SubscriptionOptions{Region: "r", Zone: "z", Weight: 1, Everything: everything, Rand: rand.New(rand.NewPCG(1, 2))})
 	p.sub.Connect("c", p.now)
 	return p
@@ -45,7 +45,7 @@
 
 // up carries the subscriber's frames to the publisher.
 func (p *pair) up() {
-	for _, o := range p.sub.Take() {
+	for _, o := range p.sub.TakeFrames() {
 		p.pub.Receive("s", o.Frame, p.now)
 	}
 }
@@ -54,14 +54,14 @@
 func (p *pair) frames() []*pb.Frame {
 	p.pub.Tick(p.now)
 	var list []*pb.Frame
-	for _, o := range p.pub.Take() {
+	for _, o := range p.pub.TakeFrames() {
 		list = append(list, o.Frame)
 	}
 	return list
 }
 
 // down hands frames to the subscriber and returns what it learned.
-func (p *pair) down(list []*pb.Frame) (learned []*Applied) {
+func (p *pair) down(list []*pb.Frame) (learned []*AppliedUpdate) {
 	for _, f := range list {
 		if a := p.sub.Receive("c", f, p.now); a != nil {
 			learned = append(learned, a)
@@ -71,7 +71,7 @@
 }
 
 // settle carries frames both ways until the subscriber knows the directory's version.
-func (p *pair) settle() (learned []*Applied) {
+func (p *pair) settle() (learned []*AppliedUpdate) {
 	for range 1000 {
 		p.up()
 		learned = append(learned, p.down(p.frames())...)
@@ -86,11 +86,11 @@
 }
 
 func (p *pair) publish(list ...Endpoint) {
-	c, news := p.dir.Publish(0, p.dir.Source()+1, list, nil, nil)
+	c, news := p.dir.Publish(0, p.dir.DiscoveryVersion()+1, list, nil, nil)
 	if !news {
 		p.t.Fatal("no change")
 	}
-	p.pub.Changed(c)
+	p.pub.ApplyChange(c)
 }
 
 // A subscriber that reads nothing gets its window and no more, holds nobody up, and is dropped; when the log has gone on
@@ -117,7 +117,7 @@
 		t.Errorf("%d subscribers are left", n)
 	}
 	p.sub.Tick(p.now)
-	if !p.sub.Lost() {
+	if !p.sub.ShouldReconnect() {
 		p.now += int64(maxRetryPause)
 		p.sub.Tick(p.now)
 	}
@@ -142,7 +142,7 @@
 		t.Fatalf("parts of a snapshot are taken: version %d", p.sub.Version())
 	}
 	p.pub = NewPublisher(p.dir, 1) // started anew
-	p.sub.Take()
+	p.sub.TakeFrames()
 	p.sub.Connect("c", p.now)
 	learned := p.settle()
 	if len(learned) != 1 || len(learned[0].Endpoints) != endpoints || !learned[0].AllShards {
@@ -191,11 +191,11 @@
 	p.settle()
 	known := p.sub.Version()
 	behind := New()
-	if _, err := behind.Load(FirstVersion(1), 1, nil, nil); err != nil {
+	if _, err := behind.LoadSnapshot(FirstVersion(1), 1, nil, nil); err != nil {
 		t.Fatal(err)
 	}
 	p.pub = NewPublisher(behind, 1)
-	p.sub.Take()
+	p.sub.TakeFrames()
 	p.sub.Connect("c", p.now)
 	p.up()
 	p.down(p.frames())
@@ -212,7 +212,7 @@
 // than what it knows: what the subscriber took from that leader last would stay for good.
 func TestVersionsOfAnotherLeader(t *testing.T) {
 	d := New()
-	if _, err := d.Load(FirstVersion(1), 1, nil, nil); err != nil {
+	if _, err := d.LoadSnapshot(FirstVersion(1), 1, nil, nil); err != nil {
 		t.Fatal(err)
 	}
 	for _, c := range []Change{{From: FirstVersion(1), To: FirstVersion(1) + 5}, {From: FirstVersion(1) + 5, To: FirstVersion(2)}, {From: FirstVersion(2), To: FirstVersion(2) + 1}} {
@@ -228,14 +228,14 @@
 		{0, false, 0}, {FirstVersion(1) - 1, false, 0}, {FirstVersion(1), true, 3}, {FirstVersion(1) + 3, true, 3}, {FirstVersion(1) + 5, true, 2},
 		{FirstVersion(1) + 6, false, 0}, {FirstVersion(2), true, 1}, {FirstVersion(2) + 1, true, 0}, {FirstVersion(2) + 2, false, 0},
 	} {
-		if changes, reaches := d.Since(c.version); reaches != c.reaches || len(changes) != c.changes {
+		if changes, reaches := d.ChangesSince(c.version); reaches != c.reaches || len(changes) != c.changes {
 			t.Errorf("since %d.%d: %d changes, %t; want %d, %t", term(c.version), c.version&(1<<termBits-1), len(changes), reaches, c.changes, c.reaches)
 		}
 	}
 	if _, err := d.Apply(Change{From: FirstVersion(2) + 3, To: FirstVersion(2) + 4}); !errors.Is(err, ErrGap) {
 		t.Errorf("a gap: %v", err)
 	}
-	if _, err := d.Apply(Change{From: FirstVersion(1), To: FirstVersion(2)}); !errors.Is(err, ErrOld) {
+	if _, err := d.Apply(Change{From: FirstVersion(1), To: FirstVersion(2)}); !errors.Is(err, ErrStale) {
 		t.Errorf("an old change: %v", err)
 	}
 }
@@ -248,39 +248,39 @@
 		for _, name := range names {
 			list = append(list, member(name))
 		}
-		return ReportOf(seq, list, true)
+		return NewReport(seq, list, true)
 	}
 	r := NewRoster([]string{"r", "s"}, 0)
-	if joined, left := r.Tick(known, int64(MemberGrace)); len(joined)+len(left) != 0 {
+	if joined, left := r.Tick(known, int64(MemberGracePeriod)); len(joined)+len(left) != 0 {
 		t.Errorf("a leader without reports: %v joined, %v left", joined, left)
 	}
-	at := int64(MemberGrace)
-	r.Report("c1", "r", report(1, "a", "b"), at)
+	at := int64(MemberGracePeriod)
+	r.HandleReport("c1", "r", report(1, "a", "b"), at)
 	r.Tick(known, at)
-	r.Report("c1", "r", report(2, "a"), at+1)
+	r.HandleReport("c1", "r", report(2, "a"), at+1)
 	if _, left := r.Tick(known, at+2); len(left) != 0 {
 		t.Errorf("left at once: %v", left)
 	}
-	late := at + int64(MemberGrace+ControlSilence) + 10
+	late := at + int64(MemberGracePeriod+ControlTimeout) + 10
 	var leftAt int64
 	for now := at + int64(time.Second); now <= late; now += int64(time.Second) {
-		r.Report("c1", "r", report(uint64(now), "a"), now)
+		r.HandleReport("c1", "r", report(uint64(now), "a"), now)
 		if _, left := r.Tick(known, now); len(left) == 1 && left[0].Name == "b" && leftAt == 0 {
 			leftAt = now
 		} else if len(left) > 0 && leftAt == 0 {
 			t.Errorf("left %v, want b", left)
 		}
 	}
-	if leftAt < at+int64(MemberGrace) || leftAt > late {
+	if leftAt < at+int64(MemberGracePeriod) || leftAt > late {
 		t.Errorf("b left %v after it was reported last", time.Duration(leftAt-at))
 	}
-	r.Report("c2", "r", report(1, "b"), late)
+	r.HandleReport("c2", "r", report(1, "b"), late)
 	if joined, _ := r.Tick(map[string]Member{"a": known["a"]}, late); len(joined) != 1 || joined[0].Name != "b" {
 		t.Errorf("joined %v, want b", joined)
 	}
 	short := report(9, "a")
 	short.Whole, short.Joined, short.Count = false, nil, 5
-	if !r.Report("c2", "r", short, late) {
+	if !r.HandleReport("c2", "r", short, late) {
 		t.Error("a report that does not add up is taken")
 	}
 }
@@ -316,7 +316,7 @@
 	far.Region = "s"
 	known := map[string]Member{"a": member("a"), "far": far}
 	r := NewRoster([]string{"r", "s"}, 0)
-	near := ReportOf(1, []Member{known["a"]}, true)
+	near := NewReport(1, []Member{known["a"]}, true)
 	now := int64(0)
 	pass := func(d time.Duration, regions ...string) (gone int) {
 		for end := now + int64(d); now < end; now += int64(time.Second) {
@@ -326,7 +326,7 @@
 					report = near
 					report.Seq = uint64(now) + 1
 				}
-				r.Report("control-"+region, region, report, now)
+				r.HandleReport("control-"+region, region, report, now)
 			}
 			_, left := r.Tick(known, now)
 			gone += len(left)
@@ -336,7 +336,7 @@
 	if gone := pass(10*time.Minute, "r"); gone != 0 {
 		t.Errorf("%d members of a region that is cut off have left", gone)
 	}
-	if gone := pass(MemberGrace-time.Second, "r", "s"); gone != 0 {
+	if gone := pass(MemberGracePeriod-time.Second, "r", "s"); gone != 0 {
 		t.Errorf("%d members left before the grace was over, counted from the region's return", gone)
 	}
 	if gone := pass(3*time.Second, "r", "s"); gone != 1 {
@@ -352,18 +352,18 @@
 		for _, name := range names {
 			list = append(list, member(name))
 		}
-		r.Report("c", "r", ReportOf(seq, list, true), int64(seq))
+		r.HandleReport("c", "r", NewReport(seq, list, true), int64(seq))
 	}
 	report(1, "a")
 	if joined, _ := r.Tick(nil, 1); len(joined) != 0 {
 		t.Errorf("%v joined alone", joined)
 	}
 	report(2, "a", "b")
-	if joined, _ := r.Tick(nil, int64(JoinSettle)+2); len(joined) != 2 {
+	if joined, _ := r.Tick(nil, int64(FirstJoinDelay)+2); len(joined) != 2 {
 		t.Errorf("%v joined together, want a and b", joined)
 	}
 	report(3, "a", "b", "c")
-	if joined, _ := r.Tick(map[string]Member{"a": member("a"), "b": member("b")}, int64(JoinSettle)+3); len(joined) != 1 {
+	if joined, _ := r.Tick(map[string]Member{"a": member("a"), "b": member("b")}, int64(FirstJoinDelay)+3); len(joined) != 1 {
 		t.Errorf("%v joined a region that has members, want c", joined)
 	}
 }
--- a/internal/fleet/directory/epochs_test.go
+++ b/internal/fleet/directory/epochs_test.go
@@ -29,20 +29,20 @@
 func (f *follower) catchUp(t *testing.T, leader *Publisher, now int64) {
 	t.Helper()
 	for range 100 {
-		for _, o := range f.sub.Take() {
+		for _, o := range f.sub.TakeFrames() {
 			leader.Receive(f.name, o.Frame, now)
 		}
 		leader.Tick(now)
-		for _, o := range leader.Take() {
+		for _, o := range leader.TakeFrames() {
 			if o.To != f.name {
 				continue
 			}
 			if a := f.sub.Receive("leader", o.Frame, now); a != nil {
-				change, err := f.dir.Take(a)
+				change, err := f.dir.ApplyUpdate(a)
 				if err != nil {
 					t.Fatal(err)
 				}
-				f.pub.Changed(change)
+				f.pub.ApplyChange(change)
 			}
 		}
 		if f.dir.Version() == leader.dir.Version() {
@@ -59,12 +59,12 @@
 	p := newPair(t, 10, false) // p.dir is the old leader's
 	p.settle()
 	next := New()
-	if _, err := next.Load(p.dir.Version(), p.dir.Source(), held(p.dir), []Member{member("s")}); err != nil {
+	if _, err := next.LoadSnapshot(p.dir.Version(), p.dir.DiscoveryVersion(), held(p.dir), []Member{member("s")}); err != nil {
 		t.Fatal(err)
 	}
 	nextPub := NewPublisher(next, 1)
 	change, _ := next.Publish(FirstVersion(2), 9, []Endpoint{endpoint(2, 22)}, nil, nil)
-	nextPub.Changed(change)
+	nextPub.ApplyChange(change)
 
 	p.publish(endpoint(1, 11)) // the old leader's last
 	p.settle()
@@ -75,7 +75,7 @@
 	f.catchUp(t, nextPub, p.now)
 	old := p.dir
 	p.dir, p.pub = f.dir, f.pub
-	p.sub.Take()
+	p.sub.TakeFrames()
 	p.sub.Connect("c", p.now)
 	learned := p.settle()
 	if p.sub.Version() <= before {
@@ -121,8 +121,8 @@
 	p.settle()
 
 	joins := member("joins")
-	change, _ := leader.Publish(0, leader.Source(), nil, []Member{joins}, nil)
-	leaderPub.Changed(change)
+	change, _ := leader.Publish(0, leader.DiscoveryVersion(), nil, []Member{joins}, nil)
+	leaderPub.ApplyChange(change)
 	for range 10 { // cut: the follower is not told
 		p.now += int64(500 * time.Millisecond)
 		p.up()
@@ -150,8 +150,8 @@
 	}
 	// told reports whether the publisher sends the change of an endpoint: the subscriber alone would pass it over.
 	told := func(port int) (sent bool) {
-		change, _ := leader.Publish(0, leader.Source()+1, []Endpoint{endpoint(moved, port)}, nil, nil)
-		leaderPub.Changed(change)
+		change, _ := leader.Publish(0, leader.DiscoveryVersion()+1, []Endpoint{endpoint(moved, port)}, nil, nil)
+		leaderPub.ApplyChange(change)
 		f.catchUp(t, leaderPub, p.now)
 		for p.sub.Version() < p.dir.Version() {
 			p.up()
--- a/internal/fleet/directory/model_test.go
+++ b/internal/fleet/directory/model_test.go
@@ -85,12 +85,12 @@
 	wire     []frameOnWay
 	loss     float64
 	cut      map[[2]string]bool
-	guard    SubscriptionBreak
+	guard    SubscriptionCheck
 	breach   string
 	next     int
 }
 
-func newWorld(seed uint64, guard SubscriptionBreak) *world {
+func newWorld(seed uint64, guard SubscriptionCheck) *world {
 	w := &world{rng: rand.New(rand.NewPCG(seed, 11)), now: int64(time.Hour), history: map[uint64]content{}, cut: map[[2]string]bool{}, guard: guard, leader: -1}
 	for i := range 3 {
 		w.controls = append(w.controls, &controlProcess{name: fmt.Sprintf("control-%d", i)})
@@ -116,10 +116,10 @@
 	c.publisher = NewPublisher(c.dir, 2)
 	c.publisher.shards = modelShards
 	c.publisher.part = 3 // so that most snapshots come in parts
-	if w.guard&BreakVersion != 0 {
-		c.publisher.Break = BreakBehind // the same guard at the other end
+	if w.guard&CheckVersion != 0 {
+		c.publisher.DisabledChecks = CheckNotBehind // the same guard at the other end
 	}
-	c.follows = NewSubscription(SubscriptionOptions{Everything: true, Rand: w.rng, Break: w.guard})
+	c.follows = NewSubscription(SubscriptionOptions{Everything: true, Rand: w.rng, DisabledChecks: w.guard})
 	if w.leader >= 0 && w.controls[w.leader] != c {
 		c.follows.Connect(w.controls[w.leader].name, w.now)
 	}
@@ -128,7 +128,7 @@
 func (w *world) startSender(s *senderProcess) {
 	s.up, s.inbox, s.last = true, nil, 0
 	s.held, s.serves, s.members = map[shard.ID]map[string]Endpoint{}, map[shard.ID]bool{}, map[string]Member{}
-	s.sub = NewSubscription(SubscriptionOptions{Region: "r", Zone: "z" + s.name[len(s.name)-1:], Weight: 1, Rand: w.rng, Break: w.guard})
+	s.sub = NewSubscription(SubscriptionOptions{Region: "r", Zone: "z" + s.name[len(s.name)-1:], Weight: 1, Rand: w.rng, DisabledChecks: w.guard})
 	s.sub.Connect(w.controls[w.rng.IntN(len(w.controls))].name, w.now)
 }
 
@@ -153,7 +153,7 @@
 
 func (w *world) publish(endpoints []Endpoint, joined, left []Member) {
 	c := w.controls[w.leader]
-	change, news := c.dir.Publish(FirstVersion(w.token), c.dir.Source()+uint64(min(len(endpoints), 1)), endpoints, joined, left)
+	change, news := c.dir.Publish(FirstVersion(w.token), c.dir.DiscoveryVersion()+uint64(min(len(endpoints), 1)), endpoints, joined, left)
 	if !news {
 		return
 	}
@@ -170,7 +170,7 @@
 		w.fail("version %d was published twice", change.To)
 	}
 	w.history[change.To] = now
-	c.publisher.Changed(change)
+	c.publisher.ApplyChange(change)
 }
 
 // churn publishes a few drawn changes of endpoints.
@@ -235,7 +235,7 @@
 	switch x := f.frame.What.(type) {
 	case *pb.Frame_Report:
 		if c.roster != nil {
-			w.send(c.name, f.from, &pb.Frame{What: &pb.Frame_Reported{Reported: &pb.Reported{Seq: x.Report.Seq, Again: c.roster.Report(f.from, "r", x.Report, w.now)}}})
+			w.send(c.name, f.from, &pb.Frame{What: &pb.Frame_Reported{Reported: &pb.Reported{Seq: x.Report.Seq, Again: c.roster.HandleReport(f.from, "r", x.Report, w.now)}}})
 		}
 	case *pb.Frame_Reported:
 		c.again = c.again || x.Reported.Again
@@ -249,16 +249,16 @@
 }
 
 // follow takes what a control member that does not lead has learned.
-func (w *world) follow(c *controlProcess, a *Applied) {
+func (w *world) follow(c *controlProcess, a *AppliedUpdate) {
 	if a == nil {
 		return
 	}
-	change, err := c.dir.Take(a)
-	if err != nil && !errors.Is(err, ErrOld) {
+	change, err := c.dir.ApplyUpdate(a)
+	if err != nil && !errors.Is(err, ErrStale) {
 		w.fail("%s: %v", c.name, err)
 	}
 	if err == nil {
-		c.publisher.Changed(change)
+		c.publisher.ApplyChange(change)
 	}
 	want, known := w.history[c.dir.Version()]
 	if !known {
@@ -297,7 +297,7 @@
 	if a.AllShards {
 		clear(s.held)
 	}
-	for _, id := range a.Snapshot {
+	for _, id := range a.SnapshotShards {
 		s.held[id] = map[string]Endpoint{}
 	}
 	for _, e := range a.Endpoints {
@@ -374,14 +374,14 @@
 			if len(joined)+len(left) > 0 {
 				w.publish(nil, joined, left)
 			}
-		} else if c.follows.Tick(w.now); c.follows.Lost() {
+		} else if c.follows.Tick(w.now); c.follows.ShouldReconnect() {
 			c.follows.Connect(w.controls[w.leader].name, w.now)
 		}
 		c.publisher.Tick(w.now)
-		for _, o := range c.publisher.Take() {
+		for _, o := range c.publisher.TakeFrames() {
 			w.send(c.name, o.To, o.Frame)
 		}
-		for _, o := range c.follows.Take() {
+		for _, o := range c.follows.TakeFrames() {
 			w.send(c.name, o.To, o.Frame)
 		}
 	}
@@ -394,10 +394,10 @@
 		for _, f := range inbox {
 			w.senderReceives(s, f)
 		}
-		if s.sub.Tick(w.now); s.sub.Lost() {
+		if s.sub.Tick(w.now); s.sub.ShouldReconnect() {
 			s.sub.Connect(w.controls[w.rng.IntN(len(w.controls))].name, w.now)
 		}
-		for _, o := range s.sub.Take() {
+		for _, o := range s.sub.TakeFrames() {
 			w.send(s.name, o.To, o.Frame)
 		}
 	}
@@ -407,7 +407,7 @@
 	members := c.publisher.Subscribers()
 	names := fmt.Sprint(members)
 	c.reportSeq++
-	r := ReportOf(c.reportSeq, members, c.again || names != c.reported)
+	r := NewReport(c.reportSeq, members, c.again || names != c.reported)
 	c.reported, c.again = names, false
 	w.send(c.name, w.controls[w.leader].name, &pb.Frame{What: &pb.Frame_Report{Report: r}})
 }
@@ -541,7 +541,7 @@
 
 // Each guard of a subscription taken out is found by some schedule.
 func TestGuards(t *testing.T) {
-	for name, guard := range map[string]SubscriptionBreak{"gap": BreakGap, "part": BreakPart, "version": BreakVersion} {
+	for name, guard := range map[string]SubscriptionCheck{"gap": CheckGap, "part": CheckPart, "version": CheckVersion} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			for seed := range uint64(60) {
--- a/internal/fleet/directory/publisher.go
+++ b/internal/fleet/directory/publisher.go
@@ -18,7 +18,7 @@
 )
 
 // Out is a frame for a subscriber.
-type Out struct {
+type OutFrame struct {
 	To    string
 	Frame *pb.Frame
 }
@@ -51,14 +51,14 @@
 // whole or not at all.
 type Publisher struct {
 	// Break takes guards out, for tests and runs that show what finds that.
-	Break PublisherBreak
+	DisabledChecks PublisherCheck
 
 	dir      *Directory
 	replicas int
 	part     int // entries of one update
 	shards   int // that there are
 	now      int64
-	out      []Out
+	out      []OutFrame
 	subs     map[string]*subscriber
 	byShard  map[shard.ID]map[*subscriber]bool
 	tables   map[string]*shard.Table // by region
@@ -66,10 +66,10 @@
 }
 
 // PublisherBreak is a guard that is taken out.
-type PublisherBreak uint
+type PublisherCheck uint
 
 // BreakBehind: subscribers are served that know more than this control member does.
-const BreakBehind PublisherBreak = 1 << iota
+const CheckNotBehind PublisherCheck = 1 << iota
 
 // NewPublisher returns a publisher of a directory that assigns each shard to so many replicas in each region.
 func NewPublisher(dir *Directory, replicas int) *Publisher {
@@ -78,7 +78,7 @@
 }
 
 // Take returns what is to be sent, in order, and forgets it.
-func (p *Publisher) Take() []Out {
+func (p *Publisher) TakeFrames() []OutFrame {
 	out := p.out
 	p.out = nil
 	return out
@@ -114,7 +114,7 @@
 		p.refuse(name, q.Id, "this control member has no directory yet")
 		return
 	}
-	if q.Version > p.dir.Version() && p.Break&BreakBehind == 0 {
+	if q.Version > p.dir.Version() && p.DisabledChecks&CheckNotBehind == 0 {
 		// What it knows is later: it keeps it, rather than going back, and comes again, here or elsewhere.
 		p.refuse(name, q.Id, "this control member is behind what the subscriber knows")
 		return
@@ -128,7 +128,7 @@
 			p.hold(s, shard.ID(id))
 		}
 	}
-	if _, reaches := p.dir.Since(q.Version); reaches {
+	if _, reaches := p.dir.ChangesSince(q.Version); reaches {
 		s.version, s.scanned = q.Version, q.Version
 	} else {
 		p.restart(s)
@@ -156,7 +156,7 @@
 }
 
 func (p *Publisher) refuse(name string, id uint64, reason string) {
-	p.out = append(p.out, Out{name, &pb.Frame{What: &pb.Frame_Refused{Refused: &pb.Refused{Id: id, Reason: reason}}}})
+	p.out = append(p.out, OutFrame{name, &pb.Frame{What: &pb.Frame_Refused{Refused: &pb.Refused{Id: id, Reason: reason}}}})
 }
 
 func (p *Publisher) ack(name string, a *pb.Ack) {
--- a/internal/fleet/directory/roster.go
+++ b/internal/fleet/directory/roster.go
@@ -14,17 +14,17 @@
 const (
 	// ControlSilence is the time after which a control member that does not report counts as lost, with all that have
 	// subscribed there, until they subscribe elsewhere.
-	ControlSilence = 4 * time.Second
+	ControlTimeout = 4 * time.Second
 	// MemberGrace is how long a member that no control member reports keeps its shards: a restart in place, or a change
 	// to another control member, moves none.
-	MemberGrace = 6 * time.Second
+	MemberGracePeriod = 6 * time.Second
 	// JoinSettle is how long the first members of a region wait for others that start with them: a single one would be
 	// given all of its region's shards for a moment.
-	JoinSettle = 3 * time.Second
+	FirstJoinDelay = 3 * time.Second
 )
 
 // Sum is the sum of the members' names' hashes, by which two sets of members are compared.
-func Sum(members []Member) (sum uint64) {
+func NameHashSum(members []Member) (sum uint64) {
 	for i := range members {
 		sum += xxhash.Sum64String(members[i].Name)
 	}
@@ -32,8 +32,8 @@
 }
 
 // ReportOf is a control member's report of the members that have subscribed there, whole or by their sum alone.
-func ReportOf(seq uint64, members []Member, whole bool) *pb.Report {
-	r := &pb.Report{Seq: seq, Whole: whole, Count: uint64(len(members)), Sum: Sum(members)}
+func NewReport(seq uint64, members []Member, whole bool) *pb.Report {
+	r := &pb.Report{Seq: seq, Whole: whole, Count: uint64(len(members)), Sum: NameHashSum(members)}
 	for i := range members {
 		if !whole {
 			break
@@ -71,7 +71,7 @@
 }
 
 // Report takes a report of a control member of that region, and returns whether all members are to be reported again.
-func (r *Roster) Report(from, region string, report *pb.Report, now int64) (again bool) {
+func (r *Roster) HandleReport(from, region string, report *pb.Report, now int64) (again bool) {
 	c := r.reporters[from]
 	if c == nil {
 		c = &reporter{region: region}
@@ -84,7 +84,7 @@
 	if report.Whole {
 		c.members, c.sum = make(map[string]Member, len(report.Joined)), 0
 		for _, m := range report.Joined {
-			c.members[m.Name] = MemberOf(m)
+			c.members[m.Name] = MemberFromProto(m)
 			c.sum += xxhash.Sum64String(m.Name)
 		}
 	}
@@ -100,7 +100,7 @@
 func (r *Roster) Tick(known map[string]Member, now int64) (joined, left []Member) {
 	reported, heard := map[string]bool{}, map[string]bool{}
 	for name, c := range r.reporters {
-		if now-c.heardAt > int64(ControlSilence) {
+		if now-c.heardAt > int64(ControlTimeout) {
 			delete(r.reporters, name)
 			continue
 		}
@@ -126,7 +126,7 @@
 			r.lostAt[name] = at
 		}
 		// A leader that begins waits until the control members have had time to report.
-		if now-at > int64(MemberGrace) && now-r.since > int64(MemberGrace+ControlSilence) {
+		if now-at > int64(MemberGracePeriod) && now-r.since > int64(MemberGracePeriod+ControlTimeout) {
 			left = append(left, m)
 			delete(r.lostAt, name)
 		}
@@ -161,6 +161,6 @@
 			at = now
 			r.firstAt[m.Region] = now
 		}
-		return now-at < int64(JoinSettle)
+		return now-at < int64(FirstJoinDelay)
 	})
 }
--- a/internal/fleet/directory/serve.go
+++ b/internal/fleet/directory/serve.go
@@ -51,14 +51,14 @@
 	if !u.Part {
 		s.version, s.scanned = u.To, max(s.scanned, u.To)
 	}
-	p.out = append(p.out, Out{s.Name, &pb.Frame{What: &pb.Frame_Update{Update: u}}})
+	p.out = append(p.out, OutFrame{s.Name, &pb.Frame{What: &pb.Frame_Update{Update: u}}})
 }
 
 // sendSnapshots sends the next part of an update that brings snapshots of the shards that a subscriber lacks. A shard's
 // snapshot is of the moment in which it is sent; the update ends with all changes since it began that the snapshots do
 // not hold, so that what the subscriber has then is what was published at one version.
 func (p *Publisher) sendSnapshots(s *subscriber) {
-	u := &pb.Update{From: s.version, To: s.version, Source: p.dir.Source()}
+	u := &pb.Update{From: s.version, To: s.version, Source: p.dir.DiscoveryVersion()}
 	entries := 0
 	if s.whole && !s.middle {
 		entries = p.addAllMembers(s, u)
@@ -72,7 +72,7 @@
 		s.ahead[id] = p.dir.Version()
 		u.Snapshot = append(u.Snapshot, uint32(id))
 		for _, e := range p.dir.Shard(id) {
-			u.Endpoints = append(u.Endpoints, e.Message())
+			u.Endpoints = append(u.Endpoints, e.Proto())
 			entries++
 		}
 	}
@@ -106,7 +106,7 @@
 // addChanges adds the changes that a subscriber has not been sent, as many as an update of which so many entries are
 // used has room for, one at least; false: the log does not reach back as far.
 func (p *Publisher) addChanges(s *subscriber, u *pb.Update, used int) (entries int, reaches bool) {
-	changes, reaches := p.dir.Since(s.scanned)
+	changes, reaches := p.dir.ChangesSince(s.scanned)
 	for i := range changes {
 		entries += p.addChange(s, u, &changes[i])
 		s.scanned = changes[i].To
@@ -134,7 +134,7 @@
 // sendChanges sends what the log holds for a subscriber, and reports whether there was something. Where the log does not
 // reach back as far, the subscriber has been too slow: it gets a snapshot.
 func (p *Publisher) sendChanges(s *subscriber) bool {
-	u := &pb.Update{From: s.version, Source: p.dir.Source()}
+	u := &pb.Update{From: s.version, Source: p.dir.DiscoveryVersion()}
 	entries, reaches := p.addChanges(s, u, 0)
 	if !reaches {
 		p.restart(s)
@@ -155,7 +155,7 @@
 		e := &c.Endpoints[i]
 		id := e.Shard()
 		if (s.everything || s.shards[id]) && s.ahead[id] < c.To {
-			u.Endpoints = append(u.Endpoints, e.Message())
+			u.Endpoints = append(u.Endpoints, e.Proto())
 			entries++
 		}
 	}
--- a/internal/fleet/directory/subscription.go
+++ b/internal/fleet/directory/subscription.go
@@ -20,31 +20,31 @@
 
 // SubscriptionOptions are what a Subscription works with.
 type SubscriptionOptions struct {
-	Region, Zone string
-	Weight       uint32
-	Everything   bool // a control member's
-	Rand         *rand.Rand
-	Break        SubscriptionBreak
+	Region, Zone   string
+	Weight         uint32
+	Everything     bool // a control member's
+	Rand           *rand.Rand
+	DisabledChecks SubscriptionCheck
 }
 
 // SubscriptionBreak is a guard that is taken out, for tests and runs that show what finds that.
-type SubscriptionBreak uint
+type SubscriptionCheck uint
 
 // The guards.
 const (
-	BreakGap     SubscriptionBreak = 1 << iota // an update is taken though others are missing before it
-	BreakPart                                  // parts of an update are taken before the last one is there
-	BreakVersion                               // a snapshot is taken though it is older than what is known
-	BreakSilence                               // that nothing comes any more is not noticed
+	CheckGap     SubscriptionCheck = 1 << iota // an update is taken though others are missing before it
+	CheckPart                                  // parts of an update are taken before the last one is there
+	CheckVersion                               // a snapshot is taken though it is older than what is known
+	CheckSilence                               // that nothing comes any more is not noticed
 )
 
 // Applied is what a subscriber learned by one update, all parts together.
-type Applied struct {
-	From, To  uint64
-	Source    uint64
-	AllShards bool       // the endpoints are all there are, of all shards that are held
-	Snapshot  []shard.ID // the endpoints are all there are, of these
-	Endpoints []Endpoint
+type AppliedUpdate struct {
+	From, To         uint64
+	DiscoveryVersion uint64
+	AllShards        bool       // the endpoints are all there are, of all shards that are held
+	SnapshotShards   []shard.ID // the endpoints are all there are, of these
+	Endpoints        []Endpoint
 	// AllMembers: those that joined are all there are.
 	AllMembers   bool
 	Joined, Left []Member
@@ -62,7 +62,7 @@
 	version uint64
 	shards  map[shard.ID]bool // that are held
 	staged  []*pb.Update
-	out     []Out
+	out     []OutFrame
 	asked   int64 // when it subscribed last
 	begun   int64 // when it turned to this server
 	heard   int64
@@ -88,7 +88,7 @@
 
 // Hold makes a subscription ask for shards whoever serves them, before it connects first: messages for them are left of
 // an earlier life.
-func (s *Subscription) Hold(ids []shard.ID) {
+func (s *Subscription) HoldShards(ids []shard.ID) {
 	for _, id := range ids {
 		s.shards[id] = true
 	}
@@ -98,7 +98,7 @@
 func (s *Subscription) Resume(version uint64) { s.version = version }
 
 // Take returns what is to be sent, in order, and forgets it.
-func (s *Subscription) Take() []Out {
+func (s *Subscription) TakeFrames() []OutFrame {
 	out := s.out
 	s.out = nil
 	return out
@@ -111,7 +111,7 @@
 }
 
 // Lost reports that the server does not serve and that it is time to try another one.
-func (s *Subscription) Lost() bool { return s.lost && s.now-s.asked >= s.pause() }
+func (s *Subscription) ShouldReconnect() bool { return s.lost && s.now-s.asked >= s.pause() }
 
 // Release gives up shards that were unassigned, once nothing is left of them here.
 func (s *Subscription) Release(ids []shard.ID) {
@@ -136,7 +136,7 @@
 	s.send(&pb.Frame{What: &pb.Frame_Subscribe{Subscribe: q}})
 }
 
-func (s *Subscription) send(f *pb.Frame) { s.out = append(s.out, Out{s.server, f}) }
+func (s *Subscription) send(f *pb.Frame) { s.out = append(s.out, OutFrame{s.server, f}) }
 
 // Tick tells the time. It is due some times a second.
 func (s *Subscription) Tick(now int64) {
@@ -145,7 +145,7 @@
 		return
 	}
 	if s.live {
-		if now-s.heard > int64(silentAfter) && s.o.Break&BreakSilence == 0 {
+		if now-s.heard > int64(silentAfter) && s.o.DisabledChecks&CheckSilence == 0 {
 			s.live, s.lost = false, true
 		}
 		return
@@ -168,7 +168,7 @@
 }
 
 // Receive takes a frame and returns what was learned by it, nil if that is nothing yet.
-func (s *Subscription) Receive(from string, f *pb.Frame, now int64) *Applied {
+func (s *Subscription) Receive(from string, f *pb.Frame, now int64) *AppliedUpdate {
 	s.now = now
 	if from != s.server {
 		return nil
@@ -186,16 +186,16 @@
 	return nil
 }
 
-func (s *Subscription) update(u *pb.Update) *Applied {
+func (s *Subscription) update(u *pb.Update) *AppliedUpdate {
 	if u.Id != s.id || u.Seq <= s.seq {
 		return nil // of an earlier subscription, or doubled
 	}
 	missed := u.Seq != s.seq+1 || u.From != 0 && u.From != s.version
-	if missed && s.o.Break&BreakGap == 0 {
+	if missed && s.o.DisabledChecks&CheckGap == 0 {
 		s.subscribe()
 		return nil
 	}
-	if !u.Part && u.To < s.version && s.o.Break&BreakVersion == 0 { // what a part leads to is told by the last one
+	if !u.Part && u.To < s.version && s.o.DisabledChecks&CheckVersion == 0 { // what a part leads to is told by the last one
 		s.live, s.lost = false, true
 		return nil
 	}
@@ -204,7 +204,7 @@
 		s.staged = nil // parts of an update that was given up
 	}
 	s.staged = append(s.staged, u)
-	if u.Part && s.o.Break&BreakPart == 0 {
+	if u.Part && s.o.DisabledChecks&CheckPart == 0 {
 		s.ack()
 		return nil
 	}
@@ -227,15 +227,15 @@
 }
 
 // apply takes all parts that are staged as one.
-func (s *Subscription) apply() *Applied {
-	a := &Applied{From: s.version}
+func (s *Subscription) apply() *AppliedUpdate {
+	a := &AppliedUpdate{From: s.version}
 	for _, u := range s.staged {
-		a.To, a.Source = u.To, u.Source
+		a.To, a.DiscoveryVersion = u.To, u.Source
 		a.AllShards = a.AllShards || u.AllShards
 		a.AllMembers = a.AllMembers || u.AllMembers
 		s.applyShards(a, u)
 		for _, e := range u.Endpoints {
-			if e := EndpointOf(e); s.o.Everything || s.shards[e.Shard()] { // else it was released meanwhile
+			if e := EndpointFromProto(e); s.o.Everything || s.shards[e.Shard()] { // else it was released meanwhile
 				a.Endpoints = append(a.Endpoints, e)
 			}
 		}
@@ -247,7 +247,7 @@
 }
 
 // applyMembers takes what all parts say of members. Of several records of one member the last holds.
-func (s *Subscription) applyMembers(a *Applied) {
+func (s *Subscription) applyMembers(a *AppliedUpdate) {
 	last := map[string]*pb.MemberRecord{}
 	var names []string
 	for _, u := range s.staged {
@@ -260,21 +260,21 @@
 	}
 	for _, name := range names {
 		if m := last[name]; m.Gone {
-			a.Left = append(a.Left, MemberOf(m))
+			a.Left = append(a.Left, MemberFromProto(m))
 		} else {
-			a.Joined = append(a.Joined, MemberOf(m))
+			a.Joined = append(a.Joined, MemberFromProto(m))
 		}
 	}
 }
 
 // applyShards takes the shards that an update brings, assigns and takes away.
-func (s *Subscription) applyShards(a *Applied, u *pb.Update) {
+func (s *Subscription) applyShards(a *AppliedUpdate, u *pb.Update) {
 	if s.o.Everything {
 		return
 	}
 	for _, n := range u.Snapshot {
 		id := shard.ID(n)
-		a.Snapshot = append(a.Snapshot, id)
+		a.SnapshotShards = append(a.SnapshotShards, id)
 		s.shards[id] = true
 		if s.promised[id] {
 			delete(s.promised, id)
--- a/internal/fleet/shard/shard_test.go
+++ b/internal/fleet/shard/shard_test.go
@@ -19,7 +19,7 @@
 const fewShards = 4096
 
 func tableOf(replicas int, list []Member) *Table {
-	t := NewTableOf(replicas, fewShards)
+	t := NewTableWithShards(replicas, fewShards)
 	t.Update(list, nil)
 	return t
 }
@@ -83,7 +83,7 @@
 		for i := range all {
 			all[i].Weight = uint32(1 + rng.IntN(3))
 		}
-		table, there := NewTableOf(replicas, fewShards), map[string]Member{}
+		table, there := NewTableWithShards(replicas, fewShards), map[string]Member{}
 		for step := range 25 {
 			var joined []Member
 			var left []string
--- a/internal/fleet/shard/table.go
+++ b/internal/fleet/shard/table.go
@@ -28,10 +28,10 @@
 }
 
 // NewTable returns a table without members in which each shard gets so many replicas: 1 to MaxReplicas.
-func NewTable(replicas int) *Table { return NewTableOf(replicas, Count) }
+func NewTable(replicas int) *Table { return NewTableWithShards(replicas, Count) }
 
 // NewTableOf is NewTable of the first so many shards alone, for models: the others are nobody's.
-func NewTableOf(replicas, shards int) *Table {
+func NewTableWithShards(replicas, shards int) *Table {
 	t := &Table{replicas: min(max(replicas, 1), MaxReplicas), places: map[string]int{}, zones: map[string]*zone{}}
 	t.assigned = make([][]int32, shards)
 	cells := make([]int32, shards*t.replicas)
--- a/internal/fleet/subscriber/subscriber.go
+++ b/internal/fleet/subscriber/subscriber.go
@@ -48,12 +48,12 @@
 	Log          zerolog.Logger
 	Now          func() int64 // monotonic, in nanoseconds
 	// Apply takes what is learned, in order, on the subscriber's goroutine.
-	Apply func(*directory.Applied)
+	Apply func(*directory.AppliedUpdate)
 	// Released is told of shards that were given up, on the same goroutine; nil: nobody is.
 	Released func([]shard.ID)
 	// Hold are shards that are asked for whoever serves them.
 	Hold  []shard.ID
-	Break directory.SubscriptionBreak
+	Break directory.SubscriptionCheck
 }
 
 // Subscriber is a subscription that is kept up. Run is for one goroutine, the rest for any.
@@ -80,9 +80,9 @@
 func New(o Options) *Subscriber {
 	rng := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 	s := &Subscriber{o: o, frames: make(chan frame, inboxSize), released: releases{kick: make(chan struct{}, 1)},
-		sub: directory.NewSubscription(directory.SubscriptionOptions{Region: o.Region, Zone: o.Zone, Weight: o.Weight, Rand: rng, Break: o.Break})}
+		sub: directory.NewSubscription(directory.SubscriptionOptions{Region: o.Region, Zone: o.Zone, Weight: o.Weight, Rand: rng, DisabledChecks: o.Break})}
 	s.homeIn = homeLeast
-	s.sub.Hold(o.Hold)
+	s.sub.HoldShards(o.Hold)
 	s.order = slices.Clone(o.Servers)
 	rng.Shuffle(len(s.order), func(i, j int) { s.order[i], s.order[j] = s.order[j], s.order[i] })
 	slices.SortStableFunc(s.order, func(x, y Server) int { return foreign(x, o.Region) - foreign(y, o.Region) })
@@ -155,7 +155,7 @@
 		case <-tick.C:
 			s.sub.Tick(s.o.Now())
 			s.goHome(ctx)
-			if s.sub.Lost() {
+			if s.sub.ShouldReconnect() {
 				s.o.Log.Warn().Str("control", s.order[s.next%len(s.order)].Name).Msg("directory: the control member does not serve, trying the next")
 				s.next++
 				s.connect(ctx)
@@ -163,7 +163,7 @@
 		}
 		s.version.Store(s.sub.Version())
 		s.live.Store(s.sub.Live(s.o.Now()))
-		for _, out := range s.sub.Take() {
+		for _, out := range s.sub.TakeFrames() {
 			s.net.Send(out.To, out.Frame)
 		}
 	}
--- a/internal/lab/scale/hollow.go
+++ b/internal/lab/scale/hollow.go
@@ -86,11 +86,11 @@
 	own, cancel := context.WithCancel(ctx)
 	x := &hollow{cancel: cancel, done: make(chan struct{})}
 	o := subscriber.Options{Name: m.Name, Region: m.Region, Zone: m.Zone, Weight: 1, Log: zerolog.Nop(), Now: fleet.Now,
-		Break: directory.SubscriptionBreak(h.settings.Break)}
+		Break: directory.SubscriptionCheck(h.settings.Break)}
 	for _, c := range h.settings.Controls {
 		o.Servers = append(o.Servers, subscriber.Server(c))
 	}
-	o.Apply = func(a *directory.Applied) {
+	o.Apply = func(a *directory.AppliedUpdate) {
 		h.tell(ctx, applied(m.Number, a))
 		x.sub.Release(a.Unassigned) // nothing is held
 	}
@@ -116,7 +116,7 @@
 	h.tell(context.Background(), Observation{At: fleet.Now(), Kind: Down, Member: n})
 }
 
-func applied(member int, a *directory.Applied) Observation {
+func applied(member int, a *directory.AppliedUpdate) Observation {
 	o := Observation{At: fleet.Now(), Kind: Applied, Member: member, Version: a.To, Assigned: words(a.Assigned), Unassigned: words(a.Unassigned)}
 	for i := range a.Endpoints {
 		if n := int(a.Endpoints[i].Weight); n > 0 {
--- a/internal/lab/scale/run.go
+++ b/internal/lab/scale/run.go
@@ -66,7 +66,7 @@
 	File     *File
 	Programs Programs
 	Dir      string                          // a scratch folder
-	Guard    directory.SubscriptionBreak     // taken out of the hollow members
+	Guard    directory.SubscriptionCheck     // taken out of the hollow members
 	Progress func(size int, phase string)    // told of each phase
 	Tick     func(done, total time.Duration) // told of the schedule's progress
 	Sized    func(*Result) error             // told of the result so far after each size; nil: nobody is
--- a/internal/lab/scale/run_test.go
+++ b/internal/lab/scale/run_test.go
@@ -79,7 +79,7 @@
 // TestSmallRunWithoutAGuard takes out what makes a member notice that its control member is silent: the judge finds
 // members that stay behind.
 func TestSmallRunWithoutAGuard(t *testing.T) {
-	r := runFile(t, "../../../experiments/fleet/scale-small.xml", func(o *Options) { o.Guard = directory.BreakSilence })
+	r := runFile(t, "../../../experiments/fleet/scale-small.xml", func(o *Options) { o.Guard = directory.CheckSilence })
 	v := r.Sizes[0].Verdict
 	if v == nil {
 		t.Fatalf("ended: %s", r.Sizes[0].Ended)
--- a/internal/sender/shards.go
+++ b/internal/sender/shards.go
@@ -56,8 +56,8 @@
 		sh.locator.Update(nil, sh.locator.Names())
 	}
 	sh.locator.Update(u.Joined, u.Left)
-	for i := range u.Entries {
-		if e := &u.Entries[i]; e.State != policy.Gone {
+	for i := range u.Endpoints {
+		if e := &u.Endpoints[i]; e.State != policy.Gone {
 			id := shard.Of(uint64(e.Dest))
 			if sh.dests[id] == nil {
 				sh.dests[id] = map[int]bool{}
@@ -73,8 +73,8 @@
 		delete(sh.assigned, id)
 		sh.leaving[id] = true
 	}
-	if len(u.Entries) > 0 {
-		s.handleList(&discovery.List{Endpoints: u.Entries})
+	if len(u.Endpoints) > 0 {
+		s.handleList(&discovery.List{Endpoints: u.Endpoints})
 	}
 	s.releaseLeavingShards(true)
 }
--- a/internal/sender/shards_test.go
+++ b/internal/sender/shards_test.go
@@ -61,7 +61,7 @@
 		t.Errorf("before the members are known: %+v", v)
 	}
 	members := []shard.Member{{Name: "a", Zone: "1", Weight: 1}, {Name: "b", Zone: "2", Weight: 1}, {Name: "c", Zone: "3", Weight: 1}}
-	b.handleShardUpdate(&sharding.Update{AllMembers: true, Joined: members, Entries: endpointsAt("127.0.0.1:9", 3), Assigned: shardsOf(3)})
+	b.handleShardUpdate(&sharding.Update{AllMembers: true, Joined: members, Endpoints: endpointsAt("127.0.0.1:9", 3), Assigned: shardsOf(3)})
 	table := shard.NewTable(2)
 	table.Update(members, nil)
 	if v := b.submitTo("foreign", 4); !v.Misdirected || !slices.Equal(v.ServedBy, table.Replicas(shard.Of(4))) {
@@ -100,7 +100,7 @@
 	b.runStep()
 	before := heap()
 	ids := shardsOf(all...)
-	b.handleShardUpdate(&sharding.Update{Entries: endpointsAt("127.0.0.1:9", all...), Assigned: ids})
+	b.handleShardUpdate(&sharding.Update{Endpoints: endpointsAt("127.0.0.1:9", all...), Assigned: ids})
 	b.runStep()
 	full := heap()
 	if v := b.submitTo("held", 7); !v.Accepted {
--- a/internal/sharding/view.go
+++ b/internal/sharding/view.go
@@ -17,7 +17,7 @@
 
 // Update is what a sender is told.
 type Update struct {
-	Entries    []discovery.Endpoint // endpoints as they have become, policy.Gone those that left
+	Endpoints  []discovery.Endpoint // endpoints as they have become, policy.Gone those that left
 	Assigned   []shard.ID           // shards that the sender serves from now on,
 	Unassigned []shard.ID           // and that it serves no longer
 	AllMembers bool                 // those that joined are all there are
@@ -47,12 +47,12 @@
 }
 
 // Take turns what was learned into an update for the sender.
-func (v *View) Take(a *directory.Applied) Update {
+func (v *View) Apply(a *directory.AppliedUpdate) Update {
 	u := Update{Assigned: a.Assigned, Unassigned: a.Unassigned, AllMembers: a.AllMembers}
 	v.dropReplaced(a, &u)
 	for i := range a.Endpoints {
 		if e, ok := v.put(&a.Endpoints[i]); ok {
-			u.Entries = append(u.Entries, e)
+			u.Endpoints = append(u.Endpoints, e)
 		}
 	}
 	for i := range a.Joined {
@@ -65,12 +65,12 @@
 }
 
 // dropReplaced tells endpoints as gone that a snapshot of their shard does not hold.
-func (v *View) dropReplaced(a *directory.Applied, u *Update) {
-	if len(a.Snapshot) == 0 && !a.AllShards {
+func (v *View) dropReplaced(a *directory.AppliedUpdate, u *Update) {
+	if len(a.SnapshotShards) == 0 && !a.AllShards {
 		return
 	}
-	replaced := make(map[shard.ID]bool, len(a.Snapshot))
-	for _, id := range a.Snapshot {
+	replaced := make(map[shard.ID]bool, len(a.SnapshotShards))
+	for _, id := range a.SnapshotShards {
 		replaced[id] = true
 	}
 	there := map[string]bool{}
@@ -84,7 +84,7 @@
 		for name, e := range held {
 			if !there[name] {
 				e.State = policy.Gone
-				u.Entries = append(u.Entries, e)
+				u.Endpoints = append(u.Endpoints, e)
 				delete(held, name)
 			}
 		}
