--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -26,14 +26,14 @@
 )
 
 const (
-	leaderDuty  = "directory" // whoever holds it leads
-	inboxSize   = 4096
-	tickEvery   = 50 * time.Millisecond
-	reportEvery = time.Second            // to the member that leads, and
-	reportLeast = 200 * time.Millisecond // where something changed
-	rosterEvery = 200 * time.Millisecond
-	statusEvery = 500 * time.Millisecond
-	maxLinks    = 20000
+	leaderDuty        = "directory" // whoever holds it leads
+	inboxSize         = 4096
+	tickInterval      = 50 * time.Millisecond
+	reportInterval    = time.Second            // to the member that leads, and
+	minReportInterval = 200 * time.Millisecond // where something changed
+	rosterInterval    = 200 * time.Millisecond
+	statusInterval    = 500 * time.Millisecond
+	maxLinks          = 20000
 )
 
 // Options are what a Control works with.
@@ -57,41 +57,41 @@
 type Control struct {
 	o      Options
 	self   Member
-	member *fleet.Member
-	net    *link.Net
+	group  *fleet.Member
+	links  *link.Net
 	leader atomic.Pointer[string] // the holder of the duty, as the group tells
 	inbox  chan input
 	status atomic.Pointer[Status]
 
-	dir       *directory.Directory
-	publisher *directory.Publisher
-	follows   *directory.Subscription
-	followed  string      // whom it follows
-	lead      *leadership // nil: another one leads
-	statusAt  int64
-	reportSeq uint64
-	reportAt  int64
-	reported  uint64 // sum of the members that were reported last
-	again     bool   // all members are to be reported
+	dir             *directory.Directory
+	publisher       *directory.Publisher
+	subscription    *directory.Subscription
+	followedLeader  string      // whom it follows
+	leadership      *leadership // nil: another one leads
+	statusAt        int64
+	reportSeq       uint64
+	reportAt        int64
+	reportedHashSum uint64 // sum of the members that were reported last
+	fullReportDue   bool   // all members are to be reported
 }
 
 // leadership is what a control member has while it leads.
 type leadership struct {
-	token    uint64
-	roster   *directory.Roster
-	rosterAt int64
-	stop     context.CancelFunc // of the watch of discovery
+	token     uint64
+	roster    *directory.Roster
+	rosterAt  int64
+	stopWatch context.CancelFunc // of the watch of discovery
 }
 
 // input is something for the loop: a frame, or a list of discovery.
 type input struct {
 	from  string
 	frame *pb.Frame
-	list  *list
+	list  *discoveryList
 }
 
 // list is what discovery told the leader with that token.
-type list struct {
+type discoveryList struct {
 	token     uint64
 	full      bool
 	version   uint64
@@ -101,9 +101,9 @@
 // New starts a control member's links. Run keeps it going.
 func New(o Options) (*Control, error) {
 	s := o.Settings
-	c := &Control{o: o, self: s.Self(), inbox: make(chan input, inboxSize), dir: directory.New(), again: true}
+	c := &Control{o: o, self: s.Self(), inbox: make(chan input, inboxSize), dir: directory.New(), fullReportDue: true}
 	c.publisher = directory.NewPublisher(c.dir, s.Replicas)
-	c.follows = directory.NewSubscription(directory.SubscriptionOptions{Everything: true, Rand: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))})
+	c.subscription = directory.NewSubscription(directory.SubscriptionOptions{Everything: true, Rand: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))})
 	c.status.Store(&Status{Name: s.Name})
 	client, server, err := s.tlsConfigs()
 	if err != nil {
@@ -120,27 +120,27 @@
 	if err != nil {
 		return nil, errors.Join(fmt.Errorf("directory: %w", err), groupListener.Close())
 	}
-	set := fleet.Settings{Name: s.Name, Weight: 1, Terms: lease.Terms{Length: s.Lease, Drift: s.ClockDrift}, Election: s.ElectionTimeout, Hash: s.hash(), Client: client, Server: server}
+	groupSettings := fleet.Settings{Name: s.Name, Weight: 1, Terms: lease.Terms{Length: s.Lease, Drift: s.ClockDrift}, Election: s.ElectionTimeout, Hash: s.groupHash(), Client: client, Server: server}
 	for _, m := range s.Members {
-		set.Members = append(set.Members, fleet.Peer{Name: m.Name, Addr: m.Addr, Zone: m.Region, Voter: m.Voter})
+		groupSettings.Members = append(groupSettings.Members, fleet.Peer{Name: m.Name, Addr: m.Addr, Zone: m.Region, Voter: m.Voter})
 	}
-	set.Minimum = len(set.Voters())
-	c.member, err = fleet.Open(fleet.Options{Settings: set, Files: fsys.OS{Dir: s.StateDir}, Log: o.Log, Watch: c.heardOfLeader}, groupListener)
+	groupSettings.Minimum = len(groupSettings.Voters())
+	c.group, err = fleet.Open(fleet.Options{Settings: groupSettings, Files: fsys.OS{Dir: s.StateDir}, Log: o.Log, Watch: c.recordLeader}, groupListener)
 	if err != nil {
 		return nil, errors.Join(err, groupListener.Close(), directoryListener.Close())
 	}
-	c.member.Want(leaderDuty, "")
-	c.net = link.New(link.Options{Self: s.Name, Settings: subscriber.LinkHash, Dial: c.dials(), Known: func(name string) bool { return name != "" }, Client: client, Server: server,
-		PingEvery: subscriber.LinkPing, Silent: subscriber.LinkSilent, MaxLinks: maxLinks, Receive: c.receive, Call: c.call,
+	c.group.Want(leaderDuty, "")
+	c.links = link.New(link.Options{Self: s.Name, Settings: subscriber.LinkHash, Dial: c.dialAddrs(), Known: func(name string) bool { return name != "" }, Client: client, Server: server,
+		PingEvery: subscriber.LinkPing, Silent: subscriber.LinkSilent, MaxLinks: maxLinks, Receive: c.enqueueFrame, Call: c.handleCall,
 		Note: func(what, member string, err error) {
 			o.Log.Debug().Str("member", member).Err(err).Msg("directory: " + what)
 		}})
-	go c.net.Serve(directoryListener)
+	go c.links.Serve(directoryListener)
 	return c, nil
 }
 
 // hash is of what must be alike in all control members' files.
-func (s *Settings) hash() uint64 {
+func (s *Settings) groupHash() uint64 {
 	text := fmt.Sprint(s.Lease, s.ClockDrift, s.ElectionTimeout, s.Replicas)
 	for _, m := range s.Members {
 		if m.Voter {
@@ -151,7 +151,7 @@
 }
 
 // dials are the control members that this one dials: of two the one whose name sorts first does.
-func (c *Control) dials() map[string]string {
+func (c *Control) dialAddrs() map[string]string {
 	list := map[string]string{}
 	for _, m := range c.o.Settings.Members {
 		if c.self.Name < m.Name {
@@ -180,7 +180,7 @@
 }
 
 // heardOfLeader takes each change of a duty.
-func (c *Control) heardOfLeader(d *pb.Duty, _ bool) {
+func (c *Control) recordLeader(d *pb.Duty, _ bool) {
 	if d.Name == leaderDuty {
 		holder := d.Holder
 		c.leader.Store(&holder)
@@ -196,7 +196,7 @@
 }
 
 // receive brings a frame to the loop. A loop that is behind holds up the link, and no other.
-func (c *Control) receive(ctx context.Context, from string, f *pb.Frame) {
+func (c *Control) enqueueFrame(ctx context.Context, from string, f *pb.Frame) {
 	select {
 	case c.inbox <- input{from: from, frame: f}:
 	case <-ctx.Done():
@@ -204,7 +204,7 @@
 }
 
 // call answers an operator's command.
-func (c *Control) call(_ context.Context, a *pb.Ask) (*pb.Answer, error) {
+func (c *Control) handleCall(_ context.Context, a *pb.Ask) (*pb.Answer, error) {
 	if a.Status == nil {
 		return &pb.Answer{Error: "a control member answers status alone here"}, nil
 	}
@@ -214,16 +214,16 @@
 
 // Run keeps the control member going until the context ends, and leaves the group then.
 func (c *Control) Run(ctx context.Context) {
-	tick := time.NewTicker(tickEvery)
+	tick := time.NewTicker(tickInterval)
 	defer tick.Stop()
 	c.o.Log.Info().Str("directory", c.self.DirectoryAddr).Msg("control member started")
 	for ctx.Err() == nil {
 		select {
 		case <-ctx.Done():
 		case in := <-c.inbox:
-			c.take(ctx, in)
+			c.handleInput(ctx, in)
 			for range len(c.inbox) {
-				c.take(ctx, <-c.inbox)
+				c.handleInput(ctx, <-c.inbox)
 			}
 			c.flush()
 		case <-tick.C:
@@ -232,13 +232,13 @@
 		}
 	}
 	c.stopLeading()
-	c.member.Close()
-	c.net.Close()
+	c.group.Close()
+	c.links.Close()
 }
 
-func (c *Control) take(ctx context.Context, in input) {
+func (c *Control) handleInput(ctx context.Context, in input) {
 	if in.list != nil {
-		c.takeList(in.list)
+		c.handleList(in.list)
 		return
 	}
 	now := fleet.Now()
@@ -246,21 +246,21 @@
 	case *pb.Frame_Subscribe, *pb.Frame_Ack:
 		c.publisher.Receive(in.from, in.frame, now)
 	case *pb.Frame_Report:
-		if c.lead != nil {
-			again := c.lead.roster.HandleReport(in.from, c.regionOf(in.from), w.Report, now)
-			c.net.Send(in.from, &pb.Frame{What: &pb.Frame_Reported{Reported: &pb.Reported{Seq: w.Report.Seq, Again: again}}})
+		if c.leadership != nil {
+			again := c.leadership.roster.HandleReport(in.from, c.regionOf(in.from), w.Report, now)
+			c.links.Send(in.from, &pb.Frame{What: &pb.Frame_Reported{Reported: &pb.Reported{Seq: w.Report.Seq, Again: again}}})
 		}
 	case *pb.Frame_Reported:
-		c.again = c.again || w.Reported.Again
+		c.fullReportDue = c.fullReportDue || w.Reported.Again
 	case *pb.Frame_Update, *pb.Frame_Refused:
-		if c.lead == nil {
-			c.learn(c.follows.Receive(in.from, in.frame, now))
+		if c.leadership == nil {
+			c.applyUpdate(c.subscription.Receive(in.from, in.frame, now))
 		}
 	}
 }
 
 // learn takes what the member that leads has told.
-func (c *Control) learn(a *directory.AppliedUpdate) {
+func (c *Control) applyUpdate(a *directory.AppliedUpdate) {
 	if a == nil {
 		return
 	}
@@ -272,7 +272,7 @@
 		go debug.FreeOSMemory() // what the snapshot's parts took: several times what is kept
 	case err != nil: // the next subscription begins with a snapshot
 		c.o.Log.Error().Err(err).Msg("directory: an update does not fit")
-		c.follows.Resume(0)
+		c.subscription.Resume(0)
 	default:
 		c.publisher.ApplyChange(change)
 	}
@@ -280,15 +280,15 @@
 
 func (c *Control) tick(ctx context.Context) {
 	now := fleet.Now()
-	c.seeWhoLeads(ctx, now)
-	if c.lead != nil {
-		c.admitMembers(now)
-	} else if c.follows.Tick(now); c.follows.ShouldReconnect() && c.followed != "" {
-		c.follows.Connect(c.followed, now)
+	c.updateLeadership(ctx, now)
+	if c.leadership != nil {
+		c.publishMembership(now)
+	} else if c.subscription.Tick(now); c.subscription.ShouldReconnect() && c.followedLeader != "" {
+		c.subscription.Connect(c.followedLeader, now)
 	}
-	c.report(now)
+	c.sendReport(now)
 	c.publisher.Tick(now)
-	if now-c.statusAt < int64(statusEvery) {
+	if now-c.statusAt < int64(statusInterval) {
 		return
 	}
 	c.statusAt = now
@@ -297,54 +297,54 @@
 }
 
 // seeWhoLeads begins or ends to lead, or follows another one.
-func (c *Control) seeWhoLeads(ctx context.Context, now int64) {
-	token := c.member.Held(leaderDuty)
-	if c.lead != nil && c.lead.token != token {
+func (c *Control) updateLeadership(ctx context.Context, now int64) {
+	token := c.group.Held(leaderDuty)
+	if c.leadership != nil && c.leadership.token != token {
 		c.stopLeading()
 	}
-	if token != 0 && c.lead == nil {
+	if token != 0 && c.leadership == nil {
 		c.startLeading(ctx, token, now)
 	}
-	if c.lead != nil {
+	if c.leadership != nil {
 		return
 	}
-	if leader := c.leaderName(); leader != "" && leader != c.self.Name && leader != c.followed {
-		c.followed, c.again = leader, true
-		c.follows.Resume(c.dir.Version())
-		c.follows.Connect(leader, now)
+	if leader := c.leaderName(); leader != "" && leader != c.self.Name && leader != c.followedLeader {
+		c.followedLeader, c.fullReportDue = leader, true
+		c.subscription.Resume(c.dir.Version())
+		c.subscription.Connect(leader, now)
 	}
 }
 
 func (c *Control) startLeading(ctx context.Context, token uint64, now int64) {
-	watching, stop := context.WithCancel(ctx)
-	c.lead = &leadership{token: token, roster: directory.NewRoster(c.regions(), now), stop: stop}
-	c.followed, c.again = "", true
+	watchCtx, stopWatch := context.WithCancel(ctx)
+	c.leadership = &leadership{token: token, roster: directory.NewRoster(c.regions(), now), stopWatch: stopWatch}
+	c.followedLeader, c.fullReportDue = "", true
 	c.o.Log.Info().Uint64("token", token).Uint64("version", c.dir.Version()).Msg("directory: leads")
 	c.publish(c.dir.DiscoveryVersion(), nil, nil, nil)
 	// The watch goes on where the leader before had come to.
 	watch := discovery.NewDirectoryWatch(c.o.Settings.DiscoveryAddr, c.dir.DiscoveryVersion(), int(c.o.Settings.MaxListBytes), rand.Uint64(), c.o.Log, func(l discovery.List) {
-		c.toLoop(watching, token, l)
+		c.enqueueList(watchCtx, token, l)
 	})
-	go watch.Run(watching)
+	go watch.Run(watchCtx)
 }
 
 func (c *Control) stopLeading() {
-	if c.lead == nil {
+	if c.leadership == nil {
 		return
 	}
-	c.lead.stop()
-	c.lead = nil
+	c.leadership.stopWatch()
+	c.leadership = nil
 	c.o.Log.Info().Uint64("version", c.dir.Version()).Msg("directory: leads no more")
 }
 
 // toLoop hands a list of discovery to the loop. It is for the watch's goroutine, which waits while the loop is behind.
-func (c *Control) toLoop(ctx context.Context, token uint64, l discovery.List) {
-	told := &list{token: token, full: l.Full, version: l.Version, endpoints: make([]directory.Endpoint, 0, len(l.Endpoints))}
+func (c *Control) enqueueList(ctx context.Context, token uint64, l discovery.List) {
+	converted := &discoveryList{token: token, full: l.Full, version: l.Version, endpoints: make([]directory.Endpoint, 0, len(l.Endpoints))}
 	for i := range l.Endpoints {
-		told.endpoints = append(told.endpoints, endpointOf(&l.Endpoints[i]))
+		converted.endpoints = append(converted.endpoints, directoryEndpoint(&l.Endpoints[i]))
 	}
 	select {
-	case c.inbox <- input{list: told}:
+	case c.inbox <- input{list: converted}:
 	case <-ctx.Done():
 	}
 	if l.Full {
@@ -352,14 +352,14 @@
 	}
 }
 
-func endpointOf(e *discovery.Endpoint) directory.Endpoint {
-	x := directory.Endpoint{ID: e.Name, Addr: e.Addr, Zone: e.ZoneName, Kind: e.KindName, Destination: uint64(max(e.Dest, 0)), Weight: e.Rating}
-	x.State = pb.EndpointState(e.State) // the numbers are the same: removed, up, draining
-	return x
+func directoryEndpoint(e *discovery.Endpoint) directory.Endpoint {
+	endpoint := directory.Endpoint{ID: e.Name, Addr: e.Addr, Zone: e.ZoneName, Kind: e.KindName, Destination: uint64(max(e.Dest, 0)), Weight: e.Rating}
+	endpoint.State = pb.EndpointState(e.State) // the numbers are the same: removed, up, draining
+	return endpoint
 }
 
-func (c *Control) takeList(l *list) {
-	if c.lead == nil || c.lead.token != l.token {
+func (c *Control) handleList(l *discoveryList) {
+	if c.leadership == nil || c.leadership.token != l.token {
 		return
 	}
 	changed := l.endpoints
@@ -368,7 +368,7 @@
 	}
 	for i := range changed {
 		if e := &changed[i]; e.State == pb.EndpointState_REMOVED {
-			if destination, held := c.dir.DestinationOf(e.ID); held {
+			if destination, found := c.dir.DestinationOf(e.ID); found {
 				e.Destination = destination
 			}
 		}
@@ -377,59 +377,59 @@
 }
 
 // publish makes a change known, if this member still leads at this very moment.
-func (c *Control) publish(source uint64, endpoints []directory.Endpoint, joined, left []directory.Member) {
-	if c.member.Held(leaderDuty) != c.lead.token {
+func (c *Control) publish(discoveryVersion uint64, endpoints []directory.Endpoint, joined, left []directory.Member) {
+	if c.group.Held(leaderDuty) != c.leadership.token {
 		c.stopLeading()
 		return
 	}
-	if change, news := c.dir.Publish(directory.FirstVersion(c.lead.token), source, endpoints, joined, left); news {
+	if change, changed := c.dir.Publish(directory.FirstVersion(c.leadership.token), discoveryVersion, endpoints, joined, left); changed {
 		c.publisher.ApplyChange(change)
 	}
 }
 
 // admitMembers publishes members that have come and gone.
-func (c *Control) admitMembers(now int64) {
-	if now-c.lead.rosterAt < int64(rosterEvery) {
+func (c *Control) publishMembership(now int64) {
+	if now-c.leadership.rosterAt < int64(rosterInterval) {
 		return
 	}
-	c.lead.rosterAt = now
-	joined, left := c.lead.roster.Tick(c.dir.Members(), now)
+	c.leadership.rosterAt = now
+	joined, left := c.leadership.roster.Tick(c.dir.Members(), now)
 	if len(joined)+len(left) > 0 {
 		c.publish(c.dir.DiscoveryVersion(), nil, joined, left)
 	}
 }
 
 // report tells the member that leads who has subscribed here.
-func (c *Control) report(now int64) {
-	leader := c.followed
-	if c.lead != nil {
+func (c *Control) sendReport(now int64) {
+	leader := c.followedLeader
+	if c.leadership != nil {
 		leader = c.self.Name
 	}
-	if leader == "" || now-c.reportAt < int64(reportLeast) {
+	if leader == "" || now-c.reportAt < int64(minReportInterval) {
 		return
 	}
 	members := c.publisher.Subscribers()
-	sum := directory.NameHashSum(members)
-	changed := c.again || sum != c.reported
-	if !changed && now-c.reportAt < int64(reportEvery) {
+	hashSum := directory.NameHashSum(members)
+	changed := c.fullReportDue || hashSum != c.reportedHashSum
+	if !changed && now-c.reportAt < int64(reportInterval) {
 		return
 	}
 	c.reportSeq++
 	r := directory.NewReport(c.reportSeq, members, changed)
-	c.reportAt, c.reported, c.again = now, sum, false
-	if c.lead != nil {
-		c.again = c.lead.roster.HandleReport(c.self.Name, c.self.Region, r, now)
+	c.reportAt, c.reportedHashSum, c.fullReportDue = now, hashSum, false
+	if c.leadership != nil {
+		c.fullReportDue = c.leadership.roster.HandleReport(c.self.Name, c.self.Region, r, now)
 		return
 	}
-	c.net.Send(leader, &pb.Frame{What: &pb.Frame_Report{Report: r}})
+	c.links.Send(leader, &pb.Frame{What: &pb.Frame_Report{Report: r}})
 }
 
 // flush sends what the publisher and the subscription have made.
 func (c *Control) flush() {
 	for _, o := range c.publisher.TakeFrames() {
-		c.net.Send(o.To, o.Frame)
+		c.links.Send(o.To, o.Frame)
 	}
-	for _, o := range c.follows.TakeFrames() {
-		c.net.Send(o.To, o.Frame)
+	for _, o := range c.subscription.TakeFrames() {
+		c.links.Send(o.To, o.Frame)
 	}
 }
--- a/internal/control/settings.go
+++ b/internal/control/settings.go
@@ -102,7 +102,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if what, allowed := s.check(); what != "" {
+	if what, allowed := s.validate(); what != "" {
 		return nil, &strictxml.Error{File: path, What: what, Allowed: allowed}
 	}
 	for _, name := range []*string{&s.StateDir, &s.CA, &s.Cert, &s.Key} {
@@ -114,7 +114,7 @@
 }
 
 // check finds what the table cannot: values that do not go together.
-func (s *Settings) check() (what, allowed string) {
+func (s *Settings) validate() (what, allowed string) {
 	voters := 0
 	used := map[string]string{}
 	for _, m := range s.Members {
@@ -122,8 +122,8 @@
 			voters++
 		}
 		for _, addr := range []string{m.Addr, m.DirectoryAddr} {
-			if bad := checkAddr(addr, s.Cert != ""); bad != "" {
-				return fmt.Sprintf("member %q: address %q", m.Name, addr), bad
+			if expected := checkAddr(addr, s.Cert != ""); expected != "" {
+				return fmt.Sprintf("member %q: address %q", m.Name, addr), expected
 			}
 			if other := used[addr]; other != "" {
 				return fmt.Sprintf("members %q and %q both have the address %q", other, m.Name, addr), "one each, addr and directory apart"
@@ -144,13 +144,13 @@
 	return "", ""
 }
 
-func checkAddr(addr string, keys bool) (allowed string) {
+func checkAddr(addr string, hasKeys bool) (allowed string) {
 	host, port, err := net.SplitHostPort(addr)
-	ip, bad := netip.ParseAddr(host)
+	ip, ipErr := netip.ParseAddr(host)
 	switch {
-	case err != nil || bad != nil || port == "" || port == "0":
+	case err != nil || ipErr != nil || port == "" || port == "0":
 		return "an IP address and a port, such as 127.0.0.1:7401"
-	case !keys && !ip.IsLoopback() && !ip.IsPrivate():
+	case !hasKeys && !ip.IsLoopback() && !ip.IsPrivate():
 		return "loopback and private addresses, or ca, cert and key: links are else open to whoever reaches them"
 	}
 	return ""
--- a/internal/control/settings_test.go
+++ b/internal/control/settings_test.go
@@ -10,13 +10,13 @@
 	"sliptide/internal/operator"
 )
 
-const goodFile = `<control version="1" name="c1" state="state" discovery="127.0.0.1:8500">
+const validFile = `<control version="1" name="c1" state="state" discovery="127.0.0.1:8500">
  <member name="c1" addr="127.0.0.1:7301" directory="127.0.0.1:7401" region="r1" voter="true"/>
  <member name="c2" addr="127.0.0.1:7302" directory="127.0.0.1:7402" region="r2" voter="true"/>
  <member name="c3" addr="127.0.0.1:7303" directory="127.0.0.1:7403" region="r3" voter="true"/>
 </control>`
 
-func load(t *testing.T, text string) (*Settings, error) {
+func loadText(t *testing.T, text string) (*Settings, error) {
 	path := filepath.Join(t.TempDir(), "control.xml")
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
@@ -25,7 +25,7 @@
 }
 
 func TestSettings(t *testing.T) {
-	s, err := load(t, goodFile)
+	s, err := loadText(t, validFile)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -44,7 +44,7 @@
 		{` discovery="127.0.0.1:8500"`, ``, "discovery"},
 		{`region="r2"`, `region="r2" rack="7"`, "rack"},
 	} {
-		if _, err := load(t, strings.Replace(goodFile, bad.from, bad.to, 1)); err == nil || !strings.Contains(err.Error(), bad.want) {
+		if _, err := loadText(t, strings.Replace(validFile, bad.from, bad.to, 1)); err == nil || !strings.Contains(err.Error(), bad.want) {
 			t.Errorf("%q in place of %q: error %v, want one about %q", bad.to, bad.from, err, bad.want)
 		}
 	}
--- a/internal/fleet/directory/assign.go
+++ b/internal/fleet/directory/assign.go
@@ -9,50 +9,50 @@
 // This file keeps who holds and serves which shards.
 
 // table is the assignment of a region, made when it is first asked for.
-func (p *Publisher) table(region string) *shard.Table {
-	if t := p.tables[region]; t != nil {
-		return t
+func (p *Publisher) regionTable(region string) *shard.Table {
+	if table := p.tables[region]; table != nil {
+		return table
 	}
-	t := shard.NewTableWithShards(p.replicas, p.shards)
-	var list []shard.Member
+	table := shard.NewTableWithShards(p.replicas, p.shardCount)
+	var members []shard.Member
 	for _, m := range p.dir.Members() {
 		if m.Region == region {
-			list = append(list, m.Member)
+			members = append(members, m.Member)
 		}
 	}
-	t.Update(list, nil)
-	p.tables[region] = t
-	return t
+	table.Update(members, nil)
+	p.tables[region] = table
+	return table
 }
 
 // Changed takes a change that the directory has taken.
 func (p *Publisher) ApplyChange(c Change) {
 	for i := range c.Endpoints {
-		for s := range p.byShard[c.Endpoints[i].Shard()] {
+		for s := range p.shardSubscribers[c.Endpoints[i].Shard()] {
 			p.dirty[s] = true
 		}
 	}
-	type move struct {
+	type regionChange struct {
 		joined []shard.Member
 		left   []string
 	}
-	regions := map[string]*move{}
-	of := func(region string) *move {
+	regions := map[string]*regionChange{}
+	changeOf := func(region string) *regionChange {
 		if regions[region] == nil {
-			regions[region] = &move{}
+			regions[region] = &regionChange{}
 		}
 		return regions[region]
 	}
 	for _, m := range c.Left {
-		of(m.Region).left = append(of(m.Region).left, m.Name)
+		changeOf(m.Region).left = append(changeOf(m.Region).left, m.Name)
 	}
 	for _, m := range c.Joined {
-		of(m.Region).joined = append(of(m.Region).joined, m.Member)
+		changeOf(m.Region).joined = append(changeOf(m.Region).joined, m.Member)
 	}
-	for region, m := range regions {
-		p.reassign(region, m.joined, m.left)
+	for region, change := range regions {
+		p.reassign(region, change.joined, change.left)
 	}
-	for _, s := range p.subs {
+	for _, s := range p.subscribers {
 		if s.everything || regions[s.Region] != nil {
 			p.dirty[s] = true
 		}
@@ -61,77 +61,77 @@
 
 // reassign takes members of a region that came and went, and notes whose shards changed.
 func (p *Publisher) reassign(region string, joined []shard.Member, left []string) {
-	t := p.tables[region]
-	if t == nil {
+	table := p.tables[region]
+	if table == nil {
 		return // it is made of the directory's members when it is needed
 	}
-	touched := map[string]bool{}
+	affected := map[string]bool{}
 	for _, m := range joined {
-		touched[m.Name] = true
+		affected[m.Name] = true
 	}
-	for _, id := range t.Update(joined, left) {
-		for s := range p.byShard[id] {
-			touched[s.Name] = true
+	for _, id := range table.Update(joined, left) {
+		for s := range p.shardSubscribers[id] {
+			affected[s.Name] = true
 		}
-		for _, name := range t.Replicas(id) {
-			touched[name] = true
+		for _, name := range table.Replicas(id) {
+			affected[name] = true
 		}
 	}
-	for name := range touched {
-		if s := p.subs[name]; s != nil && !s.everything && s.Region == region {
-			p.assign(s)
+	for name := range affected {
+		if s := p.subscribers[name]; s != nil && !s.everything && s.Region == region {
+			p.updateAssignment(s)
 		}
 	}
 }
 
 // assign compares what a subscriber was told to serve with the table.
-func (p *Publisher) assign(s *subscriber) {
-	t := p.table(s.Region)
-	if !t.Has(s.Name) {
+func (p *Publisher) updateAssignment(s *subscriber) {
+	table := p.regionTable(s.Region)
+	if !table.Has(s.Name) {
 		return // it is not known to have joined, or no longer: it goes on with what it has
 	}
 	// The first time it is told all: what it holds may be less, or more, than what it served.
-	was := s.serves
-	if !s.compared {
-		was, s.compared = maps.Clone(s.shards), true
+	before := s.servedShards
+	if !s.assignmentCompared {
+		before, s.assignmentCompared = maps.Clone(s.heldShards), true
 	}
-	wanted := t.Shards(s.Name)
-	serves := make(map[shard.ID]bool, len(wanted))
-	for _, id := range wanted {
+	desired := table.Shards(s.Name)
+	serves := make(map[shard.ID]bool, len(desired))
+	for _, id := range desired {
 		serves[id] = true
-		if s.serves[id] {
+		if s.servedShards[id] {
 			continue
 		}
-		delete(s.unassigned, id)
-		s.assigned[id] = true
-		if !s.shards[id] {
-			p.hold(s, id)
-			s.lacks = append(s.lacks, id)
+		delete(s.pendingUnassigned, id)
+		s.pendingAssigned[id] = true
+		if !s.heldShards[id] {
+			p.addShard(s, id)
+			s.pendingSnapshots = append(s.pendingSnapshots, id)
 		}
 	}
-	for id := range was {
+	for id := range before {
 		if !serves[id] {
-			delete(s.assigned, id)
-			s.unassigned[id] = true
+			delete(s.pendingAssigned, id)
+			s.pendingUnassigned[id] = true
 		}
 	}
-	s.serves = serves
+	s.servedShards = serves
 	p.dirty[s] = true
 }
 
-func (p *Publisher) hold(s *subscriber, id shard.ID) {
-	s.shards[id] = true
-	if p.byShard[id] == nil {
-		p.byShard[id] = map[*subscriber]bool{}
+func (p *Publisher) addShard(s *subscriber, id shard.ID) {
+	s.heldShards[id] = true
+	if p.shardSubscribers[id] == nil {
+		p.shardSubscribers[id] = map[*subscriber]bool{}
 	}
-	p.byShard[id][s] = true
+	p.shardSubscribers[id][s] = true
 }
 
-func (p *Publisher) release(s *subscriber, id shard.ID) {
-	delete(s.shards, id)
-	delete(s.ahead, id)
-	delete(p.byShard[id], s)
-	if len(p.byShard[id]) == 0 {
-		delete(p.byShard, id)
+func (p *Publisher) removeShard(s *subscriber, id shard.ID) {
+	delete(s.heldShards, id)
+	delete(s.snapshotVersions, id)
+	delete(p.shardSubscribers[id], s)
+	if len(p.shardSubscribers[id]) == 0 {
+		delete(p.shardSubscribers, id)
 	}
 }
--- a/internal/fleet/directory/directory.go
+++ b/internal/fleet/directory/directory.go
@@ -25,13 +25,13 @@
 
 // termBits is how many bits of a version count changes of one leader; those above are the leader's fencing token, so
 // that a later leader's versions are higher than all of an earlier one's.
-const termBits = 32
+const counterBits = 32
 
 // term is the fencing token of the leader that published a version.
-func term(version uint64) uint64 { return version >> termBits }
+func tokenOf(version uint64) uint64 { return version >> counterBits }
 
 // FirstVersion is the lowest version of the leader with that fencing token.
-func FirstVersion(token uint64) uint64 { return token << termBits }
+func FirstVersion(token uint64) uint64 { return token << counterBits }
 
 // Errors of Apply.
 var (
@@ -68,7 +68,7 @@
 	shard.Member
 }
 
-func (m *Member) message(gone bool) *pb.MemberRecord {
+func (m *Member) proto(gone bool) *pb.MemberRecord {
 	return &pb.MemberRecord{Name: m.Name, Region: m.Region, Zone: m.Zone, Weight: m.Weight, Gone: gone}
 }
 
@@ -86,22 +86,22 @@
 	Left             []Member
 }
 
-func (c *Change) entries() int { return len(c.Endpoints) + len(c.Joined) + len(c.Left) }
+func (c *Change) entryCount() int { return len(c.Endpoints) + len(c.Joined) + len(c.Left) }
 
 // Directory is the state of one control member.
 type Directory struct {
 	version          uint64
 	discoveryVersion uint64
 	shards           [shard.Count][]Endpoint // by ID, without removed ones
-	count            int
+	endpointCount    int
 	members          map[string]Member
-	log              []Change          // the latest, without holes
-	logged           int               // entries in the log
-	names            map[string]string // zones and kinds, each kept once
+	changes          []Change          // the latest, without holes
+	logEntries       int               // entries in the log
+	interned         map[string]string // zones and kinds, each kept once
 }
 
 // New returns an empty directory of version 0.
-func New() *Directory { return &Directory{members: map[string]Member{}, names: map[string]string{}} }
+func New() *Directory { return &Directory{members: map[string]Member{}, interned: map[string]string{}} }
 
 // Version is the version of what is held. 0: nothing has been held yet.
 func (d *Directory) Version() uint64 { return d.version }
@@ -110,7 +110,7 @@
 func (d *Directory) DiscoveryVersion() uint64 { return d.discoveryVersion }
 
 // Len is how many endpoints there are.
-func (d *Directory) Len() int { return d.count }
+func (d *Directory) Len() int { return d.endpointCount }
 
 // Shard are the endpoints of a shard, by ID. They must not be changed.
 func (d *Directory) Shard(id shard.ID) []Endpoint { return d.shards[id] }
@@ -119,73 +119,73 @@
 func (d *Directory) Members() map[string]Member { return d.members }
 
 func (d *Directory) intern(text string) string {
-	if kept, known := d.names[text]; known {
-		return kept
+	if interned, known := d.interned[text]; known {
+		return interned
 	}
-	if len(d.names) < 1<<12 {
-		d.names[text] = text
+	if len(d.interned) < 1<<12 {
+		d.interned[text] = text
 	}
 	return text
 }
 
 // put enters an endpoint as it has become, and reports whether that is news.
-func (d *Directory) put(e Endpoint) bool {
+func (d *Directory) putEndpoint(e Endpoint) bool {
 	list := d.shards[e.Shard()]
-	at, there := slices.BinarySearchFunc(list, e.ID, func(x Endpoint, id string) int { return cmp.Compare(x.ID, id) })
+	index, found := slices.BinarySearchFunc(list, e.ID, func(x Endpoint, id string) int { return cmp.Compare(x.ID, id) })
 	switch {
-	case e.State == pb.EndpointState_REMOVED && !there:
+	case e.State == pb.EndpointState_REMOVED && !found:
 		return false
 	case e.State == pb.EndpointState_REMOVED:
-		d.shards[e.Shard()] = slices.Delete(list, at, at+1)
-		d.count--
+		d.shards[e.Shard()] = slices.Delete(list, index, index+1)
+		d.endpointCount--
 		return true
-	case there && list[at] == e:
+	case found && list[index] == e:
 		return false
 	}
 	e.Zone, e.Kind = d.intern(e.Zone), d.intern(e.Kind)
-	if there {
-		list[at] = e
+	if found {
+		list[index] = e
 		return true
 	}
-	d.shards[e.Shard()] = slices.Insert(list, at, e)
-	d.count++
+	d.shards[e.Shard()] = slices.Insert(list, index, e)
+	d.endpointCount++
 	return true
 }
 
 // Publish makes a change of what became different, as the member that leads. The version is the next one, but not under
 // least. Endpoints and members that are as told already are left out; where nothing is left and least is reached, no
 // change is made.
-func (d *Directory) Publish(least, source uint64, endpoints []Endpoint, joined, left []Member) (Change, bool) {
-	c := Change{From: d.version, To: max(d.version+1, least), DiscoveryVersion: source}
+func (d *Directory) Publish(minVersion, discoveryVersion uint64, endpoints []Endpoint, joined, left []Member) (Change, bool) {
+	c := Change{From: d.version, To: max(d.version+1, minVersion), DiscoveryVersion: discoveryVersion}
 	for _, e := range endpoints {
-		if d.put(e) {
+		if d.putEndpoint(e) {
 			c.Endpoints = append(c.Endpoints, e)
 		}
 	}
 	for _, m := range left {
-		if _, there := d.members[m.Name]; there {
+		if _, known := d.members[m.Name]; known {
 			delete(d.members, m.Name)
 			c.Left = append(c.Left, m)
 		}
 	}
 	for _, m := range joined {
-		d.join(m, &c)
+		d.putMember(m, &c)
 	}
-	if c.entries() == 0 && source == d.discoveryVersion && d.version >= least {
+	if c.entryCount() == 0 && discoveryVersion == d.discoveryVersion && d.version >= minVersion {
 		return Change{}, false
 	}
-	d.enter(c)
+	d.appendChange(c)
 	return c, true
 }
 
 // join enters a member, and into a change what that is: one that was in another region has left there.
-func (d *Directory) join(m Member, c *Change) {
-	was, there := d.members[m.Name]
-	if there && was == m {
+func (d *Directory) putMember(m Member, c *Change) {
+	previous, known := d.members[m.Name]
+	if known && previous == m {
 		return
 	}
-	if there && was.Region != m.Region {
-		c.Left = append(c.Left, was)
+	if known && previous.Region != m.Region {
+		c.Left = append(c.Left, previous)
 	}
 	d.members[m.Name] = m
 	c.Joined = append(c.Joined, m)
@@ -193,21 +193,21 @@
 
 // enter appends a change that the state has taken. One that is larger than the whole log may be ends it: subscribers
 // get snapshots then.
-func (d *Directory) enter(c Change) {
+func (d *Directory) appendChange(c Change) {
 	d.version, d.discoveryVersion = c.To, c.DiscoveryVersion
-	if c.entries() > maxLogEntries {
-		d.log, d.logged = nil, 0
+	if c.entryCount() > maxLogEntries {
+		d.changes, d.logEntries = nil, 0
 		return
 	}
-	d.log = append(d.log, c)
-	d.logged += c.entries()
-	drop := 0
-	for drop < len(d.log)-1 && (len(d.log)-drop > maxLogChanges || d.logged > maxLogEntries) {
-		d.logged -= d.log[drop].entries()
-		drop++
+	d.changes = append(d.changes, c)
+	d.logEntries += c.entryCount()
+	dropped := 0
+	for dropped < len(d.changes)-1 && (len(d.changes)-dropped > maxLogChanges || d.logEntries > maxLogEntries) {
+		d.logEntries -= d.changes[dropped].entryCount()
+		dropped++
 	}
-	if drop > 0 {
-		d.log = append([]Change(nil), d.log[drop:]...)
+	if dropped > 0 {
+		d.changes = append([]Change(nil), d.changes[dropped:]...)
 	}
 }
 
@@ -219,45 +219,45 @@
 	case c.From != d.version:
 		return Change{}, fmt.Errorf("%w: from %d, known is %d", ErrGap, c.From, d.version)
 	}
-	made := Change{From: c.From, To: c.To, DiscoveryVersion: c.DiscoveryVersion, Endpoints: c.Endpoints}
+	applied := Change{From: c.From, To: c.To, DiscoveryVersion: c.DiscoveryVersion, Endpoints: c.Endpoints}
 	for _, e := range c.Endpoints {
-		d.put(e)
+		d.putEndpoint(e)
 	}
 	for _, m := range c.Left {
-		if was, there := d.members[m.Name]; there {
+		if previous, known := d.members[m.Name]; known {
 			delete(d.members, m.Name)
-			made.Left = append(made.Left, was)
+			applied.Left = append(applied.Left, previous)
 		}
 	}
 	for _, m := range c.Joined {
-		d.join(m, &made)
+		d.putMember(m, &applied)
 	}
-	d.enter(made)
-	return made, nil
+	d.appendChange(applied)
+	return applied, nil
 }
 
 // Load replaces all that is held by a snapshot, and returns the change that leads there from what was held, so that
 // subscribers here need no snapshot in their turn. A snapshot that is not later than what is held is ErrOld.
-func (d *Directory) LoadSnapshot(version, source uint64, endpoints []Endpoint, members []Member) (Change, error) {
+func (d *Directory) LoadSnapshot(version, discoveryVersion uint64, endpoints []Endpoint, members []Member) (Change, error) {
 	if version <= d.version {
 		return Change{}, fmt.Errorf("%w: a snapshot of %d, known is %d", ErrStale, version, d.version)
 	}
-	c := Change{From: d.version, To: version, DiscoveryVersion: source, Endpoints: d.Diff(endpoints)}
+	c := Change{From: d.version, To: version, DiscoveryVersion: discoveryVersion, Endpoints: d.Diff(endpoints)}
 	for _, e := range c.Endpoints {
-		d.put(e)
+		d.putEndpoint(e)
 	}
-	there := make(map[string]bool, len(members))
+	listed := make(map[string]bool, len(members))
 	for _, m := range members {
-		there[m.Name] = true
-		d.join(m, &c)
+		listed[m.Name] = true
+		d.putMember(m, &c)
 	}
 	for name, m := range d.members {
-		if !there[name] {
+		if !listed[name] {
 			delete(d.members, name)
 			c.Left = append(c.Left, m)
 		}
 	}
-	d.enter(c)
+	d.appendChange(c)
 	return c, nil
 }
 
@@ -279,16 +279,16 @@
 			continue
 		}
 		held := d.shards[e.Shard()]
-		at, there := slices.BinarySearchFunc(held, e.ID, func(x Endpoint, id string) int { return cmp.Compare(x.ID, id) })
-		if !there || held[at] != e {
+		index, found := slices.BinarySearchFunc(held, e.ID, func(x Endpoint, id string) int { return cmp.Compare(x.ID, id) })
+		if !found || held[index] != e {
 			changed = append(changed, e)
 		}
 	}
 	var removed []Endpoint
 	for id := range d.shards {
 		for _, e := range d.shards[id] {
-			i, there := listed[key{e.ID, shard.ID(id)}]
-			if !there || list[i].State == pb.EndpointState_REMOVED {
+			i, found := listed[key{e.ID, shard.ID(id)}]
+			if !found || list[i].State == pb.EndpointState_REMOVED {
 				e.State = pb.EndpointState_REMOVED
 				removed = append(removed, e)
 			}
@@ -306,19 +306,19 @@
 	if version == d.version {
 		return nil, true
 	}
-	at, exact := slices.BinarySearchFunc(d.log, version, func(c Change, v uint64) int { return cmp.Compare(c.From, v) })
+	index, exact := slices.BinarySearchFunc(d.changes, version, func(c Change, v uint64) int { return cmp.Compare(c.From, v) })
 	if exact {
-		return d.log[at:], true
+		return d.changes[index:], true
 	}
-	if at == 0 {
+	if index == 0 {
 		return nil, false
 	}
 	// Between the ends of a change that came as one. Of one leader's versions each holds all before it.
-	between := d.log[at-1]
-	if version >= between.To || term(between.From) != term(version) || term(between.To) != term(version) {
+	containing := d.changes[index-1]
+	if version >= containing.To || tokenOf(containing.From) != tokenOf(version) || tokenOf(containing.To) != tokenOf(version) {
 		return nil, false
 	}
-	return d.log[at-1:], true
+	return d.changes[index-1:], true
 }
 
 // Take applies what a subscription to the member that leads has learned, and returns the change that it made.
@@ -331,12 +331,12 @@
 }
 
 // Locate is the destination of an endpoint that is held, by a look at all of them; for the rare line that names none.
-func (d *Directory) DestinationOf(id string) (destination uint64, held bool) {
+func (d *Directory) DestinationOf(id string) (destination uint64, found bool) {
 	for i := range d.shards {
 		list := d.shards[i]
-		at, there := slices.BinarySearchFunc(list, id, func(x Endpoint, id string) int { return cmp.Compare(x.ID, id) })
-		if there {
-			return list[at].Destination, true
+		index, found := slices.BinarySearchFunc(list, id, func(x Endpoint, id string) int { return cmp.Compare(x.ID, id) })
+		if found {
+			return list[index].Destination, true
 		}
 	}
 	return 0, false
--- a/internal/fleet/directory/directory_test.go
+++ b/internal/fleet/directory/directory_test.go
@@ -21,7 +21,7 @@
 }
 
 // pair is a publisher with one subscriber, whose frames the test carries by hand.
-type pair struct {
+type testPair struct {
 	t   *testing.T
 	dir *Directory
 	pub *Publisher
@@ -29,8 +29,8 @@
 	now int64
 }
 
-func newPair(t *testing.T, endpoints int, everything bool) *pair {
-	p := &pair{t: t, dir: New(), now: int64(time.Hour)}
+func newPair(t *testing.T, endpoints int, everything bool) *testPair {
+	p := &testPair{t: t, dir: New(), now: int64(time.Hour)}
 	p.pub = NewPublisher(p.dir, 1)
 	var list []Endpoint
 	for d := range uint64(endpoints) {
@@ -44,14 +44,14 @@
 }
 
 // up carries the subscriber's frames to the publisher.
-func (p *pair) up() {
+func (p *testPair) deliverToPublisher() {
 	for _, o := range p.sub.TakeFrames() {
 		p.pub.Receive("s", o.Frame, p.now)
 	}
 }
 
 // frames are what the publisher sends at this time.
-func (p *pair) frames() []*pb.Frame {
+func (p *testPair) publisherFrames() []*pb.Frame {
 	p.pub.Tick(p.now)
 	var list []*pb.Frame
 	for _, o := range p.pub.TakeFrames() {
@@ -61,7 +61,7 @@
 }
 
 // down hands frames to the subscriber and returns what it learned.
-func (p *pair) down(list []*pb.Frame) (learned []*AppliedUpdate) {
+func (p *testPair) deliverToSubscriber(list []*pb.Frame) (learned []*AppliedUpdate) {
 	for _, f := range list {
 		if a := p.sub.Receive("c", f, p.now); a != nil {
 			learned = append(learned, a)
@@ -71,10 +71,10 @@
 }
 
 // settle carries frames both ways until the subscriber knows the directory's version.
-func (p *pair) settle() (learned []*AppliedUpdate) {
+func (p *testPair) settle() (learned []*AppliedUpdate) {
 	for range 1000 {
-		p.up()
-		learned = append(learned, p.down(p.frames())...)
+		p.deliverToPublisher()
+		learned = append(learned, p.deliverToSubscriber(p.publisherFrames())...)
 		if p.sub.Version() == p.dir.Version() {
 			return learned
 		}
@@ -85,7 +85,7 @@
 	return nil
 }
 
-func (p *pair) publish(list ...Endpoint) {
+func (p *testPair) publish(list ...Endpoint) {
 	c, news := p.dir.Publish(0, p.dir.DiscoveryVersion()+1, list, nil, nil)
 	if !news {
 		p.t.Fatal("no change")
@@ -98,21 +98,21 @@
 func TestSubscriberThatReadsNothing(t *testing.T) {
 	p := newPair(t, 50, false)
 	p.settle()
-	p.up()
+	p.deliverToPublisher()
 	sent := 0
 	for i := range 30 {
 		p.publish(endpoint(uint64(i%50), 100+i))
-		sent += len(p.frames()) // read by nobody
+		sent += len(p.publisherFrames()) // read by nobody
 		p.now += int64(50 * time.Millisecond)
 	}
-	if sent > window {
-		t.Errorf("%d updates are out to a subscriber that acknowledges nothing, %d allowed", sent, window)
+	if sent > maxUnackedUpdates {
+		t.Errorf("%d updates are out to a subscriber that acknowledges nothing, %d allowed", sent, maxUnackedUpdates)
 	}
 	for range maxLogChanges + 10 {
 		p.publish(endpoint(7, int(p.dir.Version()%50000)+200))
 	}
-	p.now += int64(expireAfter) + 1
-	p.frames()
+	p.now += int64(subscriberTimeout) + 1
+	p.publisherFrames()
 	if n := len(p.pub.Subscribers()); n != 0 {
 		t.Errorf("%d subscribers are left", n)
 	}
@@ -131,14 +131,14 @@
 // The publisher dies in the middle of a snapshot that takes many frames: nothing of it is taken, and the next one, from
 // another control member, is whole.
 func TestKilledInTheMiddleOfASnapshot(t *testing.T) {
-	const endpoints = 3 * fullPart
+	const endpoints = 3 * maxUpdateEntries
 	p := newPair(t, endpoints, true)
-	p.up()
-	parts := p.frames()
+	p.deliverToPublisher()
+	parts := p.publisherFrames()
 	if len(parts) < 3 {
 		t.Fatalf("the snapshot comes in %d frames", len(parts))
 	}
-	if learned := p.down(parts[:2]); learned != nil || p.sub.Version() != 0 {
+	if learned := p.deliverToSubscriber(parts[:2]); learned != nil || p.sub.Version() != 0 {
 		t.Fatalf("parts of a snapshot are taken: version %d", p.sub.Version())
 	}
 	p.pub = NewPublisher(p.dir, 1) // started anew
@@ -154,15 +154,15 @@
 func TestLostDoubledAndLateUpdates(t *testing.T) {
 	p := newPair(t, 10, false)
 	p.settle()
-	p.up()
+	p.deliverToPublisher()
 	p.publish(endpoint(1, 11))
-	first := p.frames()
+	first := p.publisherFrames()
 	p.publish(endpoint(2, 12))
-	second := p.frames()
-	if learned := p.down(second); learned != nil {
+	second := p.publisherFrames()
+	if learned := p.deliverToSubscriber(second); learned != nil {
 		t.Fatalf("an update is taken with one missing before it: %+v", learned[0])
 	}
-	if learned := p.down(first); learned != nil { // late: it has subscribed anew
+	if learned := p.deliverToSubscriber(first); learned != nil { // late: it has subscribed anew
 		t.Fatalf("an update of an earlier subscription is taken: %+v", learned[0])
 	}
 	learned := p.settle()
@@ -175,17 +175,17 @@
 	if got["e-1"] != "10.0.0.1:11" || got["e-2"] != "10.0.0.1:12" || len(got) != 2 {
 		t.Errorf("learned %v after the loss", got)
 	}
-	p.up()
+	p.deliverToPublisher()
 	p.publish(endpoint(3, 13))
-	again := p.frames()
-	if once, twice := p.down(again), p.down(again); len(once) != 1 || twice != nil {
+	again := p.publisherFrames()
+	if once, twice := p.deliverToSubscriber(again), p.deliverToSubscriber(again); len(once) != 1 || twice != nil {
 		t.Errorf("doubled: learned %d and %d times", len(once), len(twice))
 	}
 }
 
 // A control member that has only an older version does not take a subscriber back: it refuses, and the subscriber
 // keeps what it knows.
-func TestNeverBack(t *testing.T) {
+func TestOlderVersionIsRefused(t *testing.T) {
 	p := newPair(t, 10, false)
 	p.publish(endpoint(1, 11))
 	p.settle()
@@ -197,20 +197,20 @@
 	p.pub = NewPublisher(behind, 1)
 	p.sub.TakeFrames()
 	p.sub.Connect("c", p.now)
-	p.up()
-	p.down(p.frames())
+	p.deliverToPublisher()
+	p.deliverToSubscriber(p.publisherFrames())
 	if p.sub.Version() != known || p.sub.Live(p.now) {
 		t.Errorf("version %d, live %t; known was %d", p.sub.Version(), p.sub.Live(p.now), known)
 	}
 	old := &pb.Frame{What: &pb.Frame_Update{Update: &pb.Update{Id: p.sub.id, Seq: 1, From: 0, To: FirstVersion(1), AllShards: true, AllMembers: true}}}
-	if learned := p.down([]*pb.Frame{old}); learned != nil {
+	if learned := p.deliverToSubscriber([]*pb.Frame{old}); learned != nil {
 		t.Errorf("an older snapshot is taken: %+v", learned[0])
 	}
 }
 
 // Versions of a leader that this control member has not heard all of are no place to go on from, though they are lower
 // than what it knows: what the subscriber took from that leader last would stay for good.
-func TestVersionsOfAnotherLeader(t *testing.T) {
+func TestChangesSinceAcrossLeaders(t *testing.T) {
 	d := New()
 	if _, err := d.LoadSnapshot(FirstVersion(1), 1, nil, nil); err != nil {
 		t.Fatal(err)
@@ -229,7 +229,7 @@
 		{FirstVersion(1) + 6, false, 0}, {FirstVersion(2), true, 1}, {FirstVersion(2) + 1, true, 0}, {FirstVersion(2) + 2, false, 0},
 	} {
 		if changes, reaches := d.ChangesSince(c.version); reaches != c.reaches || len(changes) != c.changes {
-			t.Errorf("since %d.%d: %d changes, %t; want %d, %t", term(c.version), c.version&(1<<termBits-1), len(changes), reaches, c.changes, c.reaches)
+			t.Errorf("since %d.%d: %d changes, %t; want %d, %t", tokenOf(c.version), c.version&(1<<counterBits-1), len(changes), reaches, c.changes, c.reaches)
 		}
 	}
 	if _, err := d.Apply(Change{From: FirstVersion(2) + 3, To: FirstVersion(2) + 4}); !errors.Is(err, ErrGap) {
--- a/internal/fleet/directory/epochs_test.go
+++ b/internal/fleet/directory/epochs_test.go
@@ -59,7 +59,7 @@
 	p := newPair(t, 10, false) // p.dir is the old leader's
 	p.settle()
 	next := New()
-	if _, err := next.LoadSnapshot(p.dir.Version(), p.dir.DiscoveryVersion(), held(p.dir), []Member{member("s")}); err != nil {
+	if _, err := next.LoadSnapshot(p.dir.Version(), p.dir.DiscoveryVersion(), allEndpoints(p.dir), []Member{member("s")}); err != nil {
 		t.Fatal(err)
 	}
 	nextPub := NewPublisher(next, 1)
@@ -95,13 +95,13 @@
 	former.sub.Resume(old.Version())
 	former.sub.Connect("leader", p.now)
 	former.catchUp(t, nextPub, p.now)
-	if got, want := held(old), held(next); !slices.Equal(got, want) {
+	if got, want := allEndpoints(old), allEndpoints(next); !slices.Equal(got, want) {
 		t.Errorf("the old leader holds %v, the new one %v", got, want)
 	}
 }
 
 // held are all endpoints of a directory, by shard.
-func held(d *Directory) (list []Endpoint) {
+func allEndpoints(d *Directory) (list []Endpoint) {
 	for id := range shard.ID(shard.Count) {
 		list = append(list, d.Shard(id)...)
 	}
@@ -125,8 +125,8 @@
 	leaderPub.ApplyChange(change)
 	for range 10 { // cut: the follower is not told
 		p.now += int64(500 * time.Millisecond)
-		p.up()
-		for _, a := range p.down(p.frames()) {
+		p.deliverToPublisher()
+		for _, a := range p.deliverToSubscriber(p.publisherFrames()) {
 			if len(a.Unassigned) > 0 || len(a.Assigned) > 0 {
 				t.Errorf("shards moved in a region that is cut off: %d and %d", len(a.Assigned), len(a.Unassigned))
 			}
@@ -154,12 +154,12 @@
 		leaderPub.ApplyChange(change)
 		f.catchUp(t, leaderPub, p.now)
 		for p.sub.Version() < p.dir.Version() {
-			p.up()
-			frames := p.frames()
+			p.deliverToPublisher()
+			frames := p.publisherFrames()
 			for _, x := range frames {
 				sent = sent || slices.ContainsFunc(x.GetUpdate().GetEndpoints(), func(e *pb.Endpoint) bool { return e.Id == endpoint(moved, port).ID })
 			}
-			p.down(frames)
+			p.deliverToSubscriber(frames)
 			p.now += int64(100 * time.Millisecond)
 		}
 		return sent
@@ -168,7 +168,7 @@
 		t.Error("an endpoint of a shard that is not released yet changed unheard")
 	}
 	p.sub.Release(gone)
-	p.up()
+	p.deliverToPublisher()
 	if told(32) {
 		t.Error("an endpoint of a shard that was released is told")
 	}
--- a/internal/fleet/directory/model_test.go
+++ b/internal/fleet/directory/model_test.go
@@ -20,14 +20,14 @@
 // published at that version.
 
 const (
-	modelTick    = 50 * time.Millisecond
-	destinations = 60
-	modelShards  = 512 // the first of all: six members would else hold ten thousand each
+	modelTick             = 50 * time.Millisecond
+	modelDestinationCount = 60
+	modelShards           = 512 // the first of all: six members would else hold ten thousand each
 )
 
 // modelDestinations are of the model's shards.
 var modelDestinations = func() (list []uint64) {
-	for d := uint64(0); len(list) < destinations; d++ {
+	for d := uint64(0); len(list) < modelDestinationCount; d++ {
 		if shard.Of(d) < modelShards {
 			list = append(list, d)
 		}
@@ -36,12 +36,12 @@
 }()
 
 // content is what a leader had published at a version: endpoints by ID, and members by name.
-type content struct {
+type publishedState struct {
 	endpoints map[string]Endpoint
 	members   map[string]Member
 }
 
-type frameOnWay struct {
+type delayedFrame struct {
 	at       int64
 	from, to string
 	frame    *pb.Frame
@@ -49,49 +49,49 @@
 
 // controlProcess is a control member in the model.
 type controlProcess struct {
-	name      string
-	up        bool
-	dir       *Directory
-	publisher *Publisher
-	roster    *Roster // while it leads
-	follows   *Subscription
-	reportSeq uint64
-	again     bool
-	reported  string
+	name          string
+	up            bool
+	dir           *Directory
+	publisher     *Publisher
+	roster        *Roster // while it leads
+	subscription  *Subscription
+	reportSeq     uint64
+	fullReportDue bool
+	reported      string
 }
 
 // senderProcess is a sender in the model: what it holds, by shard.
 type senderProcess struct {
-	name    string
-	up      bool
-	stopped int64 // until
-	inbox   []frameOnWay
-	sub     *Subscription
-	held    map[shard.ID]map[string]Endpoint
-	serves  map[shard.ID]bool
-	members map[string]Member
-	last    uint64
+	name         string
+	up           bool
+	pausedUntil  int64 // until
+	inbox        []delayedFrame
+	sub          *Subscription
+	heldShards   map[shard.ID]map[string]Endpoint
+	servedShards map[shard.ID]bool
+	members      map[string]Member
+	lastVersion  uint64
 }
 
-type world struct {
-	t        *testing.T
-	rng      *rand.Rand
-	now      int64
-	controls []*controlProcess
-	senders  []*senderProcess
-	leader   int
-	token    uint64
-	history  map[uint64]content
-	wire     []frameOnWay
-	loss     float64
-	cut      map[[2]string]bool
-	guard    SubscriptionCheck
-	breach   string
-	next     int
+type modelWorld struct {
+	t         *testing.T
+	rng       *rand.Rand
+	now       int64
+	controls  []*controlProcess
+	senders   []*senderProcess
+	leader    int
+	token     uint64
+	published map[uint64]publishedState
+	inFlight  []delayedFrame
+	loss      float64
+	cut       map[[2]string]bool
+	disabled  SubscriptionCheck
+	violation string
+	lastPort  int
 }
 
-func newWorld(seed uint64, guard SubscriptionCheck) *world {
-	w := &world{rng: rand.New(rand.NewPCG(seed, 11)), now: int64(time.Hour), history: map[uint64]content{}, cut: map[[2]string]bool{}, guard: guard, leader: -1}
+func newWorld(seed uint64, guard SubscriptionCheck) *modelWorld {
+	w := &modelWorld{rng: rand.New(rand.NewPCG(seed, 11)), now: int64(time.Hour), published: map[uint64]publishedState{}, cut: map[[2]string]bool{}, disabled: guard, leader: -1}
 	for i := range 3 {
 		w.controls = append(w.controls, &controlProcess{name: fmt.Sprintf("control-%d", i)})
 		w.startControl(w.controls[i])
@@ -105,35 +105,35 @@
 	return w
 }
 
-func (w *world) fail(format string, args ...any) {
-	if w.breach == "" {
-		w.breach = fmt.Sprintf("at %v: ", time.Duration(w.now)) + fmt.Sprintf(format, args...)
+func (w *modelWorld) fail(format string, args ...any) {
+	if w.violation == "" {
+		w.violation = fmt.Sprintf("at %v: ", time.Duration(w.now)) + fmt.Sprintf(format, args...)
 	}
 }
 
-func (w *world) startControl(c *controlProcess) {
-	c.up, c.dir, c.roster, c.reported, c.again = true, New(), nil, "", true
+func (w *modelWorld) startControl(c *controlProcess) {
+	c.up, c.dir, c.roster, c.reported, c.fullReportDue = true, New(), nil, "", true
 	c.publisher = NewPublisher(c.dir, 2)
-	c.publisher.shards = modelShards
-	c.publisher.part = 3 // so that most snapshots come in parts
-	if w.guard&CheckVersion != 0 {
+	c.publisher.shardCount = modelShards
+	c.publisher.maxEntries = 3 // so that most snapshots come in parts
+	if w.disabled&CheckVersion != 0 {
 		c.publisher.DisabledChecks = CheckNotBehind // the same guard at the other end
 	}
-	c.follows = NewSubscription(SubscriptionOptions{Everything: true, Rand: w.rng, DisabledChecks: w.guard})
+	c.subscription = NewSubscription(SubscriptionOptions{Everything: true, Rand: w.rng, DisabledChecks: w.disabled})
 	if w.leader >= 0 && w.controls[w.leader] != c {
-		c.follows.Connect(w.controls[w.leader].name, w.now)
+		c.subscription.Connect(w.controls[w.leader].name, w.now)
 	}
 }
 
-func (w *world) startSender(s *senderProcess) {
-	s.up, s.inbox, s.last = true, nil, 0
-	s.held, s.serves, s.members = map[shard.ID]map[string]Endpoint{}, map[shard.ID]bool{}, map[string]Member{}
-	s.sub = NewSubscription(SubscriptionOptions{Region: "r", Zone: "z" + s.name[len(s.name)-1:], Weight: 1, Rand: w.rng, DisabledChecks: w.guard})
+func (w *modelWorld) startSender(s *senderProcess) {
+	s.up, s.inbox, s.lastVersion = true, nil, 0
+	s.heldShards, s.servedShards, s.members = map[shard.ID]map[string]Endpoint{}, map[shard.ID]bool{}, map[string]Member{}
+	s.sub = NewSubscription(SubscriptionOptions{Region: "r", Zone: "z" + s.name[len(s.name)-1:], Weight: 1, Rand: w.rng, DisabledChecks: w.disabled})
 	s.sub.Connect(w.controls[w.rng.IntN(len(w.controls))].name, w.now)
 }
 
 // elect makes a control member lead that is up.
-func (w *world) elect(n int) {
+func (w *modelWorld) elect(n int) {
 	if w.leader >= 0 {
 		w.controls[w.leader].roster = nil
 	}
@@ -143,21 +143,21 @@
 	c.roster = NewRoster([]string{"r"}, w.now)
 	for _, other := range w.controls {
 		if other != c && other.up {
-			other.follows.Resume(other.dir.Version())
-			other.follows.Connect(c.name, w.now)
+			other.subscription.Resume(other.dir.Version())
+			other.subscription.Connect(c.name, w.now)
 		}
 	}
 	c.reported = ""
 	w.publish(nil, nil, nil)
 }
 
-func (w *world) publish(endpoints []Endpoint, joined, left []Member) {
+func (w *modelWorld) publish(endpoints []Endpoint, joined, left []Member) {
 	c := w.controls[w.leader]
 	change, news := c.dir.Publish(FirstVersion(w.token), c.dir.DiscoveryVersion()+uint64(min(len(endpoints), 1)), endpoints, joined, left)
 	if !news {
 		return
 	}
-	now := content{map[string]Endpoint{}, map[string]Member{}}
+	now := publishedState{map[string]Endpoint{}, map[string]Member{}}
 	for id := range modelShards {
 		for _, e := range c.dir.shards[id] {
 			now.endpoints[e.ID] = e
@@ -166,26 +166,26 @@
 	for name, m := range c.dir.members {
 		now.members[name] = m
 	}
-	if _, twice := w.history[change.To]; twice {
+	if _, twice := w.published[change.To]; twice {
 		w.fail("version %d was published twice", change.To)
 	}
-	w.history[change.To] = now
+	w.published[change.To] = now
 	c.publisher.ApplyChange(change)
 }
 
 // churn publishes a few drawn changes of endpoints.
-func (w *world) churn() {
+func (w *modelWorld) publishRandomChanges() {
 	var list []Endpoint
 	for range 1 + w.rng.IntN(4) {
-		d := modelDestinations[w.rng.IntN(destinations)]
-		w.next++
-		list = append(list, Endpoint{ID: fmt.Sprintf("e-%d-%d", d, w.rng.IntN(2)), Destination: d, Addr: fmt.Sprintf("10.0.0.1:%d", w.next),
+		d := modelDestinations[w.rng.IntN(modelDestinationCount)]
+		w.lastPort++
+		list = append(list, Endpoint{ID: fmt.Sprintf("e-%d-%d", d, w.rng.IntN(2)), Destination: d, Addr: fmt.Sprintf("10.0.0.1:%d", w.lastPort),
 			State: []pb.EndpointState{pb.EndpointState_UP, pb.EndpointState_UP, pb.EndpointState_DRAINING, pb.EndpointState_REMOVED}[w.rng.IntN(4)]})
 	}
 	w.publish(list, nil, nil)
 }
 
-func (w *world) send(from, to string, f *pb.Frame) {
+func (w *modelWorld) send(from, to string, f *pb.Frame) {
 	if w.cut[[2]string{from, to}] || w.rng.Float64() < w.loss {
 		return
 	}
@@ -198,58 +198,58 @@
 		if w.loss > 0 {
 			delay = time.Duration(w.rng.IntN(int(200 * time.Millisecond)))
 		}
-		w.wire = append(w.wire, frameOnWay{w.now + int64(delay), from, to, f})
+		w.inFlight = append(w.inFlight, delayedFrame{w.now + int64(delay), from, to, f})
 	}
 }
 
-func (w *world) deliver() {
-	var rest, due []frameOnWay
-	for _, f := range w.wire {
+func (w *modelWorld) deliver() {
+	var rest, due []delayedFrame
+	for _, f := range w.inFlight {
 		if f.at <= w.now {
 			due = append(due, f)
 		} else {
 			rest = append(rest, f)
 		}
 	}
-	w.wire = rest
-	slices.SortStableFunc(due, func(x, y frameOnWay) int { return int(x.at - y.at) })
+	w.inFlight = rest
+	slices.SortStableFunc(due, func(x, y delayedFrame) int { return int(x.at - y.at) })
 	for _, f := range due {
 		for _, c := range w.controls {
 			if c.name == f.to && c.up {
-				w.controlReceives(c, f)
+				w.deliverToControl(c, f)
 			}
 		}
 		for _, s := range w.senders {
 			if s.name == f.to && s.up {
-				if w.now < s.stopped {
+				if w.now < s.pausedUntil {
 					s.inbox = append(s.inbox, f)
 				} else {
-					w.senderReceives(s, f)
+					w.deliverToSender(s, f)
 				}
 			}
 		}
 	}
 }
 
-func (w *world) controlReceives(c *controlProcess, f frameOnWay) {
+func (w *modelWorld) deliverToControl(c *controlProcess, f delayedFrame) {
 	switch x := f.frame.What.(type) {
 	case *pb.Frame_Report:
 		if c.roster != nil {
 			w.send(c.name, f.from, &pb.Frame{What: &pb.Frame_Reported{Reported: &pb.Reported{Seq: x.Report.Seq, Again: c.roster.HandleReport(f.from, "r", x.Report, w.now)}}})
 		}
 	case *pb.Frame_Reported:
-		c.again = c.again || x.Reported.Again
+		c.fullReportDue = c.fullReportDue || x.Reported.Again
 	case *pb.Frame_Subscribe, *pb.Frame_Ack:
 		c.publisher.Receive(f.from, f.frame, w.now)
 	default:
 		if c.roster == nil {
-			w.follow(c, c.follows.Receive(f.from, f.frame, w.now))
+			w.applyToFollower(c, c.subscription.Receive(f.from, f.frame, w.now))
 		}
 	}
 }
 
 // follow takes what a control member that does not lead has learned.
-func (w *world) follow(c *controlProcess, a *AppliedUpdate) {
+func (w *modelWorld) applyToFollower(c *controlProcess, a *AppliedUpdate) {
 	if a == nil {
 		return
 	}
@@ -260,7 +260,7 @@
 	if err == nil {
 		c.publisher.ApplyChange(change)
 	}
-	want, known := w.history[c.dir.Version()]
+	want, known := w.published[c.dir.Version()]
 	if !known {
 		w.fail("%s holds version %d, which nobody published", c.name, c.dir.Version())
 		return
@@ -285,30 +285,30 @@
 	}
 }
 
-func (w *world) senderReceives(s *senderProcess, f frameOnWay) {
+func (w *modelWorld) deliverToSender(s *senderProcess, f delayedFrame) {
 	a := s.sub.Receive(f.from, f.frame, w.now)
 	if a == nil {
 		return
 	}
-	if a.To < s.last {
-		w.fail("%s goes back from %d to %d", s.name, s.last, a.To)
+	if a.To < s.lastVersion {
+		w.fail("%s goes back from %d to %d", s.name, s.lastVersion, a.To)
 	}
-	s.last = a.To
+	s.lastVersion = a.To
 	if a.AllShards {
-		clear(s.held)
+		clear(s.heldShards)
 	}
 	for _, id := range a.SnapshotShards {
-		s.held[id] = map[string]Endpoint{}
+		s.heldShards[id] = map[string]Endpoint{}
 	}
 	for _, e := range a.Endpoints {
-		if s.held[e.Shard()] == nil {
+		if s.heldShards[e.Shard()] == nil {
 			w.fail("%s is told of %s, of a shard that it does not hold", s.name, e.ID)
 			return
 		}
 		if e.State == pb.EndpointState_REMOVED {
-			delete(s.held[e.Shard()], e.ID)
+			delete(s.heldShards[e.Shard()], e.ID)
 		} else {
-			s.held[e.Shard()][e.ID] = e
+			s.heldShards[e.Shard()][e.ID] = e
 		}
 	}
 	if a.AllMembers {
@@ -321,33 +321,33 @@
 		s.members[m.Name] = m
 	}
 	for _, id := range a.Assigned {
-		s.serves[id] = true
-		if s.held[id] == nil {
+		s.servedShards[id] = true
+		if s.heldShards[id] == nil {
 			w.fail("%s is to serve shard %d, of which it has no snapshot", s.name, id)
 		}
 	}
 	var done []shard.ID
 	for _, id := range a.Unassigned {
-		delete(s.serves, id)
+		delete(s.servedShards, id)
 		if w.rng.IntN(2) == 0 { // the others are done with later
 			done = append(done, id)
-			delete(s.held, id)
+			delete(s.heldShards, id)
 		}
 	}
 	if done != nil {
 		s.sub.Release(done)
 	}
-	w.judge(s)
+	w.checkSender(s)
 }
 
 // judge holds what a sender has against what was published at its version.
-func (w *world) judge(s *senderProcess) {
-	want, known := w.history[s.sub.Version()]
+func (w *modelWorld) checkSender(s *senderProcess) {
+	want, known := w.published[s.sub.Version()]
 	if !known {
 		w.fail("%s holds version %d, which nobody published", s.name, s.sub.Version())
 		return
 	}
-	for _, held := range s.held {
+	for _, held := range s.heldShards {
 		for key, e := range held {
 			if want.endpoints[key] != e {
 				w.fail("%s at %d holds %+v, published was %+v", s.name, s.sub.Version(), e, want.endpoints[key])
@@ -355,13 +355,13 @@
 		}
 	}
 	for key, e := range want.endpoints {
-		if held := s.held[e.Shard()]; held != nil && held[key] != e {
+		if held := s.heldShards[e.Shard()]; held != nil && held[key] != e {
 			w.fail("%s at %d lacks %+v", s.name, s.sub.Version(), e)
 		}
 	}
 }
 
-func (w *world) tick() {
+func (w *modelWorld) tick() {
 	w.now += int64(modelTick)
 	w.deliver()
 	for i, c := range w.controls {
@@ -374,25 +374,25 @@
 			if len(joined)+len(left) > 0 {
 				w.publish(nil, joined, left)
 			}
-		} else if c.follows.Tick(w.now); c.follows.ShouldReconnect() {
-			c.follows.Connect(w.controls[w.leader].name, w.now)
+		} else if c.subscription.Tick(w.now); c.subscription.ShouldReconnect() {
+			c.subscription.Connect(w.controls[w.leader].name, w.now)
 		}
 		c.publisher.Tick(w.now)
 		for _, o := range c.publisher.TakeFrames() {
 			w.send(c.name, o.To, o.Frame)
 		}
-		for _, o := range c.follows.TakeFrames() {
+		for _, o := range c.subscription.TakeFrames() {
 			w.send(c.name, o.To, o.Frame)
 		}
 	}
 	for _, s := range w.senders {
-		if !s.up || w.now < s.stopped {
+		if !s.up || w.now < s.pausedUntil {
 			continue
 		}
 		inbox := s.inbox
 		s.inbox = nil
 		for _, f := range inbox {
-			w.senderReceives(s, f)
+			w.deliverToSender(s, f)
 		}
 		if s.sub.Tick(w.now); s.sub.ShouldReconnect() {
 			s.sub.Connect(w.controls[w.rng.IntN(len(w.controls))].name, w.now)
@@ -403,17 +403,17 @@
 	}
 }
 
-func (w *world) report(c *controlProcess) {
+func (w *modelWorld) report(c *controlProcess) {
 	members := c.publisher.Subscribers()
 	names := fmt.Sprint(members)
 	c.reportSeq++
-	r := NewReport(c.reportSeq, members, c.again || names != c.reported)
-	c.reported, c.again = names, false
+	r := NewReport(c.reportSeq, members, c.fullReportDue || names != c.reported)
+	c.reported, c.fullReportDue = names, false
 	w.send(c.name, w.controls[w.leader].name, &pb.Frame{What: &pb.Frame_Report{Report: r}})
 }
 
 // fault makes something go wrong, for a while.
-func (w *world) fault() {
+func (w *modelWorld) injectFault() {
 	i, j := w.rng.IntN(len(w.controls)), w.rng.IntN(len(w.senders))
 	c, s := w.controls[i], w.senders[j]
 	switch w.rng.IntN(7) {
@@ -445,7 +445,7 @@
 			w.startSender(s)
 		}
 	case 4:
-		s.stopped = w.now + int64(time.Duration(w.rng.IntN(12))*time.Second)
+		s.pausedUntil = w.now + int64(time.Duration(w.rng.IntN(12))*time.Second)
 	case 5:
 		w.cut[[2]string{c.name, s.name}] = w.rng.IntN(2) == 0
 		w.cut[[2]string{s.name, c.name}] = w.rng.IntN(2) == 0
@@ -456,7 +456,7 @@
 	}
 }
 
-func (w *world) upControls() (n int) {
+func (w *modelWorld) upControls() (n int) {
 	for _, c := range w.controls {
 		if c.up {
 			n++
@@ -465,19 +465,19 @@
 	return n
 }
 
-func (w *world) run(d time.Duration, faults bool) {
-	for end := w.now + int64(d); w.now < end && w.breach == ""; w.tick() {
+func (w *modelWorld) run(d time.Duration, faults bool) {
+	for end := w.now + int64(d); w.now < end && w.violation == ""; w.tick() {
 		if w.rng.IntN(6) == 0 {
-			w.churn()
+			w.publishRandomChanges()
 		}
 		if faults && w.rng.IntN(12) == 0 {
-			w.fault()
+			w.injectFault()
 		}
 	}
 }
 
 // heal ends all faults.
-func (w *world) heal() {
+func (w *modelWorld) heal() {
 	w.loss = 0
 	clear(w.cut)
 	for _, c := range w.controls {
@@ -486,7 +486,7 @@
 		}
 	}
 	for _, s := range w.senders {
-		s.stopped = 0
+		s.pausedUntil = 0
 		if !s.up {
 			w.startSender(s)
 		}
@@ -494,20 +494,20 @@
 }
 
 // settled checks that every sender knows the latest version and that all shards are served by as many as they should.
-func (w *world) settled() {
+func (w *modelWorld) checkConverged() {
 	for range 10 { // heartbeats tell the version
 		w.tick()
 	}
 	lead := w.controls[w.leader]
 	served := map[shard.ID]int{}
 	for _, s := range w.senders {
-		if s.last != lead.dir.Version() {
-			w.fail("%s is at %d, the leader at %d", s.name, s.last, lead.dir.Version())
+		if s.lastVersion != lead.dir.Version() {
+			w.fail("%s is at %d, the leader at %d", s.name, s.lastVersion, lead.dir.Version())
 		}
 		if len(s.members) != len(w.senders) {
 			w.fail("%s knows %d members of %d", s.name, len(s.members), len(w.senders))
 		}
-		for id := range s.serves {
+		for id := range s.servedShards {
 			served[id]++
 		}
 	}
@@ -531,9 +531,9 @@
 			for range 30 {
 				w.tick() // calm: nothing is published
 			}
-			w.settled()
-			if w.breach != "" {
-				t.Error(w.breach)
+			w.checkConverged()
+			if w.violation != "" {
+				t.Error(w.violation)
 			}
 		})
 	}
@@ -550,8 +550,8 @@
 				w.run(2*time.Second, false)
 				w.loss = 0.2
 				w.run(25*time.Second, true)
-				if w.breach != "" {
-					t.Logf("found by schedule %d: %s", seed, w.breach)
+				if w.violation != "" {
+					t.Logf("found by schedule %d: %s", seed, w.violation)
 					return
 				}
 			}
--- a/internal/fleet/directory/roster.go
+++ b/internal/fleet/directory/roster.go
@@ -32,42 +32,42 @@
 }
 
 // ReportOf is a control member's report of the members that have subscribed there, whole or by their sum alone.
-func NewReport(seq uint64, members []Member, whole bool) *pb.Report {
-	r := &pb.Report{Seq: seq, Whole: whole, Count: uint64(len(members)), Sum: NameHashSum(members)}
+func NewReport(seq uint64, members []Member, full bool) *pb.Report {
+	r := &pb.Report{Seq: seq, Whole: full, Count: uint64(len(members)), Sum: NameHashSum(members)}
 	for i := range members {
-		if !whole {
+		if !full {
 			break
 		}
-		r.Joined = append(r.Joined, members[i].message(false))
+		r.Joined = append(r.Joined, members[i].proto(false))
 	}
 	return r
 }
 
 // reporter is one control member as the leader has heard it.
 type reporter struct {
-	region  string
-	seq     uint64
-	heardAt int64
-	members map[string]Member
-	sum     uint64
+	region      string
+	seq         uint64
+	reportedAt  int64
+	members     map[string]Member
+	nameHashSum uint64
 }
 
 // Roster is the leader's book of who has subscribed where. It says which members join and leave the directory.
 type Roster struct {
-	regions   map[string]bool // that have control members
-	reporters map[string]*reporter
-	lostAt    map[string]int64 // since when a member of the directory is reported by nobody
-	firstAt   map[string]int64 // since when members of a region without any are reported
-	since     int64
+	controlRegions  map[string]bool // that have control members
+	reporters       map[string]*reporter
+	unreportedSince map[string]int64 // since when a member of the directory is reported by nobody
+	firstReportedAt map[string]int64 // since when members of a region without any are reported
+	leadingSince    int64
 }
 
 // NewRoster returns the book of a member that begins to lead. regions are those that have control members.
 func NewRoster(regions []string, now int64) *Roster {
-	known := map[string]bool{}
+	controlRegions := map[string]bool{}
 	for _, region := range regions {
-		known[region] = true
+		controlRegions[region] = true
 	}
-	return &Roster{regions: known, reporters: map[string]*reporter{}, lostAt: map[string]int64{}, firstAt: map[string]int64{}, since: now}
+	return &Roster{controlRegions: controlRegions, reporters: map[string]*reporter{}, unreportedSince: map[string]int64{}, firstReportedAt: map[string]int64{}, leadingSince: now}
 }
 
 // Report takes a report of a control member of that region, and returns whether all members are to be reported again.
@@ -80,15 +80,15 @@
 	if report.Seq <= c.seq && c.members != nil {
 		return false // a late copy
 	}
-	c.heardAt = now
+	c.reportedAt = now
 	if report.Whole {
-		c.members, c.sum = make(map[string]Member, len(report.Joined)), 0
+		c.members, c.nameHashSum = make(map[string]Member, len(report.Joined)), 0
 		for _, m := range report.Joined {
 			c.members[m.Name] = MemberFromProto(m)
-			c.sum += xxhash.Sum64String(m.Name)
+			c.nameHashSum += xxhash.Sum64String(m.Name)
 		}
 	}
-	if c.members == nil || uint64(len(c.members)) != report.Count || c.sum != report.Sum {
+	if c.members == nil || uint64(len(c.members)) != report.Count || c.nameHashSum != report.Sum {
 		return true
 	}
 	c.seq = report.Seq
@@ -98,13 +98,13 @@
 // Tick returns the members that are to join the directory, and those that are to leave it. Members of a region none of
 // whose control members reports stay: the region is cut off and goes on with what it knows.
 func (r *Roster) Tick(known map[string]Member, now int64) (joined, left []Member) {
-	reported, heard := map[string]bool{}, map[string]bool{}
+	reported, heardRegions := map[string]bool{}, map[string]bool{}
 	for name, c := range r.reporters {
-		if now-c.heardAt > int64(ControlTimeout) {
+		if now-c.reportedAt > int64(ControlTimeout) {
 			delete(r.reporters, name)
 			continue
 		}
-		heard[c.region] = true
+		heardRegions[c.region] = true
 		for name, m := range c.members {
 			if reported[name] {
 				continue // of two reports, as a member changes over, either will do
@@ -116,27 +116,27 @@
 		}
 	}
 	for name, m := range known {
-		if reported[name] || r.regions[m.Region] && !heard[m.Region] {
-			delete(r.lostAt, name)
+		if reported[name] || r.controlRegions[m.Region] && !heardRegions[m.Region] {
+			delete(r.unreportedSince, name)
 			continue
 		}
-		at, counted := r.lostAt[name]
+		since, counted := r.unreportedSince[name]
 		if !counted {
-			at = now
-			r.lostAt[name] = at
+			since = now
+			r.unreportedSince[name] = since
 		}
 		// A leader that begins waits until the control members have had time to report.
-		if now-at > int64(MemberGracePeriod) && now-r.since > int64(MemberGracePeriod+ControlTimeout) {
+		if now-since > int64(MemberGracePeriod) && now-r.leadingSince > int64(MemberGracePeriod+ControlTimeout) {
 			left = append(left, m)
-			delete(r.lostAt, name)
+			delete(r.unreportedSince, name)
 		}
 	}
-	for name := range r.lostAt {
-		if _, there := known[name]; !there {
-			delete(r.lostAt, name)
+	for name := range r.unreportedSince {
+		if _, found := known[name]; !found {
+			delete(r.unreportedSince, name)
 		}
 	}
-	joined = r.settled(joined, known, now)
+	joined = r.holdBackFirst(joined, known, now)
 	slices.SortFunc(joined, byName)
 	slices.SortFunc(left, byName)
 	return joined, left
@@ -146,21 +146,21 @@
 func byName(x, y Member) int { return cmp.Compare(x.Name, y.Name) }
 
 // settled leaves members out that are among the first of their region and have not waited for others yet.
-func (r *Roster) settled(joined []Member, known map[string]Member, now int64) []Member {
-	begun := map[string]bool{}
+func (r *Roster) holdBackFirst(joined []Member, known map[string]Member, now int64) []Member {
+	populated := map[string]bool{}
 	for _, m := range known {
-		begun[m.Region] = true
+		populated[m.Region] = true
 	}
 	return slices.DeleteFunc(joined, func(m Member) bool {
-		if begun[m.Region] {
-			delete(r.firstAt, m.Region)
+		if populated[m.Region] {
+			delete(r.firstReportedAt, m.Region)
 			return false
 		}
-		at, counted := r.firstAt[m.Region]
+		since, counted := r.firstReportedAt[m.Region]
 		if !counted {
-			at = now
-			r.firstAt[m.Region] = now
+			since = now
+			r.firstReportedAt[m.Region] = now
 		}
-		return now-at < int64(FirstJoinDelay)
+		return now-since < int64(FirstJoinDelay)
 	})
 }
--- a/internal/fleet/directory/serve.go
+++ b/internal/fleet/directory/serve.go
@@ -10,33 +10,33 @@
 // ones are dropped. It is due some ten times a second.
 func (p *Publisher) Tick(now int64) {
 	p.now = now
-	for name, s := range p.subs {
+	for name, s := range p.subscribers {
 		switch {
-		case now-s.heardAt > int64(expireAfter):
-			p.drop(name)
-		case now-s.sentAt >= int64(heartbeatEvery):
+		case now-s.heardAt > int64(subscriberTimeout):
+			p.removeSubscriber(name)
+		case now-s.sentAt >= int64(heartbeatInterval):
 			p.dirty[s] = true
 		}
 	}
 	for s := range p.dirty {
-		if p.serve(s) {
+		if p.sendPending(s) {
 			delete(p.dirty, s)
 		}
 	}
 }
 
 // serve sends a subscriber what its window allows, and reports whether nothing is left to be sent now.
-func (p *Publisher) serve(s *subscriber) bool {
-	for s.seq-s.acked < window {
+func (p *Publisher) sendPending(s *subscriber) bool {
+	for s.seq-s.ackedSeq < maxUnackedUpdates {
 		switch {
-		case len(s.lacks) > 0 || s.whole || s.middle:
+		case len(s.pendingSnapshots) > 0 || s.fullSnapshot || s.updateOpen:
 			p.sendSnapshots(s)
-		case len(s.unassigned) > 0 || len(s.assigned) > 0 || s.scanned < p.dir.Version():
+		case len(s.pendingUnassigned) > 0 || len(s.pendingAssigned) > 0 || s.scannedVersion < p.dir.Version():
 			if !p.sendChanges(s) {
 				return true
 			}
-		case p.now-s.sentAt >= int64(heartbeatEvery):
-			p.send(s, &pb.Update{From: s.version, To: s.scanned})
+		case p.now-s.sentAt >= int64(heartbeatInterval):
+			p.sendUpdate(s, &pb.Update{From: s.version, To: s.scannedVersion})
 		default:
 			return true
 		}
@@ -44,14 +44,14 @@
 	return false // its acknowledgement brings it back
 }
 
-func (p *Publisher) send(s *subscriber, u *pb.Update) {
+func (p *Publisher) sendUpdate(s *subscriber, u *pb.Update) {
 	s.seq++
 	u.Id, u.Seq = s.id, s.seq
 	s.sentAt = p.now
 	if !u.Part {
-		s.version, s.scanned = u.To, max(s.scanned, u.To)
+		s.version, s.scannedVersion = u.To, max(s.scannedVersion, u.To)
 	}
-	p.out = append(p.out, OutFrame{s.Name, &pb.Frame{What: &pb.Frame_Update{Update: u}}})
+	p.outbox = append(p.outbox, OutFrame{s.Name, &pb.Frame{What: &pb.Frame_Update{Update: u}}})
 }
 
 // sendSnapshots sends the next part of an update that brings snapshots of the shards that a subscriber lacks. A shard's
@@ -60,44 +60,44 @@
 func (p *Publisher) sendSnapshots(s *subscriber) {
 	u := &pb.Update{From: s.version, To: s.version, Source: p.dir.DiscoveryVersion()}
 	entries := 0
-	if s.whole && !s.middle {
+	if s.fullSnapshot && !s.updateOpen {
 		entries = p.addAllMembers(s, u)
 	}
-	for len(s.lacks) > 0 && entries < p.part {
-		id := s.lacks[0]
-		s.lacks = s.lacks[1:]
-		if !s.everything && !s.shards[id] {
+	for len(s.pendingSnapshots) > 0 && entries < p.maxEntries {
+		id := s.pendingSnapshots[0]
+		s.pendingSnapshots = s.pendingSnapshots[1:]
+		if !s.everything && !s.heldShards[id] {
 			continue // released meanwhile
 		}
-		s.ahead[id] = p.dir.Version()
+		s.snapshotVersions[id] = p.dir.Version()
 		u.Snapshot = append(u.Snapshot, uint32(id))
 		for _, e := range p.dir.Shard(id) {
 			u.Endpoints = append(u.Endpoints, e.Proto())
 			entries++
 		}
 	}
-	if u.Part = len(s.lacks) > 0; !u.Part {
-		if _, reaches := p.addChanges(s, u, entries); !reaches {
-			p.restart(s)
+	if u.Part = len(s.pendingSnapshots) > 0; !u.Part {
+		if _, complete := p.addChanges(s, u, entries); !complete {
+			p.queueFullSnapshot(s)
 			return
 		}
-		u.Part = s.scanned < p.dir.Version()
+		u.Part = s.scannedVersion < p.dir.Version()
 	}
-	s.middle = u.Part
+	s.updateOpen = u.Part
 	if !u.Part {
-		u.To, s.whole = s.scanned, false
-		clear(s.ahead)
-		p.tellAssigned(s, u)
+		u.To, s.fullSnapshot = s.scannedVersion, false
+		clear(s.snapshotVersions)
+		p.addAssignments(s, u)
 	}
-	p.send(s, u)
+	p.sendUpdate(s, u)
 }
 
 // addAllMembers adds all members that a subscriber is told of, and returns how many these are.
 func (p *Publisher) addAllMembers(s *subscriber, u *pb.Update) int {
 	u.AllMembers, u.AllShards = true, true
 	for _, m := range p.dir.Members() {
-		if p.tells(s, &m) {
-			u.Members = append(u.Members, m.message(false))
+		if p.includesMember(s, &m) {
+			u.Members = append(u.Members, m.proto(false))
 		}
 	}
 	return len(u.Members)
@@ -105,47 +105,49 @@
 
 // addChanges adds the changes that a subscriber has not been sent, as many as an update of which so many entries are
 // used has room for, one at least; false: the log does not reach back as far.
-func (p *Publisher) addChanges(s *subscriber, u *pb.Update, used int) (entries int, reaches bool) {
-	changes, reaches := p.dir.ChangesSince(s.scanned)
+func (p *Publisher) addChanges(s *subscriber, u *pb.Update, used int) (entries int, complete bool) {
+	changes, complete := p.dir.ChangesSince(s.scannedVersion)
 	for i := range changes {
 		entries += p.addChange(s, u, &changes[i])
-		s.scanned = changes[i].To
-		if used+entries >= p.part {
+		s.scannedVersion = changes[i].To
+		if used+entries >= p.maxEntries {
 			break
 		}
 	}
-	return entries, reaches
+	return entries, complete
 }
 
 // tells reports whether a subscriber is told of a member.
-func (p *Publisher) tells(s *subscriber, m *Member) bool { return s.everything || s.Region == m.Region }
+func (p *Publisher) includesMember(s *subscriber, m *Member) bool {
+	return s.everything || s.Region == m.Region
+}
 
-func (p *Publisher) tellAssigned(s *subscriber, u *pb.Update) {
-	for id := range s.assigned {
+func (p *Publisher) addAssignments(s *subscriber, u *pb.Update) {
+	for id := range s.pendingAssigned {
 		u.Assigned = append(u.Assigned, uint32(id))
 	}
-	for id := range s.unassigned {
+	for id := range s.pendingUnassigned {
 		u.Unassigned = append(u.Unassigned, uint32(id))
 	}
-	clear(s.assigned)
-	clear(s.unassigned)
+	clear(s.pendingAssigned)
+	clear(s.pendingUnassigned)
 }
 
 // sendChanges sends what the log holds for a subscriber, and reports whether there was something. Where the log does not
 // reach back as far, the subscriber has been too slow: it gets a snapshot.
 func (p *Publisher) sendChanges(s *subscriber) bool {
 	u := &pb.Update{From: s.version, Source: p.dir.DiscoveryVersion()}
-	entries, reaches := p.addChanges(s, u, 0)
-	if !reaches {
-		p.restart(s)
+	entries, complete := p.addChanges(s, u, 0)
+	if !complete {
+		p.queueFullSnapshot(s)
 		return true
 	}
-	u.To = s.scanned
-	p.tellAssigned(s, u)
+	u.To = s.scannedVersion
+	p.addAssignments(s, u)
 	if entries == 0 && len(u.Assigned) == 0 && len(u.Unassigned) == 0 && !s.everything {
 		return false // the next heartbeat tells the version
 	}
-	p.send(s, u)
+	p.sendUpdate(s, u)
 	return true
 }
 
@@ -154,20 +156,20 @@
 	for i := range c.Endpoints {
 		e := &c.Endpoints[i]
 		id := e.Shard()
-		if (s.everything || s.shards[id]) && s.ahead[id] < c.To {
+		if (s.everything || s.heldShards[id]) && s.snapshotVersions[id] < c.To {
 			u.Endpoints = append(u.Endpoints, e.Proto())
 			entries++
 		}
 	}
 	for i := range c.Left {
-		if p.tells(s, &c.Left[i]) {
-			u.Members = append(u.Members, c.Left[i].message(true))
+		if p.includesMember(s, &c.Left[i]) {
+			u.Members = append(u.Members, c.Left[i].proto(true))
 			entries++
 		}
 	}
 	for i := range c.Joined {
-		if p.tells(s, &c.Joined[i]) {
-			u.Members = append(u.Members, c.Joined[i].message(false))
+		if p.includesMember(s, &c.Joined[i]) {
+			u.Members = append(u.Members, c.Joined[i].proto(false))
 			entries++
 		}
 	}
--- a/internal/fleet/directory/subscription.go
+++ b/internal/fleet/directory/subscription.go
@@ -12,10 +12,10 @@
 
 // How a subscriber keeps its subscription.
 const (
-	silentAfter   = 4 * time.Second // without an update for so long, it subscribes anew, elsewhere
-	firstWithin   = 3 * time.Second // a server from which nothing comes for so long does not serve
-	minRetryPause = 100 * time.Millisecond
-	maxRetryPause = 2 * time.Second // between two tries
+	silenceTimeout     = 4 * time.Second // without an update for so long, it subscribes anew, elsewhere
+	firstUpdateTimeout = 3 * time.Second // a server from which nothing comes for so long does not serve
+	minRetryPause      = 100 * time.Millisecond
+	maxRetryPause      = 2 * time.Second // between two tries
 )
 
 // SubscriptionOptions are what a Subscription works with.
@@ -54,37 +54,39 @@
 
 // Subscription is a subscriber's side. Its owner applies what it learns at once.
 type Subscription struct {
-	o       SubscriptionOptions
-	now     int64
-	server  string // it is subscribed at, or tries to be; empty: none
-	id      uint64
-	seq     uint64
-	version uint64
-	shards  map[shard.ID]bool // that are held
-	staged  []*pb.Update
-	out     []OutFrame
-	asked   int64 // when it subscribed last
-	begun   int64 // when it turned to this server
-	heard   int64
-	live    bool // an update has come
-	tries   int
-	release []shard.ID
+	options        SubscriptionOptions
+	now            int64
+	server         string // it is subscribed at, or tries to be; empty: none
+	id             uint64
+	seq            uint64
+	version        uint64
+	shards         map[shard.ID]bool // that are held
+	stagedParts    []*pb.Update
+	outbox         []OutFrame
+	subscribedAt   int64 // when it subscribed last
+	connectedAt    int64 // when it turned to this server
+	updatedAt      int64
+	live           bool // an update has come
+	tries          int
+	unsentReleases []shard.ID
 	// promised are shards that were assigned after they had been released: they are served once their content is here.
-	promised map[shard.ID]bool
-	acks     uint64
-	lost     bool // another server is to be tried
+	awaitingSnapshot map[shard.ID]bool
+	ackNumber        uint64
+	serverFailed     bool // another server is to be tried
 }
 
 // NewSubscription returns a subscription that knows nothing.
 func NewSubscription(o SubscriptionOptions) *Subscription {
-	return &Subscription{o: o, id: o.Rand.Uint64() >> 1, shards: map[shard.ID]bool{}, promised: map[shard.ID]bool{}}
+	return &Subscription{options: o, id: o.Rand.Uint64() >> 1, shards: map[shard.ID]bool{}, awaitingSnapshot: map[shard.ID]bool{}}
 }
 
 // Version is the version of what is known; 0: nothing is.
 func (s *Subscription) Version() uint64 { return s.version }
 
 // Live reports whether the subscription is up, by what was heard last.
-func (s *Subscription) Live(now int64) bool { return s.live && now-s.heard <= int64(silentAfter) }
+func (s *Subscription) Live(now int64) bool {
+	return s.live && now-s.updatedAt <= int64(silenceTimeout)
+}
 
 // Hold makes a subscription ask for shards whoever serves them, before it connects first: messages for them are left of
 // an earlier life.
@@ -99,44 +101,46 @@
 
 // Take returns what is to be sent, in order, and forgets it.
 func (s *Subscription) TakeFrames() []OutFrame {
-	out := s.out
-	s.out = nil
-	return out
+	frames := s.outbox
+	s.outbox = nil
+	return frames
 }
 
 // Connect subscribes at a server, in place of any other.
 func (s *Subscription) Connect(server string, now int64) {
-	s.now, s.begun, s.server, s.lost = now, now, server, false
-	s.subscribe()
+	s.now, s.connectedAt, s.server, s.serverFailed = now, now, server, false
+	s.sendSubscribe()
 }
 
 // Lost reports that the server does not serve and that it is time to try another one.
-func (s *Subscription) ShouldReconnect() bool { return s.lost && s.now-s.asked >= s.pause() }
+func (s *Subscription) ShouldReconnect() bool {
+	return s.serverFailed && s.now-s.subscribedAt >= s.retryPause()
+}
 
 // Release gives up shards that were unassigned, once nothing is left of them here.
 func (s *Subscription) Release(ids []shard.ID) {
 	for _, id := range ids {
 		delete(s.shards, id)
 	}
-	s.release = append(s.release, ids...)
+	s.unsentReleases = append(s.unsentReleases, ids...)
 	if s.live {
-		s.ack()
+		s.sendAck()
 	}
 }
 
 // subscribe begins a new subscription; what is known is kept and told.
-func (s *Subscription) subscribe() {
+func (s *Subscription) sendSubscribe() {
 	s.id++
-	s.seq, s.staged, s.live, s.asked, s.release = 0, nil, false, s.now, nil
-	clear(s.promised)
-	q := &pb.Subscribe{Id: s.id, Version: s.version, Everything: s.o.Everything, Region: s.o.Region, Zone: s.o.Zone, Weight: s.o.Weight}
+	s.seq, s.stagedParts, s.live, s.subscribedAt, s.unsentReleases = 0, nil, false, s.now, nil
+	clear(s.awaitingSnapshot)
+	q := &pb.Subscribe{Id: s.id, Version: s.version, Everything: s.options.Everything, Region: s.options.Region, Zone: s.options.Zone, Weight: s.options.Weight}
 	for _, id := range slices.Sorted(maps.Keys(s.shards)) {
 		q.Shards = append(q.Shards, uint32(id))
 	}
 	s.send(&pb.Frame{What: &pb.Frame_Subscribe{Subscribe: q}})
 }
 
-func (s *Subscription) send(f *pb.Frame) { s.out = append(s.out, OutFrame{s.server, f}) }
+func (s *Subscription) send(f *pb.Frame) { s.outbox = append(s.outbox, OutFrame{s.server, f}) }
 
 // Tick tells the time. It is due some times a second.
 func (s *Subscription) Tick(now int64) {
@@ -145,24 +149,24 @@
 		return
 	}
 	if s.live {
-		if now-s.heard > int64(silentAfter) && s.o.DisabledChecks&CheckSilence == 0 {
-			s.live, s.lost = false, true
+		if now-s.updatedAt > int64(silenceTimeout) && s.options.DisabledChecks&CheckSilence == 0 {
+			s.live, s.serverFailed = false, true
 		}
 		return
 	}
-	if s.lost || now-s.asked < s.pause() {
+	if s.serverFailed || now-s.subscribedAt < s.retryPause() {
 		return
 	}
 	s.tries++
-	if now-s.begun > int64(firstWithin) {
-		s.lost = true
+	if now-s.connectedAt > int64(firstUpdateTimeout) {
+		s.serverFailed = true
 		return
 	}
-	s.subscribe()
+	s.sendSubscribe()
 }
 
 // pause is the time between two tries; it doubles, and no two subscribers keep in step.
-func (s *Subscription) pause() int64 {
+func (s *Subscription) retryPause() int64 {
 	full := min(int64(minRetryPause)<<min(s.tries, 10), int64(maxRetryPause))
 	return full/2 + int64(s.id*0x9e3779b97f4a7c15>>33)%(full/2+1)
 }
@@ -175,73 +179,73 @@
 	}
 	switch w := f.What.(type) {
 	case *pb.Frame_Update:
-		return s.update(w.Update)
+		return s.handleUpdate(w.Update)
 	case *pb.Frame_Refused:
 		if w.Refused.Id == s.id {
-			s.live, s.lost = false, true
+			s.live, s.serverFailed = false, true
 			s.tries++
-			s.asked = now
+			s.subscribedAt = now
 		}
 	}
 	return nil
 }
 
-func (s *Subscription) update(u *pb.Update) *AppliedUpdate {
+func (s *Subscription) handleUpdate(u *pb.Update) *AppliedUpdate {
 	if u.Id != s.id || u.Seq <= s.seq {
 		return nil // of an earlier subscription, or doubled
 	}
 	missed := u.Seq != s.seq+1 || u.From != 0 && u.From != s.version
-	if missed && s.o.DisabledChecks&CheckGap == 0 {
-		s.subscribe()
+	if missed && s.options.DisabledChecks&CheckGap == 0 {
+		s.sendSubscribe()
 		return nil
 	}
-	if !u.Part && u.To < s.version && s.o.DisabledChecks&CheckVersion == 0 { // what a part leads to is told by the last one
-		s.live, s.lost = false, true
+	if !u.Part && u.To < s.version && s.options.DisabledChecks&CheckVersion == 0 { // what a part leads to is told by the last one
+		s.live, s.serverFailed = false, true
 		return nil
 	}
-	s.seq, s.heard, s.live, s.tries = u.Seq, s.now, true, 0
+	s.seq, s.updatedAt, s.live, s.tries = u.Seq, s.now, true, 0
 	if u.AllShards {
-		s.staged = nil // parts of an update that was given up
+		s.stagedParts = nil // parts of an update that was given up
 	}
-	s.staged = append(s.staged, u)
-	if u.Part && s.o.DisabledChecks&CheckPart == 0 {
-		s.ack()
+	s.stagedParts = append(s.stagedParts, u)
+	if u.Part && s.options.DisabledChecks&CheckPart == 0 {
+		s.sendAck()
 		return nil
 	}
-	a := s.apply()
-	s.ack()
+	a := s.applyStaged()
+	s.sendAck()
 	return a
 }
 
-func (s *Subscription) ack() {
-	s.acks++
-	a := &pb.Ack{Id: s.id, Seq: s.seq, Number: s.acks}
-	for _, id := range s.release {
+func (s *Subscription) sendAck() {
+	s.ackNumber++
+	a := &pb.Ack{Id: s.id, Seq: s.seq, Number: s.ackNumber}
+	for _, id := range s.unsentReleases {
 		a.Released = append(a.Released, uint32(id))
 	}
-	for id := range s.promised { // said again until the content comes
+	for id := range s.awaitingSnapshot { // said again until the content comes
 		a.Missing = append(a.Missing, uint32(id))
 	}
-	s.release = nil
+	s.unsentReleases = nil
 	s.send(&pb.Frame{What: &pb.Frame_Ack{Ack: a}})
 }
 
 // apply takes all parts that are staged as one.
-func (s *Subscription) apply() *AppliedUpdate {
+func (s *Subscription) applyStaged() *AppliedUpdate {
 	a := &AppliedUpdate{From: s.version}
-	for _, u := range s.staged {
+	for _, u := range s.stagedParts {
 		a.To, a.DiscoveryVersion = u.To, u.Source
 		a.AllShards = a.AllShards || u.AllShards
 		a.AllMembers = a.AllMembers || u.AllMembers
 		s.applyShards(a, u)
 		for _, e := range u.Endpoints {
-			if e := EndpointFromProto(e); s.o.Everything || s.shards[e.Shard()] { // else it was released meanwhile
+			if e := EndpointFromProto(e); s.options.Everything || s.shards[e.Shard()] { // else it was released meanwhile
 				a.Endpoints = append(a.Endpoints, e)
 			}
 		}
 	}
 	s.applyMembers(a)
-	s.staged = nil
+	s.stagedParts = nil
 	s.version = a.To
 	return a
 }
@@ -250,7 +254,7 @@
 func (s *Subscription) applyMembers(a *AppliedUpdate) {
 	last := map[string]*pb.MemberRecord{}
 	var names []string
-	for _, u := range s.staged {
+	for _, u := range s.stagedParts {
 		for _, m := range u.Members {
 			if last[m.Name] == nil {
 				names = append(names, m.Name)
@@ -269,15 +273,15 @@
 
 // applyShards takes the shards that an update brings, assigns and takes away.
 func (s *Subscription) applyShards(a *AppliedUpdate, u *pb.Update) {
-	if s.o.Everything {
+	if s.options.Everything {
 		return
 	}
 	for _, n := range u.Snapshot {
 		id := shard.ID(n)
 		a.SnapshotShards = append(a.SnapshotShards, id)
 		s.shards[id] = true
-		if s.promised[id] {
-			delete(s.promised, id)
+		if s.awaitingSnapshot[id] {
+			delete(s.awaitingSnapshot, id)
 			a.Assigned = append(a.Assigned, id)
 		}
 	}
@@ -285,11 +289,11 @@
 		if id := shard.ID(n); s.shards[id] {
 			a.Assigned = append(a.Assigned, id)
 		} else {
-			s.promised[id] = true
+			s.awaitingSnapshot[id] = true
 		}
 	}
 	for _, n := range u.Unassigned {
 		a.Unassigned = append(a.Unassigned, shard.ID(n))
-		delete(s.promised, shard.ID(n))
+		delete(s.awaitingSnapshot, shard.ID(n))
 	}
 }
--- a/internal/fleet/shard/shard.go
+++ b/internal/fleet/shard/shard.go
@@ -38,19 +38,19 @@
 // candidate is a member with what its cost is worked out from.
 type candidate struct {
 	Member
-	hash   uint64
-	weight float64
-	zone   *zone
+	nameHash uint64
+	weight   float64
+	zone     *zone
 }
 
 func newCandidate(m Member) candidate {
-	return candidate{Member: m, hash: xxhash.Sum64String(m.Name), weight: float64(max(m.Weight, 1))}
+	return candidate{Member: m, nameHash: xxhash.Sum64String(m.Name), weight: float64(max(m.Weight, 1))}
 }
 
 // draw is a number over 0 and under 1 that a member has for a shard, by hash.
-func (c *candidate) draw(id ID) float64 {
+func (c *candidate) uniform(id ID) float64 {
 	// A finalizer after MurmurHash3 (Appleby): neighbouring shards must cost a member unrelated amounts.
-	h := c.hash ^ (uint64(id)+1)*0x9e3779b97f4a7c15
+	h := c.nameHash ^ (uint64(id)+1)*0x9e3779b97f4a7c15
 	h ^= h >> 33
 	h *= 0xff51afd7ed558ccd
 	h ^= h >> 33
@@ -62,37 +62,37 @@
 // cost is how dear a shard is to a member that drew this number for it; the members to which it is cheapest are its
 // replicas. It is distributed exponentially with the member's weight as rate, so that of several members each is
 // cheapest for a part of the shards that is in proportion to its weight.
-func (c *candidate) cost(draw float64) float64 { return -math.Log(draw) / c.weight }
+func (c *candidate) cost(uniform float64) float64 { return -math.Log(uniform) / c.weight }
 
 // offer is a member at the cost of a shard.
-type offer struct {
-	member int // of Table.members
-	draw   float64
-	cost   float64
+type memberCost struct {
+	index   int // of Table.members
+	uniform float64
+	cost    float64
 }
 
 // offer is what a member offers for a shard.
-func (t *Table) offer(place int, id ID) offer {
-	c := &t.members[place]
-	draw := c.draw(id)
-	return offer{member: place, draw: draw, cost: c.cost(draw)}
+func (t *Table) costOf(index int, id ID) memberCost {
+	c := &t.members[index]
+	uniform := c.uniform(id)
+	return memberCost{index: index, uniform: uniform, cost: c.cost(uniform)}
 }
 
 // compare orders offers by cost; where costs are equal, such as by rounding, by draw and then by name.
-func (t *Table) compare(x, y offer) int {
-	return cmp.Or(cmp.Compare(x.cost, y.cost), cmp.Compare(y.draw, x.draw), cmp.Compare(t.members[x.member].Name, t.members[y.member].Name))
+func (t *Table) compareCosts(x, y memberCost) int {
+	return cmp.Or(cmp.Compare(x.cost, y.cost), cmp.Compare(y.uniform, x.uniform), cmp.Compare(t.members[x.index].Name, t.members[y.index].Name))
 }
 
 // better replaces the best offer so far by that of a member, where it is better. The logarithm is spared for most: of
 // two members of equal weight the one with the higher draw is cheaper.
-func (t *Table) better(best *offer, place int, id ID) {
-	c := &t.members[place]
-	draw := c.draw(id)
-	if best.member != absent && c.weight == t.members[best.member].weight && draw < best.draw {
+func (t *Table) updateCheapest(cheapest *memberCost, index int, id ID) {
+	c := &t.members[index]
+	uniform := c.uniform(id)
+	if cheapest.index != noMember && c.weight == t.members[cheapest.index].weight && uniform < cheapest.uniform {
 		return
 	}
-	o := offer{member: place, draw: draw, cost: c.cost(draw)}
-	if best.member == absent || t.compare(o, *best) < 0 {
-		*best = o
+	cost := memberCost{index: index, uniform: uniform, cost: c.cost(uniform)}
+	if cheapest.index == noMember || t.compareCosts(cost, *cheapest) < 0 {
+		*cheapest = cost
 	}
 }
--- a/internal/fleet/shard/shard_test.go
+++ b/internal/fleet/shard/shard_test.go
@@ -16,26 +16,26 @@
 }
 
 // fewShards keep the tests short; what they check holds shard by shard.
-const fewShards = 4096
+const testShards = 4096
 
-func tableOf(replicas int, list []Member) *Table {
-	t := NewTableWithShards(replicas, fewShards)
+func newTestTable(replicas int, list []Member) *Table {
+	t := NewTableWithShards(replicas, testShards)
 	t.Update(list, nil)
 	return t
 }
 
 // check holds a table against what defines it: each shard has as many replicas as there can be, of different members,
 // in different zones as far as zones are not thin, and what a member is said to serve is what shards say.
-func check(t *testing.T, table *Table) {
+func checkTable(t *testing.T, table *Table) {
 	t.Helper()
 	served := map[string]int{}
 	fat := 0
 	for _, z := range table.zones {
-		if !z.thin {
+		if !z.underweight {
 			fat++
 		}
 	}
-	for id := range ID(len(table.assigned)) {
+	for id := range ID(len(table.shardReplicas)) {
 		names := table.Replicas(id)
 		if len(names) != min(table.replicas, table.Len()) {
 			t.Fatalf("shard %d has replicas %v of %d members", id, names, table.Len())
@@ -46,7 +46,7 @@
 				t.Fatalf("shard %d: %s is a replica and does not serve it", id, name)
 			}
 			served[name]++
-			zones[table.members[table.places[name]].Zone] = true
+			zones[table.members[table.indexes[name]].Zone] = true
 		}
 		if len(zones) < min(len(names), fat) {
 			t.Fatalf("shard %d: replicas %v in %d zones of %d", id, names, len(zones), fat)
@@ -55,7 +55,7 @@
 			t.Fatalf("shard %d: a member stands twice in %v", id, names)
 		}
 	}
-	for name := range table.places {
+	for name := range table.indexes {
 		if len(table.Shards(name)) != served[name] {
 			t.Fatalf("%s serves %d shards, replicas say %d", name, len(table.Shards(name)), served[name])
 		}
@@ -76,14 +76,14 @@
 
 // Members that come and go, several at once, in zones that appear, thin out and vanish: the table is always that of the
 // members who are there, whatever way it came about. What moves is told, all of it and nothing else.
-func TestUpdateAsBuiltAnew(t *testing.T) {
+func TestUpdateEqualsRebuild(t *testing.T) {
 	rng := rand.New(rand.NewPCG(5, 6))
 	for replicas := 1; replicas <= 3; replicas++ {
 		all := members(40, 3)
 		for i := range all {
 			all[i].Weight = uint32(1 + rng.IntN(3))
 		}
-		table, there := NewTableWithShards(replicas, fewShards), map[string]Member{}
+		table, there := NewTableWithShards(replicas, testShards), map[string]Member{}
 		for step := range 25 {
 			var joined []Member
 			var left []string
@@ -105,7 +105,7 @@
 					there[m.Name] = m
 				}
 			}
-			before := make([][]string, fewShards)
+			before := make([][]string, testShards)
 			for id := range before {
 				before[id] = table.Replicas(ID(id))
 			}
@@ -114,10 +114,10 @@
 			for _, m := range there {
 				list = append(list, m)
 			}
-			anew := tableOf(replicas, list)
+			anew := newTestTable(replicas, list)
 			locator := NewLocator(replicas)
 			locator.Update(list, nil)
-			for id := range ID(len(table.assigned)) {
+			for id := range ID(len(table.shardReplicas)) {
 				if got, want := table.Replicas(id), anew.Replicas(id); !slices.Equal(got, want) {
 					t.Fatalf("replicas %d, step %d, shard %d: %v, built anew %v", replicas, step, id, got, want)
 				}
@@ -129,7 +129,7 @@
 					t.Fatalf("replicas %d, step %d, shard %d: moved from %v to %v and not told", replicas, step, id, before[id], table.Replicas(id))
 				}
 			}
-			check(t, table)
+			checkTable(t, table)
 		}
 	}
 }
@@ -137,10 +137,10 @@
 // A member that leaves moves the shards that it served and no others, and its return moves just these back.
 func TestAMemberMovesItsOwnShardsAlone(t *testing.T) {
 	list := members(300, 3)
-	table := tableOf(2, list)
+	table := newTestTable(2, list)
 	for _, gone := range []int{0, 7, 150, 299} {
 		own := table.Shards(list[gone].Name)
-		before := make([][]string, fewShards)
+		before := make([][]string, testShards)
 		for id := range before {
 			before[id] = table.Replicas(ID(id))
 		}
@@ -176,17 +176,17 @@
 			away = append(away, m)
 		}
 	}
-	table := tableOf(2, here)
+	table := newTestTable(2, here)
 	for i := range away {
 		table.Update(away[i:i+1], nil)
-		mean := 2 * fewShards / table.Len()
+		mean := 2 * testShards / table.Len()
 		for _, m := range away[:i+1] {
 			if n := len(table.Shards(m.Name)); n > 6*mean {
 				t.Fatalf("%d of %d are back: one serves %d shards, the mean is %d", i+1, len(away), n, mean)
 			}
 		}
 	}
-	check(t, table)
+	checkTable(t, table)
 }
 
 // The fullest member of a region at the target's size: 14,000 members in five regions, 13 zones, two replicas. Stated:
@@ -197,7 +197,7 @@
 		table := NewTable(replicas)
 		table.Update(members(perRegion, zones), nil)
 		most := 0
-		for name := range table.places {
+		for name := range table.indexes {
 			most = max(most, len(table.Shards(name)))
 		}
 		mean := float64(replicas*Count) / perRegion
@@ -214,7 +214,7 @@
 	for i := range list {
 		list[i].Weight = uint32(1 + 2*(i/3%2))
 	}
-	table := tableOf(2, list)
+	table := newTestTable(2, list)
 	sums := map[uint32]int{}
 	for _, m := range list {
 		sums[m.Weight] += len(table.Shards(m.Name))
@@ -226,14 +226,14 @@
 
 // What all members of all versions have to agree on does not change by accident.
 func TestAssignmentIsPinned(t *testing.T) {
-	table := tableOf(2, members(10, 2))
+	table := newTestTable(2, members(10, 2))
 	got := fmt.Sprint(Of(0), Of(1), Of(1_999_999), table.Replicas(0), table.Replicas(4000))
-	if got != pinned {
-		t.Errorf("%s, want %s", got, pinned)
+	if got != pinnedAssignment {
+		t.Errorf("%s, want %s", got, pinnedAssignment)
 	}
 }
 
-const pinned = "7099 39317 5977 [sender-00004 sender-00009] [sender-00001 sender-00000]"
+const pinnedAssignment = "7099 39317 5977 [sender-00004 sender-00009] [sender-00001 sender-00000]"
 
 func BenchmarkJoinAtTheTarget(b *testing.B) {
 	table := NewTable(2)
--- a/internal/fleet/shard/table.go
+++ b/internal/fleet/shard/table.go
@@ -6,25 +6,25 @@
 const MaxReplicas = 5
 
 // absent stands for a replica that a shard lacks, where there are too few members.
-const absent = -1
+const noMember = -1
 
 // Table is the assignment of all shards to the members of one region. It is not safe for concurrent use.
 type Table struct {
-	replicas int
-	members  []candidate    // a free place has an empty name
-	places   map[string]int // of members, by name
-	free     []int
-	zones    map[string]*zone
-	assigned [][]int32 // by shard: the places of its replicas, the cheapest first
-	byMember []map[ID]bool
+	replicas      int
+	members       []candidate    // a free place has an empty name
+	indexes       map[string]int // of members, by name
+	freeIndexes   []int
+	zones         map[string]*zone
+	shardReplicas [][]int32 // by shard: the places of its replicas, the cheapest first
+	memberShards  []map[ID]bool
 }
 
 // zone is one zone of a region.
 type zone struct {
-	weight  float64
-	members int
-	thin    bool  // too small to be spread over
-	best    offer // of the shard that is looked at
+	weight      float64
+	memberCount int
+	underweight bool       // too small to be spread over
+	cheapest    memberCost // of the shard that is looked at
 }
 
 // NewTable returns a table without members in which each shard gets so many replicas: 1 to MaxReplicas.
@@ -32,31 +32,31 @@
 
 // NewTableOf is NewTable of the first so many shards alone, for models: the others are nobody's.
 func NewTableWithShards(replicas, shards int) *Table {
-	t := &Table{replicas: min(max(replicas, 1), MaxReplicas), places: map[string]int{}, zones: map[string]*zone{}}
-	t.assigned = make([][]int32, shards)
-	cells := make([]int32, shards*t.replicas)
-	for id := range t.assigned {
-		t.assigned[id], cells = cells[:t.replicas:t.replicas], cells[t.replicas:]
-		for i := range t.assigned[id] {
-			t.assigned[id][i] = absent
+	t := &Table{replicas: min(max(replicas, 1), MaxReplicas), indexes: map[string]int{}, zones: map[string]*zone{}}
+	t.shardReplicas = make([][]int32, shards)
+	backing := make([]int32, shards*t.replicas)
+	for id := range t.shardReplicas {
+		t.shardReplicas[id], backing = backing[:t.replicas:t.replicas], backing[t.replicas:]
+		for i := range t.shardReplicas[id] {
+			t.shardReplicas[id][i] = noMember
 		}
 	}
 	return t
 }
 
 // Len is how many members there are.
-func (t *Table) Len() int { return len(t.places) }
+func (t *Table) Len() int { return len(t.indexes) }
 
 // Has reports whether a member is there.
-func (t *Table) Has(name string) bool { _, there := t.places[name]; return there }
+func (t *Table) Has(name string) bool { _, found := t.indexes[name]; return found }
 
 // Replicas are the members that serve a shard, the first choice first. There are fewer than asked for where there are
 // too few members.
 func (t *Table) Replicas(id ID) []string {
 	var names []string
-	for _, place := range t.assigned[id] {
-		if place != absent {
-			names = append(names, t.members[place].Name)
+	for _, index := range t.shardReplicas[id] {
+		if index != noMember {
+			names = append(names, t.members[index].Name)
 		}
 	}
 	return names
@@ -64,12 +64,12 @@
 
 // Shards are the shards that a member serves, in order.
 func (t *Table) Shards(name string) []ID {
-	place, there := t.places[name]
-	if !there {
+	index, found := t.indexes[name]
+	if !found {
 		return nil
 	}
-	list := make([]ID, 0, len(t.byMember[place]))
-	for id := range t.byMember[place] {
+	list := make([]ID, 0, len(t.memberShards[index]))
+	for id := range t.memberShards[index] {
 		list = append(list, id)
 	}
 	slices.Sort(list)
@@ -78,39 +78,39 @@
 
 // Serves reports whether a member serves a shard.
 func (t *Table) Serves(name string, id ID) bool {
-	place, there := t.places[name]
-	return there && t.byMember[place][id]
+	index, found := t.indexes[name]
+	return found && t.memberShards[index][id]
 }
 
 // Update takes members that joined, or whose zone or weight changed, and names of members that left, and returns the
 // shards whose replicas changed, in order.
 func (t *Table) Update(joined []Member, left []string) []ID {
 	moved := map[ID]bool{}
-	thinBefore := t.thinZones()
-	var stale []ID // shards that lost a replica
+	zonesBefore := t.zoneStates()
+	var incomplete []ID // shards that lost a replica
 	for _, name := range left {
-		stale = append(stale, t.remove(name)...)
+		incomplete = append(incomplete, t.remove(name)...)
 	}
-	var fresh []int
+	var added []int
 	for _, m := range joined {
-		if place, there := t.places[m.Name]; there {
-			if t.members[place].Member == m {
+		if index, found := t.indexes[m.Name]; found {
+			if t.members[index].Member == m {
 				continue
 			}
-			stale = append(stale, t.remove(m.Name)...)
+			incomplete = append(incomplete, t.remove(m.Name)...)
 		}
-		fresh = append(fresh, t.add(m))
+		added = append(added, t.add(m))
 	}
-	t.weighZones()
-	if !slices.Equal(thinBefore, t.thinZones()) {
-		for id := range t.assigned {
+	t.markUnderweightZones()
+	if !slices.Equal(zonesBefore, t.zoneStates()) {
+		for id := range t.shardReplicas {
 			t.assign(ID(id), moved)
 		}
 	} else {
-		for _, id := range stale {
+		for _, id := range incomplete {
 			t.assign(id, moved)
 		}
-		t.offerTo(fresh, moved)
+		t.assignAdded(added, moved)
 	}
 	list := make([]ID, 0, len(moved))
 	for id := range moved {
@@ -122,13 +122,13 @@
 
 // offerTo gives the new members the shards that they are among the cheapest for. While no zone appears or changes its
 // size for the spread, a member that is dearer than all replicas of a shard can't become one.
-func (t *Table) offerTo(fresh []int, moved map[ID]bool) {
-	for id := range ID(len(t.assigned)) {
-		for _, place := range fresh {
-			if t.members[place].Name == "" {
+func (t *Table) assignAdded(added []int, moved map[ID]bool) {
+	for id := range ID(len(t.shardReplicas)) {
+		for _, index := range added {
+			if t.members[index].Name == "" {
 				continue
 			}
-			if t.beatsOne(t.offer(place, id), id) {
+			if t.beatsReplica(t.costOf(index, id), id) {
 				t.assign(id, moved)
 				break
 			}
@@ -137,9 +137,9 @@
 }
 
 // beatsOne reports whether an offer is better than some replica of a shard, or one is missing.
-func (t *Table) beatsOne(o offer, id ID) bool {
-	for _, place := range t.assigned[id] {
-		if place == absent || t.compare(o, t.offer(int(place), id)) < 0 {
+func (t *Table) beatsReplica(cost memberCost, id ID) bool {
+	for _, index := range t.shardReplicas[id] {
+		if index == noMember || t.compareCosts(cost, t.costOf(int(index), id)) < 0 {
 			return true
 		}
 	}
@@ -155,57 +155,57 @@
 	c := newCandidate(m)
 	c.zone = z
 	z.weight += c.weight
-	z.members++
-	place := len(t.members)
-	if n := len(t.free); n > 0 {
-		place, t.free = t.free[n-1], t.free[:n-1]
-		t.members[place], t.byMember[place] = c, map[ID]bool{}
+	z.memberCount++
+	index := len(t.members)
+	if n := len(t.freeIndexes); n > 0 {
+		index, t.freeIndexes = t.freeIndexes[n-1], t.freeIndexes[:n-1]
+		t.members[index], t.memberShards[index] = c, map[ID]bool{}
 	} else {
-		t.members, t.byMember = append(t.members, c), append(t.byMember, map[ID]bool{})
+		t.members, t.memberShards = append(t.members, c), append(t.memberShards, map[ID]bool{})
 	}
-	t.places[m.Name] = place
-	return place
+	t.indexes[m.Name] = index
+	return index
 }
 
 // remove takes a member out and returns the shards that it served, which lack a replica until they are assigned anew.
 func (t *Table) remove(name string) (lost []ID) {
-	place, there := t.places[name]
-	if !there {
+	index, found := t.indexes[name]
+	if !found {
 		return nil
 	}
-	for id := range t.byMember[place] {
+	for id := range t.memberShards[index] {
 		lost = append(lost, id)
-		i := slices.Index(t.assigned[id], int32(place))
-		t.assigned[id][i] = absent
+		i := slices.Index(t.shardReplicas[id], int32(index))
+		t.shardReplicas[id][i] = noMember
 	}
-	c := &t.members[place]
+	c := &t.members[index]
 	c.zone.weight -= c.weight
-	if c.zone.members--; c.zone.members == 0 {
+	if c.zone.memberCount--; c.zone.memberCount == 0 {
 		delete(t.zones, c.Zone)
 	}
-	delete(t.places, name)
-	t.members[place], t.byMember[place] = candidate{}, nil
-	t.free = append(t.free, place)
+	delete(t.indexes, name)
+	t.members[index], t.memberShards[index] = candidate{}, nil
+	t.freeIndexes = append(t.freeIndexes, index)
 	return lost
 }
 
 // weighZones marks zones that have less than half of an even share of the region's weight. Shards are not spread over
 // them: the last member of a zone, or the first that is back, would else get a replica of every shard of the region.
-func (t *Table) weighZones() {
+func (t *Table) markUnderweightZones() {
 	total := 0.0
 	for _, z := range t.zones {
 		total += z.weight
 	}
 	for _, z := range t.zones {
-		z.thin = z.weight < total/float64(len(t.zones))/2
+		z.underweight = z.weight < total/float64(len(t.zones))/2
 	}
 }
 
 // thinZones describes the zones for the spread: a change means that every shard is to be looked at.
-func (t *Table) thinZones() (list []string) {
+func (t *Table) zoneStates() (list []string) {
 	for name, z := range t.zones {
 		mark := "+"
-		if z.thin {
+		if z.underweight {
 			mark = "-"
 		}
 		list = append(list, mark+name)
@@ -217,16 +217,16 @@
 // assign works out the replicas of a shard: the member to which it is cheapest, then the cheapest ones of zones that
 // have no replica yet and are not thin, then the cheapest of the rest.
 func (t *Table) assign(id ID, moved map[ID]bool) {
-	var best [MaxReplicas]offer // of different zones, the cheapest first
-	found := t.spread(id, best[:0])
-	found = t.fill(id, found)
+	var buffer [MaxReplicas]memberCost // of different zones, the cheapest first
+	found := t.cheapestPerZone(id, buffer[:0])
+	found = t.fillFromAll(id, found)
 	changed := false
-	for i := range t.assigned[id] {
-		next := int32(absent)
+	for i := range t.shardReplicas[id] {
+		next := int32(noMember)
 		if i < len(found) {
-			next = int32(found[i].member)
+			next = int32(found[i].index)
 		}
-		if t.assigned[id][i] != next {
+		if t.shardReplicas[id][i] != next {
 			changed = true
 		}
 	}
@@ -234,63 +234,63 @@
 		return
 	}
 	moved[id] = true
-	for i, place := range t.assigned[id] {
-		if place != absent {
-			delete(t.byMember[place], id)
+	for i, index := range t.shardReplicas[id] {
+		if index != noMember {
+			delete(t.memberShards[index], id)
 		}
-		t.assigned[id][i] = absent
+		t.shardReplicas[id][i] = noMember
 	}
-	for i, o := range found {
-		t.assigned[id][i] = int32(o.member)
-		t.byMember[o.member][id] = true
+	for i, replica := range found {
+		t.shardReplicas[id][i] = int32(replica.index)
+		t.memberShards[replica.index][id] = true
 	}
 }
 
 // spread finds the cheapest member and the cheapest of each further zone, as many as there are to be replicas.
-func (t *Table) spread(id ID, found []offer) []offer {
+func (t *Table) cheapestPerZone(id ID, found []memberCost) []memberCost {
 	for _, z := range t.zones {
-		z.best = offer{member: absent}
+		z.cheapest = memberCost{index: noMember}
 	}
-	for place := range t.members {
-		if z := t.members[place].zone; z != nil {
-			t.better(&z.best, place, id)
+	for index := range t.members {
+		if z := t.members[index].zone; z != nil {
+			t.updateCheapest(&z.cheapest, index, id)
 		}
 	}
 	var first *zone
 	for _, z := range t.zones {
-		if first == nil || t.compare(z.best, first.best) < 0 {
+		if first == nil || t.compareCosts(z.cheapest, first.cheapest) < 0 {
 			first = z
 		}
 	}
 	if first == nil {
 		return found
 	}
-	var rest []offer
+	var rest []memberCost
 	for _, z := range t.zones {
-		if z != first && !z.thin {
-			rest = append(rest, z.best)
+		if z != first && !z.underweight {
+			rest = append(rest, z.cheapest)
 		}
 	}
-	slices.SortFunc(rest, t.compare)
-	found = append(found, first.best)
+	slices.SortFunc(rest, t.compareCosts)
+	found = append(found, first.cheapest)
 	return append(found, rest[:min(len(rest), t.replicas-1)]...)
 }
 
 // fill adds the cheapest of all members that are not replicas yet.
-func (t *Table) fill(id ID, found []offer) []offer {
-	if len(found) == 0 || len(found) >= t.replicas || len(found) >= len(t.places) {
+func (t *Table) fillFromAll(id ID, found []memberCost) []memberCost {
+	if len(found) == 0 || len(found) >= t.replicas || len(found) >= len(t.indexes) {
 		return found
 	}
-	var rest []offer // the cheapest, as many as are missing
+	var rest []memberCost // the cheapest, as many as are missing
 	missing := t.replicas - len(found)
-	for place := range t.members {
-		if t.members[place].Name == "" || slices.ContainsFunc(found, func(o offer) bool { return o.member == place }) {
+	for index := range t.members {
+		if t.members[index].Name == "" || slices.ContainsFunc(found, func(o memberCost) bool { return o.index == index }) {
 			continue
 		}
-		o := t.offer(place, id)
-		at, _ := slices.BinarySearchFunc(rest, o, t.compare)
+		cost := t.costOf(index, id)
+		at, _ := slices.BinarySearchFunc(rest, cost, t.compareCosts)
 		if at < missing {
-			rest = slices.Insert(rest, at, o)
+			rest = slices.Insert(rest, at, cost)
 			rest = rest[:min(len(rest), missing)]
 		}
 	}
@@ -303,7 +303,7 @@
 
 // NewLocator returns a locator without members that finds so many replicas.
 func NewLocator(replicas int) *Locator {
-	return &Locator{Table{replicas: min(max(replicas, 1), MaxReplicas), places: map[string]int{}, zones: map[string]*zone{}}}
+	return &Locator{Table{replicas: min(max(replicas, 1), MaxReplicas), indexes: map[string]int{}, zones: map[string]*zone{}}}
 }
 
 // Update takes members that joined or changed, and names of members that left.
@@ -315,7 +315,7 @@
 		l.table.remove(m.Name)
 		l.table.add(m)
 	}
-	l.table.weighZones()
+	l.table.markUnderweightZones()
 }
 
 // Len is how many members there are.
@@ -323,7 +323,7 @@
 
 // Names are all members.
 func (l *Locator) Names() (names []string) {
-	for name := range l.table.places {
+	for name := range l.table.indexes {
 		names = append(names, name)
 	}
 	return names
@@ -331,8 +331,8 @@
 
 // Replicas are the members that serve a shard, as a Table of the same members says.
 func (l *Locator) Replicas(id ID) (names []string) {
-	for _, o := range l.table.fill(id, l.table.spread(id, nil)) {
-		names = append(names, l.table.members[o.member].Name)
+	for _, replica := range l.table.fillFromAll(id, l.table.cheapestPerZone(id, nil)) {
+		names = append(names, l.table.members[replica.index].Name)
 	}
 	return names
 }
--- a/internal/sharding/view.go
+++ b/internal/sharding/view.go
@@ -27,15 +27,15 @@
 
 // View is what is known of endpoints. It is for one goroutine.
 type View struct {
-	set    *policy.Settings
-	log    zerolog.Logger
-	shards map[shard.ID]map[string]discovery.Endpoint // by name
-	nextID uint32
+	settings *policy.Settings
+	log      zerolog.Logger
+	shards   map[shard.ID]map[string]discovery.Endpoint // by name
+	nextID   uint32
 }
 
 // NewView returns a View that knows nothing.
-func NewView(set *policy.Settings, log zerolog.Logger) *View {
-	return &View{set: set, log: log, shards: map[shard.ID]map[string]discovery.Endpoint{}}
+func NewView(settings *policy.Settings, log zerolog.Logger) *View {
+	return &View{settings: settings, log: log, shards: map[shard.ID]map[string]discovery.Endpoint{}}
 }
 
 // Len is how many endpoints are known.
@@ -49,9 +49,9 @@
 // Take turns what was learned into an update for the sender.
 func (v *View) Apply(a *directory.AppliedUpdate) Update {
 	u := Update{Assigned: a.Assigned, Unassigned: a.Unassigned, AllMembers: a.AllMembers}
-	v.dropReplaced(a, &u)
+	v.markReplacedGone(a, &u)
 	for i := range a.Endpoints {
-		if e, ok := v.put(&a.Endpoints[i]); ok {
+		if e, ok := v.putEndpoint(&a.Endpoints[i]); ok {
 			u.Endpoints = append(u.Endpoints, e)
 		}
 	}
@@ -65,7 +65,7 @@
 }
 
 // dropReplaced tells endpoints as gone that a snapshot of their shard does not hold.
-func (v *View) dropReplaced(a *directory.AppliedUpdate, u *Update) {
+func (v *View) markReplacedGone(a *directory.AppliedUpdate, u *Update) {
 	if len(a.SnapshotShards) == 0 && !a.AllShards {
 		return
 	}
@@ -73,16 +73,16 @@
 	for _, id := range a.SnapshotShards {
 		replaced[id] = true
 	}
-	there := map[string]bool{}
+	listed := map[string]bool{}
 	for i := range a.Endpoints {
-		there[a.Endpoints[i].ID] = true
+		listed[a.Endpoints[i].ID] = true
 	}
 	for id, held := range v.shards {
 		if !replaced[id] && !a.AllShards {
 			continue
 		}
 		for name, e := range held {
-			if !there[name] {
+			if !listed[name] {
 				e.State = policy.Gone
 				u.Endpoints = append(u.Endpoints, e)
 				delete(held, name)
@@ -92,34 +92,34 @@
 }
 
 // put enters an endpoint as it has become; false: it is nothing for the sender.
-func (v *View) put(e *directory.Endpoint) (discovery.Endpoint, bool) {
+func (v *View) putEndpoint(e *directory.Endpoint) (discovery.Endpoint, bool) {
 	id := e.Shard()
-	known, had := v.shards[id][e.ID]
+	known, found := v.shards[id][e.ID]
 	if e.State == pb.EndpointState_REMOVED {
 		delete(v.shards[id], e.ID)
 		known.State = policy.Gone
-		return known, had
+		return known, found
 	}
 	if _, err := netip.ParseAddrPort(e.Addr); err != nil {
 		v.log.Warn().Str("endpoint", e.ID).Str("addr", e.Addr).Msg("no address: passed over")
 		return discovery.Endpoint{}, false
 	}
-	x := discovery.Endpoint{Name: e.ID, Addr: e.Addr}
-	if x.ID = known.ID; !had {
+	endpoint := discovery.Endpoint{Name: e.ID, Addr: e.Addr}
+	if endpoint.ID = known.ID; !found {
 		v.nextID++
-		x.ID = v.nextID
+		endpoint.ID = v.nextID
 	}
-	x.Dest, x.Rating = int(e.Destination), e.Weight
-	x.State = policy.Ready
+	endpoint.Dest, endpoint.Rating = int(e.Destination), e.Weight
+	endpoint.State = policy.Ready
 	if e.State == pb.EndpointState_DRAINING {
-		x.State = policy.Draining
+		endpoint.State = policy.Draining
 	}
-	x.SetZoneAndKind(v.set, e.Zone, e.Kind)
+	endpoint.SetZoneAndKind(v.settings, e.Zone, e.Kind)
 	if v.shards[id] == nil {
 		v.shards[id] = map[string]discovery.Endpoint{}
 	}
-	v.shards[id][e.ID] = x
-	return x, true
+	v.shards[id][e.ID] = endpoint
+	return endpoint, true
 }
 
 // Forget drops shards that the sender is done with.
