--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -26,71 +26,71 @@
 )
 
 const (
-	leaderDuty        = "directory" // whoever holds it leads
+	leaderDuty        = "directory" // its holder is the leader
 	inboxSize         = 4096
 	tickInterval      = 50 * time.Millisecond
-	reportInterval    = time.Second            // to the member that leads, and
-	minReportInterval = 200 * time.Millisecond // where something changed
+	reportInterval    = time.Second            // between reports to the leader while nothing changes
+	minReportInterval = 200 * time.Millisecond // between reports to the leader when its list of subscribers is outdated
 	rosterInterval    = 200 * time.Millisecond
 	statusInterval    = 500 * time.Millisecond
 	maxLinks          = 20000
 )
 
-// Options are what a Control works with.
+// Options configure a Control.
 type Options struct {
 	Settings *Settings
 	Log      zerolog.Logger
 }
 
-// Status is what a control member tells operators.
+// Status is the state of a control member as it reports it to operators.
 type Status struct {
 	Name             string `json:"name"`
 	Leader           string `json:"leader"` // empty: none is known
 	Version          uint64 `json:"version"`
-	DiscoveryVersion uint64 `json:"source"` // the version of discovery
+	DiscoveryVersion uint64 `json:"source"` // the latest version of discovery in the directory
 	Endpoints        int    `json:"endpoints"`
 	Members          int    `json:"members"`
-	Subscribers      int    `json:"subscribers"` // here
+	Subscribers      int    `json:"subscribers"` // senders that have subscribed at this member
 }
 
-// Control is a control member. Its state belongs to the goroutine of Run.
+// Control is a control member. Its state is owned by the goroutine of Run, but for leader, inbox and status.
 type Control struct {
 	o      Options
 	self   Member
 	group  *fleet.Member
 	links  *link.Net
-	leader atomic.Pointer[string] // the holder of the duty, as the group tells
+	leader atomic.Pointer[string] // the duty's holder, as the group reports it
 	inbox  chan input
 	status atomic.Pointer[Status]
 
 	dir             *directory.Directory
 	publisher       *directory.Publisher
 	subscription    *directory.Subscription
-	followedLeader  string      // whom it follows
-	leadership      *leadership // nil: another one leads
+	followedLeader  string      // the leader that it subscribes to; empty: none
+	leadership      *leadership // nil unless this member leads
 	statusAt        int64
 	reportSeq       uint64
 	reportAt        int64
-	reportedHashSum uint64 // sum of the members that were reported last
-	fullReportDue   bool   // all members are to be reported
+	reportedHashSum uint64 // NameHashSum of the members in the last report
+	fullReportDue   bool   // the next report has to list all members
 }
 
-// leadership is what a control member has while it leads.
+// leadership is the state that a control member has only while it leads.
 type leadership struct {
 	token     uint64
 	roster    *directory.Roster
 	rosterAt  int64
-	stopWatch context.CancelFunc // of the watch of discovery
+	stopWatch context.CancelFunc // ends the watch of discovery
 }
 
-// input is something for the loop: a frame, or a list of discovery.
+// input is an input of the loop in Run: a frame or a list of discovery.
 type input struct {
 	from  string
 	frame *pb.Frame
 	list  *discoveryList
 }
 
-// list is what discovery told the leader with that token.
+// discoveryList is a list of discovery, received by the leader with the given token.
 type discoveryList struct {
 	token     uint64
 	full      bool
@@ -98,7 +98,7 @@
 	endpoints []directory.Endpoint
 }
 
-// New starts a control member's links. Run keeps it going.
+// New opens a control member's listeners and joins its group. Run must be called to operate it.
 func New(o Options) (*Control, error) {
 	s := o.Settings
 	c := &Control{o: o, self: s.Self(), inbox: make(chan input, inboxSize), dir: directory.New(), fullReportDue: true}
@@ -139,7 +139,7 @@
 	return c, nil
 }
 
-// hash is of what must be alike in all control members' files.
+// groupHash returns a hash of the settings that must be the same in all control members' files.
 func (s *Settings) groupHash() uint64 {
 	text := fmt.Sprint(s.Lease, s.ClockDrift, s.ElectionTimeout, s.Replicas)
 	for _, m := range s.Members {
@@ -150,7 +150,7 @@
 	return xxhash.Sum64String(text)
 }
 
-// dials are the control members that this one dials: of two the one whose name sorts first does.
+// dialAddrs returns the control members that this one dials, by name: of two members the one whose name sorts first dials.
 func (c *Control) dialAddrs() map[string]string {
 	list := map[string]string{}
 	for _, m := range c.o.Settings.Members {
@@ -161,7 +161,7 @@
 	return list
 }
 
-// regions are those that have control members.
+// regions returns the regions of all control members.
 func (c *Control) regions() (list []string) {
 	for _, m := range c.o.Settings.Members {
 		list = append(list, m.Region)
@@ -169,7 +169,7 @@
 	return list
 }
 
-// regionOf is the region of a control member.
+// regionOf returns the region of a control member, empty if it is unknown.
 func (c *Control) regionOf(name string) string {
 	for _, m := range c.o.Settings.Members {
 		if m.Name == name {
@@ -179,7 +179,7 @@
 	return ""
 }
 
-// heardOfLeader takes each change of a duty.
+// recordLeader stores the holder of the leader's duty at each change of a duty.
 func (c *Control) recordLeader(d *pb.Duty, _ bool) {
 	if d.Name == leaderDuty {
 		holder := d.Holder
@@ -187,7 +187,7 @@
 	}
 }
 
-// leaderName is the control member that leads, as far as is known; empty: none.
+// leaderName returns the last known leader, empty if none is known.
 func (c *Control) leaderName() string {
 	if name := c.leader.Load(); name != nil {
 		return *name
@@ -195,7 +195,7 @@
 	return ""
 }
 
-// receive brings a frame to the loop. A loop that is behind holds up the link, and no other.
+// enqueueFrame passes a frame to the loop. While the inbox is full it blocks the frame's link, but no other one.
 func (c *Control) enqueueFrame(ctx context.Context, from string, f *pb.Frame) {
 	select {
 	case c.inbox <- input{from: from, frame: f}:
@@ -203,7 +203,7 @@
 	}
 }
 
-// call answers an operator's command.
+// handleCall answers an operator's command.
 func (c *Control) handleCall(_ context.Context, a *pb.Ask) (*pb.Answer, error) {
 	if a.Status == nil {
 		return &pb.Answer{Error: "a control member answers status alone here"}, nil
@@ -212,7 +212,7 @@
 	return &pb.Answer{Status: string(text)}, err
 }
 
-// Run keeps the control member going until the context ends, and leaves the group then.
+// Run operates the control member until the context ends, and then leaves the group.
 func (c *Control) Run(ctx context.Context) {
 	tick := time.NewTicker(tickInterval)
 	defer tick.Stop()
@@ -236,6 +236,7 @@
 	c.links.Close()
 }
 
+// handleInput handles one frame or list.
 func (c *Control) handleInput(ctx context.Context, in input) {
 	if in.list != nil {
 		c.handleList(in.list)
@@ -259,7 +260,7 @@
 	}
 }
 
-// learn takes what the member that leads has told.
+// applyUpdate applies an update of the leader; nil is ignored.
 func (c *Control) applyUpdate(a *directory.AppliedUpdate) {
 	if a == nil {
 		return
@@ -269,15 +270,16 @@
 	case errors.Is(err, directory.ErrStale):
 	case err == nil && a.AllShards:
 		c.publisher.ApplyChange(change)
-		go debug.FreeOSMemory() // what the snapshot's parts took: several times what is kept
+		go debug.FreeOSMemory() // the snapshot's parts took several times the memory that is kept
 	case err != nil: // the next subscription begins with a snapshot
-		c.o.Log.Error().Err(err).Msg("directory: an update does not fit")
+		c.o.Log.Error().Err(err).Msg("directory: failed to apply an update of the leader, the next subscription requests a snapshot")
 		c.subscription.Resume(0)
 	default:
 		c.publisher.ApplyChange(change)
 	}
 }
 
+// tick does the periodic work of the loop.
 func (c *Control) tick(ctx context.Context) {
 	now := fleet.Now()
 	c.updateLeadership(ctx, now)
@@ -296,7 +298,7 @@
 		Members: len(c.dir.Members()), Subscribers: len(c.publisher.Subscribers())})
 }
 
-// seeWhoLeads begins or ends to lead, or follows another one.
+// updateLeadership starts or stops leading by the state of the duty, or subscribes to a new leader.
 func (c *Control) updateLeadership(ctx context.Context, now int64) {
 	token := c.group.Held(leaderDuty)
 	if c.leadership != nil && c.leadership.token != token {
@@ -321,7 +323,7 @@
 	c.followedLeader, c.fullReportDue = "", true
 	c.o.Log.Info().Uint64("token", token).Uint64("version", c.dir.Version()).Msg("directory: leads")
 	c.publish(c.dir.DiscoveryVersion(), nil, nil, nil)
-	// The watch goes on where the leader before had come to.
+	// The watch continues from the version of discovery that the previous leader published last.
 	watch := discovery.NewDirectoryWatch(c.o.Settings.DiscoveryAddr, c.dir.DiscoveryVersion(), int(c.o.Settings.MaxListBytes), rand.Uint64(), c.o.Log, func(l discovery.List) {
 		c.enqueueList(watchCtx, token, l)
 	})
@@ -337,7 +339,8 @@
 	c.o.Log.Info().Uint64("version", c.dir.Version()).Msg("directory: leads no more")
 }
 
-// toLoop hands a list of discovery to the loop. It is for the watch's goroutine, which waits while the loop is behind.
+// enqueueList passes a list of discovery to the loop. It is called on the watch's goroutine and blocks it while the inbox
+// is full.
 func (c *Control) enqueueList(ctx context.Context, token uint64, l discovery.List) {
 	converted := &discoveryList{token: token, full: l.Full, version: l.Version, endpoints: make([]directory.Endpoint, 0, len(l.Endpoints))}
 	for i := range l.Endpoints {
@@ -348,16 +351,19 @@
 	case <-ctx.Done():
 	}
 	if l.Full {
-		go debug.FreeOSMemory() // what reading it took: several times what is kept
+		go debug.FreeOSMemory() // reading the list took several times the memory that is kept
 	}
 }
 
+// directoryEndpoint converts an endpoint of discovery.
 func directoryEndpoint(e *discovery.Endpoint) directory.Endpoint {
 	endpoint := directory.Endpoint{ID: e.Name, Addr: e.Addr, Zone: e.ZoneName, Kind: e.KindName, Destination: uint64(max(e.Dest, 0)), Weight: e.Rating}
-	endpoint.State = pb.EndpointState(e.State) // the numbers are the same: removed, up, draining
+	endpoint.State = pb.EndpointState(e.State) // both enumerations have the same values: removed, up, draining
 	return endpoint
 }
 
+// handleList publishes the changes of a list of discovery, unless an earlier leadership of this member received it.
+// Removed endpoints in a list may lack their destination, which the directory then provides.
 func (c *Control) handleList(l *discoveryList) {
 	if c.leadership == nil || c.leadership.token != l.token {
 		return
@@ -376,7 +382,7 @@
 	c.publish(l.version, changed, nil, nil)
 }
 
-// publish makes a change known, if this member still leads at this very moment.
+// publish publishes a change, or stops leading if this member does not hold the duty with its token any more.
 func (c *Control) publish(discoveryVersion uint64, endpoints []directory.Endpoint, joined, left []directory.Member) {
 	if c.group.Held(leaderDuty) != c.leadership.token {
 		c.stopLeading()
@@ -387,7 +393,7 @@
 	}
 }
 
-// admitMembers publishes members that have come and gone.
+// publishMembership publishes the members that join and leave by the roster.
 func (c *Control) publishMembership(now int64) {
 	if now-c.leadership.rosterAt < int64(rosterInterval) {
 		return
@@ -399,7 +405,7 @@
 	}
 }
 
-// report tells the member that leads who has subscribed here.
+// sendReport reports the members that have subscribed here to the leader, which may be this member.
 func (c *Control) sendReport(now int64) {
 	leader := c.followedLeader
 	if c.leadership != nil {
@@ -424,7 +430,7 @@
 	c.links.Send(leader, &pb.Frame{What: &pb.Frame_Report{Report: r}})
 }
 
-// flush sends what the publisher and the subscription have made.
+// flush sends the frames of the publisher and the subscription.
 func (c *Control) flush() {
 	for _, o := range c.publisher.TakeFrames() {
 		c.links.Send(o.To, o.Frame)
--- a/internal/control/settings.go
+++ b/internal/control/settings.go
@@ -1,6 +1,6 @@
-// Package control is a control member: it keeps the directory of endpoints and members (internal/fleet/directory), leads
-// or follows the control member that does, and serves senders that subscribe. Which of the control members leads is a
-// duty of their group (internal/fleet), which only they are members of.
+// Package control implements a control member. It holds the directory of endpoints and members
+// (internal/fleet/directory), leads or follows the control member that leads, and serves the senders that subscribe. The
+// leader is the holder of a duty in the control members' own group (internal/fleet).
 package control
 
 import (
@@ -15,19 +15,19 @@
 	"sliptide/internal/strictxml"
 )
 
-// Member is one control member by the settings.
+// Member is one control member in the settings.
 type Member struct {
 	Name          string
-	Addr          string // where it takes links of the group
-	DirectoryAddr string // where it takes links of subscribers
+	Addr          string // accepts links of the control members' group
+	DirectoryAddr string // accepts links of subscribers
 	Region        string
 	Voter         bool
 }
 
-// Settings are what a control member is told.
+// Settings are the contents of a control member's settings file.
 type Settings struct {
-	Name            string // of this member
-	StateDir        string // its folder
+	Name            string // name of this member
+	StateDir        string // state directory
 	DiscoveryAddr   string // address of the discovery agent
 	Replicas        int
 	Members         []Member
@@ -36,10 +36,10 @@
 	ElectionTimeout time.Duration
 	CA              string
 	Cert, Key       string
-	MaxListBytes    int64 // bytes of the list that discovery answers with
+	MaxListBytes    int64 // maximum size of a list of endpoints from discovery
 }
 
-// Self is this member's own line.
+// Self returns this member's entry in Members, empty if there is none.
 func (s *Settings) Self() Member {
 	for _, m := range s.Members {
 		if m.Name == s.Name {
@@ -49,6 +49,7 @@
 	return Member{}
 }
 
+// spec returns the elements and attributes of the settings file.
 func spec() *strictxml.Element[Settings] {
 	type attribute = strictxml.Attribute[Settings]
 	type element = strictxml.Element[Settings]
@@ -62,7 +63,7 @@
 		Attrs: []attribute{
 			{Name: "version", Required: true, Doc: "The form of this file.", Values: strictxml.OneOf("1")},
 			{Name: "name", Required: true, Doc: "This member's name, one of those below.", Values: name, Text: func(s *Settings, v string) { s.Name = v }},
-			{Name: "state", Required: true, Doc: "The folder that lasts, which belongs to this member alone.", Values: path, Text: func(s *Settings, v string) { s.StateDir = v }},
+			{Name: "state", Required: true, Doc: "The state directory, which belongs to this member alone.", Values: path, Text: func(s *Settings, v string) { s.StateDir = v }},
 			{Name: "discovery", Required: true, Doc: "Address of the discovery agent.", Values: addr, Text: func(s *Settings, v string) { s.DiscoveryAddr = v }},
 			{Name: "replicas", Fallback: "2", Doc: "Senders of each region that serve a destination; alike in all members' files and the senders'.", Values: strictxml.Whole(1, 5), Put: func(s *Settings, v int64) { s.Replicas = int(v) }},
 			{Name: "max-list", Fallback: "1GiB", Doc: "The longest list of endpoints that is read.", Values: strictxml.Sized(64<<10, 1<<34), Put: func(s *Settings, v int64) { s.MaxListBytes = v }},
@@ -75,15 +76,15 @@
 			Add: func(s *Settings) { s.Members = append(s.Members, Member{}) },
 			Attrs: []attribute{
 				{Name: "name", Required: true, Doc: "Its name.", Values: name, Text: func(s *Settings, v string) { last(s).Name = v }},
-				{Name: "addr", Required: true, Doc: "Where it takes links of the other control members' group.", Values: addr, Text: func(s *Settings, v string) { last(s).Addr = v }},
-				{Name: "directory", Required: true, Doc: "Where it takes links of senders and control members that subscribe.", Values: addr, Text: func(s *Settings, v string) { last(s).DirectoryAddr = v }},
+				{Name: "addr", Required: true, Doc: "Where it accepts links of the control members' group.", Values: addr, Text: func(s *Settings, v string) { last(s).Addr = v }},
+				{Name: "directory", Required: true, Doc: "Where it accepts links of senders and control members that subscribe.", Values: addr, Text: func(s *Settings, v string) { last(s).DirectoryAddr = v }},
 				{Name: "region", Required: true, Doc: "Where it stands.", Values: name, Text: func(s *Settings, v string) { last(s).Region = v }},
 				{Name: "voter", Fallback: "false", Doc: "It votes on who leads. 3 or 5 members do, in different regions where there are several.", Values: strictxml.OneOf("false", "true"), Put: func(s *Settings, v int64) { last(s).Voter = v == 1 }},
 			},
 		}, {
-			Name: "duties", Doc: "How long the member that leads may rely on it.",
+			Name: "duties", Doc: "Timing of the leader's lease and of elections.",
 			Attrs: []attribute{
-				{Name: "lease", Fallback: "2s", Doc: "A leader that is cut off or stopped gives up within it; at least twice the election time.", Values: strictxml.Between(200*time.Millisecond, time.Minute), Put: func(s *Settings, v int64) { s.Lease = time.Duration(v) }},
+				{Name: "lease", Fallback: "2s", Doc: "A leader that is cut off or stopped ceases to lead within it; at least twice the election time.", Values: strictxml.Between(200*time.Millisecond, time.Minute), Put: func(s *Settings, v int64) { s.Lease = time.Duration(v) }},
 				{Name: "drift", Fallback: "0.05", Doc: "The share by which a member's clock may run fast or slow.", Values: strictxml.OneOf("0.01", "0.02", "0.05", "0.1", "0.2"), Put: func(s *Settings, v int64) { s.ClockDrift = drifts[v] }},
 				{Name: "election", Fallback: "500ms", Doc: "A voter that hears nothing of a leader for so long asks to lead.", Values: strictxml.Between(100*time.Millisecond, 20*time.Second), Put: func(s *Settings, v int64) { s.ElectionTimeout = time.Duration(v) }},
 			},
@@ -96,7 +97,7 @@
 	return strictxml.Schema(spec(), `The schema of a control member's file. "sliptide control schema" writes it.`)
 }
 
-// Load reads a control member's file; the files that it names are relative to its folder.
+// Load reads a control member's settings file. Paths in it are relative to the file's directory.
 func Load(path string) (*Settings, error) {
 	s, err := strictxml.Open(path, spec())
 	if err != nil {
@@ -113,7 +114,7 @@
 	return s, nil
 }
 
-// check finds what the table cannot: values that do not go together.
+// validate checks rules that the XML specification cannot express, between several values. what is empty if all hold.
 func (s *Settings) validate() (what, allowed string) {
 	voters := 0
 	used := map[string]string{}
@@ -144,6 +145,7 @@
 	return "", ""
 }
 
+// checkAddr returns what is allowed in place of an address, empty if the address itself is.
 func checkAddr(addr string, hasKeys bool) (allowed string) {
 	host, port, err := net.SplitHostPort(addr)
 	ip, ipErr := netip.ParseAddr(host)
@@ -156,7 +158,7 @@
 	return ""
 }
 
-// tlsConfigs are for the links that this member dials and takes; nil: no TLS.
+// tlsConfigs returns the TLS configurations of links that this member dials and accepts, nil without TLS.
 func (s *Settings) tlsConfigs() (client, server *tls.Config, err error) {
 	if s.Cert == "" {
 		return nil, nil, nil
--- a/internal/fleet/directory/assign.go
+++ b/internal/fleet/directory/assign.go
@@ -6,9 +6,9 @@
 	"sliptide/internal/fleet/shard"
 )
 
-// This file keeps who holds and serves which shards.
+// This file tracks which subscribers hold and serve which shards.
 
-// table is the assignment of a region, made when it is first asked for.
+// regionTable returns the shard assignment of a region and creates it on first use.
 func (p *Publisher) regionTable(region string) *shard.Table {
 	if table := p.tables[region]; table != nil {
 		return table
@@ -25,7 +25,7 @@
 	return table
 }
 
-// Changed takes a change that the directory has taken.
+// ApplyChange updates assignments after a change of the directory and marks the subscribers that it concerns.
 func (p *Publisher) ApplyChange(c Change) {
 	for i := range c.Endpoints {
 		for s := range p.shardSubscribers[c.Endpoints[i].Shard()] {
@@ -59,11 +59,12 @@
 	}
 }
 
-// reassign takes members of a region that came and went, and notes whose shards changed.
+// reassign updates the table of a region for members that joined and left, and the assignments of the members whose
+// shards changed.
 func (p *Publisher) reassign(region string, joined []shard.Member, left []string) {
 	table := p.tables[region]
 	if table == nil {
-		return // it is made of the directory's members when it is needed
+		return // the table is built from the directory's members on first use
 	}
 	affected := map[string]bool{}
 	for _, m := range joined {
@@ -84,13 +85,14 @@
 	}
 }
 
-// assign compares what a subscriber was told to serve with the table.
+// updateAssignment compares the shards that a subscriber was told to serve with the table, and records what is to be
+// assigned to it and unassigned from it.
 func (p *Publisher) updateAssignment(s *subscriber) {
 	table := p.regionTable(s.Region)
 	if !table.Has(s.Name) {
-		return // it is not known to have joined, or no longer: it goes on with what it has
+		return // the subscriber has not joined yet or has left: its assignment stays as it is
 	}
-	// The first time it is told all: what it holds may be less, or more, than what it served.
+	// The first comparison of a subscription reports all shards, since the subscriber may hold more or fewer than it served.
 	before := s.servedShards
 	if !s.assignmentCompared {
 		before, s.assignmentCompared = maps.Clone(s.heldShards), true
@@ -119,6 +121,7 @@
 	p.dirty[s] = true
 }
 
+// addShard records that a subscriber holds a shard.
 func (p *Publisher) addShard(s *subscriber, id shard.ID) {
 	s.heldShards[id] = true
 	if p.shardSubscribers[id] == nil {
@@ -127,6 +130,7 @@
 	p.shardSubscribers[id][s] = true
 }
 
+// removeShard records that a subscriber no longer holds a shard.
 func (p *Publisher) removeShard(s *subscriber, id shard.ID) {
 	delete(s.heldShards, id)
 	delete(s.snapshotVersions, id)
--- a/internal/fleet/directory/directory.go
+++ b/internal/fleet/directory/directory.go
@@ -1,9 +1,10 @@
-// Package directory is what control members keep and hand out: all endpoints of all destinations, by shard, and the
-// members that serve them, under one version that only grows. One control member leads and publishes; the others and
-// the senders subscribe. A subscription begins with a snapshot and goes on by changes; after a break it goes on where
-// the log of changes still reaches back, else by a snapshot again.
+// Package directory implements the directory that control members replicate and publish: all endpoints of all
+// destinations, by shard, and the members that serve them, under one version that only grows. One control member leads
+// and publishes; the other control members and the senders subscribe. A subscription begins with a snapshot and continues
+// with changes. After an interruption it resumes from the log of changes, or with a new snapshot if the log no longer
+// reaches back to its version.
 //
-// The package is pure: no clock, no sockets, no goroutine. Times are nanoseconds on a monotonic clock of the caller.
+// The package has no clock, sockets or goroutines: the caller passes times, in nanoseconds on its monotonic clock.
 // Nothing in it is safe for concurrent use.
 package directory
 
@@ -17,26 +18,26 @@
 	"sliptide/internal/fleet/shard"
 )
 
-// Bounds of the log of changes.
+// Limits of the log of changes.
 const (
 	maxLogChanges = 1 << 16
-	maxLogEntries = 1 << 18 // endpoints and members in all of them
+	maxLogEntries = 1 << 18 // endpoints and members of all changes in the log
 )
 
-// termBits is how many bits of a version count changes of one leader; those above are the leader's fencing token, so
-// that a later leader's versions are higher than all of an earlier one's.
+// counterBits is the number of low bits of a version that count the changes of one leader. The bits above are the leader's
+// fencing token, so that all versions of a later leader are higher than those of an earlier one.
 const counterBits = 32
 
-// term is the fencing token of the leader that published a version.
+// tokenOf returns the fencing token of the leader that published a version.
 func tokenOf(version uint64) uint64 { return version >> counterBits }
 
-// FirstVersion is the lowest version of the leader with that fencing token.
+// FirstVersion returns the lowest version of the leader with the given fencing token.
 func FirstVersion(token uint64) uint64 { return token << counterBits }
 
-// Errors of Apply.
+// Errors of Apply, ApplyUpdate and LoadSnapshot.
 var (
-	ErrStale = errors.New("the change is of a version that is known already")
-	ErrGap   = errors.New("the change does not follow the version that is known")
+	ErrStale = errors.New("directory: change is not later than the current version")
+	ErrGap   = errors.New("directory: change does not follow the current version")
 )
 
 // Endpoint is one endpoint of a destination.
@@ -49,15 +50,15 @@
 	State       pb.EndpointState
 }
 
-// Shard is the shard of the endpoint's destination.
+// Shard returns the shard of the endpoint's destination.
 func (e *Endpoint) Shard() shard.ID { return shard.Of(e.Destination) }
 
-// Message is the endpoint as a message.
+// Proto returns the endpoint as a protocol buffer message.
 func (e *Endpoint) Proto() *pb.Endpoint {
 	return &pb.Endpoint{Id: e.ID, Destination: e.Destination, Addr: e.Addr, Zone: e.Zone, Kind: e.Kind, Weight: e.Weight, State: e.State}
 }
 
-// EndpointOf is the endpoint that a message tells.
+// EndpointFromProto returns the endpoint that a message describes.
 func EndpointFromProto(m *pb.Endpoint) Endpoint {
 	return Endpoint{ID: m.Id, Addr: m.Addr, Zone: m.Zone, Kind: m.Kind, Destination: m.Destination, Weight: m.Weight, State: m.State}
 }
@@ -72,15 +73,15 @@
 	return &pb.MemberRecord{Name: m.Name, Region: m.Region, Zone: m.Zone, Weight: m.Weight, Gone: gone}
 }
 
-// MemberOf is the member that a record tells.
+// MemberFromProto returns the member that a record describes.
 func MemberFromProto(r *pb.MemberRecord) Member {
 	return Member{Region: r.Region, Member: shard.Member{Name: r.Name, Zone: r.Zone, Weight: r.Weight}}
 }
 
-// Change is what became different from one version to the next that was published.
+// Change is the difference between a version and the next one that was published.
 type Change struct {
 	From, To         uint64
-	DiscoveryVersion uint64 // of discovery, as of To
+	DiscoveryVersion uint64 // as of To
 	Endpoints        []Endpoint
 	Joined           []Member
 	Left             []Member
@@ -88,36 +89,38 @@
 
 func (c *Change) entryCount() int { return len(c.Endpoints) + len(c.Joined) + len(c.Left) }
 
-// Directory is the state of one control member.
+// Directory is the directory as one control member holds it.
 type Directory struct {
 	version          uint64
 	discoveryVersion uint64
-	shards           [shard.Count][]Endpoint // by ID, without removed ones
+	shards           [shard.Count][]Endpoint // by shard, sorted by endpoint ID, without removed endpoints
 	endpointCount    int
 	members          map[string]Member
-	changes          []Change          // the latest, without holes
-	logEntries       int               // entries in the log
-	interned         map[string]string // zones and kinds, each kept once
+	changes          []Change          // the latest changes, without gaps
+	logEntries       int               // endpoints and members in changes
+	interned         map[string]string // zones and kinds, each stored once
 }
 
 // New returns an empty directory of version 0.
 func New() *Directory { return &Directory{members: map[string]Member{}, interned: map[string]string{}} }
 
-// Version is the version of what is held. 0: nothing has been held yet.
+// Version returns the current version, 0 if nothing has been published or loaded yet.
 func (d *Directory) Version() uint64 { return d.version }
 
-// Source is the version of discovery that was published last, 0 if none was.
+// DiscoveryVersion returns the version of discovery that was published last, 0 if none was.
 func (d *Directory) DiscoveryVersion() uint64 { return d.discoveryVersion }
 
-// Len is how many endpoints there are.
+// Len returns the number of endpoints.
 func (d *Directory) Len() int { return d.endpointCount }
 
-// Shard are the endpoints of a shard, by ID. They must not be changed.
+// Shard returns the endpoints of a shard, sorted by ID. They must not be changed.
 func (d *Directory) Shard(id shard.ID) []Endpoint { return d.shards[id] }
 
-// Members are the members, by name. The map must not be changed.
+// Members returns the members, by name. The map must not be changed.
 func (d *Directory) Members() map[string]Member { return d.members }
 
+// intern returns the stored copy of a string. The number of stored strings is bounded: text that exceeds it is returned as
+// it is.
 func (d *Directory) intern(text string) string {
 	if interned, known := d.interned[text]; known {
 		return interned
@@ -128,7 +131,7 @@
 	return text
 }
 
-// put enters an endpoint as it has become, and reports whether that is news.
+// putEndpoint stores the new state of an endpoint, and reports whether it differs from the old one.
 func (d *Directory) putEndpoint(e Endpoint) bool {
 	list := d.shards[e.Shard()]
 	index, found := slices.BinarySearchFunc(list, e.ID, func(x Endpoint, id string) int { return cmp.Compare(x.ID, id) })
@@ -152,9 +155,9 @@
 	return true
 }
 
-// Publish makes a change of what became different, as the member that leads. The version is the next one, but not under
-// least. Endpoints and members that are as told already are left out; where nothing is left and least is reached, no
-// change is made.
+// Publish applies new states of endpoints and members on the leader, and returns the change that they make. Its version is
+// the next one, but at least minVersion. Endpoints and members that stay the same are left out. The result is false if
+// nothing differs and minVersion has been reached.
 func (d *Directory) Publish(minVersion, discoveryVersion uint64, endpoints []Endpoint, joined, left []Member) (Change, bool) {
 	c := Change{From: d.version, To: max(d.version+1, minVersion), DiscoveryVersion: discoveryVersion}
 	for _, e := range endpoints {
@@ -178,7 +181,7 @@
 	return c, true
 }
 
-// join enters a member, and into a change what that is: one that was in another region has left there.
+// putMember stores a member and adds it to a change if it differs; a member that was in another region also leaves there.
 func (d *Directory) putMember(m Member, c *Change) {
 	previous, known := d.members[m.Name]
 	if known && previous == m {
@@ -191,8 +194,8 @@
 	c.Joined = append(c.Joined, m)
 }
 
-// enter appends a change that the state has taken. One that is larger than the whole log may be ends it: subscribers
-// get snapshots then.
+// appendChange adds a change that has been applied to the log. A change larger than the log's limit empties the log, so
+// that subscribers get snapshots.
 func (d *Directory) appendChange(c Change) {
 	d.version, d.discoveryVersion = c.To, c.DiscoveryVersion
 	if c.entryCount() > maxLogEntries {
@@ -211,13 +214,13 @@
 	}
 }
 
-// Apply takes a change of the member that leads, and returns what it made different here.
+// Apply applies a change of the leader, and returns the change that it made here.
 func (d *Directory) Apply(c Change) (Change, error) {
 	switch {
 	case c.To <= d.version:
-		return Change{}, fmt.Errorf("%w: %d, known is %d", ErrStale, c.To, d.version)
+		return Change{}, fmt.Errorf("%w: got version %d, at %d", ErrStale, c.To, d.version)
 	case c.From != d.version:
-		return Change{}, fmt.Errorf("%w: from %d, known is %d", ErrGap, c.From, d.version)
+		return Change{}, fmt.Errorf("%w: change from %d, at %d", ErrGap, c.From, d.version)
 	}
 	applied := Change{From: c.From, To: c.To, DiscoveryVersion: c.DiscoveryVersion, Endpoints: c.Endpoints}
 	for _, e := range c.Endpoints {
@@ -236,11 +239,11 @@
 	return applied, nil
 }
 
-// Load replaces all that is held by a snapshot, and returns the change that leads there from what was held, so that
-// subscribers here need no snapshot in their turn. A snapshot that is not later than what is held is ErrOld.
+// LoadSnapshot replaces the whole content by a snapshot, and returns the change from the old content to it, so that
+// subscribers here need no snapshot in turn. It returns ErrStale if the snapshot is not later than the current version.
 func (d *Directory) LoadSnapshot(version, discoveryVersion uint64, endpoints []Endpoint, members []Member) (Change, error) {
 	if version <= d.version {
-		return Change{}, fmt.Errorf("%w: a snapshot of %d, known is %d", ErrStale, version, d.version)
+		return Change{}, fmt.Errorf("%w: got a snapshot of version %d, at %d", ErrStale, version, d.version)
 	}
 	c := Change{From: d.version, To: version, DiscoveryVersion: discoveryVersion, Endpoints: d.Diff(endpoints)}
 	for _, e := range c.Endpoints {
@@ -261,10 +264,8 @@
 	return c, nil
 }
 
-// Difference is what has to be told to come from what is held to a whole list: endpoints that are new or different, and
-// those that the list lacks, as removed.
-//
-// Of several lines of one endpoint the last holds.
+// Diff returns the changes from the current endpoints to a complete list: endpoints that are new or different, and those
+// that the list lacks, as removed. Of several list entries of one endpoint the last applies.
 func (d *Directory) Diff(list []Endpoint) (changed []Endpoint) {
 	type key struct {
 		id    string
@@ -297,8 +298,9 @@
 	return append(removed, changed...) // removed first: an endpoint may have moved to another destination
 }
 
-// Since are the changes after a version; the first may hold some that the version has already. false: the log does not
-// reach back to it, or the version is one of a leader of which this member has not heard all.
+// ChangesSince returns the changes after a version; the first one may repeat some that the version includes. The result is
+// false if the log does not reach back to the version, or if its leader published it without this control member having
+// received all changes of that leader.
 func (d *Directory) ChangesSince(version uint64) ([]Change, bool) {
 	if version == 0 || version > d.version {
 		return nil, false
@@ -313,7 +315,8 @@
 	if index == 0 {
 		return nil, false
 	}
-	// Between the ends of a change that came as one. Of one leader's versions each holds all before it.
+	// The version lies within a change that was received as one. Each version of a leader includes all its earlier ones, so
+	// sending the whole change again is correct, but only within the versions of one leader.
 	containing := d.changes[index-1]
 	if version >= containing.To || tokenOf(containing.From) != tokenOf(version) || tokenOf(containing.To) != tokenOf(version) {
 		return nil, false
@@ -321,7 +324,7 @@
 	return d.changes[index-1:], true
 }
 
-// Take applies what a subscription to the member that leads has learned, and returns the change that it made.
+// ApplyUpdate applies an update of a subscription to the leader, and returns the change that it made.
 func (d *Directory) ApplyUpdate(a *AppliedUpdate) (Change, error) {
 	if a.AllShards && a.AllMembers {
 		return d.LoadSnapshot(a.To, a.DiscoveryVersion, a.Endpoints, a.Joined)
@@ -330,7 +333,8 @@
 	return d.Apply(c)
 }
 
-// Locate is the destination of an endpoint that is held, by a look at all of them; for the rare line that names none.
+// DestinationOf returns the destination of a known endpoint. It searches all shards, and is meant for the rare list entry
+// that names no destination.
 func (d *Directory) DestinationOf(id string) (destination uint64, found bool) {
 	for i := range d.shards {
 		list := d.shards[i]
--- a/internal/fleet/directory/publisher.go
+++ b/internal/fleet/directory/publisher.go
@@ -9,22 +9,22 @@
 	"sliptide/internal/fleet/shard"
 )
 
-// How subscribers are served.
+// Limits of a subscription, as the publisher keeps it.
 const (
-	maxUnackedUpdates = 4               // updates of a subscriber that may be without acknowledgement
-	maxUpdateEntries  = 2000            // endpoints and members of one update: some 250 KB
-	heartbeatInterval = time.Second     // a subscriber hears something at least so often, and acknowledges it
-	subscriberTimeout = 4 * time.Second // a subscriber that acknowledges nothing for so long is dropped
+	maxUnackedUpdates = 4               // unacknowledged updates of one subscriber
+	maxUpdateEntries  = 2000            // endpoints and members of one update, about 250 KB
+	heartbeatInterval = time.Second     // longest time between two updates, which the subscriber acknowledges
+	subscriberTimeout = 4 * time.Second // a subscriber without an acknowledgement for longer is dropped
 )
 
-// Out is a frame for a subscriber.
+// OutFrame is a frame to be sent to the member To.
 type OutFrame struct {
 	To    string
 	Frame *pb.Frame
 }
 
-// subscriber is one that has subscribed here. What waits for it is no queue: it is the place in the log up to which it
-// has been sent changes, and the shards of which it lacks a snapshot.
+// subscriber is the publisher's state of one subscription. It has no queue of updates: scannedVersion is the position in
+// the change log up to which changes have been sent, and pendingSnapshots lists the shards still to be sent in full.
 type subscriber struct {
 	Member
 	id                 uint64
@@ -34,29 +34,29 @@
 	ackNumber          uint64
 	heardAt            int64
 	sentAt             int64
-	version            uint64              // that it was told
-	scannedVersion     uint64              // up to which the log holds nothing further for it
-	heldShards         map[shard.ID]bool   // that it holds, or is to get
-	servedShards       map[shard.ID]bool   // that it was told to serve in this subscription
-	assignmentCompared bool                // with the table: it was told what it serves
-	pendingSnapshots   []shard.ID          // snapshots to be sent
-	fullSnapshot       bool                // the snapshots are of all that it holds, and so are members
-	updateOpen         bool                // parts of an update are out, others are to follow
-	snapshotVersions   map[shard.ID]uint64 // versions of the snapshots in these parts
-	pendingAssigned    map[shard.ID]bool   // to be told with the snapshots that are on their way
+	version            uint64              // last version sent in a complete update
+	scannedVersion     uint64              // the log up to here holds nothing more for the subscriber
+	heldShards         map[shard.ID]bool   // shards that the subscriber holds or is being sent
+	servedShards       map[shard.ID]bool   // shards that it was told to serve in this subscription
+	assignmentCompared bool                // servedShards has been compared with the table
+	pendingSnapshots   []shard.ID          // shards whose snapshots are still to be sent
+	fullSnapshot       bool                // the next update replaces all shards and members that the subscriber holds
+	updateOpen         bool                // parts of an update have been sent and others follow
+	snapshotVersions   map[shard.ID]uint64 // versions of the snapshots in the open update
+	pendingAssigned    map[shard.ID]bool   // to be reported by the update that completes the snapshots
 	pendingUnassigned  map[shard.ID]bool
 }
 
-// Publisher hands a directory out to subscribers. Every update brings a subscriber from one version to a later one,
-// whole or not at all.
+// Publisher sends a directory to subscribers. Each update takes a subscriber from one version to a later one, completely
+// or not at all.
 type Publisher struct {
-	// Break takes guards out, for tests and runs that show what finds that.
+	// DisabledChecks disables safety checks in tests that verify that their absence is detected.
 	DisabledChecks PublisherCheck
 
 	dir              *Directory
 	replicas         int
-	maxEntries       int // entries of one update
-	shardCount       int // that there are
+	maxEntries       int // most entries of one update
+	shardCount       int
 	now              int64
 	outbox           []OutFrame
 	subscribers      map[string]*subscriber
@@ -65,26 +65,26 @@
 	dirty            map[*subscriber]bool
 }
 
-// PublisherBreak is a guard that is taken out.
+// PublisherCheck is a safety check of a Publisher that tests can disable.
 type PublisherCheck uint
 
-// BreakBehind: subscribers are served that know more than this control member does.
+// CheckNotBehind refuses subscribers that hold a later version than this control member.
 const CheckNotBehind PublisherCheck = 1 << iota
 
-// NewPublisher returns a publisher of a directory that assigns each shard to so many replicas in each region.
+// NewPublisher returns a publisher of a directory that assigns each shard to the given number of replicas in each region.
 func NewPublisher(dir *Directory, replicas int) *Publisher {
 	return &Publisher{dir: dir, replicas: replicas, maxEntries: maxUpdateEntries, shardCount: shard.Count, subscribers: map[string]*subscriber{}, shardSubscribers: map[shard.ID]map[*subscriber]bool{},
 		tables: map[string]*shard.Table{}, dirty: map[*subscriber]bool{}}
 }
 
-// Take returns what is to be sent, in order, and forgets it.
+// TakeFrames returns the frames to be sent, in order, and empties the outbox.
 func (p *Publisher) TakeFrames() []OutFrame {
 	frames := p.outbox
 	p.outbox = nil
 	return frames
 }
 
-// Subscribers are the members that have subscribed here, but not control members, by name.
+// Subscribers returns the members that have subscribed here, sorted by name, without control members.
 func (p *Publisher) Subscribers() (list []Member) {
 	for _, s := range p.subscribers {
 		if !s.everything {
@@ -95,7 +95,7 @@
 	return list
 }
 
-// Receive takes a frame of a subscriber.
+// Receive handles a frame of a subscriber.
 func (p *Publisher) Receive(from string, f *pb.Frame, now int64) {
 	p.now = now
 	switch w := f.What.(type) {
@@ -108,14 +108,14 @@
 
 func (p *Publisher) handleSubscribe(name string, q *pb.Subscribe) {
 	if s := p.subscribers[name]; s != nil && s.id == q.Id {
-		return // a late copy
+		return // a duplicate
 	}
 	if p.dir.Version() == 0 {
 		p.refuse(name, q.Id, "this control member has no directory yet")
 		return
 	}
 	if q.Version > p.dir.Version() && p.DisabledChecks&CheckNotBehind == 0 {
-		// What it knows is later: it keeps it, rather than going back, and comes again, here or elsewhere.
+		// The subscriber keeps its later version rather than going back, and subscribes again, here or elsewhere.
 		p.refuse(name, q.Id, "this control member is behind what the subscriber knows")
 		return
 	}
@@ -139,7 +139,7 @@
 	p.dirty[s] = true
 }
 
-// restart sends a subscriber all that it holds as a snapshot.
+// queueFullSnapshot schedules a snapshot of all shards that a subscriber holds.
 func (p *Publisher) queueFullSnapshot(s *subscriber) {
 	s.fullSnapshot, s.updateOpen, s.version, s.scannedVersion = true, false, 0, p.dir.Version()
 	clear(s.snapshotVersions)
@@ -166,13 +166,13 @@
 		return
 	}
 	if a.Seq > s.seq || a.Number <= s.ackNumber {
-		return // of nothing that was sent, or a late copy
+		return // acknowledges an update that was not sent, or is a late duplicate
 	}
 	s.ackNumber = a.Number
 	s.ackedSeq, s.heardAt = max(s.ackedSeq, a.Seq), p.now
 	for _, n := range a.Released {
 		if id := shard.ID(n); s.servedShards[id] {
-			p.requeueSnapshot(s, id) // it was assigned again meanwhile, and its content is gone there
+			p.requeueSnapshot(s, id) // assigned again since the release, so the subscriber has dropped its content
 		} else {
 			p.removeShard(s, id)
 		}
@@ -183,14 +183,14 @@
 	p.dirty[s] = true
 }
 
-// lack sends a subscriber the snapshot of a shard that it serves once more.
+// requeueSnapshot schedules the snapshot of a shard that a subscriber serves once more.
 func (p *Publisher) requeueSnapshot(s *subscriber, id shard.ID) {
 	if s.servedShards[id] && s.heldShards[id] && !slices.Contains(s.pendingSnapshots, id) {
 		s.pendingSnapshots = append(s.pendingSnapshots, id)
 	}
 }
 
-// drop forgets a subscriber.
+// removeSubscriber ends a subscription.
 func (p *Publisher) removeSubscriber(name string) {
 	s := p.subscribers[name]
 	if s == nil {
--- a/internal/fleet/directory/roster.go
+++ b/internal/fleet/directory/roster.go
@@ -10,20 +10,20 @@
 	"sliptide/internal/fleet/pb"
 )
 
-// How long the member that leads waits before it takes members for lost.
+// Delays after which the leader lets members join or leave the directory.
 const (
-	// ControlSilence is the time after which a control member that does not report counts as lost, with all that have
-	// subscribed there, until they subscribe elsewhere.
+	// ControlTimeout is the time after which a control member that does not report counts as lost, together with the
+	// members that have subscribed there, until they subscribe elsewhere.
 	ControlTimeout = 4 * time.Second
-	// MemberGrace is how long a member that no control member reports keeps its shards: a restart in place, or a change
-	// to another control member, moves none.
+	// MemberGracePeriod is how long a member that no control member reports keeps its shards, so that a restart in place
+	// or a change to another control member moves no shards.
 	MemberGracePeriod = 6 * time.Second
-	// JoinSettle is how long the first members of a region wait for others that start with them: a single one would be
-	// given all of its region's shards for a moment.
+	// FirstJoinDelay is how long the first members of a region wait for others that start at the same time. Otherwise a
+	// single member would be assigned all of its region's shards for a moment.
 	FirstJoinDelay = 3 * time.Second
 )
 
-// Sum is the sum of the members' names' hashes, by which two sets of members are compared.
+// NameHashSum returns the sum of the hashes of the members' names, by which two sets of members are compared.
 func NameHashSum(members []Member) (sum uint64) {
 	for i := range members {
 		sum += xxhash.Sum64String(members[i].Name)
@@ -31,7 +31,8 @@
 	return sum
 }
 
-// ReportOf is a control member's report of the members that have subscribed there, whole or by their sum alone.
+// NewReport returns a control member's report of the members that have subscribed there: all of them if full is set,
+// else only their number and hash sum.
 func NewReport(seq uint64, members []Member, full bool) *pb.Report {
 	r := &pb.Report{Seq: seq, Whole: full, Count: uint64(len(members)), Sum: NameHashSum(members)}
 	for i := range members {
@@ -43,7 +44,7 @@
 	return r
 }
 
-// reporter is one control member as the leader has heard it.
+// reporter is what the leader knows of one control member by its reports.
 type reporter struct {
 	region      string
 	seq         uint64
@@ -52,16 +53,17 @@
 	nameHashSum uint64
 }
 
-// Roster is the leader's book of who has subscribed where. It says which members join and leave the directory.
+// Roster is the leader's record of the members that have subscribed at each control member. It decides which members join
+// and leave the directory.
 type Roster struct {
-	controlRegions  map[string]bool // that have control members
+	controlRegions  map[string]bool // regions that have control members
 	reporters       map[string]*reporter
-	unreportedSince map[string]int64 // since when a member of the directory is reported by nobody
-	firstReportedAt map[string]int64 // since when members of a region without any are reported
+	unreportedSince map[string]int64 // when a member of the directory was first found unreported
+	firstReportedAt map[string]int64 // when the first member of a region without members was reported
 	leadingSince    int64
 }
 
-// NewRoster returns the book of a member that begins to lead. regions are those that have control members.
+// NewRoster returns the roster of a control member that begins to lead. regions are those that have control members.
 func NewRoster(regions []string, now int64) *Roster {
 	controlRegions := map[string]bool{}
 	for _, region := range regions {
@@ -70,7 +72,7 @@
 	return &Roster{controlRegions: controlRegions, reporters: map[string]*reporter{}, unreportedSince: map[string]int64{}, firstReportedAt: map[string]int64{}, leadingSince: now}
 }
 
-// Report takes a report of a control member of that region, and returns whether all members are to be reported again.
+// HandleReport handles a report of a control member of a region, and returns whether all members are to be reported again.
 func (r *Roster) HandleReport(from, region string, report *pb.Report, now int64) (again bool) {
 	c := r.reporters[from]
 	if c == nil {
@@ -78,7 +80,7 @@
 		r.reporters[from] = c
 	}
 	if report.Seq <= c.seq && c.members != nil {
-		return false // a late copy
+		return false // a late duplicate
 	}
 	c.reportedAt = now
 	if report.Whole {
@@ -95,8 +97,8 @@
 	return false
 }
 
-// Tick returns the members that are to join the directory, and those that are to leave it. Members of a region none of
-// whose control members reports stay: the region is cut off and goes on with what it knows.
+// Tick returns the members that are to join the directory and those that are to leave it. Members of a region whose
+// control members are all silent stay: the region is cut off and keeps working with what it knows.
 func (r *Roster) Tick(known map[string]Member, now int64) (joined, left []Member) {
 	reported, heardRegions := map[string]bool{}, map[string]bool{}
 	for name, c := range r.reporters {
@@ -107,7 +109,7 @@
 		heardRegions[c.region] = true
 		for name, m := range c.members {
 			if reported[name] {
-				continue // of two reports, as a member changes over, either will do
+				continue // a member that changes its control member may be in two reports: either is correct
 			}
 			reported[name] = true
 			if known[name] != m {
@@ -125,7 +127,7 @@
 			since = now
 			r.unreportedSince[name] = since
 		}
-		// A leader that begins waits until the control members have had time to report.
+		// A new leader waits until the control members have had time to report.
 		if now-since > int64(MemberGracePeriod) && now-r.leadingSince > int64(MemberGracePeriod+ControlTimeout) {
 			left = append(left, m)
 			delete(r.unreportedSince, name)
@@ -142,10 +144,10 @@
 	return joined, left
 }
 
-// byName orders members.
+// byName compares members by name.
 func byName(x, y Member) int { return cmp.Compare(x.Name, y.Name) }
 
-// settled leaves members out that are among the first of their region and have not waited for others yet.
+// holdBackFirst removes from joined the first members of a region until FirstJoinDelay has passed.
 func (r *Roster) holdBackFirst(joined []Member, known map[string]Member, now int64) []Member {
 	populated := map[string]bool{}
 	for _, m := range known {
--- a/internal/fleet/directory/serve.go
+++ b/internal/fleet/directory/serve.go
@@ -4,10 +4,10 @@
 	"sliptide/internal/fleet/pb"
 )
 
-// This file sends subscribers what they lack, as far as their windows allow.
+// This file sends updates to subscribers, up to maxUnackedUpdates each.
 
-// Tick tells the time: subscribers get what is new for them, as far as their windows allow, or a heartbeat, and silent
-// ones are dropped. It is due some ten times a second.
+// Tick advances the time: it sends subscribers their pending updates, or a heartbeat, and drops subscribers that have
+// stopped acknowledging. It is to be called about ten times a second.
 func (p *Publisher) Tick(now int64) {
 	p.now = now
 	for name, s := range p.subscribers {
@@ -25,7 +25,7 @@
 	}
 }
 
-// serve sends a subscriber what its window allows, and reports whether nothing is left to be sent now.
+// sendPending sends a subscriber updates up to maxUnackedUpdates, and reports whether nothing is left to be sent now.
 func (p *Publisher) sendPending(s *subscriber) bool {
 	for s.seq-s.ackedSeq < maxUnackedUpdates {
 		switch {
@@ -41,9 +41,10 @@
 			return true
 		}
 	}
-	return false // its acknowledgement brings it back
+	return false // an acknowledgement makes room for further updates
 }
 
+// sendUpdate numbers an update and queues its frame.
 func (p *Publisher) sendUpdate(s *subscriber, u *pb.Update) {
 	s.seq++
 	u.Id, u.Seq = s.id, s.seq
@@ -54,9 +55,9 @@
 	p.outbox = append(p.outbox, OutFrame{s.Name, &pb.Frame{What: &pb.Frame_Update{Update: u}}})
 }
 
-// sendSnapshots sends the next part of an update that brings snapshots of the shards that a subscriber lacks. A shard's
-// snapshot is of the moment in which it is sent; the update ends with all changes since it began that the snapshots do
-// not hold, so that what the subscriber has then is what was published at one version.
+// sendSnapshots sends the next part of an update that carries the pending snapshots of a subscriber. Each shard's snapshot
+// is taken when it is sent. The update ends with all changes since its start that the snapshots do not contain, so that
+// the subscriber then holds exactly what was published at one version.
 func (p *Publisher) sendSnapshots(s *subscriber) {
 	u := &pb.Update{From: s.version, To: s.version, Source: p.dir.DiscoveryVersion()}
 	entries := 0
@@ -67,7 +68,7 @@
 		id := s.pendingSnapshots[0]
 		s.pendingSnapshots = s.pendingSnapshots[1:]
 		if !s.everything && !s.heldShards[id] {
-			continue // released meanwhile
+			continue // released since it was queued
 		}
 		s.snapshotVersions[id] = p.dir.Version()
 		u.Snapshot = append(u.Snapshot, uint32(id))
@@ -92,7 +93,7 @@
 	p.sendUpdate(s, u)
 }
 
-// addAllMembers adds all members that a subscriber is told of, and returns how many these are.
+// addAllMembers adds all members that a subscriber is to know, and returns their number.
 func (p *Publisher) addAllMembers(s *subscriber, u *pb.Update) int {
 	u.AllMembers, u.AllShards = true, true
 	for _, m := range p.dir.Members() {
@@ -103,8 +104,8 @@
 	return len(u.Members)
 }
 
-// addChanges adds the changes that a subscriber has not been sent, as many as an update of which so many entries are
-// used has room for, one at least; false: the log does not reach back as far.
+// addChanges adds changes that a subscriber has not been sent, at least one, until the update is full; used is the number
+// of entries that it has already. complete is false if the log does not reach back far enough.
 func (p *Publisher) addChanges(s *subscriber, u *pb.Update, used int) (entries int, complete bool) {
 	changes, complete := p.dir.ChangesSince(s.scannedVersion)
 	for i := range changes {
@@ -117,11 +118,12 @@
 	return entries, complete
 }
 
-// tells reports whether a subscriber is told of a member.
+// includesMember reports whether the updates of a subscriber include a member.
 func (p *Publisher) includesMember(s *subscriber, m *Member) bool {
 	return s.everything || s.Region == m.Region
 }
 
+// addAssignments moves the pending assignments of a subscriber to an update.
 func (p *Publisher) addAssignments(s *subscriber, u *pb.Update) {
 	for id := range s.pendingAssigned {
 		u.Assigned = append(u.Assigned, uint32(id))
@@ -133,8 +135,8 @@
 	clear(s.pendingUnassigned)
 }
 
-// sendChanges sends what the log holds for a subscriber, and reports whether there was something. Where the log does not
-// reach back as far, the subscriber has been too slow: it gets a snapshot.
+// sendChanges sends the changes that the log holds for a subscriber, and reports whether there were any. A subscriber so
+// slow that the log no longer reaches back to its version gets a full snapshot instead.
 func (p *Publisher) sendChanges(s *subscriber) bool {
 	u := &pb.Update{From: s.version, Source: p.dir.DiscoveryVersion()}
 	entries, complete := p.addChanges(s, u, 0)
@@ -145,13 +147,13 @@
 	u.To = s.scannedVersion
 	p.addAssignments(s, u)
 	if entries == 0 && len(u.Assigned) == 0 && len(u.Unassigned) == 0 && !s.everything {
-		return false // the next heartbeat tells the version
+		return false // the next heartbeat carries the version
 	}
 	p.sendUpdate(s, u)
 	return true
 }
 
-// addChange adds to an update what a change holds for a subscriber, and returns how many entries that is.
+// addChange adds the entries of a change that concern a subscriber to an update, and returns their number.
 func (p *Publisher) addChange(s *subscriber, u *pb.Update, c *Change) (entries int) {
 	for i := range c.Endpoints {
 		e := &c.Endpoints[i]
--- a/internal/fleet/directory/subscription.go
+++ b/internal/fleet/directory/subscription.go
@@ -10,114 +10,114 @@
 	"sliptide/internal/fleet/shard"
 )
 
-// How a subscriber keeps its subscription.
+// Time-outs and retry intervals of a subscription.
 const (
-	silenceTimeout     = 4 * time.Second // without an update for so long, it subscribes anew, elsewhere
-	firstUpdateTimeout = 3 * time.Second // a server from which nothing comes for so long does not serve
+	silenceTimeout     = 4 * time.Second // without an update for longer, it subscribes at another server
+	firstUpdateTimeout = 3 * time.Second // a server that sends no update within it is abandoned
 	minRetryPause      = 100 * time.Millisecond
-	maxRetryPause      = 2 * time.Second // between two tries
+	maxRetryPause      = 2 * time.Second
 )
 
-// SubscriptionOptions are what a Subscription works with.
+// SubscriptionOptions configure a Subscription.
 type SubscriptionOptions struct {
 	Region, Zone   string
 	Weight         uint32
-	Everything     bool // a control member's
+	Everything     bool // all shards and regions, for control members
 	Rand           *rand.Rand
 	DisabledChecks SubscriptionCheck
 }
 
-// SubscriptionBreak is a guard that is taken out, for tests and runs that show what finds that.
+// SubscriptionCheck is a safety check of a Subscription that tests disable to verify that its absence is detected.
 type SubscriptionCheck uint
 
-// The guards.
+// Safety checks of a Subscription.
 const (
-	CheckGap     SubscriptionCheck = 1 << iota // an update is taken though others are missing before it
-	CheckPart                                  // parts of an update are taken before the last one is there
-	CheckVersion                               // a snapshot is taken though it is older than what is known
-	CheckSilence                               // that nothing comes any more is not noticed
+	CheckGap     SubscriptionCheck = 1 << iota // an update is applied only if none before it is missing
+	CheckPart                                  // parts of an update are applied only with the last one
+	CheckVersion                               // an update to an older version than the known one is refused
+	CheckSilence                               // a server that sends no more updates is abandoned
 )
 
-// Applied is what a subscriber learned by one update, all parts together.
+// AppliedUpdate is the content of one update, with all its parts together.
 type AppliedUpdate struct {
 	From, To         uint64
 	DiscoveryVersion uint64
-	AllShards        bool       // the endpoints are all there are, of all shards that are held
-	SnapshotShards   []shard.ID // the endpoints are all there are, of these
+	AllShards        bool       // Endpoints is complete for all held shards
+	SnapshotShards   []shard.ID // shards for which Endpoints is complete
 	Endpoints        []Endpoint
-	// AllMembers: those that joined are all there are.
+	// AllMembers says that Joined is complete: members that it lacks have left.
 	AllMembers   bool
 	Joined, Left []Member
 	Assigned     []shard.ID
 	Unassigned   []shard.ID
 }
 
-// Subscription is a subscriber's side. Its owner applies what it learns at once.
+// Subscription is the subscriber's side of a subscription. The caller must apply what Receive returns at once.
 type Subscription struct {
 	options        SubscriptionOptions
 	now            int64
-	server         string // it is subscribed at, or tries to be; empty: none
+	server         string // where it is subscribed or tries to be; empty: none
 	id             uint64
 	seq            uint64
 	version        uint64
-	shards         map[shard.ID]bool // that are held
+	shards         map[shard.ID]bool // shards that are held
 	stagedParts    []*pb.Update
 	outbox         []OutFrame
-	subscribedAt   int64 // when it subscribed last
-	connectedAt    int64 // when it turned to this server
+	subscribedAt   int64 // time of the last subscribe request or refusal
+	connectedAt    int64 // time of Connect to this server
 	updatedAt      int64
-	live           bool // an update has come
+	live           bool // an update has been received in this subscription
 	tries          int
 	unsentReleases []shard.ID
-	// promised are shards that were assigned after they had been released: they are served once their content is here.
+	// awaitingSnapshot holds shards that were assigned after their release: they are served once their snapshot is here.
 	awaitingSnapshot map[shard.ID]bool
 	ackNumber        uint64
-	serverFailed     bool // another server is to be tried
+	serverFailed     bool // the server does not serve: another one is to be tried
 }
 
-// NewSubscription returns a subscription that knows nothing.
+// NewSubscription returns a subscription at version 0 that is not connected.
 func NewSubscription(o SubscriptionOptions) *Subscription {
 	return &Subscription{options: o, id: o.Rand.Uint64() >> 1, shards: map[shard.ID]bool{}, awaitingSnapshot: map[shard.ID]bool{}}
 }
 
-// Version is the version of what is known; 0: nothing is.
+// Version returns the version of the known content; 0 if there is none yet.
 func (s *Subscription) Version() uint64 { return s.version }
 
-// Live reports whether the subscription is up, by what was heard last.
+// Live reports whether the subscription is up, that is, whether an update came within silenceTimeout.
 func (s *Subscription) Live(now int64) bool {
 	return s.live && now-s.updatedAt <= int64(silenceTimeout)
 }
 
-// Hold makes a subscription ask for shards whoever serves them, before it connects first: messages for them are left of
-// an earlier life.
+// HoldShards makes a subscription request shards regardless of their assignment, because an earlier run of the sender left
+// messages for them. It must be called before the first Connect.
 func (s *Subscription) HoldShards(ids []shard.ID) {
 	for _, id := range ids {
 		s.shards[id] = true
 	}
 }
 
-// Resume makes a subscription that holds no shards by itself, such as a control member's, go on from a version.
+// Resume makes a subscription that tracks no shards itself, such as a control member's, continue from a version.
 func (s *Subscription) Resume(version uint64) { s.version = version }
 
-// Take returns what is to be sent, in order, and forgets it.
+// TakeFrames returns the frames to be sent, in order, and empties the outbox.
 func (s *Subscription) TakeFrames() []OutFrame {
 	frames := s.outbox
 	s.outbox = nil
 	return frames
 }
 
-// Connect subscribes at a server, in place of any other.
+// Connect subscribes at a server, which replaces any earlier one.
 func (s *Subscription) Connect(server string, now int64) {
 	s.now, s.connectedAt, s.server, s.serverFailed = now, now, server, false
 	s.sendSubscribe()
 }
 
-// Lost reports that the server does not serve and that it is time to try another one.
+// ShouldReconnect reports whether the server does not serve and the retry pause is over, so that another is to be tried.
 func (s *Subscription) ShouldReconnect() bool {
 	return s.serverFailed && s.now-s.subscribedAt >= s.retryPause()
 }
 
-// Release gives up shards that were unassigned, once nothing is left of them here.
+// Release tells the server that unassigned shards are no longer held, once no messages are left for them.
 func (s *Subscription) Release(ids []shard.ID) {
 	for _, id := range ids {
 		delete(s.shards, id)
@@ -128,7 +128,7 @@
 	}
 }
 
-// subscribe begins a new subscription; what is known is kept and told.
+// sendSubscribe begins a new subscription. The known content is kept, and the request carries its version and shards.
 func (s *Subscription) sendSubscribe() {
 	s.id++
 	s.seq, s.stagedParts, s.live, s.subscribedAt, s.unsentReleases = 0, nil, false, s.now, nil
@@ -142,7 +142,7 @@
 
 func (s *Subscription) send(f *pb.Frame) { s.outbox = append(s.outbox, OutFrame{s.server, f}) }
 
-// Tick tells the time. It is due some times a second.
+// Tick advances the time and repeats requests. It is to be called a few times a second.
 func (s *Subscription) Tick(now int64) {
 	s.now = now
 	if s.server == "" {
@@ -165,13 +165,14 @@
 	s.sendSubscribe()
 }
 
-// pause is the time between two tries; it doubles, and no two subscribers keep in step.
+// retryPause returns the time between two tries. It doubles with each try, with jitter so that subscribers do not retry in
+// step.
 func (s *Subscription) retryPause() int64 {
 	full := min(int64(minRetryPause)<<min(s.tries, 10), int64(maxRetryPause))
 	return full/2 + int64(s.id*0x9e3779b97f4a7c15>>33)%(full/2+1)
 }
 
-// Receive takes a frame and returns what was learned by it, nil if that is nothing yet.
+// Receive handles a frame of the server and returns the update that it completes, nil if none.
 func (s *Subscription) Receive(from string, f *pb.Frame, now int64) *AppliedUpdate {
 	s.now = now
 	if from != s.server {
@@ -190,22 +191,23 @@
 	return nil
 }
 
+// handleUpdate stages an update or a part of one, and returns the update if it is complete.
 func (s *Subscription) handleUpdate(u *pb.Update) *AppliedUpdate {
 	if u.Id != s.id || u.Seq <= s.seq {
-		return nil // of an earlier subscription, or doubled
+		return nil // of an earlier subscription, or a duplicate
 	}
 	missed := u.Seq != s.seq+1 || u.From != 0 && u.From != s.version
 	if missed && s.options.DisabledChecks&CheckGap == 0 {
 		s.sendSubscribe()
 		return nil
 	}
-	if !u.Part && u.To < s.version && s.options.DisabledChecks&CheckVersion == 0 { // what a part leads to is told by the last one
+	if !u.Part && u.To < s.version && s.options.DisabledChecks&CheckVersion == 0 { // the last part of an update gives its version
 		s.live, s.serverFailed = false, true
 		return nil
 	}
 	s.seq, s.updatedAt, s.live, s.tries = u.Seq, s.now, true, 0
 	if u.AllShards {
-		s.stagedParts = nil // parts of an update that was given up
+		s.stagedParts = nil // drops parts of an update that the publisher abandoned
 	}
 	s.stagedParts = append(s.stagedParts, u)
 	if u.Part && s.options.DisabledChecks&CheckPart == 0 {
@@ -217,20 +219,21 @@
 	return a
 }
 
+// sendAck acknowledges the updates received so far, with releases and requests for missing snapshots.
 func (s *Subscription) sendAck() {
 	s.ackNumber++
 	a := &pb.Ack{Id: s.id, Seq: s.seq, Number: s.ackNumber}
 	for _, id := range s.unsentReleases {
 		a.Released = append(a.Released, uint32(id))
 	}
-	for id := range s.awaitingSnapshot { // said again until the content comes
+	for id := range s.awaitingSnapshot { // repeated until the snapshot comes
 		a.Missing = append(a.Missing, uint32(id))
 	}
 	s.unsentReleases = nil
 	s.send(&pb.Frame{What: &pb.Frame_Ack{Ack: a}})
 }
 
-// apply takes all parts that are staged as one.
+// applyStaged combines all staged parts into one update.
 func (s *Subscription) applyStaged() *AppliedUpdate {
 	a := &AppliedUpdate{From: s.version}
 	for _, u := range s.stagedParts {
@@ -239,7 +242,7 @@
 		a.AllMembers = a.AllMembers || u.AllMembers
 		s.applyShards(a, u)
 		for _, e := range u.Endpoints {
-			if e := EndpointFromProto(e); s.options.Everything || s.shards[e.Shard()] { // else it was released meanwhile
+			if e := EndpointFromProto(e); s.options.Everything || s.shards[e.Shard()] { // else the shard has been released
 				a.Endpoints = append(a.Endpoints, e)
 			}
 		}
@@ -250,7 +253,7 @@
 	return a
 }
 
-// applyMembers takes what all parts say of members. Of several records of one member the last holds.
+// applyMembers collects the member records of all staged parts. Of several records of one member the last applies.
 func (s *Subscription) applyMembers(a *AppliedUpdate) {
 	last := map[string]*pb.MemberRecord{}
 	var names []string
@@ -271,7 +274,7 @@
 	}
 }
 
-// applyShards takes the shards that an update brings, assigns and takes away.
+// applyShards handles the shards that a part carries snapshots of, assigns and unassigns.
 func (s *Subscription) applyShards(a *AppliedUpdate, u *pb.Update) {
 	if s.options.Everything {
 		return
--- a/internal/fleet/shard/shard.go
+++ b/internal/fleet/shard/shard.go
@@ -1,10 +1,10 @@
 // Package shard assigns destinations to the members that serve them. A destination hashes to one of a fixed number of
 // shards, and each shard to a few replicas among a region's members by weighted rendezvous hashing (Thaler and
-// Ravishankar, 1998; weights after Schindelhauer and Schomaker, 2005), spread over the region's zones. Whoever knows the
-// same members finds the same replicas; a member that joins or leaves moves its own shards and no others, unless a zone
-// becomes, or ceases to be, too small to be spread over.
+// Ravishankar, 1998; weights after Schindelhauer and Schomaker, 2005), spread over the region's zones. Every process that
+// knows the same members finds the same replicas. A member that joins or leaves moves its own shards and no others, unless
+// a zone becomes too small to be spread over, or ceases to be.
 //
-// The package is pure: no clock, no I/O, no chance.
+// The package is deterministic: no clock, no I/O, no randomness.
 package shard
 
 import (
@@ -21,7 +21,7 @@
 // ID is the number of a shard, under Count.
 type ID uint32
 
-// Of is the shard of a destination.
+// Of returns the shard of a destination.
 func Of(destination uint64) ID {
 	var key [8]byte
 	binary.LittleEndian.PutUint64(key[:], destination)
@@ -32,10 +32,10 @@
 type Member struct {
 	Name   string
 	Zone   string
-	Weight uint32 // how much it serves beside the others; 0 counts as 1
+	Weight uint32 // share of the shards, relative to the other members; 0 counts as 1
 }
 
-// candidate is a member with what its cost is worked out from.
+// candidate is a member with the values from which its costs are computed.
 type candidate struct {
 	Member
 	nameHash uint64
@@ -47,9 +47,9 @@
 	return candidate{Member: m, nameHash: xxhash.Sum64String(m.Name), weight: float64(max(m.Weight, 1))}
 }
 
-// draw is a number over 0 and under 1 that a member has for a shard, by hash.
+// uniform returns a hash of the member and a shard, mapped to the open interval (0, 1).
 func (c *candidate) uniform(id ID) float64 {
-	// A finalizer after MurmurHash3 (Appleby): neighbouring shards must cost a member unrelated amounts.
+	// The finalizer of MurmurHash3 (Appleby) makes a member's costs of neighbouring shards independent.
 	h := c.nameHash ^ (uint64(id)+1)*0x9e3779b97f4a7c15
 	h ^= h >> 33
 	h *= 0xff51afd7ed558ccd
@@ -59,32 +59,32 @@
 	return (float64(h>>11) + 0.5) / (1 << 53)
 }
 
-// cost is how dear a shard is to a member that drew this number for it; the members to which it is cheapest are its
-// replicas. It is distributed exponentially with the member's weight as rate, so that of several members each is
-// cheapest for a part of the shards that is in proportion to its weight.
+// cost returns the member's cost of a shard, given its uniform hash; the members with the lowest costs are the shard's
+// replicas. Costs are distributed exponentially with the member's weight as rate, so that each member has the lowest cost
+// for a part of the shards in proportion to its weight.
 func (c *candidate) cost(uniform float64) float64 { return -math.Log(uniform) / c.weight }
 
-// offer is a member at the cost of a shard.
+// memberCost is the cost of a shard at one member.
 type memberCost struct {
-	index   int // of Table.members
+	index   int // into Table.members
 	uniform float64
 	cost    float64
 }
 
-// offer is what a member offers for a shard.
+// costOf returns a member's cost of a shard.
 func (t *Table) costOf(index int, id ID) memberCost {
 	c := &t.members[index]
 	uniform := c.uniform(id)
 	return memberCost{index: index, uniform: uniform, cost: c.cost(uniform)}
 }
 
-// compare orders offers by cost; where costs are equal, such as by rounding, by draw and then by name.
+// compareCosts compares by cost; costs that are equal, such as by rounding, by uniform hash (higher first), then by name.
 func (t *Table) compareCosts(x, y memberCost) int {
 	return cmp.Or(cmp.Compare(x.cost, y.cost), cmp.Compare(y.uniform, x.uniform), cmp.Compare(t.members[x.index].Name, t.members[y.index].Name))
 }
 
-// better replaces the best offer so far by that of a member, where it is better. The logarithm is spared for most: of
-// two members of equal weight the one with the higher draw is cheaper.
+// updateCheapest replaces the lowest cost so far by that of a member if it is lower. Most members need no logarithm: of
+// two members of equal weight the one with the higher uniform hash has the lower cost.
 func (t *Table) updateCheapest(cheapest *memberCost, index int, id ID) {
 	c := &t.members[index]
 	uniform := c.uniform(id)
--- a/internal/fleet/shard/table.go
+++ b/internal/fleet/shard/table.go
@@ -2,35 +2,35 @@
 
 import "slices"
 
-// MaxReplicas is how many replicas a shard has at most.
+// MaxReplicas is the maximum number of replicas of a shard.
 const MaxReplicas = 5
 
-// absent stands for a replica that a shard lacks, where there are too few members.
+// noMember stands for a missing replica of a shard, when there are too few members.
 const noMember = -1
 
 // Table is the assignment of all shards to the members of one region. It is not safe for concurrent use.
 type Table struct {
 	replicas      int
-	members       []candidate    // a free place has an empty name
-	indexes       map[string]int // of members, by name
+	members       []candidate    // unused elements have an empty name
+	indexes       map[string]int // into members, by name
 	freeIndexes   []int
 	zones         map[string]*zone
-	shardReplicas [][]int32 // by shard: the places of its replicas, the cheapest first
+	shardReplicas [][]int32 // by shard: indexes of its replicas, lowest cost first
 	memberShards  []map[ID]bool
 }
 
-// zone is one zone of a region.
+// zone holds the totals of one zone of a region.
 type zone struct {
 	weight      float64
 	memberCount int
-	underweight bool       // too small to be spread over
-	cheapest    memberCost // of the shard that is looked at
+	underweight bool       // shards are not spread over it: see markUnderweightZones
+	cheapest    memberCost // lowest cost in the zone of the shard being assigned
 }
 
-// NewTable returns a table without members in which each shard gets so many replicas: 1 to MaxReplicas.
+// NewTable returns a table without members that assigns the given number of replicas, 1 to MaxReplicas, to each shard.
 func NewTable(replicas int) *Table { return NewTableWithShards(replicas, Count) }
 
-// NewTableOf is NewTable of the first so many shards alone, for models: the others are nobody's.
+// NewTableWithShards returns a table of the first shards alone, for models: the others are not in it.
 func NewTableWithShards(replicas, shards int) *Table {
 	t := &Table{replicas: min(max(replicas, 1), MaxReplicas), indexes: map[string]int{}, zones: map[string]*zone{}}
 	t.shardReplicas = make([][]int32, shards)
@@ -44,14 +44,14 @@
 	return t
 }
 
-// Len is how many members there are.
+// Len returns the number of members.
 func (t *Table) Len() int { return len(t.indexes) }
 
-// Has reports whether a member is there.
+// Has reports whether the table contains a member.
 func (t *Table) Has(name string) bool { _, found := t.indexes[name]; return found }
 
-// Replicas are the members that serve a shard, the first choice first. There are fewer than asked for where there are
-// too few members.
+// Replicas returns the members that serve a shard, the first choice first. They are fewer than configured if there are too
+// few members.
 func (t *Table) Replicas(id ID) []string {
 	var names []string
 	for _, index := range t.shardReplicas[id] {
@@ -62,7 +62,7 @@
 	return names
 }
 
-// Shards are the shards that a member serves, in order.
+// Shards returns the shards that a member serves, in ascending order.
 func (t *Table) Shards(name string) []ID {
 	index, found := t.indexes[name]
 	if !found {
@@ -82,8 +82,8 @@
 	return found && t.memberShards[index][id]
 }
 
-// Update takes members that joined, or whose zone or weight changed, and names of members that left, and returns the
-// shards whose replicas changed, in order.
+// Update applies members that joined, or whose zone or weight changed, and names of members that left. It returns the
+// shards whose replicas changed, in ascending order.
 func (t *Table) Update(joined []Member, left []string) []ID {
 	moved := map[ID]bool{}
 	zonesBefore := t.zoneStates()
@@ -120,8 +120,8 @@
 	return list
 }
 
-// offerTo gives the new members the shards that they are among the cheapest for. While no zone appears or changes its
-// size for the spread, a member that is dearer than all replicas of a shard can't become one.
+// assignAdded assigns to new members the shards for which they are among the lowest costs. As long as no zone appears,
+// vanishes or changes its underweight mark, a member that costs more than all replicas of a shard can't become one.
 func (t *Table) assignAdded(added []int, moved map[ID]bool) {
 	for id := range ID(len(t.shardReplicas)) {
 		for _, index := range added {
@@ -136,7 +136,7 @@
 	}
 }
 
-// beatsOne reports whether an offer is better than some replica of a shard, or one is missing.
+// beatsReplica reports whether a cost is lower than that of some replica of a shard, or a replica is missing.
 func (t *Table) beatsReplica(cost memberCost, id ID) bool {
 	for _, index := range t.shardReplicas[id] {
 		if index == noMember || t.compareCosts(cost, t.costOf(int(index), id)) < 0 {
@@ -146,6 +146,7 @@
 	return false
 }
 
+// add adds a member without assigning shards to it, and returns its index.
 func (t *Table) add(m Member) int {
 	z := t.zones[m.Zone]
 	if z == nil {
@@ -167,7 +168,7 @@
 	return index
 }
 
-// remove takes a member out and returns the shards that it served, which lack a replica until they are assigned anew.
+// remove removes a member and returns the shards that it served. They lack a replica until they are assigned again.
 func (t *Table) remove(name string) (lost []ID) {
 	index, found := t.indexes[name]
 	if !found {
@@ -189,8 +190,8 @@
 	return lost
 }
 
-// weighZones marks zones that have less than half of an even share of the region's weight. Shards are not spread over
-// them: the last member of a zone, or the first that is back, would else get a replica of every shard of the region.
+// markUnderweightZones marks zones with less than half of an even share of the region's weight. Shards are not spread over
+// them: otherwise the last member of a zone, or the first that is back, would get a replica of every shard of the region.
 func (t *Table) markUnderweightZones() {
 	total := 0.0
 	for _, z := range t.zones {
@@ -201,7 +202,7 @@
 	}
 }
 
-// thinZones describes the zones for the spread: a change means that every shard is to be looked at.
+// zoneStates returns the zones with their underweight marks. If they change, every shard has to be assigned again.
 func (t *Table) zoneStates() (list []string) {
 	for name, z := range t.zones {
 		mark := "+"
@@ -214,10 +215,11 @@
 	return list
 }
 
-// assign works out the replicas of a shard: the member to which it is cheapest, then the cheapest ones of zones that
-// have no replica yet and are not thin, then the cheapest of the rest.
+// assign computes the replicas of a shard: the member with the lowest cost, then the lowest-cost members of zones that
+// have no replica yet and are not underweight, then the lowest-cost members of the rest. It adds a shard whose replicas
+// changed to moved.
 func (t *Table) assign(id ID, moved map[ID]bool) {
-	var buffer [MaxReplicas]memberCost // of different zones, the cheapest first
+	var buffer [MaxReplicas]memberCost // lowest costs of different zones, in ascending order
 	found := t.cheapestPerZone(id, buffer[:0])
 	found = t.fillFromAll(id, found)
 	changed := false
@@ -246,7 +248,8 @@
 	}
 }
 
-// spread finds the cheapest member and the cheapest of each further zone, as many as there are to be replicas.
+// cheapestPerZone appends the lowest-cost member of all and the lowest-cost members of further zones that are not
+// underweight, up to the number of replicas.
 func (t *Table) cheapestPerZone(id ID, found []memberCost) []memberCost {
 	for _, z := range t.zones {
 		z.cheapest = memberCost{index: noMember}
@@ -276,12 +279,12 @@
 	return append(found, rest[:min(len(rest), t.replicas-1)]...)
 }
 
-// fill adds the cheapest of all members that are not replicas yet.
+// fillFromAll appends the lowest-cost members of all zones that are not replicas yet, up to the number of replicas.
 func (t *Table) fillFromAll(id ID, found []memberCost) []memberCost {
 	if len(found) == 0 || len(found) >= t.replicas || len(found) >= len(t.indexes) {
 		return found
 	}
-	var rest []memberCost // the cheapest, as many as are missing
+	var rest []memberCost // the lowest costs, as many as replicas are missing
 	missing := t.replicas - len(found)
 	for index := range t.members {
 		if t.members[index].Name == "" || slices.ContainsFunc(found, func(o memberCost) bool { return o.index == index }) {
@@ -297,16 +300,16 @@
 	return append(found, rest...)
 }
 
-// Locator finds the replicas of single shards among members that come and go, for whoever needs few of them: it keeps
-// members alone, and looks at all of them for each shard that is asked for. It is not safe for concurrent use.
+// Locator finds the replicas of single shards, for callers that need few of them: it stores members alone and computes
+// the costs of all of them at each call of Replicas. It is not safe for concurrent use.
 type Locator struct{ table Table }
 
-// NewLocator returns a locator without members that finds so many replicas.
+// NewLocator returns a locator without members that finds the given number of replicas.
 func NewLocator(replicas int) *Locator {
 	return &Locator{Table{replicas: min(max(replicas, 1), MaxReplicas), indexes: map[string]int{}, zones: map[string]*zone{}}}
 }
 
-// Update takes members that joined or changed, and names of members that left.
+// Update applies members that joined or changed, and names of members that left.
 func (l *Locator) Update(joined []Member, left []string) {
 	for _, name := range left {
 		l.table.remove(name)
@@ -318,10 +321,10 @@
 	l.table.markUnderweightZones()
 }
 
-// Len is how many members there are.
+// Len returns the number of members.
 func (l *Locator) Len() int { return l.table.Len() }
 
-// Names are all members.
+// Names returns the names of all members, in no order.
 func (l *Locator) Names() (names []string) {
 	for name := range l.table.indexes {
 		names = append(names, name)
@@ -329,7 +332,7 @@
 	return names
 }
 
-// Replicas are the members that serve a shard, as a Table of the same members says.
+// Replicas returns the members that serve a shard, the same as a Table of these members does.
 func (l *Locator) Replicas(id ID) (names []string) {
 	for _, replica := range l.table.fillFromAll(id, l.table.cheapestPerZone(id, nil)) {
 		names = append(names, l.table.members[replica.index].Name)
--- a/internal/sharding/view.go
+++ b/internal/sharding/view.go
@@ -1,6 +1,6 @@
-// Package sharding turns what a sender learns by its subscription to the directory (internal/fleet/directory) into lists
-// of endpoints as the sender takes them, under numbers that last while an endpoint is known, with what a snapshot no
-// longer holds told as gone.
+// Package sharding converts updates of a sender's subscription to the directory (internal/fleet/directory) into the
+// endpoint lists that the sender accepts. An endpoint keeps its number as long as it is known, and endpoints that a
+// snapshot no longer contains are reported as gone.
 package sharding
 
 import (
@@ -15,30 +15,30 @@
 	"sliptide/policy"
 )
 
-// Update is what a sender is told.
+// Update is a change of endpoints, assigned shards and members for the sender.
 type Update struct {
-	Endpoints  []discovery.Endpoint // endpoints as they have become, policy.Gone those that left
-	Assigned   []shard.ID           // shards that the sender serves from now on,
-	Unassigned []shard.ID           // and that it serves no longer
-	AllMembers bool                 // those that joined are all there are
-	Joined     []shard.Member       // of the own region
+	Endpoints  []discovery.Endpoint // new states of endpoints; policy.Gone: removed
+	Assigned   []shard.ID           // shards that the sender serves from now on
+	Unassigned []shard.ID           // shards that it serves no longer
+	AllMembers bool                 // Joined is complete: members that it lacks have left
+	Joined     []shard.Member       // members of the sender's region
 	Left       []string
 }
 
-// View is what is known of endpoints. It is for one goroutine.
+// View holds the endpoints known from the directory. It is not safe for concurrent use.
 type View struct {
 	settings *policy.Settings
 	log      zerolog.Logger
-	shards   map[shard.ID]map[string]discovery.Endpoint // by name
+	shards   map[shard.ID]map[string]discovery.Endpoint // by shard and name
 	nextID   uint32
 }
 
-// NewView returns a View that knows nothing.
+// NewView returns an empty View.
 func NewView(settings *policy.Settings, log zerolog.Logger) *View {
 	return &View{settings: settings, log: log, shards: map[shard.ID]map[string]discovery.Endpoint{}}
 }
 
-// Len is how many endpoints are known.
+// Len returns the number of known endpoints.
 func (v *View) Len() (n int) {
 	for _, held := range v.shards {
 		n += len(held)
@@ -46,7 +46,7 @@
 	return n
 }
 
-// Take turns what was learned into an update for the sender.
+// Apply applies an update of the subscription, and returns the resulting update for the sender.
 func (v *View) Apply(a *directory.AppliedUpdate) Update {
 	u := Update{Assigned: a.Assigned, Unassigned: a.Unassigned, AllMembers: a.AllMembers}
 	v.markReplacedGone(a, &u)
@@ -64,7 +64,7 @@
 	return u
 }
 
-// dropReplaced tells endpoints as gone that a snapshot of their shard does not hold.
+// markReplacedGone reports endpoints as gone that a snapshot of their shard does not contain.
 func (v *View) markReplacedGone(a *directory.AppliedUpdate, u *Update) {
 	if len(a.SnapshotShards) == 0 && !a.AllShards {
 		return
@@ -91,7 +91,7 @@
 	}
 }
 
-// put enters an endpoint as it has become; false: it is nothing for the sender.
+// putEndpoint stores the new state of an endpoint. The result is false if there is nothing to report to the sender.
 func (v *View) putEndpoint(e *directory.Endpoint) (discovery.Endpoint, bool) {
 	id := e.Shard()
 	known, found := v.shards[id][e.ID]
@@ -101,7 +101,7 @@
 		return known, found
 	}
 	if _, err := netip.ParseAddrPort(e.Addr); err != nil {
-		v.log.Warn().Str("endpoint", e.ID).Str("addr", e.Addr).Msg("no address: passed over")
+		v.log.Warn().Str("endpoint", e.ID).Str("addr", e.Addr).Msg("directory: endpoint without a valid address ignored")
 		return discovery.Endpoint{}, false
 	}
 	endpoint := discovery.Endpoint{Name: e.ID, Addr: e.Addr}
@@ -122,7 +122,7 @@
 	return endpoint, true
 }
 
-// Forget drops shards that the sender is done with.
+// Forget drops shards that the sender has released.
 func (v *View) Forget(ids []shard.ID) {
 	for _, id := range ids {
 		delete(v.shards, id)
