--- a/internal/cli/fleet.go
+++ b/internal/cli/fleet.go
@@ -235,7 +235,7 @@
 			worst = h
 		}
 	}
-	return fmt.Sprintf("%d batches, %.0f ms\t%d\t%d\t%d", worst.Batches, worst.MS, v.Own.Waiting, v.Own.Short, v.Own.Left)
+	return fmt.Sprintf("%d batches, %.0f ms\t%d\t%d\t%d", worst.Batches, worst.MS, v.Own.Waiting, v.Own.UnderReplicated, v.Own.RemainingBytes)
 }
 
 // Run runs the command.
--- a/internal/fleet/copies/clocks.go
+++ b/internal/fleet/copies/clocks.go
@@ -19,17 +19,17 @@
 // Reckoning is by how much another member's clock, in Unix milliseconds, is ahead of this one's monotonic clock. A
 // batch takes some time to come, so it tells too little: what the quickest of late says is taken. The zero value is
 // not ready: see NewReckoning.
-type Reckoning struct {
+type ClockEstimate struct {
 	best   int64 // of this window, in milliseconds
 	before int64 // of the window before it
 	since  int64 // when this window began, in nanoseconds
 }
 
 // NewReckoning returns one that has heard nothing.
-func NewReckoning() Reckoning { return Reckoning{best: unknown, before: unknown} }
+func NewClockEstimate() ClockEstimate { return ClockEstimate{best: unknown, before: unknown} }
 
 // Heard takes the other's clock, as it was told in something that comes at now.
-func (r *Reckoning) Heard(now, clock int64) {
+func (r *ClockEstimate) Observe(now, clock int64) {
 	if now-r.since > windowFor {
 		r.before, r.best, r.since = r.best, unknown, now
 	}
@@ -37,7 +37,7 @@
 }
 
 // Ahead is by how much the other's clock is ahead, in milliseconds; false: nothing was heard.
-func (r *Reckoning) Ahead() (ms int64, known bool) {
+func (r *ClockEstimate) Offset() (ms int64, known bool) {
 	ms = max(r.best, r.before)
 	return ms, ms != unknown
 }
--- a/internal/fleet/copies/clocks_test.go
+++ b/internal/fleet/copies/clocks_test.go
@@ -38,23 +38,23 @@
 				continue
 			}
 			if rapid.IntRange(0, 9).Draw(t, "started again") == 0 && seq > 1 {
-				k, _ := h.Kept("a")
-				h = NewHolder(store, 1<<20, 1, map[string]Kept{"a": k})
+				k, _ := h.State("a")
+				h = NewHolder(store, 1<<20, 1, map[string]CopyState{"a": k})
 			}
 			c := &pb.Copy{Owner: "a", Epoch: 1, Incarnation: 1, Seq: seq, Reset_: seq == 1, Clock: ownerMS(now)}
 			now += took
-			if a := h.Copy(holderNS(now), c); a == nil || a.Again || a.Sealed {
+			if a := h.HandleCopy(holderNS(now), c); a == nil || a.Again || a.Sealed {
 				t.Fatalf("batch %d: %v", seq, a)
 			}
 			quick = append(quick, took)
 		}
-		heir := NewHeir("a", 2, []string{"h"}, nil)
+		heir := NewTakeover("a", 2, []string{"h"}, nil)
 		asked := now
 		now += rapid.Int64Range(0, 500).Draw(t, "on its way") * ms
-		s := h.Seal(holderNS(now), &pb.Seal{Owner: "a", Epoch: 2, At: asked})
+		s := h.HandleSeal(holderNS(now), &pb.Seal{Owner: "a", Epoch: 2, At: asked})
 		now += rapid.Int64Range(0, 500).Draw(t, "back") * ms
-		heir.Sealed(now, "h", s)
-		deadlines, waits, known := heir.Clock()
+		heir.HandleSealed(now, "h", s)
+		deadlines, waits, known := heir.ClockOffsets()
 		if !known {
 			t.Fatal("the clock is not known")
 		}
@@ -76,13 +76,13 @@
 
 // TestClockOfAnotherStart: what a holder reckoned before its machine was started again is void, and it says so.
 func TestClockOfAnotherStart(t *testing.T) {
-	h := NewHolder(memStore{}, 1<<20, 2, map[string]Kept{"a": {Incarnation: 1, Epoch: 1, Seq: 3, Ahead: 5, Boot: 1}})
-	if s := h.Seal(10, &pb.Seal{Owner: "a", Epoch: 2, At: 1}); !s.Have || s.Clock != 0 {
+	h := NewHolder(memStore{}, 1<<20, 2, map[string]CopyState{"a": {Incarnation: 1, Epoch: 1, Seq: 3, ClockOffsetMS: 5, BootID: 1}})
+	if s := h.HandleSeal(10, &pb.Seal{Owner: "a", Epoch: 2, At: 1}); !s.Have || s.Clock != 0 {
 		t.Errorf("sealed: %v", s)
 	}
-	heir := NewHeir("a", 2, []string{"h"}, nil)
-	heir.Sealed(5, "h", &pb.Sealed{Owner: "a", Epoch: 2, Have: true, From: 1})
-	if _, _, known := heir.Clock(); known {
+	heir := NewTakeover("a", 2, []string{"h"}, nil)
+	heir.HandleSealed(5, "h", &pb.Sealed{Owner: "a", Epoch: 2, Have: true, From: 1})
+	if _, _, known := heir.ClockOffsets(); known {
 		t.Error("a clock is known that nobody told")
 	}
 }
--- a/internal/fleet/copies/copies.go
+++ b/internal/fleet/copies/copies.go
@@ -29,7 +29,7 @@
 )
 
 // Out is a frame for a member.
-type Out struct {
+type Outgoing struct {
 	To    string
 	Frame *pb.Frame
 }
@@ -45,7 +45,7 @@
 	upto        uint64
 	peers       map[string]*peer
 	full        map[string]int64 // members that had no room, and when they said so
-	out         []Out
+	out         []Outgoing
 	scrubAt     int64
 	ahead       int64 // the owner's clock in Unix milliseconds, less the caller's monotonic one
 }
@@ -66,7 +66,7 @@
 
 // Begin starts an epoch: the duty is held with that token. A holder whose copy is what the journal has, as after a restart
 // in calm, goes on with it; any other is brought everything anew. 0 ends it.
-func (o *Owner) Begin(epoch uint64) {
+func (o *Owner) BeginEpoch(epoch uint64) {
 	if epoch == o.epoch {
 		return
 	}
@@ -78,16 +78,16 @@
 }
 
 // Of sets the folder whose journal it is.
-func (o *Owner) Of(incarnation uint64) { o.incarnation = incarnation }
+func (o *Owner) SetIncarnation(incarnation uint64) { o.incarnation = incarnation }
 
 // Clock tells by how much the clock that deadlines go by, in Unix milliseconds, is ahead of the caller's monotonic one.
-func (o *Owner) Clock(ahead int64) { o.ahead = ahead }
+func (o *Owner) SetClockOffset(ahead int64) { o.ahead = ahead }
 
 // Epoch is the token that is copied under, 0 if there is none.
 func (o *Owner) Epoch() uint64 { return o.epoch }
 
 // Holders sets who keeps copies, as the fleet has agreed on.
-func (o *Owner) Holders(names []string) {
+func (o *Owner) SetHolders(names []string) {
 	for name := range o.peers {
 		if !slices.Contains(names, name) {
 			delete(o.peers, name)
@@ -104,7 +104,7 @@
 func (o *Owner) names() []string { return slices.Sorted(maps.Keys(o.peers)) }
 
 // Sum is a checksum of what is live, as records, by which a holder's copy is compared with the owner's journal.
-func Sum(live []byte) uint64 { return xxhash.Sum64(live) | 1 }
+func Checksum(live []byte) uint64 { return xxhash.Sum64(live) | 1 }
 
 // Scrub tells the sum with the next batch, where it is time: live is all that is live after it.
 func (o *Owner) scrub(now int64, live func() []byte) uint64 {
@@ -112,7 +112,7 @@
 		return 0
 	}
 	o.scrubAt = now + scrubEvery
-	return Sum(live())
+	return Checksum(live())
 }
 
 // Append takes the records of one step of the journal and returns the number of their batch. upto is the highest
@@ -143,11 +143,11 @@
 		p.sentAt = now
 	}
 	p.waits = c.Seq
-	o.out = append(o.out, Out{name, copyFrame(c)})
+	o.out = append(o.out, Outgoing{name, copyFrame(c)})
 }
 
 // Copied takes a holder's answer.
-func (o *Owner) Copied(now int64, from string, a *pb.Copied) {
+func (o *Owner) HandleCopied(now int64, from string, a *pb.Copied) {
 	p := o.peers[from]
 	if p == nil || a.Epoch != o.epoch || a.Owner != o.name {
 		return
@@ -192,7 +192,7 @@
 }
 
 // Full are the members that had no room of late, holders or not any more.
-func (o *Owner) Full(now int64) (names []string) {
+func (o *Owner) FullMembers(now int64) (names []string) {
 	for name, at := range o.full {
 		if now-at > fullFor {
 			delete(o.full, name)
@@ -209,24 +209,24 @@
 	Holder  string  `json:"holder"`
 	Batches uint64  `json:"batches"` // that it has not answered for
 	MS      float64 `json:"ms"`      // since the oldest of them was sent
-	Whole   bool    `json:"whole"`   // it has been brought everything once in this epoch
+	Synced  bool    `json:"whole"`   // it has been brought everything once in this epoch
 	Full    bool    `json:"full"`    // it has no room
 }
 
 // Status is how the copies of a sender's journal are, for operators.
 type Status struct {
-	Held    bool   `json:"held"`    // the lease on its own journal
-	Holders []Lag  `json:"holders"` // how far each is behind
-	Waiting int    `json:"waiting"` // answers and calls that wait for holders
-	Short   uint64 `json:"short"`   // messages that too few had in time, since the start
-	Left    int64  `json:"left"`    // bytes that are still to be copied to holders that were not brought everything
+	LeaseHeld       bool   `json:"held"`    // the lease on its own journal
+	Holders         []Lag  `json:"holders"` // how far each is behind
+	Waiting         int    `json:"waiting"` // answers and calls that wait for holders
+	UnderReplicated uint64 `json:"short"`   // messages that too few had in time, since the start
+	RemainingBytes  int64  `json:"left"`    // bytes that are still to be copied to holders that were not brought everything
 }
 
 // Lags are how far the holders are behind, by name.
 func (o *Owner) Lags(now int64) (list []Lag) {
 	for _, name := range o.names() {
 		p := o.peers[name]
-		l := Lag{Holder: name, Batches: o.behind(p), Whole: o.Synced(name), Full: p.full}
+		l := Lag{Holder: name, Batches: o.behind(p), Synced: o.Synced(name), Full: p.full}
 		if p.acked < p.waits {
 			l.MS = float64(now-p.sentAt) / 1e6
 		}
@@ -239,7 +239,7 @@
 func (o *Owner) behind(p *peer) uint64 { return o.seq - min(p.acked, o.seq) }
 
 // Furthest is how many batches the holder is behind that is furthest behind.
-func (o *Owner) Furthest() (batches uint64) {
+func (o *Owner) MaxLag() (batches uint64) {
 	for _, p := range o.peers {
 		batches = max(batches, o.behind(p))
 	}
@@ -248,7 +248,7 @@
 
 // Take returns what is to be sent. snapshot is all that is live in the journal, as records; it is asked for where a
 // holder is to be brought everything.
-func (o *Owner) Take(now int64, snapshot func() []byte) []Out {
+func (o *Owner) TakeOutgoing(now int64, snapshot func() []byte) []Outgoing {
 	if o.epoch != 0 {
 		var all []byte
 		for _, name := range o.names() {
@@ -276,17 +276,17 @@
 	o.seq = max(o.seq, 1)
 	c := &pb.Copy{Owner: o.name, Incarnation: o.incarnation, Epoch: o.epoch, Seq: o.seq, Upto: o.upto, Clock: now/1e6 + o.ahead}
 	if p.ask {
-		c.Resume, c.Sum = true, Sum(all)
+		c.Resume, c.Sum = true, Checksum(all)
 	} else {
 		c.Reset_, c.Records = true, all
 	}
 	p.ask = false
 	p.reset, p.acked, p.waits, p.sentAt = o.seq, 0, o.seq, now
-	o.out = append(o.out, Out{name, copyFrame(c)})
+	o.out = append(o.out, Outgoing{name, copyFrame(c)})
 }
 
 // Next is when Take may have something by time alone; false: never.
-func (o *Owner) Next() (at int64, due bool) {
+func (o *Owner) NextWakeup() (at int64, due bool) {
 	for name, p := range o.peers {
 		t := p.sentAt + resendAfter + 1
 		switch {
--- a/internal/fleet/copies/keep/keep.go
+++ b/internal/fleet/copies/keep/keep.go
@@ -28,7 +28,7 @@
 var errRoom = errors.New("limits.disk_mb leaves no room for copies")
 
 // Files implements copies.Store. It is used by one goroutine.
-type Files struct {
+type Store struct {
 	fs    fsys.FS
 	room  *statedir.Account // nil: not bounded
 	files map[string]*file
@@ -38,14 +38,14 @@
 	size  int64
 	fresh int64 // when it was written anew
 	batch []byte
-	kept  copies.Kept
+	kept  copies.CopyState
 	torn  bool // a write failed: it is written anew before it is added to
 }
 
 // Open reads the copies of those owners.
-func Open(files fsys.FS, room *statedir.Account, owners []string) (*Files, map[string]copies.Kept, error) {
-	f := &Files{fs: files, room: room, files: map[string]*file{}}
-	kept := map[string]copies.Kept{}
+func Open(files fsys.FS, room *statedir.Account, owners []string) (*Store, map[string]copies.CopyState, error) {
+	f := &Store{fs: files, room: room, files: map[string]*file{}}
+	kept := map[string]copies.CopyState{}
 	for _, owner := range owners {
 		b, err := files.Read(prefix + owner)
 		if errors.Is(err, fs.ErrNotExist) {
@@ -55,7 +55,7 @@
 			return nil, nil, fmt.Errorf("%s%s: %w", prefix, owner, err)
 		}
 		x := &file{}
-		if x.replay(b); x.kept != (copies.Kept{}) {
+		if x.replay(b); x.kept != (copies.CopyState{}) {
 			f.files[owner] = x
 			kept[owner] = x.kept
 			if err := f.rewrite(owner, x); err != nil {
@@ -85,7 +85,7 @@
 			}
 			v[i], p = u, p[k:]
 		}
-		x.kept = copies.Kept{Incarnation: v[0], Epoch: v[1], Seq: v[2], Upto: v[3], Sealed: v[4], Ahead: int64(v[5]), Boot: v[6]}
+		x.kept = copies.CopyState{Incarnation: v[0], Epoch: v[1], Seq: v[2], LastNumber: v[3], SealedBelow: v[4], ClockOffsetMS: int64(v[5]), BootID: v[6]}
 		if kind == 'R' {
 			x.batch = nil
 		}
@@ -93,10 +93,10 @@
 	}
 }
 
-func record(kind byte, k copies.Kept, records []byte) []byte {
+func record(kind byte, k copies.CopyState, records []byte) []byte {
 	b := make([]byte, head, head+1+meta+len(records))
 	b = append(b, kind)
-	for _, v := range []uint64{k.Incarnation, k.Epoch, k.Seq, k.Upto, k.Sealed, uint64(k.Ahead), k.Boot} {
+	for _, v := range []uint64{k.Incarnation, k.Epoch, k.Seq, k.LastNumber, k.SealedBelow, uint64(k.ClockOffsetMS), k.BootID} {
 		b = binary.AppendUvarint(b, v)
 	}
 	b = append(b, records...)
@@ -106,12 +106,12 @@
 }
 
 // Reset implements copies.Store.
-func (f *Files) Reset(owner string, k copies.Kept, records []byte) error {
+func (f *Store) Reset(owner string, k copies.CopyState, records []byte) error {
 	return f.rewrite(owner, &file{kept: k, batch: append([]byte(nil), records...)})
 }
 
 // rewrite puts a file of what is live in the place of the old one.
-func (f *Files) rewrite(owner string, x *file) error {
+func (f *Store) rewrite(owner string, x *file) error {
 	b := record('R', x.kept, x.batch)
 	if !f.claim(owner, int64(len(b))) {
 		return errRoom
@@ -129,7 +129,7 @@
 }
 
 // claim asks for the room of all files, with one of that size and the copy that takes its place.
-func (f *Files) claim(owner string, size int64) bool {
+func (f *Store) claim(owner string, size int64) bool {
 	if f.room == nil {
 		return true
 	}
@@ -143,14 +143,14 @@
 }
 
 // Append implements copies.Store.
-func (f *Files) Append(owner string, k copies.Kept, records []byte) error {
+func (f *Store) Append(owner string, k copies.CopyState, records []byte) error {
 	return f.add(owner, 'B', k, records)
 }
 
 // Mark implements copies.Store.
-func (f *Files) Mark(owner string, k copies.Kept) error { return f.add(owner, 'M', k, nil) }
+func (f *Store) SaveState(owner string, k copies.CopyState) error { return f.add(owner, 'M', k, nil) }
 
-func (f *Files) add(owner string, kind byte, k copies.Kept, records []byte) error {
+func (f *Store) add(owner string, kind byte, k copies.CopyState, records []byte) error {
 	x := f.files[owner]
 	if x == nil {
 		return f.rewrite(owner, &file{kept: k, batch: append([]byte(nil), records...)})
@@ -174,7 +174,7 @@
 func compact(records []byte) []byte { return journal.Compact(records) }
 
 // Live implements copies.Store.
-func (f *Files) Live(owner string) []byte {
+func (f *Store) LiveRecords(owner string) []byte {
 	if x := f.files[owner]; x != nil {
 		return compact(x.batch)
 	}
@@ -182,7 +182,7 @@
 }
 
 // Size implements copies.Store.
-func (f *Files) Size(owner string) int64 {
+func (f *Store) Size(owner string) int64 {
 	if x := f.files[owner]; x != nil {
 		return x.size
 	}
--- a/internal/fleet/copies/keep/keep_test.go
+++ b/internal/fleet/copies/keep/keep_test.go
@@ -39,7 +39,7 @@
 		return 0, err
 	}
 	for i, b := range batches {
-		k := copies.Kept{Incarnation: 1, Epoch: 5, Seq: uint64(i + 1), Upto: uint64(i + 1)}
+		k := copies.CopyState{Incarnation: 1, Epoch: 5, Seq: uint64(i + 1), LastNumber: uint64(i + 1)}
 		if i == 0 {
 			err = f.Reset("a", k, b)
 		} else {
@@ -78,8 +78,8 @@
 				t.Errorf("operation %d, %+v: %v", at, fault, err)
 				continue
 			}
-			if kept["a"].Seq < seq || uint64(len(nums(f.Live("a")))) != kept["a"].Seq {
-				t.Errorf("operation %d, %+v: answered for %d batches, kept %d with %d messages", at, fault, seq, kept["a"].Seq, len(nums(f.Live("a"))))
+			if kept["a"].Seq < seq || uint64(len(nums(f.LiveRecords("a")))) != kept["a"].Seq {
+				t.Errorf("operation %d, %+v: answered for %d batches, kept %d with %d messages", at, fault, seq, kept["a"].Seq, len(nums(f.LiveRecords("a"))))
 			}
 		}
 	}
@@ -99,7 +99,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	k := copies.Kept{Incarnation: 1, Epoch: 5, Seq: 1}
+	k := copies.CopyState{Incarnation: 1, Epoch: 5, Seq: 1}
 	if err := f.Reset("a", k, batch(t, 1)); err != nil {
 		t.Fatal(err)
 	}
@@ -112,8 +112,8 @@
 		t.Fatal(err)
 	}
 	again, kept, err := Open(fsys.OS{Dir: dir}, nil, []string{"a"})
-	if err != nil || kept["a"].Seq != 2 || len(nums(again.Live("a"))) != 2 {
-		t.Errorf("%v, %+v, %v", err, kept, nums(again.Live("a")))
+	if err != nil || kept["a"].Seq != 2 || len(nums(again.LiveRecords("a"))) != 2 {
+		t.Errorf("%v, %+v, %v", err, kept, nums(again.LiveRecords("a")))
 	}
 }
 
@@ -124,13 +124,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := f.Reset("a", copies.Kept{Epoch: 1, Seq: 1}, make([]byte, 4<<10)); err != nil {
+	if err := f.Reset("a", copies.CopyState{Epoch: 1, Seq: 1}, make([]byte, 4<<10)); err != nil {
 		t.Fatal(err)
 	}
-	if err := f.Reset("b", copies.Kept{Epoch: 1, Seq: 1}, make([]byte, 12<<10)); !errors.Is(err, errRoom) {
+	if err := f.Reset("b", copies.CopyState{Epoch: 1, Seq: 1}, make([]byte, 12<<10)); !errors.Is(err, errRoom) {
 		t.Errorf("without room: %v", err)
 	}
-	if err := f.Mark("a", copies.Kept{Epoch: 1, Seq: 1, Sealed: 9}); err != nil || f.Size("b") != 0 {
+	if err := f.SaveState("a", copies.CopyState{Epoch: 1, Seq: 1, SealedBelow: 9}); err != nil || f.Size("b") != 0 {
 		t.Errorf("what is kept goes on: %v, %d", err, f.Size("b"))
 	}
 }
--- a/internal/fleet/copies/model/model.go
+++ b/internal/fleet/copies/model/model.go
@@ -112,17 +112,17 @@
 
 type memStore map[string][]byte
 
-func (s memStore) Reset(owner string, _ copies.Kept, r []byte) error {
+func (s memStore) Reset(owner string, _ copies.CopyState, r []byte) error {
 	s[owner] = slices.Clone(r)
 	return nil
 }
-func (s memStore) Append(owner string, _ copies.Kept, r []byte) error {
+func (s memStore) Append(owner string, _ copies.CopyState, r []byte) error {
 	s[owner] = append(s[owner], r...)
 	return nil
 }
-func (s memStore) Mark(string, copies.Kept) error { return nil }
-func (s memStore) Live(owner string) []byte       { return dump(live(s[owner])) }
-func (s memStore) Size(owner string) int64        { return int64(len(s[owner])) }
+func (s memStore) SaveState(string, copies.CopyState) error { return nil }
+func (s memStore) LiveRecords(owner string) []byte          { return dump(live(s[owner])) }
+func (s memStore) Size(owner string) int64                  { return int64(len(s[owner])) }
 
 // ledger is what befell one message.
 type ledger struct {
@@ -161,11 +161,11 @@
 	journal []entry
 	next    uint64
 	store   memStore
-	kept    map[string]copies.Kept
+	kept    map[string]copies.CopyState
 
 	owner  *copies.Owner
 	holder *copies.Holder
-	heirs  map[string]*copies.Heir
+	heirs  map[string]*copies.Takeover
 	wait   []waiting
 	calls  []*attempt
 	inbox  []func()
@@ -221,7 +221,7 @@
 
 // guards are taken out one by one.
 type Guards struct {
-	holder      copies.HolderBreak
+	holder      copies.HolderChecks
 	answerSoon  bool // 202 before the copies are acknowledged
 	startSoon   bool // the first byte before "attempt begun" is acknowledged, for a class that forbids repeats
 	noLease     bool // attempts are started whatever the lease says
@@ -269,19 +269,19 @@
 func (m *member) start() {
 	m.up, m.boot, m.life, m.stopped = true, m.boot+1, m.life+1, 0
 	if m.store == nil {
-		m.store, m.kept = memStore{}, map[string]copies.Kept{}
+		m.store, m.kept = memStore{}, map[string]copies.CopyState{}
 	}
 	m.owner = copies.NewOwner(m.name, m.incarnation)
 	m.holder = copies.NewHolder(m.store, 1<<20, 1, m.kept)
-	m.holder.Break = m.w.guards.holder
-	m.heirs, m.wait, m.calls, m.session, m.inbox = map[string]*copies.Heir{}, nil, nil, 0, nil
+	m.holder.SkipChecks = m.w.guards.holder
+	m.heirs, m.wait, m.calls, m.session, m.inbox = map[string]*copies.Takeover{}, nil, nil, 0, nil
 	for i := range m.journal {
 		m.journal[i].out = false
 	}
 }
 
 func (m *member) lose() {
-	m.journal, m.store, m.kept = nil, memStore{}, map[string]copies.Kept{}
+	m.journal, m.store, m.kept = nil, memStore{}, map[string]copies.CopyState{}
 	m.incarnation += 100
 	m.next = 0
 }
@@ -354,7 +354,7 @@
 	}
 }
 
-func (w *World) send(from *member, list []copies.Out) {
+func (w *World) send(from *member, list []copies.Outgoing) {
 	for _, o := range list {
 		if w.loss && w.rng.IntN(4) == 0 {
 			continue
@@ -384,7 +384,7 @@
 	if s := w.state.Session(m.session); s == nil {
 		if m.session != 0 {
 			m.session = 0
-			m.owner.Begin(0)
+			m.owner.BeginEpoch(0)
 		}
 		r := w.apply(&pb.Command{What: &pb.Command_Open{Open: &pb.Open{Member: m.name, Incarnation: m.incarnation, Boot: m.boot, Seq: w.index, Zone: m.zone}}})
 		if r.Err != nil {
@@ -407,7 +407,7 @@
 func (m *member) own() {
 	w, d := m.w, m.mine()
 	if d == nil {
-		m.owner.Begin(0)
+		m.owner.BeginEpoch(0)
 		return
 	}
 	if m.owner.Epoch() != d.Token {
@@ -419,9 +419,9 @@
 			}
 			m.next = max(m.next, a.Upto)
 		}
-		m.owner.Begin(d.Token)
+		m.owner.BeginEpoch(d.Token)
 	}
-	m.owner.Holders(d.Holders)
+	m.owner.SetHolders(d.Holders)
 	var there []placement.Member
 	present := map[string]bool{}
 	for _, p := range w.state.Present() {
@@ -432,7 +432,7 @@
 	next := placement.Next(d.Holders, wanted, m.owner.Synced, func(n string) bool { return present[n] })
 	if !slices.Equal(next, d.Holders) {
 		w.apply(&pb.Command{What: &pb.Command_Keep{Keep: &pb.Keep{Session: m.session, Duty: d.Name, Token: d.Token, Holders: next}}})
-		m.owner.Holders(next)
+		m.owner.SetHolders(next)
 	}
 }
 
@@ -446,11 +446,11 @@
 		}
 		h := m.heirs[owner]
 		if h == nil || h.Epoch != d.Token {
-			h = copies.NewHeir(owner, d.Token, d.Holders, w.state.Adopted(owner))
+			h = copies.NewTakeover(owner, d.Token, d.Holders, w.state.Adopted(owner))
 			m.heirs[owner] = h
 		}
-		w.send(m, h.Take(w.now))
-		stage := h.Look(func(name string) bool {
+		w.send(m, h.TakeOutgoing(w.now))
+		stage := h.Advance(func(name string) bool {
 			return slices.ContainsFunc(w.state.Present(), func(p *pb.Present) bool { return p.Name == name })
 		})
 		switch stage {
@@ -463,12 +463,12 @@
 }
 
 // bring puts what was found into the heir's own journal, copies it, and has the fleet agree.
-func (m *member) bring(h *copies.Heir, d *pb.Duty) {
+func (m *member) bring(h *copies.Takeover, d *pb.Duty) {
 	h.Stage = copies.Copying
 	var records []byte
 	var nums []uint64
 	var keys []uint64
-	for _, e := range live(h.Found.Records) {
+	for _, e := range live(h.LongestCopy.Records) {
 		if e.pending != "" && (m.w.guards.dropMarked || duty.Agreed(m.w.state.Adopted(e.pending[len(duty.Own("")):]), e.token).GetBy() != h.Owner) {
 			continue
 		}
@@ -497,7 +497,7 @@
 			delete(m.heirs, h.Owner)
 			return
 		}
-		r := m.w.apply(&pb.Command{What: &pb.Command_Adopt{Adopt: &pb.Adopt{Session: m.session, Duty: d.Name, Token: d.Token, Incarnation: h.Found.Incarnation, Upto: h.Found.Upto, Keys: keys}}})
+		r := m.w.apply(&pb.Command{What: &pb.Command_Adopt{Adopt: &pb.Adopt{Session: m.session, Duty: d.Name, Token: d.Token, Incarnation: h.LongestCopy.Incarnation, Upto: h.LongestCopy.Upto, Keys: keys}}})
 		if r.Err != nil {
 			m.discard(nums)
 			delete(m.heirs, h.Owner)
@@ -574,22 +574,22 @@
 	w := m.w
 	switch x := f.f.What.(type) {
 	case *pb.Frame_Copy:
-		if a := m.holder.Copy(w.now, x.Copy); a != nil {
-			k, _ := m.holder.Kept(x.Copy.Owner)
+		if a := m.holder.HandleCopy(w.now, x.Copy); a != nil {
+			k, _ := m.holder.State(x.Copy.Owner)
 			m.kept[x.Copy.Owner] = k
-			w.send(m, []copies.Out{{To: f.from.name, Frame: &pb.Frame{What: &pb.Frame_Copied{Copied: a}}}})
+			w.send(m, []copies.Outgoing{{To: f.from.name, Frame: &pb.Frame{What: &pb.Frame_Copied{Copied: a}}}})
 		}
 	case *pb.Frame_Copied:
-		m.owner.Copied(w.now, f.from.name, x.Copied)
+		m.owner.HandleCopied(w.now, f.from.name, x.Copied)
 	case *pb.Frame_Seal:
-		if a := m.holder.Seal(w.now, x.Seal); a != nil {
-			k, _ := m.holder.Kept(x.Seal.Owner)
+		if a := m.holder.HandleSeal(w.now, x.Seal); a != nil {
+			k, _ := m.holder.State(x.Seal.Owner)
 			m.kept[x.Seal.Owner] = k
-			w.send(m, []copies.Out{{To: f.from.name, Frame: &pb.Frame{What: &pb.Frame_Sealed{Sealed: a}}}})
+			w.send(m, []copies.Outgoing{{To: f.from.name, Frame: &pb.Frame{What: &pb.Frame_Sealed{Sealed: a}}}})
 		}
 	case *pb.Frame_Sealed:
 		if h := m.heirs[x.Sealed.Owner]; h != nil {
-			h.Sealed(w.now, f.from.name, x.Sealed)
+			h.HandleSealed(w.now, f.from.name, x.Sealed)
 		}
 	}
 }
@@ -631,7 +631,7 @@
 			}
 		}
 	}
-	w.send(m, m.owner.Take(w.now, func() []byte { return dump(m.journal) }))
+	w.send(m, m.owner.TakeOutgoing(w.now, func() []byte { return dump(m.journal) }))
 }
 
 // try begins an attempt of a message that is held, or ends one that may not be repeated.
--- a/internal/fleet/copies/model/model_test.go
+++ b/internal/fleet/copies/model/model_test.go
@@ -69,7 +69,7 @@
 		"first byte before the start is acknowledged": {Guards{startSoon: true}, []int{0, 2}},
 		"attempts whatever the lease says":            {Guards{noLease: true}, []int{4}},
 		"an owner that is back drops nothing":         {Guards{keepAll: true}, all},
-		"batches with holes are taken":                {Guards{holder: copies.BreakHoles}, []int{0, 5}},
+		"batches with holes are taken":                {Guards{holder: copies.CheckGaps}, []int{0, 5}},
 		"an heir sends before the fleet has agreed":   {Guards{sendSoon: true}, all},
 		"what may have been refused is sent":          {Guards{noConfirm: true}, []int{3, 4}},
 		"what is handed in again is not compared":     {Guards{noAgain: true}, []int{0, 1}},
@@ -95,7 +95,7 @@
 		}
 	}
 	for seed := range uint64(60) {
-		if w := loseLagging(seed, Guards{holder: copies.BreakResume}); w.breach != "" {
+		if w := loseLagging(seed, Guards{holder: copies.CheckResume}); w.breach != "" {
 			t.Logf("without the comparison: seed %d: %s", seed, w.breach)
 			return
 		}
--- a/internal/fleet/copies/scrub_test.go
+++ b/internal/fleet/copies/scrub_test.go
@@ -10,28 +10,31 @@
 // memStore keeps records in memory; all of them are live.
 type memStore map[string][]byte
 
-func (s memStore) Reset(owner string, _ Kept, r []byte) error { s[owner] = slices.Clone(r); return nil }
-func (s memStore) Append(owner string, _ Kept, r []byte) error {
+func (s memStore) Reset(owner string, _ CopyState, r []byte) error {
+	s[owner] = slices.Clone(r)
+	return nil
+}
+func (s memStore) Append(owner string, _ CopyState, r []byte) error {
 	s[owner] = append(s[owner], r...)
 	return nil
 }
-func (s memStore) Mark(string, Kept) error  { return nil }
-func (s memStore) Live(owner string) []byte { return s[owner] }
-func (s memStore) Size(owner string) int64  { return int64(len(s[owner])) }
+func (s memStore) SaveState(string, CopyState) error { return nil }
+func (s memStore) LiveRecords(owner string) []byte   { return s[owner] }
+func (s memStore) Size(owner string) int64           { return int64(len(s[owner])) }
 
 // TestScrub: a copy that is not what the owner has is found by the sum that comes with a batch, and sent anew.
 func TestScrub(t *testing.T) {
 	store := memStore{}
 	h := NewHolder(store, 1<<20, 1, nil)
 	o := NewOwner("a", 1)
-	o.Begin(3)
-	o.Holders([]string{"b"})
+	o.BeginEpoch(3)
+	o.SetHolders([]string{"b"})
 	var journal []byte
 	snapshot := func() []byte { return journal }
 	deliver := func(now int64) (again bool) {
-		for _, out := range o.Take(now, snapshot) {
-			a := h.Copy(now, out.Frame.GetCopy())
-			o.Copied(now, "b", a)
+		for _, out := range o.TakeOutgoing(now, snapshot) {
+			a := h.HandleCopy(now, out.Frame.GetCopy())
+			o.HandleCopied(now, "b", a)
 			again = again || a.Again
 		}
 		return again
@@ -42,19 +45,19 @@
 	}
 	deliver(0)
 	take(scrubEvery, 1)
-	if deliver(scrubEvery) || h.Mended() != 0 {
+	if deliver(scrubEvery) || h.Mismatches() != 0 {
 		t.Fatal("a copy that is right is found wrong")
 	}
 	store["a"] = nil // the disk has lost something, and says nothing
 	take(2*scrubEvery+1, 2)
-	if !deliver(2*scrubEvery+1) || h.Mended() != 1 {
+	if !deliver(2*scrubEvery+1) || h.Mismatches() != 1 {
 		t.Fatal("a copy that is wrong is not found")
 	}
 	deliver(2*scrubEvery + 2 + resendAfter)
 	if got := store["a"]; string(got) != "\x01\x02" || !o.Synced("b") {
 		t.Errorf("after it was sent anew: %v", got)
 	}
-	if a := h.Copy(0, &pb.Copy{Owner: "a", Epoch: 2, Seq: 9}); !a.Sealed {
+	if a := h.HandleCopy(0, &pb.Copy{Owner: "a", Epoch: 2, Seq: 9}); !a.Sealed {
 		t.Errorf("an older epoch: %v", a)
 	}
 }
@@ -63,31 +66,31 @@
 // choice of holders, also where it is none any more.
 func TestFullIsNotForEver(t *testing.T) {
 	o := NewOwner("a", 1)
-	o.Begin(3)
-	o.Holders([]string{"b"})
+	o.BeginEpoch(3)
+	o.SetHolders([]string{"b"})
 	snapshot := func() []byte { return []byte{1} }
-	if out := o.Take(1, snapshot); len(out) != 1 {
+	if out := o.TakeOutgoing(1, snapshot); len(out) != 1 {
 		t.Fatalf("%d frames", len(out))
 	}
-	o.Copied(2, "b", &pb.Copied{Owner: "a", Epoch: 3, Full: true})
-	o.Holders(nil)
-	if list := o.Full(3); len(list) != 1 {
+	o.HandleCopied(2, "b", &pb.Copied{Owner: "a", Epoch: 3, Full: true})
+	o.SetHolders(nil)
+	if list := o.FullMembers(3); len(list) != 1 {
 		t.Errorf("full: %v", list)
 	}
-	o.Holders([]string{"b"})
-	o.Copied(4, "b", &pb.Copied{Owner: "a", Epoch: 3, Full: true})
-	if out := o.Take(4+fullFor, snapshot); len(out) != 0 {
+	o.SetHolders([]string{"b"})
+	o.HandleCopied(4, "b", &pb.Copied{Owner: "a", Epoch: 3, Full: true})
+	if out := o.TakeOutgoing(4+fullFor, snapshot); len(out) != 0 {
 		t.Errorf("it is asked again at once")
 	}
-	if at, due := o.Next(); !due || at != 4+fullFor+1 {
+	if at, due := o.NextWakeup(); !due || at != 4+fullFor+1 {
 		t.Errorf("next at %d, %v", at, due)
 	}
-	out := o.Take(5+fullFor, snapshot)
+	out := o.TakeOutgoing(5+fullFor, snapshot)
 	if len(out) != 1 || !out[0].Frame.GetCopy().Reset_ {
 		t.Fatalf("it is not asked again: %v", out)
 	}
-	o.Copied(6+fullFor, "b", &pb.Copied{Owner: "a", Epoch: 3, Seq: out[0].Frame.GetCopy().Seq})
-	if len(o.Full(6+fullFor)) != 0 || !o.Synced("b") {
+	o.HandleCopied(6+fullFor, "b", &pb.Copied{Owner: "a", Epoch: 3, Seq: out[0].Frame.GetCopy().Seq})
+	if len(o.FullMembers(6+fullFor)) != 0 || !o.Synced("b") {
 		t.Error("it has room and everything, and counts as full")
 	}
 }
@@ -101,16 +104,16 @@
 	start := func(incarnation uint64) (bytes int) {
 		o := NewOwner("a", incarnation)
 		epoch++
-		o.Begin(epoch)
-		o.Holders([]string{"b"})
+		o.BeginEpoch(epoch)
+		o.SetHolders([]string{"b"})
 		for range 3 {
 			now += resendAfter + 1
-			for _, out := range o.Take(now, snapshot) {
+			for _, out := range o.TakeOutgoing(now, snapshot) {
 				bytes += len(out.Frame.GetCopy().Records)
-				o.Copied(now, "b", h.Copy(now, out.Frame.GetCopy()))
+				o.HandleCopied(now, "b", h.HandleCopy(now, out.Frame.GetCopy()))
 			}
 		}
-		if k, _ := h.Kept("a"); !o.Synced("b") || k.Epoch != epoch || k.Incarnation != incarnation {
+		if k, _ := h.State("a"); !o.Synced("b") || k.Epoch != epoch || k.Incarnation != incarnation {
 			t.Errorf("epoch %d: not whole: %+v", epoch, k)
 		}
 		return bytes
--- a/internal/fleet/keeper.go
+++ b/internal/fleet/keeper.go
@@ -142,16 +142,16 @@
 	var answer *pb.Frame
 	switch w := in.frame.What.(type) {
 	case *pb.Frame_Copy:
-		was := h.Mended()
-		a := h.Copy(m.now(), w.Copy)
-		if h.Mended() > was {
+		was := h.Mismatches()
+		a := h.HandleCopy(m.now(), w.Copy)
+		if h.Mismatches() > was {
 			m.o.Log.Warn().Str("owner", w.Copy.Owner).Msg("fleet: a copy differs from its owner's journal: it is asked for anew")
 		}
 		if a != nil && w.Copy.Owner == in.from {
 			answer = &pb.Frame{What: &pb.Frame_Copied{Copied: a}}
 		}
 	case *pb.Frame_Seal:
-		if a := h.Seal(m.now(), w.Seal); a != nil {
+		if a := h.HandleSeal(m.now(), w.Seal); a != nil {
 			answer = &pb.Frame{What: &pb.Frame_Sealed{Sealed: a}}
 		}
 	}
--- a/internal/sender/copies.go
+++ b/internal/sender/copies.go
@@ -81,7 +81,7 @@
 
 // heirOf is a taking over.
 type heirOf struct {
-	*copies.Heir
+	*copies.Takeover
 	began int64          // nanoseconds
 	nums  []uint64       // of the entries in this journal
 	holds []journal.Hold // where nothing may be sent, by this sender's clock
@@ -157,14 +157,14 @@
 		case n.do != nil:
 			n.do()
 		case n.frame.GetCopied() != nil:
-			c.owner.Copied(now, n.from, n.frame.GetCopied())
+			c.owner.HandleCopied(now, n.from, n.frame.GetCopied())
 		case n.frame.GetSealed() != nil:
 			if h := c.heirs[n.frame.GetSealed().Owner]; h != nil {
-				h.Sealed(now, n.from, n.frame.GetSealed())
+				h.HandleSealed(now, n.from, n.frame.GetSealed())
 			}
 		}
 	}
-	c.owner.Clock(int64(s.clock.Now()) - now/1e6)
+	c.owner.SetClockOffset(int64(s.clock.Now()) - now/1e6)
 	look := c.fleet.View()
 	s.ownJournal(look)
 	s.settlePending(look)
@@ -196,23 +196,23 @@
 	}
 	if !live {
 		if !look.Mine(d) {
-			c.owner.Begin(0)
+			c.owner.BeginEpoch(0)
 		}
 		return
 	}
 	if c.owner.Epoch() != d.Token {
 		c.inc = c.fleet.Incarnation()
-		c.owner.Of(c.inc)
+		c.owner.SetIncarnation(c.inc)
 		if a := look.Adopted[c.set.Name]; a != nil && a.Incarnation == c.inc {
 			s.handedOn(a)
 		}
-		c.owner.Begin(d.Token)
+		c.owner.BeginEpoch(d.Token)
 		c.asked = nil
 	}
 	if slices.Equal(d.Holders, c.asked) {
 		c.asked = nil
 	}
-	c.owner.Holders(counted(d.Holders, c.asked))
+	c.owner.SetHolders(counted(d.Holders, c.asked))
 	if now := time.Now(); now.After(c.placeAt) { // members come and go in seconds: not at every step
 		c.placeAt = now.Add(placeEvery)
 		s.placeCopies(look, d)
@@ -231,7 +231,7 @@
 // placeCopies asks the fleet for other holders where the members ask for them.
 func (s *Sender) placeCopies(look *fleet.Look, d *pb.Duty) {
 	c := s.copies
-	full := c.owner.Full(fleet.Now())
+	full := c.owner.FullMembers(fleet.Now())
 	var there []placement.Member
 	for _, p := range look.Present {
 		there = append(there, placement.Member{Name: p.Name, Zone: p.Zone, Full: slices.Contains(full, p.Name)})
@@ -310,7 +310,7 @@
 	if records := s.journal.RecordsToCopy(); len(records) > 0 {
 		seq = c.owner.Append(now, records, s.journal.LastNumber(), func() []byte { return journal.Compact(s.journal.Snapshot()) })
 	}
-	for _, o := range c.owner.Take(now, s.journal.Snapshot) {
+	for _, o := range c.owner.TakeOutgoing(now, s.journal.Snapshot) {
 		c.fleet.SendCopy(o.To, o.Frame)
 	}
 	for i := range c.lines {
@@ -497,7 +497,7 @@
 		return wait
 	}
 	wait = min(wait, 50*time.Millisecond) // the lease, the holders and what is taken over are looked at
-	if at, due := c.owner.Next(); due {
+	if at, due := c.owner.NextWakeup(); due {
 		wait = min(wait, time.Duration(at-fleet.Now()))
 	}
 	for i := range c.lines {
--- a/internal/sender/copystatus.go
+++ b/internal/sender/copystatus.go
@@ -19,13 +19,13 @@
 	} else {
 		c.statusAt = now.Add(statusEvery)
 	}
-	st := copies.Status{Held: c.live, Holders: c.owner.Lags(fleet.Now()), Short: c.short}
+	st := copies.Status{LeaseHeld: c.live, Holders: c.owner.Lags(fleet.Now()), UnderReplicated: c.short}
 	for i := range c.lines {
 		st.Waiting += len(c.lines[i].orders) + len(c.lines[i].calls)
 	}
 	for _, h := range st.Holders {
-		if !h.Whole {
-			st.Left += s.journal.LiveBytes()
+		if !h.Synced {
+			st.RemainingBytes += s.journal.LiveBytes()
 		}
 	}
 	c.status.Store(&st)
--- a/internal/sender/holds.go
+++ b/internal/sender/holds.go
@@ -35,7 +35,7 @@
 // bringHolds takes what the owner knew into the copies of this journal, by this sender's clock.
 func (s *Sender) bringHolds(h *heirOf, shift int64) {
 	h.holds = nil
-	for _, x := range journal.ReplayHolds(h.Found.Records) {
+	for _, x := range journal.ReplayHolds(h.LongestCopy.Records) {
 		if x.Until != journal.Forever {
 			x.Until += shift
 		}
--- a/internal/sender/inherit.go
+++ b/internal/sender/inherit.go
@@ -30,7 +30,7 @@
 // rather too late. Where no holder knows the owner's clock any more, all machines' clocks are taken to agree, as after a
 // restart of one's own.
 func (s *Sender) shifts(h *heirOf) (deadlines, waits int64) {
-	soon, late, known := h.Clock()
+	soon, late, known := h.ClockOffsets()
 	if !known {
 		s.log.Warn().Str("owner", h.Owner).Msg("copies: nobody knows the lost sender's clock: its deadlines go by this machine's")
 		return 0, 0
@@ -48,14 +48,14 @@
 		}
 		h := c.heirs[owner]
 		if h == nil || h.Epoch != d.Token {
-			h = &heirOf{Heir: copies.NewHeir(owner, d.Token, d.Holders, look.Adopted[owner]), began: now}
+			h = &heirOf{Takeover: copies.NewTakeover(owner, d.Token, d.Holders, look.Adopted[owner]), began: now}
 			c.heirs[owner] = h
 			s.log.Info().Str("owner", owner).Strs("holders", d.Holders).Msg("copies: taking over from a lost sender")
 		}
-		for _, o := range h.Take(now) {
+		for _, o := range h.TakeOutgoing(now) {
 			c.fleet.SendCopy(o.To, o.Frame)
 		}
-		switch h.Look(look.Is) {
+		switch h.Advance(look.Is) {
 		case copies.Ready:
 			if c.live {
 				s.bring(h, d)
@@ -84,7 +84,7 @@
 	look := c.fleet.View()
 	var keys []uint64
 	doubted := 0
-	for _, e := range journal.Replay(h.Found.Records) {
+	for _, e := range journal.Replay(h.LongestCopy.Records) {
 		if e.TakeoverDuty != "" && duty.Agreed(look.Adopted[ownerOf(e.TakeoverDuty)], e.TakeoverToken).GetBy() != h.Owner {
 			continue // it was being taken over itself, and that was not agreed on
 		}
@@ -115,7 +115,7 @@
 			return
 		}
 		h.Stage = copies.Adopting
-		adopt := &pb.Adopt{Session: d.Session, Duty: d.Name, Token: d.Token, Incarnation: h.Found.Incarnation, Upto: h.Found.Upto, Keys: keys}
+		adopt := &pb.Adopt{Session: d.Session, Duty: d.Name, Token: d.Token, Incarnation: h.LongestCopy.Incarnation, Upto: h.LongestCopy.Upto, Keys: keys}
 		c.fleet.Propose(&pb.Command{What: &pb.Command_Adopt{Adopt: adopt}}, func(a *pb.Answer, err error) {
 			s.copyNews(copyNews{do: func() { s.adopted(h, a.GetKeys(), err) }})
 		})
--- a/internal/sender/observe.go
+++ b/internal/sender/observe.go
@@ -198,7 +198,7 @@
 			held = 1
 		}
 		gauge(telemetry.CopiesHeld, held)
-		gauge(telemetry.CopiesLag, float64(c.owner.Furthest()))
+		gauge(telemetry.CopiesLag, float64(c.owner.MaxLag()))
 		gauge(telemetry.CopiesWaiting, float64(len(c.lines)))
 		gauge(telemetry.CopiesShort, float64(c.short))
 	}
