--- a/internal/sender/cutshort_test.go
+++ b/internal/sender/bulkdeadline_test.go
@@ -16,9 +16,9 @@
 	"sliptide/policy"
 )
 
-// TestEndedIsNotSentOn: two messages share a call that waits for its connection. The time of one of them is up
-// meanwhile, so that it ends with a notice. When the connection is there, it must not go out with the other one.
-func TestEndedIsNotSentOn(t *testing.T) {
+// Two messages share a call that waits for its connection, and one expires meanwhile and ends with a notice. It must not be
+// sent with the other one when the connection is established.
+func TestExpiredMessageIsNotSentWithBatch(t *testing.T) {
 	bodies := make(chan string, 10)
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
 		b, _ := io.ReadAll(q.Body)
@@ -37,42 +37,42 @@
 		Classes: []policy.Class{{Name: "safe", Aim: 2000, Deadline: 20000, Worth: 1, LateWorth: 0.5, Effect: policy.Safe}},
 	}, Seed: 1, MaxConns: 10, Journal: j, Clock: NewClock(), Log: zerolog.Nop(), Notify: func(n discovery.Notice) { notices <- n }})
 	s.pool.PaceDials(3, 2)
-	s.takeList(&discovery.List{Full: true, Endpoints: []discovery.Endpoint{{Endpoint: policy.Endpoint{ID: 1, Dest: 3, State: policy.Ready}, Name: "e", Addr: srv.Listener.Addr().String()}}})
-	step := func() { s.tick(); s.step() }
-	take := func(trace string, left time.Duration) {
-		s.takeOrder(&order{msg: &Message{Trace: []byte(trace), Dest: 3, Remaining: left, Body: []byte(trace)}, received: time.Now(), verdict: make(chan Verdict, 1)})
+	s.handleList(&discovery.List{Full: true, Endpoints: []discovery.Endpoint{{Endpoint: policy.Endpoint{ID: 1, Dest: 3, State: policy.Ready}, Name: "e", Addr: srv.Listener.Addr().String()}}})
+	step := func() { s.updateNow(); s.step() }
+	submit := func(trace string, left time.Duration) {
+		s.handleSubmission(&submission{msg: &Message{Trace: []byte(trace), Dest: 3, Remaining: left, Body: []byte(trace)}, received: time.Now(), verdict: make(chan Verdict, 1)})
 	}
-	take("first", 10*time.Second) // its connection has the turn that is free, and is kept busy by nobody
+	submit("first", 10*time.Second) // uses the dial that is allowed at once
 	step()
 	next := func() string {
 		select {
 		case b := <-bodies:
 			return b
 		case <-time.After(10 * time.Second):
-			t.Fatal("no call")
+			t.Fatal("no call received")
 			return ""
 		}
 	}
 	next()
 	s.pool.CloseIdleConns(1)
 	for len(s.calls) > 0 { // the first call has ended
-		s.take(<-s.in)
+		s.handleInput(<-s.inputs)
 	}
 	s.pool.CloseIdleConns(1)
-	take("short", 200*time.Millisecond)
-	take("long", 10*time.Second)
+	submit("short", 200*time.Millisecond)
+	submit("long", 10*time.Second)
 	step()
 	if len(s.calls) != 1 {
-		t.Fatalf("%d calls, want one of both messages", len(s.calls))
+		t.Fatalf("%d calls, want one with both messages", len(s.calls))
 	}
 	for ended := false; !ended; {
 		step()
 		select {
 		case n := <-notices:
 			ended = n.Trace == "short"
-		case in := <-s.in:
-			s.tick()
-			s.take(in)
+		case in := <-s.inputs:
+			s.updateNow()
+			s.handleInput(in)
 		case <-time.After(time.Millisecond):
 		}
 	}
@@ -83,7 +83,7 @@
 			select {
 			case <-done:
 				return
-			case in := <-s.in: // what the pool reports while nobody steps
+			case in := <-s.inputs: // results from the pool, while no step is run
 				_ = in
 			}
 		}
@@ -92,7 +92,7 @@
 		select {
 		case b := <-bodies:
 			if strings.Contains(b, "short") || strings.Contains(b, "c2hvcnQ") {
-				t.Fatal("a message was sent on after its notice")
+				t.Fatal("a message was sent after its notice")
 			}
 			return
 		case <-time.After(2 * time.Millisecond):
--- a/internal/sender/copies.go
+++ b/internal/sender/copies.go
@@ -17,132 +17,134 @@
 	"sliptide/policy"
 )
 
-// This file copies the journal to further members and takes over those of lost ones, by internal/fleet/copies. A
-// step's records go out after it has written them; what the client hears, and each first byte that must not go
-// before, waits in line for the holders' word. The sender's goroutine waits for nobody: the word comes as news.
+// This file copies the journal to other members, by means of internal/fleet/copies. The records of a step are sent after
+// the journal has been written. Answers to clients, and calls that must not begin earlier, are queued until the holders
+// acknowledge the records. The sender's goroutine never blocks on this: acknowledgements arrive as inputs.
 
-// hushedPace holds all calls back without counting one: the lease on this sender's own journal is over.
-const hushedPace = 1e-3
+// suspendedPace, in calls a second, suspends all calls while the lease on this sender's journal is lost: no call becomes
+// due at that pace, whereas 0 would mean no limit.
+const suspendedPace = 1e-3
 
-// placeEvery is between two looks at where copies go.
-const placeEvery = 50 * time.Millisecond
+// placementInterval is the interval between checks of the placement of copies.
+const placementInterval = 50 * time.Millisecond
 
-// newsMost bounds the holders' words that wait for a step.
-const newsMost = 4096
+// maxQueuedFrames limits the frames from holders that are queued for a step.
+const maxQueuedFrames = 4096
 
-// CopySettings are how the journal is copied.
+// CopySettings configures the copies of the journal.
 type CopySettings struct {
 	Name            string
 	Zone            string
-	Count           int
-	Required        int
-	RequiredByClass map[string]int // of classes that wait for another number of copies, by name
-	Timeout         time.Duration
-	AcceptUncopied  bool // where too few holders can be reached: take messages on all the same
+	Count           int            // copies of the journal
+	Required        int            // holders that must acknowledge a record
+	RequiredByClass map[string]int // for classes with another number, by name
+	Timeout         time.Duration  // limit on the wait for acknowledgements
+	AcceptUncopied  bool           // accept messages although too few holders are reachable
 }
 
-// CopyFleet is what copies need of the fleet. None of its calls waits.
+// CopyFleet is the fleet as copies need it. No method blocks.
 type CopyFleet interface {
 	Fleet
 	View() *fleet.Look
 	SendCopy(to string, f *pb.Frame)
-	Propose(c *pb.Command, done func(*pb.Answer, error))
-	Incarnation() uint64 // of this member's folder; 0: it has not joined yet
+	Propose(c *pb.Command, done func(*pb.Answer, error)) // proposes a command; done is called on another goroutine
+	Incarnation() uint64                                 // of this member's state directory; 0: it has not joined yet
 }
 
-// copier is a sender's part in the copies of journals.
+// copier is a sender's state for copies of its journal and for takeovers of others.
 type copier struct {
-	set      CopySettings
-	fleet    CopyFleet
-	owner    *copies.Owner
-	heirs    map[string]*heirOf
-	pending  map[uint64]*journal.Entry // being taken over: of no module yet
-	lines    []copyLine
-	told     []*taking // whose 202 goes out with this step, once its record has
-	claim    *claim    // of the messages that are handed in again in this step
-	live     bool      // the lease on this sender's own journal holds
-	asked    []string
-	inc      uint64 // of the folder
-	wantAt   time.Time
-	placeAt  time.Time // of the next look at where copies go
-	short    uint64    // messages that were refused, or taken on without copies
-	status   atomic.Pointer[copies.Status]
-	statusAt time.Time
+	settings         CopySettings
+	fleet            CopyFleet
+	owner            *copies.Owner
+	takeovers        map[string]*takeover
+	pendingEntries   map[uint64]*journal.Entry // being taken over: not given to the module yet
+	waits            []holderWait
+	confirmed        []*pendingSubmission // to be answered 202 at the end of this step
+	claim            *claim               // of the messages resubmitted in this step
+	leaseHeld        bool                 // the lease on this sender's own journal is held
+	requestedHolders []string
+	incarnation      uint64 // of the state directory
+	requestedAt      time.Time
+	nextPlacement    time.Time // when the placement of copies is checked next
+	shortCount       uint64    // messages refused, or accepted uncopied, for lack of holders
+	status           atomic.Pointer[copies.Status]
+	nextStatus       time.Time
 
 	mu    sync.Mutex
-	inbox []copyNews
+	inbox []copyInput
 }
 
-type copyNews struct {
+// copyInput is a frame from another member, or a function to run on the sender's goroutine.
+type copyInput struct {
 	from  string
 	frame *pb.Frame
-	do    func() // or something to be done on the sender's goroutine
+	run   func()
 }
 
-// heirOf is a taking over.
-type heirOf struct {
+// takeover is the takeover of a lost owner's journal.
+type takeover struct {
 	*copies.Takeover
-	began int64          // nanoseconds
-	nums  []uint64       // of the entries in this journal
-	holds []journal.Hold // where nothing may be sent, by this sender's clock
+	startedAt int64          // in nanoseconds of fleet.Now
+	entryNums []uint64       // of the imported entries in this journal
+	holds     []journal.Hold // of the lost owner, by this sender's clock
 }
 
-// copyLine waits for the holders' word on a batch.
-type copyLine struct {
-	seq    uint64
-	needed int // holders that must have the batch
-	till   time.Time
-	claims []*claim // that must be answered, too
-	orders []*taking
-	calls  []*outbound.Call
-	done   func(kept bool)
+// holderWait is a wait for the acknowledgement of a batch of records by its holders.
+type holderWait struct {
+	seq         uint64
+	required    int // holders that must acknowledge the batch
+	deadline    time.Time
+	claims      []*claim // that must be answered as well
+	submissions []*pendingSubmission
+	calls       []*outbound.Call
+	done        func(acknowledged bool)
 }
 
-// Copy gives the sender its part in copies, before Run.
+// EnableCopies makes the sender copy its journal to other members. It is called before Run.
 func (s *Sender) EnableCopies(f CopyFleet, set CopySettings) {
-	s.copies = &copier{set: set, fleet: f, heirs: map[string]*heirOf{}, pending: map[uint64]*journal.Entry{}, live: true}
+	s.copies = &copier{settings: set, fleet: f, takeovers: map[string]*takeover{}, pendingEntries: map[uint64]*journal.Entry{}, leaseHeld: true}
 	s.copies.owner = copies.NewOwner(set.Name, 0)
 	s.journal.EnableCopies()
-	for _, m := range s.msgs { // of an earlier life
+	for _, m := range s.messages { // of an earlier process
 		if m.Confirmed = true; m.TakeoverDuty != "" {
-			s.copies.pending[m.Num] = m.Entry
+			s.copies.pendingEntries[m.Num] = m.Entry
 			s.forget(m)
 		}
 	}
-	s.events = slices.DeleteFunc(s.events, func(e policy.Event) bool { return s.copies.pending[e.ID] != nil })
-	for _, id := range s.out.IDs() {
-		s.holdByHand(id, true)
+	s.events = slices.DeleteFunc(s.events, func(e policy.Event) bool { return s.copies.pendingEntries[e.ID] != nil })
+	for _, id := range s.disabled.IDs() {
+		s.recordDisabled(id, true)
 	}
 }
 
-// CopyNews takes a frame of copies from a member. It does not wait.
+// ReceiveCopyFrame queues a frame about copies from a member. It does not block.
 func (s *Sender) ReceiveCopyFrame(from string, f *pb.Frame) {
-	s.copyNews(copyNews{from: from, frame: f})
+	s.enqueueCopyInput(copyInput{from: from, frame: f})
 }
 
-func (s *Sender) copyNews(n copyNews) {
+func (s *Sender) enqueueCopyInput(in copyInput) {
 	c := s.copies
 	if c == nil {
 		return
 	}
 	c.mu.Lock()
-	if n.do != nil || len(c.inbox) < newsMost { // a holder's word that is lost comes again with its next one
-		c.inbox = append(c.inbox, n)
+	if in.run != nil || len(c.inbox) < maxQueuedFrames { // a dropped acknowledgement is covered by the holder's next one
+		c.inbox = append(c.inbox, in)
 	}
 	c.mu.Unlock()
 	s.Wake()
 }
 
-// Kick makes a step come soon, for news that wait. It does not wait.
+// Wake makes a step handle queued updates soon. It does not block.
 func (s *Sender) Wake() {
 	select {
-	case s.in <- input{kick: true}:
-	default: // a step is due anyway
+	case s.inputs <- input{wake: true}:
+	default: // queued inputs make a step due anyway
 	}
 }
 
-// copyStep takes what has come for copies, ahead of a step of the module.
-func (s *Sender) copyStep() {
+// stepCopies handles queued inputs of copies and advances waits and takeovers, before the step of the module.
+func (s *Sender) stepCopies() {
 	c := s.copies
 	if c == nil {
 		return
@@ -152,120 +154,121 @@
 	inbox := c.inbox
 	c.inbox = nil
 	c.mu.Unlock()
-	for _, n := range inbox {
+	for _, in := range inbox {
 		switch {
-		case n.do != nil:
-			n.do()
-		case n.frame.GetCopied() != nil:
-			c.owner.HandleCopied(now, n.from, n.frame.GetCopied())
-		case n.frame.GetSealed() != nil:
-			if h := c.heirs[n.frame.GetSealed().Owner]; h != nil {
-				h.HandleSealed(now, n.from, n.frame.GetSealed())
+		case in.run != nil:
+			in.run()
+		case in.frame.GetCopied() != nil:
+			c.owner.HandleCopied(now, in.from, in.frame.GetCopied())
+		case in.frame.GetSealed() != nil:
+			if t := c.takeovers[in.frame.GetSealed().Owner]; t != nil {
+				t.HandleSealed(now, in.from, in.frame.GetSealed())
 			}
 		}
 	}
 	c.owner.SetClockOffset(int64(s.clock.Now()) - now/1e6)
-	look := c.fleet.View()
-	s.ownJournal(look)
-	s.settlePending(look)
-	s.inherit(now, look)
-	s.reopen()
-	s.copyLines()
-	s.publishCopies()
+	view := c.fleet.View()
+	s.checkOwnLease(view)
+	s.settlePending(view)
+	s.stepTakeovers(now, view)
+	s.readmitEndpoints()
+	s.settleWaits()
+	s.publishCopyStatus()
 }
 
-// ownJournal begins the epoch of this sender's own journal, or notices that its lease is over.
-func (s *Sender) ownJournal(look *fleet.Look) {
+// checkOwnLease follows the lease on this sender's own journal: it begins an epoch when the lease is gained, and suspends
+// calls when it is lost.
+func (s *Sender) checkOwnLease(view *fleet.Look) {
 	c := s.copies
-	name := duty.Own(c.set.Name)
-	if time.Since(c.wantAt) > time.Second {
-		c.wantAt = time.Now()
+	name := duty.Own(c.settings.Name)
+	if time.Since(c.requestedAt) > time.Second {
+		c.requestedAt = time.Now()
 		c.fleet.Request(name, "")
 	}
-	d := look.Own[c.set.Name]
-	live := look.Mine(d) && c.fleet.Token(name) == d.Token
-	if live != c.live {
-		c.live = live
-		s.hush(!live)
-		if why := TooFewHoldersReason; s.copyRefuses() {
-			s.refuses.Store(&why)
+	d := view.Own[c.settings.Name]
+	held := view.Mine(d) && c.fleet.Token(name) == d.Token
+	if held != c.leaseHeld {
+		c.leaseHeld = held
+		s.suspendCalls(!held)
+		if reason := TooFewHoldersReason; s.lacksLease() {
+			s.refusal.Store(&reason)
 		} else {
-			s.refuses.Store(nil)
+			s.refusal.Store(nil)
 		}
-		s.log.Info().Bool("held", live).Msg("copies: the lease on this sender's journal")
+		s.log.Info().Bool("held", held).Msg("copies: lease on this sender's journal gained or lost")
 	}
-	if !live {
-		if !look.Mine(d) {
+	if !held {
+		if !view.Mine(d) {
 			c.owner.BeginEpoch(0)
 		}
 		return
 	}
 	if c.owner.Epoch() != d.Token {
-		c.inc = c.fleet.Incarnation()
-		c.owner.SetIncarnation(c.inc)
-		if a := look.Adopted[c.set.Name]; a != nil && a.Incarnation == c.inc {
-			s.handedOn(a)
+		c.incarnation = c.fleet.Incarnation()
+		c.owner.SetIncarnation(c.incarnation)
+		if a := view.Adopted[c.settings.Name]; a != nil && a.Incarnation == c.incarnation {
+			s.dropAdopted(a)
 		}
 		c.owner.BeginEpoch(d.Token)
-		c.asked = nil
+		c.requestedHolders = nil
 	}
-	if slices.Equal(d.Holders, c.asked) {
-		c.asked = nil
+	if slices.Equal(d.Holders, c.requestedHolders) {
+		c.requestedHolders = nil
 	}
-	c.owner.SetHolders(counted(d.Holders, c.asked))
-	if now := time.Now(); now.After(c.placeAt) { // members come and go in seconds: not at every step
-		c.placeAt = now.Add(placeEvery)
-		s.placeCopies(look, d)
+	c.owner.SetHolders(countedHolders(d.Holders, c.requestedHolders))
+	if now := time.Now(); now.After(c.nextPlacement) { // members change within seconds, not with every step
+		c.nextPlacement = now.Add(placementInterval)
+		s.placeCopies(view, d)
 	}
 }
 
-// counted are the holders whose word counts: not one that the fleet is being asked to let go, whose copy an heir may not
-// be told of any more.
-func counted(holders, asked []string) []string {
-	if asked == nil {
+// countedHolders returns the holders whose acknowledgements count. A holder whose removal has been requested does not: a
+// successor may not be told of its copy any more.
+func countedHolders(holders, requested []string) []string {
+	if requested == nil {
 		return holders
 	}
-	return slices.DeleteFunc(slices.Clone(holders), func(name string) bool { return !slices.Contains(asked, name) })
+	return slices.DeleteFunc(slices.Clone(holders), func(name string) bool { return !slices.Contains(requested, name) })
 }
 
-// placeCopies asks the fleet for other holders where the members ask for them.
-func (s *Sender) placeCopies(look *fleet.Look, d *pb.Duty) {
+// placeCopies requests other holders from the fleet if the present members call for it.
+func (s *Sender) placeCopies(view *fleet.Look, d *pb.Duty) {
 	c := s.copies
 	full := c.owner.FullMembers(fleet.Now())
-	var there []placement.Member
-	for _, p := range look.Present {
-		there = append(there, placement.Member{Name: p.Name, Zone: p.Zone, Full: slices.Contains(full, p.Name)})
+	var present []placement.Member
+	for _, p := range view.Present {
+		present = append(present, placement.Member{Name: p.Name, Zone: p.Zone, Full: slices.Contains(full, p.Name)})
 	}
-	wanted := placement.Choose(c.set.Name, c.set.Zone, c.set.Count, there)
-	next := placement.Next(d.Holders, wanted, c.owner.Synced, look.Is)
-	if slices.Equal(next, d.Holders) || slices.Equal(next, c.asked) {
+	wanted := placement.Choose(c.settings.Name, c.settings.Zone, c.settings.Count, present)
+	next := placement.Next(d.Holders, wanted, c.owner.Synced, view.Is)
+	if slices.Equal(next, d.Holders) || slices.Equal(next, c.requestedHolders) {
 		return
 	}
-	c.asked = next
-	c.fleet.Propose(&pb.Command{What: &pb.Command_Keep{Keep: &pb.Keep{Session: look.Session, Duty: d.Name, Token: d.Token, Holders: next}}}, func(_ *pb.Answer, err error) {
-		if err != nil { // else it stands until the news of it are here
-			s.copyNews(copyNews{do: func() { c.asked = nil }})
+	c.requestedHolders = next
+	c.fleet.Propose(&pb.Command{What: &pb.Command_Keep{Keep: &pb.Keep{Session: view.Session, Duty: d.Name, Token: d.Token, Holders: next}}}, func(_ *pb.Answer, err error) {
+		if err != nil { // otherwise the request stands until the view shows its result
+			s.enqueueCopyInput(copyInput{run: func() { c.requestedHolders = nil }})
 		}
 	})
 }
 
-// handedOn drops what an heir has taken over while this sender was away, and exactly that.
-func (s *Sender) handedOn(a *pb.Adoption) {
+// dropAdopted drops exactly the messages that a successor took over while this sender was away.
+func (s *Sender) dropAdopted(a *pb.Adoption) {
 	n := 0
-	for _, m := range s.msgs {
+	for _, m := range s.messages {
 		if m.Num <= a.Upto && m.TakeoverDuty == "" {
 			s.events = append(s.events, policy.Event{Kind: policy.EvWithdrawn, ID: m.Num})
-			s.drop(m.call)
-			s.observeOver(m.Entry, telemetry.Withdrawn, 0)
+			s.dropUnsent(m.call)
+			s.observeMessageEnd(m.Entry, telemetry.Withdrawn, 0)
 			s.journal.End(m.Entry)
-			s.past.add(m.Trace, s.now)
+			s.ended.add(m.Trace, s.now)
 			s.forget(m)
 			n++
 		}
 	}
-	for num, e := range s.owed {
+	for num, e := range s.pendingNotices {
 		if num <= a.Upto {
-			delete(s.owed, num)
+			delete(s.pendingNotices, num)
 			s.journal.End(e)
 			n++
 		}
@@ -274,36 +277,36 @@
 	s.log.Info().Int("messages", n).Str("heir", a.By).Msg("copies: messages were taken over while this sender was away")
 }
 
-// hush holds all calls back, or lets them go on.
-func (s *Sender) hush(on bool) {
+// suspendCalls suspends all calls, or lets them proceed.
+func (s *Sender) suspendCalls(on bool) {
 	pace := 0.0
 	if on {
-		pace = hushedPace
+		pace = suspendedPace
 	}
-	for dest := range s.dests {
+	for dest := range s.listedDests {
 		s.events = append(s.events, policy.Event{Kind: policy.EvPace, Dest: dest, Pace: pace})
 	}
-	for c := range s.calls { // what has not begun does not begin
+	for c := range s.calls { // unsent calls must not begin
 		if on && len(c.Items) > 0 {
-			s.drop(c)
+			s.dropUnsent(c)
 		}
 	}
-	for id := range s.addrs {
-		if s.apart(id) {
-			s.events = append(s.events, policy.Event{Kind: policy.EvPace, Dest: s.addrs[id].Dest, Endpoint: id, Pace: pace})
+	for id := range s.endpoints {
+		if s.hasOwnLimits(id) {
+			s.events = append(s.events, policy.Event{Kind: policy.EvPace, Dest: s.endpoints[id].Dest, Endpoint: id, Pace: pace})
 		}
 	}
 }
 
-// hushNew holds calls back at what a list has named while the lease is over.
-func (s *Sender) hushNew() {
-	if s.copies != nil && !s.copies.live {
-		s.hush(true)
+// suspendListed suspends calls to newly listed destinations and endpoints while the lease is lost.
+func (s *Sender) suspendListed() {
+	if s.copies != nil && !s.copies.leaseHeld {
+		s.suspendCalls(true)
 	}
 }
 
-// copyOut copies what a step has written. It returns the batch's number.
-func (s *Sender) copyOut() uint64 {
+// sendCopies sends the records of a step to the holders. It returns the number of the batch, 0 if there are none.
+func (s *Sender) sendCopies() uint64 {
 	c := s.copies
 	now := fleet.Now()
 	seq := uint64(0)
@@ -313,76 +316,76 @@
 	for _, o := range c.owner.TakeOutgoing(now, s.journal.Snapshot) {
 		c.fleet.SendCopy(o.To, o.Frame)
 	}
-	for i := range c.lines {
-		if c.lines[i].seq == 0 {
-			c.lines[i].seq = max(seq, 1)
+	for i := range c.waits {
+		if c.waits[i].seq == 0 {
+			c.waits[i].seq = max(seq, 1)
 		}
 	}
 	return seq
 }
 
-// copyWait puts a step's answers and calls in line for the holders' word, and for the fleet's on what was handed in
-// again. What need not wait is left.
-func (s *Sender) copyWait(seq uint64) {
+// awaitHolders queues the answers and calls of a step until the holders have acknowledged the batch, and until the fleet
+// has answered about resubmitted messages. Those that need not wait stay in submissions and newCalls.
+func (s *Sender) awaitHolders(seq uint64) {
 	c := s.copies
-	s.askAgain()
-	first, till := len(c.lines), time.Now().Add(c.set.Timeout)
-	line := func(needed int, claims []*claim) *copyLine {
-		for i := first; i < len(c.lines); i++ {
-			if c.lines[i].needed == needed && slices.Equal(c.lines[i].claims, claims) {
-				return &c.lines[i]
+	s.proposeClaim()
+	first, deadline := len(c.waits), time.Now().Add(c.settings.Timeout)
+	waitFor := func(required int, claims []*claim) *holderWait {
+		for i := first; i < len(c.waits); i++ {
+			if c.waits[i].required == required && slices.Equal(c.waits[i].claims, claims) {
+				return &c.waits[i]
 			}
 		}
-		c.lines = append(c.lines, copyLine{seq: seq, needed: needed, claims: claims, till: till})
-		return &c.lines[len(c.lines)-1]
+		c.waits = append(c.waits, holderWait{seq: seq, required: required, claims: claims, deadline: deadline})
+		return &c.waits[len(c.waits)-1]
 	}
-	s.orders = slices.DeleteFunc(s.orders, func(t *taking) bool {
+	s.submissions = slices.DeleteFunc(s.submissions, func(t *pendingSubmission) bool {
 		if !t.refused {
-			l := line(c.needs(t.entry.Class), s.openClaims(t.entry.Num))
-			l.orders = append(l.orders, t)
+			wait := waitFor(c.requiredFor(t.entry.Class), s.openClaims(t.entry.Num))
+			wait.submissions = append(wait.submissions, t)
 		}
 		return !t.refused
 	})
-	s.sends = slices.DeleteFunc(s.sends, func(call *outbound.Call) bool {
-		if !s.mustWait(call) {
+	s.newCalls = slices.DeleteFunc(s.newCalls, func(call *outbound.Call) bool {
+		if !s.mustAwaitHolders(call) {
 			return false
 		}
 		s.calls[call] = true
-		needed := 0
+		required := 0
 		var nums []uint64
 		for i := range call.Items {
-			if m := s.msgs[call.Items[i].ID]; m != nil {
-				needed, nums = max(needed, c.needs(m.Class)), append(nums, m.Num)
+			if m := s.messages[call.Items[i].ID]; m != nil {
+				required, nums = max(required, c.requiredFor(m.Class)), append(nums, m.Num)
 			}
 		}
-		l := line(needed, s.openClaims(nums...))
-		l.calls = append(l.calls, call)
+		wait := waitFor(required, s.openClaims(nums...))
+		wait.calls = append(wait.calls, call)
 		return true
 	})
 }
 
-// needs is how many holders must have a message of a class.
-func (c *copier) needs(class string) int {
-	if n, set := c.set.RequiredByClass[class]; set {
+// requiredFor returns how many holders must acknowledge a message of a class.
+func (c *copier) requiredFor(class string) int {
+	if n, set := c.settings.RequiredByClass[class]; set {
 		return n
 	}
-	return c.set.Required
+	return c.settings.Required
 }
 
-// most is what any class needs: what is taken over may be of each.
-func (c *copier) most() int {
-	n := c.set.Required
-	for _, v := range c.set.RequiredByClass {
+// maxRequired returns the highest number that any class requires, since adopted messages may be of every class.
+func (c *copier) maxRequired() int {
+	n := c.settings.Required
+	for _, v := range c.settings.RequiredByClass {
 		n = max(n, v)
 	}
 	return n
 }
 
-// mustWait reports whether a call's first byte waits for copies: of a message whose client has no answer yet, and of
-// one of a class that must never take effect twice.
-func (s *Sender) mustWait(call *outbound.Call) bool {
+// mustAwaitHolders reports whether a call must not begin before its messages are copied: if it has a message whose client
+// has no answer yet, or one whose class forbids repeats.
+func (s *Sender) mustAwaitHolders(call *outbound.Call) bool {
 	for i := range call.Items {
-		m := s.msgs[call.Items[i].ID]
+		m := s.messages[call.Items[i].ID]
 		if m == nil {
 			continue
 		}
@@ -393,128 +396,129 @@
 	return false
 }
 
-// copyTell gives the answers whose records this step has written and sent.
-func (s *Sender) copyTell() {
-	for _, t := range s.copies.told {
+// answerConfirmed answers the submissions whose confirmation this step has written and sent.
+func (s *Sender) answerConfirmed() {
+	for _, t := range s.copies.confirmed {
 		t.verdict <- Verdict{Accepted: true, Num: t.entry.Num}
 	}
-	s.copies.told = s.copies.told[:0]
+	s.copies.confirmed = s.copies.confirmed[:0]
 }
 
-// copyLines lets go on what the holders have, and gives up what they do not have in time.
-func (s *Sender) copyLines() {
+// settleWaits ends the waits that are satisfied and those that have timed out.
+func (s *Sender) settleWaits() {
 	c := s.copies
 	now := time.Now()
-	lines := c.lines
-	c.lines = nil
-	for _, l := range lines {
-		kept := l.seq != 0 && c.live && c.owner.Committed(l.needed) >= l.seq && answered(l.claims)
-		if !kept && now.Before(l.till) {
-			c.lines = append(c.lines, l)
+	waits := c.waits
+	c.waits = nil
+	for _, wait := range waits {
+		acknowledged := wait.seq != 0 && c.leaseHeld && c.owner.Committed(wait.required) >= wait.seq && allAnswered(wait.claims)
+		if !acknowledged && now.Before(wait.deadline) {
+			c.waits = append(c.waits, wait)
 			continue
 		}
-		s.lineEnds(&l, kept)
+		s.endWait(&wait, acknowledged)
 	}
 }
 
-// copyLeave ends what still waits for holders when the sender leaves: nothing of it is taken on.
-func (s *Sender) copyLeave() {
+// failWaits ends all waits, unsatisfied, when the sender exits.
+func (s *Sender) failWaits() {
 	if s.copies == nil {
 		return
 	}
-	lines := s.copies.lines
-	s.copies.lines = nil
-	for i := range lines {
-		s.lineEnds(&lines[i], false)
+	waits := s.copies.waits
+	s.copies.waits = nil
+	for i := range waits {
+		s.endWait(&waits[i], false)
 	}
-	s.copyTell()
+	s.answerConfirmed()
 }
 
-func (s *Sender) lineEnds(l *copyLine, kept bool) {
-	if l.done != nil {
-		l.done(kept)
+func (s *Sender) endWait(wait *holderWait, acknowledged bool) {
+	if wait.done != nil {
+		wait.done(acknowledged)
 	}
-	go202 := kept || s.copies.set.AcceptUncopied
-	if !kept {
-		s.copies.short += uint64(len(l.orders))
+	accept := acknowledged || s.copies.settings.AcceptUncopied
+	if !acknowledged {
+		s.copies.shortCount += uint64(len(wait.submissions))
 	}
-	for _, t := range l.orders {
-		m := s.msgs[t.entry.Num]
+	for _, t := range wait.submissions {
+		m := s.messages[t.entry.Num]
 		switch {
-		case m == nil: // over already
-			t.verdict <- Verdict{RetryAfter: lateLeast}
-		case m.claim.has(m.Entry): // an heir's: nothing was sent of it here
-			s.takeBack(m, telemetry.CauseRoom)
+		case m == nil: // already ended
+			t.verdict <- Verdict{RetryAfter: maxBusyRetryMS}
+		case m.claim.has(m.Entry): // a successor holds it; this sender has sent nothing
+			s.revoke(m, telemetry.CauseRoom)
 			t.verdict <- Verdict{TakenOver: true}
-		case go202:
+		case accept:
 			s.journal.Confirm(m.Entry)
-			s.copies.told = append(s.copies.told, t)
+			s.copies.confirmed = append(s.copies.confirmed, t)
 		default:
-			s.takeBack(m, telemetry.CauseRoom)
-			t.verdict <- Verdict{RetryAfter: s.busyRetry(), TooFewHolders: true}
+			s.revoke(m, telemetry.CauseRoom)
+			t.verdict <- Verdict{RetryAfter: s.busyRetryAfter(), TooFewHolders: true}
 		}
 	}
-	for _, call := range l.calls {
-		if go202 && s.calls[call] && !s.elsewhere(call) {
-			s.goWithLease(call)
+	for _, call := range wait.calls {
+		if accept && s.calls[call] && !s.anyTakenOver(call) {
+			s.startCall(call)
 		} else {
-			s.drop(call)
-			s.again = true
+			s.dropUnsent(call)
+			s.stepDue = true
 		}
 	}
 }
 
-// takeBack withdraws a message whose client hears that it is not taken on.
-func (s *Sender) takeBack(m *message, why telemetry.Cause) {
-	s.observeOver(m.Entry, telemetry.NotTaken, 0)
+// revoke withdraws a message whose client is about to receive a refusal.
+func (s *Sender) revoke(m *message, why telemetry.Cause) {
+	s.observeMessageEnd(m.Entry, telemetry.NotTaken, 0)
 	s.observeRefused(m.Dest, why)
 	s.events = append(s.events, policy.Event{Kind: policy.EvWithdrawn, ID: m.Num})
-	s.again = true
-	s.drop(m.call)
+	s.stepDue = true
+	s.dropUnsent(m.call)
 	s.journal.End(m.Entry)
 	s.forget(m)
 }
 
-// goWithLease starts a call whose first byte goes out only while the lease on this sender's journal holds: it may wait
-// for its connection, or the process be stopped, until that is over.
-func (s *Sender) goWithLease(call *outbound.Call) {
+// startCall starts a call. Its first byte is written only while the lease on this sender's journal is held: the lease may
+// end while the call waits for its connection or the process is suspended.
+func (s *Sender) startCall(call *outbound.Call) {
 	if c := s.copies; c != nil && len(call.Items) > 0 {
-		name, epoch := duty.Own(c.set.Name), c.owner.Epoch()
+		name, epoch := duty.Own(c.settings.Name), c.owner.Epoch()
 		call.MayStart = func() bool { return c.fleet.Token(name) == epoch }
 	}
 	s.pool.Go(call)
 }
 
-// copyRefuses reports whether nothing can be taken on for want of the lease, or of anybody to copy to.
-func (s *Sender) copyRefuses() bool {
-	return s.copies != nil && !s.copies.set.AcceptUncopied && !s.copies.live
+// lacksLease reports whether messages must be refused because the lease on this sender's journal is lost.
+func (s *Sender) lacksLease() bool {
+	return s.copies != nil && !s.copies.settings.AcceptUncopied && !s.copies.leaseHeld
 }
 
-// copyNext is when copies want a step by time alone.
-func (s *Sender) copyNext(wait time.Duration) time.Duration {
+// untilCopyStep limits the wait for the next step to what copies and takeovers need.
+func (s *Sender) untilCopyStep(wait time.Duration) time.Duration {
 	c := s.copies
 	if c == nil {
 		return wait
 	}
-	wait = min(wait, 50*time.Millisecond) // the lease, the holders and what is taken over are looked at
+	wait = min(wait, 50*time.Millisecond) // the lease, the holders and takeovers are polled
 	if at, due := c.owner.NextWakeup(); due {
 		wait = min(wait, time.Duration(at-fleet.Now()))
 	}
-	for i := range c.lines {
-		wait = min(wait, time.Until(c.lines[i].till))
+	for i := range c.waits {
+		wait = min(wait, time.Until(c.waits[i].deadline))
 	}
-	if at, due := s.shut.Next(); due {
-		wait = min(wait, millis(at-s.clock.Now()))
+	if at, due := s.avoided.Next(); due {
+		wait = min(wait, fromMillis(at-s.clock.Now()))
 	}
 	return wait
 }
 
-// Short says why messages are refused, for their clients, /up and the log.
+// TooFewHoldersReason is the reason for a refusal as clients and /up receive it.
 const TooFewHoldersReason = "too few members can be reached to copy what is taken on"
 
-// Refuses is why this sender takes nothing on, for /up; empty: it does. It is safe for concurrent use.
+// RefusalReason returns why this sender accepts no messages, for /up; empty: it accepts them. It is safe for concurrent
+// use.
 func (s *Sender) RefusalReason() string {
-	if why := s.refuses.Load(); why != nil {
+	if why := s.refusal.Load(); why != nil {
 		return *why
 	}
 	return ""
--- a/internal/sender/observe.go
+++ b/internal/sender/observe.go
@@ -13,37 +13,37 @@
 )
 
 const (
-	holdsEvery  = 10.0   // milliseconds between two looks at why messages wait
-	gaugesEvery = 1000.0 // and between two sets of gauges
+	waitCausesInterval = 10.0   // milliseconds between checks why messages wait
+	gaugesInterval     = 1000.0 // milliseconds between sets of gauges
 )
 
-// observer tells telemetry, and the log where that is wanted, what the sender does. All of it is a push into a
-// bounded queue or a line; with a nil Recorder and without lines it is nothing.
+// observer records the sender's activity in telemetry and, if enabled, in the log. Each record is a push into a bounded
+// queue or a log line; with a nil Recorder and without logRecords nothing is recorded.
 type observer struct {
 	*telemetry.Recorder
-	lines    bool // a line in the log for each record of a message
-	log      zerolog.Logger
-	holds    map[int]policy.WaitCause // as told
-	holdsAt  float64
-	gaugesAt float64
-	skipped  bool // a look was too soon after the last: one is due at holdsAt
+	logRecords     bool // log each record of a message
+	log            zerolog.Logger
+	reportedCauses map[int]policy.WaitCause // as last reported, by destination
+	nextCauses     float64
+	nextGauges     float64
+	causesSkipped  bool // a check was skipped; the next is due at nextCauses
 }
 
-// On tells whether records are wanted.
-func (w *observer) On() bool { return w.lines || w.Recorder.On() }
+// On reports whether records are wanted.
+func (o *observer) On() bool { return o.logRecords || o.Recorder.On() }
 
-// Push tells of one thing.
-func (w *observer) Push(r telemetry.Record) {
-	if w.lines {
-		w.line(&r)
+// Push records r.
+func (o *observer) Push(r telemetry.Record) {
+	if o.logRecords {
+		o.logRecord(&r)
 	}
-	w.Recorder.Push(r)
+	o.Recorder.Push(r)
 }
 
-// line writes a record of a message, for "sliptide lab count". A message is named by its number; the record of its
-// taking on has the id that its client gave it, too.
-func (w *observer) line(r *telemetry.Record) {
-	e := w.log.Log().Int32("dest", r.Dest)
+// logRecord logs a record of a message, for "sliptide lab count". Records identify a message by its number; the record of
+// its acceptance also has the ID that its client gave it.
+func (o *observer) logRecord(r *telemetry.Record) {
+	e := o.log.Log().Int32("dest", r.Dest)
 	switch r.Kind {
 	case telemetry.Taken:
 		e = e.Str("trace", r.Text).Bool("again", r.Again).Bool("restored", r.Restored)
@@ -62,33 +62,33 @@
 	e.Uint64("num", r.Num).Str("record", r.Kind.String()).Send()
 }
 
-// closed tells of a connection to an endpoint that was closed. It is called on the connection's goroutine. What an
-// endpoint sent unasked is always worth a line; all else is one of the records.
-func (w *observer) closed(c outbound.CloseEvent) {
-	e := w.log.Log()
+// closed logs that a connection to an endpoint was closed. It is called on the connection's goroutine. Unsolicited bytes
+// from an endpoint are always logged, other reasons only with logRecords.
+func (o *observer) closed(c outbound.CloseEvent) {
+	e := o.log.Log()
 	switch {
 	case c.Reason == outbound.CloseUnsolicited:
-		e = w.log.Warn()
-	case !w.lines:
+		e = o.log.Warn()
+	case !o.logRecords:
 		return
 	}
 	e.Uint32("endpoint", c.Endpoint).Str("addr", c.Addr).Stringer("reason", c.Reason).Int("answers", c.Answers).Str("record", "closed").Send()
 }
 
-func parent(v []byte) *telemetry.Parent {
+func parseParent(v []byte) *telemetry.Parent {
 	if len(v) == 0 {
 		return nil
 	}
 	return telemetry.ParseParent(v)
 }
 
-// observeTaken tells of a message that is held from here on.
-func (s *Sender) observeTaken(e *journal.Entry, class int, restored bool) {
+// observeAccepted records an accepted or restored message.
+func (s *Sender) observeAccepted(e *journal.Entry, class int, restored bool) {
 	if !s.observer.On() {
 		return
 	}
 	s.observer.Push(telemetry.Record{Kind: telemetry.Taken, Num: e.Num, Dest: int32(e.Dest), Class: uint8(class), Again: e.Resubmitted, Restored: restored,
-		Attempt: int16(e.Attempts), At: s.now, Until: float64(e.Deadline), Text: e.Trace, Parent: parent([]byte(e.TraceParent))})
+		Attempt: int16(e.Attempts), At: s.now, Until: float64(e.Deadline), Text: e.Trace, Parent: parseParent([]byte(e.TraceParent))})
 }
 
 func (s *Sender) observeRefused(dest int, why telemetry.Cause) {
@@ -97,92 +97,92 @@
 	}
 }
 
-// observeBegan tells of an attempt.
-func (s *Sender) observeBegan(m *message, c *outbound.Call, attempt int) {
+// observeAttemptStart records the start of an attempt.
+func (s *Sender) observeAttemptStart(m *message, c *outbound.Call, attempt int) {
 	if s.observer.On() {
 		s.observer.Push(telemetry.Record{Kind: telemetry.Began, Num: m.Num, Dest: int32(m.Dest), Endpoint: c.Endpoint, Attempt: int16(attempt), At: s.now})
 	}
 }
 
-// observeEnded tells how an attempt ended.
-func (s *Sender) observeEnded(c *outbound.Call, e *policy.Event) {
+// observeAttemptEnd records the outcome of an attempt.
+func (s *Sender) observeAttemptEnd(c *outbound.Call, e *policy.Event) {
 	if !s.observer.On() || e.Kind != policy.EvOutcome {
 		return
 	}
 	s.observer.Push(telemetry.Record{Kind: telemetry.Ended, Num: e.ID, Dest: int32(c.Dest), Endpoint: c.Endpoint, Attempt: int16(e.Attempt), Outcome: uint8(e.Outcome),
-		MayHaveRun: e.Outcome != policy.OK && !e.Outcome.NeverRan(), Wait: e.RequestedWait, At: s.now, Until: s.now - max(e.Latency, 0), Text: c.Addr, Left: s.told(e, s.set.AllowanceIndex), Value: s.told(e, s.set.LimitIndex)})
+		MayHaveRun: e.Outcome != policy.OK && !e.Outcome.NeverRan(), Wait: e.RequestedWait, At: s.now, Until: s.now - max(e.Latency, 0), Text: c.Addr, Left: s.reportField(e, s.settings.AllowanceIndex), Value: s.reportField(e, s.settings.LimitIndex)})
 }
 
-// told is a value of the report that came with an outcome, 0 if there was none.
-func (s *Sender) told(e *policy.Event, field int) float64 {
+// reportField returns a value of the endpoint's report that came with an outcome; 0 if there is none.
+func (s *Sender) reportField(e *policy.Event, field int) float64 {
 	if field < 0 || field >= len(e.Report) {
 		return 0
 	}
 	return e.Report[field]
 }
 
-func (s *Sender) observeOver(e *journal.Entry, end telemetry.End, after float64) {
+func (s *Sender) observeMessageEnd(e *journal.Entry, end telemetry.End, wait float64) {
 	if s.observer.On() {
-		s.observer.Push(telemetry.Record{Kind: telemetry.Over, Num: e.Num, Dest: int32(e.Dest), End: end, Wait: after, At: s.now})
+		s.observer.Push(telemetry.Record{Kind: telemetry.Over, Num: e.Num, Dest: int32(e.Dest), End: end, Wait: wait, At: s.now})
 	}
 }
 
-func (s *Sender) observeStorm(o *storm.Order) {
+func (s *Sender) observeStorm(o *storm.Throttle) {
 	if s.observer.On() {
 		s.observer.Push(telemetry.Record{Kind: telemetry.Phase, Dest: int32(o.Dest), Value: float64(o.Phase), At: s.now})
 	}
 }
 
-var causes = [...]telemetry.Cause{
+var telemetryCauses = [...]telemetry.Cause{
 	policy.CauseNoEndpoint: telemetry.CauseNone, policy.CauseRequestedWait: telemetry.CauseTold, policy.CauseBreaker: telemetry.CauseBreaker,
 	policy.CausePaceCap: telemetry.CauseStorm, policy.CausePace: telemetry.CausePace, policy.CauseSlot: telemetry.CauseSlot, policy.CauseRetry: telemetry.CauseRetry,
 }
 
-// observeStep tells, after a step, why messages wait where that has changed, and now and then the gauges.
+// observeStep records, after a step, the destinations whose reason to wait has changed, and periodically the gauges.
 func (s *Sender) observeStep() {
-	w := &s.observer
-	if !w.On() {
+	o := &s.observer
+	if !o.On() {
 		return
 	}
-	if w.skipped = s.now < w.holdsAt; w.skipped {
+	if o.causesSkipped = s.now < o.nextCauses; o.causesSkipped {
 		return
 	}
-	w.holdsAt = s.now + holdsEvery
+	o.nextCauses = s.now + waitCausesInterval
 	waiting := 0
-	fresh := make(map[int]policy.WaitCause, len(w.holds))
-	s.mod.EachWaiting(func(dest int, why policy.WaitCause) {
+	current := make(map[int]policy.WaitCause, len(o.reportedCauses))
+	s.module.EachWaiting(func(dest int, why policy.WaitCause) {
 		waiting++
-		fresh[dest] = why
-		if old, told := w.holds[dest]; !told || old != why {
-			w.Push(telemetry.Record{Kind: telemetry.Holds, Dest: int32(dest), Cause: causes[why], At: s.now})
+		current[dest] = why
+		if old, reported := o.reportedCauses[dest]; !reported || old != why {
+			o.Push(telemetry.Record{Kind: telemetry.Holds, Dest: int32(dest), Cause: telemetryCauses[why], At: s.now})
 		}
 	})
-	for dest := range w.holds {
-		if _, still := fresh[dest]; !still {
-			w.Push(telemetry.Record{Kind: telemetry.Holds, Dest: int32(dest), At: s.now})
+	for dest := range o.reportedCauses {
+		if _, still := current[dest]; !still {
+			o.Push(telemetry.Record{Kind: telemetry.Holds, Dest: int32(dest), At: s.now})
 		}
 	}
-	w.holds = fresh
-	if s.now < w.gaugesAt {
+	o.reportedCauses = current
+	if s.now < o.nextGauges {
 		return
 	}
-	w.gaugesAt = s.now + gaugesEvery
+	o.nextGauges = s.now + gaugesInterval
 	gauge := func(name telemetry.Name, v float64) {
-		w.Push(telemetry.Record{Kind: telemetry.Gauge, Name: name, Value: v, At: s.now})
+		o.Push(telemetry.Record{Kind: telemetry.Gauge, Name: name, Value: v, At: s.now})
 	}
-	gauge(telemetry.Held, float64(len(s.msgs)))
+	gauge(telemetry.Held, float64(len(s.messages)))
 	gauge(telemetry.CallsOut, float64(len(s.calls)))
 	gauge(telemetry.Waiting, float64(waiting))
 	gauge(telemetry.JournalBytes, float64(s.journal.Size()))
-	broken, warming, told := s.mod.Overview()
-	gauge(telemetry.BreakersOpen, float64(broken))
-	gauge(telemetry.Ramping, float64(warming))
-	gauge(telemetry.LimitTold, told)
+	openBreakers, ramping, advertised := s.module.Overview()
+	gauge(telemetry.BreakersOpen, float64(openBreakers))
+	gauge(telemetry.Ramping, float64(ramping))
+	gauge(telemetry.LimitTold, advertised)
 	gauge(telemetry.Connections, float64(s.pool.OpenConns()))
-	if s.guard != nil {
-		st := s.guard.Stats()
-		gauge(telemetry.StormPromised, float64(st.Promised))
-		gauge(telemetry.StormOverbooked, float64(st.Overbooked))
+	if s.stormGuard != nil {
+		st := s.stormGuard.Stats()
+		gauge(telemetry.StormPromised, float64(st.Reserved))
+		gauge(telemetry.StormOverbooked, float64(st.Unreserved))
 	}
 	if s.fleet != nil {
 		live := 0.0
@@ -194,30 +194,30 @@
 	}
 	if c := s.copies; c != nil {
 		held := 0.0
-		if c.live {
+		if c.leaseHeld {
 			held = 1
 		}
 		gauge(telemetry.CopiesHeld, held)
 		gauge(telemetry.CopiesLag, float64(c.owner.MaxLag()))
-		gauge(telemetry.CopiesWaiting, float64(len(c.lines)))
-		gauge(telemetry.CopiesShort, float64(c.short))
+		gauge(telemetry.CopiesWaiting, float64(len(c.waits)))
+		gauge(telemetry.CopiesShort, float64(c.shortCount))
 	}
 }
 
-// observeWait is when observeStep wants to be called again while messages are held: a reason changes with time alone.
-func (s *Sender) observeWait(wait time.Duration) time.Duration {
+// untilObservation limits the wait for the next step while messages are held: reasons to wait change with time alone.
+func (s *Sender) untilObservation(wait time.Duration) time.Duration {
 	switch {
-	case !s.observer.On() || len(s.msgs) == 0:
+	case !s.observer.On() || len(s.messages) == 0:
 		return wait
-	case s.observer.skipped:
-		return min(wait, millis(s.observer.holdsAt-s.clock.Now()))
+	case s.observer.causesSkipped:
+		return min(wait, fromMillis(s.observer.nextCauses-s.clock.Now()))
 	}
 	return min(wait, 100*time.Millisecond)
 }
 
-// whyNot is why nothing more is taken on.
-func (s *Sender) whyNot() telemetry.Cause {
-	if !s.stopAt.IsZero() {
+// refusalCause returns why a message is refused.
+func (s *Sender) refusalCause() telemetry.Cause {
+	if !s.stopRequestedAt.IsZero() {
 		return telemetry.CauseStop
 	}
 	return telemetry.CauseRoom
--- /dev/null
+++ b/internal/sender/submissions.go
@@ -0,0 +1,157 @@
+package sender
+
+import (
+	"slices"
+	"time"
+
+	"sliptide/internal/journal"
+	"sliptide/internal/telemetry"
+	"sliptide/policy"
+)
+
+// This file accepts or refuses submitted messages and answers their clients.
+
+// Submit submits a message and waits for its verdict, usually that of the next step. The message's slices must not change
+// until then.
+func (s *Sender) Submit(m *Message, received time.Time) Verdict {
+	sub := &submission{msg: m, received: received, verdict: make(chan Verdict, 1)}
+	select {
+	case s.inputs <- input{submission: sub}:
+	case <-s.done:
+		return Verdict{RetryAfter: maxBusyRetryMS}
+	}
+	return s.awaitVerdict(sub)
+}
+
+// awaitVerdict waits for the verdict on a queued submission. A verdict given before the sender exited counts: otherwise a
+// message that is in the journal could be answered as refused.
+func (s *Sender) awaitVerdict(sub *submission) Verdict {
+	select {
+	case v := <-sub.verdict:
+		return v
+	case <-s.done:
+	}
+	select {
+	case v := <-sub.verdict: // given before the exit
+		return v
+	default: // no step has handled the submission, and none will
+		return Verdict{RetryAfter: maxBusyRetryMS}
+	}
+}
+
+// Withdraw reports that the client of an accepted message did not receive the answer.
+func (s *Sender) Withdraw(num uint64) { s.post(input{withdrawn: num}) }
+
+func (s *Sender) handleSubmission(sub *submission) {
+	m := sub.msg
+	left := float64(m.Remaining-time.Since(sub.received)) / 1e6
+	switch _, held := s.numByTrace[string(m.Trace)]; {
+	case held, s.ended.ids[string(m.Trace)]:
+		// Every submission has an ID of its own, so this is not a client's retry. It gets no number: if its answer
+		// were lost, the first message would be withdrawn although its client is owed an end.
+		sub.verdict <- Verdict{Duplicate: true}
+		return
+	case s.misdirected(m.Dest):
+		s.observeRefused(m.Dest, telemetry.CauseRoute)
+		sub.verdict <- s.misdirection(m.Dest)
+		return
+	case !s.listedDests[m.Dest]: // it could only be held until its deadline
+		s.observeRefused(m.Dest, telemetry.CauseRoute)
+		sub.verdict <- Verdict{NoRoute: true, RetryAfter: s.busyRetryAfter()}
+		return
+	case !s.stopRequestedAt.IsZero(), s.journalFailed, left <= 0, s.lacksLease(), s.settings.MaxHeld > 0 && len(s.messages) >= s.settings.MaxHeld, !s.journal.HasSpace(len(m.Body)):
+		s.stormGuard.RecordArrival(s.now, m.Dest, keyHash(m.Key), m.Resubmitted)
+		s.observeRefused(m.Dest, s.refusalCause())
+		sub.verdict <- Verdict{RetryAfter: s.refusalRetryAfter(m.Dest, m.Key, max(left, 0), s.busyRetryAfter()), TooFewHolders: s.lacksLease()}
+		return
+	}
+	s.stormGuard.RecordArrival(s.now, m.Dest, keyHash(m.Key), m.Resubmitted)
+	s.stormGuard.AdjustHeld(s.now, m.Dest, 1)
+	e := &journal.Entry{
+		Num: s.journal.NextNumber(), Trace: string(m.Trace), Key: string(m.Key), Class: s.settings.Classes[m.Class].Name,
+		OrderingKey: m.OrderingKey, Dest: m.Dest, Resubmitted: m.Resubmitted, Deadline: int64(s.now + left), Body: slices.Clone(m.Body),
+	}
+	if m.Tenant < len(s.settings.Tenants) {
+		e.Tenant = s.settings.Tenants[m.Tenant].Name
+	}
+	if s.observer.On() {
+		e.TraceParent = parseParent(m.TraceParent).Text()
+	}
+	s.journal.Accept(e)
+	s.messages[e.Num] = &message{Entry: e, class: m.Class, acceptedAt: s.now, claim: s.claimFor(m)}
+	s.numByTrace[e.Trace] = e.Num
+	s.observeAccepted(e, m.Class, false)
+	s.submissions = append(s.submissions, &pendingSubmission{submission: sub, entry: e})
+	s.events = append(s.events, policy.Event{
+		Kind: policy.EvMessage, ID: e.Num, Class: m.Class, Tenant: m.Tenant, Key: m.OrderingKey, Remaining: left,
+		Resubmitted: m.Resubmitted, Dest: m.Dest,
+	})
+}
+
+// busyRetryAfter is the Retry-After, in milliseconds, of a refusal for lack of capacity.
+func (s *Sender) busyRetryAfter() float64 {
+	return min(maxBusyRetryMS, max(s.settings.MaxRetryAfter, 1))
+}
+
+// answerSubmissions gives the verdicts of this step. journalled reports whether the journal was written.
+func (s *Sender) answerSubmissions(journalled bool) {
+	torn := !journalled && s.journal.Torn()
+	unsettled := s.submissions[:0]
+	for _, t := range s.submissions {
+		switch {
+		case torn && time.Since(t.received) < clientAnswerTimeout: // undecided: its record may be on disk
+			unsettled = append(unsettled, t)
+		case t.refused:
+			t.verdict <- Verdict{RetryAfter: t.retryAfterMS}
+		case !journalled: // not in the journal: the module must not keep it
+			s.observeMessageEnd(t.entry, telemetry.NotTaken, 0)
+			s.observeRefused(t.entry.Dest, telemetry.CauseRoom)
+			s.events = append(s.events, policy.Event{Kind: policy.EvWithdrawn, ID: t.entry.Num})
+			s.stepDue = true
+			if m := s.messages[t.entry.Num]; m != nil {
+				s.journal.End(m.Entry)
+				s.forget(m)
+			}
+			t.verdict <- Verdict{RetryAfter: maxBusyRetryMS}
+		default:
+			t.verdict <- Verdict{Accepted: true, Num: t.entry.Num}
+		}
+	}
+	clear(s.submissions[len(unsettled):])
+	s.submissions = unsettled
+}
+
+// clientAnswerTimeout is how long a client waits for its answer; later answers reach no client.
+const clientAnswerTimeout = 400 * time.Millisecond
+
+// endUndelivered ends a message that was not delivered: one submitted in this step is refused, any other was accepted and
+// ends with a notice.
+func (s *Sender) endUndelivered(a *policy.Action) {
+	m := s.messages[a.ID]
+	if m == nil {
+		return
+	}
+	retryAfterMS := a.After
+	if a.Kind == policy.ActRefuse {
+		retryAfterMS = s.refusalRetryAfter(m.Dest, []byte(m.Key), max(float64(m.Deadline)-s.now, 0), retryAfterMS)
+	}
+	for _, t := range s.submissions {
+		if t.entry == m.Entry {
+			t.refused, t.retryAfterMS = true, retryAfterMS
+			s.observeMessageEnd(m.Entry, telemetry.NotTaken, 0)
+			s.observeRefused(m.Dest, telemetry.CauseLoad)
+			s.journal.End(m.Entry)
+			s.forget(m)
+			return
+		}
+	}
+	s.dropUnsent(m.call)
+	s.ended.add(m.Trace, s.now)
+	s.forget(m)
+	ending := journal.EndingAbandoned
+	if a.Kind == policy.ActRefuse {
+		ending = journal.EndingReturned
+	}
+	s.observeMessageEnd(m.Entry, [...]telemetry.End{journal.EndingAbandoned: telemetry.GivenUp, journal.EndingReturned: telemetry.HandedBack}[ending], retryAfterMS)
+	s.endWithNotice(m.Entry, ending, retryAfterMS)
+}
--- a/internal/sender/trials.go
+++ b/internal/sender/trials.go
@@ -8,26 +8,26 @@
 	"sliptide/policy"
 )
 
-// Fleet is what a sender needs of the fleet that it is a member of. None of its calls waits.
+// Fleet is the fleet of which a sender is a member. No method blocks.
 type Fleet interface {
-	Request(duty, zone string)
-	Release(duty string, end bool)
-	Publish(duty, word string)
-	Token(duty string) uint64 // the fencing token of a duty that is held at this moment, 0 if it is not
-	HeldDuties() int          // how many are held at this moment
-	Live() bool               // whether what is heard of the fleet can be relied on at this moment
+	Request(duty, zone string)     // requests a duty, or a place in its queue
+	Release(duty string, end bool) // gives a duty up; end: no member needs it any longer
+	Publish(duty, word string)     // publishes a word about a duty that this member holds
+	Token(duty string) uint64      // the fencing token of a duty that this member holds now; 0 if it does not
+	HeldDuties() int               // the number of duties held now
+	Live() bool                    // whether this member's view of the fleet can be relied on now
 }
 
-// trials is a sender's part in the trials that a fleet shares. News of duties come on a goroutine of the fleet's
-// and wait here, the last of each, for the next step: the fleet waits for no sender, nor a sender for the fleet.
+// trials is a sender's part in the half-open trials that a fleet shares. Updates of duties arrive on a goroutine of the
+// fleet; the latest of each duty is kept for the next step, so that neither side blocks the other.
 type trials struct {
-	board *trial.Board
-	fleet Fleet
-	mu    sync.Mutex
-	news  map[int]trial.News
+	state   *trial.Board
+	fleet   Fleet
+	mu      sync.Mutex
+	updates map[int]trial.News
 }
 
-// Heard takes news of a duty.
+// UpdateDuty queues an update of a duty for the next step.
 func (s *Sender) UpdateDuty(duty string, n trial.News) {
 	dest, ok := trial.Dest(duty)
 	if s.trials == nil || !ok {
@@ -35,17 +35,17 @@
 	}
 	t := s.trials
 	t.mu.Lock()
-	t.news[dest] = n
+	t.updates[dest] = n
 	t.mu.Unlock()
 	s.Wake()
 }
 
-// Join gives the sender the fleet, before Run.
+// SetFleet makes the sender a member of a fleet. It is called before Run.
 func (s *Sender) SetFleet(f Fleet) { s.fleet = f }
 
-// ShareTrials gives it its part in the trials that the fleet shares, before Run.
+// ShareTrials makes the sender share trials with the fleet. It is called before Run.
 func (s *Sender) ShareTrials(f Fleet, set trial.Settings) {
-	s.trials = &trials{board: trial.New(set), fleet: f, news: map[int]trial.News{}}
+	s.trials = &trials{state: trial.New(set), fleet: f, updates: map[int]trial.News{}}
 }
 
 func (t *trials) step(now float64) {
@@ -53,21 +53,21 @@
 		return
 	}
 	t.mu.Lock()
-	news := t.news
-	t.news = map[int]trial.News{}
+	updates := t.updates
+	t.updates = map[int]trial.News{}
 	t.mu.Unlock()
-	t.board.Live(t.fleet.Live())
-	for dest, n := range news {
-		t.board.Heard(now, dest, n)
+	t.state.Live(t.fleet.Live())
+	for dest, update := range updates {
+		t.state.Heard(now, dest, update)
 	}
 }
 
-// act carries out what the board asks about duties.
-func (t *trials) act(zone string) {
+// requestDuties requests, releases and updates duties as the shared trials demand.
+func (t *trials) requestDuties(zone string) {
 	if t == nil {
 		return
 	}
-	for _, a := range t.board.Acts() {
+	for _, a := range t.state.Acts() {
 		name := trial.Duty(a.Dest)
 		switch {
 		case a.Want:
@@ -80,31 +80,31 @@
 	}
 }
 
-// weatherOrders are what storms ask, as the fleet's trials change it.
-func (s *Sender) weatherOrders() []storm.Order {
-	list := s.guard.Orders(s.now)
+// stormOrders returns the orders of storm control, as adjusted by the fleet's shared trials.
+func (s *Sender) stormOrders() []storm.Throttle {
+	list := s.stormGuard.Throttles(s.now)
 	if s.trials == nil {
 		return list
 	}
 	s.trials.step(s.now)
 	for i := range list {
-		list[i] = s.trials.board.Ordered(s.now, list[i])
+		list[i] = s.trials.state.Ordered(s.now, list[i])
 	}
-	list = append(list, s.trials.board.Changed(s.now)...)
-	s.trials.act(s.zoneName())
+	list = append(list, s.trials.state.Changed(s.now)...)
+	s.trials.requestDuties(s.zoneName())
 	return list
 }
 
 func (s *Sender) zoneName() string {
-	if s.set.Zone >= 0 && s.set.Zone < len(s.set.Zones) {
-		return s.set.Zones[s.set.Zone]
+	if s.settings.Zone >= 0 && s.settings.Zone < len(s.settings.Zones) {
+		return s.settings.Zones[s.settings.Zone]
 	}
 	return ""
 }
 
-// tried tells the fleet's trials of a call that failed.
-func (s *Sender) tried(dest int, e *policy.Event) {
+// recordFailedCall reports a failed call to the shared trials.
+func (s *Sender) recordFailedCall(dest int, e *policy.Event) {
 	if s.trials != nil && e.Kind == policy.EvOutcome && e.Outcome != policy.OK && e.Outcome != policy.Moot {
-		s.trials.board.Tried(s.now, dest)
+		s.trials.state.Tried(s.now, dest)
 	}
 }
