--- a/internal/sender/copies.go
+++ b/internal/sender/copies.go
@@ -83,7 +83,7 @@
 
 // takeover is the takeover of a lost owner's journal.
 type takeover struct {
-	*copies.Heir
+	*copies.Takeover
 	startedAt int64          // in nanoseconds of fleet.Now
 	entryNums []uint64       // of the imported entries in this journal
 	holds     []journal.Hold // of the lost owner, by this sender's clock
@@ -159,14 +159,14 @@
 		case in.run != nil:
 			in.run()
 		case in.frame.GetCopied() != nil:
-			c.owner.Copied(now, in.from, in.frame.GetCopied())
+			c.owner.HandleCopied(now, in.from, in.frame.GetCopied())
 		case in.frame.GetSealed() != nil:
 			if t := c.takeovers[in.frame.GetSealed().Owner]; t != nil {
-				t.Sealed(now, in.from, in.frame.GetSealed())
+				t.HandleSealed(now, in.from, in.frame.GetSealed())
 			}
 		}
 	}
-	c.owner.Clock(int64(s.clock.Now()) - now/1e6)
+	c.owner.SetClockOffset(int64(s.clock.Now()) - now/1e6)
 	view := c.fleet.View()
 	s.checkOwnLease(view)
 	s.settlePending(view)
@@ -199,23 +199,23 @@
 	}
 	if !held {
 		if !view.Mine(d) {
-			c.owner.Begin(0)
+			c.owner.BeginEpoch(0)
 		}
 		return
 	}
 	if c.owner.Epoch() != d.Token {
 		c.incarnation = c.fleet.Incarnation()
-		c.owner.Of(c.incarnation)
+		c.owner.SetIncarnation(c.incarnation)
 		if a := view.Adopted[c.settings.Name]; a != nil && a.Incarnation == c.incarnation {
 			s.dropAdopted(a)
 		}
-		c.owner.Begin(d.Token)
+		c.owner.BeginEpoch(d.Token)
 		c.requestedHolders = nil
 	}
 	if slices.Equal(d.Holders, c.requestedHolders) {
 		c.requestedHolders = nil
 	}
-	c.owner.Holders(countedHolders(d.Holders, c.requestedHolders))
+	c.owner.SetHolders(countedHolders(d.Holders, c.requestedHolders))
 	if now := time.Now(); now.After(c.nextPlacement) { // members change within seconds, not with every step
 		c.nextPlacement = now.Add(placementInterval)
 		s.placeCopies(view, d)
@@ -234,7 +234,7 @@
 // placeCopies requests other holders from the fleet if the present members call for it.
 func (s *Sender) placeCopies(view *fleet.Look, d *pb.Duty) {
 	c := s.copies
-	full := c.owner.Full(fleet.Now())
+	full := c.owner.FullMembers(fleet.Now())
 	var present []placement.Member
 	for _, p := range view.Present {
 		present = append(present, placement.Member{Name: p.Name, Zone: p.Zone, Full: slices.Contains(full, p.Name)})
@@ -313,7 +313,7 @@
 	if records := s.journal.RecordsToCopy(); len(records) > 0 {
 		seq = c.owner.Append(now, records, s.journal.LastNumber(), func() []byte { return journal.Compact(s.journal.Snapshot()) })
 	}
-	for _, o := range c.owner.Take(now, s.journal.Snapshot) {
+	for _, o := range c.owner.TakeOutgoing(now, s.journal.Snapshot) {
 		c.fleet.SendCopy(o.To, o.Frame)
 	}
 	for i := range c.waits {
@@ -500,7 +500,7 @@
 		return wait
 	}
 	wait = min(wait, 50*time.Millisecond) // the lease, the holders and takeovers are polled
-	if at, due := c.owner.Next(); due {
+	if at, due := c.owner.NextWakeup(); due {
 		wait = min(wait, time.Duration(at-fleet.Now()))
 	}
 	for i := range c.waits {
