--- a/cmd/sliptide/fleet.go
+++ b/cmd/sliptide/fleet.go
@@ -51,7 +51,7 @@
 	}
 	m := &membership{keep: f.Copies, space: space, files: fsys.OS{Dir: cfg.State}, room: space.Account(), log: log}
 	m.set = fleet.Settings{Name: cfg.Name, Listen: f.Listen, Members: peers(f), Minimum: f.Minimum, Weight: uint32(f.Weight),
-		Terms: lease.Terms{Length: f.Duties.Lease, Drift: f.Duties.Drift}, Election: f.Duties.Election, Hash: f.Hash()}
+		Terms: lease.Params{Length: f.Duties.Lease, Drift: f.Duties.Drift}, Election: f.Duties.Election, Hash: f.Hash()}
 	if m.set.Minimum == 0 {
 		m.set.Minimum = len(f.Voters())
 	}
--- a/cmd/sliptide/inherit_test.go
+++ b/cmd/sliptide/inherit_test.go
@@ -103,7 +103,7 @@
 			m.lose(0)
 			m.allEnded(short)
 			m.eachEnd(func(e ending) {
-				if strings.HasPrefix(e.Message, "n0-short") && (e.at.Sub(from) < 3*time.Second || e.at.Sub(from) > 4*time.Second+ledger.InTime+time.Second) {
+				if strings.HasPrefix(e.Message, "n0-short") && (e.at.Sub(from) < 3*time.Second || e.at.Sub(from) > 4*time.Second+ledger.LateSlack+time.Second) {
 					t.Errorf("%s: %s after %v, its time was 4 s", e.Message, e.Outcome, e.at.Sub(from))
 				}
 			})
--- a/cmd/sliptide/losses_test.go
+++ b/cmd/sliptide/losses_test.go
@@ -23,7 +23,7 @@
 // clients, the partner and the platforms see.
 type losses struct {
 	*team
-	book *ledger.Book
+	book *ledger.Ledger
 
 	mu      sync.Mutex
 	rng     *rand.Rand // the partner's
@@ -58,17 +58,17 @@
 	chance := l.rng.IntN(1000)
 	l.mu.Unlock()
 	for _, id := range ids {
-		l.book.Called(began, i, id)
+		l.book.CallStarted(began, i, id)
 		if chance >= 45 {
-			l.book.Effect(began, id)
+			l.book.TookEffect(began, id)
 		}
 	}
 	time.Sleep(20 * time.Millisecond)
 	for _, id := range ids {
-		l.book.Over(time.Now(), id, chance >= 85)
+		l.book.CallEnded(time.Now(), id, chance >= 85)
 	}
 	if chance < 5 {
-		l.book.Told(time.Now(), i, began, time.Now().Add(waitTold))
+		l.book.WaitRequested(time.Now(), i, began, time.Now().Add(waitTold))
 		l.note("n%d is told a wait", i)
 	}
 	switch {
@@ -105,7 +105,7 @@
 			class = "pay"
 		}
 		id := fmt.Sprintf("%s-%d-%d", class, i, n)
-		l.book.Offered(id, i, class == "pay")
+		l.book.Submitted(id, i, class == "pay")
 		q, _ := http.NewRequest("POST", "http://"+l.rigs[i].addr+"/api", strings.NewReader("two guests, one night"))
 		for k, v := range map[string]string{"X-Trace-Id": id, "X-Qos": class, "X-Customer": "acme", "Idempotency-Key": "key-" + id,
 			"X-Expires-In": strconv.FormatFloat(left, 'f', 3, 64), "X-Route-To": "dest=5"} {
@@ -154,7 +154,7 @@
 			}
 		})
 	}
-	l.heard = func(e ending) { l.book.Notice(e.at, e.Message) }
+	l.heard = func(e ending) { l.book.NoticeReceived(e.at, e.Message) }
 	stop := make(chan struct{})
 	l.drain(stop)
 	l.copying()
@@ -200,7 +200,7 @@
 		}
 		l.note("all hold their journals")
 		if i%10 == 9 {
-			t.Logf("%d losses: %d messages under way", i+1, l.book.Open())
+			t.Logf("%d losses: %d messages under way", i+1, l.book.Unfinished())
 		}
 	}
 	close(stop)
@@ -210,22 +210,22 @@
 	defer close(more)
 	l.drain(more)
 	l.await("every message has its final answer, or its time is long over", func() bool {
-		return l.book.Open() == 0 || time.Since(ended) > 10*time.Second
+		return l.book.Unfinished() == 0 || time.Since(ended) > 10*time.Second
 	})
 	v := l.book.Judge()
 	t.Logf("%d losses of a machine with its disk (needed %d; %v): %d taken on, %d lost, %d late, %d of a class that forbids it took effect twice, %d others repeated, %d refused and sent, "+
 		"%d calls by heirs, %d inside a wait, %d with another attempt out, %d ended more than once; %d messages at most in a call",
-		n, map[bool]int{false: 1, true: 2}[two], counts, v.Taken, v.Lost, v.Late, v.Twice, v.Repeated, v.Sent, v.ByHeirs, v.InWait, v.Both, v.EndedMore, l.most)
-	t.Logf("%d messages whose time was up while they were taken over ended up to %.0f ms late", len(v.Over), quantile(v.Over, 1))
+		n, map[bool]int{false: 1, true: 2}[two], counts, v.Accepted, v.Lost, v.Late, v.ForbiddenRepeats, v.Repeated, v.RefusedSent, v.BySuccessors, v.SentInWait, v.Overlapping, v.MultipleEnds, l.most)
+	t.Logf("%d messages whose time was up while they were taken over ended up to %.0f ms late", len(v.TakeoverDelays), quantile(v.TakeoverDelays, 1))
 	t.Logf("from a loss to the heir's first call: p50 %.0f ms, max %.0f; until all is ended: p50 %.0f ms, max %.0f",
-		quantile(v.First, 0.5), quantile(v.First, 1), quantile(v.Settled, 0.5), quantile(v.Settled, 1))
+		quantile(v.FirstCalls, 0.5), quantile(v.FirstCalls, 1), quantile(v.Settlements, 0.5), quantile(v.Settlements, 1))
 	for _, r := range l.rigs {
 		if strings.Contains(r.logs.String(), "differs from its owner's journal") {
 			t.Errorf("a copy was found to differ:\n%s", r.logs.String())
 		}
 	}
-	if v.Broken() {
-		t.Logf("%s\n%s", strings.Join(l.history, "\n"), strings.Join(v.Faults, "\n"))
+	if v.Violated() {
+		t.Logf("%s\n%s", strings.Join(l.history, "\n"), strings.Join(v.Violations, "\n"))
 		t.Error("the promise is broken")
 	}
 }
@@ -273,7 +273,7 @@
 		}
 	case 4:
 		name = "member cut off"
-		l.book.Away(time.Now(), a, l.has(a))
+		l.book.SenderUnreachable(time.Now(), a, l.has(a))
 		for k, r := range l.relays {
 			if k[0] == a || k[1] == a {
 				r.Cut(true)
@@ -286,7 +286,7 @@
 		}
 	case 5:
 		name = "member stopped"
-		l.book.Away(time.Now(), a, l.has(a))
+		l.book.SenderUnreachable(time.Now(), a, l.has(a))
 		p := l.rigs[a].proc
 		p.Process.Signal(syscall.SIGSTOP)
 		end = func() { p.Process.Signal(syscall.SIGCONT) }
@@ -315,7 +315,7 @@
 	if err := os.Mkdir(r.state, 0o700); err != nil {
 		l.t.Fatal(err)
 	}
-	l.book.Lost(time.Now(), k, l.has(k))
+	l.book.SenderLost(time.Now(), k, l.has(k))
 }
 
 // has are the senders whose messages a member has taken over, by its log.
@@ -346,7 +346,7 @@
 					l.note("n%d, the heir of n%d, is killed", k, owner)
 					r.proc.Process.Signal(syscall.SIGCONT)
 					r.kill(syscall.SIGKILL)
-					l.book.Killed(time.Now(), k, append(l.has(k), owner))
+					l.book.SenderKilled(time.Now(), k, append(l.has(k), owner))
 					r.logs.Reset()
 					r.launch()
 					return
--- a/internal/cli/fleet.go
+++ b/internal/cli/fleet.go
@@ -101,12 +101,12 @@
 		return nil, err
 	}
 	// A voter that follows knows nothing of when members were heard: the one that leads does.
-	if c.At == "" && s.Leader != "" && s.Leader != s.Asked {
+	if c.At == "" && s.Leader != "" && s.Leader != s.ReportedBy {
 		if file, err := operator.Load(c.Operator); err == nil {
 			for _, m := range file.Fleet.Members {
 				if m.Name == s.Leader {
 					lead := fleetAsk{Operator: c.Operator, At: m.Addr}
-					if t, err := lead.status(); err == nil && t.Leader == t.Asked {
+					if t, err := lead.status(); err == nil && t.Leader == t.ReportedBy {
 						return t, nil
 					}
 				}
@@ -134,17 +134,17 @@
 	if leader == "" {
 		leader = "nobody: no quorum is known here"
 	}
-	fmt.Fprintf(env.Out, "asked %s: leader %s, term %d, applied %d, log %d bytes\n", s.Asked, leader, s.Term, s.Applied, s.LogSize)
+	fmt.Fprintf(env.Out, "asked %s: leader %s, term %d, applied %d, log %d bytes\n", s.ReportedBy, leader, s.Term, s.Applied, s.LogBytes)
 	if s.Failed != "" {
-		fmt.Fprintf(env.Out, "%s takes no part: %s\n", s.Asked, s.Failed)
+		fmt.Fprintf(env.Out, "%s takes no part: %s\n", s.ReportedBy, s.Failed)
 		return nil
 	}
 	w := tabwriter.NewWriter(env.Out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "MEMBER\tZONE\tVOTER\tSESSION\tHEARD\tDUTIES")
 	for _, m := range s.Members {
 		heard, session := "-", "none"
-		if m.Heard >= 0 {
-			heard = fmt.Sprintf("%.0f ms ago", m.Heard)
+		if m.LastHeardMS >= 0 {
+			heard = fmt.Sprintf("%.0f ms ago", m.LastHeardMS)
 		}
 		if m.Session != 0 {
 			session = fmt.Sprint(m.Session)
@@ -174,7 +174,7 @@
 	w := tabwriter.NewWriter(env.Out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "DUTY\tHOLDER\tTOKEN\tTO BE HANDED TO\tWORD")
 	for _, d := range s.Duties {
-		fmt.Fprintf(w, "%s\t%s\t%d\t%s\t%s\n", d.Name, d.Holder, d.Token, d.Wanted, d.Word)
+		fmt.Fprintf(w, "%s\t%s\t%d\t%s\t%s\n", d.Name, d.Holder, d.Token, d.TransferTo, d.Value)
 	}
 	return w.Flush()
 }
@@ -246,17 +246,17 @@
 	}
 	list := []copyView{}
 	for _, d := range s.Duties {
-		owner, own := strings.CutPrefix(d.Name, duty.Own(""))
+		owner, own := strings.CutPrefix(d.Name, duty.JournalDuty(""))
 		if !own {
 			continue
 		}
-		v := copyView{Owner: owner, With: d.Holder, Epoch: d.Token, Copies: d.Copies, State: "copied"}
+		v := copyView{Owner: owner, With: d.Holder, Epoch: d.Token, Copies: d.CopyHolders, State: "copied"}
 		switch {
 		case d.Holder == "":
 			v.State = "nobody answers for it"
 		case d.Holder != owner:
 			v.State = "being taken over"
-		case len(d.Copies) == 0:
+		case len(d.CopyHolders) == 0:
 			v.State = "no copies"
 		}
 		list = append(list, v)
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -120,7 +120,7 @@
 	if err != nil {
 		return nil, errors.Join(fmt.Errorf("directory: %w", err), groupListener.Close())
 	}
-	set := fleet.Settings{Name: s.Name, Weight: 1, Terms: lease.Terms{Length: s.Lease, Drift: s.Drift}, Election: s.Election, Hash: s.hash(), Client: client, Server: server}
+	set := fleet.Settings{Name: s.Name, Weight: 1, Terms: lease.Params{Length: s.Lease, Drift: s.Drift}, Election: s.Election, Hash: s.hash(), Client: client, Server: server}
 	for _, m := range s.Members {
 		set.Members = append(set.Members, fleet.Peer{Name: m.Name, Addr: m.Addr, Zone: m.Region, Voter: m.Voter})
 	}
--- a/internal/fleet/commands.go
+++ b/internal/fleet/commands.go
@@ -47,9 +47,9 @@
 	f := func() {
 		r := &pb.Answer{}
 		if m.voter != nil {
-			r.Status, r.Leader = m.voter.Status(), m.voter.Leader()
+			r.Status, r.Leader = m.voter.StatusJSON(), m.voter.Leader()
 		} else {
-			b, _ := json.Marshal(voter.Status{Asked: m.self.Name, Failed: "its log cannot be opened"})
+			b, _ := json.Marshal(voter.Status{ReportedBy: m.self.Name, Failed: "its log cannot be opened"})
 			r.Status = string(b)
 		}
 		answers <- r
--- a/internal/fleet/copies/model/model.go
+++ b/internal/fleet/copies/model/model.go
@@ -47,7 +47,7 @@
 	b := []byte{op}
 	owner := 0
 	if e.pending != "" {
-		owner, _ = strconv.Atoi(e.pending[len(duty.Own("m")):])
+		owner, _ = strconv.Atoi(e.pending[len(duty.JournalDuty("m")):])
 	}
 	for _, v := range []int{int(e.num), e.msg, owner, int(e.token)} {
 		b = binary.BigEndian.AppendUint32(b, uint32(v))
@@ -85,7 +85,7 @@
 		case opEnd:
 			list = slices.Delete(list, k, k+1)
 		case opPend:
-			list[k].pending, list[k].token = duty.Own(fmt.Sprint("m", at(2))), at(3)
+			list[k].pending, list[k].token = duty.JournalDuty(fmt.Sprint("m", at(2))), at(3)
 		case opOwn:
 			list[k].pending = ""
 		}
@@ -295,7 +295,7 @@
 
 func (m *member) mine() *pb.Duty {
 	for _, d := range m.w.duties() {
-		if d.Name == duty.Own(m.name) && d.Session == m.session && m.session != 0 {
+		if d.Name == duty.JournalDuty(m.name) && d.Session == m.session && m.session != 0 {
 			return d
 		}
 	}
@@ -393,9 +393,9 @@
 		m.session, m.last = r.Session, r.Session
 	}
 	m.contact, m.sent = w.now, w.now
-	w.apply(&pb.Command{What: &pb.Command_Acquire{Acquire: &pb.Acquire{Session: m.session, Duty: duty.Own(m.name)}}})
+	w.apply(&pb.Command{What: &pb.Command_Acquire{Acquire: &pb.Acquire{Session: m.session, Duty: duty.JournalDuty(m.name)}}})
 	for _, d := range w.duties() {
-		if d.Name != duty.Own(m.name) && slices.Contains(d.Holders, m.name) {
+		if d.Name != duty.JournalDuty(m.name) && slices.Contains(d.Holders, m.name) {
 			w.apply(&pb.Command{What: &pb.Command_Acquire{Acquire: &pb.Acquire{Session: m.session, Duty: d.Name}}})
 		}
 	}
@@ -411,7 +411,7 @@
 		return
 	}
 	if m.owner.Epoch() != d.Token {
-		if a := w.state.Adopted(m.name); a != nil && a.Incarnation == m.incarnation && !w.guards.keepAll {
+		if a := w.state.LastAdoption(m.name); a != nil && a.Incarnation == m.incarnation && !w.guards.keepAll {
 			m.journal = slices.DeleteFunc(m.journal, func(e entry) bool { return e.num <= a.Upto })
 			m.calls = slices.DeleteFunc(m.calls, func(c *attempt) bool { return c.num <= a.Upto })
 			for i := range m.wait {
@@ -424,12 +424,12 @@
 	m.owner.Holders(d.Holders)
 	var there []placement.Member
 	present := map[string]bool{}
-	for _, p := range w.state.Present() {
+	for _, p := range w.state.PresentMembers() {
 		there = append(there, placement.Member{Name: p.Name, Zone: p.Zone})
 		present[p.Name] = true
 	}
 	wanted := placement.Choose(m.name, m.zone, w.count, there)
-	next := placement.Next(d.Holders, wanted, m.owner.Synced, func(n string) bool { return present[n] })
+	next := placement.NextStep(d.Holders, wanted, m.owner.Synced, func(n string) bool { return present[n] })
 	if !slices.Equal(next, d.Holders) {
 		w.apply(&pb.Command{What: &pb.Command_Keep{Keep: &pb.Keep{Session: m.session, Duty: d.Name, Token: d.Token, Holders: next}}})
 		m.owner.Holders(next)
@@ -440,18 +440,18 @@
 func (m *member) inherit() {
 	w := m.w
 	for _, d := range w.duties() {
-		owner := d.Name[len(duty.Own("")):]
+		owner := d.Name[len(duty.JournalDuty("")):]
 		if owner == m.name || d.Session != m.session {
 			continue
 		}
 		h := m.heirs[owner]
 		if h == nil || h.Epoch != d.Token {
-			h = copies.NewHeir(owner, d.Token, d.Holders, w.state.Adopted(owner))
+			h = copies.NewHeir(owner, d.Token, d.Holders, w.state.LastAdoption(owner))
 			m.heirs[owner] = h
 		}
 		w.send(m, h.Take(w.now))
 		stage := h.Look(func(name string) bool {
-			return slices.ContainsFunc(w.state.Present(), func(p *pb.Present) bool { return p.Name == name })
+			return slices.ContainsFunc(w.state.PresentMembers(), func(p *pb.Present) bool { return p.Name == name })
 		})
 		switch stage {
 		case copies.Ready:
@@ -469,7 +469,7 @@
 	var nums []uint64
 	var keys []uint64
 	for _, e := range live(h.Found.Records) {
-		if e.pending != "" && (m.w.guards.dropMarked || duty.Agreed(m.w.state.Adopted(e.pending[len(duty.Own("")):]), e.token).GetBy() != h.Owner) {
+		if e.pending != "" && (m.w.guards.dropMarked || duty.TakeoverByToken(m.w.state.LastAdoption(e.pending[len(duty.JournalDuty("")):]), e.token).GetBy() != h.Owner) {
 			continue
 		}
 		if e.sure && !m.w.guards.noAgain {
@@ -558,8 +558,8 @@
 		if e.pending == "" {
 			continue
 		}
-		owner := e.pending[len(duty.Own("")):]
-		if a := duty.Agreed(m.w.state.Adopted(owner), e.token); a.GetBy() == m.name {
+		owner := e.pending[len(duty.JournalDuty("")):]
+		if a := duty.TakeoverByToken(m.w.state.LastAdoption(owner), e.token); a.GetBy() == m.name {
 			m.activate([]uint64{e.num}, a.Elsewhere)
 			i = -1 // it may have ended: from the start
 		} else if h := m.heirs[owner]; h == nil || h.Epoch != e.token {
--- a/internal/fleet/disk/disk_test.go
+++ b/internal/fleet/disk/disk_test.go
@@ -18,21 +18,21 @@
 	return &raftpb.Entry{Index: proto.Uint64(index), Term: proto.Uint64(2), Data: []byte(strings.Repeat("x", 100))}
 }
 
-func hardOf(commit uint64) *raftpb.HardState {
+func hardStateOf(commit uint64) *raftpb.HardState {
 	return &raftpb.HardState{Term: proto.Uint64(2), Vote: proto.Uint64(1), Commit: proto.Uint64(commit)}
 }
 
 // use does what a voter does with its log, and returns the index up to which it was told that all is on the disk.
-func use(files fsys.FS) (acknowledged uint64, err error) {
+func exerciseLog(files fsys.FS) (acknowledged uint64, err error) {
 	l, err := Open(files, nil, "a")
 	if err != nil {
 		return 0, err
 	}
-	if err := l.Found([]uint64{1, 2, 3}, []byte("state")); err != nil {
+	if err := l.Bootstrap([]uint64{1, 2, 3}, []byte("state")); err != nil {
 		return 0, err
 	}
 	for i := uint64(2); i < 12; i++ {
-		if err := l.Save(hardOf(i-1), []*raftpb.Entry{entryOf(i)}, nil, true); err != nil {
+		if err := l.Save(hardStateOf(i-1), []*raftpb.Entry{entryOf(i)}, nil, true); err != nil {
 			return acknowledged, err
 		}
 		acknowledged = i
@@ -48,36 +48,36 @@
 // TestEveryOperationFails: whichever operation fails, in whatever way, or ends the process, what was acknowledged is
 // there at the next start, and the log can be written again.
 func TestEveryOperationFails(t *testing.T) {
-	none := &fsys.Faulty{FS: fsys.OS{Dir: t.TempDir()}, Inject: func(int, string, string) fsys.Fault { return fsys.Fault{} }}
-	if n, err := use(none); err != nil || n != 11 {
+	noFaults := &fsys.Faulty{FS: fsys.OS{Dir: t.TempDir()}, Inject: func(int, string, string) fsys.Fault { return fsys.Fault{} }}
+	if n, err := exerciseLog(noFaults); err != nil || n != 11 {
 		t.Fatal(n, err)
 	}
-	for at := range none.Ops() {
+	for opIndex := range noFaults.Ops() {
 		for _, fault := range []fsys.Fault{
 			{Err: fsys.ErrCrash}, {Err: fsys.ErrCrash, Applied: true}, {Err: fsys.ErrCrash, BytesWritten: 60},
 			{Err: errors.New("no room")}, {Err: errors.New("sync failed"), Applied: true}, {Err: errors.New("short"), BytesWritten: 60},
 		} {
 			dir := t.TempDir()
-			n, err := use(&fsys.Faulty{FS: fsys.OS{Dir: dir}, Inject: func(i int, _, _ string) fsys.Fault {
-				if i == at {
+			n, err := exerciseLog(&fsys.Faulty{FS: fsys.OS{Dir: dir}, Inject: func(i int, _, _ string) fsys.Fault {
+				if i == opIndex {
 					return fault
 				}
 				return fsys.Fault{}
 			}})
 			if err == nil {
-				t.Errorf("operation %d, %+v: no error", at, fault)
+				t.Errorf("operation %d, %+v: no error", opIndex, fault)
 			}
 			l, err := Open(fsys.OS{Dir: dir}, nil, "a")
 			if err != nil {
-				t.Errorf("operation %d, %+v: %v", at, fault, err)
+				t.Errorf("operation %d, %+v: %v", opIndex, fault, err)
 				continue
 			}
 			if last, _ := l.LastIndex(); last < n {
-				t.Errorf("operation %d, %+v: the log ends at %d, acknowledged was %d", at, fault, last, n)
+				t.Errorf("operation %d, %+v: the log ends at %d, acknowledged was %d", opIndex, fault, last, n)
 			}
 			last, _ := l.LastIndex()
 			if err := l.Save(nil, []*raftpb.Entry{entryOf(last + 1)}, nil, true); err != nil {
-				t.Errorf("operation %d, %+v: %v", at, fault, err)
+				t.Errorf("operation %d, %+v: %v", opIndex, fault, err)
 			}
 		}
 	}
@@ -96,7 +96,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := l.Found([]uint64{1}, nil); err != nil {
+	if err := l.Bootstrap([]uint64{1}, nil); err != nil {
 		t.Fatal(err)
 	}
 	fail = true
@@ -121,11 +121,11 @@
 // TestDamage: a record in the middle that is not as it was written is an error, one that is cut off at the end is not.
 func TestDamage(t *testing.T) {
 	dir := t.TempDir()
-	if _, err := use(fsys.OS{Dir: dir}); err != nil {
+	if _, err := exerciseLog(fsys.OS{Dir: dir}); err != nil {
 		t.Fatal(err)
 	}
-	path := filepath.Join(dir, name)
-	whole, err := os.ReadFile(path)
+	path := filepath.Join(dir, fileName)
+	content, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -134,15 +134,15 @@
 		b    []byte
 		want string
 	}{
-		{"cut off", whole[:len(whole)-30], ""},
+		{"cut off", content[:len(content)-30], ""},
 		{"a bit turned in the middle", func() []byte {
-			b := append([]byte(nil), whole...)
+			b := append([]byte(nil), content...)
 			b[len(b)/2] ^= 4
 			return b
 		}(), "not as it was written"},
 		{"another version", []byte("sliptide fleet 9\n"), "does not begin"},
 		{"empty", nil, "does not begin"},
-		{"a later record", record(append([]byte(nil), whole...), 77, nil), "of a later version"},
+		{"a later record", appendRecord(append([]byte(nil), content...), 77, nil), "of a later version"},
 	} {
 		if err := os.WriteFile(path, c.b, 0o600); err != nil {
 			t.Fatal(err)
@@ -160,23 +160,23 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := l.Found([]uint64{1}, nil); err != nil {
+	if err := l.Bootstrap([]uint64{1}, nil); err != nil {
 		t.Fatal(err)
 	}
-	most := int64(0)
+	largest := int64(0)
 	for i := uint64(2); i < 8000; i++ {
-		if err := l.Save(hardOf(i), []*raftpb.Entry{entryOf(i)}, nil, false); err != nil {
+		if err := l.Save(hardStateOf(i), []*raftpb.Entry{entryOf(i)}, nil, false); err != nil {
 			t.Fatal(err)
 		}
-		if l.Long() {
+		if l.NeedsCompaction() {
 			if err := l.Compact(i, &raftpb.ConfState{Voters: []uint64{1}}, make([]byte, 1000)); err != nil {
 				t.Fatal(err)
 			}
 		}
-		most = max(most, l.Size())
+		largest = max(largest, l.Size())
 	}
-	if most > tailMost+64<<10 {
-		t.Errorf("the file grew to %d bytes", most)
+	if largest > maxTailBytes+64<<10 {
+		t.Errorf("the file grew to %d bytes", largest)
 	}
 	other := space.Account()
 	if !other.Claim(other.Limit()) {
@@ -185,7 +185,7 @@
 	for i := uint64(8000); i < 12000 && err == nil; i++ {
 		err = l.Save(nil, []*raftpb.Entry{entryOf(i)}, nil, false)
 	}
-	if !errors.Is(err, ErrRoom) {
+	if !errors.Is(err, ErrNoSpace) {
 		t.Errorf("without room: %v", err)
 	}
 }
--- a/internal/fleet/duty/line.go
+++ b/internal/fleet/duty/line.go
@@ -11,27 +11,27 @@
 
 // settle gives a duty without a holder to the next in line, or forgets it where nobody is. A journal of which there are
 // copies is not forgotten: whoever keeps them may be in line soon.
-func (s *State) settle(d *Duty) {
-	if len(d.Waiting) > 0 {
+func (s *State) regrant(d *Duty) {
+	if len(d.Candidates) > 0 {
 		s.grant(d)
 		return
 	}
-	if isOwn(d.Name) && len(d.Holders) > 0 {
-		s.note(d)
+	if isJournalDuty(d.Name) && len(d.CopyHolders) > 0 {
+		s.recordChange(d)
 		return
 	}
 	delete(s.duties, d.Name)
-	s.note(d)
+	s.recordChange(d)
 	s.changed[len(s.changed)-1].Ended = true
 }
 
 func (s *State) acquire(a *pb.Acquire) error {
-	if !named(a.Duty) {
-		return ErrName
+	if !validName(a.Duty) {
+		return ErrInvalidName
 	}
-	v := s.live(a.Session)
+	v := s.liveSession(a.Session)
 	if v == nil {
-		return ErrSession
+		return ErrSessionEnded
 	}
 	d := s.duties[a.Duty]
 	if d == nil {
@@ -41,163 +41,163 @@
 		d = &Duty{Name: a.Duty, Zone: a.Zone}
 		s.duties[a.Duty] = d
 	}
-	if d.Session == a.Session || slices.Contains(d.Waiting, a.Session) {
+	if d.Session == a.Session || slices.Contains(d.Candidates, a.Session) {
 		return nil
 	}
-	if len(d.Waiting) >= MaxWaiting && d.Session != 0 {
+	if len(d.Candidates) >= MaxCandidates && d.Session != 0 {
 		return ErrFull
 	}
-	d.Waiting = append(d.Waiting, a.Session)
+	d.Candidates = append(d.Candidates, a.Session)
 	if d.Session == 0 {
 		s.grant(d)
 	} else {
-		s.balance(d)
+		s.rebalance(d)
 	}
 	return nil
 }
 
 // LineFull reports whether an acquisition would be refused because enough members are in line.
-func (s *State) LineFull(a *pb.Acquire) bool {
+func (s *State) CandidatesFull(a *pb.Acquire) bool {
 	d := s.duties[a.Duty]
-	return d != nil && d.Session != 0 && d.Session != a.Session && len(d.Waiting) >= MaxWaiting && !slices.Contains(d.Waiting, a.Session)
+	return d != nil && d.Session != 0 && d.Session != a.Session && len(d.Candidates) >= MaxCandidates && !slices.Contains(d.Candidates, a.Session)
 }
 
 // members describes sessions to package spread, but for one of that name.
-func (s *State) members(ids []uint64, but string) (list []spread.Member, of []uint64) {
+func (s *State) spreadMembers(ids []uint64, except string) (list []spread.Member, sessionIDs []uint64) {
 	for _, id := range ids {
-		if v := s.live(id); v != nil && v.Member != but {
-			list = append(list, member(v))
-			of = append(of, id)
+		if v := s.liveSession(id); v != nil && v.Member != except {
+			list = append(list, spreadMember(v))
+			sessionIDs = append(sessionIDs, id)
 		}
 	}
-	return list, of
+	return list, sessionIDs
 }
 
-func member(v *Session) spread.Member {
-	return spread.Member{Name: v.Member, Zone: v.Zone, Weight: v.Weight, Duties: v.holds + v.plan}
+func spreadMember(v *Session) spread.Member {
+	return spread.Member{Name: v.Member, Zone: v.Zone, Weight: v.Weight, Duties: v.dutyCount + v.plannedChange}
 }
 
 // grant gives a free duty to the member that was wanted, else to the best candidate, with a new token.
 func (s *State) grant(d *Duty) {
 	next := uint64(0)
-	list, of := s.members(s.successors(d), "")
-	if i := slices.IndexFunc(list, func(m spread.Member) bool { return m.Name == d.Wanted }); i >= 0 {
+	list, of := s.spreadMembers(s.eligible(d), "")
+	if i := slices.IndexFunc(list, func(m spread.Member) bool { return m.Name == d.TransferTo }); i >= 0 {
 		next = of[i]
 	} else if i := spread.Choose(d.Name, d.Zone, list); i >= 0 {
 		next = of[i]
 	}
 	if next != 0 {
-		d.Waiting = slices.DeleteFunc(d.Waiting, func(id uint64) bool { return id == next })
-		s.token++
-		s.want(d, "")
-		d.Session, d.Token = next, s.token
-		s.sessions[next].holds++
+		d.Candidates = slices.DeleteFunc(d.Candidates, func(id uint64) bool { return id == next })
+		s.lastToken++
+		s.setTransfer(d, "")
+		d.Session, d.Token = next, s.lastToken
+		s.sessions[next].dutyCount++
 	}
-	s.note(d)
+	s.recordChange(d)
 }
 
 // successors are those in line that a free duty may go to: of a journal whose copies are not taken over yet, only members
 // that keep them, if any is there. Its owner may be back with an empty disk, and would begin anew over them. Of these, those
 // that hold their own journals go first: one that does not can copy nothing, and two could wait for each other.
-func (s *State) successors(d *Duty) []uint64 {
-	if !isOwn(d.Name) {
-		return d.Waiting
+func (s *State) eligible(d *Duty) []uint64 {
+	if !isJournalDuty(d.Name) {
+		return d.Candidates
 	}
-	var keep, ready []uint64
-	for _, id := range d.Waiting {
+	var copyHolders, ready []uint64
+	for _, id := range d.Candidates {
 		v := s.sessions[id]
-		if v == nil || !slices.Contains(d.Holders, v.Member) {
+		if v == nil || !slices.Contains(d.CopyHolders, v.Member) {
 			continue
 		}
-		keep = append(keep, id)
-		if own := s.duties[Own(v.Member)]; own != nil && own.Session == id {
+		copyHolders = append(copyHolders, id)
+		if own := s.duties[JournalDuty(v.Member)]; own != nil && own.Session == id {
 			ready = append(ready, id)
 		}
 	}
 	switch {
 	case len(ready) > 0:
 		return ready
-	case len(keep) > 0:
-		return keep
+	case len(copyHolders) > 0:
+		return copyHolders
 	}
-	return s.ownFirst(d)
+	return s.ownerFirst(d)
 }
 
 // ownFirst are those in line for a journal of which nobody keeps copies: its owner alone, if it is there.
-func (s *State) ownFirst(d *Duty) []uint64 {
-	for _, id := range d.Waiting {
-		if v := s.sessions[id]; v != nil && d.Name == Own(v.Member) {
+func (s *State) ownerFirst(d *Duty) []uint64 {
+	for _, id := range d.Candidates {
+		if v := s.sessions[id]; v != nil && d.Name == JournalDuty(v.Member) {
 			return []uint64{id}
 		}
 	}
-	return d.Waiting
+	return d.Candidates
 }
 
 // balance asks the holder to hand over where a candidate has far fewer duties.
-func (s *State) balance(d *Duty) {
+func (s *State) rebalance(d *Duty) {
 	h := s.sessions[d.Session]
-	if h == nil || d.Wanted != "" || isOwn(d.Name) { // a journal stays with its owner, or its successor until that is done
+	if h == nil || d.TransferTo != "" || isJournalDuty(d.Name) { // a journal stays with its owner, or its successor until that is done
 		return
 	}
-	list, _ := s.members(d.Waiting, h.Member)
-	if i := spread.Better(d.Name, d.Zone, member(h), list); i >= 0 {
-		s.want(d, list[i].Name)
-		s.note(d)
+	list, _ := s.spreadMembers(d.Candidates, h.Member)
+	if i := spread.Rebalance(d.Name, d.Zone, spreadMember(h), list); i >= 0 {
+		s.setTransfer(d, list[i].Name)
+		s.recordChange(d)
 	}
 }
 
 // want notes whom a duty is to be handed to, and counts it there already: else one member that comes would be
 // promised everything.
-func (s *State) want(d *Duty, name string) {
-	s.unplan(d)
-	if d.Wanted = name; name == "" {
+func (s *State) setTransfer(d *Duty, name string) {
+	s.unplanTransfer(d)
+	if d.TransferTo = name; name == "" {
 		return
 	}
-	s.plan(d, 1)
+	s.planTransfer(d, 1)
 }
 
-func (s *State) unplan(d *Duty) {
-	if d.Wanted != "" && d.Session != 0 { // what nobody holds is in no plan: it is about to be granted
-		s.plan(d, -1)
+func (s *State) unplanTransfer(d *Duty) {
+	if d.TransferTo != "" && d.Session != 0 { // what nobody holds is in no plan: it is about to be granted
+		s.planTransfer(d, -1)
 	}
 }
 
-func (s *State) plan(d *Duty, by int) {
-	if to := s.sessions[s.names[d.Wanted]]; to != nil {
-		to.plan += by
+func (s *State) planTransfer(d *Duty, by int) {
+	if to := s.sessions[s.sessionOf[d.TransferTo]]; to != nil {
+		to.plannedChange += by
 	}
 	if h := s.sessions[d.Session]; h != nil {
-		h.plan -= by
+		h.plannedChange -= by
 	}
 }
 
 func (s *State) release(r *pb.Release) error {
 	d := s.duties[r.Duty]
 	if d == nil {
-		return ErrUnknown
+		return ErrUnknownDuty
 	}
 	if r.Token == 0 {
-		if i := slices.Index(d.Waiting, r.Session); i >= 0 {
-			d.Waiting = slices.Delete(d.Waiting, i, i+1)
+		if i := slices.Index(d.Candidates, r.Session); i >= 0 {
+			d.Candidates = slices.Delete(d.Candidates, i, i+1)
 		}
 		return nil
 	}
 	if d.Session != r.Session || d.Token != r.Token {
-		return ErrToken
+		return ErrStaleToken
 	}
-	wanted := d.Wanted
-	s.want(d, "")
+	wanted := d.TransferTo
+	s.setTransfer(d, "")
 	if v := s.sessions[d.Session]; v != nil {
-		v.holds--
+		v.dutyCount--
 	}
-	if v := s.sessions[r.Session]; isOwn(d.Name) && v != nil && d.Name != Own(v.Member) && !r.Keep {
-		d.Holders = nil // its successor is done with what they keep
+	if v := s.sessions[r.Session]; isJournalDuty(d.Name) && v != nil && d.Name != JournalDuty(v.Member) && !r.Keep {
+		d.CopyHolders = nil // its successor is done with what they keep
 	}
-	d.Session, d.Wanted = 0, wanted
+	d.Session, d.TransferTo = 0, wanted
 	if r.End {
-		d.Waiting = nil
+		d.Candidates = nil
 	}
-	s.settle(d)
+	s.regrant(d)
 	return nil
 }
 
@@ -205,27 +205,27 @@
 func (s *State) handOver(h *pb.HandOver) error {
 	d := s.duties[h.Duty]
 	if d == nil {
-		return ErrUnknown
+		return ErrUnknownDuty
 	}
-	if isOwn(h.Duty) {
-		return ErrOwn
+	if isJournalDuty(h.Duty) {
+		return ErrJournalDuty
 	}
-	id, there := s.names[h.To]
-	if !there || s.live(id) == nil {
-		return ErrMember
+	id, there := s.sessionOf[h.To]
+	if !there || s.liveSession(id) == nil {
+		return ErrUnknownMember
 	}
 	if d.Session == id {
 		return nil
 	}
-	if !slices.Contains(d.Waiting, id) { // an operator's wish goes before the length of the line
-		d.Waiting = append(d.Waiting, id)
+	if !slices.Contains(d.Candidates, id) { // an operator's wish goes before the length of the line
+		d.Candidates = append(d.Candidates, id)
 	}
 	if d.Session == 0 {
-		d.Wanted = h.To
+		d.TransferTo = h.To
 		s.grant(d)
 	} else {
-		s.want(d, h.To)
-		s.note(d)
+		s.setTransfer(d, h.To)
+		s.recordChange(d)
 	}
 	return nil
 }
--- a/internal/fleet/duty/view.go
+++ b/internal/fleet/duty/view.go
@@ -12,7 +12,7 @@
 // This file shows the state, to members and as a snapshot of the log.
 
 // Present are the members whose sessions go on and are renewed, by name.
-func (s *State) Present() []*pb.Present {
+func (s *State) PresentMembers() []*pb.Present {
 	list := make([]*pb.Present, 0, len(s.sessions))
 	for _, v := range s.sessions {
 		if !v.Closing {
@@ -24,22 +24,22 @@
 }
 
 // note records that a duty has become different.
-func (s *State) note(d *Duty) {
+func (s *State) recordChange(d *Duty) {
 	s.version++
-	s.changed = append(s.changed, s.show(d))
+	s.changed = append(s.changed, s.view(d))
 }
 
-func (s *State) show(d *Duty) *pb.Duty {
-	p := &pb.Duty{Name: d.Name, Zone: d.Zone, Session: d.Session, Token: d.Token, Wanted: d.Wanted, Word: d.Word, WordToken: d.WordBy, Holders: d.Holders}
+func (s *State) view(d *Duty) *pb.Duty {
+	p := &pb.Duty{Name: d.Name, Zone: d.Zone, Session: d.Session, Token: d.Token, Wanted: d.TransferTo, Word: d.Value, WordToken: d.ValueToken, Holders: d.CopyHolders}
 	if v := s.sessions[d.Session]; v != nil {
 		p.Holder = v.Member
 	}
 	return p
 }
 
-func (s *State) shown(name string) *pb.Duty {
+func (s *State) viewByName(name string) *pb.Duty {
 	if d := s.duties[name]; d != nil {
-		return s.show(d)
+		return s.view(d)
 	}
 	return nil
 }
@@ -68,8 +68,8 @@
 // Duties are all duties as anybody may see them, by name.
 func (s *State) Duties() []*pb.Duty {
 	list := make([]*pb.Duty, 0, len(s.duties))
-	for _, d := range s.sorted() {
-		list = append(list, s.show(d))
+	for _, d := range s.sortedDuties() {
+		list = append(list, s.view(d))
 	}
 	return list
 }
@@ -91,13 +91,13 @@
 
 // Marshal is a snapshot.
 func (s *State) Marshal() ([]byte, error) {
-	p := &pb.State{Token: s.token, Version: s.version, Voters: s.voters}
+	p := &pb.State{Token: s.lastToken, Version: s.version, Voters: s.voters}
 	for _, id := range s.Sessions() {
 		p.Sessions = append(p.Sessions, s.sessions[id].Session)
 	}
-	for _, d := range s.sorted() {
-		w := s.show(d)
-		w.Waiting = d.Waiting
+	for _, d := range s.sortedDuties() {
+		w := s.view(d)
+		w.Waiting = d.Candidates
 		p.Duties = append(p.Duties, w)
 	}
 	for name := range s.removed {
@@ -105,7 +105,7 @@
 	}
 	slices.Sort(p.Removed)
 	p.Adoptions = s.Adoptions()
-	p.Again, p.Inherited = s.again.show(), s.taken.show()
+	p.Again, p.Inherited = s.resubmitted.list(), s.takenOver.list()
 	return proto.MarshalOptions{Deterministic: true}.Marshal(p)
 }
 
@@ -119,29 +119,29 @@
 		p.Voters = map[uint64]string{}
 	}
 	s := New(p.Voters)
-	s.token, s.version = p.Token, p.Version
+	s.lastToken, s.version = p.Token, p.Version
 	for _, v := range p.Sessions {
 		s.sessions[v.Id] = &Session{Session: v}
-		s.names[v.Member] = v.Id
+		s.sessionOf[v.Member] = v.Id
 	}
 	for _, d := range p.Duties {
-		s.duties[d.Name] = &Duty{Name: d.Name, Zone: d.Zone, Session: d.Session, Token: d.Token, Wanted: d.Wanted, Word: d.Word, WordBy: d.WordToken, Waiting: d.Waiting, Holders: d.Holders}
+		s.duties[d.Name] = &Duty{Name: d.Name, Zone: d.Zone, Session: d.Session, Token: d.Token, TransferTo: d.Wanted, Value: d.Word, ValueToken: d.WordToken, Candidates: d.Waiting, CopyHolders: d.Holders}
 		if v := s.sessions[d.Session]; v != nil {
-			v.holds++
+			v.dutyCount++
 		}
 	}
 	for _, d := range s.duties {
-		if d.Wanted != "" && d.Session != 0 {
-			s.plan(d, 1)
+		if d.TransferTo != "" && d.Session != 0 {
+			s.planTransfer(d, 1)
 		}
 	}
 	for _, a := range p.Adoptions {
-		s.adopted[a.Owner] = a
+		s.adoptions[a.Owner] = a
 	}
 	for _, name := range p.Removed {
 		s.removed[name] = true
 	}
-	s.again.load(p.Again)
-	s.taken.load(p.Inherited)
+	s.resubmitted.load(p.Again)
+	s.takenOver.load(p.Inherited)
 	return s, nil
 }
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -51,7 +51,7 @@
 	Members  []Peer
 	Minimum  int
 	Weight   uint32
-	Terms    lease.Terms
+	Terms    lease.Params
 	Election time.Duration
 	Hash     uint64      // of what must be alike in all members' files
 	Client   *tls.Config `json:"-"`
@@ -106,7 +106,7 @@
 	Watch      func(d *pb.Duty, mine bool) // each change of a duty; it must not wait. nil: none
 	Now        func() int64                // nil: Now
 	// BreakVoter and BreakSession take guards out, for tests that show what finds that.
-	BreakVoter   voter.Break
+	BreakVoter   voter.Skip
 	BreakSession session.Break
 }
 
@@ -195,8 +195,8 @@
 
 func (m *Member) newVoter(log *disk.Log) (*voter.Voter, error) {
 	s := &m.o.Settings
-	return voter.New(voter.Options{Name: m.self.Name, Voters: s.Voters(), Minimum: s.Minimum, Terms: s.Terms, Election: s.Election, Log: log,
-		Note: m.noteVoter, Break: m.o.BreakVoter}, m.now())
+	return voter.New(voter.Options{Name: m.self.Name, Voters: s.Voters(), MinVoters: s.Minimum, Lease: s.Terms, ElectionTimeout: s.Election, Log: log,
+		OnEvent: m.noteVoter, Skip: m.o.BreakVoter}, m.now())
 }
 
 // dials are the members that this one dials: of two voters the first by name does, and everybody else dials the
@@ -344,7 +344,7 @@
 	reviveAt := time.Now().Add(reviveEach)
 	for {
 		if m.voter != nil {
-			for _, o := range m.voter.Take() {
+			for _, o := range m.voter.TakeOutgoing() {
 				m.route(o.To, o.Frame)
 			}
 		}
@@ -491,9 +491,9 @@
 	for again := false; ; again = true {
 		f := func() {
 			if m.voter != nil && !again {
-				m.voter.Aside()
+				m.voter.TransferLeadership()
 			}
-			leads <- m.voter != nil && m.voter.Leads()
+			leads <- m.voter != nil && m.voter.IsLeader()
 		}
 		select {
 		case m.toVoter <- input{call: f}:
--- a/internal/fleet/keeper.go
+++ b/internal/fleet/keeper.go
@@ -45,7 +45,7 @@
 	view, adopted, present := m.session.View()
 	l := &Look{Session: id, Own: map[string]*pb.Duty{}, Adopted: map[string]*pb.Adoption{}, Present: present}
 	for name, d := range view {
-		if owner, own := strings.CutPrefix(name, duty.Own("")); own {
+		if owner, own := strings.CutPrefix(name, duty.JournalDuty("")); own {
 			l.Own[owner] = d
 			m.keepers(owner, d)
 		}
--- a/internal/fleet/ledger/ledger.go
+++ b/internal/fleet/ledger/ledger.go
@@ -14,224 +14,224 @@
 
 // Slacks of the judge.
 const (
-	InTime   = 300 * time.Millisecond // after its time a final answer still counts as in time
-	Crossing = 100 * time.Millisecond // calls that cross the telling of a wait, and waits that cross a loss
-	TakeOver = 5 * time.Second        // a taking over at the most, with a lease of 1 s, link faults and an heir that is killed
+	LateSlack     = 300 * time.Millisecond // after its time a final answer still counts as in time
+	CrossingSlack = 100 * time.Millisecond // calls that cross the telling of a wait, and waits that cross a loss
+	MaxTakeover   = 5 * time.Second        // a taking over at the most, with a lease of 1 s, link faults and an heir that is killed
 )
 
 // message is what befell one.
 type message struct {
-	origin  int // the sender that it was handed in at
-	unsafe  bool
-	until   time.Time // its time is up; zero: its client has heard no 202
-	refused bool
-	out     int // attempts that the partner has before it
-	effects int
-	ends    []time.Time // deliveries whose answer went out, and notices
-	first   time.Time   // the first effect or notice
+	origin      int // the sender that it was handed in at
+	unsafe      bool
+	deadline    time.Time // its time is up; zero: its client has heard no 202
+	refused     bool
+	outstanding int // attempts that the partner has before it
+	effects     int
+	endings     []time.Time // deliveries whose answer went out, and notices
+	firstEnd    time.Time   // the first effect or notice
 }
 
 // sender is what is known of one.
 type sender struct {
-	told, until  time.Time // the last wait that it was told
-	lost, killed time.Time
-	left         map[string]bool // of what it had when it was lost
-	heard        bool            // its heir has called since
+	waitSetAt, waitUntil time.Time // the last wait that it was told
+	lostAt, killedAt     time.Time
+	unfinished           map[string]bool // of what it had when it was lost
+	successorCalled      bool            // its heir has called since
 }
 
 // blow is what may have kept the ends of some senders' messages back.
-type blow struct {
-	at time.Time
-	of []int
+type disruption struct {
+	at      time.Time
+	senders []int
 }
 
 // Book is all ledgers of one run.
-type Book struct {
-	mu      sync.Mutex
-	msgs    map[string]*message
-	senders map[int]*sender
-	blows   []blow
-	v       Verdict
+type Ledger struct {
+	mu          sync.Mutex
+	messages    map[string]*message
+	senders     map[int]*sender
+	disruptions []disruption
+	verdict     Verdict
 }
 
 // Verdict is what a run came to. The first part must be nought.
 type Verdict struct {
-	Lost, Late, Twice, Sent int // without an end; late; took effect twice where that is forbidden; refused and sent
-	Both, InWait            int // calls with another attempt out, and inside a told wait
+	Lost, Late, ForbiddenRepeats, RefusedSent int // without an end; late; took effect twice where that is forbidden; refused and sent
+	Overlapping, SentInWait                   int // calls with another attempt out, and inside a told wait
 
-	Taken     int
-	Repeated  int       // took effect more than once, where that is allowed
-	EndedMore int       // had a further end: delivered and given up by who could not know, or delivered twice
-	ByHeirs   int       // calls by others than the sender that it was handed in at
-	Over      []float64 // by how much ends were late that a taking over held back, in milliseconds
-	First     []float64 // from a loss to its heir's first call,
-	Settled   []float64 // and until all it had is ended
-	Faults    []string  // each breach in words
+	Accepted       int
+	Repeated       int       // took effect more than once, where that is allowed
+	MultipleEnds   int       // had a further end: delivered and given up by who could not know, or delivered twice
+	BySuccessors   int       // calls by others than the sender that it was handed in at
+	TakeoverDelays []float64 // by how much ends were late that a taking over held back, in milliseconds
+	FirstCalls     []float64 // from a loss to its heir's first call,
+	Settlements    []float64 // and until all it had is ended
+	Violations     []string  // each breach in words
 }
 
 // Broken reports whether anything promised was not kept.
-func (v *Verdict) Broken() bool {
-	return v.Lost+v.Late+v.Twice+v.Sent+v.Both+v.InWait > 0 || v.Taken == 0
+func (v *Verdict) Violated() bool {
+	return v.Lost+v.Late+v.ForbiddenRepeats+v.RefusedSent+v.Overlapping+v.SentInWait > 0 || v.Accepted == 0
 }
 
 // New returns an empty Book.
-func New() *Book { return &Book{msgs: map[string]*message{}, senders: map[int]*sender{}} }
+func New() *Ledger { return &Ledger{messages: map[string]*message{}, senders: map[int]*sender{}} }
 
-func (b *Book) sender(k int) *sender {
-	s := b.senders[k]
+func (b *Ledger) sender(num int) *sender {
+	s := b.senders[num]
 	if s == nil {
 		s = &sender{}
-		b.senders[k] = s
+		b.senders[num] = s
 	}
 	return s
 }
 
 // Offered tells that a client is about to hand a message in at a sender. unsafe: its class forbids repeats.
-func (b *Book) Offered(id string, origin int, unsafe bool) {
+func (b *Ledger) Submitted(id string, origin int, unsafe bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.msgs[id] = &message{origin: origin, unsafe: unsafe}
+	b.messages[id] = &message{origin: origin, unsafe: unsafe}
 }
 
 // Answered tells what its client heard: 202, with when its time is up, or a refusal.
-func (b *Book) Answered(id string, taken bool, until time.Time) {
+func (b *Ledger) Answered(id string, accepted bool, deadline time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if m := b.msgs[id]; taken {
-		m.until = until
+	if m := b.messages[id]; accepted {
+		m.deadline = deadline
 	} else {
 		m.refused = true
 	}
 }
 
 // Called tells that a call for a message comes to the partner, by a sender.
-func (b *Book) Called(now time.Time, by int, id string) {
+func (b *Ledger) CallStarted(now time.Time, by int, id string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	m := b.msgs[id]
+	m := b.messages[id]
 	if m == nil {
 		return
 	}
-	if m.out++; m.out > 1 {
-		b.v.Both++
-		b.fault("%s: %d attempts are out", id, m.out)
+	if m.outstanding++; m.outstanding > 1 {
+		b.verdict.Overlapping++
+		b.addViolation("%s: %d attempts are out", id, m.outstanding)
 	}
-	if me := b.sender(by); now.After(me.told.Add(Crossing)) && now.Before(me.until) && me.told.After(me.lost) && me.told.After(me.killed) {
-		b.v.InWait++
-		b.fault("%s: called by n%d %v inside its wait", id, by, me.until.Sub(now))
+	if caller := b.sender(by); now.After(caller.waitSetAt.Add(CrossingSlack)) && now.Before(caller.waitUntil) && caller.waitSetAt.After(caller.lostAt) && caller.waitSetAt.After(caller.killedAt) {
+		b.verdict.SentInWait++
+		b.addViolation("%s: called by n%d %v inside its wait", id, by, caller.waitUntil.Sub(now))
 	}
 	if m.origin == by {
 		return
 	}
-	b.v.ByHeirs++
+	b.verdict.BySuccessors++
 	was := b.sender(m.origin)
-	if !was.heard && !was.lost.IsZero() {
-		was.heard = true
-		b.v.First = append(b.v.First, ms(now.Sub(was.lost)))
+	if !was.successorCalled && !was.lostAt.IsZero() {
+		was.successorCalled = true
+		b.verdict.FirstCalls = append(b.verdict.FirstCalls, ms(now.Sub(was.lostAt)))
 	}
 	// Told long enough before the loss to have been copied, and not just before the process was killed, which ends a wait.
-	if now.Before(was.until) && was.lost.Sub(was.told) > Crossing && (was.killed.Before(was.told) || was.killed.Sub(was.told) > Crossing) {
-		b.v.InWait++
-		b.fault("%s: called by n%d, the heir of n%d, %v inside the wait that was told to that, %v before it was lost", id, by, m.origin, was.until.Sub(now), was.lost.Sub(was.told))
+	if now.Before(was.waitUntil) && was.lostAt.Sub(was.waitSetAt) > CrossingSlack && (was.killedAt.Before(was.waitSetAt) || was.killedAt.Sub(was.waitSetAt) > CrossingSlack) {
+		b.verdict.SentInWait++
+		b.addViolation("%s: called by n%d, the heir of n%d, %v inside the wait that was told to that, %v before it was lost", id, by, m.origin, was.waitUntil.Sub(now), was.lostAt.Sub(was.waitSetAt))
 	}
 }
 
 // Effect tells that a message takes effect.
-func (b *Book) Effect(now time.Time, id string) {
+func (b *Ledger) TookEffect(now time.Time, id string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if m := b.msgs[id]; m != nil {
+	if m := b.messages[id]; m != nil {
 		m.effects++
-		b.settle(now, id, m)
+		b.recordEnd(now, id, m)
 	}
 }
 
 // Over tells that a call is over; delivered: it was answered as taken on.
-func (b *Book) Over(now time.Time, id string, delivered bool) {
+func (b *Ledger) CallEnded(now time.Time, id string, delivered bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if m := b.msgs[id]; m != nil {
-		m.out--
+	if m := b.messages[id]; m != nil {
+		m.outstanding--
 		if delivered {
-			m.ends = append(m.ends, now)
+			m.endings = append(m.endings, now)
 		}
 	}
 }
 
 // Told tells that a sender was told a wait, in answer to a call that began then. One that was lost or killed since has
 // not heard it.
-func (b *Book) Told(now time.Time, by int, began, until time.Time) {
+func (b *Ledger) WaitRequested(now time.Time, by int, began, waitUntil time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if s := b.sender(by); !s.lost.After(began) && !s.killed.After(began) {
-		s.told, s.until = now, until
+	if s := b.sender(by); !s.lostAt.After(began) && !s.killedAt.After(began) {
+		s.waitSetAt, s.waitUntil = now, waitUntil
 	}
 }
 
 // Notice tells that the platform was told of the end of a message.
-func (b *Book) Notice(now time.Time, id string) {
+func (b *Ledger) NoticeReceived(now time.Time, id string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if m := b.msgs[id]; m != nil {
-		m.ends = append(m.ends, now)
-		b.settle(now, id, m)
+	if m := b.messages[id]; m != nil {
+		m.endings = append(m.endings, now)
+		b.recordEnd(now, id, m)
 	}
 }
 
 // settle notes the first effect or notice of a message, and whether that was the last of a lost sender's.
-func (b *Book) settle(now time.Time, id string, m *message) {
-	if m.first.IsZero() {
-		m.first = now
+func (b *Ledger) recordEnd(now time.Time, id string, m *message) {
+	if m.firstEnd.IsZero() {
+		m.firstEnd = now
 	}
 	was := b.sender(m.origin)
-	if !was.left[id] {
+	if !was.unfinished[id] {
 		return
 	}
-	if delete(was.left, id); len(was.left) == 0 {
-		b.v.Settled = append(b.v.Settled, ms(now.Sub(was.lost)))
+	if delete(was.unfinished, id); len(was.unfinished) == 0 {
+		b.verdict.Settlements = append(b.verdict.Settlements, ms(now.Sub(was.lostAt)))
 	}
 }
 
 // Lost tells that a sender's machine is lost with its disk; has are the senders whose messages it had taken over.
-func (b *Book) Lost(now time.Time, k int, has []int) {
+func (b *Ledger) SenderLost(now time.Time, num int, takenOver []int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	was := b.sender(k)
-	was.lost, was.left = now, map[string]bool{}
-	for id, m := range b.msgs {
-		if m.origin == k && !m.until.IsZero() && m.first.IsZero() {
-			was.left[id] = true
+	lost := b.sender(num)
+	lost.lostAt, lost.unfinished = now, map[string]bool{}
+	for id, m := range b.messages {
+		if m.origin == num && !m.deadline.IsZero() && m.firstEnd.IsZero() {
+			lost.unfinished[id] = true
 		}
 	}
-	was.heard = len(was.left) == 0 // no call is waited for
-	b.hit(now, k, has)
+	lost.successorCalled = len(lost.unfinished) == 0 // no call is waited for
+	b.recordDisruption(now, num, takenOver)
 }
 
 // Killed tells that a sender's process was killed, which ends its waits; has as of Lost.
-func (b *Book) Killed(now time.Time, k int, has []int) {
+func (b *Ledger) SenderKilled(now time.Time, num int, takenOver []int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.sender(k).killed = now
-	b.hit(now, k, has)
+	b.sender(num).killedAt = now
+	b.recordDisruption(now, num, takenOver)
 }
 
 // Away tells that a sender is stopped or cut off; has as of Lost.
-func (b *Book) Away(now time.Time, k int, has []int) {
+func (b *Ledger) SenderUnreachable(now time.Time, num int, takenOver []int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.hit(now, k, has)
+	b.recordDisruption(now, num, takenOver)
 }
 
-func (b *Book) hit(now time.Time, k int, has []int) {
-	b.blows = append(b.blows, blow{now, append([]int{k}, has...)})
+func (b *Ledger) recordDisruption(now time.Time, num int, takenOver []int) {
+	b.disruptions = append(b.disruptions, disruption{now, append([]int{num}, takenOver...)})
 }
 
 // Open is how many messages that were taken on have no end yet.
-func (b *Book) Open() (n int) {
+func (b *Ledger) Unfinished() (n int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	for _, m := range b.msgs {
-		if !m.until.IsZero() && m.first.IsZero() {
+	for _, m := range b.messages {
+		if !m.deadline.IsZero() && m.firstEnd.IsZero() {
 			n++
 		}
 	}
@@ -240,51 +240,51 @@
 
 // held reports whether a message's time was up while whoever had it was lost, killed, stopped or cut off and its heir not
 // there yet: nobody can end it then, and it ends as soon as it is taken over. Another sender's loss excuses nothing.
-func (b *Book) held(m *message) bool {
-	return slices.ContainsFunc(b.blows, func(x blow) bool {
-		return slices.Contains(x.of, m.origin) && x.at.Before(m.until.Add(InTime)) && m.first.Sub(x.at) < TakeOver
+func (b *Ledger) delayedByTakeover(m *message) bool {
+	return slices.ContainsFunc(b.disruptions, func(x disruption) bool {
+		return slices.Contains(x.senders, m.origin) && x.at.Before(m.deadline.Add(LateSlack)) && m.firstEnd.Sub(x.at) < MaxTakeover
 	})
 }
 
 // Judge holds the ledgers side by side, when all that was taken on should be over.
-func (b *Book) Judge() Verdict {
+func (b *Ledger) Judge() Verdict {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	for id, m := range b.msgs {
+	for id, m := range b.messages {
 		if m.refused && m.effects > 0 {
-			b.v.Sent++
-			b.fault("%s: refused and sent", id)
+			b.verdict.RefusedSent++
+			b.addViolation("%s: refused and sent", id)
 		}
-		if m.until.IsZero() {
+		if m.deadline.IsZero() {
 			continue
 		}
-		b.v.Taken++
-		switch late := m.first.Sub(m.until); {
-		case m.first.IsZero():
-			b.v.Lost++
-			b.fault("%s: lost", id)
-		case late > InTime && b.held(m):
-			b.v.Over = append(b.v.Over, ms(late))
-		case late > InTime:
-			b.v.Late++
-			b.fault("%s: %v late", id, late)
+		b.verdict.Accepted++
+		switch late := m.firstEnd.Sub(m.deadline); {
+		case m.firstEnd.IsZero():
+			b.verdict.Lost++
+			b.addViolation("%s: lost", id)
+		case late > LateSlack && b.delayedByTakeover(m):
+			b.verdict.TakeoverDelays = append(b.verdict.TakeoverDelays, ms(late))
+		case late > LateSlack:
+			b.verdict.Late++
+			b.addViolation("%s: %v late", id, late)
 		}
 		switch {
 		case m.effects > 1 && m.unsafe:
-			b.v.Twice++
-			b.fault("%s: took effect %d times", id, m.effects)
+			b.verdict.ForbiddenRepeats++
+			b.addViolation("%s: took effect %d times", id, m.effects)
 		case m.effects > 1:
-			b.v.Repeated++
+			b.verdict.Repeated++
 		}
-		if len(m.ends) > 1 {
-			b.v.EndedMore++
+		if len(m.endings) > 1 {
+			b.verdict.MultipleEnds++
 		}
 	}
-	return b.v
+	return b.verdict
 }
 
-func (b *Book) fault(format string, args ...any) {
-	b.v.Faults = append(b.v.Faults, fmt.Sprintf(format, args...))
+func (b *Ledger) addViolation(format string, args ...any) {
+	b.verdict.Violations = append(b.verdict.Violations, fmt.Sprintf(format, args...))
 }
 
 func ms(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
--- a/internal/fleet/model/disk_test.go
+++ b/internal/fleet/model/disk_test.go
@@ -13,8 +13,8 @@
 		w.Schedule([]Fault{{Kind: KillDisk, Who: who, At: 3 * time.Second, For: time.Second},
 			{Kind: Kill, Who: (who + 1) % 3, At: 15 * time.Second, For: time.Minute}})
 		w.Run(14 * time.Second)
-		if !w.procs[who].voter.Votes() {
-			t.Errorf("voter %d has no vote 10 s after it is back: %s", who, w.procs[(who+1)%3].voter.Status())
+		if !w.procs[who].voter.HasVote() {
+			t.Errorf("voter %d has no vote 10 s after it is back: %s", who, w.procs[(who+1)%3].voter.StatusJSON())
 		}
 		w.Run(30 * time.Second)
 		if !w.Held() || w.Breach != "" {
--- a/internal/fleet/model/model.go
+++ b/internal/fleet/model/model.go
@@ -26,11 +26,11 @@
 type Options struct {
 	Voters, Members int // members beside the voters
 	Duties          int
-	Terms           lease.Terms
+	Terms           lease.Params
 	Election        time.Duration
 	Drift           float64 // by which clocks run fast or slow at most
 	Seed            uint64
-	BreakVoter      voter.Break
+	BreakVoter      voter.Skip
 	BreakSession    session.Break
 	Forget          bool // a guard taken out: what was synced is lost in a crash, too
 	NoRefuse        bool // a guard taken out: the resource takes any token
@@ -204,9 +204,9 @@
 			return
 		}
 		id = log.Identity()
-		p.voter, err = voter.New(voter.Options{Name: p.name, Voters: p.w.voters(), Minimum: p.w.o.Voters, Terms: p.w.o.Terms, Election: p.w.o.Election,
-			Log: log, Break: p.w.o.BreakVoter, Note: func(what string, _ error) {
-				if what == voter.NoteLeads {
+		p.voter, err = voter.New(voter.Options{Name: p.name, Voters: p.w.voters(), MinVoters: p.w.o.Voters, Lease: p.w.o.Terms, ElectionTimeout: p.w.o.Election,
+			Log: log, Skip: p.w.o.BreakVoter, OnEvent: func(what string, _ error) {
+				if what == voter.EventLeading {
 					p.w.Leads++
 				}
 				if p.w.Noted != nil {
@@ -337,7 +337,7 @@
 		var out []session.Out
 		out = append(out, p.session.Take()...)
 		if p.voter != nil {
-			for _, o := range p.voter.Take() {
+			for _, o := range p.voter.TakeOutgoing() {
 				out = append(out, session.Out(o))
 			}
 		}
@@ -462,7 +462,7 @@
 		if v == p {
 			continue
 		}
-		if !v.up || v.voter == nil || !v.voter.Votes() {
+		if !v.up || v.voter == nil || !v.voter.HasVote() {
 			return true
 		}
 	}
--- a/internal/fleet/model/model_test.go
+++ b/internal/fleet/model/model_test.go
@@ -16,7 +16,7 @@
 const drift = 0.05
 
 func options(seed uint64) Options {
-	return Options{Voters: 3, Members: 2, Duties: 2, Terms: lease.Terms{Length: 2 * time.Second, Drift: drift},
+	return Options{Voters: 3, Members: 2, Duties: 2, Terms: lease.Params{Length: 2 * time.Second, Drift: drift},
 		Election: 500 * time.Millisecond, Drift: drift, Seed: seed}
 }
 
@@ -82,10 +82,10 @@
 		faults func(i int) []Fault
 	}{
 		{"lease counted from the answer", func(o *Options) { o.BreakSession = session.BreakSent }, lossy},
-		{"no margin for drift", func(o *Options) { o.BreakSession, o.BreakVoter = session.BreakMargin, voter.BreakMargin }, cutOff},
+		{"no margin for drift", func(o *Options) { o.BreakSession, o.BreakVoter = session.BreakMargin, voter.SkipDriftMargin }, cutOff},
 		{"no check of the lease before the act", func(o *Options) { o.BreakSession = session.BreakCheck }, cutOff},
-		{"renewals acknowledged without a majority's word", func(o *Options) { o.BreakVoter = voter.BreakConfirm }, deposed},
-		{"a new leader gives no whole lease", func(o *Options) { o.BreakVoter = voter.BreakReset }, leaderKilled},
+		{"renewals acknowledged without a majority's word", func(o *Options) { o.BreakVoter = voter.SkipQuorumConfirmation }, deposed},
+		{"a new leader gives no whole lease", func(o *Options) { o.BreakVoter = voter.SkipLeaseReset }, leaderKilled},
 		{"tokens not refused by the resource", func(o *Options) { o.NoRefuse = true }, stopped},
 		{"what was synced is lost", func(o *Options) { o.Forget = true }, allKilled},
 	} {
@@ -159,14 +159,14 @@
 // TestComeBack: a voter that was cut off and comes back disturbs nobody. Without pre-vote and the check of the quorum
 // it makes an election: that guard is of calm, not of safety.
 func TestComeBack(t *testing.T) {
-	elections := func(seed uint64, guard voter.Break) int {
+	elections := func(seed uint64, guard voter.Skip) int {
 		o := options(seed)
 		o.BreakVoter = guard
 		w := New(o)
 		w.Run(4 * time.Second)
 		follower := 0
 		for _, p := range w.procs[:3] {
-			if !p.voter.Leads() {
+			if !p.voter.IsLeader() {
 				follower = p.n
 			}
 		}
@@ -181,7 +181,7 @@
 	with, without := 0, 0
 	for seed := range uint64(10) {
 		with += elections(seed, 0)
-		without += elections(seed, voter.BreakQuorum)
+		without += elections(seed, voter.SkipQuorumCheck)
 	}
 	t.Logf("elections in 10 runs: %d, without the guard %d", with, without)
 	if with > 0 || without < 5 {
--- a/internal/fleet/model/size_test.go
+++ b/internal/fleet/model/size_test.go
@@ -23,7 +23,7 @@
 		calm := w.Frames / 2
 		lead := -1
 		for _, p := range w.procs[:3] {
-			if p.voter.Leads() {
+			if p.voter.IsLeader() {
 				lead = p.n
 			}
 		}
--- a/internal/fleet/model/voters_test.go
+++ b/internal/fleet/model/voters_test.go
@@ -16,11 +16,11 @@
 	for seed := range uint64(5) {
 		w := New(options(seed))
 		w.Noted = func(n int, what string) {
-			if !strings.HasPrefix(what, voter.NoteVotersChanged) {
+			if !strings.HasPrefix(what, voter.EventVotersChanged) {
 				return
 			}
 			noted++
-			if w.procs[n].voter.ChangingVoters() {
+			if w.procs[n].voter.VoterChangePending() {
 				t.Errorf("seed %d: voter %d notes %q while the change is under way", seed, n, what)
 			}
 		}
--- a/internal/fleet/placement/placement.go
+++ b/internal/fleet/placement/placement.go
@@ -41,15 +41,15 @@
 		return 1
 	})
 	var names []string
-	used := map[string]int{zone: 1} // copies in a zone, the owner's own counted
+	copiesInZone := map[string]int{zone: 1} // copies in a zone, the owner's own counted
 	for len(names) < count && len(list) > 0 {
 		best := 0
 		for i := range list {
-			if used[list[i].Zone] < used[list[best].Zone] {
+			if copiesInZone[list[i].Zone] < copiesInZone[list[best].Zone] {
 				best = i
 			}
 		}
-		used[list[best].Zone]++
+		copiesInZone[list[best].Zone]++
 		names = append(names, list[best].Name)
 		list = slices.Delete(list, best, best+1)
 	}
@@ -69,25 +69,25 @@
 // Next is the list that an owner should ask for now, given the one that stands, of which synced have everything. One
 // step at a time: a member that is missing is added first; one that is not wanted goes once enough others have
 // everything, so that there are never fewer whole copies than before.
-func Next(standing, wanted []string, synced func(string) bool, present func(string) bool) []string {
-	next := slices.Clone(standing)
-	for _, name := range wanted {
+func NextStep(current, desired []string, synced func(string) bool, present func(string) bool) []string {
+	next := slices.Clone(current)
+	for _, name := range desired {
 		if !slices.Contains(next, name) {
 			return append(next, name)
 		}
 	}
-	whole := 0
-	for _, name := range wanted {
+	syncedCount := 0
+	for _, name := range desired {
 		if synced(name) {
-			whole++
+			syncedCount++
 		}
 	}
 	for i, name := range next {
-		if slices.Contains(wanted, name) {
+		if slices.Contains(desired, name) {
 			continue
 		}
 		// What it keeps is needed until each that is wanted has everything; one that is away is not waited for.
-		if whole == len(wanted) && whole > 0 || !present(name) && whole > 0 {
+		if syncedCount == len(desired) && syncedCount > 0 || !present(name) && syncedCount > 0 {
 			return slices.Delete(next, i, i+1)
 		}
 	}
--- a/internal/fleet/placement/placement_test.go
+++ b/internal/fleet/placement/placement_test.go
@@ -42,12 +42,12 @@
 	if moved > 0 {
 		t.Errorf("%d copies moved that the member that went did not have", moved)
 	}
-	most := 0
+	maxLoad := 0
 	for _, v := range load {
-		most = max(most, v)
+		maxLoad = max(maxLoad, v)
 	}
-	if most > 4*count {
-		t.Errorf("one member keeps copies of %d owners, %d are even", most, count)
+	if maxLoad > 4*count {
+		t.Errorf("one member keeps copies of %d owners, %d are even", maxLoad, count)
 	}
 	full := slices.Clone(all)
 	for i := range full {
@@ -61,24 +61,24 @@
 // TestNext: one step at a time, and never fewer whole copies than before.
 func TestNext(t *testing.T) {
 	synced := map[string]bool{"a": true, "b": true}
-	is := func(n string) bool { return synced[n] }
+	isSynced := func(n string) bool { return synced[n] }
 	present := map[string]bool{"a": true, "b": true, "c": true}
-	there := func(n string) bool { return present[n] }
-	at := []string{"a", "b"}
-	at = Next(at, []string{"b", "c"}, is, there)
-	if !slices.Equal(at, []string{"a", "b", "c"}) {
-		t.Fatalf("c is added first: %v", at)
+	isPresent := func(n string) bool { return present[n] }
+	current := []string{"a", "b"}
+	current = NextStep(current, []string{"b", "c"}, isSynced, isPresent)
+	if !slices.Equal(current, []string{"a", "b", "c"}) {
+		t.Fatalf("c is added first: %v", current)
 	}
-	if got := Next(at, []string{"b", "c"}, is, there); !slices.Equal(got, at) {
+	if got := NextStep(current, []string{"b", "c"}, isSynced, isPresent); !slices.Equal(got, current) {
 		t.Errorf("a goes before c has everything: %v", got)
 	}
 	synced["c"] = true
-	if got := Next(at, []string{"b", "c"}, is, there); !slices.Equal(got, []string{"b", "c"}) {
+	if got := NextStep(current, []string{"b", "c"}, isSynced, isPresent); !slices.Equal(got, []string{"b", "c"}) {
 		t.Errorf("a is not needed any more: %v", got)
 	}
 	delete(synced, "b")
 	delete(synced, "c")
-	if got := Next(at, []string{"b", "c"}, is, there); !slices.Equal(got, at) {
+	if got := NextStep(current, []string{"b", "c"}, isSynced, isPresent); !slices.Equal(got, current) {
 		t.Errorf("nobody that is wanted has everything: %v", got)
 	}
 }
--- a/internal/fleet/procs_test.go
+++ b/internal/fleet/procs_test.go
@@ -42,7 +42,7 @@
 	Settings     fleet.Settings
 	Dir          string
 	Rate         float64 // of its clock
-	BreakVoter   voter.Break
+	BreakVoter   voter.Skip
 	BreakSession session.Break
 }
 
@@ -176,7 +176,7 @@
 			peers = append(peers, p)
 		}
 		set := nodeSettings{Dir: filepath.Join(r.dir, name), Rate: 1, Settings: fleet.Settings{Name: name, Listen: addrs[name], Members: peers,
-			Minimum: voters, Weight: 1, Terms: lease.Terms{Length: time.Second, Drift: 0.05}, Election: 300 * time.Millisecond}}
+			Minimum: voters, Weight: 1, Terms: lease.Params{Length: time.Second, Drift: 0.05}, Election: 300 * time.Millisecond}}
 		if i%2 == 1 {
 			set.Rate = 1.04
 		}
@@ -480,7 +480,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		s := fleet.Settings{Name: name, Terms: lease.Terms{Length: time.Second, Drift: 0.05}, Election: 300 * time.Millisecond, Minimum: 3}
+		s := fleet.Settings{Name: name, Terms: lease.Params{Length: time.Second, Drift: 0.05}, Election: 300 * time.Millisecond, Minimum: 3}
 		for _, n := range []string{"a", "b", "c"} {
 			s.Members = append(s.Members, fleet.Peer{Name: n, Addr: freeAddr(t), Voter: true})
 		}
@@ -592,7 +592,7 @@
 			r.isolate(holder, true)
 			r.holder(0, fleet.Now(), holder, 20*time.Second)
 		}},
-		"a new leader gives no whole lease": {func(s *nodeSettings) { s.BreakVoter = voter.BreakReset }, func(r *rig, holder string) {
+		"a new leader gives no whole lease": {func(s *nodeSettings) { s.BreakVoter = voter.SkipLeaseReset }, func(r *rig, holder string) {
 			for _, p := range r.procs[:3] { // whoever leads
 				if p.name != holder {
 					r.kill(p)
--- a/internal/fleet/session/session.go
+++ b/internal/fleet/session/session.go
@@ -32,7 +32,7 @@
 	Zone        string
 	Weight      uint32
 	Voters      []string
-	Terms       lease.Terms
+	Terms       lease.Params
 	Rand        *rand.Rand
 	Note        func(what string, duty string, token uint64) // a duty is held, or no longer; nil: none
 	Break       Break
@@ -88,7 +88,7 @@
 	now     int64
 	out     []Out
 	id      uint64
-	lease   lease.Held
+	lease   lease.Holder
 	seq     uint64 // of sessions that were asked for
 	target  int    // the voter that is asked
 	next    uint64 // number of the next ask
@@ -191,7 +191,7 @@
 
 // Until is when the lease is over, on the caller's clock, and 0 if there is none at that time.
 func (s *Session) Until(now int64) int64 {
-	if left := s.lease.Left(now); left > 0 {
+	if left := s.lease.Remaining(now); left > 0 {
 		return now + int64(left)
 	}
 	return 0
@@ -277,7 +277,7 @@
 	case s.renewID != 0 && now-s.renewAt > s.patience():
 		s.turn()
 		s.renew()
-	case s.renewID == 0 && now-s.renewAt >= int64(s.o.Terms.Every()):
+	case s.renewID == 0 && now-s.renewAt >= int64(s.o.Terms.RenewInterval()):
 		s.renew()
 	}
 	if s.id == 0 {
@@ -483,7 +483,7 @@
 		return
 	}
 	if a.Error != "" {
-		s.retryAt = s.now + s.jitter(int64(s.o.Terms.Every()))
+		s.retryAt = s.now + s.jitter(int64(s.o.Terms.RenewInterval()))
 		if a.Gone { // a late copy of an earlier wish has been there first
 			s.seq++
 		}
@@ -508,7 +508,7 @@
 	if s.o.Break&BreakMargin != 0 {
 		terms.Drift = 0
 	}
-	s.lease.Renewed(terms, sent)
+	s.lease.Renew(terms, sent)
 }
 
 func (s *Session) renewed(a *pb.Answer) {
@@ -548,7 +548,7 @@
 			w.asked = 0
 		}
 	default:
-		w.again = s.now + s.jitter(int64(s.o.Terms.Every()))
+		w.again = s.now + s.jitter(int64(s.o.Terms.RenewInterval()))
 	}
 	if a.Duty != nil && a.Version >= s.version {
 		s.see(a.Duty)
--- a/internal/fleet/share/share.go
+++ b/internal/fleet/share/share.go
@@ -27,10 +27,10 @@
 const kind = "limit"
 
 // Duty is the name of a partner's duty.
-func Duty(dest int) string { return duty.Partner(kind, dest) }
+func Duty(dest int) string { return duty.PartnerDuty(kind, dest) }
 
 // Dest is the partner of a duty, false if the duty is of another kind.
-func Dest(name string) (int, bool) { return duty.PartnerOf(kind, name) }
+func Dest(name string) (int, bool) { return duty.ParsePartnerDuty(kind, name) }
 
 // Terms are what all members of a fleet must agree on.
 type Terms struct {
--- a/internal/fleet/spread/spread.go
+++ b/internal/fleet/spread/spread.go
@@ -20,17 +20,17 @@
 func (m Member) load(extra int) float64 { return float64(m.Duties+extra) / float64(max(m.Weight, 1)) }
 
 // Choose returns the place of the candidate that the duty goes to, -1 if there is none.
-func Choose(duty, zone string, of []Member) int {
+func Choose(duty, zone string, candidates []Member) int {
 	best := -1
-	for i := range of {
-		if best < 0 || before(duty, zone, &of[i], &of[best]) {
+	for i := range candidates {
+		if best < 0 || preferred(duty, zone, &candidates[i], &candidates[best]) {
 			best = i
 		}
 	}
 	return best
 }
 
-func before(duty, zone string, a, b *Member) bool {
+func preferred(duty, zone string, a, b *Member) bool {
 	if la, lb := a.load(1), b.load(1); la != lb {
 		return la < lb
 	}
@@ -53,9 +53,9 @@
 }
 
 // Better returns the place of the candidate that a held duty should move to, -1 if it stays.
-func Better(duty, zone string, holder Member, of []Member) int {
-	best := Choose(duty, zone, of)
-	if best < 0 || of[best].load(2) > holder.load(0) || holder.load(0) <= fair(holder, of) {
+func Rebalance(duty, zone string, holder Member, candidates []Member) int {
+	best := Choose(duty, zone, candidates)
+	if best < 0 || candidates[best].load(2) > holder.load(0) || holder.load(0) <= fairLoad(holder, candidates) {
 		return -1
 	}
 	return best
@@ -63,11 +63,11 @@
 
 // fair is the load that all would have if their duties lay evenly. A holder at or under it keeps what it has: what
 // a newcomer lacks is to come from those above.
-func fair(holder Member, of []Member) float64 {
+func fairLoad(holder Member, candidates []Member) float64 {
 	duties, weight := holder.Duties, max(holder.Weight, 1)
-	for i := range of {
-		duties += of[i].Duties
-		weight += max(of[i].Weight, 1)
+	for i := range candidates {
+		duties += candidates[i].Duties
+		weight += max(candidates[i].Weight, 1)
 	}
 	return float64(duties) / float64(weight)
 }
--- a/internal/fleet/trial/trial.go
+++ b/internal/fleet/trial/trial.go
@@ -32,10 +32,10 @@
 )
 
 // Duty is the name of a partner's duty.
-func Duty(dest int) string { return duty.Partner(kind, dest) }
+func Duty(dest int) string { return duty.PartnerDuty(kind, dest) }
 
 // Dest is the partner of a duty, false if the duty is of another kind.
-func Dest(name string) (int, bool) { return duty.PartnerOf(kind, name) }
+func Dest(name string) (int, bool) { return duty.ParsePartnerDuty(kind, name) }
 
 // News is what is heard of a duty.
 type News struct {
--- a/internal/fleet/voter/founding.go
+++ b/internal/fleet/voter/founding.go
@@ -21,75 +21,75 @@
 
 // founding is what a voter without a group has heard.
 type founding struct {
-	yes   map[string]bool // promised to be founders of this voter's group
-	at    int64           // of the next round of asks
-	asked bool            // it has told that a group exists that it cannot join
+	founders   map[string]bool // promised to be founders of this voter's group
+	nextInvite int64           // of the next round of asks
+	reported   bool            // it has told that a group exists that it cannot join
 }
 
-func (v *Voter) coordinates() bool { return v.o.Voters[0] == v.o.Name }
+func (v *Voter) isCoordinator() bool { return v.options.Voters[0] == v.options.Name }
 
 func (v *Voter) tickFounding() {
-	if v.now < v.found.at {
+	if v.now < v.founding.nextInvite {
 		return
 	}
-	v.found.at = v.now + int64(foundEvery)
-	id := v.o.Log.Identity()
-	if v.coordinates() && id.Group == 0 {
-		if err := v.o.Log.SetIdentity(func(id *pb.Identity) { id.Group = rand.Uint64() | 1 }); err != nil {
-			v.fail(err)
+	v.founding.nextInvite = v.now + int64(foundingInterval)
+	id := v.options.Log.Identity()
+	if v.isCoordinator() && id.Group == 0 {
+		if err := v.options.Log.SetIdentity(func(id *pb.Identity) { id.Group = rand.Uint64() | 1 }); err != nil {
+			v.stepDown(err)
 			return
 		}
 	}
-	ask := &pb.Found{Group: v.o.Log.Identity().Group, OnlyAsk: !v.coordinates()}
-	for _, name := range v.o.Voters {
-		if name != v.o.Name {
+	ask := &pb.Found{Group: v.options.Log.Identity().Group, OnlyAsk: !v.isCoordinator()}
+	for _, name := range v.options.Voters {
+		if name != v.options.Name {
 			v.send(name, &pb.Frame{What: &pb.Frame_Ask{Ask: &pb.Ask{Found: ask}}})
 		}
 	}
-	v.form()
+	v.foundGroup()
 }
 
 // form founds the group once enough have promised.
-func (v *Voter) form() {
-	if v.rn != nil || v.failed != nil || !v.coordinates() || len(v.found.yes)+1 < v.o.Minimum {
+func (v *Voter) foundGroup() {
+	if v.node != nil || v.failure != nil || !v.isCoordinator() || len(v.founding.founders)+1 < v.options.MinVoters {
 		return
 	}
-	v.promise(v.o.Log.Identity().Group)
-	v.o.Note("the fleet's group is founded", nil)
+	v.becomeFounder(v.options.Log.Identity().Group)
+	v.options.OnEvent("the fleet's group is founded", nil)
 }
 
 // promise makes this voter a founder of the group.
-func (v *Voter) promise(group uint64) bool {
+func (v *Voter) becomeFounder(group uint64) bool {
 	voters := map[uint64]string{}
 	var founders []uint64
-	for _, name := range v.o.Voters {
+	for _, name := range v.options.Voters {
 		voters[FounderID(name)] = name
 		founders = append(founders, FounderID(name))
 	}
 	state, err := duty.New(voters).Marshal()
 	if err == nil {
-		err = v.o.Log.Found(founders, state)
+		err = v.options.Log.Bootstrap(founders, state)
 	}
 	if err == nil {
-		err = v.o.Log.SetIdentity(func(id *pb.Identity) {
-			id.Group, id.Raft, id.Founder, id.Formed = group, FounderID(v.o.Name), true, true
+		err = v.options.Log.SetIdentity(func(id *pb.Identity) {
+			id.Group, id.Raft, id.Founder, id.Formed = group, FounderID(v.options.Name), true, true
 		})
 	}
 	if err == nil {
 		err = v.start()
 	}
 	if err != nil {
-		v.fail(err)
+		v.stepDown(err)
 	}
 	return err == nil
 }
 
 // takeFound answers an invitation, or the question which group this voter is of.
-func (v *Voter) takeFound(from string, a *pb.Ask) {
-	id := v.o.Log.Identity()
-	if !a.Found.OnlyAsk && id.Raft == 0 && v.failed == nil && !v.coordinates() && from == v.o.Voters[0] && a.Found.Group != 0 {
-		v.promise(a.Found.Group)
-		id = v.o.Log.Identity()
+func (v *Voter) handleFound(from string, a *pb.Ask) {
+	id := v.options.Log.Identity()
+	if !a.Found.OnlyAsk && id.Raft == 0 && v.failure == nil && !v.isCoordinator() && from == v.options.Voters[0] && a.Found.Group != 0 {
+		v.becomeFounder(a.Found.Group)
+		id = v.options.Log.Identity()
 	}
 	answer := &pb.Answer{Leader: v.Leader(), Founder: id.Founder}
 	if id.Raft != 0 {
@@ -99,33 +99,33 @@
 }
 
 // foundAnswer takes what another voter says of its group.
-func (v *Voter) foundAnswer(from string, a *pb.Answer) {
-	if v.rn != nil || v.failed != nil || a.Group == 0 || !slices.Contains(v.o.Voters, from) {
+func (v *Voter) handleFoundAnswer(from string, a *pb.Answer) {
+	if v.node != nil || v.failure != nil || a.Group == 0 || !slices.Contains(v.options.Voters, from) {
 		return
 	}
-	mine := v.o.Log.Identity().Group
+	mine := v.options.Log.Identity().Group
 	switch {
-	case v.coordinates() && a.Group == mine && a.Founder:
-		v.found.yes[from] = true
-		v.form()
+	case v.isCoordinator() && a.Group == mine && a.Founder:
+		v.founding.founders[from] = true
+		v.foundGroup()
 	case a.Leader != "":
-		v.enter(a.Group)
-	case v.coordinates() && a.Group != mine && !v.found.asked:
-		v.found.asked = true
-		v.o.Note("a group exists already, and no voter of it leads: waiting to join it", nil)
+		v.joinGroup(a.Group)
+	case v.isCoordinator() && a.Group != mine && !v.founding.reported:
+		v.founding.reported = true
+		v.options.OnEvent("a group exists already, and no voter of it leads: waiting to join it", nil)
 	}
 }
 
 // enter asks for a new number in a group that exists.
-func (v *Voter) enter(group uint64) {
+func (v *Voter) joinGroup(group uint64) {
 	// In this order: after a crash between any two, the old number is never used with an empty log, and the first
 	// voter never takes itself for a founder of the group that it was of.
-	err := v.o.Log.SetIdentity(func(id *pb.Identity) { id.Group, id.Raft, id.Founder, id.Formed = 0, 0, false, false })
+	err := v.options.Log.SetIdentity(func(id *pb.Identity) { id.Group, id.Raft, id.Founder, id.Formed = 0, 0, false, false })
 	if err == nil {
-		err = v.o.Log.Forget()
+		err = v.options.Log.Reset()
 	}
 	if err == nil {
-		err = v.o.Log.SetIdentity(func(id *pb.Identity) {
+		err = v.options.Log.SetIdentity(func(id *pb.Identity) {
 			id.Group, id.Raft, id.Formed = group, rand.Uint64()>>1|1, true
 		})
 	}
@@ -133,56 +133,56 @@
 		err = v.start()
 	}
 	if err != nil {
-		v.fail(err)
+		v.stepDown(err)
 		return
 	}
-	v.o.Note("joins the group under a new number", nil)
+	v.options.OnEvent("joins the group under a new number", nil)
 }
 
 // join asks for the vote of what this voter was, until it has it.
-func (v *Voter) join() {
-	id := v.o.Log.Identity()
-	if v.now < v.joinAt || id.Founder || v.conf != nil && slices.Contains(v.conf.GetVoters(), id.Raft) {
+func (v *Voter) requestJoin() {
+	id := v.options.Log.Identity()
+	if v.now < v.nextJoin || id.Founder || v.confState != nil && slices.Contains(v.confState.GetVoters(), id.Raft) {
 		return
 	}
-	v.joinAt = v.now + int64(2*foundEvery)
-	for _, name := range v.o.Voters {
-		if name != v.o.Name {
-			v.send(name, &pb.Frame{What: &pb.Frame_Ask{Ask: &pb.Ask{Join: &pb.Join{Member: v.o.Name, Raft: id.Raft}}}})
+	v.nextJoin = v.now + int64(2*foundingInterval)
+	for _, name := range v.options.Voters {
+		if name != v.options.Name {
+			v.send(name, &pb.Frame{What: &pb.Frame_Ask{Ask: &pb.Ask{Join: &pb.Join{Member: v.options.Name, Raft: id.Raft}}}})
 		}
 	}
 }
 
 // takeJoin lets a voter in under a new number, without a vote at first. While the number that it had is heard of,
 // somebody else runs under its name.
-func (v *Voter) takeJoin(from string, a *pb.Ask) {
-	if a.Join.Member != from || !slices.Contains(v.o.Voters, from) || v.state.Voter(a.Join.Raft) != "" {
+func (v *Voter) handleJoin(from string, a *pb.Ask) {
+	if a.Join.Member != from || !slices.Contains(v.options.Voters, from) || v.state.Voter(a.Join.Raft) != "" {
 		return
 	}
-	taken := false
-	progress := v.rn.Status().Progress
+	active := false
+	progress := v.node.Status().Progress
 	for id, name := range v.state.Voters() {
 		if p, there := progress[id]; name == from && there && p.RecentActive {
-			taken = true
+			active = true
 		}
 	}
-	if taken {
-		v.o.Note("a second process asks for the vote of "+from+", which is alive: refused", nil)
+	if active {
+		v.options.OnEvent("a second process asks for the vote of "+from+", which is alive: refused", nil)
 		return
 	}
-	v.changeVoters(&raftpb.ConfChangeV2{Context: []byte(from), Changes: []*raftpb.ConfChangeSingle{
+	v.proposeVoterChange(&raftpb.ConfChangeV2{Context: []byte(from), Changes: []*raftpb.ConfChangeSingle{
 		{Type: raftpb.ConfChangeAddLearnerNode.Enum(), NodeId: proto.Uint64(a.Join.Raft)}}})
 }
 
 // promote gives a voter that has the log the vote of the number that it had before.
-func (v *Voter) promote() {
-	if !v.leads() || len(v.conf.GetLearners()) == 0 {
+func (v *Voter) promoteLearners() {
+	if !v.isLeader() || len(v.confState.GetLearners()) == 0 {
 		return
 	}
-	progress := v.rn.Status().Progress
-	for _, id := range v.conf.GetLearners() {
+	progress := v.node.Status().Progress
+	for _, id := range v.confState.GetLearners() {
 		p, there := progress[id]
-		if !there || !p.RecentActive || p.Match == 0 || p.Match+caughtUp < v.applied {
+		if !there || !p.RecentActive || p.Match == 0 || p.Match+maxLearnerLag < v.applied {
 			continue
 		}
 		name := v.state.Voter(id)
@@ -193,17 +193,17 @@
 				cc.Changes = append(cc.Changes, &raftpb.ConfChangeSingle{Type: raftpb.ConfChangeRemoveNode.Enum(), NodeId: proto.Uint64(old)})
 			}
 		}
-		v.changeVoters(cc)
+		v.proposeVoterChange(cc)
 		return
 	}
 }
 
-func (v *Voter) changeVoters(cc *raftpb.ConfChangeV2) {
-	v.guard(func() { v.rn.ProposeConfChange(cc) })
+func (v *Voter) proposeVoterChange(cc *raftpb.ConfChangeV2) {
+	v.callRaft(func() { v.node.ProposeConfChange(cc) })
 }
 
 // applyVoters takes a change of the voters that was agreed on.
-func (v *Voter) applyVoters(cc *raftpb.ConfChangeV2) {
+func (v *Voter) applyVoterChange(cc *raftpb.ConfChangeV2) {
 	name := string(cc.GetContext())
 	for _, c := range cc.GetChanges() {
 		if c.GetType() == raftpb.ConfChangeRemoveNode {
@@ -212,15 +212,15 @@
 			v.state.SetVoter(c.GetNodeId(), name)
 		}
 	}
-	v.guard(func() { v.conf = v.rn.ApplyConfChange(cc) })
+	v.callRaft(func() { v.confState = v.node.ApplyConfChange(cc) })
 	if len(cc.GetChanges()) > 0 {
-		v.changed = name
+		v.changingVoter = name
 	}
-	if v.changed != "" && !v.ChangingVoters() {
-		v.o.Note(NoteVotersChanged+v.changed, nil)
-		v.changed = ""
+	if v.changingVoter != "" && !v.VoterChangePending() {
+		v.options.OnEvent(EventVotersChanged+v.changingVoter, nil)
+		v.changingVoter = ""
 	}
-	if v.rn != nil && len(v.conf.GetLearners()) > 0 {
+	if v.node != nil && len(v.confState.GetLearners()) > 0 {
 		// Whoever is new begins with a snapshot, and takes none that does not name it.
 		v.snapshot()
 	}
@@ -228,18 +228,18 @@
 
 // Aside hands the lead to the voter whose log is longest, for a voter that is about to leave: what it would agree
 // on last could otherwise be heard of only after an election.
-func (v *Voter) Aside() {
-	if !v.leads() {
+func (v *Voter) TransferLeadership() {
+	if !v.isLeader() {
 		return
 	}
 	best, match := uint64(0), uint64(0)
-	for id, p := range v.rn.Status().Progress {
-		if id != v.o.Log.Identity().Raft && p.RecentActive && !p.IsLearner && p.Match >= match {
+	for id, p := range v.node.Status().Progress {
+		if id != v.options.Log.Identity().Raft && p.RecentActive && !p.IsLearner && p.Match >= match {
 			best, match = id, p.Match
 		}
 	}
 	if best != 0 {
-		v.guard(func() { v.rn.TransferLeader(best) })
-		v.work()
+		v.callRaft(func() { v.node.TransferLeader(best) })
+		v.processReady()
 	}
 }
--- a/internal/fleet/voter/quiet.go
+++ b/internal/fleet/voter/quiet.go
@@ -7,17 +7,17 @@
 // This file is the log of the Raft library.
 
 // quiet is the library's log, which says nothing but the panics.
-type quiet struct{}
+type quietLogger struct{}
 
-func (quiet) Debug(...any)              {}
-func (quiet) Debugf(string, ...any)     {}
-func (quiet) Info(...any)               {}
-func (quiet) Infof(string, ...any)      {}
-func (quiet) Warning(...any)            {}
-func (quiet) Warningf(string, ...any)   {}
-func (quiet) Error(...any)              {}
-func (quiet) Errorf(string, ...any)     {}
-func (quiet) Fatal(v ...any)            { panic(fmt.Sprint(v...)) }
-func (quiet) Fatalf(f string, v ...any) { panic(fmt.Sprintf(f, v...)) }
-func (quiet) Panic(v ...any)            { panic(fmt.Sprint(v...)) }
-func (quiet) Panicf(f string, v ...any) { panic(fmt.Sprintf(f, v...)) }
+func (quietLogger) Debug(...any)              {}
+func (quietLogger) Debugf(string, ...any)     {}
+func (quietLogger) Info(...any)               {}
+func (quietLogger) Infof(string, ...any)      {}
+func (quietLogger) Warning(...any)            {}
+func (quietLogger) Warningf(string, ...any)   {}
+func (quietLogger) Error(...any)              {}
+func (quietLogger) Errorf(string, ...any)     {}
+func (quietLogger) Fatal(v ...any)            { panic(fmt.Sprint(v...)) }
+func (quietLogger) Fatalf(f string, v ...any) { panic(fmt.Sprintf(f, v...)) }
+func (quietLogger) Panic(v ...any)            { panic(fmt.Sprint(v...)) }
+func (quietLogger) Panicf(f string, v ...any) { panic(fmt.Sprintf(f, v...)) }
--- a/internal/fleet/voter/requests.go
+++ b/internal/fleet/voter/requests.go
@@ -14,139 +14,139 @@
 // This file takes members' requests, and answers them once a majority has confirmed what they rest on.
 
 type pending struct {
-	to   string
-	ask  uint64
-	till int64
+	to        string
+	requestID uint64
+	expiresAt int64
 }
 
 type renewal struct {
-	to      string
-	ask     uint64
-	session uint64
+	to        string
+	requestID uint64
+	session   uint64
 }
 
-type read struct {
-	seq   uint64
-	index uint64 // 0: no word yet
-	till  int64
-	list  []renewal
+type readRequest struct {
+	seq       uint64
+	index     uint64 // 0: no word yet
+	expiresAt int64
+	renewals  []renewal
 }
 
-func (v *Voter) take(from string, a *pb.Ask) {
+func (v *Voter) handleRequest(from string, a *pb.Ask) {
 	switch {
 	case a.Status != nil:
-		v.answer(from, &pb.Answer{Id: a.Id, Leader: v.Leader(), Status: v.Status()})
+		v.answer(from, &pb.Answer{Id: a.Id, Leader: v.Leader(), Status: v.StatusJSON()})
 	case a.Found != nil:
-		v.takeFound(from, a)
-	case !v.leads():
+		v.handleFound(from, a)
+	case !v.isLeader():
 		v.answer(from, &pb.Answer{Id: a.Id, NotLeader: true, Leader: v.Leader()})
 	case a.View != nil:
-		v.answer(from, &pb.Answer{Id: a.Id, Version: v.state.Version(), News: v.whole()})
+		v.answer(from, &pb.Answer{Id: a.Id, Version: v.state.Version(), News: v.fullUpdate()})
 	case a.Renew != 0:
-		if !v.granted.Heard(a.Renew, v.now) {
-			v.answer(from, &pb.Answer{Id: a.Id, Gone: true, Error: duty.ErrSession.Error()})
+		if !v.leases.Renew(a.Renew, v.now) {
+			v.answer(from, &pb.Answer{Id: a.Id, Gone: true, Error: duty.ErrSessionEnded.Error()})
 		} else if len(v.renewals) < maxPending {
 			v.renewals = append(v.renewals, renewal{from, a.Id, a.Renew})
 		}
-	case a.Command.GetAcquire() != nil && v.state.LineFull(a.Command.GetAcquire()):
+	case a.Command.GetAcquire() != nil && v.state.CandidatesFull(a.Command.GetAcquire()):
 		v.answer(from, &pb.Answer{Id: a.Id, Error: duty.ErrFull.Error()}) // hundreds may ask at once: not by the log
 	case a.Command != nil:
 		v.propose(from, a.Id, a.Command)
 	case a.Join != nil:
-		v.takeJoin(from, a)
+		v.handleJoin(from, a)
 	}
 }
 
 // propose puts a command into the log, and reports whether it is there: as long as this voter leads, it stays.
-func (v *Voter) propose(from string, ask uint64, c *pb.Command) (done bool) {
+func (v *Voter) propose(from string, requestID uint64, c *pb.Command) (proposed bool) {
 	if len(v.pending) >= maxPending {
-		v.answer(from, &pb.Answer{Id: ask, Error: duty.ErrFull.Error()})
+		v.answer(from, &pb.Answer{Id: requestID, Error: duty.ErrFull.Error()})
 		return false
 	}
-	v.nextID++
-	c.Id = v.nextID
+	v.nextCommandID++
+	c.Id = v.nextCommandID
 	b, err := proto.Marshal(c)
 	if err != nil {
 		return false
 	}
-	v.guard(func() { done = v.rn.Propose(b) == nil })
-	if done && v.rn != nil && from != "" {
-		v.pending[c.Id] = pending{from, ask, v.now + int64(pendingTimeout)}
+	v.callRaft(func() { proposed = v.node.Propose(b) == nil })
+	if proposed && v.node != nil && from != "" {
+		v.pending[c.Id] = pending{from, requestID, v.now + int64(pendingTimeout)}
 	}
-	return done
+	return proposed
 }
 
 // expire proposes the end of sessions that have lapsed.
-func (v *Voter) expire() {
-	if !v.leads() {
+func (v *Voter) expireSessions() {
+	if !v.isLeader() {
 		return
 	}
-	terms := v.o.Terms
-	if v.o.Break&BreakMargin != 0 {
-		terms.Drift = 0
+	params := v.options.Lease
+	if v.options.Skip&SkipDriftMargin != 0 {
+		params.Drift = 0
 	}
-	v.granted.Lapsed(terms, v.now, func(id uint64) {
-		if v.propose("", 0, &pb.Command{What: &pb.Command_Expire{Expire: &pb.Expire{Session: id, Term: v.term}}}) {
-			v.granted.Ending(id)
+	v.leases.ForEachExpired(params, v.now, func(id uint64) {
+		if v.propose("", 0, &pb.Command{What: &pb.Command_Expire{Expire: &pb.Expire{Session: id, Term: v.leaderTerm}}}) {
+			v.leases.MarkEnding(id)
 		}
 	})
 }
 
 // ask has a majority confirm that this voter leads, for all renewals that have come since the last time.
-func (v *Voter) ask() {
-	if !v.leads() || len(v.renewals) == 0 {
+func (v *Voter) confirmLeadership() {
+	if !v.isLeader() || len(v.renewals) == 0 {
 		return
 	}
 	v.readSeq++
-	r := read{seq: v.readSeq, till: v.now + int64(pendingTimeout), list: v.renewals}
+	r := readRequest{seq: v.readSeq, expiresAt: v.now + int64(pendingTimeout), renewals: v.renewals}
 	v.renewals = nil
-	if v.o.Break&BreakConfirm != 0 {
+	if v.options.Skip&SkipQuorumConfirmation != 0 {
 		r.index = v.applied
 	} else {
-		v.guard(func() { v.rn.ReadIndex(binary.BigEndian.AppendUint64(nil, r.seq)) })
+		v.callRaft(func() { v.node.ReadIndex(binary.BigEndian.AppendUint64(nil, r.seq)) })
 	}
-	v.reads = append(v.reads, r)
+	v.readRequests = append(v.readRequests, r)
 }
 
 // forget drops what has waited too long: its asker asks again.
-func (v *Voter) forget() {
+func (v *Voter) dropExpired() {
 	for id, p := range v.pending {
-		if v.now > p.till {
+		if v.now > p.expiresAt {
 			delete(v.pending, id)
 		}
 	}
-	v.reads = slices.DeleteFunc(v.reads, func(r read) bool { return v.now > r.till })
+	v.readRequests = slices.DeleteFunc(v.readRequests, func(r readRequest) bool { return v.now > r.expiresAt })
 }
 
 // confirmed takes a majority's word that this voter led when the renewals of a read had come.
-func (v *Voter) confirmed(s raft.ReadState) {
+func (v *Voter) markConfirmed(s raft.ReadState) {
 	if len(s.RequestCtx) != 8 {
 		return
 	}
 	seq := binary.BigEndian.Uint64(s.RequestCtx)
-	for i := range v.reads {
-		if v.reads[i].seq == seq {
-			v.reads[i].index = max(s.Index, 1)
+	for i := range v.readRequests {
+		if v.readRequests[i].seq == seq {
+			v.readRequests[i].index = max(s.Index, 1)
 		}
 	}
 }
 
 // acknowledge answers renewals that are confirmed, once the log is applied as far as it was agreed on then.
-func (v *Voter) acknowledge() {
-	if !v.leads() {
+func (v *Voter) answerRenewals() {
+	if !v.isLeader() {
 		return
 	}
-	v.reads = slices.DeleteFunc(v.reads, func(r read) bool {
+	v.readRequests = slices.DeleteFunc(v.readRequests, func(r readRequest) bool {
 		if r.index == 0 || r.index > v.applied {
 			return false
 		}
-		for _, q := range r.list {
+		for _, q := range r.renewals {
 			s := v.state.Session(q.session)
-			a := &pb.Answer{Id: q.ask, Version: v.state.Version(), Session: q.session}
-			if s == nil || s.Closing || v.granted.Doomed(q.session) {
-				a.Gone, a.Error = true, duty.ErrSession.Error()
+			a := &pb.Answer{Id: q.requestID, Version: v.state.Version(), Session: q.session}
+			if s == nil || s.Closing || v.leases.IsEnding(q.session) {
+				a.Gone, a.Error = true, duty.ErrSessionEnded.Error()
 			} else if s.Member == q.to {
-				v.following[q.to] = true
+				v.subscribers[q.to] = true
 			}
 			v.answer(q.to, a)
 		}
--- a/internal/lab/capacity/measure_fleet.go
+++ b/internal/lab/capacity/measure_fleet.go
@@ -48,7 +48,7 @@
 // groupFrames counts the frames of three voters and so many members in calm.
 func groupFrames(_ *Env, members int) (float64, error) {
 	const settle, counted = 8, 4
-	w := model.New(model.Options{Voters: 3, Members: members - 3, Duties: 1, Terms: lease.Terms{Length: 2 * time.Second, Drift: 0.05},
+	w := model.New(model.Options{Voters: 3, Members: members - 3, Duties: 1, Terms: lease.Params{Length: 2 * time.Second, Drift: 0.05},
 		Election: 500 * time.Millisecond, Drift: 0.05, Seed: 1})
 	w.Run(settle * time.Second)
 	w.Frames = 0
@@ -152,9 +152,9 @@
 }
 
 func statusBytes(_ *Env, members int) (float64, error) {
-	s := voter.Status{Asked: "sender-00000", Leader: "sender-00001"}
+	s := voter.Status{ReportedBy: "sender-00000", Leader: "sender-00001"}
 	for i := range members {
-		s.Members = append(s.Members, voter.MemberStatus{Name: fmt.Sprintf("sender-%05d", i), Session: uint64(i + 1000), Zone: "zone-11", Heard: 123.4, Duties: 3})
+		s.Members = append(s.Members, voter.MemberStatus{Name: fmt.Sprintf("sender-%05d", i), Session: uint64(i + 1000), Zone: "zone-11", LastHeardMS: 123.4, Duties: 3})
 	}
 	b, err := json.Marshal(s)
 	return float64(len(b)) / 1e3, err
--- a/internal/sender/copies.go
+++ b/internal/sender/copies.go
@@ -180,7 +180,7 @@
 // calls when it is lost.
 func (s *Sender) checkOwnLease(view *fleet.Look) {
 	c := s.copies
-	name := duty.Own(c.settings.Name)
+	name := duty.JournalDuty(c.settings.Name)
 	if time.Since(c.requestedAt) > time.Second {
 		c.requestedAt = time.Now()
 		c.fleet.Request(name, "")
@@ -240,7 +240,7 @@
 		present = append(present, placement.Member{Name: p.Name, Zone: p.Zone, Full: slices.Contains(full, p.Name)})
 	}
 	wanted := placement.Choose(c.settings.Name, c.settings.Zone, c.settings.Count, present)
-	next := placement.Next(d.Holders, wanted, c.owner.Synced, view.Is)
+	next := placement.NextStep(d.Holders, wanted, c.owner.Synced, view.Is)
 	if slices.Equal(next, d.Holders) || slices.Equal(next, c.requestedHolders) {
 		return
 	}
@@ -482,7 +482,7 @@
 // end while the call waits for its connection or the process is suspended.
 func (s *Sender) startCall(call *outbound.Call) {
 	if c := s.copies; c != nil && len(call.Items) > 0 {
-		name, epoch := duty.Own(c.settings.Name), c.owner.Epoch()
+		name, epoch := duty.JournalDuty(c.settings.Name), c.owner.Epoch()
 		call.MayStart = func() bool { return c.fleet.Token(name) == epoch }
 	}
 	s.pool.Go(call)
--- a/internal/sender/takeover.go
+++ b/internal/sender/takeover.go
@@ -21,7 +21,7 @@
 
 // ownerOf returns the owner of a journal from the name of its duty; empty: the name is of no such duty.
 func ownerOf(name string) string {
-	if n := len(duty.Own("")); len(name) > n {
+	if n := len(duty.JournalDuty("")); len(name) > n {
 		return name[n:]
 	}
 	return ""
@@ -87,7 +87,7 @@
 	var keys []uint64
 	suspected := 0
 	for _, e := range journal.Replay(t.Found.Records) {
-		if e.TakeoverDuty != "" && duty.Agreed(view.Adopted[ownerOf(e.TakeoverDuty)], e.TakeoverToken).GetBy() != t.Owner {
+		if e.TakeoverDuty != "" && duty.TakeoverByToken(view.Adopted[ownerOf(e.TakeoverDuty)], e.TakeoverToken).GetBy() != t.Owner {
 			continue // the lost owner was taking it over itself, without agreement
 		}
 		e.Num, e.TakeoverDuty, e.TakeoverToken = s.journal.NextNumber(), d.Name, d.Token
@@ -193,12 +193,12 @@
 	for key := range pending {
 		adoption, d, t := view.Adopted[key.owner], view.Own[key.owner], c.takeovers[key.owner]
 		switch {
-		case duty.Agreed(adoption, key.token).GetBy() == c.settings.Name:
+		case duty.TakeoverByToken(adoption, key.token).GetBy() == c.settings.Name:
 			var holds []journal.Hold
 			if t != nil && t.Epoch == key.token {
 				t.Stage, holds = copies.Done, t.holds
 			}
-			s.activateEntries(key.owner, key.token, holds, duty.Agreed(adoption, key.token).Elsewhere)
+			s.activateEntries(key.owner, key.token, holds, duty.TakeoverByToken(adoption, key.token).Elsewhere)
 		case adoption != nil && adoption.Token > key.token, view.Mine(d) && d.Token > key.token, d != nil && !view.Mine(d), d == nil:
 			// Another member holds the duty now, or none: the adoption was not agreed to and never will be.
 			for num, e := range c.pendingEntries {
