--- a/cmd/sliptide/fleet.go
+++ b/cmd/sliptide/fleet.go
@@ -50,10 +50,10 @@
 		return nil, fmt.Errorf("%w: fleet: RELAY_NAME is %q, which is no <member>", cli.ErrConfig, cfg.Name)
 	}
 	m := &membership{keep: f.Copies, space: space, files: fsys.OS{Dir: cfg.State}, room: space.Account(), log: log}
-	m.set = fleet.Settings{Name: cfg.Name, Listen: f.Listen, Members: peers(f), Minimum: f.Minimum, Weight: uint32(f.Weight),
-		Terms: lease.Terms{Length: f.Duties.Lease, Drift: f.Duties.Drift}, Election: f.Duties.Election, Hash: f.Hash()}
-	if m.set.Minimum == 0 {
-		m.set.Minimum = len(f.Voters())
+	m.set = fleet.Settings{Name: cfg.Name, Listen: f.Listen, Members: peers(f), MinVoters: f.Minimum, Weight: uint32(f.Weight),
+		Terms: lease.Terms{Length: f.Duties.Lease, Drift: f.Duties.Drift}, ElectionTimeout: f.Duties.Election, Hash: f.Hash()}
+	if m.set.MinVoters == 0 {
+		m.set.MinVoters = len(f.Voters())
 	}
 	if f.Cert != "" {
 		cfg, warnings, err := keys.Load(keys.Files{CA: f.CA, Cert: f.Cert, Key: f.Key}, time.Now())
@@ -90,7 +90,7 @@
 		snd.EnableCopies(m, set)
 	}
 	if op.Fleet.Trials.Enabled {
-		snd.ShareTrials(m, trial.Settings{Senders: senders, Bound: float64(op.Fleet.Trials.Bound) / float64(time.Millisecond)})
+		snd.ShareTrials(m, trial.Settings{Senders: senders, SilenceTimeoutMS: float64(op.Fleet.Trials.Bound) / float64(time.Millisecond)})
 	}
 }
 
@@ -113,9 +113,9 @@
 	if err != nil {
 		return fmt.Errorf("fleet: listen: %w", err)
 	}
-	o := fleet.Options{Settings: m.set, Files: m.files, Room: m.room, Log: m.log, Watch: m.heard}
+	o := fleet.Options{Settings: m.set, Files: m.files, Account: m.room, Log: m.log, DutyChanged: m.heard}
 	if m.keep.Enabled {
-		o.CopyRoom, o.KeepRoom, o.Copied, o.Changed, o.CopyStatus = m.keep.Room, m.space.Account(), m.snd.ReceiveCopyFrame, m.snd.Wake, m.snd.CopyStatus
+		o.CopyQuota, o.CopyAccount, o.ReceiveCopyReply, o.ViewChanged, o.CopyStatus = m.keep.Room, m.space.Account(), m.snd.ReceiveCopyFrame, m.snd.Wake, m.snd.CopyStatus
 	}
 	m.member, err = fleet.Open(o, ln)
 	if err != nil {
@@ -125,7 +125,7 @@
 }
 
 func (m *membership) heard(d *pb.Duty, mine bool) {
-	m.snd.UpdateDuty(d.Name, trial.News{Holder: d.Holder, Mine: mine, Word: d.Word})
+	m.snd.UpdateDuty(d.Name, trial.Update{Holder: d.Holder, HeldLocally: mine, Word: d.Word})
 }
 
 // stays reports whether the member is to be left only when its sender has: what it holds is copied until then.
@@ -164,33 +164,33 @@
 // Request implements sender.Fleet, as the others below.
 func (m *membership) Request(duty, zone string) {
 	if f := m.get(); f != nil {
-		f.Want(duty, zone)
+		f.Request(duty, zone)
 	}
 }
 
 // Release implements sender.Fleet.
 func (m *membership) Release(duty string, end bool) {
 	if f := m.get(); f != nil {
-		f.Leave(duty, end)
+		f.Release(duty, end)
 	}
 }
 
 // Publish implements sender.Fleet.
 func (m *membership) Publish(duty, word string) {
 	if f := m.get(); f != nil {
-		f.Say(duty, word)
+		f.Publish(duty, word)
 	}
 }
 
 // Token implements sender.Fleet.
-func (m *membership) Token(duty string) uint64 { return m.get().Held(duty) }
+func (m *membership) Token(duty string) uint64 { return m.get().Token(duty) }
 
 // View implements sender.CopyFleet, as the others below.
-func (m *membership) View() *fleet.Look {
+func (m *membership) View() *fleet.View {
 	if f := m.get(); f != nil {
-		return f.Look()
+		return f.View()
 	}
-	return &fleet.Look{}
+	return &fleet.View{}
 }
 
 // SendCopy implements sender.CopyFleet.
@@ -203,7 +203,7 @@
 // Propose implements sender.CopyFleet.
 func (m *membership) Propose(c *pb.Command, done func(*pb.Answer, error)) {
 	if f := m.get(); f != nil {
-		f.Ask(c, done)
+		f.Propose(c, done)
 	}
 }
 
@@ -216,7 +216,7 @@
 }
 
 // HeldDuties implements sender.Fleet.
-func (m *membership) HeldDuties() int { return m.get().Duties() }
+func (m *membership) HeldDuties() int { return m.get().HeldDuties() }
 
 // Live implements sender.Fleet.
 func (m *membership) Live() bool { return m.get().Live() }
--- a/cmd/sliptide/source.go
+++ b/cmd/sliptide/source.go
@@ -70,7 +70,7 @@
 	snd.EnableSharding(set.Replicas, func(ids []shard.ID) { source.subscriber.Release(ids) })
 	view := sharding.NewView(&cfg.Settings, log)
 	o := subscriber.Options{Name: cfg.Name, Region: set.Region, Zone: set.Zone, Weight: uint32(set.Weight), TLS: with, Log: log, Now: fleet.Now,
-		Hold: snd.HeldShards(), Released: view.Forget,
+		RequestedShards: snd.HeldShards(), Released: view.Forget,
 		Apply: func(a *directory.Applied) {
 			snd.UpdateShards(view.Take(a))
 			if len(a.Assigned) > 0 {
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -58,7 +58,7 @@
 	o      Options
 	self   Member
 	member *fleet.Member
-	net    *link.Net
+	net    *link.Manager
 	leader atomic.Pointer[string] // the holder of the duty, as the group tells
 	inbox  chan input
 	status atomic.Pointer[Status]
@@ -120,19 +120,19 @@
 	if err != nil {
 		return nil, errors.Join(fmt.Errorf("directory: %w", err), groupListener.Close())
 	}
-	set := fleet.Settings{Name: s.Name, Weight: 1, Terms: lease.Terms{Length: s.Lease, Drift: s.Drift}, Election: s.Election, Hash: s.hash(), Client: client, Server: server}
+	set := fleet.Settings{Name: s.Name, Weight: 1, Terms: lease.Terms{Length: s.Lease, Drift: s.Drift}, ElectionTimeout: s.Election, Hash: s.hash(), Client: client, Server: server}
 	for _, m := range s.Members {
 		set.Members = append(set.Members, fleet.Peer{Name: m.Name, Addr: m.Addr, Zone: m.Region, Voter: m.Voter})
 	}
-	set.Minimum = len(set.Voters())
-	c.member, err = fleet.Open(fleet.Options{Settings: set, Files: fsys.OS{Dir: s.State}, Log: o.Log, Watch: c.heardOfLeader}, groupListener)
+	set.MinVoters = len(set.VoterNames())
+	c.member, err = fleet.Open(fleet.Options{Settings: set, Files: fsys.OS{Dir: s.State}, Log: o.Log, DutyChanged: c.heardOfLeader}, groupListener)
 	if err != nil {
 		return nil, errors.Join(err, groupListener.Close(), directoryListener.Close())
 	}
-	c.member.Want(leaderDuty, "")
-	c.net = link.New(link.Options{Self: s.Name, Settings: subscriber.LinkHash, Dial: c.dials(), Known: func(name string) bool { return name != "" }, Client: client, Server: server,
-		PingEvery: subscriber.LinkPing, Silent: subscriber.LinkSilent, MaxLinks: maxLinks, Receive: c.receive, Call: c.call,
-		Note: func(what, member string, err error) {
+	c.member.Request(leaderDuty, "")
+	c.net = link.New(link.Options{Self: s.Name, SettingsHash: subscriber.LinkSettingsHash, DialAddrs: c.dials(), IsMember: func(name string) bool { return name != "" }, Client: client, Server: server,
+		PingInterval: subscriber.LinkPingInterval, SilenceTimeout: subscriber.LinkSilenceTimeout, MaxLinks: maxLinks, Receive: c.receive, Call: c.call,
+		LogEvent: func(what, member string, err error) {
 			o.Log.Debug().Str("member", member).Err(err).Msg("directory: " + what)
 		}})
 	go c.net.Serve(directoryListener)
@@ -298,7 +298,7 @@
 
 // seeWhoLeads begins or ends to lead, or follows another one.
 func (c *Control) seeWhoLeads(ctx context.Context, now int64) {
-	token := c.member.Held(leaderDuty)
+	token := c.member.Token(leaderDuty)
 	if c.lead != nil && c.lead.token != token {
 		c.stopLeading()
 	}
@@ -378,7 +378,7 @@
 
 // publish makes a change known, if this member still leads at this very moment.
 func (c *Control) publish(source uint64, endpoints []directory.Endpoint, joined, left []directory.Member) {
-	if c.member.Held(leaderDuty) != c.lead.token {
+	if c.member.Token(leaderDuty) != c.lead.token {
 		c.stopLeading()
 		return
 	}
--- a/internal/fleet/keeper.go
+++ b/internal/fleet/copies.go
@@ -14,23 +14,23 @@
 )
 
 // Look is what a member knows of journals and their copies. It is not changed once it is published.
-type Look struct {
-	Session uint64
-	Own     map[string]*pb.Duty // by owner: the duty of its journal
-	Adopted map[string]*pb.Adoption
-	Present []*pb.Present
+type View struct {
+	Session   uint64
+	Journals  map[string]*pb.Duty // by owner: the duty of its journal
+	Adoptions map[string]*pb.Adoption
+	Present   []*pb.Present
 }
 
 // Mine reports whether this member holds a duty by that look.
-func (l *Look) Mine(d *pb.Duty) bool { return d != nil && l.Session != 0 && d.Session == l.Session }
+func (l *View) Holds(d *pb.Duty) bool { return d != nil && l.Session != 0 && d.Session == l.Session }
 
 // Is reports whether a member's session goes on.
-func (l *Look) Is(name string) bool {
+func (l *View) HasMember(name string) bool {
 	return slices.ContainsFunc(l.Present, func(p *pb.Present) bool { return p.Name == name })
 }
 
 // Look is what is known now. It waits for nothing.
-func (m *Member) Look() *Look { return m.look.Load() }
+func (m *Member) View() *View { return m.look.Load() }
 
 // Incarnation is the number of this member's folder.
 func (m *Member) Incarnation() uint64 { return m.id.Incarnation }
@@ -38,24 +38,24 @@
 // publishLook makes what the session knows readable, and sees to links with those that copies go to or come from.
 func (m *Member) publishLook() {
 	version, id := m.session.Version(), m.session.ID()
-	if m.o.CopyRoom == 0 || version == m.seen && id == m.seenID {
+	if m.o.CopyQuota == 0 || version == m.seen && id == m.seenID {
 		return
 	}
 	m.seen, m.seenID = version, id
 	view, adopted, present := m.session.View()
-	l := &Look{Session: id, Own: map[string]*pb.Duty{}, Adopted: map[string]*pb.Adoption{}, Present: present}
+	l := &View{Session: id, Journals: map[string]*pb.Duty{}, Adoptions: map[string]*pb.Adoption{}, Present: present}
 	for name, d := range view {
 		if owner, own := strings.CutPrefix(name, duty.Own("")); own {
-			l.Own[owner] = d
+			l.Journals[owner] = d
 			m.keepers(owner, d)
 		}
 	}
 	for owner, a := range adopted {
-		l.Adopted[owner] = a
+		l.Adoptions[owner] = a
 	}
 	m.look.Store(l)
-	if m.o.Changed != nil {
-		m.o.Changed()
+	if m.o.ViewChanged != nil {
+		m.o.ViewChanged()
 	}
 }
 
@@ -67,13 +67,13 @@
 		return
 	}
 	if owner != m.self.Name {
-		m.session.Want(d.Name, "")
+		m.session.Request(d.Name, "")
 	}
 	for _, name := range all {
 		if m.self.Name < name {
 			for _, p := range m.o.Settings.Members {
 				if p.Name == name {
-					m.net.Reach(name, p.Addr)
+					m.net.Connect(name, p.Addr)
 				}
 			}
 		}
@@ -93,7 +93,7 @@
 }
 
 // Ask has a command agreed on and tells what came of it, on a goroutine of the member's. It waits for nothing.
-func (m *Member) Ask(c *pb.Command, done func(*pb.Answer, error)) {
+func (m *Member) Propose(c *pb.Command, done func(*pb.Answer, error)) {
 	m.own(func() {
 		m.session.Do(&pb.Ask{Command: c}, m.o.Settings.Terms.Length, done)
 	})
@@ -112,18 +112,18 @@
 func (m *Member) runKeeper() {
 	defer m.done.Done()
 	var holder *copies.Holder
-	if m.o.CopyRoom > 0 {
+	if m.o.CopyQuota > 0 {
 		var owners []string
 		for _, p := range m.o.Settings.Members {
 			if p.Name != m.self.Name {
 				owners = append(owners, p.Name)
 			}
 		}
-		files, kept, err := keep.Open(m.o.Files, m.o.KeepRoom, owners)
+		files, kept, err := keep.Open(m.o.Files, m.o.CopyAccount, owners)
 		if err != nil {
 			m.o.Log.Error().Err(err).Msg("fleet: copies cannot be kept here")
 		} else {
-			holder = copies.NewHolder(files, m.o.CopyRoom, bootID(), kept)
+			holder = copies.NewHolder(files, m.o.CopyQuota, bootID(), kept)
 		}
 	}
 	for {
@@ -158,7 +158,7 @@
 	switch {
 	case answer == nil:
 	case in.from == m.self.Name:
-		m.o.Copied(in.from, answer)
+		m.o.ReceiveCopyReply(in.from, answer)
 	default:
 		m.net.Send(in.from, answer)
 	}
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -46,16 +46,16 @@
 
 // Settings are what the operators' file says of the fleet.
 type Settings struct {
-	Name     string // of this member
-	Listen   string
-	Members  []Peer
-	Minimum  int
-	Weight   uint32
-	Terms    lease.Terms
-	Election time.Duration
-	Hash     uint64      // of what must be alike in all members' files
-	Client   *tls.Config `json:"-"`
-	Server   *tls.Config `json:"-"`
+	Name            string // of this member
+	Listen          string
+	Members         []Peer
+	MinVoters       int
+	Weight          uint32
+	Terms           lease.Terms
+	ElectionTimeout time.Duration
+	Hash            uint64      // of what must be alike in all members' files
+	Client          *tls.Config `json:"-"`
+	Server          *tls.Config `json:"-"`
 }
 
 // Self is this member's own line.
@@ -69,7 +69,7 @@
 }
 
 // Voters are the names of the voters, in the file's order.
-func (s *Settings) Voters() (names []string) {
+func (s *Settings) VoterNames() (names []string) {
 	for _, m := range s.Members {
 		if m.Voter {
 			names = append(names, m.Name)
@@ -93,18 +93,18 @@
 type Options struct {
 	Settings Settings
 	Files    fsys.FS
-	Room     *statedir.Account // nil: not bounded
+	Account  *statedir.Account // nil: not bounded
 	Log      zerolog.Logger
 	// Copies are kept of others' journals within so many bytes; 0: none. Frames of copies that are for the sender go to
 	// Copied, and Changed tells that Look has something new; neither may wait.
-	CopyRoom int64
-	KeepRoom *statedir.Account // of the folder, for copies; nil: not bounded
-	Copied   func(from string, f *pb.Frame)
-	Changed  func()
+	CopyQuota        int64
+	CopyAccount      *statedir.Account // of the folder, for copies; nil: not bounded
+	ReceiveCopyReply func(from string, f *pb.Frame)
+	ViewChanged      func()
 	// CopyStatus is what operators are told of the copies of this member's own journal; nil: there are none.
-	CopyStatus func() string
-	Watch      func(d *pb.Duty, mine bool) // each change of a duty; it must not wait. nil: none
-	Now        func() int64                // nil: Now
+	CopyStatus  func() string
+	DutyChanged func(d *pb.Duty, mine bool) // each change of a duty; it must not wait. nil: none
+	Now         func() int64                // nil: Now
 	// BreakVoter and BreakSession take guards out, for tests that show what finds that.
 	BreakVoter   voter.Break
 	BreakSession session.Break
@@ -128,14 +128,14 @@
 	o       Options
 	now     func() int64
 	self    Peer
-	net     *link.Net
+	net     *link.Manager
 	session *session.Session
 	voter   *voter.Voter // nil: not a voter, or its log cannot be opened yet
 	id      *pb.Identity
 	toVoter chan input
 	toOwn   chan input
 	toKeep  chan input
-	look    atomic.Pointer[Look]
+	look    atomic.Pointer[View]
 	seen    uint64 // the session's view that is published
 	seenID  uint64
 	held    atomic.Pointer[holds]
@@ -158,10 +158,10 @@
 		m.now = Now
 	}
 	m.held.Store(&holds{})
-	m.look.Store(&Look{})
+	m.look.Store(&View{})
 	m.SetMembers(o.Settings.Members)
 	m.ctx, m.cancel = context.WithCancel(context.Background())
-	log, err := disk.Open(o.Files, o.Room, self.Name)
+	log, err := disk.Open(o.Files, o.Account, self.Name)
 	switch {
 	case errors.Is(err, disk.ErrForeign):
 		return nil, fmt.Errorf("fleet: %w", err)
@@ -178,13 +178,13 @@
 		}
 	}
 	m.session = session.New(session.Options{Member: self.Name, Incarnation: m.id.Incarnation, Boot: m.id.Boot, Zone: self.Zone,
-		Weight: o.Settings.Weight, Voters: o.Settings.Voters(), Terms: o.Settings.Terms, Rand: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
-		Note: m.noteDuty, Break: o.BreakSession})
-	if o.Watch != nil {
-		m.session.Watch = func(d *pb.Duty) { o.Watch(d, m.session.Mine(d)) }
+		Weight: o.Settings.Weight, Voters: o.Settings.VoterNames(), Terms: o.Settings.Terms, Rand: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
+		LogEvent: m.noteDuty, Break: o.BreakSession})
+	if o.DutyChanged != nil {
+		m.session.DutyChanged = func(d *pb.Duty) { o.DutyChanged(d, m.session.Holds(d)) }
 	}
-	m.net = link.New(link.Options{Self: self.Name, Incarnation: m.id.Incarnation, Settings: o.Settings.Hash, Dial: m.dials(), Known: m.known,
-		Client: o.Settings.Client, Server: o.Settings.Server, Receive: m.receive, Call: m.call, Note: m.noteLink})
+	m.net = link.New(link.Options{Self: self.Name, Incarnation: m.id.Incarnation, SettingsHash: o.Settings.Hash, DialAddrs: m.dials(), IsMember: m.known,
+		Client: o.Settings.Client, Server: o.Settings.Server, Receive: m.receive, Call: m.call, LogEvent: m.noteLink})
 	m.done.Add(4)
 	go func() { defer m.done.Done(); m.net.Serve(ln) }()
 	go m.runSession()
@@ -195,7 +195,7 @@
 
 func (m *Member) newVoter(log *disk.Log) (*voter.Voter, error) {
 	s := &m.o.Settings
-	return voter.New(voter.Options{Name: m.self.Name, Voters: s.Voters(), Minimum: s.Minimum, Terms: s.Terms, Election: s.Election, Log: log,
+	return voter.New(voter.Options{Name: m.self.Name, Voters: s.VoterNames(), Minimum: s.MinVoters, Terms: s.Terms, Election: s.ElectionTimeout, Log: log,
 		Note: m.noteVoter, Break: m.o.BreakVoter}, m.now())
 }
 
@@ -243,8 +243,8 @@
 	to := m.toVoter
 	switch w := f.What.(type) {
 	case *pb.Frame_Copied, *pb.Frame_Sealed:
-		if m.o.Copied != nil {
-			m.o.Copied(from, f)
+		if m.o.ReceiveCopyReply != nil {
+			m.o.ReceiveCopyReply(from, f)
 		}
 		return
 	case *pb.Frame_Copy, *pb.Frame_Seal:
@@ -286,7 +286,7 @@
 	m.session.Tick(m.now())
 	for {
 		m.publish()
-		for _, o := range m.session.Take() {
+		for _, o := range m.session.TakeOutgoing() {
 			m.route(o.To, o.Frame)
 		}
 		select {
@@ -325,8 +325,8 @@
 // publish makes what is held readable to Held, before anything is sent that gives it up.
 func (m *Member) publish() {
 	now := m.now()
-	h := &holds{until: m.session.Until(now), tokens: m.session.Holds(now)}
-	if m.o.BreakSession&session.BreakCheck != 0 {
+	h := &holds{until: m.session.LeaseEnd(now), tokens: m.session.HeldTokens(now)}
+	if m.o.BreakSession&session.BreakLeaseCheck != 0 {
 		h.until = now + int64(time.Hour)
 	}
 	m.held.Store(h)
@@ -339,7 +339,7 @@
 		m.refuse()
 		return
 	}
-	tick := time.NewTicker(m.o.Settings.Election / 20)
+	tick := time.NewTicker(m.o.Settings.ElectionTimeout / 20)
 	defer tick.Stop()
 	reviveAt := time.Now().Add(reviveEach)
 	for {
@@ -370,7 +370,7 @@
 
 // revive tries a log again that could not be opened.
 func (m *Member) revive() {
-	log, err := disk.Open(m.o.Files, m.o.Room, m.self.Name)
+	log, err := disk.Open(m.o.Files, m.o.Account, m.self.Name)
 	if err != nil {
 		return
 	}
@@ -412,7 +412,7 @@
 
 // Held returns the fencing token of a duty that is held at this moment, 0 if it is not. It is to be asked
 // immediately before each act. It waits for nothing.
-func (m *Member) Held(duty string) uint64 {
+func (m *Member) Token(duty string) uint64 {
 	if m == nil {
 		return 0
 	}
@@ -424,7 +424,7 @@
 }
 
 // Duties is how many duties are held at this moment.
-func (m *Member) Duties() int {
+func (m *Member) HeldDuties() int {
 	if !m.Live() {
 		return 0
 	}
@@ -465,15 +465,15 @@
 }
 
 // Want puts this member in line for a duty. It waits for nothing.
-func (m *Member) Want(duty, zone string) { m.own(func() { m.session.Want(duty, zone) }) }
+func (m *Member) Request(duty, zone string) { m.own(func() { m.session.Request(duty, zone) }) }
 
 // Leave gives a duty up; with end it is over for everybody. It waits for nothing.
-func (m *Member) Leave(duty string, end bool) { m.own(func() { m.session.Leave(duty, end) }) }
+func (m *Member) Release(duty string, end bool) { m.own(func() { m.session.Release(duty, end) }) }
 
 // Say tells everybody who watches a word about a duty that this member holds.
-func (m *Member) Say(name, word string) {
+func (m *Member) Publish(name, word string) {
 	m.own(func() {
-		if t := m.session.Held(name, m.now()); t != 0 {
+		if t := m.session.Token(name, m.now()); t != 0 {
 			m.session.Do(&pb.Ask{Command: &pb.Command{What: &pb.Command_Say{Say: &pb.Say{Session: m.session.ID(), Duty: name, Token: t, Word: word}}}},
 				m.o.Settings.Terms.Length, func(*pb.Answer, error) {})
 		}
--- a/internal/fleet/link/link.go
+++ b/internal/fleet/link/link.go
@@ -44,26 +44,26 @@
 
 // Options are what a Net works with.
 type Options struct {
-	Self        string
-	Incarnation uint64
-	Settings    uint64            // hash of what must be alike at both ends
-	Dial        map[string]string // members that this one dials, with their addresses
-	Known       func(name string) bool
-	Client      *tls.Config // nil: no TLS
-	Server      *tls.Config
+	Self         string
+	Incarnation  uint64
+	SettingsHash uint64            // hash of what must be alike at both ends
+	DialAddrs    map[string]string // members that this one dials, with their addresses
+	IsMember     func(name string) bool
+	Client       *tls.Config // nil: no TLS
+	Server       *tls.Config
 	// Receive takes a frame; it may wait for a short time, as long as ctx goes on.
 	Receive func(ctx context.Context, from string, f *pb.Frame)
 	// Call answers an operator's command.
-	Call func(ctx context.Context, a *pb.Ask) (*pb.Answer, error)
-	Note func(what, member string, err error) // a change of state, for the log
+	Call     func(ctx context.Context, a *pb.Ask) (*pb.Answer, error)
+	LogEvent func(what, member string, err error) // a change of state, for the log
 	// How often a link says that it is there, how long one may say nothing, and how many are accepted; 0: as for voters.
-	PingEvery time.Duration
-	Silent    time.Duration
-	MaxLinks  int
+	PingInterval   time.Duration
+	SilenceTimeout time.Duration
+	MaxLinks       int
 }
 
 // Net is a member's links.
-type Net struct {
+type Manager struct {
 	pb.UnimplementedLinksServer
 	o      Options
 	server *grpc.Server
@@ -89,9 +89,9 @@
 }
 
 // New returns a Net, and dials.
-func New(o Options) *Net {
-	o.PingEvery, o.Silent, o.MaxLinks = cmp.Or(o.PingEvery, pingEvery), cmp.Or(o.Silent, maxSilence), cmp.Or(o.MaxLinks, MaxLinks)
-	n := &Net{o: o, links: map[string]*link{}, dials: map[string]bool{}}
+func New(o Options) *Manager {
+	o.PingInterval, o.SilenceTimeout, o.MaxLinks = cmp.Or(o.PingInterval, pingEvery), cmp.Or(o.SilenceTimeout, maxSilence), cmp.Or(o.MaxLinks, MaxLinks)
+	n := &Manager{o: o, links: map[string]*link{}, dials: map[string]bool{}}
 	n.ctx, n.cancel = context.WithCancel(context.Background())
 	opts := []grpc.ServerOption{grpc.MaxRecvMsgSize(MaxFrame), grpc.MaxConcurrentStreams(16), grpc.ConnectionTimeout(2 * time.Second),
 		grpc.ReadBufferSize(4 << 10), grpc.WriteBufferSize(4 << 10)}
@@ -100,14 +100,14 @@
 	}
 	n.server = grpc.NewServer(opts...)
 	pb.RegisterLinksServer(n.server, n)
-	for name, addr := range o.Dial {
-		n.Reach(name, addr)
+	for name, addr := range o.DialAddrs {
+		n.Connect(name, addr)
 	}
 	return n
 }
 
 // Reach keeps a link to a further member up from now on. Of two members one alone is to reach the other.
-func (n *Net) Reach(name, addr string) {
+func (n *Manager) Connect(name, addr string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.dials[name] || n.ctx.Err() != nil {
@@ -119,17 +119,17 @@
 }
 
 // Serve accepts links until Close.
-func (n *Net) Serve(ln net.Listener) error { return n.server.Serve(ln) }
+func (n *Manager) Serve(ln net.Listener) error { return n.server.Serve(ln) }
 
 // Close ends all links. What is queued is given a moment.
-func (n *Net) Close() {
+func (n *Manager) Close() {
 	n.cancel()
 	n.server.Stop()
 	n.done.Wait()
 }
 
 // Send queues a frame for a member. It never waits.
-func (n *Net) Send(to string, f *pb.Frame) {
+func (n *Manager) Send(to string, f *pb.Frame) {
 	n.mu.Lock()
 	l := n.links[to]
 	n.mu.Unlock()
@@ -143,7 +143,7 @@
 }
 
 // Linked are the members that a link is up to.
-func (n *Net) Linked() (names []string) {
+func (n *Manager) Connected() (names []string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for name := range n.links {
@@ -152,7 +152,7 @@
 	return names
 }
 
-func (n *Net) dial(name, addr string) {
+func (n *Manager) dial(name, addr string) {
 	defer n.done.Done()
 	pause := minRedial
 	told := false
@@ -163,7 +163,7 @@
 			pause, told = minRedial, false
 		}
 		if !told && n.ctx.Err() == nil {
-			n.o.Note("link down", name, err)
+			n.o.LogEvent("link down", name, err)
 			told = true
 		}
 		select {
@@ -175,7 +175,7 @@
 }
 
 // reach keeps a link to a member up for as long as it goes.
-func (n *Net) reach(name, addr string) error {
+func (n *Manager) reach(name, addr string) error {
 	conn, err := Dial(addr, n.o.Client)
 	if err != nil {
 		return err
@@ -215,14 +215,14 @@
 		grpc.WithConnectParams(grpc.ConnectParams{MinConnectTimeout: maxSilence, Backoff: backoff.Config{BaseDelay: minRedial, Multiplier: 2, Jitter: 0.2, MaxDelay: maxRedial}}))
 }
 
-func (n *Net) hello() *pb.Frame {
-	return &pb.Frame{What: &pb.Frame_Hello{Hello: &pb.Hello{Member: n.o.Self, Settings: n.o.Settings, Incarnation: n.o.Incarnation}}}
+func (n *Manager) hello() *pb.Frame {
+	return &pb.Frame{What: &pb.Frame_Hello{Hello: &pb.Hello{Member: n.o.Self, Settings: n.o.SettingsHash, Incarnation: n.o.Incarnation}}}
 }
 
 var errFull = errors.New("no more links are taken")
 
 // Link accepts a link.
-func (n *Net) Link(st grpc.BidiStreamingServer[pb.Frame, pb.Frame]) error {
+func (n *Manager) Link(st grpc.BidiStreamingServer[pb.Frame, pb.Frame]) error {
 	ctx, cancel := context.WithCancel(st.Context())
 	defer cancel()
 	stop := context.AfterFunc(n.ctx, cancel)
@@ -242,7 +242,7 @@
 	case <-ctx.Done():
 	}
 	if err := n.welcome(h); err != nil {
-		n.o.Note("link refused", h.GetMember(), err)
+		n.o.LogEvent("link refused", h.GetMember(), err)
 		return status.Error(codes.FailedPrecondition, err.Error())
 	}
 	if err := st.Send(n.hello()); err != nil {
@@ -251,7 +251,7 @@
 	return n.run(ctx, cancel, h, st)
 }
 
-func (n *Net) welcome(h *pb.Hello) error {
+func (n *Manager) welcome(h *pb.Hello) error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	switch {
@@ -259,9 +259,9 @@
 		return errors.New("no word of who calls")
 	case h.Member == n.o.Self:
 		return fmt.Errorf("a second process runs as %q", h.Member)
-	case !n.o.Known(h.Member):
+	case !n.o.IsMember(h.Member):
 		return fmt.Errorf("%q is no member of this fleet", h.Member)
-	case h.Settings != n.o.Settings:
+	case h.Settings != n.o.SettingsHash:
 		return fmt.Errorf("%q has other fleet settings: voters, lease and drift must be alike in all operators' files", h.Member)
 	case len(n.links) >= n.o.MaxLinks:
 		return errFull
@@ -273,7 +273,7 @@
 }
 
 // run carries frames until the link goes down; a later link to the same member takes its place.
-func (n *Net) run(ctx context.Context, cancel context.CancelFunc, h *pb.Hello, st stream) error {
+func (n *Manager) run(ctx context.Context, cancel context.CancelFunc, h *pb.Hello, st stream) error {
 	name := h.Member
 	l := &link{queue: make(chan *pb.Frame, maxQueue), cancel: cancel, incarnation: h.Incarnation}
 	n.mu.Lock()
@@ -282,7 +282,7 @@
 	}
 	n.links[name] = l
 	n.mu.Unlock()
-	n.o.Note("link up", name, nil)
+	n.o.LogEvent("link up", name, nil)
 	defer func() {
 		n.mu.Lock()
 		if n.links[name] == l {
@@ -297,7 +297,7 @@
 		errs <- n.write(ctx, l, st)
 		cancel()
 	}()
-	silent := time.AfterFunc(n.o.Silent, cancel)
+	silent := time.AfterFunc(n.o.SilenceTimeout, cancel)
 	defer silent.Stop()
 	go func() { errs <- n.read(ctx, name, st, silent) }()
 	select {
@@ -309,13 +309,13 @@
 	}
 }
 
-func (n *Net) read(ctx context.Context, name string, st stream, silent *time.Timer) error {
+func (n *Manager) read(ctx context.Context, name string, st stream, silent *time.Timer) error {
 	for {
 		f, err := st.Recv()
 		if err != nil {
 			return err
 		}
-		silent.Reset(n.o.Silent)
+		silent.Reset(n.o.SilenceTimeout)
 		if f.GetPing() == nil {
 			n.o.Receive(ctx, name, f)
 		}
@@ -325,8 +325,8 @@
 	}
 }
 
-func (n *Net) write(ctx context.Context, l *link, st stream) error {
-	ping := time.NewTicker(n.o.PingEvery)
+func (n *Manager) write(ctx context.Context, l *link, st stream) error {
+	ping := time.NewTicker(n.o.PingInterval)
 	defer ping.Stop()
 	for {
 		var f *pb.Frame
@@ -344,4 +344,4 @@
 }
 
 // Call answers an operator's command.
-func (n *Net) Call(ctx context.Context, a *pb.Ask) (*pb.Answer, error) { return n.o.Call(ctx, a) }
+func (n *Manager) Call(ctx context.Context, a *pb.Ask) (*pb.Answer, error) { return n.o.Call(ctx, a) }
--- a/internal/fleet/model/disk_test.go
+++ b/internal/fleet/model/disk_test.go
@@ -10,15 +10,15 @@
 func TestNewDisk(t *testing.T) {
 	for who := range 3 {
 		w := New(options(uint64(who)))
-		w.Schedule([]Fault{{Kind: KillDisk, Who: who, At: 3 * time.Second, For: time.Second},
-			{Kind: Kill, Who: (who + 1) % 3, At: 15 * time.Second, For: time.Minute}})
+		w.Schedule([]Fault{{Kind: KillAndWipe, Proc: who, At: 3 * time.Second, Duration: time.Second},
+			{Kind: Kill, Proc: (who + 1) % 3, At: 15 * time.Second, Duration: time.Minute}})
 		w.Run(14 * time.Second)
 		if !w.procs[who].voter.Votes() {
 			t.Errorf("voter %d has no vote 10 s after it is back: %s", who, w.procs[(who+1)%3].voter.Status())
 		}
 		w.Run(30 * time.Second)
-		if !w.Held() || w.Breach != "" {
-			t.Errorf("held %v, breach %q with the new disk in the majority", w.Held(), w.Breach)
+		if !w.AllHeld() || w.Violation != "" {
+			t.Errorf("held %v, breach %q with the new disk in the majority", w.AllHeld(), w.Violation)
 		}
 	}
 }
--- a/internal/fleet/model/model.go
+++ b/internal/fleet/model/model.go
@@ -27,13 +27,13 @@
 	Voters, Members int // members beside the voters
 	Duties          int
 	Terms           lease.Terms
-	Election        time.Duration
+	ElectionTimeout time.Duration
 	Drift           float64 // by which clocks run fast or slow at most
 	Seed            uint64
 	BreakVoter      voter.Break
 	BreakSession    session.Break
-	Forget          bool // a guard taken out: what was synced is lost in a crash, too
-	NoRefuse        bool // a guard taken out: the resource takes any token
+	LoseSyncedData  bool // a guard taken out: what was synced is lost in a crash, too
+	AcceptOldTokens bool // a guard taken out: the resource takes any token
 }
 
 // FaultKind is what goes wrong.
@@ -41,51 +41,51 @@
 
 // The faults.
 const (
-	Kill     FaultKind = iota // the process ends and starts again after For
-	KillDisk                  // with its disk
-	Stop                      // it is stopped for For (SIGSTOP), its connections stay
-	Cut                       // it and With do not hear each other
-	CutFrom                   // it hears With, which does not hear it
-	CutOff                    // it is cut off from everybody
-	Loss                      // a third of all frames is lost, a tenth repeated
-	BadDisk                   // its disk refuses all writes
-	KillAll                   // every voter ends and starts again
-	HandOver                  // an operator asks for a hand-over
-	Faults
+	Kill        FaultKind = iota // the process ends and starts again after For
+	KillAndWipe                  // with its disk
+	Stop                         // it is stopped for For (SIGSTOP), its connections stay
+	Cut                          // it and With do not hear each other
+	CutOneWay                    // it hears With, which does not hear it
+	Isolate                      // it is cut off from everybody
+	Loss                         // a third of all frames is lost, a tenth repeated
+	BadDisk                      // its disk refuses all writes
+	KillAll                      // every voter ends and starts again
+	HandOver                     // an operator asks for a hand-over
+	FaultKinds
 )
 
 // String is the fault in a word.
 func (k FaultKind) String() string {
-	return [...]string{"kill", "kill with disk", "stop", "cut", "one-way cut", "cut off", "loss", "bad disk", "kill all voters", "hand-over", "?"}[min(k, Faults)]
+	return [...]string{"kill", "kill with disk", "stop", "cut", "one-way cut", "cut off", "loss", "bad disk", "kill all voters", "hand-over", "?"}[min(k, FaultKinds)]
 }
 
 // Fault is one fault of a schedule.
 type Fault struct {
-	Kind FaultKind
-	At   time.Duration
-	For  time.Duration
-	Who  int
-	With int
+	Kind     FaultKind
+	At       time.Duration
+	Duration time.Duration
+	Proc     int
+	Peer     int
 }
 
 // World is a fleet in the model.
 type World struct {
-	o      Options
-	rng    *rand.Rand
-	now    int64
-	queue  events
-	seq    int
-	procs  []*proc
-	names  map[string]*proc
-	cuts   map[[2]int]int // from, to: cuts that hold
-	loss   int
-	res    map[string]*resource
-	Breach string // the first rule that was broken; empty: none
-	Frames int    // sent
-	Grants int    // tokens that were acted with
-	Leads  int    // times that a voter began to lead
+	o             Options
+	rng           *rand.Rand
+	now           int64
+	queue         events
+	seq           int
+	procs         []*proc
+	names         map[string]*proc
+	cuts          map[[2]int]int // from, to: cuts that hold
+	loss          int
+	res           map[string]*resource
+	Violation     string // the first rule that was broken; empty: none
+	FramesSent    int    // sent
+	Grants        int    // tokens that were acted with
+	LeaderChanges int    // times that a voter began to lead
 	// Noted, if set, is told what a voter notes, while it notes it.
-	Noted  func(voter int, what string)
+	OnNote func(voter int, what string)
 	heldBy map[string]int
 }
 
@@ -182,7 +182,7 @@
 
 // Run plays until that time or the first breach.
 func (w *World) Run(until time.Duration) {
-	for len(w.queue) > 0 && w.Breach == "" && w.queue[0].at <= int64(until) {
+	for len(w.queue) > 0 && w.Violation == "" && w.queue[0].at <= int64(until) {
 		e := heap.Pop(&w.queue).(event)
 		w.now = e.at
 		e.do()
@@ -204,27 +204,27 @@
 			return
 		}
 		id = log.Identity()
-		p.voter, err = voter.New(voter.Options{Name: p.name, Voters: p.w.voters(), Minimum: p.w.o.Voters, Terms: p.w.o.Terms, Election: p.w.o.Election,
+		p.voter, err = voter.New(voter.Options{Name: p.name, Voters: p.w.voters(), Minimum: p.w.o.Voters, Terms: p.w.o.Terms, Election: p.w.o.ElectionTimeout,
 			Log: log, Break: p.w.o.BreakVoter, Note: func(what string, _ error) {
 				if what == voter.NoteLeads {
-					p.w.Leads++
+					p.w.LeaderChanges++
 				}
-				if p.w.Noted != nil {
-					p.w.Noted(p.n, what)
+				if p.w.OnNote != nil {
+					p.w.OnNote(p.n, what)
 				}
 			}}, p.local())
 		if err != nil {
-			p.w.Breach = "a voter does not start: " + err.Error()
+			p.w.Violation = "a voter does not start: " + err.Error()
 			return
 		}
 	}
 	p.session = session.New(session.Options{Member: p.name, Incarnation: id.Incarnation, Boot: id.Boot, Voters: p.w.voters(), Terms: p.w.o.Terms,
 		Rand: rand.New(rand.NewPCG(p.w.rng.Uint64(), 2)), Break: p.w.o.BreakSession})
 	for d := range p.w.o.Duties {
-		p.session.Want(dutyName(d), "")
+		p.session.Request(dutyName(d), "")
 	}
 	epoch := p.epoch
-	p.w.after(time.Duration(p.w.rng.Int64N(int64(p.w.o.Election/20))), func() { p.tick(epoch) })
+	p.w.after(time.Duration(p.w.rng.Int64N(int64(p.w.o.ElectionTimeout/20))), func() { p.tick(epoch) })
 	p.w.after(time.Duration(p.w.rng.Int64N(int64(100*time.Millisecond))), func() { p.act(epoch) })
 }
 
@@ -245,7 +245,7 @@
 	}
 	p.session.Tick(p.local())
 	p.flush()
-	p.w.after(p.w.o.Election/20, func() { p.tick(epoch) })
+	p.w.after(p.w.o.ElectionTimeout/20, func() { p.tick(epoch) })
 }
 
 // act does what a holder of a duty does: it looks at its lease, and what it then does arrives somewhat later, or
@@ -260,7 +260,7 @@
 	}
 	for d := range p.w.o.Duties {
 		name := dutyName(d)
-		if t := p.session.Held(name, p.local()); t != 0 {
+		if t := p.session.Token(name, p.local()); t != 0 {
 			p.w.after(time.Duration(p.w.rng.Int64N(int64(5*time.Millisecond))), func() { p.arrive(epoch, name, t) })
 		}
 	}
@@ -273,7 +273,7 @@
 	}
 	r := p.w.res[name]
 	switch {
-	case token < r.token && p.w.o.NoRefuse:
+	case token < r.token && p.w.o.AcceptOldTokens:
 		p.w.breach("%s acted on %s with token %d after %s had with %d", p.name, name, token, r.holder, r.token)
 	case token < r.token: // refused
 	case token == r.token && r.holder != p.name:
@@ -287,8 +287,8 @@
 }
 
 func (w *World) breach(format string, args ...any) {
-	if w.Breach == "" {
-		w.Breach = time.Duration(w.now).Round(time.Millisecond).String() + ": " + fmt.Sprintf(format, args...)
+	if w.Violation == "" {
+		w.Violation = time.Duration(w.now).Round(time.Millisecond).String() + ": " + fmt.Sprintf(format, args...)
 	}
 }
 
@@ -298,7 +298,7 @@
 		name := dutyName(d)
 		holder := -1
 		for _, p := range w.procs {
-			if !p.up || p.session.Held(name, p.local()) == 0 {
+			if !p.up || p.session.Token(name, p.local()) == 0 {
 				continue
 			}
 			if holder >= 0 {
@@ -313,7 +313,7 @@
 }
 
 // Held reports whether every duty has a holder.
-func (w *World) Held() bool {
+func (w *World) AllHeld() bool {
 	for d := range w.o.Duties {
 		if h, known := w.heldBy[dutyName(d)]; !known || h < 0 {
 			return false
@@ -334,11 +334,11 @@
 // flush sends what the process has to say.
 func (p *proc) flush() {
 	for {
-		var out []session.Out
-		out = append(out, p.session.Take()...)
+		var out []session.Outgoing
+		out = append(out, p.session.TakeOutgoing()...)
 		if p.voter != nil {
 			for _, o := range p.voter.Take() {
-				out = append(out, session.Out(o))
+				out = append(out, session.Outgoing(o))
 			}
 		}
 		if len(out) == 0 {
@@ -354,7 +354,7 @@
 	if to == nil {
 		return
 	}
-	w.Frames++
+	w.FramesSent++
 	delay := time.Duration(w.rng.Int64N(int64(4 * time.Millisecond)))
 	copies := 1
 	if from != to {
@@ -389,37 +389,37 @@
 }
 
 func (w *World) fault(f Fault) {
-	p, q := w.procs[f.Who%len(w.procs)], w.procs[f.With%len(w.procs)]
+	p, q := w.procs[f.Proc%len(w.procs)], w.procs[f.Peer%len(w.procs)]
 	switch f.Kind {
 	case Kill:
-		p.kill(f.For, false)
-	case KillDisk:
-		p.kill(f.For, true)
+		p.kill(f.Duration, false)
+	case KillAndWipe:
+		p.kill(f.Duration, true)
 	case KillAll:
 		for _, v := range w.procs[:w.o.Voters] {
-			v.kill(f.For+time.Duration(w.rng.Int64N(int64(time.Second))), false)
+			v.kill(f.Duration+time.Duration(w.rng.Int64N(int64(time.Second))), false)
 		}
 	case Stop:
-		p.stopped = max(p.stopped, w.now+int64(f.For))
+		p.stopped = max(p.stopped, w.now+int64(f.Duration))
 	case Cut:
-		w.cut(p, q, f.For)
-		w.cut(q, p, f.For)
-	case CutFrom:
-		w.cut(p, q, f.For)
-	case CutOff:
+		w.cut(p, q, f.Duration)
+		w.cut(q, p, f.Duration)
+	case CutOneWay:
+		w.cut(p, q, f.Duration)
+	case Isolate:
 		for _, o := range w.procs {
-			w.cut(p, o, f.For)
-			w.cut(o, p, f.For)
+			w.cut(p, o, f.Duration)
+			w.cut(o, p, f.Duration)
 		}
 	case Loss:
 		w.loss++
-		w.after(f.For, func() { w.loss-- })
+		w.after(f.Duration, func() { w.loss-- })
 	case BadDisk:
 		p.disk.bad++
-		w.after(f.For, func() { p.disk.bad-- })
+		w.after(f.Duration, func() { p.disk.bad-- })
 	case HandOver:
 		if w.o.Duties > 0 && p.up {
-			c := &pb.Command{What: &pb.Command_HandOver{HandOver: &pb.HandOver{Duty: dutyName(f.With % w.o.Duties), To: q.name}}}
+			c := &pb.Command{What: &pb.Command_HandOver{HandOver: &pb.HandOver{Duty: dutyName(f.Peer % w.o.Duties), To: q.name}}}
 			p.session.Do(&pb.Ask{Command: c}, 2*time.Second, func(*pb.Answer, error) {})
 		}
 	}
@@ -444,7 +444,7 @@
 	if withDisk && !p.w.diskAway(p) {
 		p.disk.lose()
 	}
-	p.disk.crash(p.w.o.Forget, p.w.rng)
+	p.disk.crash(p.w.o.LoseSyncedData, p.w.rng)
 	epoch := p.epoch
 	p.w.after(d, func() {
 		if !p.up && p.epoch == epoch {
--- a/internal/fleet/model/model_test.go
+++ b/internal/fleet/model/model_test.go
@@ -17,18 +17,18 @@
 
 func options(seed uint64) Options {
 	return Options{Voters: 3, Members: 2, Duties: 2, Terms: lease.Terms{Length: 2 * time.Second, Drift: drift},
-		Election: 500 * time.Millisecond, Drift: drift, Seed: seed}
+		ElectionTimeout: 500 * time.Millisecond, Drift: drift, Seed: seed}
 }
 
 // schedule draws faults that overlap, over half a minute.
 func schedule(t *rapid.T, most int) []Fault {
 	return rapid.SliceOfN(rapid.Custom(func(t *rapid.T) Fault {
 		return Fault{
-			Kind: FaultKind(rapid.IntRange(0, int(Faults)-1).Draw(t, "kind")),
-			At:   time.Duration(rapid.IntRange(3000, 30000).Draw(t, "at")) * time.Millisecond,
-			For:  time.Duration(rapid.IntRange(50, 8000).Draw(t, "for")) * time.Millisecond,
-			Who:  rapid.IntRange(0, 4).Draw(t, "who"),
-			With: rapid.IntRange(0, 4).Draw(t, "with"),
+			Kind:     FaultKind(rapid.IntRange(0, int(FaultKinds)-1).Draw(t, "kind")),
+			At:       time.Duration(rapid.IntRange(3000, 30000).Draw(t, "at")) * time.Millisecond,
+			Duration: time.Duration(rapid.IntRange(50, 8000).Draw(t, "for")) * time.Millisecond,
+			Proc:     rapid.IntRange(0, 4).Draw(t, "who"),
+			Peer:     rapid.IntRange(0, 4).Draw(t, "with"),
 		}
 	}), 0, most).Draw(t, "faults")
 }
@@ -40,15 +40,15 @@
 		w := New(options(rapid.Uint64().Draw(t, "seed")))
 		w.Schedule(schedule(t, 12))
 		w.Run(30 * time.Second)
-		if w.Breach != "" {
-			t.Fatal(w.Breach)
+		if w.Violation != "" {
+			t.Fatal(w.Violation)
 		}
 		// All faults are over after 38 s; within 12 more, every duty has a holder again.
 		w.Run(50 * time.Second)
-		if w.Breach != "" {
-			t.Fatal(w.Breach)
+		if w.Violation != "" {
+			t.Fatal(w.Violation)
 		}
-		if !w.Held() {
+		if !w.AllHeld() {
 			t.Fatal("a duty has no holder 12 s after the last fault")
 		}
 	})
@@ -58,8 +58,8 @@
 func TestSoonHeld(t *testing.T) {
 	w := New(options(1))
 	w.Run(4 * time.Second)
-	if !w.Held() || w.Breach != "" {
-		t.Errorf("after 4 s: held %v, breach %q", w.Held(), w.Breach)
+	if !w.AllHeld() || w.Violation != "" {
+		t.Errorf("after 4 s: held %v, breach %q", w.AllHeld(), w.Violation)
 	}
 }
 
@@ -81,13 +81,13 @@
 		change func(*Options)
 		faults func(i int) []Fault
 	}{
-		{"lease counted from the answer", func(o *Options) { o.BreakSession = session.BreakSent }, lossy},
-		{"no margin for drift", func(o *Options) { o.BreakSession, o.BreakVoter = session.BreakMargin, voter.BreakMargin }, cutOff},
-		{"no check of the lease before the act", func(o *Options) { o.BreakSession = session.BreakCheck }, cutOff},
+		{"lease counted from the answer", func(o *Options) { o.BreakSession = session.BreakLeaseStart }, lossy},
+		{"no margin for drift", func(o *Options) { o.BreakSession, o.BreakVoter = session.BreakDriftMargin, voter.BreakMargin }, cutOff},
+		{"no check of the lease before the act", func(o *Options) { o.BreakSession = session.BreakLeaseCheck }, cutOff},
 		{"renewals acknowledged without a majority's word", func(o *Options) { o.BreakVoter = voter.BreakConfirm }, deposed},
 		{"a new leader gives no whole lease", func(o *Options) { o.BreakVoter = voter.BreakReset }, leaderKilled},
-		{"tokens not refused by the resource", func(o *Options) { o.NoRefuse = true }, stopped},
-		{"what was synced is lost", func(o *Options) { o.Forget = true }, allKilled},
+		{"tokens not refused by the resource", func(o *Options) { o.AcceptOldTokens = true }, stopped},
+		{"what was synced is lost", func(o *Options) { o.LoseSyncedData = true }, allKilled},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
@@ -97,8 +97,8 @@
 				w := New(o)
 				w.Schedule(c.faults(i))
 				w.Run(40 * time.Second)
-				if w.Breach != "" {
-					t.Logf("found by schedule %d: %s", i, w.Breach)
+				if w.Violation != "" {
+					t.Logf("found by schedule %d: %s", i, w.Violation)
 					return
 				}
 			}
@@ -108,13 +108,13 @@
 }
 
 func lossy(i int) (list []Fault) {
-	list = append(list, Fault{Kind: Loss, At: 2 * time.Second, For: 36 * time.Second})
+	list = append(list, Fault{Kind: Loss, At: 2 * time.Second, Duration: 36 * time.Second})
 	return append(list, stopped(i)...)
 }
 
 func cutOff(i int) (list []Fault) {
 	for k := range 5 {
-		list = append(list, Fault{Kind: CutOff, Who: (i + k) % 5, At: time.Duration(3+6*k) * time.Second, For: 4 * time.Second})
+		list = append(list, Fault{Kind: Isolate, Proc: (i + k) % 5, At: time.Duration(3+6*k) * time.Second, Duration: 4 * time.Second})
 	}
 	return list
 }
@@ -126,8 +126,8 @@
 		lead := (i + k) % 3
 		for v := range 3 {
 			if v != lead {
-				list = append(list, Fault{Kind: Cut, Who: lead, With: v, At: at, For: 6 * time.Second},
-					Fault{Kind: Cut, Who: 3 + i%2, With: v, At: at, For: 6 * time.Second})
+				list = append(list, Fault{Kind: Cut, Proc: lead, Peer: v, At: at, Duration: 6 * time.Second},
+					Fault{Kind: Cut, Proc: 3 + i%2, Peer: v, At: at, Duration: 6 * time.Second})
 			}
 		}
 	}
@@ -136,14 +136,14 @@
 
 func leaderKilled(i int) (list []Fault) {
 	for k := range 8 {
-		list = append(list, Fault{Kind: Kill, Who: (i + k) % 3, At: time.Duration(3+4*k)*time.Second + time.Duration(i*37)*time.Millisecond, For: time.Second})
+		list = append(list, Fault{Kind: Kill, Proc: (i + k) % 3, At: time.Duration(3+4*k)*time.Second + time.Duration(i*37)*time.Millisecond, Duration: time.Second})
 	}
 	return list
 }
 
 func stopped(i int) (list []Fault) {
 	for k := range 6 {
-		list = append(list, Fault{Kind: Stop, Who: (i + k) % 5, At: time.Duration(3+5*k)*time.Second + time.Duration(i*7)*time.Millisecond, For: 4 * time.Second})
+		list = append(list, Fault{Kind: Stop, Proc: (i + k) % 5, At: time.Duration(3+5*k)*time.Second + time.Duration(i*7)*time.Millisecond, Duration: 4 * time.Second})
 	}
 	return list
 }
@@ -151,7 +151,7 @@
 func allKilled(i int) (list []Fault) {
 	list = stopped(i)
 	for k := range 12 {
-		list = append(list, Fault{Kind: KillAll, At: time.Duration(4+3*k) * time.Second, For: 100 * time.Millisecond})
+		list = append(list, Fault{Kind: KillAll, At: time.Duration(4+3*k) * time.Second, Duration: 100 * time.Millisecond})
 	}
 	return list
 }
@@ -170,13 +170,13 @@
 				follower = p.n
 			}
 		}
-		w.Leads = 0
-		w.Schedule([]Fault{{Kind: CutOff, Who: follower, At: 4 * time.Second, For: 5 * time.Second}})
+		w.LeaderChanges = 0
+		w.Schedule([]Fault{{Kind: Isolate, Proc: follower, At: 4 * time.Second, Duration: 5 * time.Second}})
 		w.Run(15 * time.Second)
-		if w.Breach != "" {
-			t.Fatal(w.Breach)
+		if w.Violation != "" {
+			t.Fatal(w.Violation)
 		}
-		return w.Leads
+		return w.LeaderChanges
 	}
 	with, without := 0, 0
 	for seed := range uint64(10) {
--- a/internal/fleet/model/size_test.go
+++ b/internal/fleet/model/size_test.go
@@ -18,9 +18,9 @@
 		o.Members, o.Duties = n-3, 1
 		w := New(o)
 		w.Run(10 * time.Second)
-		w.Frames = 0
+		w.FramesSent = 0
 		w.Run(12 * time.Second)
-		calm := w.Frames / 2
+		calm := w.FramesSent / 2
 		lead := -1
 		for _, p := range w.procs[:3] {
 			if p.voter.Leads() {
@@ -31,12 +31,12 @@
 			t.Fatal("nobody leads")
 		}
 		sessions := w.procs[(lead+1)%3].voter.State().Sessions()
-		w.Schedule([]Fault{{Kind: Kill, Who: lead, At: 12 * time.Second, For: time.Minute}})
+		w.Schedule([]Fault{{Kind: Kill, Proc: lead, At: 12 * time.Second, Duration: time.Minute}})
 		most := 0
 		for s := 12; s < 20; s++ {
-			w.Frames = 0
+			w.FramesSent = 0
 			w.Run(time.Duration(s+1) * time.Second)
-			most = max(most, w.Frames)
+			most = max(most, w.FramesSent)
 		}
 		after := w.procs[(lead+1)%3].voter.State()
 		kept := 0
@@ -46,8 +46,8 @@
 			}
 		}
 		t.Logf("%d members: %d frames a second in calm (%.1f a member), %d in the worst second after the leader is killed; %d of %d sessions kept", n, calm, float64(calm)/float64(n), most, kept, len(sessions))
-		if most > 4*calm || kept < len(sessions)-1 || w.Breach != "" || !w.Held() {
-			t.Errorf("%d members: breach %q, held %v", n, w.Breach, w.Held())
+		if most > 4*calm || kept < len(sessions)-1 || w.Violation != "" || !w.AllHeld() {
+			t.Errorf("%d members: breach %q, held %v", n, w.Violation, w.AllHeld())
 		}
 	}
 }
--- a/internal/fleet/model/voters_test.go
+++ b/internal/fleet/model/voters_test.go
@@ -15,7 +15,7 @@
 	noted := 0
 	for seed := range uint64(5) {
 		w := New(options(seed))
-		w.Noted = func(n int, what string) {
+		w.OnNote = func(n int, what string) {
 			if !strings.HasPrefix(what, voter.NoteVotersChanged) {
 				return
 			}
@@ -24,10 +24,10 @@
 				t.Errorf("seed %d: voter %d notes %q while the change is under way", seed, n, what)
 			}
 		}
-		w.Schedule([]Fault{{Kind: KillDisk, Who: 1, At: 3 * time.Second, For: time.Second}})
+		w.Schedule([]Fault{{Kind: KillAndWipe, Proc: 1, At: 3 * time.Second, Duration: time.Second}})
 		w.Run(20 * time.Second)
-		if w.Breach != "" {
-			t.Fatal(w.Breach)
+		if w.Violation != "" {
+			t.Fatal(w.Violation)
 		}
 	}
 	if noted < 5 {
--- a/internal/fleet/procs_test.go
+++ b/internal/fleet/procs_test.go
@@ -77,7 +77,7 @@
 		os.Exit(1)
 	}
 	for i := range duties {
-		m.Want(dutyName(i), "")
+		m.Request(dutyName(i), "")
 	}
 	stop := make(chan struct{})
 	go func() {
@@ -88,7 +88,7 @@
 	for {
 		for i := range duties {
 			t0 := fleet.Now()
-			if token := m.Held(dutyName(i)); token != 0 {
+			if token := m.Token(dutyName(i)); token != 0 {
 				fmt.Fprintln(out, "held", i, token, t0, fleet.Now())
 			}
 		}
@@ -176,7 +176,7 @@
 			peers = append(peers, p)
 		}
 		set := nodeSettings{Dir: filepath.Join(r.dir, name), Rate: 1, Settings: fleet.Settings{Name: name, Listen: addrs[name], Members: peers,
-			Minimum: voters, Weight: 1, Terms: lease.Terms{Length: time.Second, Drift: 0.05}, Election: 300 * time.Millisecond}}
+			MinVoters: voters, Weight: 1, Terms: lease.Terms{Length: time.Second, Drift: 0.05}, ElectionTimeout: 300 * time.Millisecond}}
 		if i%2 == 1 {
 			set.Rate = 1.04
 		}
@@ -480,7 +480,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		s := fleet.Settings{Name: name, Terms: lease.Terms{Length: time.Second, Drift: 0.05}, Election: 300 * time.Millisecond, Minimum: 3}
+		s := fleet.Settings{Name: name, Terms: lease.Terms{Length: time.Second, Drift: 0.05}, ElectionTimeout: 300 * time.Millisecond, MinVoters: 3}
 		for _, n := range []string{"a", "b", "c"} {
 			s.Members = append(s.Members, fleet.Peer{Name: n, Addr: freeAddr(t), Voter: true})
 		}
@@ -588,7 +588,7 @@
 		change func(*nodeSettings)
 		fault  func(r *rig, holder string)
 	}{
-		"no check of the lease before the act": {func(s *nodeSettings) { s.BreakSession = session.BreakCheck }, func(r *rig, holder string) {
+		"no check of the lease before the act": {func(s *nodeSettings) { s.BreakSession = session.BreakLeaseCheck }, func(r *rig, holder string) {
 			r.isolate(holder, true)
 			r.holder(0, fleet.Now(), holder, 20*time.Second)
 		}},
--- a/internal/fleet/session/session.go
+++ b/internal/fleet/session/session.go
@@ -34,7 +34,7 @@
 	Voters      []string
 	Terms       lease.Terms
 	Rand        *rand.Rand
-	Note        func(what string, duty string, token uint64) // a duty is held, or no longer; nil: none
+	LogEvent    func(what string, duty string, token uint64) // a duty is held, or no longer; nil: none
 	Break       Break
 }
 
@@ -43,13 +43,13 @@
 
 // The guards.
 const (
-	BreakSent   Break = 1 << iota // the lease counts from the answer
-	BreakMargin                   // and in full, whatever the drift
-	BreakCheck                    // a duty counts as held until it is told to be another's, whatever the time
+	BreakLeaseStart  Break = 1 << iota // the lease counts from the answer
+	BreakDriftMargin                   // and in full, whatever the drift
+	BreakLeaseCheck                    // a duty counts as held until it is told to be another's, whatever the time
 )
 
 // Out is a frame for a voter.
-type Out struct {
+type Outgoing struct {
 	To    string
 	Frame *pb.Frame
 }
@@ -84,44 +84,44 @@
 
 // Session is a member's session. It is not safe for concurrent use.
 type Session struct {
-	o       Options
-	now     int64
-	out     []Out
-	id      uint64
-	lease   lease.Held
-	seq     uint64 // of sessions that were asked for
-	target  int    // the voter that is asked
-	next    uint64 // number of the next ask
-	openID  uint64
-	openAt  int64
-	renewID uint64
-	renewAt int64
-	retryAt int64
-	viewID  uint64
-	viewAt  int64
-	version uint64
-	view    map[string]*pb.Duty
-	adopted map[string]*pb.Adoption
-	present []*pb.Present
-	wants   map[string]*want
-	ops     map[uint64]string // ask to duty
-	asks    map[uint64]*ask
-	closing bool
-	closed  bool
-	Watch   func(*pb.Duty) // told of each change; nil: none
+	o           Options
+	now         int64
+	out         []Outgoing
+	id          uint64
+	lease       lease.Held
+	seq         uint64 // of sessions that were asked for
+	target      int    // the voter that is asked
+	next        uint64 // number of the next ask
+	openID      uint64
+	openAt      int64
+	renewID     uint64
+	renewAt     int64
+	retryAt     int64
+	viewID      uint64
+	viewAt      int64
+	version     uint64
+	view        map[string]*pb.Duty
+	adopted     map[string]*pb.Adoption
+	present     []*pb.Present
+	wants       map[string]*want
+	ops         map[uint64]string // ask to duty
+	asks        map[uint64]*ask
+	closing     bool
+	closed      bool
+	DutyChanged func(*pb.Duty) // told of each change; nil: none
 }
 
 // New returns a session that begins to ask at the first Tick.
 func New(o Options) *Session {
-	if o.Note == nil {
-		o.Note = func(string, string, uint64) {}
+	if o.LogEvent == nil {
+		o.LogEvent = func(string, string, uint64) {}
 	}
 	return &Session{o: o, target: o.Rand.IntN(len(o.Voters)), view: map[string]*pb.Duty{}, adopted: map[string]*pb.Adoption{}, wants: map[string]*want{},
 		ops: map[uint64]string{}, asks: map[uint64]*ask{}, next: o.Rand.Uint64() >> 1}
 }
 
 // Take returns what is to be sent, in order, and forgets it.
-func (s *Session) Take() []Out {
+func (s *Session) TakeOutgoing() []Outgoing {
 	out := s.out
 	s.out = nil
 	return out
@@ -130,7 +130,7 @@
 func (s *Session) ask(a *pb.Ask) uint64 {
 	s.next++
 	a.Id, a.Member = s.next, s.o.Member
-	s.out = append(s.out, Out{s.o.Voters[s.target], &pb.Frame{What: &pb.Frame_Ask{Ask: a}}})
+	s.out = append(s.out, Outgoing{s.o.Voters[s.target], &pb.Frame{What: &pb.Frame_Ask{Ask: a}}})
 	return a.Id
 }
 
@@ -140,7 +140,7 @@
 func (s *Session) jitter(d int64) int64 { return d/2 + s.o.Rand.Int64N(d+1) }
 
 // Want puts this member in line for a duty, or makes sure that it is.
-func (s *Session) Want(name, zone string) {
+func (s *Session) Request(name, zone string) {
 	if w := s.wants[name]; w != nil {
 		w.leave, w.end = false, false
 		return
@@ -149,7 +149,7 @@
 }
 
 // Leave gives a duty up; with end nobody needs it any more.
-func (s *Session) Leave(name string, end bool) {
+func (s *Session) Release(name string, end bool) {
 	if w := s.wants[name]; w != nil {
 		w.leave, w.end = true, end
 		w.given = max(w.given, s.tokenOf(name))
@@ -166,23 +166,23 @@
 }
 
 // Held returns the fencing token of a duty that this member holds at that time, 0 if it does not hold it.
-func (s *Session) Held(name string, now int64) uint64 {
+func (s *Session) Token(name string, now int64) uint64 {
 	w := s.wants[name]
 	if w == nil || w.leave || s.closing {
 		return 0
 	}
 	t := s.tokenOf(name)
-	if t == 0 || t <= w.given || !s.lease.Valid(now) && s.o.Break&BreakCheck == 0 {
+	if t == 0 || t <= w.given || !s.lease.Valid(now) && s.o.Break&BreakLeaseCheck == 0 {
 		return 0
 	}
 	return t
 }
 
 // Holds are the duties that it holds at that time, with their tokens.
-func (s *Session) Holds(now int64) map[string]uint64 {
+func (s *Session) HeldTokens(now int64) map[string]uint64 {
 	held := map[string]uint64{}
 	for name := range s.wants {
-		if t := s.Held(name, now); t != 0 {
+		if t := s.Token(name, now); t != 0 {
 			held[name] = t
 		}
 	}
@@ -190,7 +190,7 @@
 }
 
 // Until is when the lease is over, on the caller's clock, and 0 if there is none at that time.
-func (s *Session) Until(now int64) int64 {
+func (s *Session) LeaseEnd(now int64) int64 {
 	if left := s.lease.Left(now); left > 0 {
 		return now + int64(left)
 	}
@@ -201,7 +201,7 @@
 func (s *Session) Duty(name string) *pb.Duty { return s.view[name] }
 
 // Mine reports whether a duty is this session's by what it says.
-func (s *Session) Mine(d *pb.Duty) bool { return s.id != 0 && d.Session == s.id && !d.Ended }
+func (s *Session) Holds(d *pb.Duty) bool { return s.id != 0 && d.Session == s.id && !d.Ended }
 
 // View is all that is known of duties, of adoptions by owner, and of members whose sessions go on. None of it must be
 // changed.
@@ -341,7 +341,7 @@
 // lost notes that a duty is not held any more.
 func (s *Session) lost(name string, w *want) {
 	if w.noted != 0 {
-		s.o.Note("lost", name, w.noted)
+		s.o.LogEvent("lost", name, w.noted)
 		w.noted = 0
 	}
 }
@@ -355,10 +355,10 @@
 			delete(s.ops, w.op)
 			w.op, out = 0, out-1
 		}
-		if t := s.Held(name, s.now); t != 0 && w.noted != t {
+		if t := s.Token(name, s.now); t != 0 && w.noted != t {
 			s.lost(name, w)
 			w.noted = t
-			s.o.Note("held", name, t)
+			s.o.LogEvent("held", name, t)
 		}
 		if d := s.view[name]; token != 0 && token > w.given && d.Wanted != "" && d.Wanted != s.o.Member {
 			w.given = token // from here on it is not acted on, whatever becomes of the ask
@@ -487,7 +487,7 @@
 		if a.Gone { // a late copy of an earlier wish has been there first
 			s.seq++
 		}
-		s.o.Note("refused: "+a.Error, "", 0)
+		s.o.LogEvent("refused: "+a.Error, "", 0)
 		return
 	}
 	s.id = a.Session
@@ -502,10 +502,10 @@
 // held counts the lease from when the renewal was sent.
 func (s *Session) held(sent int64) {
 	terms := s.o.Terms
-	if s.o.Break&BreakSent != 0 {
+	if s.o.Break&BreakLeaseStart != 0 {
 		sent = s.now
 	}
-	if s.o.Break&BreakMargin != 0 {
+	if s.o.Break&BreakDriftMargin != 0 {
 		terms.Drift = 0
 	}
 	s.lease.Renewed(terms, sent)
@@ -608,7 +608,7 @@
 	if w := s.wants[d.Name]; w != nil && w.noted != 0 && s.tokenOf(d.Name) != w.noted {
 		s.lost(d.Name, w)
 	}
-	if s.Watch != nil {
-		s.Watch(d)
+	if s.DutyChanged != nil {
+		s.DutyChanged(d)
 	}
 }
--- a/internal/fleet/share/holder.go
+++ b/internal/fleet/share/holder.go
@@ -46,7 +46,7 @@
 // NewHolder returns the side of a member that has begun to hold the duty, with that token, at now.
 func NewHolder(t Terms, token uint64, now int64) *Holder {
 	h := &Holder{terms: t, token: token, members: map[string]*line{}}
-	h.quiet = now + int64(float64(t.Raise)*(1+2*t.Drift))
+	h.quiet = now + int64(float64(t.RaiseDuration)*(1+2*t.Drift))
 	return h
 }
 
@@ -59,7 +59,7 @@
 
 // Report takes a member's report, and returns the answer; false: there is none. The duty's lease must hold when the
 // answer goes out.
-func (h *Holder) Report(now int64, name string, r Report) (Answer, bool) {
+func (h *Holder) HandleReport(now int64, name string, r Report) (Answer, bool) {
 	l := h.members[name]
 	if l == nil {
 		if len(h.members) >= h.terms.Members {
@@ -79,18 +79,18 @@
 	if l.settle(now); len(l.sent) >= sentMost {
 		return Answer{}, false
 	}
-	end := now + int64(float64(h.terms.Raise)*(1+h.drift()))
+	end := now + int64(float64(h.terms.RaiseDuration)*(1+h.drift()))
 	rate := max(min(h.due(now, name), h.limit-h.others(now, end, name)), 0)
 	h.stamp = max(h.stamp+1, now)
 	till := end
-	if rate < h.terms.Even(h.limit) {
-		till = now + int64(float64(h.terms.Length)*(1-h.drift()))
+	if rate < h.terms.EvenShare(h.limit) {
+		till = now + int64(float64(h.terms.BindDuration)*(1-h.drift()))
 	}
 	l.sent = append(l.sent, sent{h.stamp, rate, till})
 	if h.Break&BreakConfirm != 0 {
 		l.sent, l.free = l.sent[len(l.sent)-1:], false
 	}
-	return Answer{Token: h.token, At: r.At, Stamp: h.stamp, Rate: rate, For: h.terms.Raise, Limit: h.limit}, true
+	return Answer{Token: h.token, At: r.At, Stamp: h.stamp, Rate: rate, RaiseDuration: h.terms.RaiseDuration, Limit: h.limit}, true
 }
 
 // confirm takes what a report says of the answer that its member goes by.
@@ -117,7 +117,7 @@
 
 // most is the most that a member may send at any moment until end, whatever befalls it.
 func (h *Holder) most(l *line, now, end int64) (most float64) {
-	even := h.terms.Even(h.limit)
+	even := h.terms.EvenShare(h.limit)
 	l.settle(now)
 	if l.free || len(l.sent) == 0 {
 		most = even
@@ -144,19 +144,19 @@
 			sum += h.most(l, now, end)
 		}
 	}
-	return sum + float64(unheard)*h.terms.Even(h.limit)
+	return sum + float64(unheard)*h.terms.EvenShare(h.limit)
 }
 
 // due is a member's due part of the limit: as much as it wants where there is enough for all; else what is left is
 // divided evenly over those that want more.
 func (h *Holder) due(now int64, name string) float64 {
-	even := h.terms.Even(h.limit)
+	even := h.terms.EvenShare(h.limit)
 	want := func(l *line) float64 { return max(l.demand*(1+spare), idle*even) }
 	left, n := h.limit, 0
 	var wants []float64
 	for _, other := range slices.Sorted(maps.Keys(h.members)) {
 		l := h.members[other]
-		if now-l.heard > absentN*h.terms.Length {
+		if now-l.heard > absentN*h.terms.BindDuration {
 			left -= even // it is away
 			continue
 		}
--- a/internal/fleet/share/model/model.go
+++ b/internal/fleet/share/model/model.go
@@ -13,7 +13,7 @@
 
 const ms = int64(time.Millisecond)
 
-var terms = share.Terms{Members: 5, Length: 2000 * ms, Raise: 600 * ms, Drift: 0.05}
+var terms = share.Terms{Members: 5, BindDuration: 2000 * ms, RaiseDuration: 600 * ms, Drift: 0.05}
 
 type World struct {
 	rng     *rand.Rand
@@ -50,7 +50,7 @@
 	w := &World{rng: rand.New(rand.NewPCG(seed, 3)), limit: limit, holder: -1, guards: guards}
 	for range t.Members {
 		n := &node{rate: 1 + t.Drift*(2*w.rng.Float64()-1), offset: w.rng.Int64N(1e12), m: share.NewMember(t)}
-		n.m.Limit(limit)
+		n.m.SetLimit(limit)
 		n.m.Break = guards
 		w.nodes = append(w.nodes, n)
 	}
@@ -84,7 +84,7 @@
 func (w *World) step(dt int64) {
 	w.now += dt
 	for i, n := range w.nodes {
-		if w.now < n.stopped || w.holder < 0 || !n.m.Due(w.local(n), w.demands(w, i)) {
+		if w.now < n.stopped || w.holder < 0 || !n.m.ReportDue(w.local(n), w.demands(w, i)) {
 			continue
 		}
 		r := n.m.Report(w.local(n), w.demands(w, i))
@@ -107,9 +107,9 @@
 		n := w.nodes[f.to]
 		switch {
 		case f.answer != nil:
-			n.m.Take(w.local(n), *f.answer)
+			n.m.HandleAnswer(w.local(n), *f.answer)
 		case n.h != nil && w.holder == f.to:
-			if a, ok := n.h.Report(w.local(n), fmt.Sprint(f.from), *f.report); ok {
+			if a, ok := n.h.HandleReport(w.local(n), fmt.Sprint(f.from), *f.report); ok {
 				w.send(frame{from: f.to, to: f.from, answer: &a})
 			}
 		}
@@ -169,7 +169,7 @@
 // goodput plays 30 s of a load, and returns what was sent with shares, in even parts, and by an oracle that knows all
 // demand at once, each as part of the load, and how long a member that wakes waits for its due.
 func goodput(n int, limit float64, load func(now int64, i int) float64) (shared, even, oracle, reports float64) {
-	t := share.Terms{Members: n, Length: 2000 * ms, Raise: 600 * ms, Drift: 0.05}
+	t := share.Terms{Members: n, BindDuration: 2000 * ms, RaiseDuration: 600 * ms, Drift: 0.05}
 	w := newWorld(uint64(n), t, limit, 0)
 	w.hand(0, t)
 	const dt = 10 * ms
@@ -198,7 +198,7 @@
 				}
 			}
 			serve(&backlogS[i], rate, &shared)
-			serve(&backlogE[i], t.Even(limit), &even)
+			serve(&backlogE[i], t.EvenShare(limit), &even)
 			backlogO += in
 			if counts {
 				asked += in
--- a/internal/fleet/share/model/model_test.go
+++ b/internal/fleet/share/model/model_test.go
@@ -32,8 +32,8 @@
 		guard share.Break
 		kinds []int
 	}{
-		"what binds counts from the report":              {share.BreakBind, []int{0, 1, 2}},
-		"what is lent counts from the answer":            {share.BreakRaise, []int{0, 1, 2}},
+		"what binds counts from the report":              {share.BreakBindStart, []int{0, 1, 2}},
+		"what is lent counts from the answer":            {share.BreakRaiseStart, []int{0, 1, 2}},
 		"members are relied on that did not say so":      {share.BreakConfirm, []int{0, 1, 2}},
 		"a holder that takes over divides at once":       {share.BreakWait, []int{3}},
 		"answers of older tokens are taken":              {share.BreakToken, []int{2, 3}},
--- a/internal/fleet/share/share.go
+++ b/internal/fleet/share/share.go
@@ -34,14 +34,14 @@
 
 // Terms are what all members of a fleet must agree on.
 type Terms struct {
-	Members int     // that share the limit: each one's even part is the limit over them
-	Length  int64   // for which a share below the even part binds
-	Raise   int64   // for which one above it holds: the time in which a member that wakes gets its due, about
-	Drift   float64 // by which clocks may run fast or slow
+	Members       int     // that share the limit: each one's even part is the limit over them
+	BindDuration  int64   // for which a share below the even part binds
+	RaiseDuration int64   // for which one above it holds: the time in which a member that wakes gets its due, about
+	Drift         float64 // by which clocks may run fast or slow
 }
 
 // Even is a member's even part of a limit.
-func (t Terms) Even(limit float64) float64 { return limit / float64(max(t.Members, 1)) }
+func (t Terms) EvenShare(limit float64) float64 { return limit / float64(max(t.Members, 1)) }
 
 // Report is what a member tells the holder.
 type Report struct {
@@ -54,12 +54,12 @@
 
 // Answer is the holder's.
 type Answer struct {
-	Token uint64
-	At    int64 // of the report
-	Stamp int64 // the holder's clock
-	Rate  float64
-	For   int64   // how long a rate above the even part holds, from At
-	Limit float64 // that was divided
+	Token         uint64
+	At            int64 // of the report
+	Stamp         int64 // the holder's clock
+	Rate          float64
+	RaiseDuration int64   // how long a rate above the even part holds, from At
+	Limit         float64 // that was divided
 }
 
 // Member is one member's side, for one partner. The zero value keeps to the even part.
@@ -84,12 +84,12 @@
 
 // The guards.
 const (
-	BreakBind    Break = 1 << iota // a member counts what binds it from the report, not from the answer
-	BreakRaise                     // and what it was lent from the answer, not from its report
-	BreakConfirm                   // the holder relies on a member that has not said that it is bound
-	BreakWait                      // a holder that takes over divides at once
-	BreakToken                     // answers of older tokens are taken
-	BreakDrift                     // nobody allows for clocks that run fast or slow
+	BreakBindStart  Break = 1 << iota // a member counts what binds it from the report, not from the answer
+	BreakRaiseStart                   // and what it was lent from the answer, not from its report
+	BreakConfirm                      // the holder relies on a member that has not said that it is bound
+	BreakWait                         // a holder that takes over divides at once
+	BreakToken                        // answers of older tokens are taken
+	BreakDrift                        // nobody allows for clocks that run fast or slow
 )
 
 // NewMember returns a member that keeps to its even part.
@@ -103,7 +103,7 @@
 }
 
 // Limit tells what the partner's limit is, as this member knows it.
-func (m *Member) Limit(limit float64) { m.limit = limit }
+func (m *Member) SetLimit(limit float64) { m.limit = limit }
 
 // The times of reports, as parts of the terms, and what demand must do for one at once.
 const (
@@ -115,11 +115,11 @@
 )
 
 // Due reports whether a report is due: where a share is to be renewed, at once where demand is far from what was told.
-func (m *Member) Due(now int64, demand float64) bool {
+func (m *Member) ReportDue(now int64, demand float64) bool {
 	since := now - m.reported
-	every := m.terms.Length
-	if even := m.terms.Even(m.limit); now < m.until && !m.low && m.rate > even {
-		every = m.terms.Raise
+	every := m.terms.BindDuration
+	if even := m.terms.EvenShare(m.limit); now < m.until && !m.low && m.rate > even {
+		every = m.terms.RaiseDuration
 	}
 	every /= parts
 	if m.unanswered > quietMost {
@@ -138,29 +138,29 @@
 }
 
 // Take takes an answer to one of this member's reports.
-func (m *Member) Take(now int64, a Answer) {
+func (m *Member) HandleAnswer(now int64, a Answer) {
 	switch {
 	case a.Token < m.token && m.Break&BreakToken == 0, a.Token == m.token && a.Stamp <= m.stamp:
 		return // of a holder that is none any more, or late
 	case a.Limit <= 0 || a.Rate < 0 || math.IsNaN(a.Rate) || a.At > now:
 		return
 	}
-	even := m.terms.Even(a.Limit)
+	even := m.terms.EvenShare(a.Limit)
 	m.unanswered = 0
 	m.token, m.stamp, m.rate, m.of = a.Token, a.Stamp, a.Rate, a.Limit
 	if m.low = a.Rate < even; m.low {
 		from := now
-		if m.Break&BreakBind != 0 {
+		if m.Break&BreakBindStart != 0 {
 			from = a.At
 		}
-		m.until = from + int64(float64(m.terms.Length)*(1+m.drift()))
+		m.until = from + int64(float64(m.terms.BindDuration)*(1+m.drift()))
 		return
 	}
 	from := a.At
-	if m.Break&BreakRaise != 0 {
+	if m.Break&BreakRaiseStart != 0 {
 		from = now
 	}
-	m.until = from + int64(float64(a.For)*(1-m.drift()))
+	m.until = from + int64(float64(a.RaiseDuration)*(1-m.drift()))
 }
 
 // Rate is what this member may send at this moment; 0: no limit is known. fresh: it is a share, not the even part.
@@ -172,8 +172,8 @@
 	if m.of > 0 && now < m.until {
 		return m.rate * min(limit/m.of, 1), true // a limit that was lowered since binds at once
 	}
-	return m.terms.Even(limit), false
+	return m.terms.EvenShare(limit), false
 }
 
 // Until is when the present share ends, and the even part is back; false: there is none.
-func (m *Member) Until(now int64) (at int64, due bool) { return m.until, m.of > 0 && now < m.until }
+func (m *Member) ShareEnd(now int64) (at int64, due bool) { return m.until, m.of > 0 && now < m.until }
--- a/internal/fleet/subscriber/subscriber.go
+++ b/internal/fleet/subscriber/subscriber.go
@@ -29,10 +29,10 @@
 	tickEvery = 100 * time.Millisecond
 	inboxSize = 64
 	// LinkHash stands in the hello of every link to a control member's directory.
-	LinkHash = 1
+	LinkSettingsHash = 1
 	// LinkPing and LinkSilent are how often such a link says that it is there, and how long it may say nothing.
-	LinkPing   = 500 * time.Millisecond
-	LinkSilent = 3 * time.Second
+	LinkPingInterval   = 500 * time.Millisecond
+	LinkSilenceTimeout = 3 * time.Second
 )
 
 // Server is a control member.
@@ -52,15 +52,15 @@
 	// Released is told of shards that were given up, on the same goroutine; nil: nobody is.
 	Released func([]shard.ID)
 	// Hold are shards that are asked for whoever serves them.
-	Hold  []shard.ID
-	Break directory.SubscriptionBreak
+	RequestedShards []shard.ID
+	Break           directory.SubscriptionBreak
 }
 
 // Subscriber is a subscription that is kept up. Run is for one goroutine, the rest for any.
 type Subscriber struct {
 	o        Options
 	sub      *directory.Subscription
-	net      *link.Net
+	net      *link.Manager
 	order    []Server // to be tried, those of the own region first
 	next     int
 	homeAt   int64 // when one of the own region is tried next, while another one serves
@@ -82,7 +82,7 @@
 	s := &Subscriber{o: o, frames: make(chan frame, inboxSize), released: releases{kick: make(chan struct{}, 1)},
 		sub: directory.NewSubscription(directory.SubscriptionOptions{Region: o.Region, Zone: o.Zone, Weight: o.Weight, Rand: rng, Break: o.Break})}
 	s.homeIn = homeLeast
-	s.sub.Hold(o.Hold)
+	s.sub.Hold(o.RequestedShards)
 	s.order = slices.Clone(o.Servers)
 	rng.Shuffle(len(s.order), func(i, j int) { s.order[i], s.order[j] = s.order[j], s.order[i] })
 	slices.SortStableFunc(s.order, func(x, y Server) int { return foreign(x, o.Region) - foreign(y, o.Region) })
@@ -199,9 +199,9 @@
 		s.net.Close()
 	}
 	server := s.order[s.next%len(s.order)]
-	s.net = link.New(link.Options{Self: s.o.Name, Settings: LinkHash, Dial: map[string]string{server.Name: server.Addr}, Client: s.o.TLS,
-		Known: func(string) bool { return false }, PingEvery: LinkPing, Silent: LinkSilent,
-		Note: func(what, member string, err error) {
+	s.net = link.New(link.Options{Self: s.o.Name, SettingsHash: LinkSettingsHash, DialAddrs: map[string]string{server.Name: server.Addr}, Client: s.o.TLS,
+		IsMember: func(string) bool { return false }, PingInterval: LinkPingInterval, SilenceTimeout: LinkSilenceTimeout,
+		LogEvent: func(what, member string, err error) {
 			s.o.Log.Debug().Str("member", member).Err(err).Msg("directory: " + what)
 		},
 		Receive: func(linkCtx context.Context, from string, f *pb.Frame) {
--- a/internal/fleet/trial/trial.go
+++ b/internal/fleet/trial/trial.go
@@ -38,38 +38,38 @@
 func Dest(name string) (int, bool) { return duty.PartnerOf(kind, name) }
 
 // News is what is heard of a duty.
-type News struct {
-	Holder string // empty: nobody
-	Mine   bool   // this member holds it
-	Word   string // the holder's last, with a number that grows
+type Update struct {
+	Holder      string // empty: nobody
+	HeldLocally bool   // this member holds it
+	Word        string // the holder's last, with a number that grows
 }
 
 // Settings are what a Board starts with.
 type Settings struct {
-	Senders int
-	Bound   float64
+	Senders          int
+	SilenceTimeoutMS float64
 }
 
 // Act is what a member is to do about a partner's duty.
-type Act struct {
-	Dest  int
-	Want  bool   // be in line for it,
-	Leave bool   // or give it up
-	Say   string // or tell this word
+type Action struct {
+	Dest    int
+	Request bool   // be in line for it,
+	Release bool   // or give it up
+	Publish string // or tell this word
 }
 
 // Board is one member's part in the trials of all partners. A nil Board holds nothing back.
-type Board struct {
+type State struct {
 	set   Settings
 	dests map[int]*dest
-	acts  []Act
+	acts  []Action
 	live  bool // the session holds
 }
 
 type dest struct {
 	phase  storm.Phase
 	since  float64 // of the outage
-	news   News
+	news   Update
 	heard  float64 // when a word last came that the partner is down, or the outage began
 	said   float64
 	number int
@@ -79,13 +79,13 @@
 }
 
 // New returns a Board that has heard of nothing.
-func New(set Settings) *Board {
+func New(set Settings) *State {
 	set.Senders = max(set.Senders, 1)
-	return &Board{set: set, dests: map[int]*dest{}}
+	return &State{set: set, dests: map[int]*dest{}}
 }
 
 // Ordered takes what storms ask at a partner, and returns what is asked in its place.
-func (b *Board) Ordered(now float64, o storm.Throttle) storm.Throttle {
+func (b *State) AdjustThrottle(now float64, o storm.Throttle) storm.Throttle {
 	if b == nil {
 		return o
 	}
@@ -102,35 +102,35 @@
 	switch {
 	case o.Phase == storm.Outage && was != storm.Outage:
 		d.since, d.heard = now, now
-		b.acts = append(b.acts, Act{Dest: o.Dest, Want: true})
-	case o.Phase != storm.Outage && was == storm.Outage && d.news.Mine:
+		b.acts = append(b.acts, Action{Dest: o.Dest, Request: true})
+	case o.Phase != storm.Outage && was == storm.Outage && d.news.HeldLocally:
 		b.say(o.Dest, d, now, Open)
 	}
 	if o.Phase == storm.Calm {
-		b.acts = append(b.acts, Act{Dest: o.Dest, Leave: true})
+		b.acts = append(b.acts, Action{Dest: o.Dest, Release: true})
 		delete(b.dests, o.Dest)
 	}
 	return b.adjusted(now, d)
 }
 
 // Tried takes a failed call to a partner: the holder tells that it is down still.
-func (b *Board) Tried(now float64, id int) {
+func (b *State) CallFailed(now float64, id int) {
 	if b == nil {
 		return
 	}
-	if d := b.dests[id]; d != nil && d.news.Mine && d.phase == storm.Outage && now-d.said >= sayEvery {
+	if d := b.dests[id]; d != nil && d.news.HeldLocally && d.phase == storm.Outage && now-d.said >= sayEvery {
 		b.say(id, d, now, Down)
 	}
 }
 
-func (b *Board) say(id int, d *dest, now float64, word string) {
+func (b *State) say(id int, d *dest, now float64, word string) {
 	d.number++
 	d.said = now
-	b.acts = append(b.acts, Act{Dest: id, Say: word + " " + strconv.Itoa(d.number)})
+	b.acts = append(b.acts, Action{Dest: id, Publish: word + " " + strconv.Itoa(d.number)})
 }
 
 // Heard takes news of a partner's duty.
-func (b *Board) Heard(now float64, id int, n News) {
+func (b *State) HandleUpdate(now float64, id int, n Update) {
 	if b == nil {
 		return
 	}
@@ -141,21 +141,21 @@
 	if n.Holder != d.news.Holder || n.Word != d.news.Word {
 		d.heard = now // a new holder is given time for its first word
 	}
-	if n.Mine && !d.news.Mine && d.phase != storm.Outage {
+	if n.HeldLocally && !d.news.HeldLocally && d.phase != storm.Outage {
 		b.say(id, d, now, Open) // the last holder went while the partner came back
 	}
 	d.news = n
 }
 
 // Live takes whether this member's session holds: without it nothing that was heard can be relied on.
-func (b *Board) Live(live bool) {
+func (b *State) SetLive(live bool) {
 	if b != nil {
 		b.live = live
 	}
 }
 
 // Changed returns the orders that time or news have changed since they were given.
-func (b *Board) Changed(now float64) (list []storm.Throttle) {
+func (b *State) ChangedThrottles(now float64) (list []storm.Throttle) {
 	if b == nil {
 		return nil
 	}
@@ -169,7 +169,7 @@
 }
 
 // Acts returns what is to be done about duties, and forgets it.
-func (b *Board) Acts() []Act {
+func (b *State) TakeActions() []Action {
 	if b == nil {
 		return nil
 	}
@@ -179,33 +179,33 @@
 }
 
 // Next is when Changed may have something by time alone, +Inf if never.
-func (b *Board) Next() float64 {
+func (b *State) NextChange() float64 {
 	next := math.Inf(1)
 	if b == nil {
 		return next
 	}
 	for _, d := range b.dests {
 		if d.hush {
-			next = min(next, d.heard+b.set.Bound)
+			next = min(next, d.heard+b.set.SilenceTimeoutMS)
 		}
 	}
 	return next
 }
 
 // state tells whether trials are held back here, and whether this member makes those of the fleet.
-func (b *Board) state(now float64, d *dest) (hush, holds bool) {
+func (b *State) state(now float64, d *dest) (hush, holds bool) {
 	if d.phase != storm.Outage || !b.live {
 		return false, false
 	}
-	if d.news.Mine {
+	if d.news.HeldLocally {
 		return false, true
 	}
 	open := strings.HasPrefix(d.news.Word, Open)
-	return d.news.Holder != "" && !open && now < d.heard+b.set.Bound, false
+	return d.news.Holder != "" && !open && now < d.heard+b.set.SilenceTimeoutMS, false
 }
 
 // adjusted is the order as it stands with what is known of the duty.
-func (b *Board) adjusted(now float64, d *dest) storm.Throttle {
+func (b *State) adjusted(now float64, d *dest) storm.Throttle {
 	d.hush, d.holds = b.state(now, d)
 	o := d.order
 	if !d.hush && !d.holds {
--- a/internal/lab/capacity/measure_fleet.go
+++ b/internal/lab/capacity/measure_fleet.go
@@ -49,14 +49,14 @@
 func groupFrames(_ *Env, members int) (float64, error) {
 	const settle, counted = 8, 4
 	w := model.New(model.Options{Voters: 3, Members: members - 3, Duties: 1, Terms: lease.Terms{Length: 2 * time.Second, Drift: 0.05},
-		Election: 500 * time.Millisecond, Drift: 0.05, Seed: 1})
+		ElectionTimeout: 500 * time.Millisecond, Drift: 0.05, Seed: 1})
 	w.Run(settle * time.Second)
-	w.Frames = 0
+	w.FramesSent = 0
 	w.Run((settle + counted) * time.Second)
-	if w.Breach != "" {
-		return 0, errors.New(w.Breach)
+	if w.Violation != "" {
+		return 0, errors.New(w.Violation)
 	}
-	return float64(w.Frames) / counted, nil
+	return float64(w.FramesSent) / counted, nil
 }
 
 // linkFrames sends frames from one member to another and back, so many on their way at a time.
@@ -68,16 +68,16 @@
 	}
 	known := func(string) bool { return true }
 	note := func(string, string, error) {}
-	var near, far *link.Net
+	var near, far *link.Manager
 	arrived := make(chan struct{}, frames)
 	up := make(chan struct{}, 1)
-	far = link.New(link.Options{Self: "far", Known: known, Note: note,
+	far = link.New(link.Options{Self: "far", IsMember: known, LogEvent: note,
 		Receive: func(_ context.Context, from string, f *pb.Frame) { far.Send(from, f) }})
 	defer far.Close()
 	go far.Serve(ln)
-	near = link.New(link.Options{Self: "near", Known: known, Dial: map[string]string{"far": ln.Addr().String()},
+	near = link.New(link.Options{Self: "near", IsMember: known, DialAddrs: map[string]string{"far": ln.Addr().String()},
 		Receive: func(context.Context, string, *pb.Frame) { arrived <- struct{}{} },
-		Note: func(what, _ string, _ error) {
+		LogEvent: func(what, _ string, _ error) {
 			if what == "link up" {
 				select {
 				case up <- struct{}{}:
--- a/internal/lab/world/node.go
+++ b/internal/lab/world/node.go
@@ -38,8 +38,8 @@
 	paces     map[int]*dialPace
 	calls     map[*call]bool
 	sends     []*call
-	board     *trial.Board // its part in the fleet's trials; nil: none
-	news      map[int]trial.News
+	board     *trial.State // its part in the fleet's trials; nil: none
+	news      map[int]trial.Update
 	session   uint64 // 0: not yet
 }
 
@@ -179,7 +179,7 @@
 	for _, c := range n.sends {
 		n.start(now, c)
 	}
-	if at := min(n.guard.NextDue(), n.board.Next()); at < n.lookAt || n.lookAt <= now {
+	if at := min(n.guard.NextDue(), n.board.NextChange()); at < n.lookAt || n.lookAt <= now {
 		if n.lookAt = at; !math.IsInf(at, 1) {
 			n.w.queue.push(event{at: max(at, now+1), kind: evLook, node: n})
 		}
--- a/internal/lab/world/team.go
+++ b/internal/lab/world/team.go
@@ -38,8 +38,8 @@
 
 // join begins a node's session.
 func (t *team) join(now float64, n *node) {
-	n.board = trial.New(trial.Settings{Senders: t.w.p.Senders, Bound: boundOf})
-	n.news = map[int]trial.News{}
+	n.board = trial.New(trial.Settings{Senders: t.w.p.Senders, SilenceTimeoutMS: boundOf})
+	n.news = map[int]trial.Update{}
 	t.later(now, agreeIn, n, func(now float64) {
 		t.index++
 		n.session = t.index
@@ -61,7 +61,7 @@
 		}
 		for _, n := range t.w.nodes {
 			t.later(now, newsIn*t.w.rng.Float64(), n, func(now float64) {
-				n.news[dest] = trial.News{Holder: d.Holder, Mine: d.Session == n.session && !d.Ended, Word: d.Word}
+				n.news[dest] = trial.Update{Holder: d.Holder, HeldLocally: d.Session == n.session && !d.Ended, Word: d.Word}
 				n.due(now)
 			})
 		}
@@ -80,24 +80,24 @@
 	if n.board == nil {
 		return list
 	}
-	n.board.Live(n.session != 0)
+	n.board.SetLive(n.session != 0)
 	for dest, v := range n.news {
-		n.board.Heard(now, dest, v)
+		n.board.HandleUpdate(now, dest, v)
 		delete(n.news, dest)
 	}
 	for i := range list {
-		list[i] = n.board.Ordered(now, list[i])
+		list[i] = n.board.AdjustThrottle(now, list[i])
 	}
-	list = append(list, n.board.Changed(now)...)
-	for _, a := range n.board.Acts() {
+	list = append(list, n.board.ChangedThrottles(now)...)
+	for _, a := range n.board.TakeActions() {
 		name, t := trial.Duty(a.Dest), n.w.team
 		switch d := n.w.team.state.Duties(); {
-		case a.Want:
+		case a.Request:
 			t.command(now, n, &pb.Command{What: &pb.Command_Acquire{Acquire: &pb.Acquire{Session: n.session, Duty: name}}})
-		case a.Leave:
+		case a.Release:
 			t.command(now, n, &pb.Command{What: &pb.Command_Release{Release: &pb.Release{Session: n.session, Duty: name, Token: token(d, name, n.session)}}})
-		case a.Say != "":
-			t.command(now, n, &pb.Command{What: &pb.Command_Say{Say: &pb.Say{Session: n.session, Duty: name, Token: token(d, name, n.session), Word: a.Say}}})
+		case a.Publish != "":
+			t.command(now, n, &pb.Command{What: &pb.Command_Say{Say: &pb.Say{Session: n.session, Duty: name, Token: token(d, name, n.session), Word: a.Publish}}})
 		}
 	}
 	return list
@@ -116,6 +116,6 @@
 // tried tells of the end of a call to a partner.
 func (n *node) tried(now float64, dest int, e *policy.Event) {
 	if e.Outcome != policy.OK && e.Outcome != policy.Moot {
-		n.board.Tried(now, dest)
+		n.board.CallFailed(now, dest)
 	}
 }
--- a/internal/sender/copies.go
+++ b/internal/sender/copies.go
@@ -45,7 +45,7 @@
 // CopyFleet is the fleet as copies need it. No method blocks.
 type CopyFleet interface {
 	Fleet
-	View() *fleet.Look
+	View() *fleet.View
 	SendCopy(to string, f *pb.Frame)
 	Propose(c *pb.Command, done func(*pb.Answer, error)) // proposes a command; done is called on another goroutine
 	Incarnation() uint64                                 // of this member's state directory; 0: it has not joined yet
@@ -178,15 +178,15 @@
 
 // checkOwnLease follows the lease on this sender's own journal: it begins an epoch when the lease is gained, and suspends
 // calls when it is lost.
-func (s *Sender) checkOwnLease(view *fleet.Look) {
+func (s *Sender) checkOwnLease(view *fleet.View) {
 	c := s.copies
 	name := duty.Own(c.settings.Name)
 	if time.Since(c.requestedAt) > time.Second {
 		c.requestedAt = time.Now()
 		c.fleet.Request(name, "")
 	}
-	d := view.Own[c.settings.Name]
-	held := view.Mine(d) && c.fleet.Token(name) == d.Token
+	d := view.Journals[c.settings.Name]
+	held := view.Holds(d) && c.fleet.Token(name) == d.Token
 	if held != c.leaseHeld {
 		c.leaseHeld = held
 		s.suspendCalls(!held)
@@ -198,7 +198,7 @@
 		s.log.Info().Bool("held", held).Msg("copies: lease on this sender's journal gained or lost")
 	}
 	if !held {
-		if !view.Mine(d) {
+		if !view.Holds(d) {
 			c.owner.Begin(0)
 		}
 		return
@@ -206,7 +206,7 @@
 	if c.owner.Epoch() != d.Token {
 		c.incarnation = c.fleet.Incarnation()
 		c.owner.Of(c.incarnation)
-		if a := view.Adopted[c.settings.Name]; a != nil && a.Incarnation == c.incarnation {
+		if a := view.Adoptions[c.settings.Name]; a != nil && a.Incarnation == c.incarnation {
 			s.dropAdopted(a)
 		}
 		c.owner.Begin(d.Token)
@@ -232,7 +232,7 @@
 }
 
 // placeCopies requests other holders from the fleet if the present members call for it.
-func (s *Sender) placeCopies(view *fleet.Look, d *pb.Duty) {
+func (s *Sender) placeCopies(view *fleet.View, d *pb.Duty) {
 	c := s.copies
 	full := c.owner.Full(fleet.Now())
 	var present []placement.Member
@@ -240,7 +240,7 @@
 		present = append(present, placement.Member{Name: p.Name, Zone: p.Zone, Full: slices.Contains(full, p.Name)})
 	}
 	wanted := placement.Choose(c.settings.Name, c.settings.Zone, c.settings.Count, present)
-	next := placement.Next(d.Holders, wanted, c.owner.Synced, view.Is)
+	next := placement.Next(d.Holders, wanted, c.owner.Synced, view.HasMember)
 	if slices.Equal(next, d.Holders) || slices.Equal(next, c.requestedHolders) {
 		return
 	}
--- a/internal/sender/sender.go
+++ b/internal/sender/sender.go
@@ -480,7 +480,7 @@
 	}
 	wait = min(wait, fromMillis(min(s.stormGuard.NextDue()-s.clock.Now(), 1e6)))
 	if s.trials != nil {
-		wait = min(wait, fromMillis(min(s.trials.state.Next()-s.clock.Now(), 1e6)))
+		wait = min(wait, fromMillis(min(s.trials.state.NextChange()-s.clock.Now(), 1e6)))
 	}
 	if s.shards != nil && len(s.shards.leaving) > 0 {
 		wait = min(wait, fromMillis(leaveCheckIntervalMS))
--- a/internal/sender/takeover.go
+++ b/internal/sender/takeover.go
@@ -41,22 +41,22 @@
 }
 
 // stepTakeovers starts and advances the takeovers of lost owners whose duties this member holds.
-func (s *Sender) stepTakeovers(now int64, view *fleet.Look) {
+func (s *Sender) stepTakeovers(now int64, view *fleet.View) {
 	c := s.copies
-	for owner, d := range view.Own {
-		if owner == c.settings.Name || !view.Mine(d) || c.fleet.Token(d.Name) != d.Token {
+	for owner, d := range view.Journals {
+		if owner == c.settings.Name || !view.Holds(d) || c.fleet.Token(d.Name) != d.Token {
 			continue
 		}
 		t := c.takeovers[owner]
 		if t == nil || t.Epoch != d.Token {
-			t = &takeover{Heir: copies.NewHeir(owner, d.Token, d.Holders, view.Adopted[owner]), startedAt: now}
+			t = &takeover{Heir: copies.NewHeir(owner, d.Token, d.Holders, view.Adoptions[owner]), startedAt: now}
 			c.takeovers[owner] = t
 			s.log.Info().Str("owner", owner).Strs("holders", d.Holders).Msg("copies: taking over from a lost sender")
 		}
 		for _, o := range t.Take(now) {
 			c.fleet.SendCopy(o.To, o.Frame)
 		}
-		switch t.Look(view.Is) {
+		switch t.Look(view.HasMember) {
 		case copies.Ready:
 			if c.leaseHeld {
 				s.importEntries(t, d)
@@ -87,7 +87,7 @@
 	var keys []uint64
 	suspected := 0
 	for _, e := range journal.Replay(t.Found.Records) {
-		if e.TakeoverDuty != "" && duty.Agreed(view.Adopted[ownerOf(e.TakeoverDuty)], e.TakeoverToken).GetBy() != t.Owner {
+		if e.TakeoverDuty != "" && duty.Agreed(view.Adoptions[ownerOf(e.TakeoverDuty)], e.TakeoverToken).GetBy() != t.Owner {
 			continue // the lost owner was taking it over itself, without agreement
 		}
 		e.Num, e.TakeoverDuty, e.TakeoverToken = s.journal.NextNumber(), d.Name, d.Token
@@ -177,7 +177,7 @@
 }
 
 // settlePending resolves takeovers, also those of an earlier process, whose result this sender has not received.
-func (s *Sender) settlePending(view *fleet.Look) {
+func (s *Sender) settlePending(view *fleet.View) {
 	c := s.copies
 	if len(c.pendingEntries) == 0 || view.Session == 0 {
 		return
@@ -191,7 +191,7 @@
 		pending[attemptKey{ownerOf(e.TakeoverDuty), e.TakeoverToken}] = true
 	}
 	for key := range pending {
-		adoption, d, t := view.Adopted[key.owner], view.Own[key.owner], c.takeovers[key.owner]
+		adoption, d, t := view.Adoptions[key.owner], view.Journals[key.owner], c.takeovers[key.owner]
 		switch {
 		case duty.Agreed(adoption, key.token).GetBy() == c.settings.Name:
 			var holds []journal.Hold
@@ -199,7 +199,7 @@
 				t.Stage, holds = copies.Done, t.holds
 			}
 			s.activateEntries(key.owner, key.token, holds, duty.Agreed(adoption, key.token).Elsewhere)
-		case adoption != nil && adoption.Token > key.token, view.Mine(d) && d.Token > key.token, d != nil && !view.Mine(d), d == nil:
+		case adoption != nil && adoption.Token > key.token, view.Holds(d) && d.Token > key.token, d != nil && !view.Holds(d), d == nil:
 			// Another member holds the duty now, or none: the adoption was not agreed to and never will be.
 			for num, e := range c.pendingEntries {
 				if ownerOf(e.TakeoverDuty) == key.owner && e.TakeoverToken == key.token {
--- a/internal/sender/trials.go
+++ b/internal/sender/trials.go
@@ -21,14 +21,14 @@
 // trials is a sender's part in the half-open trials that a fleet shares. Updates of duties arrive on a goroutine of the
 // fleet; the latest of each duty is kept for the next step, so that neither side blocks the other.
 type trials struct {
-	state   *trial.Board
+	state   *trial.State
 	fleet   Fleet
 	mu      sync.Mutex
-	updates map[int]trial.News
+	updates map[int]trial.Update
 }
 
 // UpdateDuty queues an update of a duty for the next step.
-func (s *Sender) UpdateDuty(duty string, n trial.News) {
+func (s *Sender) UpdateDuty(duty string, n trial.Update) {
 	dest, ok := trial.Dest(duty)
 	if s.trials == nil || !ok {
 		return
@@ -45,7 +45,7 @@
 
 // ShareTrials makes the sender share trials with the fleet. It is called before Run.
 func (s *Sender) ShareTrials(f Fleet, set trial.Settings) {
-	s.trials = &trials{state: trial.New(set), fleet: f, updates: map[int]trial.News{}}
+	s.trials = &trials{state: trial.New(set), fleet: f, updates: map[int]trial.Update{}}
 }
 
 func (t *trials) step(now float64) {
@@ -54,11 +54,11 @@
 	}
 	t.mu.Lock()
 	updates := t.updates
-	t.updates = map[int]trial.News{}
+	t.updates = map[int]trial.Update{}
 	t.mu.Unlock()
-	t.state.Live(t.fleet.Live())
+	t.state.SetLive(t.fleet.Live())
 	for dest, update := range updates {
-		t.state.Heard(now, dest, update)
+		t.state.HandleUpdate(now, dest, update)
 	}
 }
 
@@ -67,15 +67,15 @@
 	if t == nil {
 		return
 	}
-	for _, a := range t.state.Acts() {
+	for _, a := range t.state.TakeActions() {
 		name := trial.Duty(a.Dest)
 		switch {
-		case a.Want:
+		case a.Request:
 			t.fleet.Request(name, zone)
-		case a.Leave:
+		case a.Release:
 			t.fleet.Release(name, false)
-		case a.Say != "" && t.fleet.Token(name) != 0:
-			t.fleet.Publish(name, a.Say)
+		case a.Publish != "" && t.fleet.Token(name) != 0:
+			t.fleet.Publish(name, a.Publish)
 		}
 	}
 }
@@ -88,9 +88,9 @@
 	}
 	s.trials.step(s.now)
 	for i := range list {
-		list[i] = s.trials.state.Ordered(s.now, list[i])
+		list[i] = s.trials.state.AdjustThrottle(s.now, list[i])
 	}
-	list = append(list, s.trials.state.Changed(s.now)...)
+	list = append(list, s.trials.state.ChangedThrottles(s.now)...)
 	s.trials.requestDuties(s.zoneName())
 	return list
 }
@@ -105,6 +105,6 @@
 // recordFailedCall reports a failed call to the shared trials.
 func (s *Sender) recordFailedCall(dest int, e *policy.Event) {
 	if s.trials != nil && e.Kind == policy.EvOutcome && e.Outcome != policy.OK && e.Outcome != policy.Moot {
-		s.trials.state.Tried(s.now, dest)
+		s.trials.state.CallFailed(s.now, dest)
 	}
 }
