--- a/internal/storm/storm.go
+++ b/internal/storm/storm.go
@@ -1,13 +1,13 @@
-// Package storm sees retry storms and damps them. When a partner comes back from an outage, all that was turned
-// away is handed in again, and every sender has a backlog: the sum is far over what the partner has stated. For
-// each destination a Guard follows what calls and clients do (calls that fail together, the moment of return,
-// second tries and refusals that are handed in again), and while there is a storm it says three things: the
-// pace that this sender keeps, the connections that it may open a second, and for each refusal when its client
-// should come again, as a reservation (book.go), so that no second is promised to more than can be served.
+// Package storm detects and damps retry storms. When a partner returns from an outage, clients resubmit all
+// messages that were refused meanwhile, and every sender has a backlog: together they far exceed the partner's
+// limit. For each destination a Guard tracks calls and submissions (calls that fail together, the first success
+// after an outage, resubmissions). During a storm it sets the pace of this sender and the rate at which it may
+// open connections, and gives each refused message a Retry-After. These times are reservations
+// (reservations.go), so that no second is given to more clients than can be served in it.
 //
-// It decides nothing of what is refused, sent or repeated: that is package policy's. It has no clock, no I/O
-// and no goroutine; times are milliseconds on the caller's clock, rates are per second. In calm it says
-// nothing, and the ordinary path is as if there were no Guard.
+// The package does not decide what is refused, sent or retried: package policy does. It has no clock, no I/O
+// and no goroutine; times are milliseconds on the caller's clock, rates are per second. Without a storm it
+// sets no limits, and the sender works as if there were no Guard.
 package storm
 
 import (
@@ -18,172 +18,211 @@
 	"sliptide/policy"
 )
 
-// Tuned values. docs/design/storms.md says why each is what it is.
+// Parameters; docs/design/storms.md gives the reasons for their values. Times are in milliseconds, rates per second.
 const (
-	failTogether = 3       // so many calls that fail, without a success between them,
-	silentFor    = 1500.0  // and none for so long, are an outage
-	fullTogether = 8       // refused calls show that somebody is there: so many, without a success between them
-	fullFor      = 4000.0  // and none for so long, are an outage, unless it has just come back: it is cold then
-	longWait     = 3000.0  // a told wait of so long is one, too: all that were told it come back at its end
-	settleLeast  = 10000.0 // a return is watched at least so long after the first success,
-	settleMost   = 60000.0 // and at most
-	drainIn      = 1000.0  // it is over once what is held would go out in this time
-	fallCut      = 0.7     // each relapse in one storm lowers the pace to this part,
-	fallLeast    = 0.35    // down to this
-	relapse      = 30000.0 // an outage so soon after a return is a relapse
-	meterTau     = 3000.0  // memory of the rate meters
-	surgeShare   = 0.5     // share of second tries from which it is a surge:
-	surgeLeast   = 5       // so many of them at least (as a rate times meterTau),
-	surgeForeign = 2.0     // and so many times the refusals of this sender's own: they were turned away elsewhere
-	surgeFor     = 3000.0  // a surge is over when it has not shown for so long
-	retryShare   = 0.2     // part of the pace that second tries are promised even where first tries would fill it
-	chance       = 2.5     // standard deviations kept free where many senders call by chance
-	growAfter    = 11000.0 // so long after the return a pace may grow again, by
-	growBy       = 1.1     // this a second, as long as nothing is refused: other senders may need less than their part,
-	growTo       = 4.0     // up to this times it
-	quietFor     = 2000.0  // without a refused call
-	cutBy        = 0.8     // refused calls lower it, once in
-	cutEvery     = 1000.0  // this time: what the partner takes may be less than it has stated,
-	cutLeast     = 0.2     // down to this part
-	unknownTimes = 2.0     // without a stated limit: this times the own rate before,
-	unknownLeast = 5.0     // and at least so much
-	dialShare    = 0.5     // connections a second, as part of the pace,
-	dialLeast    = 1.0     // and at least
-	asksMost     = 4096    // refusals that are remembered, at most
-	horizonMost  = 60000.0 // a reservation lies no further ahead, whatever the settings allow
-	horizonNone  = 2000.0  // and so far where they say nothing
-	lookEvery    = 250.0   // between two looks at a storm
+	// Failed calls in a row, refused ones not counted, from which a destination may be in an outage.
+	outageFailures = 3
+	// Shortest time without a success that is an outage, given enough failed calls.
+	minOutageSilence = 1500.0
+	// Failed calls in a row from which a destination is in an outage even if they are refused calls. A refusal shows
+	// that the partner is up, so more are needed, over a longer time. During a return they are no sign of an outage:
+	// a partner that has just returned is cold and refuses calls.
+	outageRefusals = 8
+	// Shortest time without a success that is an outage, if outageRefusals calls have failed.
+	minRefusalSilence = 4000.0
+	// A requested wait longer than this is an outage: all senders that received it return at its end.
+	minOutageWait = 3000.0
+	// Shortest time from the first success to the end of a return.
+	minReturnDuration = 10000.0
+	// Longest time that a return or a surge lasts, and that an outage lasts without calls or held messages.
+	maxPhaseDuration = 60000.0
+	// A storm may end once the held messages can be sent within this time.
+	drainTime = 1000.0
+	// Factor on the pace for each relapse in one storm.
+	relapseCut = 0.7
+	// Lower bound of the factor after several relapses.
+	minRelapseFactor = 0.35
+	// An outage within this time after a return is a relapse.
+	relapseWindow = 30000.0
+	// Time constant of the rate meters.
+	meterTau = 3000.0
+	// Fraction of submissions that must be resubmissions in a surge.
+	surgeFraction = 0.5
+	// Fewest resubmissions in a surge (a rate times meterTau).
+	minSurgeResubmissions = 5
+	// Resubmissions in a surge exceed this sender's own refusals by this factor: the others were refused elsewhere.
+	surgeRefusalMultiple = 2.0
+	// A surge may end when its conditions have not held for this long.
+	surgeEndDelay = 3000.0
+	// Fraction of the pace reserved for resubmissions even if first submissions would fill it.
+	minRetryFraction = 0.2
+	// Standard deviations kept free below the limit when the calls of many senders coincide by chance.
+	poissonDeviations = 2.5
+	// Time after a return from which the pace may grow beyond its base.
+	growthDelay = 11000.0
+	// Factor a second by which the pace grows while no calls are refused: other senders may use less than their share.
+	growthPerSecond = 1.1
+	// Upper bound of the growth, as a multiple of the base pace.
+	maxGrowth = 4.0
+	// The pace grows only after this time without a refused call.
+	growthQuietTime = 2000.0
+	// Factor on the pace when calls are refused during a return: the partner may accept less than its limit.
+	refusalCut = 0.8
+	// Shortest time between two cuts of the pace for refused calls.
+	refusalCutInterval = 1000.0
+	// Lower bound of the factor after several cuts for refused calls.
+	minRefusalFactor = 0.2
+	// Pace without a known limit, as a multiple of the call rate before the storm.
+	unknownLimitMultiple = 2.0
+	// Lower bound of the pace without a known limit.
+	minUnknownPace = 5.0
+	// Connections opened per second, as a fraction of the pace.
+	dialFraction = 0.5
+	// Lower bound of the connections opened per second.
+	minDialRate = 1.0
+	// Number of refusals remembered.
+	maxRefusals = 4096
+	// Longest time ahead of a reservation, whatever the settings allow.
+	maxHorizon = 60000.0
+	// Longest time ahead of a reservation if the settings have no bound.
+	defaultHorizon = 2000.0
+	// Time between two checks of a storm.
+	checkInterval = 250.0
 )
 
-// Phase is what a destination goes through.
+// Phase is the state of a destination.
 type Phase uint8
 
-// The phases.
+// The phases of a destination.
 const (
-	Calm      Phase = iota
-	Outage          // its calls fail together
-	Returning       // it has answered since, and what has piled up goes out
-	Surge           // it was not seen to fail, but second tries pour in that others turned away
+	Calm      Phase = iota // no storm
+	Outage                 // its calls fail together
+	Returning              // it has answered after an outage, and the backlog is being sent
+	Surge                  // no outage was observed, but clients resubmit messages that other senders refused
 )
 
-// String is the phase in a word.
+// String returns the name of the phase.
 func (p Phase) String() string {
 	return [...]string{"calm", "outage", "returning", "surge"}[p]
 }
 
-// Settings are what a Guard starts with.
+// Settings configure a Guard.
 type Settings struct {
-	Senders       int
-	MaxRetryAfter float64         // bound of what clients are told; 0 = none
-	Limits        map[int]float64 // calls a second that the operators state, by destination
+	Senders       int             // number of senders that share the limits
+	MaxRetryAfter float64         // upper bound of Retry-After; 0 = none
+	Limits        map[int]float64 // configured limit of each destination in calls per second
 	LimitIndex    int             // position of the limit in a report; -1: none
-	RatingIsRate  bool            // Endpoint.Rating is a rate in calls a second
-	OwnLimits     []bool          // by kind: endpoints are limited each for itself
+	RatingIsRate  bool            // Endpoint.Rating is a rate in calls per second
+	OwnLimits     []bool          // by kind: each endpoint has a limit of its own
 }
 
-// Order is what a storm asks of the sender. A zero Pace or Dials means none is asked.
+// Throttle limits the traffic to a destination during a storm. A zero Rate or DialRate is no limit.
 type Throttle struct {
 	Dest     int
 	Paces    []Pace
-	DialRate float64 // connections a second that may be opened to its endpoints
+	DialRate float64 // connections per second that may be opened to its endpoints
 	Phase    Phase
-	Held     int // messages held there
+	Held     int // messages held for the destination
 }
 
-// Pace is the most that goes to one route: calls a second, evenly spaced.
+// Pace is the maximum rate of evenly spaced calls on one route.
 type Pace struct {
-	Endpoint uint32 // 0: the limit that the destination's endpoints share
-	Rate     float64
+	Endpoint uint32  // 0: the route that the destination's endpoints share
+	Rate     float64 // calls per second
 }
 
-// Guard follows all destinations of one sender. A nil Guard sees no storm. It is not safe for concurrent use.
+// Guard tracks all destinations of one sender. A nil Guard detects no storms. It is not safe for concurrent use.
 type Guard struct {
-	set    Settings
-	rng    *rand.Rand
-	dests  map[int]*dest
-	eps    map[uint32]*endpoint
-	stormy map[int]*dest // not calm, or with an order to give
-	asks   asks
-	stats  Stats
-	news   bool    // an order is to be given
-	lookAt float64 // the next look at a storm
-}
-
-// Stats count what a Guard has seen and given.
+	settings  Settings
+	rng       *rand.Rand
+	dests     map[int]*dest
+	endpoints map[uint32]*endpoint
+	active    map[int]*dest // those that Throttles checks: not calm, or with failed calls
+	refusals  refusalLog
+	stats     Stats
+	changed   bool    // a throttle has changed since the last call of Throttles
+	checkAt   float64 // when the next check of a storm is due
+}
+
+// Stats holds the counters of a Guard.
 type Stats struct {
-	Storms     int // outages and surges that began
-	Reserved   int // come-back times that are reservations
-	Unreserved int // refusals for which no second was free
-	OnTime     int // refusals handed in again when told or later,
-	Early      int // and before that
+	Storms     int // storms that began
+	Reserved   int // refusals whose Retry-After is a reservation
+	Unreserved int // refusals for which no slot was free
+	OnTime     int // refused messages resubmitted after their Retry-After
+	Early      int // refused messages resubmitted before it
 }
 
 type endpoint struct {
-	dest  *dest
-	apart bool
-	limit float64 // its own, as told
+	dest     *dest
+	ownLimit bool
+	limit    float64 // advertised limit of its own; 0 = none
 }
 
-// dest is what is known of one destination.
+// dest is the state of one destination.
 type dest struct {
-	id       int
-	phase    Phase
-	since    float64 // of the phase
-	lastOK   float64
-	fails    int // in a row
-	fulls    int // of these, refused calls
-	failAt   float64
-	failEp   uint32
-	falls    int
-	grown    float64 // what the pace has grown to, as a multiple
-	fullAt   float64 // the last refused call
-	cutAt    float64 // and when one last lowered the pace
-	oks      meter
-	mute     bool    // the last failure was no answer
-	backAt   float64 // the last return
-	surgeAt  float64 // second tries poured in last
-	waits    float64 // told: nothing is sent before
-	told     float64 // limit that all endpoints share, as told; 0 = none
-	before   float64 // own rate of calls before the storm
-	calls    meter
-	fresh    meter // first tries handed in
-	again    meter // second tries
-	refused  meter // refusals of this sender
-	held     int
-	eps      []uint32 // with limits of their own
-	book     *book
-	ordered  bool // an order stands
-	dirty    bool // and is to be told anew
-	lookAt   float64
-	blockTil float64 // what an earlier life may have promised
-}
-
-// meter is an exponentially decaying rate a second.
-type meter struct{ v, at float64 }
-
-func (m *meter) add(now, n float64) { m.v, m.at = m.get(now)+n*1000/meterTau, now }
-
-func (m *meter) get(now float64) float64 { return m.v * math.Exp((m.at-now)/meterTau) }
-
-// New returns a Guard in calm.
-func New(set Settings, seed uint64) *Guard {
-	set.Senders = max(set.Senders, 1)
+	id                  int
+	phase               Phase
+	phaseStart          float64
+	lastOK              float64
+	failures            int // failed calls in a row
+	refusedCalls        int // those of failures that the partner refused
+	lastFailure         float64
+	lastFailureEndpoint uint32
+	relapses            int
+	paceFactor          float64 // factor on the pace from growth and from cuts for refused calls
+	lastRefusedCall     float64
+	lastCut             float64 // when a refused call last lowered paceFactor
+	successRate         rateMeter
+	unanswered          bool    // the last failed call got no answer
+	returnedAt          float64 // start of the last return
+	lastSurge           float64 // when the conditions of a surge last held
+	waitUntil           float64 // end of the requested wait: nothing is sent before it
+	advertisedLimit     float64 // advertised limit that the endpoints share; 0 = none
+	rateBeforeStorm     float64 // call rate of this sender before the storm
+	callRate            rateMeter
+	firstRate           rateMeter // first submissions
+	resubmitRate        rateMeter // resubmissions
+	refusalRate         rateMeter // messages that this sender refused
+	held                int       // messages held by this sender
+	ownLimitEndpoints   []uint32  // ready endpoints with a limit of their own
+	reservations        *reservations
+	throttled           bool // a throttle is in force, or its end is not yet reported
+	changed             bool // the throttle has changed since the last call of Throttles
+	checkAt             float64
+	reserveFrom         float64 // no reservation earlier: a previous run may have given the time before
+}
+
+// rateMeter measures a rate per second with exponential decay.
+type rateMeter struct{ rate, updatedAt float64 }
+
+func (m *rateMeter) add(now, n float64) { m.rate, m.updatedAt = m.get(now)+n*1000/meterTau, now }
+
+func (m *rateMeter) get(now float64) float64 { return m.rate * math.Exp((m.updatedAt-now)/meterTau) }
+
+// New returns a Guard without any storm.
+func New(settings Settings, seed uint64) *Guard {
+	settings.Senders = max(settings.Senders, 1)
 	return &Guard{
-		set: set, rng: rand.New(rand.NewPCG(seed, 0x5f0e1c)), dests: map[int]*dest{}, eps: map[uint32]*endpoint{},
-		stormy: map[int]*dest{}, asks: asks{at: map[uint64]ask{}}, lookAt: math.Inf(1),
+		settings: settings, rng: rand.New(rand.NewPCG(seed, 0x5f0e1c)),
+		dests: map[int]*dest{}, endpoints: map[uint32]*endpoint{}, active: map[int]*dest{},
+		refusals: refusalLog{byKey: map[uint64]refusal{}}, checkAt: math.Inf(1),
 	}
 }
 
-// SettingsOf is what a Guard needs of a sender's settings, with the limits that the operators state.
-func SettingsFrom(set *policy.Settings, limits map[int]float64) Settings {
-	s := Settings{Senders: set.Senders, MaxRetryAfter: set.MaxRetryAfter, Limits: limits, LimitIndex: set.LimitIndex, RatingIsRate: set.RatingIsRate}
-	for _, k := range set.Kinds {
+// SettingsFrom returns the settings of a Guard for a sender with these settings and configured limits.
+func SettingsFrom(settings *policy.Settings, limits map[int]float64) Settings {
+	s := Settings{
+		Senders: settings.Senders, MaxRetryAfter: settings.MaxRetryAfter, Limits: limits,
+		LimitIndex: settings.LimitIndex, RatingIsRate: settings.RatingIsRate,
+	}
+	for _, k := range settings.Kinds {
 		s.OwnLimits = append(s.OwnLimits, k.OwnLimits)
 	}
 	return s
 }
 
-// Stats returns the counts so far.
+// Stats returns the counters.
 func (g *Guard) Stats() Stats {
 	if g == nil {
 		return Stats{}
@@ -191,7 +230,7 @@
 	return g.stats
 }
 
-// Phase is what a destination goes through.
+// Phase returns the phase of a destination.
 func (g *Guard) Phase(id int) Phase {
 	if d := g.dests[id]; d != nil {
 		return d.phase
@@ -199,7 +238,8 @@
 	return Calm
 }
 
-// Listed takes news of the list of endpoints, as the decision module gets it.
+// UpdateEndpoints applies an update of the endpoint list, in the form that package policy gets. A full list removes
+// all endpoints that it does not contain.
 func (g *Guard) UpdateEndpoints(now float64, list []policy.Endpoint, full bool) {
 	if g == nil {
 		return
@@ -209,73 +249,74 @@
 		for i := range list {
 			named[list[i].ID] = true
 		}
-		for id := range g.eps {
+		for id := range g.endpoints {
 			if !named[id] {
-				g.remove(id)
+				g.removeEndpoint(id)
 			}
 		}
 	}
 	for i := range list {
 		l := &list[i]
 		if l.State == policy.Gone {
-			g.remove(l.ID)
+			g.removeEndpoint(l.ID)
 			continue
 		}
-		e := g.eps[l.ID]
+		e := g.endpoints[l.ID]
 		if e == nil {
-			e = &endpoint{dest: g.dest(l.Dest, now), apart: l.Kind >= 0 && l.Kind < len(g.set.OwnLimits) && g.set.OwnLimits[l.Kind]}
-			g.eps[l.ID] = e
-			if e.apart {
-				e.dest.eps = append(e.dest.eps, l.ID)
+			e = &endpoint{dest: g.destFor(l.Dest, now),
+				ownLimit: l.Kind >= 0 && l.Kind < len(g.settings.OwnLimits) && g.settings.OwnLimits[l.Kind]}
+			g.endpoints[l.ID] = e
+			if e.ownLimit {
+				e.dest.ownLimitEndpoints = append(e.dest.ownLimitEndpoints, l.ID)
 			}
-			if g.set.RatingIsRate && l.Rating > 0 && !math.IsInf(l.Rating, 0) {
-				g.tell(e, l.Rating, true)
+			if g.settings.RatingIsRate && l.Rating > 0 && !math.IsInf(l.Rating, 0) {
+				g.setLimit(e, l.Rating, true)
 			}
 		}
-		if e.apart && l.State != policy.Ready {
-			e.dest.eps = without(e.dest.eps, l.ID)
-		} else if e.apart && !slices.Contains(e.dest.eps, l.ID) {
-			e.dest.eps = append(e.dest.eps, l.ID)
+		if e.ownLimit && l.State != policy.Ready {
+			e.dest.ownLimitEndpoints = without(e.dest.ownLimitEndpoints, l.ID)
+		} else if e.ownLimit && !slices.Contains(e.dest.ownLimitEndpoints, l.ID) {
+			e.dest.ownLimitEndpoints = append(e.dest.ownLimitEndpoints, l.ID)
 		}
-		g.tellAnew(e.dest)
+		g.markChanged(e.dest)
 	}
 }
 
-// tellAnew sees that a standing order is given again.
-func (g *Guard) tellAnew(d *dest) {
-	if d.ordered {
-		d.dirty, g.news = true, true
+// markChanged makes Throttles report a destination's throttle again, if it has one.
+func (g *Guard) markChanged(d *dest) {
+	if d.throttled {
+		d.changed, g.changed = true, true
 	}
 }
 
-// follow puts a destination among those that are looked at.
-func (g *Guard) follow(d *dest) {
-	g.stormy[d.id] = d
-	g.lookAt = min(g.lookAt, d.lookAt)
+// watch adds a destination to those that Throttles checks.
+func (g *Guard) watch(d *dest) {
+	g.active[d.id] = d
+	g.checkAt = min(g.checkAt, d.checkAt)
 }
 
-// tell takes a limit; one of the list (first) does not stand against one that the partner told.
-func (g *Guard) tell(e *endpoint, limit float64, first bool) {
-	at := &e.dest.told
-	if e.apart {
-		at = &e.limit
+// setLimit sets an advertised limit. A limit from the endpoint list does not replace one that the partner reported.
+func (g *Guard) setLimit(e *endpoint, limit float64, fromList bool) {
+	target := &e.dest.advertisedLimit
+	if e.ownLimit {
+		target = &e.limit
 	}
-	if !first || *at == 0 {
-		if *at != limit {
-			g.tellAnew(e.dest)
+	if !fromList || *target == 0 {
+		if *target != limit {
+			g.markChanged(e.dest)
 		}
-		*at = limit
+		*target = limit
 	}
 }
 
-func (g *Guard) remove(id uint32) {
-	e := g.eps[id]
+func (g *Guard) removeEndpoint(id uint32) {
+	e := g.endpoints[id]
 	if e == nil {
 		return
 	}
-	delete(g.eps, id)
-	e.dest.eps = without(e.dest.eps, id)
-	g.tellAnew(e.dest)
+	delete(g.endpoints, id)
+	e.dest.ownLimitEndpoints = without(e.dest.ownLimitEndpoints, id)
+	g.markChanged(e.dest)
 }
 
 func without(list []uint32, v uint32) []uint32 {
@@ -285,26 +326,27 @@
 	return list
 }
 
-// dest is the destination of that number. What is calm and empty costs its entry alone: it has no book.
-func (g *Guard) dest(id int, now float64) *dest {
+// destFor returns the state of a destination and creates it if needed. A destination without a storm has no
+// reservations, to save memory.
+func (g *Guard) destFor(id int, now float64) *dest {
 	d := g.dests[id]
 	if d == nil {
-		d = &dest{id: id, lastOK: now, grown: 1, backAt: math.Inf(-1), surgeAt: math.Inf(-1)}
+		d = &dest{id: id, lastOK: now, paceFactor: 1, returnedAt: math.Inf(-1), lastSurge: math.Inf(-1)}
 		g.dests[id] = d
 	}
 	return d
 }
 
-// Recall takes up what an earlier life knew of destinations, ahead of the list that names them: an outage or a
-// return that went on then goes on now. What that life had promised is not known any more; as long as it may
-// bind, nothing is promised before it.
+// Restore applies the facts about destinations that a previous run has kept, before the list that contains them
+// is applied. An outage or a return continues if all endpoints known of a destination are broken or ramping. The
+// reservations of the previous run are lost: no reservation is made for the time that they may cover.
 func (g *Guard) Restore(now float64, facts []policy.DestFacts) {
 	if g == nil {
 		return
 	}
 	for i := range facts {
 		f := &facts[i]
-		broken, ramping, lastOK, rampAt := 0, 0, math.Inf(-1), 0.0
+		broken, ramping, lastOK, rampStart := 0, 0, math.Inf(-1), 0.0
 		for j := range f.Endpoints {
 			e := &f.Endpoints[j]
 			switch e.Health {
@@ -312,117 +354,120 @@
 				broken++
 			case policy.Ramping:
 				ramping++
-				rampAt = max(rampAt, e.RampStart)
+				rampStart = max(rampStart, e.RampStart)
 			}
 			lastOK = max(lastOK, e.LastOK)
 		}
 		if len(f.Endpoints) == 0 || broken+ramping < len(f.Endpoints) {
 			continue
 		}
-		d := g.dest(f.Dest, now)
+		d := g.destFor(f.Dest, now)
 		if f.SharedRoute != nil {
-			d.told, d.before, d.waits = f.SharedRoute.AdvertisedLimit, f.SharedRoute.AcceptedRate, f.SharedRoute.WaitUntil
+			d.advertisedLimit, d.rateBeforeStorm = f.SharedRoute.AdvertisedLimit, f.SharedRoute.AcceptedRate
+			d.waitUntil = f.SharedRoute.WaitUntil
 		}
-		g.enter(d, Outage, now)
+		g.enterPhase(d, Outage, now)
 		d.lastOK = min(lastOK, now)
 		if ramping > 0 {
-			g.enter(d, Returning, now)
-			d.since = min(max(rampAt, now-settleLeast), now)
-			d.backAt = d.since
+			g.enterPhase(d, Returning, now)
+			d.phaseStart = min(max(rampStart, now-minReturnDuration), now)
+			d.returnedAt = d.phaseStart
 		}
-		d.blockTil = now + g.horizon()
+		d.reserveFrom = now + g.horizon()
 	}
 }
 
-// enter begins a phase.
-func (g *Guard) enter(d *dest, p Phase, now float64) {
-	if d.phase == Calm && p != Calm {
+// enterPhase starts a phase of a destination.
+func (g *Guard) enterPhase(d *dest, phase Phase, now float64) {
+	if d.phase == Calm && phase != Calm {
 		g.stats.Storms++
-		d.before = max(d.before, d.calls.get(now))
+		d.rateBeforeStorm = max(d.rateBeforeStorm, d.callRate.get(now))
 	}
-	if p == Outage && now-d.backAt > relapse {
-		d.falls = 0
+	if phase == Outage && now-d.returnedAt > relapseWindow {
+		d.relapses = 0
 	}
-	d.phase, d.since, d.lookAt, d.grown = p, now, now, 1
-	d.ordered = true
-	g.tellAnew(d)
-	if p == Calm {
-		d.book, d.before = nil, 0
+	d.phase, d.phaseStart, d.checkAt, d.paceFactor = phase, now, now, 1
+	d.throttled = true
+	g.markChanged(d)
+	if phase == Calm {
+		d.reservations, d.rateBeforeStorm = nil, 0
 	}
-	g.follow(d)
+	g.watch(d)
 }
 
-// Outcome takes the end of an attempt that was sent; it passes over whatever is no EvOutcome.
+// RecordOutcome records the outcome of an attempt that was sent. It ignores events other than EvOutcome.
 func (g *Guard) RecordOutcome(now float64, e *policy.Event) {
 	if g == nil || e.Kind != policy.EvOutcome || e.Outcome == policy.Moot {
 		return
 	}
-	ep := g.eps[e.Endpoint]
+	ep := g.endpoints[e.Endpoint]
 	if ep == nil {
 		return
 	}
 	d := ep.dest
-	if x := g.set.LimitIndex; x >= 0 && x < len(e.Report) && e.Report[x] > 0 && !math.IsInf(e.Report[x], 0) {
-		g.tell(ep, e.Report[x], false)
+	if x := g.settings.LimitIndex; x >= 0 && x < len(e.Report) && e.Report[x] > 0 && !math.IsInf(e.Report[x], 0) {
+		g.setLimit(ep, e.Report[x], false)
 	}
-	if e.RequestedWait > 0 && !ep.apart {
-		d.waits = max(d.waits, now+e.RequestedWait)
+	if e.RequestedWait > 0 && !ep.ownLimit {
+		d.waitUntil = max(d.waitUntil, now+e.RequestedWait)
 	}
-	d.calls.add(now, 1)
-	if e.RequestedWait > longWait && !ep.apart && d.phase != Outage {
-		g.fall(d, now)
+	d.callRate.add(now, 1)
+	if e.RequestedWait > minOutageWait && !ep.ownLimit && d.phase != Outage {
+		g.beginOutage(d, now)
 	}
 	if e.Outcome == policy.OK {
-		d.fails, d.fulls, d.lastOK = 0, 0, now
-		d.oks.add(now, 1)
+		d.failures, d.refusedCalls, d.lastOK = 0, 0, now
+		d.successRate.add(now, 1)
 		if d.phase == Outage {
-			d.backAt = now
-			g.enter(d, Returning, now)
+			d.returnedAt = now
+			g.enterPhase(d, Returning, now)
 		}
 		return
 	}
-	if d.fails > 0 && d.failAt == now && d.failEp == e.Endpoint {
-		return // the messages of one call fail as one
+	if d.failures > 0 && d.lastFailure == now && d.lastFailureEndpoint == e.Endpoint {
+		return // the messages of one call are one failure
 	}
-	d.fails++
-	d.failAt, d.failEp = now, e.Endpoint
+	d.failures++
+	d.lastFailure, d.lastFailureEndpoint = now, e.Endpoint
 	if e.Outcome == policy.Full {
-		d.fulls++
-		d.fullAt = now
-		if d.phase == Returning && now-d.cutAt >= cutEvery {
-			d.grown, d.cutAt = max(min(d.grown, 1)*cutBy, cutLeast), now
-			g.tellAnew(d)
+		d.refusedCalls++
+		d.lastRefusedCall = now
+		if d.phase == Returning && now-d.lastCut >= refusalCutInterval {
+			d.paceFactor, d.lastCut = max(min(d.paceFactor, 1)*refusalCut, minRefusalFactor), now
+			g.markChanged(d)
 		}
 	}
-	silent := now - d.lastOK
-	d.mute = e.Outcome == policy.ConnectFailed || e.Outcome == policy.Timeout || e.Outcome == policy.Reset
-	if d.mute && d.phase == Calm { // it may show only with time
-		g.follow(d)
+	silence := now - d.lastOK
+	d.unanswered = e.Outcome == policy.ConnectFailed || e.Outcome == policy.Timeout || e.Outcome == policy.Reset
+	if d.unanswered && d.phase == Calm { // whether it is an outage may depend on time alone
+		g.watch(d)
 	}
-	dead := d.dead(now)
-	shut := d.phase != Returning && d.fails >= fullTogether && silent >= fullFor
-	if d.phase != Outage && (dead || shut) {
-		g.fall(d, now)
+	failing := d.failing(now)
+	refusing := d.phase != Returning && d.failures >= outageRefusals && silence >= minRefusalSilence
+	if d.phase != Outage && (failing || refusing) {
+		g.beginOutage(d, now)
 	}
 }
 
-// dead tells whether calls fail together. A sender that calls seldom has few successes to weigh a failure
-// against, and would see an outage only when it is over: no answer where few calls were answered lately is enough.
-func (d *dest) dead(now float64) bool {
-	n := d.fails - d.fulls
-	return now-d.lastOK >= silentFor && (n >= failTogether || n > 0 && d.mute && float64(n) > d.oks.get(now)*meterTau/1000)
+// failing reports whether the destination's calls fail together. A sender with a low call rate would collect
+// outageFailures only after the outage is over: for it, more unanswered calls than recent successes are enough.
+func (d *dest) failing(now float64) bool {
+	n := d.failures - d.refusedCalls
+	return now-d.lastOK >= minOutageSilence &&
+		(n >= outageFailures || n > 0 && d.unanswered && float64(n) > d.successRate.get(now)*meterTau/1000)
 }
 
-// fall begins an outage. One that follows a return soon is a relapse: the partner could not take what it got.
-func (g *Guard) fall(d *dest, now float64) {
-	if now-d.backAt <= relapse {
-		d.falls++
+// beginOutage starts an outage. Soon after a return it is a relapse: the partner could not handle the load.
+func (g *Guard) beginOutage(d *dest, now float64) {
+	if now-d.returnedAt <= relapseWindow {
+		d.relapses++
 	}
-	g.enter(d, Outage, now)
+	g.enterPhase(d, Outage, now)
 }
 
-// Arrived takes a message that was handed in. key names the message over all its tries, 0 if nothing does.
-func (g *Guard) RecordArrival(now float64, id int, key uint64, again bool) {
+// RecordArrival records a message that a client has submitted. key identifies the message over all its
+// submissions; 0 = unknown.
+func (g *Guard) RecordArrival(now float64, id int, key uint64, resubmitted bool) {
 	if g == nil {
 		return
 	}
@@ -430,117 +475,118 @@
 	if d == nil {
 		return
 	}
-	if a, ok := g.asks.take(key); ok {
-		again = true
-		if now >= a.until-slot/2 {
+	if r, ok := g.refusals.pop(key); ok {
+		resubmitted = true
+		if now >= r.retryAt-slotMS/2 {
 			g.stats.OnTime++
 		} else {
 			g.stats.Early++
-			if d.book != nil && a.booked {
-				d.book.free(a.until)
+			if d.reservations != nil && r.reserved {
+				d.reservations.release(r.retryAt)
 			}
 		}
 	}
-	if !again {
-		d.fresh.add(now, 1)
+	if !resubmitted {
+		d.firstRate.add(now, 1)
 		return
 	}
-	d.again.add(now, 1)
-	pour := d.again.get(now)
-	if pour*meterTau/1000 < surgeLeast || pour < surgeShare*(pour+d.fresh.get(now)) ||
-		pour < surgeForeign*d.refused.get(now) || pour < g.part(d) {
+	d.resubmitRate.add(now, 1)
+	rate := d.resubmitRate.get(now)
+	if rate*meterTau/1000 < minSurgeResubmissions || rate < surgeFraction*(rate+d.firstRate.get(now)) ||
+		rate < surgeRefusalMultiple*d.refusalRate.get(now) || rate < g.totalPace(d) {
 		return
 	}
-	d.surgeAt = now
+	d.lastSurge = now
 	if d.phase == Calm {
-		g.enter(d, Surge, now)
+		g.enterPhase(d, Surge, now)
 	}
 }
 
-// Held says by how much the number of messages that the sender holds for a destination has changed. What the
-// journal brings back counts before any list has named its destination: a storm that seems to hold nothing is
-// over too soon, and the backlog goes out at once.
-func (g *Guard) AdjustHeld(now float64, id, by int) {
+// AdjustHeld changes the number of messages that the sender holds for a destination. Messages restored from the
+// journal count even before an endpoint list contains their destination: otherwise a storm would seem drained and
+// end too early, and the backlog would be sent at once.
+func (g *Guard) AdjustHeld(now float64, id, delta int) {
 	if g == nil {
 		return
 	}
-	if d := g.dests[id]; d != nil || by > 0 {
-		d = g.dest(id, now)
-		d.held = max(d.held+by, 0)
+	if d := g.dests[id]; d != nil || delta > 0 {
+		d = g.destFor(id, now)
+		d.held = max(d.held+delta, 0)
 	}
 }
 
-// Refused says after how many milliseconds the client of a refused message should come again. least is what the
-// decision module says; in calm that is the answer. left is how long the message may still be delivered: one
-// that would come too late takes nobody's place. The answer is never under least but for the bound on it.
-func (g *Guard) RetryAfter(now float64, id int, key uint64, left, least float64) float64 {
+// RetryAfter records a refusal and returns the time in milliseconds after which the client should resubmit the
+// message. minWait is the time from package policy: the result without a storm, and its lower bound unless it
+// exceeds the horizon. remaining is the time to the message's deadline: no slot is reserved after it.
+func (g *Guard) RetryAfter(now float64, id int, key uint64, remaining, minWait float64) float64 {
 	if g == nil || g.dests[id] == nil {
-		return least
+		return minWait
 	}
 	d := g.dests[id]
-	d.refused.add(now, 1)
-	after, booked := least, false
+	d.refusalRate.add(now, 1)
+	wait, reserved := minWait, false
 	if d.phase != Calm {
-		after, booked = g.comeBack(d, now, left, least)
+		wait, reserved = g.scheduleRetry(d, now, remaining, minWait)
 	}
-	g.asks.put(key, ask{now + after, booked})
-	return after
+	g.refusals.add(key, refusal{now + wait, reserved})
+	return wait
 }
 
-// comeBack reserves the earliest moment that is free.
-func (g *Guard) comeBack(d *dest, now, left, least float64) (after float64, booked bool) {
+// scheduleRetry reserves the earliest free slot. Without one it returns a random time in the second half of the
+// horizon.
+func (g *Guard) scheduleRetry(d *dest, now, remaining, minWait float64) (wait float64, reserved bool) {
 	horizon := g.horizon()
-	if d.book == nil {
-		d.book = &book{}
+	if d.reservations == nil {
+		d.reservations = &reservations{}
 	}
-	earliest := max(now+least, d.waits, d.blockTil-slot)
-	if at, ok := d.book.reserve(now, earliest, now+min(horizon, left)-slot, g.room(d, now)); ok {
+	earliest := max(now+minWait, d.waitUntil, d.reserveFrom-slotMS)
+	if at, ok := d.reservations.reserve(now, earliest, now+min(horizon, remaining)-slotMS, g.retryBudget(d, now)); ok {
 		g.stats.Reserved++
-		return min(at+slot*g.rng.Float64()-now, horizon), true
+		return min(at+slotMS*g.rng.Float64()-now, horizon), true
 	}
 	g.stats.Unreserved++
-	lo := min(max(least, horizon/2, earliest-now), horizon) // a told wait binds those without a place, too
-	return lo + (horizon-lo)*g.rng.Float64(), false
+	lower := min(max(minWait, horizon/2, earliest-now), horizon) // a requested wait applies without a slot too
+	return lower + (horizon-lower)*g.rng.Float64(), false
 }
 
-// horizon is how far ahead clients may be told to come again.
+// horizon returns the longest Retry-After.
 func (g *Guard) horizon() float64 {
-	if g.set.MaxRetryAfter <= 0 {
-		return horizonNone
+	if g.settings.MaxRetryAfter <= 0 {
+		return defaultHorizon
 	}
-	return min(g.set.MaxRetryAfter, horizonMost)
+	return min(g.settings.MaxRetryAfter, maxHorizon)
 }
 
-// room is the retry budget: how many second tries a second may be promised, which is what first tries leave of
-// the pace, and a part of it in any case.
-func (g *Guard) room(d *dest, now float64) float64 {
-	rate := g.part(d)
-	return max(rate-d.fresh.get(now), retryShare*rate)
+// retryBudget returns how many resubmissions per second may be reserved: the part of the pace that first
+// submissions leave, and at least minRetryFraction of it.
+func (g *Guard) retryBudget(d *dest, now float64) float64 {
+	rate := g.totalPace(d)
+	return max(rate-d.firstRate.get(now), minRetryFraction*rate)
 }
 
-// part is the pace of this sender at a destination, over all its routes.
-func (g *Guard) part(d *dest) (rate float64) {
+// totalPace returns this sender's pace over all routes of a destination.
+func (g *Guard) totalPace(d *dest) (rate float64) {
 	for _, p := range g.paces(d) {
 		rate += p.Rate
 	}
 	return rate
 }
 
-// paces is what may go to each route of a destination while there is a storm.
+// paces returns the pace of each route of a destination during a storm.
 func (g *Guard) paces(d *dest) []Pace {
-	stated := g.set.Limits[d.id]
-	if len(d.eps) == 0 {
-		return []Pace{{0, g.rate(d, stricter(d.told, stated), 1)}}
+	configured := g.settings.Limits[d.id]
+	if len(d.ownLimitEndpoints) == 0 {
+		return []Pace{{0, g.routePace(d, stricter(d.advertisedLimit, configured), 1)}}
 	}
 	var list []Pace
-	for _, id := range d.eps {
-		limit := stricter(g.eps[id].limit, stated/float64(len(d.eps)))
-		list = append(list, Pace{id, g.rate(d, limit, len(d.eps))})
+	for _, id := range d.ownLimitEndpoints {
+		limit := stricter(g.endpoints[id].limit, configured/float64(len(d.ownLimitEndpoints)))
+		list = append(list, Pace{id, g.routePace(d, limit, len(d.ownLimitEndpoints))})
 	}
 	return list
 }
 
-// stricter is the lower of two limits of which 0 is none.
+// stricter returns the lower of two limits; 0 is no limit.
 func stricter(a, b float64) float64 {
 	if a == 0 || b > 0 && b < a {
 		return b
@@ -548,96 +594,96 @@
 	return a
 }
 
-// rate is this sender's part of a limit. Few senders space their calls evenly: each may be one call over in any
-// second, and that call is kept free. Many senders with less than a call a second each add up by chance, and the
-// deviations of a Poisson count are kept free. Which of the two leaves more is right.
-func (g *Guard) rate(d *dest, limit float64, routes int) float64 {
-	n := float64(g.set.Senders)
-	cut := max(math.Pow(fallCut, float64(d.falls)), fallLeast)
+// routePace returns this sender's share of a limit. Senders space their calls evenly, so each may exceed its share
+// by one call in any second: with few senders, one call per sender is kept free. Many senders with less than one
+// call per second each make a Poisson count, of which poissonDeviations are kept free. The higher result applies.
+func (g *Guard) routePace(d *dest, limit float64, routes int) float64 {
+	senders := float64(g.settings.Senders)
+	relapseFactor := max(math.Pow(relapseCut, float64(d.relapses)), minRelapseFactor)
 	if limit <= 0 {
-		return max(unknownTimes*d.before, unknownLeast) / float64(routes) * cut
+		return max(unknownLimitMultiple*d.rateBeforeStorm, minUnknownPace) / float64(routes) * relapseFactor
 	}
-	root := (math.Sqrt(chance*chance+4*limit) - chance) / 2
-	return min(max(limit/n-1, root*root/n)*cut*d.grown, limit)
+	root := (math.Sqrt(poissonDeviations*poissonDeviations+4*limit) - poissonDeviations) / 2
+	return min(max(limit/senders-1, root*root/senders)*relapseFactor*d.paceFactor, limit)
 }
 
-// Orders returns what has changed since the last call: paces and connections while there is a storm, and once
-// their end. It is called ahead of each step of the decision module.
+// Throttles checks the storms that are due, and returns the throttles that have changed since the last call. A storm
+// that has ended is reported once, with zero rates. Throttles is called before each step of package policy.
 func (g *Guard) Throttles(now float64) (list []Throttle) {
-	if g == nil || !g.news && now < g.lookAt { // a step costs nothing for storms that stand
+	if g == nil || !g.changed && now < g.checkAt { // a step costs nothing while no storm changes
 		return nil
 	}
-	g.news, g.lookAt = false, math.Inf(1)
-	for id, d := range g.stormy {
-		if now >= d.lookAt {
-			d.lookAt = now + lookEvery
-			g.look(d, now)
+	g.changed, g.checkAt = false, math.Inf(1)
+	for id, d := range g.active {
+		if now >= d.checkAt {
+			d.checkAt = now + checkInterval
+			g.check(d, now)
 		}
-		if d.dirty {
-			list = append(list, g.order(d))
+		if d.changed {
+			list = append(list, g.throttle(d))
 		}
-		if d.phase == Calm && d.fails == 0 {
-			delete(g.stormy, id)
+		if d.phase == Calm && d.failures == 0 {
+			delete(g.active, id)
 			continue
 		}
-		g.lookAt = min(g.lookAt, d.lookAt)
+		g.checkAt = min(g.checkAt, d.checkAt)
 	}
 	slices.SortFunc(list, func(a, b Throttle) int { return a.Dest - b.Dest })
 	return list
 }
 
-// order is what is asked at a destination now.
-func (g *Guard) order(d *dest) Throttle {
-	d.dirty = false
-	o := Throttle{Dest: d.id, Phase: d.phase, Held: d.held, Paces: g.paces(d)}
+// throttle returns the present throttle of a destination and marks it as reported.
+func (g *Guard) throttle(d *dest) Throttle {
+	d.changed = false
+	t := Throttle{Dest: d.id, Phase: d.phase, Held: d.held, Paces: g.paces(d)}
 	if d.phase != Calm {
-		o.DialRate = max(dialShare*g.part(d), dialLeast)
-		return o
+		t.DialRate = max(dialFraction*g.totalPace(d), minDialRate)
+		return t
 	}
-	d.ordered = false
-	for i := range o.Paces {
-		o.Paces[i].Rate = 0
+	d.throttled = false
+	for i := range t.Paces {
+		t.Paces[i].Rate = 0
 	}
-	return o
+	return t
 }
 
-// look ends a storm whose time has come.
-func (g *Guard) look(d *dest, now float64) {
-	age := now - d.since
-	drained := float64(d.held) <= max(g.part(d)*drainIn/1000, 1)
+// check moves a destination to the next phase when it is due, and lets the pace of a return grow.
+func (g *Guard) check(d *dest, now float64) {
+	age := now - d.phaseStart
+	drained := float64(d.held) <= max(g.totalPace(d)*drainTime/1000, 1)
 	switch d.phase {
 	case Returning:
-		most := 1.0
-		if age >= growAfter {
-			most = growTo
+		maxFactor := 1.0
+		if age >= growthDelay {
+			maxFactor = maxGrowth
 		}
-		if now-d.fullAt >= quietFor && d.grown < most {
-			d.grown = min(d.grown*math.Pow(growBy, lookEvery/1000), most)
-			g.tellAnew(d)
+		if now-d.lastRefusedCall >= growthQuietTime && d.paceFactor < maxFactor {
+			d.paceFactor = min(d.paceFactor*math.Pow(growthPerSecond, checkInterval/1000), maxFactor)
+			g.markChanged(d)
 		}
-		if age >= settleMost || age >= settleLeast && drained {
-			g.enter(d, Calm, now)
+		if age >= maxPhaseDuration || age >= minReturnDuration && drained {
+			g.enterPhase(d, Calm, now)
 		}
 	case Surge:
-		if now-d.surgeAt >= surgeFor && drained || age >= settleMost {
-			g.enter(d, Calm, now)
+		if now-d.lastSurge >= surgeEndDelay && drained || age >= maxPhaseDuration {
+			g.enterPhase(d, Calm, now)
 		}
 	case Calm:
-		if d.dead(now) {
-			g.fall(d, now)
+		if d.failing(now) {
+			g.beginOutage(d, now)
 		}
-	case Outage: // of which nothing is tried any more: the next call tells
-		if now-max(d.failAt, d.since) >= settleMost && d.held == 0 {
-			d.fails, d.fulls = 0, 0 // or it would be an outage again at the next look
-			g.enter(d, Calm, now)
+	case Outage: // without calls for maxPhaseDuration: the next call shows whether it lasts
+		if now-max(d.lastFailure, d.phaseStart) >= maxPhaseDuration && d.held == 0 {
+			d.failures, d.refusedCalls = 0, 0 // otherwise the next check would start an outage again
+			g.enterPhase(d, Calm, now)
 		}
 	}
 }
 
-// Next is when Orders is due again, +Inf if never.
+// NextDue returns when Throttles is due again, +Inf if never.
 func (g *Guard) NextDue() float64 {
 	if g == nil {
 		return math.Inf(1)
 	}
-	return g.lookAt
+	return g.checkAt
 }
--- a/internal/storm/storm_test.go
+++ b/internal/storm/storm_test.go
@@ -102,11 +102,11 @@
 	r.AdjustHeld(r.now, 7, 100)
 	r.now += 15000
 	r.back(t)
-	r.now += settleLeast + 1
+	r.now += minReturnDuration + 1
 	r.Throttles(r.now)
 	r.expect(t, Returning) // 100 messages wait
 	r.AdjustHeld(r.now, 7, -95)
-	r.now += lookEvery + 1
+	r.now += checkInterval + 1
 	if rate, dials = r.pace(t); rate != 0 || dials != 0 {
 		t.Errorf("after the storm a pace of %v and %v connections a second", rate, dials)
 	}
@@ -134,7 +134,7 @@
 		}
 		last = rate
 	}
-	if full := forty/3 - 1; last < fallLeast*full*0.99 {
+	if full := forty/3 - 1; last < minRelapseFactor*full*0.99 {
 		t.Errorf("pace %.2f fell under its floor", last)
 	}
 }
@@ -179,7 +179,7 @@
 	r.Restore(r.now, []policy.DestFacts{{Dest: 7, Endpoints: []policy.EndpointFacts{{ID: 1, Health: policy.Broken}}}})
 	r.UpdateEndpoints(r.now, []policy.Endpoint{{ID: 1, State: policy.Ready, Dest: 7}}, true)
 	r.call(1, policy.OK, 0)
-	r.now += settleLeast + 1
+	r.now += minReturnDuration + 1
 	r.Throttles(r.now)
 	r.expect(t, Returning)
 }
@@ -242,7 +242,7 @@
 		for _, from := range booked {
 			n := 0
 			for _, at := range booked {
-				if at >= from && at < from+1000-slot {
+				if at >= from && at < from+1000-slotMS {
 					n++
 				}
 			}
@@ -307,7 +307,7 @@
 	if rate, _ := r.pace(t); rate > forty/3 {
 		t.Errorf("pace %.2f", rate)
 	}
-	r.now += surgeFor + lookEvery
+	r.now += surgeEndDelay + checkInterval
 	r.pace(t)
 	r.expect(t, Calm)
 
@@ -351,7 +351,7 @@
 		t.Errorf("together %.1f in the worst second, limit %v", sum, forty)
 	}
 	// What the earlier life has promised may still be kept: nothing is promised before that is over.
-	if after := again.RetryAfter(again.now, 7, 1, 1e6, 200); after < horizon-2*slot {
+	if after := again.RetryAfter(again.now, 7, 1, 1e6, 200); after < horizon-2*slotMS {
 		t.Errorf("promised %v ms after a restart", after)
 	}
 	again.back(t)
@@ -369,7 +369,7 @@
 	r := newRig(3)
 	r.down(t)
 	for range 1000 {
-		r.now += lookEvery
+		r.now += checkInterval
 		r.Throttles(r.now)
 	}
 	r.expect(t, Calm)
@@ -418,7 +418,7 @@
 		g := New(Settings{Senders: senders}, 1)
 		rng := rand.New(rand.NewPCG(1, uint64(senders)))
 		over, seconds, total := 0, 2000, 0
-		rate := g.rate(g.dest(7, 0), 100, 1)
+		rate := g.routePace(g.destFor(7, 0), 100, 1)
 		counts := make([]int, seconds)
 		for range senders {
 			for at := rng.Float64() / rate; at < float64(seconds); at += 1 / rate {
@@ -460,7 +460,7 @@
 				}
 			}
 		}
-		if len(r.asks.at) > asksMost {
+		if len(r.refusals.byKey) > maxRefusals {
 			t.Fatal("unbounded")
 		}
 	})
