--- a/internal/storm/bench_test.go
+++ b/internal/storm/bench_test.go
@@ -7,7 +7,7 @@
 	"sliptide/policy"
 )
 
-// A refusal in a storm: free places, and none left in the longest book.
+// A refusal during a storm, first with free slots, then without any over the whole horizon.
 func BenchmarkRefused(b *testing.B) {
 	for name, horizon := range map[string]float64{"5s": 5000, "60s": 60000} {
 		b.Run(name, func(b *testing.B) {
@@ -15,7 +15,7 @@
 			r.UpdateEndpoints(r.now, []policy.Endpoint{{ID: 1, State: policy.Ready, Dest: 7}}, true)
 			for range 5 {
 				r.now += 600
-				r.call(1, policy.ConnectFailed, 0)
+				r.endCall(1, policy.ConnectFailed, 0)
 			}
 			b.ReportAllocs()
 			for i := range b.N {
@@ -25,19 +25,19 @@
 	}
 }
 
-// What a call costs in calm.
+// The cost of a call without a storm.
 func BenchmarkCalmCall(b *testing.B) {
 	r := newRig(3)
 	b.ReportAllocs()
 	for range b.N {
 		r.now++
 		r.RecordArrival(r.now, 7, 0, false)
-		r.call(1, policy.OK, 0)
+		r.endCall(1, policy.OK, 0)
 		r.Throttles(r.now)
 	}
 }
 
-// What a destination costs in calm.
+// The memory of a destination without a storm.
 func BenchmarkDestination(b *testing.B) {
 	var before, after runtime.MemStats
 	g := New(Settings{Senders: 3}, 1)
--- a/internal/storm/storm_test.go
+++ b/internal/storm/storm_test.go
@@ -9,18 +9,18 @@
 )
 
 const (
-	horizon = 10000.0
-	forty   = 40.0 // the partner's limit in calls a second
+	maxRetryAfter = 10000.0
+	partnerLimit  = 40.0 // calls per second
 )
 
-// rig is a Guard with one destination of four endpoints that share a limit.
+// rig is a Guard with one destination, number 7, whose four endpoints share a limit.
 type rig struct {
 	*Guard
 	now float64
 }
 
 func newRig(senders int) *rig {
-	r := &rig{New(Settings{Senders: senders, MaxRetryAfter: horizon, LimitIndex: 0}, 7), 1000}
+	r := &rig{New(Settings{Senders: senders, MaxRetryAfter: maxRetryAfter, LimitIndex: 0}, 7), 1000}
 	var list []policy.Endpoint
 	for id := uint32(1); id <= 4; id++ {
 		list = append(list, policy.Endpoint{ID: id, State: policy.Ready, Dest: 7})
@@ -29,239 +29,250 @@
 	return r
 }
 
-// call ends a call to an endpoint.
-func (r *rig) call(ep uint32, o policy.Outcome, wait float64) {
-	r.RecordOutcome(r.now, &policy.Event{Kind: policy.EvOutcome, Endpoint: ep, Outcome: o, RequestedWait: wait, Report: []float64{forty}})
+// endCall records the outcome of a call to an endpoint, with a report of the partner's limit.
+func (r *rig) endCall(ep uint32, outcome policy.Outcome, wait float64) {
+	r.RecordOutcome(r.now, &policy.Event{
+		Kind: policy.EvOutcome, Endpoint: ep, Outcome: outcome, RequestedWait: wait, Report: []float64{partnerLimit},
+	})
 }
 
-// down makes calls fail until the guard has seen it.
-func (r *rig) down(t *testing.T) {
+// causeOutage makes calls fail until the Guard detects an outage.
+func (r *rig) causeOutage(t *testing.T) {
 	t.Helper()
-	r.call(1, policy.OK, 0)
+	r.endCall(1, policy.OK, 0)
 	for range 4 {
 		r.now += 600
-		r.call(2, policy.ConnectFailed, 0)
+		r.endCall(2, policy.ConnectFailed, 0)
 	}
-	r.expect(t, Outage)
+	r.expectPhase(t, Outage)
 }
 
-// back is the first success.
-func (r *rig) back(t *testing.T) {
+// endOutage records the first success after an outage.
+func (r *rig) endOutage(t *testing.T) {
 	t.Helper()
-	r.call(3, policy.OK, 0)
-	r.expect(t, Returning)
+	r.endCall(3, policy.OK, 0)
+	r.expectPhase(t, Returning)
 }
 
-func (r *rig) expect(t *testing.T, want Phase) {
+func (r *rig) expectPhase(t *testing.T, want Phase) {
 	t.Helper()
 	if got := r.Phase(7); got != want {
 		t.Fatalf("at %.0f: %v, want %v", r.now, got, want)
 	}
 }
 
-// pace is what Orders says of the destination's one route, and the connections.
-func (r *rig) pace(t *testing.T) (rate, dials float64) {
+// throttle returns the pace and the dial rate from Throttles, which must report one route of the destination.
+func (r *rig) throttle(t *testing.T) (rate, dialRate float64) {
 	t.Helper()
-	o := r.Throttles(r.now)
-	if len(o) != 1 || len(o[0].Paces) != 1 || o[0].Dest != 7 {
-		t.Fatalf("orders %+v, want one for destination 7", o)
+	throttles := r.Throttles(r.now)
+	if len(throttles) != 1 || len(throttles[0].Paces) != 1 || throttles[0].Dest != 7 {
+		t.Fatalf("throttles %+v, want one with one pace, for destination 7", throttles)
 	}
-	return o[0].Paces[0].Rate, o[0].DialRate
+	return throttles[0].Paces[0].Rate, throttles[0].DialRate
 }
 
-// In calm nothing is said: the ordinary path is as without a Guard.
-func TestCalmSaysNothing(t *testing.T) {
+// Without a storm a Guard sets no limits and leaves Retry-After as it is.
+func TestNoThrottleInCalm(t *testing.T) {
 	r := newRig(3)
 	for i := range 1000 {
 		r.now += 20
 		r.RecordArrival(r.now, 7, uint64(i+1), false)
-		r.call(1, []policy.Outcome{policy.OK, policy.Full, policy.Error}[i%3], 0)
-		if after := r.RetryAfter(r.now, 7, uint64(i+1), 5000, 321); after != 321 {
-			t.Fatalf("told %v in calm", after)
+		r.endCall(1, []policy.Outcome{policy.OK, policy.Full, policy.Error}[i%3], 0)
+		if wait := r.RetryAfter(r.now, 7, uint64(i+1), 5000, 321); wait != 321 {
+			t.Fatalf("Retry-After %v ms without a storm, want 321", wait)
 		}
-		if o := r.Throttles(r.now); len(o) > 0 {
-			t.Fatalf("orders %+v in calm", o)
+		if throttles := r.Throttles(r.now); len(throttles) > 0 {
+			t.Fatalf("throttles %+v without a storm", throttles)
 		}
 	}
 	if !math.IsInf(r.NextDue(), 1) {
-		t.Error("a look is due in calm")
+		t.Error("a check is due without a storm")
 	}
 }
 
-// The pace stands before the return, so that the first second is within it; it ends once what was held is out.
+// The pace applies before the outage ends, so that the first second of the return is within the limit. It ends once
+// the backlog is sent.
 func TestOutageReturnAndCalm(t *testing.T) {
 	r := newRig(3)
-	r.down(t)
-	rate, dials := r.pace(t)
-	if all := 3 * (rate + 1); all > forty+1e-9 || all < 0.9*forty {
-		t.Errorf("three senders at %.2f a second each are %.1f in the worst second, limit %v", rate, all, forty)
+	r.causeOutage(t)
+	rate, dialRate := r.throttle(t)
+	if total := 3 * (rate + 1); total > partnerLimit+1e-9 || total < 0.9*partnerLimit {
+		t.Errorf("three senders at %.2f calls per second make %.1f calls in the worst second, limit %v",
+			rate, total, partnerLimit)
 	}
-	if dials < 1 || dials > rate {
-		t.Errorf("%.2f connections a second at a pace of %.2f", dials, rate)
+	if dialRate < 1 || dialRate > rate {
+		t.Errorf("%.2f connections per second at a pace of %.2f", dialRate, rate)
 	}
 	r.AdjustHeld(r.now, 7, 100)
 	r.now += 15000
-	r.back(t)
+	r.endOutage(t)
 	r.now += minReturnDuration + 1
 	r.Throttles(r.now)
-	r.expect(t, Returning) // 100 messages wait
+	r.expectPhase(t, Returning) // 100 messages are still held
 	r.AdjustHeld(r.now, 7, -95)
 	r.now += checkInterval + 1
-	if rate, dials = r.pace(t); rate != 0 || dials != 0 {
-		t.Errorf("after the storm a pace of %v and %v connections a second", rate, dials)
+	if rate, dialRate = r.throttle(t); rate != 0 || dialRate != 0 {
+		t.Errorf("after the storm: pace %v and %v connections per second, want none", rate, dialRate)
 	}
-	r.expect(t, Calm)
+	r.expectPhase(t, Calm)
 }
 
-// A partner that comes back, falls over and comes back is given less each time, down to a floor.
-func TestRelapseLowersThePace(t *testing.T) {
+// Each relapse lowers the pace, down to a lower bound.
+func TestRelapseLowersPace(t *testing.T) {
 	r := newRig(3)
-	r.down(t)
-	last, _ := r.pace(t)
+	r.causeOutage(t)
+	last, _ := r.throttle(t)
 	for i := range 6 {
 		r.now += 3000
-		r.back(t)
+		r.endOutage(t)
 		r.Throttles(r.now)
 		r.now += 2000
 		for range 3 {
 			r.now += 500
-			r.call(1, policy.Timeout, 0)
+			r.endCall(1, policy.Timeout, 0)
 		}
-		r.expect(t, Outage)
-		rate, _ := r.pace(t)
+		r.expectPhase(t, Outage)
+		rate, _ := r.throttle(t)
 		if i < 2 && rate > 0.75*last {
 			t.Errorf("relapse %d: pace %.2f after %.2f", i+1, rate, last)
 		}
 		last = rate
 	}
-	if full := forty/3 - 1; last < minRelapseFactor*full*0.99 {
-		t.Errorf("pace %.2f fell under its floor", last)
+	if basePace := partnerLimit/3 - 1; last < minRelapseFactor*basePace*0.99 {
+		t.Errorf("pace %.2f is below its lower bound", last)
 	}
 }
 
-// A limit that has fallen during the outage binds from the answer that tells it.
-func TestFallenLimitBindsAtOnce(t *testing.T) {
+// A limit that was lowered during the outage applies from the answer that reports it.
+func TestLoweredLimitAppliesAtOnce(t *testing.T) {
 	r := newRig(3)
-	r.down(t)
-	r.pace(t)
-	r.RecordOutcome(r.now, &policy.Event{Kind: policy.EvOutcome, Endpoint: 1, Outcome: policy.OK, Report: []float64{forty / 4}})
-	if rate, _ := r.pace(t); 3*rate > forty/4 {
-		t.Errorf("pace %.2f, three of which are over the new limit %v", rate, forty/4)
+	r.causeOutage(t)
+	r.throttle(t)
+	r.RecordOutcome(r.now, &policy.Event{
+		Kind: policy.EvOutcome, Endpoint: 1, Outcome: policy.OK, Report: []float64{partnerLimit / 4},
+	})
+	if rate, _ := r.throttle(t); 3*rate > partnerLimit/4 {
+		t.Errorf("pace %.2f: three senders exceed the new limit %v", rate, partnerLimit/4)
 	}
-	r.RecordOutcome(r.now, &policy.Event{Kind: policy.EvOutcome, Endpoint: 2, Outcome: policy.OK, Report: []float64{forty / 8}})
-	if rate, _ := r.pace(t); 3*rate > forty/8 { // while the return is under way
-		t.Errorf("pace %.2f, three of which are over the newest limit %v", rate, forty/8)
+	r.RecordOutcome(r.now, &policy.Event{
+		Kind: policy.EvOutcome, Endpoint: 2, Outcome: policy.OK, Report: []float64{partnerLimit / 8},
+	})
+	if rate, _ := r.throttle(t); 3*rate > partnerLimit/8 { // during the return
+		t.Errorf("pace %.2f: three senders exceed the second new limit %v", rate, partnerLimit/8)
 	}
 }
 
-// A partner that is back and cold refuses calls: that is no relapse, but lowers the pace.
-func TestRefusedCallsOnAReturnAreNoRelapse(t *testing.T) {
+// A partner that has just returned is cold and refuses calls: this is no relapse, but lowers the pace.
+func TestRefusedCallsDuringReturnAreNoRelapse(t *testing.T) {
 	r := newRig(3)
-	r.down(t)
+	r.causeOutage(t)
 	r.now += 5000
-	r.back(t)
-	before, _ := r.pace(t)
+	r.endOutage(t)
+	paceBefore, _ := r.throttle(t)
 	for range 60 {
 		r.now += 100
-		r.call(1, policy.Full, 0)
-		r.expect(t, Returning)
+		r.endCall(1, policy.Full, 0)
+		r.expectPhase(t, Returning)
 	}
-	if after, _ := r.pace(t); after > 0.5*before || after < 0.1*before {
-		t.Errorf("pace %.2f after six seconds of refusals, %.2f before", after, before)
+	if paceAfter, _ := r.throttle(t); paceAfter > 0.5*paceBefore || paceAfter < 0.1*paceBefore {
+		t.Errorf("pace %.2f after six seconds of refused calls, %.2f before", paceAfter, paceBefore)
 	}
 }
 
-// What a journal brings back is held before its destination is listed.
+// Messages restored from the journal count as held before an endpoint list contains their destination.
 func TestRestoredMessagesAreHeld(t *testing.T) {
-	g := New(Settings{Senders: 3, LimitIndex: -1, Limits: map[int]float64{7: forty}}, 1)
+	g := New(Settings{Senders: 3, LimitIndex: -1, Limits: map[int]float64{7: partnerLimit}}, 1)
 	g.AdjustHeld(0, 7, 100)
 	r := &rig{g, 0}
 	r.Restore(r.now, []policy.DestFacts{{Dest: 7, Endpoints: []policy.EndpointFacts{{ID: 1, Health: policy.Broken}}}})
 	r.UpdateEndpoints(r.now, []policy.Endpoint{{ID: 1, State: policy.Ready, Dest: 7}}, true)
-	r.call(1, policy.OK, 0)
+	r.endCall(1, policy.OK, 0)
 	r.now += minReturnDuration + 1
 	r.Throttles(r.now)
-	r.expect(t, Returning)
+	r.expectPhase(t, Returning)
 }
 
-// A partner's own wait binds whatever ours says: shorter or longer, renewed, told by one endpoint of four, or by
-// a bulk answer, whose messages each bring it.
-func TestToldWaitIsNeverShortened(t *testing.T) {
+// A wait that the partner requests is a lower bound of Retry-After: shorter or longer than this sender's own,
+// repeated, requested by one endpoint of four, or in a bulk answer, where each message carries it.
+func TestRequestedWaitIsNeverShortened(t *testing.T) {
 	for _, row := range []struct {
-		name  string
-		least float64
-		waits []float64
+		name    string
+		minWait float64
+		waits   []float64
 	}{
-		{"shorter than ours", 2000, []float64{500}},
-		{"longer than ours", 200, []float64{4000}},
-		{"renewed again and again", 200, []float64{1000, 2000, 5000, 3000}},
-		{"longer than half of what clients may be told", 200, []float64{8000}},
-		{"a bulk answer", 200, []float64{2500, 2500, 2500, 2500, 2500}},
-		{"longer than any client may be told", 200, []float64{60000}},
+		{"shorter than the own wait", 2000, []float64{500}},
+		{"longer than the own wait", 200, []float64{4000}},
+		{"repeated", 200, []float64{1000, 2000, 5000, 3000}},
+		{"longer than half of the maximum", 200, []float64{8000}},
+		{"bulk answer", 200, []float64{2500, 2500, 2500, 2500, 2500}},
+		{"longer than the maximum", 200, []float64{60000}},
 	} {
 		r := newRig(3)
-		r.down(t)
+		r.causeOutage(t)
 		end := 0.0
-		for _, w := range row.waits {
-			r.call(1, policy.Full, w) // the other three have told nothing
-			end = max(end, r.now+w)
-			if row.name != "a bulk answer" {
+		for _, wait := range row.waits {
+			r.endCall(1, policy.Full, wait) // the other three endpoints request none
+			end = max(end, r.now+wait)
+			if row.name != "bulk answer" {
 				r.now += 100
 			}
 		}
 		for i := range 200 {
-			at := r.now + r.RetryAfter(r.now, 7, uint64(i+1), 1e6, row.least)
-			if at < min(end, r.now+horizon) || at < r.now+row.least || at > r.now+horizon {
-				t.Fatalf("%s: told to come at %.0f; wait until %.0f, least %v", row.name, at-r.now, end-r.now, row.least)
+			at := r.now + r.RetryAfter(r.now, 7, uint64(i+1), 1e6, row.minWait)
+			if at < min(end, r.now+maxRetryAfter) || at < r.now+row.minWait || at > r.now+maxRetryAfter {
+				t.Fatalf("%s: Retry-After %.0f ms, requested wait %.0f ms, own wait %v ms",
+					row.name, at-r.now, end-r.now, row.minWait)
 			}
 		}
 	}
 }
 
-// Clients that all come to the millisecond when told: no second gets more than the budget, and where none is
-// left it is said, counted and spread.
-func TestPromisesStayWithinTheBudget(t *testing.T) {
+// If all clients return exactly after their Retry-After, no second gets more messages than the budget. Refusals
+// without a free slot are counted and spread.
+func TestReservationsStayWithinBudget(t *testing.T) {
 	for _, senders := range []int{1, 3, 30, 200} {
 		r := newRig(senders)
-		r.down(t)
-		rate, _ := r.pace(t)
-		var booked []float64
+		r.causeOutage(t)
+		rate, _ := r.throttle(t)
+		var reservedAt []float64
 		for key := uint64(1); r.Stats().Unreserved < 50; key++ {
 			if key > 10000 {
-				t.Fatalf("%d senders: no end of places", senders)
+				t.Fatalf("%d senders: no refusal without a slot after 10000", senders)
 			}
 			n := r.Stats().Reserved
-			after := r.RetryAfter(r.now, 7, key, 1e6, 200)
-			if after < 200 || after > horizon {
-				t.Fatalf("told %v", after)
+			wait := r.RetryAfter(r.now, 7, key, 1e6, 200)
+			if wait < 200 || wait > maxRetryAfter {
+				t.Fatalf("Retry-After %v ms, want 200 to %v", wait, maxRetryAfter)
 			}
 			if r.Stats().Reserved > n {
-				booked = append(booked, r.now+after)
+				reservedAt = append(reservedAt, r.now+wait)
 			}
 		}
-		for _, from := range booked {
+		for _, from := range reservedAt {
 			n := 0
-			for _, at := range booked {
+			for _, at := range reservedAt {
 				if at >= from && at < from+1000-slotMS {
 					n++
 				}
 			}
 			if float64(n) > max(rate, 1) {
-				t.Fatalf("%d senders: %d promised for one second at a pace of %.2f", senders, n, rate)
+				t.Fatalf("%d senders: %d reservations in one second at a pace of %.2f", senders, n, rate)
 			}
 		}
-		if want := math.Floor(rate * (horizon - 500) / 1000 * 0.8); float64(len(booked)) < want {
-			t.Errorf("%d senders: only %d places in %v ms at %.2f a second", senders, len(booked), horizon, rate)
+		if want := math.Floor(rate * (maxRetryAfter - 500) / 1000 * 0.8); float64(len(reservedAt)) < want {
+			t.Errorf("%d senders: only %d reservations in %v ms at %.2f per second",
+				senders, len(reservedAt), maxRetryAfter, rate)
 		}
 	}
 }
 
-// First tries go before second ones: what they take of the pace is not promised, down to a part of it.
-func TestFirstTriesShrinkTheBudget(t *testing.T) {
-	promised := func(fresh int) int {
+// First submissions take precedence over resubmissions: the pace that they use is not reserved, except for
+// minRetryFraction of it.
+func TestFirstSubmissionsReduceBudget(t *testing.T) {
+	reservations := func(first int) int {
 		r := newRig(3)
-		r.down(t)
-		for range fresh {
+		r.causeOutage(t)
+		for range first {
 			r.now += 10
 			r.RecordArrival(r.now, 7, 0, false)
 		}
@@ -270,150 +281,155 @@
 		}
 		return r.Stats().Reserved
 	}
-	alone, crowded := promised(0), promised(300)
-	if crowded*2 > alone || crowded == 0 {
-		t.Errorf("%d places without first tries, %d under many", alone, crowded)
+	without, with := reservations(0), reservations(300)
+	if with*2 > without || with == 0 {
+		t.Errorf("%d reservations without first submissions, %d with many", without, with)
 	}
 }
 
-// A client that comes too early frees its place; one whose time is up before any place is free takes none.
-func TestPlacesAreNotWasted(t *testing.T) {
+// A client that returns early frees its reservation. A message whose deadline is before the first free slot gets
+// none.
+func TestReservationsAreNotWasted(t *testing.T) {
 	r := newRig(3)
-	r.down(t)
+	r.causeOutage(t)
 	for key := uint64(1); r.Stats().Unreserved == 0; key++ {
 		r.RetryAfter(r.now, 7, key, 1e6, 200)
 	}
-	n := r.Stats()
+	before := r.Stats()
 	r.RetryAfter(r.now, 7, 9999, 150, 200)
-	if s := r.Stats(); s.Reserved != n.Reserved {
-		t.Error("a place went to a message whose time is up before it")
+	if after := r.Stats(); after.Reserved != before.Reserved {
+		t.Error("a slot after the message's deadline was reserved")
 	}
-	r.RecordArrival(r.now, 7, 3, false) // ignores what it was told
+	r.RecordArrival(r.now, 7, 3, false) // before its Retry-After
 	r.RetryAfter(r.now, 7, 3, 1e6, 200)
-	if s := r.Stats(); s.Early != 1 || s.Reserved != n.Reserved+1 {
-		t.Errorf("stats %+v after %+v: the place of one that came early was not free", s, n)
+	if after := r.Stats(); after.Early != 1 || after.Reserved != before.Reserved+1 {
+		t.Errorf("stats %+v after %+v: the reservation of a client that returned early was not free", after, before)
 	}
 }
 
-// A sender that saw nothing of the outage learns of the storm from what others have turned away.
-func TestSurgeWithoutAnOutage(t *testing.T) {
+// A sender that did not observe the outage detects the storm by resubmissions of messages that others refused.
+func TestSurgeWithoutOutage(t *testing.T) {
 	r := newRig(3)
-	r.call(1, policy.OK, 0)
+	r.endCall(1, policy.OK, 0)
 	for range 200 {
 		r.now += 20
 		r.RecordArrival(r.now, 7, 0, true)
 	}
-	r.expect(t, Surge)
-	if rate, _ := r.pace(t); rate > forty/3 {
-		t.Errorf("pace %.2f", rate)
+	r.expectPhase(t, Surge)
+	if rate, _ := r.throttle(t); rate > partnerLimit/3 {
+		t.Errorf("pace %.2f, want at most a third of the limit", rate)
 	}
 	r.now += surgeEndDelay + checkInterval
-	r.pace(t)
-	r.expect(t, Calm)
+	r.throttle(t)
+	r.expectPhase(t, Calm)
 
-	own := newRig(3) // its own refusals come back: that is load, and the module's matter
-	own.call(1, policy.OK, 0)
+	own := newRig(3) // resubmissions after its own refusals are overload, which package policy handles
+	own.endCall(1, policy.OK, 0)
 	for i := range 200 {
 		own.now += 20
 		own.RetryAfter(own.now, 7, uint64(i+1), 5000, 200)
 		own.RecordArrival(own.now, 7, uint64(i+1), true)
 	}
-	own.expect(t, Calm)
+	own.expectPhase(t, Calm)
 }
 
-// Three senders that saw the outage at different moments, one that saw nothing and one restarted in the middle
-// pace themselves alike, each to its own part.
-func TestSendersThatSawDifferentThings(t *testing.T) {
+// Three senders that detect the outage at different times, one that does not observe it and one that restarts
+// during it together stay within the limit.
+func TestSendersWithDifferentObservations(t *testing.T) {
 	var sum float64
 	for i := range 3 {
 		r := newRig(5)
 		r.now += float64(i) * 3000
-		r.down(t)
-		rate, _ := r.pace(t)
+		r.causeOutage(t)
+		rate, _ := r.throttle(t)
 		sum += rate + 1
 	}
-	blind := newRig(5)
-	blind.call(1, policy.OK, 0)
+	unaware := newRig(5)
+	unaware.endCall(1, policy.OK, 0)
 	for range 200 {
-		blind.now += 20
-		blind.RecordArrival(blind.now, 7, 0, true)
+		unaware.now += 20
+		unaware.RecordArrival(unaware.now, 7, 0, true)
 	}
-	rate, _ := blind.pace(t)
+	rate, _ := unaware.throttle(t)
 	sum += rate + 1
 
-	again := newRig(5)
-	again.Restore(again.now, []policy.DestFacts{{Dest: 7, SharedRoute: &policy.RouteFacts{AdvertisedLimit: forty, WaitUntil: again.now + 900},
-		Endpoints: []policy.EndpointFacts{{ID: 1, Health: policy.Broken, LastOK: math.Inf(-1)}, {ID: 2, Health: policy.Broken}}}})
-	again.expect(t, Outage)
-	rate, _ = again.pace(t)
+	restarted := newRig(5)
+	restarted.Restore(restarted.now, []policy.DestFacts{{
+		Dest: 7, SharedRoute: &policy.RouteFacts{AdvertisedLimit: partnerLimit, WaitUntil: restarted.now + 900},
+		Endpoints: []policy.EndpointFacts{{ID: 1, Health: policy.Broken, LastOK: math.Inf(-1)}, {ID: 2, Health: policy.Broken}},
+	}})
+	restarted.expectPhase(t, Outage)
+	rate, _ = restarted.throttle(t)
 	sum += rate + 1
-	if sum > forty+1e-9 {
-		t.Errorf("together %.1f in the worst second, limit %v", sum, forty)
+	if sum > partnerLimit+1e-9 {
+		t.Errorf("together %.1f calls in the worst second, limit %v", sum, partnerLimit)
 	}
-	// What the earlier life has promised may still be kept: nothing is promised before that is over.
-	if after := again.RetryAfter(again.now, 7, 1, 1e6, 200); after < horizon-2*slotMS {
-		t.Errorf("promised %v ms after a restart", after)
+	// Clients may still return by reservations of the previous run: none is made for that time.
+	if wait := restarted.RetryAfter(restarted.now, 7, 1, 1e6, 200); wait < maxRetryAfter-2*slotMS {
+		t.Errorf("Retry-After %v ms after a restart", wait)
 	}
-	again.back(t)
+	restarted.endOutage(t)
 }
 
-// One endpoint that has come back of several that are down is a healthy part: no storm.
-func TestHealthyDestinationIsNotRecalledAsDown(t *testing.T) {
+// A destination of which one endpoint is healthy and others are broken is not restored as in an outage.
+func TestPartialOutageIsNotRestored(t *testing.T) {
 	r := newRig(3)
 	r.Restore(r.now, []policy.DestFacts{{Dest: 7, Endpoints: []policy.EndpointFacts{{ID: 1, Health: policy.Broken}, {ID: 2}}}})
-	r.expect(t, Calm)
+	r.expectPhase(t, Calm)
 }
 
-// A destination of which nothing more is tried is calm after a while, stays so, and costs no looks.
-func TestForgottenOutage(t *testing.T) {
+// An outage without further calls ends after a while, does not start again, and needs no more checks.
+func TestIdleOutageEnds(t *testing.T) {
 	r := newRig(3)
-	r.down(t)
+	r.causeOutage(t)
 	for range 1000 {
 		r.now += checkInterval
 		r.Throttles(r.now)
 	}
-	r.expect(t, Calm)
+	r.expectPhase(t, Calm)
 	if s := r.Stats(); s.Storms != 1 || !math.IsInf(r.NextDue(), 1) {
-		t.Errorf("%d storms, next look at %v", s.Storms, r.NextDue())
+		t.Errorf("%d storms, next check at %v", s.Storms, r.NextDue())
 	}
 }
 
-// One unanswered call is an outage to a sender that calls seldom, once its successes are too old to speak
-// against it; to one that calls often it is nothing.
+// One unanswered call is an outage for a sender with a low call rate, once its last successes are old enough. For a
+// sender with a high call rate it is not.
 func TestOneUnansweredCall(t *testing.T) {
 	for rate, want := range map[float64]Phase{1: Outage, 50: Calm} {
 		r := newRig(3)
 		for range 100 {
 			r.now += 1000 / rate
-			r.call(1, policy.OK, 0)
+			r.endCall(1, policy.OK, 0)
 		}
-		r.call(1, policy.ConnectFailed, 0)
+		r.endCall(1, policy.ConnectFailed, 0)
 		for end := r.now + 5000; r.now < end; r.now += 100 {
 			if rate == 50 {
-				r.call(2, policy.OK, 0)
+				r.endCall(2, policy.OK, 0)
 			}
 			r.Throttles(r.now)
 		}
-		r.expect(t, want)
+		r.expectPhase(t, want)
 	}
 }
 
-// Endpoints with limits of their own are paced each for itself.
+// Each endpoint with a limit of its own has a pace of its own.
 func TestOwnLimits(t *testing.T) {
-	g := New(Settings{Senders: 3, MaxRetryAfter: horizon, LimitIndex: -1, RatingIsRate: true, OwnLimits: []bool{true}}, 1)
+	g := New(Settings{Senders: 3, MaxRetryAfter: maxRetryAfter, LimitIndex: -1, RatingIsRate: true,
+		OwnLimits: []bool{true}}, 1)
 	g.UpdateEndpoints(0, []policy.Endpoint{{ID: 1, State: policy.Ready, Dest: 7, Rating: 30}, {ID: 2, State: policy.Ready, Dest: 7, Rating: 12}}, true)
 	for i := range 4 {
 		g.RecordOutcome(float64(i)*1000, &policy.Event{Kind: policy.EvOutcome, Endpoint: uint32(1 + i%2), Outcome: policy.Timeout})
 	}
-	o := g.Throttles(4000)
-	if len(o) != 1 || len(o[0].Paces) != 2 || 3*(o[0].Paces[0].Rate+1) > 30.001 || 3*(o[0].Paces[1].Rate+1) > 12.001 {
-		t.Fatalf("%+v", o)
+	throttles := g.Throttles(4000)
+	if len(throttles) != 1 || len(throttles[0].Paces) != 2 ||
+		3*(throttles[0].Paces[0].Rate+1) > 30.001 || 3*(throttles[0].Paces[1].Rate+1) > 12.001 {
+		t.Fatalf("throttles %+v, want one with two paces, each within a third of its endpoint's limit", throttles)
 	}
 }
 
-// The part of each of many senders leaves room for chance: evenly spaced calls of random phase are over the
-// limit in hardly any second.
-func TestManySendersByChance(t *testing.T) {
+// The calls of many senders, each evenly spaced at a random phase, exceed the limit in at most one of a hundred
+// seconds.
+func TestManySendersStayWithinLimit(t *testing.T) {
 	for _, senders := range []int{3, 30, 200, 1000} {
 		g := New(Settings{Senders: senders}, 1)
 		rng := rand.New(rand.NewPCG(1, uint64(senders)))
@@ -437,7 +453,7 @@
 	}
 }
 
-// Whatever happens in whatever order, what is told is within its bounds and no window is overbooked.
+// Under any sequence of events, Retry-After stays within its bounds and the log of refusals within its size.
 func FuzzGuard(f *testing.F) {
 	f.Add([]byte("abcabcabcxyzxyz"), uint8(3))
 	f.Fuzz(func(t *testing.T, script []byte, senders uint8) {
@@ -446,7 +462,7 @@
 			r.now += float64(b) * 3
 			switch key := uint64(b%16) + 1; b % 7 {
 			case 0, 1:
-				r.call(uint32(b%5), policy.Outcome(b%8), float64(b%3)*400)
+				r.endCall(uint32(b%5), policy.Outcome(b%8), float64(b%3)*400)
 			case 2:
 				r.RecordArrival(r.now, 7, key, b&64 != 0)
 			case 3:
@@ -454,14 +470,14 @@
 			case 4:
 				r.Throttles(r.now)
 			default:
-				least := float64(b)
-				if after := r.RetryAfter(r.now, 7, key, float64(i)*100, least); after < least || after > horizon {
-					t.Fatalf("told %v, least %v", after, least)
+				minWait := float64(b)
+				if wait := r.RetryAfter(r.now, 7, key, float64(i)*100, minWait); wait < minWait || wait > maxRetryAfter {
+					t.Fatalf("Retry-After %v ms, want %v to %v", wait, minWait, maxRetryAfter)
 				}
 			}
 		}
 		if len(r.refusals.byKey) > maxRefusals {
-			t.Fatal("unbounded")
+			t.Fatalf("%d refusals remembered, want at most %d", len(r.refusals.byKey), maxRefusals)
 		}
 	})
 }
