--- a/internal/outbound/conn.go
+++ b/internal/outbound/conn.go
@@ -228,7 +228,7 @@
 		if readDeadline := cn.firstByteAt.Add(responseReadTimeout); readDeadline.Before(deadline) {
 			cn.nc.SetReadDeadline(readDeadline)
 		}
-		resp, err := cn.reader.Response()
+		resp, err := cn.reader.ReadResponse()
 		switch {
 		case errors.Is(err, os.ErrDeadlineExceeded), errors.Is(err, http1.ErrMalformed), errors.Is(err, http1.ErrTooLarge):
 			return resp, errMalformed
--- a/internal/sender/holds.go
+++ b/internal/sender/holds.go
@@ -6,66 +6,66 @@
 	"sliptide/policy"
 )
 
-// This file keeps away from where nothing may be sent: what this sender knows of that goes with the copies of its
-// journal, and what a lost sender knew binds its heir.
+// This file handles holds: destinations and endpoints to which nothing may be sent. A sender's holds are copied with its
+// journal, so that a member that takes over its messages honours them.
 
-// drainHold is how long, in milliseconds, an heir keeps away from an endpoint that the lost sender's list said drains:
-// its own list says so within seconds, too.
-const drainHold = 30e3
+// adoptedDrainMS is how long a successor avoids an endpoint that the lost sender had listed as draining. Its own list
+// shows the drain within seconds.
+const adoptedDrainMS = 30e3
 
-func (s *Sender) holdByHand(id string, out bool) {
+func (s *Sender) recordDisabled(id string, disabled bool) {
 	h := journal.Hold{Kind: journal.HoldDisabled, Endpoint: id}
-	if out {
+	if disabled {
 		h.Until = journal.Forever
 	}
 	s.journal.SetHold(h, int64(s.now))
 }
 
-func (s *Sender) holdListed(e *discovery.Endpoint) {
+func (s *Sender) recordDraining(e *discovery.Endpoint) {
 	if s.copies == nil || e.State == policy.Gone {
 		return
 	}
 	h := journal.Hold{Kind: journal.HoldDrain, Dest: e.Dest, Endpoint: e.Name}
 	if e.State != policy.Ready {
-		h.Until = int64(s.now + drainHold)
+		h.Until = int64(s.now + adoptedDrainMS)
 	}
 	s.journal.SetHold(h, int64(s.now))
 }
 
-// bringHolds takes what the owner knew into the copies of this journal, by this sender's clock.
-func (s *Sender) bringHolds(h *heirOf, shift int64) {
-	h.holds = nil
-	for _, x := range journal.ReplayHolds(h.Found.Records) {
-		if x.Until != journal.Forever {
-			x.Until += shift
+// importHolds copies the holds of the lost owner into this journal; offset converts their times to this sender's clock.
+func (s *Sender) importHolds(t *takeover, offset int64) {
+	t.holds = nil
+	for _, hold := range journal.ReplayHolds(t.Found.Records) {
+		if hold.Until != journal.Forever {
+			hold.Until += offset
 		}
-		if x.Until > int64(s.now) {
-			h.holds = append(h.holds, x)
-			if x.Kind == journal.HoldWait { // the others end with the messages that are taken over
-				s.journal.SetHold(x, int64(s.now))
+		if hold.Until > int64(s.now) {
+			t.holds = append(t.holds, hold)
+			if hold.Kind == journal.HoldWait { // other holds end with the messages that are taken over
+				s.journal.SetHold(hold, int64(s.now))
 			}
 		}
 	}
 }
 
-// heed makes waits bind that a lost owner was told: for all messages of this sender from this step on.
-func (s *Sender) heed(holds []journal.Hold) {
+// honourWaits applies requested waits, of a lost owner or from the journal, to all messages from this step on.
+func (s *Sender) honourWaits(holds []journal.Hold) {
 	var facts []policy.DestFacts
-	for _, x := range holds {
-		if x.Kind != journal.HoldWait || float64(x.Until) <= s.now {
+	for _, hold := range holds {
+		if hold.Kind != journal.HoldWait || float64(hold.Until) <= s.now {
 			continue
 		}
-		told := &policy.RouteFacts{WaitUntil: float64(x.Until)}
-		f := policy.DestFacts{Dest: x.Dest, Admission: policy.InitialAdmission()}
-		if id, named := s.names[x.Endpoint]; x.Endpoint == "" {
-			f.SharedRoute = told
-		} else if _, listed := s.addrs[id]; named && listed {
-			f.Endpoints = []policy.EndpointFacts{{ID: id, OwnRoute: told}}
+		wait := &policy.RouteFacts{WaitUntil: float64(hold.Until)}
+		f := policy.DestFacts{Dest: hold.Dest, Admission: policy.InitialAdmission()}
+		if id, named := s.endpointIDs[hold.Endpoint]; hold.Endpoint == "" {
+			f.SharedRoute = wait
+		} else if _, listed := s.endpoints[id]; named && listed {
+			f.Endpoints = []policy.EndpointFacts{{ID: id, OwnRoute: wait}}
 		}
 		facts = append(facts, f)
-		for c := range s.calls { // what has not begun would reach the partner inside its wait
-			if c.Dest == x.Dest && (x.Endpoint == "" || s.addrs[c.Endpoint].Name == x.Endpoint) {
-				s.drop(c)
+		for c := range s.calls { // an unsent call would reach the partner during the wait
+			if c.Dest == hold.Dest && (hold.Endpoint == "" || s.endpoints[c.Endpoint].Name == hold.Endpoint) {
+				s.dropUnsent(c)
 			}
 		}
 	}
@@ -74,8 +74,8 @@
 	}
 }
 
-// heedListed makes waits that the journal keeps bind at what a list names: after a restart the module learns of them here.
-func (s *Sender) heedListed(list []policy.Endpoint) {
+// honourListedWaits applies the journal's waits to listed endpoints. After a restart the module learns of them here.
+func (s *Sender) honourListedWaits(list []policy.Endpoint) {
 	if s.copies == nil {
 		return
 	}
@@ -89,31 +89,31 @@
 			holds = append(holds, h)
 		}
 	}
-	s.heed(holds)
+	s.honourWaits(holds)
 }
 
-// keepShut keeps away from endpoints that a lost owner kept away from, as long as this sender has messages of it.
-func (s *Sender) keepShut(holds []journal.Hold, till float64) {
-	for _, x := range holds {
-		if x.Kind == journal.HoldWait || till <= s.now {
+// avoidEndpoints avoids the endpoints that a lost owner avoided, at most until the time until.
+func (s *Sender) avoidEndpoints(holds []journal.Hold, until float64) {
+	for _, hold := range holds {
+		if hold.Kind == journal.HoldWait || until <= s.now {
 			continue
 		}
-		s.shut.Add(x.Endpoint, min(till, float64(x.Until)))
-		s.relist(x.Endpoint)
-		s.log.Info().Str("endpoint", x.Endpoint).Msg("copies: nothing goes to this endpoint while messages of the lost sender are left, as it kept away from it")
+		s.avoided.Add(hold.Endpoint, min(until, float64(hold.Until)))
+		s.reapplyEndpoint(hold.Endpoint)
+		s.log.Info().Str("endpoint", hold.Endpoint).Msg("copies: endpoint avoided, as by the lost sender, while messages taken over from it are left")
 	}
 }
 
-// reopen puts endpoints back that need not be kept away from any more.
-func (s *Sender) reopen() {
-	for _, id := range s.shut.Over(s.now) {
-		s.relist(id)
+// readmitEndpoints uses endpoints again that need not be avoided any longer.
+func (s *Sender) readmitEndpoints() {
+	for _, id := range s.avoided.Over(s.now) {
+		s.reapplyEndpoint(id)
 	}
 }
 
-// relist tells the module of an endpoint anew.
-func (s *Sender) relist(name string) {
-	if e, listed := s.addrs[s.names[name]]; listed && e.Name == name {
-		s.takeList(&discovery.List{Endpoints: []discovery.Endpoint{e}})
+// reapplyEndpoint passes an endpoint to the module again, as last listed.
+func (s *Sender) reapplyEndpoint(name string) {
+	if e, listed := s.endpoints[s.endpointIDs[name]]; listed && e.Name == name {
+		s.handleList(&discovery.List{Endpoints: []discovery.Endpoint{e}})
 	}
 }
--- a/internal/sender/rig_test.go
+++ b/internal/sender/rig_test.go
@@ -13,8 +13,8 @@
 	"sliptide/policy"
 )
 
-// bench is a Sender whose steps the test makes itself, with one endpoint.
-type bench struct {
+// testSender is a Sender with one endpoint, whose steps the test runs itself.
+type testSender struct {
 	*Sender
 	t       *testing.T
 	dir     string
@@ -22,25 +22,25 @@
 	notices chan discovery.Notice
 }
 
-// classes of each effect, in this order.
-var benchClasses = []policy.Class{
+// testClasses has a class of each effect.
+var testClasses = []policy.Class{
 	{Name: "safe", Aim: 2000, Deadline: 20000, Worth: 1, LateWorth: 0.5, Effect: policy.Safe},
 	{Name: "keyed", Aim: 2000, Deadline: 20000, Worth: 1, LateWorth: 0.5, Effect: policy.Keyed, DedupWindow: 2000},
 	{Name: "unsafe", Aim: 2000, Deadline: 20000, Worth: 1, LateWorth: 0.5, Effect: policy.Unsafe},
 }
 
-func benchSettings() policy.Settings {
+func testSettings() policy.Settings {
 	return policy.Settings{
 		Senders: 1, CallSlots: 10, MaxAttempts: 6, MaxHeld: 100, KeepAlive: 10000, DialTimeout: 1500, WarmUpDuration: 10000, ColdCapacity: 0.25,
 		OverloadMultiple: 1.5, OverloadWindow: 3000, SendsRetryAfter: true, MaxRetryAfter: 2000, AllowanceIndex: -1, LimitIndex: -1, MinStepInterval: 1,
-		Kinds: []policy.DestKind{{Batch: 5}}, Classes: benchClasses,
+		Kinds: []policy.DestKind{{Batch: 5}}, Classes: testClasses,
 	}
 }
 
-// newBench opens dir's journal; addr is of the endpoint of destination 3.
-func newBench(t *testing.T, dir, addr string, set policy.Settings) *bench {
+// newTestSender opens the journal in dir. addr is the endpoint of destination 3, empty for none.
+func newTestSender(t *testing.T, dir, addr string, set policy.Settings) *testSender {
 	t.Helper()
-	b := &bench{t: t, dir: dir, notices: make(chan discovery.Notice, 100)}
+	b := &testSender{t: t, dir: dir, notices: make(chan discovery.Notice, 100)}
 	j, restored, err := journal.Open(dir, statedir.NewSpace(1<<20).Account())
 	if err != nil {
 		t.Fatal(err)
@@ -50,48 +50,48 @@
 	b.Sender = New(Options{Settings: set, Seed: 1, MaxConns: 10, Journal: j, Restored: restored, Clock: NewClock(), Log: zerolog.Nop(),
 		Notify: func(n discovery.Notice) { b.notices <- n }})
 	if addr != "" {
-		b.list(addr)
+		b.listEndpoint(addr)
 	}
 	return b
 }
 
-// list lists the endpoint of destination 3.
-func (b *bench) list(addr string) {
-	b.takeList(&discovery.List{Full: true, Endpoints: []discovery.Endpoint{{Endpoint: policy.Endpoint{ID: 1, Dest: 3, State: policy.Ready}, Name: "e", Addr: addr}}})
+// listEndpoint lists the endpoint of destination 3.
+func (b *testSender) listEndpoint(addr string) {
+	b.handleList(&discovery.List{Full: true, Endpoints: []discovery.Endpoint{{Endpoint: policy.Endpoint{ID: 1, Dest: 3, State: policy.Ready}, Name: "e", Addr: addr}}})
 }
 
-// next makes one step at the present time.
-func (b *bench) next() {
-	b.tick()
+// runStep runs one step at the present time.
+func (b *testSender) runStep() {
+	b.updateNow()
 	b.step()
 }
 
-// hand hands a message in for the next step.
-func (b *bench) hand(trace string, class int, left time.Duration) chan Verdict {
-	o := &order{msg: &Message{Trace: []byte(trace), Key: []byte("k-" + trace), Class: class, Dest: 3, Remaining: left, Body: []byte(trace)}, received: time.Now(), verdict: make(chan Verdict, 1)}
-	b.takeOrder(o)
-	return o.verdict
+// submit submits a message for the next step.
+func (b *testSender) submit(trace string, class int, left time.Duration) chan Verdict {
+	sub := &submission{msg: &Message{Trace: []byte(trace), Key: []byte("k-" + trace), Class: class, Dest: 3, Remaining: left, Body: []byte(trace)}, received: time.Now(), verdict: make(chan Verdict, 1)}
+	b.handleSubmission(sub)
+	return sub.verdict
 }
 
-// await takes what happens on the sockets until ok, stepping.
-func (b *bench) await(what string, ok func() bool) {
+// await handles inputs and runs steps until ok returns true.
+func (b *testSender) await(what string, ok func() bool) {
 	b.t.Helper()
-	for end := time.After(patient); !ok(); {
+	for end := time.After(testTimeout); !ok(); {
 		select {
-		case in := <-b.in:
-			b.tick()
-			b.take(in)
+		case in := <-b.inputs:
+			b.updateNow()
+			b.handleInput(in)
 		case <-time.After(time.Millisecond):
 		case <-end:
 			b.t.Fatal(what)
 		}
-		b.next()
+		b.runStep()
 	}
 }
 
-const patient = 10 * time.Second
+const testTimeout = 10 * time.Second
 
-// listen is an endpoint's address, closed with the test.
+// listen returns a listener that is closed with the test.
 func listen(t *testing.T) *net.TCPListener {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
