--- /dev/null
+++ b/internal/knowledge/keeper/writer.go
@@ -0,0 +1,236 @@
+// Package keeper writes the facts that a sender learns to its knowledge files, on a goroutine of its own. AddWait and
+// AddFacts, which the sender's goroutine calls, never wait for the disk: they add facts under a lock that is held
+// only for a few map writes, never during I/O.
+package keeper
+
+import (
+	"context"
+	"sync"
+	"time"
+
+	"github.com/rs/zerolog"
+
+	"sliptide/internal/knowledge"
+	"sliptide/internal/knowledge/store"
+	"sliptide/internal/operator"
+	"sliptide/internal/statedir"
+)
+
+const (
+	// Shortest time between two writes of waits, so that waits requested at the same time share a write.
+	minWaitsInterval = 10 * time.Millisecond
+	// Step of the wall clock, in milliseconds, after which waits are written again.
+	minClockStep       = 100.0
+	clockCheckInterval = time.Second
+	// Shortest time between two log lines about failed writes.
+	errorLogInterval = 10 * time.Second
+)
+
+// Options configure a Writer.
+type Options struct {
+	Settings  operator.Knowledge
+	Store     *store.Store
+	Facts     *knowledge.Facts  // as read at the start; owned by the Writer from then on
+	Account   *statedir.Account // the Store's
+	Log       zerolog.Logger
+	Clock     func() float64 // the sender's clock: Unix milliseconds, unaffected by steps of the wall clock
+	WallClock func() float64 // the wall clock, in Unix milliseconds
+}
+
+// Writer collects facts and writes them to a Store. A nil Writer ignores them.
+type Writer struct {
+	opts      Options
+	waitAdded chan struct{}
+	settings  chan operator.Knowledge
+	closing   chan struct{}
+	done      chan struct{}
+	closeOnce sync.Once
+
+	mu      sync.Mutex
+	pending *knowledge.Facts // added since the last takePending
+
+	// Only the goroutine of Run uses these fields.
+	facts        *knowledge.Facts // all facts, times by the sender's clock
+	clockOffset  float64          // wall clock minus sender's clock at the last write, in milliseconds
+	lastErrorLog time.Time
+	leftOut      int // destinations that did not fit into the last snapshot
+}
+
+// New returns a Writer, which writes once Run is called.
+func New(o Options) *Writer {
+	return &Writer{
+		opts: o, facts: o.Facts, pending: knowledge.New(o.Facts.Sender), clockOffset: o.WallClock() - o.Clock(),
+		waitAdded: make(chan struct{}, 1), settings: make(chan operator.Knowledge, 1),
+		closing: make(chan struct{}), done: make(chan struct{}),
+	}
+}
+
+// AddWait adds a requested wait, with times by the sender's clock. It is written soon, without the other facts.
+func (w *Writer) AddWait(wait knowledge.Wait) {
+	if w == nil {
+		return
+	}
+	w.mu.Lock()
+	w.pending.AddWait(wait)
+	w.mu.Unlock()
+	select {
+	case w.waitAdded <- struct{}{}:
+	default:
+	}
+}
+
+// AddFacts adds facts about destinations and, unless general is nil, facts that belong to no destination. The Writer
+// owns them from then on.
+func (w *Writer) AddFacts(dests []*knowledge.Destination, general *knowledge.Facts) {
+	if w == nil {
+		return
+	}
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	for _, d := range dests {
+		w.pending.MergeDestination(d)
+	}
+	if general != nil {
+		w.pending.Merge(general)
+	}
+}
+
+// UpdateSettings applies new half-lives, a new interval between snapshots and a new choice of sync. The maximum size
+// stays as it was at the start. UpdateSettings may wait for a write that is in progress.
+func (w *Writer) UpdateSettings(settings operator.Knowledge) {
+	if w == nil {
+		return
+	}
+	select {
+	case w.settings <- settings:
+	case <-w.done:
+	}
+}
+
+// Run writes until Close: waits at once, all facts every WriteEvery.
+func (w *Writer) Run() {
+	defer close(w.done)
+	snapshots := time.NewTicker(w.opts.Settings.WriteEvery)
+	defer snapshots.Stop()
+	clockChecks := time.NewTicker(clockCheckInterval)
+	defer clockChecks.Stop()
+	for {
+		select {
+		case <-w.closing:
+			w.writeSnapshot()
+			return
+		case <-w.waitAdded:
+			w.writeWaits(false)
+			w.pause(minWaitsInterval)
+		case <-clockChecks.C:
+			if drift := w.opts.WallClock() - w.opts.Clock() - w.clockOffset; drift > minClockStep || drift < -minClockStep {
+				w.writeWaits(true) // those on disk are by the wall clock before its step
+			}
+		case <-snapshots.C:
+			w.writeSnapshot()
+		case <-w.opts.Account.YieldRequested():
+			w.yieldSpace()
+		case settings := <-w.settings:
+			w.opts.Settings.HalfLives, w.opts.Settings.WriteEvery = settings.HalfLives, settings.WriteEvery
+			w.opts.Store.SetSync(settings.Sync)
+			snapshots.Reset(settings.WriteEvery)
+		}
+	}
+}
+
+// pause waits for d or until Close.
+func (w *Writer) pause(d time.Duration) {
+	timer := time.NewTimer(d)
+	defer timer.Stop()
+	select {
+	case <-timer.C:
+	case <-w.closing:
+	}
+}
+
+// Close writes a last snapshot and ends Run. It returns when ctx ends even if the write is in progress: a slow disk
+// must not delay shutdown.
+func (w *Writer) Close(ctx context.Context) {
+	if w == nil {
+		return
+	}
+	w.closeOnce.Do(func() { close(w.closing) })
+	select {
+	case <-w.done:
+	case <-ctx.Done():
+		w.opts.Log.Warn().Msg("knowledge: shutdown timed out before the last snapshot was written")
+	}
+}
+
+// takePending merges the pending facts into facts and reports whether a wait among them ends later than the known one.
+func (w *Writer) takePending() (hasWaits bool) {
+	w.mu.Lock()
+	pending := w.pending
+	w.pending = knowledge.New(pending.Sender)
+	w.mu.Unlock()
+	for _, wait := range pending.Waits {
+		hasWaits = w.facts.AddWait(wait) || hasWaits
+	}
+	pending.Waits = nil
+	w.facts.Merge(pending)
+	return hasWaits
+}
+
+// factsToWrite returns the facts with waits by the wall clock, which the next run reads them by: the sender's clock
+// may have diverged from it since the start. Other facts do not need that precision.
+func (w *Writer) factsToWrite() *knowledge.Facts {
+	now := w.opts.Clock()
+	w.facts.Expire(now, w.opts.Settings.HalfLives)
+	w.clockOffset = w.opts.WallClock() - now
+	facts := *w.facts
+	facts.WrittenAt = int64(w.opts.WallClock())
+	facts.Waits = make(map[knowledge.Route]knowledge.Wait, len(w.facts.Waits))
+	for route, wait := range w.facts.Waits {
+		wait.ReceivedAt += int64(w.clockOffset)
+		wait.Until += int64(w.clockOffset)
+		facts.Waits[route] = wait
+	}
+	return &facts
+}
+
+// writeWaits writes the waits if a new one was added, or with force in any case.
+func (w *Writer) writeWaits(force bool) {
+	if !w.takePending() && !force {
+		return
+	}
+	w.logError(w.opts.Store.SaveWaits(w.factsToWrite()))
+}
+
+// writeSnapshot writes all facts that there is space for.
+func (w *Writer) writeSnapshot() {
+	w.takePending()
+	facts := w.factsToWrite()
+	fitted := facts.Clone() // a copy: facts that do not fit now may fit later
+	fitted.WrittenAt = facts.WrittenAt
+	leftOut := fitted.EvictToFit(w.opts.Store.MaxSnapshotSize(), store.EncodedSize)
+	if leftOut != w.leftOut {
+		w.opts.Log.Warn().Int("destinations", len(w.facts.Dests)).Int("left_out", leftOut).
+			Msg("knowledge: number of destinations left out of the snapshot for lack of disk space has changed")
+		w.leftOut = leftOut
+	}
+	w.logError(w.opts.Store.SaveSnapshot(fitted))
+}
+
+// yieldSpace releases disk space for the journal: first the old files, then the snapshot. The next snapshot uses the
+// space that is available then.
+func (w *Writer) yieldSpace() {
+	claimed := w.opts.Account.Claimed()
+	w.logError(w.opts.Store.RemoveOldFiles())
+	if w.opts.Account.Claimed() == claimed {
+		w.logError(w.opts.Store.RemoveSnapshot())
+	}
+}
+
+// logError logs an error, at most once per errorLogInterval. A failed write affects no messages.
+func (w *Writer) logError(err error) {
+	if err == nil || time.Since(w.lastErrorLog) < errorLogInterval {
+		return
+	}
+	w.lastErrorLog = time.Now()
+	w.opts.Log.Warn().Err(err).Msg("knowledge: update of the files in the state directory failed")
+}
--- a/internal/knowledge/keeper/keeper_test.go
+++ b/internal/knowledge/keeper/writer_test.go
@@ -205,7 +205,7 @@
 	if b := r.read(t, store.SnapshotName); len(b.Waits) != 20 {
 		t.Errorf("%d waits", len(b.Waits))
 	}
-	if n := bytes.Count([]byte(r.log.String()), []byte("not written")); n != 1 {
+	if n := bytes.Count([]byte(r.log.String()), []byte("update of the files in the state directory failed")); n != 1 {
 		t.Errorf("told %d times:\n%s", n, r.log)
 	}
 }
@@ -215,32 +215,32 @@
 	space := statedir.NewSpace(32 << 10)
 	r := newRig(t, space, fine)
 	journal := space.Account()
-	r.o.Account.YieldTo(journal)
+	r.opts.Account.YieldTo(journal)
 	var list []*knowledge.Destination
 	for i := range 60 {
 		list = append(list, &knowledge.Destination{Dest: i, LearnedAt: 1.8e12, SharedRoute: &policy.RouteFacts{AdvertisedLimit: 5}, Admission: policy.InitialAdmission(),
 			Endpoints: []knowledge.Endpoint{{Name: fmt.Sprintf("endpoint-%040d", i), LearnedAt: 1.8e12}}})
 	}
 	r.AddFacts(list, nil)
-	r.snapshot()
-	r.snapshot()
+	r.writeSnapshot()
+	r.writeSnapshot()
 	var gone []string
 	for !journal.Claim(32 << 10) {
-		<-r.o.Account.YieldRequested() // what Run waits for
-		r.yield()
+		<-r.opts.Account.YieldRequested() // what Run waits for
+		r.yieldSpace()
 		if gone = append(gone, "step"); len(gone) > 2 {
-			t.Fatalf("still %d bytes claimed", r.o.Account.Claimed())
+			t.Fatalf("still %d bytes claimed", r.opts.Account.Claimed())
 		}
 	}
 	if len(gone) != 2 || r.files.Size(store.SnapshotName) != 0 {
 		t.Errorf("%d steps, %d bytes left", len(gone), r.files.Size(store.SnapshotName))
 	}
-	r.snapshot() // there is no room now: nothing is lost but the file
-	if r.files.Size(store.SnapshotName) != 0 || len(r.book.Dests) != 60 {
-		t.Errorf("%d bytes, %d destinations", r.files.Size(store.SnapshotName), len(r.book.Dests))
+	r.writeSnapshot() // there is no room now: nothing is lost but the file
+	if r.files.Size(store.SnapshotName) != 0 || len(r.facts.Dests) != 60 {
+		t.Errorf("%d bytes, %d destinations", r.files.Size(store.SnapshotName), len(r.facts.Dests))
 	}
 	journal.Claim(0)
-	if r.snapshot(); len(r.read(t, store.SnapshotName).Dests) == 0 {
+	if r.writeSnapshot(); len(r.read(t, store.SnapshotName).Dests) == 0 {
 		t.Error("nothing written though there is room again")
 	}
 }
--- a/internal/knowledge/knowledge.go
+++ b/internal/knowledge/knowledge.go
@@ -1,9 +1,9 @@
-// Package knowledge is what a sender has learned of its partners, made fit to outlast its process: the
-// facts under names that mean the same in a later life, how they are merged, how they age, and which of
-// them matter most where room is short.
+// Package knowledge holds the facts that a sender has learned about its partners, in a form that outlasts
+// the process: under names that are stable over restarts. It merges and ages facts, and evicts the least
+// valuable ones when space is short.
 //
-// It is pure: no I/O, no clock, no goroutines. Times are Unix milliseconds and come from the caller.
-// Nothing here decides what is sent; the decision module takes the facts up and decides.
+// The package has no I/O, no clock and no goroutines. Times are Unix milliseconds, given by the caller.
+// It does not decide what is sent: package policy does, from these facts.
 package knowledge
 
 import (
@@ -14,61 +14,62 @@
 	"sliptide/policy"
 )
 
-// Route names what a told wait binds: a destination, or one endpoint of it where routes are apart.
+// Route identifies what a requested wait applies to: a destination, or one of its endpoints if each has a
+// limit of its own.
 type Route struct {
 	Dest     int
-	Endpoint string // empty: the destination's
+	Endpoint string // empty: the whole destination
 }
 
-// Wait is a wait that a partner told. It does not fade.
+// Wait is a wait that a partner has requested. It is honoured in full: unlike other facts it does not age.
 type Wait struct {
 	Route
-	ReceivedAt int64 // when it was heard
+	ReceivedAt int64
 	Until      int64 // nothing is sent before
 }
 
-// Endpoint is what is known of one endpoint, under the name that discovery gives it. The address is
-// left out on purpose: a new machine at an old address is a new machine.
+// Endpoint holds the facts about one endpoint, under its name in discovery. They do not include the address: a
+// new machine at an old address must not get the facts of the old machine.
 type Endpoint struct {
 	Name      string
-	LearnedAt float64 // when it was learned
+	LearnedAt float64
 	policy.EndpointFacts
 }
 
-// Destination is what is known of one destination. It is never changed once it is in a Book, so that
-// Books may share it.
+// Destination holds the facts about one destination. It is immutable once added to a Facts, so that several
+// Facts can share it.
 type Destination struct {
 	Dest        int
 	LearnedAt   float64
 	SharedRoute *policy.RouteFacts
 	Latency     policy.LatencyFacts
 	Admission   policy.AdmissionFacts
-	Endpoints   []Endpoint // by name
+	Endpoints   []Endpoint // sorted by name
 }
 
-// Usual is the usual call latency of a class of messages.
+// ClassLatency is the typical call latency of a class of messages.
 type ClassLatency struct {
 	LearnedAt float64
 	policy.LatencyFacts
 }
 
-// Dials is how connecting to one kind of destination fares.
+// Dials holds the facts about connection attempts to one kind of destination.
 type Dials struct {
 	LearnedAt float64
 	policy.DialFacts
 }
 
-// Staleness is how calls on idle connections fare.
+// Staleness holds the facts about calls on idle connections.
 type Staleness struct {
 	LearnedAt    float64
-	StaleShare   float64 // failing
-	MinStaleIdle float64 // milliseconds, shortest idle time of those that failed; 0 = none
+	StaleShare   float64 // share of such calls that fail
+	MinStaleIdle float64 // shortest idle time in milliseconds after which a call failed; 0 = none
 }
 
-// Book is all that a sender knows. It is not safe for concurrent use.
+// Facts holds all facts that a sender has learned. It is not safe for concurrent use.
 type Facts struct {
 	Sender       string
-	WrittenAt    int64 // 0: never
+	WrittenAt    int64 // when it was written to disk; 0 = never
 	Waits        map[Route]Wait
 	Dests        map[int]*Destination
 	ClassLatency map[string]ClassLatency // by class
@@ -76,7 +77,7 @@
 	Staleness    Staleness
 }
 
-// New returns an empty Book.
+// New returns an empty Facts.
 func New(sender string) *Facts {
 	return &Facts{
 		Sender: sender, Waits: map[Route]Wait{}, Dests: map[int]*Destination{},
@@ -84,30 +85,30 @@
 	}
 }
 
-// Clone returns a Book of its own with the same facts.
-func (b *Facts) Clone() *Facts {
-	c := New(b.Sender)
-	c.WrittenAt = b.WrittenAt
-	c.Merge(b)
-	return c
+// Clone returns an independent copy.
+func (f *Facts) Clone() *Facts {
+	clone := New(f.Sender)
+	clone.WrittenAt = f.WrittenAt
+	clone.Merge(f)
+	return clone
 }
 
-// Tell notes a told wait and reports whether it binds longer than what is known. A wait never shortens
-// another: each was told, so each binds.
-func (b *Facts) AddWait(w Wait) bool {
-	if w.Until <= w.ReceivedAt || b.Waits[w.Route].Until >= w.Until {
+// AddWait adds a requested wait and reports whether it ends later than the known one for its route. A wait never
+// shortens another: the partner has requested both, so both apply.
+func (f *Facts) AddWait(w Wait) bool {
+	if w.Until <= w.ReceivedAt || f.Waits[w.Route].Until >= w.Until {
 		return false
 	}
-	b.Waits[w.Route] = w
+	f.Waits[w.Route] = w
 	return true
 }
 
-// Learn takes what a sender now knows of a destination. Endpoints that it does not name are kept as
-// they were: they may not be listed yet, and expire in time.
-func (b *Facts) MergeDestination(d *Destination) {
-	old := b.Dests[d.Dest]
+// MergeDestination merges facts about a destination. Endpoints that d does not contain are kept: they may not be
+// listed yet, and expire later.
+func (f *Facts) MergeDestination(d *Destination) {
+	old := f.Dests[d.Dest]
 	if old == nil {
-		b.Dests[d.Dest] = d
+		f.Dests[d.Dest] = d
 		return
 	}
 	if old.LearnedAt > d.LearnedAt {
@@ -115,57 +116,57 @@
 	}
 	merged := *d
 	merged.Endpoints = mergeEndpoints(old.Endpoints, d.Endpoints)
-	b.Dests[d.Dest] = &merged
+	f.Dests[d.Dest] = &merged
 }
 
-// mergeEndpoints joins two lists in the order of names; of two of one name the later learned one stays,
-// and of two learned together the second.
-func mergeEndpoints(old, new []Endpoint) []Endpoint {
-	all := make([]Endpoint, 0, max(len(old), len(new)))
-	for len(old) > 0 || len(new) > 0 {
+// mergeEndpoints merges two lists that are sorted by name. Of two endpoints of the same name it keeps the one that
+// was learned later, and the one of newer if both were learned at the same time.
+func mergeEndpoints(older, newer []Endpoint) []Endpoint {
+	merged := make([]Endpoint, 0, max(len(older), len(newer)))
+	for len(older) > 0 || len(newer) > 0 {
 		switch {
-		case len(old) == 0 || len(new) > 0 && new[0].Name < old[0].Name:
-			all, new = append(all, new[0]), new[1:]
-		case len(new) == 0 || old[0].Name < new[0].Name:
-			all, old = append(all, old[0]), old[1:]
+		case len(older) == 0 || len(newer) > 0 && newer[0].Name < older[0].Name:
+			merged, newer = append(merged, newer[0]), newer[1:]
+		case len(newer) == 0 || older[0].Name < newer[0].Name:
+			merged, older = append(merged, older[0]), older[1:]
 		default:
-			later := new[0]
-			if old[0].LearnedAt > later.LearnedAt {
-				later = old[0]
+			later := newer[0]
+			if older[0].LearnedAt > later.LearnedAt {
+				later = older[0]
 			}
-			all, old, new = append(all, later), old[1:], new[1:]
+			merged, older, newer = append(merged, later), older[1:], newer[1:]
 		}
 	}
-	return all
+	return merged
 }
 
-// Merge takes all that o knows; of two facts of one thing the later learned one stays.
-func (b *Facts) Merge(o *Facts) {
-	for _, w := range o.Waits {
-		b.AddWait(w)
+// Merge adds all facts of other. Of two facts about the same subject it keeps the one that was learned later.
+func (f *Facts) Merge(other *Facts) {
+	for _, w := range other.Waits {
+		f.AddWait(w)
 	}
-	for _, d := range o.Dests {
-		b.MergeDestination(d)
+	for _, d := range other.Dests {
+		f.MergeDestination(d)
 	}
-	for name, u := range o.ClassLatency {
-		if u.LearnedAt >= b.ClassLatency[name].LearnedAt {
-			b.ClassLatency[name] = u
+	for name, u := range other.ClassLatency {
+		if u.LearnedAt >= f.ClassLatency[name].LearnedAt {
+			f.ClassLatency[name] = u
 		}
 	}
-	for name, d := range o.Dials {
-		if d.LearnedAt >= b.Dials[name].LearnedAt {
-			b.Dials[name] = d
+	for name, d := range other.Dials {
+		if d.LearnedAt >= f.Dials[name].LearnedAt {
+			f.Dials[name] = d
 		}
 	}
-	if o.Staleness.LearnedAt >= b.Staleness.LearnedAt {
-		b.Staleness = o.Staleness
+	if other.Staleness.LearnedAt >= f.Staleness.LearnedAt {
+		f.Staleness = other.Staleness
 	}
 }
 
-// Routes lists the waits by destination and endpoint.
-func (b *Facts) SortedWaits() []Wait {
-	list := make([]Wait, 0, len(b.Waits))
-	for _, w := range b.Waits {
+// SortedWaits returns the waits sorted by destination and endpoint.
+func (f *Facts) SortedWaits() []Wait {
+	list := make([]Wait, 0, len(f.Waits))
+	for _, w := range f.Waits {
 		list = append(list, w)
 	}
 	slices.SortFunc(list, func(x, y Wait) int {
@@ -174,71 +175,75 @@
 	return list
 }
 
-// Numbers lists the destinations in order.
-func (b *Facts) DestNumbers() []int {
-	list := make([]int, 0, len(b.Dests))
-	for n := range b.Dests {
+// DestNumbers returns the destinations' numbers in ascending order.
+func (f *Facts) DestNumbers() []int {
+	list := make([]int, 0, len(f.Dests))
+	for n := range f.Dests {
 		list = append(list, n)
 	}
 	slices.Sort(list)
 	return list
 }
 
-// Fit keeps the destinations that matter most within max, as size tells, and returns how many it
-// dropped. Those that a wait binds or an outage holds matter most, since forgetting them costs the
-// partner; then those with most traffic; then those learned last. Waits all stay.
-func (b *Facts) EvictToFit(max int, size func(*Destination) int) (dropped int) {
-	list := make([]ranked, 0, len(b.Dests))
+// EvictToFit evicts destinations until the rest, measured by size, takes at most maxBytes, and returns the number
+// evicted. It keeps first those with a requested wait, then those in an outage, because forgetting these puts load
+// on the partner; then those with the most traffic, then those learned last. Waits are never evicted.
+func (f *Facts) EvictToFit(maxBytes int, size func(*Destination) int) (evicted int) {
+	list := make([]rankedDest, 0, len(f.Dests))
 	total := 0
-	for _, d := range b.Dests {
-		r := ranked{d: d, size: size(d)}
+	for _, d := range f.Dests {
+		r := rankedDest{dest: d, size: size(d)}
 		r.rank()
 		list = append(list, r)
 		total += r.size
 	}
-	if total <= max {
+	if total <= maxBytes {
 		return 0
 	}
-	bound := map[int]bool{}
-	for _, w := range b.Waits {
-		bound[w.Dest] = true
+	hasWait := map[int]bool{}
+	for _, w := range f.Waits {
+		hasWait[w.Dest] = true
 	}
-	slices.SortFunc(list, func(x, y ranked) int {
+	slices.SortFunc(list, func(x, y rankedDest) int {
 		return cmp.Or(
-			-compareBool(bound[x.d.Dest], bound[y.d.Dest]), -compareBool(x.sick, y.sick),
-			cmp.Compare(y.rate, x.rate), cmp.Compare(y.d.LearnedAt, x.d.LearnedAt), cmp.Compare(x.d.Dest, y.d.Dest))
+			-compareBool(hasWait[x.dest.Dest], hasWait[y.dest.Dest]), -compareBool(x.inOutage, y.inOutage),
+			cmp.Compare(y.callRate, x.callRate), cmp.Compare(y.dest.LearnedAt, x.dest.LearnedAt),
+			cmp.Compare(x.dest.Dest, y.dest.Dest))
 	})
-	left := max
+	remaining := maxBytes
 	for _, r := range list {
-		if left -= r.size; left < 0 {
-			delete(b.Dests, r.d.Dest)
-			dropped++
+		if remaining -= r.size; remaining < 0 {
+			delete(f.Dests, r.dest.Dest)
+			evicted++
 		}
 	}
-	return dropped
+	return evicted
 }
 
-type ranked struct {
-	d    *Destination
-	size int
-	sick bool
-	rate float64
+// rankedDest is a destination with the criteria by which EvictToFit orders it.
+type rankedDest struct {
+	dest     *Destination
+	size     int
+	inOutage bool // at least one endpoint is not healthy
+	callRate float64
 }
 
-func (r *ranked) rank() {
-	add := func(f *policy.RouteFacts) {
+// rank sets inOutage and callRate from the facts.
+func (r *rankedDest) rank() {
+	addRate := func(f *policy.RouteFacts) {
 		if f != nil {
-			r.rate += f.CallRate
+			r.callRate += f.CallRate
 		}
 	}
-	add(r.d.SharedRoute)
-	for i := range r.d.Endpoints {
-		e := &r.d.Endpoints[i]
-		r.sick = r.sick || e.Health != policy.Healthy
-		add(e.OwnRoute)
+	addRate(r.dest.SharedRoute)
+	for i := range r.dest.Endpoints {
+		e := &r.dest.Endpoints[i]
+		r.inOutage = r.inOutage || e.Health != policy.Healthy
+		addRate(e.OwnRoute)
 	}
 }
 
+// compareBool orders false before true.
 func compareBool(a, b bool) int {
 	switch {
 	case a == b:
@@ -249,9 +254,9 @@
 	return -1
 }
 
-// finite is v, or 0 where it is no number or out of [lo, hi]: a file whose checksum is right may still
-// have been written by a program that was wrong.
-func finite(v, lo, hi float64) float64 {
+// validOrZero returns v, or 0 if v is NaN or outside [lo, hi]. A faulty program may have written a wrong value to a
+// file with a correct checksum.
+func validOrZero(v, lo, hi float64) float64 {
 	if math.IsNaN(v) || v < lo || v > hi {
 		return 0
 	}
--- a/internal/knowledge/knowledge_test.go
+++ b/internal/knowledge/knowledge_test.go
@@ -18,7 +18,7 @@
 func near(a, b float64) bool { return math.Abs(a-b) <= 1e-6*math.Max(1, math.Abs(b)) }
 
 func TestWeight(t *testing.T) {
-	for age, want := range map[float64]float64{0: 1, 60e3: 0.5, 120e3: 0.25, 7 * 86400e3: 0, -50: 1, -ahead - 1: 0.5} {
+	for age, want := range map[float64]float64{0: 1, 60e3: 0.5, 120e3: 0.25, 7 * 86400e3: 0, -50: 1, -maxClockSkew - 1: 0.5} {
 		if got := Weight(age, time.Minute); !near(got, want) {
 			t.Errorf("age %v: %v, want %v", age, got, want)
 		}
--- a/internal/knowledge/store/codec.go
+++ b/internal/knowledge/store/codec.go
@@ -15,67 +15,69 @@
 	"sliptide/policy"
 )
 
-// A file is a header and a payload. The header keeps its form in every version, so that a file of a
-// newer one can be told from a damaged one:
+// A file consists of a header and a payload. The header has the same layout in every version, so that a file of a
+// newer version can be distinguished from a damaged one:
 //
 //	offset  bytes
 //	0       8   magic
-//	8       4   format version, big-endian as all numbers here
+//	8       4   format version; all numbers are big-endian
 //	12      4   flags, 0
 //	16      8   length of the payload
 //	24      8   xxHash64 of the payload
-//	32      8   xxHash64 of the 32 bytes before
-//	40          payload: a protobuf message, by version (pb/knowledge.proto)
+//	32      8   xxHash64 of bytes 0 to 31
+//	40          payload: a protobuf message that depends on the version (pb/knowledge.proto)
 const (
-	magic    = "SLPTKNOW"
-	headSize = 40
-	// Version is the format that is written. Version 1 held told waits alone.
-	Version = 2
-	maxText = 1 << 30
+	magic      = "SLPTKNOW"
+	headerSize = 40
+	// Version is the format version that is written. Version 1 contained only requested waits.
+	Version        = 2
+	maxPayloadSize = 1 << 30
 )
 
-// Errors of Decode. Damage has an offset.
 var (
-	ErrNewerFormat = errors.New("the format is newer than this program")
-	ErrNoSpace     = errors.New("no room in the folder")
+	// ErrNewerFormat is returned for a file that a newer version of the program has written.
+	ErrNewerFormat = errors.New("the format is newer than this program supports")
+	// ErrNoSpace is returned when there is not enough space for a file.
+	ErrNoSpace = errors.New("not enough space in the state directory")
 )
 
-// Damage is what makes a file unreadable.
+// DamageError is returned by Decode for a damaged file.
 type DamageError struct {
-	Offset int // of the first byte that is wrong, or where something is missing
+	Offset int // of the first wrong or missing byte
 	Reason string
 }
 
-// Error says what is wrong, and where.
+// Error implements error.
 func (d *DamageError) Error() string {
 	return fmt.Sprintf("damaged at byte %d: %s", d.Offset, d.Reason)
 }
 
-// Encode returns the file of b.
-func Encode(b *knowledge.Facts) ([]byte, error) {
-	m := toPB(b)
-	text := make([]byte, headSize, headSize+proto.Size(m))
-	text, err := proto.MarshalOptions{Deterministic: true}.MarshalAppend(text, m)
+// Encode returns the contents of a file with these facts.
+func Encode(facts *knowledge.Facts) ([]byte, error) {
+	m := factsToPB(facts)
+	data := make([]byte, headerSize, headerSize+proto.Size(m))
+	data, err := proto.MarshalOptions{Deterministic: true}.MarshalAppend(data, m)
 	if err != nil {
-		return nil, fmt.Errorf("knowledge: %w", err)
+		return nil, fmt.Errorf("knowledge: encode: %w", err)
 	}
-	frame(text, Version)
-	return text, nil
+	writeHeader(data, Version)
+	return data, nil
 }
 
-// frame fills the header of text.
-func frame(text []byte, version uint32) {
-	copy(text, magic)
-	binary.BigEndian.PutUint32(text[8:], version)
-	binary.BigEndian.PutUint32(text[12:], 0)
-	binary.BigEndian.PutUint64(text[16:], uint64(len(text)-headSize))
-	binary.BigEndian.PutUint64(text[24:], xxhash.Sum64(text[headSize:]))
-	binary.BigEndian.PutUint64(text[32:], xxhash.Sum64(text[:32]))
+// writeHeader fills in the header at the start of data.
+func writeHeader(data []byte, version uint32) {
+	copy(data, magic)
+	binary.BigEndian.PutUint32(data[8:], version)
+	binary.BigEndian.PutUint32(data[12:], 0)
+	binary.BigEndian.PutUint64(data[16:], uint64(len(data)-headerSize))
+	binary.BigEndian.PutUint64(data[24:], xxhash.Sum64(data[headerSize:]))
+	binary.BigEndian.PutUint64(data[32:], xxhash.Sum64(data[:32]))
 }
 
-// Decode reads a file of this format or an older one. Errors are ErrNewer or of type *Damage.
-func Decode(text []byte) (*knowledge.Facts, error) {
-	version, payload, err := unframe(text)
+// Decode decodes a file of this format version or an older one. Errors wrap ErrNewerFormat or are of type
+// *DamageError.
+func Decode(data []byte) (*knowledge.Facts, error) {
+	version, payload, err := parseHeader(data)
 	if err != nil {
 		return nil, err
 	}
@@ -83,87 +85,91 @@
 	case 1:
 		var m pb.BookV1
 		if err := proto.Unmarshal(payload, &m); err != nil {
-			return nil, &DamageError{headSize, err.Error()}
+			return nil, &DamageError{headerSize, err.Error()}
 		}
-		return fromV1(&m), nil
+		return factsFromV1(&m), nil
 	case Version:
 		var m pb.BookV2
 		if err := proto.Unmarshal(payload, &m); err != nil {
-			return nil, &DamageError{headSize, err.Error()}
+			return nil, &DamageError{headerSize, err.Error()}
 		}
-		return fromPB(&m), nil
+		return factsFromPB(&m), nil
 	}
-	return nil, &DamageError{8, fmt.Sprintf("format version %d was never one", version)}
+	return nil, &DamageError{8, fmt.Sprintf("unknown format version %d", version)}
 }
 
-// unframe checks the header and returns the payload.
-func unframe(text []byte) (version uint32, payload []byte, err error) {
+// parseHeader checks the header and both checksums, and returns the payload.
+func parseHeader(data []byte) (version uint32, payload []byte, err error) {
 	switch {
-	case len(text) == 0:
+	case len(data) == 0:
 		return 0, nil, &DamageError{0, "the file is empty"}
-	case len(text) < headSize:
-		return 0, nil, &DamageError{len(text), "it ends within the header"}
-	case string(text[:8]) != magic:
-		return 0, nil, &DamageError{0, "it does not begin as a knowledge file"}
-	case xxhash.Sum64(text[:32]) != binary.BigEndian.Uint64(text[32:]):
-		return 0, nil, &DamageError{8, "the header's checksum is wrong"}
+	case len(data) < headerSize:
+		return 0, nil, &DamageError{len(data), "the file ends within the header"}
+	case string(data[:8]) != magic:
+		return 0, nil, &DamageError{0, "wrong magic: the file does not begin as a knowledge file"}
+	case xxhash.Sum64(data[:32]) != binary.BigEndian.Uint64(data[32:]):
+		return 0, nil, &DamageError{8, "the checksum of the header is wrong"}
 	}
-	version, payload = binary.BigEndian.Uint32(text[8:]), text[headSize:]
+	version, payload = binary.BigEndian.Uint32(data[8:]), data[headerSize:]
 	if version > Version {
-		return 0, nil, fmt.Errorf("version %d: %w (%d)", version, ErrNewerFormat, Version)
+		return 0, nil, fmt.Errorf("format version %d: %w (up to %d)", version, ErrNewerFormat, Version)
 	}
-	length := binary.BigEndian.Uint64(text[16:])
+	length := binary.BigEndian.Uint64(data[16:])
 	switch {
 	case uint64(len(payload)) < length:
-		return 0, nil, &DamageError{len(text), fmt.Sprintf("it ends %d bytes early", length-uint64(len(payload)))}
-	case uint64(len(payload)) > length || length > maxText:
-		return 0, nil, &DamageError{headSize + int(min(length, maxText)), "there is more than the header tells"}
-	case xxhash.Sum64(payload) != binary.BigEndian.Uint64(text[24:]):
-		return 0, nil, &DamageError{headSize, "the payload's checksum is wrong"}
+		return 0, nil, &DamageError{len(data), fmt.Sprintf("the file ends %d bytes early", length-uint64(len(payload)))}
+	case uint64(len(payload)) > length || length > maxPayloadSize:
+		return 0, nil, &DamageError{headerSize + int(min(length, maxPayloadSize)), "the file is longer than its header states"}
+	case xxhash.Sum64(payload) != binary.BigEndian.Uint64(data[24:]):
+		return 0, nil, &DamageError{headerSize, "the checksum of the payload is wrong"}
 	}
 	return version, payload, nil
 }
 
-// SizeOf is how many bytes a destination takes in a file.
+// EncodedSize returns the number of bytes that a destination takes in a file.
 func EncodedSize(d *knowledge.Destination) int {
 	n := proto.Size(destToPB(d))
 	return n + 1 + len(binary.AppendUvarint(nil, uint64(n)))
 }
 
-// fromV1 carries a file of version 1 over. When its waits were told was not noted: no later than the
-// file was written.
-func fromV1(m *pb.BookV1) *knowledge.Facts {
-	b := knowledge.New(m.Sender)
-	b.WrittenAt = m.WrittenMs
+// factsFromV1 converts the payload of format version 1. It does not contain the times at which waits were received,
+// which are at the latest the time of writing.
+func factsFromV1(m *pb.BookV1) *knowledge.Facts {
+	facts := knowledge.New(m.Sender)
+	facts.WrittenAt = m.WrittenMs
 	for _, w := range m.Waits {
-		b.AddWait(knowledge.Wait{Route: knowledge.Route{Dest: int(w.Dest), Endpoint: w.Endpoint}, ReceivedAt: m.WrittenMs, Until: w.UntilMs})
+		facts.AddWait(knowledge.Wait{
+			Route: knowledge.Route{Dest: int(w.Dest), Endpoint: w.Endpoint}, ReceivedAt: m.WrittenMs, Until: w.UntilMs,
+		})
 	}
-	return b
+	return facts
 }
 
-func toPB(b *knowledge.Facts) *pb.BookV2 {
-	m := &pb.BookV2{Sender: b.Sender, WrittenMs: b.WrittenAt}
-	for _, w := range b.SortedWaits() {
+func factsToPB(facts *knowledge.Facts) *pb.BookV2 {
+	m := &pb.BookV2{Sender: facts.Sender, WrittenMs: facts.WrittenAt}
+	for _, w := range facts.SortedWaits() {
 		m.Waits = append(m.Waits, &pb.Wait{Dest: int64(w.Dest), Endpoint: w.Endpoint, ToldMs: w.ReceivedAt, UntilMs: w.Until})
 	}
-	for _, n := range b.DestNumbers() {
-		m.Destinations = append(m.Destinations, destToPB(b.Dests[n]))
+	for _, n := range facts.DestNumbers() {
+		m.Destinations = append(m.Destinations, destToPB(facts.Dests[n]))
 	}
-	for _, name := range sorted(b.ClassLatency) {
-		u := b.ClassLatency[name]
+	for _, name := range sortedNames(facts.ClassLatency) {
+		u := facts.ClassLatency[name]
 		m.Usual = append(m.Usual, &pb.Usual{Class: name, AtMs: int64(u.LearnedAt), Latency: latencyToPB(u.LatencyFacts)})
 	}
-	for _, name := range sorted(b.Dials) {
-		d := b.Dials[name]
-		m.Dials = append(m.Dials, &pb.Dials{Kind: name, AtMs: int64(d.LearnedAt), Failed: float32(d.FailureShare), ShortUntilMs: int64(d.ScarceUntil)})
+	for _, name := range sortedNames(facts.Dials) {
+		d := facts.Dials[name]
+		m.Dials = append(m.Dials, &pb.Dials{
+			Kind: name, AtMs: int64(d.LearnedAt), Failed: float32(d.FailureShare), ShortUntilMs: int64(d.ScarceUntil),
+		})
 	}
-	if s := b.Staleness; s.LearnedAt != 0 {
+	if s := facts.Staleness; s.LearnedAt != 0 {
 		m.Staleness = &pb.Staleness{AtMs: int64(s.LearnedAt), Share: float32(s.StaleShare), GapMs: float32(s.MinStaleIdle)}
 	}
 	return m
 }
 
-func sorted[V any](m map[string]V) []string {
+func sortedNames[V any](m map[string]V) []string {
 	names := make([]string, 0, len(m))
 	for name := range m {
 		names = append(names, name)
@@ -172,41 +178,52 @@
 	return names
 }
 
-func fromPB(m *pb.BookV2) *knowledge.Facts {
-	b := knowledge.New(m.Sender)
-	b.WrittenAt = m.WrittenMs
+func factsFromPB(m *pb.BookV2) *knowledge.Facts {
+	facts := knowledge.New(m.Sender)
+	facts.WrittenAt = m.WrittenMs
 	for _, w := range m.Waits {
-		b.AddWait(knowledge.Wait{Route: knowledge.Route{Dest: int(w.Dest), Endpoint: w.Endpoint}, ReceivedAt: w.ToldMs, Until: w.UntilMs})
+		facts.AddWait(knowledge.Wait{
+			Route: knowledge.Route{Dest: int(w.Dest), Endpoint: w.Endpoint}, ReceivedAt: w.ToldMs, Until: w.UntilMs,
+		})
 	}
 	for _, d := range m.Destinations {
-		b.MergeDestination(destFromPB(d))
+		facts.MergeDestination(destFromPB(d))
 	}
 	for _, u := range m.Usual {
-		b.ClassLatency[u.Class] = knowledge.ClassLatency{LearnedAt: float64(u.AtMs), LatencyFacts: latencyFromPB(u.Latency)}
+		facts.ClassLatency[u.Class] = knowledge.ClassLatency{
+			LearnedAt: float64(u.AtMs), LatencyFacts: latencyFromPB(u.Latency),
+		}
 	}
 	for _, d := range m.Dials {
-		b.Dials[d.Kind] = knowledge.Dials{LearnedAt: float64(d.AtMs), DialFacts: policy.DialFacts{FailureShare: float64(d.Failed), ScarceUntil: float64(d.ShortUntilMs)}}
+		facts.Dials[d.Kind] = knowledge.Dials{
+			LearnedAt: float64(d.AtMs),
+			DialFacts: policy.DialFacts{FailureShare: float64(d.Failed), ScarceUntil: float64(d.ShortUntilMs)},
+		}
 	}
 	if s := m.Staleness; s != nil {
-		b.Staleness = knowledge.Staleness{LearnedAt: float64(s.AtMs), StaleShare: float64(s.Share), MinStaleIdle: float64(s.GapMs)}
+		facts.Staleness = knowledge.Staleness{
+			LearnedAt: float64(s.AtMs), StaleShare: float64(s.Share), MinStaleIdle: float64(s.GapMs),
+		}
 	}
-	return b
+	return facts
 }
 
-// ago is how long before at a time was; none where it says that something never was.
-func ago(at, t float64) *int64 {
+// msBefore returns how many milliseconds before learnedAt the time t was; nil if t is 0 or infinite, which stands
+// for an event that has never happened.
+func msBefore(learnedAt, t float64) *int64 {
 	if t == 0 || math.IsInf(t, 0) || math.IsNaN(t) {
 		return nil
 	}
-	v := int64(math.Round(at - t))
+	v := int64(math.Round(learnedAt - t))
 	return &v
 }
 
-func since(at float64, ago *int64, none float64) float64 {
+// timeBefore returns the time that was ago milliseconds before learnedAt, or absent if ago is nil.
+func timeBefore(learnedAt float64, ago *int64, absent float64) float64 {
 	if ago == nil {
-		return none
+		return absent
 	}
-	return at - float64(*ago)
+	return learnedAt - float64(*ago)
 }
 
 func destToPB(d *knowledge.Destination) *pb.Destination {
@@ -215,7 +232,7 @@
 	m := &pb.Destination{
 		Dest: int64(d.Dest), AtMs: int64(at), Shared: routeToPB(d.SharedRoute, at), Latency: latencyToPB(d.Latency),
 		Control: &pb.Control{
-			SeenAgo: ago(at, c.LastArrival), Lambda: float32(c.Lambda), ExMs: float32(c.EX),
+			SeenAgo: msBefore(at, c.LastArrival), Lambda: float32(c.Lambda), ExMs: float32(c.EX),
 			Theta: []float32{float32(c.Theta[0]), float32(c.Theta[1])},
 			P:     []float32{float32(c.P[0][0]), float32(c.P[0][1]), float32(c.P[1][0]), float32(c.P[1][1])},
 			Pam:   float32(c.Pam), Pa: float32(c.Pa),
@@ -226,9 +243,11 @@
 		at := math.Trunc(e.LearnedAt)
 		m.Endpoints = append(m.Endpoints, &pb.Endpoint{
 			Name: e.Name, AtMs: int64(at), Health: uint32(e.Health), Fails: uint32(max(e.Failures, 0)),
-			FailAgo: ago(at, e.LastFailure), FailShare: float32(e.FailureShare), Hung: e.Unresponsive, Mute: e.Unanswered, Leaks: e.AnsweredError,
-			Trials: uint32(max(e.FailedTrials, 0)), OpenAgo: ago(at, e.OpenedAt), TrialAgo: ago(at, e.NextTrial),
-			RampAgo: ago(at, e.RampStart), Base: float32(e.RateBeforeOutage), OkAgo: ago(at, e.LastOK), Apart: routeToPB(e.OwnRoute, at),
+			FailAgo: msBefore(at, e.LastFailure), FailShare: float32(e.FailureShare),
+			Hung: e.Unresponsive, Mute: e.Unanswered, Leaks: e.AnsweredError,
+			Trials: uint32(max(e.FailedTrials, 0)), OpenAgo: msBefore(at, e.OpenedAt), TrialAgo: msBefore(at, e.NextTrial),
+			RampAgo: msBefore(at, e.RampStart), Base: float32(e.RateBeforeOutage), OkAgo: msBefore(at, e.LastOK),
+			Apart: routeToPB(e.OwnRoute, at),
 		})
 	}
 	return m
@@ -242,7 +261,7 @@
 	}
 	if c := m.Control; c != nil && len(c.Theta) == 2 && len(c.P) == 4 {
 		d.Admission = policy.AdmissionFacts{
-			LastArrival: since(at, c.SeenAgo, 0), Lambda: float64(c.Lambda), EX: float64(c.ExMs),
+			LastArrival: timeBefore(at, c.SeenAgo, 0), Lambda: float64(c.Lambda), EX: float64(c.ExMs),
 			Theta: [2]float64{float64(c.Theta[0]), float64(c.Theta[1])},
 			P:     [2][2]float64{{float64(c.P[0]), float64(c.P[1])}, {float64(c.P[2]), float64(c.P[3])}},
 			Pam:   float64(c.Pam), Pa: float64(c.Pa),
@@ -251,10 +270,11 @@
 	for _, e := range m.Endpoints {
 		at := float64(e.AtMs)
 		d.Endpoints = append(d.Endpoints, knowledge.Endpoint{Name: e.Name, LearnedAt: at, EndpointFacts: policy.EndpointFacts{
-			Health: policy.Health(min(e.Health, 255)), Failures: int(e.Fails), LastFailure: since(at, e.FailAgo, 0),
-			FailureShare: float64(e.FailShare), Unresponsive: e.Hung, Unanswered: e.Mute, AnsweredError: e.Leaks, FailedTrials: int(e.Trials),
-			OpenedAt: since(at, e.OpenAgo, 0), NextTrial: since(at, e.TrialAgo, 0), RampStart: since(at, e.RampAgo, 0),
-			RateBeforeOutage: float64(e.Base), LastOK: since(at, e.OkAgo, math.Inf(-1)), OwnRoute: routeFromPB(e.Apart, at),
+			Health: policy.Health(min(e.Health, 255)), Failures: int(e.Fails), LastFailure: timeBefore(at, e.FailAgo, 0),
+			FailureShare: float64(e.FailShare), Unresponsive: e.Hung, Unanswered: e.Mute, AnsweredError: e.Leaks,
+			FailedTrials: int(e.Trials), OpenedAt: timeBefore(at, e.OpenAgo, 0), NextTrial: timeBefore(at, e.TrialAgo, 0),
+			RampStart: timeBefore(at, e.RampAgo, 0), RateBeforeOutage: float64(e.Base),
+			LastOK: timeBefore(at, e.OkAgo, math.Inf(-1)), OwnRoute: routeFromPB(e.Apart, at),
 		}})
 	}
 	return d
@@ -265,7 +285,7 @@
 		return nil
 	}
 	return &pb.Route{
-		Told: float32(r.AdvertisedLimit), Reported: r.LimitReported, Pace: float32(r.Pace), OkAgo: ago(at, r.LastOK),
+		Told: float32(r.AdvertisedLimit), Reported: r.LimitReported, Pace: float32(r.Pace), OkAgo: msBefore(at, r.LastOK),
 		Tried: float32(r.CallRate), Accepted: float32(r.AcceptedRate), Delivered: float32(r.DeliveredRate),
 	}
 }
@@ -275,8 +295,9 @@
 		return nil
 	}
 	return &policy.RouteFacts{
-		AdvertisedLimit: float64(m.Told), LimitReported: m.Reported, Pace: float64(m.Pace), LastOK: since(at, m.OkAgo, at),
-		CallRate: float64(m.Tried), AcceptedRate: float64(m.Accepted), DeliveredRate: float64(m.Delivered),
+		AdvertisedLimit: float64(m.Told), LimitReported: m.Reported, Pace: float64(m.Pace),
+		LastOK: timeBefore(at, m.OkAgo, at), CallRate: float64(m.Tried), AcceptedRate: float64(m.Accepted),
+		DeliveredRate: float64(m.Delivered),
 	}
 }
 
--- a/internal/knowledge/store/store.go
+++ b/internal/knowledge/store/store.go
@@ -1,8 +1,8 @@
-// Package store keeps a knowledge.Book in files of the folder that lasts. Each is replaced whole: a new
-// file is written beside it and renamed into its place, so that whatever ends the process, the name
-// holds one file or the other. What can't be read is set aside, never fatal.
+// Package store keeps knowledge.Facts in files in the state directory. Files are replaced atomically: a new file is
+// written under a temporary name and renamed, so that after a crash the name refers to the old or to the new
+// file, whole. A file that cannot be read is set aside and is never a fatal error.
 //
-// It decides nothing of what is known; that is package knowledge. It is not safe for concurrent use.
+// A Store does not interpret the facts; package knowledge does. It is not safe for concurrent use.
 package store
 
 import (
@@ -15,227 +15,234 @@
 	"sliptide/internal/statedir"
 )
 
-// The files.
+// Names of the files.
 const (
 	SnapshotName = "knowledge"       // the snapshot
-	PreviousName = "knowledge.prev"  // the one before, where there is room
-	WaitsName    = "knowledge.waits" // told waits since, in the same form
-	badName      = "knowledge.bad"   // what could not be read, the last such
-	newSuffix    = ".new"
+	PreviousName = "knowledge.prev"  // the snapshot before it, if there is space
+	WaitsName    = "knowledge.waits" // waits requested since the snapshot, in the same format
+	setAsideName = "knowledge.bad"   // the last file that could not be read
+	newSuffix    = ".new"            // of a file that is being written
 )
 
-// Names are the names of all files that a Store may write.
-var FileNames = []string{SnapshotName, PreviousName, WaitsName, badName, SnapshotName + newSuffix, WaitsName + newSuffix}
+// FileNames lists the names of all files that a Store may write.
+var FileNames = []string{
+	SnapshotName, PreviousName, WaitsName, setAsideName, SnapshotName + newSuffix, WaitsName + newSuffix,
+}
 
-// Store is the files of one folder.
+// Store manages the knowledge files of one directory.
 type Store struct {
-	fs    fsys.FS
-	room  *statedir.Account
-	max   int64 // bytes for all files
-	sync  bool
-	sizes map[string]int64 // of the files there are, in whole blocks
-	held  map[string]bool  // files of a newer format, which are not touched
+	fs          fsys.FS
+	account     *statedir.Account
+	maxBytes    int64 // for all files
+	sync        bool
+	sizes       map[string]int64 // disk space of each file in bytes, whole blocks
+	newerFormat map[string]bool  // files of a newer format, which are left untouched
 }
 
-// Options are what a Store works with.
+// Options configure a Store.
 type Options struct {
 	FS       fsys.FS
-	Account  *statedir.Account // claims what the files take
-	MaxBytes int64             // bytes that all files may take, one that replaces another included
-	Sync     bool              // fsync files and folder before and after a rename
+	Account  *statedir.Account // disk space for the files
+	MaxBytes int64             // maximum size of all files, including one that is about to replace another
+	Sync     bool              // fsync a file before its rename and the directory after it
 }
 
-// Problem is one thing that was wrong with a file, for the log.
+// Problem describes what was wrong with a file, for the log.
 type Problem struct {
 	File          string
 	Err           error
-	SetAside      bool // it is now knowledge.bad, or gone if that could not be
-	LeftUntouched bool // it is of a newer format and left as it is
+	SetAside      bool // the file was renamed to knowledge.bad
+	LeftUntouched bool // the file is of a newer format and stays
 }
 
-// Open reads what the folder holds, the later of what its files know. There always is a Book, if an
-// empty one.
+// Open reads the files and returns their merged facts, empty if there are none. The previous snapshot is read only
+// if the snapshot cannot be.
 func Open(o Options, sender string) (*Store, *knowledge.Facts, []Problem) {
-	s := &Store{fs: o.FS, room: o.Account, max: o.MaxBytes, sync: o.Sync, sizes: map[string]int64{}, held: map[string]bool{}}
-	book := knowledge.New(sender)
+	s := &Store{
+		fs: o.FS, account: o.Account, maxBytes: o.MaxBytes, sync: o.Sync,
+		sizes: map[string]int64{}, newerFormat: map[string]bool{},
+	}
+	facts := knowledge.New(sender)
 	var problems []Problem
-	for _, name := range []string{SnapshotName, WaitsName} { // copies that were not finished
+	for _, name := range []string{SnapshotName, WaitsName} { // left by a write that did not finish
 		if err := s.fs.Remove(name + newSuffix); err != nil {
 			problems = append(problems, Problem{File: name + newSuffix, Err: err})
 		}
 	}
-	read, p := s.read(SnapshotName)
-	problems = append(problems, p...)
-	if read == nil { // else what came before it says nothing new
-		read, p = s.read(PreviousName)
-		problems = append(problems, p...)
+	snapshot, found := s.readFile(SnapshotName)
+	problems = append(problems, found...)
+	if snapshot == nil { // otherwise the previous snapshot has nothing to add
+		snapshot, found = s.readFile(PreviousName)
+		problems = append(problems, found...)
 	}
-	if read != nil {
-		book.Merge(read)
-		book.WrittenAt = read.WrittenAt
+	if snapshot != nil {
+		facts.Merge(snapshot)
+		facts.WrittenAt = snapshot.WrittenAt
 	}
-	waits, p := s.read(WaitsName)
-	problems = append(problems, p...)
+	waits, found := s.readFile(WaitsName)
+	problems = append(problems, found...)
 	if waits != nil {
-		book.Merge(waits)
+		facts.Merge(waits)
 	}
 	for _, name := range FileNames {
 		s.sizes[name] = statedir.RoundToBlocks(s.fs.Size(name))
 	}
-	if !s.claim(0) {
+	if !s.claimSpace(0) {
 		s.RemoveOldFiles()
 	}
-	return s, book, problems
+	return s, facts, problems
 }
 
-// SetSync changes whether files are synced from here on.
+// SetSync sets whether further writes are synced.
 func (s *Store) SetSync(sync bool) { s.sync = sync }
 
-// read reads one file; nil if there is none that can be read.
-func (s *Store) read(name string) (*knowledge.Facts, []Problem) {
-	text, err := s.fs.Read(name)
+// readFile reads one file. It returns nil if the file does not exist or cannot be read; in the latter case the file
+// is set aside, unless it is of a newer format.
+func (s *Store) readFile(name string) (*knowledge.Facts, []Problem) {
+	data, err := s.fs.Read(name)
 	if errors.Is(err, fs.ErrNotExist) {
 		return nil, nil
 	}
-	var book *knowledge.Facts
+	var facts *knowledge.Facts
 	if err == nil {
-		book, err = Decode(text)
+		facts, err = Decode(data)
 	}
 	if err == nil {
-		return book, nil
+		return facts, nil
 	}
-	p := Problem{File: name, Err: err}
+	problem := Problem{File: name, Err: err}
 	if errors.Is(err, ErrNewerFormat) {
-		s.held[name], p.LeftUntouched = true, true
-		return nil, []Problem{p}
+		s.newerFormat[name], problem.LeftUntouched = true, true
+		return nil, []Problem{problem}
 	}
-	if err := errors.Join(s.fs.Remove(badName), s.fs.Rename(name, badName)); err != nil {
-		p.Err = errors.Join(p.Err, fmt.Errorf("cannot be set aside: %w", err))
+	if err := errors.Join(s.fs.Remove(setAsideName), s.fs.Rename(name, setAsideName)); err != nil {
+		problem.Err = errors.Join(problem.Err, fmt.Errorf("cannot set the file aside: %w", err))
 	} else {
-		p.SetAside = true
+		problem.SetAside = true
 	}
-	return nil, []Problem{p}
+	return nil, []Problem{problem}
 }
 
-// claim claims what the files take with so much more. The largest that a file may become while it is
-// replaced is part of more.
-func (s *Store) claim(more int64) bool {
-	total := more
+// claimSpace claims disk space for the existing files and extra more bytes, and reports whether it is available. To
+// replace a file, extra must be the size of the new file, because both exist until the rename.
+func (s *Store) claimSpace(extra int64) bool {
+	total := extra
 	for _, size := range s.sizes {
 		total += size
 	}
-	return total <= s.max && s.room.Claim(total)
+	return total <= s.maxBytes && s.account.Claim(total)
 }
 
-// Room is how many bytes a snapshot may have now: with the waits as they are, twice it (the one that is
-// replaced, and the new one) must fit.
+// MaxSnapshotSize returns the maximum size in bytes of a snapshot now. Beside the waits there must be space for two:
+// the snapshot that is replaced and the new one.
 func (s *Store) MaxSnapshotSize() int {
-	limit := min(s.max, s.room.Limit()) - 2*s.sizes[WaitsName]
-	return int(max(limit/2-2*headSize, 0))
+	limit := min(s.maxBytes, s.account.Limit()) - 2*s.sizes[WaitsName]
+	return int(max(limit/2-2*headerSize, 0))
 }
 
-// Save writes a snapshot of at most Room bytes. The waits' file goes, since the snapshot has them too.
-func (s *Store) SaveSnapshot(b *knowledge.Facts) error {
-	if s.held[SnapshotName] {
+// SaveSnapshot writes a snapshot of at most MaxSnapshotSize bytes and removes the file of waits, which the snapshot
+// contains.
+func (s *Store) SaveSnapshot(facts *knowledge.Facts) error {
+	if s.newerFormat[SnapshotName] {
 		return fmt.Errorf("%s: %w", SnapshotName, ErrNewerFormat)
 	}
-	text, err := Encode(b)
+	data, err := Encode(facts)
 	if err != nil {
 		return err
 	}
-	need := statedir.RoundToBlocks(int64(len(text)))
-	keep := true
-	if !s.claim(need) { // what could not be read, and the generation before, go first
-		keep = false
+	need := statedir.RoundToBlocks(int64(len(data)))
+	keepPrevious := true
+	if !s.claimSpace(need) { // the previous snapshot and the file set aside are given up first
+		keepPrevious = false
 		if err := s.RemoveOldFiles(); err != nil {
 			return err
 		}
-		if !s.claim(need) {
+		if !s.claimSpace(need) {
 			return fmt.Errorf("%s: %d bytes: %w", SnapshotName, need, ErrNoSpace)
 		}
 	}
-	if err := s.replace(SnapshotName, text, need, keep); err != nil {
+	if err := s.replaceFile(SnapshotName, data, need, keepPrevious); err != nil {
 		return err
 	}
-	return s.remove(WaitsName)
+	return s.removeFile(WaitsName)
 }
 
-// SaveWaits writes the waits of b alone: little, and often.
-func (s *Store) SaveWaits(b *knowledge.Facts) error {
-	if s.held[WaitsName] {
+// SaveWaits writes only the waits, which is small enough to do often.
+func (s *Store) SaveWaits(facts *knowledge.Facts) error {
+	if s.newerFormat[WaitsName] {
 		return fmt.Errorf("%s: %w", WaitsName, ErrNewerFormat)
 	}
-	only := knowledge.New(b.Sender)
-	only.WrittenAt, only.Waits = b.WrittenAt, b.Waits
-	text, err := Encode(only)
+	waitsOnly := knowledge.New(facts.Sender)
+	waitsOnly.WrittenAt, waitsOnly.Waits = facts.WrittenAt, facts.Waits
+	data, err := Encode(waitsOnly)
 	if err != nil {
 		return err
 	}
-	need := statedir.RoundToBlocks(int64(len(text)))
-	if !s.claim(need) {
+	need := statedir.RoundToBlocks(int64(len(data)))
+	if !s.claimSpace(need) {
 		if err := s.RemoveOldFiles(); err != nil {
 			return err
 		}
-		if !s.claim(need) {
+		if !s.claimSpace(need) {
 			return fmt.Errorf("%s: %d bytes: %w", WaitsName, need, ErrNoSpace)
 		}
 	}
-	return s.replace(WaitsName, text, need, false)
+	return s.replaceFile(WaitsName, data, need, false)
 }
 
-// replace puts a file with that text in the place of name; it is claimed already. With keep, the one
-// there stays as the generation before.
-func (s *Store) replace(name string, text []byte, need int64, keep bool) error {
-	fresh := name + newSuffix
-	if err := s.fs.Write(fresh, text, s.sync); err != nil {
-		err = errors.Join(fmt.Errorf("%s: %w", fresh, err), s.fs.Remove(fresh))
-		s.sizes[fresh] = statedir.RoundToBlocks(s.fs.Size(fresh)) // if it could not be removed, it takes its room
-		s.settle()
+// replaceFile atomically replaces the file name, for which need bytes have been claimed. With keepPrevious the old
+// file is kept as the previous snapshot.
+func (s *Store) replaceFile(name string, data []byte, need int64, keepPrevious bool) error {
+	tempName := name + newSuffix
+	if err := s.fs.Write(tempName, data, s.sync); err != nil {
+		err = errors.Join(fmt.Errorf("%s: %w", tempName, err), s.fs.Remove(tempName))
+		s.sizes[tempName] = statedir.RoundToBlocks(s.fs.Size(tempName)) // not 0 if Remove failed
+		s.releaseUnused()
 		return err
 	}
-	s.sizes[fresh] = need
-	if keep && s.sizes[name] > 0 && !s.held[PreviousName] {
+	s.sizes[tempName] = need
+	if keepPrevious && s.sizes[name] > 0 && !s.newerFormat[PreviousName] {
 		if err := s.fs.Link(name, PreviousName); err == nil {
 			s.sizes[PreviousName] = s.sizes[name]
 		} else {
 			s.sizes[PreviousName] = statedir.RoundToBlocks(s.fs.Size(PreviousName))
 		}
 	}
-	if err := s.fs.Rename(fresh, name); err != nil {
-		err = errors.Join(fmt.Errorf("%s: %w", name, err), s.remove(fresh))
-		s.settle()
+	if err := s.fs.Rename(tempName, name); err != nil {
+		err = errors.Join(fmt.Errorf("%s: %w", name, err), s.removeFile(tempName))
+		s.releaseUnused()
 		return err
 	}
-	s.sizes[name], s.sizes[fresh] = need, 0
+	s.sizes[name], s.sizes[tempName] = need, 0
 	if s.sync {
 		if err := s.fs.SyncDir(); err != nil {
 			return fmt.Errorf("%s: %w", name, err)
 		}
 	}
-	s.settle()
+	s.releaseUnused()
 	return nil
 }
 
-// settle claims no more than the files take.
-func (s *Store) settle() { s.claim(0) }
+// releaseUnused reduces the claim to what the files take.
+func (s *Store) releaseUnused() { s.claimSpace(0) }
 
-// Shrink gives up what is not needed: the generation before, and what could not be read.
+// RemoveOldFiles removes the files that are not needed: the previous snapshot and the file set aside.
 func (s *Store) RemoveOldFiles() error {
-	err := errors.Join(s.remove(PreviousName), s.remove(badName))
-	s.claim(0)
+	err := errors.Join(s.removeFile(PreviousName), s.removeFile(setAsideName))
+	s.claimSpace(0)
 	return err
 }
 
-// Drop gives up the snapshot itself: the journal needs the room. Waits stay.
+// RemoveSnapshot removes the snapshot, for a journal that needs the space. The file of waits stays.
 func (s *Store) RemoveSnapshot() error {
-	err := s.remove(SnapshotName)
-	s.claim(0)
+	err := s.removeFile(SnapshotName)
+	s.claimSpace(0)
 	return err
 }
 
-// remove removes a file, but never one of a newer format: that is the operator's to do.
-func (s *Store) remove(name string) error {
-	if s.sizes[name] == 0 || s.held[name] {
+// removeFile removes a file, unless it is of a newer format: only an operator may remove such a file.
+func (s *Store) removeFile(name string) error {
+	if s.sizes[name] == 0 || s.newerFormat[name] {
 		return nil
 	}
 	if err := s.fs.Remove(name); err != nil {
--- a/internal/knowledge/store/store_test.go
+++ b/internal/knowledge/store/store_test.go
@@ -77,7 +77,7 @@
 	if again, _ := Encode(got); !bytes.Equal(again, text) {
 		t.Error("the same book gives other bytes")
 	}
-	if n, size := len(text)-headSize, EncodedSize(want.Dests[1]); size > n || size < n/2 {
+	if n, size := len(text)-headerSize, EncodedSize(want.Dests[1]); size > n || size < n/2 {
 		t.Errorf("a destination is said to take %d of %d bytes", size, n)
 	}
 }
@@ -99,7 +99,7 @@
 		if b.WrittenAt != now-1 || len(b.Dests) != 1 {
 			t.Fatalf("%s: the generation before is not taken: %+v", what, b)
 		}
-		if aside, _ := os.ReadFile(filepath.Join(dir, badName)); !bytes.Equal(aside, damaged) {
+		if aside, _ := os.ReadFile(filepath.Join(dir, setAsideName)); !bytes.Equal(aside, damaged) {
 			t.Fatalf("%s: not set aside", what)
 		}
 	}
@@ -211,7 +211,7 @@
 	}
 	// Not allowed to read it (a test as root is allowed everything).
 	files := &fsys.Faulty{FS: fsys.OS{Dir: t.TempDir()}, Inject: func(_ int, op, name string) fsys.Fault {
-		if op == "read" && name == SnapshotName || op == "rename" && name == badName {
+		if op == "read" && name == SnapshotName || op == "rename" && name == setAsideName {
 			return fsys.Fault{Err: fs.ErrPermission}
 		}
 		return fsys.Fault{}
@@ -225,7 +225,7 @@
 func TestNewerFormat(t *testing.T) {
 	dir := t.TempDir()
 	text, _ := Encode(sample(0))
-	frame(text, Version+1)
+	writeHeader(text, Version+1)
 	os.WriteFile(filepath.Join(dir, SnapshotName), text, 0o600)
 	s, b, problems := openIn(t, fsys.OS{Dir: dir})
 	if len(problems) != 1 || !problems[0].LeftUntouched || !errors.Is(problems[0].Err, ErrNewerFormat) || len(b.Dests) != 0 {
@@ -257,7 +257,7 @@
 	if _, b, _ := openIn(t, fsys.OS{Dir: dir}); len(b.Waits) != 2 {
 		t.Errorf("waits: %+v", b.Waits)
 	}
-	frame(text, 0)
+	writeHeader(text, 0)
 	if _, err := Decode(text); err == nil || errors.Is(err, ErrNewerFormat) {
 		t.Errorf("version 0: %v", err)
 	}
@@ -268,8 +268,8 @@
 	if *update {
 		m := &pb.BookV1{Sender: "n0", WrittenMs: now, Waits: []*pb.WaitV1{{Dest: 1, UntilMs: now + 900}, {Dest: 2, Endpoint: "s-9", UntilMs: now + 500}}}
 		payload, _ := proto.MarshalOptions{Deterministic: true}.Marshal(m)
-		v1 := append(make([]byte, headSize), payload...)
-		frame(v1, 1)
+		v1 := append(make([]byte, headerSize), payload...)
+		writeHeader(v1, 1)
 		os.WriteFile("testdata/v1.knowledge", v1, 0o600)
 		v2, _ := Encode(sample(0))
 		os.WriteFile("testdata/v2.knowledge", v2, 0o600)
@@ -369,14 +369,14 @@
 	for _, v := range []string{"v1", "v2"} {
 		if text, err := os.ReadFile("testdata/" + v + ".knowledge"); err == nil {
 			f.Add(text, uint8(0))
-			f.Add(text[headSize:], uint8(1))
-			f.Add(text[headSize:], uint8(2))
+			f.Add(text[headerSize:], uint8(1))
+			f.Add(text[headerSize:], uint8(2))
 		}
 	}
 	f.Fuzz(func(t *testing.T, text []byte, version uint8) {
 		if version > 0 { // a header that is right, round any payload
-			text = append(make([]byte, headSize), text...)
-			frame(text, uint32(version))
+			text = append(make([]byte, headerSize), text...)
+			writeHeader(text, uint32(version))
 		}
 		b, err := Decode(text)
 		if (b == nil) == (err == nil) {
