--- a/internal/knowledge/keeper/writer_test.go
+++ b/internal/knowledge/keeper/writer_test.go
@@ -19,30 +19,32 @@
 	"sliptide/policy"
 )
 
-// clocks are a sender's clock and a wall clock that a test steps.
+// clocks holds a sender's clock and a wall clock, which a test can set.
 type clocks struct {
 	mu        sync.Mutex
 	now, wall float64
 }
 
-func (c *clocks) set(f func()) {
+// locked calls f, which may change the clocks.
+func (c *clocks) locked(f func()) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	f()
 }
 func (c *clocks) clock() float64 { c.mu.Lock(); defer c.mu.Unlock(); return c.now }
-func (c *clocks) wallNow() float64 {
+func (c *clocks) wallClock() float64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.wall
 }
 
+// rig is a Writer with its clocks, files and log.
 type rig struct {
 	*Writer
 	clocks
 	files *fsys.Faulty
 	log   *syncBuffer
-	ops   chan string // each operation, before it is done
+	ops   chan string // file operations, sent before each is performed
 }
 
 type syncBuffer struct {
@@ -62,26 +64,27 @@
 	return s.b.String()
 }
 
-func newRig(t *testing.T, space *statedir.Space, on func(n int, op, name string) fsys.Fault) *rig {
+func newRig(t *testing.T, space *statedir.Space, inject func(n int, op, name string) fsys.Fault) *rig {
 	t.Helper()
 	r := &rig{log: &syncBuffer{}, ops: make(chan string, 1000)}
 	r.now, r.wall = 1.8e12, 1.8e12
 	r.files = &fsys.Faulty{FS: fsys.OS{Dir: t.TempDir()}, Inject: func(n int, op, name string) fsys.Fault {
 		r.ops <- op + " " + name
-		return on(n, op, name)
+		return inject(n, op, name)
 	}}
-	room := space.Account()
-	set := operator.Default().Knowledge
-	set.WriteEvery = time.Hour // a test asks for what it wants
-	st, book, _ := store.Open(store.Options{FS: r.files, Account: room, MaxBytes: set.MaxSize}, "n0")
-	r.Writer = New(Options{Settings: set, Store: st, Facts: book, Account: room, Log: zerolog.New(r.log), Clock: r.clock, WallClock: r.wallNow})
+	account := space.Account()
+	settings := operator.Default().Knowledge
+	settings.WriteEvery = time.Hour // no periodic snapshots during a test
+	knowledgeStore, facts, _ := store.Open(store.Options{FS: r.files, Account: account, MaxBytes: settings.MaxSize}, "n0")
+	r.Writer = New(Options{Settings: settings, Store: knowledgeStore, Facts: facts, Account: account,
+		Log: zerolog.New(r.log), Clock: r.clock, WallClock: r.wallClock})
 	return r
 }
 
-func fine(int, string, string) fsys.Fault { return fsys.Fault{} }
+func noFault(int, string, string) fsys.Fault { return fsys.Fault{} }
 
-// await waits until an operation has been asked for.
-func (r *rig) await(t *testing.T, op string) {
+// awaitOp waits until a file operation begins.
+func (r *rig) awaitOp(t *testing.T, op string) {
 	t.Helper()
 	for end := time.After(10 * time.Second); ; {
 		select {
@@ -90,98 +93,101 @@
 				return
 			}
 		case <-end:
-			t.Fatalf("not in time: %s\n%s", op, r.log)
+			t.Fatalf("no operation %q within 10 s\n%s", op, r.log)
 		}
 	}
 }
 
-func (r *rig) read(t *testing.T, name string) *knowledge.Facts {
+func (r *rig) readFacts(t *testing.T, name string) *knowledge.Facts {
 	t.Helper()
-	text, err := r.files.FS.Read(name)
+	data, err := r.files.FS.Read(name)
 	if err != nil {
 		t.Fatal(err)
 	}
-	b, err := store.Decode(text)
+	facts, err := store.Decode(data)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return b
+	return facts
 }
 
-func (r *rig) close(t *testing.T) {
+func (r *rig) closeWriter(t *testing.T) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
 	r.Close(ctx)
 	if ctx.Err() != nil {
-		t.Fatal("does not end")
+		t.Fatal("Close did not return within 10 s")
 	}
 }
 
-func wait(dest int, told, length int64) knowledge.Wait {
-	return knowledge.Wait{Route: knowledge.Route{Dest: dest}, ReceivedAt: 1.8e12 + told, Until: 1.8e12 + told + length}
+func newWait(dest int, receivedAt, duration int64) knowledge.Wait {
+	return knowledge.Wait{
+		Route: knowledge.Route{Dest: dest}, ReceivedAt: 1.8e12 + receivedAt, Until: 1.8e12 + receivedAt + duration,
+	}
 }
 
-// A disk that hangs holds up nothing that the sender's goroutine calls, and a stop is not held past its
-// bound. Waits told meanwhile are all there once it moves again.
+// While a write hangs, AddWait and AddFacts do not block, and Close returns when its context ends. Facts added
+// meanwhile are written once the disk works again.
 func TestSlowDisk(t *testing.T) {
-	hang := make(chan struct{})
-	hung := make(chan struct{}, 100)
+	release := make(chan struct{})
+	blocked := make(chan struct{}, 100)
 	r := newRig(t, statedir.NewSpace(1<<20), func(_ int, op, name string) fsys.Fault {
 		if op == "write" {
-			hung <- struct{}{}
-			<-hang
+			blocked <- struct{}{}
+			<-release
 		}
 		return fsys.Fault{}
 	})
 	go r.Run()
-	r.AddWait(wait(1, 0, 5000))
-	<-hung
-	for i := range 1000 { // would never come back if any of it waited for the writer
-		r.AddWait(wait(i%50, 10, 6000))
+	r.AddWait(newWait(1, 0, 5000))
+	<-blocked
+	for i := range 1000 { // would block forever if a call waited for the write
+		r.AddWait(newWait(i%50, 10, 6000))
 		r.AddFacts([]*knowledge.Destination{{Dest: i % 50, LearnedAt: 1.8e12}}, nil)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	r.Close(ctx)
-	close(hang)
+	close(release)
 	<-r.done
-	if b := r.read(t, store.SnapshotName); len(b.Waits) != 50 || len(b.Dests) != 50 {
-		t.Errorf("%d waits, %d destinations", len(b.Waits), len(b.Dests))
+	if facts := r.readFacts(t, store.SnapshotName); len(facts.Waits) != 50 || len(facts.Dests) != 50 {
+		t.Errorf("%d waits, %d destinations", len(facts.Waits), len(facts.Dests))
 	}
 }
 
-// A wait is written at once, without the rest; the last snapshot has all.
-func TestWaitAtOnce(t *testing.T) {
-	r := newRig(t, statedir.NewSpace(1<<20), fine)
+// A wait is written at once, without the other facts. The last snapshot contains all facts.
+func TestWaitIsWrittenAtOnce(t *testing.T) {
+	r := newRig(t, statedir.NewSpace(1<<20), noFault)
 	go r.Run()
 	r.AddFacts([]*knowledge.Destination{{Dest: 4, LearnedAt: 1.8e12}}, nil)
-	r.AddWait(wait(3, 0, 700))
-	r.await(t, "rename "+store.WaitsName)
-	r.close(t)
-	b := r.read(t, store.SnapshotName)
-	if b.Waits[knowledge.Route{Dest: 3}].Until != 1.8e12+700 || b.Dests[4] == nil {
-		t.Errorf("%+v", b)
+	r.AddWait(newWait(3, 0, 700))
+	r.awaitOp(t, "rename "+store.WaitsName)
+	r.closeWriter(t)
+	facts := r.readFacts(t, store.SnapshotName)
+	if facts.Waits[knowledge.Route{Dest: 3}].Until != 1.8e12+700 || facts.Dests[4] == nil {
+		t.Errorf("%+v", facts)
 	}
 }
 
-// The wall clock is stepped while the sender runs: waits on disk follow it, since the next life reads them
-// by it, and are as long as before.
-func TestClockStepped(t *testing.T) {
-	r := newRig(t, statedir.NewSpace(1<<20), fine)
-	r.Writer.AddWait(wait(3, 0, 60000))
+// After a step of the wall clock, waits are written again by the new wall clock, which the next run reads them by,
+// and keep their remaining time.
+func TestWallClockStep(t *testing.T) {
+	r := newRig(t, statedir.NewSpace(1<<20), noFault)
+	r.Writer.AddWait(newWait(3, 0, 60000))
 	go r.Run()
-	r.await(t, "rename "+store.WaitsName)
-	r.set(func() { r.wall -= 3600e3; r.now += 1000 })
-	r.await(t, "rename "+store.WaitsName)
-	r.close(t)
-	w := r.read(t, store.SnapshotName).Waits[knowledge.Route{Dest: 3}]
+	r.awaitOp(t, "rename "+store.WaitsName)
+	r.locked(func() { r.wall -= 3600e3; r.now += 1000 })
+	r.awaitOp(t, "rename "+store.WaitsName)
+	r.closeWriter(t)
+	w := r.readFacts(t, store.SnapshotName).Waits[knowledge.Route{Dest: 3}]
 	if left := w.End(1.8e12-3600e3) - (1.8e12 - 3600e3); left != 59000 {
-		t.Errorf("%v left", left)
+		t.Errorf("%v ms left, want 59000", left)
 	}
 }
 
-// A disk that is full costs knowledge and nothing else, and is told once, not at each try.
+// Failed writes to a full disk are logged once, not at each attempt. All waits are written once there is
+// space.
 func TestFullDisk(t *testing.T) {
 	full := true
 	var mu sync.Mutex
@@ -195,61 +201,63 @@
 	})
 	go r.Run()
 	for i := range 20 {
-		r.AddWait(wait(i, 0, 9000))
-		r.await(t, "write "+store.WaitsName+".new")
+		r.AddWait(newWait(i, 0, 9000))
+		r.awaitOp(t, "write "+store.WaitsName+".new")
 	}
 	mu.Lock()
 	full = false
 	mu.Unlock()
-	r.close(t)
-	if b := r.read(t, store.SnapshotName); len(b.Waits) != 20 {
-		t.Errorf("%d waits", len(b.Waits))
+	r.closeWriter(t)
+	if facts := r.readFacts(t, store.SnapshotName); len(facts.Waits) != 20 {
+		t.Errorf("%d waits", len(facts.Waits))
 	}
 	if n := bytes.Count([]byte(r.log.String()), []byte("update of the files in the state directory failed")); n != 1 {
-		t.Errorf("told %d times:\n%s", n, r.log)
+		t.Errorf("logged %d times, want once:\n%s", n, r.log)
 	}
 }
 
-// When the journal finds no room, knowledge gives up its copies and then its snapshot.
-func TestYields(t *testing.T) {
+// When the journal needs space, the Writer gives up the old files and then the snapshot.
+func TestYieldsSpace(t *testing.T) {
 	space := statedir.NewSpace(32 << 10)
-	r := newRig(t, space, fine)
+	r := newRig(t, space, noFault)
 	journal := space.Account()
 	r.opts.Account.YieldTo(journal)
 	var list []*knowledge.Destination
 	for i := range 60 {
-		list = append(list, &knowledge.Destination{Dest: i, LearnedAt: 1.8e12, SharedRoute: &policy.RouteFacts{AdvertisedLimit: 5}, Admission: policy.InitialAdmission(),
-			Endpoints: []knowledge.Endpoint{{Name: fmt.Sprintf("endpoint-%040d", i), LearnedAt: 1.8e12}}})
+		list = append(list, &knowledge.Destination{
+			Dest: i, LearnedAt: 1.8e12, SharedRoute: &policy.RouteFacts{AdvertisedLimit: 5}, Admission: policy.InitialAdmission(),
+			Endpoints: []knowledge.Endpoint{{Name: fmt.Sprintf("endpoint-%040d", i), LearnedAt: 1.8e12}},
+		})
 	}
 	r.AddFacts(list, nil)
 	r.writeSnapshot()
 	r.writeSnapshot()
-	var gone []string
+	var yields []string
 	for !journal.Claim(32 << 10) {
-		<-r.opts.Account.YieldRequested() // what Run waits for
+		<-r.opts.Account.YieldRequested() // as Run does
 		r.yieldSpace()
-		if gone = append(gone, "step"); len(gone) > 2 {
+		if yields = append(yields, "step"); len(yields) > 2 {
 			t.Fatalf("still %d bytes claimed", r.opts.Account.Claimed())
 		}
 	}
-	if len(gone) != 2 || r.files.Size(store.SnapshotName) != 0 {
-		t.Errorf("%d steps, %d bytes left", len(gone), r.files.Size(store.SnapshotName))
+	if len(yields) != 2 || r.files.Size(store.SnapshotName) != 0 {
+		t.Errorf("%d steps, %d bytes left", len(yields), r.files.Size(store.SnapshotName))
 	}
-	r.writeSnapshot() // there is no room now: nothing is lost but the file
+	r.writeSnapshot() // without space: the facts are kept in memory
 	if r.files.Size(store.SnapshotName) != 0 || len(r.facts.Dests) != 60 {
 		t.Errorf("%d bytes, %d destinations", r.files.Size(store.SnapshotName), len(r.facts.Dests))
 	}
 	journal.Claim(0)
-	if r.writeSnapshot(); len(r.read(t, store.SnapshotName).Dests) == 0 {
-		t.Error("nothing written though there is room again")
+	if r.writeSnapshot(); len(r.readFacts(t, store.SnapshotName).Dests) == 0 {
+		t.Error("no snapshot was written although there is space again")
 	}
 }
 
-// A Keeper that is not there takes whatever it is told.
-func TestNil(t *testing.T) {
-	var k *Writer
-	k.AddWait(wait(1, 0, 10))
-	k.AddFacts(nil, nil)
-	k.UpdateSettings(operator.Knowledge{})
-	k.Close(context.Background())
+// All methods can be called on a nil Writer.
+func TestNilWriter(t *testing.T) {
+	var w *Writer
+	w.AddWait(newWait(1, 0, 10))
+	w.AddFacts(nil, nil)
+	w.UpdateSettings(operator.Knowledge{})
+	w.Close(context.Background())
 }
--- a/internal/storm/storm.go
+++ b/internal/storm/storm.go
@@ -3,7 +3,7 @@
 // limit. For each destination a Guard tracks calls and submissions (calls that fail together, the first success
 // after an outage, resubmissions). During a storm it sets the pace of this sender and the rate at which it may
 // open connections, and gives each refused message a Retry-After. These times are reservations
-// (reservations.go), so that no second is given to more clients than can be served in it.
+// (reservations.go), so that in no second more clients return than can be served.
 //
 // The package does not decide what is refused, sent or retried: package policy does. It has no clock, no I/O
 // and no goroutine; times are milliseconds on the caller's clock, rates are per second. Without a storm it
@@ -82,7 +82,7 @@
 	minDialRate = 1.0
 	// Number of refusals remembered.
 	maxRefusals = 4096
-	// Longest time ahead of a reservation, whatever the settings allow.
+	// Longest time ahead of a reservation, even if the settings allow more.
 	maxHorizon = 60000.0
 	// Longest time ahead of a reservation if the settings have no bound.
 	defaultHorizon = 2000.0
@@ -190,7 +190,7 @@
 	throttled           bool // a throttle is in force, or its end is not yet reported
 	changed             bool // the throttle has changed since the last call of Throttles
 	checkAt             float64
-	reserveFrom         float64 // no reservation earlier: a previous run may have given the time before
+	reserveFrom         float64 // earliest time of reservations: those of a previous run may lie before it
 }
 
 // rateMeter measures a rate per second with exponential decay.
