--- a/internal/sender/copystatus.go
+++ b/internal/sender/copystatus.go
@@ -19,13 +19,13 @@
 	} else {
 		c.nextStatus = now.Add(statusInterval)
 	}
-	st := copies.Status{Held: c.leaseHeld, Holders: c.owner.Lags(fleet.Now()), Short: c.shortCount}
+	st := copies.Status{LeaseHeld: c.leaseHeld, Holders: c.owner.Lags(fleet.Now()), UnderReplicated: c.shortCount}
 	for i := range c.waits {
 		st.Waiting += len(c.waits[i].submissions) + len(c.waits[i].calls)
 	}
 	for _, h := range st.Holders {
-		if !h.Whole {
-			st.Left += s.journal.LiveBytes()
+		if !h.Synced {
+			st.RemainingBytes += s.journal.LiveBytes()
 		}
 	}
 	c.status.Store(&st)
