--- a/internal/fleet/disk/disk.go
+++ b/internal/fleet/disk/disk.go
@@ -32,9 +32,9 @@
 
 	// maxTailBytes is how far the file may grow past its last rewrite before it is compacted.
 	maxTailBytes = 128 << 10
-	// maxEntriesBeforeSnapshot is the number of entries kept in the log before a snapshot, so that a voter that was
+	// trailingEntries is the number of entries kept in the log before the last snapshot, so that a voter that was
 	// unreachable for a short time catches up without one.
-	maxEntriesBeforeSnapshot = 256
+	trailingEntries = 256
 	// MaxBytes is the space taken by both copies while the file is rewritten: snapshots of 1,024 sessions and 8,192
 	// duties with 128-byte names stay under 2 MiB.
 	MaxBytes = 2 * (2<<20 + maxTailBytes)
@@ -206,8 +206,8 @@
 	if err != nil {
 		return err
 	}
-	if index > maxEntriesBeforeSnapshot && index-maxEntriesBeforeSnapshot > first {
-		if err := l.MemoryStorage.Compact(index - maxEntriesBeforeSnapshot); err != nil {
+	if index > trailingEntries && index-trailingEntries > first {
+		if err := l.MemoryStorage.Compact(index - trailingEntries); err != nil {
 			return err
 		}
 	}
