--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -58,7 +58,7 @@
 	o      Options
 	self   Member
 	group  *fleet.Member
-	links  *link.Net
+	links  *link.Manager
 	leader atomic.Pointer[string] // the duty's holder, as the group reports it
 	inbox  chan input
 	status atomic.Pointer[Status]
@@ -120,19 +120,19 @@
 	if err != nil {
 		return nil, errors.Join(fmt.Errorf("directory: %w", err), groupListener.Close())
 	}
-	groupSettings := fleet.Settings{Name: s.Name, Weight: 1, Terms: lease.Terms{Length: s.Lease, Drift: s.ClockDrift}, Election: s.ElectionTimeout, Hash: s.groupHash(), Client: client, Server: server}
+	groupSettings := fleet.Settings{Name: s.Name, Weight: 1, Terms: lease.Params{Length: s.Lease, Drift: s.ClockDrift}, ElectionTimeout: s.ElectionTimeout, Hash: s.groupHash(), Client: client, Server: server}
 	for _, m := range s.Members {
 		groupSettings.Members = append(groupSettings.Members, fleet.Peer{Name: m.Name, Addr: m.Addr, Zone: m.Region, Voter: m.Voter})
 	}
-	groupSettings.Minimum = len(groupSettings.Voters())
-	c.group, err = fleet.Open(fleet.Options{Settings: groupSettings, Files: fsys.OS{Dir: s.StateDir}, Log: o.Log, Watch: c.recordLeader}, groupListener)
+	groupSettings.MinVoters = len(groupSettings.VoterNames())
+	c.group, err = fleet.Open(fleet.Options{Settings: groupSettings, Files: fsys.OS{Dir: s.StateDir}, Log: o.Log, DutyChanged: c.recordLeader}, groupListener)
 	if err != nil {
 		return nil, errors.Join(err, groupListener.Close(), directoryListener.Close())
 	}
-	c.group.Want(leaderDuty, "")
-	c.links = link.New(link.Options{Self: s.Name, Settings: subscriber.LinkHash, Dial: c.dialAddrs(), Known: func(name string) bool { return name != "" }, Client: client, Server: server,
-		PingEvery: subscriber.LinkPing, Silent: subscriber.LinkSilent, MaxLinks: maxLinks, Receive: c.enqueueFrame, Call: c.handleCall,
-		Note: func(what, member string, err error) {
+	c.group.Request(leaderDuty, "")
+	c.links = link.New(link.Options{Self: s.Name, SettingsHash: subscriber.LinkSettingsHash, DialAddrs: c.dialAddrs(), IsMember: func(name string) bool { return name != "" }, Client: client, Server: server,
+		PingInterval: subscriber.LinkPingInterval, SilenceTimeout: subscriber.LinkSilenceTimeout, MaxLinks: maxLinks, Receive: c.enqueueFrame, Call: c.handleCall,
+		LogEvent: func(what, member string, err error) {
 			o.Log.Debug().Str("member", member).Err(err).Msg("directory: " + what)
 		}})
 	go c.links.Serve(directoryListener)
@@ -300,7 +300,7 @@
 
 // updateLeadership starts or stops leading by the state of the duty, or subscribes to a new leader.
 func (c *Control) updateLeadership(ctx context.Context, now int64) {
-	token := c.group.Held(leaderDuty)
+	token := c.group.Token(leaderDuty)
 	if c.leadership != nil && c.leadership.token != token {
 		c.stopLeading()
 	}
@@ -384,7 +384,7 @@
 
 // publish publishes a change, or stops leading if this member does not hold the duty with its token any more.
 func (c *Control) publish(discoveryVersion uint64, endpoints []directory.Endpoint, joined, left []directory.Member) {
-	if c.group.Held(leaderDuty) != c.leadership.token {
+	if c.group.Token(leaderDuty) != c.leadership.token {
 		c.stopLeading()
 		return
 	}
--- a/internal/fleet/copies/model/model.go
+++ b/internal/fleet/copies/model/model.go
@@ -47,7 +47,7 @@
 	b := []byte{op}
 	owner := 0
 	if e.pending != "" {
-		owner, _ = strconv.Atoi(e.pending[len(duty.Own("m")):])
+		owner, _ = strconv.Atoi(e.pending[len(duty.JournalDuty("m")):])
 	}
 	for _, v := range []int{int(e.num), e.msg, owner, int(e.token)} {
 		b = binary.BigEndian.AppendUint32(b, uint32(v))
@@ -85,7 +85,7 @@
 		case opEnd:
 			list = slices.Delete(list, k, k+1)
 		case opPend:
-			list[k].pending, list[k].token = duty.Own(fmt.Sprint("m", at(2))), at(3)
+			list[k].pending, list[k].token = duty.JournalDuty(fmt.Sprint("m", at(2))), at(3)
 		case opOwn:
 			list[k].pending = ""
 		}
@@ -112,17 +112,17 @@
 
 type memStore map[string][]byte
 
-func (s memStore) Reset(owner string, _ copies.Kept, r []byte) error {
+func (s memStore) Reset(owner string, _ copies.CopyState, r []byte) error {
 	s[owner] = slices.Clone(r)
 	return nil
 }
-func (s memStore) Append(owner string, _ copies.Kept, r []byte) error {
+func (s memStore) Append(owner string, _ copies.CopyState, r []byte) error {
 	s[owner] = append(s[owner], r...)
 	return nil
 }
-func (s memStore) Mark(string, copies.Kept) error { return nil }
-func (s memStore) Live(owner string) []byte       { return dump(live(s[owner])) }
-func (s memStore) Size(owner string) int64        { return int64(len(s[owner])) }
+func (s memStore) SaveState(string, copies.CopyState) error { return nil }
+func (s memStore) LiveRecords(owner string) []byte          { return dump(live(s[owner])) }
+func (s memStore) Size(owner string) int64                  { return int64(len(s[owner])) }
 
 // ledger is what befell one message.
 type ledger struct {
@@ -161,11 +161,11 @@
 	journal []entry
 	next    uint64
 	store   memStore
-	kept    map[string]copies.Kept
+	kept    map[string]copies.CopyState
 
 	owner  *copies.Owner
 	holder *copies.Holder
-	heirs  map[string]*copies.Heir
+	heirs  map[string]*copies.Takeover
 	wait   []waiting
 	calls  []*attempt
 	inbox  []func()
@@ -221,7 +221,7 @@
 
 // guards are taken out one by one.
 type Guards struct {
-	holder      copies.HolderBreak
+	holder      copies.HolderChecks
 	answerSoon  bool // 202 before the copies are acknowledged
 	startSoon   bool // the first byte before "attempt begun" is acknowledged, for a class that forbids repeats
 	noLease     bool // attempts are started whatever the lease says
@@ -269,19 +269,19 @@
 func (m *member) start() {
 	m.up, m.boot, m.life, m.stopped = true, m.boot+1, m.life+1, 0
 	if m.store == nil {
-		m.store, m.kept = memStore{}, map[string]copies.Kept{}
+		m.store, m.kept = memStore{}, map[string]copies.CopyState{}
 	}
 	m.owner = copies.NewOwner(m.name, m.incarnation)
 	m.holder = copies.NewHolder(m.store, 1<<20, 1, m.kept)
-	m.holder.Break = m.w.guards.holder
-	m.heirs, m.wait, m.calls, m.session, m.inbox = map[string]*copies.Heir{}, nil, nil, 0, nil
+	m.holder.SkipChecks = m.w.guards.holder
+	m.heirs, m.wait, m.calls, m.session, m.inbox = map[string]*copies.Takeover{}, nil, nil, 0, nil
 	for i := range m.journal {
 		m.journal[i].out = false
 	}
 }
 
 func (m *member) lose() {
-	m.journal, m.store, m.kept = nil, memStore{}, map[string]copies.Kept{}
+	m.journal, m.store, m.kept = nil, memStore{}, map[string]copies.CopyState{}
 	m.incarnation += 100
 	m.next = 0
 }
@@ -295,7 +295,7 @@
 
 func (m *member) mine() *pb.Duty {
 	for _, d := range m.w.duties() {
-		if d.Name == duty.Own(m.name) && d.Session == m.session && m.session != 0 {
+		if d.Name == duty.JournalDuty(m.name) && d.Session == m.session && m.session != 0 {
 			return d
 		}
 	}
@@ -354,7 +354,7 @@
 	}
 }
 
-func (w *World) send(from *member, list []copies.Out) {
+func (w *World) send(from *member, list []copies.Outgoing) {
 	for _, o := range list {
 		if w.loss && w.rng.IntN(4) == 0 {
 			continue
@@ -384,7 +384,7 @@
 	if s := w.state.Session(m.session); s == nil {
 		if m.session != 0 {
 			m.session = 0
-			m.owner.Begin(0)
+			m.owner.BeginEpoch(0)
 		}
 		r := w.apply(&pb.Command{What: &pb.Command_Open{Open: &pb.Open{Member: m.name, Incarnation: m.incarnation, Boot: m.boot, Seq: w.index, Zone: m.zone}}})
 		if r.Err != nil {
@@ -393,9 +393,9 @@
 		m.session, m.last = r.Session, r.Session
 	}
 	m.contact, m.sent = w.now, w.now
-	w.apply(&pb.Command{What: &pb.Command_Acquire{Acquire: &pb.Acquire{Session: m.session, Duty: duty.Own(m.name)}}})
+	w.apply(&pb.Command{What: &pb.Command_Acquire{Acquire: &pb.Acquire{Session: m.session, Duty: duty.JournalDuty(m.name)}}})
 	for _, d := range w.duties() {
-		if d.Name != duty.Own(m.name) && slices.Contains(d.Holders, m.name) {
+		if d.Name != duty.JournalDuty(m.name) && slices.Contains(d.Holders, m.name) {
 			w.apply(&pb.Command{What: &pb.Command_Acquire{Acquire: &pb.Acquire{Session: m.session, Duty: d.Name}}})
 		}
 	}
@@ -407,11 +407,11 @@
 func (m *member) own() {
 	w, d := m.w, m.mine()
 	if d == nil {
-		m.owner.Begin(0)
+		m.owner.BeginEpoch(0)
 		return
 	}
 	if m.owner.Epoch() != d.Token {
-		if a := w.state.Adopted(m.name); a != nil && a.Incarnation == m.incarnation && !w.guards.keepAll {
+		if a := w.state.LastAdoption(m.name); a != nil && a.Incarnation == m.incarnation && !w.guards.keepAll {
 			m.journal = slices.DeleteFunc(m.journal, func(e entry) bool { return e.num <= a.Upto })
 			m.calls = slices.DeleteFunc(m.calls, func(c *attempt) bool { return c.num <= a.Upto })
 			for i := range m.wait {
@@ -419,20 +419,20 @@
 			}
 			m.next = max(m.next, a.Upto)
 		}
-		m.owner.Begin(d.Token)
+		m.owner.BeginEpoch(d.Token)
 	}
-	m.owner.Holders(d.Holders)
+	m.owner.SetHolders(d.Holders)
 	var there []placement.Member
 	present := map[string]bool{}
-	for _, p := range w.state.Present() {
+	for _, p := range w.state.PresentMembers() {
 		there = append(there, placement.Member{Name: p.Name, Zone: p.Zone})
 		present[p.Name] = true
 	}
 	wanted := placement.Choose(m.name, m.zone, w.count, there)
-	next := placement.Next(d.Holders, wanted, m.owner.Synced, func(n string) bool { return present[n] })
+	next := placement.NextStep(d.Holders, wanted, m.owner.Synced, func(n string) bool { return present[n] })
 	if !slices.Equal(next, d.Holders) {
 		w.apply(&pb.Command{What: &pb.Command_Keep{Keep: &pb.Keep{Session: m.session, Duty: d.Name, Token: d.Token, Holders: next}}})
-		m.owner.Holders(next)
+		m.owner.SetHolders(next)
 	}
 }
 
@@ -440,18 +440,18 @@
 func (m *member) inherit() {
 	w := m.w
 	for _, d := range w.duties() {
-		owner := d.Name[len(duty.Own("")):]
+		owner := d.Name[len(duty.JournalDuty("")):]
 		if owner == m.name || d.Session != m.session {
 			continue
 		}
 		h := m.heirs[owner]
 		if h == nil || h.Epoch != d.Token {
-			h = copies.NewHeir(owner, d.Token, d.Holders, w.state.Adopted(owner))
+			h = copies.NewTakeover(owner, d.Token, d.Holders, w.state.LastAdoption(owner))
 			m.heirs[owner] = h
 		}
-		w.send(m, h.Take(w.now))
-		stage := h.Look(func(name string) bool {
-			return slices.ContainsFunc(w.state.Present(), func(p *pb.Present) bool { return p.Name == name })
+		w.send(m, h.TakeOutgoing(w.now))
+		stage := h.Advance(func(name string) bool {
+			return slices.ContainsFunc(w.state.PresentMembers(), func(p *pb.Present) bool { return p.Name == name })
 		})
 		switch stage {
 		case copies.Ready:
@@ -463,13 +463,13 @@
 }
 
 // bring puts what was found into the heir's own journal, copies it, and has the fleet agree.
-func (m *member) bring(h *copies.Heir, d *pb.Duty) {
+func (m *member) bring(h *copies.Takeover, d *pb.Duty) {
 	h.Stage = copies.Copying
 	var records []byte
 	var nums []uint64
 	var keys []uint64
-	for _, e := range live(h.Found.Records) {
-		if e.pending != "" && (m.w.guards.dropMarked || duty.Agreed(m.w.state.Adopted(e.pending[len(duty.Own("")):]), e.token).GetBy() != h.Owner) {
+	for _, e := range live(h.LongestCopy.Records) {
+		if e.pending != "" && (m.w.guards.dropMarked || duty.TakeoverByToken(m.w.state.LastAdoption(e.pending[len(duty.JournalDuty("")):]), e.token).GetBy() != h.Owner) {
 			continue
 		}
 		if e.sure && !m.w.guards.noAgain {
@@ -497,7 +497,7 @@
 			delete(m.heirs, h.Owner)
 			return
 		}
-		r := m.w.apply(&pb.Command{What: &pb.Command_Adopt{Adopt: &pb.Adopt{Session: m.session, Duty: d.Name, Token: d.Token, Incarnation: h.Found.Incarnation, Upto: h.Found.Upto, Keys: keys}}})
+		r := m.w.apply(&pb.Command{What: &pb.Command_Adopt{Adopt: &pb.Adopt{Session: m.session, Duty: d.Name, Token: d.Token, Incarnation: h.LongestCopy.Incarnation, Upto: h.LongestCopy.Upto, Keys: keys}}})
 		if r.Err != nil {
 			m.discard(nums)
 			delete(m.heirs, h.Owner)
@@ -558,8 +558,8 @@
 		if e.pending == "" {
 			continue
 		}
-		owner := e.pending[len(duty.Own("")):]
-		if a := duty.Agreed(m.w.state.Adopted(owner), e.token); a.GetBy() == m.name {
+		owner := e.pending[len(duty.JournalDuty("")):]
+		if a := duty.TakeoverByToken(m.w.state.LastAdoption(owner), e.token); a.GetBy() == m.name {
 			m.activate([]uint64{e.num}, a.Elsewhere)
 			i = -1 // it may have ended: from the start
 		} else if h := m.heirs[owner]; h == nil || h.Epoch != e.token {
@@ -574,22 +574,22 @@
 	w := m.w
 	switch x := f.f.What.(type) {
 	case *pb.Frame_Copy:
-		if a := m.holder.Copy(w.now, x.Copy); a != nil {
-			k, _ := m.holder.Kept(x.Copy.Owner)
+		if a := m.holder.HandleCopy(w.now, x.Copy); a != nil {
+			k, _ := m.holder.State(x.Copy.Owner)
 			m.kept[x.Copy.Owner] = k
-			w.send(m, []copies.Out{{To: f.from.name, Frame: &pb.Frame{What: &pb.Frame_Copied{Copied: a}}}})
+			w.send(m, []copies.Outgoing{{To: f.from.name, Frame: &pb.Frame{What: &pb.Frame_Copied{Copied: a}}}})
 		}
 	case *pb.Frame_Copied:
-		m.owner.Copied(w.now, f.from.name, x.Copied)
+		m.owner.HandleCopied(w.now, f.from.name, x.Copied)
 	case *pb.Frame_Seal:
-		if a := m.holder.Seal(w.now, x.Seal); a != nil {
-			k, _ := m.holder.Kept(x.Seal.Owner)
+		if a := m.holder.HandleSeal(w.now, x.Seal); a != nil {
+			k, _ := m.holder.State(x.Seal.Owner)
 			m.kept[x.Seal.Owner] = k
-			w.send(m, []copies.Out{{To: f.from.name, Frame: &pb.Frame{What: &pb.Frame_Sealed{Sealed: a}}}})
+			w.send(m, []copies.Outgoing{{To: f.from.name, Frame: &pb.Frame{What: &pb.Frame_Sealed{Sealed: a}}}})
 		}
 	case *pb.Frame_Sealed:
 		if h := m.heirs[x.Sealed.Owner]; h != nil {
-			h.Sealed(w.now, f.from.name, x.Sealed)
+			h.HandleSealed(w.now, f.from.name, x.Sealed)
 		}
 	}
 }
@@ -631,7 +631,7 @@
 			}
 		}
 	}
-	w.send(m, m.owner.Take(w.now, func() []byte { return dump(m.journal) }))
+	w.send(m, m.owner.TakeOutgoing(w.now, func() []byte { return dump(m.journal) }))
 }
 
 // try begins an attempt of a message that is held, or ends one that may not be repeated.
--- a/internal/fleet/duty/duty_test.go
+++ b/internal/fleet/duty/duty_test.go
@@ -12,7 +12,8 @@
 )
 
 func open(member string, incarnation, boot, seq uint64) *pb.Command {
-	return &pb.Command{What: &pb.Command_Open{Open: &pb.Open{Member: member, Incarnation: incarnation, Boot: boot, Seq: seq}}}
+	return &pb.Command{What: &pb.Command_Open{Open: &pb.Open{
+		Member: member, Incarnation: incarnation, Boot: boot, Seq: seq}}}
 }
 
 func acquire(session uint64, duty string) *pb.Command {
@@ -31,12 +32,12 @@
 	return &pb.Command{What: &pb.Command_HandOver{HandOver: &pb.HandOver{Duty: duty, To: to}}}
 }
 
-func say(session uint64, duty string, token uint64, word string) *pb.Command {
+func publish(session uint64, duty string, token uint64, word string) *pb.Command {
 	return &pb.Command{What: &pb.Command_Say{Say: &pb.Say{Session: session, Duty: duty, Token: token, Word: word}}}
 }
 
-// draw is any command, of which many make no sense.
-func draw(t *rapid.T, s *State, index uint64) *pb.Command {
+// drawCommand draws an arbitrary command; many are invalid in the state.
+func drawCommand(t *rapid.T, s *State, index uint64) *pb.Command {
 	session := rapid.Uint64Range(0, index).Draw(t, "session")
 	if ids := s.Sessions(); len(ids) > 0 && rapid.Bool().Draw(t, "live") {
 		session = rapid.SampledFrom(ids).Draw(t, "of")
@@ -44,12 +45,13 @@
 	duty := fmt.Sprint("d", rapid.IntRange(0, 5).Draw(t, "duty"))
 	member := fmt.Sprint("m", rapid.IntRange(0, 4).Draw(t, "member"))
 	token := uint64(0)
-	if d := s.shown(duty); d != nil && rapid.IntRange(0, 3).Draw(t, "right") > 0 {
+	if d := s.viewByName(duty); d != nil && rapid.IntRange(0, 3).Draw(t, "right") > 0 {
 		token, session = d.Token, d.Session
 	}
 	switch rapid.IntRange(0, 7).Draw(t, "kind") {
 	case 0, 1:
-		return open(member, rapid.Uint64Range(1, 2).Draw(t, "incarnation"), rapid.Uint64Range(1, 3).Draw(t, "boot"), rapid.Uint64Range(1, 3).Draw(t, "seq"))
+		return open(member, rapid.Uint64Range(1, 2).Draw(t, "incarnation"), rapid.Uint64Range(1, 3).Draw(t, "boot"),
+			rapid.Uint64Range(1, 3).Draw(t, "seq"))
 	case 2, 3:
 		return acquire(session, duty)
 	case 4:
@@ -59,11 +61,12 @@
 	case 6:
 		return handOver(duty, member)
 	}
-	return say(session, duty, token, "w")
+	return publish(session, duty, token, "w")
 }
 
-// TestAnyCommands: whatever is agreed on, a duty has one holder with a session that goes on, each grant has a higher
-// token than all before, the counts of duties are right, and a snapshot goes on as the original does.
+// TestAnyCommands checks for arbitrary commands that a duty has at most one holder, whose session exists, that every
+// grant has a higher token than all before, that the counts of duties are right, and that a state restored from a
+// snapshot has the same results as the original.
 func TestAnyCommands(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := New(map[uint64]string{1: "m0"})
@@ -72,79 +75,80 @@
 		n := rapid.IntRange(1, 120).Draw(t, "n")
 		for i := range n {
 			index := uint64(i + 1)
-			c := draw(t, s, index)
+			c := drawCommand(t, s, index)
 			b, err := s.Marshal()
 			if err != nil {
 				t.Fatal(err)
 			}
-			twin, err := Unmarshal(b)
+			restored, err := Unmarshal(b)
 			if err != nil {
 				t.Fatal(err)
 			}
-			r, r2 := s.Apply(index, 1, c), twin.Apply(index, 1, c)
-			if !errors.Is(r2.Err, r.Err) || r.Session != r2.Session || len(r.Changed) != len(r2.Changed) {
-				t.Fatalf("%v: %v, from a snapshot %v", c, r, r2)
+			r, restoredResult := s.Apply(index, 1, c), restored.Apply(index, 1, c)
+			if !errors.Is(restoredResult.Err, r.Err) || r.Session != restoredResult.Session ||
+				len(r.Changed) != len(restoredResult.Changed) {
+				t.Fatalf("%v: result %v, restored from a snapshot %v", c, r, restoredResult)
 			}
 			held := map[uint64]int{}
 			for _, d := range s.Duties() {
 				if d.Session != 0 && s.Session(d.Session) == nil {
-					t.Fatalf("%v: its holder's session is over", d)
+					t.Fatalf("%v: the session of its holder has ended", d)
 				}
 				if d.Token != granted[d.Name] && d.Session != 0 {
 					if d.Token <= highest {
-						t.Fatalf("%v: granted with a token that is not above %d", d, highest)
+						t.Fatalf("%v: granted with a token not above the highest one, %d", d, highest)
 					}
 					highest, granted[d.Name] = d.Token, d.Token
 				}
 				held[d.Session]++
 			}
-			plan := 0
+			planned := 0
 			for id, v := range s.sessions {
-				if v.holds != held[id] {
-					t.Fatalf("session %d counts %d duties and holds %d", id, v.holds, held[id])
+				if v.dutyCount != held[id] {
+					t.Fatalf("session %d has a count of %d duties and holds %d", id, v.dutyCount, held[id])
 				}
-				plan += v.plan
+				planned += v.plannedChange
 			}
-			if plan != 0 {
-				t.Fatalf("what is to be handed over does not add up: %d", plan)
+			if planned != 0 {
+				t.Fatalf("the planned changes of all sessions add up to %d, want 0", planned)
 			}
 		}
 	})
 }
 
-// TestLateCopies: a command that comes once more, late, takes nothing from anybody.
-func TestLateCopies(t *testing.T) {
+// TestDelayedDuplicates guards against commands that are delivered a second time, late: they must take nothing away.
+func TestDelayedDuplicates(t *testing.T) {
 	s := New(nil)
 	s.Apply(1, 1, open("a", 1, 1, 1))
-	s.Apply(2, 1, open("a", 1, 1, 2)) // the first was given up
-	if r := s.Apply(3, 1, open("a", 1, 1, 1)); !errors.Is(r.Err, ErrSession) || s.Session(2) == nil {
-		t.Errorf("a late copy of the first wish: %v, session %v", r, s.Session(2))
+	s.Apply(2, 1, open("a", 1, 1, 2)) // the first request timed out
+	if r := s.Apply(3, 1, open("a", 1, 1, 1)); !errors.Is(r.Err, ErrSessionEnded) || s.Session(2) == nil {
+		t.Errorf("delayed duplicate of the first request: %v, session %v", r, s.Session(2))
 	}
-	if r := s.Apply(4, 1, open("a", 1, 1, 2)); r.Session != 2 || r.Began != 0 {
-		t.Errorf("the same wish once more: %+v", r)
+	if r := s.Apply(4, 1, open("a", 1, 1, 2)); r.Session != 2 || r.Opened != 0 {
+		t.Errorf("repeated request: %+v", r)
 	}
-	if r := s.Apply(5, 1, open("a", 9, 1, 1)); !errors.Is(r.Err, ErrTaken) {
-		t.Errorf("another folder: %v", r.Err)
+	if r := s.Apply(5, 1, open("a", 9, 1, 1)); !errors.Is(r.Err, ErrNameInUse) {
+		t.Errorf("other state directory: %v", r.Err)
 	}
 	s.Apply(6, 1, open("b", 2, 1, 1))
 	s.Apply(7, 1, acquire(2, "d"))
 	s.Apply(8, 1, acquire(6, "d"))
-	token := s.shown("d").Token
+	token := s.viewByName("d").Token
 	s.Apply(9, 1, release(2, "d", token))
-	if r := s.Apply(10, 1, release(2, "d", token)); !errors.Is(r.Err, ErrToken) || s.shown("d").Holder != "b" {
-		t.Errorf("a release that comes twice: %v, %v", r.Err, s.shown("d"))
+	if r := s.Apply(10, 1, release(2, "d", token)); !errors.Is(r.Err, ErrStaleToken) || s.viewByName("d").Holder != "b" {
+		t.Errorf("repeated release: %v, %v", r.Err, s.viewByName("d"))
 	}
-	if r := s.Apply(11, 1, say(2, "d", token, "w")); !errors.Is(r.Err, ErrToken) {
-		t.Errorf("a word with an old token: %v", r.Err)
+	if r := s.Apply(11, 1, publish(2, "d", token, "w")); !errors.Is(r.Err, ErrStaleToken) {
+		t.Errorf("value published with a stale token: %v", r.Err)
 	}
-	// What a voter that led in an earlier term says of lapsed sessions is void.
+	// An end of a session that was proposed by a leader of an earlier term is void.
 	if r := s.Apply(12, 2, expire(6, 1)); r.Err == nil || s.Session(6) == nil {
-		t.Errorf("an end proposed in another term: %v", r.Err)
+		t.Errorf("expiry proposed in an earlier term: %v", r.Err)
 	}
 }
 
-// TestSpread: duties spread evenly as members come, one that goes leaves its own alone to be handed on, and nothing
-// moves once they are even.
+// TestSpread checks that duties spread evenly as members join, that only the duties of a member that leaves are
+// granted anew, and that nothing moves once the duties are even.
 func TestSpread(t *testing.T) {
 	s := New(nil)
 	index := uint64(0)
@@ -157,58 +161,58 @@
 		}
 		return id
 	}
-	// settle hands over what is to be, as holders do, and counts it.
-	settle := func() (moved int) {
-		for again := true; again; {
-			again = false
+	// completeTransfers releases duties to the requested members, as holders do, and returns their number.
+	completeTransfers := func() (moved int) {
+		for pending := true; pending; {
+			pending = false
 			for _, d := range s.Duties() {
 				if d.Wanted != "" {
 					apply(release(d.Session, d.Name, d.Token))
 					apply(acquire(d.Session, d.Name))
-					moved, again = moved+1, true
+					moved, pending = moved+1, true
 				}
 			}
 			if moved > 10*duties {
-				t.Fatal("duties go to and fro")
+				t.Fatal("duties move back and forth")
 			}
 		}
 		return moved
 	}
-	most := func() (lo, hi int) {
+	dutyRange := func() (lo, hi int) {
 		lo = duties
 		for _, v := range s.sessions {
-			lo, hi = min(lo, v.holds), max(hi, v.holds)
+			lo, hi = min(lo, v.dutyCount), max(hi, v.dutyCount)
 		}
 		return lo, hi
 	}
 	join("a")
 	for n, name := range []string{"b", "c", "d", "e"} {
 		join(name)
-		moved := settle()
-		if lo, hi := most(); hi-lo > 1 {
-			t.Errorf("with %d members: from %d to %d duties", n+2, lo, hi)
+		moved := completeTransfers()
+		if lo, hi := dutyRange(); hi-lo > 1 {
+			t.Errorf("with %d members: between %d and %d duties each", n+2, lo, hi)
 		}
 		if fair := duties / (n + 2); moved > fair+1 {
-			t.Errorf("member %d came: %d duties moved, its part is %d", n+2, moved, fair)
+			t.Errorf("member %d joined: %d duties moved, its fair share is %d", n+2, moved, fair)
 		}
 	}
-	gone := s.names["c"]
-	was := map[string]string{}
+	removedSession := s.sessionOf["c"]
+	holderBefore := map[string]string{}
 	for _, d := range s.Duties() {
-		was[d.Name] = d.Holder
+		holderBefore[d.Name] = d.Holder
 	}
-	apply(expire(gone, 1))
+	apply(expire(removedSession, 1))
 	for _, d := range s.Duties() {
-		if was[d.Name] != "c" && d.Holder != was[d.Name] {
-			t.Errorf("%s moved from %s to %s though c went", d.Name, was[d.Name], d.Holder)
+		if holderBefore[d.Name] != "c" && d.Holder != holderBefore[d.Name] {
+			t.Errorf("%s moved from %s to %s when c left", d.Name, holderBefore[d.Name], d.Holder)
 		}
 	}
-	if n := settle(); n > 2 {
-		t.Errorf("%d duties moved after c's were handed on", n)
+	if n := completeTransfers(); n > 2 {
+		t.Errorf("%d duties moved after those of c were granted anew", n)
 	}
 }
 
-// TestBounds: more than the bounds allow is refused, and loses nothing.
+// TestBounds checks that commands beyond the limits are refused and lose nothing.
 func TestBounds(t *testing.T) {
 	s := New(nil)
 	index := uint64(0)
@@ -227,71 +231,73 @@
 	if r := apply(acquire(1, "one more")); !errors.Is(r.Err, ErrFull) {
 		t.Errorf("duty: %v", r.Err)
 	}
-	if r := apply(acquire(1, string(make([]byte, MaxName+1)))); !errors.Is(r.Err, ErrName) {
+	if r := apply(acquire(1, string(make([]byte, MaxNameBytes+1)))); !errors.Is(r.Err, ErrInvalidName) {
 		t.Errorf("name: %v", r.Err)
 	}
 	for id := uint64(2); id < 100; id++ {
 		apply(acquire(id, "d0"))
 	}
-	if n := len(s.duties["d0"].Waiting); n != MaxWaiting {
-		t.Errorf("%d in line", n)
+	if n := len(s.duties["d0"].Candidates); n != MaxCandidates {
+		t.Errorf("%d candidates", n)
 	}
 	b, _ := s.Marshal()
 	if len(b) > 2<<20 {
 		t.Errorf("a snapshot of %d bytes", len(b))
 	}
-	if r := apply(&pb.Command{}); !errors.Is(r.Err, ErrCommand) {
+	if r := apply(&pb.Command{}); !errors.Is(r.Err, ErrUnknownCommand) {
 		t.Errorf("unknown command: %v", r.Err)
 	}
 	if _, err := Unmarshal([]byte{0xff}); err == nil || proto.Unmarshal(b, &pb.State{}) != nil {
-		t.Error("snapshots")
+		t.Error("an invalid snapshot is accepted, or a valid one is not a State message")
 	}
 }
 
-// TestJournalsStay: a journal's duty does not move for balance's sake, and while its copies are not taken over only
-// those who keep them inherit it, not its owner with an empty disk. It was found by losing 50 machines: an heir of
-// one journal had its own moved away, to the very owner that waited for the heir.
-func TestJournalsStay(t *testing.T) {
+// TestJournalDutyStaysWithCopyHolders checks that a journal duty is never moved for balance, and that it goes only to
+// holders of its copies until they are taken over, not to its owner with an empty disk. It guards against a deadlock
+// that appeared when 50 machines were lost: the own journal duty of a successor was moved to the very owner that
+// waited for that successor.
+func TestJournalDutyStaysWithCopyHolders(t *testing.T) {
 	s := New(nil)
 	index := uint64(0)
 	apply := func(c *pb.Command) Result { index++; return s.Apply(index, 1, c) }
 	a := apply(open("a", 1, 1, 1)).Session
 	b := apply(open("b", 2, 1, 1)).Session
 	c := apply(open("c", 3, 1, 1)).Session
-	own := Own("a")
-	apply(acquire(a, own))
+	journal := JournalDuty("a")
+	apply(acquire(a, journal))
 	for i := range 4 {
 		apply(acquire(a, fmt.Sprint("d", i)))
 	}
-	apply(&pb.Command{What: &pb.Command_Keep{Keep: &pb.Keep{Session: a, Duty: own, Token: s.shown(own).Token, Holders: []string{"b"}}}})
-	apply(acquire(c, own))
-	apply(acquire(b, own))
-	if w := s.shown(own).Wanted; w != "" {
-		t.Errorf("a journal is to move to %s", w)
+	apply(&pb.Command{What: &pb.Command_Keep{Keep: &pb.Keep{
+		Session: a, Duty: journal, Token: s.viewByName(journal).Token, Holders: []string{"b"}}}})
+	apply(acquire(c, journal))
+	apply(acquire(b, journal))
+	if w := s.viewByName(journal).Wanted; w != "" {
+		t.Errorf("a journal duty is to be transferred to %s", w)
 	}
-	if r := apply(handOver(own, "c")); !errors.Is(r.Err, ErrOwn) {
-		t.Errorf("by hand: %v", r.Err)
+	if r := apply(handOver(journal, "c")); !errors.Is(r.Err, ErrJournalDuty) {
+		t.Errorf("hand-over of a journal duty: %v", r.Err)
 	}
 	apply(expire(a, 1))
-	if h := s.shown(own); h.Holder != "b" {
-		t.Fatalf("its heir is %v, b keeps its copies", h)
+	if h := s.viewByName(journal); h.Holder != "b" {
+		t.Fatalf("the successor is %v, want b, which keeps the copies", h)
 	}
-	back := apply(open("a", 9, 1, 1)).Session // with an empty disk
-	apply(acquire(back, own))
+	returned := apply(open("a", 9, 1, 1)).Session // with an empty disk
+	apply(acquire(returned, journal))
 	apply(expire(b, 1))
-	if h := s.shown(own); h.Holder == "" {
-		t.Fatal("nobody")
+	if h := s.viewByName(journal); h.Holder == "" {
+		t.Fatal("the journal duty has no holder")
 	}
-	// b comes back, and is in line again: it goes before the owner.
-	held := s.shown(own)
+	// b is back and a candidate again: it precedes the owner.
+	current := s.viewByName(journal)
 	b = apply(open("b", 2, 2, 1)).Session
-	apply(acquire(b, own))
-	apply(expire(held.Session, 1))
-	if h := s.shown(own); h.Holder != "b" {
-		t.Errorf("the heir is %v", h)
-	}
-	apply(release(b, own, s.shown(own).Token)) // done
-	if h := s.shown(own); len(h.Holders) != 0 || h.Holder == "b" {
-		t.Errorf("after the heir is done: %v", h)
+	apply(acquire(b, journal))
+	apply(expire(current.Session, 1))
+	if h := s.viewByName(journal); h.Holder != "b" {
+		t.Errorf("the successor is %v, want b", h)
+	}
+	apply(release(b, journal, s.viewByName(journal).Token)) // takeover complete
+	if h := s.viewByName(journal); len(h.Holders) != 0 || h.Holder == "b" {
+		t.Errorf("after the takeover: %v", h)
 	}
 }
--- a/internal/sender/copies.go
+++ b/internal/sender/copies.go
@@ -45,7 +45,7 @@
 // CopyFleet is the fleet as copies need it. No method blocks.
 type CopyFleet interface {
 	Fleet
-	View() *fleet.Look
+	View() *fleet.View
 	SendCopy(to string, f *pb.Frame)
 	Propose(c *pb.Command, done func(*pb.Answer, error)) // proposes a command; done is called on another goroutine
 	Incarnation() uint64                                 // of this member's state directory; 0: it has not joined yet
@@ -83,7 +83,7 @@
 
 // takeover is the takeover of a lost owner's journal.
 type takeover struct {
-	*copies.Heir
+	*copies.Takeover
 	startedAt int64          // in nanoseconds of fleet.Now
 	entryNums []uint64       // of the imported entries in this journal
 	holds     []journal.Hold // of the lost owner, by this sender's clock
@@ -159,14 +159,14 @@
 		case in.run != nil:
 			in.run()
 		case in.frame.GetCopied() != nil:
-			c.owner.Copied(now, in.from, in.frame.GetCopied())
+			c.owner.HandleCopied(now, in.from, in.frame.GetCopied())
 		case in.frame.GetSealed() != nil:
 			if t := c.takeovers[in.frame.GetSealed().Owner]; t != nil {
-				t.Sealed(now, in.from, in.frame.GetSealed())
+				t.HandleSealed(now, in.from, in.frame.GetSealed())
 			}
 		}
 	}
-	c.owner.Clock(int64(s.clock.Now()) - now/1e6)
+	c.owner.SetClockOffset(int64(s.clock.Now()) - now/1e6)
 	view := c.fleet.View()
 	s.checkOwnLease(view)
 	s.settlePending(view)
@@ -178,15 +178,15 @@
 
 // checkOwnLease follows the lease on this sender's own journal: it begins an epoch when the lease is gained, and suspends
 // calls when it is lost.
-func (s *Sender) checkOwnLease(view *fleet.Look) {
+func (s *Sender) checkOwnLease(view *fleet.View) {
 	c := s.copies
-	name := duty.Own(c.settings.Name)
+	name := duty.JournalDuty(c.settings.Name)
 	if time.Since(c.requestedAt) > time.Second {
 		c.requestedAt = time.Now()
 		c.fleet.Request(name, "")
 	}
-	d := view.Own[c.settings.Name]
-	held := view.Mine(d) && c.fleet.Token(name) == d.Token
+	d := view.Journals[c.settings.Name]
+	held := view.Holds(d) && c.fleet.Token(name) == d.Token
 	if held != c.leaseHeld {
 		c.leaseHeld = held
 		s.suspendCalls(!held)
@@ -198,24 +198,24 @@
 		s.log.Info().Bool("held", held).Msg("copies: lease on this sender's journal gained or lost")
 	}
 	if !held {
-		if !view.Mine(d) {
-			c.owner.Begin(0)
+		if !view.Holds(d) {
+			c.owner.BeginEpoch(0)
 		}
 		return
 	}
 	if c.owner.Epoch() != d.Token {
 		c.incarnation = c.fleet.Incarnation()
-		c.owner.Of(c.incarnation)
-		if a := view.Adopted[c.settings.Name]; a != nil && a.Incarnation == c.incarnation {
+		c.owner.SetIncarnation(c.incarnation)
+		if a := view.Adoptions[c.settings.Name]; a != nil && a.Incarnation == c.incarnation {
 			s.dropAdopted(a)
 		}
-		c.owner.Begin(d.Token)
+		c.owner.BeginEpoch(d.Token)
 		c.requestedHolders = nil
 	}
 	if slices.Equal(d.Holders, c.requestedHolders) {
 		c.requestedHolders = nil
 	}
-	c.owner.Holders(countedHolders(d.Holders, c.requestedHolders))
+	c.owner.SetHolders(countedHolders(d.Holders, c.requestedHolders))
 	if now := time.Now(); now.After(c.nextPlacement) { // members change within seconds, not with every step
 		c.nextPlacement = now.Add(placementInterval)
 		s.placeCopies(view, d)
@@ -232,15 +232,15 @@
 }
 
 // placeCopies requests other holders from the fleet if the present members call for it.
-func (s *Sender) placeCopies(view *fleet.Look, d *pb.Duty) {
+func (s *Sender) placeCopies(view *fleet.View, d *pb.Duty) {
 	c := s.copies
-	full := c.owner.Full(fleet.Now())
+	full := c.owner.FullMembers(fleet.Now())
 	var present []placement.Member
 	for _, p := range view.Present {
 		present = append(present, placement.Member{Name: p.Name, Zone: p.Zone, Full: slices.Contains(full, p.Name)})
 	}
 	wanted := placement.Choose(c.settings.Name, c.settings.Zone, c.settings.Count, present)
-	next := placement.Next(d.Holders, wanted, c.owner.Synced, view.Is)
+	next := placement.NextStep(d.Holders, wanted, c.owner.Synced, view.HasMember)
 	if slices.Equal(next, d.Holders) || slices.Equal(next, c.requestedHolders) {
 		return
 	}
@@ -313,7 +313,7 @@
 	if records := s.journal.RecordsToCopy(); len(records) > 0 {
 		seq = c.owner.Append(now, records, s.journal.LastNumber(), func() []byte { return journal.Compact(s.journal.Snapshot()) })
 	}
-	for _, o := range c.owner.Take(now, s.journal.Snapshot) {
+	for _, o := range c.owner.TakeOutgoing(now, s.journal.Snapshot) {
 		c.fleet.SendCopy(o.To, o.Frame)
 	}
 	for i := range c.waits {
@@ -482,7 +482,7 @@
 // end while the call waits for its connection or the process is suspended.
 func (s *Sender) startCall(call *outbound.Call) {
 	if c := s.copies; c != nil && len(call.Items) > 0 {
-		name, epoch := duty.Own(c.settings.Name), c.owner.Epoch()
+		name, epoch := duty.JournalDuty(c.settings.Name), c.owner.Epoch()
 		call.MayStart = func() bool { return c.fleet.Token(name) == epoch }
 	}
 	s.pool.Go(call)
@@ -500,7 +500,7 @@
 		return wait
 	}
 	wait = min(wait, 50*time.Millisecond) // the lease, the holders and takeovers are polled
-	if at, due := c.owner.Next(); due {
+	if at, due := c.owner.NextWakeup(); due {
 		wait = min(wait, time.Duration(at-fleet.Now()))
 	}
 	for i := range c.waits {
--- a/internal/sender/holds.go
+++ b/internal/sender/holds.go
@@ -35,7 +35,7 @@
 // importHolds copies the holds of the lost owner into this journal; offset converts their times to this sender's clock.
 func (s *Sender) importHolds(t *takeover, offset int64) {
 	t.holds = nil
-	for _, hold := range journal.ReplayHolds(t.Found.Records) {
+	for _, hold := range journal.ReplayHolds(t.LongestCopy.Records) {
 		if hold.Until != journal.Forever {
 			hold.Until += offset
 		}
