--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -150,7 +150,8 @@
 	return xxhash.Sum64String(text)
 }
 
-// dialAddrs returns the control members that this one dials, by name: of two members the one whose name sorts first dials.
+// dialAddrs returns the control members that this one dials, by name: of two members the one whose name sorts first
+// dials.
 func (c *Control) dialAddrs() map[string]string {
 	list := map[string]string{}
 	for _, m := range c.o.Settings.Members {
@@ -248,8 +249,8 @@
 		c.publisher.Receive(in.from, in.frame, now)
 	case *pb.Frame_Report:
 		if c.leadership != nil {
-			again := c.leadership.roster.HandleReport(in.from, c.regionOf(in.from), w.Report, now)
-			c.links.Send(in.from, &pb.Frame{What: &pb.Frame_Reported{Reported: &pb.Reported{Seq: w.Report.Seq, Again: again}}})
+			fullReport := c.leadership.roster.HandleReport(in.from, c.regionOf(in.from), w.Report, now)
+			c.links.Send(in.from, &pb.Frame{What: &pb.Frame_Reported{Reported: &pb.Reported{Seq: w.Report.Seq, Again: fullReport}}})
 		}
 	case *pb.Frame_Reported:
 		c.fullReportDue = c.fullReportDue || w.Reported.Again
@@ -339,8 +340,8 @@
 	c.o.Log.Info().Uint64("version", c.dir.Version()).Msg("directory: leads no more")
 }
 
-// enqueueList passes a list of discovery to the loop. It is called on the watch's goroutine and blocks it while the inbox
-// is full.
+// enqueueList passes a list of discovery to the loop. It is called on the watch's goroutine and blocks it while the
+// inbox is full.
 func (c *Control) enqueueList(ctx context.Context, token uint64, l discovery.List) {
 	converted := &discoveryList{token: token, full: l.Full, version: l.Version, endpoints: make([]directory.Endpoint, 0, len(l.Endpoints))}
 	for i := range l.Endpoints {
--- a/internal/control/settings.go
+++ b/internal/control/settings.go
@@ -1,6 +1,6 @@
 // Package control implements a control member. It holds the directory of endpoints and members
-// (internal/fleet/directory), leads or follows the control member that leads, and serves the senders that subscribe. The
-// leader is the holder of a duty in the control members' own group (internal/fleet).
+// (internal/fleet/directory), leads or follows the control member that leads, and serves the senders that subscribe.
+// The leader is the holder of a duty in the control members' own group (internal/fleet).
 package control
 
 import (
@@ -153,7 +153,7 @@
 	case err != nil || ipErr != nil || port == "" || port == "0":
 		return "an IP address and a port, such as 127.0.0.1:7401"
 	case !hasKeys && !ip.IsLoopback() && !ip.IsPrivate():
-		return "loopback and private addresses, or ca, cert and key: links are else open to whoever reaches them"
+		return "loopback and private addresses, or ca, cert and key: without TLS, links are open to everyone who can reach them"
 	}
 	return ""
 }
--- a/internal/control/settings_test.go
+++ b/internal/control/settings_test.go
@@ -50,14 +50,14 @@
 	}
 }
 
-// The files of the example are read.
+// The example's files can be loaded, and the sender's list of control members is the same as theirs.
 func TestExample(t *testing.T) {
 	for _, name := range []string{"control-1.xml", "control-2.xml", "control-3.xml"} {
 		s, err := Load("../../example/" + name)
 		if err != nil {
 			t.Error(err)
 		} else if s.Name+".xml" != name {
-			t.Errorf("%s is of %q", name, s.Name)
+			t.Errorf("%s is the file of member %q", name, s.Name)
 		}
 	}
 	f, err := operator.Load("../../example/sliptide-shards.xml")
@@ -67,12 +67,12 @@
 	s, _ := Load("../../example/control-1.xml")
 	for i, c := range f.Fleet.Shards.Control {
 		if m := s.Members[i]; m.Name != c.Name || m.DirectoryAddr != c.Addr {
-			t.Errorf("the sender's %+v is the control member's %+v", c, m)
+			t.Errorf("sender's entry %+v differs from the control member's %+v", c, m)
 		}
 	}
 }
 
-// The schema in deploy/ is that of this version.
+// deploy/control.xsd is up to date.
 func TestSchemaIsCurrent(t *testing.T) {
 	text, err := os.ReadFile("../../deploy/control.xsd")
 	if err != nil {
--- a/internal/fleet/directory/assign.go
+++ b/internal/fleet/directory/assign.go
@@ -85,14 +85,15 @@
 	}
 }
 
-// updateAssignment compares the shards that a subscriber was told to serve with the table, and records what is to be
+// updateAssignment compares the shards that a subscriber serves with the table, and records those that are to be
 // assigned to it and unassigned from it.
 func (p *Publisher) updateAssignment(s *subscriber) {
 	table := p.regionTable(s.Region)
 	if !table.Has(s.Name) {
 		return // the subscriber has not joined yet or has left: its assignment stays as it is
 	}
-	// The first comparison of a subscription reports all shards, since the subscriber may hold more or fewer than it served.
+	// The first comparison of a subscription reports all shards, since the subscriber may hold more or fewer than it
+	// served.
 	before := s.servedShards
 	if !s.assignmentCompared {
 		before, s.assignmentCompared = maps.Clone(s.heldShards), true
--- a/internal/fleet/directory/directory.go
+++ b/internal/fleet/directory/directory.go
@@ -1,8 +1,8 @@
 // Package directory implements the directory that control members replicate and publish: all endpoints of all
 // destinations, by shard, and the members that serve them, under one version that only grows. One control member leads
-// and publishes; the other control members and the senders subscribe. A subscription begins with a snapshot and continues
-// with changes. After an interruption it resumes from the log of changes, or with a new snapshot if the log no longer
-// reaches back to its version.
+// and publishes; the other control members and the senders subscribe. A subscription begins with a snapshot and
+// continues with changes. After an interruption it resumes from the log of changes, or with a new snapshot if the log
+// no longer reaches back to its version.
 //
 // The package has no clock, sockets or goroutines: the caller passes times, in nanoseconds on its monotonic clock.
 // Nothing in it is safe for concurrent use.
@@ -24,8 +24,8 @@
 	maxLogEntries = 1 << 18 // endpoints and members of all changes in the log
 )
 
-// counterBits is the number of low bits of a version that count the changes of one leader. The bits above are the leader's
-// fencing token, so that all versions of a later leader are higher than those of an earlier one.
+// counterBits is the number of low bits of a version that count the changes of one leader. The bits above are the
+// leader's fencing token, so that all versions of a later leader are higher than those of an earlier one.
 const counterBits = 32
 
 // tokenOf returns the fencing token of the leader that published a version.
@@ -119,8 +119,8 @@
 // Members returns the members, by name. The map must not be changed.
 func (d *Directory) Members() map[string]Member { return d.members }
 
-// intern returns the stored copy of a string. The number of stored strings is bounded: text that exceeds it is returned as
-// it is.
+// intern returns the stored copy of a string. The number of stored strings is bounded: text that exceeds it is returned
+// as it is.
 func (d *Directory) intern(text string) string {
 	if interned, known := d.interned[text]; known {
 		return interned
@@ -155,9 +155,9 @@
 	return true
 }
 
-// Publish applies new states of endpoints and members on the leader, and returns the change that they make. Its version is
-// the next one, but at least minVersion. Endpoints and members that stay the same are left out. The result is false if
-// nothing differs and minVersion has been reached.
+// Publish applies new states of endpoints and members on the leader, and returns the change that they make. Its version
+// is the next one, but at least minVersion. Endpoints and members that stay the same are left out. The result is false
+// if nothing differs and minVersion has been reached.
 func (d *Directory) Publish(minVersion, discoveryVersion uint64, endpoints []Endpoint, joined, left []Member) (Change, bool) {
 	c := Change{From: d.version, To: max(d.version+1, minVersion), DiscoveryVersion: discoveryVersion}
 	for _, e := range endpoints {
@@ -181,7 +181,8 @@
 	return c, true
 }
 
-// putMember stores a member and adds it to a change if it differs; a member that was in another region also leaves there.
+// putMember stores a member and adds it to a change if it differs; a member that was in another region also leaves
+// there.
 func (d *Directory) putMember(m Member, c *Change) {
 	previous, known := d.members[m.Name]
 	if known && previous == m {
@@ -264,8 +265,8 @@
 	return c, nil
 }
 
-// Diff returns the changes from the current endpoints to a complete list: endpoints that are new or different, and those
-// that the list lacks, as removed. Of several list entries of one endpoint the last applies.
+// Diff returns the changes from the current endpoints to a complete list: endpoints that are new or different, and
+// those that the list lacks, as removed. Of several list entries of one endpoint the last applies.
 func (d *Directory) Diff(list []Endpoint) (changed []Endpoint) {
 	type key struct {
 		id    string
@@ -279,9 +280,9 @@
 		if e.State == pb.EndpointState_REMOVED || listed[key{e.ID, e.Shard()}] != i {
 			continue
 		}
-		held := d.shards[e.Shard()]
-		index, found := slices.BinarySearchFunc(held, e.ID, func(x Endpoint, id string) int { return cmp.Compare(x.ID, id) })
-		if !found || held[index] != e {
+		current := d.shards[e.Shard()]
+		index, found := slices.BinarySearchFunc(current, e.ID, func(x Endpoint, id string) int { return cmp.Compare(x.ID, id) })
+		if !found || current[index] != e {
 			changed = append(changed, e)
 		}
 	}
@@ -298,9 +299,9 @@
 	return append(removed, changed...) // removed first: an endpoint may have moved to another destination
 }
 
-// ChangesSince returns the changes after a version; the first one may repeat some that the version includes. The result is
-// false if the log does not reach back to the version, or if its leader published it without this control member having
-// received all changes of that leader.
+// ChangesSince returns the changes after a version; the first one may repeat some that the version includes. The result
+// is false if the log does not reach back to the version, or if its leader published it without this control member
+// having received all changes of that leader.
 func (d *Directory) ChangesSince(version uint64) ([]Change, bool) {
 	if version == 0 || version > d.version {
 		return nil, false
@@ -315,8 +316,8 @@
 	if index == 0 {
 		return nil, false
 	}
-	// The version lies within a change that was received as one. Each version of a leader includes all its earlier ones, so
-	// sending the whole change again is correct, but only within the versions of one leader.
+	// The version lies within a change that was received as one. Each version of a leader includes all its earlier
+	// ones, so sending the whole change again is correct, but only within the versions of one leader.
 	containing := d.changes[index-1]
 	if version >= containing.To || tokenOf(containing.From) != tokenOf(version) || tokenOf(containing.To) != tokenOf(version) {
 		return nil, false
@@ -333,8 +334,8 @@
 	return d.Apply(c)
 }
 
-// DestinationOf returns the destination of a known endpoint. It searches all shards, and is meant for the rare list entry
-// that names no destination.
+// DestinationOf returns the destination of a known endpoint. It searches all shards, and is meant for the rare list
+// entry that names no destination.
 func (d *Directory) DestinationOf(id string) (destination uint64, found bool) {
 	for i := range d.shards {
 		list := d.shards[i]
--- a/internal/fleet/directory/directory_test.go
+++ b/internal/fleet/directory/directory_test.go
@@ -20,138 +20,139 @@
 	return Member{Region: "r", Member: shard.Member{Name: name, Zone: "z", Weight: 1}}
 }
 
-// pair is a publisher with one subscriber, whose frames the test carries by hand.
+// testPair is a publisher with one subscriber. The test delivers their frames.
 type testPair struct {
-	t   *testing.T
-	dir *Directory
-	pub *Publisher
-	sub *Subscription
-	now int64
+	t            *testing.T
+	dir          *Directory
+	publisher    *Publisher
+	subscription *Subscription
+	now          int64
 }
 
 func newPair(t *testing.T, endpoints int, everything bool) *testPair {
 	p := &testPair{t: t, dir: New(), now: int64(time.Hour)}
-	p.pub = NewPublisher(p.dir, 1)
+	p.publisher = NewPublisher(p.dir, 1)
 	var list []Endpoint
 	for d := range uint64(endpoints) {
 		list = append(list, endpoint(d, 1))
 	}
 	c, _ := p.dir.Publish(FirstVersion(1), 1, list, []Member{member("s")}, nil)
-	p.pub.ApplyChange(c)
-	p.sub = NewSubscription(SubscriptionOptions{Region: "r", Zone: "z", Weight: 1, Everything: everything, Rand: rand.New(rand.NewPCG(1, 2))})
-	p.sub.Connect("c", p.now)
+	p.publisher.ApplyChange(c)
+	p.subscription = NewSubscription(SubscriptionOptions{Region: "r", Zone: "z", Weight: 1, Everything: everything, Rand: rand.New(rand.NewPCG(1, 2))})
+	p.subscription.Connect("c", p.now)
 	return p
 }
 
-// up carries the subscriber's frames to the publisher.
+// deliverToPublisher delivers the subscriber's frames to the publisher.
 func (p *testPair) deliverToPublisher() {
-	for _, o := range p.sub.TakeFrames() {
-		p.pub.Receive("s", o.Frame, p.now)
+	for _, o := range p.subscription.TakeFrames() {
+		p.publisher.Receive("s", o.Frame, p.now)
 	}
 }
 
-// frames are what the publisher sends at this time.
+// publisherFrames returns the frames that the publisher sends at this time.
 func (p *testPair) publisherFrames() []*pb.Frame {
-	p.pub.Tick(p.now)
+	p.publisher.Tick(p.now)
 	var list []*pb.Frame
-	for _, o := range p.pub.TakeFrames() {
+	for _, o := range p.publisher.TakeFrames() {
 		list = append(list, o.Frame)
 	}
 	return list
 }
 
-// down hands frames to the subscriber and returns what it learned.
-func (p *testPair) deliverToSubscriber(list []*pb.Frame) (learned []*AppliedUpdate) {
+// deliverToSubscriber delivers frames to the subscriber and returns the updates that they complete.
+func (p *testPair) deliverToSubscriber(list []*pb.Frame) (updates []*AppliedUpdate) {
 	for _, f := range list {
-		if a := p.sub.Receive("c", f, p.now); a != nil {
-			learned = append(learned, a)
+		if a := p.subscription.Receive("c", f, p.now); a != nil {
+			updates = append(updates, a)
 		}
 	}
-	return learned
+	return updates
 }
 
-// settle carries frames both ways until the subscriber knows the directory's version.
-func (p *testPair) settle() (learned []*AppliedUpdate) {
+// settle delivers frames both ways until the subscriber is at the directory's version.
+func (p *testPair) settle() (updates []*AppliedUpdate) {
 	for range 1000 {
 		p.deliverToPublisher()
-		learned = append(learned, p.deliverToSubscriber(p.publisherFrames())...)
-		if p.sub.Version() == p.dir.Version() {
-			return learned
+		updates = append(updates, p.deliverToSubscriber(p.publisherFrames())...)
+		if p.subscription.Version() == p.dir.Version() {
+			return updates
 		}
 		p.now += int64(100 * time.Millisecond)
-		p.sub.Tick(p.now)
+		p.subscription.Tick(p.now)
 	}
-	p.t.Fatalf("the subscriber is at %d, the directory at %d", p.sub.Version(), p.dir.Version())
+	p.t.Fatalf("subscriber did not catch up: at version %d, directory at %d", p.subscription.Version(), p.dir.Version())
 	return nil
 }
 
 func (p *testPair) publish(list ...Endpoint) {
-	c, news := p.dir.Publish(0, p.dir.DiscoveryVersion()+1, list, nil, nil)
-	if !news {
-		p.t.Fatal("no change")
+	c, changed := p.dir.Publish(0, p.dir.DiscoveryVersion()+1, list, nil, nil)
+	if !changed {
+		p.t.Fatal("Publish made no change")
 	}
-	p.pub.ApplyChange(c)
+	p.publisher.ApplyChange(c)
 }
 
-// A subscriber that reads nothing gets its window and no more, holds nobody up, and is dropped; when the log has gone on
-// without it, it begins again with a snapshot.
-func TestSubscriberThatReadsNothing(t *testing.T) {
+// A subscriber that reads nothing is sent no more than maxUnackedUpdates updates, and is dropped. Once the log no
+// longer reaches back to its version, its next subscription begins with a snapshot.
+func TestUnresponsiveSubscriber(t *testing.T) {
 	p := newPair(t, 50, false)
 	p.settle()
 	p.deliverToPublisher()
 	sent := 0
 	for i := range 30 {
 		p.publish(endpoint(uint64(i%50), 100+i))
-		sent += len(p.publisherFrames()) // read by nobody
+		sent += len(p.publisherFrames()) // not delivered
 		p.now += int64(50 * time.Millisecond)
 	}
 	if sent > maxUnackedUpdates {
-		t.Errorf("%d updates are out to a subscriber that acknowledges nothing, %d allowed", sent, maxUnackedUpdates)
+		t.Errorf("sent %d updates to a subscriber that acknowledges nothing, want at most %d", sent, maxUnackedUpdates)
 	}
 	for range maxLogChanges + 10 {
 		p.publish(endpoint(7, int(p.dir.Version()%50000)+200))
 	}
 	p.now += int64(subscriberTimeout) + 1
 	p.publisherFrames()
-	if n := len(p.pub.Subscribers()); n != 0 {
-		t.Errorf("%d subscribers are left", n)
+	if n := len(p.publisher.Subscribers()); n != 0 {
+		t.Errorf("%d subscribers left after the time-out, want 0", n)
 	}
-	p.sub.Tick(p.now)
-	if !p.sub.ShouldReconnect() {
+	p.subscription.Tick(p.now)
+	if !p.subscription.ShouldReconnect() {
 		p.now += int64(maxRetryPause)
-		p.sub.Tick(p.now)
+		p.subscription.Tick(p.now)
 	}
-	p.sub.Connect("c", p.now)
-	learned := p.settle()
-	if first := learned[0]; !first.AllShards || len(first.Endpoints) != 50 {
-		t.Errorf("begins again with %+v, want a snapshot of 50 endpoints", first)
+	p.subscription.Connect("c", p.now)
+	updates := p.settle()
+	if first := updates[0]; !first.AllShards || len(first.Endpoints) != 50 {
+		t.Errorf("first update of the new subscription: %+v, want a snapshot of 50 endpoints", first)
 	}
 }
 
-// The publisher dies in the middle of a snapshot that takes many frames: nothing of it is taken, and the next one, from
-// another control member, is whole.
-func TestKilledInTheMiddleOfASnapshot(t *testing.T) {
+// A publisher is killed while it sends a snapshot of many frames: none of these are applied, and the snapshot of the
+// next control member is applied as a whole.
+func TestPublisherKilledDuringSnapshot(t *testing.T) {
 	const endpoints = 3 * maxUpdateEntries
 	p := newPair(t, endpoints, true)
 	p.deliverToPublisher()
 	parts := p.publisherFrames()
 	if len(parts) < 3 {
-		t.Fatalf("the snapshot comes in %d frames", len(parts))
+		t.Fatalf("got a snapshot of %d frames, want at least 3", len(parts))
 	}
-	if learned := p.deliverToSubscriber(parts[:2]); learned != nil || p.sub.Version() != 0 {
-		t.Fatalf("parts of a snapshot are taken: version %d", p.sub.Version())
+	if updates := p.deliverToSubscriber(parts[:2]); updates != nil || p.subscription.Version() != 0 {
+		t.Fatalf("parts of an incomplete snapshot applied: version %d", p.subscription.Version())
 	}
-	p.pub = NewPublisher(p.dir, 1) // started anew
-	p.sub.TakeFrames()
-	p.sub.Connect("c", p.now)
-	learned := p.settle()
-	if len(learned) != 1 || len(learned[0].Endpoints) != endpoints || !learned[0].AllShards {
-		t.Errorf("learned %d times, %d endpoints first, want %d at once", len(learned), len(learned[0].Endpoints), endpoints)
+	p.publisher = NewPublisher(p.dir, 1) // after the restart
+	p.subscription.TakeFrames()
+	p.subscription.Connect("c", p.now)
+	updates := p.settle()
+	if len(updates) != 1 || len(updates[0].Endpoints) != endpoints || !updates[0].AllShards {
+		t.Errorf("got %d updates, the first with %d endpoints; want one snapshot of %d", len(updates), len(updates[0].Endpoints), endpoints)
 	}
 }
 
-// Updates that are lost, doubled and late: a lost one is found by the next, nothing is taken twice, nothing old is taken.
-func TestLostDoubledAndLateUpdates(t *testing.T) {
+// Updates are lost, duplicated and delayed: a lost one is detected by the next, and neither a duplicate nor an update
+// of an earlier subscription is applied.
+func TestLostDuplicateAndLateUpdates(t *testing.T) {
 	p := newPair(t, 10, false)
 	p.settle()
 	p.deliverToPublisher()
@@ -159,57 +160,57 @@
 	first := p.publisherFrames()
 	p.publish(endpoint(2, 12))
 	second := p.publisherFrames()
-	if learned := p.deliverToSubscriber(second); learned != nil {
-		t.Fatalf("an update is taken with one missing before it: %+v", learned[0])
+	if updates := p.deliverToSubscriber(second); updates != nil {
+		t.Fatalf("update applied although the one before it is missing: %+v", updates[0])
 	}
-	if learned := p.deliverToSubscriber(first); learned != nil { // late: it has subscribed anew
-		t.Fatalf("an update of an earlier subscription is taken: %+v", learned[0])
+	if updates := p.deliverToSubscriber(first); updates != nil { // late: it has subscribed again since
+		t.Fatalf("update of an earlier subscription applied: %+v", updates[0])
 	}
-	learned := p.settle()
+	updates := p.settle()
 	got := map[string]string{}
-	for _, a := range learned {
+	for _, a := range updates {
 		for _, e := range a.Endpoints {
 			got[e.ID] = e.Addr
 		}
 	}
 	if got["e-1"] != "10.0.0.1:11" || got["e-2"] != "10.0.0.1:12" || len(got) != 2 {
-		t.Errorf("learned %v after the loss", got)
+		t.Errorf("got %v after the loss, want the changes of e-1 and e-2", got)
 	}
 	p.deliverToPublisher()
 	p.publish(endpoint(3, 13))
-	again := p.publisherFrames()
-	if once, twice := p.deliverToSubscriber(again), p.deliverToSubscriber(again); len(once) != 1 || twice != nil {
-		t.Errorf("doubled: learned %d and %d times", len(once), len(twice))
+	frames := p.publisherFrames()
+	if first, second := p.deliverToSubscriber(frames), p.deliverToSubscriber(frames); len(first) != 1 || second != nil {
+		t.Errorf("duplicate update: applied %d times at first, then %d times; want 1 and 0", len(first), len(second))
 	}
 }
 
-// A control member that has only an older version does not take a subscriber back: it refuses, and the subscriber
-// keeps what it knows.
+// A control member that is at an older version refuses a subscriber, which keeps its version, and a subscriber does not
+// apply an older snapshot.
 func TestOlderVersionIsRefused(t *testing.T) {
 	p := newPair(t, 10, false)
 	p.publish(endpoint(1, 11))
 	p.settle()
-	known := p.sub.Version()
-	behind := New()
-	if _, err := behind.LoadSnapshot(FirstVersion(1), 1, nil, nil); err != nil {
+	version := p.subscription.Version()
+	outdated := New()
+	if _, err := outdated.LoadSnapshot(FirstVersion(1), 1, nil, nil); err != nil {
 		t.Fatal(err)
 	}
-	p.pub = NewPublisher(behind, 1)
-	p.sub.TakeFrames()
-	p.sub.Connect("c", p.now)
+	p.publisher = NewPublisher(outdated, 1)
+	p.subscription.TakeFrames()
+	p.subscription.Connect("c", p.now)
 	p.deliverToPublisher()
 	p.deliverToSubscriber(p.publisherFrames())
-	if p.sub.Version() != known || p.sub.Live(p.now) {
-		t.Errorf("version %d, live %t; known was %d", p.sub.Version(), p.sub.Live(p.now), known)
+	if p.subscription.Version() != version || p.subscription.Live(p.now) {
+		t.Errorf("version %d, live %t after the refusal; want version %d, not live", p.subscription.Version(), p.subscription.Live(p.now), version)
 	}
-	old := &pb.Frame{What: &pb.Frame_Update{Update: &pb.Update{Id: p.sub.id, Seq: 1, From: 0, To: FirstVersion(1), AllShards: true, AllMembers: true}}}
-	if learned := p.deliverToSubscriber([]*pb.Frame{old}); learned != nil {
-		t.Errorf("an older snapshot is taken: %+v", learned[0])
+	stale := &pb.Frame{What: &pb.Frame_Update{Update: &pb.Update{Id: p.subscription.id, Seq: 1, From: 0, To: FirstVersion(1), AllShards: true, AllMembers: true}}}
+	if updates := p.deliverToSubscriber([]*pb.Frame{stale}); updates != nil {
+		t.Errorf("older snapshot applied: %+v", updates[0])
 	}
 }
 
-// Versions of a leader that this control member has not heard all of are no place to go on from, though they are lower
-// than what it knows: what the subscriber took from that leader last would stay for good.
+// A subscriber cannot resume from a version of a leader whose changes this control member has not all received, even if
+// the version is lower than its own: changes that only that leader published would remain at the subscriber for good.
 func TestChangesSinceAcrossLeaders(t *testing.T) {
 	d := New()
 	if _, err := d.LoadSnapshot(FirstVersion(1), 1, nil, nil); err != nil {
@@ -221,26 +222,27 @@
 		}
 	}
 	for _, c := range []struct {
-		version uint64
-		reaches bool
-		changes int
+		version  uint64
+		complete bool
+		changes  int
 	}{
 		{0, false, 0}, {FirstVersion(1) - 1, false, 0}, {FirstVersion(1), true, 3}, {FirstVersion(1) + 3, true, 3}, {FirstVersion(1) + 5, true, 2},
 		{FirstVersion(1) + 6, false, 0}, {FirstVersion(2), true, 1}, {FirstVersion(2) + 1, true, 0}, {FirstVersion(2) + 2, false, 0},
 	} {
-		if changes, reaches := d.ChangesSince(c.version); reaches != c.reaches || len(changes) != c.changes {
-			t.Errorf("since %d.%d: %d changes, %t; want %d, %t", tokenOf(c.version), c.version&(1<<counterBits-1), len(changes), reaches, c.changes, c.reaches)
+		if changes, complete := d.ChangesSince(c.version); complete != c.complete || len(changes) != c.changes {
+			t.Errorf("since version %d.%d: %d changes, complete %t; want %d, %t", tokenOf(c.version), c.version&(1<<counterBits-1), len(changes), complete, c.changes, c.complete)
 		}
 	}
 	if _, err := d.Apply(Change{From: FirstVersion(2) + 3, To: FirstVersion(2) + 4}); !errors.Is(err, ErrGap) {
-		t.Errorf("a gap: %v", err)
+		t.Errorf("change with a gap before it: error %v, want ErrGap", err)
 	}
 	if _, err := d.Apply(Change{From: FirstVersion(1), To: FirstVersion(2)}); !errors.Is(err, ErrStale) {
-		t.Errorf("an old change: %v", err)
+		t.Errorf("stale change: error %v, want ErrStale", err)
 	}
 }
 
-// A member that nobody reports keeps its shards for the grace, and a leader that begins waits for reports first.
+// A member that no control member reports stays in the directory for MemberGracePeriod, and a new leader waits for
+// reports first.
 func TestRosterGrace(t *testing.T) {
 	known := map[string]Member{"a": member("a"), "b": member("b")}
 	report := func(seq uint64, names ...string) *pb.Report {
@@ -252,65 +254,65 @@
 	}
 	r := NewRoster([]string{"r", "s"}, 0)
 	if joined, left := r.Tick(known, int64(MemberGracePeriod)); len(joined)+len(left) != 0 {
-		t.Errorf("a leader without reports: %v joined, %v left", joined, left)
+		t.Errorf("new leader without reports: %v joined, %v left; want none", joined, left)
 	}
-	at := int64(MemberGracePeriod)
-	r.HandleReport("c1", "r", report(1, "a", "b"), at)
-	r.Tick(known, at)
-	r.HandleReport("c1", "r", report(2, "a"), at+1)
-	if _, left := r.Tick(known, at+2); len(left) != 0 {
-		t.Errorf("left at once: %v", left)
+	start := int64(MemberGracePeriod)
+	r.HandleReport("c1", "r", report(1, "a", "b"), start)
+	r.Tick(known, start)
+	r.HandleReport("c1", "r", report(2, "a"), start+1)
+	if _, left := r.Tick(known, start+2); len(left) != 0 {
+		t.Errorf("members left without a grace period: %v", left)
 	}
-	late := at + int64(MemberGracePeriod+ControlTimeout) + 10
+	end := start + int64(MemberGracePeriod+ControlTimeout) + 10
 	var leftAt int64
-	for now := at + int64(time.Second); now <= late; now += int64(time.Second) {
+	for now := start + int64(time.Second); now <= end; now += int64(time.Second) {
 		r.HandleReport("c1", "r", report(uint64(now), "a"), now)
 		if _, left := r.Tick(known, now); len(left) == 1 && left[0].Name == "b" && leftAt == 0 {
 			leftAt = now
 		} else if len(left) > 0 && leftAt == 0 {
-			t.Errorf("left %v, want b", left)
+			t.Errorf("members %v left, want only b", left)
 		}
 	}
-	if leftAt < at+int64(MemberGracePeriod) || leftAt > late {
-		t.Errorf("b left %v after it was reported last", time.Duration(leftAt-at))
+	if leftAt < start+int64(MemberGracePeriod) || leftAt > end {
+		t.Errorf("b left %v after its last report, outside of the grace period", time.Duration(leftAt-start))
 	}
-	r.HandleReport("c2", "r", report(1, "b"), late)
-	if joined, _ := r.Tick(map[string]Member{"a": known["a"]}, late); len(joined) != 1 || joined[0].Name != "b" {
-		t.Errorf("joined %v, want b", joined)
+	r.HandleReport("c2", "r", report(1, "b"), end)
+	if joined, _ := r.Tick(map[string]Member{"a": known["a"]}, end); len(joined) != 1 || joined[0].Name != "b" {
+		t.Errorf("members %v joined, want b", joined)
 	}
-	short := report(9, "a")
-	short.Whole, short.Joined, short.Count = false, nil, 5
-	if !r.HandleReport("c2", "r", short, late) {
-		t.Error("a report that does not add up is taken")
+	mismatched := report(9, "a")
+	mismatched.Whole, mismatched.Joined, mismatched.Count = false, nil, 5
+	if !r.HandleReport("c2", "r", mismatched, end) {
+		t.Error("report with a wrong count accepted")
 	}
 }
 
-// Two million destinations in the directory of one control member: what they take is stated, 600 MB, and checked.
+// The directory of one control member holds two million destinations in at most the stated 600 MB.
 func TestMemoryAtTheTarget(t *testing.T) {
-	const count, stated = 2_000_000, 600 << 20
+	const count, maxBytes = 2_000_000, 600 << 20
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
 	d := New()
 	list := make([]Endpoint, 0, 10000)
-	for at := uint64(0); at < count; {
-		for list = list[:0]; len(list) < cap(list); at++ {
-			list = append(list, Endpoint{ID: fmt.Sprintf("endpoint-%08d", at), Destination: at, Addr: fmt.Sprintf("10.%d.%d.%d:9000", at>>16, at>>8&255, at&255), Zone: "zone-1", Kind: "partner", Weight: 1, State: pb.EndpointState_UP})
+	for destination := uint64(0); destination < count; {
+		for list = list[:0]; len(list) < cap(list); destination++ {
+			list = append(list, Endpoint{ID: fmt.Sprintf("endpoint-%08d", destination), Destination: destination, Addr: fmt.Sprintf("10.%d.%d.%d:9000", destination>>16, destination>>8&255, destination&255), Zone: "zone-1", Kind: "partner", Weight: 1, State: pb.EndpointState_UP})
 		}
 		d.Publish(FirstVersion(1), 1, list, nil, nil)
 	}
 	runtime.GC()
 	runtime.ReadMemStats(&after)
-	took := after.HeapAlloc - before.HeapAlloc
-	t.Logf("%d endpoints: %.0f MB, %d bytes each", d.Len(), float64(took)/1e6, took/count)
-	if d.Len() != count || took > stated {
-		t.Errorf("%d endpoints take %d bytes, stated are %d", d.Len(), took, stated)
+	used := after.HeapAlloc - before.HeapAlloc
+	t.Logf("%d endpoints: %.0f MB, %d bytes each", d.Len(), float64(used)/1e6, used/count)
+	if d.Len() != count || used > maxBytes {
+		t.Errorf("%d endpoints take %d bytes, want at most %d", d.Len(), used, maxBytes)
 	}
 }
 
-// A region none of whose control members reports is cut off: its members keep their shards, however long that lasts, and
-// have the whole grace once one of its control members is heard again. They were dropped all together, and came back in
-// parts, each of which was given everything for a moment.
+// The members of a region whose control members are all silent stay for as long as that lasts, and for the whole grace
+// period after the first report of the region's return. If they were dropped, they would return one after the other,
+// and the first ones would be assigned all of the region's shards for a moment.
 func TestRosterKeepsARegionThatIsCutOff(t *testing.T) {
 	far := member("far")
 	far.Region = "s"
@@ -318,7 +320,7 @@
 	r := NewRoster([]string{"r", "s"}, 0)
 	near := NewReport(1, []Member{known["a"]}, true)
 	now := int64(0)
-	pass := func(d time.Duration, regions ...string) (gone int) {
+	simulate := func(d time.Duration, regions ...string) (departed int) {
 		for end := now + int64(d); now < end; now += int64(time.Second) {
 			for _, region := range regions {
 				report := &pb.Report{Seq: uint64(now) + 1, Whole: true}
@@ -329,22 +331,22 @@
 				r.HandleReport("control-"+region, region, report, now)
 			}
 			_, left := r.Tick(known, now)
-			gone += len(left)
+			departed += len(left)
 		}
-		return gone
+		return departed
 	}
-	if gone := pass(10*time.Minute, "r"); gone != 0 {
-		t.Errorf("%d members of a region that is cut off have left", gone)
+	if departed := simulate(10*time.Minute, "r"); departed != 0 {
+		t.Errorf("%d members of a region that is cut off left, want 0", departed)
 	}
-	if gone := pass(MemberGracePeriod-time.Second, "r", "s"); gone != 0 {
-		t.Errorf("%d members left before the grace was over, counted from the region's return", gone)
+	if departed := simulate(MemberGracePeriod-time.Second, "r", "s"); departed != 0 {
+		t.Errorf("%d members left within the grace period after the region's return, want 0", departed)
 	}
-	if gone := pass(3*time.Second, "r", "s"); gone != 1 {
-		t.Errorf("%d members have left after the grace, want 1", gone)
+	if departed := simulate(3*time.Second, "r", "s"); departed != 1 {
+		t.Errorf("%d members left after the grace period, want 1", departed)
 	}
 }
 
-// The first members of a region join together, those of one that has members at once.
+// The first members of a region join together after FirstJoinDelay. A region that has members accepts others at once.
 func TestFirstMembersOfARegionJoinTogether(t *testing.T) {
 	r := NewRoster([]string{"r"}, 0)
 	report := func(seq uint64, names ...string) {
@@ -356,7 +358,7 @@
 	}
 	report(1, "a")
 	if joined, _ := r.Tick(nil, 1); len(joined) != 0 {
-		t.Errorf("%v joined alone", joined)
+		t.Errorf("%v joined before FirstJoinDelay, want none", joined)
 	}
 	report(2, "a", "b")
 	if joined, _ := r.Tick(nil, int64(FirstJoinDelay)+2); len(joined) != 2 {
--- a/internal/fleet/directory/model_test.go
+++ b/internal/fleet/directory/model_test.go
@@ -14,18 +14,17 @@
 	"sliptide/internal/fleet/shard"
 )
 
-// The model runs control members and subscribers, the very code of the processes, on one goroutine with a clock of its
-// own, over links that lose, repeat and reorder frames and are cut, with processes that are killed, stopped and started
-// anew, and leaders that change. After every update that a subscriber takes, what it holds has to be what the leader had
-// published at that version.
+// The model runs the production code of control members and subscribers on one goroutine with a simulated clock. Links
+// lose, duplicate and reorder frames and are cut; processes are killed, paused and restarted; leaders change. After
+// every update that a subscriber applies, it must hold exactly what a leader published at that version.
 
 const (
 	modelTick             = 50 * time.Millisecond
 	modelDestinationCount = 60
-	modelShards           = 512 // the first of all: six members would else hold ten thousand each
+	modelShards           = 512 // the first of all shards: with all, each of six members would hold more than ten thousand
 )
 
-// modelDestinations are of the model's shards.
+// modelDestinations are destinations in the model's shards.
 var modelDestinations = func() (list []uint64) {
 	for d := uint64(0); len(list) < modelDestinationCount; d++ {
 		if shard.Of(d) < modelShards {
@@ -35,12 +34,13 @@
 	return list
 }()
 
-// content is what a leader had published at a version: endpoints by ID, and members by name.
+// publishedState is the directory that a leader published at a version: endpoints by ID, and members by name.
 type publishedState struct {
 	endpoints map[string]Endpoint
 	members   map[string]Member
 }
 
+// delayedFrame is a frame that is delivered at a time.
 type delayedFrame struct {
 	at       int64
 	from, to string
@@ -53,26 +53,27 @@
 	up            bool
 	dir           *Directory
 	publisher     *Publisher
-	roster        *Roster // while it leads
+	roster        *Roster // nil unless it leads
 	subscription  *Subscription
 	reportSeq     uint64
 	fullReportDue bool
-	reported      string
+	reportedNames string
 }
 
-// senderProcess is a sender in the model: what it holds, by shard.
+// senderProcess is a sender in the model.
 type senderProcess struct {
 	name         string
 	up           bool
-	pausedUntil  int64 // until
+	pausedUntil  int64
 	inbox        []delayedFrame
-	sub          *Subscription
+	subscription *Subscription
 	heldShards   map[shard.ID]map[string]Endpoint
 	servedShards map[shard.ID]bool
 	members      map[string]Member
 	lastVersion  uint64
 }
 
+// modelWorld is the state of a model run.
 type modelWorld struct {
 	t         *testing.T
 	rng       *rand.Rand
@@ -90,8 +91,8 @@
 	lastPort  int
 }
 
-func newWorld(seed uint64, guard SubscriptionCheck) *modelWorld {
-	w := &modelWorld{rng: rand.New(rand.NewPCG(seed, 11)), now: int64(time.Hour), published: map[uint64]publishedState{}, cut: map[[2]string]bool{}, disabled: guard, leader: -1}
+func newModelWorld(seed uint64, disabled SubscriptionCheck) *modelWorld {
+	w := &modelWorld{rng: rand.New(rand.NewPCG(seed, 11)), now: int64(time.Hour), published: map[uint64]publishedState{}, cut: map[[2]string]bool{}, disabled: disabled, leader: -1}
 	for i := range 3 {
 		w.controls = append(w.controls, &controlProcess{name: fmt.Sprintf("control-%d", i)})
 		w.startControl(w.controls[i])
@@ -112,12 +113,12 @@
 }
 
 func (w *modelWorld) startControl(c *controlProcess) {
-	c.up, c.dir, c.roster, c.reported, c.fullReportDue = true, New(), nil, "", true
+	c.up, c.dir, c.roster, c.reportedNames, c.fullReportDue = true, New(), nil, "", true
 	c.publisher = NewPublisher(c.dir, 2)
 	c.publisher.shardCount = modelShards
-	c.publisher.maxEntries = 3 // so that most snapshots come in parts
+	c.publisher.maxEntries = 3 // splits most snapshots into parts
 	if w.disabled&CheckVersion != 0 {
-		c.publisher.DisabledChecks = CheckNotBehind // the same guard at the other end
+		c.publisher.DisabledChecks = CheckNotBehind // the publisher's check against the same failure
 	}
 	c.subscription = NewSubscription(SubscriptionOptions{Everything: true, Rand: w.rng, DisabledChecks: w.disabled})
 	if w.leader >= 0 && w.controls[w.leader] != c {
@@ -128,11 +129,11 @@
 func (w *modelWorld) startSender(s *senderProcess) {
 	s.up, s.inbox, s.lastVersion = true, nil, 0
 	s.heldShards, s.servedShards, s.members = map[shard.ID]map[string]Endpoint{}, map[shard.ID]bool{}, map[string]Member{}
-	s.sub = NewSubscription(SubscriptionOptions{Region: "r", Zone: "z" + s.name[len(s.name)-1:], Weight: 1, Rand: w.rng, DisabledChecks: w.disabled})
-	s.sub.Connect(w.controls[w.rng.IntN(len(w.controls))].name, w.now)
+	s.subscription = NewSubscription(SubscriptionOptions{Region: "r", Zone: "z" + s.name[len(s.name)-1:], Weight: 1, Rand: w.rng, DisabledChecks: w.disabled})
+	s.subscription.Connect(w.controls[w.rng.IntN(len(w.controls))].name, w.now)
 }
 
-// elect makes a control member lead that is up.
+// elect makes a control member that is up the leader.
 func (w *modelWorld) elect(n int) {
 	if w.leader >= 0 {
 		w.controls[w.leader].roster = nil
@@ -147,33 +148,33 @@
 			other.subscription.Connect(c.name, w.now)
 		}
 	}
-	c.reported = ""
+	c.reportedNames = ""
 	w.publish(nil, nil, nil)
 }
 
 func (w *modelWorld) publish(endpoints []Endpoint, joined, left []Member) {
 	c := w.controls[w.leader]
-	change, news := c.dir.Publish(FirstVersion(w.token), c.dir.DiscoveryVersion()+uint64(min(len(endpoints), 1)), endpoints, joined, left)
-	if !news {
+	change, changed := c.dir.Publish(FirstVersion(w.token), c.dir.DiscoveryVersion()+uint64(min(len(endpoints), 1)), endpoints, joined, left)
+	if !changed {
 		return
 	}
-	now := publishedState{map[string]Endpoint{}, map[string]Member{}}
+	state := publishedState{map[string]Endpoint{}, map[string]Member{}}
 	for id := range modelShards {
 		for _, e := range c.dir.shards[id] {
-			now.endpoints[e.ID] = e
+			state.endpoints[e.ID] = e
 		}
 	}
 	for name, m := range c.dir.members {
-		now.members[name] = m
+		state.members[name] = m
 	}
-	if _, twice := w.published[change.To]; twice {
-		w.fail("version %d was published twice", change.To)
+	if _, duplicate := w.published[change.To]; duplicate {
+		w.fail("version %d published twice", change.To)
 	}
-	w.published[change.To] = now
+	w.published[change.To] = state
 	c.publisher.ApplyChange(change)
 }
 
-// churn publishes a few drawn changes of endpoints.
+// publishRandomChanges publishes a few random changes of endpoints.
 func (w *modelWorld) publishRandomChanges() {
 	var list []Endpoint
 	for range 1 + w.rng.IntN(4) {
@@ -202,6 +203,7 @@
 	}
 }
 
+// deliver delivers the frames that are due.
 func (w *modelWorld) deliver() {
 	var rest, due []delayedFrame
 	for _, f := range w.inFlight {
@@ -248,7 +250,7 @@
 	}
 }
 
-// follow takes what a control member that does not lead has learned.
+// applyToFollower applies an update to a control member that does not lead, and checks its directory.
 func (w *modelWorld) applyToFollower(c *controlProcess, a *AppliedUpdate) {
 	if a == nil {
 		return
@@ -262,36 +264,36 @@
 	}
 	want, known := w.published[c.dir.Version()]
 	if !known {
-		w.fail("%s holds version %d, which nobody published", c.name, c.dir.Version())
+		w.fail("%s holds version %d, which no leader published", c.name, c.dir.Version())
 		return
 	}
 	if len(c.dir.members) != len(want.members) {
-		w.fail("%s at %d: %d members, want %d", c.name, c.dir.Version(), len(c.dir.members), len(want.members))
+		w.fail("%s at version %d: %d members, want %d", c.name, c.dir.Version(), len(c.dir.members), len(want.members))
 	}
 	published := map[shard.ID]int{}
 	for _, e := range want.endpoints {
 		published[e.Shard()]++
 	}
 	for id := range shard.ID(modelShards) {
-		held := map[string]Endpoint{}
+		current := map[string]Endpoint{}
 		same := len(c.dir.shards[id]) == published[id]
 		for _, e := range c.dir.shards[id] {
-			held[e.ID] = e
+			current[e.ID] = e
 			same = same && want.endpoints[e.ID] == e
 		}
 		if !same {
-			w.fail("%s at %d: shard %d is %v, which is not what was published", c.name, c.dir.Version(), id, held)
+			w.fail("%s at version %d: shard %d holds %v, which differs from the published endpoints", c.name, c.dir.Version(), id, current)
 		}
 	}
 }
 
 func (w *modelWorld) deliverToSender(s *senderProcess, f delayedFrame) {
-	a := s.sub.Receive(f.from, f.frame, w.now)
+	a := s.subscription.Receive(f.from, f.frame, w.now)
 	if a == nil {
 		return
 	}
 	if a.To < s.lastVersion {
-		w.fail("%s goes back from %d to %d", s.name, s.lastVersion, a.To)
+		w.fail("%s goes back from version %d to %d", s.name, s.lastVersion, a.To)
 	}
 	s.lastVersion = a.To
 	if a.AllShards {
@@ -302,7 +304,7 @@
 	}
 	for _, e := range a.Endpoints {
 		if s.heldShards[e.Shard()] == nil {
-			w.fail("%s is told of %s, of a shard that it does not hold", s.name, e.ID)
+			w.fail("%s receives endpoint %s of a shard that it does not hold", s.name, e.ID)
 			return
 		}
 		if e.State == pb.EndpointState_REMOVED {
@@ -323,40 +325,40 @@
 	for _, id := range a.Assigned {
 		s.servedShards[id] = true
 		if s.heldShards[id] == nil {
-			w.fail("%s is to serve shard %d, of which it has no snapshot", s.name, id)
+			w.fail("%s is assigned shard %d without its snapshot", s.name, id)
 		}
 	}
-	var done []shard.ID
+	var released []shard.ID
 	for _, id := range a.Unassigned {
 		delete(s.servedShards, id)
-		if w.rng.IntN(2) == 0 { // the others are done with later
-			done = append(done, id)
+		if w.rng.IntN(2) == 0 { // the others are not released
+			released = append(released, id)
 			delete(s.heldShards, id)
 		}
 	}
-	if done != nil {
-		s.sub.Release(done)
+	if released != nil {
+		s.subscription.Release(released)
 	}
 	w.checkSender(s)
 }
 
-// judge holds what a sender has against what was published at its version.
+// checkSender compares the endpoints of a sender with those published at its version.
 func (w *modelWorld) checkSender(s *senderProcess) {
-	want, known := w.published[s.sub.Version()]
+	want, known := w.published[s.subscription.Version()]
 	if !known {
-		w.fail("%s holds version %d, which nobody published", s.name, s.sub.Version())
+		w.fail("%s holds version %d, which no leader published", s.name, s.subscription.Version())
 		return
 	}
 	for _, held := range s.heldShards {
 		for key, e := range held {
 			if want.endpoints[key] != e {
-				w.fail("%s at %d holds %+v, published was %+v", s.name, s.sub.Version(), e, want.endpoints[key])
+				w.fail("%s at version %d holds %+v, published: %+v", s.name, s.subscription.Version(), e, want.endpoints[key])
 			}
 		}
 	}
 	for key, e := range want.endpoints {
 		if held := s.heldShards[e.Shard()]; held != nil && held[key] != e {
-			w.fail("%s at %d lacks %+v", s.name, s.sub.Version(), e)
+			w.fail("%s at version %d lacks %+v", s.name, s.subscription.Version(), e)
 		}
 	}
 }
@@ -394,10 +396,10 @@
 		for _, f := range inbox {
 			w.deliverToSender(s, f)
 		}
-		if s.sub.Tick(w.now); s.sub.ShouldReconnect() {
-			s.sub.Connect(w.controls[w.rng.IntN(len(w.controls))].name, w.now)
+		if s.subscription.Tick(w.now); s.subscription.ShouldReconnect() {
+			s.subscription.Connect(w.controls[w.rng.IntN(len(w.controls))].name, w.now)
 		}
-		for _, o := range s.sub.TakeFrames() {
+		for _, o := range s.subscription.TakeFrames() {
 			w.send(s.name, o.To, o.Frame)
 		}
 	}
@@ -407,17 +409,17 @@
 	members := c.publisher.Subscribers()
 	names := fmt.Sprint(members)
 	c.reportSeq++
-	r := NewReport(c.reportSeq, members, c.fullReportDue || names != c.reported)
-	c.reported, c.fullReportDue = names, false
+	r := NewReport(c.reportSeq, members, c.fullReportDue || names != c.reportedNames)
+	c.reportedNames, c.fullReportDue = names, false
 	w.send(c.name, w.controls[w.leader].name, &pb.Frame{What: &pb.Frame_Report{Report: r}})
 }
 
-// fault makes something go wrong, for a while.
+// injectFault starts or ends a random fault.
 func (w *modelWorld) injectFault() {
 	i, j := w.rng.IntN(len(w.controls)), w.rng.IntN(len(w.senders))
 	c, s := w.controls[i], w.senders[j]
 	switch w.rng.IntN(7) {
-	case 0: // a control member is killed, and is back later; if it led, another one leads
+	case 0: // a control member is killed until case 1 or heal restarts it; if it is the leader, another one is elected
 		if c.up && w.upControls() > 1 {
 			c.up = false
 			if i == w.leader {
@@ -434,7 +436,7 @@
 		if !c.up {
 			w.startControl(c)
 		}
-	case 2: // another one leads, with what it knows, while the one before goes on as a follower
+	case 2: // another control member is elected with the directory that it has, and the previous leader follows it
 		if c.up && c.dir.Version() > 0 {
 			w.elect(i)
 		}
@@ -493,16 +495,17 @@
 	}
 }
 
-// settled checks that every sender knows the latest version and that all shards are served by as many as they should.
+// checkConverged checks that every sender is at the latest version and knows all members, and that each shard is served
+// by as many members as configured.
 func (w *modelWorld) checkConverged() {
-	for range 10 { // heartbeats tell the version
+	for range 10 { // heartbeats carry the version
 		w.tick()
 	}
-	lead := w.controls[w.leader]
+	leader := w.controls[w.leader]
 	served := map[shard.ID]int{}
 	for _, s := range w.senders {
-		if s.lastVersion != lead.dir.Version() {
-			w.fail("%s is at %d, the leader at %d", s.name, s.lastVersion, lead.dir.Version())
+		if s.lastVersion != leader.dir.Version() {
+			w.fail("%s is at version %d, the leader at %d", s.name, s.lastVersion, leader.dir.Version())
 		}
 		if len(s.members) != len(w.senders) {
 			w.fail("%s knows %d members of %d", s.name, len(s.members), len(w.senders))
@@ -522,14 +525,14 @@
 	for seed := range uint64(schedules()) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			w := newWorld(seed, 0)
+			w := newModelWorld(seed, 0)
 			w.t = t
 			w.run(3*time.Second, false)
 			w.run(40*time.Second, true)
 			w.heal()
 			w.run(14*time.Second, false)
 			for range 30 {
-				w.tick() // calm: nothing is published
+				w.tick() // without new changes
 			}
 			w.checkConverged()
 			if w.violation != "" {
@@ -539,28 +542,28 @@
 	}
 }
 
-// Each guard of a subscription taken out is found by some schedule.
+// Each safety check of a subscription matters: without it, some schedule of faults leads to a violation.
 func TestGuards(t *testing.T) {
-	for name, guard := range map[string]SubscriptionCheck{"gap": CheckGap, "part": CheckPart, "version": CheckVersion} {
+	for name, check := range map[string]SubscriptionCheck{"gap": CheckGap, "part": CheckPart, "version": CheckVersion} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			for seed := range uint64(60) {
-				w := newWorld(seed, guard)
+				w := newModelWorld(seed, check)
 				w.t = t
 				w.run(2*time.Second, false)
 				w.loss = 0.2
 				w.run(25*time.Second, true)
 				if w.violation != "" {
-					t.Logf("found by schedule %d: %s", seed, w.violation)
+					t.Logf("violation in schedule %d: %s", seed, w.violation)
 					return
 				}
 			}
-			t.Error("no schedule of 60 finds that the guard is out")
+			t.Error("none of 60 schedules detects that the check is disabled")
 		})
 	}
 }
 
-// schedules is how many schedules of faults are played; SLIPTIDE_SCHEDULES sets it.
+// schedules returns the number of schedules of faults to run, which SLIPTIDE_SCHEDULES sets.
 func schedules() int {
 	if n, err := strconv.Atoi(os.Getenv("SLIPTIDE_SCHEDULES")); err == nil {
 		return n
--- a/internal/fleet/directory/publisher.go
+++ b/internal/fleet/directory/publisher.go
@@ -23,8 +23,8 @@
 	Frame *pb.Frame
 }
 
-// subscriber is the publisher's state of one subscription. It has no queue of updates: scannedVersion is the position in
-// the change log up to which changes have been sent, and pendingSnapshots lists the shards still to be sent in full.
+// subscriber is the publisher's state of one subscription. It has no queue of updates: scannedVersion is the position
+// in the change log up to which changes have been sent, and pendingSnapshots lists the shards still to be sent in full.
 type subscriber struct {
 	Member
 	id                 uint64
@@ -37,7 +37,7 @@
 	version            uint64              // last version sent in a complete update
 	scannedVersion     uint64              // the log up to here holds nothing more for the subscriber
 	heldShards         map[shard.ID]bool   // shards that the subscriber holds or is being sent
-	servedShards       map[shard.ID]bool   // shards that it was told to serve in this subscription
+	servedShards       map[shard.ID]bool   // shards that have been assigned to it in this subscription
 	assignmentCompared bool                // servedShards has been compared with the table
 	pendingSnapshots   []shard.ID          // shards whose snapshots are still to be sent
 	fullSnapshot       bool                // the next update replaces all shards and members that the subscriber holds
@@ -47,15 +47,15 @@
 	pendingUnassigned  map[shard.ID]bool
 }
 
-// Publisher sends a directory to subscribers. Each update takes a subscriber from one version to a later one, completely
-// or not at all.
+// Publisher sends a directory to subscribers. Each update takes a subscriber from one version to a later one,
+// completely or not at all.
 type Publisher struct {
 	// DisabledChecks disables safety checks in tests that verify that their absence is detected.
 	DisabledChecks PublisherCheck
 
 	dir              *Directory
 	replicas         int
-	maxEntries       int // most entries of one update
+	maxEntries       int // maximum number of entries of one update
 	shardCount       int
 	now              int64
 	outbox           []OutFrame
@@ -71,7 +71,8 @@
 // CheckNotBehind refuses subscribers that hold a later version than this control member.
 const CheckNotBehind PublisherCheck = 1 << iota
 
-// NewPublisher returns a publisher of a directory that assigns each shard to the given number of replicas in each region.
+// NewPublisher returns a publisher of a directory that assigns each shard to the given number of replicas in each
+// region.
 func NewPublisher(dir *Directory, replicas int) *Publisher {
 	return &Publisher{dir: dir, replicas: replicas, maxEntries: maxUpdateEntries, shardCount: shard.Count, subscribers: map[string]*subscriber{}, shardSubscribers: map[shard.ID]map[*subscriber]bool{},
 		tables: map[string]*shard.Table{}, dirty: map[*subscriber]bool{}}
--- a/internal/fleet/directory/roster.go
+++ b/internal/fleet/directory/roster.go
@@ -15,8 +15,8 @@
 	// ControlTimeout is the time after which a control member that does not report counts as lost, together with the
 	// members that have subscribed there, until they subscribe elsewhere.
 	ControlTimeout = 4 * time.Second
-	// MemberGracePeriod is how long a member that no control member reports keeps its shards, so that a restart in place
-	// or a change to another control member moves no shards.
+	// MemberGracePeriod is how long a member that no control member reports keeps its shards, so that a restart in
+	// place or a change to another control member moves no shards.
 	MemberGracePeriod = 6 * time.Second
 	// FirstJoinDelay is how long the first members of a region wait for others that start at the same time. Otherwise a
 	// single member would be assigned all of its region's shards for a moment.
@@ -53,8 +53,8 @@
 	nameHashSum uint64
 }
 
-// Roster is the leader's record of the members that have subscribed at each control member. It decides which members join
-// and leave the directory.
+// Roster is the leader's record of the members that have subscribed at each control member. It decides which members
+// join and leave the directory.
 type Roster struct {
 	controlRegions  map[string]bool // regions that have control members
 	reporters       map[string]*reporter
@@ -72,8 +72,9 @@
 	return &Roster{controlRegions: controlRegions, reporters: map[string]*reporter{}, unreportedSince: map[string]int64{}, firstReportedAt: map[string]int64{}, leadingSince: now}
 }
 
-// HandleReport handles a report of a control member of a region, and returns whether all members are to be reported again.
-func (r *Roster) HandleReport(from, region string, report *pb.Report, now int64) (again bool) {
+// HandleReport handles a report of a control member of a region, and returns whether all members are to be reported
+// again.
+func (r *Roster) HandleReport(from, region string, report *pb.Report, now int64) (fullReport bool) {
 	c := r.reporters[from]
 	if c == nil {
 		c = &reporter{region: region}
--- a/internal/fleet/directory/serve.go
+++ b/internal/fleet/directory/serve.go
@@ -55,9 +55,9 @@
 	p.outbox = append(p.outbox, OutFrame{s.Name, &pb.Frame{What: &pb.Frame_Update{Update: u}}})
 }
 
-// sendSnapshots sends the next part of an update that carries the pending snapshots of a subscriber. Each shard's snapshot
-// is taken when it is sent. The update ends with all changes since its start that the snapshots do not contain, so that
-// the subscriber then holds exactly what was published at one version.
+// sendSnapshots sends the next part of an update that carries the pending snapshots of a subscriber. Each shard's
+// snapshot is taken when it is sent. The update ends with all changes since its start that the snapshots do not
+// contain, so that the subscriber then holds exactly what was published at one version.
 func (p *Publisher) sendSnapshots(s *subscriber) {
 	u := &pb.Update{From: s.version, To: s.version, Source: p.dir.DiscoveryVersion()}
 	entries := 0
@@ -104,8 +104,8 @@
 	return len(u.Members)
 }
 
-// addChanges adds changes that a subscriber has not been sent, at least one, until the update is full; used is the number
-// of entries that it has already. complete is false if the log does not reach back far enough.
+// addChanges adds changes that a subscriber has not been sent, at least one, until the update is full; used is the
+// number of entries that it has already. complete is false if the log does not reach back far enough.
 func (p *Publisher) addChanges(s *subscriber, u *pb.Update, used int) (entries int, complete bool) {
 	changes, complete := p.dir.ChangesSince(s.scannedVersion)
 	for i := range changes {
@@ -135,8 +135,8 @@
 	clear(s.pendingUnassigned)
 }
 
-// sendChanges sends the changes that the log holds for a subscriber, and reports whether there were any. A subscriber so
-// slow that the log no longer reaches back to its version gets a full snapshot instead.
+// sendChanges sends the changes that the log holds for a subscriber, and reports whether there were any. A subscriber
+// so slow that the log no longer reaches back to its version gets a full snapshot instead.
 func (p *Publisher) sendChanges(s *subscriber) bool {
 	u := &pb.Update{From: s.version, Source: p.dir.DiscoveryVersion()}
 	entries, complete := p.addChanges(s, u, 0)
--- a/internal/fleet/directory/subscription.go
+++ b/internal/fleet/directory/subscription.go
@@ -69,7 +69,8 @@
 	live           bool // an update has been received in this subscription
 	tries          int
 	unsentReleases []shard.ID
-	// awaitingSnapshot holds shards that were assigned after their release: they are served once their snapshot is here.
+	// awaitingSnapshot holds shards that were assigned after their release: they are served once their snapshot is
+	// here.
 	awaitingSnapshot map[shard.ID]bool
 	ackNumber        uint64
 	serverFailed     bool // the server does not serve: another one is to be tried
@@ -88,8 +89,8 @@
 	return s.live && now-s.updatedAt <= int64(silenceTimeout)
 }
 
-// HoldShards makes a subscription request shards regardless of their assignment, because an earlier run of the sender left
-// messages for them. It must be called before the first Connect.
+// HoldShards makes a subscription request shards regardless of their assignment, because an earlier run of the sender
+// left messages for them. It must be called before the first Connect.
 func (s *Subscription) HoldShards(ids []shard.ID) {
 	for _, id := range ids {
 		s.shards[id] = true
@@ -112,7 +113,8 @@
 	s.sendSubscribe()
 }
 
-// ShouldReconnect reports whether the server does not serve and the retry pause is over, so that another is to be tried.
+// ShouldReconnect reports whether the server does not serve and the retry pause is over, so that another is to be
+// tried.
 func (s *Subscription) ShouldReconnect() bool {
 	return s.serverFailed && s.now-s.subscribedAt >= s.retryPause()
 }
@@ -165,8 +167,8 @@
 	s.sendSubscribe()
 }
 
-// retryPause returns the time between two tries. It doubles with each try, with jitter so that subscribers do not retry in
-// step.
+// retryPause returns the time between two tries. It doubles with each try, with jitter so that subscribers do not retry
+// in step.
 func (s *Subscription) retryPause() int64 {
 	full := min(int64(minRetryPause)<<min(s.tries, 10), int64(maxRetryPause))
 	return full/2 + int64(s.id*0x9e3779b97f4a7c15>>33)%(full/2+1)
--- a/internal/fleet/shard/shard.go
+++ b/internal/fleet/shard/shard.go
@@ -1,8 +1,8 @@
 // Package shard assigns destinations to the members that serve them. A destination hashes to one of a fixed number of
 // shards, and each shard to a few replicas among a region's members by weighted rendezvous hashing (Thaler and
-// Ravishankar, 1998; weights after Schindelhauer and Schomaker, 2005), spread over the region's zones. Every process that
-// knows the same members finds the same replicas. A member that joins or leaves moves its own shards and no others, unless
-// a zone becomes too small to be spread over, or ceases to be.
+// Ravishankar, 1998; weights after Schindelhauer and Schomaker, 2005), spread over the region's zones. Every process
+// that knows the same members finds the same replicas. A member that joins or leaves moves its own shards and no
+// others, unless a zone becomes too small to be spread over, or ceases to be.
 //
 // The package is deterministic: no clock, no I/O, no randomness.
 package shard
@@ -60,8 +60,8 @@
 }
 
 // cost returns the member's cost of a shard, given its uniform hash; the members with the lowest costs are the shard's
-// replicas. Costs are distributed exponentially with the member's weight as rate, so that each member has the lowest cost
-// for a part of the shards in proportion to its weight.
+// replicas. Costs are distributed exponentially with the member's weight as rate, so that each member has the lowest
+// cost for a part of the shards in proportion to its weight.
 func (c *candidate) cost(uniform float64) float64 { return -math.Log(uniform) / c.weight }
 
 // memberCost is the cost of a shard at one member.
@@ -78,7 +78,8 @@
 	return memberCost{index: index, uniform: uniform, cost: c.cost(uniform)}
 }
 
-// compareCosts compares by cost; costs that are equal, such as by rounding, by uniform hash (higher first), then by name.
+// compareCosts compares by cost; costs that are equal, such as by rounding, by uniform hash (higher first), then by
+// name.
 func (t *Table) compareCosts(x, y memberCost) int {
 	return cmp.Or(cmp.Compare(x.cost, y.cost), cmp.Compare(y.uniform, x.uniform), cmp.Compare(t.members[x.index].Name, t.members[y.index].Name))
 }
--- a/internal/fleet/shard/shard_test.go
+++ b/internal/fleet/shard/shard_test.go
@@ -15,7 +15,7 @@
 	return list
 }
 
-// fewShards keep the tests short; what they check holds shard by shard.
+// testShards is a part of all shards that keeps tests short; the properties that they check hold shard by shard.
 const testShards = 4096
 
 func newTestTable(replicas int, list []Member) *Table {
@@ -24,58 +24,59 @@
 	return t
 }
 
-// check holds a table against what defines it: each shard has as many replicas as there can be, of different members,
-// in different zones as far as zones are not thin, and what a member is said to serve is what shards say.
+// checkTable checks the invariants of a table: each shard has as many replicas as there can be, on different members,
+// in as many zones that are not underweight as possible, and the shards of each member are those of which it is a
+// replica.
 func checkTable(t *testing.T, table *Table) {
 	t.Helper()
 	served := map[string]int{}
-	fat := 0
+	fullZones := 0
 	for _, z := range table.zones {
 		if !z.underweight {
-			fat++
+			fullZones++
 		}
 	}
 	for id := range ID(len(table.shardReplicas)) {
 		names := table.Replicas(id)
 		if len(names) != min(table.replicas, table.Len()) {
-			t.Fatalf("shard %d has replicas %v of %d members", id, names, table.Len())
+			t.Fatalf("shard %d has replicas %v, with %d members", id, names, table.Len())
 		}
 		zones := map[string]bool{}
 		for _, name := range names {
 			if !table.Serves(name, id) {
-				t.Fatalf("shard %d: %s is a replica and does not serve it", id, name)
+				t.Fatalf("shard %d: replica %s does not serve it", id, name)
 			}
 			served[name]++
 			zones[table.members[table.indexes[name]].Zone] = true
 		}
-		if len(zones) < min(len(names), fat) {
-			t.Fatalf("shard %d: replicas %v in %d zones of %d", id, names, len(zones), fat)
+		if len(zones) < min(len(names), fullZones) {
+			t.Fatalf("shard %d: replicas %v in %d zones, of %d that are not underweight", id, names, len(zones), fullZones)
 		}
 		if len(slices.Compact(slices.Sorted(slices.Values(names)))) != len(names) {
-			t.Fatalf("shard %d: a member stands twice in %v", id, names)
+			t.Fatalf("shard %d: duplicate member in replicas %v", id, names)
 		}
 	}
 	for name := range table.indexes {
 		if len(table.Shards(name)) != served[name] {
-			t.Fatalf("%s serves %d shards, replicas say %d", name, len(table.Shards(name)), served[name])
+			t.Fatalf("%s serves %d shards, and is a replica of %d", name, len(table.Shards(name)), served[name])
 		}
 	}
 }
 
-// All of a fleet's destinations fall on shards evenly, and always on the same.
+// Destinations are distributed evenly over shards.
 func TestDestinationsSpreadOverShards(t *testing.T) {
 	const destinations = 2_000_000
 	counts := make([]int, Count)
 	for d := range uint64(destinations) {
 		counts[Of(d)]++
 	}
-	if most := slices.Max(counts); most > 3*destinations/Count {
-		t.Errorf("a shard has %d destinations, the mean is %d", most, destinations/Count)
+	if highest := slices.Max(counts); highest > 3*destinations/Count {
+		t.Errorf("a shard has %d destinations, the mean is %d", highest, destinations/Count)
 	}
 }
 
-// Members that come and go, several at once, in zones that appear, thin out and vanish: the table is always that of the
-// members who are there, whatever way it came about. What moves is told, all of it and nothing else.
+// Members join, leave and change, several at once, in zones that appear, shrink and vanish: the table depends on the
+// present members alone, not on its history, and Update reports every shard whose replicas changed.
 func TestUpdateEqualsRebuild(t *testing.T) {
 	rng := rand.New(rand.NewPCG(5, 6))
 	for replicas := 1; replicas <= 3; replicas++ {
@@ -83,26 +84,26 @@
 		for i := range all {
 			all[i].Weight = uint32(1 + rng.IntN(3))
 		}
-		table, there := NewTableWithShards(replicas, testShards), map[string]Member{}
+		table, present := NewTableWithShards(replicas, testShards), map[string]Member{}
 		for step := range 25 {
 			var joined []Member
 			var left []string
 			for _, m := range all {
 				chance := 0.15
 				if m.Zone == "zone-2" && step > 8 && step < 16 {
-					chance = 0.6 // a zone goes, and comes back
+					chance = 0.6 // zone-2 nearly vanishes, and returns
 				}
-				switch _, here := there[m.Name]; {
-				case here && rng.Float64() < chance*0.7:
+				switch _, joinedAlready := present[m.Name]; {
+				case joinedAlready && rng.Float64() < chance*0.7:
 					left = append(left, m.Name)
-					delete(there, m.Name)
-				case here && rng.Float64() < 0.03:
+					delete(present, m.Name)
+				case joinedAlready && rng.Float64() < 0.03:
 					m.Weight++
 					joined = append(joined, m)
-					there[m.Name] = m
-				case !here && rng.Float64() < 0.3:
+					present[m.Name] = m
+				case !joinedAlready && rng.Float64() < 0.3:
 					joined = append(joined, m)
-					there[m.Name] = m
+					present[m.Name] = m
 				}
 			}
 			before := make([][]string, testShards)
@@ -111,22 +112,22 @@
 			}
 			moved := table.Update(joined, left)
 			var list []Member
-			for _, m := range there {
+			for _, m := range present {
 				list = append(list, m)
 			}
-			anew := newTestTable(replicas, list)
+			rebuilt := newTestTable(replicas, list)
 			locator := NewLocator(replicas)
 			locator.Update(list, nil)
 			for id := range ID(len(table.shardReplicas)) {
-				if got, want := table.Replicas(id), anew.Replicas(id); !slices.Equal(got, want) {
-					t.Fatalf("replicas %d, step %d, shard %d: %v, built anew %v", replicas, step, id, got, want)
+				if got, want := table.Replicas(id), rebuilt.Replicas(id); !slices.Equal(got, want) {
+					t.Fatalf("replicas %d, step %d, shard %d: %v, in a rebuilt table %v", replicas, step, id, got, want)
 				}
-				if id%64 == 0 && !slices.Equal(locator.Replicas(id), anew.Replicas(id)) {
-					t.Fatalf("shard %d: the locator says %v, the table %v", id, locator.Replicas(id), anew.Replicas(id))
+				if id%64 == 0 && !slices.Equal(locator.Replicas(id), rebuilt.Replicas(id)) {
+					t.Fatalf("shard %d: locator returns %v, table %v", id, locator.Replicas(id), rebuilt.Replicas(id))
 				}
-				_, told := slices.BinarySearch(moved, id)
-				if changed := !slices.Equal(before[id], table.Replicas(id)); changed && !told {
-					t.Fatalf("replicas %d, step %d, shard %d: moved from %v to %v and not told", replicas, step, id, before[id], table.Replicas(id))
+				_, reported := slices.BinarySearch(moved, id)
+				if changed := !slices.Equal(before[id], table.Replicas(id)); changed && !reported {
+					t.Fatalf("replicas %d, step %d, shard %d: moved from %v to %v without being reported", replicas, step, id, before[id], table.Replicas(id))
 				}
 			}
 			checkTable(t, table)
@@ -134,81 +135,82 @@
 	}
 }
 
-// A member that leaves moves the shards that it served and no others, and its return moves just these back.
-func TestAMemberMovesItsOwnShardsAlone(t *testing.T) {
+// A member that leaves moves the shards that it served and no others, and its return moves exactly these back.
+func TestMemberMovesOnlyItsOwnShards(t *testing.T) {
 	list := members(300, 3)
 	table := newTestTable(2, list)
-	for _, gone := range []int{0, 7, 150, 299} {
-		own := table.Shards(list[gone].Name)
+	for _, leaving := range []int{0, 7, 150, 299} {
+		served := table.Shards(list[leaving].Name)
 		before := make([][]string, testShards)
 		for id := range before {
 			before[id] = table.Replicas(ID(id))
 		}
-		if moved := table.Update(nil, []string{list[gone].Name}); !slices.Equal(moved, own) {
-			t.Errorf("%s leaves: %d shards move, it served %d", list[gone].Name, len(moved), len(own))
+		if moved := table.Update(nil, []string{list[leaving].Name}); !slices.Equal(moved, served) {
+			t.Errorf("%s left: %d shards moved, it served %d", list[leaving].Name, len(moved), len(served))
 		}
-		for _, id := range own { // the other replica stays
-			stays := slices.DeleteFunc(slices.Clone(before[id]), func(name string) bool { return name == list[gone].Name })
-			if !slices.Contains(table.Replicas(id), stays[0]) {
-				t.Errorf("shard %d: %v, then %v", id, before[id], table.Replicas(id))
+		for _, id := range served { // the other replica stays
+			remaining := slices.DeleteFunc(slices.Clone(before[id]), func(name string) bool { return name == list[leaving].Name })
+			if !slices.Contains(table.Replicas(id), remaining[0]) {
+				t.Errorf("shard %d lost its other replica: %v before, %v after", id, before[id], table.Replicas(id))
 			}
 		}
-		if moved := table.Update(list[gone:gone+1], nil); !slices.Equal(moved, own) {
-			t.Errorf("%s is back: %d shards move, it served %d", list[gone].Name, len(moved), len(own))
+		if moved := table.Update(list[leaving:leaving+1], nil); !slices.Equal(moved, served) {
+			t.Errorf("%s returned: %d shards moved, it served %d", list[leaving].Name, len(moved), len(served))
 		}
 		for id := range before {
 			if !reflect.DeepEqual(before[id], table.Replicas(ID(id))) {
-				t.Fatalf("shard %d: %v before, %v after a leave and a return", id, before[id], table.Replicas(ID(id)))
+				t.Fatalf("shard %d: %v before, %v after the member left and returned", id, before[id], table.Replicas(ID(id)))
 			}
 		}
 	}
 }
 
-// Of a zone that is lost and comes back by one member at a time, the first ones back get their share and no more: spread
-// over zones without a bound, the first one would serve every shard of its region.
-func TestFirstMemberOfAZoneIsNotGivenEverything(t *testing.T) {
+// A zone is lost and returns one member at a time: none of its members gets far more than its share of shards. If
+// shards were spread over underweight zones, the first member back would serve every shard of its region.
+func TestFirstMembersOfReturningZoneAreNotOverloaded(t *testing.T) {
 	list := members(200, 2)
-	var here, away []Member
+	var firstZone, secondZone []Member
 	for _, m := range list {
 		if m.Zone == "zone-0" {
-			here = append(here, m)
+			firstZone = append(firstZone, m)
 		} else {
-			away = append(away, m)
+			secondZone = append(secondZone, m)
 		}
 	}
-	table := newTestTable(2, here)
-	for i := range away {
-		table.Update(away[i:i+1], nil)
+	table := newTestTable(2, firstZone)
+	for i := range secondZone {
+		table.Update(secondZone[i:i+1], nil)
 		mean := 2 * testShards / table.Len()
-		for _, m := range away[:i+1] {
+		for _, m := range secondZone[:i+1] {
 			if n := len(table.Shards(m.Name)); n > 6*mean {
-				t.Fatalf("%d of %d are back: one serves %d shards, the mean is %d", i+1, len(away), n, mean)
+				t.Fatalf("%d of %d members returned: one serves %d shards, the mean is %d", i+1, len(secondZone), n, mean)
 			}
 		}
 	}
 	checkTable(t, table)
 }
 
-// The fullest member of a region at the target's size: 14,000 members in five regions, 13 zones, two replicas. Stated:
-// it serves at most 1.8 times the mean. Members of the smaller of a region's zones get more, which is part of it.
+// The target has 14,000 members in five regions, 13 zones and two replicas. The member of a region with the most shards
+// serves at most 1.8 times the mean, the stated bound. This includes that members of a region's smaller zones serve
+// more.
 func TestFullestMemberAtTheTarget(t *testing.T) {
 	const perRegion, replicas, factor = 14000 / 5, 2, 1.8
 	for _, zones := range []int{2, 3} {
 		table := NewTable(replicas)
 		table.Update(members(perRegion, zones), nil)
-		most := 0
+		highest := 0
 		for name := range table.indexes {
-			most = max(most, len(table.Shards(name)))
+			highest = max(highest, len(table.Shards(name)))
 		}
 		mean := float64(replicas*Count) / perRegion
-		t.Logf("%d members in %d zones: mean %.1f shards, the fullest %d (%.2f times)", perRegion, zones, mean, most, float64(most)/mean)
-		if float64(most) > factor*mean {
-			t.Errorf("the fullest member serves %d shards, the mean is %.1f", most, mean)
+		t.Logf("%d members in %d zones: mean %.1f shards, the fullest %d (%.2f times)", perRegion, zones, mean, highest, float64(highest)/mean)
+		if float64(highest) > factor*mean {
+			t.Errorf("the fullest member serves %d shards, the mean is %.1f", highest, mean)
 		}
 	}
 }
 
-// Weights count: a member of weight 3 serves about three times what one of weight 1 does.
+// A member of weight 3 serves about three times as many shards as one of weight 1.
 func TestWeights(t *testing.T) {
 	list := members(60, 3)
 	for i := range list {
@@ -224,7 +226,7 @@
 	}
 }
 
-// What all members of all versions have to agree on does not change by accident.
+// All members of all versions must agree on the assignment: it must not change between versions.
 func TestAssignmentIsPinned(t *testing.T) {
 	table := newTestTable(2, members(10, 2))
 	got := fmt.Sprint(Of(0), Of(1), Of(1_999_999), table.Replicas(0), table.Replicas(4000))
--- a/internal/fleet/shard/table.go
+++ b/internal/fleet/shard/table.go
@@ -50,8 +50,8 @@
 // Has reports whether the table contains a member.
 func (t *Table) Has(name string) bool { _, found := t.indexes[name]; return found }
 
-// Replicas returns the members that serve a shard, the first choice first. They are fewer than configured if there are too
-// few members.
+// Replicas returns the members that serve a shard, the first choice first. They are fewer than configured if there are
+// too few members.
 func (t *Table) Replicas(id ID) []string {
 	var names []string
 	for _, index := range t.shardReplicas[id] {
@@ -83,7 +83,8 @@
 }
 
 // Update applies members that joined, or whose zone or weight changed, and names of members that left. It returns the
-// shards whose replicas changed, in ascending order.
+// shards whose replicas changed, in ascending order. Shards of a member whose zone or weight changed are included even
+// if they keep their replicas.
 func (t *Table) Update(joined []Member, left []string) []ID {
 	moved := map[ID]bool{}
 	zonesBefore := t.zoneStates()
@@ -190,8 +191,9 @@
 	return lost
 }
 
-// markUnderweightZones marks zones with less than half of an even share of the region's weight. Shards are not spread over
-// them: otherwise the last member of a zone, or the first that is back, would get a replica of every shard of the region.
+// markUnderweightZones marks zones with less than half of an even share of the region's weight. Shards are not spread
+// over them: otherwise the last member of a zone, or the first that is back, would get a replica of every shard of the
+// region.
 func (t *Table) markUnderweightZones() {
 	total := 0.0
 	for _, z := range t.zones {
--- a/internal/sharding/view.go
+++ b/internal/sharding/view.go
@@ -40,8 +40,8 @@
 
 // Len returns the number of known endpoints.
 func (v *View) Len() (n int) {
-	for _, held := range v.shards {
-		n += len(held)
+	for _, endpoints := range v.shards {
+		n += len(endpoints)
 	}
 	return n
 }
@@ -77,15 +77,15 @@
 	for i := range a.Endpoints {
 		listed[a.Endpoints[i].ID] = true
 	}
-	for id, held := range v.shards {
+	for id, endpoints := range v.shards {
 		if !replaced[id] && !a.AllShards {
 			continue
 		}
-		for name, e := range held {
+		for name, e := range endpoints {
 			if !listed[name] {
 				e.State = policy.Gone
 				u.Endpoints = append(u.Endpoints, e)
-				delete(held, name)
+				delete(endpoints, name)
 			}
 		}
 	}
