--- a/cmd/sliptide/fleet_test.go
+++ b/cmd/sliptide/fleet_test.go
@@ -444,7 +444,7 @@
 	r.config["name"] = "n1"
 	r.launch()
 	r.await(r.exited, "the program ends")
-	if s := r.logs.String(); !strings.Contains(s, `it is of \"n2\", this is \"n1\"`) && !strings.Contains(s, `it is of "n2", this is "n1"`) {
+	if s := r.logs.String(); !strings.Contains(s, `written by \"n2\", opened by \"n1\"`) && !strings.Contains(s, `written by "n2", opened by "n1"`) {
 		t.Errorf("log:\n%s", s)
 	}
 	r.config["name"] = "n9"
--- a/internal/fleet/procs_test.go
+++ b/internal/fleet/procs_test.go
@@ -495,7 +495,7 @@
 	if err := open("a"); err != nil {
 		t.Fatal(err)
 	}
-	if err := open("b"); err == nil || !strings.Contains(err.Error(), `of "a", this is "b"`) {
+	if err := open("b"); err == nil || !strings.Contains(err.Error(), `written by "a", opened by "b"`) {
 		t.Errorf("error %v", err)
 	}
 }
