--- a/internal/fleet/copies/clocks.go
+++ b/internal/fleet/copies/clocks.go
@@ -5,39 +5,42 @@
 	"time"
 )
 
-// Deadlines in a journal go by its owner's clock, and machines' clocks disagree. So each batch tells the owner's clock
-// when it was sent, a holder reckons from its own monotonic clock what the owner's shows now, and tells the heir, which
-// moves the deadlines to its own clock. No two wall clocks are ever compared.
+// Deadlines in a journal are times of its owner's clock, and the clocks of machines disagree. Therefore each batch
+// carries the reading of the owner's clock when it was sent. A holder estimates the current reading from its own
+// monotonic clock and reports it to the successor, which converts the deadlines to its own clock. No two wall clocks
+// are ever compared.
 
-// windowFor is how long the quickest batch counts: clocks drift apart by a hundredth of a millisecond in it, and one
-// batch of it has come without waiting.
-const windowFor = int64(10 * time.Second)
+// estimateWindow is how long the fastest batch determines an estimate. Clocks drift apart by about 0.01 ms in that
+// time, and it is long enough for at least one batch to arrive without queueing.
+const estimateWindow = int64(10 * time.Second)
 
-// unknown is a reckoning's difference where nothing was heard yet.
-const unknown = math.MinInt64
+// unknownOffset is the offset of a window without a reading.
+const unknownOffset = math.MinInt64
 
-// Reckoning is by how much another member's clock, in Unix milliseconds, is ahead of this one's monotonic clock. A
-// batch takes some time to come, so it tells too little: what the quickest of late says is taken. The zero value is
-// not ready: see NewReckoning.
+// ClockEstimate estimates the offset of another member's clock, in Unix milliseconds, from this member's monotonic
+// clock. The transfer time of a batch makes its reading too low, so the highest offset of the current and the previous
+// window counts: that of the fastest batch. The zero value is not usable: see NewClockEstimate.
 type ClockEstimate struct {
-	best   int64 // of this window, in milliseconds
-	before int64 // of the window before it
-	since  int64 // when this window began, in nanoseconds
+	best         int64 // in this window, in milliseconds
+	previousBest int64 // in the window before
+	windowStart  int64 // in nanoseconds
 }
 
-// NewReckoning returns one that has heard nothing.
-func NewClockEstimate() ClockEstimate { return ClockEstimate{best: unknown, before: unknown} }
+// NewClockEstimate returns an estimate without readings.
+func NewClockEstimate() ClockEstimate {
+	return ClockEstimate{best: unknownOffset, previousBest: unknownOffset}
+}
 
-// Heard takes the other's clock, as it was told in something that comes at now.
-func (r *ClockEstimate) Observe(now, clock int64) {
-	if now-r.since > windowFor {
-		r.before, r.best, r.since = r.best, unknown, now
+// Observe records a reading of the other member's clock that arrives at now.
+func (e *ClockEstimate) Observe(now, clock int64) {
+	if now-e.windowStart > estimateWindow {
+		e.previousBest, e.best, e.windowStart = e.best, unknownOffset, now
 	}
-	r.best = max(r.best, clock-now/1e6)
+	e.best = max(e.best, clock-now/1e6)
 }
 
-// Ahead is by how much the other's clock is ahead, in milliseconds; false: nothing was heard.
-func (r *ClockEstimate) Offset() (ms int64, known bool) {
-	ms = max(r.best, r.before)
-	return ms, ms != unknown
+// Offset returns the offset in milliseconds, and whether there is a reading.
+func (e *ClockEstimate) Offset() (ms int64, known bool) {
+	ms = max(e.best, e.previousBest)
+	return ms, ms != unknownOffset
 }
--- a/internal/fleet/copies/copies.go
+++ b/internal/fleet/copies/copies.go
@@ -1,15 +1,15 @@
-// Package copies keeps what a sender has taken on at further members, so that a machine that is lost with its disk
-// loses nothing that was promised: Owner is the side whose journal is copied, Holder the side that keeps copies of
-// others' journals, Heir the side that takes over what a lost owner had.
+// Package copies replicates a sender's journal to other members, so that the loss of a machine and its disk loses no
+// accepted message. Owner is the side whose journal is copied, Holder the side that holds copies of other members'
+// journals, and Takeover the side that takes over the messages of a lost owner.
 //
-// All three are pure: no clock, no I/O, no goroutine. They take frames and say what is to be sent; what a Holder
-// keeps goes through a Store. Times are nanoseconds on the caller's monotonic clock.
+// All three are state machines without a clock, I/O or goroutines. They handle incoming frames and return the frames to
+// send; a Holder stores copies through a Store. Times are nanoseconds on the caller's monotonic clock.
 //
-// An owner's records go in batches, numbered without holes within an epoch, which is the fencing token of the duty
-// own/NAME. A holder takes them in order and refuses older epochs. What is missing is made up for by a reset: all
-// that is live in the owner's journal. The heir holds the same duty with a higher token: it seals the owner's epochs
-// at every holder that the fleet has agreed on, takes the longest copy, puts it into its own journal, which is copied
-// in turn, and has the fleet agree on the adoption. Only then are the messages its own.
+// An owner sends its records in batches, numbered without gaps within an epoch, which is the fencing token of the duty
+// own/NAME. A holder accepts them in order and refuses older epochs. If batches are missing, a reset brings all live
+// records of the owner's journal. The successor holds the same duty with a higher token. It seals the owner's epochs
+// at every holder that the fleet has agreed on, writes the longest copy to its own journal, which is copied in turn,
+// and asks the fleet to agree to the adoption. Only then do the messages belong to the successor.
 package copies
 
 import (
@@ -23,12 +23,12 @@
 )
 
 const (
-	resendAfter = int64(120 * time.Millisecond) // without an answer for so long, all is sent again
-	scrubEvery  = int64(10 * time.Second)       // between two sums of all that is live
-	fullFor     = int64(2 * time.Second)        // a holder that had no room is asked again after so long
+	resendTimeout    = int64(120 * time.Millisecond) // wait for an answer before all live records are sent again
+	checksumInterval = int64(10 * time.Second)       // between checksums of all live records
+	fullRetryDelay   = int64(2 * time.Second)        // before a holder without space is tried again
 )
 
-// Out is a frame for a member.
+// Outgoing is a frame to send to a member.
 type Outgoing struct {
 	To    string
 	Frame *pb.Frame
@@ -38,164 +38,169 @@
 
 // Owner copies one journal to its holders.
 type Owner struct {
-	name        string
-	incarnation uint64
-	epoch       uint64 // 0: the duty is not held, nothing is copied
-	seq         uint64
-	upto        uint64
-	peers       map[string]*peer
-	full        map[string]int64 // members that had no room, and when they said so
-	out         []Outgoing
-	scrubAt     int64
-	ahead       int64 // the owner's clock in Unix milliseconds, less the caller's monotonic one
+	name          string
+	incarnation   uint64
+	epoch         uint64 // 0: the duty is not held, nothing is copied
+	seq           uint64 // of the last batch
+	lastNumber    uint64 // the highest message number assigned
+	holders       map[string]*holderProgress
+	fullAt        map[string]int64 // when members last reported a lack of space
+	outgoing      []Outgoing
+	nextChecksum  int64
+	clockOffsetMS int64 // from the caller's monotonic clock to the owner's clock, which is in Unix milliseconds
 }
 
-type peer struct {
-	reset  uint64 // the batch that brought it everything, 0: it is to be sent
-	acked  uint64
-	waits  uint64 // the last batch that it was sent
-	sentAt int64  // of the oldest that is not answered
-	full   bool
-	ask    bool // whether what it has of the epoch before is all of it, ahead of bringing it that
+// holderProgress is the progress of copying to one holder in this epoch.
+type holderProgress struct {
+	resetSeq     uint64 // the batch of the reset or the resumption; 0: it is still to be sent
+	ackedSeq     uint64
+	sentSeq      uint64 // the last batch sent
+	waitingSince int64  // start of the wait for the next answer
+	full         bool
+	tryResume    bool // ask first whether the holder's copy from an earlier epoch is complete, before a reset
 }
 
-// NewOwner returns the owner of a member's journal, which copies nothing until Begin.
+// NewOwner returns the owner of a member's journal. It copies nothing before BeginEpoch.
 func NewOwner(name string, incarnation uint64) *Owner {
-	return &Owner{name: name, incarnation: incarnation, peers: map[string]*peer{}, full: map[string]int64{}}
+	return &Owner{name: name, incarnation: incarnation, holders: map[string]*holderProgress{}, fullAt: map[string]int64{}}
 }
 
-// Begin starts an epoch: the duty is held with that token. A holder whose copy is what the journal has, as after a restart
-// in calm, goes on with it; any other is brought everything anew. 0 ends it.
+// BeginEpoch starts the epoch of the token with which the duty is held; 0 means that it is not held any more. A holder
+// whose copy equals the journal, as is usual after a restart without failures, resumes it. Any other gets a reset.
 func (o *Owner) BeginEpoch(epoch uint64) {
 	if epoch == o.epoch {
 		return
 	}
 	o.epoch = epoch
-	o.out = nil
-	for _, p := range o.peers {
-		*p = peer{ask: true}
+	o.outgoing = nil
+	for _, p := range o.holders {
+		*p = holderProgress{tryResume: true}
 	}
 }
 
-// Of sets the folder whose journal it is.
+// SetIncarnation sets the incarnation of the state directory that contains the journal.
 func (o *Owner) SetIncarnation(incarnation uint64) { o.incarnation = incarnation }
 
-// Clock tells by how much the clock that deadlines go by, in Unix milliseconds, is ahead of the caller's monotonic one.
-func (o *Owner) SetClockOffset(ahead int64) { o.ahead = ahead }
+// SetClockOffset sets the offset, in milliseconds, from the caller's monotonic clock to the clock of deadlines, which
+// is in Unix milliseconds.
+func (o *Owner) SetClockOffset(offsetMS int64) { o.clockOffsetMS = offsetMS }
 
-// Epoch is the token that is copied under, 0 if there is none.
+// Epoch returns the current epoch, 0 if there is none.
 func (o *Owner) Epoch() uint64 { return o.epoch }
 
-// Holders sets who keeps copies, as the fleet has agreed on.
+// SetHolders sets the holders that the fleet has agreed on.
 func (o *Owner) SetHolders(names []string) {
-	for name := range o.peers {
+	for name := range o.holders {
 		if !slices.Contains(names, name) {
-			delete(o.peers, name)
+			delete(o.holders, name)
 		}
 	}
 	for _, name := range names {
-		if o.peers[name] == nil {
-			o.peers[name] = &peer{ask: true}
+		if o.holders[name] == nil {
+			o.holders[name] = &holderProgress{tryResume: true}
 		}
 	}
 }
 
-// names are the holders, in an order that does not change from run to run.
-func (o *Owner) names() []string { return slices.Sorted(maps.Keys(o.peers)) }
+// holderNames returns the holders in sorted order, so that runs are reproducible.
+func (o *Owner) holderNames() []string { return slices.Sorted(maps.Keys(o.holders)) }
 
-// Sum is a checksum of what is live, as records, by which a holder's copy is compared with the owner's journal.
-func Checksum(live []byte) uint64 { return xxhash.Sum64(live) | 1 }
+// Checksum returns a checksum of live records, by which a holder's copy is compared with the owner's journal. It is
+// never 0, which stands for no checksum.
+func Checksum(liveRecords []byte) uint64 { return xxhash.Sum64(liveRecords) | 1 }
 
-// Scrub tells the sum with the next batch, where it is time: live is all that is live after it.
-func (o *Owner) scrub(now int64, live func() []byte) uint64 {
-	if live == nil || now < o.scrubAt {
+// dueChecksum returns the checksum to send with the next batch, 0 if none is due. liveRecords returns the records that
+// are live after that batch.
+func (o *Owner) dueChecksum(now int64, liveRecords func() []byte) uint64 {
+	if liveRecords == nil || now < o.nextChecksum {
 		return 0
 	}
-	o.scrubAt = now + scrubEvery
-	return Checksum(live())
+	o.nextChecksum = now + checksumInterval
+	return Checksum(liveRecords())
 }
 
-// Append takes the records of one step of the journal and returns the number of their batch. upto is the highest
-// number of a message that was taken so far. live is all that is live after it; it is asked for now and then, for a
-// sum that holders compare their copies by. nil: they do not.
-func (o *Owner) Append(now int64, records []byte, upto uint64, live func() []byte) uint64 {
+// Append sends the records of one step of the journal and returns the number of their batch. lastNumber is the highest
+// message number assigned so far. liveRecords returns the records that are live after the batch. It is called from time
+// to time, for a checksum with which holders verify their copies; nil: no checksum is sent.
+func (o *Owner) Append(now int64, records []byte, lastNumber uint64, liveRecords func() []byte) uint64 {
 	o.seq++
-	o.upto = max(o.upto, upto)
+	o.lastNumber = max(o.lastNumber, lastNumber)
 	if o.epoch == 0 {
 		return o.seq
 	}
 	var c *pb.Copy
-	for _, name := range o.names() {
-		p := o.peers[name]
-		if p.reset == 0 || p.full {
-			continue // it gets all of it, soon
+	for _, name := range o.holderNames() {
+		p := o.holders[name]
+		if p.resetSeq == 0 || p.full {
+			continue // a reset will include these records
 		}
 		if c == nil {
-			c = &pb.Copy{Owner: o.name, Incarnation: o.incarnation, Epoch: o.epoch, Seq: o.seq, Upto: o.upto, Records: slices.Clone(records), Sum: o.scrub(now, live), Clock: now/1e6 + o.ahead}
+			c = &pb.Copy{Owner: o.name, Incarnation: o.incarnation, Epoch: o.epoch, Seq: o.seq, Upto: o.lastNumber, Records: slices.Clone(records), Sum: o.dueChecksum(now, liveRecords), Clock: now/1e6 + o.clockOffsetMS}
 		}
 		o.send(now, name, p, c)
 	}
 	return o.seq
 }
 
-func (o *Owner) send(now int64, name string, p *peer, c *pb.Copy) {
-	if p.acked >= p.waits {
-		p.sentAt = now
+func (o *Owner) send(now int64, name string, p *holderProgress, c *pb.Copy) {
+	if p.ackedSeq >= p.sentSeq {
+		p.waitingSince = now
 	}
-	p.waits = c.Seq
-	o.out = append(o.out, Outgoing{name, copyFrame(c)})
+	p.sentSeq = c.Seq
+	o.outgoing = append(o.outgoing, Outgoing{name, copyFrame(c)})
 }
 
-// Copied takes a holder's answer.
+// HandleCopied handles a holder's answer.
 func (o *Owner) HandleCopied(now int64, from string, a *pb.Copied) {
-	p := o.peers[from]
+	p := o.holders[from]
 	if p == nil || a.Epoch != o.epoch || a.Owner != o.name {
 		return
 	}
 	switch {
 	case a.Sealed:
-		p.reset, p.acked = 0, 0 // the epoch is over: the duty is another's, or soon will be known to be
-		p.sentAt = now
+		p.resetSeq, p.ackedSeq = 0, 0 // the epoch has ended: another member holds the duty, which this one may not know yet
+		p.waitingSince = now
 	case a.Full:
-		p.full, o.full[from] = true, now
+		p.full, o.fullAt[from] = true, now
 	case a.Again:
-		p.reset = 0
+		p.resetSeq = 0
 	default:
-		if p.reset != 0 && a.Seq >= p.reset && a.Seq > p.acked {
-			p.acked, p.sentAt = a.Seq, now
+		if p.resetSeq != 0 && a.Seq >= p.resetSeq && a.Seq > p.ackedSeq {
+			p.ackedSeq, p.waitingSince = a.Seq, now
 		}
 	}
 }
 
-// Committed is the last batch that so many holders have, 0 if there is none in this epoch.
-func (o *Owner) Committed(needed int) uint64 {
-	if needed == 0 {
+// Committed returns the last batch that the required number of holders has acknowledged, 0 if there is none in this
+// epoch.
+func (o *Owner) Committed(required int) uint64 {
+	if required == 0 {
 		return o.seq
 	}
 	var acked []uint64
-	for _, p := range o.peers {
-		if p.reset != 0 && !p.full {
-			acked = append(acked, p.acked)
+	for _, p := range o.holders {
+		if p.resetSeq != 0 && !p.full {
+			acked = append(acked, p.ackedSeq)
 		}
 	}
-	if len(acked) < needed || o.epoch == 0 {
+	if len(acked) < required || o.epoch == 0 {
 		return 0
 	}
 	slices.Sort(acked)
-	return acked[len(acked)-needed]
+	return acked[len(acked)-required]
 }
 
-// Synced reports whether a holder has everything but what is under way.
+// Synced reports whether a holder has acknowledged all live records, apart from batches in flight.
 func (o *Owner) Synced(name string) bool {
-	p := o.peers[name]
-	return p != nil && p.reset != 0 && p.acked >= p.reset && !p.full
+	p := o.holders[name]
+	return p != nil && p.resetSeq != 0 && p.ackedSeq >= p.resetSeq && !p.full
 }
 
-// Full are the members that had no room of late, holders or not any more.
+// FullMembers returns the members that recently reported a lack of space, including former holders.
 func (o *Owner) FullMembers(now int64) (names []string) {
-	for name, at := range o.full {
-		if now-at > fullFor {
-			delete(o.full, name)
+	for name, at := range o.fullAt {
+		if now-at > fullRetryDelay {
+			delete(o.fullAt, name)
 			continue
 		}
 		names = append(names, name)
@@ -204,96 +209,96 @@
 	return names
 }
 
-// Lag is how far a holder is behind.
+// Lag is the replication lag of a holder.
 type Lag struct {
 	Holder  string  `json:"holder"`
-	Batches uint64  `json:"batches"` // that it has not answered for
-	MS      float64 `json:"ms"`      // since the oldest of them was sent
-	Synced  bool    `json:"whole"`   // it has been brought everything once in this epoch
-	Full    bool    `json:"full"`    // it has no room
+	Batches uint64  `json:"batches"` // not acknowledged
+	MS      float64 `json:"ms"`      // how long the next acknowledgement has been outstanding
+	Synced  bool    `json:"whole"`   // it has had all live records once in this epoch
+	Full    bool    `json:"full"`    // it lacks space
 }
 
-// Status is how the copies of a sender's journal are, for operators.
+// Status is the status of the copies of a sender's journal, for operators.
 type Status struct {
-	LeaseHeld       bool   `json:"held"`    // the lease on its own journal
-	Holders         []Lag  `json:"holders"` // how far each is behind
-	Waiting         int    `json:"waiting"` // answers and calls that wait for holders
-	UnderReplicated uint64 `json:"short"`   // messages that too few had in time, since the start
-	RemainingBytes  int64  `json:"left"`    // bytes that are still to be copied to holders that were not brought everything
+	LeaseHeld       bool   `json:"held"`    // the sender holds the lease on its own journal
+	Holders         []Lag  `json:"holders"` // the lag of each
+	Waiting         int    `json:"waiting"` // answers and calls that wait for acknowledgements
+	UnderReplicated uint64 `json:"short"`   // messages that too few holders acknowledged in time, since the start
+	RemainingBytes  int64  `json:"left"`    // still to be copied to holders that are not synced
 }
 
-// Lags are how far the holders are behind, by name.
+// Lags returns the lags of the holders, sorted by name.
 func (o *Owner) Lags(now int64) (list []Lag) {
-	for _, name := range o.names() {
-		p := o.peers[name]
-		l := Lag{Holder: name, Batches: o.behind(p), Synced: o.Synced(name), Full: p.full}
-		if p.acked < p.waits {
-			l.MS = float64(now-p.sentAt) / 1e6
+	for _, name := range o.holderNames() {
+		p := o.holders[name]
+		l := Lag{Holder: name, Batches: o.unackedBatches(p), Synced: o.Synced(name), Full: p.full}
+		if p.ackedSeq < p.sentSeq {
+			l.MS = float64(now-p.waitingSince) / 1e6
 		}
 		list = append(list, l)
 	}
 	return list
 }
 
-// behind is how many batches a holder has not answered for.
-func (o *Owner) behind(p *peer) uint64 { return o.seq - min(p.acked, o.seq) }
+// unackedBatches returns how many batches a holder has not acknowledged.
+func (o *Owner) unackedBatches(p *holderProgress) uint64 { return o.seq - min(p.ackedSeq, o.seq) }
 
-// Furthest is how many batches the holder is behind that is furthest behind.
+// MaxLag returns the highest number of batches that a holder has not acknowledged.
 func (o *Owner) MaxLag() (batches uint64) {
-	for _, p := range o.peers {
-		batches = max(batches, o.behind(p))
+	for _, p := range o.holders {
+		batches = max(batches, o.unackedBatches(p))
 	}
 	return batches
 }
 
-// Take returns what is to be sent. snapshot is all that is live in the journal, as records; it is asked for where a
-// holder is to be brought everything.
-func (o *Owner) TakeOutgoing(now int64, snapshot func() []byte) []Outgoing {
+// TakeOutgoing returns the frames to send. liveRecords returns all live records of the journal; it is called if a
+// holder is to be resynchronized.
+func (o *Owner) TakeOutgoing(now int64, liveRecords func() []byte) []Outgoing {
 	if o.epoch != 0 {
-		var all []byte
-		for _, name := range o.names() {
-			p := o.peers[name]
-			if p.full && now-o.full[name] > fullFor { // it may have room by now: all of it is sent
-				*p = peer{}
+		var records []byte
+		for _, name := range o.holderNames() {
+			p := o.holders[name]
+			if p.full && now-o.fullAt[name] > fullRetryDelay { // it may have space by now: try a reset
+				*p = holderProgress{}
 			}
-			late := p.acked < p.waits && now-p.sentAt > resendAfter
-			if p.full || p.reset != 0 && !late || p.reset == 0 && p.sentAt != 0 && now-p.sentAt <= resendAfter {
+			overdue := p.ackedSeq < p.sentSeq && now-p.waitingSince > resendTimeout
+			if p.full || p.resetSeq != 0 && !overdue || p.resetSeq == 0 && p.waitingSince != 0 && now-p.waitingSince <= resendTimeout {
 				continue
 			}
-			if all == nil {
-				all = snapshot()
+			if records == nil {
+				records = liveRecords()
 			}
-			o.bring(now, name, p, all)
+			o.resync(now, name, p, records)
 		}
 	}
-	out := o.out
-	o.out = nil
+	out := o.outgoing
+	o.outgoing = nil
 	return out
 }
 
-// bring asks a holder whether it has all that is live already, or brings it that.
-func (o *Owner) bring(now int64, name string, p *peer, all []byte) {
+// resync asks a holder whether its copy already equals the live records, or sends a reset with them.
+func (o *Owner) resync(now int64, name string, p *holderProgress, liveRecords []byte) {
 	o.seq = max(o.seq, 1)
-	c := &pb.Copy{Owner: o.name, Incarnation: o.incarnation, Epoch: o.epoch, Seq: o.seq, Upto: o.upto, Clock: now/1e6 + o.ahead}
-	if p.ask {
-		c.Resume, c.Sum = true, Checksum(all)
+	c := &pb.Copy{Owner: o.name, Incarnation: o.incarnation, Epoch: o.epoch, Seq: o.seq, Upto: o.lastNumber, Clock: now/1e6 + o.clockOffsetMS}
+	if p.tryResume {
+		c.Resume, c.Sum = true, Checksum(liveRecords)
 	} else {
-		c.Reset_, c.Records = true, all
+		c.Reset_, c.Records = true, liveRecords
 	}
-	p.ask = false
-	p.reset, p.acked, p.waits, p.sentAt = o.seq, 0, o.seq, now
-	o.out = append(o.out, Outgoing{name, copyFrame(c)})
+	p.tryResume = false
+	p.resetSeq, p.ackedSeq, p.sentSeq, p.waitingSince = o.seq, 0, o.seq, now
+	o.outgoing = append(o.outgoing, Outgoing{name, copyFrame(c)})
 }
 
-// Next is when Take may have something by time alone; false: never.
+// NextWakeup returns when TakeOutgoing next has frames to send without further input, and whether there is such a time.
 func (o *Owner) NextWakeup() (at int64, due bool) {
-	for name, p := range o.peers {
-		t := p.sentAt + resendAfter + 1
+	for name, p := range o.holders {
+		t := p.waitingSince + resendTimeout + 1
 		switch {
-		case o.epoch == 0 || !p.full && p.acked >= p.waits && p.reset != 0:
+		case o.epoch == 0 || !p.full && p.ackedSeq >= p.sentSeq && p.resetSeq != 0:
 			continue
 		case p.full:
-			t = o.full[name] + fullFor + 1
+			t = o.fullAt[name] + fullRetryDelay + 1
 		}
 		if !due || t < at {
 			at, due = t, true
--- a/internal/fleet/copies/holder.go
+++ b/internal/fleet/copies/holder.go
@@ -4,181 +4,184 @@
 	"sliptide/internal/fleet/pb"
 )
 
-// Kept is what a holder keeps of one owner.
+// CopyState describes a holder's copy of one owner's journal.
 type CopyState struct {
 	Incarnation   uint64
-	Epoch         uint64 // of what is kept
-	Seq           uint64
-	LastNumber    uint64
-	SealedBelow   uint64 // epochs below are over
-	ClockOffsetMS int64  // by how much the owner's clock is ahead of this machine's monotonic one, in milliseconds
-	BootID        uint64 // of this machine, which Ahead is of; 0: it is not known
+	Epoch         uint64 // of the last batch
+	Seq           uint64 // of the last batch
+	LastNumber    uint64 // the highest message number that the owner had assigned
+	SealedBelow   uint64 // batches of earlier epochs are refused
+	ClockOffsetMS int64  // offset of the owner's clock from this machine's monotonic clock
+	BootID        uint64 // the boot of this machine during which ClockOffsetMS was estimated; 0: unknown
 }
 
-// Store keeps copies: Reset replaces an owner's records, Append adds to them, Mark keeps what else is known. Each has
-// it on the disk when it returns nil. Live is what is live of them, as records; Size what an owner's take.
+// Store stores copies. When Reset, Append or SaveState returns nil, the data has been written.
 type Store interface {
-	Reset(owner string, k CopyState, records []byte) error
-	Append(owner string, k CopyState, records []byte) error
-	SaveState(owner string, k CopyState) error
+	Reset(owner string, state CopyState, records []byte) error // replaces the owner's records
+	Append(owner string, state CopyState, records []byte) error
+	SaveState(owner string, state CopyState) error
 	LiveRecords(owner string) []byte
-	Size(owner string) int64
+	Size(owner string) int64 // bytes that the owner's copy occupies
 }
 
-// Holder keeps copies of others' journals.
+// Holder holds copies of other members' journals.
 type Holder struct {
-	store  Store
-	room   int64 // bytes that all copies may take
-	kept   map[string]*CopyState
-	clocks map[string]*ClockEstimate
-	boot   uint64
-	mended int
-	// Break takes guards out, for tests that show what finds that.
+	store      Store
+	maxBytes   int64 // limit on the size of all copies
+	states     map[string]*CopyState
+	clocks     map[string]*ClockEstimate
+	bootID     uint64
+	mismatches int
+	// SkipChecks disables checks, for tests which show that their absence is detected.
 	SkipChecks HolderChecks
 }
 
-// HolderBreak is a guard that is taken out.
+// HolderChecks is a set of a holder's checks.
 type HolderChecks uint
 
-// The guards.
+// The checks.
 const (
-	CheckGaps   HolderChecks = 1 << iota // batches are taken with others missing before them
-	CheckResume                          // what an earlier epoch left is gone on with, whatever it is
+	CheckGaps   HolderChecks = 1 << iota // batches are refused if earlier ones are missing
+	CheckResume                          // a copy is resumed only if its checksum equals the owner's
 )
 
-// NewHolder returns a holder of what a store has kept. boot names this start of the machine, by which the monotonic
-// clock goes: what was reckoned by an earlier one is void.
-func NewHolder(store Store, room int64, boot uint64, kept map[string]CopyState) *Holder {
-	h := &Holder{store: store, room: room, boot: boot, kept: map[string]*CopyState{}, clocks: map[string]*ClockEstimate{}}
-	for owner, k := range kept {
-		h.kept[owner] = &k
-		if r := h.clock(owner); k.BootID == boot && boot != 0 {
-			r.best = k.ClockOffsetMS
+// NewHolder returns a holder of the copies in a store. bootID identifies the boot of this machine. Clock offsets from
+// an earlier boot are discarded, as the monotonic clock starts anew with each boot.
+func NewHolder(store Store, maxBytes int64, bootID uint64, states map[string]CopyState) *Holder {
+	h := &Holder{store: store, maxBytes: maxBytes, bootID: bootID, states: map[string]*CopyState{}, clocks: map[string]*ClockEstimate{}}
+	for owner, state := range states {
+		h.states[owner] = &state
+		if estimate := h.clockEstimate(owner); state.BootID == bootID && bootID != 0 {
+			estimate.best = state.ClockOffsetMS
 		}
 	}
 	return h
 }
 
-// clock is the reckoning of an owner's clock.
-func (h *Holder) clock(owner string) *ClockEstimate {
-	r := h.clocks[owner]
-	if r == nil {
+// clockEstimate returns the estimate of an owner's clock.
+func (h *Holder) clockEstimate(owner string) *ClockEstimate {
+	estimate := h.clocks[owner]
+	if estimate == nil {
 		fresh := NewClockEstimate()
-		r = &fresh
-		h.clocks[owner] = r
+		estimate = &fresh
+		h.clocks[owner] = estimate
 	}
-	return r
+	return estimate
 }
 
-// hear takes the owner's clock from a batch. Another epoch may be another process, with a clock of its own.
-func (h *Holder) hear(now int64, old *CopyState, c *pb.Copy, next *CopyState) {
+// observeClock records the reading of the owner's clock in a batch. A new epoch or incarnation discards the estimate,
+// as it may be another process with a clock of its own.
+func (h *Holder) observeClock(now int64, old *CopyState, c *pb.Copy, next *CopyState) {
 	if c.Epoch != old.Epoch || c.Incarnation != old.Incarnation {
 		delete(h.clocks, c.Owner)
 	}
-	r := h.clock(c.Owner)
+	estimate := h.clockEstimate(c.Owner)
 	if c.Clock != 0 {
-		r.Observe(now, c.Clock)
+		estimate.Observe(now, c.Clock)
 	}
-	if ahead, known := r.Offset(); known {
-		next.ClockOffsetMS, next.BootID = ahead, h.boot
+	if offsetMS, known := estimate.Offset(); known {
+		next.ClockOffsetMS, next.BootID = offsetMS, h.bootID
 	}
 }
 
-// Kept is what is kept of an owner.
+// State returns the state of the copy of an owner's journal, and whether there is one.
 func (h *Holder) State(owner string) (CopyState, bool) {
-	if k := h.kept[owner]; k != nil {
-		return *k, true
+	if state := h.states[owner]; state != nil {
+		return *state, true
 	}
 	return CopyState{}, false
 }
 
-func (h *Holder) used() (n int64) {
-	for owner := range h.kept {
+func (h *Holder) usedBytes() (n int64) {
+	for owner := range h.states {
 		n += h.store.Size(owner)
 	}
 	return n
 }
 
-// Copy takes a batch, and answers once it is kept; nil: it could not be kept, and is sent again.
+// HandleCopy stores a batch and returns the answer. It returns nil if the batch could not be written: the owner sends
+// it again.
 func (h *Holder) HandleCopy(now int64, c *pb.Copy) *pb.Copied {
-	a := &pb.Copied{Owner: c.Owner, Epoch: c.Epoch, Seq: c.Seq}
-	old := h.kept[c.Owner]
+	answer := &pb.Copied{Owner: c.Owner, Epoch: c.Epoch, Seq: c.Seq}
+	old := h.states[c.Owner]
 	if old == nil {
 		old = &CopyState{}
 	}
 	if c.Epoch < max(old.Epoch, old.SealedBelow) {
-		a.Sealed = true
-		return a
+		answer.Sealed = true
+		return answer
 	}
 	next := CopyState{Incarnation: c.Incarnation, Epoch: c.Epoch, Seq: c.Seq, LastNumber: c.Upto, SealedBelow: old.SealedBelow}
-	h.hear(now, old, c, &next)
+	h.observeClock(now, old, c, &next)
 	switch {
-	case c.Reset_ && c.Epoch == old.Epoch && c.Seq < old.Seq: // late: more is kept
-		a.Seq = old.Seq
-		return a
+	case c.Reset_ && c.Epoch == old.Epoch && c.Seq < old.Seq: // delayed: later batches are stored already
+		answer.Seq = old.Seq
+		return answer
 	case c.Resume:
-		// A copy of the same folder's journal that is just what the owner has now is gone on with, whatever its epoch.
+		// A copy of the same incarnation's journal is resumed, whatever its epoch, if it equals the owner's live
+		// records.
 		if c.Incarnation != old.Incarnation || Checksum(h.store.LiveRecords(c.Owner)) != c.Sum && h.SkipChecks&CheckResume == 0 {
-			a.Again = true
-			return a
+			answer.Again = true
+			return answer
 		}
 		if h.store.SaveState(c.Owner, next) != nil {
 			return nil
 		}
-		h.kept[c.Owner] = &next
-		return a
+		h.states[c.Owner] = &next
+		return answer
 	case c.Reset_:
-		if h.used()-h.store.Size(c.Owner)+int64(len(c.Records)) > h.room {
-			a.Full = true
-			return a
+		if h.usedBytes()-h.store.Size(c.Owner)+int64(len(c.Records)) > h.maxBytes {
+			answer.Full = true
+			return answer
 		}
 		if h.store.Reset(c.Owner, next, c.Records) != nil {
 			return nil
 		}
 	case c.Epoch != old.Epoch || c.Incarnation != old.Incarnation || c.Seq > old.Seq+1 && h.SkipChecks&CheckGaps == 0:
-		a.Again = true
-		return a
+		answer.Again = true
+		return answer
 	case c.Seq <= old.Seq:
-		a.Seq = old.Seq
-		return a
+		answer.Seq = old.Seq
+		return answer
 	default:
-		if h.used()+int64(len(c.Records)) > h.room {
-			a.Full = true
-			return a
+		if h.usedBytes()+int64(len(c.Records)) > h.maxBytes {
+			answer.Full = true
+			return answer
 		}
 		if h.store.Append(c.Owner, next, c.Records) != nil {
 			return nil
 		}
 	}
-	h.kept[c.Owner] = &next
+	h.states[c.Owner] = &next
 	if c.Sum != 0 && Checksum(h.store.LiveRecords(c.Owner)) != c.Sum {
-		h.mended++
-		a.Again = true // the copy is not what the owner has: all of it comes anew
+		h.mismatches++
+		answer.Again = true // the copy differs from the owner's journal: the owner sends all of it again
 	}
-	return a
+	return answer
 }
 
-// Mended is how many copies were found to differ from their owner's journal, and asked for anew.
-func (h *Holder) Mismatches() int { return h.mended }
+// Mismatches returns how many copies differed from their owner's journal and were requested again.
+func (h *Holder) Mismatches() int { return h.mismatches }
 
-// Seal ends an owner's epochs below that one, and answers with what is kept; nil: that could not be kept.
+// HandleSeal ends an owner's epochs below the requested one and returns the answer with the copy. It returns nil if the
+// seal could not be written.
 func (h *Holder) HandleSeal(now int64, s *pb.Seal) *pb.Sealed {
-	k := h.kept[s.Owner]
-	if k == nil {
-		k = &CopyState{}
+	state := h.states[s.Owner]
+	if state == nil {
+		state = &CopyState{}
 	}
-	next := *k
-	next.SealedBelow = max(k.SealedBelow, s.Epoch)
+	next := *state
+	next.SealedBelow = max(state.SealedBelow, s.Epoch)
 	if h.store.SaveState(s.Owner, next) != nil {
 		return nil
 	}
-	h.kept[s.Owner] = &next
-	a := &pb.Sealed{Owner: s.Owner, Epoch: s.Epoch, At: s.At}
+	h.states[s.Owner] = &next
+	answer := &pb.Sealed{Owner: s.Owner, Epoch: s.Epoch, At: s.At}
 	if next.Epoch != 0 && next.Epoch < s.Epoch {
-		a.Have, a.Incarnation, a.From, a.Seq, a.Upto, a.Records = true, next.Incarnation, next.Epoch, next.Seq, next.LastNumber, h.store.LiveRecords(s.Owner)
-		if ahead, known := h.clock(s.Owner).Offset(); known {
-			a.Clock = now/1e6 + ahead
+		answer.Have, answer.Incarnation, answer.From, answer.Seq, answer.Upto, answer.Records = true, next.Incarnation, next.Epoch, next.Seq, next.LastNumber, h.store.LiveRecords(s.Owner)
+		if offsetMS, known := h.clockEstimate(s.Owner).Offset(); known {
+			answer.Clock = now/1e6 + offsetMS
 		}
 	}
-	return a
+	return answer
 }
--- a/internal/fleet/copies/keep/keep.go
+++ b/internal/fleet/copies/keep/keep.go
@@ -1,7 +1,7 @@
-// Package keep is the disk of a holder: for each owner a file "copy-NAME" in the lasting folder, through the seam to
-// the disk, of checksummed records: what is known of the copy, and batches of the owner's journal as they came. It is
-// written anew where records that are over take most of it. Nothing is synced, as in the journal: what was written
-// outlasts the process; the loss of a machine is what the other copies are for.
+// Package keep stores a holder's copies on disk. Each owner has a file "copy-NAME" in the state directory, accessed
+// through fsys. It consists of checksummed records, each with the state of the copy and, for a batch, the owner's
+// journal records as received. A file is rewritten when obsolete records make up most of it. Like the journal, it is
+// not synced: written data survives the end of the process, and the other copies protect against the loss of a machine.
 package keep
 
 import (
@@ -18,173 +18,177 @@
 )
 
 const (
-	prefix = "copy-"
-	slack  = 64 << 10 // bytes of records that are over, beside as much again as is live
-	head   = 8
-	meta   = 7 * binary.MaxVarintLen64
+	filePrefix   = "copy-"
+	rewriteSlack = 64 << 10 // bytes by which a file may exceed twice its size after the last rewrite
+	headerSize   = 8        // length and CRC-32 of the payload
+	maxStateSize = 7 * binary.MaxVarintLen64
 )
 
-// errRoom is the error of a copy that the folder has no room for.
-var errRoom = errors.New("limits.disk_mb leaves no room for copies")
+// errNoSpace reports that a copy exceeds the quota of the state directory.
+var errNoSpace = errors.New("limits.disk_mb leaves no room for copies")
 
-// Files implements copies.Store. It is used by one goroutine.
+// Store implements copies.Store. It is not safe for concurrent use.
 type Store struct {
-	fs    fsys.FS
-	room  *statedir.Account // nil: not bounded
-	files map[string]*file
+	fs      fsys.FS
+	account *statedir.Account // nil: no quota
+	files   map[string]*file
 }
 
 type file struct {
-	size  int64
-	fresh int64 // when it was written anew
-	batch []byte
-	kept  copies.CopyState
-	torn  bool // a write failed: it is written anew before it is added to
+	size          int64
+	rewrittenSize int64 // the size after the last rewrite
+	records       []byte
+	state         copies.CopyState
+	torn          bool // a write failed and may have left part of a record: the next write rewrites the file
 }
 
-// Open reads the copies of those owners.
-func Open(files fsys.FS, room *statedir.Account, owners []string) (*Store, map[string]copies.CopyState, error) {
-	f := &Store{fs: files, room: room, files: map[string]*file{}}
-	kept := map[string]copies.CopyState{}
+// Open reads the copies of the owners' journals and rewrites each file as a single record, without a damaged end.
+func Open(files fsys.FS, account *statedir.Account, owners []string) (*Store, map[string]copies.CopyState, error) {
+	s := &Store{fs: files, account: account, files: map[string]*file{}}
+	states := map[string]copies.CopyState{}
 	for _, owner := range owners {
-		b, err := files.Read(prefix + owner)
+		b, err := files.Read(filePrefix + owner)
 		if errors.Is(err, fs.ErrNotExist) {
 			continue
 		}
 		if err != nil {
-			return nil, nil, fmt.Errorf("%s%s: %w", prefix, owner, err)
+			return nil, nil, fmt.Errorf("%s%s: %w", filePrefix, owner, err)
 		}
-		x := &file{}
-		if x.replay(b); x.kept != (copies.CopyState{}) {
-			f.files[owner] = x
-			kept[owner] = x.kept
-			if err := f.rewrite(owner, x); err != nil {
+		f := &file{}
+		if f.replay(b); f.state != (copies.CopyState{}) {
+			s.files[owner] = f
+			states[owner] = f.state
+			if err := s.rewrite(owner, f); err != nil {
 				return nil, nil, err
 			}
 		}
 	}
-	return f, kept, nil
+	return s, states, nil
 }
 
-// replay takes up the records that are whole.
-func (x *file) replay(b []byte) {
-	for len(b) >= head {
-		n := binary.BigEndian.Uint32(b)
-		if uint64(n) > uint64(len(b)-head) || crc32.ChecksumIEEE(b[head:head+n]) != binary.BigEndian.Uint32(b[4:]) || n == 0 {
+// replay applies the records up to the first that is incomplete or damaged. A record's payload is its kind, the copy's
+// state and journal records. Kinds are 'R' (replaces the journal records), 'B' (a batch) and 'M' (state only).
+func (f *file) replay(data []byte) {
+	for len(data) >= headerSize {
+		n := binary.BigEndian.Uint32(data)
+		if uint64(n) > uint64(len(data)-headerSize) || crc32.ChecksumIEEE(data[headerSize:headerSize+n]) != binary.BigEndian.Uint32(data[4:]) || n == 0 {
 			return
 		}
-		p := b[head : head+n]
-		b = b[head+n:]
-		kind := p[0]
-		p = p[1:]
-		var v [7]uint64
-		for i := range v {
-			u, k := binary.Uvarint(p)
-			if k <= 0 {
+		payload := data[headerSize : headerSize+n]
+		data = data[headerSize+n:]
+		kind := payload[0]
+		payload = payload[1:]
+		var fields [7]uint64
+		for i := range fields {
+			u, size := binary.Uvarint(payload)
+			if size <= 0 {
 				return
 			}
-			v[i], p = u, p[k:]
+			fields[i], payload = u, payload[size:]
 		}
-		x.kept = copies.CopyState{Incarnation: v[0], Epoch: v[1], Seq: v[2], LastNumber: v[3], SealedBelow: v[4], ClockOffsetMS: int64(v[5]), BootID: v[6]}
+		f.state = copies.CopyState{Incarnation: fields[0], Epoch: fields[1], Seq: fields[2], LastNumber: fields[3], SealedBelow: fields[4], ClockOffsetMS: int64(fields[5]), BootID: fields[6]}
 		if kind == 'R' {
-			x.batch = nil
+			f.records = nil
 		}
-		x.batch = append(x.batch, p...)
+		f.records = append(f.records, payload...)
 	}
 }
 
-func record(kind byte, k copies.CopyState, records []byte) []byte {
-	b := make([]byte, head, head+1+meta+len(records))
+func encodeRecord(kind byte, state copies.CopyState, records []byte) []byte {
+	b := make([]byte, headerSize, headerSize+1+maxStateSize+len(records))
 	b = append(b, kind)
-	for _, v := range []uint64{k.Incarnation, k.Epoch, k.Seq, k.LastNumber, k.SealedBelow, uint64(k.ClockOffsetMS), k.BootID} {
+	for _, v := range []uint64{state.Incarnation, state.Epoch, state.Seq, state.LastNumber, state.SealedBelow, uint64(state.ClockOffsetMS), state.BootID} {
 		b = binary.AppendUvarint(b, v)
 	}
 	b = append(b, records...)
-	binary.BigEndian.PutUint32(b, uint32(len(b)-head))
-	binary.BigEndian.PutUint32(b[4:], crc32.ChecksumIEEE(b[head:]))
+	binary.BigEndian.PutUint32(b, uint32(len(b)-headerSize))
+	binary.BigEndian.PutUint32(b[4:], crc32.ChecksumIEEE(b[headerSize:]))
 	return b
 }
 
 // Reset implements copies.Store.
-func (f *Store) Reset(owner string, k copies.CopyState, records []byte) error {
-	return f.rewrite(owner, &file{kept: k, batch: append([]byte(nil), records...)})
+func (s *Store) Reset(owner string, state copies.CopyState, records []byte) error {
+	return s.rewrite(owner, &file{state: state, records: append([]byte(nil), records...)})
 }
 
-// rewrite puts a file of what is live in the place of the old one.
-func (f *Store) rewrite(owner string, x *file) error {
-	b := record('R', x.kept, x.batch)
-	if !f.claim(owner, int64(len(b))) {
-		return errRoom
+// rewrite replaces an owner's file by one with a single record.
+func (s *Store) rewrite(owner string, f *file) error {
+	b := encodeRecord('R', f.state, f.records)
+	if !s.claimSpace(owner, int64(len(b))) {
+		return errNoSpace
 	}
-	name := prefix + owner
-	if err := f.fs.Write(name+".new", b, false); err != nil {
+	name := filePrefix + owner
+	if err := s.fs.Write(name+".new", b, false); err != nil {
 		return err
 	}
-	if err := f.fs.Rename(name+".new", name); err != nil {
+	if err := s.fs.Rename(name+".new", name); err != nil {
 		return err
 	}
-	x.size, x.fresh, x.torn = int64(len(b)), int64(len(b)), false
-	f.files[owner] = x
+	f.size, f.rewrittenSize, f.torn = int64(len(b)), int64(len(b)), false
+	s.files[owner] = f
 	return nil
 }
 
-// claim asks for the room of all files, with one of that size and the copy that takes its place.
-func (f *Store) claim(owner string, size int64) bool {
-	if f.room == nil {
+// claimSpace claims the space of all files. The owner's file counts twice, at the given size, as its old and its new
+// version coexist during a rewrite.
+func (s *Store) claimSpace(owner string, size int64) bool {
+	if s.account == nil {
 		return true
 	}
-	all := 2 * statedir.RoundToBlocks(size)
-	for name, x := range f.files {
+	total := 2 * statedir.RoundToBlocks(size)
+	for name, f := range s.files {
 		if name != owner {
-			all += statedir.RoundToBlocks(x.size)
+			total += statedir.RoundToBlocks(f.size)
 		}
 	}
-	return f.room.Claim(all)
+	return s.account.Claim(total)
 }
 
 // Append implements copies.Store.
-func (f *Store) Append(owner string, k copies.CopyState, records []byte) error {
-	return f.add(owner, 'B', k, records)
+func (s *Store) Append(owner string, state copies.CopyState, records []byte) error {
+	return s.appendRecord(owner, 'B', state, records)
 }
 
-// Mark implements copies.Store.
-func (f *Store) SaveState(owner string, k copies.CopyState) error { return f.add(owner, 'M', k, nil) }
+// SaveState implements copies.Store.
+func (s *Store) SaveState(owner string, state copies.CopyState) error {
+	return s.appendRecord(owner, 'M', state, nil)
+}
 
-func (f *Store) add(owner string, kind byte, k copies.CopyState, records []byte) error {
-	x := f.files[owner]
-	if x == nil {
-		return f.rewrite(owner, &file{kept: k, batch: append([]byte(nil), records...)})
+func (s *Store) appendRecord(owner string, kind byte, state copies.CopyState, records []byte) error {
+	f := s.files[owner]
+	if f == nil {
+		return s.rewrite(owner, &file{state: state, records: append([]byte(nil), records...)})
 	}
-	if x.torn || x.size > 2*x.fresh+slack {
-		return f.rewrite(owner, &file{kept: k, batch: append(compact(x.batch), records...)})
+	if f.torn || f.size > 2*f.rewrittenSize+rewriteSlack {
+		return s.rewrite(owner, &file{state: state, records: append(compact(f.records), records...)})
 	}
-	b := record(kind, k, records)
-	if !f.claim(owner, x.size+int64(len(b))) {
-		return errRoom
+	b := encodeRecord(kind, state, records)
+	if !s.claimSpace(owner, f.size+int64(len(b))) {
+		return errNoSpace
 	}
-	if err := f.fs.Append(prefix+owner, b, false); err != nil {
-		x.torn = true
+	if err := s.fs.Append(filePrefix+owner, b, false); err != nil {
+		f.torn = true
 		return err
 	}
-	x.kept, x.size, x.batch = k, x.size+int64(len(b)), append(x.batch, records...)
+	f.state, f.size, f.records = state, f.size+int64(len(b)), append(f.records, records...)
 	return nil
 }
 
-// compact is what is live of records.
+// compact returns the live records only.
 func compact(records []byte) []byte { return journal.Compact(records) }
 
-// Live implements copies.Store.
-func (f *Store) LiveRecords(owner string) []byte {
-	if x := f.files[owner]; x != nil {
-		return compact(x.batch)
+// LiveRecords implements copies.Store.
+func (s *Store) LiveRecords(owner string) []byte {
+	if f := s.files[owner]; f != nil {
+		return compact(f.records)
 	}
 	return nil
 }
 
 // Size implements copies.Store.
-func (f *Store) Size(owner string) int64 {
-	if x := f.files[owner]; x != nil {
-		return x.size
+func (s *Store) Size(owner string) int64 {
+	if f := s.files[owner]; f != nil {
+		return f.size
 	}
 	return 0
 }
--- a/internal/fleet/copies/keep/keep_test.go
+++ b/internal/fleet/copies/keep/keep_test.go
@@ -127,7 +127,7 @@
 	if err := f.Reset("a", copies.CopyState{Epoch: 1, Seq: 1}, make([]byte, 4<<10)); err != nil {
 		t.Fatal(err)
 	}
-	if err := f.Reset("b", copies.CopyState{Epoch: 1, Seq: 1}, make([]byte, 12<<10)); !errors.Is(err, errRoom) {
+	if err := f.Reset("b", copies.CopyState{Epoch: 1, Seq: 1}, make([]byte, 12<<10)); !errors.Is(err, errNoSpace) {
 		t.Errorf("without room: %v", err)
 	}
 	if err := f.SaveState("a", copies.CopyState{Epoch: 1, Seq: 1, SealedBelow: 9}); err != nil || f.Size("b") != 0 {
--- a/internal/fleet/copies/scrub_test.go
+++ b/internal/fleet/copies/scrub_test.go
@@ -44,16 +44,16 @@
 		o.Append(now, []byte{byte(num)}, num, snapshot)
 	}
 	deliver(0)
-	take(scrubEvery, 1)
-	if deliver(scrubEvery) || h.Mismatches() != 0 {
+	take(checksumInterval, 1)
+	if deliver(checksumInterval) || h.Mismatches() != 0 {
 		t.Fatal("a copy that is right is found wrong")
 	}
 	store["a"] = nil // the disk has lost something, and says nothing
-	take(2*scrubEvery+1, 2)
-	if !deliver(2*scrubEvery+1) || h.Mismatches() != 1 {
+	take(2*checksumInterval+1, 2)
+	if !deliver(2*checksumInterval+1) || h.Mismatches() != 1 {
 		t.Fatal("a copy that is wrong is not found")
 	}
-	deliver(2*scrubEvery + 2 + resendAfter)
+	deliver(2*checksumInterval + 2 + resendTimeout)
 	if got := store["a"]; string(got) != "\x01\x02" || !o.Synced("b") {
 		t.Errorf("after it was sent anew: %v", got)
 	}
@@ -79,18 +79,18 @@
 	}
 	o.SetHolders([]string{"b"})
 	o.HandleCopied(4, "b", &pb.Copied{Owner: "a", Epoch: 3, Full: true})
-	if out := o.TakeOutgoing(4+fullFor, snapshot); len(out) != 0 {
+	if out := o.TakeOutgoing(4+fullRetryDelay, snapshot); len(out) != 0 {
 		t.Errorf("it is asked again at once")
 	}
-	if at, due := o.NextWakeup(); !due || at != 4+fullFor+1 {
+	if at, due := o.NextWakeup(); !due || at != 4+fullRetryDelay+1 {
 		t.Errorf("next at %d, %v", at, due)
 	}
-	out := o.TakeOutgoing(5+fullFor, snapshot)
+	out := o.TakeOutgoing(5+fullRetryDelay, snapshot)
 	if len(out) != 1 || !out[0].Frame.GetCopy().Reset_ {
 		t.Fatalf("it is not asked again: %v", out)
 	}
-	o.HandleCopied(6+fullFor, "b", &pb.Copied{Owner: "a", Epoch: 3, Seq: out[0].Frame.GetCopy().Seq})
-	if len(o.FullMembers(6+fullFor)) != 0 || !o.Synced("b") {
+	o.HandleCopied(6+fullRetryDelay, "b", &pb.Copied{Owner: "a", Epoch: 3, Seq: out[0].Frame.GetCopy().Seq})
+	if len(o.FullMembers(6+fullRetryDelay)) != 0 || !o.Synced("b") {
 		t.Error("it has room and everything, and counts as full")
 	}
 }
@@ -107,7 +107,7 @@
 		o.BeginEpoch(epoch)
 		o.SetHolders([]string{"b"})
 		for range 3 {
-			now += resendAfter + 1
+			now += resendTimeout + 1
 			for _, out := range o.TakeOutgoing(now, snapshot) {
 				bytes += len(out.Frame.GetCopy().Records)
 				o.HandleCopied(now, "b", h.HandleCopy(now, out.Frame.GetCopy()))
--- a/internal/fleet/copies/takeover.go
+++ b/internal/fleet/copies/takeover.go
@@ -7,55 +7,55 @@
 	"sliptide/internal/fleet/pb"
 )
 
-const askEvery = int64(50 * time.Millisecond) // between two rounds of asks to holders that have not answered
+const sealInterval = int64(50 * time.Millisecond) // between requests to holders that have not answered
 
-// Stage is how far an heir is.
+// Stage is the stage of a takeover.
 type Stage int
 
-// The stages.
+// The stages of a takeover, in order. The caller of Advance performs those from Ready on.
 const (
-	Sealing  Stage = iota // the holders are asked
-	Ready                 // Found is to be put into the heir's own journal and copied,
-	Copying               // is under way to its own holders,
-	Adopting              // the fleet is asked to agree
+	Sealing  Stage = iota // the holders are asked to seal the owner's epochs and to send their copies
+	Ready                 // LongestCopy can be written to the successor's own journal
+	Copying               // the imported entries are being copied to the successor's holders
+	Adopting              // the fleet has been asked to agree to the adoption
 	Done
 )
 
-// Heir takes over what one lost owner had.
+// Takeover takes over one lost owner's messages, on behalf of its successor.
 type Takeover struct {
-	Owner       string
-	Epoch       uint64 // the heir's token of the owner's duty
-	Stage       Stage
-	LongestCopy *pb.Sealed // the longest copy; nil: nobody has one
-	void        uint64     // epochs below were adopted before
-	asked       map[string]bool
-	heard       map[string]bool
-	from        map[string]uint64 // the epoch of what each has that answered, where it has something
-	nextAt      int64
-	// Of the owner's clock, by what the holders reckon: as if they had answered when they were asked, and as if when
-	// their answers came.
-	asOf, asCame ClockEstimate
+	Owner        string
+	Epoch        uint64 // the successor's token of the owner's duty
+	Stage        Stage
+	LongestCopy  *pb.Sealed // nil: no holder has a copy
+	adoptedEpoch uint64     // copies of epochs up to this one have been adopted already
+	holders      map[string]bool
+	answered     map[string]bool
+	copyEpochs   map[string]uint64 // of the copies of the holders that answered with one
+	nextRequest  int64
+	// Bounds of the offset of the owner's clock, from the holders' estimates: upperOffset assumes that a holder read
+	// the clock when the request was sent, lowerOffset when the answer arrived.
+	upperOffset, lowerOffset ClockEstimate
 }
 
-// NewHeir begins to take over: holders are all that the fleet has agreed on, adopted is the owner's last adoption, nil
-// if there was none. What was kept before that is its heir's.
+// NewTakeover begins a takeover. holders are all holders that the fleet has agreed on. adopted is the owner's last
+// adoption, nil if there was none; copies from before it belong to the successor of that adoption.
 func NewTakeover(owner string, epoch uint64, holders []string, adopted *pb.Adoption) *Takeover {
-	h := &Takeover{Owner: owner, Epoch: epoch, void: adopted.GetToken(), asked: map[string]bool{}, heard: map[string]bool{}, from: map[string]uint64{}, asOf: NewClockEstimate(), asCame: NewClockEstimate()}
+	t := &Takeover{Owner: owner, Epoch: epoch, adoptedEpoch: adopted.GetToken(), holders: map[string]bool{}, answered: map[string]bool{}, copyEpochs: map[string]uint64{}, upperOffset: NewClockEstimate(), lowerOffset: NewClockEstimate()}
 	for _, name := range holders {
-		h.asked[name] = true
+		t.holders[name] = true
 	}
-	return h
+	return t
 }
 
-// Take returns the asks that are due.
-func (h *Takeover) TakeOutgoing(now int64) (out []Outgoing) {
-	if h.Stage != Sealing || now < h.nextAt {
+// TakeOutgoing returns the requests that are due.
+func (t *Takeover) TakeOutgoing(now int64) (out []Outgoing) {
+	if t.Stage != Sealing || now < t.nextRequest {
 		return nil
 	}
-	h.nextAt = now + askEvery
-	for name := range h.asked {
-		if !h.heard[name] {
-			out = append(out, Outgoing{name, &pb.Frame{What: &pb.Frame_Seal{Seal: &pb.Seal{Owner: h.Owner, Epoch: h.Epoch, At: now}}}})
+	t.nextRequest = now + sealInterval
+	for name := range t.holders {
+		if !t.answered[name] {
+			out = append(out, Outgoing{name, &pb.Frame{What: &pb.Frame_Seal{Seal: &pb.Seal{Owner: t.Owner, Epoch: t.Epoch, At: now}}}})
 		}
 	}
 	slices.SortFunc(out, func(a, b Outgoing) int {
@@ -67,62 +67,64 @@
 	return out
 }
 
-// Sealed takes a holder's answer.
-func (h *Takeover) HandleSealed(now int64, from string, s *pb.Sealed) {
-	if s.Owner != h.Owner || s.Epoch != h.Epoch || !h.asked[from] || h.Stage != Sealing {
+// HandleSealed handles a holder's answer.
+func (t *Takeover) HandleSealed(now int64, from string, s *pb.Sealed) {
+	if s.Owner != t.Owner || s.Epoch != t.Epoch || !t.holders[from] || t.Stage != Sealing {
 		return
 	}
-	h.heard[from] = true
+	t.answered[from] = true
 	if s.Have {
-		h.from[from] = s.From
+		t.copyEpochs[from] = s.From
 	}
-	if s.Have && s.From > h.void && (h.LongestCopy == nil || s.From > h.LongestCopy.From || s.From == h.LongestCopy.From && s.Seq > h.LongestCopy.Seq) {
-		if h.LongestCopy == nil || s.From > h.LongestCopy.From {
-			h.asOf, h.asCame = NewClockEstimate(), NewClockEstimate() // an earlier epoch's clock is another process's
+	if s.Have && s.From > t.adoptedEpoch && (t.LongestCopy == nil || s.From > t.LongestCopy.From || s.From == t.LongestCopy.From && s.Seq > t.LongestCopy.Seq) {
+		if t.LongestCopy == nil || s.From > t.LongestCopy.From {
+			t.upperOffset, t.lowerOffset = NewClockEstimate(), NewClockEstimate() // the clock of an earlier epoch is that of another process
 		}
-		h.LongestCopy = s
+		t.LongestCopy = s
 	}
-	if s.Have && s.Clock != 0 && h.LongestCopy != nil && s.From == h.LongestCopy.From {
-		h.asOf.Observe(s.At, s.Clock)
-		h.asCame.Observe(now, s.Clock)
+	if s.Have && s.Clock != 0 && t.LongestCopy != nil && s.From == t.LongestCopy.From {
+		t.upperOffset.Observe(s.At, s.Clock)
+		t.lowerOffset.Observe(now, s.Clock)
 	}
 }
 
-// Clock is by how much the owner's clock, in Unix milliseconds, is ahead of the caller's monotonic one: for deadlines,
-// which must not come out late by the time that holders took to answer, and for waits, which must not come out early by
-// it; false: no holder knows, as all of them were started anew since.
-func (h *Takeover) ClockOffsets() (deadlines, waits int64, known bool) {
-	deadlines, known = h.asOf.Offset()
-	waits, _ = h.asCame.Offset()
+// ClockOffsets returns the offsets of the owner's clock, in Unix milliseconds, from the caller's monotonic clock. The
+// time that holders take to answer must not make a deadline late, nor end a wait early: deadlines use the upper bound
+// of the offset, waits the lower one. known is false if no holder knows the owner's clock, for instance because all
+// their machines have restarted.
+func (t *Takeover) ClockOffsets() (deadlines, waits int64, known bool) {
+	deadlines, known = t.upperOffset.Offset()
+	waits, _ = t.lowerOffset.Offset()
 	return deadlines, waits, known
 }
 
-// Complete reports whether the holders that answered must have among them one that has whatever so many were waited for
-// to have. Where they need not, an attempt may have begun that none of them knows of. One whose disk was lost answers,
-// too, and knows nothing.
-func (h *Takeover) Complete(needed int) bool {
-	know := 0
-	for _, from := range h.from {
-		if h.LongestCopy != nil && from == h.LongestCopy.From {
-			know++
+// Complete reports whether at least one of the holders that answered must have every record that the given number of
+// holders had to acknowledge. Otherwise an attempt may have begun that no answer mentions. A holder that lost its disk
+// also answers, but without a copy, and does not count.
+func (t *Takeover) Complete(required int) bool {
+	holding := 0
+	for _, epoch := range t.copyEpochs {
+		if t.LongestCopy != nil && epoch == t.LongestCopy.From {
+			holding++
 		}
 	}
-	return know > len(h.asked)-needed
+	return holding > len(t.holders)-required
 }
 
-// Look goes on once every holder has answered whose session goes on. One whose session is over is lost, too: what it
-// alone has is lost with it, as is promised for more losses than there are copies.
-func (h *Takeover) Advance(present func(string) bool) Stage {
-	if h.Stage != Sealing {
-		return h.Stage
+// Advance moves on from Sealing once every holder with a session has answered, and returns the stage. A holder whose
+// session has ended counts as lost, and so do records that it alone has: the guarantee covers no more losses than there
+// are copies. present reports whether a member has a session.
+func (t *Takeover) Advance(present func(string) bool) Stage {
+	if t.Stage != Sealing {
+		return t.Stage
 	}
-	for name := range h.asked {
-		if !h.heard[name] && present(name) {
-			return h.Stage
+	for name := range t.holders {
+		if !t.answered[name] && present(name) {
+			return t.Stage
 		}
 	}
-	if h.Stage = Ready; h.LongestCopy == nil {
-		h.Stage = Done
+	if t.Stage = Ready; t.LongestCopy == nil {
+		t.Stage = Done
 	}
-	return h.Stage
+	return t.Stage
 }
