--- a/internal/fleet/copies/keep/keep_test.go
+++ b/internal/fleet/copies/keep/keep_test.go
@@ -12,8 +12,8 @@
 	"sliptide/internal/statedir"
 )
 
-// batch is the records of a step that takes a message on.
-func batch(t *testing.T, num uint64) []byte {
+// acceptBatch returns the journal records of an accepted message.
+func acceptBatch(t *testing.T, num uint64) []byte {
 	t.Helper()
 	j, _, err := journal.Open(t.TempDir(), statedir.NewSpace(1<<20).Account())
 	if err != nil {
@@ -25,68 +25,70 @@
 	return j.RecordsToCopy()
 }
 
-func nums(records []byte) (list []uint64) {
+func messageNumbers(records []byte) (list []uint64) {
 	for _, e := range journal.Replay(records) {
 		list = append(list, e.Num)
 	}
 	return list
 }
 
-// use does what a holder does, and returns how many batches it was told are kept.
-func use(files fsys.FS, batches [][]byte) (seq uint64, err error) {
-	f, _, err := Open(files, nil, []string{"a"})
+// storeBatches stores batches as a holder does, and returns the last one that was stored without an error.
+func storeBatches(files fsys.FS, batches [][]byte) (seq uint64, err error) {
+	store, _, err := Open(files, nil, []string{"a"})
 	if err != nil {
 		return 0, err
 	}
 	for i, b := range batches {
-		k := copies.CopyState{Incarnation: 1, Epoch: 5, Seq: uint64(i + 1), LastNumber: uint64(i + 1)}
+		state := copies.CopyState{Incarnation: 1, Epoch: 5, Seq: uint64(i + 1), LastNumber: uint64(i + 1)}
 		if i == 0 {
-			err = f.Reset("a", k, b)
+			err = store.Reset("a", state, b)
 		} else {
-			err = f.Append("a", k, b)
+			err = store.Append("a", state, b)
 		}
 		if err != nil {
 			return seq, err
 		}
-		seq = k.Seq
+		seq = state.Seq
 	}
 	return seq, nil
 }
 
-// TestEveryOperationFails: whichever operation fails or ends the process, the next start finds all that was answered.
+// TestEveryOperationFails fails each file operation in turn, or ends the process in it, and checks that the next start
+// finds every batch that had been acknowledged.
 func TestEveryOperationFails(t *testing.T) {
 	var batches [][]byte
 	for i := range 8 {
-		batches = append(batches, batch(t, uint64(i+1)))
+		batches = append(batches, acceptBatch(t, uint64(i+1)))
 	}
-	none := &fsys.Faulty{FS: fsys.OS{Dir: t.TempDir()}, Inject: func(int, string, string) fsys.Fault { return fsys.Fault{} }}
-	if n, err := use(none, batches); err != nil || n != 8 {
+	faultless := &fsys.Faulty{FS: fsys.OS{Dir: t.TempDir()}, Inject: func(int, string, string) fsys.Fault { return fsys.Fault{} }}
+	if n, err := storeBatches(faultless, batches); err != nil || n != 8 {
 		t.Fatal(n, err)
 	}
-	for at := range none.Ops() {
+	for failingOp := range faultless.Ops() {
 		for _, fault := range []fsys.Fault{{Err: fsys.ErrCrash}, {Err: fsys.ErrCrash, Applied: true}, {Err: fsys.ErrCrash, BytesWritten: 50},
-			{Err: errors.New("no room")}, {Err: errors.New("short"), BytesWritten: 50}} {
+			{Err: errors.New("no space")}, {Err: errors.New("short"), BytesWritten: 50}} {
 			dir := t.TempDir()
-			seq, _ := use(&fsys.Faulty{FS: fsys.OS{Dir: dir}, Inject: func(i int, _, _ string) fsys.Fault {
-				if i == at {
+			seq, _ := storeBatches(&fsys.Faulty{FS: fsys.OS{Dir: dir}, Inject: func(i int, _, _ string) fsys.Fault {
+				if i == failingOp {
 					return fault
 				}
 				return fsys.Fault{}
 			}}, batches)
-			f, kept, err := Open(fsys.OS{Dir: dir}, nil, []string{"a"})
+			store, states, err := Open(fsys.OS{Dir: dir}, nil, []string{"a"})
 			if err != nil {
-				t.Errorf("operation %d, %+v: %v", at, fault, err)
+				t.Errorf("operation %d, %+v: %v", failingOp, fault, err)
 				continue
 			}
-			if kept["a"].Seq < seq || uint64(len(nums(f.LiveRecords("a")))) != kept["a"].Seq {
-				t.Errorf("operation %d, %+v: answered for %d batches, kept %d with %d messages", at, fault, seq, kept["a"].Seq, len(nums(f.LiveRecords("a"))))
+			if states["a"].Seq < seq || uint64(len(messageNumbers(store.LiveRecords("a")))) != states["a"].Seq {
+				t.Errorf("operation %d, %+v: %d batches acknowledged, %d found with %d messages", failingOp, fault, seq, states["a"].Seq, len(messageNumbers(store.LiveRecords("a"))))
 			}
 		}
 	}
 }
 
-// TestTorn: what comes after a write that failed is not hidden behind half a record.
-func TestTorn(t *testing.T) {
+// TestWriteAfterTornRecord checks that a record written after a failed write can be read, although that write left part
+// of a record.
+func TestWriteAfterTornRecord(t *testing.T) {
 	fail := false
 	dir := t.TempDir()
 	files := &fsys.Faulty{FS: fsys.OS{Dir: dir}, Inject: func(_ int, op, _ string) fsys.Fault {
@@ -95,42 +97,42 @@
 		}
 		return fsys.Fault{}
 	}}
-	f, _, err := Open(files, nil, nil)
+	store, _, err := Open(files, nil, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	k := copies.CopyState{Incarnation: 1, Epoch: 5, Seq: 1}
-	if err := f.Reset("a", k, batch(t, 1)); err != nil {
+	state := copies.CopyState{Incarnation: 1, Epoch: 5, Seq: 1}
+	if err := store.Reset("a", state, acceptBatch(t, 1)); err != nil {
 		t.Fatal(err)
 	}
-	fail, k.Seq = true, 2
-	if f.Append("a", k, batch(t, 2)) == nil {
-		t.Fatal("no error")
+	fail, state.Seq = true, 2
+	if store.Append("a", state, acceptBatch(t, 2)) == nil {
+		t.Fatal("the failing append returned no error")
 	}
 	fail = false
-	if err := f.Append("a", k, batch(t, 2)); err != nil {
+	if err := store.Append("a", state, acceptBatch(t, 2)); err != nil {
 		t.Fatal(err)
 	}
-	again, kept, err := Open(fsys.OS{Dir: dir}, nil, []string{"a"})
-	if err != nil || kept["a"].Seq != 2 || len(nums(again.LiveRecords("a"))) != 2 {
-		t.Errorf("%v, %+v, %v", err, kept, nums(again.LiveRecords("a")))
+	reopened, states, err := Open(fsys.OS{Dir: dir}, nil, []string{"a"})
+	if err != nil || states["a"].Seq != 2 || len(messageNumbers(reopened.LiveRecords("a"))) != 2 {
+		t.Errorf("%v, %+v, %v", err, states, messageNumbers(reopened.LiveRecords("a")))
 	}
 }
 
-// TestRoom: copies stay within the folder's room, and say so.
-func TestRoom(t *testing.T) {
+// TestQuota checks that a copy beyond the quota of the state directory is refused, and that the others remain writable.
+func TestQuota(t *testing.T) {
 	space := statedir.NewSpace(16 << 10)
-	f, _, err := Open(fsys.OS{Dir: t.TempDir()}, space.Account(), nil)
+	store, _, err := Open(fsys.OS{Dir: t.TempDir()}, space.Account(), nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := f.Reset("a", copies.CopyState{Epoch: 1, Seq: 1}, make([]byte, 4<<10)); err != nil {
+	if err := store.Reset("a", copies.CopyState{Epoch: 1, Seq: 1}, make([]byte, 4<<10)); err != nil {
 		t.Fatal(err)
 	}
-	if err := f.Reset("b", copies.CopyState{Epoch: 1, Seq: 1}, make([]byte, 12<<10)); !errors.Is(err, errNoSpace) {
-		t.Errorf("without room: %v", err)
+	if err := store.Reset("b", copies.CopyState{Epoch: 1, Seq: 1}, make([]byte, 12<<10)); !errors.Is(err, errNoSpace) {
+		t.Errorf("error of a copy beyond the quota: %v", err)
 	}
-	if err := f.SaveState("a", copies.CopyState{Epoch: 1, Seq: 1, SealedBelow: 9}); err != nil || f.Size("b") != 0 {
-		t.Errorf("what is kept goes on: %v, %d", err, f.Size("b"))
+	if err := store.SaveState("a", copies.CopyState{Epoch: 1, Seq: 1, SealedBelow: 9}); err != nil || store.Size("b") != 0 {
+		t.Errorf("SaveState of the existing copy: %v; size of the refused copy: %d", err, store.Size("b"))
 	}
 }
