--- a/internal/fleet/copies/keep/keep.go
+++ b/internal/fleet/copies/keep/keep.go
@@ -25,7 +25,7 @@
 )
 
 // errNoSpace reports that a copy exceeds the quota of the state directory.
-var errNoSpace = errors.New("limits.disk_mb leaves no room for copies")
+var errNoSpace = errors.New("no space left for copies within limits.disk_mb")
 
 // Store implements copies.Store. It is not safe for concurrent use.
 type Store struct {
--- a/internal/fleet/copies/model/model.go
+++ b/internal/fleet/copies/model/model.go
@@ -1,10 +1,10 @@
-// Package model runs copies of journals in a world of faults: members that take messages on, copy their journals, are
-// lost, and inherit, by the very Owner, Holder, Heir, placement and state of duties that the program has; what a sender
-// does with messages is modelled. The fleet's agreement is a state that all see at once; leases are as
-// internal/fleet/lease makes them: a member gives up before its session ends. A checker holds the ledgers of clients,
-// partner and platform side by side.
+// Package model simulates the copies of journals under faults. Its members accept messages, copy their journals, are
+// lost and take over from each other, using the program's own Owner, Holder, Takeover, placement and state of duties.
+// Only a sender's handling of messages is modelled. The fleet's agreement is a state that every member sees at once.
+// Leases are as in internal/fleet/lease: a member considers its lease lost before its session ends. A checker compares
+// what clients, the partner and the platform have observed of each message.
 //
-// It is for tests and figures, with 3 to 300 members; nothing of the program uses it.
+// It serves tests and measurements with 3 to 300 members; the program itself does not use it.
 package model
 
 import (
@@ -22,89 +22,91 @@
 )
 
 const (
-	tick      = int64(5 * time.Millisecond)
-	leaseHold = int64(450 * time.Millisecond)
-	leaseWait = int64(550 * time.Millisecond)
-	patience  = int64(150 * time.Millisecond)
-	callTakes = int64(60 * time.Millisecond)
+	tick           = int64(5 * time.Millisecond)
+	leaseDuration  = int64(450 * time.Millisecond)
+	sessionTimeout = int64(550 * time.Millisecond)
+	ackTimeout     = int64(150 * time.Millisecond)
+	callDuration   = int64(60 * time.Millisecond)
 )
 
-// records of the model's journal: an operation and a message
+// Operations of the records of the model's journal.
 const (
-	opTaken = iota
-	opStart
-	opOutcome // may have run
-	opConfirm // its client is told 202
+	opAccepted = iota
+	opAttempt
+	opOutcome   // an attempt ended and may have run
+	opConfirmed // the client is answered 202
 	opEnd
-	opPend // it is being taken over: from whom, with which token
-	opOwn  // that was agreed on
+	opPending // its takeover has begun, from an owner and with a token
+	opAgreed  // the fleet has agreed to that takeover
 )
 
-// record is one record of the model's journal, of a fixed size.
+// recordSize is the size of a record: an operation, the entry's number, the message, the lost owner and the token.
 const recordSize = 1 + 4 + 4 + 4 + 4
 
-func record(op byte, e *entry) []byte {
+func encodeRecord(op byte, e *entry) []byte {
 	b := []byte{op}
 	owner := 0
-	if e.pending != "" {
-		owner, _ = strconv.Atoi(e.pending[len(duty.Own("m")):])
+	if e.pendingDuty != "" {
+		owner, _ = strconv.Atoi(e.pendingDuty[len(duty.Own("m")):])
 	}
-	for _, v := range []int{int(e.num), e.msg, owner, int(e.token)} {
+	for _, v := range []int{int(e.num), e.msg, owner, int(e.takeoverToken)} {
 		b = binary.BigEndian.AppendUint32(b, uint32(v))
 	}
 	return b
 }
 
+// entry is a message in a member's journal.
 type entry struct {
-	num     uint64
-	msg     int
-	sure    bool   // its client has heard that it was taken on, or will
-	started bool   // an attempt was begun
-	out     bool   // and is out
-	pending string // adopted, and not agreed on yet: the owner's duty
-	token   uint64
+	num           uint64
+	msg           int    // index in World.messages
+	confirmed     bool   // the client has been answered 202, or will be
+	started       bool   // an attempt has begun
+	inFlight      bool   // an attempt is in progress
+	pendingDuty   string // the lost owner's duty, while the fleet has not agreed to the takeover
+	takeoverToken uint64
 }
 
-// live is what a journal's records come to.
-func live(records []byte) (list []entry) {
+// replay returns the live entries of a journal's records.
+func replay(records []byte) (list []entry) {
 	for ; len(records) >= recordSize; records = records[recordSize:] {
-		at := func(i int) uint64 { return uint64(binary.BigEndian.Uint32(records[1+4*i:])) }
-		num, msg := at(0), int(at(1))
-		k := slices.IndexFunc(list, func(e entry) bool { return e.num == num })
-		if records[0] == opTaken && k < 0 {
+		field := func(i int) uint64 { return uint64(binary.BigEndian.Uint32(records[1+4*i:])) }
+		num, msg := field(0), int(field(1))
+		i := slices.IndexFunc(list, func(e entry) bool { return e.num == num })
+		if records[0] == opAccepted && i < 0 {
 			list = append(list, entry{num: num, msg: msg})
 		}
-		if k < 0 {
+		if i < 0 {
 			continue
 		}
 		switch records[0] {
-		case opConfirm:
-			list[k].sure = true
-		case opStart:
-			list[k].started = true
+		case opConfirmed:
+			list[i].confirmed = true
+		case opAttempt:
+			list[i].started = true
 		case opEnd:
-			list = slices.Delete(list, k, k+1)
-		case opPend:
-			list[k].pending, list[k].token = duty.Own(fmt.Sprint("m", at(2))), at(3)
-		case opOwn:
-			list[k].pending = ""
+			list = slices.Delete(list, i, i+1)
+		case opPending:
+			list[i].pendingDuty, list[i].takeoverToken = duty.Own(fmt.Sprint("m", field(2))), field(3)
+		case opAgreed:
+			list[i].pendingDuty = ""
 		}
 	}
 	return list
 }
 
-func dump(list []entry) (b []byte) {
+// encodeEntries returns records of live entries.
+func encodeEntries(list []entry) (b []byte) {
 	for i := range list {
 		e := &list[i]
-		b = append(b, record(opTaken, e)...)
-		if e.pending != "" {
-			b = append(b, record(opPend, e)...)
+		b = append(b, encodeRecord(opAccepted, e)...)
+		if e.pendingDuty != "" {
+			b = append(b, encodeRecord(opPending, e)...)
 		}
-		if e.sure {
-			b = append(b, record(opConfirm, e)...)
+		if e.confirmed {
+			b = append(b, encodeRecord(opConfirmed, e)...)
 		}
 		if e.started {
-			b = append(b, record(opStart, e)...)
+			b = append(b, encodeRecord(opAttempt, e)...)
 		}
 	}
 	return b
@@ -121,130 +123,134 @@
 	return nil
 }
 func (s memStore) SaveState(string, copies.CopyState) error { return nil }
-func (s memStore) LiveRecords(owner string) []byte          { return dump(live(s[owner])) }
+func (s memStore) LiveRecords(owner string) []byte          { return encodeEntries(replay(s[owner])) }
 func (s memStore) Size(owner string) int64                  { return int64(len(s[owner])) }
 
-// ledger is what befell one message.
-type ledger struct {
-	unsafe    bool
-	same      *ledger // the first try of the same message: effects and attempts are counted there
-	number    uint64
-	again     bool   // it was handed in again, under another id
-	at        string // the member that has its last try
-	life      int    // and which life of its disk
-	taken     bool   // its client has heard 202
-	refused   bool
-	effects   int
-	out       []string // members whose attempts are out
-	ended     int      // final answers
-	notices   int      // of these, that it was given up
-	deliverAt []string
+// history is what clients, the partner and the platform have observed of one submission of a message.
+type history struct {
+	unsafe       bool     // its class forbids repeats
+	original     *history // the first submission of the same message, which counts effects and attempts of all
+	id           uint64
+	resubmitted  bool // under another id
+	submittedTo  string
+	incarnation  int  // of that member's disk
+	accepted     bool // the client has been answered 202
+	refused      bool
+	effects      int
+	inFlightAt   []string // members with an attempt in progress
+	finalAnswers int
+	notices      int // final answers that report the message as abandoned
+	endedBy      []string
 }
 
 type member struct {
-	w           *World
-	n           int
-	name        string
-	zone        string
-	up          bool
-	stopped     int64
-	cutUntil    int64
-	boot        uint64
-	incarnation uint64
-	session     uint64
-	last        uint64 // the session that it had last, in this life or before
-	contact     int64  // with the fleet
-	sent        int64  // the contact that counts for its own lease
-	life        int
-
-	// what its disk keeps
-	journal []entry
-	next    uint64
-	store   memStore
-	kept    map[string]copies.CopyState
-
-	owner  *copies.Owner
-	holder *copies.Holder
-	heirs  map[string]*copies.Takeover
-	wait   []waiting
-	calls  []*attempt
-	inbox  []func()
-}
-
-type waiting struct {
-	seq  uint64
-	till int64
-	do   func(kept bool)
-}
-
+	w                *World
+	index            int
+	name             string
+	zone             string
+	up               bool
+	stoppedUntil     int64
+	partitionedUntil int64
+	boot             uint64
+	incarnation      uint64
+	session          uint64
+	lastSession      uint64 // the most recent session, in this process run or an earlier one
+	contactAt        int64  // last contact with the fleet
+	leaseStart       int64  // the contact from which the member counts its lease
+	run              int    // number of the process run
+
+	// State on disk.
+	journal    []entry
+	lastNumber uint64
+	store      memStore
+	copyStates map[string]copies.CopyState
+
+	owner     *copies.Owner
+	holder    *copies.Holder
+	takeovers map[string]*copies.Takeover
+	waits     []ackWait
+	calls     []*attempt
+	inbox     []func()
+}
+
+// ackWait is a wait for the acknowledgement of a batch.
+type ackWait struct {
+	seq      uint64
+	deadline int64
+	done     func(acknowledged bool)
+}
+
+// attempt is a call to the partner.
 type attempt struct {
-	num  uint64
-	ends int64
+	num    uint64
+	endsAt int64
 }
 
+// World is a simulated fleet with its clients and partner.
 type World struct {
-	rng     *rand.Rand
-	now     int64
-	state   *duty.State
-	index   uint64
-	members []*member
-	frames  []frame
-	msgs    []*ledger
-	breach  string
-	count   int
-	needed  int
-	loss    bool
-	guards  Guards
-	adopted int
-	over    []partnerEnd
-	byName  map[string]*member
-	list    []*pb.Duty // the duties of that version of the state
-	version uint64
-	every   int  // steps between two looks of a member at the fleet
-	most    int  // messages of a run
-	share   int  // one in so many steps brings a message
-	down    bool // every call fails
-	inOrder bool
-	steps   int
-	resets  int64          // bytes that were copied anew, and
-	copied  int64          // in batches
-	heirs   map[string]int // messages taken over, by heir
-	twice   int            // machines lost that had been up for moments: each may have given a notice whose record was not copied yet
-}
-
-// partnerEnd is the end of an attempt at the partner, whatever becomes of its answer.
+	rng             *rand.Rand
+	now             int64
+	state           *duty.State
+	index           uint64
+	members         []*member
+	frames          []frame
+	messages        []*history
+	violation       string // the first violation of a guarantee
+	copyCount       int    // copies of each journal
+	required        int    // holders that must acknowledge a record
+	dropFrames      bool   // a quarter of all frames is lost
+	disabled        DisabledGuards
+	adoptions       int
+	partnerEnds     []partnerEnd
+	byName          map[string]*member
+	dutyList        []*pb.Duty // the duties at dutyListVersion of the state
+	dutyListVersion uint64
+	fleetInterval   int  // steps between contacts of a member with the fleet
+	maxMessages     int  // messages of a run
+	messageInterval int  // mean number of steps between messages
+	partnerDown     bool // every call fails
+	orderedFrames   bool // frames do not overtake each other
+	steps           int
+	resetBytes      int64          // bytes of records copied in resets
+	batchBytes      int64          // bytes of records copied in batches
+	takenOverBy     map[string]int // messages taken over, by successor
+	extraNotices    int            // lost machines whose last notice may not have been copied, so that it is repeated
+}
+
+// partnerEnd is the end of an attempt at the partner, whether or not its answer arrives.
 type partnerEnd struct {
-	at   int64
-	l    *ledger
-	from string
-}
-
-// guards are taken out one by one.
-type Guards struct {
-	holder      copies.HolderChecks
-	answerSoon  bool // 202 before the copies are acknowledged
-	startSoon   bool // the first byte before "attempt begun" is acknowledged, for a class that forbids repeats
-	noLease     bool // attempts are started whatever the lease says
-	keepAll     bool // an owner that is back drops nothing
-	noAgain     bool // what was handed in again is not compared with what is taken over
-	dropMarked  bool // what an heir had agreed on, and not unmarked yet, is dropped by its own heir
-	sendUnknown bool // an heir sends what holders that are away may know attempts of
-	noConfirm   bool // an heir sends what its client may have been refused
-	sendSoon    bool // an heir sends before the fleet has agreed
-}
-
+	at      int64
+	message *history
+	from    string
+}
+
+// DisabledGuards says which guards are disabled, so that tests can show that the checker detects their absence.
+type DisabledGuards struct {
+	holderChecks        copies.HolderChecks
+	answerBeforeAck     bool // answer 202 before holders have acknowledged the message
+	startBeforeAck      bool // send before holders have acknowledged the attempt, in a class that forbids repeats
+	ignoreLease         bool // start attempts without a valid lease
+	keepTransferred     bool // a returning owner keeps messages that a successor has taken over
+	ignoreResubmitted   bool // do not compare resubmitted messages with those taken over
+	dropPending         bool // drop entries that the lost owner was taking over itself, although the fleet had agreed
+	sendUnknown         bool // a successor sends messages of whose attempts only unreachable holders may know
+	sendUnconfirmed     bool // a successor sends messages whose clients may have been refused
+	sendBeforeAgreement bool // a successor sends before the fleet has agreed to the takeover
+}
+
+// frame is a frame in transit that arrives at a time.
 type frame struct {
-	at   int64
-	from *member
-	to   *member
-	f    *pb.Frame
+	at    int64
+	from  *member
+	to    *member
+	frame *pb.Frame
 }
 
-func newWorld(seed uint64, members, count, needed int, g Guards) *World {
-	w := &World{rng: rand.New(rand.NewPCG(seed, 9)), state: duty.New(nil), count: count, needed: needed, guards: g, byName: map[string]*member{},
-		every: 1, most: 250, share: 8, heirs: map[string]int{}}
+func newWorld(seed uint64, members, copyCount, required int, disabled DisabledGuards) *World {
+	w := &World{rng: rand.New(rand.NewPCG(seed, 9)), state: duty.New(nil), copyCount: copyCount, required: required, disabled: disabled, byName: map[string]*member{},
+		fleetInterval: 1, maxMessages: 250, messageInterval: 8, takenOverBy: map[string]int{}}
 	for i := range members {
-		m := &member{w: w, n: i, name: fmt.Sprint("m", i), incarnation: uint64(i + 1)}
+		m := &member{w: w, index: i, name: fmt.Sprint("m", i), incarnation: uint64(i + 1)}
 		w.members, w.byName[m.name] = append(w.members, m), m
 		m.start()
 	}
@@ -258,42 +264,42 @@
 
 func (w *World) member(name string) *member { return w.byName[name] }
 
-// duties are all duties, by name.
+// duties returns all duties, sorted by name.
 func (w *World) duties() []*pb.Duty {
-	if v := w.state.Version(); v != w.version || w.list == nil {
-		w.list, w.version = w.state.Duties(), v
+	if v := w.state.Version(); v != w.dutyListVersion || w.dutyList == nil {
+		w.dutyList, w.dutyListVersion = w.state.Duties(), v
 	}
-	return w.list
+	return w.dutyList
 }
 
 func (m *member) start() {
-	m.up, m.boot, m.life, m.stopped = true, m.boot+1, m.life+1, 0
+	m.up, m.boot, m.run, m.stoppedUntil = true, m.boot+1, m.run+1, 0
 	if m.store == nil {
-		m.store, m.kept = memStore{}, map[string]copies.CopyState{}
+		m.store, m.copyStates = memStore{}, map[string]copies.CopyState{}
 	}
 	m.owner = copies.NewOwner(m.name, m.incarnation)
-	m.holder = copies.NewHolder(m.store, 1<<20, 1, m.kept)
-	m.holder.SkipChecks = m.w.guards.holder
-	m.heirs, m.wait, m.calls, m.session, m.inbox = map[string]*copies.Takeover{}, nil, nil, 0, nil
+	m.holder = copies.NewHolder(m.store, 1<<20, 1, m.copyStates)
+	m.holder.SkipChecks = m.w.disabled.holderChecks
+	m.takeovers, m.waits, m.calls, m.session, m.inbox = map[string]*copies.Takeover{}, nil, nil, 0, nil
 	for i := range m.journal {
-		m.journal[i].out = false
+		m.journal[i].inFlight = false
 	}
 }
 
-func (m *member) lose() {
-	m.journal, m.store, m.kept = nil, memStore{}, map[string]copies.CopyState{}
+func (m *member) loseDisk() {
+	m.journal, m.store, m.copyStates = nil, memStore{}, map[string]copies.CopyState{}
 	m.incarnation += 100
-	m.next = 0
+	m.lastNumber = 0
 }
 
-func (m *member) runs() bool { return m.up && m.w.now >= m.stopped }
+func (m *member) running() bool { return m.up && m.w.now >= m.stoppedUntil }
 
-func (m *member) reaches() bool { return m.runs() && m.w.now >= m.cutUntil }
+func (m *member) reachable() bool { return m.running() && m.w.now >= m.partitionedUntil }
 
-// valid reports whether its lease holds by its own count.
-func (m *member) valid() bool { return m.session != 0 && m.w.now-m.sent < leaseHold }
+// leaseValid reports whether the member itself considers its lease valid.
+func (m *member) leaseValid() bool { return m.session != 0 && m.w.now-m.leaseStart < leaseDuration }
 
-func (m *member) mine() *pb.Duty {
+func (m *member) ownDuty() *pb.Duty {
 	for _, d := range m.w.duties() {
 		if d.Name == duty.Own(m.name) && d.Session == m.session && m.session != 0 {
 			return d
@@ -306,13 +312,13 @@
 	w.now += tick
 	w.steps++
 	for _, m := range w.members {
-		if m.reaches() && (w.steps+m.n)%w.every == 0 {
-			m.fleet()
+		if m.reachable() && (w.steps+m.index)%w.fleetInterval == 0 {
+			m.contactFleet()
 		}
 	}
 	for _, m := range w.members {
-		if w.state.Session(m.last) != nil && w.now-m.contact > leaseWait {
-			w.apply(&pb.Command{What: &pb.Command_Close{Close: &pb.Close{Session: m.last}}})
+		if w.state.Session(m.lastSession) != nil && w.now-m.contactAt > sessionTimeout {
+			w.apply(&pb.Command{What: &pb.Command_Close{Close: &pb.Close{Session: m.lastSession}}})
 		}
 	}
 	for i := 0; i < len(w.frames); i++ {
@@ -322,47 +328,47 @@
 		}
 		w.frames = slices.Delete(w.frames, i, i+1)
 		i--
-		if !f.to.up || w.now < f.to.cutUntil || w.now < f.from.cutUntil {
+		if !f.to.up || w.now < f.to.partitionedUntil || w.now < f.from.partitionedUntil {
 			continue
 		}
-		if w.now < f.to.stopped {
+		if w.now < f.to.stoppedUntil {
 			f.to.inbox = append(f.to.inbox, func() { f.to.receive(f) })
 			continue
 		}
 		f.to.receive(f)
 	}
-	w.over = slices.DeleteFunc(w.over, func(p partnerEnd) bool {
+	w.partnerEnds = slices.DeleteFunc(w.partnerEnds, func(p partnerEnd) bool {
 		if p.at > w.now {
 			return false
 		}
-		if i := slices.Index(p.l.out, p.from); i >= 0 {
-			p.l.out = slices.Delete(p.l.out, i, i+1)
+		if i := slices.Index(p.message.inFlightAt, p.from); i >= 0 {
+			p.message.inFlightAt = slices.Delete(p.message.inFlightAt, i, i+1)
 		}
 		return true
 	})
 	for _, m := range w.members {
-		if m.runs() {
+		if m.running() {
 			for _, do := range m.inbox {
 				do()
 			}
 			m.inbox = nil
-			m.work()
+			m.stepSender()
 		}
 	}
-	if w.steps%w.every == 0 {
-		w.judge(false)
+	if w.steps%w.fleetInterval == 0 {
+		w.check(false)
 	}
 }
 
-func (w *World) send(from *member, list []copies.Outgoing) {
-	for _, o := range list {
-		if w.loss && w.rng.IntN(4) == 0 {
+func (w *World) send(from *member, outgoing []copies.Outgoing) {
+	for _, o := range outgoing {
+		if w.dropFrames && w.rng.IntN(4) == 0 {
 			continue
 		}
 		if c := o.Frame.GetCopy(); c.GetReset_() {
-			w.resets += int64(len(c.Records))
+			w.resetBytes += int64(len(c.Records))
 		} else if c != nil {
-			w.copied += int64(len(c.Records))
+			w.batchBytes += int64(len(c.Records))
 		}
 		if to := w.member(o.To); to != nil {
 			w.frames = append(w.frames, frame{w.now + w.delay(), from, to, o.Frame})
@@ -370,16 +376,18 @@
 	}
 }
 
-// delay is how long a frame takes. Frames overtake each other, but where links are as the program's are.
+// delay returns the transfer time of a frame. With random times, frames overtake each other, which the program's links
+// do not allow; orderedFrames prevents it.
 func (w *World) delay() int64 {
-	if w.inOrder {
+	if w.orderedFrames {
 		return int64(10 * time.Millisecond)
 	}
 	return w.rng.Int64N(int64(30 * time.Millisecond))
 }
 
-// fleet is a member's part in the agreement: its session, its own duty, and those of the owners that it keeps.
-func (m *member) fleet() {
+// contactFleet renews the member's session and acquires its own duty and the free duties of owners whose copies it
+// holds.
+func (m *member) contactFleet() {
 	w := m.w
 	if s := w.state.Session(m.session); s == nil {
 		if m.session != 0 {
@@ -390,180 +398,185 @@
 		if r.Err != nil {
 			return
 		}
-		m.session, m.last = r.Session, r.Session
+		m.session, m.lastSession = r.Session, r.Session
 	}
-	m.contact, m.sent = w.now, w.now
+	m.contactAt, m.leaseStart = w.now, w.now
 	w.apply(&pb.Command{What: &pb.Command_Acquire{Acquire: &pb.Acquire{Session: m.session, Duty: duty.Own(m.name)}}})
 	for _, d := range w.duties() {
 		if d.Name != duty.Own(m.name) && slices.Contains(d.Holders, m.name) {
 			w.apply(&pb.Command{What: &pb.Command_Acquire{Acquire: &pb.Acquire{Session: m.session, Duty: d.Name}}})
 		}
 	}
-	m.own()
-	m.inherit()
+	m.stepOwnJournal()
+	m.stepTakeovers()
 }
 
-// own begins the epoch of its own journal, drops what was handed on, and sees to its holders.
-func (m *member) own() {
-	w, d := m.w, m.mine()
+// stepOwnJournal begins a new epoch of the member's own journal if its token has changed, drops messages that a
+// successor has taken over, and adjusts the holders.
+func (m *member) stepOwnJournal() {
+	w, d := m.w, m.ownDuty()
 	if d == nil {
 		m.owner.BeginEpoch(0)
 		return
 	}
 	if m.owner.Epoch() != d.Token {
-		if a := w.state.Adopted(m.name); a != nil && a.Incarnation == m.incarnation && !w.guards.keepAll {
+		if a := w.state.Adopted(m.name); a != nil && a.Incarnation == m.incarnation && !w.disabled.keepTransferred {
 			m.journal = slices.DeleteFunc(m.journal, func(e entry) bool { return e.num <= a.Upto })
 			m.calls = slices.DeleteFunc(m.calls, func(c *attempt) bool { return c.num <= a.Upto })
-			for i := range m.wait {
-				m.wait[i].till = 0
+			for i := range m.waits {
+				m.waits[i].deadline = 0
 			}
-			m.next = max(m.next, a.Upto)
+			m.lastNumber = max(m.lastNumber, a.Upto)
 		}
 		m.owner.BeginEpoch(d.Token)
 	}
 	m.owner.SetHolders(d.Holders)
-	var there []placement.Member
-	present := map[string]bool{}
+	var present []placement.Member
+	isPresent := map[string]bool{}
 	for _, p := range w.state.Present() {
-		there = append(there, placement.Member{Name: p.Name, Zone: p.Zone})
-		present[p.Name] = true
+		present = append(present, placement.Member{Name: p.Name, Zone: p.Zone})
+		isPresent[p.Name] = true
 	}
-	wanted := placement.Choose(m.name, m.zone, w.count, there)
-	next := placement.Next(d.Holders, wanted, m.owner.Synced, func(n string) bool { return present[n] })
+	wanted := placement.Choose(m.name, m.zone, w.copyCount, present)
+	next := placement.Next(d.Holders, wanted, m.owner.Synced, func(n string) bool { return isPresent[n] })
 	if !slices.Equal(next, d.Holders) {
 		w.apply(&pb.Command{What: &pb.Command_Keep{Keep: &pb.Keep{Session: m.session, Duty: d.Name, Token: d.Token, Holders: next}}})
 		m.owner.SetHolders(next)
 	}
 }
 
-// inherit takes over what lost owners had.
-func (m *member) inherit() {
+// stepTakeovers starts and advances takeovers of lost owners.
+func (m *member) stepTakeovers() {
 	w := m.w
 	for _, d := range w.duties() {
 		owner := d.Name[len(duty.Own("")):]
 		if owner == m.name || d.Session != m.session {
 			continue
 		}
-		h := m.heirs[owner]
-		if h == nil || h.Epoch != d.Token {
-			h = copies.NewTakeover(owner, d.Token, d.Holders, w.state.Adopted(owner))
-			m.heirs[owner] = h
+		t := m.takeovers[owner]
+		if t == nil || t.Epoch != d.Token {
+			t = copies.NewTakeover(owner, d.Token, d.Holders, w.state.Adopted(owner))
+			m.takeovers[owner] = t
 		}
-		w.send(m, h.TakeOutgoing(w.now))
-		stage := h.Advance(func(name string) bool {
+		w.send(m, t.TakeOutgoing(w.now))
+		stage := t.Advance(func(name string) bool {
 			return slices.ContainsFunc(w.state.Present(), func(p *pb.Present) bool { return p.Name == name })
 		})
 		switch stage {
 		case copies.Ready:
-			m.bring(h, d)
+			m.importEntries(t, d)
 		case copies.Done:
 			w.apply(&pb.Command{What: &pb.Command_Release{Release: &pb.Release{Session: m.session, Duty: d.Name, Token: d.Token}}})
 		}
 	}
 }
 
-// bring puts what was found into the heir's own journal, copies it, and has the fleet agree.
-func (m *member) bring(h *copies.Takeover, d *pb.Duty) {
-	h.Stage = copies.Copying
+// importEntries writes the entries of the longest copy to the successor's journal, waits until they are copied, and
+// asks the fleet to agree.
+func (m *member) importEntries(t *copies.Takeover, d *pb.Duty) {
+	t.Stage = copies.Copying
 	var records []byte
 	var nums []uint64
 	var keys []uint64
-	for _, e := range live(h.LongestCopy.Records) {
-		if e.pending != "" && (m.w.guards.dropMarked || duty.Agreed(m.w.state.Adopted(e.pending[len(duty.Own("")):]), e.token).GetBy() != h.Owner) {
+	for _, e := range replay(t.LongestCopy.Records) {
+		if e.pendingDuty != "" && (m.w.disabled.dropPending || duty.Agreed(m.w.state.Adopted(e.pendingDuty[len(duty.Own("")):]), e.takeoverToken).GetBy() != t.Owner) {
 			continue
 		}
-		if e.sure && !m.w.guards.noAgain {
-			keys = append(keys, m.w.msgs[e.msg].key())
+		if e.confirmed && !m.w.disabled.ignoreResubmitted {
+			keys = append(keys, m.w.messages[e.msg].key())
 		}
-		if m.w.msgs[e.msg].unsafe && !h.Complete(m.w.needed) && !m.w.guards.sendUnknown {
-			e.started = true // it may have run: who knows of it is away
+		if m.w.messages[e.msg].unsafe && !t.Complete(m.w.required) && !m.w.disabled.sendUnknown {
+			e.started = true // it may have run: a holder that would know is unreachable
 		}
-		m.next++
-		e.num, e.pending, e.token = m.next, d.Name, d.Token
-		if m.w.guards.sendSoon {
-			e.pending = ""
+		m.lastNumber++
+		e.num, e.pendingDuty, e.takeoverToken = m.lastNumber, d.Name, d.Token
+		if m.w.disabled.sendBeforeAgreement {
+			e.pendingDuty = ""
 		}
 		m.journal = append(m.journal, e)
 		nums = append(nums, e.num)
-		records = append(records, dump([]entry{e})...)
+		records = append(records, encodeEntries([]entry{e})...)
 	}
-	life := m.life
-	m.await(m.append(records), func(kept bool) {
-		if m.life != life {
+	run := m.run
+	m.awaitAcks(m.appendRecords(records), func(acknowledged bool) {
+		if m.run != run {
 			return
 		}
-		if !kept || m.session != d.Session { // it begins again
+		if !acknowledged || m.session != d.Session { // the takeover starts again
 			m.discard(nums)
-			delete(m.heirs, h.Owner)
+			delete(m.takeovers, t.Owner)
 			return
 		}
-		r := m.w.apply(&pb.Command{What: &pb.Command_Adopt{Adopt: &pb.Adopt{Session: m.session, Duty: d.Name, Token: d.Token, Incarnation: h.LongestCopy.Incarnation, Upto: h.LongestCopy.Upto, Keys: keys}}})
+		r := m.w.apply(&pb.Command{What: &pb.Command_Adopt{Adopt: &pb.Adopt{Session: m.session, Duty: d.Name, Token: d.Token, Incarnation: t.LongestCopy.Incarnation, Upto: t.LongestCopy.Upto, Keys: keys}}})
 		if r.Err != nil {
 			m.discard(nums)
-			delete(m.heirs, h.Owner)
+			delete(m.takeovers, t.Owner)
 			return
 		}
-		m.w.adopted++
+		m.w.adoptions++
 		m.activate(nums, r.Keys)
-		h.Stage = copies.Done
+		t.Stage = copies.Done
 	})
 }
 
-// activate makes messages that were taken over this member's own. Those that were handed in again elsewhere end.
-func (m *member) activate(nums, elsewhere []uint64) {
+// activate makes messages of an agreed takeover this member's own. Messages that were resubmitted elsewhere end.
+func (m *member) activate(nums, keysElsewhere []uint64) {
 	for _, num := range nums {
 		e := m.find(num)
-		if e == nil || e.pending == "" && !m.w.guards.sendSoon {
+		if e == nil || e.pendingDuty == "" && !m.w.disabled.sendBeforeAgreement {
 			continue
 		}
-		e.pending = ""
-		m.w.heirs[m.name]++
-		m.append(record(opOwn, e))
-		if l := m.w.msgs[e.msg]; slices.Contains(elsewhere, l.key()) {
-			m.w.notice(l, m.name+" leaves it to another")
-			m.end(num)
+		e.pendingDuty = ""
+		m.w.takenOverBy[m.name]++
+		m.appendRecords(encodeRecord(opAgreed, e))
+		if hist := m.w.messages[e.msg]; slices.Contains(keysElsewhere, hist.key()) {
+			m.w.endWithNotice(hist, m.name+" left it to another member")
+			m.endMessage(num)
 		}
 	}
 }
 
-// notice ends a message at the platform.
-func (w *World) notice(l *ledger, why string) {
-	l.ended++
-	l.notices++
-	l.deliverAt = append(l.deliverAt, why)
+// endWithNotice records that the platform has been notified of the end of a message.
+func (w *World) endWithNotice(hist *history, reason string) {
+	hist.finalAnswers++
+	hist.notices++
+	hist.endedBy = append(hist.endedBy, reason)
 }
 
 func (m *member) discard(nums []uint64) {
 	var records []byte
 	for _, e := range m.journal {
 		if slices.Contains(nums, e.num) {
-			records = append(records, record(opEnd, &e)...)
+			records = append(records, encodeRecord(opEnd, &e)...)
 		}
 	}
 	m.journal = slices.DeleteFunc(m.journal, func(e entry) bool { return slices.Contains(nums, e.num) })
-	m.append(records)
+	m.appendRecords(records)
 }
 
-// append writes records to the journal's copies.
-func (m *member) append(records []byte) uint64 { return m.owner.Append(m.w.now, records, m.next, nil) }
+// appendRecords sends records to the holders and returns the number of their batch.
+func (m *member) appendRecords(records []byte) uint64 {
+	return m.owner.Append(m.w.now, records, m.lastNumber, nil)
+}
 
-func (m *member) await(seq uint64, do func(kept bool)) {
-	m.wait = append(m.wait, waiting{seq, m.w.now + patience, do})
+func (m *member) awaitAcks(seq uint64, done func(acknowledged bool)) {
+	m.waits = append(m.waits, ackWait{seq, m.w.now + ackTimeout, done})
 }
 
-// settled takes out the pending adoptions that an earlier life of this member left: the fleet knows what came of them.
-func (m *member) settled() {
+// settlePending settles the pending takeovers of an earlier process run of this member, by the fleet's record of their
+// result.
+func (m *member) settlePending() {
 	for i := 0; i < len(m.journal); i++ {
 		e := &m.journal[i]
-		if e.pending == "" {
+		if e.pendingDuty == "" {
 			continue
 		}
-		owner := e.pending[len(duty.Own("")):]
-		if a := duty.Agreed(m.w.state.Adopted(owner), e.token); a.GetBy() == m.name {
+		owner := e.pendingDuty[len(duty.Own("")):]
+		if a := duty.Agreed(m.w.state.Adopted(owner), e.takeoverToken); a.GetBy() == m.name {
 			m.activate([]uint64{e.num}, a.Elsewhere)
-			i = -1 // it may have ended: from the start
-		} else if h := m.heirs[owner]; h == nil || h.Epoch != e.token {
-			m.append(record(opEnd, e))
+			i = -1 // activate may have removed entries: scan again
+		} else if t := m.takeovers[owner]; t == nil || t.Epoch != e.takeoverToken {
+			m.appendRecords(encodeRecord(opEnd, e))
 			m.journal = slices.Delete(m.journal, i, i+1)
 			i--
 		}
@@ -572,113 +585,115 @@
 
 func (m *member) receive(f frame) {
 	w := m.w
-	switch x := f.f.What.(type) {
+	switch x := f.frame.What.(type) {
 	case *pb.Frame_Copy:
 		if a := m.holder.HandleCopy(w.now, x.Copy); a != nil {
-			k, _ := m.holder.State(x.Copy.Owner)
-			m.kept[x.Copy.Owner] = k
+			state, _ := m.holder.State(x.Copy.Owner)
+			m.copyStates[x.Copy.Owner] = state
 			w.send(m, []copies.Outgoing{{To: f.from.name, Frame: &pb.Frame{What: &pb.Frame_Copied{Copied: a}}}})
 		}
 	case *pb.Frame_Copied:
 		m.owner.HandleCopied(w.now, f.from.name, x.Copied)
 	case *pb.Frame_Seal:
 		if a := m.holder.HandleSeal(w.now, x.Seal); a != nil {
-			k, _ := m.holder.State(x.Seal.Owner)
-			m.kept[x.Seal.Owner] = k
+			state, _ := m.holder.State(x.Seal.Owner)
+			m.copyStates[x.Seal.Owner] = state
 			w.send(m, []copies.Outgoing{{To: f.from.name, Frame: &pb.Frame{What: &pb.Frame_Sealed{Sealed: a}}}})
 		}
 	case *pb.Frame_Sealed:
-		if h := m.heirs[x.Sealed.Owner]; h != nil {
-			h.HandleSealed(w.now, f.from.name, x.Sealed)
+		if t := m.takeovers[x.Sealed.Owner]; t != nil {
+			t.HandleSealed(w.now, f.from.name, x.Sealed)
 		}
 	}
 }
 
-// work is a sender's step: what waits for copies goes on or is given up, calls end, and calls begin.
-func (m *member) work() {
+// stepSender performs a step of the member's sender: it completes or abandons waits for acknowledgements, ends calls
+// and begins calls.
+func (m *member) stepSender() {
 	w := m.w
-	if m.reaches() && m.session != 0 {
-		m.settled()
+	if m.reachable() && m.session != 0 {
+		m.settlePending()
 	}
-	committed := m.owner.Committed(w.needed)
-	waits := m.wait
-	m.wait = nil
-	for _, x := range waits {
+	committed := m.owner.Committed(w.required)
+	waits := m.waits
+	m.waits = nil
+	for _, wait := range waits {
 		switch {
-		case committed >= x.seq && m.valid():
-			x.do(true)
-		case w.now > x.till:
-			x.do(false)
+		case committed >= wait.seq && m.leaseValid():
+			wait.done(true)
+		case w.now > wait.deadline:
+			wait.done(false)
 		default:
-			m.wait = append(m.wait, x)
+			m.waits = append(m.waits, wait)
 		}
 	}
 	for i := 0; i < len(m.calls); i++ {
-		if c := m.calls[i]; w.now >= c.ends {
+		if call := m.calls[i]; w.now >= call.endsAt {
 			m.calls = slices.Delete(m.calls, i, i+1)
 			i--
-			m.ended(c)
+			m.endCall(call)
 		}
 	}
-	if m.valid() && m.owner.Epoch() != 0 || w.guards.noLease {
+	if m.leaseValid() && m.owner.Epoch() != 0 || w.disabled.ignoreLease {
 		var nums []uint64
 		for _, e := range m.journal {
 			nums = append(nums, e.num)
 		}
 		for _, num := range nums {
 			if e := m.find(num); e != nil {
-				m.try(e)
+				m.tryAttempt(e)
 			}
 		}
 	}
-	w.send(m, m.owner.TakeOutgoing(w.now, func() []byte { return dump(m.journal) }))
+	w.send(m, m.owner.TakeOutgoing(w.now, func() []byte { return encodeEntries(m.journal) }))
 }
 
-// try begins an attempt of a message that is held, or ends one that may not be repeated.
-func (m *member) try(e *entry) {
+// tryAttempt begins an attempt of a message, or ends a message that may not be repeated.
+func (m *member) tryAttempt(e *entry) {
 	w := m.w
-	l := w.msgs[e.msg]
-	if e.out || e.pending != "" || slices.ContainsFunc(m.wait, func(x waiting) bool { return x.seq == 0 }) || e.token == 0 && !e.sure && m.unheard(e) {
+	hist := w.messages[e.msg]
+	if e.inFlight || e.pendingDuty != "" || slices.ContainsFunc(m.waits, func(x ackWait) bool { return x.seq == 0 }) || e.takeoverToken == 0 && !e.confirmed && m.awaitingAnswer(e) {
 		return
 	}
-	if e.started && l.unsafe || !e.sure && e.token != 0 && !w.guards.noConfirm { // it may have run, or was refused: it ends at once
-		w.notice(l, m.name+" gave it up")
-		m.end(e.num)
+	// It ends at once if it may have run, or if its client may have been refused.
+	if e.started && hist.unsafe || !e.confirmed && e.takeoverToken != 0 && !w.disabled.sendUnconfirmed {
+		w.endWithNotice(hist, m.name+" abandoned it")
+		m.endMessage(e.num)
 		return
 	}
-	e.started, e.out = true, true
-	seq := m.append(record(opStart, e))
-	num, life := e.num, m.life
-	begin := func(kept bool) {
-		k := m.find(num)
-		if m.life != life || k == nil {
+	e.started, e.inFlight = true, true
+	seq := m.appendRecords(encodeRecord(opAttempt, e))
+	num, run := e.num, m.run
+	begin := func(acknowledged bool) {
+		current := m.find(num)
+		if m.run != run || current == nil {
 			return
 		}
-		if !kept {
-			k.out, k.started = false, false
-			m.append(record(opTaken, k))
+		if !acknowledged {
+			current.inFlight, current.started = false, false
+			m.appendRecords(encodeRecord(opAccepted, current))
 			return
 		}
-		l.same.out = append(l.same.out, m.name)
-		l.effects++
-		if l.same != l {
-			l.same.effects++
+		hist.original.inFlightAt = append(hist.original.inFlightAt, m.name)
+		hist.effects++
+		if hist.original != hist {
+			hist.original.effects++
 		}
-		if len(l.same.out) > 1 {
-			w.bad("message %d: attempts of %v out at once", k.msg, l.same.out)
+		if len(hist.original.inFlightAt) > 1 {
+			w.reportViolation("message %d: simultaneous attempts by %v", current.msg, hist.original.inFlightAt)
 		}
-		m.calls = append(m.calls, &attempt{num, w.now + callTakes})
-		w.over = append(w.over, partnerEnd{w.now + callTakes, l.same, m.name})
+		m.calls = append(m.calls, &attempt{num, w.now + callDuration})
+		w.partnerEnds = append(w.partnerEnds, partnerEnd{w.now + callDuration, hist.original, m.name})
 	}
-	if l.unsafe && !w.guards.startSoon {
-		m.await(seq, begin)
+	if hist.unsafe && !w.disabled.startBeforeAck {
+		m.awaitAcks(seq, begin)
 	} else {
 		begin(true)
 	}
 }
 
-// unheard reports whether the client of a message has not heard yet that it was taken on here.
-func (m *member) unheard(e *entry) bool { return !m.w.guards.answerSoon }
+// awaitingAnswer reports whether the client of a message that is not confirmed has yet to be answered.
+func (m *member) awaitingAnswer(e *entry) bool { return !m.w.disabled.answerBeforeAck }
 
 func (m *member) find(num uint64) *entry {
 	for i := range m.journal {
@@ -689,190 +704,193 @@
 	return nil
 }
 
-func (m *member) end(num uint64) {
+func (m *member) endMessage(num uint64) {
 	if e := m.find(num); e != nil {
-		m.append(record(opEnd, e))
+		m.appendRecords(encodeRecord(opEnd, e))
 		m.journal = slices.DeleteFunc(m.journal, func(e entry) bool { return e.num == num })
 	}
 }
 
-// ended is the end of a call: many fail, so that something is always held.
-func (m *member) ended(c *attempt) {
-	e := m.find(c.num)
+// endCall ends a call. Most calls fail, so that there are always messages in the journals.
+func (m *member) endCall(call *attempt) {
+	e := m.find(call.num)
 	if e == nil {
 		return
 	}
-	l := m.w.msgs[e.msg]
-	e.out = false
-	if (m.w.rng.IntN(4) < 3 || m.w.down) && !l.unsafe { // it failed, and may have run
+	hist := m.w.messages[e.msg]
+	e.inFlight = false
+	if (m.w.rng.IntN(4) < 3 || m.w.partnerDown) && !hist.unsafe { // it failed, and may have run
 		return
 	}
-	l.ended++
-	l.deliverAt = append(l.deliverAt, m.name)
-	m.end(e.num)
+	hist.finalAnswers++
+	hist.endedBy = append(hist.endedBy, m.name)
+	m.endMessage(e.num)
 }
 
-// hand hands a message in at a member.
-func (w *World) hand(m *member, unsafe bool) {
-	if !m.runs() || !m.valid() || m.owner.Epoch() == 0 || len(w.msgs) > w.most {
+// submit submits a message to a member.
+func (w *World) submit(m *member, unsafe bool) {
+	if !m.running() || !m.leaseValid() || m.owner.Epoch() == 0 || len(w.messages) > w.maxMessages {
 		return
 	}
-	l := &ledger{unsafe: unsafe}
-	l.same = l
-	w.take(m, l)
+	hist := &history{unsafe: unsafe}
+	hist.original = hist
+	w.accept(m, hist)
 }
 
-// again hands a message in again whose sender is lost with its disk, as its client may: not one that may have run
-// where its class forbids repeats.
-func (w *World) again(m *member) {
-	if !m.reaches() || !m.valid() || m.owner.Epoch() == 0 || len(w.msgs) > w.most {
+// resubmit submits a message again whose sender has lost its disk, as its client may do. Messages that may have run are
+// left out if their class forbids repeats.
+func (w *World) resubmit(m *member) {
+	if !m.reachable() || !m.leaseValid() || m.owner.Epoch() == 0 || len(w.messages) > w.maxMessages {
 		return
 	}
-	for _, l := range w.msgs {
-		was := w.member(l.at)
-		if was.incarnation == uint64(l.life) { // its disk is there: nobody hands it in again
+	for _, hist := range w.messages {
+		previous := w.member(hist.submittedTo)
+		if previous.incarnation == uint64(hist.incarnation) { // the disk still exists: no client resubmits it
 			continue
 		}
-		if !l.taken || l.again || l.ended > 0 || was == m || l.unsafe && l.same.effects > 0 || w.rng.IntN(3) > 0 {
+		if !hist.accepted || hist.resubmitted || hist.finalAnswers > 0 || previous == m || hist.unsafe && hist.original.effects > 0 || w.rng.IntN(3) > 0 {
 			continue
 		}
-		next := &ledger{unsafe: l.unsafe, same: l.same}
-		if !w.guards.noAgain {
-			r := w.apply(&pb.Command{What: &pb.Command_Again{Again: &pb.Again{Session: m.session, Keys: []uint64{l.key()}}}})
+		next := &history{unsafe: hist.unsafe, original: hist.original}
+		if !w.disabled.ignoreResubmitted {
+			r := w.apply(&pb.Command{What: &pb.Command_Again{Again: &pb.Again{Session: m.session, Keys: []uint64{hist.key()}}}})
 			if r.Err != nil {
 				return
 			}
-			if len(r.Keys) > 0 { // an heir has it: the client hears that
-				l.again = true
+			if len(r.Keys) > 0 { // a successor has it, which the client is told
+				hist.resubmitted = true
 				return
 			}
 		}
-		l.again = true
-		w.take(m, next)
+		hist.resubmitted = true
+		w.accept(m, next)
 		return
 	}
 }
 
-// key names a message over all its tries.
-func (l *ledger) key() uint64 { return l.same.number }
+// key identifies a message across its submissions.
+func (hist *history) key() uint64 { return hist.original.id }
 
-// take takes a message on at a member.
-func (w *World) take(m *member, l *ledger) {
-	l.at, l.life, l.number = m.name, int(m.incarnation), uint64(len(w.msgs)+1)
-	w.msgs = append(w.msgs, l)
-	m.next++
-	e := entry{num: m.next, msg: len(w.msgs) - 1}
+// accept accepts a message at a member and answers its client once holders have acknowledged it.
+func (w *World) accept(m *member, hist *history) {
+	hist.submittedTo, hist.incarnation, hist.id = m.name, int(m.incarnation), uint64(len(w.messages)+1)
+	w.messages = append(w.messages, hist)
+	m.lastNumber++
+	e := entry{num: m.lastNumber, msg: len(w.messages) - 1}
 	m.journal = append(m.journal, e)
-	seq := m.append(record(opTaken, &e))
-	life := m.life
-	answer := func(kept bool) {
-		if m.life != life || m.find(e.num) == nil {
+	seq := m.appendRecords(encodeRecord(opAccepted, &e))
+	run := m.run
+	answer := func(acknowledged bool) {
+		if m.run != run || m.find(e.num) == nil {
 			return
 		}
-		if kept {
-			l.taken = true
-			m.find(e.num).sure = true
-			m.append(record(opConfirm, &e))
+		if acknowledged {
+			hist.accepted = true
+			m.find(e.num).confirmed = true
+			m.appendRecords(encodeRecord(opConfirmed, &e))
 		} else {
-			l.refused = true
-			m.end(e.num)
+			hist.refused = true
+			m.endMessage(e.num)
 		}
 	}
-	if w.guards.answerSoon {
+	if w.disabled.answerBeforeAck {
 		answer(true)
 	} else {
-		m.await(seq, answer)
+		m.awaitAcks(seq, answer)
 	}
 }
 
-func (w *World) bad(format string, args ...any) {
-	if w.breach == "" {
-		w.breach = fmt.Sprintf("%v: ", time.Duration(w.now)) + fmt.Sprintf(format, args...)
+func (w *World) reportViolation(format string, args ...any) {
+	if w.violation == "" {
+		w.violation = fmt.Sprintf("%v: ", time.Duration(w.now)) + fmt.Sprintf(format, args...)
 	}
 }
 
-// judge holds the ledgers side by side. At the end, every message that was taken on has had its final answer.
-func (w *World) judge(end bool) {
-	for i, l := range w.msgs {
+// check reports violations of the guarantees. At the end of a run, every accepted message must have a final answer.
+func (w *World) check(end bool) {
+	for i, hist := range w.messages {
 		switch {
-		case l.unsafe && l.same == l && l.effects > 1:
-			w.bad("message %d may not be repeated and took effect %d times (%v)", i, l.effects, l.deliverAt)
-		case l.refused && l.effects > 0:
-			w.bad("message %d was refused and sent", i)
-		case l.notices > 1+w.twice || l.unsafe && l.ended > 1+l.notices:
-			// One that was delivered may be given up once as well, by an heir that can't know: the platform takes
-			// a notice about what is over as harmless, as it does after a crash between an answer and its record.
-			w.bad("message %d has %d final answers (%v)", i, l.ended, l.deliverAt)
-		case end && l.taken && l.ended == 0:
-			w.bad("message %d was taken on and lost", i)
+		case hist.unsafe && hist.original == hist && hist.effects > 1:
+			w.reportViolation("message %d forbids repeats but took effect %d times (%v)", i, hist.effects, hist.endedBy)
+		case hist.refused && hist.effects > 0:
+			w.reportViolation("message %d was refused but sent", i)
+		case hist.notices > 1+w.extraNotices || hist.unsafe && hist.finalAnswers > 1+hist.notices:
+			// A delivered message may also be abandoned once, by a successor that cannot know of the delivery. The
+			// platform ignores a notice about a message that has ended, as it does after a crash between an answer
+			// and its record.
+			w.reportViolation("message %d has %d final answers (%v)", i, hist.finalAnswers, hist.endedBy)
+		case end && hist.accepted && hist.finalAnswers == 0:
+			w.reportViolation("message %d was accepted and lost", i)
 		}
 	}
 }
 
-// faulty plays a run with one fault at a time, each of which is over before the next, and judges it.
-func (w *World) play(faults []Fault) {
+// playFaults runs with one fault at a time, each of which ends before the next begins, and checks the run.
+func (w *World) playFaults(faults []Fault) {
 	at := int64(time.Second)
 	for _, f := range faults {
 		for w.now < at {
 			w.traffic()
 			w.step()
 		}
-		m := w.members[f.who%len(w.members)]
-		d := int64(f.length)
+		m := w.members[f.member%len(w.members)]
+		duration := int64(f.duration)
 		switch f.kind {
-		case 0, 1: // the machine is lost with its disk, and a new one comes
+		case 0, 1: // the machine is lost with its disk and replaced
 			if m.up {
 				m.up = false
-				m.gone()
-				m.lose()
+				m.endAttempts()
+				m.loseDisk()
 			}
-		case 2:
+		case 2: // the process is killed
 			m.up = false
-			m.gone()
-		case 3:
-			m.stopped = w.now + d
-		case 4:
-			m.cutUntil = w.now + d
-		case 5:
-			w.loss = true
-		}
-		end := w.now + d
+			m.endAttempts()
+		case 3: // the process is stopped for some time
+			m.stoppedUntil = w.now + duration
+		case 4: // the member is partitioned from the others
+			m.partitionedUntil = w.now + duration
+		case 5: // frames are lost
+			w.dropFrames = true
+		}
+		end := w.now + duration
 		for w.now < end {
 			w.traffic()
 			w.step()
 		}
-		w.loss = false
+		w.dropFrames = false
 		if !m.up {
 			m.start()
 		}
 		at = w.now + int64(2500*time.Millisecond)
-		if w.breach != "" {
+		if w.violation != "" {
 			return
 		}
 	}
-	for end := w.now + int64(6*time.Second); w.now < end && w.breach == ""; {
+	for end := w.now + int64(6*time.Second); w.now < end && w.violation == ""; {
 		w.step()
 	}
-	w.judge(true)
+	w.check(true)
 }
 
-// gone ends the attempts of a process that is no more: its connections are closed.
-func (m *member) gone() {
-	for _, l := range m.w.msgs {
-		l.out = slices.DeleteFunc(l.out, func(n string) bool { return n == m.name })
+// endAttempts ends the attempts of a process that has ended, as its connections are closed.
+func (m *member) endAttempts() {
+	for _, hist := range m.w.messages {
+		hist.inFlightAt = slices.DeleteFunc(hist.inFlightAt, func(n string) bool { return n == m.name })
 	}
 }
 
+// traffic submits and resubmits messages at random.
 func (w *World) traffic() {
-	if w.rng.IntN(w.share) == 0 {
-		w.hand(w.members[w.rng.IntN(len(w.members))], w.rng.IntN(2) == 0)
+	if w.rng.IntN(w.messageInterval) == 0 {
+		w.submit(w.members[w.rng.IntN(len(w.members))], w.rng.IntN(2) == 0)
 	}
 	if w.rng.IntN(4) == 0 {
-		w.again(w.members[w.rng.IntN(len(w.members))])
+		w.resubmit(w.members[w.rng.IntN(len(w.members))])
 	}
 }
 
+// Fault is a fault of a member; playFaults lists the kinds.
 type Fault struct {
-	kind, who int
-	length    time.Duration
+	kind, member int
+	duration     time.Duration
 }
--- a/internal/fleet/copies/model/model_test.go
+++ b/internal/fleet/copies/model/model_test.go
@@ -23,130 +23,135 @@
 	}), 1, 3).Draw(t, "faults")
 }
 
-// TestPromise: whatever befalls one member at a time, each message whose client heard 202 has its final answer, one
-// that may not be repeated takes effect once at most, and no two members have attempts of one message out at once.
-func TestPromise(t *testing.T) {
-	adopted := 0
+// TestGuaranteesUnderFaults checks that, whatever happens to one member at a time, each message that was answered 202
+// gets a final answer, a message that forbids repeats takes effect at most once, and no two members attempt a message
+// at once.
+func TestGuaranteesUnderFaults(t *testing.T) {
+	adoptions := 0
 	if os.Getenv("SLIPTIDE_SCHEDULES") == "" {
 		flag.Set("rapid.checks", "20")
 	}
 	flag.Set("rapid.nofailfile", "true")
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(rapid.Uint64().Draw(t, "seed"), 4, 2, 1, Guards{})
-		w.play(drawFaults(t))
-		if w.breach != "" {
-			t.Fatal(w.breach)
+		w := newWorld(rapid.Uint64().Draw(t, "seed"), 4, 2, 1, DisabledGuards{})
+		w.playFaults(drawFaults(t))
+		if w.violation != "" {
+			t.Fatal(w.violation)
 		}
-		adopted += w.adopted
+		adoptions += w.adoptions
 	})
-	if adopted == 0 {
-		t.Error("nothing was ever adopted")
+	if adoptions == 0 {
+		t.Error("no run had a takeover")
 	}
-	t.Logf("%d adoptions", adopted)
+	t.Logf("%d takeovers", adoptions)
 }
 
-// TestSeeds plays the runs by which guards are found with all guards in.
-func TestSeeds(t *testing.T) {
-	n := uint64(12)
+// TestRandomFaults repeats runs of TestDisabledGuardsAreDetected with all guards enabled.
+func TestRandomFaults(t *testing.T) {
+	runs := uint64(12)
 	if v, err := strconv.Atoi(os.Getenv("SLIPTIDE_SCHEDULES")); err == nil {
-		n = uint64(v)
+		runs = uint64(v)
 	}
-	for seed := range n {
-		if w := run(seed, Guards{}, []int{0, 1, 2, 3, 4, 5}); w.breach != "" {
-			t.Fatalf("seed %d: %s", seed, w.breach)
+	for seed := range runs {
+		if w := runRandomFaults(seed, DisabledGuards{}, []int{0, 1, 2, 3, 4, 5}); w.violation != "" {
+			t.Fatalf("seed %d: %s", seed, w.violation)
 		}
 	}
 }
 
-// TestGuards takes each guard out in turn: the checker must find it.
-func TestGuards(t *testing.T) {
-	all := []int{0, 1, 2, 3, 4, 5}
+// TestDisabledGuardsAreDetected disables each guard in turn. The checker must report a violation.
+func TestDisabledGuardsAreDetected(t *testing.T) {
+	allFaults := []int{0, 1, 2, 3, 4, 5}
 	for name, c := range map[string]struct {
-		Guards
+		DisabledGuards
 		kinds []int
 	}{
-		"202 before the copies are acknowledged":      {Guards{answerSoon: true}, all},
-		"first byte before the start is acknowledged": {Guards{startSoon: true}, []int{0, 2}},
-		"attempts whatever the lease says":            {Guards{noLease: true}, []int{4}},
-		"an owner that is back drops nothing":         {Guards{keepAll: true}, all},
-		"batches with holes are taken":                {Guards{holder: copies.CheckGaps}, []int{0, 5}},
-		"an heir sends before the fleet has agreed":   {Guards{sendSoon: true}, all},
-		"what may have been refused is sent":          {Guards{noConfirm: true}, []int{3, 4}},
-		"what is handed in again is not compared":     {Guards{noAgain: true}, []int{0, 1}},
+		"202 before holders acknowledge":               {DisabledGuards{answerBeforeAck: true}, allFaults},
+		"sent before holders acknowledge the attempt":  {DisabledGuards{startBeforeAck: true}, []int{0, 2}},
+		"attempts without a valid lease":               {DisabledGuards{ignoreLease: true}, []int{4}},
+		"returning owner keeps transferred messages":   {DisabledGuards{keepTransferred: true}, allFaults},
+		"batches accepted despite gaps":                {DisabledGuards{holderChecks: copies.CheckGaps}, []int{0, 5}},
+		"sent before the fleet agrees to the takeover": {DisabledGuards{sendBeforeAgreement: true}, allFaults},
+		"possibly refused messages sent":               {DisabledGuards{sendUnconfirmed: true}, []int{3, 4}},
+		"resubmissions not compared":                   {DisabledGuards{ignoreResubmitted: true}, []int{0, 1}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			for seed := range uint64(300) {
-				if w := run(seed, c.Guards, c.kinds); w.breach != "" {
-					t.Logf("found by run %d: %s", seed, w.breach)
+				if w := runRandomFaults(seed, c.DisabledGuards, c.kinds); w.violation != "" {
+					t.Logf("detected by run %d: %s", seed, w.violation)
 					return
 				}
 			}
-			t.Error("300 runs do not find that the guard is out")
+			t.Error("300 runs do not detect that the guard is disabled")
 		})
 	}
 }
 
-// TestLaggingHolders: an owner that starts again goes on with a copy that is just what it has, and with no other.
-func TestLaggingHolders(t *testing.T) {
+// TestOnlyEqualCopiesResume checks that a restarted owner resumes only copies that equal its journal, and that the
+// checker detects the loss if it resumes others.
+func TestOnlyEqualCopiesResume(t *testing.T) {
 	for seed := range uint64(12) {
-		if w := loseLagging(seed, Guards{}); w.breach != "" {
-			t.Errorf("seed %d: %s", seed, w.breach)
+		if w := loseOwnerOfLaggingHolders(seed, DisabledGuards{}); w.violation != "" {
+			t.Errorf("seed %d: %s", seed, w.violation)
 		}
 	}
 	for seed := range uint64(60) {
-		if w := loseLagging(seed, Guards{holder: copies.CheckResume}); w.breach != "" {
-			t.Logf("without the comparison: seed %d: %s", seed, w.breach)
+		if w := loseOwnerOfLaggingHolders(seed, DisabledGuards{holderChecks: copies.CheckResume}); w.violation != "" {
+			t.Logf("without the comparison, seed %d: %s", seed, w.violation)
 			return
 		}
 	}
-	t.Error("no run finds that a copy is gone on with that is not what its owner has")
+	t.Error("no run detects that a copy is resumed that differs from the owner's journal")
 }
 
-// TestTwoLost: with two copies that the 202 waits for, an owner and one of its holders may be lost at once.
-func TestTwoLost(t *testing.T) {
+// TestOwnerAndHolderLost checks that no message is lost with an owner and one of its holders if a 202 requires two
+// acknowledgements.
+func TestOwnerAndHolderLost(t *testing.T) {
 	for seed := range uint64(8) {
-		if w := loseTwo(seed); w.breach != "" {
-			t.Errorf("seed %d: %s", seed, w.breach)
+		if w := loseOwnerAndHolder(seed); w.violation != "" {
+			t.Errorf("seed %d: %s", seed, w.violation)
 		}
 	}
 }
 
-// TestHeirLost: an heir is lost with its disk at each step of taking over, and some moments after it: another one does
-// it, once. What is agreed on, but not unmarked yet in the copies, must not be dropped.
-func TestHeirLost(t *testing.T) {
+// TestSuccessorLost loses a successor with its disk at or shortly after each stage of a takeover. Another successor
+// must complete the takeover, once. It must not drop entries that copies still show as pending although the fleet has
+// agreed.
+func TestSuccessorLost(t *testing.T) {
 	seeds := uint64(2)
 	if os.Getenv("SLIPTIDE_MEASURE") != "" {
 		seeds = 10
 	}
 	for seed := range seeds {
 		for _, stage := range []copies.Stage{copies.Sealing, copies.Copying, copies.Done} {
-			for after := range 3 {
-				if w := loseHeir(seed, stage, after*2, Guards{}); w.breach != "" {
-					t.Errorf("seed %d, stage %d, %d steps after: %s", seed, stage, after*2, w.breach)
+			for delay := range 3 {
+				if w := loseSuccessor(seed, stage, delay*2, DisabledGuards{}); w.violation != "" {
+					t.Errorf("seed %d, stage %d, %d steps after: %s", seed, stage, delay*2, w.violation)
 				}
 			}
 		}
 	}
 	for seed := range uint64(20) {
-		for after := range 3 {
-			if w := loseHeir(seed, copies.Done, after*2, Guards{dropMarked: true}); w.breach != "" {
-				t.Logf("with what is marked dropped: seed %d, %d steps after: %s", seed, after*2, w.breach)
+		for delay := range 3 {
+			if w := loseSuccessor(seed, copies.Done, delay*2, DisabledGuards{dropPending: true}); w.violation != "" {
+				t.Logf("with agreed entries dropped, seed %d, %d steps after: %s", seed, delay*2, w.violation)
 				return
 			}
 		}
 	}
-	t.Error("no run finds that what was agreed on and is marked is dropped")
+	t.Error("no run detects that agreed entries are dropped")
 }
 
-// TestSizes: a zone is lost with its disks, a tenth is lost at once, all are restarted in turn: nothing is lost, and
-// what is copied anew and by whom it is taken over stays in proportion. SLIPTIDE_MEASURE has 300 members, too.
+// TestSizes loses a zone or a tenth of the members with their disks, or restarts all in turn. No message may be lost, a
+// restart must cause no takeover, and no successor may get more than four times the mean. SLIPTIDE_MEASURE adds 300
+// members.
 func TestSizes(t *testing.T) {
-	sizes := []int{30}
+	memberCounts := []int{30}
 	if os.Getenv("SLIPTIDE_MEASURE") != "" {
-		sizes = []int{30, 300}
+		memberCounts = []int{30, 300}
 	}
-	for _, n := range sizes {
+	for _, n := range memberCounts {
 		for _, c := range []struct {
 			name string
 			lose func(w *World) (lost []*member)
@@ -155,91 +160,91 @@
 				return slices.DeleteFunc(slices.Clone(w.members), func(m *member) bool { return m.zone != "z1" })
 			}},
 			{"a tenth lost", func(w *World) []*member {
-				return slices.DeleteFunc(slices.Clone(w.members), func(m *member) bool { return m.n%10 != 3 })
+				return slices.DeleteFunc(slices.Clone(w.members), func(m *member) bool { return m.index%10 != 3 })
 			}},
 			{"rolling restart", nil},
 		} {
 			t.Run(fmt.Sprintf("%s of %d", c.name, n), func(t *testing.T) {
 				t.Parallel()
-				w := sized(n)
-				held, messages := w.burden(), len(w.msgs)
+				w := newSizedWorld(n)
+				heldBytes, messages := w.liveBytes(), len(w.messages)
 				lost := 0
-				f := w.watch(8*time.Second, func() {
+				cost := w.measure(8*time.Second, func() {
 					if c.lose == nil {
-						w.roll()
+						w.rollingRestart()
 						return
 					}
 					for _, m := range c.lose(w) {
 						m.up = false
-						m.gone()
-						m.lose()
+						m.endAttempts()
+						m.loseDisk()
 						lost++
 					}
 				})
-				w.down = false
-				w.until(time.Duration(w.now) + 4*time.Second)
-				w.judge(true)
-				t.Logf("%d members, %d lost: %d messages held, %d bytes; copied anew %d bytes (%.2f of what all hold), %d in the worst second; %d taken over by %d heirs, %d at most by one, all within %v",
-					n, lost, messages, held, f.bytes, float64(f.bytes)/float64(held), f.worst, f.adopted, f.heirs, f.most, f.settled)
-				if w.breach != "" || len(w.msgs) < 5*n {
-					t.Errorf("%d messages; %s", len(w.msgs), w.breach)
+				w.partnerDown = false
+				w.runUntil(time.Duration(w.now) + 4*time.Second)
+				w.check(true)
+				t.Logf("%d members, %d lost: %d messages, %d bytes; %d bytes copied in resets (%.2f of all), at most %d in a second; %d messages taken over by %d members, at most %d by one, all within %v",
+					n, lost, messages, heldBytes, cost.resetBytes, float64(cost.resetBytes)/float64(heldBytes), cost.maxPerSecond, cost.takenOver, cost.successors, cost.maxBySuccessor, cost.duration)
+				if w.violation != "" || len(w.messages) < 5*n {
+					t.Errorf("%d messages, want at least 5 per member; violation: %s", len(w.messages), w.violation)
 				}
-				if c.lose != nil && f.adopted < lost*6 || c.lose == nil && f.adopted > 0 {
-					t.Errorf("%d were taken over", f.adopted)
+				if c.lose != nil && cost.takenOver < lost*6 || c.lose == nil && cost.takenOver > 0 {
+					t.Errorf("%d messages taken over", cost.takenOver)
 				}
-				if mean := float64(f.adopted) / float64(max(f.heirs, 1)); f.heirs > 3 && float64(f.most) > 4*mean {
-					t.Errorf("one heir has %d, the mean of %d is %.1f", f.most, f.heirs, mean)
+				if mean := float64(cost.takenOver) / float64(max(cost.successors, 1)); cost.successors > 3 && float64(cost.maxBySuccessor) > 4*mean {
+					t.Errorf("one successor has %d messages, the mean of %d is %.1f", cost.maxBySuccessor, cost.successors, mean)
 				}
 			})
 		}
 	}
 }
 
-// beyond reports whether two faults are more losses at once than copies are waited for: who is cut off or stopped for
-// longer than a lease is as good as lost, and what it alone had goes with it. Even then nothing takes effect twice that
-// must not.
-func beyond(needed int, a, b smallFault) bool {
-	away := func(f smallFault) bool { return f.kind != "killed" }
-	return a.who != b.who && away(a) && away(b) && (needed < 2 || a.kind == "lost" && b.kind == "lost") && (a.kind == "lost" || b.kind == "lost")
+// exceedsGuarantee reports whether two faults are more simultaneous losses than the required acknowledgements cover. A
+// member that is partitioned or stopped for longer than a lease counts as lost, and so do records that it alone has.
+// Even then no message that forbids repeats may take effect twice.
+func exceedsGuarantee(required int, a, b timedFault) bool {
+	unavailable := func(f timedFault) bool { return f.kind != "killed" }
+	return a.member != b.member && unavailable(a) && unavailable(b) && (required < 2 || a.kind == "lost" && b.kind == "lost") && (a.kind == "lost" || b.kind == "lost")
 }
 
-// TestEverySmallRun enumerates small runs: three members, two messages, every pair of faults (a machine lost with its
-// disk, a process killed, cut off, stopped) at every member, at moments from before the hand-in to after the answers,
-// with one copy and with two waited for. SLIPTIDE_MEASURE plays all of them, CI every 101st.
+// TestEverySmallRun enumerates small runs: three members, two messages and every pair of faults (a machine lost with
+// its disk, a process killed, partitioned or stopped) at every member, at times from before the submission to after the
+// answers, with one or two required acknowledgements. SLIPTIDE_MEASURE runs all of them, CI every 101st.
 func TestEverySmallRun(t *testing.T) {
-	every := 101
+	stride := 101
 	if os.Getenv("SLIPTIDE_MEASURE") != "" {
-		every = 1
+		stride = 1
 	}
 	kinds := []string{"lost", "killed", "cut", "stopped"}
-	var moments []time.Duration
+	var offsets []time.Duration
 	for _, ms := range []int{-40, -5, 0, 5, 10, 15, 20, 30, 40, 60, 80, 120, 200, 500, 600} {
-		moments = append(moments, time.Duration(ms)*time.Millisecond)
+		offsets = append(offsets, time.Duration(ms)*time.Millisecond)
 	}
-	var singles []smallFault
+	var singleFaults []timedFault
 	for _, kind := range kinds {
-		for who := range 3 {
-			for _, at := range moments {
-				singles = append(singles, smallFault{kind, who, at})
+		for member := range 3 {
+			for _, offset := range offsets {
+				singleFaults = append(singleFaults, timedFault{kind, member, offset})
 			}
 		}
 	}
-	var runs, adopted, gone atomic.Int64
+	var runCount, adoptions, excessLosses atomic.Int64
 	t.Run("pairs", func(t *testing.T) {
-		for i, a := range singles {
+		for i, a := range singleFaults {
 			t.Run(fmt.Sprint(a), func(t *testing.T) {
 				t.Parallel()
-				for k, b := range singles[i:] {
-					for needed := 1; needed <= 2; needed++ {
-						if n := i*len(singles) + 2*k + needed; n%every == 0 {
-							runs.Add(1)
-							w := small(uint64(n), needed, Guards{}, a, b)
-							adopted.Add(int64(w.adopted))
-							if w.breach == "" {
+				for k, b := range singleFaults[i:] {
+					for required := 1; required <= 2; required++ {
+						if seed := i*len(singleFaults) + 2*k + required; seed%stride == 0 {
+							runCount.Add(1)
+							w := runTimedFaults(uint64(seed), required, DisabledGuards{}, a, b)
+							adoptions.Add(int64(w.adoptions))
+							if w.violation == "" {
 								continue
 							}
-							if gone.Add(1); !beyond(needed, a, b) || !strings.Contains(w.breach, "lost") {
-								t.Errorf("needed %d, %v and %v, seed %d: %s", needed, a, b, n, w.breach)
+							if excessLosses.Add(1); !exceedsGuarantee(required, a, b) || !strings.Contains(w.violation, "lost") {
+								t.Errorf("required %d, %v and %v, seed %d: %s", required, a, b, seed, w.violation)
 							}
 						}
 					}
@@ -247,34 +252,35 @@
 			})
 		}
 	})
-	t.Logf("%d runs, %d takings over; %d with more losses than copies lost a message", runs.Load(), adopted.Load(), gone.Load())
-	found := ""
-	for seed := uint64(0); seed < 200 && found == ""; seed++ { // the owner is cut off, then the one that knows of its attempt
-		found = small(seed, 1, Guards{sendUnknown: true}, smallFault{"cut", 0, 80 * time.Millisecond}, smallFault{"cut", int(seed%2) + 1, 500 * time.Millisecond}).breach
+	t.Logf("%d runs, %d takeovers; %d runs with more losses than the guarantee covers lost a message", runCount.Load(), adoptions.Load(), excessLosses.Load())
+	violation := ""
+	// The owner is partitioned, then a holder that may know of its attempt.
+	for seed := uint64(0); seed < 200 && violation == ""; seed++ {
+		violation = runTimedFaults(seed, 1, DisabledGuards{sendUnknown: true}, timedFault{"cut", 0, 80 * time.Millisecond}, timedFault{"cut", int(seed%2) + 1, 500 * time.Millisecond}).violation
 	}
-	if t.Logf("what holders that are away may know attempts of is sent: %s", found); found == "" {
-		t.Error("what holders that are away may know attempts of: nothing finds that it is sent")
+	if t.Logf("with messages sent of whose attempts only unreachable holders may know: %s", violation); violation == "" {
+		t.Error("no run detects that messages are sent of whose attempts only unreachable holders may know")
 	}
-	// The same finds each guard that is taken out.
+	// Single faults must detect these disabled guards.
 	for name, c := range map[string]struct {
-		Guards
+		DisabledGuards
 		kind string
 	}{
-		"202 before the copies are acknowledged":      {Guards{answerSoon: true}, "lost"},
-		"first byte before the start is acknowledged": {Guards{startSoon: true}, "lost"},
-		"an owner that is back drops nothing":         {Guards{keepAll: true}, "cut"},
+		"202 before holders acknowledge":              {DisabledGuards{answerBeforeAck: true}, "lost"},
+		"sent before holders acknowledge the attempt": {DisabledGuards{startBeforeAck: true}, "lost"},
+		"returning owner keeps transferred messages":  {DisabledGuards{keepTransferred: true}, "cut"},
 	} {
-		found := ""
-		for k := 0; k < len(singles) && found == ""; k++ {
-			for seed := uint64(0); seed < 4 && found == "" && singles[k].kind == c.kind; seed++ {
-				if w := small(seed, 1, c.Guards, singles[k]); w.breach != "" {
-					found = fmt.Sprintf("%v: %s", singles[k], w.breach)
+		violation := ""
+		for k := 0; k < len(singleFaults) && violation == ""; k++ {
+			for seed := uint64(0); seed < 4 && violation == "" && singleFaults[k].kind == c.kind; seed++ {
+				if w := runTimedFaults(seed, 1, c.DisabledGuards, singleFaults[k]); w.violation != "" {
+					violation = fmt.Sprintf("%v: %s", singleFaults[k], w.violation)
 				}
 			}
 		}
-		if found == "" {
-			t.Errorf("%s: no single fault finds that this guard is out", name)
+		if violation == "" {
+			t.Errorf("%s: no single fault detects that this guard is disabled", name)
 		}
-		t.Logf("%s: found by %s", name, found)
+		t.Logf("%s: detected by %s", name, violation)
 	}
 }
--- a/internal/fleet/copies/owner_test.go
+++ b/internal/fleet/copies/owner_test.go
@@ -7,7 +7,7 @@
 	"sliptide/internal/fleet/pb"
 )
 
-// memStore keeps records in memory; all of them are live.
+// memStore stores records in memory; all of them are live.
 type memStore map[string][]byte
 
 func (s memStore) Reset(owner string, _ CopyState, r []byte) error {
@@ -121,12 +121,12 @@
 		return sentBytes
 	}
 	for _, c := range []struct {
-		name        string
+		what        string
 		incarnation uint64
 		bytes       int
-	}{{"first start", 1, 2}, {"restart", 1, 0}, {"restart with another state directory", 2, 2}} {
+	}{{"first start", 1, 2}, {"again", 1, 0}, {"restart with another state directory", 2, 2}} {
 		if n := restart(c.incarnation); n != c.bytes {
-			t.Errorf("%s: %d bytes sent, want %d", c.name, n, c.bytes)
+			t.Errorf("%s: %d bytes sent, want %d", c.what, n, c.bytes)
 		}
 	}
 	journal = append(journal, 3) // this batch did not reach the holder
