--- a/internal/fleet/copies/model/model.go
+++ b/internal/fleet/copies/model/model.go
@@ -47,7 +47,7 @@
 	b := []byte{op}
 	owner := 0
 	if e.pendingDuty != "" {
-		owner, _ = strconv.Atoi(e.pendingDuty[len(duty.Own("m")):])
+		owner, _ = strconv.Atoi(e.pendingDuty[len(duty.JournalDuty("m")):])
 	}
 	for _, v := range []int{int(e.num), e.msg, owner, int(e.takeoverToken)} {
 		b = binary.BigEndian.AppendUint32(b, uint32(v))
@@ -86,7 +86,7 @@
 		case opEnd:
 			list = slices.Delete(list, i, i+1)
 		case opPending:
-			list[i].pendingDuty, list[i].takeoverToken = duty.Own(fmt.Sprint("m", field(2))), field(3)
+			list[i].pendingDuty, list[i].takeoverToken = duty.JournalDuty(fmt.Sprint("m", field(2))), field(3)
 		case opAgreed:
 			list[i].pendingDuty = ""
 		}
@@ -301,7 +301,7 @@
 
 func (m *member) ownDuty() *pb.Duty {
 	for _, d := range m.w.duties() {
-		if d.Name == duty.Own(m.name) && d.Session == m.session && m.session != 0 {
+		if d.Name == duty.JournalDuty(m.name) && d.Session == m.session && m.session != 0 {
 			return d
 		}
 	}
@@ -401,9 +401,9 @@
 		m.session, m.lastSession = r.Session, r.Session
 	}
 	m.contactAt, m.leaseStart = w.now, w.now
-	w.apply(&pb.Command{What: &pb.Command_Acquire{Acquire: &pb.Acquire{Session: m.session, Duty: duty.Own(m.name)}}})
+	w.apply(&pb.Command{What: &pb.Command_Acquire{Acquire: &pb.Acquire{Session: m.session, Duty: duty.JournalDuty(m.name)}}})
 	for _, d := range w.duties() {
-		if d.Name != duty.Own(m.name) && slices.Contains(d.Holders, m.name) {
+		if d.Name != duty.JournalDuty(m.name) && slices.Contains(d.Holders, m.name) {
 			w.apply(&pb.Command{What: &pb.Command_Acquire{Acquire: &pb.Acquire{Session: m.session, Duty: d.Name}}})
 		}
 	}
@@ -420,7 +420,7 @@
 		return
 	}
 	if m.owner.Epoch() != d.Token {
-		if a := w.state.Adopted(m.name); a != nil && a.Incarnation == m.incarnation && !w.disabled.keepTransferred {
+		if a := w.state.LastAdoption(m.name); a != nil && a.Incarnation == m.incarnation && !w.disabled.keepTransferred {
 			m.journal = slices.DeleteFunc(m.journal, func(e entry) bool { return e.num <= a.Upto })
 			m.calls = slices.DeleteFunc(m.calls, func(c *attempt) bool { return c.num <= a.Upto })
 			for i := range m.waits {
@@ -433,12 +433,12 @@
 	m.owner.SetHolders(d.Holders)
 	var present []placement.Member
 	isPresent := map[string]bool{}
-	for _, p := range w.state.Present() {
+	for _, p := range w.state.PresentMembers() {
 		present = append(present, placement.Member{Name: p.Name, Zone: p.Zone})
 		isPresent[p.Name] = true
 	}
 	wanted := placement.Choose(m.name, m.zone, w.copyCount, present)
-	next := placement.Next(d.Holders, wanted, m.owner.Synced, func(n string) bool { return isPresent[n] })
+	next := placement.NextStep(d.Holders, wanted, m.owner.Synced, func(n string) bool { return isPresent[n] })
 	if !slices.Equal(next, d.Holders) {
 		w.apply(&pb.Command{What: &pb.Command_Keep{Keep: &pb.Keep{Session: m.session, Duty: d.Name, Token: d.Token, Holders: next}}})
 		m.owner.SetHolders(next)
@@ -449,18 +449,18 @@
 func (m *member) stepTakeovers() {
 	w := m.w
 	for _, d := range w.duties() {
-		owner := d.Name[len(duty.Own("")):]
+		owner := d.Name[len(duty.JournalDuty("")):]
 		if owner == m.name || d.Session != m.session {
 			continue
 		}
 		t := m.takeovers[owner]
 		if t == nil || t.Epoch != d.Token {
-			t = copies.NewTakeover(owner, d.Token, d.Holders, w.state.Adopted(owner))
+			t = copies.NewTakeover(owner, d.Token, d.Holders, w.state.LastAdoption(owner))
 			m.takeovers[owner] = t
 		}
 		w.send(m, t.TakeOutgoing(w.now))
 		stage := t.Advance(func(name string) bool {
-			return slices.ContainsFunc(w.state.Present(), func(p *pb.Present) bool { return p.Name == name })
+			return slices.ContainsFunc(w.state.PresentMembers(), func(p *pb.Present) bool { return p.Name == name })
 		})
 		switch stage {
 		case copies.Ready:
@@ -479,7 +479,7 @@
 	var nums []uint64
 	var keys []uint64
 	for _, e := range replay(t.LongestCopy.Records) {
-		if e.pendingDuty != "" && (m.w.disabled.dropPending || duty.Agreed(m.w.state.Adopted(e.pendingDuty[len(duty.Own("")):]), e.takeoverToken).GetBy() != t.Owner) {
+		if e.pendingDuty != "" && (m.w.disabled.dropPending || duty.TakeoverByToken(m.w.state.LastAdoption(e.pendingDuty[len(duty.JournalDuty("")):]), e.takeoverToken).GetBy() != t.Owner) {
 			continue
 		}
 		if e.confirmed && !m.w.disabled.ignoreResubmitted {
@@ -571,8 +571,8 @@
 		if e.pendingDuty == "" {
 			continue
 		}
-		owner := e.pendingDuty[len(duty.Own("")):]
-		if a := duty.Agreed(m.w.state.Adopted(owner), e.takeoverToken); a.GetBy() == m.name {
+		owner := e.pendingDuty[len(duty.JournalDuty("")):]
+		if a := duty.TakeoverByToken(m.w.state.LastAdoption(owner), e.takeoverToken); a.GetBy() == m.name {
 			m.activate([]uint64{e.num}, a.Elsewhere)
 			i = -1 // activate may have removed entries: scan again
 		} else if t := m.takeovers[owner]; t == nil || t.Epoch != e.takeoverToken {
