--- a/cmd/sliptide/fleet.go
+++ b/cmd/sliptide/fleet.go
@@ -46,12 +46,12 @@
 	if !f.Enabled {
 		return nil, nil
 	}
-	if !f.Has(cfg.Name) {
+	if !f.HasMember(cfg.Name) {
 		return nil, fmt.Errorf("%w: fleet: RELAY_NAME is %q, which is no <member>", cli.ErrConfig, cfg.Name)
 	}
-	m := &membership{keep: f.Copies, space: space, files: fsys.OS{Dir: cfg.State}, room: space.Account(), log: log}
-	m.set = fleet.Settings{Name: cfg.Name, Listen: f.Listen, Members: peers(f), MinVoters: f.Minimum, Weight: uint32(f.Weight),
-		Terms: lease.Params{Length: f.Duties.Lease, Drift: f.Duties.Drift}, ElectionTimeout: f.Duties.Election, Hash: f.Hash()}
+	m := &membership{keep: f.Copies, space: space, files: fsys.OS{Dir: cfg.StateDir}, room: space.Account(), log: log}
+	m.set = fleet.Settings{Name: cfg.Name, Listen: f.ListenAddr, Members: peers(f), MinVoters: f.MinVoters, Weight: uint32(f.Weight),
+		Terms: lease.Params{Length: f.Duties.Lease, Drift: f.Duties.ClockDrift}, ElectionTimeout: f.Duties.ElectionTimeout, Hash: f.Hash()}
 	if m.set.MinVoters == 0 {
 		m.set.MinVoters = len(f.Voters())
 	}
@@ -83,14 +83,14 @@
 	snd.SetFleet(m)
 	if c := op.Fleet.Copies; c.Enabled {
 		self, _ := m.set.Self()
-		set := sender.CopySettings{Name: m.set.Name, Zone: self.Zone, Count: c.Count, Required: c.Needed, Timeout: c.Patience, AcceptUncopied: c.Take, RequiredByClass: map[string]int{}}
+		set := sender.CopySettings{Name: m.set.Name, Zone: self.Zone, Count: c.Count, Required: c.Required, Timeout: c.Timeout, AcceptUncopied: c.AcceptUncopied, RequiredByClass: map[string]int{}}
 		for _, k := range c.Classes {
-			set.RequiredByClass[k.Name] = k.Needed
+			set.RequiredByClass[k.Name] = k.Required
 		}
 		snd.EnableCopies(m, set)
 	}
 	if op.Fleet.Trials.Enabled {
-		snd.ShareTrials(m, trial.Settings{Senders: senders, SilenceTimeoutMS: float64(op.Fleet.Trials.Bound) / float64(time.Millisecond)})
+		snd.ShareTrials(m, trial.Settings{Senders: senders, SilenceTimeoutMS: float64(op.Fleet.Trials.SilenceTimeout) / float64(time.Millisecond)})
 	}
 }
 
@@ -115,7 +115,7 @@
 	}
 	o := fleet.Options{Settings: m.set, Files: m.files, Account: m.room, Log: m.log, DutyChanged: m.heard}
 	if m.keep.Enabled {
-		o.CopyQuota, o.CopyAccount, o.ReceiveCopyReply, o.ViewChanged, o.CopyStatus = m.keep.Room, m.space.Account(), m.snd.ReceiveCopyFrame, m.snd.Wake, m.snd.CopyStatus
+		o.CopyQuota, o.CopyAccount, o.ReceiveCopyReply, o.ViewChanged, o.CopyStatus = m.keep.QuotaBytes, m.space.Account(), m.snd.ReceiveCopyFrame, m.snd.Wake, m.snd.CopyStatus
 	}
 	m.member, err = fleet.Open(o, ln)
 	if err != nil {
--- a/cmd/sliptide/main.go
+++ b/cmd/sliptide/main.go
@@ -11,5 +11,5 @@
 )
 
 func main() {
-	os.Exit(cli.Main(os.Args[1:], cli.Env{Out: os.Stdout, Err: os.Stderr, Run: run, Control: runControl, Now: sender.WallClock}))
+	os.Exit(cli.Main(os.Args[1:], cli.Env{Out: os.Stdout, Err: os.Stderr, RunSender: run, RunControlMember: runControl, Now: sender.WallClock}))
 }
--- a/cmd/sliptide/run.go
+++ b/cmd/sliptide/run.go
@@ -75,7 +75,7 @@
 	warn(log, warnings)
 	var place *place
 	err = transient.Retry(startFor, transient.IsDiskError, func() (err error) {
-		place, err = takePlace(cfg.State, cfg.Listen, log)
+		place, err = takePlace(cfg.StateDir, cfg.ListenAddr, log)
 		return err
 	})
 	if err != nil {
@@ -85,25 +85,25 @@
 	space := statedir.NewSpace(cfg.Limits.DiskBytes)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	clock := startClock(ctx, cfg.State, space, log)
+	clock := startClock(ctx, cfg.StateDir, space, log)
 	room := space.Account()
 	memory := &memoryBox{}
 	jr, restored, err := openJournal(cfg, op, place, space, room, clock, memory, log)
 	if err != nil {
 		return err
 	}
-	var kept *admin.Kept
+	var kept *admin.DisabledStore
 	err = transient.Retry(startFor, transient.IsDiskError, func() (err error) {
-		kept, err = admin.Open(fsys.ForDir(cfg.State))
+		kept, err = admin.Open(fsys.ForDir(cfg.StateDir))
 		return err
 	})
 	if err != nil {
 		return err
 	}
-	space.Account().Claim(admin.Room)
+	space.Account().Claim(admin.DiskQuota)
 	var ln net.Listener
 	err = transient.Retry(startFor, transient.IsResourceError, func() (err error) {
-		ln, err = listen(cfg.Listen)
+		ln, err = listen(cfg.ListenAddr)
 		return err
 	})
 	if err != nil {
@@ -112,7 +112,7 @@
 
 	// The sender and what it speaks with refer to each other: its calls are bound below.
 	var snd *sender.Sender
-	notices := discovery.NewNoticeQueue(cfg.Discovery, log, func(nums []uint64) { snd.AckNotices(nums) })
+	notices := discovery.NewNoticeQueue(cfg.DiscoveryAddr, log, func(nums []uint64) { snd.AckNotices(nums) })
 	sockets := cfg.Limits.Sockets - spareFiles
 	// The rest is for clients: many may hold a connection and say nothing.
 	calls := min(sockets*2/5, idleCalls+callsForSlot*cfg.Settings.CallSlots)
@@ -124,7 +124,7 @@
 		Settings: cfg.Settings, Seed: cfg.Seed, MaxConns: calls,
 		Journal: jr, Restored: restored, Notify: notices.Post, Knowledge: memory.get().Knowledge, Clock: clock, Log: log,
 		Partner: book.Lookup, HTTP2Streams: partners.StreamsPerConn, StormGuard: guard(cfg, op.Storms), Recorder: pipe.Records(), LogRecords: op.Log.Records,
-		Disabled: kept.Out(), Successor: place.waiting(),
+		Disabled: kept.Disabled(), Successor: place.waiting(),
 	})
 	team, err := newMembership(cfg, op, space, log)
 	if err != nil {
@@ -132,7 +132,7 @@
 	}
 	team.bind(snd, op, cfg.Settings.Senders)
 	kept.Bind(snd.SetDisabled)
-	go kept.Follow(ctx, snd.ApplyDisabled, log)
+	go kept.Watch(ctx, snd.ApplyDisabled, log)
 	listed := make(chan struct{}, 1)
 	source, err := openSource(cfg, op, snd, log, func() {
 		select {
@@ -144,18 +144,18 @@
 		return err
 	}
 	server := intake.New(&cfg.Settings, snd, clientRoom(sockets-calls, cfg.Limits), log)
-	if cfg.Admin != "" {
-		aln, err := net.Listen("tcp", cfg.Admin)
+	if cfg.AdminAddr != "" {
+		aln, err := net.Listen("tcp", cfg.AdminAddr)
 		if err != nil {
 			return fmt.Errorf("RELAY_ADMIN: %w", err)
 		}
 		defer aln.Close()
-		calls := admin.Calls{Ready: server.Available, Disable: kept.Disable, Enable: kept.Enable, Drain: server.Drain, Undrain: server.Undrain}
+		calls := admin.Handlers{Ready: server.Available, Disable: kept.Disable, Enable: kept.Enable, Drain: server.Drain, Undrain: server.Undrain}
 		go admin.New(calls, log).Serve(aln)
 	}
 	go reload(ctx, hup, log, operatorFile, book, func(cfg *config.Config, op *operator.File) {
-		source.SetAddr(cfg.Discovery)
-		notices.SetAddr(cfg.Discovery)
+		source.SetAddr(cfg.DiscoveryAddr)
+		notices.SetAddr(cfg.DiscoveryAddr)
 		memory.get().Writer.UpdateSettings(op.Knowledge)
 		snd.UpdateSettings(cfg.Settings)
 		team.retune(op)
@@ -173,22 +173,22 @@
 	go notices.Run(ctx)
 	go source.Run(ctx)
 	go server.Serve(ln)
-	log.Info().Int("restored", len(restored)).Str("listen", cfg.Listen).Str("discovery", cfg.Discovery).Msg("started")
+	log.Info().Int("restored", len(restored)).Str("listen", cfg.ListenAddr).Str("discovery", cfg.DiscoveryAddr).Msg("started")
 
-	patience := time.NewTimer(op.Ready.Patience)
+	patience := time.NewTimer(op.Ready.Timeout)
 	defer patience.Stop()
 	select {
 	case <-listed: // the list is at hand, and the journal is replayed
 		server.SetReady()
 		<-stop
 	case <-patience.C:
-		log.Warn().Dur("after", op.Ready.Patience).Msg("ready without a list of endpoints")
+		log.Warn().Dur("after", op.Ready.Timeout).Msg("ready without a list of endpoints")
 		server.SetReady()
 		<-stop
 	case <-stop:
 	}
 	away := make(chan struct{})
-	upgraded := !place.waiting() && statedir.SuccessorWaiting(cfg.State)
+	upgraded := !place.waiting() && statedir.SuccessorWaiting(cfg.StateDir)
 	go func() { // what it holds is handed on at once, while its own calls still end
 		defer close(away)
 		if team.stays() {
@@ -248,13 +248,13 @@
 	clock sender.Clock, box *memoryBox, log zerolog.Logger) (*journal.Journal, []*journal.Entry, error) {
 	if place.waiting() {
 		log.Info().Msg("another process holds the state folder: starting beside it, to take over when it leaves")
-		jr, err := journal.OpenSuccessor(fsys.ForDir(cfg.State), room)
+		jr, err := journal.OpenSuccessor(fsys.ForDir(cfg.StateDir), room)
 		return jr, nil, err
 	}
 	m := openMemory(cfg, op.Knowledge, space, clock, log)
 	m.room.YieldTo(room)
 	box.set(m)
-	return journal.OpenFS(fsys.ForDir(cfg.State), room)
+	return journal.OpenFS(fsys.ForDir(cfg.StateDir), room)
 }
 
 // openTelemetry starts the way to a collector, nil where the part is off.
@@ -288,7 +288,7 @@
 	}
 	limits := map[int]float64{}
 	for _, l := range set.Limits {
-		limits[l.Dest] = l.Rate
+		limits[l.Dest] = l.CallsPerSecond
 	}
 	return storm.New(storm.SettingsFrom(&cfg.Settings, limits), cfg.Seed)
 }
@@ -323,7 +323,7 @@
 // take their room.
 func openMemory(cfg *config.Config, set operator.Knowledge, space *statedir.Space, clock sender.Clock, log zerolog.Logger) memory {
 	m := memory{room: space.Account()}
-	files := fsys.ForDir(cfg.State)
+	files := fsys.ForDir(cfg.StateDir)
 	if !set.Enabled {
 		var left int64
 		for _, name := range store.FileNames {
@@ -389,7 +389,7 @@
 			continue
 		}
 		warn(log, warnings)
-		log.Info().Str("discovery", cfg.Discovery).Msg("configuration read again")
+		log.Info().Str("discovery", cfg.DiscoveryAddr).Msg("configuration read again")
 		use(cfg, op)
 	}
 }
--- a/cmd/sliptide/source.go
+++ b/cmd/sliptide/source.go
@@ -35,14 +35,14 @@
 		return newShardSource(cfg, op, snd, log, listed)
 	}
 	asked := false // discovery is: what comes from here on is its word, an empty list too
-	watch := discovery.NewWatch(cfg.Discovery, &cfg.Settings, cfg.Seed, log, func(l discovery.List) {
+	watch := discovery.NewWatch(cfg.DiscoveryAddr, &cfg.Settings, cfg.Seed, log, func(l discovery.List) {
 		snd.UpdateEndpoints(l)
 		if !asked && len(l.Endpoints) == 0 {
 			return // a known list without entries would meet the first messages with 503
 		}
 		listed()
 	})
-	if err := watch.Restore(cfg.Known); err != nil {
+	if err := watch.Restore(cfg.KnownEndpoints); err != nil {
 		log.Warn().Err(err).Msg("known is of no use, waiting for discovery")
 	}
 	asked = true
@@ -78,7 +78,7 @@
 				listed()
 			}
 		}}
-	for _, c := range set.Control {
+	for _, c := range set.ControlMembers {
 		o.Servers = append(o.Servers, subscriber.Server{Name: c.Name, Addr: c.Addr, Region: c.Region})
 	}
 	source.subscriber = subscriber.New(o)
--- a/cmd/sliptide/upgrade.go
+++ b/cmd/sliptide/upgrade.go
@@ -105,14 +105,14 @@
 	clock  sender.Clock
 	log    zerolog.Logger
 	snd    *sender.Sender
-	kept   *admin.Kept
+	kept   *admin.DisabledStore
 	memory *memoryBox
 	team   *membership
 }
 
 // takeOver waits until the version before has left the folder, then makes this process the sender.
 func (h *heir) takeOver() {
-	lock, err := statedir.Lock(h.cfg.State, takeFor)
+	lock, err := statedir.Lock(h.cfg.StateDir, takeFor)
 	if err != nil {
 		h.log.Error().Err(err).Msg("the version before does not leave the state folder")
 		return
@@ -123,14 +123,14 @@
 		go m.Writer.Run()
 	}
 	h.memory.set(m)
-	out, err := h.kept.Reread()
+	out, err := h.kept.Reload()
 	if err != nil {
 		h.log.Warn().Err(err).Msg("admin: endpoints taken out: the file cannot be read")
 	}
 	if err := h.snd.TakeOver(m.Knowledge, out); err != nil {
 		h.log.Error().Err(err).Msg("taking over")
 	}
-	if err := lock.SetHolder(holder(h.cfg.Listen)); err != nil {
+	if err := lock.SetHolder(holder(h.cfg.ListenAddr)); err != nil {
 		h.log.Warn().Err(err).Msg("state folder: the lock says nothing of its holder")
 	}
 	h.place.mu.Lock()
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -28,18 +28,18 @@
 
 // Bounds of the address.
 const (
-	CallWithin = 600 * time.Millisecond // a whole call must have come by then, from the accept
-	answerFor  = 250 * time.Millisecond // and its answer written within this
-	MaxConns   = 16                     // connections at once
-	maxBody    = operate.MaxName + 2    // an id, with a line end
-	acceptRest = 5 * time.Millisecond   // after an accept that failed: descriptors may be short
+	CallTimeout = 600 * time.Millisecond  // a whole call must have come by then, from the accept
+	answerFor   = 250 * time.Millisecond  // and its answer written within this
+	MaxConns    = 16                      // connections at once
+	maxBody     = operate.MaxIDLength + 2 // an id, with a line end
+	acceptRest  = 5 * time.Millisecond    // after an accept that failed: descriptors may be short
 )
 
 // ErrBusy is the error of a call that could not be carried out in its time.
 var ErrBusy = errors.New("the sender did not take the call in time")
 
 // Calls are what the address does. Each must return well within CallWithin; an error is a no.
-type Calls struct {
+type Handlers struct {
 	Ready   func() bool
 	Disable func(id string) error
 	Enable  func(id string) error
@@ -49,7 +49,7 @@
 
 // Server is the operators' address.
 type Server struct {
-	calls Calls
+	calls Handlers
 	log   zerolog.Logger
 	room  chan struct{}
 	wg    sync.WaitGroup
@@ -59,7 +59,7 @@
 }
 
 // New returns a Server that carries out calls.
-func New(calls Calls, log zerolog.Logger) *Server {
+func New(calls Handlers, log zerolog.Logger) *Server {
 	return &Server{calls: calls, log: log, room: make(chan struct{}, MaxConns)}
 }
 
@@ -127,7 +127,7 @@
 		s.wg.Done()
 	}()
 	begun := time.Now()
-	nc.SetReadDeadline(begun.Add(CallWithin))
+	nc.SetReadDeadline(begun.Add(CallTimeout))
 	m, err := http1.NewReader(nc).ReadRequest()
 	s.whole(nc)
 	var a answer
@@ -203,7 +203,7 @@
 	switch err := do(id); {
 	case errors.Is(err, operate.ErrNeverListed):
 		return answer{404, err.Error() + ": " + id}
-	case errors.Is(err, operate.ErrTooMany):
+	case errors.Is(err, operate.ErrTooManyDisabled):
 		return answer{409, err.Error()}
 	case err != nil:
 		return answer{503, err.Error()}
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -27,7 +27,7 @@
 
 func (f *fake) note(s string) { f.mu.Lock(); f.did = append(f.did, s); f.mu.Unlock() }
 
-func (f *fake) calls() Calls {
+func (f *fake) calls() Handlers {
 	out := func(what string) func(string) error {
 		return func(id string) error {
 			if id == "never" {
@@ -37,7 +37,7 @@
 			return nil
 		}
 	}
-	return Calls{
+	return Handlers{
 		Ready:   func() bool { f.mu.Lock(); defer f.mu.Unlock(); return f.ready },
 		Disable: out("disable"), Enable: out("enable"),
 		Drain: func() { f.note("drain") }, Undrain: func() { f.note("undrain") },
@@ -87,8 +87,8 @@
 		{post("/endpoints/disable", "s-5be2a07c\n"), "HTTP/1.1 200 OK", "taken out: s-5be2a07c"},
 		{post("/endpoints/enable", "s-5be2a07c"), "HTTP/1.1 200 OK", "may serve again: s-5be2a07c"},
 		{post("/endpoints/disable", "never"), "HTTP/1.1 404 Not Found", "no list has named this endpoint: never"},
-		{post("/endpoints/disable", ""), "HTTP/1.1 400 Bad Request", operate.ErrMalformed.Error()},
-		{post("/endpoints/disable", "two words"), "HTTP/1.1 400 Bad Request", operate.ErrMalformed.Error()},
+		{post("/endpoints/disable", ""), "HTTP/1.1 400 Bad Request", operate.ErrMalformedID.Error()},
+		{post("/endpoints/disable", "two words"), "HTTP/1.1 400 Bad Request", operate.ErrMalformedID.Error()},
 		{post("/endpoints/disable", strings.Repeat("x", 4000)), "HTTP/1.1 413 Content Too Large", "a call's body is an endpoint id at most"},
 		{post("/drain", ""), "HTTP/1.1 200 OK", "sending clients away"},
 		{post("/undrain", ""), "HTTP/1.1 200 OK", "taking clients"},
@@ -138,7 +138,7 @@
 	}
 	t.Logf("ready among %d callers that stay: %s after %v", len(held), status, took)
 	for _, nc := range held {
-		nc.SetReadDeadline(time.Now().Add(CallWithin + time.Second))
+		nc.SetReadDeadline(time.Now().Add(CallTimeout + time.Second))
 		if n, err := nc.Read(make([]byte, 1)); n != 0 || err != io.EOF && !errors.Is(err, syscall.ECONNRESET) {
 			t.Fatalf("a caller that stays: read %d bytes, %v; want the end", n, err)
 		}
@@ -177,13 +177,13 @@
 	if got := strings.Join(told, ","); got != "s-1 true,s-2 true,s-1 false" {
 		t.Errorf("followed %s", got)
 	}
-	if ids := heir.Out().IDs(); len(ids) != 1 || ids[0] != "s-2" {
+	if ids := heir.Disabled().IDs(); len(ids) != 1 || ids[0] != "s-2" {
 		t.Errorf("the heir holds %v", ids)
 	}
 	if err := dir.Write(outName, []byte("garbage"), false); err != nil {
 		t.Fatal(err)
 	}
-	if err := heir.follow(follow); err == nil || heir.Out().Len() != 1 {
-		t.Errorf("a broken file: %v, %v", err, heir.Out().IDs())
+	if err := heir.follow(follow); err == nil || heir.Disabled().Len() != 1 {
+		t.Errorf("a broken file: %v, %v", err, heir.Disabled().IDs())
 	}
 }
--- a/internal/admin/kept.go
+++ b/internal/admin/kept.go
@@ -22,20 +22,20 @@
 )
 
 // Room is what the file and its copy may take of the lasting folder.
-var Room = 2 * statedir.RoundToBlocks(int64(operate.MaxText))
+var DiskQuota = 2 * statedir.RoundToBlocks(int64(operate.MaxEncodedSize))
 
 // Kept is the set of endpoints taken out, kept in the lasting folder so that a later process, or one
 // that starts beside this one in an upgrade, holds to it. Its calls are safe for concurrent use.
-type Kept struct {
+type DisabledStore struct {
 	mu    sync.Mutex
 	files fsys.FS
-	out   operate.Out
+	out   operate.DisabledSet
 	apply func(id string, out bool) error // tells the sender; its error is a no
 }
 
 // Open reads what an earlier process kept. A file that cannot be read is an error: an endpoint that an
 // operator took out must not serve again by chance.
-func Open(files fsys.FS) (*Kept, error) {
+func Open(files fsys.FS) (*DisabledStore, error) {
 	text, err := files.Read(outName)
 	if err != nil && !errors.Is(err, fs.ErrNotExist) {
 		return nil, fmt.Errorf("state folder: %s: %w", outName, err)
@@ -44,25 +44,25 @@
 	if err != nil {
 		return nil, fmt.Errorf("state folder: %s: %w", outName, err)
 	}
-	return &Kept{files: files, out: out}, nil
+	return &DisabledStore{files: files, out: out}, nil
 }
 
 // Out is a copy of the set.
-func (k *Kept) Out() operate.Out {
+func (k *DisabledStore) Disabled() operate.DisabledSet {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.out.Clone()
 }
 
 // Reread takes the file again, as another process may have written it; it returns the set.
-func (k *Kept) Reread() (operate.Out, error) {
+func (k *DisabledStore) Reload() (operate.DisabledSet, error) {
 	text, err := k.files.Read(outName)
 	if err != nil && !errors.Is(err, fs.ErrNotExist) {
-		return k.Out(), err
+		return k.Disabled(), err
 	}
 	out, err := operate.Parse(text)
 	if err != nil {
-		return k.Out(), err
+		return k.Disabled(), err
 	}
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -71,16 +71,16 @@
 }
 
 // Bind sets what tells the sender of each change.
-func (k *Kept) Bind(apply func(id string, out bool) error) { k.apply = apply }
+func (k *DisabledStore) Bind(apply func(id string, out bool) error) { k.apply = apply }
 
 // FollowEvery is how often Follow looks at the file.
-const FollowEvery = 100 * time.Millisecond
+const WatchInterval = 100 * time.Millisecond
 
 // Follow takes what another process of this sender writes into the file, until ctx ends: in an upgrade the
 // old and the new version run side by side, and an operator may call either. follow tells the sender of
 // each change; an id that this process has not seen listed is taken too.
-func (k *Kept) Follow(ctx context.Context, follow func(id string, out bool) error, log zerolog.Logger) {
-	tick := time.NewTicker(FollowEvery)
+func (k *DisabledStore) Watch(ctx context.Context, follow func(id string, out bool) error, log zerolog.Logger) {
+	tick := time.NewTicker(WatchInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -94,7 +94,7 @@
 	}
 }
 
-func (k *Kept) follow(follow func(id string, out bool) error) error {
+func (k *DisabledStore) follow(follow func(id string, out bool) error) error {
 	text, err := k.files.Read(outName)
 	if err != nil && !errors.Is(err, fs.ErrNotExist) {
 		return err
@@ -119,12 +119,12 @@
 }
 
 // Disable takes an endpoint out.
-func (k *Kept) Disable(id string) error { return k.set(id, true) }
+func (k *DisabledStore) Disable(id string) error { return k.set(id, true) }
 
 // Enable puts it back.
-func (k *Kept) Enable(id string) error { return k.set(id, false) }
+func (k *DisabledStore) Enable(id string) error { return k.set(id, false) }
 
-func (k *Kept) set(id string, out bool) error {
+func (k *DisabledStore) set(id string, out bool) error {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	next := k.out.Clone()
@@ -135,7 +135,7 @@
 		return err
 	}
 	k.out = next
-	if err := k.files.Write(outCopy, next.Text(), false); err != nil {
+	if err := k.files.Write(outCopy, next.Encode(), false); err != nil {
 		return fmt.Errorf("in force, but not kept for the next process: %w", err)
 	}
 	if err := k.files.Rename(outCopy, outName); err != nil {
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -15,9 +15,9 @@
 
 // The exit status.
 const (
-	Fine   = command.Fine
-	Failed = command.Failed
-	Misuse = command.Misuse // wrong use or configuration; nothing was started
+	ExitOK      = command.ExitOK
+	ExitFailure = command.ExitFailure
+	ExitUsage   = command.ExitUsage // wrong use or configuration; nothing was started
 )
 
 // ErrConfig marks an error of the configuration: nothing was started.
@@ -27,9 +27,9 @@
 type Env struct {
 	Out, Err io.Writer
 	// Run runs a sender until it is told to stop. An error that wraps ErrConfig is of the configuration.
-	Run func(operatorFile string) error
+	RunSender func(operatorFile string) error
 	// Control runs a control member by its file until it is told to stop.
-	Control func(file string) error
+	RunControlMember func(file string) error
 	// Now is the time in Unix milliseconds.
 	Now func() float64
 }
@@ -52,7 +52,7 @@
 }
 
 // Run runs the command.
-func (c *runCmd) Run(env *Env) error { return env.Run(c.Operator) }
+func (c *runCmd) Run(env *Env) error { return env.RunSender(c.Operator) }
 
 type checkCmd struct {
 	File string `arg:"" help:"The operators' file."`
@@ -113,7 +113,7 @@
 	var heard told
 	quiet = errors.As(err, &heard)
 	if errors.Is(err, misuse) || errors.Is(err, ErrConfig) {
-		return Misuse, quiet
+		return ExitUsage, quiet
 	}
-	return Failed, quiet
+	return ExitFailure, quiet
 }
--- a/internal/cli/control.go
+++ b/internal/cli/control.go
@@ -22,7 +22,7 @@
 }
 
 // Run runs the command.
-func (c *controlRun) Run(env *Env) error { return env.Control(c.File) }
+func (c *controlRun) Run(env *Env) error { return env.RunControlMember(c.File) }
 
 type controlCheck struct {
 	File string `arg:"" help:"The control member's file."`
--- a/internal/cli/lab.go
+++ b/internal/cli/lab.go
@@ -25,7 +25,7 @@
 	cmd.Stdin, cmd.Stdout, cmd.Stderr = os.Stdin, env.Out, env.Err
 	err = cmd.Run()
 	var ended *exec.ExitError
-	if errors.As(err, &ended) && ended.ExitCode() == Misuse {
+	if errors.As(err, &ended) && ended.ExitCode() == ExitUsage {
 		return told{misuse}
 	}
 	if errors.As(err, &ended) {
--- a/internal/cli/partner.go
+++ b/internal/cli/partner.go
@@ -66,7 +66,7 @@
 			}
 		}
 		if !found {
-			set = operator.Partner{Dest: c.Dest, Protocol: operator.Plain}
+			set = operator.Partner{Dest: c.Dest, Protocol: operator.HTTP1}
 		}
 	}
 	book := partners.New(func() time.Time { return time.UnixMilli(int64(env.Now())) })
--- a/internal/command/command.go
+++ b/internal/command/command.go
@@ -11,9 +11,9 @@
 
 // The exit status.
 const (
-	Fine   = 0
-	Failed = 1
-	Misuse = 2 // wrong use or configuration; nothing was started
+	ExitOK      = 0
+	ExitFailure = 1
+	ExitUsage   = 2 // wrong use or configuration; nothing was started
 )
 
 // Program is one command line.
@@ -42,15 +42,15 @@
 		kong.Exit(func(code int) { panic(exit(code)) }), kong.ConfigureHelp(kong.HelpOptions{Compact: true}), kong.Bind(p.Env))
 	if err != nil {
 		fmt.Fprintf(p.Err, "%s: %v\n", p.Name, err)
-		return Failed
+		return ExitFailure
 	}
 	ctx, err := parser.Parse(args)
 	if err != nil {
 		fmt.Fprintf(p.Err, "%s: %v (%s --help tells more)\n", p.Name, err, p.Name)
-		return Misuse
+		return ExitUsage
 	}
 	if err = ctx.Run(); err == nil {
-		return Fine
+		return ExitOK
 	}
 	status, quiet := p.Status(err)
 	if !quiet {
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -23,15 +23,15 @@
 
 // Config is all that one sender is told.
 type Config struct {
-	Name      string
-	Listen    string // host:port, for clients
-	Discovery string // host:port
-	Admin     string // host:port of the operators' address; empty: there is none
-	State     string // the folder that lasts
-	Seed      uint64
-	Limits    Limits
-	Settings  policy.Settings
-	Known     []byte // the list of endpoints as last had, in discovery's JSON; may be empty
+	Name           string
+	ListenAddr     string // host:port, for clients
+	DiscoveryAddr  string // host:port
+	AdminAddr      string // host:port of the operators' address; empty: there is none
+	StateDir       string // the folder that lasts
+	Seed           uint64
+	Limits         Limits
+	Settings       policy.Settings
+	KnownEndpoints []byte // the list of endpoints as last had, in discovery's JSON; may be empty
 }
 
 // Load reads the file that RELAY_CONFIG names; the other variables go before
@@ -61,8 +61,8 @@
 		value string
 		to    *string
 	}{
-		{getenv("RELAY_NAME"), &c.Name}, {getenv("RELAY_LISTEN"), &c.Listen},
-		{getenv("RELAY_STATE"), &c.State}, {discovery, &c.Discovery}, {getenv("RELAY_ADMIN"), &c.Admin},
+		{getenv("RELAY_NAME"), &c.Name}, {getenv("RELAY_LISTEN"), &c.ListenAddr},
+		{getenv("RELAY_STATE"), &c.StateDir}, {discovery, &c.DiscoveryAddr}, {getenv("RELAY_ADMIN"), &c.AdminAddr},
 	} {
 		if f.value != "" {
 			*f.to = f.value
@@ -78,7 +78,7 @@
 		return nil, err
 	}
 	str := func(key string) string { return string(v.GetStringBytes(key)) }
-	c := &Config{Name: str("name"), Listen: str("listen"), Discovery: str("discovery"), Admin: str("admin"), State: str("state")}
+	c := &Config{Name: str("name"), ListenAddr: str("listen"), DiscoveryAddr: str("discovery"), AdminAddr: str("admin"), StateDir: str("state")}
 	if c.Seed, err = strconv.ParseUint(str("seed"), 16, 64); err != nil {
 		return nil, fmt.Errorf("seed: %w", err)
 	}
@@ -89,7 +89,7 @@
 		DiskBytes: int64(v.GetFloat64("limits", "disk_mb") * (1 << 20)),
 	}
 	if known := v.Get("known"); known != nil && known.Type() == fastjson.TypeObject {
-		c.Known = known.MarshalTo(nil)
+		c.KnownEndpoints = known.MarshalTo(nil)
 	}
 	set := v.Get("settings")
 	if set == nil {
@@ -105,7 +105,7 @@
 
 func (c *Config) check() error {
 	for _, f := range []struct{ name, value string }{
-		{"RELAY_LISTEN", c.Listen}, {"RELAY_DISCOVERY", c.Discovery}, {"RELAY_STATE", c.State},
+		{"RELAY_LISTEN", c.ListenAddr}, {"RELAY_DISCOVERY", c.DiscoveryAddr}, {"RELAY_STATE", c.StateDir},
 	} {
 		if f.value == "" {
 			return fmt.Errorf("%s is not set", f.name)
--- a/internal/control/settings_test.go
+++ b/internal/control/settings_test.go
@@ -65,7 +65,7 @@
 		t.Fatal(err)
 	}
 	s, _ := Load("../../example/control-1.xml")
-	for i, c := range f.Fleet.Shards.Control {
+	for i, c := range f.Fleet.Shards.ControlMembers {
 		if m := s.Members[i]; m.Name != c.Name || m.DirectoryAddr != c.Addr {
 			t.Errorf("the sender's %+v is the control member's %+v", c, m)
 		}
--- a/internal/knowledge/age.go
+++ b/internal/knowledge/age.go
@@ -63,7 +63,7 @@
 			delete(f.Waits, route)
 		}
 	}
-	maxHalfLife := max(h.Limit, h.Pace, h.Health, h.Latency, h.Control)
+	maxHalfLife := max(h.Limit, h.Pace, h.Health, h.Latency, h.Admission)
 	for n, d := range f.Dests {
 		if Weight(now-d.LearnedAt, maxHalfLife) < minWeight {
 			delete(f.Dests, n)
@@ -110,7 +110,7 @@
 	}
 	aged.SharedRoute.WaitUntil = destWaitEnd
 	aged.Latency = agedLatency(d.Latency, now-d.LearnedAt, h, prior.TypicalLatency)
-	aged.Admission = agedAdmission(d.Admission, now, Weight(now-d.LearnedAt, h.Control))
+	aged.Admission = agedAdmission(d.Admission, now, Weight(now-d.LearnedAt, h.Admission))
 	known := map[string]bool{}
 	for _, e := range d.Endpoints {
 		known[e.Name] = true
--- a/internal/knowledge/keeper/writer.go
+++ b/internal/knowledge/keeper/writer.go
@@ -110,7 +110,7 @@
 // Run writes until Close: waits at once, all facts every WriteEvery.
 func (w *Writer) Run() {
 	defer close(w.done)
-	snapshots := time.NewTicker(w.opts.Settings.WriteEvery)
+	snapshots := time.NewTicker(w.opts.Settings.WriteInterval)
 	defer snapshots.Stop()
 	clockChecks := time.NewTicker(clockCheckInterval)
 	defer clockChecks.Stop()
@@ -131,9 +131,9 @@
 		case <-w.opts.Account.YieldRequested():
 			w.yieldSpace()
 		case settings := <-w.settings:
-			w.opts.Settings.HalfLives, w.opts.Settings.WriteEvery = settings.HalfLives, settings.WriteEvery
+			w.opts.Settings.HalfLives, w.opts.Settings.WriteInterval = settings.HalfLives, settings.WriteInterval
 			w.opts.Store.SetSync(settings.Sync)
-			snapshots.Reset(settings.WriteEvery)
+			snapshots.Reset(settings.WriteInterval)
 		}
 	}
 }
--- a/internal/knowledge/keeper/writer_test.go
+++ b/internal/knowledge/keeper/writer_test.go
@@ -74,7 +74,7 @@
 	}}
 	account := space.Account()
 	settings := operator.Default().Knowledge
-	settings.WriteEvery = time.Hour // no periodic snapshots during a test
+	settings.WriteInterval = time.Hour // no periodic snapshots during a test
 	knowledgeStore, facts, _ := store.Open(store.Options{FS: r.files, Account: account, MaxBytes: settings.MaxSize}, "n0")
 	r.Writer = New(Options{Settings: settings, Store: knowledgeStore, Facts: facts, Account: account,
 		Log: zerolog.New(r.log), Clock: r.clock, WallClock: r.wallClock})
--- a/internal/knowledge/knowledge_test.go
+++ b/internal/knowledge/knowledge_test.go
@@ -234,7 +234,7 @@
 	d.Admission.Theta, d.Admission.Pa, d.Admission.EX = [2]float64{2, 1.5}, 0.2, 800
 	facts := New("n0")
 	facts.MergeDestination(d)
-	aged, _ := facts.AgedDestination(1, now+float64(halfLives.Control)/1e6, halfLives, Prior{})
+	aged, _ := facts.AgedDestination(1, now+float64(halfLives.Admission)/1e6, halfLives, Prior{})
 	if !nearlyEqual(aged.Admission.Theta[0], (2+initial.Theta[0])/2) || !nearlyEqual(aged.Admission.Pa, 0.6) ||
 		!nearlyEqual(aged.Admission.EX, 400) {
 		t.Errorf("%+v", aged.Admission)
--- a/internal/lab/capacity/target.go
+++ b/internal/lab/capacity/target.go
@@ -56,7 +56,7 @@
 func number(name, doc string, put func(*Target, float64)) strictxml.Attribute[Target] {
 	return strictxml.Attribute[Target]{Name: name, Required: true, Doc: doc,
 		Values: strictxml.Text(`[0-9]{1,15}(\.[0-9]{1,6})?`, "a decimal number"),
-		Text: func(t *Target, text string) {
+		SetText: func(t *Target, text string) {
 			value, _ := strconv.ParseFloat(text, 64) // the pattern has let nothing else through
 			put(t, value)
 		}}
@@ -88,8 +88,8 @@
 		}, {
 			Name: "configuration", Doc: "Changes that all senders take.", Attrs: []attribute{
 				number("changes-per-day", "Changes.", func(t *Target, v float64) { t.ChangesPerDay = v }),
-				{Name: "in-force-within", Required: true, Doc: "At every sender.", Values: strictxml.Between(time.Second, time.Hour),
-					Put: func(t *Target, v int64) { t.InForceWithin = time.Duration(v) }},
+				{Name: "in-force-within", Required: true, Doc: "At every sender.", Values: strictxml.Duration(time.Second, time.Hour),
+					SetNumber: func(t *Target, v int64) { t.InForceWithin = time.Duration(v) }},
 			},
 		}, {
 			Name: "control-budget", Doc: "What one sender may spend on control, and the machines set aside for it.", Attrs: []attribute{
@@ -102,8 +102,8 @@
 			Name: "failures", Doc: "What goes wrong.", Attrs: []attribute{
 				number("machines-per-day", "Machines lost.", func(t *Target, v float64) { t.LostPerDay = v }),
 				number("restarts-per-day", "Processes restarted or replaced.", func(t *Target, v float64) { t.RestartsPerDay = v }),
-				{Name: "ready-within", Required: true, Doc: "Of a restarted process.", Values: strictxml.Between(time.Second, time.Hour),
-					Put: func(t *Target, v int64) { t.ReadyWithin = time.Duration(v) }},
+				{Name: "ready-within", Required: true, Doc: "Of a restarted process.", Values: strictxml.Duration(time.Second, time.Hour),
+					SetNumber: func(t *Target, v int64) { t.ReadyWithin = time.Duration(v) }},
 			},
 		}},
 	}
--- a/internal/lab/cli/cli.go
+++ b/internal/lab/cli/cli.go
@@ -235,7 +235,7 @@
 func statusOf(err error) (status int, quiet bool) {
 	var bad *strictxml.Error
 	if errors.As(err, &bad) {
-		return command.Misuse, false
+		return command.ExitUsage, false
 	}
-	return command.Failed, false
+	return command.ExitFailure, false
 }
--- a/internal/lab/experiment/experiment.go
+++ b/internal/lab/experiment/experiment.go
@@ -52,8 +52,8 @@
 	var attrs []attribute
 	for _, p := range params() {
 		names = append(names, p.Name)
-		attrs = append(attrs, attribute{Name: p.Name, Doc: p.Doc, Fallback: p.Fallback, Values: p.Values,
-			Put: func(f *File, v int64) { p.Put(&f.World, v) }})
+		attrs = append(attrs, attribute{Name: p.Name, Doc: p.Doc, Default: p.Default, Values: p.Values,
+			SetNumber: func(f *File, v int64) { p.SetNumber(&f.World, v) }})
 	}
 	return &strictxml.Element[File]{
 		Name: "experiment", Doc: "A world of senders, clients and partners, and what is varied in it.",
@@ -61,10 +61,10 @@
 			Name: "version", Required: true, Doc: "The form of this file.", Values: strictxml.OneOf("1"),
 		}, {
 			Name: "name", Required: true, Doc: "The name of its results.", Values: strictxml.Text("[a-z0-9-]{1,60}", "small letters, digits and dashes"),
-			Text: func(f *File, v string) { f.Name = v },
+			SetText: func(f *File, v string) { f.Name = v },
 		}, {
 			Name: "about", Doc: "What it is to show.", Values: strictxml.Text("[^<>]{1,1000}", "a sentence"),
-			Text: func(f *File, v string) { f.About = v },
+			SetText: func(f *File, v string) { f.About = v },
 		}},
 		Children: []strictxml.Element[File]{{
 			Name: "world", Doc: "Partner 0 goes down and comes back; all others stay well.", Attrs: attrs,
@@ -73,19 +73,19 @@
 			Add: func(f *File) { f.Vary = append(f.Vary, Vary{}) },
 			Attrs: []attribute{{
 				Name: "name", Required: true, Doc: "An attribute of world.", Values: strictxml.OneOf(names...),
-				Put: func(f *File, v int64) { last(f).Name = names[v] },
+				SetNumber: func(f *File, v int64) { last(f).Name = names[v] },
 			}, {
 				Name: "values", Required: true, Doc: "Its values.", Values: strictxml.Text("[^ <>]+( [^ <>]+)*", "values with single blanks between"),
-				Text: func(f *File, v string) { last(f).Values = strings.Fields(v) },
+				SetText: func(f *File, v string) { last(f).Values = strings.Fields(v) },
 			}},
 		}, {
 			Name: "seeds", Doc: "Each point runs once for each seed.",
 			Attrs: []attribute{{
-				Name: "first", Fallback: "1", Doc: "The first seed.", Values: strictxml.Whole(0, 1e9),
-				Put: func(f *File, v int64) { f.First = int(v) },
+				Name: "first", Default: "1", Doc: "The first seed.", Values: strictxml.Integer(0, 1e9),
+				SetNumber: func(f *File, v int64) { f.First = int(v) },
 			}, {
-				Name: "count", Fallback: "5", Doc: "How many.", Values: strictxml.Whole(1, 10000),
-				Put: func(f *File, v int64) { f.Seeds = int(v) },
+				Name: "count", Default: "5", Doc: "How many.", Values: strictxml.Integer(1, 10000),
+				SetNumber: func(f *File, v int64) { f.Seeds = int(v) },
 			}},
 		}},
 	}
@@ -152,7 +152,7 @@
 			for _, text := range v.Values {
 				n := Point{Labels: append(slices.Clone(at.Labels), text), Params: at.Params}
 				value, _ := p.Values.Parse(text)
-				p.Put(&n.Params, value)
+				p.SetNumber(&n.Params, value)
 				next = append(next, n)
 			}
 		}
--- a/internal/lab/scale/file.go
+++ b/internal/lab/scale/file.go
@@ -61,7 +61,7 @@
 	type attribute = strictxml.Attribute[File]
 	type element = strictxml.Element[File]
 	whole := func(name, fallback string, lo, hi int64, doc string, put func(*File, int64)) attribute {
-		return attribute{Name: name, Fallback: fallback, Doc: doc, Values: strictxml.Whole(lo, hi), Put: put}
+		return attribute{Name: name, Default: fallback, Doc: doc, Values: strictxml.Integer(lo, hi), SetNumber: put}
 	}
 	number := strictxml.Text(`[0-9]{1,6}(\.[0-9]{1,3})?`, "a decimal number")
 	list := strictxml.Text(`[1-9][0-9]{0,7}( [1-9][0-9]{0,7}){0,9}`, "whole numbers, with single blanks between")
@@ -70,11 +70,11 @@
 		Name: "scale", Doc: "A sharded fleet of hollow members, real senders and real control members, with faults.",
 		Attrs: []attribute{
 			{Name: "version", Required: true, Doc: "The form of this file.", Values: strictxml.OneOf("1")},
-			{Name: "name", Required: true, Doc: "The name of its results.", Values: strictxml.Text("[a-z0-9-]{1,60}", "small letters, digits and dashes"), Text: func(f *File, v string) { f.Name = v }},
-			{Name: "about", Doc: "What it is to show.", Values: strictxml.Text("[^<>]{1,1000}", "a sentence"), Text: func(f *File, v string) { f.About = v }},
+			{Name: "name", Required: true, Doc: "The name of its results.", Values: strictxml.Text("[a-z0-9-]{1,60}", "small letters, digits and dashes"), SetText: func(f *File, v string) { f.Name = v }},
+			{Name: "about", Doc: "What it is to show.", Values: strictxml.Text("[^<>]{1,1000}", "a sentence"), SetText: func(f *File, v string) { f.About = v }},
 			whole("seed", "1", 1, 1<<30, "Draws who is struck.", func(f *File, v int64) { f.Seed = int(v) }),
-			{Name: "sizes", Required: true, Doc: "Members, in ascending order.", Values: list, Text: func(f *File, v string) { f.Sizes = numbers(v) }},
-			{Name: "length", Required: true, Doc: "Of the schedule at each size, from when all members are up.", Values: strictxml.Between(5*time.Second, time.Hour), Put: func(f *File, v int64) { f.Length = time.Duration(v) }},
+			{Name: "sizes", Required: true, Doc: "Members, in ascending order.", Values: list, SetText: func(f *File, v string) { f.Sizes = numbers(v) }},
+			{Name: "length", Required: true, Doc: "Of the schedule at each size, from when all members are up.", Values: strictxml.Duration(5*time.Second, time.Hour), SetNumber: func(f *File, v int64) { f.Length = time.Duration(v) }},
 		},
 		Children: []element{{
 			Name: "fleet", Doc: "Who takes part.", Attrs: []attribute{
@@ -84,24 +84,24 @@
 				whole("zones", "13", 1, 100, "Zones of all regions.", func(f *File, v int64) { f.Zones = int(v) }),
 				whole("replicas", "2", 1, 5, "Members of a region that serve a destination.", func(f *File, v int64) { f.Replicas = int(v) }),
 				whole("per-process", "100", 1, 1000, "Hollow members that share a process.", func(f *File, v int64) { f.PerProcess = int(v) }),
-				{Name: "destinations-each", Fallback: "142.857", Doc: "Destinations for each member.", Values: number, Text: func(f *File, v string) { f.DestinationsEach, _ = strconv.ParseFloat(v, 64) }},
-				{Name: "changes-per-second", Fallback: "4.4", Doc: "Changes of endpoints: ten times the target's rate.", Values: number, Text: func(f *File, v string) { f.ChangesPerSecond, _ = strconv.ParseFloat(v, 64) }},
+				{Name: "destinations-each", Default: "142.857", Doc: "Destinations for each member.", Values: number, SetText: func(f *File, v string) { f.DestinationsEach, _ = strconv.ParseFloat(v, 64) }},
+				{Name: "changes-per-second", Default: "4.4", Doc: "Changes of endpoints: ten times the target's rate.", Values: number, SetText: func(f *File, v string) { f.ChangesPerSecond, _ = strconv.ParseFloat(v, 64) }},
 			},
 		}, {
 			Name: "limits", Doc: "What ends the run, and what the judge holds it to.", Attrs: []attribute{
-				{Name: "memory", Fallback: "12GiB", Doc: "Of all processes; a size that needs more ends the run.", Values: strictxml.Sized(1<<28, 1<<40), Put: func(f *File, v int64) { f.MaxMemory = v }},
-				{Name: "unserved", Fallback: "15s", Doc: "A destination may be without a live member so long.", Values: strictxml.Between(time.Second, time.Minute), Put: func(f *File, v int64) { f.Unserved = time.Duration(v) }},
+				{Name: "memory", Default: "12GiB", Doc: "Of all processes; a size that needs more ends the run.", Values: strictxml.Size(1<<28, 1<<40), SetNumber: func(f *File, v int64) { f.MaxMemory = v }},
+				{Name: "unserved", Default: "15s", Doc: "A destination may be without a live member so long.", Values: strictxml.Duration(time.Second, time.Minute), SetNumber: func(f *File, v int64) { f.Unserved = time.Duration(v) }},
 			},
 		}, {
 			Name: "fault", Doc: "One fault.", Repeated: true, Add: func(f *File) { f.Faults = append(f.Faults, Fault{}) }, Attrs: []attribute{
-				{Name: "kind", Required: true, Doc: "What goes wrong.", Values: strictxml.OneOf(faultKinds...), Put: func(f *File, v int64) { last(f).Kind = FaultKind(faultKinds[v]) }},
-				{Name: "at", Required: true, Doc: "From when all members are up.", Values: strictxml.Between(0, time.Hour), Put: func(f *File, v int64) { last(f).At = time.Duration(v) }},
-				{Name: "for", Fallback: "0s", Doc: "How long.", Values: strictxml.Between(0, time.Hour), Put: func(f *File, v int64) { last(f).For = time.Duration(v) }},
-				{Name: "size", Fallback: "8", Doc: "Of a restart-wave: one in so many members; of a rack: its members.", Values: strictxml.Whole(1, 10000), Put: func(f *File, v int64) { last(f).Size = int(v) }},
+				{Name: "kind", Required: true, Doc: "What goes wrong.", Values: strictxml.OneOf(faultKinds...), SetNumber: func(f *File, v int64) { last(f).Kind = FaultKind(faultKinds[v]) }},
+				{Name: "at", Required: true, Doc: "From when all members are up.", Values: strictxml.Duration(0, time.Hour), SetNumber: func(f *File, v int64) { last(f).At = time.Duration(v) }},
+				{Name: "for", Default: "0s", Doc: "How long.", Values: strictxml.Duration(0, time.Hour), SetNumber: func(f *File, v int64) { last(f).For = time.Duration(v) }},
+				{Name: "size", Default: "8", Doc: "Of a restart-wave: one in so many members; of a rack: its members.", Values: strictxml.Integer(1, 10000), SetNumber: func(f *File, v int64) { last(f).Size = int(v) }},
 			},
 		}, {
 			Name: "compare", Doc: "Real senders of shards beside such that know every destination.", Attrs: []attribute{
-				{Name: "destinations", Required: true, Doc: "Numbers of destinations.", Values: list, Text: func(f *File, v string) { f.Compare = numbers(v) }},
+				{Name: "destinations", Required: true, Doc: "Numbers of destinations.", Values: list, SetText: func(f *File, v string) { f.Compare = numbers(v) }},
 				whole("members", "2000", 1, 100000, "Hollow members.", func(f *File, v int64) { f.CompareMembers = int(v) }),
 			},
 		}},
--- a/internal/operate/operate_test.go
+++ b/internal/operate/operate_test.go
@@ -12,7 +12,7 @@
 // An endpoint taken out drains whatever the list says of it, until it is put back; one that is gone
 // stays gone. Calls may be repeated.
 func TestTakenOutDrains(t *testing.T) {
-	var o Out
+	var o DisabledSet
 	for range 2 {
 		if err := o.Set("s-1", true); err != nil {
 			t.Fatal(err)
@@ -21,16 +21,16 @@
 	for listed, want := range map[policy.EndpointState]policy.EndpointState{
 		policy.Ready: policy.Draining, policy.Draining: policy.Draining, policy.Gone: policy.Gone,
 	} {
-		if got := o.State("s-1", listed); got != want {
+		if got := o.EffectiveState("s-1", listed); got != want {
 			t.Errorf("listed %d: %d, want %d", listed, got, want)
 		}
 	}
-	if o.State("s-2", policy.Ready) != policy.Ready {
+	if o.EffectiveState("s-2", policy.Ready) != policy.Ready {
 		t.Error("an endpoint that is not out drains")
 	}
 	o.Set("s-1", false)
 	o.Set("s-1", false)
-	if o.State("s-1", policy.Ready) != policy.Ready || o.Len() != 0 {
+	if o.EffectiveState("s-1", policy.Ready) != policy.Ready || o.Len() != 0 {
 		t.Error("put back, it still drains")
 	}
 }
@@ -38,11 +38,11 @@
 // What is kept over an upgrade reads back as it was; what this version did not write is refused, not
 // taken for an empty set.
 func TestTextForm(t *testing.T) {
-	var o Out
+	var o DisabledSet
 	for _, id := range []string{"s-b", "s-a", "10.1.0.18:9000"} {
 		o.Set(id, true)
 	}
-	back, err := Parse(o.Text())
+	back, err := Parse(o.Encode())
 	if err != nil || strings.Join(back.IDs(), " ") != "10.1.0.18:9000 s-a s-b" {
 		t.Fatalf("%v %v", back.IDs(), err)
 	}
@@ -61,24 +61,24 @@
 
 // Bad ids and a full set are a no with its reason; nothing changes.
 func TestBadIDs(t *testing.T) {
-	var o Out
-	for _, id := range []string{"", "a b", "tab\t", strings.Repeat("x", MaxName+1), "é"} {
-		if err := o.Set(id, true); !errors.Is(err, ErrMalformed) {
+	var o DisabledSet
+	for _, id := range []string{"", "a b", "tab\t", strings.Repeat("x", MaxIDLength+1), "é"} {
+		if err := o.Set(id, true); !errors.Is(err, ErrMalformedID) {
 			t.Errorf("%q: %v", id, err)
 		}
 	}
-	for i := range MaxOut {
+	for i := range MaxDisabled {
 		if err := o.Set(fmt.Sprint("s-", i), true); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if err := o.Set("one-more", true); !errors.Is(err, ErrTooMany) || o.Has("one-more") {
+	if err := o.Set("one-more", true); !errors.Is(err, ErrTooManyDisabled) || o.Has("one-more") {
 		t.Errorf("over the bound: %v", err)
 	}
 	if err := o.Set("s-0", true); err != nil {
 		t.Errorf("again, at the bound: %v", err)
 	}
-	if len(o.Text()) > MaxText {
-		t.Errorf("text of %d bytes, bound %d", len(o.Text()), MaxText)
+	if len(o.Encode()) > MaxEncodedSize {
+		t.Errorf("text of %d bytes, bound %d", len(o.Encode()), MaxEncodedSize)
 	}
 }
--- a/internal/operate/shut.go
+++ b/internal/operate/shut.go
@@ -5,13 +5,13 @@
 // Shut is the set of endpoints that a lost sender kept away from, by hand or since a list said that they drain, while
 // this sender, its heir, still has messages of it: they count as draining here, too, until then. Times are those of
 // the caller's clock, in milliseconds. The zero value is empty and ready for use.
-type Shut struct{ until map[string]float64 }
+type TakeoverDrains struct{ until map[string]float64 }
 
 // maxShut bounds how many are kept; of more, those that come first stay.
 const maxShut = 4096
 
 // Add keeps an endpoint shut until then, or longer if it is already.
-func (s *Shut) Add(id string, until float64) {
+func (s *TakeoverDrains) Add(id string, until float64) {
 	if s.until == nil {
 		s.until = map[string]float64{}
 	}
@@ -21,7 +21,7 @@
 }
 
 // State is the state that an endpoint has while it is shut.
-func (s *Shut) State(id string, listed policy.EndpointState, now float64) policy.EndpointState {
+func (s *TakeoverDrains) EffectiveState(id string, listed policy.EndpointState, now float64) policy.EndpointState {
 	if listed == policy.Ready && s.until[id] > now {
 		return policy.Draining
 	}
@@ -29,7 +29,7 @@
 }
 
 // Over takes those out whose time is up, and returns them.
-func (s *Shut) Over(now float64) (ids []string) {
+func (s *TakeoverDrains) Expire(now float64) (ids []string) {
 	for id, until := range s.until {
 		if until <= now {
 			ids = append(ids, id)
@@ -40,7 +40,7 @@
 }
 
 // Next is when the next one's time is up; false: there is none.
-func (s *Shut) Next() (at float64, due bool) {
+func (s *TakeoverDrains) NextExpiry() (at float64, due bool) {
 	for _, until := range s.until {
 		if !due || until < at {
 			at, due = until, true
--- a/internal/operator/fleet.go
+++ b/internal/operator/fleet.go
@@ -16,8 +16,8 @@
 // Fleet sets how senders act together. Off, each is alone.
 type Fleet struct {
 	Enabled       bool
-	Listen        string // where this member takes links; empty: its address in Members
-	Minimum       int    // voters that must see each other to found the group; 0: all
+	ListenAddr    string // where this member takes links; empty: its address in Members
+	MinVoters     int    // voters that must see each other to found the group; 0: all
 	Weight        int    // of this member, for how many duties it gets
 	CA, Cert, Key string
 	Members       []Member
@@ -29,12 +29,12 @@
 
 // Shards sets whether this sender serves the destinations of its shards alone, of which control members tell it.
 type Shards struct {
-	Enabled  bool
-	Region   string
-	Zone     string
-	Weight   int
-	Replicas int
-	Control  []ControlMember
+	Enabled        bool
+	Region         string
+	Zone           string
+	Weight         int
+	Replicas       int
+	ControlMembers []ControlMember
 }
 
 // ControlMember is one control member that a sender may subscribe at.
@@ -48,39 +48,39 @@
 
 // Duties sets how long a member may rely on what it holds.
 type Duties struct {
-	Lease    time.Duration
-	Drift    float64 // share by which a clock may run fast or slow
-	Election time.Duration
+	Lease           time.Duration
+	ClockDrift      float64 // share by which a clock may run fast or slow
+	ElectionTimeout time.Duration
 }
 
 // Trials sets whether one member makes the first calls to a partner that is down.
 type Trials struct {
-	Enabled bool
-	Bound   time.Duration // the others wait so long for its word
+	Enabled        bool
+	SilenceTimeout time.Duration // the others wait so long for its word
 }
 
 // Copies sets how what a sender has taken on is copied to further members.
 type Copies struct {
-	Enabled  bool
-	Count    int // members that keep copies
-	Needed   int // of these, that have a message before its client is told 202
-	Patience time.Duration
-	Take     bool // where too few can be reached: take messages on all the same, else refuse them
-	Room     int64
-	Classes  []CopyClass
+	Enabled        bool
+	Count          int // members that keep copies
+	Required       int // of these, that have a message before its client is told 202
+	Timeout        time.Duration
+	AcceptUncopied bool // where too few can be reached: take messages on all the same, else refuse them
+	QuotaBytes     int64
+	Classes        []CopyClass
 }
 
 // CopyClass sets another number of copies for the messages of one class.
 type CopyClass struct {
-	Name   string
-	Needed int
+	Name     string
+	Required int
 }
 
 // tooMany finds a class that waits for more copies than there are.
 func (c *Copies) tooMany() string {
 	for _, k := range c.Classes {
-		if k.Needed > c.Count {
-			return fmt.Sprintf("fleet: copies: class %q: needed=\"%d\" of count=\"%d\"; allowed: count at most", k.Name, k.Needed, c.Count)
+		if k.Required > c.Count {
+			return fmt.Sprintf("fleet: copies: class %q: needed=\"%d\" of count=\"%d\"; allowed: count at most", k.Name, k.Required, c.Count)
 		}
 	}
 	return ""
@@ -103,7 +103,7 @@
 	for _, m := range f.Voters() {
 		fmt.Fprintf(&b, "%s;", m.Name)
 	}
-	fmt.Fprintf(&b, "%v;%v;%v;%v", f.Duties.Lease, f.Duties.Drift, f.Duties.Election, f.Minimum)
+	fmt.Fprintf(&b, "%v;%v;%v;%v", f.Duties.Lease, f.Duties.ClockDrift, f.Duties.ElectionTimeout, f.MinVoters)
 	return xxhash.Sum64String(b.String())
 }
 
@@ -116,94 +116,94 @@
 	return element{
 		Name: "fleet", Doc: "Senders that act together: duties that one of them holds at a time.",
 		Attrs: []attribute{{
-			Name: "enabled", Fallback: "false", Values: strictxml.OneOf("false", "true"), Doc: "Switches the part on.",
-			Put: func(f *File, v int64) { f.Fleet.Enabled = v == 1 },
+			Name: "enabled", Default: "false", Values: strictxml.OneOf("false", "true"), Doc: "Switches the part on.",
+			SetNumber: func(f *File, v int64) { f.Fleet.Enabled = v == 1 },
 		}, {
 			Name: "listen", Values: addr, Doc: "Where this member takes links; else its own addr below.",
-			Text: func(f *File, v string) { f.Fleet.Listen = v },
+			SetText: func(f *File, v string) { f.Fleet.ListenAddr = v },
 		}, {
-			Name: "voter-minimum", Values: strictxml.Whole(2, 5), Doc: "Voters that must see each other once, at the founding; else all. More than half of them.",
-			Put: func(f *File, v int64) { f.Fleet.Minimum = int(v) },
+			Name: "voter-minimum", Values: strictxml.Integer(2, 5), Doc: "Voters that must see each other once, at the founding; else all. More than half of them.",
+			SetNumber: func(f *File, v int64) { f.Fleet.MinVoters = int(v) },
 		}, {
-			Name: "weight", Fallback: "1", Values: strictxml.Whole(1, 100), Doc: "How many duties this member gets, beside the others.",
-			Put: func(f *File, v int64) { f.Fleet.Weight = int(v) },
+			Name: "weight", Default: "1", Values: strictxml.Integer(1, 100), Doc: "How many duties this member gets, beside the others.",
+			SetNumber: func(f *File, v int64) { f.Fleet.Weight = int(v) },
 		}, {
 			Name: "ca", Values: path, Doc: "CA certificates in PEM that the members' own are signed by. With cert and key: links use TLS both ways.",
-			Text: func(f *File, v string) { f.Fleet.CA = v },
+			SetText: func(f *File, v string) { f.Fleet.CA = v },
 		}, {
 			Name: "cert", Values: path, Doc: "This member's certificate in PEM.",
-			Text: func(f *File, v string) { f.Fleet.Cert = v },
+			SetText: func(f *File, v string) { f.Fleet.Cert = v },
 		}, {
 			Name: "key", Values: path, Doc: "Its key in PEM, which nobody else may read.",
-			Text: func(f *File, v string) { f.Fleet.Key = v },
+			SetText: func(f *File, v string) { f.Fleet.Key = v },
 		}},
 		Children: []element{{
 			Name: "member", Doc: "One sender of the fleet; all members' files list the same voters.", Repeated: true, Unique: "name",
 			Add: func(f *File) { f.Fleet.Members = append(f.Fleet.Members, Member{}) },
 			Attrs: []attribute{{
 				Name: "name", Required: true, Values: name, Doc: "Its RELAY_NAME.",
-				Text: func(f *File, v string) { last(f).Name = v },
+				SetText: func(f *File, v string) { last(f).Name = v },
 			}, {
 				Name: "addr", Required: true, Values: addr, Doc: "Where it takes links.",
-				Text: func(f *File, v string) { last(f).Addr = v },
+				SetText: func(f *File, v string) { last(f).Addr = v },
 			}, {
 				Name: "zone", Values: name, Doc: "The building that it stands in.",
-				Text: func(f *File, v string) { last(f).Zone = v },
+				SetText: func(f *File, v string) { last(f).Zone = v },
 			}, {
-				Name: "voter", Fallback: "false", Values: strictxml.OneOf("false", "true"), Doc: "It keeps the log and votes. 3 or 5 members do.",
-				Put: func(f *File, v int64) { last(f).Voter = v == 1 },
+				Name: "voter", Default: "false", Values: strictxml.OneOf("false", "true"), Doc: "It keeps the log and votes. 3 or 5 members do.",
+				SetNumber: func(f *File, v int64) { last(f).Voter = v == 1 },
 			}},
 		}, {
 			Name: "duties", Doc: "How long a member may rely on what it holds.",
 			Attrs: []attribute{{
-				Name: "lease", Fallback: "2s", Values: strictxml.Between(200*time.Millisecond, time.Minute), Doc: "A holder that is cut off or stopped gives up within it; at least twice the election time.",
-				Put: func(f *File, v int64) { f.Fleet.Duties.Lease = time.Duration(v) },
+				Name: "lease", Default: "2s", Values: strictxml.Duration(200*time.Millisecond, time.Minute), Doc: "A holder that is cut off or stopped gives up within it; at least twice the election time.",
+				SetNumber: func(f *File, v int64) { f.Fleet.Duties.Lease = time.Duration(v) },
 			}, {
-				Name: "drift", Fallback: "0.05", Values: strictxml.OneOf("0.01", "0.02", "0.05", "0.1", "0.2"), Doc: "The share by which a member's clock may run fast or slow.",
-				Put: func(f *File, v int64) { f.Fleet.Duties.Drift = []float64{0.01, 0.02, 0.05, 0.1, 0.2}[v] },
+				Name: "drift", Default: "0.05", Values: strictxml.OneOf("0.01", "0.02", "0.05", "0.1", "0.2"), Doc: "The share by which a member's clock may run fast or slow.",
+				SetNumber: func(f *File, v int64) { f.Fleet.Duties.ClockDrift = []float64{0.01, 0.02, 0.05, 0.1, 0.2}[v] },
 			}, {
-				Name: "election", Fallback: "500ms", Values: strictxml.Between(100*time.Millisecond, 20*time.Second), Doc: "A voter that hears nothing of a leader for so long asks to lead.",
-				Put: func(f *File, v int64) { f.Fleet.Duties.Election = time.Duration(v) },
+				Name: "election", Default: "500ms", Values: strictxml.Duration(100*time.Millisecond, 20*time.Second), Doc: "A voter that hears nothing of a leader for so long asks to lead.",
+				SetNumber: func(f *File, v int64) { f.Fleet.Duties.ElectionTimeout = time.Duration(v) },
 			}},
 		}, shardsSpec(name, addr), {
 			Name: "trials", Doc: "One member makes the first calls to a partner that is down; the others wait for its word. Needs storms.",
 			Attrs: []attribute{{
-				Name: "enabled", Fallback: "false", Values: strictxml.OneOf("false", "true"), Doc: "Switches the part on.",
-				Put: func(f *File, v int64) { f.Fleet.Trials.Enabled = v == 1 },
+				Name: "enabled", Default: "false", Values: strictxml.OneOf("false", "true"), Doc: "Switches the part on.",
+				SetNumber: func(f *File, v int64) { f.Fleet.Trials.Enabled = v == 1 },
 			}, {
-				Name: "bound", Fallback: "4s", Values: strictxml.Between(500*time.Millisecond, time.Minute), Doc: "Without a word for so long, a member tries by itself, as without a fleet.",
-				Put: func(f *File, v int64) { f.Fleet.Trials.Bound = time.Duration(v) },
+				Name: "bound", Default: "4s", Values: strictxml.Duration(500*time.Millisecond, time.Minute), Doc: "Without a word for so long, a member tries by itself, as without a fleet.",
+				SetNumber: func(f *File, v int64) { f.Fleet.Trials.SilenceTimeout = time.Duration(v) },
 			}},
 		}, {
 			Name: "copies", Doc: "What a sender has taken on is copied to further members, so that a machine lost with its disk loses nothing.",
 			Attrs: []attribute{{
-				Name: "enabled", Fallback: "false", Values: strictxml.OneOf("false", "true"), Doc: "Switches the part on.",
-				Put: func(f *File, v int64) { f.Fleet.Copies.Enabled = v == 1 },
+				Name: "enabled", Default: "false", Values: strictxml.OneOf("false", "true"), Doc: "Switches the part on.",
+				SetNumber: func(f *File, v int64) { f.Fleet.Copies.Enabled = v == 1 },
 			}, {
-				Name: "count", Fallback: "2", Values: strictxml.Whole(1, 4), Doc: "Members that keep copies of a sender's journal.",
-				Put: func(f *File, v int64) { f.Fleet.Copies.Count = int(v) },
+				Name: "count", Default: "2", Values: strictxml.Integer(1, 4), Doc: "Members that keep copies of a sender's journal.",
+				SetNumber: func(f *File, v int64) { f.Fleet.Copies.Count = int(v) },
 			}, {
-				Name: "needed", Fallback: "1", Values: strictxml.Whole(1, 4), Doc: "Of these, how many must have a message before its client is told 202; count at most.",
-				Put: func(f *File, v int64) { f.Fleet.Copies.Needed = int(v) },
+				Name: "needed", Default: "1", Values: strictxml.Integer(1, 4), Doc: "Of these, how many must have a message before its client is told 202; count at most.",
+				SetNumber: func(f *File, v int64) { f.Fleet.Copies.Required = int(v) },
 			}, {
-				Name: "patience", Fallback: "150ms", Values: strictxml.Between(10*time.Millisecond, 300*time.Millisecond), Doc: "How long that may take; clients wait 400 ms.",
-				Put: func(f *File, v int64) { f.Fleet.Copies.Patience = time.Duration(v) },
+				Name: "patience", Default: "150ms", Values: strictxml.Duration(10*time.Millisecond, 300*time.Millisecond), Doc: "How long that may take; clients wait 400 ms.",
+				SetNumber: func(f *File, v int64) { f.Fleet.Copies.Timeout = time.Duration(v) },
 			}, {
-				Name: "when-short", Fallback: "refuse", Values: strictxml.OneOf("refuse", "take"), Doc: "Where too few can be reached: 503 with Retry-After, or 202 with what there is.",
-				Put: func(f *File, v int64) { f.Fleet.Copies.Take = v == 1 },
+				Name: "when-short", Default: "refuse", Values: strictxml.OneOf("refuse", "take"), Doc: "Where too few can be reached: 503 with Retry-After, or 202 with what there is.",
+				SetNumber: func(f *File, v int64) { f.Fleet.Copies.AcceptUncopied = v == 1 },
 			}, {
-				Name: "room", Fallback: "64MiB", Values: strictxml.Sized(64<<10, 1<<40), Doc: "What copies of others may take here, within limits.disk_mb.",
-				Put: func(f *File, v int64) { f.Fleet.Copies.Room = v },
+				Name: "room", Default: "64MiB", Values: strictxml.Size(64<<10, 1<<40), Doc: "What copies of others may take here, within limits.disk_mb.",
+				SetNumber: func(f *File, v int64) { f.Fleet.Copies.QuotaBytes = v },
 			}},
 			Children: []element{{
 				Name: "class", Doc: "A class whose messages wait for another number of copies than the rest.", Repeated: true, Unique: "name",
 				Add: func(f *File) { f.Fleet.Copies.Classes = append(f.Fleet.Copies.Classes, CopyClass{}) },
 				Attrs: []attribute{{
 					Name: "name", Required: true, Values: strictxml.Text("[!-~]{1,100}", "a class's name, without blanks"), Doc: "Its name in the platform's settings.",
-					Text: func(f *File, v string) { f.Fleet.Copies.Classes[len(f.Fleet.Copies.Classes)-1].Name = v },
+					SetText: func(f *File, v string) { f.Fleet.Copies.Classes[len(f.Fleet.Copies.Classes)-1].Name = v },
 				}, {
-					Name: "needed", Required: true, Values: strictxml.Whole(1, 4), Doc: "Members that must have such a message before its client is told 202; count at most.",
-					Put: func(f *File, v int64) { f.Fleet.Copies.Classes[len(f.Fleet.Copies.Classes)-1].Needed = int(v) },
+					Name: "needed", Required: true, Values: strictxml.Integer(1, 4), Doc: "Members that must have such a message before its client is told 202; count at most.",
+					SetNumber: func(f *File, v int64) { f.Fleet.Copies.Classes[len(f.Fleet.Copies.Classes)-1].Required = int(v) },
 				}},
 			}},
 		}},
@@ -215,34 +215,36 @@
 
 // shardsSpec is the element.
 func shardsSpec(name, addr strictxml.Values) element {
-	last := func(f *File) *ControlMember { return &f.Fleet.Shards.Control[len(f.Fleet.Shards.Control)-1] }
+	last := func(f *File) *ControlMember {
+		return &f.Fleet.Shards.ControlMembers[len(f.Fleet.Shards.ControlMembers)-1]
+	}
 	return element{
 		Name: "shards", Doc: "This sender serves the destinations of its shards alone, and learns of them from control members in place of discovery.",
 		Attrs: []attribute{{
-			Name: "enabled", Fallback: "false", Values: strictxml.OneOf("false", "true"), Doc: "Switches the part on. The fleet itself may be off.",
-			Put: func(f *File, v int64) { f.Fleet.Shards.Enabled = v == 1 },
+			Name: "enabled", Default: "false", Values: strictxml.OneOf("false", "true"), Doc: "Switches the part on. The fleet itself may be off.",
+			SetNumber: func(f *File, v int64) { f.Fleet.Shards.Enabled = v == 1 },
 		}, {
 			Name: "region", Values: name, Doc: "Where this sender stands; shards are assigned among the senders of a region.",
-			Text: func(f *File, v string) { f.Fleet.Shards.Region = v },
+			SetText: func(f *File, v string) { f.Fleet.Shards.Region = v },
 		}, {
 			Name: "zone", Values: name, Doc: "The zone of that region; a shard's replicas are spread over zones.",
-			Text: func(f *File, v string) { f.Fleet.Shards.Zone = v },
+			SetText: func(f *File, v string) { f.Fleet.Shards.Zone = v },
 		}, {
-			Name: "weight", Fallback: "1", Values: strictxml.Whole(1, 100), Doc: "How much this sender serves, beside the others.",
-			Put: func(f *File, v int64) { f.Fleet.Shards.Weight = int(v) },
+			Name: "weight", Default: "1", Values: strictxml.Integer(1, 100), Doc: "How much this sender serves, beside the others.",
+			SetNumber: func(f *File, v int64) { f.Fleet.Shards.Weight = int(v) },
 		}, {
-			Name: "replicas", Fallback: "2", Values: strictxml.Whole(1, 5), Doc: "Senders of a region that serve a destination; alike in all files and the control members'.",
-			Put: func(f *File, v int64) { f.Fleet.Shards.Replicas = int(v) },
+			Name: "replicas", Default: "2", Values: strictxml.Integer(1, 5), Doc: "Senders of a region that serve a destination; alike in all files and the control members'.",
+			SetNumber: func(f *File, v int64) { f.Fleet.Shards.Replicas = int(v) },
 		}},
 		Children: []element{{
 			Name: "control", Doc: "A control member.", Repeated: true, Unique: "name",
-			Add: func(f *File) { f.Fleet.Shards.Control = append(f.Fleet.Shards.Control, ControlMember{}) },
+			Add: func(f *File) { f.Fleet.Shards.ControlMembers = append(f.Fleet.Shards.ControlMembers, ControlMember{}) },
 			Attrs: []attribute{{
-				Name: "name", Required: true, Values: name, Doc: "Its name.", Text: func(f *File, v string) { last(f).Name = v },
+				Name: "name", Required: true, Values: name, Doc: "Its name.", SetText: func(f *File, v string) { last(f).Name = v },
 			}, {
-				Name: "addr", Required: true, Values: addr, Doc: "Where it takes links of subscribers.", Text: func(f *File, v string) { last(f).Addr = v },
+				Name: "addr", Required: true, Values: addr, Doc: "Where it takes links of subscribers.", SetText: func(f *File, v string) { last(f).Addr = v },
 			}, {
-				Name: "region", Values: name, Doc: "Where it stands; those of the own region are tried first.", Text: func(f *File, v string) { last(f).Region = v },
+				Name: "region", Values: name, Doc: "Where it stands; those of the own region are tried first.", SetText: func(f *File, v string) { last(f).Region = v },
 			}},
 		}},
 	}
@@ -257,12 +259,12 @@
 		return "fleet: enabled=\"true\" and shards enabled=\"true\"; allowed: one of them, duties and copies do not go with shards yet"
 	case s.Region == "" || s.Zone == "":
 		return "fleet: shards: region and zone are needed"
-	case len(s.Control) == 0:
+	case len(s.ControlMembers) == 0:
 		return "fleet: shards: no <control>; allowed: one or more"
 	case (f.Cert == "") != (f.Key == "") || (f.Cert == "") != (f.CA == ""):
 		return "fleet: ca, cert and key go together"
 	}
-	for _, c := range s.Control {
+	for _, c := range s.ControlMembers {
 		if bad := checkAddr(c.Addr, f.Cert != ""); bad != "" {
 			return fmt.Sprintf("fleet: shards: control %q: addr=%q: %s", c.Name, c.Addr, bad)
 		}
@@ -282,14 +284,14 @@
 	switch {
 	case voters != 3 && voters != 5:
 		return fmt.Sprintf("fleet: %d members have voter=\"true\"; allowed: 3 or 5, so that a majority stays when one or two are lost", voters)
-	case f.Minimum != 0 && (f.Minimum > voters || 2*f.Minimum <= voters):
-		return fmt.Sprintf("fleet: voter-minimum=\"%d\" of %d voters; allowed: %d to %d", f.Minimum, voters, voters/2+1, voters)
+	case f.MinVoters != 0 && (f.MinVoters > voters || 2*f.MinVoters <= voters):
+		return fmt.Sprintf("fleet: voter-minimum=\"%d\" of %d voters; allowed: %d to %d", f.MinVoters, voters, voters/2+1, voters)
 	case len(f.Members) > MaxMembers:
 		return fmt.Sprintf("fleet: %d members; allowed: %d at most", len(f.Members), MaxMembers)
-	case f.Duties.Lease < 2*f.Duties.Election:
-		return fmt.Sprintf("fleet: duties: lease=%q is shorter than two election times of %v; allowed: %v or more, or each election would end every lease", f.Duties.Lease, f.Duties.Election, 2*f.Duties.Election)
-	case f.Copies.Enabled && f.Copies.Needed > f.Copies.Count:
-		return fmt.Sprintf("fleet: copies: needed=\"%d\" of count=\"%d\"; allowed: count at most", f.Copies.Needed, f.Copies.Count)
+	case f.Duties.Lease < 2*f.Duties.ElectionTimeout:
+		return fmt.Sprintf("fleet: duties: lease=%q is shorter than two election times of %v; allowed: %v or more, or each election would end every lease", f.Duties.Lease, f.Duties.ElectionTimeout, 2*f.Duties.ElectionTimeout)
+	case f.Copies.Enabled && f.Copies.Required > f.Copies.Count:
+		return fmt.Sprintf("fleet: copies: needed=\"%d\" of count=\"%d\"; allowed: count at most", f.Copies.Required, f.Copies.Count)
 	case f.Copies.Enabled && f.Copies.tooMany() != "":
 		return f.Copies.tooMany()
 	case f.Copies.Enabled && f.Copies.Count >= len(f.Members):
@@ -309,9 +311,9 @@
 		}
 		used[m.Addr] = m.Name
 	}
-	if f.Listen != "" {
-		if bad := checkAddr(f.Listen, f.Cert != ""); bad != "" {
-			return fmt.Sprintf("fleet: listen=%q: %s", f.Listen, bad)
+	if f.ListenAddr != "" {
+		if bad := checkAddr(f.ListenAddr, f.Cert != ""); bad != "" {
+			return fmt.Sprintf("fleet: listen=%q: %s", f.ListenAddr, bad)
 		}
 	}
 	return ""
@@ -331,6 +333,6 @@
 }
 
 // Has reports whether a member has that name.
-func (f *Fleet) Has(name string) bool {
+func (f *Fleet) HasMember(name string) bool {
 	return slices.ContainsFunc(f.Members, func(m Member) bool { return m.Name == name })
 }
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -28,17 +28,17 @@
 
 // Telemetry sets how traces and metrics go to a collector. Empty texts: as the environment says.
 type Telemetry struct {
-	Enabled       bool
-	Endpoint      string
-	Protocol      string
-	Compression   string
-	Timeout       time.Duration
-	Every         time.Duration
-	Share         float64
-	Queue         int64 // bytes
-	CA, Cert, Key string
-	Headers       []Pair
-	Resource      []Pair
+	Enabled            bool
+	Endpoint           string
+	Protocol           string
+	Compression        string
+	Timeout            time.Duration
+	MetricsInterval    time.Duration
+	SampledShare       float64
+	QueueBytes         int64 // bytes
+	CA, Cert, Key      string
+	Headers            []Pair
+	ResourceAttributes []Pair
 }
 
 // Pair is a name with its value.
@@ -47,13 +47,13 @@
 // Storms sets how retry storms are damped.
 type Storms struct {
 	Enabled bool
-	Limits  []StatedLimit
+	Limits  []ContractLimit
 }
 
 // StatedLimit is a partner's limit as its contract has it.
-type StatedLimit struct {
-	Dest int
-	Rate float64 // calls a second, over all senders
+type ContractLimit struct {
+	Dest           int
+	CallsPerSecond float64 // calls a second, over all senders
 }
 
 // Protocol is how a partner is spoken to.
@@ -61,8 +61,8 @@
 
 // The protocols.
 const (
-	Plain Protocol = "http/1.1"
-	TLS   Protocol = "https" // HTTP/1.1 over TLS
+	HTTP1 Protocol = "http/1.1"
+	HTTPS Protocol = "https" // HTTP/1.1 over TLS
 	H2    Protocol = "h2"    // over TLS, by ALPN
 	H2C   Protocol = "h2c"   // HTTP/2 by prior knowledge, without TLS
 )
@@ -75,12 +75,12 @@
 	CA, Cert, Key string // files; empty: none
 	MaxConns      int    // HTTP/2 connections to one endpoint
 	PingAfter     time.Duration
-	PingFor       time.Duration
+	PingTimeout   time.Duration
 }
 
 // Ready says when a starting sender answers /up with 200.
 type Ready struct {
-	Patience time.Duration // with an empty list and no word from discovery, it is ready after so long
+	Timeout time.Duration // with an empty list and no word from discovery, it is ready after so long
 }
 
 // Log sets what the log holds beside changes of state.
@@ -90,11 +90,11 @@
 
 // Knowledge sets what a sender keeps of what it has learned, over its restarts.
 type Knowledge struct {
-	Enabled    bool
-	MaxSize    int64         // bytes of the folder that lasts, copies included, that knowledge may take
-	WriteEvery time.Duration // between two snapshots; told waits are written at once
-	Sync       bool          // fsync before a file takes the old one's place
-	HalfLives  HalfLives
+	Enabled       bool
+	MaxSize       int64         // bytes of the folder that lasts, copies included, that knowledge may take
+	WriteInterval time.Duration // between two snapshots; told waits are written at once
+	Sync          bool          // fsync before a file takes the old one's place
+	HalfLives     HalfLives
 }
 
 // HalfLives are the times after which what was learned weighs half. docs/knowledge.md says why each
@@ -104,14 +104,14 @@
 	Pace        time.Duration // the sender's own pace there
 	Health      time.Duration // breakers, trials and ramps
 	Latency     time.Duration // call latencies
-	Control     time.Duration // a controller's theta and E[X]
+	Admission   time.Duration // a controller's theta and E[X]
 	Connections time.Duration // what connections are worth
 }
 
 // Default returns the settings of an operators' file that sets nothing.
 func Default() File {
 	var f File
-	spec().Defaults(&f)
+	spec().ApplyDefaults(&f)
 	return f
 }
 
@@ -172,7 +172,7 @@
 	}
 	for _, p := range f.Partners {
 		bad := ""
-		switch withTLS := p.Protocol == TLS || p.Protocol == H2; {
+		switch withTLS := p.Protocol == HTTPS || p.Protocol == H2; {
 		case (p.Cert == "") != (p.Key == ""):
 			bad = "cert and key go together"
 		case !withTLS && (p.CA != "" || p.Cert != "" || p.ServerName != ""):
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -150,7 +150,7 @@
 // Every part is off, and a file that sets nothing sets the same as none.
 func TestDefaults(t *testing.T) {
 	f, err := Read("f", strings.NewReader(`<sliptide version="1"/>`))
-	if d := Default(); err != nil || !reflect.DeepEqual(*f, d) || d.Knowledge.Enabled || d.Ready.Patience != 5*time.Second {
+	if d := Default(); err != nil || !reflect.DeepEqual(*f, d) || d.Knowledge.Enabled || d.Ready.Timeout != 5*time.Second {
 		t.Errorf("%+v, %v, want %+v", f, err, Default())
 	}
 }
@@ -181,7 +181,7 @@
 	if _, err := Read("f", strings.NewReader(`<!DOCTYPE a><sliptide version="1"/>`)); err == nil {
 		t.Error("a document type declaration passes")
 	}
-	if _, err := Read("f", strings.NewReader(`<sliptide version="1">`+strings.Repeat(" ", strictxml.MaxFile)+`</sliptide>`)); err == nil || !strings.Contains(err.Error(), "too long") {
+	if _, err := Read("f", strings.NewReader(`<sliptide version="1">`+strings.Repeat(" ", strictxml.MaxFileSize)+`</sliptide>`)); err == nil || !strings.Contains(err.Error(), "too long") {
 		t.Error(err)
 	}
 }
@@ -196,7 +196,7 @@
 		if file == nil && err == nil {
 			t.Fatal("neither a file nor a reason")
 		}
-		if err == nil && (file.Knowledge.MaxSize < 16<<10 || file.Knowledge.WriteEvery < 100*time.Millisecond) {
+		if err == nil && (file.Knowledge.MaxSize < 16<<10 || file.Knowledge.WriteInterval < 100*time.Millisecond) {
 			t.Fatalf("out of range: %+v", file)
 		}
 	})
--- a/internal/partners/partners.go
+++ b/internal/partners/partners.go
@@ -51,7 +51,7 @@
 		if e == nil || e.settings != settings {
 			e = newEntry(settings)
 		}
-		if settings.Protocol == operator.TLS || settings.Protocol == operator.H2 {
+		if settings.Protocol == operator.HTTPS || settings.Protocol == operator.H2 {
 			cfg, w, err := keys.Load(keys.Files{CA: settings.CA, Cert: settings.Cert, Key: settings.Key}, r.now())
 			if err != nil {
 				return nil, fmt.Errorf("partner of destination %d: %w", settings.Dest, err)
@@ -70,12 +70,12 @@
 
 func newEntry(settings operator.Partner) *entry {
 	e := &entry{settings: settings}
-	if settings.Protocol == operator.Plain {
+	if settings.Protocol == operator.HTTP1 {
 		return e
 	}
 	e.partner = &outbound.Partner{
 		HTTP2: settings.Protocol == operator.H2 || settings.Protocol == operator.H2C, ServerName: settings.ServerName,
-		MaxConns: settings.MaxConns, PingAfter: settings.PingAfter, PingTimeout: settings.PingFor,
+		MaxConns: settings.MaxConns, PingAfter: settings.PingAfter, PingTimeout: settings.PingTimeout,
 	}
 	if settings.Protocol != operator.H2C {
 		e.partner.TLS = e.tls.Load
--- a/internal/sender/copies.go
+++ b/internal/sender/copies.go
@@ -506,7 +506,7 @@
 	for i := range c.waits {
 		wait = min(wait, time.Until(c.waits[i].deadline))
 	}
-	if at, due := s.avoided.Next(); due {
+	if at, due := s.avoided.NextExpiry(); due {
 		wait = min(wait, fromMillis(at-s.clock.Now()))
 	}
 	return wait
--- a/internal/sender/endpoints.go
+++ b/internal/sender/endpoints.go
@@ -73,7 +73,7 @@
 			s.endpoints[e.ID] = e
 		}
 		s.recordDraining(&e)
-		e.State = s.avoided.State(e.Name, s.disabled.State(e.Name, e.State), s.now)
+		e.State = s.avoided.EffectiveState(e.Name, s.disabled.EffectiveState(e.Name, e.State), s.now)
 		if s.partner != nil {
 			if p := s.partner(e.Dest); p != nil && p.HTTP2 {
 				e.Endpoint.Streams = s.http2Streams
--- a/internal/sender/holds.go
+++ b/internal/sender/holds.go
@@ -106,7 +106,7 @@
 
 // readmitEndpoints uses endpoints again that need not be avoided any longer.
 func (s *Sender) readmitEndpoints() {
-	for _, id := range s.avoided.Over(s.now) {
+	for _, id := range s.avoided.Expire(s.now) {
 		s.reapplyEndpoint(id)
 	}
 }
--- a/internal/sender/knowledge.go
+++ b/internal/sender/knowledge.go
@@ -135,7 +135,7 @@
 	}
 	var general *knowledge.Facts
 	if len(k.unwrittenDests) == 0 {
-		k.nextWriteAt = s.now + float64(k.Settings.WriteEvery.Milliseconds())
+		k.nextWriteAt = s.now + float64(k.Settings.WriteInterval.Milliseconds())
 		general = s.generalFacts()
 	}
 	if len(k.unwrittenDests) == 0 || all {
--- a/internal/sender/sender.go
+++ b/internal/sender/sender.go
@@ -148,7 +148,7 @@
 	StormGuard   *storm.Guard        // nil: no storm control
 	Recorder     *telemetry.Recorder // nil: no telemetry
 	LogRecords   bool                // log each record of a message
-	Disabled     operate.Out         // endpoints disabled by an operator, which count as draining
+	Disabled     operate.DisabledSet // endpoints disabled by an operator, which count as draining
 	// Successor: this is a new version, started beside the running one. It sends nothing until TakeOver.
 	Successor bool
 	Log       zerolog.Logger
@@ -184,8 +184,8 @@
 	pendingNotices  map[uint64]*journal.Entry     // ended messages whose notice has not been accepted yet
 	endpoints       map[uint32]discovery.Endpoint // as listed, regardless of disabled and avoided
 	endpointIDs     map[string]uint32             // of every endpoint that has been listed, by name
-	disabled        operate.Out
-	avoided         operate.Shut               // endpoints that the lost sender of adopted messages avoided
+	disabled        operate.DisabledSet
+	avoided         operate.TakeoverDrains     // endpoints that the lost sender of adopted messages avoided
 	classes         atomic.Pointer[classTable] // shared with intake
 	successor       bool
 	heldLists       []discovery.List // endpoint lists that a successor holds until TakeOver
--- a/internal/sender/upgrade.go
+++ b/internal/sender/upgrade.go
@@ -16,14 +16,14 @@
 // upgradeTakeover carries what a successor receives when the running version has exited.
 type upgradeTakeover struct {
 	knowledge Knowledge
-	disabled  operate.Out
+	disabled  operate.DisabledSet
 	done      chan error
 }
 
 // TakeOver makes a successor the active sender after the running version has released the state directory. knowledge is
 // that version's knowledge and disabled the endpoints disabled by operators, both read again from the directory. It
 // returns when the module has all of it.
-func (s *Sender) TakeOver(knowledge Knowledge, disabled operate.Out) error {
+func (s *Sender) TakeOver(knowledge Knowledge, disabled operate.DisabledSet) error {
 	t := &upgradeTakeover{knowledge: knowledge, disabled: disabled, done: make(chan error, 1)}
 	s.post(input{upgrade: t})
 	select {
--- a/internal/strictxml/read.go
+++ b/internal/strictxml/read.go
@@ -11,9 +11,9 @@
 
 const (
 	// MaxFile is the most bytes that a document may have.
-	MaxFile    = 1 << 20
-	xsiSpace   = "http://www.w3.org/2001/XMLSchema-instance"
-	xmlnsSpace = "xmlns"
+	MaxFileSize = 1 << 20
+	xsiSpace    = "http://www.w3.org/2001/XMLSchema-instance"
+	xmlnsSpace  = "xmlns"
 )
 
 // Open reads the file at path into a new T. Errors are of type *Error.
@@ -38,9 +38,9 @@
 // Read reads one document into a new T that stands at the defaults of root. Whatever root does not know, it
 // refuses; name stands in messages. Errors are of type *Error.
 func Read[T any](name string, in io.Reader, root *Element[T]) (*T, error) {
-	limited := &io.LimitedReader{R: in, N: MaxFile + 1}
+	limited := &io.LimitedReader{R: in, N: MaxFileSize + 1}
 	r := reader[T]{name: name, dec: xml.NewDecoder(limited), file: new(T), limited: limited}
-	root.Defaults(r.file)
+	root.ApplyDefaults(r.file)
 	if err := r.document(root); err != nil {
 		return nil, err
 	}
@@ -184,11 +184,11 @@
 		if !ok {
 			return r.fail(spec.Values.String(), "%s=%q in <%s>", spec.Name, a.Value, e.Name)
 		}
-		if spec.Put != nil {
-			spec.Put(r.file, v)
+		if spec.SetNumber != nil {
+			spec.SetNumber(r.file, v)
 		}
-		if spec.Text != nil {
-			spec.Text(r.file, a.Value)
+		if spec.SetText != nil {
+			spec.SetText(r.file, a.Value)
 		}
 	}
 	for i := range e.Attrs {
--- a/internal/strictxml/schema.go
+++ b/internal/strictxml/schema.go
@@ -57,8 +57,8 @@
 	switch {
 	case a.Required:
 		use = `use="required"`
-	case a.Fallback != "":
-		use = fmt.Sprintf("default=%q", a.Fallback)
+	case a.Default != "":
+		use = fmt.Sprintf("default=%q", a.Default)
 	}
 	fmt.Fprintf(b, "%s<xs:attribute name=%q %s>\n", in, a.Name, use)
 	writeDoc(b, a.Doc+" Allowed: "+a.Values.String()+".", in+"  ")
--- a/internal/strictxml/spec.go
+++ b/internal/strictxml/spec.go
@@ -25,10 +25,10 @@
 type Attribute[T any] struct {
 	Name, Doc string
 	Required  bool
-	Fallback  string // the value of a file that leaves it out; read like any other
+	Default   string // the value of a file that leaves it out; read like any other
 	Values    Values
-	Put       func(*T, int64)  // takes the value that Values.parse returns,
-	Text      func(*T, string) // or the text
+	SetNumber func(*T, int64)  // takes the value that Values.parse returns,
+	SetText   func(*T, string) // or the text
 }
 
 // Values is a set of values that the reader can tell and the schema can state. A value is a number:
@@ -56,15 +56,15 @@
 )
 
 // Between is a time from lo to hi, such as 250ms.
-func Between(lo, hi time.Duration) Values {
+func Duration(lo, hi time.Duration) Values {
 	return Values{units: timeUnits, lo: int64(lo), hi: int64(hi)}
 }
 
 // Sized is a number of bytes, such as 64KiB.
-func Sized(lo, hi int64) Values { return Values{units: sizeUnits, lo: lo, hi: hi} }
+func Size(lo, hi int64) Values { return Values{units: sizeUnits, lo: lo, hi: hi} }
 
 // Whole is a whole number from lo to hi.
-func Whole(lo, hi int64) Values { return Values{units: []unit{{"", 1}}, lo: lo, hi: hi} }
+func Integer(lo, hi int64) Values { return Values{units: []unit{{"", 1}}, lo: lo, hi: hi} }
 
 // Text is what matches pattern all through; what says so in words.
 func Text(pattern, what string) Values {
@@ -75,23 +75,23 @@
 func OneOf(words ...string) Values { return Values{words: words} }
 
 // Defaults fills f with the fallbacks. A repeated element has them when it begins.
-func (e *Element[T]) Defaults(f *T) {
+func (e *Element[T]) ApplyDefaults(f *T) {
 	e.own(f)
 	for i := range e.Children {
 		if !e.Children[i].Repeated {
-			e.Children[i].Defaults(f)
+			e.Children[i].ApplyDefaults(f)
 		}
 	}
 }
 
 func (e *Element[T]) own(f *T) {
 	for i := range e.Attrs {
-		if a := &e.Attrs[i]; a.Put != nil && a.Fallback != "" {
-			v, _ := a.Values.Parse(a.Fallback)
-			a.Put(f, v)
+		if a := &e.Attrs[i]; a.SetNumber != nil && a.Default != "" {
+			v, _ := a.Values.Parse(a.Default)
+			a.SetNumber(f, v)
 		}
-		if a := &e.Attrs[i]; a.Text != nil && a.Fallback != "" {
-			a.Text(f, a.Fallback)
+		if a := &e.Attrs[i]; a.SetText != nil && a.Default != "" {
+			a.SetText(f, a.Default)
 		}
 	}
 }
--- a/internal/telemetry/otlp/settings.go
+++ b/internal/telemetry/otlp/settings.go
@@ -19,7 +19,7 @@
 // first. name is the sender's, which tells its instances apart.
 func Configure(set operator.Telemetry, name string, getenv func(string) string) (Options, error) {
 	env := func(key string) string { return strings.TrimSpace(getenv("OTEL_EXPORTER_OTLP_" + key)) }
-	o := Options{Queue: set.Queue, Share: set.Share, Every: set.Every}
+	o := Options{Queue: set.QueueBytes, Share: set.SampledShare, Every: set.MetricsInterval}
 	t := Target{URL: or(set.Endpoint, env("ENDPOINT")), Timeout: set.Timeout, Headers: map[string]string{}}
 	switch protocol := or(set.Protocol, env("PROTOCOL"), "http/protobuf"); protocol {
 	case "grpc":
@@ -85,7 +85,7 @@
 	attrs := []metric.Attr{{Key: "service.name", Value: or(getenv("OTEL_SERVICE_NAME"), "sliptide")}, {Key: "service.instance.id", Value: name},
 		{Key: "process.pid", Value: strconv.Itoa(os.Getpid())}}
 next:
-	for _, p := range append(list, set.Resource...) {
+	for _, p := range append(list, set.ResourceAttributes...) {
 		for i := range attrs {
 			if attrs[i].Key == p.Name {
 				attrs[i].Value = p.Value
