--- a/cmd/sliptide/admin_test.go
+++ b/cmd/sliptide/admin_test.go
@@ -13,11 +13,11 @@
 )
 
 // adminRig is a rig whose sender has an operators' address, not yet started.
-func adminRig(t *testing.T, kinds ...string) (*rig, string) {
+func newAdminRig(t *testing.T, kinds ...string) (*rig, string) {
 	t.Helper()
 	t.Parallel()
-	r := makeRig(t, "", nil, kinds...)
-	n := rigs.Add(1)
+	r := newUnstartedRig(t, "", nil, kinds...)
+	n := rigCount.Add(1)
 	ln, err := net.Listen("tcp", fmt.Sprintf("127.78.%d.%d:0", n/250, n%250+1))
 	if err != nil {
 		t.Fatal(err)
@@ -29,7 +29,7 @@
 }
 
 // byHand makes one call to the operators' address and returns its status and reason.
-func byHand(t *testing.T, addr, method, path, body string) (int, string) {
+func callAdmin(t *testing.T, addr, method, path, body string) (int, string) {
 	t.Helper()
 	q, _ := http.NewRequest(method, "http://"+addr+path, strings.NewReader(body))
 	began := time.Now()
@@ -48,50 +48,50 @@
 // An endpoint taken out by hand gets nothing new, whatever discovery lists, over a restart, until it is put
 // back; an id that no list named is a no.
 func TestTakenOutByHand(t *testing.T) {
-	r, admin := adminRig(t, "one")
-	r.list = append(r.list, r.endpoint("s-b", "one", 0))
-	r.config["known"] = map[string]any{"version": 1, "full": true, "servers": r.list}
+	r, admin := newAdminRig(t, "one")
+	r.endpoints = append(r.endpoints, r.endpoint("s-b", "one", 0))
+	r.config["known"] = map[string]any{"version": 1, "full": true, "servers": r.endpoints}
 	r.start()
-	if status, text := byHand(t, admin, "POST", "/endpoints/disable", "s-9"); status != 404 {
+	if status, text := callAdmin(t, admin, "POST", "/endpoints/disable", "s-9"); status != 404 {
 		t.Errorf("never listed: %d %s", status, text)
 	}
 	for range 2 { // calls may be repeated
-		if status, text := byHand(t, admin, "POST", "/endpoints/disable", "s-0"); status != 200 {
+		if status, text := callAdmin(t, admin, "POST", "/endpoints/disable", "s-0"); status != 200 {
 			t.Fatalf("disable: %d %s", status, text)
 		}
 	}
 	expectAt := func(id, endpoint string) {
 		t.Helper()
-		r.take(id, 0, 15, "")
-		c := r.callFor(id)
+		r.mustSubmit(id, 0, 15, "")
+		c := r.expectCallFor(id)
 		if c.endpoint != endpoint {
 			t.Errorf("%s went to %s, want %s", id, c.endpoint, endpoint)
 		}
-		c.status(200)
+		c.respond(200)
 	}
 	for i := range 4 {
 		expectAt(fmt.Sprint("m", i), "s-b")
 	}
-	r.change(func() { r.list[0].State = "up" }) // discovery lists it anew
-	r.awaitWatchFrom()
+	r.updateList(func() { r.endpoints[0].State = "up" }) // discovery lists it anew
+	r.awaitCurrentList()
 	expectAt("listed", "s-b")
 	r.kill(syscall.SIGTERM)
 	r.start()
 	expectAt("restarted", "s-b")
-	if status, text := byHand(t, admin, "POST", "/endpoints/enable", "s-0"); status != 200 {
+	if status, text := callAdmin(t, admin, "POST", "/endpoints/enable", "s-0"); status != 200 {
 		t.Fatalf("enable: %d %s", status, text)
 	}
-	r.change(func() { r.list[len(r.list)-1].State = "draining" })
-	r.awaitWatchFrom()
+	r.updateList(func() { r.endpoints[len(r.endpoints)-1].State = "draining" })
+	r.awaitCurrentList()
 	expectAt("back", "s-0")
 }
 
 // Sent away by hand: /up and /ready say no, kept connections are closed after their answer or at once if
 // idle, messages are still taken on; undrained, it says yes again.
 func TestDrainByHand(t *testing.T) {
-	r, admin := adminRig(t, "one")
+	r, admin := newAdminRig(t, "one")
 	r.start()
-	if status, _ := byHand(t, admin, "GET", "/ready", ""); status != 200 {
+	if status, _ := callAdmin(t, admin, "GET", "/ready", ""); status != 200 {
 		t.Fatalf("ready: %d", status)
 	}
 	idle, err := net.Dial("tcp", r.addr)
@@ -105,45 +105,45 @@
 	if err != nil || resp.StatusCode != 200 || resp.Close {
 		t.Fatalf("before: %v %v", resp, err)
 	}
-	if status, text := byHand(t, admin, "POST", "/drain", ""); status != 200 {
+	if status, text := callAdmin(t, admin, "POST", "/drain", ""); status != 200 {
 		t.Fatalf("drain: %d %s", status, text)
 	}
 	idle.SetReadDeadline(time.Now().Add(time.Second))
 	if n, err := rd.Read(make([]byte, 1)); n != 0 || err == nil {
 		t.Errorf("an idle connection is kept: %d %v", n, err)
 	}
-	if r.up() != 503 {
+	if r.upStatus() != 503 {
 		t.Errorf("/up says yes while clients are sent away")
 	}
-	if status, _ := byHand(t, admin, "GET", "/ready", ""); status != 503 {
+	if status, _ := callAdmin(t, admin, "GET", "/ready", ""); status != 503 {
 		t.Errorf("ready: %d while clients are sent away", status)
 	}
-	resp = r.handIn("during", 0, 15, "")
+	resp = r.submit("during", 0, 15, "")
 	if resp.StatusCode != 202 || !resp.Close {
 		t.Errorf("a message while sent away: %s, close %v", resp.Status, resp.Close)
 	}
-	r.callFor("during").status(200)
-	if status, text := byHand(t, admin, "POST", "/undrain", ""); status != 200 {
+	r.expectCallFor("during").respond(200)
+	if status, text := callAdmin(t, admin, "POST", "/undrain", ""); status != 200 {
 		t.Fatalf("undrain: %d %s", status, text)
 	}
 	r.awaitUp(200)
-	if status, _ := byHand(t, admin, "GET", "/ready", ""); status != 200 {
+	if status, _ := callAdmin(t, admin, "GET", "/ready", ""); status != 200 {
 		t.Errorf("ready: %d after undrain", status)
 	}
 }
 
 // awaitWatchFrom waits until the sender watches from the present version: it has had the list as it is.
-func (r *rig) awaitWatchFrom() {
+func (r *rig) awaitCurrentList() {
 	r.t.Helper()
 	r.mu.Lock()
-	want := fmt.Sprintf("index=%d&", r.version)
+	want := fmt.Sprintf("index=%d&", r.listVersion)
 	r.mu.Unlock()
-	for q := ""; !strings.Contains(q, want); q = next(r.t, r.watches, "a watch from "+want) {
+	for q := ""; !strings.Contains(q, want); q = receive(r.t, r.watches, "a watch from "+want) {
 	}
 }
 
 // handInClass hands in a message of a class and returns the status.
-func (r *rig) handInClass(id, class string) int {
+func (r *rig) submitWithClass(id, class string) int {
 	r.t.Helper()
 	q, _ := http.NewRequest("POST", "http://"+r.addr+"/api", strings.NewReader("x"))
 	for k, v := range map[string]string{"X-Trace-Id": id, "X-Qos": class, "X-Customer": "acme", "Idempotency-Key": "key-" + id,
@@ -164,8 +164,8 @@
 	r := newRig(t, nil, "one")
 	settings := r.config["settings"].(map[string]any)
 	note := settings["services"].([]any)[0].(map[string]any)
-	r.take("held", 0, 15, "")
-	first := r.callFor("held")
+	r.mustSubmit("held", 0, 15, "")
+	first := r.expectCallFor("held")
 	broken := map[string]any{}
 	for k, v := range note {
 		broken[k] = v
@@ -174,28 +174,28 @@
 	good := r.config["discovery"]
 	settings["services"] = []any{note, broken}
 	r.config["discovery"] = "127.0.0.1:9"
-	r.configure()
+	r.writeConfig()
 	r.proc.Process.Signal(syscall.SIGHUP)
 	r.awaitLog("the new configuration is of no use")
 	r.config["discovery"] = good
-	if status := r.handInClass("early", "urgent"); status != 400 {
+	if status := r.submitWithClass("early", "urgent"); status != 400 {
 		t.Errorf("a class of a broken file: %d", status)
 	}
 	urgent := map[string]any{"name": "urgent", "aim": 1000, "deadline": 5000, "effect": "unsafe", "worth": 2, "late_worth": 0.4}
 	settings["services"] = []any{note, urgent}
 	settings["limits"].(map[string]any)["max_attempts"] = 2
-	r.configure()
+	r.writeConfig()
 	r.proc.Process.Signal(syscall.SIGHUP)
 	r.awaitLog("settings read anew")
-	if status := r.handInClass("new", "urgent"); status != 202 {
+	if status := r.submitWithClass("new", "urgent"); status != 202 {
 		t.Errorf("a class of the new file: %d", status)
 	}
-	r.callFor("new").status(200)
-	first.status(500) // its first attempt; the second is its last now
-	r.callFor("held").status(500)
-	if n := r.notice(); n.Message != "held" {
+	r.expectCallFor("new").respond(200)
+	first.respond(500) // its first attempt; the second is its last now
+	r.expectCallFor("held").respond(500)
+	if n := r.nextNotice(); n.Message != "held" {
 		t.Errorf("notice %+v", n)
 	}
-	r.change(func() {}) // discovery is still the one that the broken file did not move
-	next(t, r.watches, "a watch")
+	r.updateList(func() {}) // discovery is still the one that the broken file did not move
+	receive(t, r.watches, "a watch")
 }
--- a/cmd/sliptide/copies_test.go
+++ b/cmd/sliptide/copies_test.go
@@ -39,7 +39,7 @@
 		n := 0
 		m.await(fmt.Sprintf("n%d takes messages on", i), func() bool {
 			n++
-			resp, err := r.tryHandIn(fmt.Sprintf("n%d-warm-%d", i, n), 5, 12, "x")
+			resp, err := r.trySubmit(fmt.Sprintf("n%d-warm-%d", i, n), 5, 12, "x")
 			if err != nil {
 				return false
 			}
@@ -67,15 +67,15 @@
 func TestMachineLost(t *testing.T) {
 	m := newTeamWith(t, copiesXML, 4)
 	m.run()
-	if out, errs, code := command(t, "fleet", "copies", "--operator", m.rigs[0].operator); code != 0 || strings.Count(out, "copied") != 4 || strings.Count(out, "batches") != 4 {
+	if out, errs, code := runCommand(t, "fleet", "copies", "--operator", m.rigs[0].operatorPath); code != 0 || strings.Count(out, "copied") != 4 || strings.Count(out, "batches") != 4 {
 		t.Errorf("fleet copies: status %d\n%s%s", code, out, errs)
 	}
 	m.set(true)
-	ids := m.hold(0, 12, 15)
-	m.lose(0)
+	ids := m.submitHeld(0, 12, 15)
+	m.killAndWipe(0)
 	lost := time.Now()
 	m.set(false)
-	m.allEnded(ids)
+	m.awaitFinalAnswers(ids)
 	t.Logf("all delivered %v after the loss", time.Since(lost).Round(10*time.Millisecond))
 	delivered := 0
 	for id, n := range m.final() {
@@ -98,7 +98,7 @@
 	m := newTeamWith(t, copiesXML, 4)
 	m.run()
 	m.set(true)
-	ids := m.hold(3, 8, 19)
+	ids := m.submitHeld(3, 8, 19)
 	m.rigs[3].proc.Process.Signal(syscall.SIGSTOP)
 	m.await("somebody has taken over", func() bool {
 		for _, r := range m.rigs[:3] {
@@ -112,10 +112,10 @@
 	m.rigs[3].awaitUp(200) // it may have said 503 meanwhile, and why
 	m.rigs[3].awaitLog("messages were taken over while this sender was away")
 	m.set(false)
-	m.allEnded(ids)
+	m.awaitFinalAnswers(ids)
 	// The one that is back takes messages on again, and sends them itself.
 	m.await("it takes messages on again", func() bool {
-		resp, err := m.rigs[3].tryHandIn("n3-again-"+fmt.Sprint(time.Now().UnixNano()), 5, 12, "x")
+		resp, err := m.rigs[3].trySubmit("n3-again-"+fmt.Sprint(time.Now().UnixNano()), 5, 12, "x")
 		if err != nil {
 			return false
 		}
@@ -147,7 +147,7 @@
 		text, _ := io.ReadAll(resp.Body)
 		return resp.StatusCode == 503 && strings.Contains(string(text), "too few members")
 	})
-	resp := r.handIn("n3-refused", 5, 10, "x")
+	resp := r.submit("n3-refused", 5, 10, "x")
 	if resp.StatusCode != 503 || resp.Header.Get("Retry-After") == "" {
 		t.Errorf("new work without a quorum: %s, Retry-After %q", resp.Status, resp.Header.Get("Retry-After"))
 	}
--- a/cmd/sliptide/desync_test.go
+++ b/cmd/sliptide/desync_test.go
@@ -10,47 +10,47 @@
 )
 
 // partnerTakes is the time that the partner of these tests takes for a call.
-const partnerTakes = 100 * time.Millisecond
+const partnerLatency = 100 * time.Millisecond
 
 // rawRig is a sender, which logs records, with one RawPartner for destination 5.
-func rawRig(t *testing.T) (*rig, *standin.RawPartner) {
+func newRawRig(t *testing.T) (*rig, *standin.RawPartner) {
 	t.Helper()
 	t.Parallel()
-	r := makeRig(t, `<log records="true"/>`, nil)
+	r := newUnstartedRig(t, `<log records="true"/>`, nil)
 	p := standin.NewRawPartner(t)
-	r.list = append(r.list, endpoint{ID: "s-raw", Addr: p.Addr, Zone: "a", Kind: "one", Cell: 5, State: "up"})
-	r.config["known"] = map[string]any{"version": 1, "full": true, "servers": r.list}
+	r.endpoints = append(r.endpoints, endpoint{ID: "s-raw", Addr: p.Addr, Zone: "a", Kind: "one", Cell: 5, State: "up"})
+	r.config["known"] = map[string]any{"version": 1, "full": true, "servers": r.endpoints}
 	r.start()
 	return r, p
 }
 
 // answerLater answers a call after the time that the partner takes.
 func answerLater(c *standin.RawCall, text string) {
-	time.AfterFunc(partnerTakes, func() { c.Write(text) })
+	time.AfterFunc(partnerLatency, func() { c.Write(text) })
 }
 
 // records counts the log's records of a kind.
-func (r *rig) records(kind string) int {
+func (r *rig) recordCount(kind string) int {
 	return strings.Count(r.logs.String(), fmt.Sprintf(`"record":%q`, kind))
 }
 
 // awaitRecords waits until the log has so many records of a kind.
 func (r *rig) awaitRecords(kind string, n int) {
 	r.t.Helper()
-	for end := time.Now().Add(patient); r.records(kind) < n; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); r.recordCount(kind) < n; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			r.t.Fatalf("%d records %q, want %d", r.records(kind), kind, n)
+			r.t.Fatalf("%d records %q, want %d", r.recordCount(kind), kind, n)
 		}
 	}
 }
 
 // callOnKept hands messages in, one after the other, until one goes out on a connection that has carried another.
-func (r *rig) callOnKept(p *standin.RawPartner) *standin.RawCall {
+func (r *rig) callOnReusedConn(p *standin.RawPartner) *standin.RawCall {
 	r.t.Helper()
 	carried := map[int]bool{}
 	for n := range 20 {
-		r.take(fmt.Sprint("m", n), 5, 10, "")
-		c := next(r.t, p.Calls, "a call")
+		r.mustSubmit(fmt.Sprint("m", n), 5, 10, "")
+		c := receive(r.t, p.Calls, "a call")
 		if carried[c.Conn] {
 			return c
 		}
@@ -64,11 +64,11 @@
 
 // Guards against a message that ends by a second copy of an earlier answer, and is lost.
 func TestRepeatedAnswerCrossesARequestAndLosesIt(t *testing.T) {
-	r, p := rawRig(t)
-	c := r.callOnKept(p)
+	r, p := newRawRig(t)
+	c := r.callOnReusedConn(p)
 	c.Write(standin.OK) // of the call before
 	answerLater(c, standin.Full)
-	again := next(t, p.Calls, "a further attempt")
+	again := receive(t, p.Calls, "a further attempt")
 	if again.ID != c.ID {
 		t.Errorf("call for %q, want %q again", again.ID, c.ID)
 	}
@@ -77,14 +77,14 @@
 
 // Guards against an answer that ends the next call of its connection, whose message is then out twice.
 func TestRepeatedAnswerShiftsLaterAnswers(t *testing.T) {
-	r, p := rawRig(t)
-	c := r.callOnKept(p)
-	ended := r.records("ended")
+	r, p := newRawRig(t)
+	c := r.callOnReusedConn(p)
+	ended := r.recordCount("ended")
 	c.Write(standin.OK) // of the call before; its own answer is still owed
 	r.awaitRecords("ended", ended+1)
-	r.take("next", 5, 10, "")
+	r.mustSubmit("next", 5, 10, "")
 	for {
-		following := next(t, p.Calls, "a call for the next message")
+		following := receive(t, p.Calls, "a call for the next message")
 		if following.Conn == c.Conn {
 			t.Fatalf("%q goes out on connection %d, which owes the answer to %q", following.ID, c.Conn, c.ID)
 		}
--- a/cmd/sliptide/fleet_test.go
+++ b/cmd/sliptide/fleet_test.go
@@ -54,7 +54,7 @@
 // addresses.
 func teamAddr(t *testing.T) string {
 	t.Helper()
-	n := rigs.Add(1)
+	n := rigCount.Add(1)
 	ln, err := net.Listen("tcp", fmt.Sprintf("127.78.%d.%d:0", n/250, n%250+1))
 	if err != nil {
 		t.Fatal(err)
@@ -79,15 +79,15 @@
 	}
 	m.xml = m.file(func(k int) string { return m.addrs[k] }, "")
 	for i := range n {
-		r := makeRig(t, m.xml, func(settings, _ map[string]any) {
+		r := newUnstartedRig(t, m.xml, func(settings, _ map[string]any) {
 			settings["balancers"] = 3
 			settings["family_info"].(map[string]any)["kind_batch"] = []int{1, 10}
 			settings["limits"].(map[string]any)["max_attempts"] = 100 // a partner that is down must not use them up
 			settings["services"] = append(settings["services"].([]any), map[string]any{"name": "pay", "aim": 2000, "deadline": 20000, "effect": "unsafe", "worth": 2, "late_worth": 0.4})
 		})
 		r.config["name"] = fmt.Sprint("n", i)
-		r.list = append(r.list, r.partner("p-5", 5, func(w http.ResponseWriter, q *http.Request) { m.partner(i, w, q) }))
-		r.config["known"] = map[string]any{"version": 1, "full": true, "servers": r.list}
+		r.endpoints = append(r.endpoints, r.endpointWithHandler("p-5", 5, func(w http.ResponseWriter, q *http.Request) { m.partner(i, w, q) }))
+		r.config["known"] = map[string]any{"version": 1, "full": true, "servers": r.endpoints}
 		if change != nil {
 			change(m, i, r)
 		}
@@ -116,7 +116,7 @@
 	if m.relays == nil {
 		m.relays = map[[2]int]*standin.Relay{}
 	}
-	r.operate(m.file(func(k int) string {
+	r.writeOperatorFile(m.file(func(k int) string {
 		if k == i {
 			return m.addrs[k]
 		}
@@ -175,7 +175,7 @@
 // await polls until ok, or fails.
 func (m *team) await(what string, ok func() bool) {
 	m.t.Helper()
-	for end := time.Now().Add(patient); !ok(); time.Sleep(10 * time.Millisecond) {
+	for end := time.Now().Add(testTimeout); !ok(); time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(end) {
 			m.t.Fatalf("never: %s; calls %v", what, m.callers(time.Time{}))
 		}
@@ -184,7 +184,7 @@
 
 // status asks the fleet by the command line; nil where nobody answers.
 func (m *team) status() *voter.Status {
-	out, err := exec.Command(binary, "fleet", "status", "--json", "--operator", m.rigs[0].operator).Output()
+	out, err := exec.Command(binary, "fleet", "status", "--json", "--operator", m.rigs[0].operatorPath).Output()
 	var s voter.Status
 	if err != nil || json.Unmarshal(out, &s) != nil {
 		return nil
@@ -214,7 +214,7 @@
 					return
 				case <-time.After(150 * time.Millisecond):
 				}
-				if resp, err := r.tryHandIn(fmt.Sprintf("n%d-%d", i, n), 5, 12, "x"); err == nil {
+				if resp, err := r.trySubmit(fmt.Sprintf("n%d-%d", i, n), 5, 12, "x"); err == nil {
 					resp.Body.Close()
 				}
 			}
@@ -233,7 +233,7 @@
 					return
 				case <-r.watches:
 				case c := <-r.calls:
-					c.status(200)
+					c.respond(200)
 				case n := <-r.notices:
 					e := ending{n, time.Now()}
 					m.mu.Lock()
@@ -301,8 +301,8 @@
 		}
 		return n == 3
 	})
-	op := m.rigs[0].operator
-	out, errs, code := command(t, "fleet", "status", "--operator", op)
+	op := m.rigs[0].operatorPath
+	out, errs, code := runCommand(t, "fleet", "status", "--operator", op)
 	for _, want := range []string{"leader n", "MEMBER", "n0", "n1", "n2", "true"} {
 		if !strings.Contains(out, want) || code != 0 {
 			t.Errorf("status %d: %s%s, want %q", code, out, errs, want)
@@ -320,19 +320,19 @@
 		if !strings.Contains(strings.Join(args, " "), "--operator") {
 			args = append(args, "--operator", op)
 		}
-		if out, errs, code := command(t, args...); code == 0 || !strings.Contains(errs, c.want) {
+		if out, errs, code := runCommand(t, args...); code == 0 || !strings.Contains(errs, c.want) {
 			t.Errorf("%v: status %d, %s%s; want %q", args, code, out, errs, c.want)
 		}
 	}
 	// A second process under a name that is taken, in a folder of its own: it takes no part, and says why.
-	twin := makeRig(t, strings.Replace(m.xml, `<fleet enabled="true">`, `<fleet enabled="true" listen="`+teamAddr(t)+`">`, 1), nil)
+	twin := newUnstartedRig(t, strings.Replace(m.xml, `<fleet enabled="true">`, `<fleet enabled="true" listen="`+teamAddr(t)+`">`, 1), nil)
 	twin.config["name"] = "n0"
 	twin.launch()
 	twin.awaitLog("another process runs under this member's name")
 	// It is up all the same, and what it is handed is taken on.
 	twin.awaitUp(200)
 	// A member that is removed has no session once its lease is over, and gets none.
-	if _, errs, code := command(t, "fleet", "remove", "n2", "--operator", op); code != 0 {
+	if _, errs, code := runCommand(t, "fleet", "remove", "n2", "--operator", op); code != 0 {
 		t.Errorf("remove: %s", errs)
 	}
 	m.await("n2 has no session", func() bool {
@@ -378,7 +378,7 @@
 	was := session()
 	r := m.rigs[1]
 	var logs logBuffer
-	next := exec.Command(binary, "run", "--operator", r.operator)
+	next := exec.Command(binary, "run", "--operator", r.operatorPath)
 	next.Env, next.Stderr = r.proc.Env, &logs
 	if err := next.Start(); err != nil {
 		t.Fatal(err)
@@ -406,7 +406,7 @@
 	m.drain(stop)
 	m.await("a leader", func() bool { s := m.status(); return s != nil && s.Leader != "" })
 	r := m.rigs[0]
-	log, aside := filepath.Join(r.state, "fleet.log"), filepath.Join(r.state, "aside")
+	log, aside := filepath.Join(r.stateDir, "fleet.log"), filepath.Join(r.stateDir, "aside")
 	if err := os.Rename(log, aside); err != nil {
 		t.Fatal(err)
 	}
@@ -414,11 +414,11 @@
 		t.Fatal(err)
 	}
 	// Something to be written: every voter appends what is agreed on.
-	if _, errs, code := command(t, "fleet", "remove", "nobody", "--operator", m.rigs[0].operator); code != 0 {
+	if _, errs, code := runCommand(t, "fleet", "remove", "nobody", "--operator", m.rigs[0].operatorPath); code != 0 {
 		t.Errorf("remove: %s", errs)
 	}
 	r.awaitLog("the log cannot be written: stepping down")
-	r.take("n0-1", 5, 10, "x")
+	r.mustSubmit("n0-1", 5, 10, "x")
 	m.await("its message is delivered", func() bool { return m.callers(time.Time{})["n0"] == 1 })
 	if err := os.Remove(log); err != nil {
 		t.Fatal(err)
--- a/cmd/sliptide/h2_test.go
+++ b/cmd/sliptide/h2_test.go
@@ -40,10 +40,10 @@
 
 // listed puts partners in the list of discovery, in place of what is there.
 func (r *rig) listed(ps ...*standin.H2) {
-	r.change(func() {
-		r.list = nil
+	r.updateList(func() {
+		r.endpoints = nil
 		for i, p := range ps {
-			r.list = append(r.list, endpoint{ID: fmt.Sprint("h-", i), Addr: p.Addr(), Zone: "a", Kind: "bulk", Cell: i, State: "up"})
+			r.endpoints = append(r.endpoints, endpoint{ID: fmt.Sprint("h-", i), Addr: p.Addr(), Zone: "a", Kind: "bulk", Cell: i, State: "up"})
 		}
 	})
 }
@@ -62,8 +62,8 @@
 // awaitTaken hands messages in until the sender has the list.
 func (r *rig) awaitTaken(id string, dest int, left float64) {
 	r.t.Helper()
-	for end := time.Now().Add(patient); ; {
-		resp := r.handIn(id, dest, left, "body")
+	for end := time.Now().Add(testTimeout); ; {
+		resp := r.submit(id, dest, left, "body")
 		if resp.StatusCode == 202 {
 			return
 		}
@@ -89,31 +89,31 @@
 			})
 			r.listed(p)
 			r.awaitTaken("first", 0, 8)
-			next(t, seen, "the first call")
+			receive(t, seen, "the first call")
 			for i := range 5 { // they find no stream
-				r.take(fmt.Sprint("q", i), 0, 8, "")
+				r.mustSubmit(fmt.Sprint("q", i), 0, 8, "")
 			}
 			var told time.Time
 			if what == "wait" {
 				told = time.Now()
 				answer <- standin.Reply{Status: 429, Uncounted: true, Fields: map[string]string{"retry-after": "1.200"}}
 			} else {
-				r.change(func() { r.list[0].State = "draining" })
-				r.take("n", 0, 0.3, "") // its end comes after the drain is known
-				r.notice()
+				r.updateList(func() { r.endpoints[0].State = "draining" })
+				r.mustSubmit("n", 0, 0.3, "") // its end comes after the drain is known
+				r.nextNotice()
 				told = time.Now()
 				answer <- standin.Reply{Status: 200}
 			}
 			if what == "drain" {
 				for range 5 {
-					r.notice()
+					r.nextNotice()
 				}
 				if len(seen) > 0 {
 					t.Error("called after it was told to drain")
 				}
 				return
 			}
-			next(t, seen, "a call after the wait")
+			receive(t, seen, "a call after the wait")
 			if early := time.Since(told); early < 1200*time.Millisecond {
 				t.Errorf("called %v after a wait of 1.2 s was told", early)
 			}
@@ -129,7 +129,7 @@
 	r := newRigWith(t, multiplexed(1, 1), nil)
 	r.listed(p)
 	r.awaitTaken("first", 0, 8)
-	for end := time.Now().Add(patient); p.Acks() < 2; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); p.Acks() < 2; time.Sleep(time.Millisecond) {
 		if p.Runs("first") == 1 && p.Limit == 10 {
 			p.Set(0)
 		}
@@ -138,13 +138,13 @@
 		}
 	}
 	begin := time.Now()
-	r.take("ends", 0, 1, "")
-	if n := r.notice(); n.Message != "ends" || time.Since(begin) > 1500*time.Millisecond {
+	r.mustSubmit("ends", 0, 1, "")
+	if n := r.nextNotice(); n.Message != "ends" || time.Since(begin) > 1500*time.Millisecond {
 		t.Errorf("%+v after %v", n, time.Since(begin))
 	}
-	r.take("lasts", 0, 10, "")
+	r.mustSubmit("lasts", 0, 10, "")
 	p.Set(10)
-	for end := time.Now().Add(patient); p.Runs("lasts") == 0; {
+	for end := time.Now().Add(testTimeout); p.Runs("lasts") == 0; {
 		if time.Now().After(end) {
 			t.Fatal("not delivered")
 		}
@@ -307,7 +307,7 @@
 	if v, err := strconv.Atoi(os.Getenv("SLIPTIDE_IN_FLIGHT")); err == nil {
 		flights, rounds = []int{v}, 8
 	}
-	measuring(t)
+	skipUnlessMeasuring(t)
 	for _, flight := range flights {
 		for round := range rounds {
 			for _, proto := range []string{"http/1.1", "h2c"} {
@@ -390,12 +390,12 @@
 	wire := &countedListener{Listener: ln}
 	go srv.Serve(wire)
 	t.Cleanup(func() { srv.Close() })
-	r.change(func() {
-		r.list = []endpoint{{ID: "h", Addr: ln.Addr().String(), Zone: "a", Kind: "one", Cell: 0, State: "up"}}
+	r.updateList(func() {
+		r.endpoints = []endpoint{{ID: "h", Addr: ln.Addr().String(), Zone: "a", Kind: "one", Cell: 0, State: "up"}}
 	})
 	stop := make(chan struct{})
 	defer close(stop)
-	go r.quiet(stop)
+	go r.discardPlatformCalls(stop)
 	r.awaitTaken("warm", 0, 5)
 	<-got
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 128}}
@@ -458,7 +458,7 @@
 	r.awaitTaken("out", 0, 10)
 	r.awaitTaken("waits", 1, 10) // its partner's CA is not known yet
 	r.awaitLog("certificate signed by unknown authority")
-	for end := time.Now().Add(patient); first.Acks() == 0; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); first.Acks() == 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("not called")
 		}
@@ -467,7 +467,7 @@
 	r.proc.Process.Signal(syscall.SIGHUP)
 	r.awaitLog("configuration read again")
 	answer <- standin.Reply{Status: 200}
-	for end := time.Now().Add(patient); first.Runs("out") == 0 || second.Runs("waits") == 0; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); first.Runs("out") == 0 || second.Runs("waits") == 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatalf("delivered %d and %d times", first.Runs("out"), second.Runs("waits"))
 		}
@@ -476,19 +476,19 @@
 	r.proc.Process.Signal(syscall.SIGHUP)
 	r.awaitLog("keeping the old")
 	fresh.WriteCA(at("ca.pem"))
-	out, errs, status := command(t, "partner", "probe", second.Addr(), "--operator", r.operator, "--dest", "1")
+	out, errs, status := runCommand(t, "partner", "probe", second.Addr(), "--operator", r.operatorPath, "--dest", "1")
 	for _, want := range []string{"speaks h2 over TLS 1.3", "MAX_CONCURRENT_STREAMS = 33", "lodge.example.org", "29 days left"} {
 		if status != 0 || !strings.Contains(out, want) {
 			t.Errorf("probe: %d, no %q in %s%s", status, want, out, errs)
 		}
 	}
-	if _, errs, status := command(t, "partner", "probe", first.Addr(), "--operator", r.operator, "--dest", "0"); status != 1 || !strings.Contains(errs, "unknown authority") {
+	if _, errs, status := runCommand(t, "partner", "probe", first.Addr(), "--operator", r.operatorPath, "--dest", "0"); status != 1 || !strings.Contains(errs, "unknown authority") {
 		t.Errorf("probe: %d %s", status, errs)
 	}
-	if out, errs, status := command(t, "partner", "probe", r.addr, "--protocol", "h2c"); status != 1 {
+	if out, errs, status := runCommand(t, "partner", "probe", r.addr, "--protocol", "h2c"); status != 1 {
 		t.Errorf("probe of what is no partner: %d %s%s", status, out, errs)
 	}
-	if _, _, status := command(t, "partner", "probe", "nowhere"); status != 2 {
+	if _, _, status := runCommand(t, "partner", "probe", "nowhere"); status != 2 {
 		t.Errorf("probe of no address: %d", status)
 	}
 }
--- a/cmd/sliptide/holders_test.go
+++ b/cmd/sliptide/holders_test.go
@@ -19,7 +19,7 @@
 
 // holders are who keeps copies of a sender's journal, as numbers, by the command line.
 func (m *team) holders(i int) (list []int) {
-	out, err := exec.Command(binary, "fleet", "copies", "--json", "--operator", m.rigs[0].operator).Output()
+	out, err := exec.Command(binary, "fleet", "copies", "--json", "--operator", m.rigs[0].operatorPath).Output()
 	var views []struct {
 		Owner  string
 		Copies []string
@@ -49,7 +49,7 @@
 // timed hands a message in and returns the status and how long the answer took.
 func (m *team) timed(i int, id, body string) (int, time.Duration) {
 	at := time.Now()
-	resp, err := m.rigs[i].tryHandIn(id, 5, 12, body)
+	resp, err := m.rigs[i].trySubmit(id, 5, 12, body)
 	if err != nil {
 		m.t.Fatal(err)
 	}
@@ -126,9 +126,9 @@
 		owner, gone = 3, m.awaitHolders(3)[:1]
 	}
 	m.set(true)
-	ids := m.hold(owner, 5, 19)
+	ids := m.submitHeld(owner, 5, 19)
 	for _, k := range gone {
-		m.lose(k)
+		m.killAndWipe(k)
 	}
 	m.await("it has other holders", func() bool {
 		list := m.holders(owner)
@@ -138,9 +138,9 @@
 		code, _ := m.timed(owner, fmt.Sprintf("n%d-more-%d", owner, time.Now().UnixNano()), "x")
 		return code == 202
 	})
-	m.lose(owner)
+	m.killAndWipe(owner)
 	m.set(false)
-	m.allEnded(ids)
+	m.awaitFinalAnswers(ids)
 }
 
 // TestHolderDiskFails: a holder that cannot write its copy answers nothing for it; the other one does. When it can
@@ -149,7 +149,7 @@
 	m := newTeamWith(t, copiesXML, 4)
 	m.run()
 	list := m.awaitHolders(3)
-	file := filepath.Join(m.rigs[list[0]].state, "copy-n3")
+	file := filepath.Join(m.rigs[list[0]].stateDir, "copy-n3")
 	m.await("the holder has a file", func() bool { _, err := os.Stat(file); return err == nil })
 	if err := os.Remove(file); err != nil {
 		t.Fatal(err)
@@ -161,15 +161,15 @@
 		t.Fatal(err)
 	}
 	m.set(true)
-	ids := m.hold(3, 4, 15)
+	ids := m.submitHeld(3, 4, 15)
 	if err := os.RemoveAll(file); err != nil {
 		t.Fatal(err)
 	}
 	m.await("the holder has a file again", func() bool { _, err := os.Stat(file); return err == nil })
-	m.lose(3)
-	m.lose(list[1])
+	m.killAndWipe(3)
+	m.killAndWipe(list[1])
 	m.set(false)
-	m.allEnded(ids)
+	m.awaitFinalAnswers(ids)
 }
 
 // TestBurstOfBodies: bodies of 64 KiB until the holders' room is used up: refused plainly and in time, with nothing lost,
@@ -201,7 +201,7 @@
 		t.Errorf("%d taken on, %d refused", len(taken), refused)
 	}
 	m.set(false)
-	m.allEnded(taken)
+	m.awaitFinalAnswers(taken)
 	m.await("there is room again", func() bool {
 		code, _ := m.timed(3, fmt.Sprint("n3-room-", time.Now().UnixNano()), body)
 		return code == 202
@@ -216,7 +216,7 @@
 	m.set(true)
 	var ids []string
 	for i := range m.rigs {
-		ids = append(ids, m.hold(i, 3, 19)...)
+		ids = append(ids, m.submitHeld(i, 3, 19)...)
 	}
 	for i, r := range m.rigs {
 		r.logs.Reset()
@@ -229,7 +229,7 @@
 		r.awaitLog(`"held":true`)
 	}
 	m.set(false)
-	m.allEnded(ids)
+	m.awaitFinalAnswers(ids)
 	for id, n := range m.final() {
 		if strings.Contains(id, "-held-") && n > 1 {
 			t.Errorf("%s has %d final answers", id, n)
--- a/cmd/sliptide/inherit_test.go
+++ b/cmd/sliptide/inherit_test.go
@@ -25,10 +25,10 @@
 )
 
 // failWhile ends the name of a file beside a rig's folder; while it exists, the disk fails under a program of shifted.
-const failWhile = ".fails"
+const diskFailSuffix = ".fails"
 
 // shifted is the program for a machine whose wall clock is off, built once.
-func shifted(t *testing.T, by time.Duration) string {
+func buildWithClockShift(t *testing.T, by time.Duration) string {
 	t.Helper()
 	shiftedMu.Lock()
 	defer shiftedMu.Unlock()
@@ -36,7 +36,7 @@
 		return path
 	}
 	path := fmt.Sprintf("%s-shifted%s", binary, by)
-	args := []string{"build", "-race", "-ldflags", "-X sliptide/internal/sender.wallShift=" + by.String() + " -X sliptide/internal/fsys.failWhile=" + failWhile, "-o", path, "."}
+	args := []string{"build", "-race", "-ldflags", "-X sliptide/internal/sender.wallShift=" + by.String() + " -X sliptide/internal/fsys.failWhile=" + diskFailSuffix, "-o", path, "."}
 	if out, err := exec.Command("go", args...).CombinedOutput(); err != nil {
 		t.Fatalf("%v\n%s", err, out)
 	}
@@ -45,28 +45,28 @@
 }
 
 // hold hands in messages at a sender that must take them on.
-func (m *team) hold(i, n int, left float64) (ids []string) {
+func (m *team) submitHeld(i, n int, left float64) (ids []string) {
 	m.t.Helper()
 	for k := range n {
 		id := fmt.Sprintf("n%d-held-%d", i, k)
-		m.rigs[i].take(id, 5, left, "two guests, one night")
+		m.rigs[i].mustSubmit(id, 5, left, "two guests, one night")
 		ids = append(ids, id)
 	}
 	return ids
 }
 
 // lose kills a sender and takes its folder away.
-func (m *team) lose(i int) {
+func (m *team) killAndWipe(i int) {
 	m.t.Helper()
 	m.rigs[i].kill(syscall.SIGKILL)
 	m.rigs[i].proc = nil
-	if err := os.RemoveAll(m.rigs[i].state); err != nil {
+	if err := os.RemoveAll(m.rigs[i].stateDir); err != nil {
 		m.t.Fatal(err)
 	}
 }
 
 // allEnded waits until each message has a final answer.
-func (m *team) allEnded(ids []string) {
+func (m *team) awaitFinalAnswers(ids []string) {
 	m.t.Helper()
 	m.await("all have their final answer", func() bool {
 		got := m.final()
@@ -84,7 +84,7 @@
 func TestHeirsClockIsOff(t *testing.T) {
 	for _, by := range []time.Duration{time.Hour, -time.Hour} {
 		t.Run(by.String(), func(t *testing.T) {
-			program := shifted(t, by)
+			program := buildWithClockShift(t, by)
 			m := newTeamOf(t, copiesXML, 4, func(_ *team, i int, r *rig) {
 				if i > 0 {
 					r.binary = program
@@ -96,19 +96,19 @@
 			var short []string
 			for k := range 4 {
 				id := fmt.Sprintf("n0-short-%d", k)
-				m.rigs[0].take(id, 5, 4, "x")
+				m.rigs[0].mustSubmit(id, 5, 4, "x")
 				short = append(short, id)
 			}
-			ids := m.hold(0, 6, 15) // the 202 of the last one may be under way when the machine is lost
-			m.lose(0)
-			m.allEnded(short)
-			m.eachEnd(func(e ending) {
+			ids := m.submitHeld(0, 6, 15) // the 202 of the last one may be under way when the machine is lost
+			m.killAndWipe(0)
+			m.awaitFinalAnswers(short)
+			m.forEachNotice(func(e ending) {
 				if strings.HasPrefix(e.Message, "n0-short") && (e.at.Sub(from) < 3*time.Second || e.at.Sub(from) > 4*time.Second+ledger.LateSlack+time.Second) {
 					t.Errorf("%s: %s after %v, its time was 4 s", e.Message, e.Outcome, e.at.Sub(from))
 				}
 			})
 			m.set(false)
-			m.allEnded(ids)
+			m.awaitFinalAnswers(ids)
 			got := m.taken()
 			delivered := 0
 			for _, id := range ids {
@@ -122,7 +122,7 @@
 }
 
 // eachEnd looks at each notice that the platforms had.
-func (m *team) eachEnd(look func(ending)) {
+func (m *team) forEachNotice(look func(ending)) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, e := range m.ends {
@@ -131,7 +131,7 @@
 }
 
 // handAgain hands a message in again elsewhere, as its sender died.
-func (m *team) handAgain(i int, id, key, class string) int {
+func (m *team) resubmit(i int, id, key, class string) int {
 	q, _ := http.NewRequest("POST", "http://"+m.rigs[i].addr+"/api", strings.NewReader("two guests, one night"))
 	for k, v := range map[string]string{"X-Trace-Id": id, "X-Qos": class, "X-Customer": "acme", "Idempotency-Key": key,
 		"X-Expires-In": "15", "X-Route-To": "dest=5", "X-Second-Try": "again"} {
@@ -146,7 +146,7 @@
 }
 
 // effects counts the calls that the partner took, by the message's idempotency key.
-func (m *team) effects(key string) (n int) {
+func (m *team) effectCount(key string) (n int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, c := range m.calls {
@@ -165,8 +165,8 @@
 			m := newTeamWith(t, copiesXML, 4)
 			m.run()
 			m.set(true)
-			ids := m.hold(0, 6, 15)
-			m.lose(0)
+			ids := m.submitHeld(0, 6, 15)
+			m.killAndWipe(0)
 			took := func() bool {
 				return slices.ContainsFunc(m.rigs[1:], func(r *rig) bool { return strings.Contains(r.logs.String(), `"copies: took over"`) })
 			}
@@ -181,7 +181,7 @@
 			for k := range 3 {
 				id := fmt.Sprintf("n%d-second-%d", k+1, k)
 				m.await("the message is answered for", func() bool {
-					code := m.handAgain(k+1, id, "key-"+ids[k], "note")
+					code := m.resubmit(k+1, id, "key-"+ids[k], "note")
 					if code != want && code != 503 && code != 0 {
 						t.Fatalf("%s: %d, want %d", id, code, want)
 					}
@@ -191,12 +191,12 @@
 			}
 			m.await("an heir has taken over", took)
 			m.set(false)
-			m.allEnded(ids)
+			m.awaitFinalAnswers(ids)
 			if !after {
-				m.allEnded(second)
+				m.awaitFinalAnswers(second)
 			}
 			for k, id := range ids {
-				n := m.effects("key-" + id)
+				n := m.effectCount("key-" + id)
 				if n > 1 || n == 0 && k < 3 {
 					t.Errorf("%s took effect %d times", id, n)
 				}
@@ -222,7 +222,7 @@
 		if i == 0 {
 			r.config["admin"] = admin
 		}
-		r.list = append(r.list, r.partner("p-6a", 6, func(w http.ResponseWriter, q *http.Request) {
+		r.endpoints = append(r.endpoints, r.endpointWithHandler("p-6a", 6, func(w http.ResponseWriter, q *http.Request) {
 			if q.Header.Get("X-Trace-Id") == "" {
 				return
 			}
@@ -235,23 +235,23 @@
 			} else {
 				good.Add(1)
 			}
-		}), r.partner("p-6b", 6, func(w http.ResponseWriter, q *http.Request) {
+		}), r.endpointWithHandler("p-6b", 6, func(w http.ResponseWriter, q *http.Request) {
 			if q.Header.Get("X-Trace-Id") != "" {
 				shunned.Add(1)
 			}
 		}))
-		r.config["known"] = map[string]any{"version": 1, "full": true, "servers": r.list}
+		r.config["known"] = map[string]any{"version": 1, "full": true, "servers": r.endpoints}
 	})
 	m.run()
-	if status, text := byHand(t, admin, "POST", "/endpoints/disable", "p-6b"); status != 200 {
+	if status, text := callAdmin(t, admin, "POST", "/endpoints/disable", "p-6b"); status != 200 {
 		t.Fatalf("disable: %d %s", status, text)
 	}
-	m.rigs[0].take("n0-6-0", 6, 18, "x")
+	m.rigs[0].mustSubmit("n0-6-0", 6, 18, "x")
 	m.await("the partner has told a wait", func() bool { return waits.Load() != 0 })
 	for k := range 4 {
-		m.rigs[0].take(fmt.Sprintf("n0-6-%d", k+1), 6, 18, "x")
+		m.rigs[0].mustSubmit(fmt.Sprintf("n0-6-%d", k+1), 6, 18, "x")
 	}
-	m.lose(0)
+	m.killAndWipe(0)
 	heir := -1
 	m.await("an heir has taken over", func() bool {
 		heir = slices.IndexFunc(m.rigs, func(r *rig) bool { return r != m.rigs[0] && strings.Contains(r.logs.String(), `"copies: took over"`) })
@@ -282,7 +282,7 @@
 	m.run()
 	m.awaitHolders(3)
 	m.set(true)
-	ids := m.hold(3, 6, 19)
+	ids := m.submitHeld(3, 6, 19)
 	for k, relay := range m.relays {
 		if k[0] == 3 || k[1] == 3 {
 			relay.Cut(true)
@@ -296,7 +296,7 @@
 	}
 	from := time.Now()
 	m.set(false)
-	m.allEnded(ids)
+	m.awaitFinalAnswers(ids)
 	for _, r := range m.relays {
 		r.Cut(false)
 	}
--- a/cmd/sliptide/knowledge_test.go
+++ b/cmd/sliptide/knowledge_test.go
@@ -20,10 +20,10 @@
 	"sliptide/internal/knowledge/store"
 )
 
-const knowing = `<knowledge enabled="true" write-every="100ms"/>`
+const knowledgeXML = `<knowledge enabled="true" write-every="100ms"/>`
 
 // run runs a sub-command to its end.
-func command(t *testing.T, args ...string) (out, err string, status int) {
+func runCommand(t *testing.T, args ...string) (out, err string, status int) {
 	t.Helper()
 	c := exec.Command(binary, args...)
 	var o, e bytes.Buffer
@@ -37,10 +37,10 @@
 }
 
 // awaitFile waits until the state folder has a readable knowledge file for which ok holds.
-func (r *rig) awaitFile(name string, ok func(*knowledge.Facts) bool) {
+func (r *rig) awaitKnowledgeFile(name string, ok func(*knowledge.Facts) bool) {
 	r.t.Helper()
-	for end := time.Now().Add(patient); ; {
-		if text, err := os.ReadFile(filepath.Join(r.state, name)); err == nil {
+	for end := time.Now().Add(testTimeout); ; {
+		if text, err := os.ReadFile(filepath.Join(r.stateDir, name)); err == nil {
 			if b, err := store.Decode(text); err != nil {
 				r.t.Fatalf("%s while in use: %v", name, err)
 			} else if ok(b) {
@@ -59,32 +59,32 @@
 	for _, row := range []struct {
 		name, operator string
 		kept           bool
-	}{{"on", knowing, true}, {"off", "", false}} {
+	}{{"on", knowledgeXML, true}, {"off", "", false}} {
 		t.Run(row.name, func(t *testing.T) {
 			r := newRigWith(t, row.operator, nil, "one", "one")
-			r.change(func() { r.list[1].Cell = 0 }) // both are of one partner
+			r.updateList(func() { r.endpoints[1].Cell = 0 }) // both are of one partner
 			r.kill(syscall.SIGTERM)
 			r.start()
-			r.take("m", 0, 19, "")
-			c := r.callFor("m")
+			r.mustSubmit("m", 0, 19, "")
+			c := r.expectCallFor("m")
 			told := time.Now()
-			c.status(429, "Retry-After", "4.000")
+			c.respond(429, "Retry-After", "4.000")
 			if row.kept {
-				r.awaitFile(store.WaitsName, func(b *knowledge.Facts) bool { return len(b.Waits) == 1 })
+				r.awaitKnowledgeFile(store.WaitsName, func(b *knowledge.Facts) bool { return len(b.Waits) == 1 })
 				if late := time.Since(told); late > 2*time.Second { // 50 ms, and what a busy machine adds
 					t.Errorf("on disk after %v", late)
 				}
 			} else {
 				r.awaitLog("started") // nothing to wait for but the answer's arrival
-				r.take("n", 9, 0.3, "")
-				r.notice()
+				r.mustSubmit("n", 9, 0.3, "")
+				r.nextNotice()
 			}
 			r.kill(syscall.SIGKILL)
 			r.start()
-			r.take("new", 0, 19, "")
+			r.mustSubmit("new", 0, 19, "")
 			for range 2 {
-				c := r.call()
-				c.status(200)
+				c := r.nextCall()
+				c.respond(200)
 				if early := c.at.Sub(told) < 4*time.Second; early == row.kept {
 					t.Errorf("call for %s %v after a wait of 4 s was told", c.id(), c.at.Sub(told))
 				}
@@ -96,7 +96,7 @@
 // awaitLog waits until the log has a text.
 func (r *rig) awaitLog(text string) {
 	r.t.Helper()
-	for end := time.Now().Add(patient); !strings.Contains(r.logs.String(), text); time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(testTimeout); !strings.Contains(r.logs.String(), text); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
 			r.t.Fatalf("not logged: %s", text)
 		}
@@ -105,20 +105,20 @@
 
 // A told limit and a latency survive a stop, and the tools show them; a damaged file is set aside and said so.
 func TestKnowledgeOutlastsStop(t *testing.T) {
-	r := newRigWith(t, knowing, nil, "one")
+	r := newRigWith(t, knowledgeXML, nil, "one")
 	for i := range 3 {
 		id := fmt.Sprint("m", i)
-		r.take(id, 0, 10, "")
-		r.callFor(id).status(200, "Endpoint-Load-Metrics", "TEXT x0=0.5, x1=25")
+		r.mustSubmit(id, 0, 10, "")
+		r.expectCallFor(id).respond(200, "Endpoint-Load-Metrics", "TEXT x0=0.5, x1=25")
 	}
-	r.awaitFile(store.SnapshotName, func(b *knowledge.Facts) bool {
+	r.awaitKnowledgeFile(store.SnapshotName, func(b *knowledge.Facts) bool {
 		return b.Dests[0] != nil && b.Dests[0].SharedRoute.AdvertisedLimit == 25 && len(b.Dests[0].Endpoints) == 1
 	})
-	if _, errs, status := command(t, "knowledge", "forget", r.state); status != 1 || !strings.Contains(errs, "another sender") {
+	if _, errs, status := runCommand(t, "knowledge", "forget", r.stateDir); status != 1 || !strings.Contains(errs, "another sender") {
 		t.Errorf("forget while it runs: %d %s", status, errs)
 	}
 	r.kill(syscall.SIGTERM)
-	out, errs, status := command(t, "knowledge", "show", "--json", r.state)
+	out, errs, status := runCommand(t, "knowledge", "show", "--json", r.stateDir)
 	var v struct {
 		Sender       string
 		Destinations []struct {
@@ -132,14 +132,14 @@
 		v.Destinations[0].Limit != 25 || v.Destinations[0].Latency <= 0 || v.Destinations[0].Endpoints[0].Name != "s-0" {
 		t.Errorf("show: %d %v %s%s", status, err, out, errs)
 	}
-	if out, _, status := command(t, "knowledge", "verify", r.state); status != 0 || !strings.Contains(out, "fine") {
+	if out, _, status := runCommand(t, "knowledge", "verify", r.stateDir); status != 0 || !strings.Contains(out, "fine") {
 		t.Errorf("verify: %d %s", status, out)
 	}
-	file := filepath.Join(r.state, store.SnapshotName)
+	file := filepath.Join(r.stateDir, store.SnapshotName)
 	text, _ := os.ReadFile(file)
 	text[len(text)-1] ^= 4
 	os.WriteFile(file, text, 0o600)
-	if out, errs, status := command(t, "knowledge", "verify", r.state); status != 1 || !strings.Contains(out, "damaged at byte") {
+	if out, errs, status := runCommand(t, "knowledge", "verify", r.stateDir); status != 1 || !strings.Contains(out, "damaged at byte") {
 		t.Errorf("verify: %d %s%s", status, out, errs)
 	}
 	r.start()
@@ -147,13 +147,13 @@
 	if !strings.Contains(r.logs.String(), `"set_aside":true`) {
 		t.Error("no word of the damaged file in the log")
 	}
-	if aside, _ := os.ReadFile(filepath.Join(r.state, "knowledge.bad")); !bytes.Equal(aside, text) {
+	if aside, _ := os.ReadFile(filepath.Join(r.stateDir, "knowledge.bad")); !bytes.Equal(aside, text) {
 		t.Error("the damaged file is not set aside")
 	}
-	if out, _, status := command(t, "knowledge", "forget", r.state); status != 0 || !strings.Contains(out, "removed") {
+	if out, _, status := runCommand(t, "knowledge", "forget", r.stateDir); status != 0 || !strings.Contains(out, "removed") {
 		t.Errorf("forget: %d %s", status, out)
 	}
-	if _, _, status := command(t, "knowledge", "show", r.state); status != 1 {
+	if _, _, status := runCommand(t, "knowledge", "show", r.stateDir); status != 1 {
 		t.Errorf("show of nothing: %d", status)
 	}
 }
@@ -161,11 +161,11 @@
 // Without an operators' file nothing of all this is there.
 func TestKnowledgeIsOffByDefault(t *testing.T) {
 	r := newRig(t, nil, "one")
-	r.take("m", 0, 10, "")
-	r.callFor("m").status(429, "Retry-After", "0.050")
-	r.callFor("m").status(200)
+	r.mustSubmit("m", 0, 10, "")
+	r.expectCallFor("m").respond(429, "Retry-After", "0.050")
+	r.expectCallFor("m").respond(200)
 	r.kill(syscall.SIGTERM)
-	list, _ := os.ReadDir(r.state)
+	list, _ := os.ReadDir(r.stateDir)
 	for _, f := range list {
 		if n := f.Name(); n != "journal" && n != "lock" && n != "clock" {
 			t.Errorf("%s in the state folder", n)
@@ -177,24 +177,24 @@
 func TestReadyMeansAList(t *testing.T) {
 	r := newRigWith(t, `<ready patience="1h"/>`, nil)
 	r.kill(syscall.SIGTERM)
-	r.change(func() { r.silent = true })
+	r.updateList(func() { r.discoverySilent = true })
 	r.config["known"] = map[string]any{"version": 0, "full": true, "servers": []any{}}
 	for len(r.watches) > 0 {
 		<-r.watches
 	}
 	r.launch()
-	next(t, r.watches, "a call for the list") // it has read `known` by then
+	receive(t, r.watches, "a call for the list") // it has read `known` by then
 	r.awaitUp(503)
 	for range 5 {
-		if r.up() == 200 {
+		if r.upStatus() == 200 {
 			t.Fatal("ready without a list")
 		}
 	}
-	r.change(func() { r.silent = false })
+	r.updateList(func() { r.discoverySilent = false })
 	r.awaitUp(200)
 	r.kill(syscall.SIGTERM)
-	r.change(func() { r.silent = true })
-	r.operate(`<ready patience="100ms"/>`)
+	r.updateList(func() { r.discoverySilent = true })
+	r.writeOperatorFile(`<ready patience="100ms"/>`)
 	r.start()
 	if !strings.Contains(r.logs.String(), "ready without a list") {
 		t.Error("no word of it in the log")
@@ -205,13 +205,13 @@
 func TestOneProcessAFolder(t *testing.T) {
 	r := newRig(t, nil)
 	c := exec.Command(binary)
-	c.Env = append(os.Environ(), "RELAY_CONFIG="+r.path, "RELAY_STATE="+r.state, "RELAY_LISTEN=127.0.0.1:0", "GORACE=atexit_sleep_ms=0")
+	c.Env = append(os.Environ(), "RELAY_CONFIG="+r.configPath, "RELAY_STATE="+r.stateDir, "RELAY_LISTEN=127.0.0.1:0", "GORACE=atexit_sleep_ms=0")
 	out, err := c.CombinedOutput()
 	if err == nil || c.ProcessState.ExitCode() != 1 || !strings.Contains(string(out), "another sender is using this state directory") {
 		t.Errorf("%v: %s", err, out)
 	}
-	r.take("m", 7, 0.2, "")
-	r.notice() // the first is unharmed
+	r.mustSubmit("m", 7, 0.2, "")
+	r.nextNotice() // the first is unharmed
 }
 
 // Each command's exit status, and what it says.
@@ -244,7 +244,7 @@
 		{"journal show " + dir, 1, "no such file"},
 		{"journal verify " + bad, 1, "can't be read"},
 	} {
-		out, errs, status := command(t, strings.Fields(row.args)...)
+		out, errs, status := runCommand(t, strings.Fields(row.args)...)
 		if status != row.status || !strings.Contains(out+errs, row.says) {
 			t.Errorf("sliptide %s: %d %s%s", row.args, status, out, errs)
 		}
@@ -254,11 +254,11 @@
 // The journal's tool shows what is not over, without bodies and keys.
 func TestJournalTool(t *testing.T) {
 	r := newRig(t, nil, "one")
-	r.take("held", 7, 15, "secret body")
-	r.take("out", 0, 15, "")
-	r.callFor("out")
+	r.mustSubmit("held", 7, 15, "secret body")
+	r.mustSubmit("out", 0, 15, "")
+	r.expectCallFor("out")
 	r.kill(syscall.SIGKILL)
-	out, _, status := command(t, "journal", "show", "--json", r.state)
+	out, _, status := runCommand(t, "journal", "show", "--json", r.stateDir)
 	var list []struct {
 		Trace    string
 		Attempts int
@@ -270,7 +270,7 @@
 	if strings.Contains(out, "secret") || strings.Contains(out, "key-") {
 		t.Error("it tells what is the clients' own")
 	}
-	if out, _, status := command(t, "journal", "verify", r.state); status != 0 || !strings.Contains(out, "2 messages") {
+	if out, _, status := runCommand(t, "journal", "verify", r.stateDir); status != 0 || !strings.Contains(out, "2 messages") {
 		t.Errorf("%d %s", status, out)
 	}
 	r.start()
@@ -284,7 +284,7 @@
 	if v, err := strconv.Atoi(os.Getenv("SLIPTIDE_CRASHES")); err == nil {
 		lives = v
 	}
-	r := newRigWith(t, knowing, nil, "one", "one", "one", "one")
+	r := newRigWith(t, knowledgeXML, nil, "one", "one", "one", "one")
 	stop := make(chan struct{})
 	defer close(stop)
 	type told struct {
@@ -300,7 +300,7 @@
 			select {
 			case c := <-r.calls:
 				if answers.IntN(3) > 0 {
-					c.status(200, "Endpoint-Load-Metrics", fmt.Sprintf("TEXT x0=0.5, x1=%d", 10+answers.IntN(50)))
+					c.respond(200, "Endpoint-Load-Metrics", fmt.Sprintf("TEXT x0=0.5, x1=%d", 10+answers.IntN(50)))
 					continue
 				}
 				ms := 200 + answers.IntN(1500)
@@ -320,7 +320,7 @@
 			}
 		}
 	}()
-	go r.quiet(stop)
+	go r.discardPlatformCalls(stop)
 	var files, aside, waits, missed, snapshots int
 	begun := time.Now()
 	for life := range lives {
@@ -331,7 +331,7 @@
 				case <-dead:
 					return
 				default:
-					r.tryHandIn(fmt.Sprintf("m-%d-%d", life, i), i%4, 3, "")
+					r.trySubmit(fmt.Sprintf("m-%d-%d", life, i), i%4, 3, "")
 				}
 			}
 		}()
@@ -341,7 +341,7 @@
 		close(dead)
 		book := knowledge.New("")
 		for _, name := range []string{store.SnapshotName, store.WaitsName} {
-			text, err := os.ReadFile(filepath.Join(r.state, name))
+			text, err := os.ReadFile(filepath.Join(r.stateDir, name))
 			if errors.Is(err, os.ErrNotExist) {
 				continue
 			}
@@ -355,7 +355,7 @@
 				snapshots++
 			}
 		}
-		if _, err := os.Stat(filepath.Join(r.state, "knowledge.bad")); err == nil {
+		if _, err := os.Stat(filepath.Join(r.stateDir, "knowledge.bad")); err == nil {
 			aside++
 		}
 		for len(tells) > 0 {
--- a/cmd/sliptide/losses_test.go
+++ b/cmd/sliptide/losses_test.go
@@ -142,14 +142,14 @@
 	l.began = time.Now()
 	l.team = newTeamOf(t, fmt.Sprintf(`<copies enabled="true" count="2" needed="%d"/>`, map[bool]int{false: 1, true: 2}[two]), 5, (*team).relayed)
 	for i, r := range l.rigs {
-		r.change(func() {
-			p := r.partner("p-loss", 5, func(w http.ResponseWriter, q *http.Request) { l.serve(i, w, q) })
+		r.updateList(func() {
+			p := r.endpointWithHandler("p-loss", 5, func(w http.ResponseWriter, q *http.Request) { l.serve(i, w, q) })
 			if two { // and takes several messages in a call
 				p.Kind = "bulk"
 			}
-			for i := range r.list {
-				if r.list[i].ID == "p-5" {
-					r.list[i] = p
+			for i := range r.endpoints {
+				if r.endpoints[i].ID == "p-5" {
+					r.endpoints[i] = p
 				}
 			}
 		})
@@ -309,10 +309,10 @@
 	l.note("n%d is lost with its disk", k)
 	r.proc.Process.Signal(syscall.SIGCONT)
 	r.kill(syscall.SIGKILL)
-	if err := os.RemoveAll(r.state); err != nil {
+	if err := os.RemoveAll(r.stateDir); err != nil {
 		l.t.Fatal(err)
 	}
-	if err := os.Mkdir(r.state, 0o700); err != nil {
+	if err := os.Mkdir(r.stateDir, 0o700); err != nil {
 		l.t.Fatal(err)
 	}
 	l.book.SenderLost(time.Now(), k, l.has(k))
@@ -387,7 +387,7 @@
 	sent := map[string]time.Time{}
 	var heard, delivered []float64
 	r := m.rigs[0]
-	p := r.partner("p-price", 5, func(w http.ResponseWriter, q *http.Request) {
+	p := r.endpointWithHandler("p-price", 5, func(w http.ResponseWriter, q *http.Request) {
 		io.Copy(io.Discard, q.Body)
 		mu.Lock()
 		if at, ok := sent[q.Header.Get("X-Trace-Id")]; ok {
@@ -396,10 +396,10 @@
 		}
 		mu.Unlock()
 	})
-	r.change(func() {
-		for i := range r.list {
-			if r.list[i].ID == "p-5" {
-				r.list[i] = p
+	r.updateList(func() {
+		for i := range r.endpoints {
+			if r.endpoints[i].ID == "p-5" {
+				r.endpoints[i] = p
 			}
 		}
 	})
@@ -541,7 +541,7 @@
 		handed := map[string]time.Time{}
 		for k := range 40 {
 			id := fmt.Sprintf("n0-worth-%d", k)
-			m.rigs[0].take(id, 5, 15, "x")
+			m.rigs[0].mustSubmit(id, 5, 15, "x")
 			handed[id] = time.Now()
 			time.Sleep(20 * time.Millisecond) // the load's pace
 		}
@@ -551,7 +551,7 @@
 			m.rigs[0].kill(syscall.SIGKILL)
 			m.rigs[0].launch()
 		} else {
-			m.lose(0)
+			m.killAndWipe(0)
 		}
 		lost := time.Now()
 		m.await("all have their final answer, or ten seconds are over", func() bool {
--- a/cmd/sliptide/main_test.go
+++ b/cmd/sliptide/main_test.go
@@ -26,13 +26,13 @@
 	peers := map[string]bool{}
 	for i, body := range []string{"a\x00\r\n\r\nb", "", strings.Repeat("x", 60000), "", "", "", "", "", "", ""} {
 		id := fmt.Sprintf("m%d", i)
-		r.take(id, 0, 10, body)
-		c := r.callFor(id)
+		r.mustSubmit(id, 0, 10, body)
+		c := r.expectCallFor(id)
 		if c.path != "/inbox" || c.header.Get("Idempotency-Key") != "key-"+id || string(c.body) != body || c.header.Get("X-Expires-In") == "" {
 			t.Errorf("call %s %v with %d bytes", c.path, c.header, len(c.body))
 		}
-		peers[c.peer] = true
-		c.status(200)
+		peers[c.clientAddr] = true
+		c.respond(200)
 	}
 	if len(peers) > 3 { // a message may come before the last answer is read
 		t.Errorf("%d connections for 10 messages", len(peers))
@@ -45,13 +45,13 @@
 		answer func(*call)
 		want   string // again: a further attempt; over: nothing; else the notice
 	}{
-		"error":        {func(c *call) { c.status(500) }, "again"},
-		"full":         {func(c *call) { c.status(503) }, "again"},
-		"slots taken":  {func(c *call) { c.status(503, "X-Egress-Full", "1") }, "again"},
-		"reset":        {func(c *call) { c.breakOff() }, "again"},
-		"over":         {func(c *call) { c.status(410) }, "over"},
-		"delivered":    {func(c *call) { c.status(200) }, "over"},
-		"no attempts":  {func(c *call) { c.status(504) }, "handed_back"},
+		"error":        {func(c *call) { c.respond(500) }, "again"},
+		"full":         {func(c *call) { c.respond(503) }, "again"},
+		"slots taken":  {func(c *call) { c.respond(503, "X-Egress-Full", "1") }, "again"},
+		"reset":        {func(c *call) { c.closeConn() }, "again"},
+		"over":         {func(c *call) { c.respond(410) }, "over"},
+		"delivered":    {func(c *call) { c.respond(200) }, "over"},
+		"no attempts":  {func(c *call) { c.respond(504) }, "handed_back"},
 		"never a word": {func(c *call) {}, "handed_back"},
 		"200 cut short": {func(c *call) {
 			c.answer <- func(w http.ResponseWriter, _ *http.Request) {
@@ -72,19 +72,19 @@
 			if row.want == "again" {
 				left = 15
 			}
-			r.take("m", 0, left, "body")
-			row.answer(r.callFor("m"))
+			r.mustSubmit("m", 0, left, "body")
+			row.answer(r.expectCallFor("m"))
 			switch row.want {
 			case "again":
-				r.callFor("m").status(200)
+				r.expectCallFor("m").respond(200)
 			case "over": // a later message ends before anything more is heard of this one
-				r.take("later", 9, 0.5, "")
-				if n := r.notice(); n.Message != "later" {
+				r.mustSubmit("later", 9, 0.5, "")
+				if n := r.nextNotice(); n.Message != "later" {
 					t.Errorf("notice %+v", n)
 				}
-				r.noCall()
+				r.expectNoCall()
 			default:
-				if n := r.notice(); n.Message != "m" || n.Outcome != row.want {
+				if n := r.nextNotice(); n.Message != "m" || n.Outcome != row.want {
 					t.Errorf("notice %+v", n)
 				}
 			}
@@ -96,13 +96,13 @@
 // and a wait that this answer tells binds.
 func TestBulk(t *testing.T) {
 	r := newRig(t, func(set, _ map[string]any) { set["family_info"].(map[string]any)["call_slots"] = 1 }, "bulk")
-	r.take("first", 0, 10, "")
-	first := r.callFor("first")
+	r.mustSubmit("first", 0, 10, "")
+	first := r.expectCallFor("first")
 	for _, id := range []string{"a", "b", "c", "d"} {
-		r.take(id, 0, 10, "body of "+id)
+		r.mustSubmit(id, 0, 10, "body of "+id)
 	}
-	first.status(200)
-	c := r.call()
+	first.respond(200)
+	c := r.nextCall()
 	var items []struct{ ID, Key, Body string }
 	if err := json.Unmarshal(c.body, &items); err != nil || c.path != "/inbox/bulk" || len(items) != 4 {
 		t.Fatalf("%s %q: %v", c.path, c.body, err)
@@ -122,7 +122,7 @@
 	}
 	got := map[string]bool{}
 	for len(got) < 2 {
-		c := r.call()
+		c := r.nextCall()
 		if c.at.Sub(told) < 600*time.Millisecond {
 			t.Errorf("called %v after a wait of 600 ms was told", c.at.Sub(told))
 		}
@@ -143,16 +143,16 @@
 // A message whose time is up ends then, also if the call that it shares goes on.
 func TestBulkOutlastsAMessage(t *testing.T) {
 	r := newRig(t, func(set, _ map[string]any) { set["family_info"].(map[string]any)["call_slots"] = 1 }, "bulk")
-	r.take("first", 0, 10, "")
-	first := r.callFor("first")
-	r.take("long", 0, 20, "")
-	r.take("short", 0, 1.5, "")
+	r.mustSubmit("first", 0, 10, "")
+	first := r.expectCallFor("first")
+	r.mustSubmit("long", 0, 20, "")
+	r.mustSubmit("short", 0, 1.5, "")
 	begin := time.Now()
-	first.status(200)
-	if c := r.call(); !strings.Contains(string(c.body), `"long"`) || !strings.Contains(string(c.body), `"short"`) {
+	first.respond(200)
+	if c := r.nextCall(); !strings.Contains(string(c.body), `"long"`) || !strings.Contains(string(c.body), `"short"`) {
 		t.Fatalf("%s %q", c.path, c.body)
 	}
-	if n := r.notice(); n.Message != "short" || time.Since(begin) > 1800*time.Millisecond {
+	if n := r.nextNotice(); n.Message != "short" || time.Since(begin) > 1800*time.Millisecond {
 		t.Errorf("notice %+v after %v", n, time.Since(begin))
 	}
 }
@@ -161,70 +161,70 @@
 // what is over is not, and what expired meanwhile is given up. A torn tail is no harm.
 func TestKilled(t *testing.T) {
 	r := newRig(t, nil, "one", "one")
-	r.take("done", 0, 15, "")
-	r.callFor("done").status(200)
-	r.take("out", 0, 15, "out's body")
-	r.callFor("out")
-	r.take("held", 7, 15, "held's body") // nowhere to go yet
-	r.take("short", 7, 0.4, "")
+	r.mustSubmit("done", 0, 15, "")
+	r.expectCallFor("done").respond(200)
+	r.mustSubmit("out", 0, 15, "out's body")
+	r.expectCallFor("out")
+	r.mustSubmit("held", 7, 15, "held's body") // nowhere to go yet
+	r.mustSubmit("short", 7, 0.4, "")
 	r.kill(syscall.SIGKILL)
-	f, err := os.OpenFile(filepath.Join(r.state, "journal"), os.O_APPEND|os.O_WRONLY, 0)
+	f, err := os.OpenFile(filepath.Join(r.stateDir, "journal"), os.O_APPEND|os.O_WRONLY, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
 	f.WriteString("\x00\x00\x00\x40half a record")
 	f.Close()
-	r.change(func() { r.list = append(r.list, r.endpoint("s-7", "one", 7)) })
+	r.updateList(func() { r.endpoints = append(r.endpoints, r.endpoint("s-7", "one", 7)) })
 	<-time.After(400 * time.Millisecond) // the short message's time, not a wait for the program
 	r.start()
 	got := map[string]string{}
 	for range 2 {
-		c := r.call()
+		c := r.nextCall()
 		got[c.id()] = string(c.body)
-		c.status(200)
+		c.respond(200)
 	}
 	if got["out"] != "out's body" || got["held"] != "held's body" {
 		t.Errorf("sent after the restart: %v", got)
 	}
-	if n := r.notice(); n.Message != "short" || n.Outcome != "given_up" {
+	if n := r.nextNotice(); n.Message != "short" || n.Outcome != "given_up" {
 		t.Errorf("notice %+v", n)
 	}
-	r.take("after", 0, 15, "")
-	r.callFor("after").status(200)
+	r.mustSubmit("after", 0, 15, "")
+	r.expectCallFor("after").respond(200)
 }
 
 // An attempt that the kill cut off counts: its message has had all of its attempts.
 func TestAttemptsOutlastTheProcess(t *testing.T) {
 	r := newRig(t, func(set, _ map[string]any) { set["limits"].(map[string]any)["max_attempts"] = 1 }, "one")
-	r.take("m", 0, 15, "")
-	r.callFor("m")
+	r.mustSubmit("m", 0, 15, "")
+	r.expectCallFor("m")
 	r.kill(syscall.SIGKILL)
 	r.start()
-	if n := r.notice(); n.Message != "m" || n.Outcome != "handed_back" {
+	if n := r.nextNotice(); n.Message != "m" || n.Outcome != "handed_back" {
 		t.Errorf("notice %+v", n)
 	}
-	r.noCall()
+	r.expectNoCall()
 }
 
 // On SIGTERM the sender answers who still comes, lets its call end and leaves in time.
 func TestStopped(t *testing.T) {
 	r := newRig(t, nil, "one")
-	r.take("out", 0, 15, "")
-	c := r.callFor("out")
-	r.take("held", 7, 15, "")
+	r.mustSubmit("out", 0, 15, "")
+	c := r.expectCallFor("out")
+	r.mustSubmit("held", 7, 15, "")
 	begin := time.Now()
 	r.proc.Process.Signal(syscall.SIGTERM)
-	for r.handIn("late", 0, 15, "").StatusCode != 503 { // the signal is on its way: taken on, and sent later
-		(<-r.calls).status(200)
+	for r.submit("late", 0, 15, "").StatusCode != 503 { // the signal is on its way: taken on, and sent later
+		(<-r.calls).respond(200)
 	}
-	c.status(200)
+	c.respond(200)
 	r.await(r.exited, "the sender leaves")
 	if took := time.Since(begin); took > 3500*time.Millisecond || r.proc.ProcessState.ExitCode() != 0 {
 		t.Errorf("left after %v: %v", took, r.proc.ProcessState)
 	}
-	r.change(func() { r.list = append(r.list, r.endpoint("s-7", "one", 7)) })
+	r.updateList(func() { r.endpoints = append(r.endpoints, r.endpoint("s-7", "one", 7)) })
 	r.start()
-	r.callFor("held").status(200)
+	r.expectCallFor("held").respond(200)
 }
 
 // Clients go on handing in while the sender is killed and stopped in turn: whatever it
@@ -273,7 +273,7 @@
 		defer close(clients)
 		for i := 0; i < 300; i++ {
 			id := fmt.Sprintf("m%d", i)
-			if resp, err := r.tryHandIn(id, i%3, 12, "body"); err == nil && resp.StatusCode == 202 {
+			if resp, err := r.trySubmit(id, i%3, 12, "body"); err == nil && resp.StatusCode == 202 {
 				mu.Lock()
 				taken[id] = true
 				mu.Unlock()
@@ -291,7 +291,7 @@
 		t.Errorf("only %d messages were taken on", len(taken))
 	}
 	for left := len(taken); left > 0; {
-		id := next(t, over, fmt.Sprintf("the end of %d messages", left))
+		id := receive(t, over, fmt.Sprintf("the end of %d messages", left))
 		if taken[id] {
 			taken[id] = false
 			left--
@@ -305,31 +305,31 @@
 func TestNoticeUntilTaken(t *testing.T) {
 	r := newRig(t, nil)
 	r.mu.Lock()
-	r.refuse = 1 << 30
+	r.noticesToRefuse = 1 << 30
 	r.mu.Unlock()
-	r.take("m", 0, 0.3, "")
+	r.mustSubmit("m", 0, 0.3, "")
 	for tried := false; !tried; {
 		r.mu.Lock()
-		tried = r.refuse < 1<<30-1
+		tried = r.noticesToRefuse < 1<<30-1
 		r.mu.Unlock()
 	}
 	r.kill(syscall.SIGKILL)
 	r.mu.Lock()
-	r.refuse = 1
+	r.noticesToRefuse = 1
 	r.mu.Unlock()
 	r.start()
-	if n := r.notice(); n.Message != "m" {
+	if n := r.nextNotice(); n.Message != "m" {
 		t.Errorf("notice %+v", n)
 	}
 }
 
 func TestRefusesAboveItsRoom(t *testing.T) {
 	r := newRig(t, func(set, _ map[string]any) { set["limits"].(map[string]any)["most_held"] = 2 })
-	r.take("a", 0, 15, "")
-	r.take("b", 0, 15, "")
-	resp := r.handIn("c", 0, 15, "")
+	r.mustSubmit("a", 0, 15, "")
+	r.mustSubmit("b", 0, 15, "")
+	resp := r.submit("c", 0, 15, "")
 	if resp.StatusCode == 202 { // or the module gives another back for it
-		r.notice()
+		r.nextNotice()
 	} else if resp.StatusCode != 429 || resp.Header.Get("Retry-After") == "" {
 		t.Errorf("%s %v", resp.Status, resp.Header)
 	}
@@ -342,7 +342,7 @@
 	r := newRig(t, func(_, limits map[string]any) { limits["disk_mb"] = 0.25 }, "one")
 	refused, body := 0, strings.Repeat("x", 16<<10)
 	size := func() (n int64) {
-		filepath.WalkDir(r.state, func(_ string, d fs.DirEntry, _ error) error {
+		filepath.WalkDir(r.stateDir, func(_ string, d fs.DirEntry, _ error) error {
 			if info, err := d.Info(); err == nil && info.Mode().IsRegular() {
 				n += (info.Size() + 511) / 512 * 512
 			}
@@ -351,7 +351,7 @@
 		return n
 	}
 	for i := range 20 {
-		if r.handIn(fmt.Sprintf("held%d", i), 7, 3, body).StatusCode != 202 {
+		if r.submit(fmt.Sprintf("held%d", i), 7, 3, body).StatusCode != 202 {
 			refused++
 		}
 		if n := size(); n > limit {
@@ -362,13 +362,13 @@
 		t.Errorf("%d of 20 refused", refused)
 	}
 	for range 20 - refused {
-		r.notice()
+		r.nextNotice()
 	}
 	for i := range 30 { // many times the limit, one after another
 		id := fmt.Sprintf("m%d", i)
-		for r.handIn(id, 0, 10, body).StatusCode != 202 { // the notices' ends are on their way
+		for r.submit(id, 0, 10, body).StatusCode != 202 { // the notices' ends are on their way
 		}
-		r.callFor(id).status(200)
+		r.expectCallFor(id).respond(200)
 		if n := size(); n > limit {
 			t.Fatalf("%d bytes on disk", n)
 		}
@@ -405,19 +405,19 @@
 		with("dest=0", "dest=70000"):                         "503", // not listed: it would be held until its time is up
 		with("x\r\n", "x\r\nTransfer-Encoding: chunked\r\n"): "400", // may hide another in its body
 	} {
-		if got := r.raw(text); !strings.HasPrefix(got, "HTTP/1.1 "+want+" ") {
+		if got := r.rawRequest(text); !strings.HasPrefix(got, "HTTP/1.1 "+want+" ") {
 			t.Errorf("%.80q: %s, want %s", text, got, want)
 		}
 	}
-	r.take("fine", 0, 10, "") // it still serves
-	r.callFor("fine").status(200)
+	r.mustSubmit("fine", 0, 10, "") // it still serves
+	r.expectCallFor("fine").respond(200)
 }
 
 // A request with the id of a message that the sender has taken on is turned away, and its
 // client's leaving withdraws nothing: not while the first is held, nor once it is over.
 func TestAnothersID(t *testing.T) {
 	r := newRig(t, nil)
-	r.take("m", 0, 15, "its own body")
+	r.mustSubmit("m", 0, 15, "its own body")
 	for _, over := range []bool{false, true} {
 		nc, err := net.Dial("tcp", r.addr)
 		if err != nil {
@@ -427,32 +427,32 @@
 			"X-Expires-In: 5\r\nX-Route-To: dest=0\r\nContent-Length: 0\r\n\r\n")
 		nc.(*net.TCPConn).SetLinger(0)
 		nc.Close() // a reset: the answer is not heard
-		if resp := r.handIn("m", 0, 15, "another body"); resp.StatusCode != 409 {
+		if resp := r.submit("m", 0, 15, "another body"); resp.StatusCode != 409 {
 			t.Errorf("over: %v: %s", over, resp.Status)
 		}
 		if !over {
-			r.change(func() { r.list = append(r.list, r.endpoint("s-new", "one", 0)) })
-			c := r.callFor("m")
+			r.updateList(func() { r.endpoints = append(r.endpoints, r.endpoint("s-new", "one", 0)) })
+			c := r.expectCallFor("m")
 			if string(c.body) != "its own body" {
 				t.Errorf("body %q", c.body)
 			}
-			c.status(200)
-			r.take("after", 0, 15, "") // by now the sender has seen the answer
-			r.callFor("after").status(200)
+			c.respond(200)
+			r.mustSubmit("after", 0, 15, "") // by now the sender has seen the answer
+			r.expectCallFor("after").respond(200)
 		}
 	}
-	r.noCall()
+	r.expectNoCall()
 }
 
 // A crowd of clients that ask once, or never end their request, keep their connection for good
 // and come back when it is closed keeps no other client out: it has its answer while it waits.
 func TestCrowd(t *testing.T) {
 	for name, says := range map[string]string{"once": "GET /up HTTP/1.1\r\n\r\n", "half": "GET /up HTTP/1.1\r\n"} {
-		t.Run(name, func(t *testing.T) { crowd(t, says) })
+		t.Run(name, func(t *testing.T) { testManyClients(t, says) })
 	}
 }
 
-func crowd(t *testing.T, says string) {
+func testManyClients(t *testing.T, says string) {
 	r := newRig(t, func(_, limits map[string]any) { limits["sockets"] = 64 }, "one")
 	ctx, stop := context.WithCancel(context.Background())
 	var crowd sync.WaitGroup
@@ -479,7 +479,7 @@
 		}()
 	}
 	for range 200 { // more than there are places, several times over
-		next(t, asked, "the crowd asks")
+		receive(t, asked, "the crowd asks")
 	}
 	client := http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 	for i := range 5 {
@@ -498,7 +498,7 @@
 func TestEarlyConnectionIsKept(t *testing.T) {
 	r := newRig(t, func(_, limits map[string]any) { limits["sockets"] = 64 })
 	ask := func(nc net.Conn) string {
-		nc.SetDeadline(time.Now().Add(patient))
+		nc.SetDeadline(time.Now().Add(testTimeout))
 		io.WriteString(nc, "GET /up HTTP/1.1\r\n\r\n")
 		line, _ := bufio.NewReader(nc).ReadString('\n')
 		return line
@@ -542,10 +542,10 @@
 			ends <- string(b)
 		}()
 	}
-	r.take("m", 0, 15, "")
-	r.callFor("m").status(200)
+	r.mustSubmit("m", 0, 15, "")
+	r.expectCallFor("m").respond(200)
 	for range cap(ends) {
-		next(t, ends, "the end of a connection")
+		receive(t, ends, "the end of a connection")
 	}
 	if took := time.Since(begin); took > 6*time.Second {
 		t.Errorf("the last one was closed after %v", took)
@@ -556,27 +556,27 @@
 // message goes only where its destination is listed as up.
 func TestFollowsTheList(t *testing.T) {
 	r := newRig(t, nil, "one")
-	next(t, r.watches, "the list is asked for")
-	for q := ""; !strings.Contains(q, "index="); q = next(t, r.watches, "a watch") {
+	receive(t, r.watches, "the list is asked for")
+	for q := ""; !strings.Contains(q, "index="); q = receive(t, r.watches, "a watch") {
 	}
-	r.change(func() { r.list[0].State = "draining" })
-	next(t, r.watches, "a new watch")
-	r.take("m", 0, 15, "")
+	r.updateList(func() { r.endpoints[0].State = "draining" })
+	receive(t, r.watches, "a new watch")
+	r.mustSubmit("m", 0, 15, "")
 	r.mu.Lock()
-	r.silent = true
+	r.discoverySilent = true
 	r.mu.Unlock()
-	r.change(func() {}) // this answer ends the watch; the next call meets silence
-	next(t, r.watches, "a watch that stays silent")
-	r.noCall()
-	r.change(func() { r.silent, r.list = false, append(r.list, r.endpoint("s-new", "one", 0)) })
-	c := r.callFor("m")
+	r.updateList(func() {}) // this answer ends the watch; the next call meets silence
+	receive(t, r.watches, "a watch that stays silent")
+	r.expectNoCall()
+	r.updateList(func() { r.discoverySilent, r.endpoints = false, append(r.endpoints, r.endpoint("s-new", "one", 0)) })
+	c := r.expectCallFor("m")
 	if c.endpoint != "s-new" {
 		t.Errorf("called %s, which drains", c.endpoint)
 	}
-	c.status(200)
+	c.respond(200)
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, late := range r.lateness {
+	for _, late := range r.watchDelays {
 		if late > 200*time.Millisecond {
 			t.Errorf("a watch renewed after %v", late)
 		}
@@ -587,11 +587,11 @@
 // new discovery, though the old one still answers. A bad file changes nothing.
 func TestDiscoveryMoves(t *testing.T) {
 	r := newRig(t, nil)
-	if err := os.WriteFile(r.path, []byte("{"), 0o600); err != nil {
+	if err := os.WriteFile(r.configPath, []byte("{"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	r.proc.Process.Signal(syscall.SIGHUP)
-	r.take("before", 0, 15, "")
+	r.mustSubmit("before", 0, 15, "")
 	type request struct{ method, path string }
 	asked := make(chan request, 100)
 	moved := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
@@ -600,17 +600,17 @@
 	}))
 	t.Cleanup(moved.CloseClientConnections)
 	r.config["discovery"] = moved.Listener.Addr().String()
-	r.configure()
+	r.writeConfig()
 	r.proc.Process.Signal(syscall.SIGHUP)
-	if q := next(t, asked, "the new discovery is asked"); q.path != "/discovery/hosts" {
+	if q := receive(t, asked, "the new discovery is asked"); q.path != "/discovery/hosts" {
 		t.Errorf("%+v", q)
 	}
 	r.discovery.Listener.Close()
-	r.change(func() { r.list = append(r.list, r.endpoint("s-new", "one", 0)) })
-	r.callFor("before").status(200)
-	r.take("ends", 0, 0.3, "")
-	r.notice()
-	for q := next(t, asked, "a notice there"); q.method != "POST"; q = next(t, asked, "a notice there") {
+	r.updateList(func() { r.endpoints = append(r.endpoints, r.endpoint("s-new", "one", 0)) })
+	r.expectCallFor("before").respond(200)
+	r.mustSubmit("ends", 0, 0.3, "")
+	r.nextNotice()
+	for q := receive(t, asked, "a notice there"); q.method != "POST"; q = receive(t, asked, "a notice there") {
 	}
 }
 
@@ -618,28 +618,30 @@
 // its message goes elsewhere at once.
 func TestDropsADialWhenItsEndpointDrains(t *testing.T) {
 	r := newRig(t, nil)
-	deaf, open := deafListener(t)
-	r.change(func() { r.list = []endpoint{{ID: "deaf", Addr: deaf, Zone: "a", Kind: "one", Cell: 0, State: "up"}} })
-	dials := func() int { return strings.Count(sockets(t), hexPort(deaf)+" 02") } // in SYN_SENT
+	deaf, open := newFullBacklogListener(t)
+	r.updateList(func() {
+		r.endpoints = []endpoint{{ID: "deaf", Addr: deaf, Zone: "a", Kind: "one", Cell: 0, State: "up"}}
+	})
+	dials := func() int { return strings.Count(procNetTCP(t), hexPort(deaf)+" 02") } // in SYN_SENT
 	before := dials()
-	r.take("m", 0, 15, "")
+	r.mustSubmit("m", 0, 15, "")
 	for dials() == before {
 	}
 	begin := time.Now()
-	r.change(func() {
-		r.list[0].State = "draining"
-		r.list = append(r.list, r.endpoint("well", "one", 0))
+	r.updateList(func() {
+		r.endpoints[0].State = "draining"
+		r.endpoints = append(r.endpoints, r.endpoint("well", "one", 0))
 	})
-	if c := r.callFor("m"); c.endpoint != "well" || time.Since(begin) > time.Second {
+	if c := r.expectCallFor("m"); c.endpoint != "well" || time.Since(begin) > time.Second {
 		t.Errorf("called %s after %v", c.endpoint, time.Since(begin))
 	} else {
-		c.status(200)
+		c.respond(200)
 	}
 	open()
 }
 
 // deafListener takes no connection: its queue is full.
-func deafListener(t *testing.T) (addr string, closeAll func()) {
+func newFullBacklogListener(t *testing.T) (addr string, closeAll func()) {
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
 	if err != nil {
 		t.Fatal(err)
@@ -669,7 +671,7 @@
 	}
 }
 
-func sockets(t *testing.T) string {
+func procNetTCP(t *testing.T) string {
 	text, err := os.ReadFile("/proc/net/tcp")
 	if err != nil {
 		t.Skip("no /proc/net/tcp")
--- a/cmd/sliptide/measure_test.go
+++ b/cmd/sliptide/measure_test.go
@@ -21,7 +21,7 @@
 
 // Long measurements, behind `make measure`: they print tables for docs/knowledge.md and judge nothing.
 
-func measuring(t *testing.T) {
+func skipUnlessMeasuring(t *testing.T) {
 	if os.Getenv("SLIPTIDE_MEASURE") == "" {
 		t.Skip("a measurement: make measure")
 	}
@@ -30,7 +30,7 @@
 // limited is a stand-in partner that takes so many calls in each span of a second, and tells the wait to
 // the span's end, or to its opening while it is shut. After an outage it is cold, from a quarter of its
 // capacity to all of it.
-type limited struct {
+type limitedPartner struct {
 	mu      sync.Mutex
 	limit   float64
 	opens   time.Time // shut, or failing, until then
@@ -44,7 +44,7 @@
 	tooSoon []time.Time // inside a told wait
 }
 
-func (p *limited) serve(w http.ResponseWriter, q *http.Request) {
+func (p *limitedPartner) serve(w http.ResponseWriter, q *http.Request) {
 	io.Copy(io.Discard, q.Body)
 	time.Sleep(20 * time.Millisecond)
 	p.mu.Lock()
@@ -81,14 +81,14 @@
 }
 
 // capacity is what the partner can do at a time, in calls a second.
-func (p *limited) capacity(at time.Time) float64 {
+func (p *limitedPartner) capacity(at time.Time) float64 {
 	if p.cold == 0 || at.Before(p.opens) {
 		return p.limit
 	}
 	return p.limit * min(1, 0.25+0.75*float64(at.Sub(p.opens))/float64(p.cold))
 }
 
-func since(list []time.Time, from time.Time, span time.Duration) (n int) {
+func countWithin(list []time.Time, from time.Time, span time.Duration) (n int) {
 	for _, at := range list {
 		if !at.Before(from) && at.Before(from.Add(span)) {
 			n++
@@ -98,7 +98,7 @@
 }
 
 // load hands in so many messages a second, over the destinations in turn, until stop is closed.
-func (r *rig) load(rate float64, dests int, seed uint64, stop <-chan struct{}) {
+func (r *rig) generateLoad(rate float64, dests int, seed uint64, stop <-chan struct{}) {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	for i := 0; ; i++ {
 		select {
@@ -106,12 +106,12 @@
 			return
 		case <-time.After(time.Duration(rng.ExpFloat64() / rate * 1e9)):
 		}
-		go r.tryHandIn(fmt.Sprintf("l-%d-%d", seed, i), i%dests, 20, "")
+		go r.trySubmit(fmt.Sprintf("l-%d-%d", seed, i), i%dests, 20, "")
 	}
 }
 
 // quiet takes what the platform is told.
-func (r *rig) quiet(stop <-chan struct{}) {
+func (r *rig) discardPlatformCalls(stop <-chan struct{}) {
 	for {
 		select {
 		case <-r.notices:
@@ -125,31 +125,31 @@
 // Calls that partners refuse, and that hit a told wait, in the first 5 s after a restart by SIGKILL; and how
 // far a partner that is cold then is pushed over what it can do.
 func TestMeasureRestart(t *testing.T) {
-	measuring(t)
+	skipUnlessMeasuring(t)
 	type result struct{ calls, refused, tooSoon, cold, coldAllowed float64 }
 	results := map[string][]result{}
 	var mu sync.Mutex
 	t.Run("runs", func(t *testing.T) {
 		for seed := range uint64(3) {
-			for name, op := range map[string]string{"off": "", "on": strings.Replace(knowing, "100ms", "1s", 1)} {
+			for name, op := range map[string]string{"off": "", "on": strings.Replace(knowledgeXML, "100ms", "1s", 1)} {
 				t.Run(fmt.Sprint(name, seed), func(t *testing.T) {
 					r := newRigWith(t, op, func(set, limits map[string]any) {
 						set["limits"].(map[string]any)["most_held"] = 400
 						set["family_info"].(map[string]any)["call_slots"] = 16
 					})
-					var ps []*limited
-					r.change(func() {
+					var ps []*limitedPartner
+					r.updateList(func() {
 						for i := range 5 {
-							p := &limited{limit: 6}
+							p := &limitedPartner{limit: 6}
 							ps = append(ps, p)
-							r.list = append(r.list, r.partner(fmt.Sprint("p-", i), i, p.serve))
+							r.endpoints = append(r.endpoints, r.endpointWithHandler(fmt.Sprint("p-", i), i, p.serve))
 						}
-						r.list = slices.DeleteFunc(r.list, func(e endpoint) bool { return e.ID == "drains-0" })
+						r.endpoints = slices.DeleteFunc(r.endpoints, func(e endpoint) bool { return e.ID == "drains-0" })
 					})
 					stop := make(chan struct{})
 					defer close(stop)
-					go r.quiet(stop)
-					go r.load(38, 5, seed, stop)
+					go r.discardPlatformCalls(stop)
+					go r.generateLoad(38, 5, seed, stop)
 					time.Sleep(5 * time.Second)
 					begin := time.Now()
 					ps[3].mu.Lock() // shut over the restart
@@ -168,14 +168,14 @@
 					for i, p := range ps {
 						p.mu.Lock()
 						if i == 4 {
-							sum.cold += float64(since(p.calls, back, 3*time.Second))
+							sum.cold += float64(countWithin(p.calls, back, 3*time.Second))
 							for s := range 30 {
 								sum.coldAllowed += p.capacity(back.Add(time.Duration(s)*100*time.Millisecond)) / 10
 							}
 						} else {
-							sum.calls += float64(since(p.calls, back, 5*time.Second))
-							sum.refused += float64(since(p.refused, back, 5*time.Second))
-							sum.tooSoon += float64(since(p.tooSoon, back, 5*time.Second))
+							sum.calls += float64(countWithin(p.calls, back, 5*time.Second))
+							sum.refused += float64(countWithin(p.refused, back, 5*time.Second))
+							sum.tooSoon += float64(countWithin(p.tooSoon, back, 5*time.Second))
 						}
 						p.mu.Unlock()
 					}
@@ -214,9 +214,9 @@
 		var mu sync.Mutex
 		handed := map[string]time.Time{}
 		var intake, delivery []float64
-		r.change(func() {
+		r.updateList(func() {
 			for i := range 20 {
-				r.list = append(r.list, r.partner(fmt.Sprint("p-", i), i, func(w http.ResponseWriter, q *http.Request) {
+				r.endpoints = append(r.endpoints, r.endpointWithHandler(fmt.Sprint("p-", i), i, func(w http.ResponseWriter, q *http.Request) {
 					at := time.Now()
 					mu.Lock()
 					delivery = append(delivery, float64(at.Sub(handed[q.Header.Get("X-Trace-Id")]))/1e6)
@@ -225,11 +225,11 @@
 					w.Header().Set("Endpoint-Load-Metrics", "TEXT x0=0.5, x1=100")
 				}))
 			}
-			r.list = slices.DeleteFunc(r.list, func(e endpoint) bool { return e.State == "draining" })
+			r.endpoints = slices.DeleteFunc(r.endpoints, func(e endpoint) bool { return e.State == "draining" })
 		})
 		stop := make(chan struct{})
 		defer close(stop)
-		go r.quiet(stop)
+		go r.discardPlatformCalls(stop)
 		var wg sync.WaitGroup
 		client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64}}
 		rng := rand.New(rand.NewPCG(seed, 3))
@@ -278,12 +278,12 @@
 
 // What knowledge costs at 120 messages a second: off and on in turn, three times each.
 func TestMeasureCost(t *testing.T) {
-	measuring(t)
+	skipUnlessMeasuring(t)
 	for round := range 3 {
 		for _, name := range []string{"off", "on"} {
 			op := ""
 			if name == "on" {
-				op = strings.Replace(knowing, "100ms", "3s", 1)
+				op = strings.Replace(knowledgeXML, "100ms", "3s", 1)
 			}
 			var res cost
 			t.Run(fmt.Sprint(name, round), func(t *testing.T) { runCost(t, op, 120, 20*time.Millisecond, 10*time.Second, uint64(round), &res) })
@@ -296,14 +296,14 @@
 // What a collector costs at 80% of full load, which is what 20 slots allow where a call takes 50 ms: telemetry
 // off, and on with all traces kept and a collector that is healthy, absent or a black hole, in turns.
 func TestMeasureTelemetry(t *testing.T) {
-	measuring(t)
+	skipUnlessMeasuring(t)
 	const rounds = 5
 	modes := []string{"off", "healthy", "absent", "black hole"}
 	all := map[string][]cost{}
 	for round := range rounds {
 		for k := range modes {
 			mode := modes[(k+round)%len(modes)]
-			c, op := collect(t, round%2 == 1)
+			c, op := startCollector(t, round%2 == 1)
 			switch mode {
 			case "off":
 				op = ""
@@ -336,14 +336,14 @@
 // What a sender holds while its collector is a black hole, for three minutes at 80% of full load: telemetry off,
 // and over each protocol, side by side.
 func TestMeasureTelemetryMemory(t *testing.T) {
-	measuring(t)
+	skipUnlessMeasuring(t)
 	modes := []string{"off", "HTTP", "gRPC"}
 	results := make([]cost, len(modes))
 	t.Run("side by side", func(t *testing.T) {
 		for i, mode := range modes {
 			t.Run(mode, func(t *testing.T) {
 				t.Parallel()
-				c, op := collect(t, mode == "gRPC")
+				c, op := startCollector(t, mode == "gRPC")
 				c.Set(collector.Mood{Hole: true})
 				if mode == "off" {
 					op = ""
--- a/cmd/sliptide/restart_test.go
+++ b/cmd/sliptide/restart_test.go
@@ -13,23 +13,23 @@
 )
 
 // readyIn is the time within which nine in ten restarts have to be ready.
-const readyIn = 10 * time.Second
+const readyTimeout = 10 * time.Second
 
 // A journal that fills the lasting folder, and discovery that says nothing: the next life is ready in time, tries what
 // was taken on and untried, and serves new messages.
 func TestReadyWithAFullJournalAndNoDiscovery(t *testing.T) {
 	t.Parallel()
 	const diskMB = 3
-	r := makeRig(t, "", func(settings, limits map[string]any) {
+	r := newUnstartedRig(t, "", func(settings, limits map[string]any) {
 		limits["disk_mb"] = diskMB
 		settings["limits"].(map[string]any)["most_held"] = 1000
 	})
 	var tried atomic.Int64
-	partner := r.partner("s", 3, func(w http.ResponseWriter, _ *http.Request) { tried.Add(1) })
-	r.list = append(r.list, partner)
-	r.config["known"] = map[string]any{"version": 1, "full": true, "servers": r.list}
-	r.silent = true
-	jr, _, err := journal.Open(r.state, statedir.NewSpace(diskMB<<20).Account())
+	partner := r.endpointWithHandler("s", 3, func(w http.ResponseWriter, _ *http.Request) { tried.Add(1) })
+	r.endpoints = append(r.endpoints, partner)
+	r.config["known"] = map[string]any{"version": 1, "full": true, "servers": r.endpoints}
+	r.discoverySilent = true
+	jr, _, err := journal.Open(r.stateDir, statedir.NewSpace(diskMB<<20).Account())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -48,10 +48,10 @@
 	begun := time.Now()
 	r.start()
 	took := time.Since(begun)
-	if took > readyIn {
+	if took > readyTimeout {
 		t.Errorf("ready after %v", took)
 	}
-	if res := r.handIn("new", 3, 15, ""); res.StatusCode != 202 {
+	if res := r.submit("new", 3, 15, ""); res.StatusCode != 202 {
 		t.Errorf("a new message: %d", res.StatusCode)
 	}
 	for end := time.Now().Add(15 * time.Second); tried.Load() <= int64(held) && time.Now().Before(end); {
--- a/cmd/sliptide/rig_test.go
+++ b/cmd/sliptide/rig_test.go
@@ -27,7 +27,7 @@
 // endpoints and discovery do, over net/http: an implementation of the protocol
 // that is not the program's own.
 
-const patient = 15 * time.Second // what takes longer than this has failed
+const testTimeout = 15 * time.Second // what takes longer than this has failed
 
 var binary string
 
@@ -52,16 +52,16 @@
 
 // call is one call that an endpoint has received. The endpoint answers when told.
 type call struct {
-	at       time.Time
-	endpoint string
-	peer     string
-	path     string
-	header   http.Header
-	body     []byte
-	answer   chan http.HandlerFunc
+	at         time.Time
+	endpoint   string
+	clientAddr string
+	path       string
+	header     http.Header
+	body       []byte
+	answer     chan http.HandlerFunc
 }
 
-func (c *call) status(code int, headers ...string) {
+func (c *call) respond(code int, headers ...string) {
 	c.answer <- func(w http.ResponseWriter, _ *http.Request) {
 		for i := 0; i+1 < len(headers); i += 2 {
 			w.Header().Set(headers[i], headers[i+1])
@@ -73,7 +73,7 @@
 func (c *call) id() string { return c.header.Get("X-Trace-Id") }
 
 // breakOff ends the connection without an answer.
-func (c *call) breakOff() {
+func (c *call) closeConn() {
 	c.answer <- func(w http.ResponseWriter, _ *http.Request) {
 		nc, _, _ := w.(http.Hijacker).Hijack()
 		nc.Close()
@@ -97,29 +97,29 @@
 
 // rig is the platform round one sender.
 type rig struct {
-	t         *testing.T
-	calls     chan *call
-	notices   chan notice
-	watches   chan string // the query of each call for the list
-	addr      string
-	path      string // of the configuration
-	state     string
-	operator  string // path of the operators' file; empty: none
-	binary    string // the program; empty: the one that all tests start
-	config    map[string]any
-	proc      *exec.Cmd
-	logs      logBuffer
-	exited    chan struct{}
-	discovery *httptest.Server
-
-	mu       sync.Mutex
-	version  int
-	list     []endpoint
-	changed  chan struct{} // closed at the next change
-	refuse   int           // notices to answer with an error
-	silent   bool          // discovery says nothing
-	lastDone time.Time
-	lateness []time.Duration // from a watch's answer to the next
+	t            *testing.T
+	calls        chan *call
+	notices      chan notice
+	watches      chan string // the query of each call for the list
+	addr         string
+	configPath   string // of the configuration
+	stateDir     string
+	operatorPath string // path of the operators' file; empty: none
+	binary       string // the program; empty: the one that all tests start
+	config       map[string]any
+	proc         *exec.Cmd
+	logs         logBuffer
+	exited       chan struct{}
+	discovery    *httptest.Server
+
+	mu              sync.Mutex
+	listVersion     int
+	endpoints       []endpoint
+	listChanged     chan struct{} // closed at the next change
+	noticesToRefuse int           // notices to answer with an error
+	discoverySilent bool          // discovery says nothing
+	lastWatchEnd    time.Time
+	watchDelays     []time.Duration // from a watch's answer to the next
 }
 
 // logBuffer is what the program has logged so far.
@@ -147,7 +147,7 @@
 	return l.b.String()
 }
 
-var rigs atomic.Int32
+var rigCount atomic.Int32
 
 func newRig(t *testing.T, change func(settings, limits map[string]any), kinds ...string) *rig {
 	t.Helper()
@@ -158,21 +158,21 @@
 func newRigWith(t *testing.T, operator string, change func(settings, limits map[string]any), kinds ...string) *rig {
 	t.Helper()
 	t.Parallel()
-	r := makeRig(t, operator, change, kinds...)
+	r := newUnstartedRig(t, operator, change, kinds...)
 	r.start()
 	return r
 }
 
 // makeRig is newRigWith before the program's first start.
-func makeRig(t *testing.T, operator string, change func(settings, limits map[string]any), kinds ...string) *rig {
+func newUnstartedRig(t *testing.T, operator string, change func(settings, limits map[string]any), kinds ...string) *rig {
 	t.Helper()
 	r := &rig{t: t, calls: make(chan *call, 100), notices: make(chan notice, 100), watches: make(chan string, 1000),
-		state: t.TempDir(), path: filepath.Join(t.TempDir(), "config.json"), changed: make(chan struct{}), version: 1, list: []endpoint{}}
+		stateDir: t.TempDir(), configPath: filepath.Join(t.TempDir(), "config.json"), listChanged: make(chan struct{}), listVersion: 1, endpoints: []endpoint{}}
 	r.discovery = httptest.NewServer(http.HandlerFunc(r.serveDiscovery))
 	t.Cleanup(r.discovery.Close)
 	// An address of its own: a port that another rig, or any connection, takes between here and the
 	// program's start would have two tests speak to one program.
-	n := rigs.Add(1)
+	n := rigCount.Add(1)
 	ln, err := net.Listen("tcp", fmt.Sprintf("127.77.%d.%d:0", n/250, n%250+1))
 	if err != nil {
 		t.Fatal(err)
@@ -180,10 +180,10 @@
 	r.addr = ln.Addr().String()
 	ln.Close()
 	for i, kind := range kinds {
-		r.list = append(r.list, r.endpoint(fmt.Sprintf("s-%d", i), kind, i))
+		r.endpoints = append(r.endpoints, r.endpoint(fmt.Sprintf("s-%d", i), kind, i))
 	}
 	for _, cell := range []int{0, 7, 9} { // listed destinations with nowhere to go, or nowhere else
-		r.list = append(r.list, endpoint{ID: fmt.Sprint("drains-", cell), Addr: "127.0.0.1:9", Zone: "a", Kind: "one", Cell: cell, State: "draining"})
+		r.endpoints = append(r.endpoints, endpoint{ID: fmt.Sprint("drains-", cell), Addr: "127.0.0.1:9", Zone: "a", Kind: "one", Cell: cell, State: "draining"})
 	}
 	settings := map[string]any{
 		"areas": []string{"a"}, "kinds": []string{"one", "bulk"}, "balancers": 1, "round": 1,
@@ -200,9 +200,9 @@
 	}
 	r.config = map[string]any{"name": "n0", "listen": r.addr, "discovery": r.discovery.Listener.Addr().String(),
 		"seed": "8c1f30d27a5be964", "limits": limits, "settings": settings,
-		"known": map[string]any{"version": 1, "full": true, "servers": r.list}}
+		"known": map[string]any{"version": 1, "full": true, "servers": r.endpoints}}
 	if operator != "" {
-		r.operate(operator)
+		r.writeOperatorFile(operator)
 	}
 	t.Cleanup(func() {
 		if r.proc != nil {
@@ -216,7 +216,7 @@
 }
 
 // partner starts a server that answers by itself.
-func (r *rig) partner(id string, cell int, h http.HandlerFunc) endpoint {
+func (r *rig) endpointWithHandler(id string, cell int, h http.HandlerFunc) endpoint {
 	s := httptest.NewServer(h)
 	r.t.Cleanup(func() { s.CloseClientConnections(); s.Close() })
 	return endpoint{ID: id, Addr: s.Listener.Addr().String(), Zone: "a", Kind: "one", Cell: cell, State: "up"}
@@ -226,7 +226,7 @@
 func (r *rig) endpoint(id, kind string, cell int) endpoint {
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
 		body, _ := io.ReadAll(q.Body)
-		c := &call{at: time.Now(), endpoint: id, peer: q.RemoteAddr, path: q.URL.Path, header: q.Header, body: body, answer: make(chan http.HandlerFunc, 1)}
+		c := &call{at: time.Now(), endpoint: id, clientAddr: q.RemoteAddr, path: q.URL.Path, header: q.Header, body: body, answer: make(chan http.HandlerFunc, 1)}
 		r.calls <- c
 		select {
 		case f := <-c.answer:
@@ -246,11 +246,11 @@
 	index, _ := strconv.Atoi(q.URL.Query().Get("index"))
 	wait, _ := strconv.Atoi(q.URL.Query().Get("wait"))
 	r.mu.Lock()
-	if index > 0 && !r.lastDone.IsZero() {
-		r.lateness = append(r.lateness, time.Since(r.lastDone))
+	if index > 0 && !r.lastWatchEnd.IsZero() {
+		r.watchDelays = append(r.watchDelays, time.Since(r.lastWatchEnd))
 	}
-	r.lastDone = time.Time{}
-	silent := r.silent
+	r.lastWatchEnd = time.Time{}
+	silent := r.discoverySilent
 	r.mu.Unlock()
 	r.watches <- q.URL.RawQuery
 	if silent {
@@ -260,8 +260,8 @@
 	end := time.After(time.Duration(wait) * time.Millisecond)
 	for {
 		r.mu.Lock()
-		newer, changed := r.version > index, r.changed
-		text, _ := json.Marshal(map[string]any{"version": r.version, "full": true, "servers": r.list})
+		newer, changed := r.listVersion > index, r.listChanged
+		text, _ := json.Marshal(map[string]any{"version": r.listVersion, "full": true, "servers": r.endpoints})
 		r.mu.Unlock()
 		if !newer {
 			select {
@@ -274,7 +274,7 @@
 			}
 		}
 		r.mu.Lock()
-		r.lastDone = time.Now()
+		r.lastWatchEnd = time.Now()
 		r.mu.Unlock()
 		w.Write(text)
 		return
@@ -283,8 +283,8 @@
 
 func (r *rig) serveNotices(w http.ResponseWriter, q *http.Request) {
 	r.mu.Lock()
-	refuse := r.refuse > 0
-	r.refuse--
+	refuse := r.noticesToRefuse > 0
+	r.noticesToRefuse--
 	r.mu.Unlock()
 	if refuse {
 		w.WriteHeader(500)
@@ -301,21 +301,21 @@
 }
 
 // change sets the list that discovery tells.
-func (r *rig) change(f func()) {
+func (r *rig) updateList(f func()) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	f()
-	r.version++
-	close(r.changed)
-	r.changed = make(chan struct{})
+	r.listVersion++
+	close(r.listChanged)
+	r.listChanged = make(chan struct{})
 }
 
 // configure writes the configuration file.
-func (r *rig) configure() {
+func (r *rig) writeConfig() {
 	r.t.Helper()
 	text, err := json.Marshal(r.config)
 	if err == nil {
-		err = os.WriteFile(r.path, text, 0o600)
+		err = os.WriteFile(r.configPath, text, 0o600)
 	}
 	if err != nil {
 		r.t.Fatal(err)
@@ -323,10 +323,10 @@
 }
 
 // operate writes the operators' file for the next start.
-func (r *rig) operate(text string) {
+func (r *rig) writeOperatorFile(text string) {
 	r.t.Helper()
-	r.operator = filepath.Join(filepath.Dir(r.path), "sliptide.xml")
-	if err := os.WriteFile(r.operator, []byte(`<sliptide version="1">`+text+`</sliptide>`), 0o600); err != nil {
+	r.operatorPath = filepath.Join(filepath.Dir(r.configPath), "sliptide.xml")
+	if err := os.WriteFile(r.operatorPath, []byte(`<sliptide version="1">`+text+`</sliptide>`), 0o600); err != nil {
 		r.t.Fatal(err)
 	}
 }
@@ -334,13 +334,13 @@
 // launch starts the program.
 func (r *rig) launch() {
 	r.t.Helper()
-	r.configure()
+	r.writeConfig()
 	program := cmp.Or(r.binary, binary)
 	r.proc = exec.Command(program)
-	if r.operator != "" {
-		r.proc = exec.Command(program, "run", "--operator", r.operator)
+	if r.operatorPath != "" {
+		r.proc = exec.Command(program, "run", "--operator", r.operatorPath)
 	}
-	r.proc.Env = append(os.Environ(), "RELAY_CONFIG="+r.path, "RELAY_STATE="+r.state, "GORACE=atexit_sleep_ms=0",
+	r.proc.Env = append(os.Environ(), "RELAY_CONFIG="+r.configPath, "RELAY_STATE="+r.stateDir, "GORACE=atexit_sleep_ms=0",
 		fmt.Sprint("RELAY_DISCOVERY=", r.config["discovery"]))
 	r.proc.Stderr = &r.logs
 	if err := r.proc.Start(); err != nil {
@@ -352,7 +352,7 @@
 }
 
 // up is the status of GET /up, 0 if nobody answers.
-func (r *rig) up() int {
+func (r *rig) upStatus() int {
 	resp, err := http.Get("http://" + r.addr + "/up")
 	if err != nil {
 		return 0
@@ -364,7 +364,7 @@
 // awaitUp waits until /up answers so.
 func (r *rig) awaitUp(status int) {
 	r.t.Helper()
-	for end := time.Now().Add(patient); r.up() != status; {
+	for end := time.Now().Add(testTimeout); r.upStatus() != status; {
 		if time.Now().After(end) {
 			r.t.Fatalf("/up does not answer %d", status)
 		}
@@ -388,22 +388,22 @@
 	r.t.Helper()
 	select {
 	case <-ch:
-	case <-time.After(patient):
+	case <-time.After(testTimeout):
 		r.t.Fatalf("not in time: %s", what)
 	}
 }
 
 // handIn hands in a message and returns the answer.
-func (r *rig) handIn(id string, dest int, left float64, body string) *http.Response {
+func (r *rig) submit(id string, dest int, left float64, body string) *http.Response {
 	r.t.Helper()
-	resp, err := r.tryHandIn(id, dest, left, body)
+	resp, err := r.trySubmit(id, dest, left, body)
 	if err != nil {
 		r.t.Fatalf("message %s: %v", id, err)
 	}
 	return resp
 }
 
-func (r *rig) tryHandIn(id string, dest int, left float64, body string) (*http.Response, error) {
+func (r *rig) trySubmit(id string, dest int, left float64, body string) (*http.Response, error) {
 	q, _ := http.NewRequest("POST", "http://"+r.addr+"/api", strings.NewReader(body))
 	for k, v := range map[string]string{"X-Trace-Id": id, "X-Qos": "note", "X-Customer": "acme", "Idempotency-Key": "key-" + id,
 		"X-Expires-In": strconv.FormatFloat(left, 'f', 3, 64), "X-Route-To": fmt.Sprintf("dest=%d", dest)} {
@@ -419,27 +419,27 @@
 }
 
 // take hands in a message that must be taken on.
-func (r *rig) take(id string, dest int, left float64, body string) {
+func (r *rig) mustSubmit(id string, dest int, left float64, body string) {
 	r.t.Helper()
-	if resp := r.handIn(id, dest, left, body); resp.StatusCode != 202 {
+	if resp := r.submit(id, dest, left, body); resp.StatusCode != 202 {
 		r.t.Fatalf("message %s: %s", id, resp.Status)
 	}
 }
 
-func (r *rig) call() *call {
+func (r *rig) nextCall() *call {
 	r.t.Helper()
-	return next(r.t, r.calls, "a call")
+	return receive(r.t, r.calls, "a call")
 }
 
-func (r *rig) notice() notice {
+func (r *rig) nextNotice() notice {
 	r.t.Helper()
-	return next(r.t, r.notices, "a notice")
+	return receive(r.t, r.notices, "a notice")
 }
 
 // callFor is the next call, which must be for that message.
-func (r *rig) callFor(id string) *call {
+func (r *rig) expectCallFor(id string) *call {
 	r.t.Helper()
-	c := r.call()
+	c := r.nextCall()
 	if c.id() != id {
 		r.t.Fatalf("call for %q on %s, want %q", c.id(), c.endpoint, id)
 	}
@@ -447,7 +447,7 @@
 }
 
 // noCall fails if an endpoint has been called up to now.
-func (r *rig) noCall() {
+func (r *rig) expectNoCall() {
 	r.t.Helper()
 	select {
 	case c := <-r.calls:
@@ -456,25 +456,25 @@
 	}
 }
 
-func next[T any](t *testing.T, ch <-chan T, what string) (v T) {
+func receive[T any](t *testing.T, ch <-chan T, what string) (v T) {
 	t.Helper()
 	select {
 	case v = <-ch:
-	case <-time.After(patient):
+	case <-time.After(testTimeout):
 		t.Fatalf("not in time: %s", what)
 	}
 	return v
 }
 
 // raw writes bytes on a new connection and returns the first line of the answer.
-func (r *rig) raw(text string) string {
+func (r *rig) rawRequest(text string) string {
 	r.t.Helper()
 	nc, err := net.Dial("tcp", r.addr)
 	if err != nil {
 		r.t.Fatal(err)
 	}
 	defer nc.Close()
-	nc.SetDeadline(time.Now().Add(patient))
+	nc.SetDeadline(time.Now().Add(testTimeout))
 	if _, err := io.WriteString(nc, text); err != nil && !errors.Is(err, syscall.EPIPE) && !errors.Is(err, syscall.ECONNRESET) {
 		r.t.Fatal(err)
 	}
--- a/cmd/sliptide/shards_test.go
+++ b/cmd/sliptide/shards_test.go
@@ -88,7 +88,7 @@
 // leader is the control member that began to lead last and still runs.
 func (c *controlTeam) leader() *controlMember {
 	c.t.Helper()
-	for end := time.Now().Add(patient); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
+	for end := time.Now().Add(testTimeout); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
 		for _, m := range c.members {
 			if s := m.logs.String(); m.proc != nil && strings.LastIndex(s, "directory: leads\"") > strings.LastIndex(s, "leads no more\"") {
 				return m
@@ -124,7 +124,7 @@
 	t.Parallel()
 	s := &shardRigs{t: t, calls: map[string]int{}, hang: map[string]chan struct{}{}}
 	first := makeRigSerially(t, "")
-	partner := first.partner("partner", 0, func(w http.ResponseWriter, q *http.Request) {
+	partner := first.endpointWithHandler("partner", 0, func(w http.ResponseWriter, q *http.Request) {
 		id := q.Header.Get("X-Trace-Id")
 		s.mu.Lock()
 		s.calls[id]++
@@ -139,12 +139,12 @@
 			<-wait
 		}
 	})
-	first.change(func() {
-		first.list = nil
+	first.updateList(func() {
+		first.endpoints = nil
 		for d := range destinations {
 			e := partner
 			e.ID, e.Cell = fmt.Sprintf("e-%d", d), d
-			first.list = append(first.list, e)
+			first.endpoints = append(first.endpoints, e)
 		}
 	})
 	s.control = newControlTeam(t, first.config["discovery"].(string), replicas)
@@ -160,7 +160,7 @@
 
 // makeRigSerially is makeRig; the test is parallel already.
 func makeRigSerially(t *testing.T, operator string) *rig {
-	return makeRig(t, operator, func(settings, _ map[string]any) {
+	return newUnstartedRig(t, operator, func(settings, _ map[string]any) {
 		settings["services"] = []any{map[string]any{"name": "note", "aim": 4000, "deadline": 60000, "effect": "keyed", "key_scope": "all", "memory_span": 60000, "worth": 1, "late_worth": 0.4}}
 	})
 }
@@ -168,13 +168,13 @@
 func (s *shardRigs) prepare(i int, r *rig) {
 	r.config["name"] = fmt.Sprintf("sender-%d", i)
 	r.config["known"] = map[string]any{"version": 0, "full": true, "servers": []any{}}
-	r.operate(s.control.operator(fmt.Sprintf("z%d", i)))
+	r.writeOperatorFile(s.control.operator(fmt.Sprintf("z%d", i)))
 }
 
 // try hands a message in and returns the status, and who serves its destination where that was told.
 func (s *shardRigs) try(i int, id string, dest int) (status int, belongs []string) {
 	s.t.Helper()
-	response, err := s.rigs[i].tryHandIn(id, dest, 50, "x")
+	response, err := s.rigs[i].trySubmit(id, dest, 50, "x")
 	if err != nil {
 		return 0, nil
 	}
@@ -232,10 +232,10 @@
 
 	s.control.kill(s.control.leader())
 	first := s.rigs[0]
-	first.change(func() { // a further destination, that of one whose endpoint is known
-		e := first.list[0]
+	first.updateList(func() { // a further destination, that of one whose endpoint is known
+		e := first.endpoints[0]
 		e.ID, e.Cell = "e-new", destinations
-		first.list = append(first.list, e)
+		first.endpoints = append(first.endpoints, e)
 	})
 	s.served("a further destination", []int{0, 1, 2}, destinations+1, replicas)
 
@@ -336,7 +336,7 @@
 
 func (s *shardRigs) eventually(what string, holds func() bool) {
 	s.t.Helper()
-	for end := time.Now().Add(patient); ; time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(testTimeout); ; time.Sleep(5 * time.Millisecond) {
 		s.mu.Lock()
 		yes := holds()
 		s.mu.Unlock()
--- a/cmd/sliptide/soak_test.go
+++ b/cmd/sliptide/soak_test.go
@@ -38,7 +38,7 @@
 		seeds = soakSeedsInCI
 	}
 	first, _ := strconv.Atoi(os.Getenv("SLIPTIDE_SOAK_FIRST"))
-	binaries := []string{shifted(t, 0), shifted(t, time.Hour), shifted(t, -time.Hour), shifted(t, -3*time.Second)}
+	binaries := []string{buildWithClockShift(t, 0), buildWithClockShift(t, time.Hour), buildWithClockShift(t, -time.Hour), buildWithClockShift(t, -3*time.Second)}
 	for seed := first; seed < first+seeds; seed++ {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Parallel()
@@ -105,7 +105,7 @@
 
 func newSoakNode(t *testing.T, s *soak, index, senders int, rng *rand.Rand) *soakNode {
 	n := &soakNode{soak: s, t: t, index: index, rng: rng}
-	n.rig = makeRig(t, `<log records="true"/><knowledge enabled="true" write-every="1s"/><storms enabled="true"/>`, func(settings, limits map[string]any) {
+	n.rig = newUnstartedRig(t, `<log records="true"/><knowledge enabled="true" write-every="1s"/><storms enabled="true"/>`, func(settings, limits map[string]any) {
 		settings["balancers"] = senders
 		settings["services"] = append(settings["services"].([]any),
 			map[string]any{"name": "pay", "aim": 2000, "deadline": 20000, "effect": "unsafe", "worth": 2, "late_worth": 0.4})
@@ -114,10 +114,10 @@
 	for dest := 20; dest < 23; dest++ {
 		for k := range 2 {
 			e := newSoakEndpoint(t, s, index, dest)
-			n.rig.list = append(n.rig.list, endpoint{ID: fmt.Sprintf("s-%d-%d", dest, k), Addr: e.ln.Addr().String(), Zone: "a", Kind: "one", Cell: dest, State: "up"})
+			n.rig.endpoints = append(n.rig.endpoints, endpoint{ID: fmt.Sprintf("s-%d-%d", dest, k), Addr: e.ln.Addr().String(), Zone: "a", Kind: "one", Cell: dest, State: "up"})
 		}
 	}
-	n.rig.config["known"] = map[string]any{"version": 1, "full": true, "servers": n.rig.list}
+	n.rig.config["known"] = map[string]any{"version": 1, "full": true, "servers": n.rig.endpoints}
 	n.rig.config["name"] = fmt.Sprint("n", index)
 	return n
 }
@@ -159,9 +159,9 @@
 		case 5:
 			n.fewFiles(time.Duration(100+n.rng.IntN(300)) * time.Millisecond)
 		case 6:
-			n.rig.change(func() { n.rig.silent = true })
+			n.rig.updateList(func() { n.rig.discoverySilent = true })
 			time.Sleep(time.Duration(500+n.rng.IntN(2000)) * time.Millisecond)
-			n.rig.change(func() { n.rig.silent = false })
+			n.rig.updateList(func() { n.rig.discoverySilent = false })
 		case 7:
 			n.failDisk(time.Duration(50+n.rng.IntN(1500)) * time.Millisecond)
 		}
@@ -192,7 +192,7 @@
 	n.rig.binary = binaries[n.rng.IntN(len(binaries))]
 	begun := time.Now()
 	n.rig.launch()
-	for n.rig.up() != http.StatusOK {
+	for n.rig.upStatus() != http.StatusOK {
 		if time.Since(begun) > readyWithin {
 			n.breach("n%d is not ready %v after its start", n.index, readyWithin)
 			break
@@ -224,7 +224,7 @@
 
 // failDisk makes all that the sender writes in its folder fail for a while.
 func (n *soakNode) failDisk(d time.Duration) {
-	path := n.rig.state + failWhile
+	path := n.rig.stateDir + diskFailSuffix
 	if err := os.WriteFile(path, nil, 0o600); err != nil {
 		n.t.Error(err)
 	}
--- a/cmd/sliptide/storm_test.go
+++ b/cmd/sliptide/storm_test.go
@@ -77,7 +77,7 @@
 
 func (p *fallen) up(t *testing.T) {
 	var ln net.Listener
-	for end := time.Now().Add(patient); ln == nil; { // its port may be a dialling sender's for a moment
+	for end := time.Now().Add(testTimeout); ln == nil; { // its port may be a dialling sender's for a moment
 		var err error
 		if ln, err = net.Listen("tcp", p.addr); err != nil && time.Now().After(end) {
 			t.Fatal(err)
@@ -284,14 +284,14 @@
 	p, down, restart := newFallen(t, stormLimit, sc.tells), sc.down, sc.restart
 	c := &crowdOf{t: t, rng: rand.New(rand.NewPCG(seed, 9)), open: map[string]*tried{}, stop: make(chan struct{})}
 	for i := range senders {
-		r := makeRig(t, operator, func(settings, limits map[string]any) {
+		r := newUnstartedRig(t, operator, func(settings, limits map[string]any) {
 			settings["balancers"], settings["index"] = senders, i
 			settings["callers"] = map[string]any{"marks_retry": true}
 			settings["limits"].(map[string]any)["max_retry_after"] = 5000
 			settings["contract"].(map[string]any)["cold"] = sc.cold
 		})
-		r.list = append(r.list, endpoint{ID: "s-p", Addr: p.addr, Zone: "a", Kind: "one", Cell: 3, State: "up"})
-		r.config["known"] = map[string]any{"version": 1, "full": true, "servers": r.list}
+		r.endpoints = append(r.endpoints, endpoint{ID: "s-p", Addr: p.addr, Zone: "a", Kind: "one", Cell: 3, State: "up"})
+		r.config["known"] = map[string]any{"version": 1, "full": true, "servers": r.endpoints}
 		r.config["seed"] = fmt.Sprintf("%016x", seed*1000+uint64(i))
 		r.config["name"] = fmt.Sprint("n", i)
 		r.start()
@@ -421,7 +421,7 @@
 
 // TestMeasureStorms tables the calls that the partner receives from its return on, before and after.
 func TestMeasureStorms(t *testing.T) {
-	measuring(t)
+	skipUnlessMeasuring(t)
 	seeds, _ := strconv.Atoi(os.Getenv("SLIPTIDE_SEEDS"))
 	seeds = max(seeds, 1)
 	for _, sc := range []stormCase{
--- a/cmd/sliptide/telemetry_test.go
+++ b/cmd/sliptide/telemetry_test.go
@@ -15,7 +15,7 @@
 )
 
 // collect starts a stand-in collector, over gRPC or HTTP, and returns what an operators' file says of it.
-func collect(t *testing.T, overGRPC bool) (*collector.Collector, string) {
+func startCollector(t *testing.T, overGRPC bool) (*collector.Collector, string) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -35,7 +35,7 @@
 // awaitTraces waits until so many whole traces have arrived.
 func awaitTraces(t *testing.T, c *collector.Collector, n int) map[string][]*trace.Span {
 	t.Helper()
-	for end := time.Now().Add(patient); ; {
+	for end := time.Now().Add(testTimeout); ; {
 		traces, err := collector.Whole(c.Spans())
 		if err != nil {
 			t.Fatal(err)
@@ -50,7 +50,7 @@
 	}
 }
 
-func attrOf(s *trace.Span, key string) string {
+func attribute(s *trace.Span, key string) string {
 	for _, a := range s.Attributes {
 		if a.Key == key {
 			return a.Value.GetStringValue()
@@ -64,11 +64,11 @@
 func TestEachMessageIsOneTrace(t *testing.T) {
 	for _, overGRPC := range []bool{false, true} {
 		t.Run(fmt.Sprint("grpc ", overGRPC), func(t *testing.T) {
-			c, file := collect(t, overGRPC)
+			c, file := startCollector(t, overGRPC)
 			r := newRigWith(t, file, nil, "one")
 			for i := range 20 {
-				r.take(fmt.Sprint("plain-", i), 0, 20, "secret body")
-				r.callFor(fmt.Sprint("plain-", i)).status(200)
+				r.mustSubmit(fmt.Sprint("plain-", i), 0, 20, "secret body")
+				r.expectCallFor(fmt.Sprint("plain-", i)).respond(200)
 			}
 			const parent = "00-4bf92f3577b34da6a3ce929d0e0e4736-00f067aa0ba902b7-01"
 			q, _ := http.NewRequest("POST", "http://"+r.addr+"/api", strings.NewReader("secret body"))
@@ -81,19 +81,19 @@
 				t.Fatal(resp, err)
 			}
 			resp.Body.Close()
-			r.callFor("known") // out when the process is killed
+			r.expectCallFor("known") // out when the process is killed
 			r.kill(syscall.SIGKILL)
 			r.start()
-			repeat := r.call()
-			for ; repeat.id() != "known"; repeat = r.call() { // delivered just before the SIGKILL, and not booked yet: repeated
-				repeat.status(200)
+			repeat := r.nextCall()
+			for ; repeat.id() != "known"; repeat = r.nextCall() { // delivered just before the SIGKILL, and not booked yet: repeated
+				repeat.respond(200)
 			}
-			repeat.status(200)
+			repeat.respond(200)
 			r.kill(syscall.SIGTERM) // which sends what is left
 			traces := awaitTraces(t, c, 1)
 			known := traces["4bf92f3577b34da6a3ce929d0e0e4736"]
-			if len(known) < 2 || fmt.Sprintf("%x", known[0].ParentSpanId) != "00f067aa0ba902b7" || attrOf(known[0], "sliptide.restored_with_attempts") != "1" ||
-				attrOf(known[0], "sliptide.end") != "delivered" {
+			if len(known) < 2 || fmt.Sprintf("%x", known[0].ParentSpanId) != "00f067aa0ba902b7" || attribute(known[0], "sliptide.restored_with_attempts") != "1" ||
+				attribute(known[0], "sliptide.end") != "delivered" {
 				t.Errorf("the message that outlived its process: %v", known)
 			}
 			if text := fmt.Sprint(c.Spans()); strings.Contains(text, "secret") {
@@ -105,19 +105,19 @@
 
 // All messages of a life that ends in good order are there, with their attempts and waits.
 func TestTracesTellOfAttempts(t *testing.T) {
-	c, file := collect(t, false)
+	c, file := startCollector(t, false)
 	r := newRigWith(t, file, nil, "one")
 	for i := range 30 {
 		id := fmt.Sprint("b", i)
-		r.take(id, 0, 20, "x")
-		r.callFor(id).status(200)
+		r.mustSubmit(id, 0, 20, "x")
+		r.expectCallFor(id).respond(200)
 	}
-	r.take("a", 0, 20, "x")
-	r.callFor("a").status(500)
-	r.callFor("a").status(429, "Retry-After", "0.2")
-	r.callFor("a").status(200)
+	r.mustSubmit("a", 0, 20, "x")
+	r.expectCallFor("a").respond(500)
+	r.expectCallFor("a").respond(429, "Retry-After", "0.2")
+	r.expectCallFor("a").respond(200)
 	traces := awaitTraces(t, c, 31)
-	for end := time.Now().Add(patient); ; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) {
 		m, _ := c.Metrics()
 		if text := fmt.Sprint(m); strings.Contains(text, "http.client.open_connections") && strings.Contains(text, "sliptide.wait.duration") && strings.Contains(text, "sliptide.breakers.open") {
 			break
@@ -127,7 +127,7 @@
 		}
 	}
 	for _, spans := range traces {
-		if attrOf(spans[0], "messaging.message.id") != "a" {
+		if attribute(spans[0], "messaging.message.id") != "a" {
 			continue
 		}
 		var tree strings.Builder
@@ -135,10 +135,10 @@
 		t.Log(tree.String())
 		var outcomes, waits []string
 		for _, s := range spans[1:] {
-			if o := attrOf(s, "sliptide.outcome"); o != "" {
+			if o := attribute(s, "sliptide.outcome"); o != "" {
 				outcomes = append(outcomes, o)
 			} else {
-				waits = append(waits, attrOf(s, "sliptide.wait.cause"))
+				waits = append(waits, attribute(s, "sliptide.wait.cause"))
 			}
 		}
 		if fmt.Sprint(outcomes) != "[error turned_away delivered]" || !strings.Contains(fmt.Sprint(waits), "told_wait") {
@@ -151,13 +151,13 @@
 
 // A sender whose collector is a black hole delivers, and stops in its time.
 func TestBlackHoleDelaysNothing(t *testing.T) {
-	c, file := collect(t, true)
+	c, file := startCollector(t, true)
 	c.Set(collector.Mood{Hole: true})
 	r := newRigWith(t, file, nil, "one")
 	for i := range 50 {
 		id := fmt.Sprint("m", i)
-		r.take(id, 0, 20, "x")
-		r.callFor(id).status(200)
+		r.mustSubmit(id, 0, 20, "x")
+		r.expectCallFor(id).respond(200)
 	}
 	began := time.Now()
 	r.kill(syscall.SIGTERM)
--- a/cmd/sliptide/upgrade_test.go
+++ b/cmd/sliptide/upgrade_test.go
@@ -16,8 +16,8 @@
 // took on, each message once, and the first one's held message with them.
 func TestUpgrade(t *testing.T) {
 	r := newRig(t, nil, "one")
-	r.take("old", 0, 15, "")
-	first := r.callFor("old") // out at the old process while the new one starts
+	r.mustSubmit("old", 0, 15, "")
+	first := r.expectCallFor("old") // out at the old process while the new one starts
 	var logs logBuffer
 	next := exec.Command(binary)
 	next.Env = r.proc.Env
@@ -26,7 +26,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { next.Process.Kill(); next.Wait() })
-	for end := time.Now().Add(patient); !strings.Contains(logs.String(), `"started"`); {
+	for end := time.Now().Add(testTimeout); !strings.Contains(logs.String(), `"started"`); {
 		if time.Now().After(end) {
 			t.Fatalf("the new process does not start: %s", logs.String())
 		}
@@ -50,12 +50,12 @@
 		want[id] = true
 	}
 	r.proc.Process.Signal(syscall.SIGTERM)
-	first.status(200)
+	first.respond(200)
 	called := map[string]int{"old": 1}
 	for len(called) < len(want) {
-		c := r.call()
+		c := r.nextCall()
 		called[c.id()]++
-		c.status(200)
+		c.respond(200)
 	}
 	r.await(r.exited, "the old process leaves")
 	for id, n := range called {
@@ -69,9 +69,9 @@
 	if next.ProcessState != nil {
 		t.Errorf("the new process ended: %v", next.ProcessState)
 	}
-	if _, err := os.Stat(r.state + "/journal.heir"); !os.IsNotExist(err) {
+	if _, err := os.Stat(r.stateDir + "/journal.heir"); !os.IsNotExist(err) {
 		t.Errorf("the heir's journal is left: %v", err)
 	}
 	r.proc = nil // the rig's process is gone; the new one is ended by its cleanup
-	r.noCall()
+	r.expectNoCall()
 }
--- a/cmd/sliptide/wallclock_test.go
+++ b/cmd/sliptide/wallclock_test.go
@@ -14,28 +14,28 @@
 	t.Parallel()
 	for _, step := range []time.Duration{time.Hour, -time.Hour, -3 * time.Second} {
 		t.Run(fmt.Sprint(step), func(t *testing.T) {
-			stepped := shifted(t, step)
+			stepped := buildWithClockShift(t, step)
 			r := newRigWith(t, `<knowledge enabled="true" write-every="1m"/>`, nil, "one")
-			r.take("waits", 0, 15, "")
+			r.mustSubmit("waits", 0, 15, "")
 			told := time.Now()
-			r.callFor("waits").status(503, "Retry-After", "1.500")
-			r.awaitFile("knowledge.waits", func(b *knowledge.Facts) bool { return len(b.Waits) > 0 })
-			r.take("long", 7, 12, "") // nowhere to go yet
-			r.take("short", 7, 2, "")
+			r.expectCallFor("waits").respond(503, "Retry-After", "1.500")
+			r.awaitKnowledgeFile("knowledge.waits", func(b *knowledge.Facts) bool { return len(b.Waits) > 0 })
+			r.mustSubmit("long", 7, 12, "") // nowhere to go yet
+			r.mustSubmit("short", 7, 2, "")
 			taken := time.Now()
 			r.kill(syscall.SIGKILL)
 			r.binary = stepped
 			r.start()
-			n := r.notice()
+			n := r.nextNotice()
 			if late := time.Since(taken) - 2*time.Second; n.Message != "short" || late > 300*time.Millisecond+restartSlack {
 				t.Errorf("notice %+v, %v after its time", n, late)
 			}
-			r.change(func() { r.list = append(r.list, r.endpoint("s-7", "one", 7)) })
+			r.updateList(func() { r.endpoints = append(r.endpoints, r.endpoint("s-7", "one", 7)) })
 			got := map[string]time.Time{}
 			for range 2 {
-				c := r.call()
+				c := r.nextCall()
 				got[c.id()] = c.at
-				c.status(200)
+				c.respond(200)
 			}
 			if len(got) != 2 || got["long"].IsZero() || got["waits"].Sub(told) > 15*time.Second {
 				t.Errorf("called: %v", got)
