--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -53,7 +53,8 @@
 	Subscribers      int    `json:"subscribers"` // senders that have subscribed at this member
 }
 
-// Control is a control member. Its state is owned by the goroutine of Run, but for leader, inbox and status.
+// Control is a control member. Its state is owned by the goroutine of Run, except leader, inbox and status, which other
+// goroutines use too.
 type Control struct {
 	o      Options
 	self   Member
--- a/internal/fleet/directory/directory.go
+++ b/internal/fleet/directory/directory.go
@@ -69,6 +69,7 @@
 	shard.Member
 }
 
+// proto returns the member as a record of a member that joined, or that left if gone is set.
 func (m *Member) proto(gone bool) *pb.MemberRecord {
 	return &pb.MemberRecord{Name: m.Name, Region: m.Region, Zone: m.Zone, Weight: m.Weight, Gone: gone}
 }
@@ -119,8 +120,8 @@
 // Members returns the members, by name. The map must not be changed.
 func (d *Directory) Members() map[string]Member { return d.members }
 
-// intern returns the stored copy of a string. The number of stored strings is bounded: text that exceeds it is returned
-// as it is.
+// intern returns a stored copy of a string, so that equal zones and kinds share memory. Once 4096 strings are stored,
+// it returns further ones as they are.
 func (d *Directory) intern(text string) string {
 	if interned, known := d.interned[text]; known {
 		return interned
@@ -325,7 +326,7 @@
 	return d.changes[index-1:], true
 }
 
-// ApplyUpdate applies an update of a subscription to the leader, and returns the change that it made.
+// ApplyUpdate applies an update that a subscription to the leader returned, and returns the change that it made here.
 func (d *Directory) ApplyUpdate(a *AppliedUpdate) (Change, error) {
 	if a.AllShards && a.AllMembers {
 		return d.LoadSnapshot(a.To, a.DiscoveryVersion, a.Endpoints, a.Joined)
--- a/internal/fleet/shard/table.go
+++ b/internal/fleet/shard/table.go
@@ -15,7 +15,7 @@
 	indexes       map[string]int // into members, by name
 	freeIndexes   []int
 	zones         map[string]*zone
-	shardReplicas [][]int32 // by shard: indexes of its replicas, lowest cost first
+	shardReplicas [][]int32 // by shard: indexes of its replicas, the first choice first
 	memberShards  []map[ID]bool
 }
 
