--- a/cmd/sliptide/run.go
+++ b/cmd/sliptide/run.go
@@ -258,7 +258,7 @@
 }
 
 // openTelemetry starts the way to a collector, nil where the part is off.
-func openTelemetry(cfg *config.Config, set operator.Telemetry, clock sender.Clock, log zerolog.Logger) (*otlp.Pipe, error) {
+func openTelemetry(cfg *config.Config, set operator.Telemetry, clock sender.Clock, log zerolog.Logger) (*otlp.Exporter, error) {
 	if !set.Enabled {
 		return nil, nil
 	}
@@ -266,16 +266,16 @@
 	if err != nil {
 		return nil, err
 	}
-	o.Set = telemetry.Settings{Classes: cfg.Settings.Classes, Life: int(clock.Now())}
-	o.Now = clock.Now
+	o.Assembler = telemetry.Settings{Classes: cfg.Settings.Classes, Run: int(clock.Now())}
+	o.NowMS = clock.Now
 	o.Log = func(err error, dropped uint64) {
 		log.Warn().Err(err).Uint64("dropped", dropped).Str("endpoint", o.Target.URL).Msg("telemetry: the collector does not take")
 	}
-	return otlp.NewPipe(o)
+	return otlp.NewExporter(o)
 }
 
 // closeTelemetry sends what is left, within its bound.
-func closeTelemetry(p *otlp.Pipe) {
+func closeTelemetry(p *otlp.Exporter) {
 	ctx, cancel := context.WithTimeout(context.Background(), telemetryBy)
 	defer cancel()
 	p.Close(ctx)
--- a/internal/lab/capacity/measure_sender.go
+++ b/internal/lab/capacity/measure_sender.go
@@ -126,17 +126,17 @@
 
 // telemetryEvents measures all records of events through the assembler.
 func telemetryEvents(_ *Env, events int) (float64, error) {
-	a := telemetry.NewAssembler(telemetry.Settings{Share: 1, Classes: settings(1).Classes, Keep: func(*telemetry.Trace) {}})
+	a := telemetry.NewAssembler(telemetry.Settings{SampledShare: 1, Classes: settings(1).Classes, Export: func(*telemetry.Trace) {}})
 	q := telemetry.NewRecorder(1 << 30)
 	return threadTime(func() {
 		for i := range events {
 			at := float64(i)
-			q.Push(telemetry.Record{Kind: telemetry.Taken, Num: uint64(i), At: at, Until: at + 1e4, Text: "9b1f03aa5c7e2d41"})
-			q.Push(telemetry.Record{Kind: telemetry.Began, Num: uint64(i), At: at})
-			q.Push(telemetry.Record{Kind: telemetry.Ended, Num: uint64(i), At: at + 20, Until: at, Text: "127.0.0.1:9000"})
-			q.Push(telemetry.Record{Kind: telemetry.Over, Num: uint64(i), At: at + 20})
+			q.Push(telemetry.Record{Kind: telemetry.KindAccepted, Num: uint64(i), At: at, Until: at + 1e4, Text: "9b1f03aa5c7e2d41"})
+			q.Push(telemetry.Record{Kind: telemetry.KindCallStarted, Num: uint64(i), At: at})
+			q.Push(telemetry.Record{Kind: telemetry.KindCallEnded, Num: uint64(i), At: at + 20, Until: at, Text: "127.0.0.1:9000"})
+			q.Push(telemetry.Record{Kind: telemetry.KindMessageEnded, Num: uint64(i), At: at + 20})
 			if i%64 == 63 {
-				q.Drain(a.Take)
+				q.Drain(a.Process)
 			}
 		}
 	}), nil
--- a/internal/sender/copies.go
+++ b/internal/sender/copies.go
@@ -259,7 +259,7 @@
 		if m.Num <= a.Upto && m.TakeoverDuty == "" {
 			s.events = append(s.events, policy.Event{Kind: policy.EvWithdrawn, ID: m.Num})
 			s.dropUnsent(m.call)
-			s.observeMessageEnd(m.Entry, telemetry.Withdrawn, 0)
+			s.observeMessageEnd(m.Entry, telemetry.EndingWithdrawn, 0)
 			s.journal.End(m.Entry)
 			s.ended.add(m.Trace, s.now)
 			s.forget(m)
@@ -447,13 +447,13 @@
 		case m == nil: // already ended
 			t.verdict <- Verdict{RetryAfter: maxBusyRetryMS}
 		case m.claim.has(m.Entry): // a successor holds it; this sender has sent nothing
-			s.revoke(m, telemetry.CauseRoom)
+			s.revoke(m, telemetry.CauseCapacity)
 			t.verdict <- Verdict{TakenOver: true}
 		case accept:
 			s.journal.Confirm(m.Entry)
 			s.copies.confirmed = append(s.copies.confirmed, t)
 		default:
-			s.revoke(m, telemetry.CauseRoom)
+			s.revoke(m, telemetry.CauseCapacity)
 			t.verdict <- Verdict{RetryAfter: s.busyRetryAfter(), TooFewHolders: true}
 		}
 	}
@@ -469,7 +469,7 @@
 
 // revoke withdraws a message whose client is about to receive a refusal.
 func (s *Sender) revoke(m *message, why telemetry.Cause) {
-	s.observeMessageEnd(m.Entry, telemetry.NotTaken, 0)
+	s.observeMessageEnd(m.Entry, telemetry.EndingNotAccepted, 0)
 	s.observeRefused(m.Dest, why)
 	s.events = append(s.events, policy.Event{Kind: policy.EvWithdrawn, ID: m.Num})
 	s.stepDue = true
--- a/internal/sender/observe.go
+++ b/internal/sender/observe.go
@@ -45,17 +45,17 @@
 func (o *observer) logRecord(r *telemetry.Record) {
 	e := o.log.Log().Int32("dest", r.Dest)
 	switch r.Kind {
-	case telemetry.Taken:
-		e = e.Str("trace", r.Text).Bool("again", r.Again).Bool("restored", r.Restored)
-	case telemetry.Refused, telemetry.Holds:
+	case telemetry.KindAccepted:
+		e = e.Str("trace", r.Text).Bool("again", r.Resubmitted).Bool("restored", r.Restored)
+	case telemetry.KindRefused, telemetry.KindWaitCause:
 		e = e.Stringer("cause", r.Cause)
-	case telemetry.Began:
+	case telemetry.KindCallStarted:
 		e = e.Uint32("endpoint", r.Endpoint).Int16("attempt", r.Attempt)
-	case telemetry.Ended:
+	case telemetry.KindCallEnded:
 		e = e.Uint32("endpoint", r.Endpoint).Int16("attempt", r.Attempt).Stringer("outcome", policy.Outcome(r.Outcome)).
-			Float64("wait", r.Wait).Float64("took", r.At-r.Until).Float64("left", r.Left).Float64("limit", r.Value)
-	case telemetry.Over:
-		e = e.Stringer("end", r.End)
+			Float64("wait", r.Wait).Float64("took", r.At-r.Until).Float64("left", r.AllowanceLeft).Float64("limit", r.Value)
+	case telemetry.KindMessageEnded:
+		e = e.Stringer("end", r.Ending)
 	default:
 		return
 	}
@@ -75,11 +75,11 @@
 	e.Uint32("endpoint", c.Endpoint).Str("addr", c.Addr).Stringer("reason", c.Reason).Int("answers", c.Answers).Str("record", "closed").Send()
 }
 
-func parseParent(v []byte) *telemetry.Parent {
+func parseParent(v []byte) *telemetry.TraceParent {
 	if len(v) == 0 {
 		return nil
 	}
-	return telemetry.ParseParent(v)
+	return telemetry.ParseTraceParent(v)
 }
 
 // observeAccepted records an accepted or restored message.
@@ -87,20 +87,20 @@
 	if !s.observer.On() {
 		return
 	}
-	s.observer.Push(telemetry.Record{Kind: telemetry.Taken, Num: e.Num, Dest: int32(e.Dest), Class: uint8(class), Again: e.Resubmitted, Restored: restored,
-		Attempt: int16(e.Attempts), At: s.now, Until: float64(e.Deadline), Text: e.Trace, Parent: parseParent([]byte(e.TraceParent))})
+	s.observer.Push(telemetry.Record{Kind: telemetry.KindAccepted, Num: e.Num, Dest: int32(e.Dest), Class: uint8(class), Resubmitted: e.Resubmitted, Restored: restored,
+		Attempt: int16(e.Attempts), At: s.now, Until: float64(e.Deadline), Text: e.Trace, TraceParent: parseParent([]byte(e.TraceParent))})
 }
 
 func (s *Sender) observeRefused(dest int, why telemetry.Cause) {
 	if s.observer.On() {
-		s.observer.Push(telemetry.Record{Kind: telemetry.Refused, Dest: int32(dest), Cause: why, At: s.now})
+		s.observer.Push(telemetry.Record{Kind: telemetry.KindRefused, Dest: int32(dest), Cause: why, At: s.now})
 	}
 }
 
 // observeAttemptStart records the start of an attempt.
 func (s *Sender) observeAttemptStart(m *message, c *outbound.Call, attempt int) {
 	if s.observer.On() {
-		s.observer.Push(telemetry.Record{Kind: telemetry.Began, Num: m.Num, Dest: int32(m.Dest), Endpoint: c.Endpoint, Attempt: int16(attempt), At: s.now})
+		s.observer.Push(telemetry.Record{Kind: telemetry.KindCallStarted, Num: m.Num, Dest: int32(m.Dest), Endpoint: c.Endpoint, Attempt: int16(attempt), At: s.now})
 	}
 }
 
@@ -109,8 +109,8 @@
 	if !s.observer.On() || e.Kind != policy.EvOutcome {
 		return
 	}
-	s.observer.Push(telemetry.Record{Kind: telemetry.Ended, Num: e.ID, Dest: int32(c.Dest), Endpoint: c.Endpoint, Attempt: int16(e.Attempt), Outcome: uint8(e.Outcome),
-		MayHaveRun: e.Outcome != policy.OK && !e.Outcome.NeverRan(), Wait: e.RequestedWait, At: s.now, Until: s.now - max(e.Latency, 0), Text: c.Addr, Left: s.reportField(e, s.settings.AllowanceIndex), Value: s.reportField(e, s.settings.LimitIndex)})
+	s.observer.Push(telemetry.Record{Kind: telemetry.KindCallEnded, Num: e.ID, Dest: int32(c.Dest), Endpoint: c.Endpoint, Attempt: int16(e.Attempt), Outcome: uint8(e.Outcome),
+		MayHaveRun: e.Outcome != policy.OK && !e.Outcome.NeverRan(), Wait: e.RequestedWait, At: s.now, Until: s.now - max(e.Latency, 0), Text: c.Addr, AllowanceLeft: s.reportField(e, s.settings.AllowanceIndex), Value: s.reportField(e, s.settings.LimitIndex)})
 }
 
 // reportField returns a value of the endpoint's report that came with an outcome; 0 if there is none.
@@ -121,20 +121,20 @@
 	return e.Report[field]
 }
 
-func (s *Sender) observeMessageEnd(e *journal.Entry, end telemetry.End, wait float64) {
+func (s *Sender) observeMessageEnd(e *journal.Entry, end telemetry.Ending, wait float64) {
 	if s.observer.On() {
-		s.observer.Push(telemetry.Record{Kind: telemetry.Over, Num: e.Num, Dest: int32(e.Dest), End: end, Wait: wait, At: s.now})
+		s.observer.Push(telemetry.Record{Kind: telemetry.KindMessageEnded, Num: e.Num, Dest: int32(e.Dest), Ending: end, Wait: wait, At: s.now})
 	}
 }
 
 func (s *Sender) observeStorm(o *storm.Throttle) {
 	if s.observer.On() {
-		s.observer.Push(telemetry.Record{Kind: telemetry.Phase, Dest: int32(o.Dest), Value: float64(o.Phase), At: s.now})
+		s.observer.Push(telemetry.Record{Kind: telemetry.KindStormPhase, Dest: int32(o.Dest), Value: float64(o.Phase), At: s.now})
 	}
 }
 
 var telemetryCauses = [...]telemetry.Cause{
-	policy.CauseNoEndpoint: telemetry.CauseNone, policy.CauseRequestedWait: telemetry.CauseTold, policy.CauseBreaker: telemetry.CauseBreaker,
+	policy.CauseNoEndpoint: telemetry.CauseNone, policy.CauseRequestedWait: telemetry.CauseRequestedWait, policy.CauseBreaker: telemetry.CauseBreaker,
 	policy.CausePaceCap: telemetry.CauseStorm, policy.CausePace: telemetry.CausePace, policy.CauseSlot: telemetry.CauseSlot, policy.CauseRetry: telemetry.CauseRetry,
 }
 
@@ -154,12 +154,12 @@
 		waiting++
 		current[dest] = why
 		if old, reported := o.reportedCauses[dest]; !reported || old != why {
-			o.Push(telemetry.Record{Kind: telemetry.Holds, Dest: int32(dest), Cause: telemetryCauses[why], At: s.now})
+			o.Push(telemetry.Record{Kind: telemetry.KindWaitCause, Dest: int32(dest), Cause: telemetryCauses[why], At: s.now})
 		}
 	})
 	for dest := range o.reportedCauses {
 		if _, still := current[dest]; !still {
-			o.Push(telemetry.Record{Kind: telemetry.Holds, Dest: int32(dest), At: s.now})
+			o.Push(telemetry.Record{Kind: telemetry.KindWaitCause, Dest: int32(dest), At: s.now})
 		}
 	}
 	o.reportedCauses = current
@@ -167,21 +167,21 @@
 		return
 	}
 	o.nextGauges = s.now + gaugesInterval
-	gauge := func(name telemetry.Name, v float64) {
-		o.Push(telemetry.Record{Kind: telemetry.Gauge, Name: name, Value: v, At: s.now})
+	gauge := func(name telemetry.Instrument, v float64) {
+		o.Push(telemetry.Record{Kind: telemetry.KindMeasurement, Instrument: name, Value: v, At: s.now})
 	}
-	gauge(telemetry.Held, float64(len(s.messages)))
-	gauge(telemetry.CallsOut, float64(len(s.calls)))
-	gauge(telemetry.Waiting, float64(waiting))
-	gauge(telemetry.JournalBytes, float64(s.journal.Size()))
+	gauge(telemetry.MessagesHeld, float64(len(s.messages)))
+	gauge(telemetry.ActiveCalls, float64(len(s.calls)))
+	gauge(telemetry.DestinationsWaiting, float64(waiting))
+	gauge(telemetry.JournalSize, float64(s.journal.Size()))
 	openBreakers, ramping, advertised := s.module.Overview()
 	gauge(telemetry.BreakersOpen, float64(openBreakers))
-	gauge(telemetry.Ramping, float64(ramping))
-	gauge(telemetry.LimitTold, advertised)
-	gauge(telemetry.Connections, float64(s.pool.OpenConns()))
+	gauge(telemetry.BreakersRamping, float64(ramping))
+	gauge(telemetry.AdvertisedLimits, advertised)
+	gauge(telemetry.OpenConnections, float64(s.pool.OpenConns()))
 	if s.stormGuard != nil {
 		st := s.stormGuard.Stats()
-		gauge(telemetry.StormPromised, float64(st.Reserved))
+		gauge(telemetry.StormReservations, float64(st.Reserved))
 		gauge(telemetry.StormOverbooked, float64(st.Unreserved))
 	}
 	if s.fleet != nil {
@@ -189,18 +189,18 @@
 		if s.fleet.Live() {
 			live = 1
 		}
-		gauge(telemetry.FleetLive, live)
-		gauge(telemetry.FleetDuties, float64(s.fleet.HeldDuties()))
+		gauge(telemetry.FleetSessionLive, live)
+		gauge(telemetry.FleetDutiesHeld, float64(s.fleet.HeldDuties()))
 	}
 	if c := s.copies; c != nil {
 		held := 0.0
 		if c.leaseHeld {
 			held = 1
 		}
-		gauge(telemetry.CopiesHeld, held)
+		gauge(telemetry.CopiesLeaseHeld, held)
 		gauge(telemetry.CopiesLag, float64(c.owner.MaxLag()))
-		gauge(telemetry.CopiesWaiting, float64(len(c.waits)))
-		gauge(telemetry.CopiesShort, float64(c.shortCount))
+		gauge(telemetry.CopiesBatchesWaiting, float64(len(c.waits)))
+		gauge(telemetry.CopiesMessagesShort, float64(c.shortCount))
 	}
 }
 
@@ -218,7 +218,7 @@
 // refusalCause returns why a message is refused.
 func (s *Sender) refusalCause() telemetry.Cause {
 	if !s.stopRequestedAt.IsZero() {
-		return telemetry.CauseStop
+		return telemetry.CauseStopping
 	}
-	return telemetry.CauseRoom
+	return telemetry.CauseCapacity
 }
--- a/internal/sender/outcomes.go
+++ b/internal/sender/outcomes.go
@@ -41,9 +41,9 @@
 		m.call = nil
 		s.observeAttemptEnd(c, e)
 		if e.Outcome == policy.OK || e.Final {
-			end := telemetry.Delivered
+			end := telemetry.EndingDelivered
 			if e.Outcome != policy.OK {
-				end = telemetry.Closed
+				end = telemetry.EndingClosed
 			}
 			s.observeMessageEnd(m.Entry, end, 0)
 			s.complete(m)
--- a/internal/sender/sender.go
+++ b/internal/sender/sender.go
@@ -373,7 +373,7 @@
 		if m := s.messages[in.withdrawn]; m != nil {
 			s.events = append(s.events, policy.Event{Kind: policy.EvWithdrawn, ID: m.Num})
 			s.dropUnsent(m.call)
-			s.observeMessageEnd(m.Entry, telemetry.Withdrawn, 0)
+			s.observeMessageEnd(m.Entry, telemetry.EndingWithdrawn, 0)
 			s.journal.End(m.Entry)
 			s.forget(m)
 		}
--- a/internal/sender/submissions.go
+++ b/internal/sender/submissions.go
@@ -52,11 +52,11 @@
 		sub.verdict <- Verdict{Duplicate: true}
 		return
 	case s.misdirected(m.Dest):
-		s.observeRefused(m.Dest, telemetry.CauseRoute)
+		s.observeRefused(m.Dest, telemetry.CauseNoRoute)
 		sub.verdict <- s.misdirection(m.Dest)
 		return
 	case !s.listedDests[m.Dest]: // it could only be held until its deadline
-		s.observeRefused(m.Dest, telemetry.CauseRoute)
+		s.observeRefused(m.Dest, telemetry.CauseNoRoute)
 		sub.verdict <- Verdict{NoRoute: true, RetryAfter: s.busyRetryAfter()}
 		return
 	case !s.stopRequestedAt.IsZero(), s.journalFailed, left <= 0, s.lacksLease(), s.settings.MaxHeld > 0 && len(s.messages) >= s.settings.MaxHeld, !s.journal.HasSpace(len(m.Body)):
@@ -75,7 +75,7 @@
 		e.Tenant = s.settings.Tenants[m.Tenant].Name
 	}
 	if s.observer.On() {
-		e.TraceParent = parseParent(m.TraceParent).Text()
+		e.TraceParent = parseParent(m.TraceParent).Header()
 	}
 	s.journal.Accept(e)
 	s.messages[e.Num] = &message{Entry: e, class: m.Class, acceptedAt: s.now, claim: s.claimFor(m)}
@@ -104,8 +104,8 @@
 		case t.refused:
 			t.verdict <- Verdict{RetryAfter: t.retryAfterMS}
 		case !journalled: // not in the journal: the module must not keep it
-			s.observeMessageEnd(t.entry, telemetry.NotTaken, 0)
-			s.observeRefused(t.entry.Dest, telemetry.CauseRoom)
+			s.observeMessageEnd(t.entry, telemetry.EndingNotAccepted, 0)
+			s.observeRefused(t.entry.Dest, telemetry.CauseCapacity)
 			s.events = append(s.events, policy.Event{Kind: policy.EvWithdrawn, ID: t.entry.Num})
 			s.stepDue = true
 			if m := s.messages[t.entry.Num]; m != nil {
@@ -138,7 +138,7 @@
 	for _, t := range s.submissions {
 		if t.entry == m.Entry {
 			t.refused, t.retryAfterMS = true, retryAfterMS
-			s.observeMessageEnd(m.Entry, telemetry.NotTaken, 0)
+			s.observeMessageEnd(m.Entry, telemetry.EndingNotAccepted, 0)
 			s.observeRefused(m.Dest, telemetry.CauseLoad)
 			s.journal.End(m.Entry)
 			s.forget(m)
@@ -152,6 +152,6 @@
 	if a.Kind == policy.ActRefuse {
 		ending = journal.EndingReturned
 	}
-	s.observeMessageEnd(m.Entry, [...]telemetry.End{journal.EndingAbandoned: telemetry.GivenUp, journal.EndingReturned: telemetry.HandedBack}[ending], retryAfterMS)
+	s.observeMessageEnd(m.Entry, [...]telemetry.Ending{journal.EndingAbandoned: telemetry.EndingAbandoned, journal.EndingReturned: telemetry.EndingReturned}[ending], retryAfterMS)
 	s.endWithNotice(m.Entry, ending, retryAfterMS)
 }
--- a/internal/telemetry/assemble.go
+++ b/internal/telemetry/assemble.go
@@ -21,13 +21,13 @@
 
 // Span is one part of a trace, as package otlp writes it.
 type Span struct {
-	ID, Parent [8]byte
-	Name       string
-	Start, End float64 // Unix milliseconds
-	Client     bool    // a call to a partner
-	Failed     bool
-	Status     string // what went wrong
-	Attrs      []metric.Attr
+	ID, ParentID [8]byte
+	Name         string
+	Start, End   float64 // Unix milliseconds
+	ClientCall   bool    // a call to a partner
+	Failed       bool
+	Status       string // what went wrong
+	Attrs        []metric.Attr
 }
 
 // Trace is one message's.
@@ -38,11 +38,11 @@
 
 // Settings are what an Assembler works by.
 type Settings struct {
-	Share   float64 // of the ordinary traces that is kept
-	Classes []policy.Class
-	Life    int // a number that differs between lives of the sender
+	SampledShare float64 // of the ordinary traces that is kept
+	Classes      []policy.Class
+	Run          int // a number that differs between lives of the sender
 	// Keep takes a trace that is kept. It must not wait.
-	Keep func(*Trace)
+	Export func(*Trace)
 }
 
 // open is a message whose trace is under way.
@@ -62,38 +62,38 @@
 	open    map[uint64]*open
 	dests   map[int32]map[uint64]*open // those that wait
 	holds   map[int32]Cause
-	Metrics *metric.Set
+	Metrics *metric.Registry
 	// Kept and Passed count traces; Lost those whose end never came, or for which there was no room.
-	Kept, Passed, Lost uint64
-	sweepAt            float64
+	Sampled, Unsampled, Lost uint64
+	sweepAt                  float64
 }
 
 // NewAssembler returns an Assembler.
 func NewAssembler(set Settings) *Assembler {
-	return &Assembler{set: set, open: map[uint64]*open{}, dests: map[int32]map[uint64]*open{}, holds: map[int32]Cause{}, Metrics: metric.NewSet()}
+	return &Assembler{set: set, open: map[uint64]*open{}, dests: map[int32]map[uint64]*open{}, holds: map[int32]Cause{}, Metrics: metric.NewRegistry()}
 }
 
 // Take takes one record.
-func (a *Assembler) Take(r *Record) {
+func (a *Assembler) Process(r *Record) {
 	switch r.Kind {
-	case Taken:
+	case KindAccepted:
 		a.taken(r)
-	case Refused:
+	case KindRefused:
 		a.Metrics.Add(&refusals, 1, metric.Attr{Key: "cause", Value: r.Cause.String()})
-	case Began:
+	case KindCallStarted:
 		a.began(r)
-	case Ended:
+	case KindCallEnded:
 		a.ended(r)
-	case Over:
+	case KindMessageEnded:
 		a.over(r)
-	case Holds:
+	case KindWaitCause:
 		a.held(r)
-	case Gauge:
-		if d := r.Name.def(); d != nil {
-			a.Metrics.Put(d, r.Value)
+	case KindMeasurement:
+		if d := r.Instrument.descriptor(); d != nil {
+			a.Metrics.Set(d, r.Value)
 		}
-	case Phase:
-		a.Metrics.Put(&stormPhase, float64(r.Value), metric.Attr{Key: "sliptide.destination", Value: strconv.Itoa(int(r.Dest))})
+	case KindStormPhase:
+		a.Metrics.Set(&stormPhase, float64(r.Value), metric.Attr{Key: "sliptide.destination", Value: strconv.Itoa(int(r.Dest))})
 	}
 	if r.At >= a.sweepAt {
 		a.sweep(r.At)
@@ -112,7 +112,7 @@
 		a.Lost++
 		return
 	}
-	o := &open{rec: *r, trace: traceOf(r.Text, r.Parent), spans: make([]Span, 1, 4), wait: r.At, cause: a.holds[r.Dest], tries: int(r.Attempt)}
+	o := &open{rec: *r, trace: traceOf(r.Text, r.TraceParent), spans: make([]Span, 1, 4), wait: r.At, cause: a.holds[r.Dest], tries: int(r.Attempt)}
 	a.open[r.Num] = o
 	a.waits(o, true)
 }
@@ -162,8 +162,8 @@
 
 // add appends a part of the trace.
 func (a *Assembler) add(o *open, s Span) {
-	s.ID = spanOf(o.trace, o.rec.Num, a.set.Life, len(o.spans))
-	s.Parent = spanOf(o.trace, o.rec.Num, a.set.Life, 0)
+	s.ID = spanOf(o.trace, o.rec.Num, a.set.Run, len(o.spans))
+	s.ParentID = spanOf(o.trace, o.rec.Num, a.set.Run, 0)
 	o.spans = append(o.spans, s)
 }
 
@@ -190,7 +190,7 @@
 	}
 	ok := policy.Outcome(r.Outcome) == policy.OK
 	if len(o.spans) <= waitsMost+triesMost {
-		s := Span{Name: "POST /inbox", Client: true, Start: o.out.At, End: r.At, Failed: !ok, Attrs: []metric.Attr{
+		s := Span{Name: "POST /inbox", ClientCall: true, Start: o.out.At, End: r.At, Failed: !ok, Attrs: []metric.Attr{
 			{Key: "sliptide.endpoint", Value: strconv.FormatUint(uint64(r.Endpoint), 10)},
 			{Key: "sliptide.attempt", Value: strconv.Itoa(int(r.Attempt) + 1)},
 			{Key: "sliptide.outcome", Value: outcomeName(r.Outcome)},
@@ -212,19 +212,19 @@
 }
 
 func (a *Assembler) over(r *Record) {
-	if o := a.open[r.Num]; r.End == NotTaken {
+	if o := a.open[r.Num]; r.Ending == EndingNotAccepted {
 		if o != nil {
 			delete(a.open, r.Num)
 			a.waits(o, false)
 		}
 		return
 	}
-	a.Metrics.Add(&over, 1, metric.Attr{Key: "sliptide.end", Value: r.End.String()})
+	a.Metrics.Add(&over, 1, metric.Attr{Key: "sliptide.end", Value: r.Ending.String()})
 	o := a.open[r.Num]
 	if o == nil {
 		return
 	}
-	if r.End != Delivered && r.End != Closed {
+	if r.Ending != EndingDelivered && r.Ending != EndingClosed {
 		a.waited(o, r.At)
 	}
 	delete(a.open, r.Num)
@@ -232,32 +232,32 @@
 	class := a.class(o.rec.Class)
 	a.Metrics.Add(&takenOn, 1, metric.Attr{Key: "sliptide.class", Value: class.Name})
 	took := r.At - o.rec.At
-	if r.End == Delivered {
+	if r.Ending == EndingDelivered {
 		a.Metrics.Add(&delivery, took/1000, metric.Attr{Key: "sliptide.class", Value: class.Name})
 	}
 	late := took > class.Aim
-	if !a.keeps(o, r.End, late) {
-		a.Passed++
+	if !a.keeps(o, r.Ending, late) {
+		a.Unsampled++
 		return
 	}
-	a.Kept++
+	a.Sampled++
 	root := &o.spans[0]
-	*root = Span{ID: spanOf(o.trace, o.rec.Num, a.set.Life, 0), Name: "deliver " + clean(class.Name), Start: o.rec.At, End: r.At,
-		Failed: r.End != Delivered && r.End != Closed, Attrs: []metric.Attr{
+	*root = Span{ID: spanOf(o.trace, o.rec.Num, a.set.Run, 0), Name: "deliver " + clean(class.Name), Start: o.rec.At, End: r.At,
+		Failed: r.Ending != EndingDelivered && r.Ending != EndingClosed, Attrs: []metric.Attr{
 			{Key: "messaging.message.id", Value: clean(o.rec.Text)},
 			{Key: "messaging.destination.name", Value: strconv.Itoa(int(o.rec.Dest))},
 			{Key: "sliptide.class", Value: clean(class.Name)},
-			{Key: "sliptide.end", Value: r.End.String()},
+			{Key: "sliptide.end", Value: r.Ending.String()},
 			{Key: "sliptide.attempts", Value: strconv.Itoa(o.tries)},
 			{Key: "sliptide.late", Value: strconv.FormatBool(late)},
 		}}
 	if root.Failed {
-		root.Status = r.End.String()
+		root.Status = r.Ending.String()
 	}
-	if p := o.rec.Parent; p != nil && p.Set {
-		root.Parent = p.Span
+	if p := o.rec.TraceParent; p != nil && p.Present {
+		root.ParentID = p.SpanID
 	}
-	if o.rec.Again {
+	if o.rec.Resubmitted {
 		root.Attrs = append(root.Attrs, metric.Attr{Key: "sliptide.second_try", Value: "true"})
 	}
 	if o.rec.Restored {
@@ -266,16 +266,16 @@
 	if r.Wait > 0 {
 		root.Attrs = append(root.Attrs, metric.Attr{Key: "sliptide.retry_in_ms", Value: strconv.FormatFloat(r.Wait, 'f', 0, 64)})
 	}
-	a.set.Keep(&Trace{ID: o.trace, Spans: o.spans})
+	a.set.Export(&Trace{ID: o.trace, Spans: o.spans})
 }
 
 // keeps chooses at the end, when it is known what became of a message: failures, late ones, resends and what its
 // client samples always, the rest by the share, by its trace id alone, so that all senders choose alike.
-func (a *Assembler) keeps(o *open, end End, late bool) bool {
-	if end != Delivered || late || o.tries > 1 || o.rec.Again || o.rec.Restored || o.rec.Parent != nil && o.rec.Parent.Sampled {
+func (a *Assembler) keeps(o *open, end Ending, late bool) bool {
+	if end != EndingDelivered || late || o.tries > 1 || o.rec.Resubmitted || o.rec.Restored || o.rec.TraceParent != nil && o.rec.TraceParent.Sampled {
 		return true
 	}
-	return float64(binary.BigEndian.Uint64(o.trace[8:])>>11)/(1<<53) < a.set.Share
+	return float64(binary.BigEndian.Uint64(o.trace[8:])>>11)/(1<<53) < a.set.SampledShare
 }
 
 // sweep gives up messages whose end was dropped or never came.
@@ -291,73 +291,73 @@
 }
 
 // Open is how many traces are under way.
-func (a *Assembler) Open() int { return len(a.open) }
+func (a *Assembler) OpenTraces() int { return len(a.open) }
 
 // The metrics. Names and units follow the semantic conventions where they have one.
 var (
-	takenOn    = metric.Def{Name: "sliptide.messages.taken", Unit: "{message}", Doc: "messages taken on, counted when they end"}
-	refusals   = metric.Def{Name: "sliptide.messages.refused", Unit: "{message}", Doc: "messages turned away by the answer to their hand-in"}
-	over       = metric.Def{Name: "sliptide.messages.over", Unit: "{message}", Doc: "messages that ended"}
-	calls      = metric.Def{Name: "http.client.request.duration", Unit: "s", Doc: "calls to partners, by message", Kind: metric.Distribution}
-	delivery   = metric.Def{Name: "sliptide.delivery.duration", Unit: "s", Doc: "from taking on to delivery", Kind: metric.Distribution}
-	waitTime   = metric.Def{Name: "sliptide.wait.duration", Unit: "s", Doc: "waits of messages, by cause", Kind: metric.Distribution}
-	stormPhase = metric.Def{Name: "sliptide.storm.phase", Unit: "1", Doc: "0 calm, 1 outage, 2 returning, 3 surge", Kind: metric.Gauge}
+	takenOn    = metric.Descriptor{Name: "sliptide.messages.taken", Unit: "{message}", Description: "messages taken on, counted when they end"}
+	refusals   = metric.Descriptor{Name: "sliptide.messages.refused", Unit: "{message}", Description: "messages turned away by the answer to their hand-in"}
+	over       = metric.Descriptor{Name: "sliptide.messages.over", Unit: "{message}", Description: "messages that ended"}
+	calls      = metric.Descriptor{Name: "http.client.request.duration", Unit: "s", Description: "calls to partners, by message", Kind: metric.Distribution}
+	delivery   = metric.Descriptor{Name: "sliptide.delivery.duration", Unit: "s", Description: "from taking on to delivery", Kind: metric.Distribution}
+	waitTime   = metric.Descriptor{Name: "sliptide.wait.duration", Unit: "s", Description: "waits of messages, by cause", Kind: metric.Distribution}
+	stormPhase = metric.Descriptor{Name: "sliptide.storm.phase", Unit: "1", Description: "0 calm, 1 outage, 2 returning, 3 surge", Kind: metric.Gauge}
 )
 
 // Name is a gauge, or a counter that the sender keeps.
-type Name uint8
+type Instrument uint8
 
 // The names.
 const (
-	Held Name = iota + 1
-	CallsOut
-	Waiting
-	JournalBytes
+	MessagesHeld Instrument = iota + 1
+	ActiveCalls
+	DestinationsWaiting
+	JournalSize
 	BreakersOpen
-	Ramping
-	LimitTold
-	Connections
-	StormPromised
+	BreakersRamping
+	AdvertisedLimits
+	OpenConnections
+	StormReservations
 	StormOverbooked
-	FleetLive
-	FleetDuties
-	CopiesHeld
+	FleetSessionLive
+	FleetDutiesHeld
+	CopiesLeaseHeld
 	CopiesLag
-	CopiesWaiting
-	CopiesShort
-	names
+	CopiesBatchesWaiting
+	CopiesMessagesShort
+	instrumentCount
 )
 
-var nameDefs = [names]metric.Def{
-	Held:            {Name: "sliptide.messages.held", Unit: "{message}", Doc: "messages held", Kind: metric.Gauge},
-	CallsOut:        {Name: "http.client.active_requests", Unit: "{request}", Doc: "calls out", Kind: metric.Gauge},
-	Waiting:         {Name: "sliptide.destinations.waiting", Unit: "{destination}", Doc: "destinations that hold messages", Kind: metric.Gauge},
-	JournalBytes:    {Name: "sliptide.journal.size", Unit: "By", Doc: "size of the journal", Kind: metric.Gauge},
-	BreakersOpen:    {Name: "sliptide.breakers.open", Unit: "{endpoint}", Doc: "endpoints whose breaker is open", Kind: metric.Gauge},
-	Ramping:         {Name: "sliptide.breakers.ramping", Unit: "{endpoint}", Doc: "endpoints that come back from an outage", Kind: metric.Gauge},
-	Connections:     {Name: "http.client.open_connections", Unit: "{connection}", Doc: "connections to endpoints, over HTTP/1.1 and HTTP/2", Kind: metric.Gauge},
-	LimitTold:       {Name: "sliptide.limits.told", Unit: "{call}/s", Doc: "limits that partners and the list tell, together", Kind: metric.Gauge},
-	StormPromised:   {Name: "sliptide.storm.promised", Unit: "{message}", Doc: "come-back times that are reservations"},
-	StormOverbooked: {Name: "sliptide.storm.overbooked", Unit: "{message}", Doc: "refusals for which no second was free"},
-	FleetLive:       {Name: "sliptide.fleet.live", Unit: "1", Doc: "1 while this member's session in the fleet holds", Kind: metric.Gauge},
-	FleetDuties:     {Name: "sliptide.fleet.duties", Unit: "{duty}", Doc: "duties that this member holds", Kind: metric.Gauge},
-	CopiesHeld:      {Name: "sliptide.copies.lease", Unit: "1", Doc: "1 while the lease on this sender's journal holds", Kind: metric.Gauge},
-	CopiesLag:       {Name: "sliptide.copies.lag", Unit: "{batch}", Doc: "how far the holder of copies that is furthest behind is", Kind: metric.Gauge},
-	CopiesWaiting:   {Name: "sliptide.copies.waiting", Unit: "{batch}", Doc: "batches that answers or calls wait for", Kind: metric.Gauge},
-	CopiesShort:     {Name: "sliptide.copies.short", Unit: "{message}", Doc: "messages that too few holders had in time"},
+var instrumentDescriptors = [instrumentCount]metric.Descriptor{
+	MessagesHeld:         {Name: "sliptide.messages.held", Unit: "{message}", Description: "messages held", Kind: metric.Gauge},
+	ActiveCalls:          {Name: "http.client.active_requests", Unit: "{request}", Description: "calls out", Kind: metric.Gauge},
+	DestinationsWaiting:  {Name: "sliptide.destinations.waiting", Unit: "{destination}", Description: "destinations that hold messages", Kind: metric.Gauge},
+	JournalSize:          {Name: "sliptide.journal.size", Unit: "By", Description: "size of the journal", Kind: metric.Gauge},
+	BreakersOpen:         {Name: "sliptide.breakers.open", Unit: "{endpoint}", Description: "endpoints whose breaker is open", Kind: metric.Gauge},
+	BreakersRamping:      {Name: "sliptide.breakers.ramping", Unit: "{endpoint}", Description: "endpoints that come back from an outage", Kind: metric.Gauge},
+	OpenConnections:      {Name: "http.client.open_connections", Unit: "{connection}", Description: "connections to endpoints, over HTTP/1.1 and HTTP/2", Kind: metric.Gauge},
+	AdvertisedLimits:     {Name: "sliptide.limits.told", Unit: "{call}/s", Description: "limits that partners and the list tell, together", Kind: metric.Gauge},
+	StormReservations:    {Name: "sliptide.storm.promised", Unit: "{message}", Description: "come-back times that are reservations"},
+	StormOverbooked:      {Name: "sliptide.storm.overbooked", Unit: "{message}", Description: "refusals for which no second was free"},
+	FleetSessionLive:     {Name: "sliptide.fleet.live", Unit: "1", Description: "1 while this member's session in the fleet holds", Kind: metric.Gauge},
+	FleetDutiesHeld:      {Name: "sliptide.fleet.duties", Unit: "{duty}", Description: "duties that this member holds", Kind: metric.Gauge},
+	CopiesLeaseHeld:      {Name: "sliptide.copies.lease", Unit: "1", Description: "1 while the lease on this sender's journal holds", Kind: metric.Gauge},
+	CopiesLag:            {Name: "sliptide.copies.lag", Unit: "{batch}", Description: "how far the holder of copies that is furthest behind is", Kind: metric.Gauge},
+	CopiesBatchesWaiting: {Name: "sliptide.copies.waiting", Unit: "{batch}", Description: "batches that answers or calls wait for", Kind: metric.Gauge},
+	CopiesMessagesShort:  {Name: "sliptide.copies.short", Unit: "{message}", Description: "messages that too few holders had in time"},
 }
 
-func (n Name) def() *metric.Def {
-	if n == 0 || n >= names {
+func (n Instrument) descriptor() *metric.Descriptor {
+	if n == 0 || n >= instrumentCount {
 		return nil
 	}
-	return &nameDefs[n]
+	return &instrumentDescriptors[n]
 }
 
 // Exporter's own drops, put by the Pipe.
 var (
-	selfRecords = metric.Def{Name: "sliptide.telemetry.records.dropped", Unit: "{record}", Doc: "records for which the queue had no room"}
-	selfTraces  = metric.Def{Name: "sliptide.telemetry.traces", Unit: "{trace}", Doc: "traces, by what became of them"}
+	selfRecords = metric.Descriptor{Name: "sliptide.telemetry.records.dropped", Unit: "{record}", Description: "records for which the queue had no room"}
+	selfTraces  = metric.Descriptor{Name: "sliptide.telemetry.traces", Unit: "{trace}", Description: "traces, by what became of them"}
 )
 
 // String shows a trace as a tree, for tests and the collector.
@@ -366,9 +366,9 @@
 }
 
 // CountSelf puts the exporter's own counts among the metrics.
-func (a *Assembler) CountSelf(records, sent, dropped, lost, rejected uint64) {
-	a.Metrics.Put(&selfRecords, float64(records))
-	for state, n := range map[string]uint64{"sent": sent, "dropped": dropped, "lost": lost, "passed": a.Passed, "rejected_items": rejected} {
-		a.Metrics.Put(&selfTraces, float64(n), metric.Attr{Key: "state", Value: state})
+func (a *Assembler) RecordOwnMetrics(records, sent, dropped, lost, rejected uint64) {
+	a.Metrics.Set(&selfRecords, float64(records))
+	for state, n := range map[string]uint64{"sent": sent, "dropped": dropped, "lost": lost, "passed": a.Unsampled, "rejected_items": rejected} {
+		a.Metrics.Set(&selfTraces, float64(n), metric.Attr{Key: "state", Value: state})
 	}
 }
--- a/internal/telemetry/ids.go
+++ b/internal/telemetry/ids.go
@@ -10,9 +10,9 @@
 
 // traceOf is the trace id of a message: that of its client's context, or one that its id gives, the same in each
 // life of the sender.
-func traceOf(id string, p *Parent) (t [16]byte) {
-	if p != nil && p.Set {
-		return p.Trace
+func traceOf(id string, p *TraceParent) (t [16]byte) {
+	if p != nil && p.Present {
+		return p.TraceID
 	}
 	if raw, err := hex.DecodeString(id); err == nil && len(raw) == 16 && t != [16]byte(raw) {
 		return [16]byte(raw)
@@ -36,13 +36,13 @@
 
 // ParseParent reads a traceparent header (W3C Trace Context, 3.2): version, trace id, parent id, flags. One that
 // makes no sense is none, as the recommendation asks (3.2.2.3 and 4.3).
-func ParseParent(v []byte) *Parent {
+func ParseTraceParent(v []byte) *TraceParent {
 	if len(v) < 55 || v[2] != '-' || v[35] != '-' || v[52] != '-' || string(v[:2]) == "ff" || string(v[:2]) == "00" && len(v) != 55 || len(v) > 55 && v[55] != '-' {
 		return nil
 	}
-	p := &Parent{Set: true}
+	p := &TraceParent{Present: true}
 	var version, flags [1]byte
-	for _, f := range []struct{ to, from []byte }{{version[:], v[:2]}, {p.Trace[:], v[3:35]}, {p.Span[:], v[36:52]}, {flags[:], v[53:55]}} {
+	for _, f := range []struct{ to, from []byte }{{version[:], v[:2]}, {p.TraceID[:], v[3:35]}, {p.SpanID[:], v[36:52]}, {flags[:], v[53:55]}} {
 		for _, c := range f.from {
 			if (c < '0' || c > '9') && (c < 'a' || c > 'f') {
 				return nil
@@ -50,7 +50,7 @@
 		}
 		hex.Decode(f.to, f.from)
 	}
-	if p.Trace == [16]byte{} || p.Span == [8]byte{} {
+	if p.TraceID == [16]byte{} || p.SpanID == [8]byte{} {
 		return nil
 	}
 	p.Sampled = flags[0]&1 != 0
@@ -58,15 +58,15 @@
 }
 
 // Text is p as a journal keeps it, empty if there is none.
-func (p *Parent) Text() string {
-	if p == nil || !p.Set {
+func (p *TraceParent) Header() string {
+	if p == nil || !p.Present {
 		return ""
 	}
 	flags := "00"
 	if p.Sampled {
 		flags = "01"
 	}
-	return "00-" + hex.EncodeToString(p.Trace[:]) + "-" + hex.EncodeToString(p.Span[:]) + "-" + flags
+	return "00-" + hex.EncodeToString(p.TraceID[:]) + "-" + hex.EncodeToString(p.SpanID[:]) + "-" + flags
 }
 
 const textMost = 128 // bytes of an attribute
--- a/internal/telemetry/metric/histogram.go
+++ b/internal/telemetry/metric/histogram.go
@@ -5,24 +5,24 @@
 import "math"
 
 // Buckets is the most buckets that a histogram has; with more it halves its resolution.
-const Buckets = 160
+const MaxBuckets = 160
 
 const (
-	scaleMost  = 20
-	scaleLeast = -10
+	maxScale = 20
+	minScale = -10
 )
 
 // Histogram is an exponential histogram of positive values (OpenTelemetry metrics data model, "ExponentialHistogram"):
 // bucket i holds the values in (base^i, base^(i+1)], base = 2^(2^-scale).
 type Histogram struct {
-	Scale  int
-	Offset int // index of Counts[0]
-	Counts []uint64
-	Zero   uint64
-	Count  uint64
-	Sum    float64
-	Min    float64
-	Max    float64
+	Scale     int
+	Offset    int // index of Counts[0]
+	Counts    []uint64
+	ZeroCount uint64
+	Count     uint64
+	Sum       float64
+	Min       float64
+	Max       float64
 }
 
 // NewHistogram returns an empty histogram of the finest scale that is of use for times: buckets 4% wide.
@@ -45,7 +45,7 @@
 	h.Sum += v
 	h.Min, h.Max = min(h.Min, v), max(h.Max, v)
 	if v <= math.SmallestNonzeroFloat64 {
-		h.Zero++
+		h.ZeroCount++
 		return
 	}
 	i := index(v, h.Scale)
@@ -53,7 +53,7 @@
 		h.Offset, h.Counts = i, []uint64{1}
 		return
 	}
-	for max(i, h.Offset+len(h.Counts)-1)-min(i, h.Offset) >= Buckets && h.Scale > scaleLeast {
+	for max(i, h.Offset+len(h.Counts)-1)-min(i, h.Offset) >= MaxBuckets && h.Scale > minScale {
 		h.halve()
 		i = index(v, h.Scale)
 	}
--- a/internal/telemetry/metric/metric_test.go
+++ b/internal/telemetry/metric/metric_test.go
@@ -32,7 +32,7 @@
 			}
 			total += n
 		}
-		if total != 2000 || h.Count != 2000 || len(h.Counts) > Buckets {
+		if total != 2000 || h.Count != 2000 || len(h.Counts) > MaxBuckets {
 			t.Errorf("spread %v: %d of %d values in %d buckets", spread, total, h.Count, len(h.Counts))
 		}
 	}
@@ -40,22 +40,22 @@
 	for _, v := range []float64{0, -1, math.NaN(), math.Inf(1), 5e-324, 1.7e308} {
 		h.Add(v)
 	}
-	if h.Count != 4 || h.Zero != 3 || len(h.Counts) != 1 || h.Min != -1 {
+	if h.Count != 4 || h.ZeroCount != 3 || len(h.Counts) != 1 || h.Min != -1 {
 		t.Errorf("%+v", h)
 	}
 }
 
 // However many series there might be, a Set holds a bounded number and counts the rest.
 func TestSetIsBounded(t *testing.T) {
-	s, d := NewSet(), &Def{Name: "n"}
-	for i := range 3 * most {
+	s, d := NewRegistry(), &Descriptor{Name: "n"}
+	for i := range 3 * maxSeries {
 		s.Add(d, 1, Attr{"k", string(rune(i + 1000))})
 	}
-	if len(s.Points()) != most || s.Overflow != 2*most {
-		t.Errorf("%d series, %d too many", len(s.Points()), s.Overflow)
+	if len(s.AllSeries()) != maxSeries || s.Overflow != 2*maxSeries {
+		t.Errorf("%d series, %d too many", len(s.AllSeries()), s.Overflow)
 	}
 	s.Add(d, 1, Attr{"k", string(rune(1000))})
-	if s.Points()[0].Value != 2 {
+	if s.AllSeries()[0].Value != 2 {
 		t.Error("a series that is known no longer counts")
 	}
 }
--- a/internal/telemetry/otlp/encode.go
+++ b/internal/telemetry/otlp/encode.go
@@ -46,13 +46,13 @@
 		s := &t.Spans[i]
 		p := &trace.Span{TraceId: t.ID[:], SpanId: s.ID[:], Name: s.Name, Kind: trace.Span_SPAN_KIND_INTERNAL,
 			StartTimeUnixNano: nanos(s.Start), EndTimeUnixNano: nanos(s.End), Attributes: attributes(s.Attrs)}
-		if s.Parent != [8]byte{} {
-			p.ParentSpanId = s.Parent[:]
+		if s.ParentID != [8]byte{} {
+			p.ParentSpanId = s.ParentID[:]
 		}
 		switch {
 		case i == 0:
 			p.Kind = trace.Span_SPAN_KIND_SERVER
-		case s.Client:
+		case s.ClientCall:
 			p.Kind = trace.Span_SPAN_KIND_CLIENT
 		}
 		if s.Failed {
@@ -83,12 +83,12 @@
 }
 
 // measures is an ExportMetricsServiceRequest of all series, cumulative since start.
-func measures(res *resource.Resource, points []*metric.Point, start, now float64) ([]byte, error) {
+func measures(res *resource.Resource, points []*metric.Series, start, now float64) ([]byte, error) {
 	sm := &metrics.ScopeMetrics{Scope: scope}
 	var m *metrics.Metric
 	for _, p := range points {
 		if m == nil || m.Name != p.Name {
-			m = &metrics.Metric{Name: p.Name, Unit: p.Unit, Description: p.Doc}
+			m = &metrics.Metric{Name: p.Name, Unit: p.Unit, Description: p.Description}
 			sm.Metrics = append(sm.Metrics, m)
 		}
 		add(m, p, nanos(start), nanos(now))
@@ -97,8 +97,8 @@
 }
 
 // add puts a series into its metric.
-func add(m *metrics.Metric, p *metric.Point, start, now uint64) {
-	if h := p.Hist; h != nil {
+func add(m *metrics.Metric, p *metric.Series, start, now uint64) {
+	if h := p.Histogram; h != nil {
 		e := m.GetExponentialHistogram()
 		if e == nil {
 			e = &metrics.ExponentialHistogram{AggregationTemporality: metrics.AggregationTemporality_AGGREGATION_TEMPORALITY_CUMULATIVE}
@@ -106,7 +106,7 @@
 		}
 		e.DataPoints = append(e.DataPoints, &metrics.ExponentialHistogramDataPoint{
 			Attributes: attributes(p.Attrs), StartTimeUnixNano: start, TimeUnixNano: now, Count: h.Count, Sum: &h.Sum, Scale: int32(h.Scale),
-			ZeroCount: h.Zero, Min: &h.Min, Max: &h.Max,
+			ZeroCount: h.ZeroCount, Min: &h.Min, Max: &h.Max,
 			Positive: &metrics.ExponentialHistogramDataPoint_Buckets{Offset: int32(h.Offset), BucketCounts: h.Counts},
 		})
 		return
--- a/internal/telemetry/otlp/otlp_test.go
+++ b/internal/telemetry/otlp/otlp_test.go
@@ -21,7 +21,7 @@
 )
 
 // start starts a collector and a pipe to it.
-func start(t *testing.T, overGRPC bool, m collector.Mood, change func(*Options)) (*collector.Collector, *Pipe) {
+func start(t *testing.T, overGRPC bool, m collector.Mood, change func(*Options)) (*collector.Collector, *Exporter) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -36,12 +36,12 @@
 	}
 	t.Cleanup(c.Close)
 	o := Options{Target: Target{URL: "http://" + ln.Addr().String(), GRPC: overGRPC, Gzip: true, Timeout: 5 * time.Second, Headers: map[string]string{"x-tenant": "a"}},
-		Resource: []metric.Attr{{Key: "service.name", Value: "sliptide"}}, Queue: 256 << 10, Share: 1, Every: time.Hour,
-		Set: telemetry.Settings{Classes: []policy.Class{{Name: "note", Aim: 1000}}}, Now: func() float64 { return float64(time.Now().UnixMilli()) }}
+		Resource: []metric.Attr{{Key: "service.name", Value: "sliptide"}}, QueueBytes: 256 << 10, SampledShare: 1, MetricsInterval: time.Hour,
+		Assembler: telemetry.Settings{Classes: []policy.Class{{Name: "note", Aim: 1000}}}, NowMS: func() float64 { return float64(time.Now().UnixMilli()) }}
 	if change != nil {
 		change(&o)
 	}
-	p, err := NewPipe(o)
+	p, err := NewExporter(o)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -49,19 +49,19 @@
 }
 
 // record records n messages with one call each.
-func record(p *Pipe, from, n int) {
+func record(p *Exporter, from, n int) {
 	now := float64(time.Now().UnixMilli())
 	for i := range n {
 		num := uint64(from + i)
-		p.Push(telemetry.Record{Kind: telemetry.Taken, Num: num, Dest: 7, At: now, Until: now + 20000, Text: fmt.Sprint("id-", num)})
-		p.Push(telemetry.Record{Kind: telemetry.Began, Num: num, Dest: 7, At: now})
-		p.Push(telemetry.Record{Kind: telemetry.Ended, Num: num, Dest: 7, At: now + 20, Until: now, Text: "127.0.0.1:1"})
-		p.Push(telemetry.Record{Kind: telemetry.Over, Num: num, Dest: 7, At: now + 20})
+		p.Push(telemetry.Record{Kind: telemetry.KindAccepted, Num: num, Dest: 7, At: now, Until: now + 20000, Text: fmt.Sprint("id-", num)})
+		p.Push(telemetry.Record{Kind: telemetry.KindCallStarted, Num: num, Dest: 7, At: now})
+		p.Push(telemetry.Record{Kind: telemetry.KindCallEnded, Num: num, Dest: 7, At: now + 20, Until: now, Text: "127.0.0.1:1"})
+		p.Push(telemetry.Record{Kind: telemetry.KindMessageEnded, Num: num, Dest: 7, At: now + 20})
 	}
 }
 
 // end closes a pipe within a time, and returns its counts, which must add up.
-func end(t *testing.T, p *Pipe, within time.Duration) Counts {
+func end(t *testing.T, p *Exporter, within time.Duration) Counts {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), within)
 	defer cancel()
@@ -137,7 +137,7 @@
 				}
 				record(p, 0, 10)
 				n := end(t, p, patient)
-				if n.Sent != row.sent || n.Recorded != 10 || n.Rejected < row.rejected {
+				if n.Sent != row.sent || n.Recorded != 10 || n.RejectedItems < row.rejected {
 					t.Errorf("%+v, want %d sent, %d rejected", n, row.sent, row.rejected)
 				}
 			})
@@ -152,7 +152,7 @@
 		for name, mood := range map[string]collector.Mood{"hole": {Hole: true}, "sip": {Sip: true}, "absent": {}} {
 			t.Run(name, func(t *testing.T) {
 				t.Parallel()
-				c, p := start(t, overGRPC, mood, func(o *Options) { o.Queue = 64 << 10; o.Target.Timeout = time.Minute })
+				c, p := start(t, overGRPC, mood, func(o *Options) { o.QueueBytes = 64 << 10; o.Target.Timeout = time.Minute })
 				if name == "absent" {
 					c.Close()
 				}
@@ -170,7 +170,7 @@
 				if took := time.Since(began); took > 3*time.Second { // a bound, not a speed: the request had a minute
 					t.Errorf("closing took %v", took)
 				}
-				if n.Sent != 0 || n.Recorded+n.Records/4 == 0 || n.Dropped != n.Recorded {
+				if n.Sent != 0 || n.Recorded+n.DroppedRecords/4 == 0 || n.Dropped != n.Recorded {
 					t.Errorf("%+v", n)
 				}
 			})
@@ -299,7 +299,7 @@
 	if _, err := newTransport(Target{URL: "collector:4317"}); err == nil {
 		t.Error("an endpoint without a scheme passes")
 	}
-	var none *Pipe
+	var none *Exporter
 	none.Close(context.Background())
 	if none.Records() != nil {
 		t.Error("a pipe that is not there records")
--- a/internal/telemetry/otlp/pipe.go
+++ b/internal/telemetry/otlp/pipe.go
@@ -26,27 +26,27 @@
 
 // Options are what a Pipe works with.
 type Options struct {
-	Target   Target
-	Resource []metric.Attr
-	Queue    int64 // bytes of traces that wait to be sent; records have as much
-	Share    float64
-	Every    time.Duration // between two exports of the metrics
-	Set      telemetry.Settings
-	Log      func(err error, dropped uint64)
-	Now      func() float64 // Unix milliseconds
+	Target          Target
+	Resource        []metric.Attr
+	QueueBytes      int64 // bytes of traces that wait to be sent; records have as much
+	SampledShare    float64
+	MetricsInterval time.Duration // between two exports of the metrics
+	Assembler       telemetry.Settings
+	Log             func(err error, dropped uint64)
+	NowMS           func() float64 // Unix milliseconds
 }
 
 // Counts are what became of the traces: Recorded = Sent + Dropped + those on their way. Rejected spans are
 // counted beside, since a collector does not say whose they were.
 type Counts struct {
 	Recorded, Sent, Dropped uint64
-	Rejected                uint64 // spans and points that collectors said they did not take
-	Records                 uint64 // records for which there was no room
-	Lost                    uint64 // traces that never came to their end
+	RejectedItems           uint64 // spans and points that collectors said they did not take
+	DroppedRecords          uint64 // records for which there was no room
+	LostTraces              uint64 // traces that never came to their end
 }
 
 // Pipe is the way from the records to a collector.
-type Pipe struct {
+type Exporter struct {
 	*telemetry.Recorder
 	opt    Options
 	asm    *telemetry.Assembler
@@ -73,18 +73,18 @@
 }
 
 // NewPipe returns a Pipe that runs. Nothing is sent before something is recorded.
-func NewPipe(o Options) (*Pipe, error) {
+func NewExporter(o Options) (*Exporter, error) {
 	way, err := newTransport(o.Target)
 	if err != nil {
 		return nil, err
 	}
-	p := &Pipe{Recorder: telemetry.NewRecorder(o.Queue), opt: o, way: way, res: resourceOf(o.Resource), ready: make(chan struct{}, 1),
-		ended: make(chan struct{}), mixed: make(chan struct{}), stop: make(chan struct{}), flush: make(chan struct{}), start: o.Now()}
+	p := &Exporter{Recorder: telemetry.NewRecorder(o.QueueBytes), opt: o, way: way, res: resourceOf(o.Resource), ready: make(chan struct{}, 1),
+		ended: make(chan struct{}), mixed: make(chan struct{}), stop: make(chan struct{}), flush: make(chan struct{}), start: o.NowMS()}
 	if p.resRaw, err = proto.Marshal(p.res); err != nil {
 		return nil, err
 	}
-	o.Set.Share, o.Set.Keep = o.Share, p.keep
-	p.asm = telemetry.NewAssembler(o.Set)
+	o.Assembler.SampledShare, o.Assembler.Export = o.SampledShare, p.keep
+	p.asm = telemetry.NewAssembler(o.Assembler)
 	ctx, cancel := context.WithCancel(context.Background())
 	p.cancel = cancel
 	go p.mix()
@@ -93,7 +93,7 @@
 }
 
 // Records is where records are pushed; nil of a nil Pipe: nobody watches.
-func (p *Pipe) Records() *telemetry.Recorder {
+func (p *Exporter) Records() *telemetry.Recorder {
 	if p == nil {
 		return nil
 	}
@@ -101,18 +101,18 @@
 }
 
 // mix makes traces and metrics of the records.
-func (p *Pipe) mix() {
+func (p *Exporter) mix() {
 	defer close(p.mixed)
-	tick := time.NewTicker(p.opt.Every)
+	tick := time.NewTicker(p.opt.MetricsInterval)
 	defer tick.Stop()
 	for {
 		select {
 		case <-p.Wake():
-			p.Drain(p.asm.Take)
+			p.Drain(p.asm.Process)
 		case <-tick.C:
 			p.measure()
 		case <-p.stop:
-			p.Drain(p.asm.Take)
+			p.Drain(p.asm.Process)
 			p.measure()
 			return
 		}
@@ -121,11 +121,11 @@
 }
 
 // keep encodes a trace and puts it in line. Where there is no room, it is dropped.
-func (p *Pipe) keep(t *telemetry.Trace) {
+func (p *Exporter) keep(t *telemetry.Trace) {
 	p.recorded.Add(1)
 	b, err := spans(t)
 	p.mu.Lock()
-	fits := err == nil && p.bytes+int64(len(b)) <= p.opt.Queue
+	fits := err == nil && p.bytes+int64(len(b)) <= p.opt.QueueBytes
 	if fits {
 		p.out = append(p.out, b)
 		p.bytes += int64(len(b))
@@ -137,7 +137,7 @@
 	p.call()
 }
 
-func (p *Pipe) call() {
+func (p *Exporter) call() {
 	select {
 	case p.ready <- struct{}{}:
 	default:
@@ -145,10 +145,10 @@
 }
 
 // measure puts the metrics in line; older ones that were not sent are superseded, since they are cumulative.
-func (p *Pipe) measure() {
+func (p *Exporter) measure() {
 	c := p.Counts()
-	p.asm.CountSelf(c.Records, c.Sent, c.Dropped, c.Lost, c.Rejected)
-	b, err := measures(p.res, p.asm.Metrics.Points(), p.start, p.opt.Now())
+	p.asm.RecordOwnMetrics(c.DroppedRecords, c.Sent, c.Dropped, c.LostTraces, c.RejectedItems)
+	b, err := measures(p.res, p.asm.Metrics.AllSeries(), p.start, p.opt.NowMS())
 	if err != nil {
 		return
 	}
@@ -159,13 +159,13 @@
 }
 
 // Counts is what became of the traces so far.
-func (p *Pipe) Counts() Counts {
-	return Counts{Recorded: p.recorded.Load(), Sent: p.sent.Load(), Dropped: p.dropped.Load(), Rejected: p.rejected.Load(),
-		Records: p.Dropped(), Lost: p.lost.Load()}
+func (p *Exporter) Counts() Counts {
+	return Counts{Recorded: p.recorded.Load(), Sent: p.sent.Load(), Dropped: p.dropped.Load(), RejectedItems: p.rejected.Load(),
+		DroppedRecords: p.Dropped(), LostTraces: p.lost.Load()}
 }
 
 // export sends what is in line, one request at a time, until the pipe is closed and the line is empty.
-func (p *Pipe) export(ctx context.Context) {
+func (p *Exporter) export(ctx context.Context) {
 	defer close(p.ended)
 	for last := false; !last && ctx.Err() == nil; {
 		select {
@@ -181,7 +181,7 @@
 }
 
 // one sends one request with traces and one with metrics; false: there was neither.
-func (p *Pipe) one(ctx context.Context) bool {
+func (p *Exporter) one(ctx context.Context) bool {
 	parts, m := p.batch()
 	if len(parts) > 0 {
 		to := &p.dropped
@@ -197,7 +197,7 @@
 }
 
 // pause waits, but not when the pipe is about to stop.
-func (p *Pipe) pause(ctx context.Context, d time.Duration) {
+func (p *Exporter) pause(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
@@ -208,7 +208,7 @@
 }
 
 // batch takes traces for one request out of the line, and the metrics.
-func (p *Pipe) batch() (parts [][]byte, m []byte) {
+func (p *Exporter) batch() (parts [][]byte, m []byte) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	size, n := 0, 0
@@ -228,7 +228,7 @@
 
 // deliver sends one request, again and again as the specification has it ("Failures", "OTLP/HTTP Throttling"):
 // after what the collector says, else after an exponential back-off with jitter. false: it was not taken.
-func (p *Pipe) deliver(ctx context.Context, s signal, body []byte) bool {
+func (p *Exporter) deliver(ctx context.Context, s signal, body []byte) bool {
 	began := time.Now()
 	for n := 0; ; n++ {
 		v := p.way.send(ctx, s, body)
@@ -246,7 +246,7 @@
 	}
 }
 
-func (p *Pipe) stopping() bool {
+func (p *Exporter) stopping() bool {
 	select {
 	case <-p.stop:
 		return true
@@ -255,7 +255,7 @@
 	}
 }
 
-func (p *Pipe) say(err error) {
+func (p *Exporter) say(err error) {
 	if p.opt.Log != nil && time.Since(p.saidAt) >= logGap {
 		p.saidAt = time.Now()
 		p.opt.Log(err, p.dropped.Load())
@@ -263,7 +263,7 @@
 }
 
 // Close sends what is left within the time that ctx gives, and ends. What is not sent by then is dropped.
-func (p *Pipe) Close(ctx context.Context) {
+func (p *Exporter) Close(ctx context.Context) {
 	if p == nil {
 		return
 	}
--- a/internal/telemetry/otlp/settings.go
+++ b/internal/telemetry/otlp/settings.go
@@ -19,7 +19,7 @@
 // first. name is the sender's, which tells its instances apart.
 func Configure(set operator.Telemetry, name string, getenv func(string) string) (Options, error) {
 	env := func(key string) string { return strings.TrimSpace(getenv("OTEL_EXPORTER_OTLP_" + key)) }
-	o := Options{Queue: set.QueueBytes, Share: set.SampledShare, Every: set.MetricsInterval}
+	o := Options{QueueBytes: set.QueueBytes, SampledShare: set.SampledShare, MetricsInterval: set.MetricsInterval}
 	t := Target{URL: or(set.Endpoint, env("ENDPOINT")), Timeout: set.Timeout, Headers: map[string]string{}}
 	switch protocol := or(set.Protocol, env("PROTOCOL"), "http/protobuf"); protocol {
 	case "grpc":
--- a/internal/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -18,17 +18,17 @@
 
 // The records.
 const (
-	Taken   Kind = iota // Num, Dest, Class, Again, Restored, Attempt (made so far), Until, Parent, Text = its id
-	Refused             // Dest, Cause: turned away by the answer to its hand-in
-	Began               // Num, Dest, Endpoint, Attempt
-	Ended               // Num, Dest, Endpoint, Attempt, Outcome, MayHaveRun, Wait; Left, Value: allowance left and limit, as told
-	Over                // Num, End, Wait = when its client may come again
-	Holds               // Dest, Cause: why what it holds has been waiting since At
-	Gauge               // Name, Value
-	Phase               // Dest, Cause: a storm's phase
+	KindAccepted     Kind = iota // Num, Dest, Class, Again, Restored, Attempt (made so far), Until, Parent, Text = its id
+	KindRefused                  // Dest, Cause: turned away by the answer to its hand-in
+	KindCallStarted              // Num, Dest, Endpoint, Attempt
+	KindCallEnded                // Num, Dest, Endpoint, Attempt, Outcome, MayHaveRun, Wait; Left, Value: allowance left and limit, as told
+	KindMessageEnded             // Num, End, Wait = when its client may come again
+	KindWaitCause                // Dest, Cause: why what it holds has been waiting since At
+	KindMeasurement              // Name, Value
+	KindStormPhase               // Dest, Cause: a storm's phase
 )
 
-var kindNames = [...]string{Taken: "taken", Refused: "refused", Began: "began", Ended: "ended", Over: "over", Holds: "holds", Phase: "phase", Gauge: "gauge"}
+var kindNames = [...]string{KindAccepted: "taken", KindRefused: "refused", KindCallStarted: "began", KindCallEnded: "ended", KindMessageEnded: "over", KindWaitCause: "holds", KindStormPhase: "phase", KindMeasurement: "gauge"}
 
 // String is the kind in a word.
 func (k Kind) String() string { return kindNames[min(int(k), len(kindNames)-1)] }
@@ -38,81 +38,81 @@
 
 // The causes.
 const (
-	CauseNone    Cause = iota
-	CauseSlot          // all call slots are taken
-	CausePace          // the sender's own pace
-	CauseTold          // a wait that the partner told
-	CauseBreaker       // its endpoints are in an outage, or come back from one
-	CauseStorm         // the pace of a storm
-	CauseRetry         // the pause after a failed attempt, or its key's order
-	CauseLoad          // refused by the admission controller
-	CauseRoom          // no room to hold it
-	CauseStop          // the sender stops
-	CauseRoute         // no such destination is listed
-	causes
+	CauseNone          Cause = iota
+	CauseSlot                // all call slots are taken
+	CausePace                // the sender's own pace
+	CauseRequestedWait       // a wait that the partner told
+	CauseBreaker             // its endpoints are in an outage, or come back from one
+	CauseStorm               // the pace of a storm
+	CauseRetry               // the pause after a failed attempt, or its key's order
+	CauseLoad                // refused by the admission controller
+	CauseCapacity            // no room to hold it
+	CauseStopping            // the sender stops
+	CauseNoRoute             // no such destination is listed
+	causeCount
 )
 
-var causeNames = [causes]string{"none", "slot", "pace", "told_wait", "breaker", "storm", "retry", "load", "room", "stopping", "no_route"}
+var causeNames = [causeCount]string{"none", "slot", "pace", "told_wait", "breaker", "storm", "retry", "load", "room", "stopping", "no_route"}
 
 // String is the cause as an attribute's value.
-func (c Cause) String() string { return causeNames[min(c, causes-1)] }
+func (c Cause) String() string { return causeNames[min(c, causeCount-1)] }
 
 // End is how a message ended.
-type End uint8
+type Ending uint8
 
 // The ends.
 const (
-	Delivered End = iota
-	Closed        // over at the partner, by its word
-	HandedBack
-	GivenUp
-	Withdrawn
-	NotTaken // refused in the step that it came in: it has no trace
-	ends
+	EndingDelivered Ending = iota
+	EndingClosed           // over at the partner, by its word
+	EndingReturned
+	EndingAbandoned
+	EndingWithdrawn
+	EndingNotAccepted // refused in the step that it came in: it has no trace
+	endingCount
 )
 
-var endNames = [ends]string{"delivered", "closed", "handed_back", "given_up", "withdrawn", "not_taken"}
+var endingNames = [endingCount]string{"delivered", "closed", "handed_back", "given_up", "withdrawn", "not_taken"}
 
 // String is the end as an attribute's value.
-func (e End) String() string { return endNames[min(e, ends-1)] }
+func (e Ending) String() string { return endingNames[min(e, endingCount-1)] }
 
 // Parent is a W3C trace context that a client sent; the zero Parent is none.
-type Parent struct {
-	Trace   [16]byte
-	Span    [8]byte
+type TraceParent struct {
+	TraceID [16]byte
+	SpanID  [8]byte
 	Sampled bool
-	Set     bool
+	Present bool
 }
 
 // Record is one thing that the sender has done. At is Unix time in milliseconds, Wait a length of them.
 type Record struct {
-	Kind       Kind
-	Cause      Cause
-	End        End
-	Outcome    uint8 // policy.Outcome
-	Class      uint8
-	Again      bool
-	Restored   bool
-	MayHaveRun bool
-	Attempt    int16
-	Endpoint   uint32
-	Dest       int32
-	Num        uint64
-	At         float64
-	Until      float64
-	Wait       float64
-	Value      float64
-	Left       float64
-	Name       Name
-	Text       string
-	Parent     *Parent
+	Kind          Kind
+	Cause         Cause
+	Ending        Ending
+	Outcome       uint8 // policy.Outcome
+	Class         uint8
+	Resubmitted   bool
+	Restored      bool
+	MayHaveRun    bool
+	Attempt       int16
+	Endpoint      uint32
+	Dest          int32
+	Num           uint64
+	At            float64
+	Until         float64
+	Wait          float64
+	Value         float64
+	AllowanceLeft float64
+	Instrument    Instrument
+	Text          string
+	TraceParent   *TraceParent
 }
 
 // size is what a record takes in the queue.
 func (r *Record) size() int64 {
 	n := int64(unsafe.Sizeof(*r)) + int64(len(r.Text))
-	if r.Parent != nil {
-		n += int64(unsafe.Sizeof(*r.Parent))
+	if r.TraceParent != nil {
+		n += int64(unsafe.Sizeof(*r.TraceParent))
 	}
 	return n
 }
--- a/internal/telemetry/telemetry_test.go
+++ b/internal/telemetry/telemetry_test.go
@@ -11,20 +11,20 @@
 
 func TestParseParent(t *testing.T) {
 	const good = "00-4bf92f3577b34da6a3ce929d0e0e4736-00f067aa0ba902b7-01"
-	p := ParseParent([]byte(good))
-	if p == nil || !p.Sampled || p.Text() != good || traceOf("x", p) != p.Trace {
+	p := ParseTraceParent([]byte(good))
+	if p == nil || !p.Sampled || p.Header() != good || traceOf("x", p) != p.TraceID {
 		t.Fatalf("%+v", p)
 	}
-	if q := ParseParent([]byte(strings.Replace(good, "-01", "-00", 1))); q == nil || q.Sampled {
+	if q := ParseTraceParent([]byte(strings.Replace(good, "-01", "-00", 1))); q == nil || q.Sampled {
 		t.Errorf("%+v", q)
 	}
-	if ParseParent([]byte("01"+good[2:]+"-more")) == nil {
+	if ParseTraceParent([]byte("01"+good[2:]+"-more")) == nil {
 		t.Error("a later version with more fields is refused")
 	}
 	for _, bad := range []string{"", "00", good[:54], good + "0", good + "-x", "ff" + good[2:], strings.ToUpper(good),
 		"00-00000000000000000000000000000000-00f067aa0ba902b7-01", "00-4bf92f3577b34da6a3ce929d0e0e4736-0000000000000000-01",
 		strings.Replace(good, "-", "_", 1), "0g" + good[2:], "01" + good[2:] + "x"} {
-		if ParseParent([]byte(bad)) != nil {
+		if ParseTraceParent([]byte(bad)) != nil {
 			t.Errorf("%q passes", bad)
 		}
 	}
@@ -40,16 +40,16 @@
 		if c := clean(s); !utf8.ValidString(c) || len(c) > textMost || strings.ContainsAny(c, "\x00\n\r\x1b") {
 			t.Fatalf("%q", c)
 		}
-		ParseParent([]byte(s))
+		ParseTraceParent([]byte(s))
 	})
 }
 
 // story is what befalls a message, for an Assembler that keeps a share.
 func story(share float64, records ...Record) (*Assembler, []*Trace) {
 	var kept []*Trace
-	a := NewAssembler(Settings{Share: share, Classes: []policy.Class{{Name: "note", Aim: 1000}}, Keep: func(t *Trace) { kept = append(kept, t) }})
+	a := NewAssembler(Settings{SampledShare: share, Classes: []policy.Class{{Name: "note", Aim: 1000}}, Export: func(t *Trace) { kept = append(kept, t) }})
 	for i := range records {
-		a.Take(&records[i])
+		a.Process(&records[i])
 	}
 	return a, kept
 }
@@ -59,15 +59,15 @@
 func TestOneTraceTellsTheStory(t *testing.T) {
 	ok, timeout := uint8(policy.OK), uint8(policy.Timeout)
 	_, kept := story(0,
-		Record{Kind: Holds, Dest: 7, Cause: CauseBreaker, At: 900},
-		Record{Kind: Taken, Num: 1, Dest: 7, At: 1000, Until: 20000, Text: "id"},
-		Record{Kind: Holds, Dest: 7, Cause: CauseTold, At: 1500},
-		Record{Kind: Began, Num: 1, Dest: 7, Endpoint: 4, At: 2000},
-		Record{Kind: Ended, Num: 1, Dest: 7, Endpoint: 4, Outcome: timeout, MayHaveRun: true, Wait: 500, At: 2600, Until: 2000, Text: "10.0.0.1:80"},
-		Record{Kind: Holds, Dest: 7, Cause: CauseRetry, At: 2600},
-		Record{Kind: Began, Num: 1, Dest: 7, Endpoint: 5, Attempt: 1, At: 2900},
-		Record{Kind: Ended, Num: 1, Dest: 7, Endpoint: 5, Attempt: 1, Outcome: ok, At: 3000, Until: 2900},
-		Record{Kind: Over, Num: 1, Dest: 7, End: Delivered, At: 3000},
+		Record{Kind: KindWaitCause, Dest: 7, Cause: CauseBreaker, At: 900},
+		Record{Kind: KindAccepted, Num: 1, Dest: 7, At: 1000, Until: 20000, Text: "id"},
+		Record{Kind: KindWaitCause, Dest: 7, Cause: CauseRequestedWait, At: 1500},
+		Record{Kind: KindCallStarted, Num: 1, Dest: 7, Endpoint: 4, At: 2000},
+		Record{Kind: KindCallEnded, Num: 1, Dest: 7, Endpoint: 4, Outcome: timeout, MayHaveRun: true, Wait: 500, At: 2600, Until: 2000, Text: "10.0.0.1:80"},
+		Record{Kind: KindWaitCause, Dest: 7, Cause: CauseRetry, At: 2600},
+		Record{Kind: KindCallStarted, Num: 1, Dest: 7, Endpoint: 5, Attempt: 1, At: 2900},
+		Record{Kind: KindCallEnded, Num: 1, Dest: 7, Endpoint: 5, Attempt: 1, Outcome: ok, At: 3000, Until: 2900},
+		Record{Kind: KindMessageEnded, Num: 1, Dest: 7, Ending: EndingDelivered, At: 3000},
 	)
 	if len(kept) != 1 {
 		t.Fatalf("%d traces", len(kept))
@@ -75,7 +75,7 @@
 	var got []string
 	for _, s := range kept[0].Spans {
 		got = append(got, fmt.Sprintf("%s %v-%v", s.Name, s.Start, s.End))
-		if s.ID == [8]byte{} || s.Name != "deliver note" && s.Parent != kept[0].Spans[0].ID {
+		if s.ID == [8]byte{} || s.Name != "deliver note" && s.ParentID != kept[0].Spans[0].ID {
 			t.Errorf("%s: no child of the root", s.Name)
 		}
 	}
@@ -94,10 +94,10 @@
 // Chosen at the end: failures, late ones, resends, second tries, restored ones and what clients sample, always;
 // the rest by the share, which goes by the trace id.
 func TestTailChoice(t *testing.T) {
-	sampled := &Parent{Set: true, Sampled: true, Trace: [16]byte{1}, Span: [8]byte{1}}
-	taken := Record{Kind: Taken, Num: 1, At: 1000, Until: 20000, Text: "id"}
+	sampled := &TraceParent{Present: true, Sampled: true, TraceID: [16]byte{1}, SpanID: [8]byte{1}}
+	taken := Record{Kind: KindAccepted, Num: 1, At: 1000, Until: 20000, Text: "id"}
 	with := func(f func(*Record)) Record { r := taken; f(&r); return r }
-	over := Record{Kind: Over, Num: 1, End: Delivered, At: 1100}
+	over := Record{Kind: KindMessageEnded, Num: 1, Ending: EndingDelivered, At: 1100}
 	for name, row := range map[string]struct {
 		share   float64
 		records []Record
@@ -105,19 +105,19 @@
 	}{
 		"ordinary, none wanted": {0, []Record{taken, over}, 0},
 		"ordinary, all wanted":  {1, []Record{taken, over}, 1},
-		"late":                  {0, []Record{taken, {Kind: Over, Num: 1, End: Delivered, At: 2500}}, 1},
-		"given up":              {0, []Record{taken, {Kind: Over, Num: 1, End: GivenUp, At: 1100}}, 1},
-		"handed back":           {0, []Record{taken, {Kind: Over, Num: 1, End: HandedBack, At: 1100}}, 1},
-		"second try":            {0, []Record{with(func(r *Record) { r.Again = true }), over}, 1},
+		"late":                  {0, []Record{taken, {Kind: KindMessageEnded, Num: 1, Ending: EndingDelivered, At: 2500}}, 1},
+		"given up":              {0, []Record{taken, {Kind: KindMessageEnded, Num: 1, Ending: EndingAbandoned, At: 1100}}, 1},
+		"handed back":           {0, []Record{taken, {Kind: KindMessageEnded, Num: 1, Ending: EndingReturned, At: 1100}}, 1},
+		"second try":            {0, []Record{with(func(r *Record) { r.Resubmitted = true }), over}, 1},
 		"restored":              {0, []Record{with(func(r *Record) { r.Restored = true }), over}, 1},
-		"sampled by its client": {0, []Record{with(func(r *Record) { r.Parent = sampled }), over}, 1},
-		"refused at once":       {1, []Record{taken, {Kind: Over, Num: 1, End: NotTaken, At: 1000}}, 0},
+		"sampled by its client": {0, []Record{with(func(r *Record) { r.TraceParent = sampled }), over}, 1},
+		"refused at once":       {1, []Record{taken, {Kind: KindMessageEnded, Num: 1, Ending: EndingNotAccepted, At: 1000}}, 0},
 	} {
 		a, kept := story(row.share, row.records...)
-		if len(kept) != row.kept || a.Open() != 0 {
-			t.Errorf("%s: %d kept, want %d; %d left open", name, len(kept), row.kept, a.Open())
+		if len(kept) != row.kept || a.OpenTraces() != 0 {
+			t.Errorf("%s: %d kept, want %d; %d left open", name, len(kept), row.kept, a.OpenTraces())
 		}
-		if name == "sampled by its client" && (kept[0].ID != sampled.Trace || kept[0].Spans[0].Parent != sampled.Span) {
+		if name == "sampled by its client" && (kept[0].ID != sampled.TraceID || kept[0].Spans[0].ParentID != sampled.SpanID) {
 			t.Errorf("%s: not in its client's trace", name)
 		}
 	}
@@ -136,12 +136,12 @@
 // A message whose end is never told is forgotten, counted, and not kept for good.
 func TestLostEndsAreForgotten(t *testing.T) {
 	a, kept := story(1,
-		Record{Kind: Taken, Num: 1, At: 1000, Until: 2000, Text: "id"},
-		Record{Kind: Ended, Num: 9, At: 1000, Until: 900},
-		Record{Kind: Over, Num: 9, At: 1000},
-		Record{Kind: Gauge, Name: Held, Value: 3, At: 20000})
-	if a.Open() != 0 || a.Lost != 1 || len(kept) != 0 {
-		t.Errorf("%d open, %d lost, %d kept", a.Open(), a.Lost, len(kept))
+		Record{Kind: KindAccepted, Num: 1, At: 1000, Until: 2000, Text: "id"},
+		Record{Kind: KindCallEnded, Num: 9, At: 1000, Until: 900},
+		Record{Kind: KindMessageEnded, Num: 9, At: 1000},
+		Record{Kind: KindMeasurement, Instrument: MessagesHeld, Value: 3, At: 20000})
+	if a.OpenTraces() != 0 || a.Lost != 1 || len(kept) != 0 {
+		t.Errorf("%d open, %d lost, %d kept", a.OpenTraces(), a.Lost, len(kept))
 	}
 }
 
@@ -176,10 +176,10 @@
 	q := NewRecorder(1 << 30)
 	b.ReportAllocs()
 	for i := range b.N {
-		q.Push(Record{Kind: Taken, Num: uint64(i), Text: "9b1f03aa5c7e2d41"})
-		q.Push(Record{Kind: Began, Num: uint64(i)})
-		q.Push(Record{Kind: Ended, Num: uint64(i), Text: "127.0.0.1:9000"})
-		q.Push(Record{Kind: Over, Num: uint64(i)})
+		q.Push(Record{Kind: KindAccepted, Num: uint64(i), Text: "9b1f03aa5c7e2d41"})
+		q.Push(Record{Kind: KindCallStarted, Num: uint64(i)})
+		q.Push(Record{Kind: KindCallEnded, Num: uint64(i), Text: "127.0.0.1:9000"})
+		q.Push(Record{Kind: KindMessageEnded, Num: uint64(i)})
 		if i%64 == 63 {
 			q.Drain(func(*Record) {})
 		}
@@ -195,7 +195,7 @@
 	}{{"off", 0, false}, {"on", 1, true}, {"one-percent", 0.01, true}} {
 		b.Run(row.name, func(b *testing.B) {
 			var q *Recorder
-			a := NewAssembler(Settings{Share: row.share, Classes: []policy.Class{{Name: "note", Aim: 1000}}, Keep: func(*Trace) {}})
+			a := NewAssembler(Settings{SampledShare: row.share, Classes: []policy.Class{{Name: "note", Aim: 1000}}, Export: func(*Trace) {}})
 			if row.on {
 				q = NewRecorder(1 << 30)
 			}
@@ -203,13 +203,13 @@
 			for i := range b.N {
 				at := float64(i)
 				if q.On() {
-					q.Push(Record{Kind: Taken, Num: uint64(i), At: at, Until: at + 1e4, Text: "9b1f03aa5c7e2d41"})
-					q.Push(Record{Kind: Began, Num: uint64(i), At: at})
-					q.Push(Record{Kind: Ended, Num: uint64(i), At: at + 20, Until: at, Text: "127.0.0.1:9000"})
-					q.Push(Record{Kind: Over, Num: uint64(i), At: at + 20})
+					q.Push(Record{Kind: KindAccepted, Num: uint64(i), At: at, Until: at + 1e4, Text: "9b1f03aa5c7e2d41"})
+					q.Push(Record{Kind: KindCallStarted, Num: uint64(i), At: at})
+					q.Push(Record{Kind: KindCallEnded, Num: uint64(i), At: at + 20, Until: at, Text: "127.0.0.1:9000"})
+					q.Push(Record{Kind: KindMessageEnded, Num: uint64(i), At: at + 20})
 				}
 				if q.On() && i%64 == 63 {
-					q.Drain(a.Take)
+					q.Drain(a.Process)
 				}
 			}
 		})
