--- a/internal/telemetry/ids.go
+++ b/internal/telemetry/ids.go
@@ -8,9 +8,9 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// traceOf is the trace id of a message: that of its client's context, or one that its id gives, the same in each
-// life of the sender.
-func traceOf(id string, p *TraceParent) (t [16]byte) {
+// traceID returns the trace ID of a message: the one of the client's trace context or, without one, an ID derived from
+// the message ID, which is the same in each process run of the sender.
+func traceID(id string, p *TraceParent) (t [16]byte) {
 	if p != nil && p.Present {
 		return p.TraceID
 	}
@@ -18,24 +18,25 @@
 		return [16]byte(raw)
 	}
 	binary.BigEndian.PutUint64(t[:], xxhash.Sum64String("trace\x00"+id))
-	binary.BigEndian.PutUint64(t[8:], xxhash.Sum64String("sliptide\x00"+id)|1) // never all zero
+	binary.BigEndian.PutUint64(t[8:], xxhash.Sum64String("sliptide\x00"+id)|1) // an all-zero ID is invalid
 	return t
 }
 
-// spanOf is the id of a span of a trace: root 0, then its parts. It is the same in each life, so that a message
-// that was taken up again continues its trace.
-func spanOf(trace [16]byte, num uint64, life, part int) (s [8]byte) {
+// spanID returns the ID of the span with this index in the trace of message num; the root has index 0. The process run
+// is part of the hash: when a message is restored after a restart, its new spans join the same trace under IDs of their
+// own.
+func spanID(trace [16]byte, num uint64, run, index int) (s [8]byte) {
 	var b [40]byte
 	copy(b[:], trace[:])
 	binary.BigEndian.PutUint64(b[16:], num)
-	binary.BigEndian.PutUint64(b[24:], uint64(life))
-	binary.BigEndian.PutUint64(b[32:], uint64(part))
+	binary.BigEndian.PutUint64(b[24:], uint64(run))
+	binary.BigEndian.PutUint64(b[32:], uint64(index))
 	binary.BigEndian.PutUint64(s[:], xxhash.Sum64(b[:])|1)
 	return s
 }
 
-// ParseParent reads a traceparent header (W3C Trace Context, 3.2): version, trace id, parent id, flags. One that
-// makes no sense is none, as the recommendation asks (3.2.2.3 and 4.3).
+// ParseTraceParent parses a traceparent header (W3C Trace Context, 3.2): version, trace ID, parent ID and flags. It
+// returns nil for an invalid header, which the recommendation requires to be ignored (3.2.2.3 and 4.3).
 func ParseTraceParent(v []byte) *TraceParent {
 	if len(v) < 55 || v[2] != '-' || v[35] != '-' || v[52] != '-' || string(v[:2]) == "ff" || string(v[:2]) == "00" && len(v) != 55 || len(v) > 55 && v[55] != '-' {
 		return nil
@@ -57,7 +58,7 @@
 	return p
 }
 
-// Text is p as a journal keeps it, empty if there is none.
+// Header returns p as a traceparent header, which is also its form in the journal, or "" if there is none.
 func (p *TraceParent) Header() string {
 	if p == nil || !p.Present {
 		return ""
@@ -69,12 +70,13 @@
 	return "00-" + hex.EncodeToString(p.TraceID[:]) + "-" + hex.EncodeToString(p.SpanID[:]) + "-" + flags
 }
 
-const textMost = 128 // bytes of an attribute
+const maxTextBytes = 128 // of an attribute value
 
-// clean makes a text that a client sent fit for an attribute: bounded, valid UTF-8, nothing that is not printed.
-func clean(s string) string {
-	if len(s) > textMost {
-		s = s[:textMost]
+// sanitize returns a text received from outside as an attribute value: bounded, valid UTF-8, without ASCII control
+// characters.
+func sanitize(s string) string {
+	if len(s) > maxTextBytes {
+		s = s[:maxTextBytes]
 	}
 	return strings.Map(func(r rune) rune {
 		if r < ' ' || r == 0x7f {
--- a/internal/telemetry/metric/histogram.go
+++ b/internal/telemetry/metric/histogram.go
@@ -1,10 +1,10 @@
-// Package metric holds the counters, gauges and exponential histograms that a sender exports. They are summed up
-// by one goroutine and read by it; nothing here locks.
+// Package metric holds the counters, gauges and exponential histograms that a sender exports. One goroutine updates and
+// reads them; there is no locking.
 package metric
 
 import "math"
 
-// Buckets is the most buckets that a histogram has; with more it halves its resolution.
+// MaxBuckets is the maximum number of buckets of a histogram. A histogram that would need more halves its resolution.
 const MaxBuckets = 160
 
 const (
@@ -25,15 +25,16 @@
 	Max       float64
 }
 
-// NewHistogram returns an empty histogram of the finest scale that is of use for times: buckets 4% wide.
+// NewHistogram returns an empty histogram of scale 4, whose buckets are 4% wide: finer ones are of no use for
+// durations.
 func NewHistogram() *Histogram { return &Histogram{Scale: 4} }
 
-// index is the bucket of v at a scale.
+// index returns the index of the bucket that holds v at a scale.
 func index(v float64, scale int) int {
 	return int(math.Ceil(math.Log2(v)*math.Exp2(float64(scale)))) - 1
 }
 
-// Add counts a value. What is not a number or not finite is passed over; what is not positive counts as zero.
+// Add records a value. It ignores NaN and infinities and counts values that are not positive as zero.
 func (h *Histogram) Add(v float64) {
 	if math.IsNaN(v) || math.IsInf(v, 0) {
 		return
@@ -67,7 +68,7 @@
 	h.Counts[i-h.Offset]++
 }
 
-// halve joins each two buckets to one of the next lower scale.
+// halve merges neighbouring pairs of buckets, which lowers the scale by one.
 func (h *Histogram) halve() {
 	first := h.Offset >> 1
 	last := (h.Offset + len(h.Counts) - 1) >> 1
--- a/internal/telemetry/metric/metric_test.go
+++ b/internal/telemetry/metric/metric_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// Every value lies in its bucket, whatever the scale has become; nothing is lost by halving.
+// Every value is counted in its bucket at each scale, and halving the resolution loses no value.
 func TestHistogram(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	for _, spread := range []float64{0.1, 1, 5, 30} {
@@ -45,17 +45,17 @@
 	}
 }
 
-// However many series there might be, a Set holds a bounded number and counts the rest.
-func TestSetIsBounded(t *testing.T) {
+// A Registry holds a bounded number of series and counts the values of the others.
+func TestRegistryIsBounded(t *testing.T) {
 	s, d := NewRegistry(), &Descriptor{Name: "n"}
 	for i := range 3 * maxSeries {
 		s.Add(d, 1, Attr{"k", string(rune(i + 1000))})
 	}
 	if len(s.AllSeries()) != maxSeries || s.Overflow != 2*maxSeries {
-		t.Errorf("%d series, %d too many", len(s.AllSeries()), s.Overflow)
+		t.Errorf("%d series, %d values discarded", len(s.AllSeries()), s.Overflow)
 	}
 	s.Add(d, 1, Attr{"k", string(rune(1000))})
 	if s.AllSeries()[0].Value != 2 {
-		t.Error("a series that is known no longer counts")
+		t.Error("a full Registry does not update an existing series")
 	}
 }
--- a/internal/telemetry/metric/set.go
+++ b/internal/telemetry/metric/registry.go
@@ -6,13 +6,14 @@
 	"strings"
 )
 
-// most bounds the series of a Set: attributes come from the configuration and the list, which may be long.
+// maxSeries bounds the series of a Registry. Attribute values come from the configuration and the endpoint list, both
+// of which may be long.
 const maxSeries = 2048
 
 // Attr is one attribute of a series.
 type Attr struct{ Key, Value string }
 
-// Point is one series: a counter's or gauge's value, or a histogram.
+// Series is a metric with one set of attributes: the value of a counter or gauge, or a histogram.
 type Series struct {
 	Name        string
 	Unit        string
@@ -23,35 +24,35 @@
 	Histogram   *Histogram
 }
 
-// Kind tells the series apart.
+// Kind is the kind of a metric.
 type Kind uint8
 
 // The kinds.
 const (
-	Counter Kind = iota // grows only, since the start
+	Counter Kind = iota // cumulative since the start, never decreases
 	Gauge
 	Distribution
 )
 
-// Set is all series of a sender. It is for one goroutine.
+// Registry holds all series of a sender. It is not safe for concurrent use.
 type Registry struct {
 	series map[string]*Series
-	// Overflow counts what came for series that were one too many.
+	// Overflow counts the values that were discarded because their series would have exceeded maxSeries.
 	Overflow uint64
 }
 
-// NewSet returns an empty Set.
+// NewRegistry returns an empty Registry.
 func NewRegistry() *Registry { return &Registry{series: map[string]*Series{}} }
 
-// Def names a metric.
+// Descriptor describes a metric.
 type Descriptor struct {
 	Name, Unit, Description string
 	Kind                    Kind
 }
 
-// point is the series of a metric with these attributes, in the order in which the metric always has them; nil
-// if there are too many.
-func (s *Registry) find(d *Descriptor, attrs []Attr) *Series {
+// findOrCreate returns the series of a metric with these attributes, or nil if the Registry is full. A metric must
+// always list its attributes in the same order.
+func (s *Registry) findOrCreate(d *Descriptor, attrs []Attr) *Series {
 	var b strings.Builder
 	b.WriteString(d.Name)
 	for _, a := range attrs {
@@ -74,9 +75,9 @@
 	return p
 }
 
-// Add adds to a counter, or a value to a histogram.
+// Add adds v to a counter, or records v in a histogram.
 func (s *Registry) Add(d *Descriptor, v float64, attrs ...Attr) {
-	p := s.find(d, attrs)
+	p := s.findOrCreate(d, attrs)
 	switch {
 	case p == nil:
 	case p.Histogram != nil:
@@ -86,14 +87,14 @@
 	}
 }
 
-// Put sets a gauge, or a counter that is counted elsewhere.
+// Set sets a gauge, or a counter that is maintained elsewhere.
 func (s *Registry) Set(d *Descriptor, v float64, attrs ...Attr) {
-	if p := s.find(d, attrs); p != nil {
+	if p := s.findOrCreate(d, attrs); p != nil {
 		p.Value = v
 	}
 }
 
-// Points is all series, those of a metric together.
+// AllSeries returns all series, sorted by metric name and attribute values.
 func (s *Registry) AllSeries() []*Series {
 	list := make([]*Series, 0, len(s.series))
 	for _, p := range s.series {
--- a/internal/telemetry/otlp/encode.go
+++ b/internal/telemetry/otlp/encode.go
@@ -1,6 +1,6 @@
-// Package otlp writes traces and metrics as OTLP (opentelemetry-proto 1.x) and brings them to a collector, over
-// HTTP with protobuf or over gRPC. Its goroutines are its own: whoever hands something over never waits, and what
-// a collector does not take in time is dropped and counted.
+// Package otlp encodes traces and metrics as OTLP (opentelemetry-proto 1.x) and sends them to a collector, over HTTP
+// with protobuf or over gRPC. It does so in its own goroutines and never blocks the caller. Traces that the collector
+// does not accept in time are dropped and counted.
 package otlp
 
 import (
@@ -18,19 +18,19 @@
 	"sliptide/internal/telemetry/metric"
 )
 
-// The numbers of fields, from the .proto files.
+// Field numbers from the .proto files.
 const (
-	requestResource = 1 // of both requests: resource_spans, resource_metrics
-	resourceItself  = 1 // of ResourceSpans
-	resourceScopes  = 2
-	scopeItself     = 1 // of ScopeSpans
+	requestResourceField = 1 // resource_spans of ExportTraceServiceRequest
+	resourceField        = 1 // resource of ResourceSpans
+	scopesField          = 2 // scope_spans of ResourceSpans
+	scopeField           = 1 // scope of ScopeSpans
 )
 
 var scope = &common.InstrumentationScope{Name: "sliptide"}
 
-func nanos(ms float64) uint64 { return uint64(math.Max(ms, 0) * 1e6) }
+func unixNanos(ms float64) uint64 { return uint64(math.Max(ms, 0) * 1e6) }
 
-func attributes(list []metric.Attr) []*common.KeyValue {
+func keyValues(list []metric.Attr) []*common.KeyValue {
 	out := make([]*common.KeyValue, len(list))
 	for i, a := range list {
 		out[i] = &common.KeyValue{Key: a.Key, Value: &common.AnyValue{Value: &common.AnyValue_StringValue{StringValue: a.Value}}}
@@ -38,14 +38,15 @@
 	return out
 }
 
-// spans is a trace as part of a ScopeSpans message. Parts can be strung together (protobuf encoding, "Last One
-// Wins": repeated fields are joined), so that a trace is encoded once, when it is over.
-func spans(t *telemetry.Trace) ([]byte, error) {
+// encodeSpans encodes a trace as part of a ScopeSpans message. Encoded parts can be concatenated, since protobuf then
+// joins their repeated fields (protobuf encoding, "Last One Wins"), so that each trace is encoded only once, when it
+// has ended.
+func encodeSpans(t *telemetry.Trace) ([]byte, error) {
 	ss := &trace.ScopeSpans{Spans: make([]*trace.Span, len(t.Spans))}
 	for i := range t.Spans {
 		s := &t.Spans[i]
 		p := &trace.Span{TraceId: t.ID[:], SpanId: s.ID[:], Name: s.Name, Kind: trace.Span_SPAN_KIND_INTERNAL,
-			StartTimeUnixNano: nanos(s.Start), EndTimeUnixNano: nanos(s.End), Attributes: attributes(s.Attrs)}
+			StartTimeUnixNano: unixNanos(s.Start), EndTimeUnixNano: unixNanos(s.End), Attributes: keyValues(s.Attrs)}
 		if s.ParentID != [8]byte{} {
 			p.ParentSpanId = s.ParentID[:]
 		}
@@ -63,41 +64,41 @@
 	return proto.Marshal(ss)
 }
 
-// request is an ExportTraceServiceRequest of such parts.
-func request(res []byte, parts [][]byte) []byte {
-	who, _ := proto.Marshal(scope)
-	inner := protowire.AppendTag(nil, scopeItself, protowire.BytesType)
-	inner = protowire.AppendBytes(inner, who)
+// encodeTraceRequest returns an encoded ExportTraceServiceRequest with the parts that encodeSpans returned.
+func encodeTraceRequest(resource []byte, parts [][]byte) []byte {
+	scopeBytes, _ := proto.Marshal(scope)
+	scopeSpans := protowire.AppendTag(nil, scopeField, protowire.BytesType)
+	scopeSpans = protowire.AppendBytes(scopeSpans, scopeBytes)
 	for _, p := range parts {
-		inner = append(inner, p...)
+		scopeSpans = append(scopeSpans, p...)
 	}
-	rs := protowire.AppendTag(nil, resourceItself, protowire.BytesType)
-	rs = protowire.AppendBytes(rs, res)
-	rs = protowire.AppendTag(rs, resourceScopes, protowire.BytesType)
-	rs = protowire.AppendBytes(rs, inner)
-	return protowire.AppendBytes(protowire.AppendTag(nil, requestResource, protowire.BytesType), rs)
+	resourceSpans := protowire.AppendTag(nil, resourceField, protowire.BytesType)
+	resourceSpans = protowire.AppendBytes(resourceSpans, resource)
+	resourceSpans = protowire.AppendTag(resourceSpans, scopesField, protowire.BytesType)
+	resourceSpans = protowire.AppendBytes(resourceSpans, scopeSpans)
+	return protowire.AppendBytes(protowire.AppendTag(nil, requestResourceField, protowire.BytesType), resourceSpans)
 }
 
-func resourceOf(list []metric.Attr) *resource.Resource {
-	return &resource.Resource{Attributes: attributes(list)}
+func newResource(list []metric.Attr) *resource.Resource {
+	return &resource.Resource{Attributes: keyValues(list)}
 }
 
-// measures is an ExportMetricsServiceRequest of all series, cumulative since start.
-func measures(res *resource.Resource, points []*metric.Series, start, now float64) ([]byte, error) {
+// encodeMetrics returns an encoded ExportMetricsServiceRequest with all series, cumulative since start.
+func encodeMetrics(res *resource.Resource, series []*metric.Series, start, now float64) ([]byte, error) {
 	sm := &metrics.ScopeMetrics{Scope: scope}
 	var m *metrics.Metric
-	for _, p := range points {
+	for _, p := range series {
 		if m == nil || m.Name != p.Name {
 			m = &metrics.Metric{Name: p.Name, Unit: p.Unit, Description: p.Description}
 			sm.Metrics = append(sm.Metrics, m)
 		}
-		add(m, p, nanos(start), nanos(now))
+		addSeries(m, p, unixNanos(start), unixNanos(now))
 	}
 	return proto.Marshal(&collmetrics.ExportMetricsServiceRequest{ResourceMetrics: []*metrics.ResourceMetrics{{Resource: res, ScopeMetrics: []*metrics.ScopeMetrics{sm}}}})
 }
 
-// add puts a series into its metric.
-func add(m *metrics.Metric, p *metric.Series, start, now uint64) {
+// addSeries adds the data point of a series to its metric.
+func addSeries(m *metrics.Metric, p *metric.Series, start, now uint64) {
 	if h := p.Histogram; h != nil {
 		e := m.GetExponentialHistogram()
 		if e == nil {
@@ -105,13 +106,13 @@
 			m.Data = &metrics.Metric_ExponentialHistogram{ExponentialHistogram: e}
 		}
 		e.DataPoints = append(e.DataPoints, &metrics.ExponentialHistogramDataPoint{
-			Attributes: attributes(p.Attrs), StartTimeUnixNano: start, TimeUnixNano: now, Count: h.Count, Sum: &h.Sum, Scale: int32(h.Scale),
+			Attributes: keyValues(p.Attrs), StartTimeUnixNano: start, TimeUnixNano: now, Count: h.Count, Sum: &h.Sum, Scale: int32(h.Scale),
 			ZeroCount: h.ZeroCount, Min: &h.Min, Max: &h.Max,
 			Positive: &metrics.ExponentialHistogramDataPoint_Buckets{Offset: int32(h.Offset), BucketCounts: h.Counts},
 		})
 		return
 	}
-	dp := &metrics.NumberDataPoint{Attributes: attributes(p.Attrs), StartTimeUnixNano: start, TimeUnixNano: now, Value: &metrics.NumberDataPoint_AsDouble{AsDouble: p.Value}}
+	dp := &metrics.NumberDataPoint{Attributes: keyValues(p.Attrs), StartTimeUnixNano: start, TimeUnixNano: now, Value: &metrics.NumberDataPoint_AsDouble{AsDouble: p.Value}}
 	if p.Kind == metric.Gauge {
 		g := m.GetGauge()
 		if g == nil {
--- a/internal/telemetry/otlp/transport.go
+++ b/internal/telemetry/otlp/transport.go
@@ -27,110 +27,110 @@
 	"google.golang.org/protobuf/proto"
 )
 
-const answerMost = 64 << 10 // bytes of a collector's answer that are read
+const maxResponseBytes = 64 << 10 // read of a collector's response
 
-// signal is what is sent.
+// signal is the kind of telemetry data that a request carries.
 type signal int
 
 const (
-	traces signal = iota
-	measurements
+	tracesSignal signal = iota
+	metricsSignal
 )
 
 var (
-	paths   = [...]string{"/v1/traces", "/v1/metrics"}
-	methods = [...]string{"/opentelemetry.proto.collector.trace.v1.TraceService/Export", "/opentelemetry.proto.collector.metrics.v1.MetricsService/Export"}
+	httpPaths   = [...]string{"/v1/traces", "/v1/metrics"}
+	grpcMethods = [...]string{"/opentelemetry.proto.collector.trace.v1.TraceService/Export", "/opentelemetry.proto.collector.metrics.v1.MetricsService/Export"}
 )
 
-// verdict is what a collector made of a request (OTLP specification, "OTLP/HTTP Response" and "OTLP/gRPC Response").
-type verdict struct {
-	rejected int64         // spans or points that it did not take, though it took the rest
-	again    bool          // it may take the same later:
-	after    time.Duration // not before this; 0: it does not say
-	err      error         // nil: taken
+// sendResult is the result of a request (OTLP specification, "OTLP/HTTP Response" and "OTLP/gRPC Response").
+type sendResult struct {
+	rejected   int64         // spans or data points rejected by a collector that accepted the rest (partial success)
+	retryable  bool          // the collector may accept the same request later
+	retryAfter time.Duration // minimum wait before a retry; 0: none requested
+	err        error         // nil: accepted
 }
 
-// transport brings a request to a collector. There are two: HTTP and gRPC.
+// transport sends requests to a collector, over HTTP or gRPC.
 type transport interface {
-	send(ctx context.Context, s signal, body []byte) verdict
+	send(ctx context.Context, s signal, body []byte) sendResult
 	close()
 }
 
-// Target is where and how a collector is reached.
+// Target is the address of a collector and the options of the connection to it.
 type Target struct {
-	URL     string // http://host:port or https://host:port, with a path for HTTP if not the usual one
+	URL     string // http://host:port or https://host:port; for HTTP it may have a path, to which the standard paths are appended
 	GRPC    bool
 	Gzip    bool
-	TLS     *tls.Config // of https
+	TLS     *tls.Config // used for https
 	Headers map[string]string
 	Timeout time.Duration // of one request
 }
 
-func newTransport(t Target) (transport, error) {
-	u, err := url.Parse(t.URL)
+func newTransport(target Target) (transport, error) {
+	u, err := url.Parse(target.URL)
 	if err != nil || u.Host == "" || u.Scheme != "http" && u.Scheme != "https" {
-		return nil, fmt.Errorf("endpoint %q: not http://host:port or https://host:port", t.URL)
+		return nil, fmt.Errorf("endpoint %q: invalid URL; allowed: http://host:port, https://host:port", target.URL)
 	}
-	if t.GRPC {
-		return newGRPC(t, u)
+	if target.GRPC {
+		return newGRPCTransport(target, u)
 	}
-	base := strings.TrimSuffix(u.String(), "/")
-	return &overHTTP{t: t, base: base, client: &http.Client{
-		Timeout:   t.Timeout,
-		Transport: &http.Transport{TLSClientConfig: t.TLS, MaxConnsPerHost: 2, MaxIdleConnsPerHost: 1, IdleConnTimeout: time.Minute, ResponseHeaderTimeout: t.Timeout},
-		// A collector that sends elsewhere is wrongly set up: what it holds must not go where nobody named.
+	baseURL := strings.TrimSuffix(u.String(), "/")
+	return &httpTransport{target: target, baseURL: baseURL, client: &http.Client{
+		Timeout:   target.Timeout,
+		Transport: &http.Transport{TLSClientConfig: target.TLS, MaxConnsPerHost: 2, MaxIdleConnsPerHost: 1, IdleConnTimeout: time.Minute, ResponseHeaderTimeout: target.Timeout},
+		// Redirects are not followed: telemetry must not go to a host that was not configured.
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 	}}, nil
 }
 
-type overHTTP struct {
-	t      Target
-	base   string
-	client *http.Client
+type httpTransport struct {
+	target  Target
+	baseURL string
+	client  *http.Client
 }
 
-func (h *overHTTP) close() { h.client.CloseIdleConnections() }
+func (h *httpTransport) close() { h.client.CloseIdleConnections() }
 
-func (h *overHTTP) send(ctx context.Context, s signal, body []byte) verdict {
-	ctx, cancel := context.WithTimeout(ctx, h.t.Timeout)
+func (h *httpTransport) send(ctx context.Context, s signal, body []byte) sendResult {
+	ctx, cancel := context.WithTimeout(ctx, h.target.Timeout)
 	defer cancel()
-	if h.t.Gzip {
+	if h.target.Gzip {
 		var b bytes.Buffer
 		z := gzip.NewWriter(&b)
 		z.Write(body)
 		z.Close()
 		body = b.Bytes()
 	}
-	q, err := http.NewRequestWithContext(ctx, "POST", h.base+paths[s], bytes.NewReader(body))
+	req, err := http.NewRequestWithContext(ctx, "POST", h.baseURL+httpPaths[s], bytes.NewReader(body))
 	if err != nil {
-		return verdict{err: err}
+		return sendResult{err: err}
 	}
-	q.Header.Set("Content-Type", "application/x-protobuf")
-	if h.t.Gzip {
-		q.Header.Set("Content-Encoding", "gzip")
+	req.Header.Set("Content-Type", "application/x-protobuf")
+	if h.target.Gzip {
+		req.Header.Set("Content-Encoding", "gzip")
 	}
-	for k, v := range h.t.Headers {
-		q.Header.Set(k, v)
+	for k, v := range h.target.Headers {
+		req.Header.Set(k, v)
 	}
-	resp, err := h.client.Do(q)
+	resp, err := h.client.Do(req)
 	if err != nil {
-		return verdict{again: true, err: err}
+		return sendResult{retryable: true, err: err}
 	}
 	defer resp.Body.Close()
-	text, err := io.ReadAll(io.LimitReader(resp.Body, answerMost))
+	content, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 	switch code := resp.StatusCode; {
 	case code >= 200 && code < 300 && err == nil:
-		return verdict{rejected: rejected(s, text)}
-	case code >= 200 && code < 300: // taken, as far as it said
-		return verdict{}
+		return sendResult{rejected: rejectedItems(s, content)}
+	case code >= 200 && code < 300: // accepted, but the response could not be read in full
+		return sendResult{}
 	case code == 429 || code == 502 || code == 503 || code == 504:
-		return verdict{again: true, after: retryAfter(resp.Header.Get("Retry-After")), err: errors.New(resp.Status)}
+		return sendResult{retryable: true, retryAfter: parseRetryAfter(resp.Header.Get("Retry-After")), err: errors.New(resp.Status)}
 	}
-	return verdict{err: errors.New(resp.Status)}
+	return sendResult{err: errors.New(resp.Status)}
 }
 
-// retryAfter reads whole or decimal seconds, or a date (RFC 9110 10.2.3).
-func retryAfter(v string) time.Duration {
+// parseRetryAfter parses a Retry-After header: a date or seconds (RFC 9110 10.2.3); decimal fractions are accepted too.
+func parseRetryAfter(v string) time.Duration {
 	if f, err := strconv.ParseFloat(v, 64); err == nil && f > 0 && f < 1e6 {
 		return time.Duration(f * float64(time.Second))
 	}
@@ -140,75 +140,79 @@
 	return 0
 }
 
-// rejected is what a partial success says. An answer that can't be read says nothing.
-func rejected(s signal, text []byte) int64 {
-	if s == traces {
+// rejectedItems returns the number of items that a partial-success response reports as rejected, 0 if it cannot be
+// decoded.
+func rejectedItems(s signal, response []byte) int64 {
+	if s == tracesSignal {
 		var r colltrace.ExportTraceServiceResponse
-		if proto.Unmarshal(text, &r) == nil {
+		if proto.Unmarshal(response, &r) == nil {
 			return max(r.GetPartialSuccess().GetRejectedSpans(), 0)
 		}
 		return 0
 	}
 	var r collmetrics.ExportMetricsServiceResponse
-	if proto.Unmarshal(text, &r) == nil {
+	if proto.Unmarshal(response, &r) == nil {
 		return max(r.GetPartialSuccess().GetRejectedDataPoints(), 0)
 	}
 	return 0
 }
 
-type overGRPC struct {
-	t    Target
-	conn *grpc.ClientConn
+type grpcTransport struct {
+	target Target
+	conn   *grpc.ClientConn
 }
 
-func newGRPC(t Target, u *url.URL) (transport, error) {
+func newGRPCTransport(target Target, u *url.URL) (transport, error) {
 	creds := insecure.NewCredentials()
 	if u.Scheme == "https" {
-		creds = credentials.NewTLS(t.TLS)
+		creds = credentials.NewTLS(target.TLS)
 	}
 	opts := []grpc.DialOption{grpc.WithTransportCredentials(creds), grpc.WithUserAgent("sliptide"), grpc.WithDisableServiceConfig(), grpc.WithNoProxy(),
-		grpc.WithDefaultCallOptions(grpc.ForceCodec(raw{}), grpc.MaxCallRecvMsgSize(answerMost))}
+		grpc.WithDefaultCallOptions(grpc.ForceCodec(rawCodec{}), grpc.MaxCallRecvMsgSize(maxResponseBytes))}
 	conn, err := grpc.NewClient("passthrough:///"+u.Host, opts...)
 	if err != nil {
-		return nil, fmt.Errorf("endpoint %q: %w", t.URL, err)
+		return nil, fmt.Errorf("endpoint %q: %w", target.URL, err)
 	}
-	return &overGRPC{t, conn}, nil
+	return &grpcTransport{target, conn}, nil
 }
 
-func (g *overGRPC) close() { g.conn.Close() }
+func (g *grpcTransport) close() { g.conn.Close() }
 
-func (g *overGRPC) send(ctx context.Context, s signal, body []byte) verdict {
-	ctx, cancel := context.WithTimeout(ctx, g.t.Timeout)
+func (g *grpcTransport) send(ctx context.Context, s signal, body []byte) sendResult {
+	ctx, cancel := context.WithTimeout(ctx, g.target.Timeout)
 	defer cancel()
-	if len(g.t.Headers) > 0 {
-		ctx = metadata.NewOutgoingContext(ctx, metadata.New(g.t.Headers))
+	if len(g.target.Headers) > 0 {
+		ctx = metadata.NewOutgoingContext(ctx, metadata.New(g.target.Headers))
 	}
 	var opts []grpc.CallOption
-	if g.t.Gzip {
+	if g.target.Gzip {
 		opts = append(opts, grpc.UseCompressor(ggzip.Name))
 	}
-	var answer []byte
-	err := g.conn.Invoke(ctx, methods[s], &body, &answer, opts...)
+	var response []byte
+	err := g.conn.Invoke(ctx, grpcMethods[s], &body, &response, opts...)
 	if err == nil {
-		return verdict{rejected: rejected(s, answer)}
+		return sendResult{rejected: rejectedItems(s, response)}
 	}
-	v := verdict{err: err}
+	result := sendResult{err: err}
 	st := status.Convert(err)
 	for _, d := range st.Details() {
 		if r, ok := d.(*errdetails.RetryInfo); ok {
-			v.after, v.again = r.GetRetryDelay().AsDuration(), true
+			result.retryAfter, result.retryable = r.GetRetryDelay().AsDuration(), true
 		}
 	}
 	switch st.Code() {
 	case codes.Canceled, codes.DeadlineExceeded, codes.Aborted, codes.OutOfRange, codes.Unavailable, codes.DataLoss:
-		v.again = true
+		result.retryable = true
 	}
-	return v
+	return result
 }
 
-// raw passes bytes through as they are: requests are encoded before they come here.
-type raw struct{}
+// rawCodec is a gRPC codec that passes bytes through unchanged: requests are already encoded.
+type rawCodec struct{}
 
-func (raw) Marshal(v any) ([]byte, error)   { return *v.(*[]byte), nil }
-func (raw) Unmarshal(b []byte, v any) error { *v.(*[]byte) = append([]byte(nil), b...); return nil }
-func (raw) Name() string                    { return "proto" }
+func (rawCodec) Marshal(v any) ([]byte, error) { return *v.(*[]byte), nil }
+func (rawCodec) Unmarshal(b []byte, v any) error {
+	*v.(*[]byte) = append([]byte(nil), b...)
+	return nil
+}
+func (rawCodec) Name() string { return "proto" }
--- a/internal/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -1,10 +1,9 @@
-// Package telemetry turns what a sender does into traces and metrics. The sender's goroutine pushes small records
-// into a bounded queue and goes on; one goroutine of the package's own makes traces of them, chooses which are
-// kept, counts, and hands over to an exporter (package otlp). Nothing here is ever waited for: what does not fit
-// is dropped and counted.
+// Package telemetry turns the activity of a sender into traces and metrics. The sender's goroutine pushes small records
+// into a bounded queue without blocking. Another goroutine assembles traces from them, samples the traces, updates the
+// metrics and passes both to an exporter (package otlp). Records and traces that do not fit are dropped and counted.
 //
-// It knows neither sockets nor files, and takes no decision about messages. Message bodies and idempotency keys
-// never reach it.
+// The package uses neither sockets nor files and takes no decision about messages. It never receives message bodies or
+// idempotency keys.
 package telemetry
 
 import (
@@ -13,27 +12,38 @@
 	"unsafe"
 )
 
-// Kind tells the records apart. The fields that each sets are named beside it.
+// Kind is the kind of a Record. The comment of each kind lists the fields that it sets, besides At.
 type Kind uint8
 
-// The records.
+// The kinds of records.
 const (
-	KindAccepted     Kind = iota // Num, Dest, Class, Again, Restored, Attempt (made so far), Until, Parent, Text = its id
-	KindRefused                  // Dest, Cause: turned away by the answer to its hand-in
-	KindCallStarted              // Num, Dest, Endpoint, Attempt
-	KindCallEnded                // Num, Dest, Endpoint, Attempt, Outcome, MayHaveRun, Wait; Left, Value: allowance left and limit, as told
-	KindMessageEnded             // Num, End, Wait = when its client may come again
-	KindWaitCause                // Dest, Cause: why what it holds has been waiting since At
-	KindMeasurement              // Name, Value
-	KindStormPhase               // Dest, Cause: a storm's phase
+	// Num, Dest, Class, Resubmitted, Restored, Attempt (calls made so far), Until (deadline), TraceParent, Text
+	// (message ID)
+	KindAccepted Kind = iota
+	// Dest, Cause: a submission was refused
+	KindRefused
+	// Num, Dest, Endpoint, Attempt
+	KindCallStarted
+	// Num, Dest, Endpoint, Attempt, Outcome, MayHaveRun, Wait (requested wait), Until (start of the call), Text
+	// (address of the endpoint); AllowanceLeft and Value (limit), as reported by the partner
+	KindCallEnded
+	// Num, Dest, Ending, Wait (time after which the client may resubmit the message)
+	KindMessageEnded
+	// Dest, Cause: why the messages of the destination wait, from At on
+	KindWaitCause
+	// Instrument, Value
+	KindMeasurement
+	// Dest, Value: the phase of a storm
+	KindStormPhase
 )
 
-var kindNames = [...]string{KindAccepted: "taken", KindRefused: "refused", KindCallStarted: "began", KindCallEnded: "ended", KindMessageEnded: "over", KindWaitCause: "holds", KindStormPhase: "phase", KindMeasurement: "gauge"}
+var kindNames = [...]string{KindAccepted: "taken", KindRefused: "refused", KindCallStarted: "began", KindCallEnded: "ended",
+	KindMessageEnded: "over", KindWaitCause: "holds", KindStormPhase: "phase", KindMeasurement: "gauge"}
 
-// String is the kind in a word.
+// String returns the name of the kind.
 func (k Kind) String() string { return kindNames[min(int(k), len(kindNames)-1)] }
 
-// Cause is why a message waits or was refused.
+// Cause is the reason why a message waits or was refused.
 type Cause uint8
 
 // The causes.
@@ -41,42 +51,42 @@
 	CauseNone          Cause = iota
 	CauseSlot                // all call slots are taken
 	CausePace                // the sender's own pace
-	CauseRequestedWait       // a wait that the partner told
-	CauseBreaker             // its endpoints are in an outage, or come back from one
-	CauseStorm               // the pace of a storm
-	CauseRetry               // the pause after a failed attempt, or its key's order
+	CauseRequestedWait       // a wait requested by the partner
+	CauseBreaker             // the destination's endpoints are in an outage or recovering from one
+	CauseStorm               // the pace cap set during a storm
+	CauseRetry               // the pause after a failed attempt, or the order of messages with the same key
 	CauseLoad                // refused by the admission controller
-	CauseCapacity            // no room to hold it
-	CauseStopping            // the sender stops
-	CauseNoRoute             // no such destination is listed
+	CauseCapacity            // no capacity to hold it
+	CauseStopping            // the sender is stopping
+	CauseNoRoute             // the destination is not listed
 	causeCount
 )
 
 var causeNames = [causeCount]string{"none", "slot", "pace", "told_wait", "breaker", "storm", "retry", "load", "room", "stopping", "no_route"}
 
-// String is the cause as an attribute's value.
+// String returns the attribute value of the cause.
 func (c Cause) String() string { return causeNames[min(c, causeCount-1)] }
 
-// End is how a message ended.
+// Ending is how a message ended.
 type Ending uint8
 
-// The ends.
+// The endings.
 const (
 	EndingDelivered Ending = iota
-	EndingClosed           // over at the partner, by its word
+	EndingClosed           // the partner reported that the message is closed
 	EndingReturned
 	EndingAbandoned
 	EndingWithdrawn
-	EndingNotAccepted // refused in the step that it came in: it has no trace
+	EndingNotAccepted // refused in the step in which it arrived; it gets no trace
 	endingCount
 )
 
 var endingNames = [endingCount]string{"delivered", "closed", "handed_back", "given_up", "withdrawn", "not_taken"}
 
-// String is the end as an attribute's value.
+// String returns the attribute value of the ending.
 func (e Ending) String() string { return endingNames[min(e, endingCount-1)] }
 
-// Parent is a W3C trace context that a client sent; the zero Parent is none.
+// TraceParent is the W3C trace context sent by a client. The zero TraceParent means that there is none.
 type TraceParent struct {
 	TraceID [16]byte
 	SpanID  [8]byte
@@ -84,7 +94,7 @@
 	Present bool
 }
 
-// Record is one thing that the sender has done. At is Unix time in milliseconds, Wait a length of them.
+// Record is one event in the sender. At and Until are Unix times in milliseconds, Wait is a duration in milliseconds.
 type Record struct {
 	Kind          Kind
 	Cause         Cause
@@ -108,7 +118,7 @@
 	TraceParent   *TraceParent
 }
 
-// size is what a record takes in the queue.
+// size returns the number of bytes that r occupies in the queue.
 func (r *Record) size() int64 {
 	n := int64(unsafe.Sizeof(*r)) + int64(len(r.Text))
 	if r.TraceParent != nil {
@@ -117,36 +127,37 @@
 	return n
 }
 
-// Recorder is the queue. A nil Recorder takes nothing. Push is for any goroutine, Take for one.
+// Recorder is a bounded queue of records. A nil Recorder discards all records. Any goroutine may call Push; only one
+// may call Drain.
 type Recorder struct {
-	mu      sync.Mutex
-	list    []Record
-	bytes   int64
-	max     int64
-	wake    chan struct{}
-	dropped atomic.Uint64
-	spare   []Record // of the goroutine that drains
+	mu          sync.Mutex
+	records     []Record
+	queuedBytes int64
+	maxBytes    int64
+	wake        chan struct{}
+	dropped     atomic.Uint64
+	spare       []Record // reused by Drain
 }
 
-// NewRecorder returns a Recorder whose records take max bytes at most.
-func NewRecorder(max int64) *Recorder {
-	return &Recorder{max: max, wake: make(chan struct{}, 1)}
+// NewRecorder returns a Recorder whose records occupy at most maxBytes bytes.
+func NewRecorder(maxBytes int64) *Recorder {
+	return &Recorder{maxBytes: maxBytes, wake: make(chan struct{}, 1)}
 }
 
-// On tells whether records are wanted.
+// On reports whether records are wanted.
 func (q *Recorder) On() bool { return q != nil }
 
-// Push takes a record, or drops it where there is no room. It never waits but for another's push.
+// Push appends r to the queue, or drops it if the queue is full. It only ever waits for the lock of the queue.
 func (q *Recorder) Push(r Record) {
 	if q == nil {
 		return
 	}
 	size := r.size()
 	q.mu.Lock()
-	fits := q.bytes+size <= q.max
+	fits := q.queuedBytes+size <= q.maxBytes
 	if fits {
-		q.list = append(q.list, r)
-		q.bytes += size
+		q.records = append(q.records, r)
+		q.queuedBytes += size
 	}
 	q.mu.Unlock()
 	if !fits {
@@ -159,32 +170,32 @@
 	}
 }
 
-// take swaps the records out for an empty list.
-func (q *Recorder) take(empty []Record) []Record {
+// swap returns the queued records and replaces them by an empty list that reuses the memory of empty.
+func (q *Recorder) swap(empty []Record) []Record {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	list := q.list
-	q.list, q.bytes = empty[:0], 0
-	return list
+	records := q.records
+	q.records, q.queuedBytes = empty[:0], 0
+	return records
 }
 
-// Dropped counts the records for which there was no room.
+// Dropped returns the number of records that were dropped because the queue was full.
 func (q *Recorder) Dropped() uint64 { return q.dropped.Load() }
 
-// Wake tells that there are records.
+// Wake returns a channel that receives a value when records have been pushed.
 func (q *Recorder) Wake() <-chan struct{} { return q.wake }
 
-// Drain gives all records to take, in their order. It is for one goroutine.
-func (q *Recorder) Drain(take func(*Record)) {
-	list := q.take(q.spare)
-	for i := range list {
-		take(&list[i])
+// Drain passes all queued records to process, in order. Only one goroutine may call it.
+func (q *Recorder) Drain(process func(*Record)) {
+	records := q.swap(q.spare)
+	for i := range records {
+		process(&records[i])
 	}
-	clear(list)
-	if q.spare = list; cap(list) > spareMost {
-		q.spare = nil // after a burst
+	clear(records)
+	if q.spare = records; cap(records) > maxSpareRecords {
+		q.spare = nil // release the memory after a burst
 	}
 }
 
-// spareMost is how many records' room is kept between two drains.
-const spareMost = 1024
+// maxSpareRecords is the largest capacity, in records, that is kept from one Drain to the next.
+const maxSpareRecords = 1024
--- a/internal/telemetry/telemetry_test.go
+++ b/internal/telemetry/telemetry_test.go
@@ -9,43 +9,43 @@
 	"sliptide/policy"
 )
 
-func TestParseParent(t *testing.T) {
+func TestParseTraceParent(t *testing.T) {
 	const good = "00-4bf92f3577b34da6a3ce929d0e0e4736-00f067aa0ba902b7-01"
 	p := ParseTraceParent([]byte(good))
-	if p == nil || !p.Sampled || p.Header() != good || traceOf("x", p) != p.TraceID {
+	if p == nil || !p.Sampled || p.Header() != good || traceID("x", p) != p.TraceID {
 		t.Fatalf("%+v", p)
 	}
 	if q := ParseTraceParent([]byte(strings.Replace(good, "-01", "-00", 1))); q == nil || q.Sampled {
 		t.Errorf("%+v", q)
 	}
 	if ParseTraceParent([]byte("01"+good[2:]+"-more")) == nil {
-		t.Error("a later version with more fields is refused")
+		t.Error("a later version with more fields is rejected")
 	}
 	for _, bad := range []string{"", "00", good[:54], good + "0", good + "-x", "ff" + good[2:], strings.ToUpper(good),
 		"00-00000000000000000000000000000000-00f067aa0ba902b7-01", "00-4bf92f3577b34da6a3ce929d0e0e4736-0000000000000000-01",
 		strings.Replace(good, "-", "_", 1), "0g" + good[2:], "01" + good[2:] + "x"} {
 		if ParseTraceParent([]byte(bad)) != nil {
-			t.Errorf("%q passes", bad)
+			t.Errorf("invalid header %q is accepted", bad)
 		}
 	}
-	first, again := traceOf("9b1f03aa5c7e2d41", nil), traceOf("9b1f03aa5c7e2d41", nil)
-	if first != again || traceOf("a", nil) == traceOf("b", nil) {
-		t.Error("a trace id is not that of the message's id")
+	first, again := traceID("9b1f03aa5c7e2d41", nil), traceID("9b1f03aa5c7e2d41", nil)
+	if first != again || traceID("a", nil) == traceID("b", nil) {
+		t.Error("the trace ID is not determined by the message ID")
 	}
 }
 
 func FuzzClean(f *testing.F) {
 	f.Add("a\x00b\xff\n" + strings.Repeat("é", 100))
 	f.Fuzz(func(t *testing.T, s string) {
-		if c := clean(s); !utf8.ValidString(c) || len(c) > textMost || strings.ContainsAny(c, "\x00\n\r\x1b") {
+		if c := sanitize(s); !utf8.ValidString(c) || len(c) > maxTextBytes || strings.ContainsAny(c, "\x00\n\r\x1b") {
 			t.Fatalf("%q", c)
 		}
 		ParseTraceParent([]byte(s))
 	})
 }
 
-// story is what befalls a message, for an Assembler that keeps a share.
-func story(share float64, records ...Record) (*Assembler, []*Trace) {
+// assemble passes records to an Assembler that samples a share of the traces, and returns it with the sampled traces.
+func assemble(share float64, records ...Record) (*Assembler, []*Trace) {
 	var kept []*Trace
 	a := NewAssembler(Settings{SampledShare: share, Classes: []policy.Class{{Name: "note", Aim: 1000}}, Export: func(t *Trace) { kept = append(kept, t) }})
 	for i := range records {
@@ -54,11 +54,11 @@
 	return a, kept
 }
 
-// A message that waits for a breaker, then for the partner's word, fails once and is delivered: one trace, whose
-// parts follow each other without a gap of more than a step.
-func TestOneTraceTellsTheStory(t *testing.T) {
+// A message that waits for a breaker and then because the partner requested it, fails once and is delivered has one
+// trace, in which waits and calls follow each other without gaps.
+func TestTraceCoversWaitsAndCalls(t *testing.T) {
 	ok, timeout := uint8(policy.OK), uint8(policy.Timeout)
-	_, kept := story(0,
+	_, kept := assemble(0,
 		Record{Kind: KindWaitCause, Dest: 7, Cause: CauseBreaker, At: 900},
 		Record{Kind: KindAccepted, Num: 1, Dest: 7, At: 1000, Until: 20000, Text: "id"},
 		Record{Kind: KindWaitCause, Dest: 7, Cause: CauseRequestedWait, At: 1500},
@@ -76,7 +76,7 @@
 	for _, s := range kept[0].Spans {
 		got = append(got, fmt.Sprintf("%s %v-%v", s.Name, s.Start, s.End))
 		if s.ID == [8]byte{} || s.Name != "deliver note" && s.ParentID != kept[0].Spans[0].ID {
-			t.Errorf("%s: no child of the root", s.Name)
+			t.Errorf("%s: not a child of the root span", s.Name)
 		}
 	}
 	want := "deliver note 1000-3000|wait breaker 1000-1500|wait told_wait 1500-2000|POST /inbox 2000-2600|wait retry 2600-2900|POST /inbox 2900-3000"
@@ -86,56 +86,56 @@
 	call := fmt.Sprint(kept[0].Spans[3].Attrs)
 	for _, part := range []string{"timeout", "{sliptide.may_have_run true}", "10.0.0.1:80", "{sliptide.told_wait_ms 500}"} {
 		if !strings.Contains(call, part) {
-			t.Errorf("the call does not tell %s: %s", part, call)
+			t.Errorf("the call span has no %s: %s", part, call)
 		}
 	}
 }
 
-// Chosen at the end: failures, late ones, resends, second tries, restored ones and what clients sample, always;
-// the rest by the share, which goes by the trace id.
-func TestTailChoice(t *testing.T) {
+// Traces of failed, late, resubmitted and restored messages and those sampled by the client are always kept. Of the
+// others the configured share is kept, chosen by trace ID.
+func TestTailSampling(t *testing.T) {
 	sampled := &TraceParent{Present: true, Sampled: true, TraceID: [16]byte{1}, SpanID: [8]byte{1}}
-	taken := Record{Kind: KindAccepted, Num: 1, At: 1000, Until: 20000, Text: "id"}
-	with := func(f func(*Record)) Record { r := taken; f(&r); return r }
-	over := Record{Kind: KindMessageEnded, Num: 1, Ending: EndingDelivered, At: 1100}
+	accepted := Record{Kind: KindAccepted, Num: 1, At: 1000, Until: 20000, Text: "id"}
+	acceptedWith := func(f func(*Record)) Record { r := accepted; f(&r); return r }
+	delivered := Record{Kind: KindMessageEnded, Num: 1, Ending: EndingDelivered, At: 1100}
 	for name, row := range map[string]struct {
 		share   float64
 		records []Record
 		kept    int
 	}{
-		"ordinary, none wanted": {0, []Record{taken, over}, 0},
-		"ordinary, all wanted":  {1, []Record{taken, over}, 1},
-		"late":                  {0, []Record{taken, {Kind: KindMessageEnded, Num: 1, Ending: EndingDelivered, At: 2500}}, 1},
-		"given up":              {0, []Record{taken, {Kind: KindMessageEnded, Num: 1, Ending: EndingAbandoned, At: 1100}}, 1},
-		"handed back":           {0, []Record{taken, {Kind: KindMessageEnded, Num: 1, Ending: EndingReturned, At: 1100}}, 1},
-		"second try":            {0, []Record{with(func(r *Record) { r.Resubmitted = true }), over}, 1},
-		"restored":              {0, []Record{with(func(r *Record) { r.Restored = true }), over}, 1},
-		"sampled by its client": {0, []Record{with(func(r *Record) { r.TraceParent = sampled }), over}, 1},
-		"refused at once":       {1, []Record{taken, {Kind: KindMessageEnded, Num: 1, Ending: EndingNotAccepted, At: 1000}}, 0},
+		"ordinary, share 0":     {0, []Record{accepted, delivered}, 0},
+		"ordinary, share 1":     {1, []Record{accepted, delivered}, 1},
+		"late":                  {0, []Record{accepted, {Kind: KindMessageEnded, Num: 1, Ending: EndingDelivered, At: 2500}}, 1},
+		"abandoned message":     {0, []Record{accepted, {Kind: KindMessageEnded, Num: 1, Ending: EndingAbandoned, At: 1100}}, 1},
+		"returned message":      {0, []Record{accepted, {Kind: KindMessageEnded, Num: 1, Ending: EndingReturned, At: 1100}}, 1},
+		"resubmitted message":   {0, []Record{acceptedWith(func(r *Record) { r.Resubmitted = true }), delivered}, 1},
+		"restored":              {0, []Record{acceptedWith(func(r *Record) { r.Restored = true }), delivered}, 1},
+		"sampled by its client": {0, []Record{acceptedWith(func(r *Record) { r.TraceParent = sampled }), delivered}, 1},
+		"refused at once":       {1, []Record{accepted, {Kind: KindMessageEnded, Num: 1, Ending: EndingNotAccepted, At: 1000}}, 0},
 	} {
-		a, kept := story(row.share, row.records...)
+		a, kept := assemble(row.share, row.records...)
 		if len(kept) != row.kept || a.OpenTraces() != 0 {
 			t.Errorf("%s: %d kept, want %d; %d left open", name, len(kept), row.kept, a.OpenTraces())
 		}
 		if name == "sampled by its client" && (kept[0].ID != sampled.TraceID || kept[0].Spans[0].ParentID != sampled.SpanID) {
-			t.Errorf("%s: not in its client's trace", name)
+			t.Errorf("%s: not part of the client's trace", name)
 		}
 	}
 	n := 0
 	for i := range 4000 {
-		r := taken
+		r := accepted
 		r.Text = fmt.Sprint("id-", i)
-		_, kept := story(0.25, r, over)
+		_, kept := assemble(0.25, r, delivered)
 		n += len(kept)
 	}
 	if n < 900 || n > 1100 {
-		t.Errorf("%d of 4,000 kept at a share of a quarter", n)
+		t.Errorf("%d of 4,000 traces kept at a share of 0.25", n)
 	}
 }
 
-// A message whose end is never told is forgotten, counted, and not kept for good.
-func TestLostEndsAreForgotten(t *testing.T) {
-	a, kept := story(1,
+// The trace of a message whose end is never recorded is dropped and counted; it does not stay in memory.
+func TestTracesWithoutEndAreDropped(t *testing.T) {
+	a, kept := assemble(1,
 		Record{Kind: KindAccepted, Num: 1, At: 1000, Until: 2000, Text: "id"},
 		Record{Kind: KindCallEnded, Num: 9, At: 1000, Until: 900},
 		Record{Kind: KindMessageEnded, Num: 9, At: 1000},
@@ -145,8 +145,8 @@
 	}
 }
 
-// However much is pushed, the queue holds its bytes; what is dropped is counted, and the rest comes in order.
-func TestQueueIsBounded(t *testing.T) {
+// The queue stays within its bound in bytes; dropped records are counted and the others come in order.
+func TestRecorderIsBounded(t *testing.T) {
 	q := NewRecorder(10 << 10)
 	for i := range 1000 {
 		q.Push(Record{Num: uint64(i), Text: strings.Repeat("x", 100)})
@@ -154,7 +154,7 @@
 	n, last := 0, -1
 	q.Drain(func(r *Record) {
 		if int(r.Num) <= last {
-			t.Error("out of order")
+			t.Error("records are out of order")
 		}
 		last = int(r.Num)
 		n++
@@ -165,13 +165,13 @@
 	q.Push(Record{})
 	n = 0
 	if q.Drain(func(*Record) { n++ }); n != 1 {
-		t.Error("nothing fits after a drain")
+		t.Error("Push drops a record although the queue has been drained")
 	}
 	var none *Recorder
 	none.Push(Record{})
 }
 
-// What the sender's goroutine pays for a message.
+// BenchmarkPush measures the cost per message in the sender's goroutine.
 func BenchmarkPush(b *testing.B) {
 	q := NewRecorder(1 << 30)
 	b.ReportAllocs()
@@ -186,7 +186,7 @@
 	}
 }
 
-// What a message costs in all.
+// BenchmarkMessage measures the total cost per message.
 func BenchmarkMessage(b *testing.B) {
 	for _, row := range []struct {
 		name  string
