--- a/internal/fleet/commands.go
+++ b/internal/fleet/commands.go
@@ -13,15 +13,15 @@
 // This file answers operators' commands, which any member takes.
 
 // call answers an operator's command, at any member.
-func (m *Member) call(ctx context.Context, a *pb.Ask) (*pb.Answer, error) {
+func (m *Member) handleCommand(ctx context.Context, a *pb.Ask) (*pb.Answer, error) {
 	if a.Copies != nil {
 		return m.copyStatus(), nil
 	}
-	ctx, cancel := context.WithTimeout(ctx, callFor)
+	ctx, cancel := context.WithTimeout(ctx, commandTimeout)
 	defer cancel()
 	answers := make(chan *pb.Answer, 2)
 	if a.Status != nil && m.self.Voter {
-		m.askStatus(ctx, answers)
+		m.requestStatus(ctx, answers)
 	} else {
 		m.forward(ctx, a, answers)
 	}
@@ -43,7 +43,7 @@
 	return &pb.Answer{Error: "this member's journal is not copied"}
 }
 
-func (m *Member) askStatus(ctx context.Context, answers chan<- *pb.Answer) {
+func (m *Member) requestStatus(ctx context.Context, answers chan<- *pb.Answer) {
 	f := func() {
 		r := &pb.Answer{}
 		if m.voter != nil {
@@ -55,14 +55,14 @@
 		answers <- r
 	}
 	select {
-	case m.toVoter <- input{call: f}:
+	case m.voterInbox <- input{call: f}:
 	case <-ctx.Done():
 	}
 }
 
 func (m *Member) forward(ctx context.Context, a *pb.Ask, answers chan<- *pb.Answer) {
 	f := func() {
-		m.session.Do(a, callFor-200*time.Millisecond, func(r *pb.Answer, err error) {
+		m.session.Do(a, commandTimeout-200*time.Millisecond, func(r *pb.Answer, err error) {
 			if r == nil {
 				r = &pb.Answer{Error: err.Error()}
 			}
@@ -70,7 +70,7 @@
 		})
 	}
 	select {
-	case m.toOwn <- input{call: f}:
+	case m.sessionInbox <- input{call: f}:
 	case <-ctx.Done():
 	}
 }
--- a/internal/fleet/copies.go
+++ b/internal/fleet/copies.go
@@ -30,30 +30,30 @@
 }
 
 // Look is what is known now. It waits for nothing.
-func (m *Member) View() *View { return m.look.Load() }
+func (m *Member) View() *View { return m.view.Load() }
 
 // Incarnation is the number of this member's folder.
-func (m *Member) Incarnation() uint64 { return m.id.Incarnation }
+func (m *Member) Incarnation() uint64 { return m.identity.Incarnation }
 
 // publishLook makes what the session knows readable, and sees to links with those that copies go to or come from.
-func (m *Member) publishLook() {
+func (m *Member) publishView() {
 	version, id := m.session.Version(), m.session.ID()
-	if m.o.CopyQuota == 0 || version == m.seen && id == m.seenID {
+	if m.o.CopyQuota == 0 || version == m.viewVersion && id == m.viewSession {
 		return
 	}
-	m.seen, m.seenID = version, id
+	m.viewVersion, m.viewSession = version, id
 	view, adopted, present := m.session.View()
 	l := &View{Session: id, Journals: map[string]*pb.Duty{}, Adoptions: map[string]*pb.Adoption{}, Present: present}
 	for name, d := range view {
 		if owner, own := strings.CutPrefix(name, duty.Own("")); own {
 			l.Journals[owner] = d
-			m.keepers(owner, d)
+			m.connectHolders(owner, d)
 		}
 	}
 	for owner, a := range adopted {
 		l.Adoptions[owner] = a
 	}
-	m.look.Store(l)
+	m.view.Store(l)
 	if m.o.ViewChanged != nil {
 		m.o.ViewChanged()
 	}
@@ -61,7 +61,7 @@
 
 // keepers links this member with the others of a journal, and puts it in line for the journal of an owner that it
 // keeps copies of: one of those becomes the heir.
-func (m *Member) keepers(owner string, d *pb.Duty) {
+func (m *Member) connectHolders(owner string, d *pb.Duty) {
 	all := append([]string{owner}, d.Holders...)
 	if !slices.Contains(all, m.self.Name) {
 		return
@@ -73,7 +73,7 @@
 		if m.self.Name < name {
 			for _, p := range m.o.Settings.Members {
 				if p.Name == name {
-					m.net.Connect(name, p.Addr)
+					m.links.Connect(name, p.Addr)
 				}
 			}
 		}
@@ -83,18 +83,18 @@
 // SendCopy sends a frame of copies to a member; it waits for nothing.
 func (m *Member) SendCopy(to string, f *pb.Frame) {
 	if to != m.self.Name {
-		m.net.Send(to, f)
+		m.links.Send(to, f)
 		return
 	}
 	select {
-	case m.toKeep <- input{from: to, frame: f}:
+	case m.copyInbox <- input{from: to, frame: f}:
 	default: // it is sent again
 	}
 }
 
 // Ask has a command agreed on and tells what came of it, on a goroutine of the member's. It waits for nothing.
 func (m *Member) Propose(c *pb.Command, done func(*pb.Answer, error)) {
-	m.own(func() {
+	m.runOnSessionLoop(func() {
 		m.session.Do(&pb.Ask{Command: c}, m.o.Settings.Terms.Length, done)
 	})
 }
@@ -109,8 +109,8 @@
 }
 
 // runKeeper keeps copies of others' journals.
-func (m *Member) runKeeper() {
-	defer m.done.Done()
+func (m *Member) runCopies() {
+	defer m.loops.Done()
 	var holder *copies.Holder
 	if m.o.CopyQuota > 0 {
 		var owners []string
@@ -130,15 +130,15 @@
 		select {
 		case <-m.ctx.Done():
 			return
-		case in := <-m.toKeep:
+		case in := <-m.copyInbox:
 			if holder != nil {
-				m.keep(holder, in)
+				m.handleCopyFrame(holder, in)
 			}
 		}
 	}
 }
 
-func (m *Member) keep(h *copies.Holder, in input) {
+func (m *Member) handleCopyFrame(h *copies.Holder, in input) {
 	var answer *pb.Frame
 	switch w := in.frame.What.(type) {
 	case *pb.Frame_Copy:
@@ -160,6 +160,6 @@
 	case in.from == m.self.Name:
 		m.o.ReceiveCopyReply(in.from, answer)
 	default:
-		m.net.Send(in.from, answer)
+		m.links.Send(in.from, answer)
 	}
 }
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -30,12 +30,12 @@
 )
 
 const (
-	inboxSize  = 1024
-	maxCalls   = 16384
-	asideFor   = 100 * time.Millisecond // a voter that leaves has handed the lead on within this time, or has not
-	closeFor   = 170 * time.Millisecond // and what it holds, or its lease runs out
-	callFor    = 3 * time.Second
-	reviveEach = 2 * time.Second // between two tries of a log that cannot be opened
+	inboxSize       = 1024
+	maxPendingCalls = 16384
+	transferTimeout = 100 * time.Millisecond // a voter that leaves has handed the lead on within this time, or has not
+	closeTimeout    = 170 * time.Millisecond // and what it holds, or its lease runs out
+	commandTimeout  = 3 * time.Second
+	reopenInterval  = 2 * time.Second // between two tries of a log that cannot be opened
 )
 
 // Peer is one member by the operators' file.
@@ -118,33 +118,33 @@
 }
 
 // holds is what a member holds, as Held reads it.
-type holds struct {
-	until  int64
-	tokens map[string]uint64
+type heldTokens struct {
+	validUntil int64
+	tokens     map[string]uint64
 }
 
 // Member is this process in the fleet.
 type Member struct {
-	o       Options
-	now     func() int64
-	self    Peer
-	net     *link.Manager
-	session *session.Session
-	voter   *voter.Voter // nil: not a voter, or its log cannot be opened yet
-	id      *pb.Identity
-	toVoter chan input
-	toOwn   chan input
-	toKeep  chan input
-	look    atomic.Pointer[View]
-	seen    uint64 // the session's view that is published
-	seenID  uint64
-	held    atomic.Pointer[holds]
-	names   atomic.Pointer[map[string]bool]
-	calls   calls
-	ctx     context.Context
-	cancel  context.CancelFunc
-	done    sync.WaitGroup
-	closed  chan struct{}
+	o             Options
+	now           func() int64
+	self          Peer
+	links         *link.Manager
+	session       *session.Session
+	voter         *voter.Voter // nil: not a voter, or its log cannot be opened yet
+	identity      *pb.Identity
+	voterInbox    chan input
+	sessionInbox  chan input
+	copyInbox     chan input
+	view          atomic.Pointer[View]
+	viewVersion   uint64 // the session's view that is published
+	viewSession   uint64
+	held          atomic.Pointer[heldTokens]
+	memberNames   atomic.Pointer[map[string]bool]
+	pendingCalls  callQueue
+	ctx           context.Context
+	cancel        context.CancelFunc
+	loops         sync.WaitGroup
+	sessionClosed chan struct{}
 }
 
 // Open starts a member on the listener. ErrForeign (package disk) means that the folder is another member's.
@@ -153,12 +153,12 @@
 	if !known {
 		return nil, fmt.Errorf("fleet: RELAY_NAME is %q, which is no member of <fleet>", o.Settings.Name)
 	}
-	m := &Member{o: o, now: o.Now, self: self, toVoter: make(chan input, inboxSize), toOwn: make(chan input, inboxSize), toKeep: make(chan input, inboxSize), closed: make(chan struct{}), calls: calls{kick: make(chan struct{}, 1)}}
+	m := &Member{o: o, now: o.Now, self: self, voterInbox: make(chan input, inboxSize), sessionInbox: make(chan input, inboxSize), copyInbox: make(chan input, inboxSize), sessionClosed: make(chan struct{}), pendingCalls: callQueue{wake: make(chan struct{}, 1)}}
 	if m.now == nil {
 		m.now = Now
 	}
-	m.held.Store(&holds{})
-	m.look.Store(&View{})
+	m.held.Store(&heldTokens{})
+	m.view.Store(&View{})
 	m.SetMembers(o.Settings.Members)
 	m.ctx, m.cancel = context.WithCancel(context.Background())
 	log, err := disk.Open(o.Files, o.Account, self.Name)
@@ -168,40 +168,40 @@
 	case err != nil:
 		// The sender goes on sending, and its member without a log goes on asking.
 		o.Log.Error().Err(err).Msg("fleet: the log cannot be opened")
-		m.id = &pb.Identity{Member: self.Name, Incarnation: rand.Uint64() | 1, Boot: 1}
+		m.identity = &pb.Identity{Member: self.Name, Incarnation: rand.Uint64() | 1, Boot: 1}
 	default:
-		m.id = log.Identity()
+		m.identity = log.Identity()
 	}
 	if self.Voter && err == nil {
 		if m.voter, err = m.newVoter(log); err != nil {
 			return nil, err
 		}
 	}
-	m.session = session.New(session.Options{Member: self.Name, Incarnation: m.id.Incarnation, Boot: m.id.Boot, Zone: self.Zone,
+	m.session = session.New(session.Options{Member: self.Name, Incarnation: m.identity.Incarnation, Boot: m.identity.Boot, Zone: self.Zone,
 		Weight: o.Settings.Weight, Voters: o.Settings.VoterNames(), Terms: o.Settings.Terms, Rand: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
-		LogEvent: m.noteDuty, Break: o.BreakSession})
+		LogEvent: m.logDuty, Break: o.BreakSession})
 	if o.DutyChanged != nil {
 		m.session.DutyChanged = func(d *pb.Duty) { o.DutyChanged(d, m.session.Holds(d)) }
 	}
-	m.net = link.New(link.Options{Self: self.Name, Incarnation: m.id.Incarnation, SettingsHash: o.Settings.Hash, DialAddrs: m.dials(), IsMember: m.known,
-		Client: o.Settings.Client, Server: o.Settings.Server, Receive: m.receive, Call: m.call, LogEvent: m.noteLink})
-	m.done.Add(4)
-	go func() { defer m.done.Done(); m.net.Serve(ln) }()
+	m.links = link.New(link.Options{Self: self.Name, Incarnation: m.identity.Incarnation, SettingsHash: o.Settings.Hash, DialAddrs: m.dialAddrs(), IsMember: m.isMember,
+		Client: o.Settings.Client, Server: o.Settings.Server, Receive: m.receive, Call: m.handleCommand, LogEvent: m.logLink})
+	m.loops.Add(4)
+	go func() { defer m.loops.Done(); m.links.Serve(ln) }()
 	go m.runSession()
 	go m.runVoter()
-	go m.runKeeper()
+	go m.runCopies()
 	return m, nil
 }
 
 func (m *Member) newVoter(log *disk.Log) (*voter.Voter, error) {
 	s := &m.o.Settings
 	return voter.New(voter.Options{Name: m.self.Name, Voters: s.VoterNames(), Minimum: s.MinVoters, Terms: s.Terms, Election: s.ElectionTimeout, Log: log,
-		Note: m.noteVoter, Break: m.o.BreakVoter}, m.now())
+		Note: m.logVoter, Break: m.o.BreakVoter}, m.now())
 }
 
 // dials are the members that this one dials: of two voters the first by name does, and everybody else dials the
 // voters.
-func (m *Member) dials() map[string]string {
+func (m *Member) dialAddrs() map[string]string {
 	list := map[string]string{}
 	for _, p := range m.o.Settings.Members {
 		if p.Voter && p.Name != m.self.Name && (!m.self.Voter || m.self.Name < p.Name) {
@@ -211,7 +211,7 @@
 	return list
 }
 
-func (m *Member) known(name string) bool { return (*m.names.Load())[name] }
+func (m *Member) isMember(name string) bool { return (*m.memberNames.Load())[name] }
 
 // SetMembers takes the members of an operators' file that was read again: links of new ones are taken from now on.
 // Who votes stays until the next start.
@@ -223,24 +223,24 @@
 	for _, p := range list {
 		names[p.Name] = true
 	}
-	m.names.Store(&names)
+	m.memberNames.Store(&names)
 }
 
-func (m *Member) noteVoter(what string, err error) {
+func (m *Member) logVoter(what string, err error) {
 	m.o.Log.Info().Err(err).Msg("fleet: voter: " + what)
 }
 
-func (m *Member) noteLink(what, member string, err error) {
+func (m *Member) logLink(what, member string, err error) {
 	m.o.Log.Info().Str("member", member).Err(err).Msg("fleet: " + what)
 }
 
-func (m *Member) noteDuty(what, duty string, token uint64) {
+func (m *Member) logDuty(what, duty string, token uint64) {
 	m.o.Log.Info().Str("duty", duty).Uint64("token", token).Msg("fleet: duty " + what)
 }
 
 // receive brings a frame to the loop that it is for. A loop that is behind holds up the link, and no other.
 func (m *Member) receive(ctx context.Context, from string, f *pb.Frame) {
-	to := m.toVoter
+	to := m.voterInbox
 	switch w := f.What.(type) {
 	case *pb.Frame_Copied, *pb.Frame_Sealed:
 		if m.o.ReceiveCopyReply != nil {
@@ -248,12 +248,12 @@
 		}
 		return
 	case *pb.Frame_Copy, *pb.Frame_Seal:
-		to = m.toKeep
+		to = m.copyInbox
 	case *pb.Frame_News:
-		to = m.toOwn
+		to = m.sessionInbox
 	case *pb.Frame_Answer:
 		if w.Answer.Id != 0 { // else it is one voter's to another
-			to = m.toOwn
+			to = m.sessionInbox
 		}
 	}
 	select {
@@ -266,12 +266,12 @@
 // route sends a frame over a link, or to the other loop of this very member.
 func (m *Member) route(to string, f *pb.Frame) {
 	if to != m.self.Name {
-		m.net.Send(to, f)
+		m.links.Send(to, f)
 		return
 	}
-	in := m.toOwn
+	in := m.sessionInbox
 	if f.GetAsk() != nil || f.GetRaft() != nil {
-		in = m.toVoter
+		in = m.voterInbox
 	}
 	select {
 	case in <- input{from: to, frame: f}:
@@ -280,41 +280,41 @@
 }
 
 func (m *Member) runSession() {
-	defer m.done.Done()
+	defer m.loops.Done()
 	tick := time.NewTicker(max(m.o.Settings.Terms.Length/40, 5*time.Millisecond))
 	defer tick.Stop()
 	m.session.Tick(m.now())
 	for {
-		m.publish()
+		m.publishHeld()
 		for _, o := range m.session.TakeOutgoing() {
 			m.route(o.To, o.Frame)
 		}
 		select {
 		case <-m.ctx.Done():
 			return
-		case in := <-m.toOwn:
-			m.takeOwn(in)
-			for range len(m.toOwn) {
-				m.takeOwn(<-m.toOwn)
+		case in := <-m.sessionInbox:
+			m.handleSessionInput(in)
+			for range len(m.sessionInbox) {
+				m.handleSessionInput(<-m.sessionInbox)
 			}
-		case <-m.calls.kick:
+		case <-m.pendingCalls.wake:
 		case <-tick.C:
 		}
-		for _, f := range m.calls.take() {
+		for _, f := range m.pendingCalls.drain() {
 			f()
 		}
 		m.session.Tick(m.now())
 		if m.session.Closed() {
 			select {
-			case <-m.closed:
+			case <-m.sessionClosed:
 			default:
-				close(m.closed)
+				close(m.sessionClosed)
 			}
 		}
 	}
 }
 
-func (m *Member) takeOwn(in input) {
+func (m *Member) handleSessionInput(in input) {
 	if in.call != nil {
 		in.call()
 		return
@@ -323,25 +323,25 @@
 }
 
 // publish makes what is held readable to Held, before anything is sent that gives it up.
-func (m *Member) publish() {
+func (m *Member) publishHeld() {
 	now := m.now()
-	h := &holds{until: m.session.LeaseEnd(now), tokens: m.session.HeldTokens(now)}
+	h := &heldTokens{validUntil: m.session.LeaseEnd(now), tokens: m.session.HeldTokens(now)}
 	if m.o.BreakSession&session.BreakLeaseCheck != 0 {
-		h.until = now + int64(time.Hour)
+		h.validUntil = now + int64(time.Hour)
 	}
 	m.held.Store(h)
-	m.publishLook()
+	m.publishView()
 }
 
 func (m *Member) runVoter() {
-	defer m.done.Done()
+	defer m.loops.Done()
 	if !m.self.Voter {
-		m.refuse()
+		m.refuseRequests()
 		return
 	}
 	tick := time.NewTicker(m.o.Settings.ElectionTimeout / 20)
 	defer tick.Stop()
-	reviveAt := time.Now().Add(reviveEach)
+	reviveAt := time.Now().Add(reopenInterval)
 	for {
 		if m.voter != nil {
 			for _, o := range m.voter.Take() {
@@ -351,16 +351,16 @@
 		select {
 		case <-m.ctx.Done():
 			return
-		case in := <-m.toVoter:
-			m.takeVoter(in)
-			for range len(m.toVoter) {
-				m.takeVoter(<-m.toVoter)
+		case in := <-m.voterInbox:
+			m.handleVoterInput(in)
+			for range len(m.voterInbox) {
+				m.handleVoterInput(<-m.voterInbox)
 			}
 		case <-tick.C:
 		}
 		if m.voter == nil && time.Now().After(reviveAt) {
-			m.revive()
-			reviveAt = time.Now().Add(reviveEach)
+			m.reopenLog()
+			reviveAt = time.Now().Add(reopenInterval)
 		}
 		if m.voter != nil {
 			m.voter.Tick(m.now())
@@ -369,44 +369,44 @@
 }
 
 // revive tries a log again that could not be opened.
-func (m *Member) revive() {
+func (m *Member) reopenLog() {
 	log, err := disk.Open(m.o.Files, m.o.Account, m.self.Name)
 	if err != nil {
 		return
 	}
 	if m.voter, err = m.newVoter(log); err == nil {
-		m.noteVoter("the log can be opened now", nil)
+		m.logVoter("the log can be opened now", nil)
 	}
 }
 
-func (m *Member) takeVoter(in input) {
+func (m *Member) handleVoterInput(in input) {
 	switch {
 	case in.call != nil:
 		in.call()
 	case m.voter != nil:
 		m.voter.Receive(in.from, in.frame, m.now())
 	case in.frame.GetAsk() != nil && in.frame.GetAsk().Found == nil:
-		m.route(in.from, notLeading(in.frame.GetAsk().Id))
+		m.route(in.from, notLeaderAnswer(in.frame.GetAsk().Id))
 	}
 }
 
 // refuse answers asks at a member that is no voter.
-func (m *Member) refuse() {
+func (m *Member) refuseRequests() {
 	for {
 		select {
 		case <-m.ctx.Done():
 			return
-		case in := <-m.toVoter:
+		case in := <-m.voterInbox:
 			if in.call != nil {
 				in.call()
 			} else if a := in.frame.GetAsk(); a != nil {
-				m.route(in.from, notLeading(a.Id))
+				m.route(in.from, notLeaderAnswer(a.Id))
 			}
 		}
 	}
 }
 
-func notLeading(id uint64) *pb.Frame {
+func notLeaderAnswer(id uint64) *pb.Frame {
 	return &pb.Frame{What: &pb.Frame_Answer{Answer: &pb.Answer{Id: id, NotLeader: true}}}
 }
 
@@ -417,7 +417,7 @@
 		return 0
 	}
 	h := m.held.Load()
-	if t := h.tokens[duty]; t != 0 && m.now() < h.until {
+	if t := h.tokens[duty]; t != 0 && m.now() < h.validUntil {
 		return t
 	}
 	return 0
@@ -432,47 +432,51 @@
 }
 
 // Live reports whether this member's session holds at this moment: whether the fleet can be relied on.
-func (m *Member) Live() bool { return m != nil && m.now() < m.held.Load().until }
+func (m *Member) Live() bool { return m != nil && m.now() < m.held.Load().validUntil }
 
 // own runs f on the session's loop, in order, and waits for nothing. What is asked is bounded by the duties that
 // callers name, each of which is asked about when something happens to its partner.
-func (m *Member) own(f func()) {
-	m.calls.mu.Lock()
-	full := len(m.calls.list) >= maxCalls
+func (m *Member) runOnSessionLoop(f func()) {
+	m.pendingCalls.mu.Lock()
+	full := len(m.pendingCalls.calls) >= maxPendingCalls
 	if !full {
-		m.calls.list = append(m.calls.list, f)
+		m.pendingCalls.calls = append(m.pendingCalls.calls, f)
 	}
-	m.calls.mu.Unlock()
+	m.pendingCalls.mu.Unlock()
 	select {
-	case m.calls.kick <- struct{}{}:
+	case m.pendingCalls.wake <- struct{}{}:
 	default:
 	}
 }
 
 // calls are functions that wait for the session's loop, in order.
-type calls struct {
-	mu   sync.Mutex
-	list []func()
-	kick chan struct{}
+type callQueue struct {
+	mu    sync.Mutex
+	calls []func()
+	wake  chan struct{}
 }
 
-func (q *calls) take() []func() {
+func (q *callQueue) drain() []func() {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	list := q.list
-	q.list = nil
+	list := q.calls
+	q.calls = nil
 	return list
 }
 
 // Want puts this member in line for a duty. It waits for nothing.
-func (m *Member) Request(duty, zone string) { m.own(func() { m.session.Request(duty, zone) }) }
+func (m *Member) Request(duty, zone string) {
+	m.runOnSessionLoop(func() { m.session.Request(duty, zone) })
+}
 
 // Leave gives a duty up; with end it is over for everybody. It waits for nothing.
-func (m *Member) Release(duty string, end bool) { m.own(func() { m.session.Release(duty, end) }) }
+func (m *Member) Release(duty string, end bool) {
+	m.runOnSessionLoop(func() { m.session.Release(duty, end) })
+}
 
 // Say tells everybody who watches a word about a duty that this member holds.
 func (m *Member) Publish(name, word string) {
-	m.own(func() {
+	m.runOnSessionLoop(func() {
 		if t := m.session.Token(name, m.now()); t != 0 {
 			m.session.Do(&pb.Ask{Command: &pb.Command{What: &pb.Command_Say{Say: &pb.Say{Session: m.session.ID(), Duty: name, Token: t, Word: word}}}},
 				m.o.Settings.Terms.Length, func(*pb.Answer, error) {})
@@ -481,11 +485,11 @@
 }
 
 // aside has a voter that leads hand that on, and waits until it has, for a bounded time.
-func (m *Member) aside() {
+func (m *Member) transferLeadership() {
 	if !m.self.Voter {
 		return
 	}
-	ctx, cancel := context.WithTimeout(m.ctx, asideFor)
+	ctx, cancel := context.WithTimeout(m.ctx, transferTimeout)
 	defer cancel()
 	leads := make(chan bool, 1)
 	for again := false; ; again = true {
@@ -496,7 +500,7 @@
 			leads <- m.voter != nil && m.voter.Leads()
 		}
 		select {
-		case m.toVoter <- input{call: f}:
+		case m.voterInbox <- input{call: f}:
 		case <-ctx.Done():
 			return
 		}
@@ -509,7 +513,7 @@
 			return
 		}
 		select {
-		case <-time.After(asideFor / 20):
+		case <-time.After(transferTimeout / 20):
 		case <-ctx.Done():
 		}
 	}
@@ -520,25 +524,25 @@
 	if m == nil {
 		return
 	}
-	m.aside()
-	m.own(func() { m.session.Close(m.now()) })
+	m.transferLeadership()
+	m.runOnSessionLoop(func() { m.session.Close(m.now()) })
 	select {
-	case <-m.closed:
-	case <-time.After(closeFor):
+	case <-m.sessionClosed:
+	case <-time.After(closeTimeout):
 	}
-	m.end()
+	m.stop()
 }
 
 // Abandon ends the links without a word. The session goes on until it lapses, or the next process of this folder takes
 // its place.
 func (m *Member) Abandon() {
 	if m != nil {
-		m.end()
+		m.stop()
 	}
 }
 
-func (m *Member) end() {
+func (m *Member) stop() {
 	m.cancel()
-	m.net.Close()
-	m.done.Wait()
+	m.links.Close()
+	m.loops.Wait()
 }
--- a/internal/fleet/link/link.go
+++ b/internal/fleet/link/link.go
@@ -29,11 +29,11 @@
 )
 
 const (
-	maxQueue   = 256 // frames that wait on a link
-	pingEvery  = 250 * time.Millisecond
-	maxSilence = 1500 * time.Millisecond // a link that says nothing for so long is closed
-	minRedial  = 50 * time.Millisecond   // before a further try, doubled up to
-	maxRedial  = time.Second
+	maxQueuedFrames = 256 // frames that wait on a link
+	pingInterval    = 250 * time.Millisecond
+	silenceTimeout  = 1500 * time.Millisecond // a link that says nothing for so long is closed
+	minRedialDelay  = 50 * time.Millisecond   // before a further try, doubled up to
+	maxRedialDelay  = time.Second
 )
 
 // Bounds of a member's links.
@@ -71,9 +71,9 @@
 	cancel context.CancelFunc
 	done   sync.WaitGroup
 
-	mu    sync.Mutex
-	links map[string]*link
-	dials map[string]bool
+	mu      sync.Mutex
+	links   map[string]*link
+	dialing map[string]bool
 }
 
 type link struct {
@@ -90,8 +90,8 @@
 
 // New returns a Net, and dials.
 func New(o Options) *Manager {
-	o.PingInterval, o.SilenceTimeout, o.MaxLinks = cmp.Or(o.PingInterval, pingEvery), cmp.Or(o.SilenceTimeout, maxSilence), cmp.Or(o.MaxLinks, MaxLinks)
-	n := &Manager{o: o, links: map[string]*link{}, dials: map[string]bool{}}
+	o.PingInterval, o.SilenceTimeout, o.MaxLinks = cmp.Or(o.PingInterval, pingInterval), cmp.Or(o.SilenceTimeout, silenceTimeout), cmp.Or(o.MaxLinks, MaxLinks)
+	n := &Manager{o: o, links: map[string]*link{}, dialing: map[string]bool{}}
 	n.ctx, n.cancel = context.WithCancel(context.Background())
 	opts := []grpc.ServerOption{grpc.MaxRecvMsgSize(MaxFrame), grpc.MaxConcurrentStreams(16), grpc.ConnectionTimeout(2 * time.Second),
 		grpc.ReadBufferSize(4 << 10), grpc.WriteBufferSize(4 << 10)}
@@ -110,12 +110,12 @@
 func (n *Manager) Connect(name, addr string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.dials[name] || n.ctx.Err() != nil {
+	if n.dialing[name] || n.ctx.Err() != nil {
 		return
 	}
-	n.dials[name] = true
+	n.dialing[name] = true
 	n.done.Add(1)
-	go n.dial(name, addr)
+	go n.dialLoop(name, addr)
 }
 
 // Serve accepts links until Close.
@@ -152,15 +152,15 @@
 	return names
 }
 
-func (n *Manager) dial(name, addr string) {
+func (n *Manager) dialLoop(name, addr string) {
 	defer n.done.Done()
-	pause := minRedial
+	pause := minRedialDelay
 	told := false
 	for n.ctx.Err() == nil {
 		began := time.Now()
-		err := n.reach(name, addr)
-		if time.Since(began) > 2*maxSilence {
-			pause, told = minRedial, false
+		err := n.dialOnce(name, addr)
+		if time.Since(began) > 2*silenceTimeout {
+			pause, told = minRedialDelay, false
 		}
 		if !told && n.ctx.Err() == nil {
 			n.o.LogEvent("link down", name, err)
@@ -170,12 +170,12 @@
 		case <-n.ctx.Done():
 		case <-time.After(pause/2 + rand.N(pause)):
 		}
-		pause = min(2*pause, maxRedial)
+		pause = min(2*pause, maxRedialDelay)
 	}
 }
 
 // reach keeps a link to a member up for as long as it goes.
-func (n *Manager) reach(name, addr string) error {
+func (n *Manager) dialOnce(name, addr string) error {
 	conn, err := Dial(addr, n.o.Client)
 	if err != nil {
 		return err
@@ -183,7 +183,7 @@
 	defer conn.Close()
 	ctx, cancel := context.WithCancel(n.ctx)
 	defer cancel()
-	up := time.AfterFunc(maxSilence, cancel)
+	up := time.AfterFunc(silenceTimeout, cancel)
 	st, err := pb.NewLinksClient(conn).Link(ctx)
 	if err != nil {
 		return err
@@ -200,7 +200,7 @@
 	if h == nil || h.Member != name {
 		return fmt.Errorf("at %s is %q, not %q", addr, h.GetMember(), name)
 	}
-	return n.run(ctx, cancel, h, st)
+	return n.runLink(ctx, cancel, h, st)
 }
 
 // Dial returns a connection to the member at addr, which comes up when it is used.
@@ -212,7 +212,7 @@
 	return grpc.NewClient("passthrough:///"+addr, grpc.WithTransportCredentials(creds),
 		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(MaxFrame)), grpc.WithReadBufferSize(4<<10), grpc.WithWriteBufferSize(4<<10),
 		grpc.WithNoProxy(), grpc.WithDisableServiceConfig(),
-		grpc.WithConnectParams(grpc.ConnectParams{MinConnectTimeout: maxSilence, Backoff: backoff.Config{BaseDelay: minRedial, Multiplier: 2, Jitter: 0.2, MaxDelay: maxRedial}}))
+		grpc.WithConnectParams(grpc.ConnectParams{MinConnectTimeout: silenceTimeout, Backoff: backoff.Config{BaseDelay: minRedialDelay, Multiplier: 2, Jitter: 0.2, MaxDelay: maxRedialDelay}}))
 }
 
 func (n *Manager) hello() *pb.Frame {
@@ -238,20 +238,20 @@
 	select {
 	case f := <-first:
 		h = f.GetHello()
-	case <-time.After(maxSilence):
+	case <-time.After(silenceTimeout):
 	case <-ctx.Done():
 	}
-	if err := n.welcome(h); err != nil {
+	if err := n.checkHello(h); err != nil {
 		n.o.LogEvent("link refused", h.GetMember(), err)
 		return status.Error(codes.FailedPrecondition, err.Error())
 	}
 	if err := st.Send(n.hello()); err != nil {
 		return err
 	}
-	return n.run(ctx, cancel, h, st)
+	return n.runLink(ctx, cancel, h, st)
 }
 
-func (n *Manager) welcome(h *pb.Hello) error {
+func (n *Manager) checkHello(h *pb.Hello) error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	switch {
@@ -273,9 +273,9 @@
 }
 
 // run carries frames until the link goes down; a later link to the same member takes its place.
-func (n *Manager) run(ctx context.Context, cancel context.CancelFunc, h *pb.Hello, st stream) error {
+func (n *Manager) runLink(ctx context.Context, cancel context.CancelFunc, h *pb.Hello, st stream) error {
 	name := h.Member
-	l := &link{queue: make(chan *pb.Frame, maxQueue), cancel: cancel, incarnation: h.Incarnation}
+	l := &link{queue: make(chan *pb.Frame, maxQueuedFrames), cancel: cancel, incarnation: h.Incarnation}
 	n.mu.Lock()
 	if old := n.links[name]; old != nil {
 		old.cancel()
--- a/internal/fleet/session/session.go
+++ b/internal/fleet/session/session.go
@@ -20,8 +20,8 @@
 )
 
 const (
-	maxRequests  = 64 // asks about duties that are out at once
-	requestShare = 8  // an ask that is not answered within this part of a lease goes to another voter
+	maxRequests         = 64 // asks about duties that are out at once
+	requestTimeoutShare = 8  // an ask that is not answered within this part of a lease goes to another voter
 )
 
 // Options are what a Session works with.
@@ -55,25 +55,25 @@
 }
 
 // want is a duty that this member is in line for.
-type want struct {
-	zone    string
-	asked   uint64 // the session in which it is in line, as acknowledged
-	op      uint64 // the ask that is out; 0: none
-	opToken uint64 // that the ask gives up; 0: it is an acquisition
-	opAt    int64
-	again   int64  // no sooner
-	noted   uint64 // token that was noted as held
-	given   uint64 // token that is given up: not held whatever is heard
-	leave   bool   // not wanted any more
-	end     bool   // nor by anybody
+type dutyRequest struct {
+	zone          string
+	queuedSession uint64 // the session in which it is in line, as acknowledged
+	pendingAsk    uint64 // the ask that is out; 0: none
+	releaseToken  uint64 // that the ask gives up; 0: it is an acquisition
+	sentAt        int64
+	retryAt       int64  // no sooner
+	loggedToken   uint64 // token that was noted as held
+	releasedToken uint64 // token that is given up: not held whatever is heard
+	releasing     bool   // not wanted any more
+	ending        bool   // nor by anybody
 }
 
 // ask is a question of somebody in this process, such as a command for the fleet.
-type ask struct {
-	ask  *pb.Ask
-	at   int64
-	till int64
-	done func(*pb.Answer, error)
+type pendingAsk struct {
+	ask      *pb.Ask
+	sentAt   int64
+	deadline int64
+	done     func(*pb.Answer, error)
 }
 
 // Errors of Do.
@@ -86,12 +86,12 @@
 type Session struct {
 	o           Options
 	now         int64
-	out         []Outgoing
+	outgoing    []Outgoing
 	id          uint64
 	lease       lease.Held
-	seq         uint64 // of sessions that were asked for
-	target      int    // the voter that is asked
-	next        uint64 // number of the next ask
+	openSeq     uint64 // of sessions that were asked for
+	targetVoter int    // the voter that is asked
+	lastAskID   uint64 // number of the next ask
 	openID      uint64
 	openAt      int64
 	renewID     uint64
@@ -100,12 +100,12 @@
 	viewID      uint64
 	viewAt      int64
 	version     uint64
-	view        map[string]*pb.Duty
-	adopted     map[string]*pb.Adoption
+	duties      map[string]*pb.Duty
+	adoptions   map[string]*pb.Adoption
 	present     []*pb.Present
-	wants       map[string]*want
-	ops         map[uint64]string // ask to duty
-	asks        map[uint64]*ask
+	requests    map[string]*dutyRequest
+	dutyAsks    map[uint64]string // ask to duty
+	pendingAsks map[uint64]*pendingAsk
 	closing     bool
 	closed      bool
 	DutyChanged func(*pb.Duty) // told of each change; nil: none
@@ -116,50 +116,50 @@
 	if o.LogEvent == nil {
 		o.LogEvent = func(string, string, uint64) {}
 	}
-	return &Session{o: o, target: o.Rand.IntN(len(o.Voters)), view: map[string]*pb.Duty{}, adopted: map[string]*pb.Adoption{}, wants: map[string]*want{},
-		ops: map[uint64]string{}, asks: map[uint64]*ask{}, next: o.Rand.Uint64() >> 1}
+	return &Session{o: o, targetVoter: o.Rand.IntN(len(o.Voters)), duties: map[string]*pb.Duty{}, adoptions: map[string]*pb.Adoption{}, requests: map[string]*dutyRequest{},
+		dutyAsks: map[uint64]string{}, pendingAsks: map[uint64]*pendingAsk{}, lastAskID: o.Rand.Uint64() >> 1}
 }
 
 // Take returns what is to be sent, in order, and forgets it.
 func (s *Session) TakeOutgoing() []Outgoing {
-	out := s.out
-	s.out = nil
+	out := s.outgoing
+	s.outgoing = nil
 	return out
 }
 
-func (s *Session) ask(a *pb.Ask) uint64 {
-	s.next++
-	a.Id, a.Member = s.next, s.o.Member
-	s.out = append(s.out, Outgoing{s.o.Voters[s.target], &pb.Frame{What: &pb.Frame_Ask{Ask: a}}})
+func (s *Session) sendAsk(a *pb.Ask) uint64 {
+	s.lastAskID++
+	a.Id, a.Member = s.lastAskID, s.o.Member
+	s.outgoing = append(s.outgoing, Outgoing{s.o.Voters[s.targetVoter], &pb.Frame{What: &pb.Frame_Ask{Ask: a}}})
 	return a.Id
 }
 
-func (s *Session) patience() int64 { return int64(s.o.Terms.Length) / requestShare }
+func (s *Session) requestTimeout() int64 { return int64(s.o.Terms.Length) / requestTimeoutShare }
 
 // jitter spreads d over half of it to one and a half times it.
 func (s *Session) jitter(d int64) int64 { return d/2 + s.o.Rand.Int64N(d+1) }
 
 // Want puts this member in line for a duty, or makes sure that it is.
 func (s *Session) Request(name, zone string) {
-	if w := s.wants[name]; w != nil {
-		w.leave, w.end = false, false
+	if w := s.requests[name]; w != nil {
+		w.releasing, w.ending = false, false
 		return
 	}
-	s.wants[name] = &want{zone: zone}
+	s.requests[name] = &dutyRequest{zone: zone}
 }
 
 // Leave gives a duty up; with end nobody needs it any more.
 func (s *Session) Release(name string, end bool) {
-	if w := s.wants[name]; w != nil {
-		w.leave, w.end = true, end
-		w.given = max(w.given, s.tokenOf(name))
-		s.lost(name, w)
+	if w := s.requests[name]; w != nil {
+		w.releasing, w.ending = true, end
+		w.releasedToken = max(w.releasedToken, s.grantedToken(name))
+		s.logLost(name, w)
 	}
 }
 
 // tokenOf is the token with which this session holds a duty by what it has been told, 0 if it does not.
-func (s *Session) tokenOf(name string) uint64 {
-	if d := s.view[name]; d != nil && s.id != 0 && d.Session == s.id {
+func (s *Session) grantedToken(name string) uint64 {
+	if d := s.duties[name]; d != nil && s.id != 0 && d.Session == s.id {
 		return d.Token
 	}
 	return 0
@@ -167,12 +167,12 @@
 
 // Held returns the fencing token of a duty that this member holds at that time, 0 if it does not hold it.
 func (s *Session) Token(name string, now int64) uint64 {
-	w := s.wants[name]
-	if w == nil || w.leave || s.closing {
+	w := s.requests[name]
+	if w == nil || w.releasing || s.closing {
 		return 0
 	}
-	t := s.tokenOf(name)
-	if t == 0 || t <= w.given || !s.lease.Valid(now) && s.o.Break&BreakLeaseCheck == 0 {
+	t := s.grantedToken(name)
+	if t == 0 || t <= w.releasedToken || !s.lease.Valid(now) && s.o.Break&BreakLeaseCheck == 0 {
 		return 0
 	}
 	return t
@@ -181,7 +181,7 @@
 // Holds are the duties that it holds at that time, with their tokens.
 func (s *Session) HeldTokens(now int64) map[string]uint64 {
 	held := map[string]uint64{}
-	for name := range s.wants {
+	for name := range s.requests {
 		if t := s.Token(name, now); t != 0 {
 			held[name] = t
 		}
@@ -198,7 +198,7 @@
 }
 
 // Duty is what is known of a duty, nil if nothing is. It must not be changed.
-func (s *Session) Duty(name string) *pb.Duty { return s.view[name] }
+func (s *Session) Duty(name string) *pb.Duty { return s.duties[name] }
 
 // Mine reports whether a duty is this session's by what it says.
 func (s *Session) Holds(d *pb.Duty) bool { return s.id != 0 && d.Session == s.id && !d.Ended }
@@ -206,7 +206,7 @@
 // View is all that is known of duties, of adoptions by owner, and of members whose sessions go on. None of it must be
 // changed.
 func (s *Session) View() (duties map[string]*pb.Duty, adopted map[string]*pb.Adoption, present []*pb.Present) {
-	return s.view, s.adopted, s.present
+	return s.duties, s.adoptions, s.present
 }
 
 // Version grows with each change of what is known.
@@ -221,13 +221,13 @@
 		done(nil, ErrClosed)
 		return
 	}
-	a := &ask{ask: q, till: s.now + int64(patience), done: done}
-	s.asks[s.put(a)] = a
+	a := &pendingAsk{ask: q, deadline: s.now + int64(patience), done: done}
+	s.pendingAsks[s.sendPending(a)] = a
 }
 
-func (s *Session) put(a *ask) uint64 {
-	a.at = s.now
-	return s.ask(proto.Clone(a.ask).(*pb.Ask))
+func (s *Session) sendPending(a *pendingAsk) uint64 {
+	a.sentAt = s.now
+	return s.sendAsk(proto.Clone(a.ask).(*pb.Ask))
 }
 
 // Close gives everything up and ends the session; it stays closed.
@@ -236,8 +236,8 @@
 	if s.closing {
 		return
 	}
-	for name, w := range s.wants {
-		s.lost(name, w)
+	for name, w := range s.requests {
+		s.logLost(name, w)
 	}
 	s.closing = true
 	if s.id == 0 {
@@ -252,30 +252,30 @@
 
 func (s *Session) sendClose() {
 	s.openAt = s.now
-	s.openID = s.ask(&pb.Ask{Command: &pb.Command{What: &pb.Command_Close{Close: &pb.Close{Session: s.id}}}})
+	s.openID = s.sendAsk(&pb.Ask{Command: &pb.Command{What: &pb.Command_Close{Close: &pb.Close{Session: s.id}}}})
 }
 
 // Tick tells the time. It is due about every twentieth of a lease.
 func (s *Session) Tick(now int64) {
 	s.now = now
 	if s.closing {
-		if !s.closed && now-s.openAt > s.patience() {
-			s.turn()
+		if !s.closed && now-s.openAt > s.requestTimeout() {
+			s.nextVoter()
 			s.sendClose()
 		}
 		return
 	}
 	if s.id != 0 && !s.lease.Valid(now) {
 		// It may still be renewed, if the fleet has not ended it; until then nothing is held.
-		for name, w := range s.wants {
-			s.lost(name, w)
+		for name, w := range s.requests {
+			s.logLost(name, w)
 		}
 	}
 	switch {
 	case s.id == 0:
 		s.open()
-	case s.renewID != 0 && now-s.renewAt > s.patience():
-		s.turn()
+	case s.renewID != 0 && now-s.renewAt > s.requestTimeout():
+		s.nextVoter()
 		s.renew()
 	case s.renewID == 0 && now-s.renewAt >= int64(s.o.Terms.Every()):
 		s.renew()
@@ -283,129 +283,129 @@
 	if s.id == 0 {
 		return
 	}
-	if s.viewID != 0 && now-s.viewAt > s.patience() {
+	if s.viewID != 0 && now-s.viewAt > s.requestTimeout() {
 		s.viewID = 0
-		s.look()
+		s.requestView()
 	}
-	s.line()
-	s.late()
+	s.maintainRequests()
+	s.retryAsks()
 }
 
 // turn goes on to another voter.
-func (s *Session) turn() { s.target = (s.target + 1) % len(s.o.Voters) }
+func (s *Session) nextVoter() { s.targetVoter = (s.targetVoter + 1) % len(s.o.Voters) }
 
 func (s *Session) open() {
-	if s.openID != 0 && s.now-s.openAt > s.patience() {
-		s.turn()
+	if s.openID != 0 && s.now-s.openAt > s.requestTimeout() {
+		s.nextVoter()
 		s.openID = 0
 	}
 	if s.openID != 0 || s.now < s.retryAt {
 		return
 	}
-	if s.seq == 0 {
-		s.seq = 1
+	if s.openSeq == 0 {
+		s.openSeq = 1
 	}
 	s.openAt = s.now
-	s.retryAt = s.now + s.jitter(s.patience())
-	s.openID = s.ask(&pb.Ask{Command: &pb.Command{What: &pb.Command_Open{Open: &pb.Open{
-		Member: s.o.Member, Incarnation: s.o.Incarnation, Boot: s.o.Boot, Seq: s.seq, Zone: s.o.Zone, Weight: s.o.Weight}}}})
+	s.retryAt = s.now + s.jitter(s.requestTimeout())
+	s.openID = s.sendAsk(&pb.Ask{Command: &pb.Command{What: &pb.Command_Open{Open: &pb.Open{
+		Member: s.o.Member, Incarnation: s.o.Incarnation, Boot: s.o.Boot, Seq: s.openSeq, Zone: s.o.Zone, Weight: s.o.Weight}}}})
 }
 
 func (s *Session) renew() {
 	s.renewAt = s.now
-	s.renewID = s.ask(&pb.Ask{Renew: s.id})
+	s.renewID = s.sendAsk(&pb.Ask{Renew: s.id})
 }
 
-func (s *Session) look() {
+func (s *Session) requestView() {
 	if s.viewID == 0 {
 		s.viewAt = s.now
-		s.viewID = s.ask(&pb.Ask{View: &pb.View{}})
+		s.viewID = s.sendAsk(&pb.Ask{View: &pb.View{}})
 	}
 }
 
 // end drops the session: the fleet has ended it. A further one is asked for.
-func (s *Session) end() {
+func (s *Session) endSession() {
 	s.lease.Drop()
-	for name, w := range s.wants {
-		s.lost(name, w)
-		if w.op = 0; w.leave {
-			delete(s.wants, name)
+	for name, w := range s.requests {
+		s.logLost(name, w)
+		if w.pendingAsk = 0; w.releasing {
+			delete(s.requests, name)
 		}
 	}
-	clear(s.ops)
+	clear(s.dutyAsks)
 	s.id, s.renewID, s.openID, s.viewID = 0, 0, 0, 0
-	s.seq++
-	s.retryAt = s.now + s.jitter(s.patience())
+	s.openSeq++
+	s.retryAt = s.now + s.jitter(s.requestTimeout())
 }
 
 // lost notes that a duty is not held any more.
-func (s *Session) lost(name string, w *want) {
-	if w.noted != 0 {
-		s.o.LogEvent("lost", name, w.noted)
-		w.noted = 0
+func (s *Session) logLost(name string, w *dutyRequest) {
+	if w.loggedToken != 0 {
+		s.o.LogEvent("lost", name, w.loggedToken)
+		w.loggedToken = 0
 	}
 }
 
 // line keeps this member in line for what it wants, and gives up what it does not or is asked to hand over.
-func (s *Session) line() {
-	out := len(s.ops)
-	for name, w := range s.wants {
-		token := s.tokenOf(name)
-		if w.op != 0 && s.now-w.opAt > 2*s.patience() {
-			delete(s.ops, w.op)
-			w.op, out = 0, out-1
+func (s *Session) maintainRequests() {
+	out := len(s.dutyAsks)
+	for name, w := range s.requests {
+		token := s.grantedToken(name)
+		if w.pendingAsk != 0 && s.now-w.sentAt > 2*s.requestTimeout() {
+			delete(s.dutyAsks, w.pendingAsk)
+			w.pendingAsk, out = 0, out-1
 		}
-		if t := s.Token(name, s.now); t != 0 && w.noted != t {
-			s.lost(name, w)
-			w.noted = t
+		if t := s.Token(name, s.now); t != 0 && w.loggedToken != t {
+			s.logLost(name, w)
+			w.loggedToken = t
 			s.o.LogEvent("held", name, t)
 		}
-		if d := s.view[name]; token != 0 && token > w.given && d.Wanted != "" && d.Wanted != s.o.Member {
-			w.given = token // from here on it is not acted on, whatever becomes of the ask
-			s.lost(name, w)
+		if d := s.duties[name]; token != 0 && token > w.releasedToken && d.Wanted != "" && d.Wanted != s.o.Member {
+			w.releasedToken = token // from here on it is not acted on, whatever becomes of the ask
+			s.logLost(name, w)
 		}
-		if w.op != 0 || s.now < w.again || out >= maxRequests {
+		if w.pendingAsk != 0 || s.now < w.retryAt || out >= maxRequests {
 			continue
 		}
 		switch {
-		case token != 0 && (w.leave || token <= w.given):
-			w.given = max(w.given, token)
-			s.op(name, w, token, &pb.Command{What: &pb.Command_Release{Release: &pb.Release{Session: s.id, Duty: name, Token: token, End: w.leave && w.end}}})
-		case w.leave && w.asked == s.id:
-			s.op(name, w, 0, &pb.Command{What: &pb.Command_Release{Release: &pb.Release{Session: s.id, Duty: name}}})
-		case w.leave:
-			delete(s.wants, name)
+		case token != 0 && (w.releasing || token <= w.releasedToken):
+			w.releasedToken = max(w.releasedToken, token)
+			s.sendDutyCommand(name, w, token, &pb.Command{What: &pb.Command_Release{Release: &pb.Release{Session: s.id, Duty: name, Token: token, End: w.releasing && w.ending}}})
+		case w.releasing && w.queuedSession == s.id:
+			s.sendDutyCommand(name, w, 0, &pb.Command{What: &pb.Command_Release{Release: &pb.Release{Session: s.id, Duty: name}}})
+		case w.releasing:
+			delete(s.requests, name)
 			continue
-		case w.asked != s.id:
-			s.op(name, w, 0, &pb.Command{What: &pb.Command_Acquire{Acquire: &pb.Acquire{Session: s.id, Duty: name, Zone: w.zone}}})
+		case w.queuedSession != s.id:
+			s.sendDutyCommand(name, w, 0, &pb.Command{What: &pb.Command_Acquire{Acquire: &pb.Acquire{Session: s.id, Duty: name, Zone: w.zone}}})
 		default:
 			continue
 		}
 		out++
 	}
-	for name, d := range s.view { // handed to this member though it does not want it, or a late copy of a wish
-		if d.Session == s.id && s.wants[name] == nil {
-			s.wants[name] = &want{zone: d.Zone, leave: true, asked: s.id}
+	for name, d := range s.duties { // handed to this member though it does not want it, or a late copy of a wish
+		if d.Session == s.id && s.requests[name] == nil {
+			s.requests[name] = &dutyRequest{zone: d.Zone, releasing: true, queuedSession: s.id}
 		}
 	}
 }
 
-func (s *Session) op(name string, w *want, token uint64, c *pb.Command) {
-	w.opAt, w.opToken = s.now, token
-	w.op = s.ask(&pb.Ask{Command: c})
-	s.ops[w.op] = name
+func (s *Session) sendDutyCommand(name string, w *dutyRequest, token uint64, c *pb.Command) {
+	w.sentAt, w.releaseToken = s.now, token
+	w.pendingAsk = s.sendAsk(&pb.Ask{Command: c})
+	s.dutyAsks[w.pendingAsk] = name
 }
 
 // late asks again where no answer came, until the asker's patience is over.
-func (s *Session) late() {
-	for id, a := range s.asks {
+func (s *Session) retryAsks() {
+	for id, a := range s.pendingAsks {
 		switch {
-		case s.now > a.till:
-			delete(s.asks, id)
+		case s.now > a.deadline:
+			delete(s.pendingAsks, id)
 			a.done(nil, ErrNoQuorum)
-		case s.now-a.at > 2*s.patience():
-			delete(s.asks, id)
-			s.asks[s.put(a)] = a
+		case s.now-a.sentAt > 2*s.requestTimeout():
+			delete(s.pendingAsks, id)
+			s.pendingAsks[s.sendPending(a)] = a
 		}
 	}
 }
@@ -415,31 +415,31 @@
 	s.now = now
 	switch w := f.What.(type) {
 	case *pb.Frame_News:
-		s.news(w.News)
+		s.applyUpdate(w.News)
 	case *pb.Frame_Answer:
-		s.answer(from, w.Answer)
+		s.handleAnswer(from, w.Answer)
 	}
 }
 
-func (s *Session) answer(from string, a *pb.Answer) {
+func (s *Session) handleAnswer(from string, a *pb.Answer) {
 	if a.NotLeader {
-		s.elsewhere(from, a)
+		s.handleNotLeader(from, a)
 		return
 	}
 	switch {
 	case a.Id == 0:
 	case a.Id == s.openID:
-		s.opened(from, a)
+		s.handleOpened(from, a)
 	case a.Id == s.renewID:
-		s.renewed(a)
+		s.handleRenewed(a)
 	case a.Id == s.viewID:
 		s.viewID = 0
-		s.news(a.News)
-	case s.ops[a.Id] != "":
-		s.answered(a)
-	case s.asks[a.Id] != nil:
-		q := s.asks[a.Id]
-		delete(s.asks, a.Id)
+		s.applyUpdate(a.News)
+	case s.dutyAsks[a.Id] != "":
+		s.handleDutyAnswer(a)
+	case s.pendingAsks[a.Id] != nil:
+		q := s.pendingAsks[a.Id]
+		delete(s.pendingAsks, a.Id)
 		if a.Error != "" {
 			q.done(a, errors.New(a.Error))
 		} else {
@@ -449,10 +449,10 @@
 }
 
 // elsewhere takes the answer of a voter that does not lead: the one that it names is asked, or the next, soon.
-func (s *Session) elsewhere(from string, a *pb.Answer) {
-	if from == s.o.Voters[s.target] {
-		if i := slices.Index(s.o.Voters, a.Leader); i >= 0 && i != s.target {
-			s.target = i
+func (s *Session) handleNotLeader(from string, a *pb.Answer) {
+	if from == s.o.Voters[s.targetVoter] {
+		if i := slices.Index(s.o.Voters, a.Leader); i >= 0 && i != s.targetVoter {
+			s.targetVoter = i
 			if a.Id == s.openID && !s.closing {
 				s.openID, s.retryAt = 0, s.now
 			}
@@ -463,20 +463,20 @@
 				s.sendClose()
 			}
 		} else if a.Id == s.openID || a.Id == s.renewID {
-			s.turn()
+			s.nextVoter()
 		}
 	}
-	if name := s.ops[a.Id]; name != "" {
-		delete(s.ops, a.Id)
-		w := s.wants[name]
-		w.op, w.again = 0, s.now+s.jitter(s.patience()/2)
+	if name := s.dutyAsks[a.Id]; name != "" {
+		delete(s.dutyAsks, a.Id)
+		w := s.requests[name]
+		w.pendingAsk, w.retryAt = 0, s.now+s.jitter(s.requestTimeout()/2)
 	}
-	if q := s.asks[a.Id]; q != nil {
-		q.at = s.now - 2*s.patience() + s.jitter(s.patience()/2)
+	if q := s.pendingAsks[a.Id]; q != nil {
+		q.sentAt = s.now - 2*s.requestTimeout() + s.jitter(s.requestTimeout()/2)
 	}
 }
 
-func (s *Session) opened(from string, a *pb.Answer) {
+func (s *Session) handleOpened(from string, a *pb.Answer) {
 	s.openID = 0
 	if s.closing {
 		s.closed = a.Error == "" || a.Gone
@@ -485,22 +485,22 @@
 	if a.Error != "" {
 		s.retryAt = s.now + s.jitter(int64(s.o.Terms.Every()))
 		if a.Gone { // a late copy of an earlier wish has been there first
-			s.seq++
+			s.openSeq++
 		}
 		s.o.LogEvent("refused: "+a.Error, "", 0)
 		return
 	}
 	s.id = a.Session
-	s.held(s.openAt)
+	s.extendLease(s.openAt)
 	s.renewAt = s.openAt
 	s.version = 0
 	if a.News != nil {
-		s.news(a.News)
+		s.applyUpdate(a.News)
 	}
 }
 
 // held counts the lease from when the renewal was sent.
-func (s *Session) held(sent int64) {
+func (s *Session) extendLease(sent int64) {
 	terms := s.o.Terms
 	if s.o.Break&BreakLeaseStart != 0 {
 		sent = s.now
@@ -511,52 +511,52 @@
 	s.lease.Renewed(terms, sent)
 }
 
-func (s *Session) renewed(a *pb.Answer) {
+func (s *Session) handleRenewed(a *pb.Answer) {
 	s.renewID = 0
 	if a.Gone {
-		s.end()
+		s.endSession()
 		return
 	}
 	if a.Error != "" {
 		return
 	}
-	s.held(s.renewAt)
+	s.extendLease(s.renewAt)
 	if a.Version != s.version {
-		s.look()
+		s.requestView()
 	}
 }
 
 // answered takes what came of an ask about a duty.
-func (s *Session) answered(a *pb.Answer) {
-	name := s.ops[a.Id]
-	delete(s.ops, a.Id)
-	w := s.wants[name]
-	w.op = 0
+func (s *Session) handleDutyAnswer(a *pb.Answer) {
+	name := s.dutyAsks[a.Id]
+	delete(s.dutyAsks, a.Id)
+	w := s.requests[name]
+	w.pendingAsk = 0
 	switch {
 	case a.Gone:
-		s.end()
+		s.endSession()
 		return
 	case a.Error == duty.ErrFull.Error():
-		w.again = s.now + s.jitter(int64(s.o.Terms.Length)) // enough others are in line
-	case w.opToken != 0: // given up; in line again only by a further wish
-		w.asked = 0
-		if d := s.view[name]; d != nil && d.Token == w.opToken && d.Session == s.id {
-			delete(s.view, name)
+		w.retryAt = s.now + s.jitter(int64(s.o.Terms.Length)) // enough others are in line
+	case w.releaseToken != 0: // given up; in line again only by a further wish
+		w.queuedSession = 0
+		if d := s.duties[name]; d != nil && d.Token == w.releaseToken && d.Session == s.id {
+			delete(s.duties, name)
 		}
 	case a.Error == "":
-		if w.asked = s.id; w.leave {
-			w.asked = 0
+		if w.queuedSession = s.id; w.releasing {
+			w.queuedSession = 0
 		}
 	default:
-		w.again = s.now + s.jitter(int64(s.o.Terms.Every()))
+		w.retryAt = s.now + s.jitter(int64(s.o.Terms.Every()))
 	}
 	if a.Duty != nil && a.Version >= s.version {
-		s.see(a.Duty)
+		s.applyDuty(a.Duty)
 	}
 }
 
 // news takes what has changed; where something is missing between, all is asked for.
-func (s *Session) news(n *pb.News) {
+func (s *Session) applyUpdate(n *pb.News) {
 	if n == nil || n.To <= s.version && n.From != 0 {
 		return
 	}
@@ -568,45 +568,45 @@
 		for _, d := range n.Duties {
 			fresh[d.Name] = true
 		}
-		for name, d := range s.view {
+		for name, d := range s.duties {
 			if !fresh[name] {
-				s.see(&pb.Duty{Name: name, Token: d.Token, Ended: true})
+				s.applyDuty(&pb.Duty{Name: name, Token: d.Token, Ended: true})
 			}
 		}
 	} else if n.From > s.version {
-		s.look()
+		s.requestView()
 		return
 	}
 	s.version = n.To
 	if n.From == 0 {
-		clear(s.adopted)
+		clear(s.adoptions)
 	}
 	for _, a := range n.Adoptions {
-		s.adopted[a.Owner] = a
+		s.adoptions[a.Owner] = a
 	}
 	if n.AllPresent {
 		s.present = n.Present
 	}
 	for _, d := range n.Duties {
-		s.see(d)
+		s.applyDuty(d)
 	}
 }
 
 // see takes a duty as it has become.
-func (s *Session) see(d *pb.Duty) {
-	if old := s.view[d.Name]; old != nil && old.Token > d.Token {
+func (s *Session) applyDuty(d *pb.Duty) {
+	if old := s.duties[d.Name]; old != nil && old.Token > d.Token {
 		return // tokens only grow: what is told is older than what is known
 	}
 	if d.Ended {
-		delete(s.view, d.Name)
-		if w := s.wants[d.Name]; w != nil && !w.leave {
-			w.asked = 0
+		delete(s.duties, d.Name)
+		if w := s.requests[d.Name]; w != nil && !w.releasing {
+			w.queuedSession = 0
 		}
 	} else {
-		s.view[d.Name] = d
+		s.duties[d.Name] = d
 	}
-	if w := s.wants[d.Name]; w != nil && w.noted != 0 && s.tokenOf(d.Name) != w.noted {
-		s.lost(d.Name, w)
+	if w := s.requests[d.Name]; w != nil && w.loggedToken != 0 && s.grantedToken(d.Name) != w.loggedToken {
+		s.logLost(d.Name, w)
 	}
 	if s.DutyChanged != nil {
 		s.DutyChanged(d)
--- a/internal/fleet/share/holder.go
+++ b/internal/fleet/share/holder.go
@@ -7,46 +7,46 @@
 )
 
 const (
-	spare   = 0.15 // a member is given that much more than it asks for, where there is room: demand moves
-	idle    = 0.05 // and at the least this part of its even part: a first message goes at once
-	absentN = 3    // times Length without a report: a member is away, and its even part is its own again
+	headroom     = 0.15 // a member is given that much more than it asks for, where there is room: demand moves
+	idleShare    = 0.05 // and at the least this part of its even part: a first message goes at once
+	absentFactor = 3    // times Length without a report: a member is away, and its even part is its own again
 )
 
 // Holder is the side of the member that holds a partner's duty. It keeps no more than a line for each member.
 type Holder struct {
-	terms   Terms
-	token   uint64
-	limit   float64
-	quiet   int64 // until then it says nothing
-	stamp   int64
-	members map[string]*line
-	Break   Break
+	terms      Terms
+	token      uint64
+	limit      float64
+	quietUntil int64 // until then it says nothing
+	stamp      int64
+	members    map[string]*memberState
+	Break      Break
 }
 
 // line is what the holder knows of one member.
-type line struct {
-	heard  int64
-	demand float64
+type memberState struct {
+	reportedAt int64
+	demand     float64
 	// The answers that it may go by: the one that it has told, and all since. Without one it may send its even part.
-	sent []sent
-	free bool  // it may go by none of them
-	gone int64 // the stamp of the last one whose time was over: it may be taken still, and be over at once
+	openAnswers  []sentAnswer
+	mayBeAtEven  bool  // it may go by none of them
+	expiredStamp int64 // the stamp of the last one whose time was over: it may be taken still, and be over at once
 }
 
 // sent is an answer: a rate below the even part binds at least until then, one above it is over by then.
-type sent struct {
+type sentAnswer struct {
 	stamp int64
 	rate  float64
-	till  int64
+	until int64
 }
 
 // sentMost bounds the answers to one member that it has not spoken of. There is none while so many are open.
-const sentMost = 32
+const maxOpenAnswers = 32
 
 // NewHolder returns the side of a member that has begun to hold the duty, with that token, at now.
 func NewHolder(t Terms, token uint64, now int64) *Holder {
-	h := &Holder{terms: t, token: token, members: map[string]*line{}}
-	h.quiet = now + int64(float64(t.RaiseDuration)*(1+2*t.Drift))
+	h := &Holder{terms: t, token: token, members: map[string]*memberState{}}
+	h.quietUntil = now + int64(float64(t.RaiseDuration)*(1+2*t.Drift))
 	return h
 }
 
@@ -65,66 +65,66 @@
 		if len(h.members) >= h.terms.Members {
 			return Answer{}, false // more than the limit is shared by: it keeps to its even part
 		}
-		l = &line{}
+		l = &memberState{}
 		h.members[name] = l
 	}
-	l.heard, l.demand = now, max(r.Demand, 0)
+	l.reportedAt, l.demand = now, max(r.Demand, 0)
 	if r.Limit > 0 {
 		h.limit = r.Limit
 	}
 	h.confirm(l, r)
-	if h.limit <= 0 || now < h.quiet && h.Break&BreakWait == 0 {
+	if h.limit <= 0 || now < h.quietUntil && h.Break&BreakWait == 0 {
 		return Answer{}, false
 	}
-	if l.settle(now); len(l.sent) >= sentMost {
+	if l.expireAnswers(now); len(l.openAnswers) >= maxOpenAnswers {
 		return Answer{}, false
 	}
 	end := now + int64(float64(h.terms.RaiseDuration)*(1+h.drift()))
-	rate := max(min(h.due(now, name), h.limit-h.others(now, end, name)), 0)
+	rate := max(min(h.fairShare(now, name), h.limit-h.maxOtherRates(now, end, name)), 0)
 	h.stamp = max(h.stamp+1, now)
 	till := end
 	if rate < h.terms.EvenShare(h.limit) {
 		till = now + int64(float64(h.terms.BindDuration)*(1-h.drift()))
 	}
-	l.sent = append(l.sent, sent{h.stamp, rate, till})
+	l.openAnswers = append(l.openAnswers, sentAnswer{h.stamp, rate, till})
 	if h.Break&BreakConfirm != 0 {
-		l.sent, l.free = l.sent[len(l.sent)-1:], false
+		l.openAnswers, l.mayBeAtEven = l.openAnswers[len(l.openAnswers)-1:], false
 	}
 	return Answer{Token: h.token, At: r.At, Stamp: h.stamp, Rate: rate, RaiseDuration: h.terms.RaiseDuration, Limit: h.limit}, true
 }
 
 // confirm takes what a report says of the answer that its member goes by.
-func (h *Holder) confirm(l *line, r Report) {
+func (h *Holder) confirm(l *memberState, r Report) {
 	if r.Token != h.token {
-		l.free = true // it goes by another holder's, or by none
+		l.mayBeAtEven = true // it goes by another holder's, or by none
 		return
 	}
-	if i := slices.IndexFunc(l.sent, func(s sent) bool { return s.stamp == r.Stamp }); i >= 0 {
-		l.sent, l.free = l.sent[i:], r.Stamp < l.gone // what was sent before is late, and is not taken any more
+	if i := slices.IndexFunc(l.openAnswers, func(s sentAnswer) bool { return s.stamp == r.Stamp }); i >= 0 {
+		l.openAnswers, l.mayBeAtEven = l.openAnswers[i:], r.Stamp < l.expiredStamp // what was sent before is late, and is not taken any more
 	}
 }
 
 // settle forgets answers whose time is over: a member that goes by one is back at its even part.
-func (l *line) settle(now int64) {
-	l.sent = slices.DeleteFunc(l.sent, func(s sent) bool {
-		over := s.till <= now
+func (l *memberState) expireAnswers(now int64) {
+	l.openAnswers = slices.DeleteFunc(l.openAnswers, func(s sentAnswer) bool {
+		over := s.until <= now
 		if over {
-			l.free, l.gone = true, max(l.gone, s.stamp)
+			l.mayBeAtEven, l.expiredStamp = true, max(l.expiredStamp, s.stamp)
 		}
 		return over
 	})
 }
 
 // most is the most that a member may send at any moment until end, whatever befalls it.
-func (h *Holder) most(l *line, now, end int64) (most float64) {
+func (h *Holder) maxRate(l *memberState, now, end int64) (most float64) {
 	even := h.terms.EvenShare(h.limit)
-	l.settle(now)
-	if l.free || len(l.sent) == 0 {
+	l.expireAnswers(now)
+	if l.mayBeAtEven || len(l.openAnswers) == 0 {
 		most = even
 	}
-	for _, s := range l.sent {
+	for _, s := range l.openAnswers {
 		switch {
-		case s.rate < even && s.till >= end:
+		case s.rate < even && s.until >= end:
 			most = max(most, s.rate)
 		case s.rate < even:
 			most = max(most, even)
@@ -136,12 +136,12 @@
 }
 
 // others is the most that all but one may send at any moment until end. Members that were never heard of count.
-func (h *Holder) others(now, end int64, but string) (sum float64) {
+func (h *Holder) maxOtherRates(now, end int64, but string) (sum float64) {
 	unheard := h.terms.Members
 	for name, l := range h.members {
 		unheard--
 		if name != but {
-			sum += h.most(l, now, end)
+			sum += h.maxRate(l, now, end)
 		}
 	}
 	return sum + float64(unheard)*h.terms.EvenShare(h.limit)
@@ -149,14 +149,14 @@
 
 // due is a member's due part of the limit: as much as it wants where there is enough for all; else what is left is
 // divided evenly over those that want more.
-func (h *Holder) due(now int64, name string) float64 {
+func (h *Holder) fairShare(now int64, name string) float64 {
 	even := h.terms.EvenShare(h.limit)
-	want := func(l *line) float64 { return max(l.demand*(1+spare), idle*even) }
+	want := func(l *memberState) float64 { return max(l.demand*(1+headroom), idleShare*even) }
 	left, n := h.limit, 0
 	var wants []float64
 	for _, other := range slices.Sorted(maps.Keys(h.members)) {
 		l := h.members[other]
-		if now-l.heard > absentN*h.terms.BindDuration {
+		if now-l.reportedAt > absentFactor*h.terms.BindDuration {
 			left -= even // it is away
 			continue
 		}
--- a/internal/fleet/share/share.go
+++ b/internal/fleet/share/share.go
@@ -64,19 +64,19 @@
 
 // Member is one member's side, for one partner. The zero value keeps to the even part.
 type Member struct {
-	terms Terms
-	limit float64 // as known here
-	token uint64
-	stamp int64
-	rate  float64
-	of    float64 // the limit that the rate is a part of
-	low   bool    // the rate is below the even part,
-	until int64   // and binds until then, or holds until then
-	Break Break
-
-	reported   int64 // when it last reported,
-	demand     float64
-	unanswered int // and how often since it had an answer
+	terms      Terms
+	limit      float64 // as known here
+	token      uint64
+	stamp      int64
+	shareRate  float64
+	shareLimit float64 // the limit that the rate is a part of
+	belowEven  bool    // the rate is below the even part,
+	shareUntil int64   // and binds until then, or holds until then
+	Break      Break
+
+	reportedAt     int64 // when it last reported,
+	reportedDemand float64
+	unanswered     int // and how often since it had an answer
 }
 
 // Break is a guard that is taken out, for tests that show what finds that.
@@ -107,32 +107,32 @@
 
 // The times of reports, as parts of the terms, and what demand must do for one at once.
 const (
-	parts     = 4 // reports in the time that a share holds or binds
-	jump      = 1.5
-	soonest   = 20 * int64(time.Millisecond)
-	quietMost = 4 // reports without an answer, from which on a member reports half as often each time, up to
-	quietLess = 8 // so many times less
+	reportsPerDuration = 4 // reports in the time that a share holds or binds
+	demandJump         = 1.5
+	minReportInterval  = 20 * int64(time.Millisecond)
+	maxUnanswered      = 4 // reports without an answer, from which on a member reports half as often each time, up to
+	maxBackoffFactor   = 8 // so many times less
 )
 
 // Due reports whether a report is due: where a share is to be renewed, at once where demand is far from what was told.
 func (m *Member) ReportDue(now int64, demand float64) bool {
-	since := now - m.reported
+	since := now - m.reportedAt
 	every := m.terms.BindDuration
-	if even := m.terms.EvenShare(m.limit); now < m.until && !m.low && m.rate > even {
+	if even := m.terms.EvenShare(m.limit); now < m.shareUntil && !m.belowEven && m.shareRate > even {
 		every = m.terms.RaiseDuration
 	}
-	every /= parts
-	if m.unanswered > quietMost {
-		every *= int64(min(m.unanswered-quietMost, quietLess))
-	} else if demand > jump*m.demand || demand < m.demand/jump {
-		every = soonest
+	every /= reportsPerDuration
+	if m.unanswered > maxUnanswered {
+		every *= int64(min(m.unanswered-maxUnanswered, maxBackoffFactor))
+	} else if demand > demandJump*m.reportedDemand || demand < m.reportedDemand/demandJump {
+		every = minReportInterval
 	}
-	return m.reported == 0 || since >= every
+	return m.reportedAt == 0 || since >= every
 }
 
 // Report is what the member tells the holder now.
 func (m *Member) Report(now int64, demand float64) Report {
-	m.reported, m.demand = now, demand
+	m.reportedAt, m.reportedDemand = now, demand
 	m.unanswered++
 	return Report{At: now, Demand: demand, Limit: m.limit, Token: m.token, Stamp: m.stamp}
 }
@@ -147,33 +147,35 @@
 	}
 	even := m.terms.EvenShare(a.Limit)
 	m.unanswered = 0
-	m.token, m.stamp, m.rate, m.of = a.Token, a.Stamp, a.Rate, a.Limit
-	if m.low = a.Rate < even; m.low {
+	m.token, m.stamp, m.shareRate, m.shareLimit = a.Token, a.Stamp, a.Rate, a.Limit
+	if m.belowEven = a.Rate < even; m.belowEven {
 		from := now
 		if m.Break&BreakBindStart != 0 {
 			from = a.At
 		}
-		m.until = from + int64(float64(m.terms.BindDuration)*(1+m.drift()))
+		m.shareUntil = from + int64(float64(m.terms.BindDuration)*(1+m.drift()))
 		return
 	}
 	from := a.At
 	if m.Break&BreakRaiseStart != 0 {
 		from = now
 	}
-	m.until = from + int64(float64(a.RaiseDuration)*(1-m.drift()))
+	m.shareUntil = from + int64(float64(a.RaiseDuration)*(1-m.drift()))
 }
 
 // Rate is what this member may send at this moment; 0: no limit is known. fresh: it is a share, not the even part.
 func (m *Member) Rate(now int64) (rate float64, fresh bool) {
 	limit := m.limit
 	if limit <= 0 {
-		limit = m.of
+		limit = m.shareLimit
 	}
-	if m.of > 0 && now < m.until {
-		return m.rate * min(limit/m.of, 1), true // a limit that was lowered since binds at once
+	if m.shareLimit > 0 && now < m.shareUntil {
+		return m.shareRate * min(limit/m.shareLimit, 1), true // a limit that was lowered since binds at once
 	}
 	return m.terms.EvenShare(limit), false
 }
 
 // Until is when the present share ends, and the even part is back; false: there is none.
-func (m *Member) ShareEnd(now int64) (at int64, due bool) { return m.until, m.of > 0 && now < m.until }
+func (m *Member) ShareEnd(now int64) (at int64, due bool) {
+	return m.shareUntil, m.shareLimit > 0 && now < m.shareUntil
+}
--- a/internal/fleet/subscriber/subscriber.go
+++ b/internal/fleet/subscriber/subscriber.go
@@ -21,13 +21,13 @@
 
 // How soon a subscriber at another region's control member tries its own region's again: doubled while these don't serve.
 const (
-	homeLeast = 10 * time.Second
-	homeMost  = 5 * time.Minute
+	minHomeRetryDelay = 10 * time.Second
+	maxHomeRetryDelay = 5 * time.Minute
 )
 
 const (
-	tickEvery = 100 * time.Millisecond
-	inboxSize = 64
+	tickInterval = 100 * time.Millisecond
+	inboxSize    = 64
 	// LinkHash stands in the hello of every link to a control member's directory.
 	LinkSettingsHash = 1
 	// LinkPing and LinkSilent are how often such a link says that it is there, and how long it may say nothing.
@@ -58,17 +58,17 @@
 
 // Subscriber is a subscription that is kept up. Run is for one goroutine, the rest for any.
 type Subscriber struct {
-	o        Options
-	sub      *directory.Subscription
-	net      *link.Manager
-	order    []Server // to be tried, those of the own region first
-	next     int
-	homeAt   int64 // when one of the own region is tried next, while another one serves
-	homeIn   time.Duration
-	frames   chan frame
-	released releases
-	version  atomic.Uint64
-	live     atomic.Bool
+	o              Options
+	subscription   *directory.Subscription
+	links          *link.Manager
+	servers        []Server // to be tried, those of the own region first
+	serverIndex    int
+	homeRetryAt    int64 // when one of the own region is tried next, while another one serves
+	homeRetryDelay time.Duration
+	frames         chan frame
+	released       releaseQueue
+	version        atomic.Uint64
+	live           atomic.Bool
 }
 
 type frame struct {
@@ -79,18 +79,18 @@
 // New returns a Subscriber.
 func New(o Options) *Subscriber {
 	rng := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
-	s := &Subscriber{o: o, frames: make(chan frame, inboxSize), released: releases{kick: make(chan struct{}, 1)},
-		sub: directory.NewSubscription(directory.SubscriptionOptions{Region: o.Region, Zone: o.Zone, Weight: o.Weight, Rand: rng, Break: o.Break})}
-	s.homeIn = homeLeast
-	s.sub.Hold(o.RequestedShards)
-	s.order = slices.Clone(o.Servers)
-	rng.Shuffle(len(s.order), func(i, j int) { s.order[i], s.order[j] = s.order[j], s.order[i] })
-	slices.SortStableFunc(s.order, func(x, y Server) int { return foreign(x, o.Region) - foreign(y, o.Region) })
+	s := &Subscriber{o: o, frames: make(chan frame, inboxSize), released: releaseQueue{wake: make(chan struct{}, 1)},
+		subscription: directory.NewSubscription(directory.SubscriptionOptions{Region: o.Region, Zone: o.Zone, Weight: o.Weight, Rand: rng, Break: o.Break})}
+	s.homeRetryDelay = minHomeRetryDelay
+	s.subscription.Hold(o.RequestedShards)
+	s.servers = slices.Clone(o.Servers)
+	rng.Shuffle(len(s.servers), func(i, j int) { s.servers[i], s.servers[j] = s.servers[j], s.servers[i] })
+	slices.SortStableFunc(s.servers, func(x, y Server) int { return regionRank(x, o.Region) - regionRank(y, o.Region) })
 	return s
 }
 
 // foreign is 0 for a server of the region, 1 for any other.
-func foreign(s Server, region string) int {
+func regionRank(s Server, region string) int {
 	if s.Region == region {
 		return 0
 	}
@@ -108,23 +108,23 @@
 
 // releases are shards that are given up, on their way to the subscriber's goroutine; a shard stands there once at most
 // for each time that it was assigned.
-type releases struct {
+type releaseQueue struct {
 	mu   sync.Mutex
 	ids  []shard.ID
-	kick chan struct{}
+	wake chan struct{}
 }
 
-func (r *releases) add(ids []shard.ID) {
+func (r *releaseQueue) add(ids []shard.ID) {
 	r.mu.Lock()
 	r.ids = append(r.ids, ids...)
 	r.mu.Unlock()
 	select {
-	case r.kick <- struct{}{}:
+	case r.wake <- struct{}{}:
 	default:
 	}
 }
 
-func (r *releases) take() []shard.ID {
+func (r *releaseQueue) drain() []shard.ID {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	ids := r.ids
@@ -134,8 +134,8 @@
 
 // Run keeps the subscription until the context ends.
 func (s *Subscriber) Run(ctx context.Context) {
-	defer func() { s.net.Close() }()
-	tick := time.NewTicker(tickEvery)
+	defer func() { s.links.Close() }()
+	tick := time.NewTicker(tickInterval)
 	defer tick.Stop()
 	s.connect(ctx)
 	for {
@@ -143,63 +143,63 @@
 		case <-ctx.Done():
 			return
 		case f := <-s.frames:
-			if a := s.sub.Receive(f.from, f.content, s.o.Now()); a != nil {
+			if a := s.subscription.Receive(f.from, f.content, s.o.Now()); a != nil {
 				s.o.Apply(a)
 			}
-		case <-s.released.kick:
-			ids := s.released.take()
-			s.sub.Release(ids)
+		case <-s.released.wake:
+			ids := s.released.drain()
+			s.subscription.Release(ids)
 			if s.o.Released != nil {
 				s.o.Released(ids)
 			}
 		case <-tick.C:
-			s.sub.Tick(s.o.Now())
-			s.goHome(ctx)
-			if s.sub.Lost() {
-				s.o.Log.Warn().Str("control", s.order[s.next%len(s.order)].Name).Msg("directory: the control member does not serve, trying the next")
-				s.next++
+			s.subscription.Tick(s.o.Now())
+			s.retryHomeRegion(ctx)
+			if s.subscription.Lost() {
+				s.o.Log.Warn().Str("control", s.servers[s.serverIndex%len(s.servers)].Name).Msg("directory: the control member does not serve, trying the next")
+				s.serverIndex++
 				s.connect(ctx)
 			}
 		}
-		s.version.Store(s.sub.Version())
-		s.live.Store(s.sub.Live(s.o.Now()))
-		for _, out := range s.sub.Take() {
-			s.net.Send(out.To, out.Frame)
+		s.version.Store(s.subscription.Version())
+		s.live.Store(s.subscription.Live(s.o.Now()))
+		for _, out := range s.subscription.Take() {
+			s.links.Send(out.To, out.Frame)
 		}
 	}
 }
 
 // goHome turns to a control member of the own region where one of another region serves: in a region that is cut off
 // from this one, it would go on unheard of changes that can be had at home.
-func (s *Subscriber) goHome(ctx context.Context) {
+func (s *Subscriber) retryHomeRegion(ctx context.Context) {
 	now := s.o.Now()
-	home := slices.IndexFunc(s.order, func(x Server) bool { return x.Region == s.o.Region })
-	at := s.next % len(s.order)
-	if home < 0 || s.order[at].Region == s.o.Region {
-		if s.sub.Live(now) {
-			s.homeIn, s.homeAt = homeLeast, 0
+	home := slices.IndexFunc(s.servers, func(x Server) bool { return x.Region == s.o.Region })
+	at := s.serverIndex % len(s.servers)
+	if home < 0 || s.servers[at].Region == s.o.Region {
+		if s.subscription.Live(now) {
+			s.homeRetryDelay, s.homeRetryAt = minHomeRetryDelay, 0
 		}
 		return
 	}
-	if s.homeAt == 0 {
-		s.homeAt = now + int64(s.homeIn/2+rand.N(s.homeIn))
+	if s.homeRetryAt == 0 {
+		s.homeRetryAt = now + int64(s.homeRetryDelay/2+rand.N(s.homeRetryDelay))
 		return
 	}
-	if now < s.homeAt {
+	if now < s.homeRetryAt {
 		return
 	}
-	s.homeIn, s.homeAt = min(2*s.homeIn, homeMost), 0
-	s.next = home
+	s.homeRetryDelay, s.homeRetryAt = min(2*s.homeRetryDelay, maxHomeRetryDelay), 0
+	s.serverIndex = home
 	s.connect(ctx)
 }
 
 // connect begins a link to the next server in place of the one before.
 func (s *Subscriber) connect(ctx context.Context) {
-	if s.net != nil {
-		s.net.Close()
+	if s.links != nil {
+		s.links.Close()
 	}
-	server := s.order[s.next%len(s.order)]
-	s.net = link.New(link.Options{Self: s.o.Name, SettingsHash: LinkSettingsHash, DialAddrs: map[string]string{server.Name: server.Addr}, Client: s.o.TLS,
+	server := s.servers[s.serverIndex%len(s.servers)]
+	s.links = link.New(link.Options{Self: s.o.Name, SettingsHash: LinkSettingsHash, DialAddrs: map[string]string{server.Name: server.Addr}, Client: s.o.TLS,
 		IsMember: func(string) bool { return false }, PingInterval: LinkPingInterval, SilenceTimeout: LinkSilenceTimeout,
 		LogEvent: func(what, member string, err error) {
 			s.o.Log.Debug().Str("member", member).Err(err).Msg("directory: " + what)
@@ -211,5 +211,5 @@
 			case <-ctx.Done():
 			}
 		}})
-	s.sub.Connect(server.Name, s.o.Now())
+	s.subscription.Connect(server.Name, s.o.Now())
 }
--- a/internal/fleet/trial/trial.go
+++ b/internal/fleet/trial/trial.go
@@ -19,10 +19,10 @@
 )
 
 const (
-	kind     = "trial"
-	hushed   = 1e-3   // a pace that holds every trial back, yet is one: 0 would be none
-	tryMost  = 10.0   // the holder's pace at most: a trial each half second, by the share that trials may take
-	sayEvery = 1000.0 // between two words that the partner is down still
+	kind           = "trial"
+	suspendedRate  = 1e-3   // a pace that holds every trial back, yet is one: 0 would be none
+	maxTrialRate   = 10.0   // the holder's pace at most: a trial each half second, by the share that trials may take
+	downIntervalMS = 1000.0 // between two words that the partner is down still
 )
 
 // The words.
@@ -60,28 +60,28 @@
 
 // Board is one member's part in the trials of all partners. A nil Board holds nothing back.
 type State struct {
-	set   Settings
-	dests map[int]*dest
-	acts  []Action
-	live  bool // the session holds
+	settings    Settings
+	partners    map[int]*partner
+	actions     []Action
+	sessionHeld bool // the session holds
 }
 
-type dest struct {
-	phase  storm.Phase
-	since  float64 // of the outage
-	news   Update
-	heard  float64 // when a word last came that the partner is down, or the outage began
-	said   float64
-	number int
-	hush   bool // as last told
-	holds  bool
-	order  storm.Throttle
+type partner struct {
+	phase       storm.Phase
+	outageSince float64 // of the outage
+	update      Update
+	updatedAt   float64 // when a word last came that the partner is down, or the outage began
+	publishedAt float64
+	wordNumber  int
+	suspended   bool // as last told
+	raised      bool
+	throttle    storm.Throttle
 }
 
 // New returns a Board that has heard of nothing.
 func New(set Settings) *State {
 	set.Senders = max(set.Senders, 1)
-	return &State{set: set, dests: map[int]*dest{}}
+	return &State{settings: set, partners: map[int]*partner{}}
 }
 
 // Ordered takes what storms ask at a partner, and returns what is asked in its place.
@@ -89,28 +89,28 @@
 	if b == nil {
 		return o
 	}
-	d := b.dests[o.Dest]
+	d := b.partners[o.Dest]
 	if d == nil {
 		if o.Phase != storm.Outage {
 			return o
 		}
-		d = &dest{said: math.Inf(-1)}
-		b.dests[o.Dest] = d
+		d = &partner{publishedAt: math.Inf(-1)}
+		b.partners[o.Dest] = d
 	}
 	was := d.phase
-	d.phase, d.order = o.Phase, o
+	d.phase, d.throttle = o.Phase, o
 	switch {
 	case o.Phase == storm.Outage && was != storm.Outage:
-		d.since, d.heard = now, now
-		b.acts = append(b.acts, Action{Dest: o.Dest, Request: true})
-	case o.Phase != storm.Outage && was == storm.Outage && d.news.HeldLocally:
-		b.say(o.Dest, d, now, Open)
+		d.outageSince, d.updatedAt = now, now
+		b.actions = append(b.actions, Action{Dest: o.Dest, Request: true})
+	case o.Phase != storm.Outage && was == storm.Outage && d.update.HeldLocally:
+		b.publish(o.Dest, d, now, Open)
 	}
 	if o.Phase == storm.Calm {
-		b.acts = append(b.acts, Action{Dest: o.Dest, Release: true})
-		delete(b.dests, o.Dest)
+		b.actions = append(b.actions, Action{Dest: o.Dest, Release: true})
+		delete(b.partners, o.Dest)
 	}
-	return b.adjusted(now, d)
+	return b.adjust(now, d)
 }
 
 // Tried takes a failed call to a partner: the holder tells that it is down still.
@@ -118,15 +118,15 @@
 	if b == nil {
 		return
 	}
-	if d := b.dests[id]; d != nil && d.news.HeldLocally && d.phase == storm.Outage && now-d.said >= sayEvery {
-		b.say(id, d, now, Down)
+	if d := b.partners[id]; d != nil && d.update.HeldLocally && d.phase == storm.Outage && now-d.publishedAt >= downIntervalMS {
+		b.publish(id, d, now, Down)
 	}
 }
 
-func (b *State) say(id int, d *dest, now float64, word string) {
-	d.number++
-	d.said = now
-	b.acts = append(b.acts, Action{Dest: id, Publish: word + " " + strconv.Itoa(d.number)})
+func (b *State) publish(id int, d *partner, now float64, word string) {
+	d.wordNumber++
+	d.publishedAt = now
+	b.actions = append(b.actions, Action{Dest: id, Publish: word + " " + strconv.Itoa(d.wordNumber)})
 }
 
 // Heard takes news of a partner's duty.
@@ -134,23 +134,23 @@
 	if b == nil {
 		return
 	}
-	d := b.dests[id]
+	d := b.partners[id]
 	if d == nil {
 		return // a partner that is well here
 	}
-	if n.Holder != d.news.Holder || n.Word != d.news.Word {
-		d.heard = now // a new holder is given time for its first word
+	if n.Holder != d.update.Holder || n.Word != d.update.Word {
+		d.updatedAt = now // a new holder is given time for its first word
 	}
-	if n.HeldLocally && !d.news.HeldLocally && d.phase != storm.Outage {
-		b.say(id, d, now, Open) // the last holder went while the partner came back
+	if n.HeldLocally && !d.update.HeldLocally && d.phase != storm.Outage {
+		b.publish(id, d, now, Open) // the last holder went while the partner came back
 	}
-	d.news = n
+	d.update = n
 }
 
 // Live takes whether this member's session holds: without it nothing that was heard can be relied on.
 func (b *State) SetLive(live bool) {
 	if b != nil {
-		b.live = live
+		b.sessionHeld = live
 	}
 }
 
@@ -159,9 +159,9 @@
 	if b == nil {
 		return nil
 	}
-	for _, d := range b.dests {
-		if hush, holds := b.state(now, d); hush != d.hush || holds != d.holds {
-			list = append(list, b.adjusted(now, d))
+	for _, d := range b.partners {
+		if hush, holds := b.trialState(now, d); hush != d.suspended || holds != d.raised {
+			list = append(list, b.adjust(now, d))
 		}
 	}
 	slices.SortFunc(list, func(x, y storm.Throttle) int { return x.Dest - y.Dest })
@@ -173,8 +173,8 @@
 	if b == nil {
 		return nil
 	}
-	acts := b.acts
-	b.acts = nil
+	acts := b.actions
+	b.actions = nil
 	return acts
 }
 
@@ -184,40 +184,40 @@
 	if b == nil {
 		return next
 	}
-	for _, d := range b.dests {
-		if d.hush {
-			next = min(next, d.heard+b.set.SilenceTimeoutMS)
+	for _, d := range b.partners {
+		if d.suspended {
+			next = min(next, d.updatedAt+b.settings.SilenceTimeoutMS)
 		}
 	}
 	return next
 }
 
 // state tells whether trials are held back here, and whether this member makes those of the fleet.
-func (b *State) state(now float64, d *dest) (hush, holds bool) {
-	if d.phase != storm.Outage || !b.live {
+func (b *State) trialState(now float64, d *partner) (hush, holds bool) {
+	if d.phase != storm.Outage || !b.sessionHeld {
 		return false, false
 	}
-	if d.news.HeldLocally {
+	if d.update.HeldLocally {
 		return false, true
 	}
-	open := strings.HasPrefix(d.news.Word, Open)
-	return d.news.Holder != "" && !open && now < d.heard+b.set.SilenceTimeoutMS, false
+	open := strings.HasPrefix(d.update.Word, Open)
+	return d.update.Holder != "" && !open && now < d.updatedAt+b.settings.SilenceTimeoutMS, false
 }
 
 // adjusted is the order as it stands with what is known of the duty.
-func (b *State) adjusted(now float64, d *dest) storm.Throttle {
-	d.hush, d.holds = b.state(now, d)
-	o := d.order
-	if !d.hush && !d.holds {
+func (b *State) adjust(now float64, d *partner) storm.Throttle {
+	d.suspended, d.raised = b.trialState(now, d)
+	o := d.throttle
+	if !d.suspended && !d.raised {
 		return o
 	}
 	o.Paces = slices.Clone(o.Paces)
 	for i := range o.Paces {
 		p := &o.Paces[i]
-		if d.hush {
-			p.Rate = min(p.Rate, hushed)
-		} else if part := p.Rate * float64(b.set.Senders); p.Rate > 0 { // the others' parts, which they leave unused
-			p.Rate = max(p.Rate, min(part, tryMost))
+		if d.suspended {
+			p.Rate = min(p.Rate, suspendedRate)
+		} else if part := p.Rate * float64(b.settings.Senders); p.Rate > 0 { // the others' parts, which they leave unused
+			p.Rate = max(p.Rate, min(part, maxTrialRate))
 		}
 	}
 	return o
--- a/internal/fleet/trial/trial_test.go
+++ b/internal/fleet/trial/trial_test.go
@@ -11,7 +11,7 @@
 	return storm.Throttle{Dest: 7, Phase: storm.Outage, Paces: []storm.Pace{{Rate: rate}}, DialRate: 1}
 }
 
-func board() *State {
+func newLiveState() *State {
 	b := New(Settings{Senders: 100, SilenceTimeoutMS: 4000})
 	b.SetLive(true)
 	return b
@@ -19,7 +19,7 @@
 
 // TestOthersWait: one that does not hold the trial waits while it hears that the partner is down, and no longer.
 func TestOthersWait(t *testing.T) {
-	b := board()
+	b := newLiveState()
 	if o := b.AdjustThrottle(0, outage(0.5)); o.Paces[0].Rate != 0.5 {
 		t.Errorf("with nobody's word: %v", o)
 	}
@@ -28,7 +28,7 @@
 	}
 	b.HandleUpdate(100, 7, Update{Holder: "n2"})
 	list := b.ChangedThrottles(100)
-	if len(list) != 1 || list[0].Paces[0].Rate != hushed {
+	if len(list) != 1 || list[0].Paces[0].Rate != suspendedRate {
 		t.Fatalf("another holds it: %v", list)
 	}
 	b.HandleUpdate(3000, 7, Update{Holder: "n2", Word: "down 1"})
@@ -42,7 +42,7 @@
 		t.Errorf("after the bound without a word: %v", list)
 	}
 	b.HandleUpdate(7100, 7, Update{Holder: "n2", Word: "down 2"})
-	if list := b.ChangedThrottles(7100); len(list) != 1 || list[0].Paces[0].Rate != hushed {
+	if list := b.ChangedThrottles(7100); len(list) != 1 || list[0].Paces[0].Rate != suspendedRate {
 		t.Errorf("a word again: %v", list)
 	}
 	b.HandleUpdate(7200, 7, Update{Holder: "n2", Word: "open 3"})
@@ -53,7 +53,7 @@
 
 // TestNobodySilences: without a session, a holder, or a fleet, nothing is held back.
 func TestNobodySilences(t *testing.T) {
-	b := board()
+	b := newLiveState()
 	b.AdjustThrottle(0, outage(0.5))
 	b.HandleUpdate(100, 7, Update{Holder: "n2"})
 	b.ChangedThrottles(100)
@@ -79,7 +79,7 @@
 // TestHolder: the holder tries at the others' parts, up to a bound, tells that the partner is down now and then, and
 // that it is back at once.
 func TestHolder(t *testing.T) {
-	b := board()
+	b := newLiveState()
 	b.AdjustThrottle(0, outage(0.05))
 	b.TakeActions()
 	b.HandleUpdate(100, 7, Update{Holder: "n1", HeldLocally: true})
@@ -101,7 +101,7 @@
 		t.Errorf("calm: %v", acts)
 	}
 	// One that takes the duty over while it sees the partner back says so.
-	b = board()
+	b = newLiveState()
 	b.AdjustThrottle(0, outage(0.05))
 	b.AdjustThrottle(1000, storm.Throttle{Dest: 7, Phase: storm.Returning, Paces: []storm.Pace{{Rate: 0.05}}})
 	b.TakeActions()
