--- a/internal/fleet/commands.go
+++ b/internal/fleet/commands.go
@@ -44,7 +44,7 @@
 }
 
 func (m *Member) requestStatus(ctx context.Context, answers chan<- *pb.Answer) {
-	f := func() {
+	report := func() {
 		r := &pb.Answer{}
 		if m.voter != nil {
 			r.Status, r.Leader = m.voter.Status(), m.voter.Leader()
@@ -55,13 +55,13 @@
 		answers <- r
 	}
 	select {
-	case m.voterInbox <- input{call: f}:
+	case m.voterInbox <- input{call: report}:
 	case <-ctx.Done():
 	}
 }
 
 func (m *Member) forward(ctx context.Context, a *pb.Ask, answers chan<- *pb.Answer) {
-	f := func() {
+	ask := func() {
 		m.session.Do(a, commandTimeout-200*time.Millisecond, func(r *pb.Answer, err error) {
 			if r == nil {
 				r = &pb.Answer{Error: err.Error()}
@@ -70,7 +70,7 @@
 		})
 	}
 	select {
-	case m.sessionInbox <- input{call: f}:
+	case m.sessionInbox <- input{call: ask}:
 	case <-ctx.Done():
 	}
 }
--- a/internal/fleet/copies.go
+++ b/internal/fleet/copies.go
@@ -22,11 +22,11 @@
 }
 
 // Mine reports whether this member holds a duty by that look.
-func (l *View) Holds(d *pb.Duty) bool { return d != nil && l.Session != 0 && d.Session == l.Session }
+func (v *View) Holds(d *pb.Duty) bool { return d != nil && v.Session != 0 && d.Session == v.Session }
 
 // Is reports whether a member's session goes on.
-func (l *View) HasMember(name string) bool {
-	return slices.ContainsFunc(l.Present, func(p *pb.Present) bool { return p.Name == name })
+func (v *View) HasMember(name string) bool {
+	return slices.ContainsFunc(v.Present, func(p *pb.Present) bool { return p.Name == name })
 }
 
 // Look is what is known now. It waits for nothing.
@@ -42,18 +42,18 @@
 		return
 	}
 	m.viewVersion, m.viewSession = version, id
-	view, adopted, present := m.session.View()
-	l := &View{Session: id, Journals: map[string]*pb.Duty{}, Adoptions: map[string]*pb.Adoption{}, Present: present}
-	for name, d := range view {
-		if owner, own := strings.CutPrefix(name, duty.Own("")); own {
-			l.Journals[owner] = d
+	duties, adoptions, present := m.session.View()
+	published := &View{Session: id, Journals: map[string]*pb.Duty{}, Adoptions: map[string]*pb.Adoption{}, Present: present}
+	for name, d := range duties {
+		if owner, isJournal := strings.CutPrefix(name, duty.Own("")); isJournal {
+			published.Journals[owner] = d
 			m.connectHolders(owner, d)
 		}
 	}
-	for owner, a := range adopted {
-		l.Adoptions[owner] = a
+	for owner, a := range adoptions {
+		published.Adoptions[owner] = a
 	}
-	m.view.Store(l)
+	m.view.Store(published)
 	if m.o.ViewChanged != nil {
 		m.o.ViewChanged()
 	}
@@ -62,14 +62,14 @@
 // keepers links this member with the others of a journal, and puts it in line for the journal of an owner that it
 // keeps copies of: one of those becomes the heir.
 func (m *Member) connectHolders(owner string, d *pb.Duty) {
-	all := append([]string{owner}, d.Holders...)
-	if !slices.Contains(all, m.self.Name) {
+	replicas := append([]string{owner}, d.Holders...)
+	if !slices.Contains(replicas, m.self.Name) {
 		return
 	}
 	if owner != m.self.Name {
 		m.session.Request(d.Name, "")
 	}
-	for _, name := range all {
+	for _, name := range replicas {
 		if m.self.Name < name {
 			for _, p := range m.o.Settings.Members {
 				if p.Name == name {
@@ -142,9 +142,9 @@
 	var answer *pb.Frame
 	switch w := in.frame.What.(type) {
 	case *pb.Frame_Copy:
-		was := h.Mended()
+		repairsBefore := h.Mended()
 		a := h.Copy(m.now(), w.Copy)
-		if h.Mended() > was {
+		if h.Mended() > repairsBefore {
 			m.o.Log.Warn().Str("owner", w.Copy.Owner).Msg("fleet: a copy differs from its owner's journal: it is asked for anew")
 		}
 		if a != nil && w.Copy.Owner == in.from {
--- a/internal/fleet/cuts_test.go
+++ b/internal/fleet/cuts_test.go
@@ -14,7 +14,7 @@
 	defer r.mu.Unlock()
 	last := ""
 	for _, line := range splitLines(r.logs.String()) {
-		if member, ok := saying(line, "fleet: voter: leads"); ok {
+		if member, ok := logMember(line, "fleet: voter: leads"); ok {
 			last = member
 		}
 	}
@@ -24,36 +24,36 @@
 // TestCuts: a holder cut off with a minority, cut one way, a ring in which each hears its neighbours alone, a member
 // that reaches the leader and not the majority, links that are half-closed, broken and doubled: never two holders,
 // and one again once the links are well.
-func TestCuts(t *testing.T) {
+func TestPartitions(t *testing.T) {
 	t.Parallel()
 	r := newRig(t, 5, 1, nil)
-	well := func() {
+	healLinks := func() {
 		for _, l := range r.relays {
 			l.Cut(false)
 			l.Delay(0)
 			l.Refuse(false)
 		}
 		r.awaitAll(25 * time.Second)
-		r.judge()
+		r.checkObservations()
 	}
 	r.holder(0, 0, "", 25*time.Second)
 	r.awaitAll(25 * time.Second)
 
 	// The holder and one more voter, or member, without the rest.
 	l := r.holder(0, fleet.Now(), "", 25*time.Second)
-	with := "n1"
-	if l.member == with {
-		with = "n2"
+	second := "n1"
+	if l.member == second {
+		second = "n2"
 	}
 	at := fleet.Now()
 	for _, p := range r.procs {
-		if p.name != l.member && p.name != with {
+		if p.name != l.member && p.name != second {
 			r.cut(l.member, p.name, true)
-			r.cut(with, p.name, true)
+			r.cut(second, p.name, true)
 		}
 	}
 	r.holder(0, at+int64(1500*time.Millisecond), l.member, 25*time.Second)
-	well()
+	healLinks()
 
 	// It hears and is not heard, then is heard and does not hear.
 	for _, direction := range []int{standin.There, standin.Back} {
@@ -68,7 +68,7 @@
 			}
 		}
 		r.holder(0, at+int64(1500*time.Millisecond), l.member, 25*time.Second)
-		well()
+		healLinks()
 	}
 
 	// A ring of the five voters: each hears two others, which is a majority with itself.
@@ -80,7 +80,7 @@
 		}
 	}
 	time.Sleep(3 * time.Second) // faults stand for a while: nothing is waited for
-	well()
+	healLinks()
 
 	// A member that reaches the voter that leads, and no other voter.
 	lead := r.leader()
@@ -90,12 +90,12 @@
 		}
 	}
 	r.awaitAll(25 * time.Second)
-	well()
+	healLinks()
 
 	for _, relay := range r.relays {
 		relay.HalfClose()
 	}
-	well()
+	healLinks()
 	for range 5 {
 		for _, relay := range r.relays {
 			relay.Break()
@@ -106,7 +106,7 @@
 			relay.Refuse(false)
 		}
 	}
-	well()
+	healLinks()
 }
 
 // TestVotersKilled: the voter that leads is killed again and again while leases run out, then all voters at once,
@@ -125,7 +125,7 @@
 	}
 	var highest uint64
 	r.mu.Lock()
-	for _, l := range r.looks {
+	for _, l := range r.observations {
 		highest = max(highest, l.token)
 	}
 	r.mu.Unlock()
@@ -137,7 +137,7 @@
 		time.Sleep(150 * time.Millisecond) // one after the other
 	}
 	r.awaitAll(25 * time.Second)
-	r.judge()
+	r.checkObservations()
 	// Whoever holds a duty anew has a token above all before. The member that is no voter lives through it all: what
 	// it held it may hold still, under the token that it had.
 	at := fleet.Now()
@@ -151,5 +151,5 @@
 			t.Errorf("%s holds %s with a token of %d after one of %d", l.member, dutyName(d), l.token, highest)
 		}
 	}
-	r.judge()
+	r.checkObservations()
 }
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -202,25 +202,25 @@
 // dials are the members that this one dials: of two voters the first by name does, and everybody else dials the
 // voters.
 func (m *Member) dialAddrs() map[string]string {
-	list := map[string]string{}
+	addrs := map[string]string{}
 	for _, p := range m.o.Settings.Members {
 		if p.Voter && p.Name != m.self.Name && (!m.self.Voter || m.self.Name < p.Name) {
-			list[p.Name] = p.Addr
+			addrs[p.Name] = p.Addr
 		}
 	}
-	return list
+	return addrs
 }
 
 func (m *Member) isMember(name string) bool { return (*m.memberNames.Load())[name] }
 
 // SetMembers takes the members of an operators' file that was read again: links of new ones are taken from now on.
 // Who votes stays until the next start.
-func (m *Member) SetMembers(list []Peer) {
+func (m *Member) SetMembers(members []Peer) {
 	if m == nil {
 		return
 	}
-	names := make(map[string]bool, len(list))
-	for _, p := range list {
+	names := make(map[string]bool, len(members))
+	for _, p := range members {
 		names[p.Name] = true
 	}
 	m.memberNames.Store(&names)
@@ -240,7 +240,7 @@
 
 // receive brings a frame to the loop that it is for. A loop that is behind holds up the link, and no other.
 func (m *Member) receive(ctx context.Context, from string, f *pb.Frame) {
-	to := m.voterInbox
+	inbox := m.voterInbox
 	switch w := f.What.(type) {
 	case *pb.Frame_Copied, *pb.Frame_Sealed:
 		if m.o.ReceiveCopyReply != nil {
@@ -248,16 +248,16 @@
 		}
 		return
 	case *pb.Frame_Copy, *pb.Frame_Seal:
-		to = m.copyInbox
+		inbox = m.copyInbox
 	case *pb.Frame_News:
-		to = m.sessionInbox
+		inbox = m.sessionInbox
 	case *pb.Frame_Answer:
 		if w.Answer.Id != 0 { // else it is one voter's to another
-			to = m.sessionInbox
+			inbox = m.sessionInbox
 		}
 	}
 	select {
-	case to <- input{from: from, frame: f}:
+	case inbox <- input{from: from, frame: f}:
 	case <-ctx.Done():
 	case <-m.ctx.Done():
 	}
@@ -269,12 +269,12 @@
 		m.links.Send(to, f)
 		return
 	}
-	in := m.sessionInbox
+	inbox := m.sessionInbox
 	if f.GetAsk() != nil || f.GetRaft() != nil {
-		in = m.voterInbox
+		inbox = m.voterInbox
 	}
 	select {
-	case in <- input{from: to, frame: f}:
+	case inbox <- input{from: to, frame: f}:
 	default: // it is asked again
 	}
 }
@@ -286,8 +286,8 @@
 	m.session.Tick(m.now())
 	for {
 		m.publishHeld()
-		for _, o := range m.session.TakeOutgoing() {
-			m.route(o.To, o.Frame)
+		for _, out := range m.session.TakeOutgoing() {
+			m.route(out.To, out.Frame)
 		}
 		select {
 		case <-m.ctx.Done():
@@ -300,8 +300,8 @@
 		case <-m.pendingCalls.wake:
 		case <-tick.C:
 		}
-		for _, f := range m.pendingCalls.drain() {
-			f()
+		for _, call := range m.pendingCalls.drain() {
+			call()
 		}
 		m.session.Tick(m.now())
 		if m.session.Closed() {
@@ -341,11 +341,11 @@
 	}
 	tick := time.NewTicker(m.o.Settings.ElectionTimeout / 20)
 	defer tick.Stop()
-	reviveAt := time.Now().Add(reopenInterval)
+	reopenAt := time.Now().Add(reopenInterval)
 	for {
 		if m.voter != nil {
-			for _, o := range m.voter.Take() {
-				m.route(o.To, o.Frame)
+			for _, out := range m.voter.Take() {
+				m.route(out.To, out.Frame)
 			}
 		}
 		select {
@@ -358,9 +358,9 @@
 			}
 		case <-tick.C:
 		}
-		if m.voter == nil && time.Now().After(reviveAt) {
+		if m.voter == nil && time.Now().After(reopenAt) {
 			m.reopenLog()
-			reviveAt = time.Now().Add(reopenInterval)
+			reopenAt = time.Now().Add(reopenInterval)
 		}
 		if m.voter != nil {
 			m.voter.Tick(m.now())
@@ -438,8 +438,8 @@
 // callers name, each of which is asked about when something happens to its partner.
 func (m *Member) runOnSessionLoop(f func()) {
 	m.pendingCalls.mu.Lock()
-	full := len(m.pendingCalls.calls) >= maxPendingCalls
-	if !full {
+	queueFull := len(m.pendingCalls.calls) >= maxPendingCalls
+	if !queueFull {
 		m.pendingCalls.calls = append(m.pendingCalls.calls, f)
 	}
 	m.pendingCalls.mu.Unlock()
@@ -459,9 +459,9 @@
 func (q *callQueue) drain() []func() {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	list := q.calls
+	calls := q.calls
 	q.calls = nil
-	return list
+	return calls
 }
 
 // Want puts this member in line for a duty. It waits for nothing.
@@ -491,22 +491,22 @@
 	}
 	ctx, cancel := context.WithTimeout(m.ctx, transferTimeout)
 	defer cancel()
-	leads := make(chan bool, 1)
-	for again := false; ; again = true {
-		f := func() {
-			if m.voter != nil && !again {
+	leadsNow := make(chan bool, 1)
+	for requested := false; ; requested = true {
+		request := func() {
+			if m.voter != nil && !requested {
 				m.voter.Aside()
 			}
-			leads <- m.voter != nil && m.voter.Leads()
+			leadsNow <- m.voter != nil && m.voter.Leads()
 		}
 		select {
-		case m.voterInbox <- input{call: f}:
+		case m.voterInbox <- input{call: request}:
 		case <-ctx.Done():
 			return
 		}
 		select {
-		case still := <-leads:
-			if !still {
+		case stillLeads := <-leadsNow:
+			if !stillLeads {
 				return
 			}
 		case <-ctx.Done():
--- a/internal/fleet/link/link.go
+++ b/internal/fleet/link/link.go
@@ -107,32 +107,32 @@
 }
 
 // Reach keeps a link to a further member up from now on. Of two members one alone is to reach the other.
-func (n *Manager) Connect(name, addr string) {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	if n.dialing[name] || n.ctx.Err() != nil {
+func (m *Manager) Connect(name, addr string) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if m.dialing[name] || m.ctx.Err() != nil {
 		return
 	}
-	n.dialing[name] = true
-	n.done.Add(1)
-	go n.dialLoop(name, addr)
+	m.dialing[name] = true
+	m.done.Add(1)
+	go m.dialLoop(name, addr)
 }
 
 // Serve accepts links until Close.
-func (n *Manager) Serve(ln net.Listener) error { return n.server.Serve(ln) }
+func (m *Manager) Serve(ln net.Listener) error { return m.server.Serve(ln) }
 
 // Close ends all links. What is queued is given a moment.
-func (n *Manager) Close() {
-	n.cancel()
-	n.server.Stop()
-	n.done.Wait()
+func (m *Manager) Close() {
+	m.cancel()
+	m.server.Stop()
+	m.done.Wait()
 }
 
 // Send queues a frame for a member. It never waits.
-func (n *Manager) Send(to string, f *pb.Frame) {
-	n.mu.Lock()
-	l := n.links[to]
-	n.mu.Unlock()
+func (m *Manager) Send(to string, f *pb.Frame) {
+	m.mu.Lock()
+	l := m.links[to]
+	m.mu.Unlock()
 	if l == nil {
 		return
 	}
@@ -143,71 +143,71 @@
 }
 
 // Linked are the members that a link is up to.
-func (n *Manager) Connected() (names []string) {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	for name := range n.links {
+func (m *Manager) Connected() (names []string) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	for name := range m.links {
 		names = append(names, name)
 	}
 	return names
 }
 
-func (n *Manager) dialLoop(name, addr string) {
-	defer n.done.Done()
-	pause := minRedialDelay
-	told := false
-	for n.ctx.Err() == nil {
-		began := time.Now()
-		err := n.dialOnce(name, addr)
-		if time.Since(began) > 2*silenceTimeout {
-			pause, told = minRedialDelay, false
+func (m *Manager) dialLoop(name, addr string) {
+	defer m.done.Done()
+	delay := minRedialDelay
+	logged := false
+	for m.ctx.Err() == nil {
+		startedAt := time.Now()
+		err := m.dialOnce(name, addr)
+		if time.Since(startedAt) > 2*silenceTimeout {
+			delay, logged = minRedialDelay, false
 		}
-		if !told && n.ctx.Err() == nil {
-			n.o.LogEvent("link down", name, err)
-			told = true
+		if !logged && m.ctx.Err() == nil {
+			m.o.LogEvent("link down", name, err)
+			logged = true
 		}
 		select {
-		case <-n.ctx.Done():
-		case <-time.After(pause/2 + rand.N(pause)):
+		case <-m.ctx.Done():
+		case <-time.After(delay/2 + rand.N(delay)):
 		}
-		pause = min(2*pause, maxRedialDelay)
+		delay = min(2*delay, maxRedialDelay)
 	}
 }
 
 // reach keeps a link to a member up for as long as it goes.
-func (n *Manager) dialOnce(name, addr string) error {
-	conn, err := Dial(addr, n.o.Client)
+func (m *Manager) dialOnce(name, addr string) error {
+	conn, err := Dial(addr, m.o.Client)
 	if err != nil {
 		return err
 	}
 	defer conn.Close()
-	ctx, cancel := context.WithCancel(n.ctx)
+	ctx, cancel := context.WithCancel(m.ctx)
 	defer cancel()
-	up := time.AfterFunc(silenceTimeout, cancel)
+	handshakeTimer := time.AfterFunc(silenceTimeout, cancel)
 	st, err := pb.NewLinksClient(conn).Link(ctx)
 	if err != nil {
 		return err
 	}
-	if err := st.Send(n.hello()); err != nil {
+	if err := st.Send(m.hello()); err != nil {
 		return err
 	}
 	first, err := st.Recv()
 	if err != nil {
 		return err
 	}
-	up.Stop()
+	handshakeTimer.Stop()
 	h := first.GetHello()
 	if h == nil || h.Member != name {
 		return fmt.Errorf("at %s is %q, not %q", addr, h.GetMember(), name)
 	}
-	return n.runLink(ctx, cancel, h, st)
+	return m.runLink(ctx, cancel, h, st)
 }
 
 // Dial returns a connection to the member at addr, which comes up when it is used.
-func Dial(addr string, with *tls.Config) (*grpc.ClientConn, error) {
+func Dial(addr string, tlsConfig *tls.Config) (*grpc.ClientConn, error) {
 	creds := insecure.NewCredentials()
-	if with != nil {
-		creds = credentials.NewTLS(with)
+	if tlsConfig != nil {
+		creds = credentials.NewTLS(tlsConfig)
 	}
 	return grpc.NewClient("passthrough:///"+addr, grpc.WithTransportCredentials(creds),
 		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(MaxFrame)), grpc.WithReadBufferSize(4<<10), grpc.WithWriteBufferSize(4<<10),
@@ -215,17 +215,17 @@
 		grpc.WithConnectParams(grpc.ConnectParams{MinConnectTimeout: silenceTimeout, Backoff: backoff.Config{BaseDelay: minRedialDelay, Multiplier: 2, Jitter: 0.2, MaxDelay: maxRedialDelay}}))
 }
 
-func (n *Manager) hello() *pb.Frame {
-	return &pb.Frame{What: &pb.Frame_Hello{Hello: &pb.Hello{Member: n.o.Self, Settings: n.o.SettingsHash, Incarnation: n.o.Incarnation}}}
+func (m *Manager) hello() *pb.Frame {
+	return &pb.Frame{What: &pb.Frame_Hello{Hello: &pb.Hello{Member: m.o.Self, Settings: m.o.SettingsHash, Incarnation: m.o.Incarnation}}}
 }
 
 var errFull = errors.New("no more links are taken")
 
 // Link accepts a link.
-func (n *Manager) Link(st grpc.BidiStreamingServer[pb.Frame, pb.Frame]) error {
+func (m *Manager) Link(st grpc.BidiStreamingServer[pb.Frame, pb.Frame]) error {
 	ctx, cancel := context.WithCancel(st.Context())
 	defer cancel()
-	stop := context.AfterFunc(n.ctx, cancel)
+	stop := context.AfterFunc(m.ctx, cancel)
 	defer stop()
 	first := make(chan *pb.Frame, 1)
 	go func() {
@@ -241,65 +241,65 @@
 	case <-time.After(silenceTimeout):
 	case <-ctx.Done():
 	}
-	if err := n.checkHello(h); err != nil {
-		n.o.LogEvent("link refused", h.GetMember(), err)
+	if err := m.checkHello(h); err != nil {
+		m.o.LogEvent("link refused", h.GetMember(), err)
 		return status.Error(codes.FailedPrecondition, err.Error())
 	}
-	if err := st.Send(n.hello()); err != nil {
+	if err := st.Send(m.hello()); err != nil {
 		return err
 	}
-	return n.runLink(ctx, cancel, h, st)
+	return m.runLink(ctx, cancel, h, st)
 }
 
-func (n *Manager) checkHello(h *pb.Hello) error {
-	n.mu.Lock()
-	defer n.mu.Unlock()
+func (m *Manager) checkHello(h *pb.Hello) error {
+	m.mu.Lock()
+	defer m.mu.Unlock()
 	switch {
 	case h == nil:
 		return errors.New("no word of who calls")
-	case h.Member == n.o.Self:
+	case h.Member == m.o.Self:
 		return fmt.Errorf("a second process runs as %q", h.Member)
-	case !n.o.IsMember(h.Member):
+	case !m.o.IsMember(h.Member):
 		return fmt.Errorf("%q is no member of this fleet", h.Member)
-	case h.Settings != n.o.SettingsHash:
+	case h.Settings != m.o.SettingsHash:
 		return fmt.Errorf("%q has other fleet settings: voters, lease and drift must be alike in all operators' files", h.Member)
-	case len(n.links) >= n.o.MaxLinks:
+	case len(m.links) >= m.o.MaxLinks:
 		return errFull
 	}
-	if l := n.links[h.Member]; l != nil && l.incarnation != h.Incarnation {
+	if l := m.links[h.Member]; l != nil && l.incarnation != h.Incarnation {
 		return fmt.Errorf("another process runs under this member's name: %q", h.Member)
 	}
 	return nil
 }
 
 // run carries frames until the link goes down; a later link to the same member takes its place.
-func (n *Manager) runLink(ctx context.Context, cancel context.CancelFunc, h *pb.Hello, st stream) error {
+func (m *Manager) runLink(ctx context.Context, cancel context.CancelFunc, h *pb.Hello, st stream) error {
 	name := h.Member
 	l := &link{queue: make(chan *pb.Frame, maxQueuedFrames), cancel: cancel, incarnation: h.Incarnation}
-	n.mu.Lock()
-	if old := n.links[name]; old != nil {
+	m.mu.Lock()
+	if old := m.links[name]; old != nil {
 		old.cancel()
 	}
-	n.links[name] = l
-	n.mu.Unlock()
-	n.o.LogEvent("link up", name, nil)
+	m.links[name] = l
+	m.mu.Unlock()
+	m.o.LogEvent("link up", name, nil)
 	defer func() {
-		n.mu.Lock()
-		if n.links[name] == l {
-			delete(n.links, name)
+		m.mu.Lock()
+		if m.links[name] == l {
+			delete(m.links, name)
 		}
-		n.mu.Unlock()
+		m.mu.Unlock()
 	}()
 	errs := make(chan error, 2)
-	n.done.Add(1)
+	m.done.Add(1)
 	go func() {
-		defer n.done.Done()
-		errs <- n.write(ctx, l, st)
+		defer m.done.Done()
+		errs <- m.write(ctx, l, st)
 		cancel()
 	}()
-	silent := time.AfterFunc(n.o.SilenceTimeout, cancel)
-	defer silent.Stop()
-	go func() { errs <- n.read(ctx, name, st, silent) }()
+	silenceTimer := time.AfterFunc(m.o.SilenceTimeout, cancel)
+	defer silenceTimer.Stop()
+	go func() { errs <- m.read(ctx, name, st, silenceTimer) }()
 	select {
 	case err := <-errs:
 		cancel()
@@ -309,15 +309,15 @@
 	}
 }
 
-func (n *Manager) read(ctx context.Context, name string, st stream, silent *time.Timer) error {
+func (m *Manager) read(ctx context.Context, name string, st stream, silenceTimer *time.Timer) error {
 	for {
 		f, err := st.Recv()
 		if err != nil {
 			return err
 		}
-		silent.Reset(n.o.SilenceTimeout)
+		silenceTimer.Reset(m.o.SilenceTimeout)
 		if f.GetPing() == nil {
-			n.o.Receive(ctx, name, f)
+			m.o.Receive(ctx, name, f)
 		}
 		if ctx.Err() != nil {
 			return ctx.Err()
@@ -325,8 +325,8 @@
 	}
 }
 
-func (n *Manager) write(ctx context.Context, l *link, st stream) error {
-	ping := time.NewTicker(n.o.PingInterval)
+func (m *Manager) write(ctx context.Context, l *link, st stream) error {
+	ping := time.NewTicker(m.o.PingInterval)
 	defer ping.Stop()
 	for {
 		var f *pb.Frame
@@ -344,4 +344,4 @@
 }
 
 // Call answers an operator's command.
-func (n *Manager) Call(ctx context.Context, a *pb.Ask) (*pb.Answer, error) { return n.o.Call(ctx, a) }
+func (m *Manager) Call(ctx context.Context, a *pb.Ask) (*pb.Answer, error) { return m.o.Call(ctx, a) }
--- a/internal/fleet/measure_test.go
+++ b/internal/fleet/measure_test.go
@@ -23,7 +23,7 @@
 		n = 10
 	}
 	lease2s := func(s *nodeSettings) {
-		s.Settings.Terms.Length, s.Settings.ElectionTimeout, s.Rate = 2*time.Second, 500*time.Millisecond, 1
+		s.Settings.Terms.Length, s.Settings.ElectionTimeout, s.ClockRate = 2*time.Second, 500*time.Millisecond, 1
 	}
 	for _, c := range []struct {
 		name  string
@@ -50,8 +50,8 @@
 				gaps = append(gaps, float64(next.begin-r.lastHeld(0, l.member))/1e6)
 				heal()
 				// All are back before the next one: a majority is always there.
-				r.awaitLinks(l.member)
-				r.forgetLooks()
+				r.settle(l.member)
+				r.checkAndReset()
 			}
 			slices.Sort(gaps)
 			t.Logf("holder %s, lease 2 s, %d faults: without a holder p50 %.0f ms, max %.0f ms", c.name, n, gaps[len(gaps)/2], gaps[len(gaps)-1])
@@ -63,8 +63,8 @@
 func (r *rig) lastHeld(duty int, member string) int64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for i := len(r.looks) - 1; i >= 0; i-- {
-		if l := r.looks[i]; l.duty == duty && l.member == member {
+	for i := len(r.observations) - 1; i >= 0; i-- {
+		if l := r.observations[i]; l.duty == duty && l.member == member {
 			return l.end
 		}
 	}
@@ -72,13 +72,13 @@
 }
 
 // awaitLinks waits until a member that is back can have a session again.
-func (r *rig) awaitLinks(string) { time.Sleep(3500 * time.Millisecond) }
+func (r *rig) settle(string) { time.Sleep(3500 * time.Millisecond) }
 
 // forgetLooks checks the looks so far and drops them.
-func (r *rig) forgetLooks() {
-	r.judge()
+func (r *rig) checkAndReset() {
+	r.checkObservations()
 	r.mu.Lock()
-	r.looks = nil
+	r.observations = nil
 	r.logs.Reset()
 	r.mu.Unlock()
 }
@@ -90,7 +90,7 @@
 	}
 	for _, members := range []int{0, 27} {
 		r := newRig(t, 3, members, func(s *nodeSettings) {
-			s.Settings.Terms.Length, s.Settings.ElectionTimeout, s.Rate = 2*time.Second, 500*time.Millisecond, 1
+			s.Settings.Terms.Length, s.Settings.ElectionTimeout, s.ClockRate = 2*time.Second, 500*time.Millisecond, 1
 		})
 		r.holder(0, 0, "", 30*time.Second)
 		time.Sleep(5 * time.Second)
@@ -105,11 +105,11 @@
 			return voters, rest
 		}
 		v0, m0 := cpu()
-		b0 := r.bytes()
+		b0 := r.linkBytes()
 		const span = 20
 		time.Sleep(span * time.Second)
 		v1, m1 := cpu()
-		b1 := r.bytes()
+		b1 := r.linkBytes()
 		rss := 0.0
 		for _, p := range r.procs {
 			rss = max(rss, standin.Resident(p.cmd.Process.Pid))
@@ -120,7 +120,7 @@
 	}
 }
 
-func (r *rig) bytes() (n int64) {
+func (r *rig) linkBytes() (n int64) {
 	for _, l := range r.relays {
 		n += l.Bytes()
 	}
--- a/internal/fleet/model/disk_test.go
+++ b/internal/fleet/model/disk_test.go
@@ -8,13 +8,13 @@
 // TestNewDisk: a voter that comes back with an empty disk gets its vote back under a new number, and carries the
 // group when another goes.
 func TestNewDisk(t *testing.T) {
-	for who := range 3 {
-		w := New(options(uint64(who)))
-		w.Schedule([]Fault{{Kind: KillAndWipe, Proc: who, At: 3 * time.Second, Duration: time.Second},
-			{Kind: Kill, Proc: (who + 1) % 3, At: 15 * time.Second, Duration: time.Minute}})
+	for lost := range 3 {
+		w := New(options(uint64(lost)))
+		w.Schedule([]Fault{{Kind: KillAndWipe, Proc: lost, At: 3 * time.Second, Duration: time.Second},
+			{Kind: Kill, Proc: (lost + 1) % 3, At: 15 * time.Second, Duration: time.Minute}})
 		w.Run(14 * time.Second)
-		if !w.procs[who].voter.Votes() {
-			t.Errorf("voter %d has no vote 10 s after it is back: %s", who, w.procs[(who+1)%3].voter.Status())
+		if !w.processes[lost].voter.Votes() {
+			t.Errorf("voter %d has no vote 10 s after it is back: %s", lost, w.processes[(lost+1)%3].voter.Status())
 		}
 		w.Run(30 * time.Second)
 		if !w.AllHeld() || w.Violation != "" {
--- a/internal/fleet/model/model.go
+++ b/internal/fleet/model/model.go
@@ -75,11 +75,11 @@
 	now           int64
 	queue         events
 	seq           int
-	procs         []*proc
-	names         map[string]*proc
+	processes     []*process
+	names         map[string]*process
 	cuts          map[[2]int]int // from, to: cuts that hold
-	loss          int
-	res           map[string]*resource
+	lossFaults    int
+	resources     map[string]*resource
 	Violation     string // the first rule that was broken; empty: none
 	FramesSent    int    // sent
 	Grants        int    // tokens that were acted with
@@ -94,24 +94,24 @@
 	holder string
 }
 
-type proc struct {
-	w       *World
-	n       int
-	name    string
-	rate    float64
-	offset  int64
-	disk    *memDisk
-	voter   *voter.Voter
-	session *session.Session
-	up      bool
-	epoch   int       // of the process: a start is a new one
-	stopped int64     // until
-	inbox   []inFrame // while it is stopped
+type process struct {
+	world        *World
+	index        int
+	name         string
+	clockRate    float64
+	clockOffset  int64
+	disk         *memDisk
+	voter        *voter.Voter
+	session      *session.Session
+	up           bool
+	run          int       // of the process: a start is a new one
+	stoppedUntil int64     // until
+	inbox        []inFrame // while it is stopped
 }
 
 type inFrame struct {
-	from string
-	f    *pb.Frame
+	from  string
+	frame *pb.Frame
 }
 
 type event struct {
@@ -141,18 +141,18 @@
 
 // New returns a world with all processes started.
 func New(o Options) *World {
-	w := &World{o: o, rng: rand.New(rand.NewPCG(o.Seed, 1)), names: map[string]*proc{}, cuts: map[[2]int]int{}, res: map[string]*resource{},
+	w := &World{o: o, rng: rand.New(rand.NewPCG(o.Seed, 1)), names: map[string]*process{}, cuts: map[[2]int]int{}, resources: map[string]*resource{},
 		heldBy: map[string]int{}}
 	for i := range o.Voters + o.Members {
-		p := &proc{w: w, n: i, name: fmt.Sprintf("n%03d", i), rate: 1 + o.Drift*(2*w.rng.Float64()-1), offset: w.rng.Int64N(1e15), disk: newMemDisk()}
-		w.procs = append(w.procs, p)
+		p := &process{world: w, index: i, name: fmt.Sprintf("n%03d", i), clockRate: 1 + o.Drift*(2*w.rng.Float64()-1), clockOffset: w.rng.Int64N(1e15), disk: newMemDisk()}
+		w.processes = append(w.processes, p)
 		w.names[p.name] = p
 	}
-	for _, p := range w.procs {
+	for _, p := range w.processes {
 		p.start()
 	}
 	for d := range o.Duties {
-		w.res[dutyName(d)] = &resource{}
+		w.resources[dutyName(d)] = &resource{}
 	}
 	return w
 }
@@ -160,7 +160,7 @@
 func dutyName(d int) string { return fmt.Sprintf("duty/%d", d) }
 
 func (w *World) voters() (names []string) {
-	for _, p := range w.procs[:w.o.Voters] {
+	for _, p := range w.processes[:w.o.Voters] {
 		names = append(names, p.name)
 	}
 	return names
@@ -186,54 +186,54 @@
 		e := heap.Pop(&w.queue).(event)
 		w.now = e.at
 		e.do()
-		w.judge()
+		w.checkHolders()
 	}
 }
 
-func (p *proc) local() int64 { return p.offset + int64(float64(p.w.now)*p.rate) }
+func (p *process) localTime() int64 { return p.clockOffset + int64(float64(p.world.now)*p.clockRate) }
 
-func (p *proc) start() {
-	p.up, p.epoch, p.stopped, p.inbox = true, p.epoch+1, 0, nil
-	id := &pb.Identity{Incarnation: uint64(p.n+1)<<32 | uint64(p.disk.lost), Boot: uint64(p.epoch)}
+func (p *process) start() {
+	p.up, p.run, p.stoppedUntil, p.inbox = true, p.run+1, 0, nil
+	id := &pb.Identity{Incarnation: uint64(p.index+1)<<32 | uint64(p.disk.wipes), Boot: uint64(p.run)}
 	p.voter = nil
-	if p.n < p.w.o.Voters {
+	if p.index < p.world.o.Voters {
 		log, err := disk.Open(p.disk, nil, p.name)
 		if err != nil {
 			p.up = false
-			p.w.after(time.Second, p.start)
+			p.world.after(time.Second, p.start)
 			return
 		}
 		id = log.Identity()
-		p.voter, err = voter.New(voter.Options{Name: p.name, Voters: p.w.voters(), Minimum: p.w.o.Voters, Terms: p.w.o.Terms, Election: p.w.o.ElectionTimeout,
-			Log: log, Break: p.w.o.BreakVoter, Note: func(what string, _ error) {
+		p.voter, err = voter.New(voter.Options{Name: p.name, Voters: p.world.voters(), Minimum: p.world.o.Voters, Terms: p.world.o.Terms, Election: p.world.o.ElectionTimeout,
+			Log: log, Break: p.world.o.BreakVoter, Note: func(what string, _ error) {
 				if what == voter.NoteLeads {
-					p.w.LeaderChanges++
+					p.world.LeaderChanges++
 				}
-				if p.w.OnNote != nil {
-					p.w.OnNote(p.n, what)
+				if p.world.OnNote != nil {
+					p.world.OnNote(p.index, what)
 				}
-			}}, p.local())
+			}}, p.localTime())
 		if err != nil {
-			p.w.Violation = "a voter does not start: " + err.Error()
+			p.world.Violation = "a voter does not start: " + err.Error()
 			return
 		}
 	}
-	p.session = session.New(session.Options{Member: p.name, Incarnation: id.Incarnation, Boot: id.Boot, Voters: p.w.voters(), Terms: p.w.o.Terms,
-		Rand: rand.New(rand.NewPCG(p.w.rng.Uint64(), 2)), Break: p.w.o.BreakSession})
-	for d := range p.w.o.Duties {
+	p.session = session.New(session.Options{Member: p.name, Incarnation: id.Incarnation, Boot: id.Boot, Voters: p.world.voters(), Terms: p.world.o.Terms,
+		Rand: rand.New(rand.NewPCG(p.world.rng.Uint64(), 2)), Break: p.world.o.BreakSession})
+	for d := range p.world.o.Duties {
 		p.session.Request(dutyName(d), "")
 	}
-	epoch := p.epoch
-	p.w.after(time.Duration(p.w.rng.Int64N(int64(p.w.o.ElectionTimeout/20))), func() { p.tick(epoch) })
-	p.w.after(time.Duration(p.w.rng.Int64N(int64(100*time.Millisecond))), func() { p.act(epoch) })
+	run := p.run
+	p.world.after(time.Duration(p.world.rng.Int64N(int64(p.world.o.ElectionTimeout/20))), func() { p.tick(run) })
+	p.world.after(time.Duration(p.world.rng.Int64N(int64(100*time.Millisecond))), func() { p.act(run) })
 }
 
-func (p *proc) tick(epoch int) {
-	if !p.up || p.epoch != epoch {
+func (p *process) tick(run int) {
+	if !p.up || p.run != run {
 		return
 	}
-	if p.w.now < p.stopped {
-		p.w.at(p.stopped, func() { p.tick(epoch) })
+	if p.world.now < p.stoppedUntil {
+		p.world.at(p.stoppedUntil, func() { p.tick(run) })
 		return
 	}
 	for _, in := range p.inbox {
@@ -241,70 +241,70 @@
 	}
 	p.inbox = nil
 	if p.voter != nil {
-		p.voter.Tick(p.local())
+		p.voter.Tick(p.localTime())
 	}
-	p.session.Tick(p.local())
+	p.session.Tick(p.localTime())
 	p.flush()
-	p.w.after(p.w.o.ElectionTimeout/20, func() { p.tick(epoch) })
+	p.world.after(p.world.o.ElectionTimeout/20, func() { p.tick(run) })
 }
 
 // act does what a holder of a duty does: it looks at its lease, and what it then does arrives somewhat later, or
 // much later if it is stopped in between.
-func (p *proc) act(epoch int) {
-	if !p.up || p.epoch != epoch {
+func (p *process) act(run int) {
+	if !p.up || p.run != run {
 		return
 	}
-	p.w.after(time.Duration(p.w.rng.Int64N(int64(80*time.Millisecond))), func() { p.act(epoch) })
-	if p.w.now < p.stopped {
+	p.world.after(time.Duration(p.world.rng.Int64N(int64(80*time.Millisecond))), func() { p.act(run) })
+	if p.world.now < p.stoppedUntil {
 		return
 	}
-	for d := range p.w.o.Duties {
+	for d := range p.world.o.Duties {
 		name := dutyName(d)
-		if t := p.session.Token(name, p.local()); t != 0 {
-			p.w.after(time.Duration(p.w.rng.Int64N(int64(5*time.Millisecond))), func() { p.arrive(epoch, name, t) })
+		if t := p.session.Token(name, p.localTime()); t != 0 {
+			p.world.after(time.Duration(p.world.rng.Int64N(int64(5*time.Millisecond))), func() { p.reachResource(run, name, t) })
 		}
 	}
 }
 
-func (p *proc) arrive(epoch int, name string, token uint64) {
-	if p.w.now < p.stopped { // stopped in the middle of the act: it goes on when it is resumed
-		p.w.at(p.stopped, func() { p.arrive(epoch, name, token) })
+func (p *process) reachResource(run int, name string, token uint64) {
+	if p.world.now < p.stoppedUntil { // stopped in the middle of the act: it goes on when it is resumed
+		p.world.at(p.stoppedUntil, func() { p.reachResource(run, name, token) })
 		return
 	}
-	r := p.w.res[name]
+	r := p.world.resources[name]
 	switch {
-	case token < r.token && p.w.o.AcceptOldTokens:
-		p.w.breach("%s acted on %s with token %d after %s had with %d", p.name, name, token, r.holder, r.token)
+	case token < r.token && p.world.o.AcceptOldTokens:
+		p.world.recordViolation("%s acted on %s with token %d after %s had with %d", p.name, name, token, r.holder, r.token)
 	case token < r.token: // refused
 	case token == r.token && r.holder != p.name:
-		p.w.breach("%s and %s acted on %s with one token, %d", p.name, r.holder, name, token)
+		p.world.recordViolation("%s and %s acted on %s with one token, %d", p.name, r.holder, name, token)
 	default:
 		if token > r.token {
-			p.w.Grants++
+			p.world.Grants++
 		}
 		r.token, r.holder = token, p.name
 	}
 }
 
-func (w *World) breach(format string, args ...any) {
+func (w *World) recordViolation(format string, args ...any) {
 	if w.Violation == "" {
 		w.Violation = time.Duration(w.now).Round(time.Millisecond).String() + ": " + fmt.Sprintf(format, args...)
 	}
 }
 
 // judge looks for two holders of a duty at this moment, of which a stopped one counts, too.
-func (w *World) judge() {
+func (w *World) checkHolders() {
 	for d := range w.o.Duties {
 		name := dutyName(d)
 		holder := -1
-		for _, p := range w.procs {
-			if !p.up || p.session.Token(name, p.local()) == 0 {
+		for _, p := range w.processes {
+			if !p.up || p.session.Token(name, p.localTime()) == 0 {
 				continue
 			}
 			if holder >= 0 {
-				w.breach("%s and %s hold %s at once", w.procs[holder].name, p.name, name)
+				w.recordViolation("%s and %s hold %s at once", w.processes[holder].name, p.name, name)
 			}
-			holder = p.n
+			holder = p.index
 		}
 		if _, known := w.heldBy[name]; holder >= 0 || known {
 			w.heldBy[name] = holder
@@ -322,17 +322,17 @@
 	return true
 }
 
-func (p *proc) receive(in inFrame) {
-	switch f := in.f; {
+func (p *process) receive(in inFrame) {
+	switch f := in.frame; {
 	case f.GetNews() != nil, f.GetAnswer() != nil && f.GetAnswer().Id != 0:
-		p.session.Receive(in.from, f, p.local())
+		p.session.Receive(in.from, f, p.localTime())
 	case p.voter != nil:
-		p.voter.Receive(in.from, f, p.local())
+		p.voter.Receive(in.from, f, p.localTime())
 	}
 }
 
 // flush sends what the process has to say.
-func (p *proc) flush() {
+func (p *process) flush() {
 	for {
 		var out []session.Outgoing
 		out = append(out, p.session.TakeOutgoing()...)
@@ -345,12 +345,12 @@
 			return
 		}
 		for _, o := range out {
-			p.w.send(p, p.w.names[o.To], o.Frame)
+			p.world.send(p, p.world.names[o.To], o.Frame)
 		}
 	}
 }
 
-func (w *World) send(from, to *proc, f *pb.Frame) {
+func (w *World) send(from, to *process, f *pb.Frame) {
 	if to == nil {
 		return
 	}
@@ -358,10 +358,10 @@
 	delay := time.Duration(w.rng.Int64N(int64(4 * time.Millisecond)))
 	copies := 1
 	if from != to {
-		if w.cuts[[2]int{from.n, to.n}] > 0 || w.loss > 0 && w.rng.IntN(3) == 0 {
+		if w.cuts[[2]int{from.index, to.index}] > 0 || w.lossFaults > 0 && w.rng.IntN(3) == 0 {
 			return
 		}
-		if w.loss > 0 {
+		if w.lossFaults > 0 {
 			delay += time.Duration(w.rng.Int64N(int64(300 * time.Millisecond)))
 			if w.rng.IntN(10) == 0 {
 				copies = 2
@@ -374,11 +374,11 @@
 	}
 }
 
-func (w *World) deliver(from, to *proc, f *pb.Frame) {
+func (w *World) deliver(from, to *process, f *pb.Frame) {
 	if !to.up {
 		return
 	}
-	if w.now < to.stopped { // the kernel keeps it
+	if w.now < to.stoppedUntil { // the kernel keeps it
 		if len(to.inbox) < 2000 {
 			to.inbox = append(to.inbox, inFrame{from.name, f})
 		}
@@ -389,34 +389,34 @@
 }
 
 func (w *World) fault(f Fault) {
-	p, q := w.procs[f.Proc%len(w.procs)], w.procs[f.Peer%len(w.procs)]
+	p, q := w.processes[f.Proc%len(w.processes)], w.processes[f.Peer%len(w.processes)]
 	switch f.Kind {
 	case Kill:
 		p.kill(f.Duration, false)
 	case KillAndWipe:
 		p.kill(f.Duration, true)
 	case KillAll:
-		for _, v := range w.procs[:w.o.Voters] {
+		for _, v := range w.processes[:w.o.Voters] {
 			v.kill(f.Duration+time.Duration(w.rng.Int64N(int64(time.Second))), false)
 		}
 	case Stop:
-		p.stopped = max(p.stopped, w.now+int64(f.Duration))
+		p.stoppedUntil = max(p.stoppedUntil, w.now+int64(f.Duration))
 	case Cut:
 		w.cut(p, q, f.Duration)
 		w.cut(q, p, f.Duration)
 	case CutOneWay:
 		w.cut(p, q, f.Duration)
 	case Isolate:
-		for _, o := range w.procs {
+		for _, o := range w.processes {
 			w.cut(p, o, f.Duration)
 			w.cut(o, p, f.Duration)
 		}
 	case Loss:
-		w.loss++
-		w.after(f.Duration, func() { w.loss-- })
+		w.lossFaults++
+		w.after(f.Duration, func() { w.lossFaults-- })
 	case BadDisk:
-		p.disk.bad++
-		w.after(f.Duration, func() { p.disk.bad-- })
+		p.disk.writeFaults++
+		w.after(f.Duration, func() { p.disk.writeFaults-- })
 	case HandOver:
 		if w.o.Duties > 0 && p.up {
 			c := &pb.Command{What: &pb.Command_HandOver{HandOver: &pb.HandOver{Duty: dutyName(f.Peer % w.o.Duties), To: q.name}}}
@@ -425,40 +425,40 @@
 	}
 }
 
-func (w *World) cut(p, q *proc, d time.Duration) {
+func (w *World) cut(p, q *process, d time.Duration) {
 	if p == q {
 		return
 	}
-	k := [2]int{p.n, q.n}
+	k := [2]int{p.index, q.index}
 	w.cuts[k]++
 	w.after(d, func() { w.cuts[k]-- })
 }
 
 // kill ends a process. One whose disk goes with it is not killed while another voter is without its disk: losing
 // the disks of a majority is beyond what is promised.
-func (p *proc) kill(d time.Duration, withDisk bool) {
+func (p *process) kill(d time.Duration, withDisk bool) {
 	if !p.up {
 		return
 	}
 	p.up = false
-	if withDisk && !p.w.diskAway(p) {
-		p.disk.lose()
+	if withDisk && !p.world.otherDiskLost(p) {
+		p.disk.wipe()
 	}
-	p.disk.crash(p.w.o.LoseSyncedData, p.w.rng)
-	epoch := p.epoch
-	p.w.after(d, func() {
-		if !p.up && p.epoch == epoch {
+	p.disk.crash(p.world.o.LoseSyncedData, p.world.rng)
+	run := p.run
+	p.world.after(d, func() {
+		if !p.up && p.run == run {
 			p.start()
 		}
 	})
 }
 
 // diskAway reports whether another voter has no vote now, having lost its disk.
-func (w *World) diskAway(p *proc) bool {
-	if p.n >= w.o.Voters {
+func (w *World) otherDiskLost(p *process) bool {
+	if p.index >= w.o.Voters {
 		return false
 	}
-	for _, v := range w.procs[:w.o.Voters] {
+	for _, v := range w.processes[:w.o.Voters] {
 		if v == p {
 			continue
 		}
@@ -471,24 +471,24 @@
 
 // memDisk is a disk that loses in a crash what was not synced, and can refuse writes.
 type memDisk struct {
-	files  map[string][]byte
-	synced map[string][]byte // as they are after a crash
-	bad    int
-	lost   int
+	files       map[string][]byte
+	synced      map[string][]byte // as they are after a crash
+	writeFaults int
+	wipes       int
 }
 
 func newMemDisk() *memDisk { return &memDisk{files: map[string][]byte{}, synced: map[string][]byte{}} }
 
-func (d *memDisk) lose() {
+func (d *memDisk) wipe() {
 	d.files, d.synced = map[string][]byte{}, map[string][]byte{}
-	d.lost++
+	d.wipes++
 }
 
-func (d *memDisk) crash(forget bool, rng *rand.Rand) {
+func (d *memDisk) crash(loseSynced bool, rng *rand.Rand) {
 	d.files = map[string][]byte{}
 	for name, b := range d.synced {
-		if keep := d.files; forget && name == "fleet.log" && len(b) > 400 {
-			keep[name] = append([]byte(nil), b[:len(b)-rng.IntN(len(b)-400)]...)
+		if files := d.files; loseSynced && name == "fleet.log" && len(b) > 400 {
+			files[name] = append([]byte(nil), b[:len(b)-rng.IntN(len(b)-400)]...)
 			continue
 		}
 		d.files[name] = append([]byte(nil), b...)
@@ -503,7 +503,7 @@
 }
 
 func (d *memDisk) Write(name string, data []byte, sync bool) error {
-	if d.bad > 0 {
+	if d.writeFaults > 0 {
 		return fs.ErrPermission
 	}
 	d.files[name] = append([]byte(nil), data...)
@@ -514,7 +514,7 @@
 }
 
 func (d *memDisk) Append(name string, data []byte, sync bool) error {
-	if d.bad > 0 {
+	if d.writeFaults > 0 {
 		return fs.ErrPermission
 	}
 	d.files[name] = append(d.files[name], data...)
@@ -525,7 +525,7 @@
 }
 
 func (d *memDisk) Rename(from, to string) error {
-	if d.bad > 0 {
+	if d.writeFaults > 0 {
 		return fs.ErrPermission
 	}
 	d.files[to], d.synced[to] = d.files[from], d.synced[from]
--- a/internal/fleet/model/model_test.go
+++ b/internal/fleet/model/model_test.go
@@ -21,7 +21,7 @@
 }
 
 // schedule draws faults that overlap, over half a minute.
-func schedule(t *rapid.T, most int) []Fault {
+func schedule(t *rapid.T, maxFaults int) []Fault {
 	return rapid.SliceOfN(rapid.Custom(func(t *rapid.T) Fault {
 		return Fault{
 			Kind:     FaultKind(rapid.IntRange(0, int(FaultKinds)-1).Draw(t, "kind")),
@@ -30,12 +30,12 @@
 			Proc:     rapid.IntRange(0, 4).Draw(t, "who"),
 			Peer:     rapid.IntRange(0, 4).Draw(t, "with"),
 		}
-	}), 0, most).Draw(t, "faults")
+	}), 0, maxFaults).Draw(t, "faults")
 }
 
 // TestNoTwoHolders plays schedules of faults that are drawn at random. SLIPTIDE_SCHEDULES sets how many.
 func TestNoTwoHolders(t *testing.T) {
-	checks(t, 12)
+	setChecks(t, 12)
 	rapid.Check(t, func(t *rapid.T) {
 		w := New(options(rapid.Uint64().Draw(t, "seed")))
 		w.Schedule(schedule(t, 12))
@@ -55,7 +55,7 @@
 }
 
 // TestSoonHeld: a fleet that starts has a holder for each duty within the time of an election and a few asks.
-func TestSoonHeld(t *testing.T) {
+func TestDutiesHeldSoonAfterStart(t *testing.T) {
 	w := New(options(1))
 	w.Run(4 * time.Second)
 	if !w.AllHeld() || w.Violation != "" {
@@ -63,10 +63,10 @@
 	}
 }
 
-func checks(t *testing.T, few int) {
+func setChecks(t *testing.T, fallback int) {
 	n, err := strconv.Atoi(os.Getenv("SLIPTIDE_SCHEDULES"))
 	if err != nil {
-		n = few
+		n = fallback
 	}
 	if err := setFlag("rapid.checks", strconv.Itoa(n)); err != nil {
 		t.Fatal(err)
@@ -158,16 +158,16 @@
 
 // TestComeBack: a voter that was cut off and comes back disturbs nobody. Without pre-vote and the check of the quorum
 // it makes an election: that guard is of calm, not of safety.
-func TestComeBack(t *testing.T) {
+func TestReturningVoterCausesNoElection(t *testing.T) {
 	elections := func(seed uint64, guard voter.Break) int {
 		o := options(seed)
 		o.BreakVoter = guard
 		w := New(o)
 		w.Run(4 * time.Second)
 		follower := 0
-		for _, p := range w.procs[:3] {
+		for _, p := range w.processes[:3] {
 			if !p.voter.Leads() {
-				follower = p.n
+				follower = p.index
 			}
 		}
 		w.LeaderChanges = 0
--- a/internal/fleet/model/size_test.go
+++ b/internal/fleet/model/size_test.go
@@ -21,32 +21,32 @@
 		w.FramesSent = 0
 		w.Run(12 * time.Second)
 		calm := w.FramesSent / 2
-		lead := -1
-		for _, p := range w.procs[:3] {
+		leader := -1
+		for _, p := range w.processes[:3] {
 			if p.voter.Leads() {
-				lead = p.n
+				leader = p.index
 			}
 		}
-		if lead < 0 {
+		if leader < 0 {
 			t.Fatal("nobody leads")
 		}
-		sessions := w.procs[(lead+1)%3].voter.State().Sessions()
-		w.Schedule([]Fault{{Kind: Kill, Proc: lead, At: 12 * time.Second, Duration: time.Minute}})
-		most := 0
+		sessions := w.processes[(leader+1)%3].voter.State().Sessions()
+		w.Schedule([]Fault{{Kind: Kill, Proc: leader, At: 12 * time.Second, Duration: time.Minute}})
+		worstSecond := 0
 		for s := 12; s < 20; s++ {
 			w.FramesSent = 0
 			w.Run(time.Duration(s+1) * time.Second)
-			most = max(most, w.FramesSent)
+			worstSecond = max(worstSecond, w.FramesSent)
 		}
-		after := w.procs[(lead+1)%3].voter.State()
+		after := w.processes[(leader+1)%3].voter.State()
 		kept := 0
 		for _, id := range sessions {
 			if after.Session(id) != nil {
 				kept++
 			}
 		}
-		t.Logf("%d members: %d frames a second in calm (%.1f a member), %d in the worst second after the leader is killed; %d of %d sessions kept", n, calm, float64(calm)/float64(n), most, kept, len(sessions))
-		if most > 4*calm || kept < len(sessions)-1 || w.Violation != "" || !w.AllHeld() {
+		t.Logf("%d members: %d frames a second in calm (%.1f a member), %d in the worst second after the leader is killed; %d of %d sessions kept", n, calm, float64(calm)/float64(n), worstSecond, kept, len(sessions))
+		if worstSecond > 4*calm || kept < len(sessions)-1 || w.Violation != "" || !w.AllHeld() {
 			t.Errorf("%d members: breach %q, held %v", n, w.Violation, w.AllHeld())
 		}
 	}
--- a/internal/fleet/model/voters_test.go
+++ b/internal/fleet/model/voters_test.go
@@ -20,7 +20,7 @@
 				return
 			}
 			noted++
-			if w.procs[n].voter.ChangingVoters() {
+			if w.processes[n].voter.ChangingVoters() {
 				t.Errorf("seed %d: voter %d notes %q while the change is under way", seed, n, what)
 			}
 		}
--- a/internal/fleet/procs_test.go
+++ b/internal/fleet/procs_test.go
@@ -41,7 +41,7 @@
 type nodeSettings struct {
 	Settings     fleet.Settings
 	Dir          string
-	Rate         float64 // of its clock
+	ClockRate    float64 // of its clock
 	BreakVoter   voter.Break
 	BreakSession session.Break
 }
@@ -52,7 +52,7 @@
 		if err := json.Unmarshal([]byte(text), &s); err != nil {
 			panic(err)
 		}
-		node(s)
+		runNode(s)
 		return
 	}
 	os.Exit(m.Run())
@@ -62,9 +62,9 @@
 
 // node is a member process. It wants all duties, and prints each look at what it holds: the duty, the token, and
 // the clock before and after. It leaves when its input ends or says so.
-func node(s nodeSettings) {
+func runNode(s nodeSettings) {
 	start := fleet.Now()
-	now := func() int64 { return start + int64(float64(fleet.Now()-start)*s.Rate) }
+	now := func() int64 { return start + int64(float64(fleet.Now()-start)*s.ClockRate) }
 	ln, err := net.Listen("tcp", s.Settings.Listen)
 	if err != nil {
 		fmt.Println("error", err)
@@ -87,9 +87,9 @@
 	out := bufio.NewWriter(os.Stdout)
 	for {
 		for i := range duties {
-			t0 := fleet.Now()
+			before := fleet.Now()
 			if token := m.Token(dutyName(i)); token != 0 {
-				fmt.Fprintln(out, "held", i, token, t0, fleet.Now())
+				fmt.Fprintln(out, "held", i, token, before, fleet.Now())
 			}
 		}
 		out.Flush()
@@ -105,7 +105,7 @@
 }
 
 // look is one look of a member that found a duty held.
-type look struct {
+type observation struct {
 	member     string
 	duty       int
 	token      uint64
@@ -113,26 +113,26 @@
 }
 
 type proc struct {
-	name  string
-	set   nodeSettings
-	cmd   *exec.Cmd
-	stdin interface{ Close() error }
-	done  chan struct{}
-	up    bool
+	name     string
+	settings nodeSettings
+	cmd      *exec.Cmd
+	stdin    interface{ Close() error }
+	done     chan struct{}
+	up       bool
 }
 
 // rig is a fleet of processes.
 type rig struct {
-	t      testing.TB
-	dir    string
-	procs  []*proc
-	relays map[[2]string]*standin.Relay // by who dials and who is dialled
-	change func(*nodeSettings)
-
-	mu    sync.Mutex
-	looks []look
-	errs  []string
-	logs  strings.Builder
+	t         testing.TB
+	dir       string
+	procs     []*proc
+	relays    map[[2]string]*standin.Relay // by who dials and who is dialled
+	configure func(*nodeSettings)
+
+	mu           sync.Mutex
+	observations []observation
+	errs         []string
+	logs         strings.Builder
 }
 
 var addrs atomic.Int32
@@ -150,9 +150,9 @@
 }
 
 // newRig starts voters and members; each sees the voters at addresses of its own, those of its relays.
-func newRig(t testing.TB, voters, members int, change func(*nodeSettings)) *rig {
+func newRig(t testing.TB, voters, members int, configure func(*nodeSettings)) *rig {
 	t.Helper()
-	r := &rig{t: t, dir: t.TempDir(), relays: map[[2]string]*standin.Relay{}, change: change}
+	r := &rig{t: t, dir: t.TempDir(), relays: map[[2]string]*standin.Relay{}, configure: configure}
 	addrs := map[string]string{}
 	var names []string
 	for i := range voters + members {
@@ -175,15 +175,15 @@
 			}
 			peers = append(peers, p)
 		}
-		set := nodeSettings{Dir: filepath.Join(r.dir, name), Rate: 1, Settings: fleet.Settings{Name: name, Listen: addrs[name], Members: peers,
+		set := nodeSettings{Dir: filepath.Join(r.dir, name), ClockRate: 1, Settings: fleet.Settings{Name: name, Listen: addrs[name], Members: peers,
 			MinVoters: voters, Weight: 1, Terms: lease.Terms{Length: time.Second, Drift: 0.05}, ElectionTimeout: 300 * time.Millisecond}}
 		if i%2 == 1 {
-			set.Rate = 1.04
+			set.ClockRate = 1.04
 		}
-		if change != nil {
-			change(&set)
+		if configure != nil {
+			configure(&set)
 		}
-		r.procs = append(r.procs, &proc{name: name, set: set})
+		r.procs = append(r.procs, &proc{name: name, settings: set})
 	}
 	for _, p := range r.procs {
 		r.start(p)
@@ -204,10 +204,10 @@
 	if p.up {
 		return
 	}
-	if err := os.MkdirAll(p.set.Dir, 0o700); err != nil {
+	if err := os.MkdirAll(p.settings.Dir, 0o700); err != nil {
 		r.t.Fatal(err)
 	}
-	text, err := json.Marshal(p.set)
+	text, err := json.Marshal(p.settings)
 	if err != nil {
 		r.t.Fatal(err)
 	}
@@ -230,7 +230,7 @@
 		defer close(done)
 		lines := bufio.NewScanner(out)
 		for lines.Scan() {
-			r.line(p.name, lines.Text())
+			r.recordLine(p.name, lines.Text())
 		}
 		cmd.Wait()
 	}(p.done)
@@ -244,12 +244,12 @@
 	return w.r.logs.Write(b)
 }
 
-func (r *rig) line(member, text string) {
-	l := look{member: member}
+func (r *rig) recordLine(member, text string) {
+	l := observation{member: member}
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if n, _ := fmt.Sscanf(text, "held %d %d %d %d", &l.duty, &l.token, &l.begin, &l.end); n == 4 {
-		r.looks = append(r.looks, l)
+		r.observations = append(r.observations, l)
 	} else if strings.HasPrefix(text, "error") {
 		r.errs = append(r.errs, member+": "+text)
 	}
@@ -298,19 +298,19 @@
 }
 
 // holder waits until somebody is seen to hold a duty after a moment, and returns who and when.
-func (r *rig) holder(duty int, after int64, other string, patience time.Duration) look {
+func (r *rig) holder(duty int, after int64, except string, timeout time.Duration) observation {
 	r.t.Helper()
-	for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(timeout); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
 		r.mu.Lock()
-		for i := len(r.looks) - 1; i >= 0; i-- {
-			l := r.looks[i]
+		for i := len(r.observations) - 1; i >= 0; i-- {
+			l := r.observations[i]
 			if l.begin < after {
-				if len(r.looks)-i > 4000 {
+				if len(r.observations)-i > 4000 {
 					break
 				}
 				continue
 			}
-			if l.duty == duty && l.member != other {
+			if l.duty == duty && l.member != except {
 				r.mu.Unlock()
 				return l
 			}
@@ -319,29 +319,29 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.t.Fatalf("nobody but %q holds %s within %v; errors %v; log:\n%s", other, dutyName(duty), patience, r.errs, tail(r.logs.String(), 6000))
-	return look{}
+	r.t.Fatalf("nobody but %q holds %s within %v; errors %v; log:\n%s", except, dutyName(duty), timeout, r.errs, tail(r.logs.String(), 6000))
+	return observation{}
 }
 
 func tail(s string, n int) string { return s[max(0, len(s)-n):] }
 
 // judge has porcupine check the looks: for each duty, a register whose token only grows must explain them all.
-func (r *rig) judge() {
+func (r *rig) checkObservations() {
 	r.t.Helper()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if bad := breach(r.looks); bad != "" {
+	if bad := findViolation(r.observations); bad != "" {
 		r.t.Errorf("%s; log:\n%s", bad, tail(r.logs.String(), 3000))
 	}
 }
 
 // breach is what is wrong with the looks, empty if nothing is. A look is an operation that found the register at
 // its token; the register grows and never falls, and a token belongs to one member.
-func breach(looks []look) string {
+func findViolation(observations []observation) string {
 	owner := map[uint64]string{}
 	clients := map[string]int{}
 	var ops []porcupine.Operation
-	for _, l := range looks {
+	for _, l := range observations {
 		if o, known := owner[l.token]; known && o != l.member {
 			return fmt.Sprintf("token %d was held by %s and %s", l.token, o, l.member)
 		}
@@ -368,15 +368,15 @@
 		DescribeOperation: func(in, _ any) string { return fmt.Sprint(in) },
 	}
 	if res := porcupine.CheckOperationsTimeout(model, ops, 20*time.Second); res != porcupine.Ok {
-		return "two held a duty at once: " + string(res) + "; " + firstPair(looks)
+		return "two held a duty at once: " + string(res) + "; " + firstConflict(observations)
 	}
 	return ""
 }
 
 // firstPair names two looks that cannot both be right.
-func firstPair(looks []look) string {
-	for _, a := range looks {
-		for _, b := range looks {
+func firstConflict(observations []observation) string {
+	for _, a := range observations {
+		for _, b := range observations {
 			if a.duty == b.duty && b.token > a.token && a.begin > b.end {
 				return fmt.Sprintf("%s held %s with token %d %.1f ms after %s had held it with %d", a.member, dutyName(a.duty), a.token, float64(a.begin-b.end)/1e6, b.member, b.token)
 			}
@@ -391,11 +391,11 @@
 	t.Parallel()
 	r := newRig(t, 3, 1, nil)
 	l := r.holder(0, 0, "", 30*time.Second)
-	again := 20 * time.Second // a lease and an election, and what a machine that is busy takes
+	holderTimeout := 20 * time.Second // a lease and an election, and what a machine that is busy takes
 
 	at := fleet.Now()
 	r.kill(r.proc(l.member))
-	next := r.holder(0, at, l.member, again)
+	next := r.holder(0, at, l.member, holderTimeout)
 	t.Logf("killed: %.0f ms without a holder", float64(next.begin-at)/1e6)
 	r.start(r.proc(l.member))
 
@@ -403,56 +403,56 @@
 	at = fleet.Now()
 	stopped := r.proc(next.member)
 	stopped.cmd.Process.Signal(syscall.SIGSTOP)
-	l = r.holder(0, at+int64(50*time.Millisecond), next.member, again)
+	l = r.holder(0, at+int64(50*time.Millisecond), next.member, holderTimeout)
 	t.Logf("stopped: %.0f ms without a holder", float64(l.begin-at)/1e6)
 	stopped.cmd.Process.Signal(syscall.SIGCONT)
 
 	// Cut off from everybody, and back.
 	at = fleet.Now()
 	r.isolate(l.member, true)
-	next = r.holder(0, at+int64(1500*time.Millisecond), l.member, again)
+	next = r.holder(0, at+int64(1500*time.Millisecond), l.member, holderTimeout)
 	r.isolate(l.member, false)
 
 	// It leaves in order: handed over in no time.
-	r.awaitAll(again)
-	next = r.holder(0, fleet.Now(), "", again)
+	r.awaitAll(holderTimeout)
+	next = r.holder(0, fleet.Now(), "", holderTimeout)
 	at = fleet.Now()
 	r.leave(r.proc(next.member))
-	l = r.holder(0, at, next.member, again)
+	l = r.holder(0, at, next.member, holderTimeout)
 	t.Logf("left: %.0f ms without a holder", float64(l.begin-at)/1e6)
 	r.start(r.proc(next.member))
-	r.awaitAll(again)
+	r.awaitAll(holderTimeout)
 
 	// A voter loses its disk.
 	v := r.procs[1]
 	r.kill(v)
-	os.RemoveAll(v.set.Dir)
+	os.RemoveAll(v.settings.Dir)
 	r.start(v)
 	r.awaitLog("n2", "voters changed: n2", 20*time.Second)
 	// With its new disk it carries the group: another voter may go.
 	r.kill(r.procs[2])
-	r.holder(0, fleet.Now()+int64(1200*time.Millisecond), "n3", again)
+	r.holder(0, fleet.Now()+int64(1200*time.Millisecond), "n3", holderTimeout)
 	r.start(r.procs[2])
-	r.judge()
+	r.checkObservations()
 }
 
 // awaitAll waits until each member process has been linked and every duty has a holder.
-func (r *rig) awaitAll(patience time.Duration) {
+func (r *rig) awaitAll(timeout time.Duration) {
 	r.t.Helper()
 	at := fleet.Now()
 	for d := range duties {
-		r.holder(d, at, "", patience)
+		r.holder(d, at, "", timeout)
 	}
 }
 
-func (r *rig) awaitLog(member, text string, patience time.Duration) {
+func (r *rig) awaitLog(member, text string, timeout time.Duration) {
 	r.t.Helper()
-	for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
+	for end := time.Now().Add(timeout); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
 		r.mu.Lock()
 		logs := r.logs.String()
 		r.mu.Unlock()
 		for _, line := range splitLines(logs) {
-			if who, ok := saying(line, text); ok && who == member {
+			if who, ok := logMember(line, text); ok && who == member {
 				return
 			}
 		}
@@ -463,7 +463,7 @@
 func splitLines(s string) []string { return strings.Split(s, "\n") }
 
 // saying returns the member whose line of the log has that text in its message or error.
-func saying(line, text string) (member string, ok bool) {
+func logMember(line, text string) (member string, ok bool) {
 	var l struct{ M, Message, Error string }
 	if json.Unmarshal([]byte(line), &l) != nil || !strings.Contains(l.Message+" ", text+" ") && !strings.Contains(l.Error, text) && !strings.HasSuffix(l.Message, text) {
 		return "", false
@@ -472,7 +472,7 @@
 }
 
 // TestFolderOfAnother: a member that is given another's folder refuses it, and says whose it is.
-func TestFolderOfAnother(t *testing.T) {
+func TestStateDirectoryOfAnotherMember(t *testing.T) {
 	t.Parallel()
 	dir := t.TempDir()
 	open := func(name string) error {
@@ -514,9 +514,9 @@
 			for seed := first; seed < min(first+10, n); seed++ {
 				r := newRig(t, 3, 2, nil)
 				r.holder(0, 0, "", 30*time.Second)
-				r.play(rand.New(rand.NewPCG(uint64(seed), 23)))
+				r.injectFaults(rand.New(rand.NewPCG(uint64(seed), 23)))
 				r.awaitAll(20 * time.Second)
-				r.judge()
+				r.checkObservations()
 				r.close()
 				if t.Failed() {
 					t.Fatalf("seed %d", seed)
@@ -527,8 +527,8 @@
 }
 
 // play throws faults for about six seconds, and heals all of them.
-func (r *rig) play(rng *rand.Rand) {
-	away := 0 // voters that are down
+func (r *rig) injectFaults(rng *rand.Rand) {
+	wipedVoters := 0 // voters that are down
 	for range 8 {
 		p := r.procs[rng.IntN(len(r.procs))]
 		q := r.procs[rng.IntN(len(r.procs))]
@@ -564,14 +564,14 @@
 			}
 			time.Sleep(pause / 2)
 		case 6:
-			if voter && away > 0 {
+			if voter && wipedVoters > 0 {
 				continue
 			}
 			if voter {
-				away++ // once: a second disk lost before the first voter is back in is past what is promised
+				wipedVoters++ // once: a second disk lost before the first voter is back in is past what is promised
 			}
 			r.kill(p)
-			os.RemoveAll(p.set.Dir)
+			os.RemoveAll(p.settings.Dir)
 			r.start(p)
 		}
 	}
@@ -611,7 +611,7 @@
 				c.fault(r, l.member)
 				time.Sleep(300 * time.Millisecond)
 				r.mu.Lock()
-				bad := breach(r.looks)
+				bad := findViolation(r.observations)
 				r.mu.Unlock()
 				r.close()
 				if bad != "" {
--- a/internal/fleet/session/session.go
+++ b/internal/fleet/session/session.go
@@ -141,8 +141,8 @@
 
 // Want puts this member in line for a duty, or makes sure that it is.
 func (s *Session) Request(name, zone string) {
-	if w := s.requests[name]; w != nil {
-		w.releasing, w.ending = false, false
+	if r := s.requests[name]; r != nil {
+		r.releasing, r.ending = false, false
 		return
 	}
 	s.requests[name] = &dutyRequest{zone: zone}
@@ -150,10 +150,10 @@
 
 // Leave gives a duty up; with end nobody needs it any more.
 func (s *Session) Release(name string, end bool) {
-	if w := s.requests[name]; w != nil {
-		w.releasing, w.ending = true, end
-		w.releasedToken = max(w.releasedToken, s.grantedToken(name))
-		s.logLost(name, w)
+	if r := s.requests[name]; r != nil {
+		r.releasing, r.ending = true, end
+		r.releasedToken = max(r.releasedToken, s.grantedToken(name))
+		s.logLost(name, r)
 	}
 }
 
@@ -167,12 +167,12 @@
 
 // Held returns the fencing token of a duty that this member holds at that time, 0 if it does not hold it.
 func (s *Session) Token(name string, now int64) uint64 {
-	w := s.requests[name]
-	if w == nil || w.releasing || s.closing {
+	r := s.requests[name]
+	if r == nil || r.releasing || s.closing {
 		return 0
 	}
 	t := s.grantedToken(name)
-	if t == 0 || t <= w.releasedToken || !s.lease.Valid(now) && s.o.Break&BreakLeaseCheck == 0 {
+	if t == 0 || t <= r.releasedToken || !s.lease.Valid(now) && s.o.Break&BreakLeaseCheck == 0 {
 		return 0
 	}
 	return t
@@ -205,7 +205,7 @@
 
 // View is all that is known of duties, of adoptions by owner, and of members whose sessions go on. None of it must be
 // changed.
-func (s *Session) View() (duties map[string]*pb.Duty, adopted map[string]*pb.Adoption, present []*pb.Present) {
+func (s *Session) View() (duties map[string]*pb.Duty, adoptions map[string]*pb.Adoption, present []*pb.Present) {
 	return s.duties, s.adoptions, s.present
 }
 
@@ -216,13 +216,13 @@
 func (s *Session) ID() uint64 { return s.id }
 
 // Do asks the voter that leads, such as for a command to be agreed on, and tells what came of it, once.
-func (s *Session) Do(q *pb.Ask, patience time.Duration, done func(*pb.Answer, error)) {
+func (s *Session) Do(ask *pb.Ask, timeout time.Duration, done func(*pb.Answer, error)) {
 	if s.closed {
 		done(nil, ErrClosed)
 		return
 	}
-	a := &pendingAsk{ask: q, deadline: s.now + int64(patience), done: done}
-	s.pendingAsks[s.sendPending(a)] = a
+	pending := &pendingAsk{ask: ask, deadline: s.now + int64(timeout), done: done}
+	s.pendingAsks[s.sendPending(pending)] = pending
 }
 
 func (s *Session) sendPending(a *pendingAsk) uint64 {
@@ -236,8 +236,8 @@
 	if s.closing {
 		return
 	}
-	for name, w := range s.requests {
-		s.logLost(name, w)
+	for name, r := range s.requests {
+		s.logLost(name, r)
 	}
 	s.closing = true
 	if s.id == 0 {
@@ -267,8 +267,8 @@
 	}
 	if s.id != 0 && !s.lease.Valid(now) {
 		// It may still be renewed, if the fleet has not ended it; until then nothing is held.
-		for name, w := range s.requests {
-			s.logLost(name, w)
+		for name, r := range s.requests {
+			s.logLost(name, r)
 		}
 	}
 	switch {
@@ -326,9 +326,9 @@
 // end drops the session: the fleet has ended it. A further one is asked for.
 func (s *Session) endSession() {
 	s.lease.Drop()
-	for name, w := range s.requests {
-		s.logLost(name, w)
-		if w.pendingAsk = 0; w.releasing {
+	for name, r := range s.requests {
+		s.logLost(name, r)
+		if r.pendingAsk = 0; r.releasing {
 			delete(s.requests, name)
 		}
 	}
@@ -339,49 +339,49 @@
 }
 
 // lost notes that a duty is not held any more.
-func (s *Session) logLost(name string, w *dutyRequest) {
-	if w.loggedToken != 0 {
-		s.o.LogEvent("lost", name, w.loggedToken)
-		w.loggedToken = 0
+func (s *Session) logLost(name string, r *dutyRequest) {
+	if r.loggedToken != 0 {
+		s.o.LogEvent("lost", name, r.loggedToken)
+		r.loggedToken = 0
 	}
 }
 
 // line keeps this member in line for what it wants, and gives up what it does not or is asked to hand over.
 func (s *Session) maintainRequests() {
-	out := len(s.dutyAsks)
-	for name, w := range s.requests {
+	outstanding := len(s.dutyAsks)
+	for name, r := range s.requests {
 		token := s.grantedToken(name)
-		if w.pendingAsk != 0 && s.now-w.sentAt > 2*s.requestTimeout() {
-			delete(s.dutyAsks, w.pendingAsk)
-			w.pendingAsk, out = 0, out-1
+		if r.pendingAsk != 0 && s.now-r.sentAt > 2*s.requestTimeout() {
+			delete(s.dutyAsks, r.pendingAsk)
+			r.pendingAsk, outstanding = 0, outstanding-1
 		}
-		if t := s.Token(name, s.now); t != 0 && w.loggedToken != t {
-			s.logLost(name, w)
-			w.loggedToken = t
+		if t := s.Token(name, s.now); t != 0 && r.loggedToken != t {
+			s.logLost(name, r)
+			r.loggedToken = t
 			s.o.LogEvent("held", name, t)
 		}
-		if d := s.duties[name]; token != 0 && token > w.releasedToken && d.Wanted != "" && d.Wanted != s.o.Member {
-			w.releasedToken = token // from here on it is not acted on, whatever becomes of the ask
-			s.logLost(name, w)
+		if d := s.duties[name]; token != 0 && token > r.releasedToken && d.Wanted != "" && d.Wanted != s.o.Member {
+			r.releasedToken = token // from here on it is not acted on, whatever becomes of the ask
+			s.logLost(name, r)
 		}
-		if w.pendingAsk != 0 || s.now < w.retryAt || out >= maxRequests {
+		if r.pendingAsk != 0 || s.now < r.retryAt || outstanding >= maxRequests {
 			continue
 		}
 		switch {
-		case token != 0 && (w.releasing || token <= w.releasedToken):
-			w.releasedToken = max(w.releasedToken, token)
-			s.sendDutyCommand(name, w, token, &pb.Command{What: &pb.Command_Release{Release: &pb.Release{Session: s.id, Duty: name, Token: token, End: w.releasing && w.ending}}})
-		case w.releasing && w.queuedSession == s.id:
-			s.sendDutyCommand(name, w, 0, &pb.Command{What: &pb.Command_Release{Release: &pb.Release{Session: s.id, Duty: name}}})
-		case w.releasing:
+		case token != 0 && (r.releasing || token <= r.releasedToken):
+			r.releasedToken = max(r.releasedToken, token)
+			s.sendDutyCommand(name, r, token, &pb.Command{What: &pb.Command_Release{Release: &pb.Release{Session: s.id, Duty: name, Token: token, End: r.releasing && r.ending}}})
+		case r.releasing && r.queuedSession == s.id:
+			s.sendDutyCommand(name, r, 0, &pb.Command{What: &pb.Command_Release{Release: &pb.Release{Session: s.id, Duty: name}}})
+		case r.releasing:
 			delete(s.requests, name)
 			continue
-		case w.queuedSession != s.id:
-			s.sendDutyCommand(name, w, 0, &pb.Command{What: &pb.Command_Acquire{Acquire: &pb.Acquire{Session: s.id, Duty: name, Zone: w.zone}}})
+		case r.queuedSession != s.id:
+			s.sendDutyCommand(name, r, 0, &pb.Command{What: &pb.Command_Acquire{Acquire: &pb.Acquire{Session: s.id, Duty: name, Zone: r.zone}}})
 		default:
 			continue
 		}
-		out++
+		outstanding++
 	}
 	for name, d := range s.duties { // handed to this member though it does not want it, or a late copy of a wish
 		if d.Session == s.id && s.requests[name] == nil {
@@ -390,10 +390,10 @@
 	}
 }
 
-func (s *Session) sendDutyCommand(name string, w *dutyRequest, token uint64, c *pb.Command) {
-	w.sentAt, w.releaseToken = s.now, token
-	w.pendingAsk = s.sendAsk(&pb.Ask{Command: c})
-	s.dutyAsks[w.pendingAsk] = name
+func (s *Session) sendDutyCommand(name string, r *dutyRequest, token uint64, c *pb.Command) {
+	r.sentAt, r.releaseToken = s.now, token
+	r.pendingAsk = s.sendAsk(&pb.Ask{Command: c})
+	s.dutyAsks[r.pendingAsk] = name
 }
 
 // late asks again where no answer came, until the asker's patience is over.
@@ -438,12 +438,12 @@
 	case s.dutyAsks[a.Id] != "":
 		s.handleDutyAnswer(a)
 	case s.pendingAsks[a.Id] != nil:
-		q := s.pendingAsks[a.Id]
+		pending := s.pendingAsks[a.Id]
 		delete(s.pendingAsks, a.Id)
 		if a.Error != "" {
-			q.done(a, errors.New(a.Error))
+			pending.done(a, errors.New(a.Error))
 		} else {
-			q.done(a, nil)
+			pending.done(a, nil)
 		}
 	}
 }
@@ -468,11 +468,11 @@
 	}
 	if name := s.dutyAsks[a.Id]; name != "" {
 		delete(s.dutyAsks, a.Id)
-		w := s.requests[name]
-		w.pendingAsk, w.retryAt = 0, s.now+s.jitter(s.requestTimeout()/2)
+		r := s.requests[name]
+		r.pendingAsk, r.retryAt = 0, s.now+s.jitter(s.requestTimeout()/2)
 	}
-	if q := s.pendingAsks[a.Id]; q != nil {
-		q.sentAt = s.now - 2*s.requestTimeout() + s.jitter(s.requestTimeout()/2)
+	if pending := s.pendingAsks[a.Id]; pending != nil {
+		pending.sentAt = s.now - 2*s.requestTimeout() + s.jitter(s.requestTimeout()/2)
 	}
 }
 
@@ -500,15 +500,15 @@
 }
 
 // held counts the lease from when the renewal was sent.
-func (s *Session) extendLease(sent int64) {
+func (s *Session) extendLease(sentAt int64) {
 	terms := s.o.Terms
 	if s.o.Break&BreakLeaseStart != 0 {
-		sent = s.now
+		sentAt = s.now
 	}
 	if s.o.Break&BreakDriftMargin != 0 {
 		terms.Drift = 0
 	}
-	s.lease.Renewed(terms, sent)
+	s.lease.Renewed(terms, sentAt)
 }
 
 func (s *Session) handleRenewed(a *pb.Answer) {
@@ -530,25 +530,25 @@
 func (s *Session) handleDutyAnswer(a *pb.Answer) {
 	name := s.dutyAsks[a.Id]
 	delete(s.dutyAsks, a.Id)
-	w := s.requests[name]
-	w.pendingAsk = 0
+	r := s.requests[name]
+	r.pendingAsk = 0
 	switch {
 	case a.Gone:
 		s.endSession()
 		return
 	case a.Error == duty.ErrFull.Error():
-		w.retryAt = s.now + s.jitter(int64(s.o.Terms.Length)) // enough others are in line
-	case w.releaseToken != 0: // given up; in line again only by a further wish
-		w.queuedSession = 0
-		if d := s.duties[name]; d != nil && d.Token == w.releaseToken && d.Session == s.id {
+		r.retryAt = s.now + s.jitter(int64(s.o.Terms.Length)) // enough others are in line
+	case r.releaseToken != 0: // given up; in line again only by a further wish
+		r.queuedSession = 0
+		if d := s.duties[name]; d != nil && d.Token == r.releaseToken && d.Session == s.id {
 			delete(s.duties, name)
 		}
 	case a.Error == "":
-		if w.queuedSession = s.id; w.releasing {
-			w.queuedSession = 0
+		if r.queuedSession = s.id; r.releasing {
+			r.queuedSession = 0
 		}
 	default:
-		w.retryAt = s.now + s.jitter(int64(s.o.Terms.Every()))
+		r.retryAt = s.now + s.jitter(int64(s.o.Terms.Every()))
 	}
 	if a.Duty != nil && a.Version >= s.version {
 		s.applyDuty(a.Duty)
@@ -564,12 +564,12 @@
 		if n.To < s.version {
 			return
 		}
-		fresh := map[string]bool{}
+		listed := map[string]bool{}
 		for _, d := range n.Duties {
-			fresh[d.Name] = true
+			listed[d.Name] = true
 		}
 		for name, d := range s.duties {
-			if !fresh[name] {
+			if !listed[name] {
 				s.applyDuty(&pb.Duty{Name: name, Token: d.Token, Ended: true})
 			}
 		}
@@ -599,14 +599,14 @@
 	}
 	if d.Ended {
 		delete(s.duties, d.Name)
-		if w := s.requests[d.Name]; w != nil && !w.releasing {
-			w.queuedSession = 0
+		if r := s.requests[d.Name]; r != nil && !r.releasing {
+			r.queuedSession = 0
 		}
 	} else {
 		s.duties[d.Name] = d
 	}
-	if w := s.requests[d.Name]; w != nil && w.loggedToken != 0 && s.grantedToken(d.Name) != w.loggedToken {
-		s.logLost(d.Name, w)
+	if r := s.requests[d.Name]; r != nil && r.loggedToken != 0 && s.grantedToken(d.Name) != r.loggedToken {
+		s.logLost(d.Name, r)
 	}
 	if s.DutyChanged != nil {
 		s.DutyChanged(d)
--- a/internal/fleet/share/holder.go
+++ b/internal/fleet/share/holder.go
@@ -60,88 +60,88 @@
 // Report takes a member's report, and returns the answer; false: there is none. The duty's lease must hold when the
 // answer goes out.
 func (h *Holder) HandleReport(now int64, name string, r Report) (Answer, bool) {
-	l := h.members[name]
-	if l == nil {
+	m := h.members[name]
+	if m == nil {
 		if len(h.members) >= h.terms.Members {
 			return Answer{}, false // more than the limit is shared by: it keeps to its even part
 		}
-		l = &memberState{}
-		h.members[name] = l
+		m = &memberState{}
+		h.members[name] = m
 	}
-	l.reportedAt, l.demand = now, max(r.Demand, 0)
+	m.reportedAt, m.demand = now, max(r.Demand, 0)
 	if r.Limit > 0 {
 		h.limit = r.Limit
 	}
-	h.confirm(l, r)
+	h.confirm(m, r)
 	if h.limit <= 0 || now < h.quietUntil && h.Break&BreakWait == 0 {
 		return Answer{}, false
 	}
-	if l.expireAnswers(now); len(l.openAnswers) >= maxOpenAnswers {
+	if m.expireAnswers(now); len(m.openAnswers) >= maxOpenAnswers {
 		return Answer{}, false
 	}
 	end := now + int64(float64(h.terms.RaiseDuration)*(1+h.drift()))
 	rate := max(min(h.fairShare(now, name), h.limit-h.maxOtherRates(now, end, name)), 0)
 	h.stamp = max(h.stamp+1, now)
-	till := end
+	until := end
 	if rate < h.terms.EvenShare(h.limit) {
-		till = now + int64(float64(h.terms.BindDuration)*(1-h.drift()))
+		until = now + int64(float64(h.terms.BindDuration)*(1-h.drift()))
 	}
-	l.openAnswers = append(l.openAnswers, sentAnswer{h.stamp, rate, till})
+	m.openAnswers = append(m.openAnswers, sentAnswer{h.stamp, rate, until})
 	if h.Break&BreakConfirm != 0 {
-		l.openAnswers, l.mayBeAtEven = l.openAnswers[len(l.openAnswers)-1:], false
+		m.openAnswers, m.mayBeAtEven = m.openAnswers[len(m.openAnswers)-1:], false
 	}
 	return Answer{Token: h.token, At: r.At, Stamp: h.stamp, Rate: rate, RaiseDuration: h.terms.RaiseDuration, Limit: h.limit}, true
 }
 
 // confirm takes what a report says of the answer that its member goes by.
-func (h *Holder) confirm(l *memberState, r Report) {
+func (h *Holder) confirm(m *memberState, r Report) {
 	if r.Token != h.token {
-		l.mayBeAtEven = true // it goes by another holder's, or by none
+		m.mayBeAtEven = true // it goes by another holder's, or by none
 		return
 	}
-	if i := slices.IndexFunc(l.openAnswers, func(s sentAnswer) bool { return s.stamp == r.Stamp }); i >= 0 {
-		l.openAnswers, l.mayBeAtEven = l.openAnswers[i:], r.Stamp < l.expiredStamp // what was sent before is late, and is not taken any more
+	if i := slices.IndexFunc(m.openAnswers, func(s sentAnswer) bool { return s.stamp == r.Stamp }); i >= 0 {
+		m.openAnswers, m.mayBeAtEven = m.openAnswers[i:], r.Stamp < m.expiredStamp // what was sent before is late, and is not taken any more
 	}
 }
 
 // settle forgets answers whose time is over: a member that goes by one is back at its even part.
-func (l *memberState) expireAnswers(now int64) {
-	l.openAnswers = slices.DeleteFunc(l.openAnswers, func(s sentAnswer) bool {
+func (m *memberState) expireAnswers(now int64) {
+	m.openAnswers = slices.DeleteFunc(m.openAnswers, func(s sentAnswer) bool {
 		over := s.until <= now
 		if over {
-			l.mayBeAtEven, l.expiredStamp = true, max(l.expiredStamp, s.stamp)
+			m.mayBeAtEven, m.expiredStamp = true, max(m.expiredStamp, s.stamp)
 		}
 		return over
 	})
 }
 
 // most is the most that a member may send at any moment until end, whatever befalls it.
-func (h *Holder) maxRate(l *memberState, now, end int64) (most float64) {
+func (h *Holder) maxRate(m *memberState, now, end int64) (highest float64) {
 	even := h.terms.EvenShare(h.limit)
-	l.expireAnswers(now)
-	if l.mayBeAtEven || len(l.openAnswers) == 0 {
-		most = even
+	m.expireAnswers(now)
+	if m.mayBeAtEven || len(m.openAnswers) == 0 {
+		highest = even
 	}
-	for _, s := range l.openAnswers {
+	for _, s := range m.openAnswers {
 		switch {
 		case s.rate < even && s.until >= end:
-			most = max(most, s.rate)
+			highest = max(highest, s.rate)
 		case s.rate < even:
-			most = max(most, even)
+			highest = max(highest, even)
 		default:
-			most = max(most, s.rate)
+			highest = max(highest, s.rate)
 		}
 	}
-	return most
+	return highest
 }
 
 // others is the most that all but one may send at any moment until end. Members that were never heard of count.
-func (h *Holder) maxOtherRates(now, end int64, but string) (sum float64) {
+func (h *Holder) maxOtherRates(now, end int64, except string) (sum float64) {
 	unheard := h.terms.Members
-	for name, l := range h.members {
+	for name, m := range h.members {
 		unheard--
-		if name != but {
-			sum += h.maxRate(l, now, end)
+		if name != except {
+			sum += h.maxRate(m, now, end)
 		}
 	}
 	return sum + float64(unheard)*h.terms.EvenShare(h.limit)
@@ -151,30 +151,30 @@
 // divided evenly over those that want more.
 func (h *Holder) fairShare(now int64, name string) float64 {
 	even := h.terms.EvenShare(h.limit)
-	want := func(l *memberState) float64 { return max(l.demand*(1+headroom), idleShare*even) }
-	left, n := h.limit, 0
-	var wants []float64
+	need := func(m *memberState) float64 { return max(m.demand*(1+headroom), idleShare*even) }
+	remaining, n := h.limit, 0
+	var needs []float64
 	for _, other := range slices.Sorted(maps.Keys(h.members)) {
-		l := h.members[other]
-		if now-l.reportedAt > absentFactor*h.terms.BindDuration {
-			left -= even // it is away
+		m := h.members[other]
+		if now-m.reportedAt > absentFactor*h.terms.BindDuration {
+			remaining -= even // it is away
 			continue
 		}
-		wants = append(wants, want(l))
+		needs = append(needs, need(m))
 		n++
 	}
-	left -= float64(h.terms.Members-len(h.members)) * even
-	slices.SortFunc(wants, cmp.Compare[float64])
-	level := left // the water level
-	for i, w := range wants {
-		if part := left / float64(n-i); w > part {
+	remaining -= float64(h.terms.Members-len(h.members)) * even
+	slices.SortFunc(needs, cmp.Compare[float64])
+	level := remaining // the water level
+	for i, w := range needs {
+		if part := remaining / float64(n-i); w > part {
 			level = part
 			break
 		}
-		left -= w
-		level = left + w // all have what they want
+		remaining -= w
+		level = remaining + w // all have what they want
 	}
-	return min(want(h.members[name]), max(level, 0))
+	return min(need(h.members[name]), max(level, 0))
 }
 
 // Limit is the limit that is divided, as last told; 0: none is known.
--- a/internal/fleet/share/model/model.go
+++ b/internal/fleet/share/model/model.go
@@ -16,27 +16,27 @@
 var terms = share.Terms{Members: 5, BindDuration: 2000 * ms, RaiseDuration: 600 * ms, Drift: 0.05}
 
 type World struct {
-	rng     *rand.Rand
-	now     int64
-	limit   float64
-	nodes   []*node
-	holder  int // who holds the duty; -1: nobody
-	token   uint64
-	frames  []frame
-	loss    bool
-	breach  string
-	guards  share.Break
-	reports int
-	demands func(w *World, i int) float64
+	rng            *rand.Rand
+	now            int64
+	limit          float64
+	nodes          []*node
+	holder         int // who holds the duty; -1: nobody
+	token          uint64
+	frames         []frame
+	lossy          bool
+	violation      string
+	disabledGuards share.Break
+	reports        int
+	demand         func(w *World, i int) float64
 }
 
 type node struct {
-	rate    float64
-	offset  int64
-	m       *share.Member
-	h       *share.Holder
-	cut     int64 // until then
-	stopped int64
+	clockRate    float64
+	clockOffset  int64
+	member       *share.Member
+	holder       *share.Holder
+	cutUntil     int64 // until then
+	stoppedUntil int64
 }
 
 type frame struct {
@@ -46,36 +46,36 @@
 	answer   *share.Answer
 }
 
-func newWorld(seed uint64, t share.Terms, limit float64, guards share.Break) *World {
-	w := &World{rng: rand.New(rand.NewPCG(seed, 3)), limit: limit, holder: -1, guards: guards}
+func newWorld(seed uint64, t share.Terms, limit float64, disabledGuards share.Break) *World {
+	w := &World{rng: rand.New(rand.NewPCG(seed, 3)), limit: limit, holder: -1, disabledGuards: disabledGuards}
 	for range t.Members {
-		n := &node{rate: 1 + t.Drift*(2*w.rng.Float64()-1), offset: w.rng.Int64N(1e12), m: share.NewMember(t)}
-		n.m.SetLimit(limit)
-		n.m.Break = guards
+		n := &node{clockRate: 1 + t.Drift*(2*w.rng.Float64()-1), clockOffset: w.rng.Int64N(1e12), member: share.NewMember(t)}
+		n.member.SetLimit(limit)
+		n.member.Break = disabledGuards
 		w.nodes = append(w.nodes, n)
 	}
 	return w
 }
 
-func (w *World) local(n *node) int64 { return n.offset + int64(float64(w.now)*n.rate) }
+func (w *World) localTime(n *node) int64 { return n.clockOffset + int64(float64(w.now)*n.clockRate) }
 
 // hand gives the duty to a member, once nobody holds it any more.
-func (w *World) hand(to int, t share.Terms) {
+func (w *World) grantDuty(to int, t share.Terms) {
 	w.holder, w.token = to, w.token+1
 	n := w.nodes[to]
-	n.h = share.NewHolder(t, w.token, w.local(n))
-	n.h.Break = w.guards
+	n.holder = share.NewHolder(t, w.token, w.localTime(n))
+	n.holder.Break = w.disabledGuards
 }
 
 // fall ends the holder's lease without its knowledge of anything but that.
-func (w *World) fall() { w.holder = -1 }
+func (w *World) endLease() { w.holder = -1 }
 
 func (w *World) send(f frame) {
-	if w.loss && w.rng.IntN(4) == 0 {
+	if w.lossy && w.rng.IntN(4) == 0 {
 		return
 	}
 	f.at = w.now + w.rng.Int64N(20*ms)
-	if w.loss && w.rng.IntN(5) == 0 {
+	if w.lossy && w.rng.IntN(5) == 0 {
 		f.at += w.rng.Int64N(3000 * ms)
 	}
 	w.frames = append(w.frames, f)
@@ -84,16 +84,16 @@
 func (w *World) step(dt int64) {
 	w.now += dt
 	for i, n := range w.nodes {
-		if w.now < n.stopped || w.holder < 0 || !n.m.ReportDue(w.local(n), w.demands(w, i)) {
+		if w.now < n.stoppedUntil || w.holder < 0 || !n.member.ReportDue(w.localTime(n), w.demand(w, i)) {
 			continue
 		}
-		r := n.m.Report(w.local(n), w.demands(w, i))
+		r := n.member.Report(w.localTime(n), w.demand(w, i))
 		w.reports++
 		w.send(frame{from: i, to: w.holder, report: &r})
 	}
 	var later, due []frame
 	for _, f := range w.frames {
-		if f.at > w.now || w.now < w.nodes[f.to].stopped {
+		if f.at > w.now || w.now < w.nodes[f.to].stoppedUntil {
 			later = append(later, f)
 		} else {
 			due = append(due, f)
@@ -101,66 +101,66 @@
 	}
 	w.frames = later
 	for _, f := range due {
-		if w.now < w.nodes[f.to].cut || w.now < w.nodes[f.from].cut {
+		if w.now < w.nodes[f.to].cutUntil || w.now < w.nodes[f.from].cutUntil {
 			continue
 		}
 		n := w.nodes[f.to]
 		switch {
 		case f.answer != nil:
-			n.m.HandleAnswer(w.local(n), *f.answer)
-		case n.h != nil && w.holder == f.to:
-			if a, ok := n.h.HandleReport(w.local(n), fmt.Sprint(f.from), *f.report); ok {
+			n.member.HandleAnswer(w.localTime(n), *f.answer)
+		case n.holder != nil && w.holder == f.to:
+			if a, ok := n.holder.HandleReport(w.localTime(n), fmt.Sprint(f.from), *f.report); ok {
 				w.send(frame{from: f.to, to: f.from, answer: &a})
 			}
 		}
 	}
-	w.judge()
+	w.checkTotal()
 }
 
-func (w *World) judge() {
+func (w *World) checkTotal() {
 	sum := 0.0
 	for _, n := range w.nodes {
-		rate, _ := n.m.Rate(w.local(n))
+		rate, _ := n.member.Rate(w.localTime(n))
 		sum += rate
 	}
-	if sum > w.limit*(1+1e-9) && w.breach == "" {
-		w.breach = fmt.Sprintf("%v: all may send %.3f a second, the limit is %.0f", time.Duration(w.now), sum, w.limit)
+	if sum > w.limit*(1+1e-9) && w.violation == "" {
+		w.violation = fmt.Sprintf("%v: all may send %.3f a second, the limit is %.0f", time.Duration(w.now), sum, w.limit)
 	}
 }
 
 // play plays 40 s with faults of those kinds: a member cut off, one stopped, frames lost and late, the duty handed on.
-func play(seed uint64, terms share.Terms, guards share.Break, kinds ...int) *World {
-	w := newWorld(seed, terms, 40, guards)
-	busy := make([]float64, terms.Members)
-	w.demands = func(w *World, i int) float64 { return busy[i] }
-	nextFault, lossUntil, handAt := int64(1000*ms), int64(0), int64(0)
-	for w.now < 40_000*ms && w.breach == "" {
+func runSchedule(seed uint64, terms share.Terms, disabledGuards share.Break, kinds ...int) *World {
+	w := newWorld(seed, terms, 40, disabledGuards)
+	demands := make([]float64, terms.Members)
+	w.demand = func(w *World, i int) float64 { return demands[i] }
+	nextFault, lossUntil, grantAt := int64(1000*ms), int64(0), int64(0)
+	for w.now < 40_000*ms && w.violation == "" {
 		if w.now%(700*ms) == 0 { // demand moves wholly
-			clear(busy)
-			busy[w.rng.IntN(len(busy))] = 60
-			busy[w.rng.IntN(len(busy))] += 20
+			clear(demands)
+			demands[w.rng.IntN(len(demands))] = 60
+			demands[w.rng.IntN(len(demands))] += 20
 		}
-		if w.holder < 0 && w.now >= handAt {
-			w.hand(w.rng.IntN(len(w.nodes)), terms)
+		if w.holder < 0 && w.now >= grantAt {
+			w.grantDuty(w.rng.IntN(len(w.nodes)), terms)
 		}
 		if w.now >= nextFault {
 			nextFault = w.now + (200+w.rng.Int64N(1500))*ms
-			n, span := w.nodes[w.rng.IntN(len(w.nodes))], (50+w.rng.Int64N(2500))*ms
+			n, duration := w.nodes[w.rng.IntN(len(w.nodes))], (50+w.rng.Int64N(2500))*ms
 			switch kinds[w.rng.IntN(len(kinds))] {
 			case 0:
-				n.cut = w.now + span
+				n.cutUntil = w.now + duration
 			case 1:
-				n.stopped = w.now + span
+				n.stoppedUntil = w.now + duration
 			case 2:
-				lossUntil = w.now + span
+				lossUntil = w.now + duration
 			case 3:
 				if w.holder >= 0 {
-					w.fall()
-					handAt = w.now + w.rng.Int64N(100*ms)
+					w.endLease()
+					grantAt = w.now + w.rng.Int64N(100*ms)
 				}
 			}
 		}
-		w.loss = w.now < lossUntil
+		w.lossy = w.now < lossUntil
 		w.step(10 * ms)
 	}
 	return w
@@ -171,44 +171,44 @@
 func goodput(n int, limit float64, load func(now int64, i int) float64) (shared, even, oracle, reports float64) {
 	t := share.Terms{Members: n, BindDuration: 2000 * ms, RaiseDuration: 600 * ms, Drift: 0.05}
 	w := newWorld(uint64(n), t, limit, 0)
-	w.hand(0, t)
+	w.grantDuty(0, t)
 	const dt = 10 * ms
-	backlogS, backlogE := make([]float64, n), make([]float64, n)
-	backlogO, asked := 0.0, 0.0
-	w.demands = func(w *World, i int) float64 { return load(w.now, i) + backlogS[i] }
-	hold := 2.0 // seconds of load that a backlog may be: what waits longer is given up
+	sharedBacklog, evenBacklog := make([]float64, n), make([]float64, n)
+	oracleBacklog, offered := 0.0, 0.0
+	w.demand = func(w *World, i int) float64 { return load(w.now, i) + sharedBacklog[i] }
+	maxBacklogSeconds := 2.0 // seconds of load that a backlog may be: what waits longer is given up
 	for w.now < 33_000*ms {
 		w.step(dt)
-		sec := float64(dt) / 1e9
-		counts := w.now > 3000*ms
+		seconds := float64(dt) / 1e9
+		counted := w.now > 3000*ms
 		if w.now == 3000*ms { // what piled up before the first shares does not count
-			clear(backlogS)
-			clear(backlogE)
-			backlogO = 0
+			clear(sharedBacklog)
+			clear(evenBacklog)
+			oracleBacklog = 0
 		}
 		for i, node := range w.nodes {
-			in := load(w.now, i) * sec
-			rate, _ := node.m.Rate(w.local(node))
+			in := load(w.now, i) * seconds
+			rate, _ := node.member.Rate(w.localTime(node))
 			serve := func(b *float64, rate float64, sum *float64) {
-				*b = min(*b+in, max(hold*load(w.now, i), *b))
-				out := min(*b, rate*sec)
+				*b = min(*b+in, max(maxBacklogSeconds*load(w.now, i), *b))
+				out := min(*b, rate*seconds)
 				*b -= out
-				if counts {
+				if counted {
 					*sum += out
 				}
 			}
-			serve(&backlogS[i], rate, &shared)
-			serve(&backlogE[i], t.EvenShare(limit), &even)
-			backlogO += in
-			if counts {
-				asked += in
+			serve(&sharedBacklog[i], rate, &shared)
+			serve(&evenBacklog[i], t.EvenShare(limit), &even)
+			oracleBacklog += in
+			if counted {
+				offered += in
 			}
 		}
-		out := min(backlogO, limit*sec)
-		backlogO = min(backlogO-out, hold*limit)
-		if counts {
+		out := min(oracleBacklog, limit*seconds)
+		oracleBacklog = min(oracleBacklog-out, maxBacklogSeconds*limit)
+		if counted {
 			oracle += out
 		}
 	}
-	return shared / asked, even / asked, oracle / asked, float64(w.reports) / (float64(w.now) / 1e9)
+	return shared / offered, even / offered, oracle / offered, float64(w.reports) / (float64(w.now) / 1e9)
 }
--- a/internal/fleet/share/model/model_test.go
+++ b/internal/fleet/share/model/model_test.go
@@ -20,8 +20,8 @@
 	}
 	flag.Set("rapid.nofailfile", "true")
 	rapid.Check(t, func(t *rapid.T) {
-		if w := play(rapid.Uint64().Draw(t, "seed"), terms, 0, 0, 1, 2, 3); w.breach != "" {
-			t.Fatal(w.breach)
+		if w := runSchedule(rapid.Uint64().Draw(t, "seed"), terms, 0, 0, 1, 2, 3); w.violation != "" {
+			t.Fatal(w.violation)
 		}
 	})
 }
@@ -46,11 +46,11 @@
 				with.Drift = 0.2
 			}
 			for seed := range uint64(400) {
-				if w := play(seed, with, 0, c.kinds...); w.breach != "" {
-					t.Fatalf("with all guards in: %s", w.breach)
+				if w := runSchedule(seed, with, 0, c.kinds...); w.violation != "" {
+					t.Fatalf("with all guards in: %s", w.violation)
 				}
-				if w := play(seed, with, c.guard, c.kinds...); w.breach != "" {
-					t.Logf("found by schedule %d: %s", seed, w.breach)
+				if w := runSchedule(seed, with, c.guard, c.kinds...); w.violation != "" {
+					t.Logf("found by schedule %d: %s", seed, w.violation)
 					return
 				}
 			}
--- a/internal/fleet/share/share.go
+++ b/internal/fleet/share/share.go
@@ -117,17 +117,17 @@
 // Due reports whether a report is due: where a share is to be renewed, at once where demand is far from what was told.
 func (m *Member) ReportDue(now int64, demand float64) bool {
 	since := now - m.reportedAt
-	every := m.terms.BindDuration
+	interval := m.terms.BindDuration
 	if even := m.terms.EvenShare(m.limit); now < m.shareUntil && !m.belowEven && m.shareRate > even {
-		every = m.terms.RaiseDuration
+		interval = m.terms.RaiseDuration
 	}
-	every /= reportsPerDuration
+	interval /= reportsPerDuration
 	if m.unanswered > maxUnanswered {
-		every *= int64(min(m.unanswered-maxUnanswered, maxBackoffFactor))
+		interval *= int64(min(m.unanswered-maxUnanswered, maxBackoffFactor))
 	} else if demand > demandJump*m.reportedDemand || demand < m.reportedDemand/demandJump {
-		every = minReportInterval
+		interval = minReportInterval
 	}
-	return m.reportedAt == 0 || since >= every
+	return m.reportedAt == 0 || since >= interval
 }
 
 // Report is what the member tells the holder now.
@@ -164,7 +164,7 @@
 }
 
 // Rate is what this member may send at this moment; 0: no limit is known. fresh: it is a share, not the even part.
-func (m *Member) Rate(now int64) (rate float64, fresh bool) {
+func (m *Member) Rate(now int64) (rate float64, shared bool) {
 	limit := m.limit
 	if limit <= 0 {
 		limit = m.shareLimit
@@ -176,6 +176,6 @@
 }
 
 // Until is when the present share ends, and the even part is back; false: there is none.
-func (m *Member) ShareEnd(now int64) (at int64, due bool) {
+func (m *Member) ShareEnd(now int64) (at int64, present bool) {
 	return m.shareUntil, m.shareLimit > 0 && now < m.shareUntil
 }
--- a/internal/fleet/share/share_test.go
+++ b/internal/fleet/share/share_test.go
@@ -13,13 +13,13 @@
 	if low.Rate >= terms.EvenShare(40) {
 		t.Fatalf("a wants nothing and gets %v", low.Rate)
 	}
-	said := Report{At: now, Demand: 30, Limit: 40, Token: 1, Stamp: low.Stamp}
-	if a, ok := h.HandleReport(now+500, "a", said); !ok || a.Rate < terms.EvenShare(40) {
+	report := Report{At: now, Demand: 30, Limit: 40, Token: 1, Stamp: low.Stamp}
+	if a, ok := h.HandleReport(now+500, "a", report); !ok || a.Rate < terms.EvenShare(40) {
 		t.Fatalf("a wants 30 and gets %v", a.Rate) // it is on its way to a for long
 	}
 	h.HandleReport(now+1150, "b", Report{At: now + 1150, Demand: 1000, Limit: 40}) // here it is forgotten
-	said.Demand = 0
-	h.HandleReport(now+1200, "a", said) // told before it came; it may have come since, and be over
+	report.Demand = 0
+	h.HandleReport(now+1200, "a", report) // told before it came; it may have come since, and be over
 	if b, _ := h.HandleReport(now+1300, "b", Report{At: now + 1300, Demand: 1000, Limit: 40}); b.Rate > terms.EvenShare(40) {
 		t.Errorf("b is lent %v, and a may send %v", b.Rate, terms.EvenShare(40))
 	}
--- a/internal/fleet/subscriber/subscriber.go
+++ b/internal/fleet/subscriber/subscriber.go
@@ -174,8 +174,8 @@
 func (s *Subscriber) retryHomeRegion(ctx context.Context) {
 	now := s.o.Now()
 	home := slices.IndexFunc(s.servers, func(x Server) bool { return x.Region == s.o.Region })
-	at := s.serverIndex % len(s.servers)
-	if home < 0 || s.servers[at].Region == s.o.Region {
+	current := s.serverIndex % len(s.servers)
+	if home < 0 || s.servers[current].Region == s.o.Region {
 		if s.subscription.Live(now) {
 			s.homeRetryDelay, s.homeRetryAt = minHomeRetryDelay, 0
 		}
--- a/internal/fleet/trial/trial.go
+++ b/internal/fleet/trial/trial.go
@@ -85,83 +85,83 @@
 }
 
 // Ordered takes what storms ask at a partner, and returns what is asked in its place.
-func (b *State) AdjustThrottle(now float64, o storm.Throttle) storm.Throttle {
-	if b == nil {
-		return o
-	}
-	d := b.partners[o.Dest]
-	if d == nil {
-		if o.Phase != storm.Outage {
-			return o
+func (s *State) AdjustThrottle(now float64, t storm.Throttle) storm.Throttle {
+	if s == nil {
+		return t
+	}
+	p := s.partners[t.Dest]
+	if p == nil {
+		if t.Phase != storm.Outage {
+			return t
 		}
-		d = &partner{publishedAt: math.Inf(-1)}
-		b.partners[o.Dest] = d
+		p = &partner{publishedAt: math.Inf(-1)}
+		s.partners[t.Dest] = p
 	}
-	was := d.phase
-	d.phase, d.throttle = o.Phase, o
+	previous := p.phase
+	p.phase, p.throttle = t.Phase, t
 	switch {
-	case o.Phase == storm.Outage && was != storm.Outage:
-		d.outageSince, d.updatedAt = now, now
-		b.actions = append(b.actions, Action{Dest: o.Dest, Request: true})
-	case o.Phase != storm.Outage && was == storm.Outage && d.update.HeldLocally:
-		b.publish(o.Dest, d, now, Open)
+	case t.Phase == storm.Outage && previous != storm.Outage:
+		p.outageSince, p.updatedAt = now, now
+		s.actions = append(s.actions, Action{Dest: t.Dest, Request: true})
+	case t.Phase != storm.Outage && previous == storm.Outage && p.update.HeldLocally:
+		s.publish(t.Dest, p, now, Open)
 	}
-	if o.Phase == storm.Calm {
-		b.actions = append(b.actions, Action{Dest: o.Dest, Release: true})
-		delete(b.partners, o.Dest)
+	if t.Phase == storm.Calm {
+		s.actions = append(s.actions, Action{Dest: t.Dest, Release: true})
+		delete(s.partners, t.Dest)
 	}
-	return b.adjust(now, d)
+	return s.adjust(now, p)
 }
 
 // Tried takes a failed call to a partner: the holder tells that it is down still.
-func (b *State) CallFailed(now float64, id int) {
-	if b == nil {
+func (s *State) CallFailed(now float64, dest int) {
+	if s == nil {
 		return
 	}
-	if d := b.partners[id]; d != nil && d.update.HeldLocally && d.phase == storm.Outage && now-d.publishedAt >= downIntervalMS {
-		b.publish(id, d, now, Down)
+	if p := s.partners[dest]; p != nil && p.update.HeldLocally && p.phase == storm.Outage && now-p.publishedAt >= downIntervalMS {
+		s.publish(dest, p, now, Down)
 	}
 }
 
-func (b *State) publish(id int, d *partner, now float64, word string) {
-	d.wordNumber++
-	d.publishedAt = now
-	b.actions = append(b.actions, Action{Dest: id, Publish: word + " " + strconv.Itoa(d.wordNumber)})
+func (s *State) publish(dest int, p *partner, now float64, word string) {
+	p.wordNumber++
+	p.publishedAt = now
+	s.actions = append(s.actions, Action{Dest: dest, Publish: word + " " + strconv.Itoa(p.wordNumber)})
 }
 
 // Heard takes news of a partner's duty.
-func (b *State) HandleUpdate(now float64, id int, n Update) {
-	if b == nil {
+func (s *State) HandleUpdate(now float64, dest int, update Update) {
+	if s == nil {
 		return
 	}
-	d := b.partners[id]
-	if d == nil {
+	p := s.partners[dest]
+	if p == nil {
 		return // a partner that is well here
 	}
-	if n.Holder != d.update.Holder || n.Word != d.update.Word {
-		d.updatedAt = now // a new holder is given time for its first word
+	if update.Holder != p.update.Holder || update.Word != p.update.Word {
+		p.updatedAt = now // a new holder is given time for its first word
 	}
-	if n.HeldLocally && !d.update.HeldLocally && d.phase != storm.Outage {
-		b.publish(id, d, now, Open) // the last holder went while the partner came back
+	if update.HeldLocally && !p.update.HeldLocally && p.phase != storm.Outage {
+		s.publish(dest, p, now, Open) // the last holder went while the partner came back
 	}
-	d.update = n
+	p.update = update
 }
 
 // Live takes whether this member's session holds: without it nothing that was heard can be relied on.
-func (b *State) SetLive(live bool) {
-	if b != nil {
-		b.sessionHeld = live
+func (s *State) SetLive(live bool) {
+	if s != nil {
+		s.sessionHeld = live
 	}
 }
 
 // Changed returns the orders that time or news have changed since they were given.
-func (b *State) ChangedThrottles(now float64) (list []storm.Throttle) {
-	if b == nil {
+func (s *State) ChangedThrottles(now float64) (list []storm.Throttle) {
+	if s == nil {
 		return nil
 	}
-	for _, d := range b.partners {
-		if hush, holds := b.trialState(now, d); hush != d.suspended || holds != d.raised {
-			list = append(list, b.adjust(now, d))
+	for _, p := range s.partners {
+		if suspended, raised := s.trialState(now, p); suspended != p.suspended || raised != p.raised {
+			list = append(list, s.adjust(now, p))
 		}
 	}
 	slices.SortFunc(list, func(x, y storm.Throttle) int { return x.Dest - y.Dest })
@@ -169,56 +169,56 @@
 }
 
 // Acts returns what is to be done about duties, and forgets it.
-func (b *State) TakeActions() []Action {
-	if b == nil {
+func (s *State) TakeActions() []Action {
+	if s == nil {
 		return nil
 	}
-	acts := b.actions
-	b.actions = nil
-	return acts
+	actions := s.actions
+	s.actions = nil
+	return actions
 }
 
 // Next is when Changed may have something by time alone, +Inf if never.
-func (b *State) NextChange() float64 {
+func (s *State) NextChange() float64 {
 	next := math.Inf(1)
-	if b == nil {
+	if s == nil {
 		return next
 	}
-	for _, d := range b.partners {
-		if d.suspended {
-			next = min(next, d.updatedAt+b.settings.SilenceTimeoutMS)
+	for _, p := range s.partners {
+		if p.suspended {
+			next = min(next, p.updatedAt+s.settings.SilenceTimeoutMS)
 		}
 	}
 	return next
 }
 
 // state tells whether trials are held back here, and whether this member makes those of the fleet.
-func (b *State) trialState(now float64, d *partner) (hush, holds bool) {
-	if d.phase != storm.Outage || !b.sessionHeld {
+func (s *State) trialState(now float64, p *partner) (suspended, raised bool) {
+	if p.phase != storm.Outage || !s.sessionHeld {
 		return false, false
 	}
-	if d.update.HeldLocally {
+	if p.update.HeldLocally {
 		return false, true
 	}
-	open := strings.HasPrefix(d.update.Word, Open)
-	return d.update.Holder != "" && !open && now < d.updatedAt+b.settings.SilenceTimeoutMS, false
+	open := strings.HasPrefix(p.update.Word, Open)
+	return p.update.Holder != "" && !open && now < p.updatedAt+s.settings.SilenceTimeoutMS, false
 }
 
 // adjusted is the order as it stands with what is known of the duty.
-func (b *State) adjust(now float64, d *partner) storm.Throttle {
-	d.suspended, d.raised = b.trialState(now, d)
-	o := d.throttle
-	if !d.suspended && !d.raised {
-		return o
-	}
-	o.Paces = slices.Clone(o.Paces)
-	for i := range o.Paces {
-		p := &o.Paces[i]
-		if d.suspended {
-			p.Rate = min(p.Rate, suspendedRate)
-		} else if part := p.Rate * float64(b.settings.Senders); p.Rate > 0 { // the others' parts, which they leave unused
-			p.Rate = max(p.Rate, min(part, maxTrialRate))
+func (s *State) adjust(now float64, p *partner) storm.Throttle {
+	p.suspended, p.raised = s.trialState(now, p)
+	t := p.throttle
+	if !p.suspended && !p.raised {
+		return t
+	}
+	t.Paces = slices.Clone(t.Paces)
+	for i := range t.Paces {
+		pace := &t.Paces[i]
+		if p.suspended {
+			pace.Rate = min(pace.Rate, suspendedRate)
+		} else if fleetRate := pace.Rate * float64(s.settings.Senders); pace.Rate > 0 { // the others' parts, which they leave unused
+			pace.Rate = max(pace.Rate, min(fleetRate, maxTrialRate))
 		}
 	}
-	return o
+	return t
 }
--- a/internal/fleet/trial/trial_test.go
+++ b/internal/fleet/trial/trial_test.go
@@ -12,59 +12,59 @@
 }
 
 func newLiveState() *State {
-	b := New(Settings{Senders: 100, SilenceTimeoutMS: 4000})
-	b.SetLive(true)
-	return b
+	s := New(Settings{Senders: 100, SilenceTimeoutMS: 4000})
+	s.SetLive(true)
+	return s
 }
 
 // TestOthersWait: one that does not hold the trial waits while it hears that the partner is down, and no longer.
 func TestOthersWait(t *testing.T) {
-	b := newLiveState()
-	if o := b.AdjustThrottle(0, outage(0.5)); o.Paces[0].Rate != 0.5 {
+	s := newLiveState()
+	if o := s.AdjustThrottle(0, outage(0.5)); o.Paces[0].Rate != 0.5 {
 		t.Errorf("with nobody's word: %v", o)
 	}
-	if acts := b.TakeActions(); len(acts) != 1 || !acts[0].Request {
+	if acts := s.TakeActions(); len(acts) != 1 || !acts[0].Request {
 		t.Errorf("acts %v", acts)
 	}
-	b.HandleUpdate(100, 7, Update{Holder: "n2"})
-	list := b.ChangedThrottles(100)
+	s.HandleUpdate(100, 7, Update{Holder: "n2"})
+	list := s.ChangedThrottles(100)
 	if len(list) != 1 || list[0].Paces[0].Rate != suspendedRate {
 		t.Fatalf("another holds it: %v", list)
 	}
-	b.HandleUpdate(3000, 7, Update{Holder: "n2", Word: "down 1"})
-	if at := b.NextChange(); at != 7000 {
+	s.HandleUpdate(3000, 7, Update{Holder: "n2", Word: "down 1"})
+	if at := s.NextChange(); at != 7000 {
 		t.Errorf("it waits until %v", at)
 	}
-	if list := b.ChangedThrottles(6999); len(list) != 0 {
+	if list := s.ChangedThrottles(6999); len(list) != 0 {
 		t.Errorf("before the bound: %v", list)
 	}
-	if list := b.ChangedThrottles(7000); len(list) != 1 || list[0].Paces[0].Rate != 0.5 {
+	if list := s.ChangedThrottles(7000); len(list) != 1 || list[0].Paces[0].Rate != 0.5 {
 		t.Errorf("after the bound without a word: %v", list)
 	}
-	b.HandleUpdate(7100, 7, Update{Holder: "n2", Word: "down 2"})
-	if list := b.ChangedThrottles(7100); len(list) != 1 || list[0].Paces[0].Rate != suspendedRate {
+	s.HandleUpdate(7100, 7, Update{Holder: "n2", Word: "down 2"})
+	if list := s.ChangedThrottles(7100); len(list) != 1 || list[0].Paces[0].Rate != suspendedRate {
 		t.Errorf("a word again: %v", list)
 	}
-	b.HandleUpdate(7200, 7, Update{Holder: "n2", Word: "open 3"})
-	if list := b.ChangedThrottles(7200); len(list) != 1 || list[0].Paces[0].Rate != 0.5 {
+	s.HandleUpdate(7200, 7, Update{Holder: "n2", Word: "open 3"})
+	if list := s.ChangedThrottles(7200); len(list) != 1 || list[0].Paces[0].Rate != 0.5 {
 		t.Errorf("the partner is back: %v", list)
 	}
 }
 
 // TestNobodySilences: without a session, a holder, or a fleet, nothing is held back.
-func TestNobodySilences(t *testing.T) {
-	b := newLiveState()
-	b.AdjustThrottle(0, outage(0.5))
-	b.HandleUpdate(100, 7, Update{Holder: "n2"})
-	b.ChangedThrottles(100)
-	b.SetLive(false)
-	if list := b.ChangedThrottles(200); len(list) != 1 || list[0].Paces[0].Rate != 0.5 {
+func TestNothingSuspendsWithoutFleet(t *testing.T) {
+	s := newLiveState()
+	s.AdjustThrottle(0, outage(0.5))
+	s.HandleUpdate(100, 7, Update{Holder: "n2"})
+	s.ChangedThrottles(100)
+	s.SetLive(false)
+	if list := s.ChangedThrottles(200); len(list) != 1 || list[0].Paces[0].Rate != 0.5 {
 		t.Errorf("the session is over: %v", list)
 	}
-	b.SetLive(true)
-	b.ChangedThrottles(300)
-	b.HandleUpdate(400, 7, Update{})
-	if list := b.ChangedThrottles(400); len(list) != 1 || list[0].Paces[0].Rate != 0.5 {
+	s.SetLive(true)
+	s.ChangedThrottles(300)
+	s.HandleUpdate(400, 7, Update{})
+	if list := s.ChangedThrottles(400); len(list) != 1 || list[0].Paces[0].Rate != 0.5 {
 		t.Errorf("nobody holds it: %v", list)
 	}
 	var none *State
@@ -79,34 +79,34 @@
 // TestHolder: the holder tries at the others' parts, up to a bound, tells that the partner is down now and then, and
 // that it is back at once.
 func TestHolder(t *testing.T) {
-	b := newLiveState()
-	b.AdjustThrottle(0, outage(0.05))
-	b.TakeActions()
-	b.HandleUpdate(100, 7, Update{Holder: "n1", HeldLocally: true})
-	if list := b.ChangedThrottles(100); len(list) != 1 || math.Abs(list[0].Paces[0].Rate-5) > 1e-9 {
+	s := newLiveState()
+	s.AdjustThrottle(0, outage(0.05))
+	s.TakeActions()
+	s.HandleUpdate(100, 7, Update{Holder: "n1", HeldLocally: true})
+	if list := s.ChangedThrottles(100); len(list) != 1 || math.Abs(list[0].Paces[0].Rate-5) > 1e-9 {
 		t.Errorf("the holder's pace: %v", list)
 	}
-	b.CallFailed(200, 7)
-	b.CallFailed(300, 7)
-	b.CallFailed(1200, 7)
-	if acts := b.TakeActions(); len(acts) != 2 || acts[0].Publish != "down 1" || acts[1].Publish != "down 2" {
+	s.CallFailed(200, 7)
+	s.CallFailed(300, 7)
+	s.CallFailed(1200, 7)
+	if acts := s.TakeActions(); len(acts) != 2 || acts[0].Publish != "down 1" || acts[1].Publish != "down 2" {
 		t.Errorf("words %v", acts)
 	}
-	o := b.AdjustThrottle(1300, storm.Throttle{Dest: 7, Phase: storm.Returning, Paces: []storm.Pace{{Rate: 0.05}}})
-	if acts := b.TakeActions(); len(acts) != 1 || acts[0].Publish != "open 3" || o.Paces[0].Rate != 0.05 {
+	o := s.AdjustThrottle(1300, storm.Throttle{Dest: 7, Phase: storm.Returning, Paces: []storm.Pace{{Rate: 0.05}}})
+	if acts := s.TakeActions(); len(acts) != 1 || acts[0].Publish != "open 3" || o.Paces[0].Rate != 0.05 {
 		t.Errorf("back: %v, %v", acts, o)
 	}
-	b.AdjustThrottle(20000, storm.Throttle{Dest: 7, Phase: storm.Calm, Paces: []storm.Pace{{}}})
-	if acts := b.TakeActions(); len(acts) != 1 || !acts[0].Release {
+	s.AdjustThrottle(20000, storm.Throttle{Dest: 7, Phase: storm.Calm, Paces: []storm.Pace{{}}})
+	if acts := s.TakeActions(); len(acts) != 1 || !acts[0].Release {
 		t.Errorf("calm: %v", acts)
 	}
 	// One that takes the duty over while it sees the partner back says so.
-	b = newLiveState()
-	b.AdjustThrottle(0, outage(0.05))
-	b.AdjustThrottle(1000, storm.Throttle{Dest: 7, Phase: storm.Returning, Paces: []storm.Pace{{Rate: 0.05}}})
-	b.TakeActions()
-	b.HandleUpdate(1100, 7, Update{Holder: "n1", HeldLocally: true, Word: "down 9"})
-	if acts := b.TakeActions(); len(acts) != 1 || acts[0].Publish != "open 1" {
+	s = newLiveState()
+	s.AdjustThrottle(0, outage(0.05))
+	s.AdjustThrottle(1000, storm.Throttle{Dest: 7, Phase: storm.Returning, Paces: []storm.Pace{{Rate: 0.05}}})
+	s.TakeActions()
+	s.HandleUpdate(1100, 7, Update{Holder: "n1", HeldLocally: true, Word: "down 9"})
+	if acts := s.TakeActions(); len(acts) != 1 || acts[0].Publish != "open 1" {
 		t.Errorf("taken over: %v", acts)
 	}
 }
