--- a/internal/fleet/commands.go
+++ b/internal/fleet/commands.go
@@ -10,9 +10,7 @@
 	"sliptide/internal/fleet/voter"
 )
 
-// This file answers operators' commands, which any member takes.
-
-// call answers an operator's command, at any member.
+// handleCommand answers an operator's command. Every member accepts commands.
 func (m *Member) handleCommand(ctx context.Context, a *pb.Ask) (*pb.Answer, error) {
 	if a.Copies != nil {
 		return m.copyStatus(), nil
@@ -33,7 +31,7 @@
 	}
 }
 
-// copyStatus is how this member's own copies are.
+// copyStatus returns the status of the copies of this member's own journal.
 func (m *Member) copyStatus() *pb.Answer {
 	if m.o.CopyStatus != nil {
 		if text := m.o.CopyStatus(); text != "" {
--- a/internal/fleet/copies.go
+++ b/internal/fleet/copies.go
@@ -13,29 +13,29 @@
 	"sliptide/internal/fleet/pb"
 )
 
-// Look is what a member knows of journals and their copies. It is not changed once it is published.
+// View is what a member knows of journals and their copies. It is immutable once published.
 type View struct {
 	Session   uint64
-	Journals  map[string]*pb.Duty // by owner: the duty of its journal
+	Journals  map[string]*pb.Duty // the duty of each journal, by owner
 	Adoptions map[string]*pb.Adoption
 	Present   []*pb.Present
 }
 
-// Mine reports whether this member holds a duty by that look.
+// Holds reports whether this member holds a duty according to the view.
 func (v *View) Holds(d *pb.Duty) bool { return d != nil && v.Session != 0 && d.Session == v.Session }
 
-// Is reports whether a member's session goes on.
+// HasMember reports whether a member has a live session.
 func (v *View) HasMember(name string) bool {
 	return slices.ContainsFunc(v.Present, func(p *pb.Present) bool { return p.Name == name })
 }
 
-// Look is what is known now. It waits for nothing.
+// View returns the current view. It does not block.
 func (m *Member) View() *View { return m.view.Load() }
 
-// Incarnation is the number of this member's folder.
+// Incarnation returns the incarnation of this member's state directory.
 func (m *Member) Incarnation() uint64 { return m.identity.Incarnation }
 
-// publishLook makes what the session knows readable, and sees to links with those that copies go to or come from.
+// publishView publishes what the session knows, and connects this member with the other holders of each journal.
 func (m *Member) publishView() {
 	version, id := m.session.Version(), m.session.ID()
 	if m.o.CopyQuota == 0 || version == m.viewVersion && id == m.viewSession {
@@ -59,8 +59,8 @@
 	}
 }
 
-// keepers links this member with the others of a journal, and puts it in line for the journal of an owner that it
-// keeps copies of: one of those becomes the heir.
+// connectHolders connects this member with the owner and the other holders of a journal. A holder also requests the
+// duty of the journal, since one of the holders becomes the successor of the owner.
 func (m *Member) connectHolders(owner string, d *pb.Duty) {
 	replicas := append([]string{owner}, d.Holders...)
 	if !slices.Contains(replicas, m.self.Name) {
@@ -80,7 +80,7 @@
 	}
 }
 
-// SendCopy sends a frame of copies to a member; it waits for nothing.
+// SendCopy sends a frame about copies to a member. It does not block.
 func (m *Member) SendCopy(to string, f *pb.Frame) {
 	if to != m.self.Name {
 		m.links.Send(to, f)
@@ -88,18 +88,19 @@
 	}
 	select {
 	case m.copyInbox <- input{from: to, frame: f}:
-	default: // it is sent again
+	default: // dropped: the owner sends it again
 	}
 }
 
-// Ask has a command agreed on and tells what came of it, on a goroutine of the member's. It waits for nothing.
+// Propose proposes a command to the voters and passes the result to done on a goroutine of the member. It does not
+// block.
 func (m *Member) Propose(c *pb.Command, done func(*pb.Answer, error)) {
 	m.runOnSessionLoop(func() {
 		m.session.Do(&pb.Ask{Command: c}, m.o.Settings.Terms.Length, done)
 	})
 }
 
-// bootID names this start of the machine, by which CLOCK_BOOTTIME goes; 0: the system does not tell.
+// bootID identifies the current boot of the machine, from which CLOCK_BOOTTIME counts; 0: unknown.
 func bootID() uint64 {
 	id, err := os.ReadFile("/proc/sys/kernel/random/boot_id")
 	if err != nil {
@@ -108,7 +109,7 @@
 	return xxhash.Sum64(id) | 1
 }
 
-// runKeeper keeps copies of others' journals.
+// runCopies keeps copies of other members' journals.
 func (m *Member) runCopies() {
 	defer m.loops.Done()
 	var holder *copies.Holder
@@ -121,7 +122,7 @@
 		}
 		files, kept, err := keep.Open(m.o.Files, m.o.CopyAccount, owners)
 		if err != nil {
-			m.o.Log.Error().Err(err).Msg("fleet: copies cannot be kept here")
+			m.o.Log.Error().Err(err).Msg("fleet: opening the copies failed; this member keeps none")
 		} else {
 			holder = copies.NewHolder(files, m.o.CopyQuota, bootID(), kept)
 		}
@@ -145,7 +146,7 @@
 		repairsBefore := h.Mended()
 		a := h.Copy(m.now(), w.Copy)
 		if h.Mended() > repairsBefore {
-			m.o.Log.Warn().Str("owner", w.Copy.Owner).Msg("fleet: a copy differs from its owner's journal: it is asked for anew")
+			m.o.Log.Warn().Str("owner", w.Copy.Owner).Msg("fleet: a copy differs from its owner's journal and is requested again")
 		}
 		if a != nil && w.Copy.Owner == in.from {
 			answer = &pb.Frame{What: &pb.Frame_Copied{Copied: a}}
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -1,8 +1,8 @@
-// Package fleet makes a sender a member of a fleet: it runs the session (and, on a voter, the voter) on goroutines
-// of their own, carries their frames over links, and tells whoever acts on a duty whether it is held now.
+// Package fleet makes a sender a member of a fleet. It runs the session (and, on a voter, the voter) on separate
+// goroutines, carries their frames over links, and reports whether this member holds a duty now.
 //
-// Nothing here is on the sender's path: Held reads an atomic value and a clock. Two loops keep a voter's disk away
-// from the member's own session.
+// Nothing here blocks the sender: Token reads an atomic value and a clock. The voter and the session have separate
+// loops, so that the voter's disk writes don't delay the member's own session.
 package fleet
 
 import (
@@ -32,33 +32,33 @@
 const (
 	inboxSize       = 1024
 	maxPendingCalls = 16384
-	transferTimeout = 100 * time.Millisecond // a voter that leaves has handed the lead on within this time, or has not
-	closeTimeout    = 170 * time.Millisecond // and what it holds, or its lease runs out
+	transferTimeout = 100 * time.Millisecond // how long Close waits for a leading voter to transfer its leadership
+	closeTimeout    = 170 * time.Millisecond // how long Close waits for the session to end; after that its lease lapses
 	commandTimeout  = 3 * time.Second
-	reopenInterval  = 2 * time.Second // between two tries of a log that cannot be opened
+	reopenInterval  = 2 * time.Second // between attempts to open a log that could not be opened
 )
 
-// Peer is one member by the operators' file.
+// Peer is one member as listed in the operators' file.
 type Peer struct {
 	Name, Addr, Zone string
 	Voter            bool
 }
 
-// Settings are what the operators' file says of the fleet.
+// Settings are the settings of the fleet from the operators' file.
 type Settings struct {
-	Name            string // of this member
+	Name            string // this member's name
 	Listen          string
 	Members         []Peer
 	MinVoters       int
 	Weight          uint32
 	Terms           lease.Terms
 	ElectionTimeout time.Duration
-	Hash            uint64      // of what must be alike in all members' files
+	Hash            uint64      // hash of the settings that must be equal in all members' files
 	Client          *tls.Config `json:"-"`
 	Server          *tls.Config `json:"-"`
 }
 
-// Self is this member's own line.
+// Self returns this member's own entry.
 func (s *Settings) Self() (Peer, bool) {
 	for _, m := range s.Members {
 		if m.Name == s.Name {
@@ -68,7 +68,7 @@
 	return Peer{}, false
 }
 
-// Voters are the names of the voters, in the file's order.
+// VoterNames returns the names of the voters in the order of the file.
 func (s *Settings) VoterNames() (names []string) {
 	for _, m := range s.Members {
 		if m.Voter {
@@ -78,7 +78,7 @@
 	return names
 }
 
-// Now is the time on the clock that goes on while the machine sleeps, in nanoseconds.
+// Now returns the time in nanoseconds on CLOCK_BOOTTIME, which keeps running while the machine sleeps.
 func Now() int64 {
 	var t unix.Timespec
 	if unix.ClockGettime(unix.CLOCK_BOOTTIME, &t) != nil {
@@ -89,54 +89,54 @@
 
 var started = time.Now()
 
-// Options are what a Member works with.
+// Options configure a Member.
 type Options struct {
 	Settings Settings
 	Files    fsys.FS
-	Account  *statedir.Account // nil: not bounded
+	Account  *statedir.Account // nil: no bound
 	Log      zerolog.Logger
-	// Copies are kept of others' journals within so many bytes; 0: none. Frames of copies that are for the sender go to
-	// Copied, and Changed tells that Look has something new; neither may wait.
+	// CopyQuota is the number of bytes for copies of other members' journals; 0: none are kept. ReceiveCopyReply takes
+	// replies about copies that are for the sender, and ViewChanged is called when View has changed; neither may block.
 	CopyQuota        int64
-	CopyAccount      *statedir.Account // of the folder, for copies; nil: not bounded
+	CopyAccount      *statedir.Account // of the state directory, for copies; nil: no bound
 	ReceiveCopyReply func(from string, f *pb.Frame)
 	ViewChanged      func()
-	// CopyStatus is what operators are told of the copies of this member's own journal; nil: there are none.
+	// CopyStatus returns the status of the copies of this member's own journal for operators; nil: there are none.
 	CopyStatus  func() string
-	DutyChanged func(d *pb.Duty, mine bool) // each change of a duty; it must not wait. nil: none
-	Now         func() int64                // nil: Now
-	// BreakVoter and BreakSession take guards out, for tests that show what finds that.
+	DutyChanged func(d *pb.Duty, mine bool) // called on each change of a duty; must not block; may be nil
+	Now         func() int64                // nil: the function Now
+	// BreakVoter and BreakSession disable safety checks, for tests that must detect their absence.
 	BreakVoter   voter.Break
 	BreakSession session.Break
 }
 
-// input is something for a loop: a frame, or a call on its goroutine.
+// input is a frame for a loop, or a function to call on its goroutine.
 type input struct {
 	from  string
 	frame *pb.Frame
 	call  func()
 }
 
-// holds is what a member holds, as Held reads it.
+// heldTokens holds the tokens of the duties that a member holds, as Token reads them.
 type heldTokens struct {
 	validUntil int64
 	tokens     map[string]uint64
 }
 
-// Member is this process in the fleet.
+// Member is this process as a member of the fleet.
 type Member struct {
 	o             Options
 	now           func() int64
 	self          Peer
 	links         *link.Manager
 	session       *session.Session
-	voter         *voter.Voter // nil: not a voter, or its log cannot be opened yet
+	voter         *voter.Voter // nil: not a voter, or its log could not be opened yet
 	identity      *pb.Identity
 	voterInbox    chan input
 	sessionInbox  chan input
 	copyInbox     chan input
 	view          atomic.Pointer[View]
-	viewVersion   uint64 // the session's view that is published
+	viewVersion   uint64 // the version of the session's view that was published last
 	viewSession   uint64
 	held          atomic.Pointer[heldTokens]
 	memberNames   atomic.Pointer[map[string]bool]
@@ -147,7 +147,7 @@
 	sessionClosed chan struct{}
 }
 
-// Open starts a member on the listener. ErrForeign (package disk) means that the folder is another member's.
+// Open starts a member on the listener. It returns disk.ErrForeign if the state directory belongs to another member.
 func Open(o Options, ln net.Listener) (*Member, error) {
 	self, known := o.Settings.Self()
 	if !known {
@@ -166,8 +166,8 @@
 	case errors.Is(err, disk.ErrForeign):
 		return nil, fmt.Errorf("fleet: %w", err)
 	case err != nil:
-		// The sender goes on sending, and its member without a log goes on asking.
-		o.Log.Error().Err(err).Msg("fleet: the log cannot be opened")
+		// The sender keeps sending. A member without a log still has a session, so it can still acquire duties.
+		o.Log.Error().Err(err).Msg("fleet: opening the log failed")
 		m.identity = &pb.Identity{Member: self.Name, Incarnation: rand.Uint64() | 1, Boot: 1}
 	default:
 		m.identity = log.Identity()
@@ -199,8 +199,8 @@
 		Note: m.logVoter, Break: m.o.BreakVoter}, m.now())
 }
 
-// dials are the members that this one dials: of two voters the first by name does, and everybody else dials the
-// voters.
+// dialAddrs returns the addresses of the members that this one dials. Of two voters the one whose name sorts first
+// dials; every other member dials the voters.
 func (m *Member) dialAddrs() map[string]string {
 	addrs := map[string]string{}
 	for _, p := range m.o.Settings.Members {
@@ -213,8 +213,8 @@
 
 func (m *Member) isMember(name string) bool { return (*m.memberNames.Load())[name] }
 
-// SetMembers takes the members of an operators' file that was read again: links of new ones are taken from now on.
-// Who votes stays until the next start.
+// SetMembers applies the member list of a reloaded operators' file: links from new members are accepted from now on.
+// The set of voters does not change until the next start.
 func (m *Member) SetMembers(members []Peer) {
 	if m == nil {
 		return
@@ -238,7 +238,7 @@
 	m.o.Log.Info().Str("duty", duty).Uint64("token", token).Msg("fleet: duty " + what)
 }
 
-// receive brings a frame to the loop that it is for. A loop that is behind holds up the link, and no other.
+// receive passes a frame to the loop that handles it. A loop that lags blocks the link of the frame and no other link.
 func (m *Member) receive(ctx context.Context, from string, f *pb.Frame) {
 	inbox := m.voterInbox
 	switch w := f.What.(type) {
@@ -252,7 +252,7 @@
 	case *pb.Frame_News:
 		inbox = m.sessionInbox
 	case *pb.Frame_Answer:
-		if w.Answer.Id != 0 { // else it is one voter's to another
+		if w.Answer.Id != 0 { // an answer without an id goes from one voter to another
 			inbox = m.sessionInbox
 		}
 	}
@@ -263,7 +263,7 @@
 	}
 }
 
-// route sends a frame over a link, or to the other loop of this very member.
+// route sends a frame over a link, or to the other loop of this member.
 func (m *Member) route(to string, f *pb.Frame) {
 	if to != m.self.Name {
 		m.links.Send(to, f)
@@ -275,7 +275,7 @@
 	}
 	select {
 	case inbox <- input{from: to, frame: f}:
-	default: // it is asked again
+	default: // dropped: the request is sent again
 	}
 }
 
@@ -322,7 +322,8 @@
 	m.session.Receive(in.from, in.frame, m.now())
 }
 
-// publish makes what is held readable to Held, before anything is sent that gives it up.
+// publishHeld publishes the held duties for Token. It runs before frames are sent, so that a duty no longer counts as
+// held here when its release goes out.
 func (m *Member) publishHeld() {
 	now := m.now()
 	h := &heldTokens{validUntil: m.session.LeaseEnd(now), tokens: m.session.HeldTokens(now)}
@@ -368,14 +369,14 @@
 	}
 }
 
-// revive tries a log again that could not be opened.
+// reopenLog tries to open a log that could not be opened before, and starts the voter.
 func (m *Member) reopenLog() {
 	log, err := disk.Open(m.o.Files, m.o.Account, m.self.Name)
 	if err != nil {
 		return
 	}
 	if m.voter, err = m.newVoter(log); err == nil {
-		m.logVoter("the log can be opened now", nil)
+		m.logVoter("log opened on retry", nil)
 	}
 }
 
@@ -390,7 +391,7 @@
 	}
 }
 
-// refuse answers asks at a member that is no voter.
+// refuseRequests answers requests at a member that is not a voter.
 func (m *Member) refuseRequests() {
 	for {
 		select {
@@ -410,8 +411,8 @@
 	return &pb.Frame{What: &pb.Frame_Answer{Answer: &pb.Answer{Id: id, NotLeader: true}}}
 }
 
-// Held returns the fencing token of a duty that is held at this moment, 0 if it is not. It is to be asked
-// immediately before each act. It waits for nothing.
+// Token returns the fencing token of a duty if this member holds it now, 0 otherwise. Callers check it immediately
+// before each action under the duty. It does not block.
 func (m *Member) Token(duty string) uint64 {
 	if m == nil {
 		return 0
@@ -423,7 +424,7 @@
 	return 0
 }
 
-// Duties is how many duties are held at this moment.
+// HeldDuties returns the number of duties that this member holds now.
 func (m *Member) HeldDuties() int {
 	if !m.Live() {
 		return 0
@@ -431,11 +432,11 @@
 	return len(m.held.Load().tokens)
 }
 
-// Live reports whether this member's session holds at this moment: whether the fleet can be relied on.
+// Live reports whether this member's session is valid now, so that its view of the fleet can be relied on.
 func (m *Member) Live() bool { return m != nil && m.now() < m.held.Load().validUntil }
 
-// own runs f on the session's loop, in order, and waits for nothing. What is asked is bounded by the duties that
-// callers name, each of which is asked about when something happens to its partner.
+// runOnSessionLoop queues f for the session's loop, in order, and does not block. The number of queued
+// calls is bounded by the duties that callers name, each of which is called for when its partner's state changes.
 func (m *Member) runOnSessionLoop(f func()) {
 	m.pendingCalls.mu.Lock()
 	queueFull := len(m.pendingCalls.calls) >= maxPendingCalls
@@ -449,7 +450,7 @@
 	}
 }
 
-// calls are functions that wait for the session's loop, in order.
+// callQueue holds functions to run on the session's loop, in order.
 type callQueue struct {
 	mu    sync.Mutex
 	calls []func()
@@ -464,17 +465,17 @@
 	return calls
 }
 
-// Want puts this member in line for a duty. It waits for nothing.
+// Request requests a duty, or a place in its queue. It does not block.
 func (m *Member) Request(duty, zone string) {
 	m.runOnSessionLoop(func() { m.session.Request(duty, zone) })
 }
 
-// Leave gives a duty up; with end it is over for everybody. It waits for nothing.
+// Release gives a duty up; end ends the duty for all members. It does not block.
 func (m *Member) Release(duty string, end bool) {
 	m.runOnSessionLoop(func() { m.session.Release(duty, end) })
 }
 
-// Say tells everybody who watches a word about a duty that this member holds.
+// Publish publishes a word about a duty that this member holds to all members that watch it. It does not block.
 func (m *Member) Publish(name, word string) {
 	m.runOnSessionLoop(func() {
 		if t := m.session.Token(name, m.now()); t != 0 {
@@ -484,7 +485,7 @@
 	})
 }
 
-// aside has a voter that leads hand that on, and waits until it has, for a bounded time.
+// transferLeadership makes a leading voter transfer its leadership, and waits for that up to transferTimeout.
 func (m *Member) transferLeadership() {
 	if !m.self.Voter {
 		return
@@ -519,7 +520,7 @@
 	}
 }
 
-// Close gives everything up, waits for the fleet to take note for a bounded time, and ends the links.
+// Close releases all duties, waits up to closeTimeout for the fleet to end the session, and closes the links.
 func (m *Member) Close() {
 	if m == nil {
 		return
@@ -533,8 +534,8 @@
 	m.stop()
 }
 
-// Abandon ends the links without a word. The session goes on until it lapses, or the next process of this folder takes
-// its place.
+// Abandon closes the links without ending the session. The session lasts until its lease lapses or the next process of
+// this state directory replaces it.
 func (m *Member) Abandon() {
 	if m != nil {
 		m.stop()
--- a/internal/fleet/link/link.go
+++ b/internal/fleet/link/link.go
@@ -1,10 +1,10 @@
-// Package link carries frames between the members of a fleet: one gRPC stream for each pair of a voter and another
-// member, over one connection. Of two voters the one whose name sorts first dials; every other member dials the
-// voters, and the voters dial nobody else. A link that says nothing for a while is closed, connection and all, and
-// dialled anew: a cut in one direction is then a cut in both.
+// Package link carries frames between the members of a fleet: one gRPC stream over one connection for each pair of a
+// voter and another member. Of two voters the one whose name sorts first dials; every other member dials the voters,
+// and voters dial no other members. A link on which nothing arrives for a while is closed together with its connection
+// and dialled again, so that a loss of one direction becomes a loss of both.
 //
-// Nothing waits for a link: what finds its bounded queue full, or no link, is dropped, and whoever needs an answer
-// asks again.
+// Sending never blocks: a frame is dropped if there is no link or its bounded queue is full. A caller that needs an
+// answer sends its request again.
 package link
 
 import (
@@ -29,40 +29,40 @@
 )
 
 const (
-	maxQueuedFrames = 256 // frames that wait on a link
+	maxQueuedFrames = 256 // frames queued on a link
 	pingInterval    = 250 * time.Millisecond
-	silenceTimeout  = 1500 * time.Millisecond // a link that says nothing for so long is closed
-	minRedialDelay  = 50 * time.Millisecond   // before a further try, doubled up to
+	silenceTimeout  = 1500 * time.Millisecond // a link on which nothing arrives for this long is closed
+	minRedialDelay  = 50 * time.Millisecond   // doubled after each failed attempt, up to maxRedialDelay
 	maxRedialDelay  = time.Second
 )
 
-// Bounds of a member's links.
+// Bounds on a member's links.
 const (
-	MaxFrame = 8 << 20 // bytes of a frame
+	MaxFrame = 8 << 20 // bytes in a frame
 	MaxLinks = 1100    // links that a voter accepts
 )
 
-// Options are what a Net works with.
+// Options configure a Manager.
 type Options struct {
 	Self         string
 	Incarnation  uint64
-	SettingsHash uint64            // hash of what must be alike at both ends
-	DialAddrs    map[string]string // members that this one dials, with their addresses
+	SettingsHash uint64            // hash of the settings that must be equal at both ends
+	DialAddrs    map[string]string // addresses of the members that this one dials, by name
 	IsMember     func(name string) bool
 	Client       *tls.Config // nil: no TLS
 	Server       *tls.Config
-	// Receive takes a frame; it may wait for a short time, as long as ctx goes on.
+	// Receive handles a frame. It may block for a short time, until ctx ends.
 	Receive func(ctx context.Context, from string, f *pb.Frame)
 	// Call answers an operator's command.
 	Call     func(ctx context.Context, a *pb.Ask) (*pb.Answer, error)
-	LogEvent func(what, member string, err error) // a change of state, for the log
-	// How often a link says that it is there, how long one may say nothing, and how many are accepted; 0: as for voters.
+	LogEvent func(what, member string, err error) // logs a change of a link's state
+	// How often a link sends a ping, after which silence it is closed, and how many are accepted; 0: the defaults.
 	PingInterval   time.Duration
 	SilenceTimeout time.Duration
 	MaxLinks       int
 }
 
-// Net is a member's links.
+// Manager holds a member's links.
 type Manager struct {
 	pb.UnimplementedLinksServer
 	o      Options
@@ -79,16 +79,16 @@
 type link struct {
 	queue       chan *pb.Frame
 	cancel      context.CancelFunc
-	incarnation uint64 // of the folder at its other end
+	incarnation uint64 // of the peer's state directory
 }
 
-// stream is either end of one.
+// stream is the client's or the server's end of a gRPC stream.
 type stream interface {
 	Send(*pb.Frame) error
 	Recv() (*pb.Frame, error)
 }
 
-// New returns a Net, and dials.
+// New returns a Manager and starts to dial.
 func New(o Options) *Manager {
 	o.PingInterval, o.SilenceTimeout, o.MaxLinks = cmp.Or(o.PingInterval, pingInterval), cmp.Or(o.SilenceTimeout, silenceTimeout), cmp.Or(o.MaxLinks, MaxLinks)
 	n := &Manager{o: o, links: map[string]*link{}, dialing: map[string]bool{}}
@@ -106,7 +106,7 @@
 	return n
 }
 
-// Reach keeps a link to a further member up from now on. Of two members one alone is to reach the other.
+// Connect keeps a link to another member up from now on. Only one of two members may connect to the other.
 func (m *Manager) Connect(name, addr string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -121,14 +121,14 @@
 // Serve accepts links until Close.
 func (m *Manager) Serve(ln net.Listener) error { return m.server.Serve(ln) }
 
-// Close ends all links. What is queued is given a moment.
+// Close closes all links. Queued frames may be lost.
 func (m *Manager) Close() {
 	m.cancel()
 	m.server.Stop()
 	m.done.Wait()
 }
 
-// Send queues a frame for a member. It never waits.
+// Send queues a frame for a member. It never blocks; without a link or space in the queue the frame is dropped.
 func (m *Manager) Send(to string, f *pb.Frame) {
 	m.mu.Lock()
 	l := m.links[to]
@@ -142,7 +142,7 @@
 	}
 }
 
-// Linked are the members that a link is up to.
+// Connected returns the members to which a link is up.
 func (m *Manager) Connected() (names []string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -174,7 +174,7 @@
 	}
 }
 
-// reach keeps a link to a member up for as long as it goes.
+// dialOnce dials a member and runs the link until it fails.
 func (m *Manager) dialOnce(name, addr string) error {
 	conn, err := Dial(addr, m.o.Client)
 	if err != nil {
@@ -198,12 +198,12 @@
 	handshakeTimer.Stop()
 	h := first.GetHello()
 	if h == nil || h.Member != name {
-		return fmt.Errorf("at %s is %q, not %q", addr, h.GetMember(), name)
+		return fmt.Errorf("the member at %s is %q, expected %q", addr, h.GetMember(), name)
 	}
 	return m.runLink(ctx, cancel, h, st)
 }
 
-// Dial returns a connection to the member at addr, which comes up when it is used.
+// Dial returns a connection to the member at addr, which is established on first use.
 func Dial(addr string, tlsConfig *tls.Config) (*grpc.ClientConn, error) {
 	creds := insecure.NewCredentials()
 	if tlsConfig != nil {
@@ -219,9 +219,9 @@
 	return &pb.Frame{What: &pb.Frame_Hello{Hello: &pb.Hello{Member: m.o.Self, Settings: m.o.SettingsHash, Incarnation: m.o.Incarnation}}}
 }
 
-var errFull = errors.New("no more links are taken")
+var errTooManyLinks = errors.New("no more links are taken")
 
-// Link accepts a link.
+// Link implements pb.LinksServer: it accepts a link from another member.
 func (m *Manager) Link(st grpc.BidiStreamingServer[pb.Frame, pb.Frame]) error {
 	ctx, cancel := context.WithCancel(st.Context())
 	defer cancel()
@@ -264,7 +264,7 @@
 	case h.Settings != m.o.SettingsHash:
 		return fmt.Errorf("%q has other fleet settings: voters, lease and drift must be alike in all operators' files", h.Member)
 	case len(m.links) >= m.o.MaxLinks:
-		return errFull
+		return errTooManyLinks
 	}
 	if l := m.links[h.Member]; l != nil && l.incarnation != h.Incarnation {
 		return fmt.Errorf("another process runs under this member's name: %q", h.Member)
@@ -272,7 +272,7 @@
 	return nil
 }
 
-// run carries frames until the link goes down; a later link to the same member takes its place.
+// runLink carries frames until the link goes down or a later link to the same member replaces it.
 func (m *Manager) runLink(ctx context.Context, cancel context.CancelFunc, h *pb.Hello, st stream) error {
 	name := h.Member
 	l := &link{queue: make(chan *pb.Frame, maxQueuedFrames), cancel: cancel, incarnation: h.Incarnation}
@@ -343,5 +343,5 @@
 	}
 }
 
-// Call answers an operator's command.
+// Call implements pb.LinksServer: it answers an operator's command.
 func (m *Manager) Call(ctx context.Context, a *pb.Ask) (*pb.Answer, error) { return m.o.Call(ctx, a) }
--- a/internal/fleet/session/session.go
+++ b/internal/fleet/session/session.go
@@ -1,9 +1,9 @@
-// Package session is a member's side of duties: one session with the fleet's voters, which all duties of the
-// member hang on, and what it knows of everybody's. It has no clock, no sockets and no goroutine: it is told the
-// time and what came in, and says what is to be sent. Chance comes from the caller.
+// Package session implements a member's side of duties: one session with the fleet's voters, on which all duties of
+// the member depend, and the member's knowledge of the duties of all members. It has no clock, sockets or goroutines:
+// the caller passes in the time, received frames and a source of randomness, and collects the frames to send.
 //
-// A duty counts as held only while the lease holds by this member's own clock. When it cannot be renewed, the
-// member gives up by itself; nobody has to tell it.
+// A duty counts as held only while the lease is valid on this member's own clock. If the lease cannot be renewed, the
+// member stops holding its duties without being notified.
 package session
 
 import (
@@ -20,55 +20,55 @@
 )
 
 const (
-	maxRequests         = 64 // asks about duties that are out at once
-	requestTimeoutShare = 8  // an ask that is not answered within this part of a lease goes to another voter
+	maxRequests         = 64 // requests about duties that are in flight at once
+	requestTimeoutShare = 8  // a request unanswered within 1/requestTimeoutShare of a lease goes to another voter
 )
 
-// Options are what a Session works with.
+// Options configure a Session.
 type Options struct {
 	Member      string
-	Incarnation uint64 // of the member's folder,
-	Boot        uint64 // and how often the program has started there
+	Incarnation uint64 // of the member's state directory
+	Boot        uint64 // number of starts of the program on that state directory
 	Zone        string
 	Weight      uint32
 	Voters      []string
 	Terms       lease.Terms
 	Rand        *rand.Rand
-	LogEvent    func(what string, duty string, token uint64) // a duty is held, or no longer; nil: none
+	LogEvent    func(what string, duty string, token uint64) // a duty is held or lost, or opening was refused; may be nil
 	Break       Break
 }
 
-// Break is a guard that is taken out, for tests that show what finds that.
+// Break is a set of safety checks to disable, for tests that must detect their absence.
 type Break uint
 
-// The guards.
+// The safety checks.
 const (
-	BreakLeaseStart  Break = 1 << iota // the lease counts from the answer
-	BreakDriftMargin                   // and in full, whatever the drift
-	BreakLeaseCheck                    // a duty counts as held until it is told to be another's, whatever the time
+	BreakLeaseStart  Break = 1 << iota // disabled: the lease counts from the time of the renewal, not of the answer
+	BreakDriftMargin                   // disabled: the lease counts in full, without a margin for clock drift
+	BreakLeaseCheck                    // disabled: a duty counts as held until another holder is reported
 )
 
-// Out is a frame for a voter.
+// Outgoing is a frame to send to a voter.
 type Outgoing struct {
 	To    string
 	Frame *pb.Frame
 }
 
-// want is a duty that this member is in line for.
+// dutyRequest is the state of a duty that this member has requested.
 type dutyRequest struct {
 	zone          string
-	queuedSession uint64 // the session in which it is in line, as acknowledged
-	pendingAsk    uint64 // the ask that is out; 0: none
-	releaseToken  uint64 // that the ask gives up; 0: it is an acquisition
+	queuedSession uint64 // the session for which the voters acknowledged the request
+	askID         uint64 // id of the request in flight; 0: none
+	releaseToken  uint64 // the token that the request in flight releases; 0: it releases no held duty
 	sentAt        int64
-	retryAt       int64  // no sooner
-	loggedToken   uint64 // token that was noted as held
-	releasedToken uint64 // token that is given up: not held whatever is heard
-	releasing     bool   // not wanted any more
-	ending        bool   // nor by anybody
+	retryAt       int64  // earliest time of the next request
+	loggedToken   uint64 // the token last logged as held
+	releasedToken uint64 // tokens up to this one are released and never count as held again
+	releasing     bool   // no longer wanted by this member
+	ends          bool   // nor by any other member
 }
 
-// ask is a question of somebody in this process, such as a command for the fleet.
+// pendingAsk is a request from another part of this process, such as a command to propose.
 type pendingAsk struct {
 	ask      *pb.Ask
 	sentAt   int64
@@ -89,9 +89,9 @@
 	outgoing    []Outgoing
 	id          uint64
 	lease       lease.Held
-	openSeq     uint64 // of sessions that were asked for
-	targetVoter int    // the voter that is asked
-	lastAskID   uint64 // number of the next ask
+	openSeq     uint64 // number of the session that is open or being opened
+	targetVoter int    // index of the voter that requests go to
+	lastAskID   uint64 // id of the latest request
 	openID      uint64
 	openAt      int64
 	renewID     uint64
@@ -104,14 +104,14 @@
 	adoptions   map[string]*pb.Adoption
 	present     []*pb.Present
 	requests    map[string]*dutyRequest
-	dutyAsks    map[uint64]string // ask to duty
+	dutyAsks    map[uint64]string // duty by request id
 	pendingAsks map[uint64]*pendingAsk
 	closing     bool
 	closed      bool
-	DutyChanged func(*pb.Duty) // told of each change; nil: none
+	DutyChanged func(*pb.Duty) // called on each change of a duty; may be nil
 }
 
-// New returns a session that begins to ask at the first Tick.
+// New returns a session that sends its first request at the first Tick.
 func New(o Options) *Session {
 	if o.LogEvent == nil {
 		o.LogEvent = func(string, string, uint64) {}
@@ -120,7 +120,7 @@
 		dutyAsks: map[uint64]string{}, pendingAsks: map[uint64]*pendingAsk{}, lastAskID: o.Rand.Uint64() >> 1}
 }
 
-// Take returns what is to be sent, in order, and forgets it.
+// TakeOutgoing returns and clears the frames to send, in order.
 func (s *Session) TakeOutgoing() []Outgoing {
 	out := s.outgoing
 	s.outgoing = nil
@@ -136,28 +136,28 @@
 
 func (s *Session) requestTimeout() int64 { return int64(s.o.Terms.Length) / requestTimeoutShare }
 
-// jitter spreads d over half of it to one and a half times it.
+// jitter returns a random duration from d/2 to 3d/2.
 func (s *Session) jitter(d int64) int64 { return d/2 + s.o.Rand.Int64N(d+1) }
 
-// Want puts this member in line for a duty, or makes sure that it is.
+// Request requests a duty or a place in its queue, and cancels an earlier Release of it.
 func (s *Session) Request(name, zone string) {
 	if r := s.requests[name]; r != nil {
-		r.releasing, r.ending = false, false
+		r.releasing, r.ends = false, false
 		return
 	}
 	s.requests[name] = &dutyRequest{zone: zone}
 }
 
-// Leave gives a duty up; with end nobody needs it any more.
+// Release gives a duty up; end ends the duty for all members.
 func (s *Session) Release(name string, end bool) {
 	if r := s.requests[name]; r != nil {
-		r.releasing, r.ending = true, end
+		r.releasing, r.ends = true, end
 		r.releasedToken = max(r.releasedToken, s.grantedToken(name))
 		s.logLost(name, r)
 	}
 }
 
-// tokenOf is the token with which this session holds a duty by what it has been told, 0 if it does not.
+// grantedToken returns the token with which the voters granted this session a duty, 0 if they have not.
 func (s *Session) grantedToken(name string) uint64 {
 	if d := s.duties[name]; d != nil && s.id != 0 && d.Session == s.id {
 		return d.Token
@@ -165,7 +165,7 @@
 	return 0
 }
 
-// Held returns the fencing token of a duty that this member holds at that time, 0 if it does not hold it.
+// Token returns the fencing token of a duty that this member holds at now, 0 if it does not hold it.
 func (s *Session) Token(name string, now int64) uint64 {
 	r := s.requests[name]
 	if r == nil || r.releasing || s.closing {
@@ -178,7 +178,7 @@
 	return t
 }
 
-// Holds are the duties that it holds at that time, with their tokens.
+// HeldTokens returns the tokens of all duties that this member holds at now, by duty.
 func (s *Session) HeldTokens(now int64) map[string]uint64 {
 	held := map[string]uint64{}
 	for name := range s.requests {
@@ -189,7 +189,7 @@
 	return held
 }
 
-// Until is when the lease is over, on the caller's clock, and 0 if there is none at that time.
+// LeaseEnd returns the end of the lease on the caller's clock, 0 if no lease is valid at now.
 func (s *Session) LeaseEnd(now int64) int64 {
 	if left := s.lease.Left(now); left > 0 {
 		return now + int64(left)
@@ -197,25 +197,25 @@
 	return 0
 }
 
-// Duty is what is known of a duty, nil if nothing is. It must not be changed.
+// Duty returns the known state of a duty, nil if it is unknown. The caller must not change it.
 func (s *Session) Duty(name string) *pb.Duty { return s.duties[name] }
 
-// Mine reports whether a duty is this session's by what it says.
+// Holds reports whether the state d of a duty names this session as its holder.
 func (s *Session) Holds(d *pb.Duty) bool { return s.id != 0 && d.Session == s.id && !d.Ended }
 
-// View is all that is known of duties, of adoptions by owner, and of members whose sessions go on. None of it must be
-// changed.
+// View returns all known duties, the adoptions by owner, and the members that have live sessions. The caller must not
+// change any of it.
 func (s *Session) View() (duties map[string]*pb.Duty, adoptions map[string]*pb.Adoption, present []*pb.Present) {
 	return s.duties, s.adoptions, s.present
 }
 
-// Version grows with each change of what is known.
+// Version returns the version of the view.
 func (s *Session) Version() uint64 { return s.version }
 
-// ID is the session's number, 0 if there is none.
+// ID returns the session's number, 0 if no session is open.
 func (s *Session) ID() uint64 { return s.id }
 
-// Do asks the voter that leads, such as for a command to be agreed on, and tells what came of it, once.
+// Do sends a request, such as a command to propose, to the leading voter, and calls done once with the result.
 func (s *Session) Do(ask *pb.Ask, timeout time.Duration, done func(*pb.Answer, error)) {
 	if s.closed {
 		done(nil, ErrClosed)
@@ -230,7 +230,7 @@
 	return s.sendAsk(proto.Clone(a.ask).(*pb.Ask))
 }
 
-// Close gives everything up and ends the session; it stays closed.
+// Close releases all duties and ends the session for good.
 func (s *Session) Close(now int64) {
 	s.now = now
 	if s.closing {
@@ -247,7 +247,7 @@
 	s.sendClose()
 }
 
-// Closed reports whether the fleet has taken note of the session's end.
+// Closed reports whether the fleet has acknowledged the end of the session.
 func (s *Session) Closed() bool { return s.closed }
 
 func (s *Session) sendClose() {
@@ -255,7 +255,7 @@
 	s.openID = s.sendAsk(&pb.Ask{Command: &pb.Command{What: &pb.Command_Close{Close: &pb.Close{Session: s.id}}}})
 }
 
-// Tick tells the time. It is due about every twentieth of a lease.
+// Tick advances the session to now. Callers call it about every twentieth of a lease.
 func (s *Session) Tick(now int64) {
 	s.now = now
 	if s.closing {
@@ -266,7 +266,7 @@
 		return
 	}
 	if s.id != 0 && !s.lease.Valid(now) {
-		// It may still be renewed, if the fleet has not ended it; until then nothing is held.
+		// The lease may still be renewed if the fleet has not ended the session; until then no duty is held.
 		for name, r := range s.requests {
 			s.logLost(name, r)
 		}
@@ -291,7 +291,7 @@
 	s.retryAsks()
 }
 
-// turn goes on to another voter.
+// nextVoter selects the next voter for further requests.
 func (s *Session) nextVoter() { s.targetVoter = (s.targetVoter + 1) % len(s.o.Voters) }
 
 func (s *Session) open() {
@@ -323,12 +323,12 @@
 	}
 }
 
-// end drops the session: the fleet has ended it. A further one is asked for.
+// endSession drops a session that the fleet has ended. A new one is opened later.
 func (s *Session) endSession() {
 	s.lease.Drop()
 	for name, r := range s.requests {
 		s.logLost(name, r)
-		if r.pendingAsk = 0; r.releasing {
+		if r.askID = 0; r.releasing {
 			delete(s.requests, name)
 		}
 	}
@@ -338,7 +338,7 @@
 	s.retryAt = s.now + s.jitter(s.requestTimeout())
 }
 
-// lost notes that a duty is not held any more.
+// logLost logs that a duty that was logged as held is no longer held.
 func (s *Session) logLost(name string, r *dutyRequest) {
 	if r.loggedToken != 0 {
 		s.o.LogEvent("lost", name, r.loggedToken)
@@ -346,14 +346,15 @@
 	}
 }
 
-// line keeps this member in line for what it wants, and gives up what it does not or is asked to hand over.
+// maintainRequests requests the duties that this member wants, and releases those that it no longer wants or that an
+// operator asked it to hand over.
 func (s *Session) maintainRequests() {
 	outstanding := len(s.dutyAsks)
 	for name, r := range s.requests {
 		token := s.grantedToken(name)
-		if r.pendingAsk != 0 && s.now-r.sentAt > 2*s.requestTimeout() {
-			delete(s.dutyAsks, r.pendingAsk)
-			r.pendingAsk, outstanding = 0, outstanding-1
+		if r.askID != 0 && s.now-r.sentAt > 2*s.requestTimeout() {
+			delete(s.dutyAsks, r.askID)
+			r.askID, outstanding = 0, outstanding-1
 		}
 		if t := s.Token(name, s.now); t != 0 && r.loggedToken != t {
 			s.logLost(name, r)
@@ -361,16 +362,16 @@
 			s.o.LogEvent("held", name, t)
 		}
 		if d := s.duties[name]; token != 0 && token > r.releasedToken && d.Wanted != "" && d.Wanted != s.o.Member {
-			r.releasedToken = token // from here on it is not acted on, whatever becomes of the ask
+			r.releasedToken = token // not held from here on, whatever the result of the release
 			s.logLost(name, r)
 		}
-		if r.pendingAsk != 0 || s.now < r.retryAt || outstanding >= maxRequests {
+		if r.askID != 0 || s.now < r.retryAt || outstanding >= maxRequests {
 			continue
 		}
 		switch {
 		case token != 0 && (r.releasing || token <= r.releasedToken):
 			r.releasedToken = max(r.releasedToken, token)
-			s.sendDutyCommand(name, r, token, &pb.Command{What: &pb.Command_Release{Release: &pb.Release{Session: s.id, Duty: name, Token: token, End: r.releasing && r.ending}}})
+			s.sendDutyCommand(name, r, token, &pb.Command{What: &pb.Command_Release{Release: &pb.Release{Session: s.id, Duty: name, Token: token, End: r.releasing && r.ends}}})
 		case r.releasing && r.queuedSession == s.id:
 			s.sendDutyCommand(name, r, 0, &pb.Command{What: &pb.Command_Release{Release: &pb.Release{Session: s.id, Duty: name}}})
 		case r.releasing:
@@ -383,7 +384,7 @@
 		}
 		outstanding++
 	}
-	for name, d := range s.duties { // handed to this member though it does not want it, or a late copy of a wish
+	for name, d := range s.duties { // granted although not requested: by a hand-over, or by a late copy of a request
 		if d.Session == s.id && s.requests[name] == nil {
 			s.requests[name] = &dutyRequest{zone: d.Zone, releasing: true, queuedSession: s.id}
 		}
@@ -392,11 +393,11 @@
 
 func (s *Session) sendDutyCommand(name string, r *dutyRequest, token uint64, c *pb.Command) {
 	r.sentAt, r.releaseToken = s.now, token
-	r.pendingAsk = s.sendAsk(&pb.Ask{Command: c})
-	s.dutyAsks[r.pendingAsk] = name
+	r.askID = s.sendAsk(&pb.Ask{Command: c})
+	s.dutyAsks[r.askID] = name
 }
 
-// late asks again where no answer came, until the asker's patience is over.
+// retryAsks sends unanswered requests again, until their deadlines pass.
 func (s *Session) retryAsks() {
 	for id, a := range s.pendingAsks {
 		switch {
@@ -410,7 +411,7 @@
 	}
 }
 
-// Receive takes a frame from a voter.
+// Receive handles a frame from a voter.
 func (s *Session) Receive(from string, f *pb.Frame, now int64) {
 	s.now = now
 	switch w := f.What.(type) {
@@ -448,7 +449,8 @@
 	}
 }
 
-// elsewhere takes the answer of a voter that does not lead: the one that it names is asked, or the next, soon.
+// handleNotLeader handles the answer of a voter that does not lead: requests go to the leader that it names, or else to
+// the next voter after a short delay.
 func (s *Session) handleNotLeader(from string, a *pb.Answer) {
 	if from == s.o.Voters[s.targetVoter] {
 		if i := slices.Index(s.o.Voters, a.Leader); i >= 0 && i != s.targetVoter {
@@ -469,7 +471,7 @@
 	if name := s.dutyAsks[a.Id]; name != "" {
 		delete(s.dutyAsks, a.Id)
 		r := s.requests[name]
-		r.pendingAsk, r.retryAt = 0, s.now+s.jitter(s.requestTimeout()/2)
+		r.askID, r.retryAt = 0, s.now+s.jitter(s.requestTimeout()/2)
 	}
 	if pending := s.pendingAsks[a.Id]; pending != nil {
 		pending.sentAt = s.now - 2*s.requestTimeout() + s.jitter(s.requestTimeout()/2)
@@ -484,7 +486,7 @@
 	}
 	if a.Error != "" {
 		s.retryAt = s.now + s.jitter(int64(s.o.Terms.Every()))
-		if a.Gone { // a late copy of an earlier wish has been there first
+		if a.Gone { // a late copy of an earlier open request came first
 			s.openSeq++
 		}
 		s.o.LogEvent("refused: "+a.Error, "", 0)
@@ -499,7 +501,7 @@
 	}
 }
 
-// held counts the lease from when the renewal was sent.
+// extendLease extends the lease, counted from when the renewal was sent.
 func (s *Session) extendLease(sentAt int64) {
 	terms := s.o.Terms
 	if s.o.Break&BreakLeaseStart != 0 {
@@ -526,19 +528,19 @@
 	}
 }
 
-// answered takes what came of an ask about a duty.
+// handleDutyAnswer handles the answer to a request about a duty.
 func (s *Session) handleDutyAnswer(a *pb.Answer) {
 	name := s.dutyAsks[a.Id]
 	delete(s.dutyAsks, a.Id)
 	r := s.requests[name]
-	r.pendingAsk = 0
+	r.askID = 0
 	switch {
 	case a.Gone:
 		s.endSession()
 		return
 	case a.Error == duty.ErrFull.Error():
-		r.retryAt = s.now + s.jitter(int64(s.o.Terms.Length)) // enough others are in line
-	case r.releaseToken != 0: // given up; in line again only by a further wish
+		r.retryAt = s.now + s.jitter(int64(s.o.Terms.Length)) // the queue of the duty is full
+	case r.releaseToken != 0: // released; in the queue again only after a new request
 		r.queuedSession = 0
 		if d := s.duties[name]; d != nil && d.Token == r.releaseToken && d.Session == s.id {
 			delete(s.duties, name)
@@ -555,7 +557,7 @@
 	}
 }
 
-// news takes what has changed; where something is missing between, all is asked for.
+// applyUpdate applies an update of the view. If updates in between are missing, it requests the whole view.
 func (s *Session) applyUpdate(n *pb.News) {
 	if n == nil || n.To <= s.version && n.From != 0 {
 		return
@@ -592,10 +594,10 @@
 	}
 }
 
-// see takes a duty as it has become.
+// applyDuty applies the new state of a duty.
 func (s *Session) applyDuty(d *pb.Duty) {
 	if old := s.duties[d.Name]; old != nil && old.Token > d.Token {
-		return // tokens only grow: what is told is older than what is known
+		return // tokens only grow, so the received state is older than the known one
 	}
 	if d.Ended {
 		delete(s.duties, d.Name)
--- a/internal/fleet/share/share_test.go
+++ b/internal/fleet/share/share_test.go
@@ -4,7 +4,7 @@
 
 // TestForgottenAnswer: an answer whose time is over is forgotten, but its member may take it still, late, and be back at
 // its even part: an earlier one that it told of does not bind it then.
-func TestForgottenAnswer(t *testing.T) {
+func TestExpiredAnswerMayStillBeApplied(t *testing.T) {
 	terms := Terms{Members: 2, BindDuration: 2000, RaiseDuration: 600}
 	h := NewHolder(terms, 1, 0)
 	now := int64(1000)
--- a/internal/fleet/subscriber/subscriber.go
+++ b/internal/fleet/subscriber/subscriber.go
@@ -1,5 +1,5 @@
-// Package subscriber keeps a sender's subscription to its shards of the directory: a link to one control member at a
-// time, the one after it when that one does not serve, and what is learned, in order, to the owner.
+// Package subscriber maintains a sender's subscription to its shards of the directory. It keeps a link to one control
+// member at a time, moves on to the next one when that one does not serve, and passes updates on in order.
 package subscriber
 
 import (
@@ -19,7 +19,8 @@
 	"sliptide/internal/fleet/shard"
 )
 
-// How soon a subscriber at another region's control member tries its own region's again: doubled while these don't serve.
+// A subscriber that uses a control member of another region tries its own region again after these delays, doubled
+// after each attempt that fails.
 const (
 	minHomeRetryDelay = 10 * time.Second
 	maxHomeRetryDelay = 5 * time.Minute
@@ -28,9 +29,9 @@
 const (
 	tickInterval = 100 * time.Millisecond
 	inboxSize    = 64
-	// LinkHash stands in the hello of every link to a control member's directory.
+	// LinkSettingsHash is the settings hash in the hello of every link to a control member's directory.
 	LinkSettingsHash = 1
-	// LinkPing and LinkSilent are how often such a link says that it is there, and how long it may say nothing.
+	// LinkPingInterval is the time between pings on such a link; it is closed after LinkSilenceTimeout without a frame.
 	LinkPingInterval   = 500 * time.Millisecond
 	LinkSilenceTimeout = 3 * time.Second
 )
@@ -38,7 +39,7 @@
 // Server is a control member.
 type Server struct{ Name, Addr, Region string }
 
-// Options are what a Subscriber works with.
+// Options configure a Subscriber.
 type Options struct {
 	Name         string
 	Region, Zone string
@@ -47,23 +48,23 @@
 	TLS          *tls.Config // nil: none
 	Log          zerolog.Logger
 	Now          func() int64 // monotonic, in nanoseconds
-	// Apply takes what is learned, in order, on the subscriber's goroutine.
+	// Apply handles updates, in order, on the subscriber's goroutine.
 	Apply func(*directory.Applied)
-	// Released is told of shards that were given up, on the same goroutine; nil: nobody is.
+	// Released is called on the same goroutine after shards were released; may be nil.
 	Released func([]shard.ID)
-	// Hold are shards that are asked for whoever serves them.
+	// RequestedShards are requested from whichever member serves, since messages for them are left from an earlier run.
 	RequestedShards []shard.ID
 	Break           directory.SubscriptionBreak
 }
 
-// Subscriber is a subscription that is kept up. Run is for one goroutine, the rest for any.
+// Subscriber maintains a subscription. One goroutine calls Run; the other methods are safe for concurrent use.
 type Subscriber struct {
 	o              Options
 	subscription   *directory.Subscription
 	links          *link.Manager
-	servers        []Server // to be tried, those of the own region first
+	servers        []Server // in the order of attempts, those of this region first
 	serverIndex    int
-	homeRetryAt    int64 // when one of the own region is tried next, while another one serves
+	homeRetryAt    int64 // next attempt at this region while another region's member serves; 0: not set
 	homeRetryDelay time.Duration
 	frames         chan frame
 	released       releaseQueue
@@ -89,7 +90,7 @@
 	return s
 }
 
-// foreign is 0 for a server of the region, 1 for any other.
+// regionRank returns 0 for a server of the region, 1 for any other.
 func regionRank(s Server, region string) int {
 	if s.Region == region {
 		return 0
@@ -97,17 +98,17 @@
 	return 1
 }
 
-// Version is the version of what is known; 0: nothing is.
+// Version returns the version of the directory that is known; 0: none.
 func (s *Subscriber) Version() uint64 { return s.version.Load() }
 
 // Live reports whether the subscription is up.
 func (s *Subscriber) Live() bool { return s.live.Load() }
 
-// Release gives up shards that were unassigned, once nothing is left of them here. It waits for nothing.
+// Release gives up unassigned shards of which this sender no longer holds anything. It does not block.
 func (s *Subscriber) Release(ids []shard.ID) { s.released.add(ids) }
 
-// releases are shards that are given up, on their way to the subscriber's goroutine; a shard stands there once at most
-// for each time that it was assigned.
+// releaseQueue passes released shards to the subscriber's goroutine. It holds a shard at most once for each time that
+// the shard was assigned.
 type releaseQueue struct {
 	mu   sync.Mutex
 	ids  []shard.ID
@@ -132,7 +133,7 @@
 	return ids
 }
 
-// Run keeps the subscription until the context ends.
+// Run maintains the subscription until the context ends.
 func (s *Subscriber) Run(ctx context.Context) {
 	defer func() { s.links.Close() }()
 	tick := time.NewTicker(tickInterval)
@@ -156,7 +157,7 @@
 			s.subscription.Tick(s.o.Now())
 			s.retryHomeRegion(ctx)
 			if s.subscription.Lost() {
-				s.o.Log.Warn().Str("control", s.servers[s.serverIndex%len(s.servers)].Name).Msg("directory: the control member does not serve, trying the next")
+				s.o.Log.Warn().Str("control", s.servers[s.serverIndex%len(s.servers)].Name).Msg("directory: the control member does not serve; trying the next one")
 				s.serverIndex++
 				s.connect(ctx)
 			}
@@ -169,8 +170,8 @@
 	}
 }
 
-// goHome turns to a control member of the own region where one of another region serves: in a region that is cut off
-// from this one, it would go on unheard of changes that can be had at home.
+// retryHomeRegion switches back to a control member of this region from time to time while another region's member
+// serves: if that region is cut off, its member misses changes that this region's members know.
 func (s *Subscriber) retryHomeRegion(ctx context.Context) {
 	now := s.o.Now()
 	home := slices.IndexFunc(s.servers, func(x Server) bool { return x.Region == s.o.Region })
@@ -193,7 +194,7 @@
 	s.connect(ctx)
 }
 
-// connect begins a link to the next server in place of the one before.
+// connect replaces the present link with one to the selected server.
 func (s *Subscriber) connect(ctx context.Context) {
 	if s.links != nil {
 		s.links.Close()
--- a/internal/fleet/trial/trial.go
+++ b/internal/fleet/trial/trial.go
@@ -1,11 +1,11 @@
-// Package trial decides who makes the first calls to a partner that is down. One member of the fleet holds the
-// duty trial/PARTNER and tries; the others hold their own trials back while they hear from it, and go on by
-// themselves once they do not. A Board is one member's part in that, over all partners.
+// Package trial decides which member makes the trial calls to a partner that is down. One member of the fleet holds
+// the duty trial/PARTNER and makes the trials; the others suspend their own trials while they receive its updates, and
+// resume them when the updates stop. A State is one member's part in that, for all partners.
 //
-// It is pure: no clock, no I/O, no goroutine. Times are milliseconds on the caller's clock, rates calls a second.
-// It changes nothing but the paces that internal/storm asks of the decision module while a partner is down, and
-// never for longer than Bound without a word: a fleet without a holder, a quorum or this member's own session
-// leaves every sender as it is without a fleet.
+// It is pure: no clock, no I/O, no goroutine. Times are milliseconds on the caller's clock, rates calls per second.
+// It changes only the paces that internal/storm requests of the decision module while a partner is down, and never
+// for longer than SilenceTimeoutMS without an update. Without a holder, a quorum or this member's own session, every
+// sender behaves as it does without a fleet.
 package trial
 
 import (
@@ -20,71 +20,71 @@
 
 const (
 	kind           = "trial"
-	suspendedRate  = 1e-3   // a pace that holds every trial back, yet is one: 0 would be none
-	maxTrialRate   = 10.0   // the holder's pace at most: a trial each half second, by the share that trials may take
-	downIntervalMS = 1000.0 // between two words that the partner is down still
+	suspendedRate  = 1e-3   // a pace that suspends all trials; 0 would mean no limit
+	maxTrialRate   = 10.0   // the holder's highest pace: a trial each half second, given the share of calls that trials may take
+	downIntervalMS = 1000.0 // between two words that the partner is still down
 )
 
-// The words.
+// The words that a holder publishes.
 const (
 	Down = "down"
 	Open = "open"
 )
 
-// Duty is the name of a partner's duty.
+// Duty returns the name of a partner's duty.
 func Duty(dest int) string { return duty.Partner(kind, dest) }
 
-// Dest is the partner of a duty, false if the duty is of another kind.
+// Dest returns the partner of a duty, false if the duty is of another kind.
 func Dest(name string) (int, bool) { return duty.PartnerOf(kind, name) }
 
-// News is what is heard of a duty.
+// Update is a reported state of a duty.
 type Update struct {
-	Holder      string // empty: nobody
-	HeldLocally bool   // this member holds it
-	Word        string // the holder's last, with a number that grows
+	Holder      string // empty: none
+	HeldLocally bool   // this member is the holder
+	Word        string // the holder's latest word, with a number that grows
 }
 
-// Settings are what a Board starts with.
+// Settings configure a State.
 type Settings struct {
 	Senders          int
 	SilenceTimeoutMS float64
 }
 
-// Act is what a member is to do about a partner's duty.
+// Action is what the member is to do about a partner's duty: one of the last three fields is set.
 type Action struct {
 	Dest    int
-	Request bool   // be in line for it,
-	Release bool   // or give it up
-	Publish string // or tell this word
+	Request bool   // request the duty
+	Release bool   // release the duty
+	Publish string // publish this word
 }
 
-// Board is one member's part in the trials of all partners. A nil Board holds nothing back.
+// State is one member's part in the trials of all partners. A nil State suspends no trials.
 type State struct {
 	settings    Settings
 	partners    map[int]*partner
 	actions     []Action
-	sessionHeld bool // the session holds
+	sessionHeld bool // this member's session is valid
 }
 
 type partner struct {
 	phase       storm.Phase
-	outageSince float64 // of the outage
+	outageSince float64 // when the outage began
 	update      Update
-	updatedAt   float64 // when a word last came that the partner is down, or the outage began
+	updatedAt   float64 // when the holder or its word last changed, or the outage began
 	publishedAt float64
 	wordNumber  int
-	suspended   bool // as last told
+	suspended   bool // trials are suspended, by the last throttle returned
 	raised      bool
 	throttle    storm.Throttle
 }
 
-// New returns a Board that has heard of nothing.
+// New returns a State without partners.
 func New(set Settings) *State {
 	set.Senders = max(set.Senders, 1)
 	return &State{settings: set, partners: map[int]*partner{}}
 }
 
-// Ordered takes what storms ask at a partner, and returns what is asked in its place.
+// AdjustThrottle takes the throttle that storm control requests at a partner, and returns the one to apply instead.
 func (s *State) AdjustThrottle(now float64, t storm.Throttle) storm.Throttle {
 	if s == nil {
 		return t
@@ -113,7 +113,7 @@
 	return s.adjust(now, p)
 }
 
-// Tried takes a failed call to a partner: the holder tells that it is down still.
+// CallFailed takes a failed call to a partner. The holder publishes that the partner is still down.
 func (s *State) CallFailed(now float64, dest int) {
 	if s == nil {
 		return
@@ -129,32 +129,32 @@
 	s.actions = append(s.actions, Action{Dest: dest, Publish: word + " " + strconv.Itoa(p.wordNumber)})
 }
 
-// Heard takes news of a partner's duty.
+// HandleUpdate takes an update of a partner's duty.
 func (s *State) HandleUpdate(now float64, dest int, update Update) {
 	if s == nil {
 		return
 	}
 	p := s.partners[dest]
 	if p == nil {
-		return // a partner that is well here
+		return // no outage of this partner here
 	}
 	if update.Holder != p.update.Holder || update.Word != p.update.Word {
-		p.updatedAt = now // a new holder is given time for its first word
+		p.updatedAt = now // also gives a new holder time for its first word
 	}
 	if update.HeldLocally && !p.update.HeldLocally && p.phase != storm.Outage {
-		s.publish(dest, p, now, Open) // the last holder went while the partner came back
+		s.publish(dest, p, now, Open) // the previous holder went away while the partner came back
 	}
 	p.update = update
 }
 
-// Live takes whether this member's session holds: without it nothing that was heard can be relied on.
+// SetLive sets whether this member's session is valid. Without it no update can be relied on.
 func (s *State) SetLive(live bool) {
 	if s != nil {
 		s.sessionHeld = live
 	}
 }
 
-// Changed returns the orders that time or news have changed since they were given.
+// ChangedThrottles returns the throttles that time or updates have changed since they were last returned.
 func (s *State) ChangedThrottles(now float64) (list []storm.Throttle) {
 	if s == nil {
 		return nil
@@ -168,7 +168,7 @@
 	return list
 }
 
-// Acts returns what is to be done about duties, and forgets it.
+// TakeActions returns and clears the pending actions.
 func (s *State) TakeActions() []Action {
 	if s == nil {
 		return nil
@@ -178,7 +178,7 @@
 	return actions
 }
 
-// Next is when Changed may have something by time alone, +Inf if never.
+// NextChange returns when time alone may next change a throttle, +Inf if never.
 func (s *State) NextChange() float64 {
 	next := math.Inf(1)
 	if s == nil {
@@ -192,7 +192,8 @@
 	return next
 }
 
-// state tells whether trials are held back here, and whether this member makes those of the fleet.
+// trialState reports whether trials are suspended here, and whether the pace is raised because this member makes the
+// trials of the fleet.
 func (s *State) trialState(now float64, p *partner) (suspended, raised bool) {
 	if p.phase != storm.Outage || !s.sessionHeld {
 		return false, false
@@ -204,7 +205,7 @@
 	return p.update.Holder != "" && !open && now < p.updatedAt+s.settings.SilenceTimeoutMS, false
 }
 
-// adjusted is the order as it stands with what is known of the duty.
+// adjust returns the throttle of a partner, adjusted to the known state of its duty.
 func (s *State) adjust(now float64, p *partner) storm.Throttle {
 	p.suspended, p.raised = s.trialState(now, p)
 	t := p.throttle
@@ -216,7 +217,7 @@
 		pace := &t.Paces[i]
 		if p.suspended {
 			pace.Rate = min(pace.Rate, suspendedRate)
-		} else if fleetRate := pace.Rate * float64(s.settings.Senders); pace.Rate > 0 { // the others' parts, which they leave unused
+		} else if fleetRate := pace.Rate * float64(s.settings.Senders); pace.Rate > 0 { // includes the parts that the other members leave unused
 			pace.Rate = max(pace.Rate, min(fleetRate, maxTrialRate))
 		}
 	}
--- a/internal/fleet/trial/trial_test.go
+++ b/internal/fleet/trial/trial_test.go
@@ -17,41 +17,42 @@
 	return s
 }
 
-// TestOthersWait: one that does not hold the trial waits while it hears that the partner is down, and no longer.
-func TestOthersWait(t *testing.T) {
+// TestOtherMembersSuspendTrials: a member that does not hold the duty suspends its trials while it receives words that the partner is
+// down, and no longer.
+func TestOtherMembersSuspendTrials(t *testing.T) {
 	s := newLiveState()
 	if o := s.AdjustThrottle(0, outage(0.5)); o.Paces[0].Rate != 0.5 {
-		t.Errorf("with nobody's word: %v", o)
+		t.Errorf("without a holder: %v", o)
 	}
 	if acts := s.TakeActions(); len(acts) != 1 || !acts[0].Request {
-		t.Errorf("acts %v", acts)
+		t.Errorf("actions %v", acts)
 	}
 	s.HandleUpdate(100, 7, Update{Holder: "n2"})
 	list := s.ChangedThrottles(100)
 	if len(list) != 1 || list[0].Paces[0].Rate != suspendedRate {
-		t.Fatalf("another holds it: %v", list)
+		t.Fatalf("another member holds the duty: %v", list)
 	}
 	s.HandleUpdate(3000, 7, Update{Holder: "n2", Word: "down 1"})
 	if at := s.NextChange(); at != 7000 {
-		t.Errorf("it waits until %v", at)
+		t.Errorf("trials suspended until %v", at)
 	}
 	if list := s.ChangedThrottles(6999); len(list) != 0 {
-		t.Errorf("before the bound: %v", list)
+		t.Errorf("before the timeout: %v", list)
 	}
 	if list := s.ChangedThrottles(7000); len(list) != 1 || list[0].Paces[0].Rate != 0.5 {
-		t.Errorf("after the bound without a word: %v", list)
+		t.Errorf("after the timeout without a word: %v", list)
 	}
 	s.HandleUpdate(7100, 7, Update{Holder: "n2", Word: "down 2"})
 	if list := s.ChangedThrottles(7100); len(list) != 1 || list[0].Paces[0].Rate != suspendedRate {
-		t.Errorf("a word again: %v", list)
+		t.Errorf("after a further word: %v", list)
 	}
 	s.HandleUpdate(7200, 7, Update{Holder: "n2", Word: "open 3"})
 	if list := s.ChangedThrottles(7200); len(list) != 1 || list[0].Paces[0].Rate != 0.5 {
-		t.Errorf("the partner is back: %v", list)
+		t.Errorf("after the partner is back: %v", list)
 	}
 }
 
-// TestNobodySilences: without a session, a holder, or a fleet, nothing is held back.
+// TestNothingSuspendsWithoutFleet: without a session, a holder or a fleet, no trials are suspended.
 func TestNothingSuspendsWithoutFleet(t *testing.T) {
 	s := newLiveState()
 	s.AdjustThrottle(0, outage(0.5))
@@ -59,13 +60,13 @@
 	s.ChangedThrottles(100)
 	s.SetLive(false)
 	if list := s.ChangedThrottles(200); len(list) != 1 || list[0].Paces[0].Rate != 0.5 {
-		t.Errorf("the session is over: %v", list)
+		t.Errorf("without a session: %v", list)
 	}
 	s.SetLive(true)
 	s.ChangedThrottles(300)
 	s.HandleUpdate(400, 7, Update{})
 	if list := s.ChangedThrottles(400); len(list) != 1 || list[0].Paces[0].Rate != 0.5 {
-		t.Errorf("nobody holds it: %v", list)
+		t.Errorf("the duty has no holder: %v", list)
 	}
 	var none *State
 	if o := none.AdjustThrottle(0, outage(0.5)); o.Paces[0].Rate != 0.5 || none.ChangedThrottles(0) != nil || none.TakeActions() != nil || !math.IsInf(none.NextChange(), 1) {
@@ -76,8 +77,8 @@
 	none.CallFailed(0, 7)
 }
 
-// TestHolder: the holder tries at the others' parts, up to a bound, tells that the partner is down now and then, and
-// that it is back at once.
+// TestHolder: the holder makes trials at the paces of all members together, up to a bound. It publishes at intervals
+// that the partner is down, and at once that it is back.
 func TestHolder(t *testing.T) {
 	s := newLiveState()
 	s.AdjustThrottle(0, outage(0.05))
@@ -90,24 +91,24 @@
 	s.CallFailed(300, 7)
 	s.CallFailed(1200, 7)
 	if acts := s.TakeActions(); len(acts) != 2 || acts[0].Publish != "down 1" || acts[1].Publish != "down 2" {
-		t.Errorf("words %v", acts)
+		t.Errorf("published words %v", acts)
 	}
 	o := s.AdjustThrottle(1300, storm.Throttle{Dest: 7, Phase: storm.Returning, Paces: []storm.Pace{{Rate: 0.05}}})
 	if acts := s.TakeActions(); len(acts) != 1 || acts[0].Publish != "open 3" || o.Paces[0].Rate != 0.05 {
-		t.Errorf("back: %v, %v", acts, o)
+		t.Errorf("partner back: %v, %v", acts, o)
 	}
 	s.AdjustThrottle(20000, storm.Throttle{Dest: 7, Phase: storm.Calm, Paces: []storm.Pace{{}}})
 	if acts := s.TakeActions(); len(acts) != 1 || !acts[0].Release {
 		t.Errorf("calm: %v", acts)
 	}
-	// One that takes the duty over while it sees the partner back says so.
+	// A member that takes over the duty while the partner is back here publishes that at once.
 	s = newLiveState()
 	s.AdjustThrottle(0, outage(0.05))
 	s.AdjustThrottle(1000, storm.Throttle{Dest: 7, Phase: storm.Returning, Paces: []storm.Pace{{Rate: 0.05}}})
 	s.TakeActions()
 	s.HandleUpdate(1100, 7, Update{Holder: "n1", HeldLocally: true, Word: "down 9"})
 	if acts := s.TakeActions(); len(acts) != 1 || acts[0].Publish != "open 1" {
-		t.Errorf("taken over: %v", acts)
+		t.Errorf("after the takeover: %v", acts)
 	}
 }
 
