--- a/internal/fleet/session/session.go
+++ b/internal/fleet/session/session.go
@@ -41,11 +41,11 @@
 // Break is a set of safety checks to disable, for tests that must detect their absence.
 type Break uint
 
-// The safety checks.
+// The safety checks, each with what happens without it.
 const (
-	BreakLeaseStart  Break = 1 << iota // disabled: the lease counts from the time of the renewal, not of the answer
-	BreakDriftMargin                   // disabled: the lease counts in full, without a margin for clock drift
-	BreakLeaseCheck                    // disabled: a duty counts as held until another holder is reported
+	BreakLeaseStart  Break = 1 << iota // the lease counts from the answer instead of the renewal
+	BreakDriftMargin                   // the lease counts in full, without a margin for clock drift
+	BreakLeaseCheck                    // a duty counts as held until another holder is reported, even after the lease
 )
 
 // Outgoing is a frame to send to a voter.
--- a/internal/fleet/share/holder.go
+++ b/internal/fleet/share/holder.go
@@ -7,43 +7,45 @@
 )
 
 const (
-	headroom     = 0.15 // a member is given that much more than it asks for, where there is room: demand moves
-	idleShare    = 0.05 // and at the least this part of its even part: a first message goes at once
-	absentFactor = 3    // times Length without a report: a member is away, and its even part is its own again
+	headroom     = 0.15 // a member gets this much more than its demand if the limit allows, since demand changes
+	idleShare    = 0.05 // and at least this fraction of its even part, so that a first message is sent at once
+	absentFactor = 3    // a member without a report for so many BindDurations counts as absent and has its even part back
 )
 
-// Holder is the side of the member that holds a partner's duty. It keeps no more than a line for each member.
+// Holder is the side of the member that holds a partner's duty. It keeps one memberState for each member.
 type Holder struct {
 	terms      Terms
 	token      uint64
 	limit      float64
-	quietUntil int64 // until then it says nothing
+	quietUntil int64 // no answers are sent before this time
 	stamp      int64
 	members    map[string]*memberState
 	Break      Break
 }
 
-// line is what the holder knows of one member.
+// memberState holds what the holder knows of one member.
 type memberState struct {
 	reportedAt int64
 	demand     float64
-	// The answers that it may go by: the one that it has told, and all since. Without one it may send its even part.
+	// openAnswers holds the answers that the member may be following: the one that it confirmed and all later ones. If it
+	// is empty, the member may send its even part.
 	openAnswers  []sentAnswer
-	mayBeAtEven  bool  // it may go by none of them
-	expiredStamp int64 // the stamp of the last one whose time was over: it may be taken still, and be over at once
+	mayBeAtEven  bool  // it may be following none of them
+	expiredStamp int64 // stamp of the latest expired answer, which may still arrive and then lapses at once
 }
 
-// sent is an answer: a rate below the even part binds at least until then, one above it is over by then.
+// sentAnswer is an answer that was sent. A rate below the even part binds at least until the time until; a rate above
+// it has lapsed by then.
 type sentAnswer struct {
 	stamp int64
 	rate  float64
 	until int64
 }
 
-// sentMost bounds the answers to one member that it has not spoken of. There is none while so many are open.
+// maxOpenAnswers bounds the unconfirmed answers to one member. While so many are open, its reports are not answered.
 const maxOpenAnswers = 32
 
-// NewHolder returns the side of a member that has begun to hold the duty, with that token, at now.
+// NewHolder returns the Holder of a member that began to hold the duty, with that token, at now.
 func NewHolder(t Terms, token uint64, now int64) *Holder {
 	h := &Holder{terms: t, token: token, members: map[string]*memberState{}}
 	h.quietUntil = now + int64(float64(t.RaiseDuration)*(1+2*t.Drift))
@@ -57,13 +59,13 @@
 	return h.terms.Drift
 }
 
-// Report takes a member's report, and returns the answer; false: there is none. The duty's lease must hold when the
-// answer goes out.
+// HandleReport handles a member's report and returns the answer, false if there is none. The duty's lease must be valid
+// when the answer is sent.
 func (h *Holder) HandleReport(now int64, name string, r Report) (Answer, bool) {
 	m := h.members[name]
 	if m == nil {
 		if len(h.members) >= h.terms.Members {
-			return Answer{}, false // more than the limit is shared by: it keeps to its even part
+			return Answer{}, false // more members than share the limit: this one gets no share
 		}
 		m = &memberState{}
 		h.members[name] = m
@@ -93,18 +95,18 @@
 	return Answer{Token: h.token, At: r.At, Stamp: h.stamp, Rate: rate, RaiseDuration: h.terms.RaiseDuration, Limit: h.limit}, true
 }
 
-// confirm takes what a report says of the answer that its member goes by.
+// confirm applies what a report says about the answer that its member follows.
 func (h *Holder) confirm(m *memberState, r Report) {
 	if r.Token != h.token {
-		m.mayBeAtEven = true // it goes by another holder's, or by none
+		m.mayBeAtEven = true // it follows another holder's answer, or none
 		return
 	}
 	if i := slices.IndexFunc(m.openAnswers, func(s sentAnswer) bool { return s.stamp == r.Stamp }); i >= 0 {
-		m.openAnswers, m.mayBeAtEven = m.openAnswers[i:], r.Stamp < m.expiredStamp // what was sent before is late, and is not taken any more
+		m.openAnswers, m.mayBeAtEven = m.openAnswers[i:], r.Stamp < m.expiredStamp // it ignores answers sent earlier
 	}
 }
 
-// settle forgets answers whose time is over: a member that goes by one is back at its even part.
+// expireAnswers removes answers that have lapsed. A member that followed one is back at its even part.
 func (m *memberState) expireAnswers(now int64) {
 	m.openAnswers = slices.DeleteFunc(m.openAnswers, func(s sentAnswer) bool {
 		over := s.until <= now
@@ -115,7 +117,7 @@
 	})
 }
 
-// most is the most that a member may send at any moment until end, whatever befalls it.
+// maxRate returns the highest rate at which a member may send at any moment until end, whatever happens to it.
 func (h *Holder) maxRate(m *memberState, now, end int64) (highest float64) {
 	even := h.terms.EvenShare(h.limit)
 	m.expireAnswers(now)
@@ -135,7 +137,8 @@
 	return highest
 }
 
-// others is the most that all but one may send at any moment until end. Members that were never heard of count.
+// maxOtherRates returns the highest sum of the rates of all members but one at any moment until end. Members that have
+// never reported count with their even parts.
 func (h *Holder) maxOtherRates(now, end int64, except string) (sum float64) {
 	unheard := h.terms.Members
 	for name, m := range h.members {
@@ -147,8 +150,8 @@
 	return sum + float64(unheard)*h.terms.EvenShare(h.limit)
 }
 
-// due is a member's due part of the limit: as much as it wants where there is enough for all; else what is left is
-// divided evenly over those that want more.
+// fairShare returns a member's max-min fair part of the limit: as much as it needs if there is enough for all;
+// otherwise the members that need more divide the rest evenly.
 func (h *Holder) fairShare(now int64, name string) float64 {
 	even := h.terms.EvenShare(h.limit)
 	need := func(m *memberState) float64 { return max(m.demand*(1+headroom), idleShare*even) }
@@ -157,7 +160,7 @@
 	for _, other := range slices.Sorted(maps.Keys(h.members)) {
 		m := h.members[other]
 		if now-m.reportedAt > absentFactor*h.terms.BindDuration {
-			remaining -= even // it is away
+			remaining -= even // absent
 			continue
 		}
 		needs = append(needs, need(m))
@@ -165,17 +168,17 @@
 	}
 	remaining -= float64(h.terms.Members-len(h.members)) * even
 	slices.SortFunc(needs, cmp.Compare[float64])
-	level := remaining // the water level
+	level := remaining // the highest part that any member gets
 	for i, w := range needs {
 		if part := remaining / float64(n-i); w > part {
 			level = part
 			break
 		}
 		remaining -= w
-		level = remaining + w // all have what they want
+		level = remaining + w // all members so far get what they need
 	}
 	return min(need(h.members[name]), max(level, 0))
 }
 
-// Limit is the limit that is divided, as last told; 0: none is known.
+// Limit returns the limit that is divided, as last reported; 0: unknown.
 func (h *Holder) Limit() float64 { return h.limit }
--- a/internal/fleet/trial/trial_test.go
+++ b/internal/fleet/trial/trial_test.go
@@ -17,8 +17,8 @@
 	return s
 }
 
-// TestOtherMembersSuspendTrials: a member that does not hold the duty suspends its trials while it receives words that the partner is
-// down, and no longer.
+// TestOtherMembersSuspendTrials: a member that does not hold the duty suspends its trials while it receives
+// words that the partner is down, and no longer.
 func TestOtherMembersSuspendTrials(t *testing.T) {
 	s := newLiveState()
 	if o := s.AdjustThrottle(0, outage(0.5)); o.Paces[0].Rate != 0.5 {
