--- a/internal/fleet/copies.go
+++ b/internal/fleet/copies.go
@@ -45,7 +45,7 @@
 	duties, adoptions, present := m.session.View()
 	published := &View{Session: id, Journals: map[string]*pb.Duty{}, Adoptions: map[string]*pb.Adoption{}, Present: present}
 	for name, d := range duties {
-		if owner, isJournal := strings.CutPrefix(name, duty.Own("")); isJournal {
+		if owner, isJournal := strings.CutPrefix(name, duty.JournalDuty("")); isJournal {
 			published.Journals[owner] = d
 			m.connectHolders(owner, d)
 		}
@@ -143,16 +143,16 @@
 	var answer *pb.Frame
 	switch w := in.frame.What.(type) {
 	case *pb.Frame_Copy:
-		repairsBefore := h.Mended()
-		a := h.Copy(m.now(), w.Copy)
-		if h.Mended() > repairsBefore {
+		repairsBefore := h.Mismatches()
+		a := h.HandleCopy(m.now(), w.Copy)
+		if h.Mismatches() > repairsBefore {
 			m.o.Log.Warn().Str("owner", w.Copy.Owner).Msg("fleet: a copy differs from its owner's journal and is requested again")
 		}
 		if a != nil && w.Copy.Owner == in.from {
 			answer = &pb.Frame{What: &pb.Frame_Copied{Copied: a}}
 		}
 	case *pb.Frame_Seal:
-		if a := h.Seal(m.now(), w.Seal); a != nil {
+		if a := h.HandleSeal(m.now(), w.Seal); a != nil {
 			answer = &pb.Frame{What: &pb.Frame_Sealed{Sealed: a}}
 		}
 	}
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -51,7 +51,7 @@
 	Members         []Peer
 	MinVoters       int
 	Weight          uint32
-	Terms           lease.Terms
+	Terms           lease.Params
 	ElectionTimeout time.Duration
 	Hash            uint64      // hash of the settings that must be equal in all members' files
 	Client          *tls.Config `json:"-"`
@@ -106,7 +106,7 @@
 	DutyChanged func(d *pb.Duty, mine bool) // called on each change of a duty; must not block; may be nil
 	Now         func() int64                // nil: the function Now
 	// BreakVoter and BreakSession disable safety checks, for tests that must detect their absence.
-	BreakVoter   voter.Break
+	BreakVoter   voter.Skip
 	BreakSession session.Break
 }
 
@@ -195,8 +195,8 @@
 
 func (m *Member) newVoter(log *disk.Log) (*voter.Voter, error) {
 	s := &m.o.Settings
-	return voter.New(voter.Options{Name: m.self.Name, Voters: s.VoterNames(), Minimum: s.MinVoters, Terms: s.Terms, Election: s.ElectionTimeout, Log: log,
-		Note: m.logVoter, Break: m.o.BreakVoter}, m.now())
+	return voter.New(voter.Options{Name: m.self.Name, Voters: s.VoterNames(), MinVoters: s.MinVoters, Lease: s.Terms, ElectionTimeout: s.ElectionTimeout, Log: log,
+		OnEvent: m.logVoter, Skip: m.o.BreakVoter}, m.now())
 }
 
 // dialAddrs returns the addresses of the members that this one dials. Of two voters the one whose name sorts first
@@ -345,7 +345,7 @@
 	reopenAt := time.Now().Add(reopenInterval)
 	for {
 		if m.voter != nil {
-			for _, out := range m.voter.Take() {
+			for _, out := range m.voter.TakeOutgoing() {
 				m.route(out.To, out.Frame)
 			}
 		}
@@ -496,9 +496,9 @@
 	for requested := false; ; requested = true {
 		request := func() {
 			if m.voter != nil && !requested {
-				m.voter.Aside()
+				m.voter.TransferLeadership()
 			}
-			leadsNow <- m.voter != nil && m.voter.Leads()
+			leadsNow <- m.voter != nil && m.voter.IsLeader()
 		}
 		select {
 		case m.voterInbox <- input{call: request}:
--- a/internal/fleet/model/disk_test.go
+++ b/internal/fleet/model/disk_test.go
@@ -13,8 +13,8 @@
 		w.Schedule([]Fault{{Kind: KillAndWipe, Proc: lost, At: 3 * time.Second, Duration: time.Second},
 			{Kind: Kill, Proc: (lost + 1) % 3, At: 15 * time.Second, Duration: time.Minute}})
 		w.Run(14 * time.Second)
-		if !w.processes[lost].voter.Votes() {
-			t.Errorf("voter %d has no vote 10 s after its return: %s", lost, w.processes[(lost+1)%3].voter.Status())
+		if !w.processes[lost].voter.HasVote() {
+			t.Errorf("voter %d has no vote 10 s after its return: %s", lost, w.processes[(lost+1)%3].voter.StatusJSON())
 		}
 		w.Run(30 * time.Second)
 		if !w.AllHeld() || w.Violation != "" {
--- a/internal/fleet/model/model.go
+++ b/internal/fleet/model/model.go
@@ -26,11 +26,11 @@
 type Options struct {
 	Voters, Members int // Members: those that do not vote
 	Duties          int
-	Terms           lease.Terms
+	Terms           lease.Params
 	ElectionTimeout time.Duration
 	Drift           float64 // the greatest fraction by which clocks run fast or slow
 	Seed            uint64
-	BreakVoter      voter.Break
+	BreakVoter      voter.Skip
 	BreakSession    session.Break
 	LoseSyncedData  bool // disables a safety check: a crash also loses synced data
 	AcceptOldTokens bool // disables a safety check: the resource accepts any token
@@ -204,9 +204,9 @@
 			return
 		}
 		id = log.Identity()
-		p.voter, err = voter.New(voter.Options{Name: p.name, Voters: p.world.voters(), Minimum: p.world.o.Voters, Terms: p.world.o.Terms, Election: p.world.o.ElectionTimeout,
-			Log: log, Break: p.world.o.BreakVoter, Note: func(what string, _ error) {
-				if what == voter.NoteLeads {
+		p.voter, err = voter.New(voter.Options{Name: p.name, Voters: p.world.voters(), MinVoters: p.world.o.Voters, Lease: p.world.o.Terms, ElectionTimeout: p.world.o.ElectionTimeout,
+			Log: log, Skip: p.world.o.BreakVoter, OnEvent: func(what string, _ error) {
+				if what == voter.EventLeading {
 					p.world.LeaderChanges++
 				}
 				if p.world.OnNote != nil {
@@ -337,7 +337,7 @@
 		var out []session.Outgoing
 		out = append(out, p.session.TakeOutgoing()...)
 		if p.voter != nil {
-			for _, o := range p.voter.Take() {
+			for _, o := range p.voter.TakeOutgoing() {
 				out = append(out, session.Outgoing(o))
 			}
 		}
@@ -462,7 +462,7 @@
 		if v == p {
 			continue
 		}
-		if !v.up || v.voter == nil || !v.voter.Votes() {
+		if !v.up || v.voter == nil || !v.voter.HasVote() {
 			return true
 		}
 	}
--- a/internal/fleet/model/model_test.go
+++ b/internal/fleet/model/model_test.go
@@ -16,7 +16,7 @@
 const drift = 0.05
 
 func options(seed uint64) Options {
-	return Options{Voters: 3, Members: 2, Duties: 2, Terms: lease.Terms{Length: 2 * time.Second, Drift: drift},
+	return Options{Voters: 3, Members: 2, Duties: 2, Terms: lease.Params{Length: 2 * time.Second, Drift: drift},
 		ElectionTimeout: 500 * time.Millisecond, Drift: drift, Seed: seed}
 }
 
@@ -84,10 +84,10 @@
 		faults func(i int) []Fault
 	}{
 		{"lease counted from the answer", func(o *Options) { o.BreakSession = session.BreakLeaseStart }, lossy},
-		{"no margin for drift", func(o *Options) { o.BreakSession, o.BreakVoter = session.BreakDriftMargin, voter.BreakMargin }, cutOff},
+		{"no margin for drift", func(o *Options) { o.BreakSession, o.BreakVoter = session.BreakDriftMargin, voter.SkipDriftMargin }, cutOff},
 		{"no check of the lease before the action", func(o *Options) { o.BreakSession = session.BreakLeaseCheck }, cutOff},
-		{"renewals acknowledged without a majority", func(o *Options) { o.BreakVoter = voter.BreakConfirm }, deposed},
-		{"a new leader does not wait a whole lease", func(o *Options) { o.BreakVoter = voter.BreakReset }, leaderKilled},
+		{"renewals acknowledged without a majority", func(o *Options) { o.BreakVoter = voter.SkipQuorumConfirmation }, deposed},
+		{"a new leader does not wait a whole lease", func(o *Options) { o.BreakVoter = voter.SkipLeaseReset }, leaderKilled},
 		{"tokens not refused by the resource", func(o *Options) { o.AcceptOldTokens = true }, stopped},
 		{"synced data is lost", func(o *Options) { o.LoseSyncedData = true }, allKilled},
 	} {
@@ -161,14 +161,14 @@
 // TestReturningVoterCausesNoElection: a voter that was cut off and returns does not force an election. Without pre-vote
 // and the quorum check it does, which is safe but disrupts the group.
 func TestReturningVoterCausesNoElection(t *testing.T) {
-	elections := func(seed uint64, guard voter.Break) int {
+	elections := func(seed uint64, guard voter.Skip) int {
 		o := options(seed)
 		o.BreakVoter = guard
 		w := New(o)
 		w.Run(4 * time.Second)
 		follower := 0
 		for _, p := range w.processes[:3] {
-			if !p.voter.Leads() {
+			if !p.voter.IsLeader() {
 				follower = p.index
 			}
 		}
@@ -183,7 +183,7 @@
 	with, without := 0, 0
 	for seed := range uint64(10) {
 		with += elections(seed, 0)
-		without += elections(seed, voter.BreakQuorum)
+		without += elections(seed, voter.SkipQuorumCheck)
 	}
 	t.Logf("elections in 10 runs: %d, without the check %d", with, without)
 	if with > 0 || without < 5 {
--- a/internal/fleet/model/size_test.go
+++ b/internal/fleet/model/size_test.go
@@ -23,7 +23,7 @@
 		calm := w.FramesSent / 2
 		leader := -1
 		for _, p := range w.processes[:3] {
-			if p.voter.Leads() {
+			if p.voter.IsLeader() {
 				leader = p.index
 			}
 		}
--- a/internal/fleet/model/voters_test.go
+++ b/internal/fleet/model/voters_test.go
@@ -16,11 +16,11 @@
 	for seed := range uint64(5) {
 		w := New(options(seed))
 		w.OnNote = func(n int, what string) {
-			if !strings.HasPrefix(what, voter.NoteVotersChanged) {
+			if !strings.HasPrefix(what, voter.EventVotersChanged) {
 				return
 			}
 			noted++
-			if w.processes[n].voter.ChangingVoters() {
+			if w.processes[n].voter.VoterChangePending() {
 				t.Errorf("seed %d: voter %d logs %q while the change is in progress", seed, n, what)
 			}
 		}
--- a/internal/fleet/procs_test.go
+++ b/internal/fleet/procs_test.go
@@ -42,7 +42,7 @@
 	Settings     fleet.Settings
 	Dir          string
 	ClockRate    float64 // of the member's clock against the machine's
-	BreakVoter   voter.Break
+	BreakVoter   voter.Skip
 	BreakSession session.Break
 }
 
@@ -176,7 +176,7 @@
 			peers = append(peers, p)
 		}
 		set := nodeSettings{Dir: filepath.Join(r.dir, name), ClockRate: 1, Settings: fleet.Settings{Name: name, Listen: addrs[name], Members: peers,
-			MinVoters: voters, Weight: 1, Terms: lease.Terms{Length: time.Second, Drift: 0.05}, ElectionTimeout: 300 * time.Millisecond}}
+			MinVoters: voters, Weight: 1, Terms: lease.Params{Length: time.Second, Drift: 0.05}, ElectionTimeout: 300 * time.Millisecond}}
 		if i%2 == 1 {
 			set.ClockRate = 1.04
 		}
@@ -483,7 +483,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		s := fleet.Settings{Name: name, Terms: lease.Terms{Length: time.Second, Drift: 0.05}, ElectionTimeout: 300 * time.Millisecond, MinVoters: 3}
+		s := fleet.Settings{Name: name, Terms: lease.Params{Length: time.Second, Drift: 0.05}, ElectionTimeout: 300 * time.Millisecond, MinVoters: 3}
 		for _, n := range []string{"a", "b", "c"} {
 			s.Members = append(s.Members, fleet.Peer{Name: n, Addr: freeAddr(t), Voter: true})
 		}
@@ -498,7 +498,7 @@
 	if err := open("a"); err != nil {
 		t.Fatal(err)
 	}
-	if err := open("b"); err == nil || !strings.Contains(err.Error(), `of "a", this is "b"`) {
+	if err := open("b"); err == nil || !strings.Contains(err.Error(), `written by "a", opened by "b"`) {
 		t.Errorf("error %v", err)
 	}
 }
@@ -595,7 +595,7 @@
 			r.isolate(holder, true)
 			r.holder(0, fleet.Now(), holder, 20*time.Second)
 		}},
-		"a new leader does not wait a whole lease": {func(s *nodeSettings) { s.BreakVoter = voter.BreakReset }, func(r *rig, holder string) {
+		"a new leader does not wait a whole lease": {func(s *nodeSettings) { s.BreakVoter = voter.SkipLeaseReset }, func(r *rig, holder string) {
 			for _, p := range r.procs[:3] { // one of them leads
 				if p.name != holder {
 					r.kill(p)
--- a/internal/fleet/session/session.go
+++ b/internal/fleet/session/session.go
@@ -32,7 +32,7 @@
 	Zone        string
 	Weight      uint32
 	Voters      []string
-	Terms       lease.Terms
+	Terms       lease.Params
 	Rand        *rand.Rand
 	LogEvent    func(what string, duty string, token uint64) // a duty is held or lost, or opening was refused; may be nil
 	Break       Break
@@ -88,7 +88,7 @@
 	now         int64
 	outgoing    []Outgoing
 	id          uint64
-	lease       lease.Held
+	lease       lease.Holder
 	openSeq     uint64 // number of the session that is open or being opened
 	targetVoter int    // index of the voter that requests go to
 	lastAskID   uint64 // id of the latest request
@@ -191,7 +191,7 @@
 
 // LeaseEnd returns the end of the lease on the caller's clock, 0 if no lease is valid at now.
 func (s *Session) LeaseEnd(now int64) int64 {
-	if left := s.lease.Left(now); left > 0 {
+	if left := s.lease.Remaining(now); left > 0 {
 		return now + int64(left)
 	}
 	return 0
@@ -277,7 +277,7 @@
 	case s.renewID != 0 && now-s.renewAt > s.requestTimeout():
 		s.nextVoter()
 		s.renew()
-	case s.renewID == 0 && now-s.renewAt >= int64(s.o.Terms.Every()):
+	case s.renewID == 0 && now-s.renewAt >= int64(s.o.Terms.RenewInterval()):
 		s.renew()
 	}
 	if s.id == 0 {
@@ -485,7 +485,7 @@
 		return
 	}
 	if a.Error != "" {
-		s.retryAt = s.now + s.jitter(int64(s.o.Terms.Every()))
+		s.retryAt = s.now + s.jitter(int64(s.o.Terms.RenewInterval()))
 		if a.Gone { // a late copy of an earlier open request came first
 			s.openSeq++
 		}
@@ -510,7 +510,7 @@
 	if s.o.Break&BreakDriftMargin != 0 {
 		terms.Drift = 0
 	}
-	s.lease.Renewed(terms, sentAt)
+	s.lease.Renew(terms, sentAt)
 }
 
 func (s *Session) handleRenewed(a *pb.Answer) {
@@ -550,7 +550,7 @@
 			r.queuedSession = 0
 		}
 	default:
-		r.retryAt = s.now + s.jitter(int64(s.o.Terms.Every()))
+		r.retryAt = s.now + s.jitter(int64(s.o.Terms.RenewInterval()))
 	}
 	if a.Duty != nil && a.Version >= s.version {
 		s.applyDuty(a.Duty)
--- a/internal/fleet/share/share.go
+++ b/internal/fleet/share/share.go
@@ -28,10 +28,10 @@
 const kind = "limit"
 
 // Duty returns the name of a partner's duty.
-func Duty(dest int) string { return duty.Partner(kind, dest) }
+func Duty(dest int) string { return duty.PartnerDuty(kind, dest) }
 
 // Dest returns the partner of a duty, false if the duty is of another kind.
-func Dest(name string) (int, bool) { return duty.PartnerOf(kind, name) }
+func Dest(name string) (int, bool) { return duty.ParsePartnerDuty(kind, name) }
 
 // Terms are the settings that must be equal at all members of a fleet.
 type Terms struct {
--- a/internal/fleet/subscriber/subscriber.go
+++ b/internal/fleet/subscriber/subscriber.go
@@ -49,12 +49,12 @@
 	Log          zerolog.Logger
 	Now          func() int64 // monotonic, in nanoseconds
 	// Apply handles updates, in order, on the subscriber's goroutine.
-	Apply func(*directory.Applied)
+	Apply func(*directory.AppliedUpdate)
 	// Released is called on the same goroutine after shards were released; may be nil.
 	Released func([]shard.ID)
 	// RequestedShards are requested from whichever member serves, since messages for them are left from an earlier run.
 	RequestedShards []shard.ID
-	Break           directory.SubscriptionBreak
+	Break           directory.SubscriptionCheck
 }
 
 // Subscriber maintains a subscription. One goroutine calls Run; the other methods are safe for concurrent use.
@@ -81,9 +81,9 @@
 func New(o Options) *Subscriber {
 	rng := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 	s := &Subscriber{o: o, frames: make(chan frame, inboxSize), released: releaseQueue{wake: make(chan struct{}, 1)},
-		subscription: directory.NewSubscription(directory.SubscriptionOptions{Region: o.Region, Zone: o.Zone, Weight: o.Weight, Rand: rng, Break: o.Break})}
+		subscription: directory.NewSubscription(directory.SubscriptionOptions{Region: o.Region, Zone: o.Zone, Weight: o.Weight, Rand: rng, DisabledChecks: o.Break})}
 	s.homeRetryDelay = minHomeRetryDelay
-	s.subscription.Hold(o.RequestedShards)
+	s.subscription.HoldShards(o.RequestedShards)
 	s.servers = slices.Clone(o.Servers)
 	rng.Shuffle(len(s.servers), func(i, j int) { s.servers[i], s.servers[j] = s.servers[j], s.servers[i] })
 	slices.SortStableFunc(s.servers, func(x, y Server) int { return regionRank(x, o.Region) - regionRank(y, o.Region) })
@@ -156,7 +156,7 @@
 		case <-tick.C:
 			s.subscription.Tick(s.o.Now())
 			s.retryHomeRegion(ctx)
-			if s.subscription.Lost() {
+			if s.subscription.ShouldReconnect() {
 				s.o.Log.Warn().Str("control", s.servers[s.serverIndex%len(s.servers)].Name).Msg("directory: the control member does not serve; trying the next one")
 				s.serverIndex++
 				s.connect(ctx)
@@ -164,7 +164,7 @@
 		}
 		s.version.Store(s.subscription.Version())
 		s.live.Store(s.subscription.Live(s.o.Now()))
-		for _, out := range s.subscription.Take() {
+		for _, out := range s.subscription.TakeFrames() {
 			s.links.Send(out.To, out.Frame)
 		}
 	}
--- a/internal/fleet/voter/founding.go
+++ b/internal/fleet/voter/founding.go
@@ -11,85 +11,87 @@
 	"sliptide/internal/fleet/pb"
 )
 
-// A group is founded once. The first voter of the operators' file invites the others to a group with a number
-// drawn by chance; each that is of no group yet promises, on its disk, to be a founder of that one and no other.
-// Once as many have promised as the settings ask for, the group is there.
+// A group is founded once. The first voter of the configuration invites the others to a group with a random ID. Each
+// voter without a group records on its disk that it is a founder of that group and no other. Once the configured
+// minimum has done so, the group is founded.
 //
-// A voter whose folder is empty while there is a group was part of it, or comes late. It must not act as what it
-// was: it has forgotten what it promised, and could vote twice. It asks to be let in under a new number; the
-// voter that leads adds it without a vote, and once it has the log, gives the vote of the old number to the new.
+// A voter whose state directory is empty while a group exists was part of it, or comes late. It must not act under
+// its former Raft ID: it no longer knows its votes, and could vote twice. It asks to join under a new ID. The leader
+// adds it as a learner, and once it has the log, replaces the old ID by the new one among the voters.
 
-// founding is what a voter without a group has heard.
+// founding is what a voter without a group knows about the founding.
 type founding struct {
-	yes   map[string]bool // promised to be founders of this voter's group
-	at    int64           // of the next round of asks
-	asked bool            // it has told that a group exists that it cannot join
+	founders   map[string]bool // voters that are founders of this voter's group
+	nextInvite int64           // time of the next round of invitations
+	reported   bool            // it has reported a group without a leader, which it cannot join yet
 }
 
-func (v *Voter) coordinates() bool { return v.o.Voters[0] == v.o.Name }
+// isCoordinator reports whether this voter is the one that founds the group.
+func (v *Voter) isCoordinator() bool { return v.options.Voters[0] == v.options.Name }
 
 func (v *Voter) tickFounding() {
-	if v.now < v.found.at {
+	if v.now < v.founding.nextInvite {
 		return
 	}
-	v.found.at = v.now + int64(foundEvery)
-	id := v.o.Log.Identity()
-	if v.coordinates() && id.Group == 0 {
-		if err := v.o.Log.SetIdentity(func(id *pb.Identity) { id.Group = rand.Uint64() | 1 }); err != nil {
-			v.fail(err)
+	v.founding.nextInvite = v.now + int64(foundingInterval)
+	id := v.options.Log.Identity()
+	if v.isCoordinator() && id.Group == 0 {
+		if err := v.options.Log.SetIdentity(func(id *pb.Identity) { id.Group = rand.Uint64() | 1 }); err != nil {
+			v.stepDown(err)
 			return
 		}
 	}
-	ask := &pb.Found{Group: v.o.Log.Identity().Group, OnlyAsk: !v.coordinates()}
-	for _, name := range v.o.Voters {
-		if name != v.o.Name {
-			v.send(name, &pb.Frame{What: &pb.Frame_Ask{Ask: &pb.Ask{Found: ask}}})
+	invitation := &pb.Found{Group: v.options.Log.Identity().Group, OnlyAsk: !v.isCoordinator()}
+	for _, name := range v.options.Voters {
+		if name != v.options.Name {
+			v.send(name, &pb.Frame{What: &pb.Frame_Ask{Ask: &pb.Ask{Found: invitation}}})
 		}
 	}
-	v.form()
+	v.foundGroup()
 }
 
-// form founds the group once enough have promised.
-func (v *Voter) form() {
-	if v.rn != nil || v.failed != nil || !v.coordinates() || len(v.found.yes)+1 < v.o.Minimum {
+// foundGroup founds the group once there are enough founders.
+func (v *Voter) foundGroup() {
+	if v.node != nil || v.failure != nil || !v.isCoordinator() || len(v.founding.founders)+1 < v.options.MinVoters {
 		return
 	}
-	v.promise(v.o.Log.Identity().Group)
-	v.o.Note("the fleet's group is founded", nil)
+	v.becomeFounder(v.options.Log.Identity().Group)
+	v.options.OnEvent("the fleet's group is founded", nil)
 }
 
-// promise makes this voter a founder of the group.
-func (v *Voter) promise(group uint64) bool {
+// becomeFounder makes this voter a founder of the group.
+func (v *Voter) becomeFounder(group uint64) bool {
 	voters := map[uint64]string{}
 	var founders []uint64
-	for _, name := range v.o.Voters {
+	for _, name := range v.options.Voters {
 		voters[FounderID(name)] = name
 		founders = append(founders, FounderID(name))
 	}
 	state, err := duty.New(voters).Marshal()
 	if err == nil {
-		err = v.o.Log.Found(founders, state)
+		err = v.options.Log.Bootstrap(founders, state)
 	}
 	if err == nil {
-		err = v.o.Log.SetIdentity(func(id *pb.Identity) {
-			id.Group, id.Raft, id.Founder, id.Formed = group, FounderID(v.o.Name), true, true
+		err = v.options.Log.SetIdentity(func(id *pb.Identity) {
+			id.Group, id.Raft, id.Founder, id.Formed = group, FounderID(v.options.Name), true, true
 		})
 	}
 	if err == nil {
 		err = v.start()
 	}
 	if err != nil {
-		v.fail(err)
+		v.stepDown(err)
 	}
 	return err == nil
 }
 
-// takeFound answers an invitation, or the question which group this voter is of.
-func (v *Voter) takeFound(from string, a *pb.Ask) {
-	id := v.o.Log.Identity()
-	if !a.Found.OnlyAsk && id.Raft == 0 && v.failed == nil && !v.coordinates() && from == v.o.Voters[0] && a.Found.Group != 0 {
-		v.promise(a.Found.Group)
-		id = v.o.Log.Identity()
+// handleFound answers an invitation, or a question for the group of this voter.
+func (v *Voter) handleFound(from string, a *pb.Ask) {
+	id := v.options.Log.Identity()
+	if !a.Found.OnlyAsk && id.Raft == 0 && v.failure == nil && !v.isCoordinator() && from == v.options.Voters[0] &&
+		a.Found.Group != 0 {
+		v.becomeFounder(a.Found.Group)
+		id = v.options.Log.Identity()
 	}
 	answer := &pb.Answer{Leader: v.Leader(), Founder: id.Founder}
 	if id.Raft != 0 {
@@ -98,34 +100,36 @@
 	v.answer(from, answer)
 }
 
-// foundAnswer takes what another voter says of its group.
-func (v *Voter) foundAnswer(from string, a *pb.Answer) {
-	if v.rn != nil || v.failed != nil || a.Group == 0 || !slices.Contains(v.o.Voters, from) {
+// handleFoundAnswer handles another voter's answer about its group.
+func (v *Voter) handleFoundAnswer(from string, a *pb.Answer) {
+	if v.node != nil || v.failure != nil || a.Group == 0 || !slices.Contains(v.options.Voters, from) {
 		return
 	}
-	mine := v.o.Log.Identity().Group
+	group := v.options.Log.Identity().Group
 	switch {
-	case v.coordinates() && a.Group == mine && a.Founder:
-		v.found.yes[from] = true
-		v.form()
+	case v.isCoordinator() && a.Group == group && a.Founder:
+		v.founding.founders[from] = true
+		v.foundGroup()
 	case a.Leader != "":
-		v.enter(a.Group)
-	case v.coordinates() && a.Group != mine && !v.found.asked:
-		v.found.asked = true
-		v.o.Note("a group exists already, and no voter of it leads: waiting to join it", nil)
+		v.joinGroup(a.Group)
+	case v.isCoordinator() && a.Group != group && !v.founding.reported:
+		v.founding.reported = true
+		v.options.OnEvent("a group already exists but has no leader: waiting to join it", nil)
 	}
 }
 
-// enter asks for a new number in a group that exists.
-func (v *Voter) enter(group uint64) {
-	// In this order: after a crash between any two, the old number is never used with an empty log, and the first
-	// voter never takes itself for a founder of the group that it was of.
-	err := v.o.Log.SetIdentity(func(id *pb.Identity) { id.Group, id.Raft, id.Founder, id.Formed = 0, 0, false, false })
+// joinGroup switches to a new Raft ID in an existing group.
+func (v *Voter) joinGroup(group uint64) {
+	// The order matters. Whenever a crash interrupts these steps, the old Raft ID is never used with an empty log, and
+	// the first voter never takes itself for a founder of the group that it was in before.
+	err := v.options.Log.SetIdentity(func(id *pb.Identity) {
+		id.Group, id.Raft, id.Founder, id.Formed = 0, 0, false, false
+	})
 	if err == nil {
-		err = v.o.Log.Forget()
+		err = v.options.Log.Reset()
 	}
 	if err == nil {
-		err = v.o.Log.SetIdentity(func(id *pb.Identity) {
+		err = v.options.Log.SetIdentity(func(id *pb.Identity) {
 			id.Group, id.Raft, id.Formed = group, rand.Uint64()>>1|1, true
 		})
 	}
@@ -133,77 +137,78 @@
 		err = v.start()
 	}
 	if err != nil {
-		v.fail(err)
+		v.stepDown(err)
 		return
 	}
-	v.o.Note("joins the group under a new number", nil)
+	v.options.OnEvent("joining the group under a new Raft ID", nil)
 }
 
-// join asks for the vote of what this voter was, until it has it.
-func (v *Voter) join() {
-	id := v.o.Log.Identity()
-	if v.now < v.joinAt || id.Founder || v.conf != nil && slices.Contains(v.conf.GetVoters(), id.Raft) {
+// requestJoin asks to replace the former Raft ID of this voter by its new one, until it is a voter.
+func (v *Voter) requestJoin() {
+	id := v.options.Log.Identity()
+	if v.now < v.nextJoin || id.Founder || v.confState != nil && slices.Contains(v.confState.GetVoters(), id.Raft) {
 		return
 	}
-	v.joinAt = v.now + int64(2*foundEvery)
-	for _, name := range v.o.Voters {
-		if name != v.o.Name {
-			v.send(name, &pb.Frame{What: &pb.Frame_Ask{Ask: &pb.Ask{Join: &pb.Join{Member: v.o.Name, Raft: id.Raft}}}})
+	v.nextJoin = v.now + int64(2*foundingInterval)
+	for _, name := range v.options.Voters {
+		if name != v.options.Name {
+			v.send(name, &pb.Frame{What: &pb.Frame_Ask{Ask: &pb.Ask{Join: &pb.Join{Member: v.options.Name, Raft: id.Raft}}}})
 		}
 	}
 }
 
-// takeJoin lets a voter in under a new number, without a vote at first. While the number that it had is heard of,
-// somebody else runs under its name.
-func (v *Voter) takeJoin(from string, a *pb.Ask) {
-	if a.Join.Member != from || !slices.Contains(v.o.Voters, from) || v.state.Voter(a.Join.Raft) != "" {
+// handleJoin adds a voter under a new Raft ID as a learner. While its former ID is active, another process runs under
+// its name, and the request is refused.
+func (v *Voter) handleJoin(from string, a *pb.Ask) {
+	if a.Join.Member != from || !slices.Contains(v.options.Voters, from) || v.state.Voter(a.Join.Raft) != "" {
 		return
 	}
-	taken := false
-	progress := v.rn.Status().Progress
+	active := false
+	progress := v.node.Status().Progress
 	for id, name := range v.state.Voters() {
-		if p, there := progress[id]; name == from && there && p.RecentActive {
-			taken = true
+		if p, known := progress[id]; name == from && known && p.RecentActive {
+			active = true
 		}
 	}
-	if taken {
-		v.o.Note("a second process asks for the vote of "+from+", which is alive: refused", nil)
+	if active {
+		v.options.OnEvent("refused to replace the Raft ID of "+from+": the current one is still active", nil)
 		return
 	}
-	v.changeVoters(&raftpb.ConfChangeV2{Context: []byte(from), Changes: []*raftpb.ConfChangeSingle{
+	v.proposeVoterChange(&raftpb.ConfChangeV2{Context: []byte(from), Changes: []*raftpb.ConfChangeSingle{
 		{Type: raftpb.ConfChangeAddLearnerNode.Enum(), NodeId: proto.Uint64(a.Join.Raft)}}})
 }
 
-// promote gives a voter that has the log the vote of the number that it had before.
-func (v *Voter) promote() {
-	if !v.leads() || len(v.conf.GetLearners()) == 0 {
+// promoteLearners makes a learner that has the log a voter, in place of its former Raft ID.
+func (v *Voter) promoteLearners() {
+	if !v.isLeader() || len(v.confState.GetLearners()) == 0 {
 		return
 	}
-	progress := v.rn.Status().Progress
-	for _, id := range v.conf.GetLearners() {
-		p, there := progress[id]
-		if !there || !p.RecentActive || p.Match == 0 || p.Match+caughtUp < v.applied {
+	progress := v.node.Status().Progress
+	for _, id := range v.confState.GetLearners() {
+		p, known := progress[id]
+		if !known || !p.RecentActive || p.Match == 0 || p.Match+maxLearnerLag < v.applied {
 			continue
 		}
 		name := v.state.Voter(id)
 		cc := &raftpb.ConfChangeV2{Context: []byte(name), Changes: []*raftpb.ConfChangeSingle{
 			{Type: raftpb.ConfChangeAddNode.Enum(), NodeId: proto.Uint64(id)}}}
-		for old, of := range v.state.Voters() {
-			if of == name && old != id {
-				cc.Changes = append(cc.Changes, &raftpb.ConfChangeSingle{Type: raftpb.ConfChangeRemoveNode.Enum(), NodeId: proto.Uint64(old)})
+		for oldID, oldName := range v.state.Voters() {
+			if oldName == name && oldID != id {
+				cc.Changes = append(cc.Changes,
+					&raftpb.ConfChangeSingle{Type: raftpb.ConfChangeRemoveNode.Enum(), NodeId: proto.Uint64(oldID)})
 			}
 		}
-		v.changeVoters(cc)
+		v.proposeVoterChange(cc)
 		return
 	}
 }
 
-func (v *Voter) changeVoters(cc *raftpb.ConfChangeV2) {
-	v.guard(func() { v.rn.ProposeConfChange(cc) })
+func (v *Voter) proposeVoterChange(cc *raftpb.ConfChangeV2) {
+	v.callRaft(func() { v.node.ProposeConfChange(cc) })
 }
 
-// applyVoters takes a change of the voters that was agreed on.
-func (v *Voter) applyVoters(cc *raftpb.ConfChangeV2) {
+// applyVoterChange applies a committed change of the voters.
+func (v *Voter) applyVoterChange(cc *raftpb.ConfChangeV2) {
 	name := string(cc.GetContext())
 	for _, c := range cc.GetChanges() {
 		if c.GetType() == raftpb.ConfChangeRemoveNode {
@@ -212,34 +217,34 @@
 			v.state.SetVoter(c.GetNodeId(), name)
 		}
 	}
-	v.guard(func() { v.conf = v.rn.ApplyConfChange(cc) })
+	v.callRaft(func() { v.confState = v.node.ApplyConfChange(cc) })
 	if len(cc.GetChanges()) > 0 {
-		v.changed = name
+		v.changingVoter = name
 	}
-	if v.changed != "" && !v.ChangingVoters() {
-		v.o.Note(NoteVotersChanged+v.changed, nil)
-		v.changed = ""
+	if v.changingVoter != "" && !v.VoterChangePending() {
+		v.options.OnEvent(EventVotersChanged+v.changingVoter, nil)
+		v.changingVoter = ""
 	}
-	if v.rn != nil && len(v.conf.GetLearners()) > 0 {
-		// Whoever is new begins with a snapshot, and takes none that does not name it.
+	if v.node != nil && len(v.confState.GetLearners()) > 0 {
+		// A new voter starts from a snapshot, and accepts only one that includes it in the configuration.
 		v.snapshot()
 	}
 }
 
-// Aside hands the lead to the voter whose log is longest, for a voter that is about to leave: what it would agree
-// on last could otherwise be heard of only after an election.
-func (v *Voter) Aside() {
-	if !v.leads() {
+// TransferLeadership transfers leadership to the voter with the longest log, for a voter that is about to stop:
+// otherwise its last committed entries become known to the others only after an election.
+func (v *Voter) TransferLeadership() {
+	if !v.isLeader() {
 		return
 	}
-	best, match := uint64(0), uint64(0)
-	for id, p := range v.rn.Status().Progress {
-		if id != v.o.Log.Identity().Raft && p.RecentActive && !p.IsLearner && p.Match >= match {
-			best, match = id, p.Match
+	best, bestMatch := uint64(0), uint64(0)
+	for id, p := range v.node.Status().Progress {
+		if id != v.options.Log.Identity().Raft && p.RecentActive && !p.IsLearner && p.Match >= bestMatch {
+			best, bestMatch = id, p.Match
 		}
 	}
 	if best != 0 {
-		v.guard(func() { v.rn.TransferLeader(best) })
-		v.work()
+		v.callRaft(func() { v.node.TransferLeader(best) })
+		v.processReady()
 	}
 }
--- a/internal/sender/takeover.go
+++ b/internal/sender/takeover.go
@@ -21,7 +21,7 @@
 
 // ownerOf returns the owner of a journal from the name of its duty; empty: the name is of no such duty.
 func ownerOf(name string) string {
-	if n := len(duty.Own("")); len(name) > n {
+	if n := len(duty.JournalDuty("")); len(name) > n {
 		return name[n:]
 	}
 	return ""
@@ -31,7 +31,7 @@
 // err on the early side, waits on the late side. If no holder knows the owner's clock, the clocks are assumed to agree,
 // as after a restart of the same machine.
 func (s *Sender) clockOffsets(t *takeover) (deadlines, waits int64) {
-	least, most, known := t.Clock()
+	least, most, known := t.ClockOffsets()
 	if !known {
 		s.log.Warn().Str("owner", t.Owner).Msg("copies: no holder knows the lost sender's clock: its deadlines are taken by this machine's clock")
 		return 0, 0
@@ -49,14 +49,14 @@
 		}
 		t := c.takeovers[owner]
 		if t == nil || t.Epoch != d.Token {
-			t = &takeover{Heir: copies.NewHeir(owner, d.Token, d.Holders, view.Adoptions[owner]), startedAt: now}
+			t = &takeover{Takeover: copies.NewTakeover(owner, d.Token, d.Holders, view.Adoptions[owner]), startedAt: now}
 			c.takeovers[owner] = t
 			s.log.Info().Str("owner", owner).Strs("holders", d.Holders).Msg("copies: taking over from a lost sender")
 		}
-		for _, o := range t.Take(now) {
+		for _, o := range t.TakeOutgoing(now) {
 			c.fleet.SendCopy(o.To, o.Frame)
 		}
-		switch t.Look(view.HasMember) {
+		switch t.Advance(view.HasMember) {
 		case copies.Ready:
 			if c.leaseHeld {
 				s.importEntries(t, d)
@@ -86,8 +86,8 @@
 	view := c.fleet.View()
 	var keys []uint64
 	suspected := 0
-	for _, e := range journal.Replay(t.Found.Records) {
-		if e.TakeoverDuty != "" && duty.Agreed(view.Adoptions[ownerOf(e.TakeoverDuty)], e.TakeoverToken).GetBy() != t.Owner {
+	for _, e := range journal.Replay(t.LongestCopy.Records) {
+		if e.TakeoverDuty != "" && duty.TakeoverByToken(view.Adoptions[ownerOf(e.TakeoverDuty)], e.TakeoverToken).GetBy() != t.Owner {
 			continue // the lost owner was taking it over itself, without agreement
 		}
 		e.Num, e.TakeoverDuty, e.TakeoverToken = s.journal.NextNumber(), d.Name, d.Token
@@ -117,7 +117,7 @@
 			return
 		}
 		t.Stage = copies.Adopting
-		adopt := &pb.Adopt{Session: d.Session, Duty: d.Name, Token: d.Token, Incarnation: t.Found.Incarnation, Upto: t.Found.Upto, Keys: keys}
+		adopt := &pb.Adopt{Session: d.Session, Duty: d.Name, Token: d.Token, Incarnation: t.LongestCopy.Incarnation, Upto: t.LongestCopy.Upto, Keys: keys}
 		c.fleet.Propose(&pb.Command{What: &pb.Command_Adopt{Adopt: adopt}}, func(a *pb.Answer, err error) {
 			s.enqueueCopyInput(copyInput{run: func() { s.handleAdoption(t, a.GetKeys(), err) }})
 		})
@@ -193,12 +193,12 @@
 	for key := range pending {
 		adoption, d, t := view.Adoptions[key.owner], view.Journals[key.owner], c.takeovers[key.owner]
 		switch {
-		case duty.Agreed(adoption, key.token).GetBy() == c.settings.Name:
+		case duty.TakeoverByToken(adoption, key.token).GetBy() == c.settings.Name:
 			var holds []journal.Hold
 			if t != nil && t.Epoch == key.token {
 				t.Stage, holds = copies.Done, t.holds
 			}
-			s.activateEntries(key.owner, key.token, holds, duty.Agreed(adoption, key.token).Elsewhere)
+			s.activateEntries(key.owner, key.token, holds, duty.TakeoverByToken(adoption, key.token).Elsewhere)
 		case adoption != nil && adoption.Token > key.token, view.Holds(d) && d.Token > key.token, d != nil && !view.Holds(d), d == nil:
 			// Another member holds the duty now, or none: the adoption was not agreed to and never will be.
 			for num, e := range c.pendingEntries {
