--- a/internal/fleet/measure_test.go
+++ b/internal/fleet/measure_test.go
@@ -40,17 +40,17 @@
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			r := newRig(t, 3, 2, lease2s)
-			l := r.holder(0, 0, "", 20*time.Second)
+			holder := r.holder(0, 0, "", 20*time.Second)
 			var gaps []float64
 			for range n {
-				l = r.holder(0, fleet.Now(), "", 10*time.Second)
+				holder = r.holder(0, fleet.Now(), "", 10*time.Second)
 				at := fleet.Now()
-				heal := c.fault(r, r.proc(l.member))
-				next := r.holder(0, at, l.member, 15*time.Second)
-				gaps = append(gaps, float64(next.begin-r.lastHeld(0, l.member))/1e6)
+				heal := c.fault(r, r.proc(holder.member))
+				next := r.holder(0, at, holder.member, 15*time.Second)
+				gaps = append(gaps, float64(next.begin-r.lastHeld(0, holder.member))/1e6)
 				heal()
 				// All members are back before the next fault, so that there is always a majority.
-				r.settle(l.member)
+				r.settle(holder.member)
 				r.checkAndReset()
 			}
 			slices.Sort(gaps)
@@ -64,8 +64,8 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for i := len(r.observations) - 1; i >= 0; i-- {
-		if l := r.observations[i]; l.duty == duty && l.member == member {
-			return l.end
+		if seen := r.observations[i]; seen.duty == duty && seen.member == member {
+			return seen.end
 		}
 	}
 	return 0
@@ -121,8 +121,8 @@
 }
 
 func (r *rig) linkBytes() (n int64) {
-	for _, l := range r.relays {
-		n += l.Bytes()
+	for _, relay := range r.relays {
+		n += relay.Bytes()
 	}
 	return n
 }
--- a/internal/fleet/model/size_test.go
+++ b/internal/fleet/model/size_test.go
@@ -20,7 +20,7 @@
 		w.Run(10 * time.Second)
 		w.FramesSent = 0
 		w.Run(12 * time.Second)
-		calm := w.FramesSent / 2
+		normalRate := w.FramesSent / 2
 		leader := -1
 		for _, p := range w.processes[:3] {
 			if p.voter.IsLeader() {
@@ -39,14 +39,14 @@
 			worstSecond = max(worstSecond, w.FramesSent)
 		}
 		after := w.processes[(leader+1)%3].voter.State()
-		kept := 0
+		sessionsKept := 0
 		for _, id := range sessions {
 			if after.Session(id) != nil {
-				kept++
+				sessionsKept++
 			}
 		}
-		t.Logf("%d members: %d frames a second normally (%.1f a member), %d in the worst second after the leader is killed; %d of %d sessions kept", n, calm, float64(calm)/float64(n), worstSecond, kept, len(sessions))
-		if worstSecond > 4*calm || kept < len(sessions)-1 || w.Violation != "" || !w.AllHeld() {
+		t.Logf("%d members: %d frames a second normally (%.1f a member), %d in the worst second after the leader is killed; %d of %d sessions kept", n, normalRate, float64(normalRate)/float64(n), worstSecond, sessionsKept, len(sessions))
+		if worstSecond > 4*normalRate || sessionsKept < len(sessions)-1 || w.Violation != "" || !w.AllHeld() {
 			t.Errorf("%d members: violation %q, held %v", n, w.Violation, w.AllHeld())
 		}
 	}
--- a/internal/fleet/model/voters_test.go
+++ b/internal/fleet/model/voters_test.go
@@ -12,14 +12,14 @@
 // the old and the new majority while it is in progress. The change is logged only once it is in force: if it were
 // logged earlier, an operator or a test that then stopped a voter could leave the group without a majority for good.
 func TestVotersChangedMeansInForce(t *testing.T) {
-	noted := 0
+	logged := 0
 	for seed := range uint64(5) {
 		w := New(options(seed))
 		w.OnNote = func(n int, what string) {
 			if !strings.HasPrefix(what, voter.EventVotersChanged) {
 				return
 			}
-			noted++
+			logged++
 			if w.processes[n].voter.VoterChangePending() {
 				t.Errorf("seed %d: voter %d logs %q while the change is in progress", seed, n, what)
 			}
@@ -30,7 +30,7 @@
 			t.Fatal(w.Violation)
 		}
 	}
-	if noted < 5 {
-		t.Errorf("a change was logged %d times in 5 runs", noted)
+	if logged < 5 {
+		t.Errorf("a change was logged %d times in 5 runs", logged)
 	}
 }
--- a/internal/fleet/partitions_test.go
+++ b/internal/fleet/partitions_test.go
@@ -28,10 +28,10 @@
 	t.Parallel()
 	r := newRig(t, 5, 1, nil)
 	healLinks := func() {
-		for _, l := range r.relays {
-			l.Cut(false)
-			l.Delay(0)
-			l.Refuse(false)
+		for _, relay := range r.relays {
+			relay.Cut(false)
+			relay.Delay(0)
+			relay.Refuse(false)
 		}
 		r.awaitAll(25 * time.Second)
 		r.checkObservations()
@@ -40,34 +40,34 @@
 	r.awaitAll(25 * time.Second)
 
 	// The holder and one voter are cut off from all others.
-	l := r.holder(0, fleet.Now(), "", 25*time.Second)
+	holder := r.holder(0, fleet.Now(), "", 25*time.Second)
 	second := "n1"
-	if l.member == second {
+	if holder.member == second {
 		second = "n2"
 	}
 	at := fleet.Now()
 	for _, p := range r.procs {
-		if p.name != l.member && p.name != second {
-			r.cut(l.member, p.name, true)
+		if p.name != holder.member && p.name != second {
+			r.cut(holder.member, p.name, true)
 			r.cut(second, p.name, true)
 		}
 	}
-	r.holder(0, at+int64(1500*time.Millisecond), l.member, 25*time.Second)
+	r.holder(0, at+int64(1500*time.Millisecond), holder.member, 25*time.Second)
 	healLinks()
 
 	// The holder's links are cut in one direction, then in the other.
 	for _, direction := range []int{standin.There, standin.Back} {
-		l = r.holder(0, fleet.Now(), "", 25*time.Second)
+		holder = r.holder(0, fleet.Now(), "", 25*time.Second)
 		at = fleet.Now()
 		for k, relay := range r.relays {
-			switch l.member {
+			switch holder.member {
 			case k[0]:
 				relay.Hold(direction, true)
 			case k[1]:
 				relay.Hold(1-direction, true)
 			}
 		}
-		r.holder(0, at+int64(1500*time.Millisecond), l.member, 25*time.Second)
+		r.holder(0, at+int64(1500*time.Millisecond), holder.member, 25*time.Second)
 		healLinks()
 	}
 
@@ -125,8 +125,8 @@
 	}
 	var highest uint64
 	r.mu.Lock()
-	for _, l := range r.observations {
-		highest = max(highest, l.token)
+	for _, seen := range r.observations {
+		highest = max(highest, seen.token)
 	}
 	r.mu.Unlock()
 	for _, p := range r.procs[:3] {
@@ -146,9 +146,9 @@
 		r.start(p)
 	}
 	for d := range duties {
-		l := r.holder(d, at+int64(2500*time.Millisecond), "", 25*time.Second)
-		if l.token <= highest && l.member != "n4" {
-			t.Errorf("%s holds %s with a token of %d after one of %d", l.member, dutyName(d), l.token, highest)
+		holder := r.holder(d, at+int64(2500*time.Millisecond), "", 25*time.Second)
+		if holder.token <= highest && holder.member != "n4" {
+			t.Errorf("%s holds %s with a token of %d after one of %d", holder.member, dutyName(d), holder.token, highest)
 		}
 	}
 	r.checkObservations()
--- a/internal/fleet/procs_test.go
+++ b/internal/fleet/procs_test.go
@@ -195,8 +195,8 @@
 	for _, p := range r.procs {
 		r.kill(p)
 	}
-	for _, l := range r.relays {
-		l.Close()
+	for _, relay := range r.relays {
+		relay.Close()
 	}
 }
 
@@ -245,11 +245,11 @@
 }
 
 func (r *rig) recordLine(member, text string) {
-	l := observation{member: member}
+	seen := observation{member: member}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if n, _ := fmt.Sscanf(text, "held %d %d %d %d", &l.duty, &l.token, &l.begin, &l.end); n == 4 {
-		r.observations = append(r.observations, l)
+	if n, _ := fmt.Sscanf(text, "held %d %d %d %d", &seen.duty, &seen.token, &seen.begin, &seen.end); n == 4 {
+		r.observations = append(r.observations, seen)
 	} else if strings.HasPrefix(text, "error") {
 		r.errs = append(r.errs, member+": "+text)
 	}
@@ -283,16 +283,16 @@
 // cut cuts the links between two members in both directions, or restores them.
 func (r *rig) cut(a, b string, cut bool) {
 	for _, k := range [][2]string{{a, b}, {b, a}} {
-		if l := r.relays[k]; l != nil {
-			l.Cut(cut)
+		if relay := r.relays[k]; relay != nil {
+			relay.Cut(cut)
 		}
 	}
 }
 
 func (r *rig) isolate(name string, cut bool) {
-	for k, l := range r.relays {
+	for k, relay := range r.relays {
 		if k[0] == name || k[1] == name {
-			l.Cut(cut)
+			relay.Cut(cut)
 		}
 	}
 }
@@ -304,16 +304,16 @@
 	for end := time.Now().Add(timeout); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
 		r.mu.Lock()
 		for i := len(r.observations) - 1; i >= 0; i-- {
-			l := r.observations[i]
-			if l.begin < after {
+			seen := r.observations[i]
+			if seen.begin < after {
 				if len(r.observations)-i > 4000 {
 					break
 				}
 				continue
 			}
-			if l.duty == duty && l.member != except {
+			if seen.duty == duty && seen.member != except {
 				r.mu.Unlock()
-				return l
+				return seen
 			}
 		}
 		r.mu.Unlock()
@@ -343,15 +343,15 @@
 	owner := map[uint64]string{}
 	clients := map[string]int{}
 	var ops []porcupine.Operation
-	for _, l := range observations {
-		if o, known := owner[l.token]; known && o != l.member {
-			return fmt.Sprintf("token %d was held by %s and %s", l.token, o, l.member)
+	for _, seen := range observations {
+		if o, known := owner[seen.token]; known && o != seen.member {
+			return fmt.Sprintf("token %d was held by %s and %s", seen.token, o, seen.member)
 		}
-		owner[l.token] = l.member
-		if _, known := clients[l.member]; !known {
-			clients[l.member] = len(clients)
+		owner[seen.token] = seen.member
+		if _, known := clients[seen.member]; !known {
+			clients[seen.member] = len(clients)
 		}
-		ops = append(ops, porcupine.Operation{ClientId: clients[l.member], Input: [2]uint64{uint64(l.duty), l.token}, Call: l.begin, Return: l.end, Output: true})
+		ops = append(ops, porcupine.Operation{ClientId: clients[seen.member], Input: [2]uint64{uint64(seen.duty), seen.token}, Call: seen.begin, Return: seen.end, Output: true})
 	}
 	model := porcupine.Model{
 		Partition: func(h []porcupine.Operation) [][]porcupine.Operation {
@@ -392,36 +392,36 @@
 func TestProcesses(t *testing.T) {
 	t.Parallel()
 	r := newRig(t, 3, 1, nil)
-	l := r.holder(0, 0, "", 30*time.Second)
+	holder := r.holder(0, 0, "", 30*time.Second)
 	holderTimeout := 20 * time.Second // a lease, an election, and the delays of a busy machine
 
 	at := fleet.Now()
-	r.kill(r.proc(l.member))
-	next := r.holder(0, at, l.member, holderTimeout)
+	r.kill(r.proc(holder.member))
+	next := r.holder(0, at, holder.member, holderTimeout)
 	t.Logf("killed: %.0f ms without a holder", float64(next.begin-at)/1e6)
-	r.start(r.proc(l.member))
+	r.start(r.proc(holder.member))
 
 	// The holder is stopped for longer than its lease and resumed.
 	at = fleet.Now()
 	stopped := r.proc(next.member)
 	stopped.cmd.Process.Signal(syscall.SIGSTOP)
-	l = r.holder(0, at+int64(50*time.Millisecond), next.member, holderTimeout)
-	t.Logf("stopped: %.0f ms without a holder", float64(l.begin-at)/1e6)
+	holder = r.holder(0, at+int64(50*time.Millisecond), next.member, holderTimeout)
+	t.Logf("stopped: %.0f ms without a holder", float64(holder.begin-at)/1e6)
 	stopped.cmd.Process.Signal(syscall.SIGCONT)
 
 	// The holder is cut off from all other members and returns.
 	at = fleet.Now()
-	r.isolate(l.member, true)
-	next = r.holder(0, at+int64(1500*time.Millisecond), l.member, holderTimeout)
-	r.isolate(l.member, false)
+	r.isolate(holder.member, true)
+	next = r.holder(0, at+int64(1500*time.Millisecond), holder.member, holderTimeout)
+	r.isolate(holder.member, false)
 
 	// The holder leaves, and hands the duty over at once.
 	r.awaitAll(holderTimeout)
 	next = r.holder(0, fleet.Now(), "", holderTimeout)
 	at = fleet.Now()
 	r.leave(r.proc(next.member))
-	l = r.holder(0, at, next.member, holderTimeout)
-	t.Logf("left: %.0f ms without a holder", float64(l.begin-at)/1e6)
+	holder = r.holder(0, at, next.member, holderTimeout)
+	t.Logf("left: %.0f ms without a holder", float64(holder.begin-at)/1e6)
 	r.start(r.proc(next.member))
 	r.awaitAll(holderTimeout)
 
@@ -554,16 +554,16 @@
 			r.cut(p.name, q.name, true)
 			time.Sleep(pause / 2)
 		case 4:
-			for k, l := range r.relays {
+			for k, relay := range r.relays {
 				if k[0] == p.name || k[1] == p.name {
-					l.Hold(rng.IntN(2), true)
+					relay.Hold(rng.IntN(2), true)
 				}
 			}
 			time.Sleep(pause)
 			r.isolate(p.name, false)
 		case 5:
-			for _, l := range r.relays {
-				l.Delay(time.Duration(rng.IntN(60)) * time.Millisecond)
+			for _, relay := range r.relays {
+				relay.Delay(time.Duration(rng.IntN(60)) * time.Millisecond)
 			}
 			time.Sleep(pause / 2)
 		case 6:
@@ -578,9 +578,9 @@
 			r.start(p)
 		}
 	}
-	for _, l := range r.relays {
-		l.Cut(false)
-		l.Delay(0)
+	for _, relay := range r.relays {
+		relay.Cut(false)
+		relay.Delay(0)
 	}
 }
 
@@ -610,8 +610,8 @@
 			t.Parallel()
 			for range 12 {
 				r := newRig(t, 3, 2, c.change)
-				l := r.holder(0, 0, "", 30*time.Second)
-				c.fault(r, l.member)
+				holder := r.holder(0, 0, "", 30*time.Second)
+				c.fault(r, holder.member)
 				time.Sleep(300 * time.Millisecond)
 				r.mu.Lock()
 				bad := findViolation(r.observations)
