--- a/cmd/sliptide/fleet.go
+++ b/cmd/sliptide/fleet.go
@@ -51,7 +51,7 @@
 	}
 	m := &membership{keep: f.Copies, space: space, files: fsys.OS{Dir: cfg.State}, room: space.Account(), log: log}
 	m.set = fleet.Settings{Name: cfg.Name, Listen: f.Listen, Members: peers(f), MinVoters: f.Minimum, Weight: uint32(f.Weight),
-		Terms: lease.Params{Length: f.Duties.Lease, Drift: f.Duties.Drift}, ElectionTimeout: f.Duties.Election, Hash: f.Hash()}
+		Lease: lease.Params{Length: f.Duties.Lease, Drift: f.Duties.Drift}, ElectionTimeout: f.Duties.Election, Hash: f.Hash()}
 	if m.set.MinVoters == 0 {
 		m.set.MinVoters = len(f.Voters())
 	}
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -120,7 +120,7 @@
 	if err != nil {
 		return nil, errors.Join(fmt.Errorf("directory: %w", err), groupListener.Close())
 	}
-	set := fleet.Settings{Name: s.Name, Weight: 1, Terms: lease.Params{Length: s.Lease, Drift: s.ClockDrift}, ElectionTimeout: s.ElectionTimeout, Hash: s.hash(), Client: client, Server: server}
+	set := fleet.Settings{Name: s.Name, Weight: 1, Lease: lease.Params{Length: s.Lease, Drift: s.ClockDrift}, ElectionTimeout: s.ElectionTimeout, Hash: s.hash(), Client: client, Server: server}
 	for _, m := range s.Members {
 		set.Members = append(set.Members, fleet.Peer{Name: m.Name, Addr: m.Addr, Zone: m.Region, Voter: m.Voter})
 	}
@@ -132,7 +132,7 @@
 	c.member.Request(leaderDuty, "")
 	c.net = link.New(link.Options{Self: s.Name, SettingsHash: subscriber.LinkSettingsHash, DialAddrs: c.dials(), IsMember: func(name string) bool { return name != "" }, Client: client, Server: server,
 		PingInterval: subscriber.LinkPingInterval, SilenceTimeout: subscriber.LinkSilenceTimeout, MaxLinks: maxLinks, Receive: c.receive, Call: c.call,
-		LogEvent: func(what, member string, err error) {
+		OnEvent: func(what, member string, err error) {
 			o.Log.Debug().Str("member", member).Err(err).Msg("directory: " + what)
 		}})
 	go c.net.Serve(directoryListener)
--- a/internal/fleet/copies.go
+++ b/internal/fleet/copies.go
@@ -96,7 +96,7 @@
 // block.
 func (m *Member) Propose(c *pb.Command, done func(*pb.Answer, error)) {
 	m.runOnSessionLoop(func() {
-		m.session.Do(&pb.Ask{Command: c}, m.o.Settings.Terms.Length, done)
+		m.session.Do(&pb.Ask{Command: c}, m.o.Settings.Lease.Length, done)
 	})
 }
 
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -51,7 +51,7 @@
 	Members         []Peer
 	MinVoters       int
 	Weight          uint32
-	Terms           lease.Params
+	Lease           lease.Params
 	ElectionTimeout time.Duration
 	Hash            uint64      // hash of the settings that must be equal in all members' files
 	Client          *tls.Config `json:"-"`
@@ -105,9 +105,9 @@
 	CopyStatus  func() string
 	DutyChanged func(d *pb.Duty, mine bool) // called on each change of a duty; must not block; may be nil
 	Now         func() int64                // nil: the function Now
-	// BreakVoter and BreakSession disable safety checks, for tests that must detect their absence.
-	BreakVoter   voter.Skip
-	BreakSession session.Break
+	// SkipVoterChecks and SkipSessionChecks disable safety checks, for tests that must detect their absence.
+	SkipVoterChecks   voter.Skip
+	SkipSessionChecks session.Skip
 }
 
 // input is a frame for a loop, or a function to call on its goroutine.
@@ -153,7 +153,8 @@
 	if !known {
 		return nil, fmt.Errorf("fleet: RELAY_NAME is %q, which is no member of <fleet>", o.Settings.Name)
 	}
-	m := &Member{o: o, now: o.Now, self: self, voterInbox: make(chan input, inboxSize), sessionInbox: make(chan input, inboxSize), copyInbox: make(chan input, inboxSize), sessionClosed: make(chan struct{}), pendingCalls: callQueue{wake: make(chan struct{}, 1)}}
+	m := &Member{o: o, now: o.Now, self: self, voterInbox: make(chan input, inboxSize), sessionInbox: make(chan input, inboxSize),
+		copyInbox: make(chan input, inboxSize), sessionClosed: make(chan struct{}), pendingCalls: callQueue{wake: make(chan struct{}, 1)}}
 	if m.now == nil {
 		m.now = Now
 	}
@@ -178,13 +179,13 @@
 		}
 	}
 	m.session = session.New(session.Options{Member: self.Name, Incarnation: m.identity.Incarnation, Boot: m.identity.Boot, Zone: self.Zone,
-		Weight: o.Settings.Weight, Voters: o.Settings.VoterNames(), Terms: o.Settings.Terms, Rand: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
-		LogEvent: m.logDuty, Break: o.BreakSession})
+		Weight: o.Settings.Weight, Voters: o.Settings.VoterNames(), Lease: o.Settings.Lease, Rand: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
+		OnEvent: m.logDuty, Skip: o.SkipSessionChecks})
 	if o.DutyChanged != nil {
 		m.session.DutyChanged = func(d *pb.Duty) { o.DutyChanged(d, m.session.Holds(d)) }
 	}
 	m.links = link.New(link.Options{Self: self.Name, Incarnation: m.identity.Incarnation, SettingsHash: o.Settings.Hash, DialAddrs: m.dialAddrs(), IsMember: m.isMember,
-		Client: o.Settings.Client, Server: o.Settings.Server, Receive: m.receive, Call: m.handleCommand, LogEvent: m.logLink})
+		Client: o.Settings.Client, Server: o.Settings.Server, Receive: m.receive, Call: m.handleCommand, OnEvent: m.logLink})
 	m.loops.Add(4)
 	go func() { defer m.loops.Done(); m.links.Serve(ln) }()
 	go m.runSession()
@@ -195,8 +196,8 @@
 
 func (m *Member) newVoter(log *disk.Log) (*voter.Voter, error) {
 	s := &m.o.Settings
-	return voter.New(voter.Options{Name: m.self.Name, Voters: s.VoterNames(), MinVoters: s.MinVoters, Lease: s.Terms, ElectionTimeout: s.ElectionTimeout, Log: log,
-		OnEvent: m.logVoter, Skip: m.o.BreakVoter}, m.now())
+	return voter.New(voter.Options{Name: m.self.Name, Voters: s.VoterNames(), MinVoters: s.MinVoters, Lease: s.Lease, ElectionTimeout: s.ElectionTimeout,
+		Log: log, OnEvent: m.logVoter, Skip: m.o.SkipVoterChecks}, m.now())
 }
 
 // dialAddrs returns the addresses of the members that this one dials. Of two voters the one whose name sorts first
@@ -281,7 +282,7 @@
 
 func (m *Member) runSession() {
 	defer m.loops.Done()
-	tick := time.NewTicker(max(m.o.Settings.Terms.Length/40, 5*time.Millisecond))
+	tick := time.NewTicker(max(m.o.Settings.Lease.Length/40, 5*time.Millisecond))
 	defer tick.Stop()
 	m.session.Tick(m.now())
 	for {
@@ -327,7 +328,7 @@
 func (m *Member) publishHeld() {
 	now := m.now()
 	h := &heldTokens{validUntil: m.session.LeaseEnd(now), tokens: m.session.HeldTokens(now)}
-	if m.o.BreakSession&session.BreakLeaseCheck != 0 {
+	if m.o.SkipSessionChecks&session.SkipLeaseCheck != 0 {
 		h.validUntil = now + int64(time.Hour)
 	}
 	m.held.Store(h)
@@ -480,7 +481,7 @@
 	m.runOnSessionLoop(func() {
 		if t := m.session.Token(name, m.now()); t != 0 {
 			m.session.Do(&pb.Ask{Command: &pb.Command{What: &pb.Command_Say{Say: &pb.Say{Session: m.session.ID(), Duty: name, Token: t, Word: word}}}},
-				m.o.Settings.Terms.Length, func(*pb.Answer, error) {})
+				m.o.Settings.Lease.Length, func(*pb.Answer, error) {})
 		}
 	})
 }
--- a/internal/fleet/link/link.go
+++ b/internal/fleet/link/link.go
@@ -54,8 +54,8 @@
 	// Receive handles a frame. It may block for a short time, until ctx ends.
 	Receive func(ctx context.Context, from string, f *pb.Frame)
 	// Call answers an operator's command.
-	Call     func(ctx context.Context, a *pb.Ask) (*pb.Answer, error)
-	LogEvent func(what, member string, err error) // logs a change of a link's state
+	Call    func(ctx context.Context, a *pb.Ask) (*pb.Answer, error)
+	OnEvent func(what, member string, err error) // logs a change of a link's state
 	// How often a link sends a ping, after which silence it is closed, and how many are accepted; 0: the defaults.
 	PingInterval   time.Duration
 	SilenceTimeout time.Duration
@@ -163,7 +163,7 @@
 			delay, logged = minRedialDelay, false
 		}
 		if !logged && m.ctx.Err() == nil {
-			m.o.LogEvent("link down", name, err)
+			m.o.OnEvent("link down", name, err)
 			logged = true
 		}
 		select {
@@ -212,7 +212,8 @@
 	return grpc.NewClient("passthrough:///"+addr, grpc.WithTransportCredentials(creds),
 		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(MaxFrame)), grpc.WithReadBufferSize(4<<10), grpc.WithWriteBufferSize(4<<10),
 		grpc.WithNoProxy(), grpc.WithDisableServiceConfig(),
-		grpc.WithConnectParams(grpc.ConnectParams{MinConnectTimeout: silenceTimeout, Backoff: backoff.Config{BaseDelay: minRedialDelay, Multiplier: 2, Jitter: 0.2, MaxDelay: maxRedialDelay}}))
+		grpc.WithConnectParams(grpc.ConnectParams{MinConnectTimeout: silenceTimeout,
+			Backoff: backoff.Config{BaseDelay: minRedialDelay, Multiplier: 2, Jitter: 0.2, MaxDelay: maxRedialDelay}}))
 }
 
 func (m *Manager) hello() *pb.Frame {
@@ -242,7 +243,7 @@
 	case <-ctx.Done():
 	}
 	if err := m.checkHello(h); err != nil {
-		m.o.LogEvent("link refused", h.GetMember(), err)
+		m.o.OnEvent("link refused", h.GetMember(), err)
 		return status.Error(codes.FailedPrecondition, err.Error())
 	}
 	if err := st.Send(m.hello()); err != nil {
@@ -282,7 +283,7 @@
 	}
 	m.links[name] = l
 	m.mu.Unlock()
-	m.o.LogEvent("link up", name, nil)
+	m.o.OnEvent("link up", name, nil)
 	defer func() {
 		m.mu.Lock()
 		if m.links[name] == l {
--- a/internal/fleet/measure_test.go
+++ b/internal/fleet/measure_test.go
@@ -23,7 +23,7 @@
 		n = 10
 	}
 	lease2s := func(s *nodeSettings) {
-		s.Settings.Terms.Length, s.Settings.ElectionTimeout, s.ClockRate = 2*time.Second, 500*time.Millisecond, 1
+		s.Settings.Lease.Length, s.Settings.ElectionTimeout, s.ClockRate = 2*time.Second, 500*time.Millisecond, 1
 	}
 	for _, c := range []struct {
 		name  string
@@ -90,7 +90,7 @@
 	}
 	for _, members := range []int{0, 27} {
 		r := newRig(t, 3, members, func(s *nodeSettings) {
-			s.Settings.Terms.Length, s.Settings.ElectionTimeout, s.ClockRate = 2*time.Second, 500*time.Millisecond, 1
+			s.Settings.Lease.Length, s.Settings.ElectionTimeout, s.ClockRate = 2*time.Second, 500*time.Millisecond, 1
 		})
 		r.holder(0, 0, "", 30*time.Second)
 		time.Sleep(5 * time.Second)
--- a/internal/fleet/model/model.go
+++ b/internal/fleet/model/model.go
@@ -24,16 +24,16 @@
 
 // Options configure a World.
 type Options struct {
-	Voters, Members int // Members: those that do not vote
-	Duties          int
-	Terms           lease.Params
-	ElectionTimeout time.Duration
-	Drift           float64 // the greatest fraction by which clocks run fast or slow
-	Seed            uint64
-	BreakVoter      voter.Skip
-	BreakSession    session.Break
-	LoseSyncedData  bool // disables a safety check: a crash also loses synced data
-	AcceptOldTokens bool // disables a safety check: the resource accepts any token
+	Voters, Members   int // Members: those that do not vote
+	Duties            int
+	Lease             lease.Params
+	ElectionTimeout   time.Duration
+	Drift             float64 // the greatest fraction by which clocks run fast or slow
+	Seed              uint64
+	SkipVoterChecks   voter.Skip
+	SkipSessionChecks session.Skip
+	LoseSyncedData    bool // disables a safety check: a crash also loses synced data
+	AcceptOldTokens   bool // disables a safety check: the resource accepts any token
 }
 
 // FaultKind is a kind of fault.
@@ -84,9 +84,9 @@
 	FramesSent    int    // number of frames sent
 	Grants        int    // number of tokens with which a member acted
 	LeaderChanges int    // number of times that a voter became leader
-	// OnNote, if set, is called by a voter with each event that it logs.
-	OnNote func(voter int, what string)
-	heldBy map[string]int
+	// OnVoterEvent, if set, is called by a voter with each event that it logs.
+	OnVoterEvent func(voter int, what string)
+	heldBy       map[string]int
 }
 
 type resource struct {
@@ -144,7 +144,8 @@
 	w := &World{o: o, rng: rand.New(rand.NewPCG(o.Seed, 1)), names: map[string]*process{}, cuts: map[[2]int]int{}, resources: map[string]*resource{},
 		heldBy: map[string]int{}}
 	for i := range o.Voters + o.Members {
-		p := &process{world: w, index: i, name: fmt.Sprintf("n%03d", i), clockRate: 1 + o.Drift*(2*w.rng.Float64()-1), clockOffset: w.rng.Int64N(1e15), disk: newMemDisk()}
+		p := &process{world: w, index: i, name: fmt.Sprintf("n%03d", i), clockRate: 1 + o.Drift*(2*w.rng.Float64()-1),
+			clockOffset: w.rng.Int64N(1e15), disk: newMemDisk()}
 		w.processes = append(w.processes, p)
 		w.names[p.name] = p
 	}
@@ -204,13 +205,13 @@
 			return
 		}
 		id = log.Identity()
-		p.voter, err = voter.New(voter.Options{Name: p.name, Voters: p.world.voters(), MinVoters: p.world.o.Voters, Lease: p.world.o.Terms, ElectionTimeout: p.world.o.ElectionTimeout,
-			Log: log, Skip: p.world.o.BreakVoter, OnEvent: func(what string, _ error) {
+		p.voter, err = voter.New(voter.Options{Name: p.name, Voters: p.world.voters(), MinVoters: p.world.o.Voters, Lease: p.world.o.Lease,
+			ElectionTimeout: p.world.o.ElectionTimeout, Log: log, Skip: p.world.o.SkipVoterChecks, OnEvent: func(what string, _ error) {
 				if what == voter.EventLeading {
 					p.world.LeaderChanges++
 				}
-				if p.world.OnNote != nil {
-					p.world.OnNote(p.index, what)
+				if p.world.OnVoterEvent != nil {
+					p.world.OnVoterEvent(p.index, what)
 				}
 			}}, p.localTime())
 		if err != nil {
@@ -218,8 +219,8 @@
 			return
 		}
 	}
-	p.session = session.New(session.Options{Member: p.name, Incarnation: id.Incarnation, Boot: id.Boot, Voters: p.world.voters(), Terms: p.world.o.Terms,
-		Rand: rand.New(rand.NewPCG(p.world.rng.Uint64(), 2)), Break: p.world.o.BreakSession})
+	p.session = session.New(session.Options{Member: p.name, Incarnation: id.Incarnation, Boot: id.Boot, Voters: p.world.voters(), Lease: p.world.o.Lease,
+		Rand: rand.New(rand.NewPCG(p.world.rng.Uint64(), 2)), Skip: p.world.o.SkipSessionChecks})
 	for d := range p.world.o.Duties {
 		p.session.Request(dutyName(d), "")
 	}
--- a/internal/fleet/model/model_test.go
+++ b/internal/fleet/model/model_test.go
@@ -16,7 +16,7 @@
 const drift = 0.05
 
 func options(seed uint64) Options {
-	return Options{Voters: 3, Members: 2, Duties: 2, Terms: lease.Params{Length: 2 * time.Second, Drift: drift},
+	return Options{Voters: 3, Members: 2, Duties: 2, Lease: lease.Params{Length: 2 * time.Second, Drift: drift},
 		ElectionTimeout: 500 * time.Millisecond, Drift: drift, Seed: seed}
 }
 
@@ -83,11 +83,13 @@
 		change func(*Options)
 		faults func(i int) []Fault
 	}{
-		{"lease counted from the answer", func(o *Options) { o.BreakSession = session.BreakLeaseStart }, lossy},
-		{"no margin for drift", func(o *Options) { o.BreakSession, o.BreakVoter = session.BreakDriftMargin, voter.SkipDriftMargin }, cutOff},
-		{"no check of the lease before the action", func(o *Options) { o.BreakSession = session.BreakLeaseCheck }, cutOff},
-		{"renewals acknowledged without a majority", func(o *Options) { o.BreakVoter = voter.SkipQuorumConfirmation }, deposed},
-		{"a new leader does not wait a whole lease", func(o *Options) { o.BreakVoter = voter.SkipLeaseReset }, leaderKilled},
+		{"lease counted from the answer", func(o *Options) { o.SkipSessionChecks = session.SkipLeaseStart }, lossy},
+		{"no margin for drift", func(o *Options) {
+			o.SkipSessionChecks, o.SkipVoterChecks = session.SkipDriftMargin, voter.SkipDriftMargin
+		}, cutOff},
+		{"no check of the lease before the action", func(o *Options) { o.SkipSessionChecks = session.SkipLeaseCheck }, cutOff},
+		{"renewals acknowledged without a majority", func(o *Options) { o.SkipVoterChecks = voter.SkipQuorumConfirmation }, deposed},
+		{"a new leader does not wait a whole lease", func(o *Options) { o.SkipVoterChecks = voter.SkipLeaseReset }, leaderKilled},
 		{"tokens not refused by the resource", func(o *Options) { o.AcceptOldTokens = true }, stopped},
 		{"synced data is lost", func(o *Options) { o.LoseSyncedData = true }, allKilled},
 	} {
@@ -161,9 +163,9 @@
 // TestReturningVoterCausesNoElection: a voter that was cut off and returns does not force an election. Without pre-vote
 // and the quorum check it does, which is safe but disrupts the group.
 func TestReturningVoterCausesNoElection(t *testing.T) {
-	elections := func(seed uint64, guard voter.Skip) int {
+	elections := func(seed uint64, skip voter.Skip) int {
 		o := options(seed)
-		o.BreakVoter = guard
+		o.SkipVoterChecks = skip
 		w := New(o)
 		w.Run(4 * time.Second)
 		follower := 0
--- a/internal/fleet/model/voters_test.go
+++ b/internal/fleet/model/voters_test.go
@@ -15,7 +15,7 @@
 	logged := 0
 	for seed := range uint64(5) {
 		w := New(options(seed))
-		w.OnNote = func(n int, what string) {
+		w.OnVoterEvent = func(n int, what string) {
 			if !strings.HasPrefix(what, voter.EventVotersChanged) {
 				return
 			}
--- a/internal/fleet/procs_test.go
+++ b/internal/fleet/procs_test.go
@@ -39,11 +39,11 @@
 
 // nodeSettings holds the settings of a member process.
 type nodeSettings struct {
-	Settings     fleet.Settings
-	Dir          string
-	ClockRate    float64 // of the member's clock against the machine's
-	BreakVoter   voter.Skip
-	BreakSession session.Break
+	Settings          fleet.Settings
+	Dir               string
+	ClockRate         float64 // of the member's clock against the machine's
+	SkipVoterChecks   voter.Skip
+	SkipSessionChecks session.Skip
 }
 
 func TestMain(m *testing.M) {
@@ -71,7 +71,7 @@
 		os.Exit(1)
 	}
 	m, err := fleet.Open(fleet.Options{Settings: s.Settings, Files: fsys.OS{Dir: s.Dir}, Log: zerolog.New(os.Stderr).With().Str("m", s.Settings.Name).Timestamp().Logger(),
-		Now: now, BreakVoter: s.BreakVoter, BreakSession: s.BreakSession}, ln)
+		Now: now, SkipVoterChecks: s.SkipVoterChecks, SkipSessionChecks: s.SkipSessionChecks}, ln)
 	if err != nil {
 		fmt.Println("error", err)
 		os.Exit(1)
@@ -176,7 +176,7 @@
 			peers = append(peers, p)
 		}
 		set := nodeSettings{Dir: filepath.Join(r.dir, name), ClockRate: 1, Settings: fleet.Settings{Name: name, Listen: addrs[name], Members: peers,
-			MinVoters: voters, Weight: 1, Terms: lease.Params{Length: time.Second, Drift: 0.05}, ElectionTimeout: 300 * time.Millisecond}}
+			MinVoters: voters, Weight: 1, Lease: lease.Params{Length: time.Second, Drift: 0.05}, ElectionTimeout: 300 * time.Millisecond}}
 		if i%2 == 1 {
 			set.ClockRate = 1.04
 		}
@@ -483,7 +483,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		s := fleet.Settings{Name: name, Terms: lease.Params{Length: time.Second, Drift: 0.05}, ElectionTimeout: 300 * time.Millisecond, MinVoters: 3}
+		s := fleet.Settings{Name: name, Lease: lease.Params{Length: time.Second, Drift: 0.05}, ElectionTimeout: 300 * time.Millisecond, MinVoters: 3}
 		for _, n := range []string{"a", "b", "c"} {
 			s.Members = append(s.Members, fleet.Peer{Name: n, Addr: freeAddr(t), Voter: true})
 		}
@@ -591,11 +591,11 @@
 		change func(*nodeSettings)
 		fault  func(r *rig, holder string)
 	}{
-		"no check of the lease before the action": {func(s *nodeSettings) { s.BreakSession = session.BreakLeaseCheck }, func(r *rig, holder string) {
+		"no check of the lease before the action": {func(s *nodeSettings) { s.SkipSessionChecks = session.SkipLeaseCheck }, func(r *rig, holder string) {
 			r.isolate(holder, true)
 			r.holder(0, fleet.Now(), holder, 20*time.Second)
 		}},
-		"a new leader does not wait a whole lease": {func(s *nodeSettings) { s.BreakVoter = voter.SkipLeaseReset }, func(r *rig, holder string) {
+		"a new leader does not wait a whole lease": {func(s *nodeSettings) { s.SkipVoterChecks = voter.SkipLeaseReset }, func(r *rig, holder string) {
 			for _, p := range r.procs[:3] { // one of them leads
 				if p.name != holder {
 					r.kill(p)
@@ -618,7 +618,7 @@
 				r.mu.Unlock()
 				r.close()
 				if bad != "" {
-					t.Log("detected:", bad)
+					t.Log("found:", bad)
 					return
 				}
 			}
--- a/internal/fleet/session/session.go
+++ b/internal/fleet/session/session.go
@@ -32,20 +32,20 @@
 	Zone        string
 	Weight      uint32
 	Voters      []string
-	Terms       lease.Params
+	Lease       lease.Params
 	Rand        *rand.Rand
-	LogEvent    func(what string, duty string, token uint64) // a duty is held or lost, or opening was refused; may be nil
-	Break       Break
+	OnEvent     func(what string, duty string, token uint64) // a duty is held or lost, or opening was refused; may be nil
+	Skip        Skip
 }
 
-// Break is a set of safety checks to disable, for tests that must detect their absence.
-type Break uint
+// Skip is a set of disabled safety checks, for tests that must detect their absence.
+type Skip uint
 
 // The safety checks, each with what happens without it.
 const (
-	BreakLeaseStart  Break = 1 << iota // the lease counts from the answer instead of the renewal
-	BreakDriftMargin                   // the lease counts in full, without a margin for clock drift
-	BreakLeaseCheck                    // a duty counts as held until another holder is reported, even after the lease
+	SkipLeaseStart  Skip = 1 << iota // the lease counts from the answer instead of the renewal
+	SkipDriftMargin                  // the lease counts in full, without a margin for clock drift
+	SkipLeaseCheck                   // a duty counts as held until another holder is reported, even after the lease
 )
 
 // Outgoing is a frame to send to a voter.
@@ -113,11 +113,11 @@
 
 // New returns a session that sends its first request at the first Tick.
 func New(o Options) *Session {
-	if o.LogEvent == nil {
-		o.LogEvent = func(string, string, uint64) {}
+	if o.OnEvent == nil {
+		o.OnEvent = func(string, string, uint64) {}
 	}
-	return &Session{o: o, targetVoter: o.Rand.IntN(len(o.Voters)), duties: map[string]*pb.Duty{}, adoptions: map[string]*pb.Adoption{}, requests: map[string]*dutyRequest{},
-		dutyAsks: map[uint64]string{}, pendingAsks: map[uint64]*pendingAsk{}, lastAskID: o.Rand.Uint64() >> 1}
+	return &Session{o: o, targetVoter: o.Rand.IntN(len(o.Voters)), duties: map[string]*pb.Duty{},
+		adoptions: map[string]*pb.Adoption{}, requests: map[string]*dutyRequest{}, dutyAsks: map[uint64]string{}, pendingAsks: map[uint64]*pendingAsk{}, lastAskID: o.Rand.Uint64() >> 1}
 }
 
 // TakeOutgoing returns and clears the frames to send, in order.
@@ -134,7 +134,7 @@
 	return a.Id
 }
 
-func (s *Session) requestTimeout() int64 { return int64(s.o.Terms.Length) / requestTimeoutShare }
+func (s *Session) requestTimeout() int64 { return int64(s.o.Lease.Length) / requestTimeoutShare }
 
 // jitter returns a random duration from d/2 to 3d/2.
 func (s *Session) jitter(d int64) int64 { return d/2 + s.o.Rand.Int64N(d+1) }
@@ -172,7 +172,7 @@
 		return 0
 	}
 	t := s.grantedToken(name)
-	if t == 0 || t <= r.releasedToken || !s.lease.Valid(now) && s.o.Break&BreakLeaseCheck == 0 {
+	if t == 0 || t <= r.releasedToken || !s.lease.Valid(now) && s.o.Skip&SkipLeaseCheck == 0 {
 		return 0
 	}
 	return t
@@ -277,7 +277,7 @@
 	case s.renewID != 0 && now-s.renewAt > s.requestTimeout():
 		s.nextVoter()
 		s.renew()
-	case s.renewID == 0 && now-s.renewAt >= int64(s.o.Terms.RenewInterval()):
+	case s.renewID == 0 && now-s.renewAt >= int64(s.o.Lease.RenewInterval()):
 		s.renew()
 	}
 	if s.id == 0 {
@@ -341,7 +341,7 @@
 // logLost logs that a duty that was logged as held is no longer held.
 func (s *Session) logLost(name string, r *dutyRequest) {
 	if r.loggedToken != 0 {
-		s.o.LogEvent("lost", name, r.loggedToken)
+		s.o.OnEvent("lost", name, r.loggedToken)
 		r.loggedToken = 0
 	}
 }
@@ -359,7 +359,7 @@
 		if t := s.Token(name, s.now); t != 0 && r.loggedToken != t {
 			s.logLost(name, r)
 			r.loggedToken = t
-			s.o.LogEvent("held", name, t)
+			s.o.OnEvent("held", name, t)
 		}
 		if d := s.duties[name]; token != 0 && token > r.releasedToken && d.Wanted != "" && d.Wanted != s.o.Member {
 			r.releasedToken = token // not held from here on, whatever the result of the release
@@ -485,11 +485,11 @@
 		return
 	}
 	if a.Error != "" {
-		s.retryAt = s.now + s.jitter(int64(s.o.Terms.RenewInterval()))
+		s.retryAt = s.now + s.jitter(int64(s.o.Lease.RenewInterval()))
 		if a.Gone { // a late copy of an earlier open request came first
 			s.openSeq++
 		}
-		s.o.LogEvent("refused: "+a.Error, "", 0)
+		s.o.OnEvent("refused: "+a.Error, "", 0)
 		return
 	}
 	s.id = a.Session
@@ -503,11 +503,11 @@
 
 // extendLease extends the lease, counted from when the renewal was sent.
 func (s *Session) extendLease(sentAt int64) {
-	terms := s.o.Terms
-	if s.o.Break&BreakLeaseStart != 0 {
+	terms := s.o.Lease
+	if s.o.Skip&SkipLeaseStart != 0 {
 		sentAt = s.now
 	}
-	if s.o.Break&BreakDriftMargin != 0 {
+	if s.o.Skip&SkipDriftMargin != 0 {
 		terms.Drift = 0
 	}
 	s.lease.Renew(terms, sentAt)
@@ -539,7 +539,7 @@
 		s.endSession()
 		return
 	case a.Error == duty.ErrFull.Error():
-		r.retryAt = s.now + s.jitter(int64(s.o.Terms.Length)) // the queue of the duty is full
+		r.retryAt = s.now + s.jitter(int64(s.o.Lease.Length)) // the queue of the duty is full
 	case r.releaseToken != 0: // released; in the queue again only after a new request
 		r.queuedSession = 0
 		if d := s.duties[name]; d != nil && d.Token == r.releaseToken && d.Session == s.id {
@@ -550,7 +550,7 @@
 			r.queuedSession = 0
 		}
 	default:
-		r.retryAt = s.now + s.jitter(int64(s.o.Terms.RenewInterval()))
+		r.retryAt = s.now + s.jitter(int64(s.o.Lease.RenewInterval()))
 	}
 	if a.Duty != nil && a.Version >= s.version {
 		s.applyDuty(a.Duty)
--- a/internal/fleet/share/holder.go
+++ b/internal/fleet/share/holder.go
@@ -20,7 +20,7 @@
 	quietUntil int64 // no answers are sent before this time
 	stamp      int64
 	members    map[string]*memberState
-	Break      Break
+	Skip       Skip
 }
 
 // memberState holds what the holder knows of one member.
@@ -53,7 +53,7 @@
 }
 
 func (h *Holder) drift() float64 {
-	if h.Break&BreakDrift != 0 {
+	if h.Skip&SkipDrift != 0 {
 		return 0
 	}
 	return h.terms.Drift
@@ -75,7 +75,7 @@
 		h.limit = r.Limit
 	}
 	h.confirm(m, r)
-	if h.limit <= 0 || now < h.quietUntil && h.Break&BreakWait == 0 {
+	if h.limit <= 0 || now < h.quietUntil && h.Skip&SkipWait == 0 {
 		return Answer{}, false
 	}
 	if m.expireAnswers(now); len(m.openAnswers) >= maxOpenAnswers {
@@ -89,7 +89,7 @@
 		until = now + int64(float64(h.terms.BindDuration)*(1-h.drift()))
 	}
 	m.openAnswers = append(m.openAnswers, sentAnswer{h.stamp, rate, until})
-	if h.Break&BreakConfirm != 0 {
+	if h.Skip&SkipConfirm != 0 {
 		m.openAnswers, m.mayBeAtEven = m.openAnswers[len(m.openAnswers)-1:], false
 	}
 	return Answer{Token: h.token, At: r.At, Stamp: h.stamp, Rate: rate, RaiseDuration: h.terms.RaiseDuration, Limit: h.limit}, true
@@ -140,14 +140,14 @@
 // maxOtherRates returns the highest sum of the rates of all members but one at any moment until end. Members that have
 // never reported count with their even parts.
 func (h *Holder) maxOtherRates(now, end int64, except string) (sum float64) {
-	unheard := h.terms.Members
+	unreported := h.terms.Members
 	for name, m := range h.members {
-		unheard--
+		unreported--
 		if name != except {
 			sum += h.maxRate(m, now, end)
 		}
 	}
-	return sum + float64(unheard)*h.terms.EvenShare(h.limit)
+	return sum + float64(unreported)*h.terms.EvenShare(h.limit)
 }
 
 // fairShare returns a member's max-min fair part of the limit: as much as it needs if there is enough for all;
--- a/internal/fleet/share/model/model.go
+++ b/internal/fleet/share/model/model.go
@@ -16,19 +16,20 @@
 
 var terms = share.Terms{Members: 5, BindDuration: 2000 * ms, RaiseDuration: 600 * ms, Drift: 0.05}
 
+// World is a simulated fleet whose members share one limit.
 type World struct {
-	rng            *rand.Rand
-	now            int64
-	limit          float64
-	nodes          []*node
-	holder         int // index of the node that holds the duty; -1: none
-	token          uint64
-	frames         []frame
-	lossy          bool
-	violation      string
-	disabledGuards share.Break
-	reports        int
-	demand         func(w *World, i int) float64
+	rng       *rand.Rand
+	now       int64
+	limit     float64
+	nodes     []*node
+	holder    int // index of the node that holds the duty; -1: none
+	token     uint64
+	frames    []frame
+	lossy     bool
+	violation string
+	skip      share.Skip
+	reports   int
+	demand    func(w *World, i int) float64
 }
 
 type node struct {
@@ -47,12 +48,12 @@
 	answer   *share.Answer
 }
 
-func newWorld(seed uint64, t share.Terms, limit float64, disabledGuards share.Break) *World {
-	w := &World{rng: rand.New(rand.NewPCG(seed, 3)), limit: limit, holder: -1, disabledGuards: disabledGuards}
+func newWorld(seed uint64, t share.Terms, limit float64, skip share.Skip) *World {
+	w := &World{rng: rand.New(rand.NewPCG(seed, 3)), limit: limit, holder: -1, skip: skip}
 	for range t.Members {
 		n := &node{clockRate: 1 + t.Drift*(2*w.rng.Float64()-1), clockOffset: w.rng.Int64N(1e12), member: share.NewMember(t)}
 		n.member.SetLimit(limit)
-		n.member.Break = disabledGuards
+		n.member.Skip = skip
 		w.nodes = append(w.nodes, n)
 	}
 	return w
@@ -65,7 +66,7 @@
 	w.holder, w.token = to, w.token+1
 	n := w.nodes[to]
 	n.holder = share.NewHolder(t, w.token, w.localTime(n))
-	n.holder.Break = w.disabledGuards
+	n.holder.Skip = w.skip
 }
 
 // endLease ends the holder's lease; its state as a holder stays.
@@ -131,8 +132,8 @@
 
 // runSchedule simulates 40 s with faults of the given kinds: a member cut off (0), one stopped (1), frames lost and
 // late (2), the duty moved to another member (3).
-func runSchedule(seed uint64, terms share.Terms, disabledGuards share.Break, kinds ...int) *World {
-	w := newWorld(seed, terms, 40, disabledGuards)
+func runSchedule(seed uint64, terms share.Terms, skip share.Skip, kinds ...int) *World {
+	w := newWorld(seed, terms, 40, skip)
 	demands := make([]float64, terms.Members)
 	w.demand = func(w *World, i int) float64 { return demands[i] }
 	nextFault, lossUntil, grantAt := int64(1000*ms), int64(0), int64(0)
--- a/internal/fleet/share/model/model_test.go
+++ b/internal/fleet/share/model/model_test.go
@@ -29,27 +29,27 @@
 // TestGuards disables each safety check in turn: some schedule must detect that.
 func TestGuards(t *testing.T) {
 	for name, c := range map[string]struct {
-		guard share.Break
+		skip  share.Skip
 		kinds []int
 	}{
-		"a low share binds from the report":        {share.BreakBindStart, []int{0, 1, 2}},
-		"a raised share counts from the answer":    {share.BreakRaiseStart, []int{0, 1, 2}},
-		"unconfirmed low shares are relied on":     {share.BreakConfirm, []int{0, 1, 2}},
-		"a holder that takes over answers at once": {share.BreakWait, []int{3}},
-		"answers with older tokens are applied":    {share.BreakToken, []int{2, 3}},
-		"no allowance for clock drift":             {share.BreakDrift, []int{0, 1, 2}},
+		"a low share binds from the report":        {share.SkipBindStart, []int{0, 1, 2}},
+		"a raised share counts from the answer":    {share.SkipRaiseStart, []int{0, 1, 2}},
+		"unconfirmed low shares are relied on":     {share.SkipConfirm, []int{0, 1, 2}},
+		"a holder that takes over answers at once": {share.SkipWait, []int{3}},
+		"answers with older tokens are applied":    {share.SkipToken, []int{2, 3}},
+		"no allowance for clock drift":             {share.SkipDrift, []int{0, 1, 2}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			with := terms
-			if c.guard == share.BreakDrift {
+			if c.skip == share.SkipDrift {
 				with.Drift = 0.2
 			}
 			for seed := range uint64(400) {
 				if w := runSchedule(seed, with, 0, c.kinds...); w.violation != "" {
 					t.Fatalf("with all checks enabled: %s", w.violation)
 				}
-				if w := runSchedule(seed, with, c.guard, c.kinds...); w.violation != "" {
+				if w := runSchedule(seed, with, c.skip, c.kinds...); w.violation != "" {
 					t.Logf("detected by schedule %d: %s", seed, w.violation)
 					return
 				}
@@ -74,7 +74,7 @@
 			load  func(now int64, i int) float64
 		}{
 			{"even demand", 0.97, func(_ int64, i int) float64 { return 0.9 * limit / float64(n) }},
-			{"one member has 60%", 0.97, func(_ int64, i int) float64 {
+			{"one member has six tenths", 0.97, func(_ int64, i int) float64 {
 				if i == 1 {
 					return 0.6 * 0.9 * limit
 				}
--- a/internal/fleet/share/share.go
+++ b/internal/fleet/share/share.go
@@ -73,31 +73,31 @@
 	shareLimit float64 // the limit of which shareRate is a part
 	belowEven  bool    // shareRate is below the even part
 	shareUntil int64   // end of the time for which shareRate binds or is valid
-	Break      Break
+	Skip       Skip
 
 	reportedAt     int64 // time of the last report
 	reportedDemand float64
 	unanswered     int // reports since the last answer
 }
 
-// Break is a set of safety checks to disable, for tests that must detect their absence.
-type Break uint
+// Skip is a set of disabled safety checks, for tests that must detect their absence.
+type Skip uint
 
 // The safety checks, each with what happens without it.
 const (
-	BreakBindStart  Break = 1 << iota // a low share binds from the report instead of the receipt of the answer
-	BreakRaiseStart                   // a raised share counts from the receipt of the answer instead of the report
-	BreakConfirm                      // the holder relies on low shares that their members have not confirmed
-	BreakWait                         // a holder that takes over answers at once
-	BreakToken                        // answers with older tokens are applied
-	BreakDrift                        // members and the holder make no allowance for clock drift
+	SkipBindStart  Skip = 1 << iota // a low share binds from the report instead of the receipt of the answer
+	SkipRaiseStart                  // a raised share counts from the receipt of the answer instead of the report
+	SkipConfirm                     // the holder relies on low shares that their members have not confirmed
+	SkipWait                        // a holder that takes over answers at once
+	SkipToken                       // answers with older tokens are applied
+	SkipDrift                       // members and the holder make no allowance for clock drift
 )
 
 // NewMember returns a Member that keeps to its even part until it receives a share.
 func NewMember(t Terms) *Member { return &Member{terms: t} }
 
 func (m *Member) drift() float64 {
-	if m.Break&BreakDrift != 0 {
+	if m.Skip&SkipDrift != 0 {
 		return 0
 	}
 	return m.terms.Drift
@@ -142,7 +142,7 @@
 // HandleAnswer applies an answer to one of this member's reports.
 func (m *Member) HandleAnswer(now int64, a Answer) {
 	switch {
-	case a.Token < m.token && m.Break&BreakToken == 0, a.Token == m.token && a.Stamp <= m.stamp:
+	case a.Token < m.token && m.Skip&SkipToken == 0, a.Token == m.token && a.Stamp <= m.stamp:
 		return // from an earlier holder, or late
 	case a.Limit <= 0 || a.Rate < 0 || math.IsNaN(a.Rate) || a.At > now:
 		return
@@ -152,14 +152,14 @@
 	m.token, m.stamp, m.shareRate, m.shareLimit = a.Token, a.Stamp, a.Rate, a.Limit
 	if m.belowEven = a.Rate < even; m.belowEven {
 		from := now
-		if m.Break&BreakBindStart != 0 {
+		if m.Skip&SkipBindStart != 0 {
 			from = a.At
 		}
 		m.shareUntil = from + int64(float64(m.terms.BindDuration)*(1+m.drift()))
 		return
 	}
 	from := a.At
-	if m.Break&BreakRaiseStart != 0 {
+	if m.Skip&SkipRaiseStart != 0 {
 		from = now
 	}
 	m.shareUntil = from + int64(float64(a.RaiseDuration)*(1-m.drift()))
--- a/internal/fleet/subscriber/subscriber.go
+++ b/internal/fleet/subscriber/subscriber.go
@@ -54,7 +54,7 @@
 	Released func([]shard.ID)
 	// RequestedShards are requested from whichever member serves, since messages for them are left from an earlier run.
 	RequestedShards []shard.ID
-	Break           directory.SubscriptionCheck
+	DisabledChecks  directory.SubscriptionCheck
 }
 
 // Subscriber maintains a subscription. One goroutine calls Run; the other methods are safe for concurrent use.
@@ -81,7 +81,8 @@
 func New(o Options) *Subscriber {
 	rng := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 	s := &Subscriber{o: o, frames: make(chan frame, inboxSize), released: releaseQueue{wake: make(chan struct{}, 1)},
-		subscription: directory.NewSubscription(directory.SubscriptionOptions{Region: o.Region, Zone: o.Zone, Weight: o.Weight, Rand: rng, DisabledChecks: o.Break})}
+		subscription: directory.NewSubscription(directory.SubscriptionOptions{Region: o.Region, Zone: o.Zone, Weight: o.Weight,
+			Rand: rng, DisabledChecks: o.DisabledChecks})}
 	s.homeRetryDelay = minHomeRetryDelay
 	s.subscription.HoldShards(o.RequestedShards)
 	s.servers = slices.Clone(o.Servers)
@@ -200,9 +201,9 @@
 		s.links.Close()
 	}
 	server := s.servers[s.serverIndex%len(s.servers)]
-	s.links = link.New(link.Options{Self: s.o.Name, SettingsHash: LinkSettingsHash, DialAddrs: map[string]string{server.Name: server.Addr}, Client: s.o.TLS,
-		IsMember: func(string) bool { return false }, PingInterval: LinkPingInterval, SilenceTimeout: LinkSilenceTimeout,
-		LogEvent: func(what, member string, err error) {
+	s.links = link.New(link.Options{Self: s.o.Name, SettingsHash: LinkSettingsHash, DialAddrs: map[string]string{server.Name: server.Addr},
+		Client: s.o.TLS, IsMember: func(string) bool { return false }, PingInterval: LinkPingInterval, SilenceTimeout: LinkSilenceTimeout,
+		OnEvent: func(what, member string, err error) {
 			s.o.Log.Debug().Str("member", member).Err(err).Msg("directory: " + what)
 		},
 		Receive: func(linkCtx context.Context, from string, f *pb.Frame) {
--- a/internal/lab/capacity/measure_fleet.go
+++ b/internal/lab/capacity/measure_fleet.go
@@ -48,7 +48,7 @@
 // groupFrames counts the frames of three voters and so many members in calm.
 func groupFrames(_ *Env, members int) (float64, error) {
 	const settle, counted = 8, 4
-	w := model.New(model.Options{Voters: 3, Members: members - 3, Duties: 1, Terms: lease.Params{Length: 2 * time.Second, Drift: 0.05},
+	w := model.New(model.Options{Voters: 3, Members: members - 3, Duties: 1, Lease: lease.Params{Length: 2 * time.Second, Drift: 0.05},
 		ElectionTimeout: 500 * time.Millisecond, Drift: 0.05, Seed: 1})
 	w.Run(settle * time.Second)
 	w.FramesSent = 0
@@ -71,13 +71,13 @@
 	var near, far *link.Manager
 	arrived := make(chan struct{}, frames)
 	up := make(chan struct{}, 1)
-	far = link.New(link.Options{Self: "far", IsMember: known, LogEvent: note,
+	far = link.New(link.Options{Self: "far", IsMember: known, OnEvent: note,
 		Receive: func(_ context.Context, from string, f *pb.Frame) { far.Send(from, f) }})
 	defer far.Close()
 	go far.Serve(ln)
 	near = link.New(link.Options{Self: "near", IsMember: known, DialAddrs: map[string]string{"far": ln.Addr().String()},
 		Receive: func(context.Context, string, *pb.Frame) { arrived <- struct{}{} },
-		LogEvent: func(what, _ string, _ error) {
+		OnEvent: func(what, _ string, _ error) {
 			if what == "link up" {
 				select {
 				case up <- struct{}{}:
--- a/internal/lab/scale/hollow.go
+++ b/internal/lab/scale/hollow.go
@@ -86,7 +86,7 @@
 	own, cancel := context.WithCancel(ctx)
 	x := &hollow{cancel: cancel, done: make(chan struct{})}
 	o := subscriber.Options{Name: m.Name, Region: m.Region, Zone: m.Zone, Weight: 1, Log: zerolog.Nop(), Now: fleet.Now,
-		Break: directory.SubscriptionCheck(h.settings.Break)}
+		DisabledChecks: directory.SubscriptionCheck(h.settings.Break)}
 	for _, c := range h.settings.Controls {
 		o.Servers = append(o.Servers, subscriber.Server(c))
 	}
