--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -82,12 +82,12 @@
 func Now() int64 {
 	var t unix.Timespec
 	if unix.ClockGettime(unix.CLOCK_BOOTTIME, &t) != nil {
-		return int64(time.Since(started))
+		return int64(time.Since(processStart))
 	}
 	return t.Nano()
 }
 
-var started = time.Now()
+var processStart = time.Now()
 
 // Options configure a Member.
 type Options struct {
--- a/internal/fleet/model/model.go
+++ b/internal/fleet/model/model.go
@@ -104,12 +104,12 @@
 	voter        *voter.Voter
 	session      *session.Session
 	up           bool
-	run          int       // number of the process run: each start begins a new one
-	stoppedUntil int64     // stopped until this time
-	inbox        []inFrame // frames that arrive while it is stopped
+	run          int             // number of the process run: each start begins a new one
+	stoppedUntil int64           // stopped until this time
+	inbox        []receivedFrame // frames that arrive while it is stopped
 }
 
-type inFrame struct {
+type receivedFrame struct {
 	from  string
 	frame *pb.Frame
 }
@@ -117,7 +117,7 @@
 type event struct {
 	at  int64
 	seq int
-	do  func()
+	run func()
 }
 
 type events []event
@@ -186,7 +186,7 @@
 	for len(w.queue) > 0 && w.Violation == "" && w.queue[0].at <= int64(until) {
 		e := heap.Pop(&w.queue).(event)
 		w.now = e.at
-		e.do()
+		e.run()
 		w.checkHolders()
 	}
 }
@@ -323,7 +323,7 @@
 	return true
 }
 
-func (p *process) receive(in inFrame) {
+func (p *process) receive(in receivedFrame) {
 	switch f := in.frame; {
 	case f.GetNews() != nil, f.GetAnswer() != nil && f.GetAnswer().Id != 0:
 		p.session.Receive(in.from, f, p.localTime())
@@ -381,11 +381,11 @@
 	}
 	if w.now < to.stoppedUntil { // the kernel buffers the frame
 		if len(to.inbox) < 2000 {
-			to.inbox = append(to.inbox, inFrame{from.name, f})
+			to.inbox = append(to.inbox, receivedFrame{from.name, f})
 		}
 		return
 	}
-	to.receive(inFrame{from.name, f})
+	to.receive(receivedFrame{from.name, f})
 	to.flush()
 }
 
--- a/internal/fleet/session/session.go
+++ b/internal/fleet/session/session.go
@@ -93,12 +93,12 @@
 	targetVoter int    // index of the voter that requests go to
 	lastAskID   uint64 // id of the latest request
 	openID      uint64
-	openAt      int64
+	openSentAt  int64
 	renewID     uint64
-	renewAt     int64
-	retryAt     int64
+	renewSentAt int64
+	openRetryAt int64
 	viewID      uint64
-	viewAt      int64
+	viewSentAt  int64
 	version     uint64
 	duties      map[string]*pb.Duty
 	adoptions   map[string]*pb.Adoption
@@ -251,7 +251,7 @@
 func (s *Session) Closed() bool { return s.closed }
 
 func (s *Session) sendClose() {
-	s.openAt = s.now
+	s.openSentAt = s.now
 	s.openID = s.sendAsk(&pb.Ask{Command: &pb.Command{What: &pb.Command_Close{Close: &pb.Close{Session: s.id}}}})
 }
 
@@ -259,7 +259,7 @@
 func (s *Session) Tick(now int64) {
 	s.now = now
 	if s.closing {
-		if !s.closed && now-s.openAt > s.requestTimeout() {
+		if !s.closed && now-s.openSentAt > s.requestTimeout() {
 			s.nextVoter()
 			s.sendClose()
 		}
@@ -274,16 +274,16 @@
 	switch {
 	case s.id == 0:
 		s.open()
-	case s.renewID != 0 && now-s.renewAt > s.requestTimeout():
+	case s.renewID != 0 && now-s.renewSentAt > s.requestTimeout():
 		s.nextVoter()
 		s.renew()
-	case s.renewID == 0 && now-s.renewAt >= int64(s.o.Lease.RenewInterval()):
+	case s.renewID == 0 && now-s.renewSentAt >= int64(s.o.Lease.RenewInterval()):
 		s.renew()
 	}
 	if s.id == 0 {
 		return
 	}
-	if s.viewID != 0 && now-s.viewAt > s.requestTimeout() {
+	if s.viewID != 0 && now-s.viewSentAt > s.requestTimeout() {
 		s.viewID = 0
 		s.requestView()
 	}
@@ -295,30 +295,30 @@
 func (s *Session) nextVoter() { s.targetVoter = (s.targetVoter + 1) % len(s.o.Voters) }
 
 func (s *Session) open() {
-	if s.openID != 0 && s.now-s.openAt > s.requestTimeout() {
+	if s.openID != 0 && s.now-s.openSentAt > s.requestTimeout() {
 		s.nextVoter()
 		s.openID = 0
 	}
-	if s.openID != 0 || s.now < s.retryAt {
+	if s.openID != 0 || s.now < s.openRetryAt {
 		return
 	}
 	if s.openSeq == 0 {
 		s.openSeq = 1
 	}
-	s.openAt = s.now
-	s.retryAt = s.now + s.jitter(s.requestTimeout())
+	s.openSentAt = s.now
+	s.openRetryAt = s.now + s.jitter(s.requestTimeout())
 	s.openID = s.sendAsk(&pb.Ask{Command: &pb.Command{What: &pb.Command_Open{Open: &pb.Open{
 		Member: s.o.Member, Incarnation: s.o.Incarnation, Boot: s.o.Boot, Seq: s.openSeq, Zone: s.o.Zone, Weight: s.o.Weight}}}})
 }
 
 func (s *Session) renew() {
-	s.renewAt = s.now
+	s.renewSentAt = s.now
 	s.renewID = s.sendAsk(&pb.Ask{Renew: s.id})
 }
 
 func (s *Session) requestView() {
 	if s.viewID == 0 {
-		s.viewAt = s.now
+		s.viewSentAt = s.now
 		s.viewID = s.sendAsk(&pb.Ask{View: &pb.View{}})
 	}
 }
@@ -335,7 +335,7 @@
 	clear(s.dutyAsks)
 	s.id, s.renewID, s.openID, s.viewID = 0, 0, 0, 0
 	s.openSeq++
-	s.retryAt = s.now + s.jitter(s.requestTimeout())
+	s.openRetryAt = s.now + s.jitter(s.requestTimeout())
 }
 
 // logLost logs that a duty that was logged as held is no longer held.
@@ -456,7 +456,7 @@
 		if i := slices.Index(s.o.Voters, a.Leader); i >= 0 && i != s.targetVoter {
 			s.targetVoter = i
 			if a.Id == s.openID && !s.closing {
-				s.openID, s.retryAt = 0, s.now
+				s.openID, s.openRetryAt = 0, s.now
 			}
 			if a.Id == s.renewID {
 				s.renew()
@@ -485,7 +485,7 @@
 		return
 	}
 	if a.Error != "" {
-		s.retryAt = s.now + s.jitter(int64(s.o.Lease.RenewInterval()))
+		s.openRetryAt = s.now + s.jitter(int64(s.o.Lease.RenewInterval()))
 		if a.Gone { // a late copy of an earlier open request came first
 			s.openSeq++
 		}
@@ -493,8 +493,8 @@
 		return
 	}
 	s.id = a.Session
-	s.extendLease(s.openAt)
-	s.renewAt = s.openAt
+	s.extendLease(s.openSentAt)
+	s.renewSentAt = s.openSentAt
 	s.version = 0
 	if a.News != nil {
 		s.applyUpdate(a.News)
@@ -522,7 +522,7 @@
 	if a.Error != "" {
 		return
 	}
-	s.extendLease(s.renewAt)
+	s.extendLease(s.renewSentAt)
 	if a.Version != s.version {
 		s.requestView()
 	}
--- a/internal/fleet/share/model/model_test.go
+++ b/internal/fleet/share/model/model_test.go
@@ -69,9 +69,9 @@
 	const limit = 40.0
 	for _, n := range sizes {
 		for _, c := range []struct {
-			name  string
-			least float64 // fraction of the oracle's goodput
-			load  func(now int64, i int) float64
+			name        string
+			minFraction float64 // fraction of the oracle's goodput
+			load        func(now int64, i int) float64
 		}{
 			{"even demand", 0.97, func(_ int64, i int) float64 { return 0.9 * limit / float64(n) }},
 			{"one member has six tenths", 0.97, func(_ int64, i int) float64 {
@@ -95,7 +95,7 @@
 		} {
 			shared, even, oracle, reports := goodput(n, limit, c.load)
 			t.Logf("%3d members, %-18s: shared %.3f, even parts %.3f, oracle %.3f; shared is %.3f of the oracle's; %.0f reports a second", n, c.name, shared, even, oracle, shared/oracle, reports)
-			if shared < c.least*oracle || shared < even-0.02 {
+			if shared < c.minFraction*oracle || shared < even-0.02 {
 				t.Errorf("%d members, %s: %.3f, the oracle sends %.3f, even parts %.3f", n, c.name, shared, oracle, even)
 			}
 		}
