--- a/internal/fleet/directory/model_test.go
+++ b/internal/fleet/directory/model_test.go
@@ -14,20 +14,19 @@
 	"sliptide/internal/fleet/shard"
 )
 
-// The model runs control members and subscribers, the very code of the processes, on one goroutine with a clock of its
-// own, over links that lose, repeat and reorder frames and are cut, with processes that are killed, stopped and started
-// anew, and leaders that change. After every update that a subscriber takes, what it holds has to be what the leader had
-// published at that version.
+// The model runs the production code of control members and subscribers on one goroutine with a simulated clock. Links
+// lose, duplicate and reorder frames and are cut; processes are killed, paused and restarted; leaders change. After
+// every update that a subscriber applies, it must hold exactly what a leader published at that version.
 
 const (
-	modelTick    = 50 * time.Millisecond
-	destinations = 60
-	modelShards  = 512 // the first of all: six members would else hold ten thousand each
+	modelTick             = 50 * time.Millisecond
+	modelDestinationCount = 60
+	modelShards           = 512 // the first of all shards: with all, each of six members would hold more than ten thousand
 )
 
-// modelDestinations are of the model's shards.
+// modelDestinations are destinations in the model's shards.
 var modelDestinations = func() (list []uint64) {
-	for d := uint64(0); len(list) < destinations; d++ {
+	for d := uint64(0); len(list) < modelDestinationCount; d++ {
 		if shard.Of(d) < modelShards {
 			list = append(list, d)
 		}
@@ -35,13 +34,14 @@
 	return list
 }()
 
-// content is what a leader had published at a version: endpoints by ID, and members by name.
-type content struct {
+// publishedState is the directory that a leader published at a version: endpoints by ID, and members by name.
+type publishedState struct {
 	endpoints map[string]Endpoint
 	members   map[string]Member
 }
 
-type frameOnWay struct {
+// delayedFrame is a frame that is delivered at a time.
+type delayedFrame struct {
 	at       int64
 	from, to string
 	frame    *pb.Frame
@@ -49,49 +49,50 @@
 
 // controlProcess is a control member in the model.
 type controlProcess struct {
-	name      string
-	up        bool
-	dir       *Directory
-	publisher *Publisher
-	roster    *Roster // while it leads
-	follows   *Subscription
-	reportSeq uint64
-	again     bool
-	reported  string
+	name          string
+	up            bool
+	dir           *Directory
+	publisher     *Publisher
+	roster        *Roster // nil unless it leads
+	subscription  *Subscription
+	reportSeq     uint64
+	fullReportDue bool
+	reportedNames string
 }
 
-// senderProcess is a sender in the model: what it holds, by shard.
+// senderProcess is a sender in the model.
 type senderProcess struct {
-	name    string
-	up      bool
-	stopped int64 // until
-	inbox   []frameOnWay
-	sub     *Subscription
-	held    map[shard.ID]map[string]Endpoint
-	serves  map[shard.ID]bool
-	members map[string]Member
-	last    uint64
+	name         string
+	up           bool
+	pausedUntil  int64
+	inbox        []delayedFrame
+	subscription *Subscription
+	heldShards   map[shard.ID]map[string]Endpoint
+	servedShards map[shard.ID]bool
+	members      map[string]Member
+	lastVersion  uint64
 }
 
-type world struct {
-	t        *testing.T
-	rng      *rand.Rand
-	now      int64
-	controls []*controlProcess
-	senders  []*senderProcess
-	leader   int
-	token    uint64
-	history  map[uint64]content
-	wire     []frameOnWay
-	loss     float64
-	cut      map[[2]string]bool
-	guard    SubscriptionCheck
-	breach   string
-	next     int
+// modelWorld is the state of a model run.
+type modelWorld struct {
+	t         *testing.T
+	rng       *rand.Rand
+	now       int64
+	controls  []*controlProcess
+	senders   []*senderProcess
+	leader    int
+	token     uint64
+	published map[uint64]publishedState
+	inFlight  []delayedFrame
+	loss      float64
+	cut       map[[2]string]bool
+	disabled  SubscriptionCheck
+	violation string
+	lastPort  int
 }
 
-func newWorld(seed uint64, guard SubscriptionCheck) *world {
-	w := &world{rng: rand.New(rand.NewPCG(seed, 11)), now: int64(time.Hour), history: map[uint64]content{}, cut: map[[2]string]bool{}, guard: guard, leader: -1}
+func newModelWorld(seed uint64, disabled SubscriptionCheck) *modelWorld {
+	w := &modelWorld{rng: rand.New(rand.NewPCG(seed, 11)), now: int64(time.Hour), published: map[uint64]publishedState{}, cut: map[[2]string]bool{}, disabled: disabled, leader: -1}
 	for i := range 3 {
 		w.controls = append(w.controls, &controlProcess{name: fmt.Sprintf("control-%d", i)})
 		w.startControl(w.controls[i])
@@ -105,35 +106,35 @@
 	return w
 }
 
-func (w *world) fail(format string, args ...any) {
-	if w.breach == "" {
-		w.breach = fmt.Sprintf("at %v: ", time.Duration(w.now)) + fmt.Sprintf(format, args...)
+func (w *modelWorld) fail(format string, args ...any) {
+	if w.violation == "" {
+		w.violation = fmt.Sprintf("at %v: ", time.Duration(w.now)) + fmt.Sprintf(format, args...)
 	}
 }
 
-func (w *world) startControl(c *controlProcess) {
-	c.up, c.dir, c.roster, c.reported, c.again = true, New(), nil, "", true
+func (w *modelWorld) startControl(c *controlProcess) {
+	c.up, c.dir, c.roster, c.reportedNames, c.fullReportDue = true, New(), nil, "", true
 	c.publisher = NewPublisher(c.dir, 2)
-	c.publisher.shards = modelShards
-	c.publisher.part = 3 // so that most snapshots come in parts
-	if w.guard&CheckVersion != 0 {
-		c.publisher.DisabledChecks = CheckNotBehind // the same guard at the other end
+	c.publisher.shardCount = modelShards
+	c.publisher.maxEntries = 3 // splits most snapshots into parts
+	if w.disabled&CheckVersion != 0 {
+		c.publisher.DisabledChecks = CheckNotBehind // the publisher's check against the same failure
 	}
-	c.follows = NewSubscription(SubscriptionOptions{Everything: true, Rand: w.rng, DisabledChecks: w.guard})
+	c.subscription = NewSubscription(SubscriptionOptions{Everything: true, Rand: w.rng, DisabledChecks: w.disabled})
 	if w.leader >= 0 && w.controls[w.leader] != c {
-		c.follows.Connect(w.controls[w.leader].name, w.now)
+		c.subscription.Connect(w.controls[w.leader].name, w.now)
 	}
 }
 
-func (w *world) startSender(s *senderProcess) {
-	s.up, s.inbox, s.last = true, nil, 0
-	s.held, s.serves, s.members = map[shard.ID]map[string]Endpoint{}, map[shard.ID]bool{}, map[string]Member{}
-	s.sub = NewSubscription(SubscriptionOptions{Region: "r", Zone: "z" + s.name[len(s.name)-1:], Weight: 1, Rand: w.rng, DisabledChecks: w.guard})
-	s.sub.Connect(w.controls[w.rng.IntN(len(w.controls))].name, w.now)
+func (w *modelWorld) startSender(s *senderProcess) {
+	s.up, s.inbox, s.lastVersion = true, nil, 0
+	s.heldShards, s.servedShards, s.members = map[shard.ID]map[string]Endpoint{}, map[shard.ID]bool{}, map[string]Member{}
+	s.subscription = NewSubscription(SubscriptionOptions{Region: "r", Zone: "z" + s.name[len(s.name)-1:], Weight: 1, Rand: w.rng, DisabledChecks: w.disabled})
+	s.subscription.Connect(w.controls[w.rng.IntN(len(w.controls))].name, w.now)
 }
 
-// elect makes a control member lead that is up.
-func (w *world) elect(n int) {
+// elect makes a control member that is up the leader.
+func (w *modelWorld) elect(n int) {
 	if w.leader >= 0 {
 		w.controls[w.leader].roster = nil
 	}
@@ -143,49 +144,49 @@
 	c.roster = NewRoster([]string{"r"}, w.now)
 	for _, other := range w.controls {
 		if other != c && other.up {
-			other.follows.Resume(other.dir.Version())
-			other.follows.Connect(c.name, w.now)
+			other.subscription.Resume(other.dir.Version())
+			other.subscription.Connect(c.name, w.now)
 		}
 	}
-	c.reported = ""
+	c.reportedNames = ""
 	w.publish(nil, nil, nil)
 }
 
-func (w *world) publish(endpoints []Endpoint, joined, left []Member) {
+func (w *modelWorld) publish(endpoints []Endpoint, joined, left []Member) {
 	c := w.controls[w.leader]
-	change, news := c.dir.Publish(FirstVersion(w.token), c.dir.DiscoveryVersion()+uint64(min(len(endpoints), 1)), endpoints, joined, left)
-	if !news {
+	change, changed := c.dir.Publish(FirstVersion(w.token), c.dir.DiscoveryVersion()+uint64(min(len(endpoints), 1)), endpoints, joined, left)
+	if !changed {
 		return
 	}
-	now := content{map[string]Endpoint{}, map[string]Member{}}
+	state := publishedState{map[string]Endpoint{}, map[string]Member{}}
 	for id := range modelShards {
 		for _, e := range c.dir.shards[id] {
-			now.endpoints[e.ID] = e
+			state.endpoints[e.ID] = e
 		}
 	}
 	for name, m := range c.dir.members {
-		now.members[name] = m
+		state.members[name] = m
 	}
-	if _, twice := w.history[change.To]; twice {
-		w.fail("version %d was published twice", change.To)
+	if _, duplicate := w.published[change.To]; duplicate {
+		w.fail("version %d published twice", change.To)
 	}
-	w.history[change.To] = now
+	w.published[change.To] = state
 	c.publisher.ApplyChange(change)
 }
 
-// churn publishes a few drawn changes of endpoints.
-func (w *world) churn() {
+// publishRandomChanges publishes a few random changes of endpoints.
+func (w *modelWorld) publishRandomChanges() {
 	var list []Endpoint
 	for range 1 + w.rng.IntN(4) {
-		d := modelDestinations[w.rng.IntN(destinations)]
-		w.next++
-		list = append(list, Endpoint{ID: fmt.Sprintf("e-%d-%d", d, w.rng.IntN(2)), Destination: d, Addr: fmt.Sprintf("10.0.0.1:%d", w.next),
+		d := modelDestinations[w.rng.IntN(modelDestinationCount)]
+		w.lastPort++
+		list = append(list, Endpoint{ID: fmt.Sprintf("e-%d-%d", d, w.rng.IntN(2)), Destination: d, Addr: fmt.Sprintf("10.0.0.1:%d", w.lastPort),
 			State: []pb.EndpointState{pb.EndpointState_UP, pb.EndpointState_UP, pb.EndpointState_DRAINING, pb.EndpointState_REMOVED}[w.rng.IntN(4)]})
 	}
 	w.publish(list, nil, nil)
 }
 
-func (w *world) send(from, to string, f *pb.Frame) {
+func (w *modelWorld) send(from, to string, f *pb.Frame) {
 	if w.cut[[2]string{from, to}] || w.rng.Float64() < w.loss {
 		return
 	}
@@ -198,58 +199,59 @@
 		if w.loss > 0 {
 			delay = time.Duration(w.rng.IntN(int(200 * time.Millisecond)))
 		}
-		w.wire = append(w.wire, frameOnWay{w.now + int64(delay), from, to, f})
+		w.inFlight = append(w.inFlight, delayedFrame{w.now + int64(delay), from, to, f})
 	}
 }
 
-func (w *world) deliver() {
-	var rest, due []frameOnWay
-	for _, f := range w.wire {
+// deliver delivers the frames that are due.
+func (w *modelWorld) deliver() {
+	var rest, due []delayedFrame
+	for _, f := range w.inFlight {
 		if f.at <= w.now {
 			due = append(due, f)
 		} else {
 			rest = append(rest, f)
 		}
 	}
-	w.wire = rest
-	slices.SortStableFunc(due, func(x, y frameOnWay) int { return int(x.at - y.at) })
+	w.inFlight = rest
+	slices.SortStableFunc(due, func(x, y delayedFrame) int { return int(x.at - y.at) })
 	for _, f := range due {
 		for _, c := range w.controls {
 			if c.name == f.to && c.up {
-				w.controlReceives(c, f)
+				w.deliverToControl(c, f)
 			}
 		}
 		for _, s := range w.senders {
 			if s.name == f.to && s.up {
-				if w.now < s.stopped {
+				if w.now < s.pausedUntil {
 					s.inbox = append(s.inbox, f)
 				} else {
-					w.senderReceives(s, f)
+					w.deliverToSender(s, f)
 				}
 			}
 		}
 	}
 }
 
-func (w *world) controlReceives(c *controlProcess, f frameOnWay) {
+func (w *modelWorld) deliverToControl(c *controlProcess, f delayedFrame) {
 	switch x := f.frame.What.(type) {
 	case *pb.Frame_Report:
 		if c.roster != nil {
 			w.send(c.name, f.from, &pb.Frame{What: &pb.Frame_Reported{Reported: &pb.Reported{Seq: x.Report.Seq, Again: c.roster.HandleReport(f.from, "r", x.Report, w.now)}}})
 		}
 	case *pb.Frame_Reported:
-		c.again = c.again || x.Reported.Again
+		c.fullReportDue = c.fullReportDue || x.Reported.Again
 	case *pb.Frame_Subscribe, *pb.Frame_Ack:
 		c.publisher.Receive(f.from, f.frame, w.now)
 	default:
 		if c.roster == nil {
-			w.follow(c, c.follows.Receive(f.from, f.frame, w.now))
+			w.applyToFollower(c, c.subscription.Receive(f.from, f.frame, w.now))
 		}
 	}
 }
 
-// follow takes what a control member that does not lead has learned.
-func (w *world) follow(c *controlProcess, a *AppliedUpdate) {
+// applyToFollower applies an update to a control member that does not lead, and checks its directory.
+func (w *modelWorld) applyToFollower(c *controlProcess, a *AppliedUpdate) {
 	if a == nil {
 		return
 	}
@@ -260,55 +262,55 @@
 	if err == nil {
 		c.publisher.ApplyChange(change)
 	}
-	want, known := w.history[c.dir.Version()]
+	want, known := w.published[c.dir.Version()]
 	if !known {
-		w.fail("%s holds version %d, which nobody published", c.name, c.dir.Version())
+		w.fail("%s holds version %d, which no leader published", c.name, c.dir.Version())
 		return
 	}
 	if len(c.dir.members) != len(want.members) {
-		w.fail("%s at %d: %d members, want %d", c.name, c.dir.Version(), len(c.dir.members), len(want.members))
+		w.fail("%s at version %d: %d members, want %d", c.name, c.dir.Version(), len(c.dir.members), len(want.members))
 	}
 	published := map[shard.ID]int{}
 	for _, e := range want.endpoints {
 		published[e.Shard()]++
 	}
 	for id := range shard.ID(modelShards) {
-		held := map[string]Endpoint{}
+		current := map[string]Endpoint{}
 		same := len(c.dir.shards[id]) == published[id]
 		for _, e := range c.dir.shards[id] {
-			held[e.ID] = e
+			current[e.ID] = e
 			same = same && want.endpoints[e.ID] == e
 		}
 		if !same {
-			w.fail("%s at %d: shard %d is %v, which is not what was published", c.name, c.dir.Version(), id, held)
+			w.fail("%s at version %d: shard %d holds %v, which differs from the published endpoints", c.name, c.dir.Version(), id, current)
 		}
 	}
 }
 
-func (w *world) senderReceives(s *senderProcess, f frameOnWay) {
-	a := s.sub.Receive(f.from, f.frame, w.now)
+func (w *modelWorld) deliverToSender(s *senderProcess, f delayedFrame) {
+	a := s.subscription.Receive(f.from, f.frame, w.now)
 	if a == nil {
 		return
 	}
-	if a.To < s.last {
-		w.fail("%s goes back from %d to %d", s.name, s.last, a.To)
+	if a.To < s.lastVersion {
+		w.fail("%s goes back from version %d to %d", s.name, s.lastVersion, a.To)
 	}
-	s.last = a.To
+	s.lastVersion = a.To
 	if a.AllShards {
-		clear(s.held)
+		clear(s.heldShards)
 	}
 	for _, id := range a.SnapshotShards {
-		s.held[id] = map[string]Endpoint{}
+		s.heldShards[id] = map[string]Endpoint{}
 	}
 	for _, e := range a.Endpoints {
-		if s.held[e.Shard()] == nil {
-			w.fail("%s is told of %s, of a shard that it does not hold", s.name, e.ID)
+		if s.heldShards[e.Shard()] == nil {
+			w.fail("%s receives endpoint %s of a shard that it does not hold", s.name, e.ID)
 			return
 		}
 		if e.State == pb.EndpointState_REMOVED {
-			delete(s.held[e.Shard()], e.ID)
+			delete(s.heldShards[e.Shard()], e.ID)
 		} else {
-			s.held[e.Shard()][e.ID] = e
+			s.heldShards[e.Shard()][e.ID] = e
 		}
 	}
 	if a.AllMembers {
@@ -321,47 +323,47 @@
 		s.members[m.Name] = m
 	}
 	for _, id := range a.Assigned {
-		s.serves[id] = true
-		if s.held[id] == nil {
-			w.fail("%s is to serve shard %d, of which it has no snapshot", s.name, id)
+		s.servedShards[id] = true
+		if s.heldShards[id] == nil {
+			w.fail("%s is assigned shard %d without its snapshot", s.name, id)
 		}
 	}
-	var done []shard.ID
+	var released []shard.ID
 	for _, id := range a.Unassigned {
-		delete(s.serves, id)
-		if w.rng.IntN(2) == 0 { // the others are done with later
-			done = append(done, id)
-			delete(s.held, id)
+		delete(s.servedShards, id)
+		if w.rng.IntN(2) == 0 { // the others are not released
+			released = append(released, id)
+			delete(s.heldShards, id)
 		}
 	}
-	if done != nil {
-		s.sub.Release(done)
+	if released != nil {
+		s.subscription.Release(released)
 	}
-	w.judge(s)
+	w.checkSender(s)
 }
 
-// judge holds what a sender has against what was published at its version.
-func (w *world) judge(s *senderProcess) {
-	want, known := w.history[s.sub.Version()]
+// checkSender compares the endpoints of a sender with those published at its version.
+func (w *modelWorld) checkSender(s *senderProcess) {
+	want, known := w.published[s.subscription.Version()]
 	if !known {
-		w.fail("%s holds version %d, which nobody published", s.name, s.sub.Version())
+		w.fail("%s holds version %d, which no leader published", s.name, s.subscription.Version())
 		return
 	}
-	for _, held := range s.held {
+	for _, held := range s.heldShards {
 		for key, e := range held {
 			if want.endpoints[key] != e {
-				w.fail("%s at %d holds %+v, published was %+v", s.name, s.sub.Version(), e, want.endpoints[key])
+				w.fail("%s at version %d holds %+v, published: %+v", s.name, s.subscription.Version(), e, want.endpoints[key])
 			}
 		}
 	}
 	for key, e := range want.endpoints {
-		if held := s.held[e.Shard()]; held != nil && held[key] != e {
-			w.fail("%s at %d lacks %+v", s.name, s.sub.Version(), e)
+		if held := s.heldShards[e.Shard()]; held != nil && held[key] != e {
+			w.fail("%s at version %d lacks %+v", s.name, s.subscription.Version(), e)
 		}
 	}
 }
 
-func (w *world) tick() {
+func (w *modelWorld) tick() {
 	w.now += int64(modelTick)
 	w.deliver()
 	for i, c := range w.controls {
@@ -374,50 +376,50 @@
 			if len(joined)+len(left) > 0 {
 				w.publish(nil, joined, left)
 			}
-		} else if c.follows.Tick(w.now); c.follows.ShouldReconnect() {
-			c.follows.Connect(w.controls[w.leader].name, w.now)
+		} else if c.subscription.Tick(w.now); c.subscription.ShouldReconnect() {
+			c.subscription.Connect(w.controls[w.leader].name, w.now)
 		}
 		c.publisher.Tick(w.now)
 		for _, o := range c.publisher.TakeFrames() {
 			w.send(c.name, o.To, o.Frame)
 		}
-		for _, o := range c.follows.TakeFrames() {
+		for _, o := range c.subscription.TakeFrames() {
 			w.send(c.name, o.To, o.Frame)
 		}
 	}
 	for _, s := range w.senders {
-		if !s.up || w.now < s.stopped {
+		if !s.up || w.now < s.pausedUntil {
 			continue
 		}
 		inbox := s.inbox
 		s.inbox = nil
 		for _, f := range inbox {
-			w.senderReceives(s, f)
+			w.deliverToSender(s, f)
 		}
-		if s.sub.Tick(w.now); s.sub.ShouldReconnect() {
-			s.sub.Connect(w.controls[w.rng.IntN(len(w.controls))].name, w.now)
+		if s.subscription.Tick(w.now); s.subscription.ShouldReconnect() {
+			s.subscription.Connect(w.controls[w.rng.IntN(len(w.controls))].name, w.now)
 		}
-		for _, o := range s.sub.TakeFrames() {
+		for _, o := range s.subscription.TakeFrames() {
 			w.send(s.name, o.To, o.Frame)
 		}
 	}
 }
 
-func (w *world) report(c *controlProcess) {
+func (w *modelWorld) report(c *controlProcess) {
 	members := c.publisher.Subscribers()
 	names := fmt.Sprint(members)
 	c.reportSeq++
-	r := NewReport(c.reportSeq, members, c.again || names != c.reported)
-	c.reported, c.again = names, false
+	r := NewReport(c.reportSeq, members, c.fullReportDue || names != c.reportedNames)
+	c.reportedNames, c.fullReportDue = names, false
 	w.send(c.name, w.controls[w.leader].name, &pb.Frame{What: &pb.Frame_Report{Report: r}})
 }
 
-// fault makes something go wrong, for a while.
-func (w *world) fault() {
+// injectFault starts or ends a random fault.
+func (w *modelWorld) injectFault() {
 	i, j := w.rng.IntN(len(w.controls)), w.rng.IntN(len(w.senders))
 	c, s := w.controls[i], w.senders[j]
 	switch w.rng.IntN(7) {
-	case 0: // a control member is killed, and is back later; if it led, another one leads
+	case 0: // a control member is killed until case 1 or heal restarts it; if it is the leader, another one is elected
 		if c.up && w.upControls() > 1 {
 			c.up = false
 			if i == w.leader {
@@ -434,7 +436,7 @@
 		if !c.up {
 			w.startControl(c)
 		}
-	case 2: // another one leads, with what it knows, while the one before goes on as a follower
+	case 2: // another control member is elected with the directory that it has, and the previous leader follows it
 		if c.up && c.dir.Version() > 0 {
 			w.elect(i)
 		}
@@ -445,7 +447,7 @@
 			w.startSender(s)
 		}
 	case 4:
-		s.stopped = w.now + int64(time.Duration(w.rng.IntN(12))*time.Second)
+		s.pausedUntil = w.now + int64(time.Duration(w.rng.IntN(12))*time.Second)
 	case 5:
 		w.cut[[2]string{c.name, s.name}] = w.rng.IntN(2) == 0
 		w.cut[[2]string{s.name, c.name}] = w.rng.IntN(2) == 0
@@ -456,7 +458,7 @@
 	}
 }
 
-func (w *world) upControls() (n int) {
+func (w *modelWorld) upControls() (n int) {
 	for _, c := range w.controls {
 		if c.up {
 			n++
@@ -465,19 +467,19 @@
 	return n
 }
 
-func (w *world) run(d time.Duration, faults bool) {
-	for end := w.now + int64(d); w.now < end && w.breach == ""; w.tick() {
+func (w *modelWorld) run(d time.Duration, faults bool) {
+	for end := w.now + int64(d); w.now < end && w.violation == ""; w.tick() {
 		if w.rng.IntN(6) == 0 {
-			w.churn()
+			w.publishRandomChanges()
 		}
 		if faults && w.rng.IntN(12) == 0 {
-			w.fault()
+			w.injectFault()
 		}
 	}
 }
 
 // heal ends all faults.
-func (w *world) heal() {
+func (w *modelWorld) heal() {
 	w.loss = 0
 	clear(w.cut)
 	for _, c := range w.controls {
@@ -486,28 +488,29 @@
 		}
 	}
 	for _, s := range w.senders {
-		s.stopped = 0
+		s.pausedUntil = 0
 		if !s.up {
 			w.startSender(s)
 		}
 	}
 }
 
-// settled checks that every sender knows the latest version and that all shards are served by as many as they should.
-func (w *world) settled() {
-	for range 10 { // heartbeats tell the version
+// checkConverged checks that every sender is at the latest version and knows all members, and that each shard is served
+// by as many members as configured.
+func (w *modelWorld) checkConverged() {
+	for range 10 { // heartbeats carry the version
 		w.tick()
 	}
-	lead := w.controls[w.leader]
+	leader := w.controls[w.leader]
 	served := map[shard.ID]int{}
 	for _, s := range w.senders {
-		if s.last != lead.dir.Version() {
-			w.fail("%s is at %d, the leader at %d", s.name, s.last, lead.dir.Version())
+		if s.lastVersion != leader.dir.Version() {
+			w.fail("%s is at version %d, the leader at %d", s.name, s.lastVersion, leader.dir.Version())
 		}
 		if len(s.members) != len(w.senders) {
 			w.fail("%s knows %d members of %d", s.name, len(s.members), len(w.senders))
 		}
-		for id := range s.serves {
+		for id := range s.servedShards {
 			served[id]++
 		}
 	}
@@ -522,45 +525,45 @@
 	for seed := range uint64(schedules()) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			w := newWorld(seed, 0)
+			w := newModelWorld(seed, 0)
 			w.t = t
 			w.run(3*time.Second, false)
 			w.run(40*time.Second, true)
 			w.heal()
 			w.run(14*time.Second, false)
 			for range 30 {
-				w.tick() // calm: nothing is published
+				w.tick() // without new changes
 			}
-			w.settled()
-			if w.breach != "" {
-				t.Error(w.breach)
+			w.checkConverged()
+			if w.violation != "" {
+				t.Error(w.violation)
 			}
 		})
 	}
 }
 
-// Each guard of a subscription taken out is found by some schedule.
+// Each safety check of a subscription matters: without it, some schedule of faults leads to a violation.
 func TestGuards(t *testing.T) {
-	for name, guard := range map[string]SubscriptionCheck{"gap": CheckGap, "part": CheckPart, "version": CheckVersion} {
+	for name, check := range map[string]SubscriptionCheck{"gap": CheckGap, "part": CheckPart, "version": CheckVersion} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			for seed := range uint64(60) {
-				w := newWorld(seed, guard)
+				w := newModelWorld(seed, check)
 				w.t = t
 				w.run(2*time.Second, false)
 				w.loss = 0.2
 				w.run(25*time.Second, true)
-				if w.breach != "" {
-					t.Logf("found by schedule %d: %s", seed, w.breach)
+				if w.violation != "" {
+					t.Logf("violation in schedule %d: %s", seed, w.violation)
 					return
 				}
 			}
-			t.Error("no schedule of 60 finds that the guard is out")
+			t.Error("none of 60 schedules detects that the check is disabled")
 		})
 	}
 }
 
-// schedules is how many schedules of faults are played; SLIPTIDE_SCHEDULES sets it.
+// schedules returns the number of schedules of faults to run, which SLIPTIDE_SCHEDULES sets.
 func schedules() int {
 	if n, err := strconv.Atoi(os.Getenv("SLIPTIDE_SCHEDULES")); err == nil {
 		return n
--- a/internal/fleet/shard/shard.go
+++ b/internal/fleet/shard/shard.go
@@ -1,10 +1,10 @@
 // Package shard assigns destinations to the members that serve them. A destination hashes to one of a fixed number of
 // shards, and each shard to a few replicas among a region's members by weighted rendezvous hashing (Thaler and
-// Ravishankar, 1998; weights after Schindelhauer and Schomaker, 2005), spread over the region's zones. Whoever knows the
-// same members finds the same replicas; a member that joins or leaves moves its own shards and no others, unless a zone
-// becomes, or ceases to be, too small to be spread over.
+// Ravishankar, 1998; weights after Schindelhauer and Schomaker, 2005), spread over the region's zones. Every process
+// that knows the same members finds the same replicas. A member that joins or leaves moves its own shards and no
+// others, unless a zone becomes too small to be spread over, or ceases to be.
 //
-// The package is pure: no clock, no I/O, no chance.
+// The package is deterministic: no clock, no I/O, no randomness.
 package shard
 
 import (
@@ -21,7 +21,7 @@
 // ID is the number of a shard, under Count.
 type ID uint32
 
-// Of is the shard of a destination.
+// Of returns the shard of a destination.
 func Of(destination uint64) ID {
 	var key [8]byte
 	binary.LittleEndian.PutUint64(key[:], destination)
@@ -32,25 +32,25 @@
 type Member struct {
 	Name   string
 	Zone   string
-	Weight uint32 // how much it serves beside the others; 0 counts as 1
+	Weight uint32 // share of the shards, relative to the other members; 0 counts as 1
 }
 
-// candidate is a member with what its cost is worked out from.
+// candidate is a member with the values from which its costs are computed.
 type candidate struct {
 	Member
-	hash   uint64
-	weight float64
-	zone   *zone
+	nameHash uint64
+	weight   float64
+	zone     *zone
 }
 
 func newCandidate(m Member) candidate {
-	return candidate{Member: m, hash: xxhash.Sum64String(m.Name), weight: float64(max(m.Weight, 1))}
+	return candidate{Member: m, nameHash: xxhash.Sum64String(m.Name), weight: float64(max(m.Weight, 1))}
 }
 
-// draw is a number over 0 and under 1 that a member has for a shard, by hash.
-func (c *candidate) draw(id ID) float64 {
-	// A finalizer after MurmurHash3 (Appleby): neighbouring shards must cost a member unrelated amounts.
-	h := c.hash ^ (uint64(id)+1)*0x9e3779b97f4a7c15
+// uniform returns a hash of the member and a shard, mapped to the open interval (0, 1).
+func (c *candidate) uniform(id ID) float64 {
+	// The finalizer of MurmurHash3 (Appleby) makes a member's costs of neighbouring shards independent.
+	h := c.nameHash ^ (uint64(id)+1)*0x9e3779b97f4a7c15
 	h ^= h >> 33
 	h *= 0xff51afd7ed558ccd
 	h ^= h >> 33
@@ -59,40 +59,41 @@
 	return (float64(h>>11) + 0.5) / (1 << 53)
 }
 
-// cost is how dear a shard is to a member that drew this number for it; the members to which it is cheapest are its
-// replicas. It is distributed exponentially with the member's weight as rate, so that of several members each is
-// cheapest for a part of the shards that is in proportion to its weight.
-func (c *candidate) cost(draw float64) float64 { return -math.Log(draw) / c.weight }
+// cost returns the member's cost of a shard, given its uniform hash; the members with the lowest costs are the shard's
+// replicas. Costs are distributed exponentially with the member's weight as rate, so that each member has the lowest
+// cost for a part of the shards in proportion to its weight.
+func (c *candidate) cost(uniform float64) float64 { return -math.Log(uniform) / c.weight }
 
-// offer is a member at the cost of a shard.
-type offer struct {
-	member int // of Table.members
-	draw   float64
-	cost   float64
+// memberCost is the cost of a shard at one member.
+type memberCost struct {
+	index   int // into Table.members
+	uniform float64
+	cost    float64
 }
 
-// offer is what a member offers for a shard.
-func (t *Table) offer(place int, id ID) offer {
-	c := &t.members[place]
-	draw := c.draw(id)
-	return offer{member: place, draw: draw, cost: c.cost(draw)}
+// costOf returns a member's cost of a shard.
+func (t *Table) costOf(index int, id ID) memberCost {
+	c := &t.members[index]
+	uniform := c.uniform(id)
+	return memberCost{index: index, uniform: uniform, cost: c.cost(uniform)}
 }
 
-// compare orders offers by cost; where costs are equal, such as by rounding, by draw and then by name.
-func (t *Table) compare(x, y offer) int {
-	return cmp.Or(cmp.Compare(x.cost, y.cost), cmp.Compare(y.draw, x.draw), cmp.Compare(t.members[x.member].Name, t.members[y.member].Name))
+// compareCosts compares by cost; costs that are equal, such as by rounding, by uniform hash (higher first), then by
+// name.
+func (t *Table) compareCosts(x, y memberCost) int {
+	return cmp.Or(cmp.Compare(x.cost, y.cost), cmp.Compare(y.uniform, x.uniform), cmp.Compare(t.members[x.index].Name, t.members[y.index].Name))
 }
 
-// better replaces the best offer so far by that of a member, where it is better. The logarithm is spared for most: of
-// two members of equal weight the one with the higher draw is cheaper.
-func (t *Table) better(best *offer, place int, id ID) {
-	c := &t.members[place]
-	draw := c.draw(id)
-	if best.member != absent && c.weight == t.members[best.member].weight && draw < best.draw {
+// updateCheapest replaces the lowest cost so far by that of a member if it is lower. Most members need no logarithm: of
+// two members of equal weight the one with the higher uniform hash has the lower cost.
+func (t *Table) updateCheapest(cheapest *memberCost, index int, id ID) {
+	c := &t.members[index]
+	uniform := c.uniform(id)
+	if cheapest.index != noMember && c.weight == t.members[cheapest.index].weight && uniform < cheapest.uniform {
 		return
 	}
-	o := offer{member: place, draw: draw, cost: c.cost(draw)}
-	if best.member == absent || t.compare(o, *best) < 0 {
-		*best = o
+	cost := memberCost{index: index, uniform: uniform, cost: c.cost(uniform)}
+	if cheapest.index == noMember || t.compareCosts(cost, *cheapest) < 0 {
+		*cheapest = cost
 	}
 }
--- a/internal/sharding/view.go
+++ b/internal/sharding/view.go
@@ -1,6 +1,6 @@
-// Package sharding turns what a sender learns by its subscription to the directory (internal/fleet/directory) into lists
-// of endpoints as the sender takes them, under numbers that last while an endpoint is known, with what a snapshot no
-// longer holds told as gone.
+// Package sharding converts updates of a sender's subscription to the directory (internal/fleet/directory) into the
+// endpoint lists that the sender accepts. An endpoint keeps its number as long as it is known, and endpoints that a
+// snapshot no longer contains are reported as gone.
 package sharding
 
 import (
@@ -15,43 +15,43 @@
 	"sliptide/policy"
 )
 
-// Update is what a sender is told.
+// Update is a change of endpoints, assigned shards and members for the sender.
 type Update struct {
-	Endpoints  []discovery.Endpoint // endpoints as they have become, policy.Gone those that left
-	Assigned   []shard.ID           // shards that the sender serves from now on,
-	Unassigned []shard.ID           // and that it serves no longer
-	AllMembers bool                 // those that joined are all there are
-	Joined     []shard.Member       // of the own region
+	Endpoints  []discovery.Endpoint // new states of endpoints; policy.Gone: removed
+	Assigned   []shard.ID           // shards that the sender serves from now on
+	Unassigned []shard.ID           // shards that it serves no longer
+	AllMembers bool                 // Joined is complete: members that it lacks have left
+	Joined     []shard.Member       // members of the sender's region
 	Left       []string
 }
 
-// View is what is known of endpoints. It is for one goroutine.
+// View holds the endpoints known from the directory. It is not safe for concurrent use.
 type View struct {
-	set    *policy.Settings
-	log    zerolog.Logger
-	shards map[shard.ID]map[string]discovery.Endpoint // by name
-	nextID uint32
+	settings *policy.Settings
+	log      zerolog.Logger
+	shards   map[shard.ID]map[string]discovery.Endpoint // by shard and name
+	nextID   uint32
 }
 
-// NewView returns a View that knows nothing.
-func NewView(set *policy.Settings, log zerolog.Logger) *View {
-	return &View{set: set, log: log, shards: map[shard.ID]map[string]discovery.Endpoint{}}
+// NewView returns an empty View.
+func NewView(settings *policy.Settings, log zerolog.Logger) *View {
+	return &View{settings: settings, log: log, shards: map[shard.ID]map[string]discovery.Endpoint{}}
 }
 
-// Len is how many endpoints are known.
+// Len returns the number of known endpoints.
 func (v *View) Len() (n int) {
-	for _, held := range v.shards {
-		n += len(held)
+	for _, endpoints := range v.shards {
+		n += len(endpoints)
 	}
 	return n
 }
 
-// Take turns what was learned into an update for the sender.
+// Apply applies an update of the subscription, and returns the resulting update for the sender.
 func (v *View) Apply(a *directory.AppliedUpdate) Update {
 	u := Update{Assigned: a.Assigned, Unassigned: a.Unassigned, AllMembers: a.AllMembers}
-	v.dropReplaced(a, &u)
+	v.markReplacedGone(a, &u)
 	for i := range a.Endpoints {
-		if e, ok := v.put(&a.Endpoints[i]); ok {
+		if e, ok := v.putEndpoint(&a.Endpoints[i]); ok {
 			u.Endpoints = append(u.Endpoints, e)
 		}
 	}
@@ -64,8 +64,8 @@
 	return u
 }
 
-// dropReplaced tells endpoints as gone that a snapshot of their shard does not hold.
-func (v *View) dropReplaced(a *directory.AppliedUpdate, u *Update) {
+// markReplacedGone reports endpoints as gone that a snapshot of their shard does not contain.
+func (v *View) markReplacedGone(a *directory.AppliedUpdate, u *Update) {
 	if len(a.SnapshotShards) == 0 && !a.AllShards {
 		return
 	}
@@ -73,56 +73,56 @@
 	for _, id := range a.SnapshotShards {
 		replaced[id] = true
 	}
-	there := map[string]bool{}
+	listed := map[string]bool{}
 	for i := range a.Endpoints {
-		there[a.Endpoints[i].ID] = true
+		listed[a.Endpoints[i].ID] = true
 	}
-	for id, held := range v.shards {
+	for id, endpoints := range v.shards {
 		if !replaced[id] && !a.AllShards {
 			continue
 		}
-		for name, e := range held {
-			if !there[name] {
+		for name, e := range endpoints {
+			if !listed[name] {
 				e.State = policy.Gone
 				u.Endpoints = append(u.Endpoints, e)
-				delete(held, name)
+				delete(endpoints, name)
 			}
 		}
 	}
 }
 
-// put enters an endpoint as it has become; false: it is nothing for the sender.
-func (v *View) put(e *directory.Endpoint) (discovery.Endpoint, bool) {
+// putEndpoint stores the new state of an endpoint. The result is false if there is nothing to report to the sender.
+func (v *View) putEndpoint(e *directory.Endpoint) (discovery.Endpoint, bool) {
 	id := e.Shard()
-	known, had := v.shards[id][e.ID]
+	known, found := v.shards[id][e.ID]
 	if e.State == pb.EndpointState_REMOVED {
 		delete(v.shards[id], e.ID)
 		known.State = policy.Gone
-		return known, had
+		return known, found
 	}
 	if _, err := netip.ParseAddrPort(e.Addr); err != nil {
-		v.log.Warn().Str("endpoint", e.ID).Str("addr", e.Addr).Msg("no address: passed over")
+		v.log.Warn().Str("endpoint", e.ID).Str("addr", e.Addr).Msg("directory: endpoint without a valid address ignored")
 		return discovery.Endpoint{}, false
 	}
-	x := discovery.Endpoint{Name: e.ID, Addr: e.Addr}
-	if x.ID = known.ID; !had {
+	endpoint := discovery.Endpoint{Name: e.ID, Addr: e.Addr}
+	if endpoint.ID = known.ID; !found {
 		v.nextID++
-		x.ID = v.nextID
+		endpoint.ID = v.nextID
 	}
-	x.Dest, x.Rating = int(e.Destination), e.Weight
-	x.State = policy.Ready
+	endpoint.Dest, endpoint.Rating = int(e.Destination), e.Weight
+	endpoint.State = policy.Ready
 	if e.State == pb.EndpointState_DRAINING {
-		x.State = policy.Draining
+		endpoint.State = policy.Draining
 	}
-	x.SetZoneAndKind(v.set, e.Zone, e.Kind)
+	endpoint.SetZoneAndKind(v.settings, e.Zone, e.Kind)
 	if v.shards[id] == nil {
 		v.shards[id] = map[string]discovery.Endpoint{}
 	}
-	v.shards[id][e.ID] = x
-	return x, true
+	v.shards[id][e.ID] = endpoint
+	return endpoint, true
 }
 
-// Forget drops shards that the sender is done with.
+// Forget drops shards that the sender has released.
 func (v *View) Forget(ids []shard.ID) {
 	for _, id := range ids {
 		delete(v.shards, id)
