--- a/internal/fleet/trial/trial.go
+++ b/internal/fleet/trial/trial.go
@@ -74,7 +74,7 @@
 	publishedAt float64
 	wordNumber  int
 	suspended   bool // trials are suspended, by the last throttle returned
-	raised      bool
+	raised      bool // the pace is raised, by the last throttle returned
 	throttle    storm.Throttle
 }
 
