--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -1,15 +1,14 @@
-// Package admin serves the operators' address: HTTP/1.1, one call a connection, every answer within a
-// second whatever the load. 2xx is yes, 4xx and 5xx are no, with a reason in one line of text.
+// Package admin serves the operators' address: HTTP/1.1, one request per connection, each answered within one second
+// under any load. 2xx reports success; 4xx and 5xx report failure, with the reason in one line of text.
 //
-//	GET  /ready              yes while this process takes clients
-//	POST /endpoints/disable  body ID: the endpoint counts as draining for this sender until enabled
-//	POST /endpoints/enable   body ID: it may serve again
-//	POST /drain              send clients away
-//	POST /undrain            back to work
+//	GET  /ready              200 while this process accepts clients, otherwise 503
+//	POST /endpoints/disable  body: an endpoint id; the endpoint counts as draining for this sender until enabled
+//	POST /endpoints/enable   body: an endpoint id; the endpoint may serve again
+//	POST /drain              turn clients away
+//	POST /undrain            accept clients again
 //
-// A caller that sends nothing, or half a call, is cut off when its time is up and holds nothing after.
-// Connections are bounded: where all places are held, the caller that has waited longest without a whole
-// call gives its place up to the newcomer.
+// A connection that does not send a whole request in time is closed, which frees its slot. The number of connections
+// is bounded: if all slots are in use, a new connection evicts the oldest one whose request is incomplete.
 package admin
 
 import (
@@ -28,17 +27,17 @@
 
 // Bounds of the address.
 const (
-	CallTimeout = 600 * time.Millisecond  // a whole call must have come by then, from the accept
-	answerFor   = 250 * time.Millisecond  // and its answer written within this
-	MaxConns    = 16                      // connections at once
-	maxBody     = operate.MaxIDLength + 2 // an id, with a line end
-	acceptRest  = 5 * time.Millisecond    // after an accept that failed: descriptors may be short
+	CallTimeout      = 600 * time.Millisecond  // for reading a whole request, from the accept
+	answerTimeout    = 250 * time.Millisecond  // for writing the answer
+	MaxConns         = 16                      // connections at once
+	maxBody          = operate.MaxIDLength + 2 // an id and a line end
+	acceptRetryDelay = 5 * time.Millisecond    // pause after a failed accept: descriptors may be exhausted
 )
 
-// ErrBusy is the error of a call that could not be carried out in its time.
+// ErrBusy reports that the sender did not carry out a call in time.
 var ErrBusy = errors.New("the sender did not take the call in time")
 
-// Calls are what the address does. Each must return well within CallWithin; an error is a no.
+// Handlers carry out the calls. Each must return well within CallTimeout; an error becomes an answer of 4xx or 5xx.
 type Handlers struct {
 	Ready   func() bool
 	Disable func(id string) error
@@ -47,23 +46,23 @@
 	Undrain func()
 }
 
-// Server is the operators' address.
+// Server serves the operators' address.
 type Server struct {
-	calls Handlers
-	log   zerolog.Logger
-	room  chan struct{}
-	wg    sync.WaitGroup
+	handlers Handlers
+	log      zerolog.Logger
+	slots    chan struct{}
+	wg       sync.WaitGroup
 
-	mu      sync.Mutex
-	reading []net.Conn // whose call has not come whole, oldest first
+	mu         sync.Mutex
+	incomplete []net.Conn // connections whose request is incomplete, oldest first
 }
 
-// New returns a Server that carries out calls.
-func New(calls Handlers, log zerolog.Logger) *Server {
-	return &Server{calls: calls, log: log, room: make(chan struct{}, MaxConns)}
+// New returns a Server that passes calls to the handlers.
+func New(handlers Handlers, log zerolog.Logger) *Server {
+	return &Server{handlers: handlers, log: log, slots: make(chan struct{}, MaxConns)}
 }
 
-// Serve accepts connections until the listener is closed, then waits for those that are open.
+// Serve accepts connections until the listener is closed, then waits until the open ones have ended.
 func (s *Server) Serve(ln net.Listener) {
 	defer s.wg.Wait()
 	for {
@@ -72,49 +71,50 @@
 			if errors.Is(err, net.ErrClosed) {
 				return
 			}
-			s.log.Warn().Err(err).Msg("admin: accept")
-			time.Sleep(acceptRest)
+			s.log.Warn().Err(err).Msg("admin: accepting a connection failed")
+			time.Sleep(acceptRetryDelay)
 			continue
 		}
-		s.place()
+		s.acquireSlot()
 		s.mu.Lock()
-		s.reading = append(s.reading, nc)
+		s.incomplete = append(s.incomplete, nc)
 		s.mu.Unlock()
 		s.wg.Add(1)
 		go s.serve(nc)
 	}
 }
 
-// place takes a place for a newcomer. Where none is free, the oldest caller still without a whole call is
-// cut off: each place is free within CallWithin anyway, and a silent crowd must not keep an operator out.
-func (s *Server) place() {
+// acquireSlot acquires a slot for a new connection. If none is free, it expires the read deadline of the oldest connection
+// whose request is incomplete: its slot would be freed by CallTimeout anyway, but silent connections must not keep an
+// operator out until then.
+func (s *Server) acquireSlot() {
 	for {
 		select {
-		case s.room <- struct{}{}:
+		case s.slots <- struct{}{}:
 			return
 		default:
 		}
 		s.mu.Lock()
-		if len(s.reading) > 0 {
-			s.reading[0].SetReadDeadline(time.Unix(1, 0))
-			s.reading = s.reading[1:]
+		if len(s.incomplete) > 0 {
+			s.incomplete[0].SetReadDeadline(time.Unix(1, 0))
+			s.incomplete = s.incomplete[1:]
 		}
 		s.mu.Unlock()
 		select {
-		case s.room <- struct{}{}:
+		case s.slots <- struct{}{}:
 			return
-		case <-time.After(acceptRest):
+		case <-time.After(acceptRetryDelay):
 		}
 	}
 }
 
-// whole notes that a connection's call has come, or never will.
-func (s *Server) whole(nc net.Conn) {
+// requestDone removes a connection from incomplete, once its request has been read or has failed.
+func (s *Server) requestDone(nc net.Conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for i, c := range s.reading {
+	for i, c := range s.incomplete {
 		if c == nc {
-			s.reading = append(s.reading[:i], s.reading[i+1:]...)
+			s.incomplete = append(s.incomplete[:i], s.incomplete[i+1:]...)
 			return
 		}
 	}
@@ -123,17 +123,17 @@
 func (s *Server) serve(nc net.Conn) {
 	defer func() {
 		nc.Close()
-		<-s.room
+		<-s.slots
 		s.wg.Done()
 	}()
-	begun := time.Now()
-	nc.SetReadDeadline(begun.Add(CallTimeout))
+	start := time.Now()
+	nc.SetReadDeadline(start.Add(CallTimeout))
 	m, err := http1.NewReader(nc).ReadRequest()
-	s.whole(nc)
+	s.requestDone(nc)
 	var a answer
 	switch {
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		return // it sent nothing, or not all: nobody waits for an answer that could say anything
+		return // the request is incomplete, so there is nothing to answer
 	case errors.Is(err, http1.ErrTooLarge):
 		a = answer{413, "a call's body is an endpoint id at most"}
 	case errors.Is(err, http1.ErrNoLength) && m.Headers.Get("Transfer-Encoding") != nil:
@@ -149,10 +149,10 @@
 	b = http1.AppendHeader(b, "Connection", "close")
 	b = http1.AppendHeader(b, "Content-Type", "text/plain")
 	b = http1.AppendBody(b, []byte(a.text+"\n"))
-	nc.SetWriteDeadline(time.Now().Add(answerFor))
+	nc.SetWriteDeadline(time.Now().Add(answerTimeout))
 	nc.Write(b)
 	if a.status >= 300 {
-		s.log.Info().Int("status", a.status).Str("reason", a.text).Msg("admin: a call was refused")
+		s.log.Info().Int("status", a.status).Str("reason", a.text).Msg("admin: request refused")
 	}
 }
 
@@ -161,7 +161,7 @@
 	text   string
 }
 
-// route carries out one call.
+// route carries out one request and returns its answer.
 func (s *Server) route(m *http1.Message) answer {
 	path, _, _ := bytes.Cut(m.Path, []byte("?"))
 	method := "POST"
@@ -181,26 +181,26 @@
 	}
 	switch string(path) {
 	case "/ready":
-		if !s.calls.Ready() {
+		if !s.handlers.Ready() {
 			return answer{503, "not taking clients"}
 		}
 		return answer{200, "ready"}
 	case "/drain":
-		s.calls.Drain()
+		s.handlers.Drain()
 		return answer{200, "sending clients away"}
 	case "/undrain":
-		s.calls.Undrain()
+		s.handlers.Undrain()
 		return answer{200, "taking clients"}
 	}
 	id := string(bytes.TrimSpace(m.Body))
 	if err := operate.CheckID(id); err != nil {
 		return answer{400, err.Error()}
 	}
-	do, done := s.calls.Disable, "taken out: "
+	handle, confirmation := s.handlers.Disable, "taken out: "
 	if string(path) == "/endpoints/enable" {
-		do, done = s.calls.Enable, "may serve again: "
+		handle, confirmation = s.handlers.Enable, "may serve again: "
 	}
-	switch err := do(id); {
+	switch err := handle(id); {
 	case errors.Is(err, operate.ErrNeverListed):
 		return answer{404, err.Error() + ": " + id}
 	case errors.Is(err, operate.ErrTooManyDisabled):
@@ -208,5 +208,5 @@
 	case err != nil:
 		return answer{503, err.Error()}
 	}
-	return answer{200, done + id}
+	return answer{200, confirmation + id}
 }
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -18,29 +18,29 @@
 	"sliptide/internal/operate"
 )
 
-// fake records what the address asked of the sender.
+// fake is a sender that records the calls of its handlers.
 type fake struct {
-	mu    sync.Mutex
-	did   []string
-	ready bool
+	mu       sync.Mutex
+	recorded []string
+	ready    bool
 }
 
-func (f *fake) note(s string) { f.mu.Lock(); f.did = append(f.did, s); f.mu.Unlock() }
+func (f *fake) record(s string) { f.mu.Lock(); f.recorded = append(f.recorded, s); f.mu.Unlock() }
 
-func (f *fake) calls() Handlers {
-	out := func(what string) func(string) error {
+func (f *fake) handlers() Handlers {
+	setter := func(name string) func(string) error {
 		return func(id string) error {
 			if id == "never" {
 				return operate.ErrNeverListed
 			}
-			f.note(what + " " + id)
+			f.record(name + " " + id)
 			return nil
 		}
 	}
 	return Handlers{
 		Ready:   func() bool { f.mu.Lock(); defer f.mu.Unlock(); return f.ready },
-		Disable: out("disable"), Enable: out("enable"),
-		Drain: func() { f.note("drain") }, Undrain: func() { f.note("undrain") },
+		Disable: setter("disable"), Enable: setter("enable"),
+		Drain: func() { f.record("drain") }, Undrain: func() { f.record("undrain") },
 	}
 }
 
@@ -50,16 +50,15 @@
 		t.Fatal(err)
 	}
 	done := make(chan struct{})
-	go func() { New(f.calls(), zerolog.Nop()).Serve(ln); close(done) }()
+	go func() { New(f.handlers(), zerolog.Nop()).Serve(ln); close(done) }()
 	t.Cleanup(func() { ln.Close(); <-done })
 	return ln.Addr().String()
 }
 
-// ask writes text on a connection of its own and returns the answer's first line and body, and how long
-// the answer took.
-func ask(t *testing.T, addr, text string) (status, body string, took time.Duration) {
+// ask writes text on a new connection and returns the answer's status line and body, and the time until the answer.
+func ask(t *testing.T, addr, text string) (status, body string, elapsed time.Duration) {
 	t.Helper()
-	began := time.Now()
+	start := time.Now()
 	nc, err := net.Dial("tcp", addr)
 	if err != nil {
 		t.Fatal(err)
@@ -70,14 +69,14 @@
 	all, _ := io.ReadAll(bufio.NewReader(nc))
 	head, body, _ := strings.Cut(string(all), "\r\n\r\n")
 	status, _, _ = strings.Cut(head, "\r\n")
-	return status, strings.TrimSpace(body), time.Since(began)
+	return status, strings.TrimSpace(body), time.Since(start)
 }
 
 func post(path, body string) string {
 	return fmt.Sprintf("POST %s HTTP/1.1\r\nHost: a\r\nContent-Length: %d\r\n\r\n%s", path, len(body), body)
 }
 
-// Each call gets its yes or its no, with a reason where it is a no.
+// Each call is answered with its status and reason, and only valid calls reach the handlers.
 func TestCalls(t *testing.T) {
 	f := &fake{}
 	addr := serve(t, f)
@@ -99,9 +98,9 @@
 		{"POST /undrain HTTP/1.1\r\nHost: a\r\n\r\n", "HTTP/1.1 200 OK", "taking clients"}, // no length: no body
 		{"POST /endpoints/enable HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n3\r\ns-1\r\n0\r\n\r\n", "HTTP/1.1 411 Length Required", "a call's body goes with Content-Length"},
 	} {
-		status, body, took := ask(t, addr, c.text)
-		if status != c.status || body != c.body || took > time.Second {
-			t.Errorf("%.40q: %s %q after %v, want %s %q", c.text, status, body, took, c.status, c.body)
+		status, body, elapsed := ask(t, addr, c.text)
+		if status != c.status || body != c.body || elapsed > time.Second {
+			t.Errorf("%.40q: %s %q after %v, want %s %q", c.text, status, body, elapsed, c.status, c.body)
 		}
 	}
 	f.mu.Lock()
@@ -111,79 +110,79 @@
 		t.Errorf("ready: %s", status)
 	}
 	want := "disable s-5be2a07c,disable s-5be2a07c,enable s-5be2a07c,drain,undrain,undrain"
-	if got := strings.Join(f.did, ","); got != want {
-		t.Errorf("did %s, want %s", got, want)
+	if got := strings.Join(f.recorded, ","); got != want {
+		t.Errorf("handlers called: %s, want %s", got, want)
 	}
 }
 
-// Callers that say nothing, or half a call, and stay: each is cut off when its time is up, holds nothing
-// after, does nothing, and a call that comes whole meanwhile is answered within a second.
-func TestSilentAndHalfCallers(t *testing.T) {
+// Clients that hold connections open and send nothing, or an incomplete request, take up all slots. Each is closed
+// after CallTimeout and runs no handler, and a complete request is answered within a second meanwhile.
+func TestIncompleteRequests(t *testing.T) {
 	f := &fake{ready: true}
 	addr := serve(t, f)
-	var held []net.Conn
+	var conns []net.Conn
 	for i := range 3 * MaxConns {
 		nc, err := net.Dial("tcp", addr)
 		if err != nil {
 			t.Fatal(err)
 		}
-		held = append(held, nc)
+		conns = append(conns, nc)
 		if i%2 == 1 {
 			io.WriteString(nc, "POST /drain HTTP/1.1\r\nContent-Length: 5\r\n\r\nab")
 		}
 	}
-	status, _, took := ask(t, addr, "GET /ready HTTP/1.1\r\nHost: a\r\n\r\n")
-	if status != "HTTP/1.1 200 OK" || took > time.Second {
-		t.Errorf("ready answered after %v, among callers that stay", took)
+	status, _, elapsed := ask(t, addr, "GET /ready HTTP/1.1\r\nHost: a\r\n\r\n")
+	if status != "HTTP/1.1 200 OK" || elapsed > time.Second {
+		t.Errorf("ready answered after %v, among incomplete requests", elapsed)
 	}
-	t.Logf("ready among %d callers that stay: %s after %v", len(held), status, took)
-	for _, nc := range held {
+	t.Logf("ready among %d incomplete requests: %s after %v", len(conns), status, elapsed)
+	for _, nc := range conns {
 		nc.SetReadDeadline(time.Now().Add(CallTimeout + time.Second))
 		if n, err := nc.Read(make([]byte, 1)); n != 0 || err != io.EOF && !errors.Is(err, syscall.ECONNRESET) {
-			t.Fatalf("a caller that stays: read %d bytes, %v; want the end", n, err)
+			t.Fatalf("incomplete request: read %d bytes, %v; want the connection closed", n, err)
 		}
 		nc.Close()
 	}
-	if len(f.did) != 0 {
-		t.Errorf("half calls did %v", f.did)
+	if len(f.recorded) != 0 {
+		t.Errorf("incomplete requests called handlers: %v", f.recorded)
 	}
-	status, _, took = ask(t, addr, "GET /ready HTTP/1.1\r\nHost: a\r\n\r\n")
-	if status != "HTTP/1.1 200 OK" || took > 100*time.Millisecond {
-		t.Errorf("after the callers left: %s after %v", status, took)
+	status, _, elapsed = ask(t, addr, "GET /ready HTTP/1.1\r\nHost: a\r\n\r\n")
+	if status != "HTTP/1.1 200 OK" || elapsed > 100*time.Millisecond {
+		t.Errorf("after the connections closed: %s after %v", status, elapsed)
 	}
 }
 
-// Two processes of one sender in an upgrade: what an operator takes out at one holds at the other, which
-// follows the file; an id that the other has never seen listed is taken too.
-func TestKeptIsFollowed(t *testing.T) {
+// During an upgrade two processes of one sender run side by side. The process that watches the file applies what an
+// operator disables at the other one, even an id that none of its lists has named.
+func TestWatchAppliesFile(t *testing.T) {
 	dir := fsys.OS{Dir: t.TempDir()}
 	old, err := Open(dir)
 	if err != nil {
 		t.Fatal(err)
 	}
 	old.Bind(func(string, bool) error { return nil })
-	heir, err := Open(dir)
+	successor, err := Open(dir)
 	if err != nil {
 		t.Fatal(err)
 	}
-	var told []string
-	follow := func(id string, out bool) error { told = append(told, fmt.Sprint(id, " ", out)); return nil }
+	var applied []string
+	apply := func(id string, out bool) error { applied = append(applied, fmt.Sprint(id, " ", out)); return nil }
 	old.Disable("s-1")
 	old.Disable("s-2")
-	heir.follow(follow)
+	successor.sync(apply)
 	old.Enable("s-1")
-	heir.follow(follow)
-	heir.follow(follow) // nothing new
-	if got := strings.Join(told, ","); got != "s-1 true,s-2 true,s-1 false" {
-		t.Errorf("followed %s", got)
+	successor.sync(apply)
+	successor.sync(apply) // unchanged file
+	if got := strings.Join(applied, ","); got != "s-1 true,s-2 true,s-1 false" {
+		t.Errorf("applied %s", got)
 	}
-	if ids := heir.Disabled().IDs(); len(ids) != 1 || ids[0] != "s-2" {
-		t.Errorf("the heir holds %v", ids)
+	if ids := successor.Disabled().IDs(); len(ids) != 1 || ids[0] != "s-2" {
+		t.Errorf("disabled in the successor: %v, want s-2", ids)
 	}
-	if err := dir.Write(outName, []byte("garbage"), false); err != nil {
+	if err := dir.Write(fileName, []byte("garbage"), false); err != nil {
 		t.Fatal(err)
 	}
-	if err := heir.follow(follow); err == nil || heir.Disabled().Len() != 1 {
-		t.Errorf("a broken file: %v, %v", err, heir.Disabled().IDs())
+	if err := successor.sync(apply); err == nil || successor.Disabled().Len() != 1 {
+		t.Errorf("unreadable file: %v, %v", err, successor.Disabled().IDs())
 	}
 }
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -26,9 +26,9 @@
 // Env is what the commands work with.
 type Env struct {
 	Out, Err io.Writer
-	// Run runs a sender until it is told to stop. An error that wraps ErrConfig is of the configuration.
+	// RunSender runs a sender until it is told to stop. An error that wraps ErrConfig is of the configuration.
 	RunSender func(operatorFile string) error
-	// Control runs a control member by its file until it is told to stop.
+	// RunControlMember runs a control member by its file until it is told to stop.
 	RunControlMember func(file string) error
 	// Now is the time in Unix milliseconds.
 	Now func() float64
@@ -51,7 +51,7 @@
 	Operator string `help:"The operators' file. Without one, every part of it is off." placeholder:"FILE" env:"SLIPTIDE_OPERATOR"`
 }
 
-// Run runs the command.
+// RunSender runs the command.
 func (c *runCmd) Run(env *Env) error { return env.RunSender(c.Operator) }
 
 type checkCmd struct {
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,5 +1,5 @@
-// Package config reads what a sender is told at its start: the environment, the
-// JSON file that it names, and the settings of the decision module.
+// Package config reads a sender's configuration: the environment variables, the JSON file that RELAY_CONFIG
+// names, and in that file the settings of package policy.
 package config
 
 import (
@@ -13,7 +13,7 @@
 	"sliptide/policy"
 )
 
-// Limits are what the machine lets the process use.
+// Limits bounds the machine's resources that the process may use.
 type Limits struct {
 	Cores     float64
 	MemoryMB  float64
@@ -21,27 +21,26 @@
 	DiskBytes int64
 }
 
-// Config is all that one sender is told.
+// Config is the configuration of one sender.
 type Config struct {
 	Name           string
-	ListenAddr     string // host:port, for clients
+	ListenAddr     string // host:port on which clients are served
 	DiscoveryAddr  string // host:port
-	AdminAddr      string // host:port of the operators' address; empty: there is none
-	StateDir       string // the folder that lasts
+	AdminAddr      string // host:port of the operators' address; empty: disabled
+	StateDir       string // state directory
 	Seed           uint64
 	Limits         Limits
 	Settings       policy.Settings
-	KnownEndpoints []byte // the list of endpoints as last had, in discovery's JSON; may be empty
+	KnownEndpoints []byte // endpoint list to start with, in discovery's JSON; may be empty
 }
 
-// Load reads the file that RELAY_CONFIG names; the other variables go before
-// what it says.
+// Load reads the file that RELAY_CONFIG names. The other environment variables override the file.
 func Load(getenv func(string) string) (*Config, error) {
 	return load(getenv, getenv("RELAY_DISCOVERY"))
 }
 
-// Reload reads the file again after it was replaced. RELAY_DISCOVERY is as old as the
-// process, so the file goes before it: else a new address would never be seen.
+// Reload reads the file again after it was replaced. It ignores RELAY_DISCOVERY: the variable cannot change during
+// the process's run, so it would hide a new discovery address in the file.
 func Reload(getenv func(string) string) (*Config, error) { return load(getenv, "") }
 
 func load(getenv func(string) string, discovery string) (*Config, error) {
@@ -58,14 +57,14 @@
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
 	for _, f := range []struct {
-		value string
-		to    *string
+		value  string
+		target *string
 	}{
 		{getenv("RELAY_NAME"), &c.Name}, {getenv("RELAY_LISTEN"), &c.ListenAddr},
 		{getenv("RELAY_STATE"), &c.StateDir}, {discovery, &c.DiscoveryAddr}, {getenv("RELAY_ADMIN"), &c.AdminAddr},
 	} {
 		if f.value != "" {
-			*f.to = f.value
+			*f.target = f.value
 		}
 	}
 	return c, c.check()
@@ -91,13 +90,13 @@
 	if known := v.Get("known"); known != nil && known.Type() == fastjson.TypeObject {
 		c.KnownEndpoints = known.MarshalTo(nil)
 	}
-	set := v.Get("settings")
-	if set == nil {
+	settings := v.Get("settings")
+	if settings == nil {
 		return nil, fmt.Errorf("settings: missing")
 	}
-	m := map[string]string{}
-	flatten(m, "", set)
-	if c.Settings, err = readSettings(m); err != nil {
+	values := map[string]string{}
+	flatten(values, "", settings)
+	if c.Settings, err = readSettings(values); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
 	return c, nil
@@ -112,39 +111,40 @@
 		}
 	}
 	if c.Limits.Sockets < 64 {
-		return fmt.Errorf("limits.sockets: %d are too few, 64 at least", c.Limits.Sockets)
+		return fmt.Errorf("limits.sockets: %d is too small; minimum: 64", c.Limits.Sockets)
 	}
 	if c.Limits.DiskBytes < 64<<10 {
-		return fmt.Errorf("limits.disk_mb: %d bytes are too few, 64 KiB at least", c.Limits.DiskBytes)
+		return fmt.Errorf("limits.disk_mb: %d bytes is too small; minimum: 64 KiB", c.Limits.DiskBytes)
 	}
 	return nil
 }
 
-// flatten writes nested JSON as the path=value pairs of the wire: a list of
-// plain values is joined with commas, a list of objects states its count.
-func flatten(m map[string]string, path string, v *fastjson.Value) {
+// flatten adds nested JSON to m as path=value pairs, the form of the simulator's wire. A list of scalars becomes one
+// value joined with commas; a list of objects becomes one set of pairs per item and the number of items under
+// path.count.
+func flatten(values map[string]string, path string, v *fastjson.Value) {
 	switch v.Type() {
 	case fastjson.TypeObject:
 		if path != "" {
 			path += "."
 		}
-		v.GetObject().Visit(func(k []byte, v *fastjson.Value) { flatten(m, path+string(k), v) })
+		v.GetObject().Visit(func(k []byte, v *fastjson.Value) { flatten(values, path+string(k), v) })
 	case fastjson.TypeArray:
 		items := v.GetArray()
 		if len(items) > 0 && items[0].Type() == fastjson.TypeObject {
-			m[path+".count"] = strconv.Itoa(len(items))
+			values[path+".count"] = strconv.Itoa(len(items))
 			for i, item := range items {
-				flatten(m, path+"."+strconv.Itoa(i), item)
+				flatten(values, path+"."+strconv.Itoa(i), item)
 			}
 			return
 		}
-		plain := make([]string, len(items))
+		scalars := make([]string, len(items))
 		for i, item := range items {
-			plain[i] = scalar(item)
+			scalars[i] = scalar(item)
 		}
-		m[path] = strings.Join(plain, ",")
+		values[path] = strings.Join(scalars, ",")
 	default:
-		m[path] = scalar(v)
+		values[path] = scalar(v)
 	}
 }
 
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -10,10 +10,10 @@
 	"sliptide/policy"
 )
 
-// maxItems bounds the lists of the settings, whatever count they state.
+// maxItems bounds the number of items that a list of the settings may state.
 const maxItems = 1 << 12
 
-// ParseSettings reads the path=value lines of a start on the simulator's wire.
+// ParseSettings reads the path=value lines of a start message on the simulator's wire.
 func ParseSettings(info string) (policy.Settings, error) {
 	m := map[string]string{}
 	for _, line := range strings.Split(info, "\n") {
@@ -24,33 +24,32 @@
 	return readSettings(m)
 }
 
-// readSettings fills the settings from path=value pairs, the form that the wire
-// and the flattened JSON share. Settings that are not known are passed over; one
-// that is needed and missing is an error.
-func readSettings(m map[string]string) (policy.Settings, error) {
-	p := pairs{m: m}
+// readSettings fills the settings from path=value pairs, the form that the wire and the flattened JSON share. Unknown
+// settings are ignored; a missing setting without a default is an error.
+func readSettings(values map[string]string) (policy.Settings, error) {
+	p := pairs{values: values}
 	s := policy.Settings{
 		Index:                p.integer("index", 0),
 		Senders:              p.integer("balancers", 1),
 		Zone:                 p.integer("zone", 0),
 		Zones:                p.list("areas"),
 		MinStepInterval:      p.float("round", 0),
-		CallSlots:            p.integer("family_info.call_slots", need),
-		WorthHalves:          p.m["family_info.loses_worth"] == "halves",
+		CallSlots:            p.integer("family_info.call_slots", required),
+		WorthHalves:          p.values["family_info.loses_worth"] == "halves",
 		OverShareWorth:       p.float("over_share_worth", 1),
 		CrossZoneFee:         p.float("fees.cross_zone", 0),
-		RatingIsRate:         p.m["weights"] == "nominal" || p.m["weights"] == "rough",
+		RatingIsRate:         p.values["weights"] == "nominal" || p.values["weights"] == "rough",
 		MayCancel:            p.flag("limits.may_cancel"),
 		MayProbe:             p.flag("limits.probes"),
 		MarksResubmissions:   p.flag("callers.marks_retry"),
 		SendsRetryAfter:      p.flag("limits.retry_after"),
 		MaxRetryAfter:        p.float("limits.max_retry_after", 0),
-		MaxAttempts:          p.integer("limits.max_attempts", need),
-		MaxHeld:              p.integer("limits.most_held", need),
+		MaxAttempts:          p.integer("limits.max_attempts", required),
+		MaxHeld:              p.integer("limits.most_held", required),
 		StreamsPerConn:       p.integer("limits.streams_per_conn", 1),
 		KeepAlive:            p.float("limits.keepalive", 0),
 		DialTimeout:          p.float("limits.dial_timeout", 0),
-		Subscribe:            p.m["discovery"] == "subscribe",
+		Subscribe:            p.values["discovery"] == "subscribe",
 		MaxSubscribeInterval: p.float("contract.must_ask_in", 0),
 		AnswerSlack:          p.float("contract.answer_slack", 0),
 		DrainGrace:           p.float("contract.stop_sending_within", 0),
@@ -62,7 +61,7 @@
 		AllowanceIndex:       -1,
 		LimitIndex:           -1,
 	}
-	for i, f := range strings.Split(p.m["reporting.fields"], ",") {
+	for i, f := range strings.Split(p.values["reporting.fields"], ",") {
 		switch f {
 		case "x0":
 			s.AllowanceIndex = i
@@ -70,28 +69,28 @@
 			s.LimitIndex = i
 		}
 	}
-	classes := p.count("services.count", need)
+	classes := p.count("services.count", required)
 	if classes == 0 && p.err == nil {
-		p.fail("services", fmt.Errorf("no class is defined; allowed: one or more"))
+		p.fail("services", fmt.Errorf("no class is defined; at least one is required"))
 	}
 	for i := range classes {
-		at := fmt.Sprintf("services.%d.", i)
+		prefix := fmt.Sprintf("services.%d.", i)
 		c := policy.Class{
-			Name:        p.m[at+"name"],
-			Deadline:    p.float(at+"deadline", need),
-			Worth:       p.float(at+"worth", need),
-			LateWorth:   p.float(at+"late_worth", 0),
-			ZoneScope:   p.m[at+"key_scope"] != "" && p.m[at+"key_scope"] != "all",
-			DedupWindow: p.float(at+"memory_span", 0),
-			Ordered:     p.flag(at + "by_arrival"),
+			Name:        p.values[prefix+"name"],
+			Deadline:    p.float(prefix+"deadline", required),
+			Worth:       p.float(prefix+"worth", required),
+			LateWorth:   p.float(prefix+"late_worth", 0),
+			ZoneScope:   p.values[prefix+"key_scope"] != "" && p.values[prefix+"key_scope"] != "all",
+			DedupWindow: p.float(prefix+"memory_span", 0),
+			Ordered:     p.flag(prefix + "by_arrival"),
 		}
-		c.Aim = p.float(at+"aim", c.Deadline)
-		p.over(at+"deadline", c.Deadline, 0, "a time in milliseconds over 0")
-		p.over(at+"aim", c.Aim, 0, "a time in milliseconds over 0")
+		c.Aim = p.float(prefix+"aim", c.Deadline)
+		p.requireOver(prefix+"deadline", c.Deadline, 0, "a time in milliseconds greater than 0")
+		p.requireOver(prefix+"aim", c.Aim, 0, "a time in milliseconds greater than 0")
 		if slices.ContainsFunc(s.Classes, func(o policy.Class) bool { return o.Name == c.Name }) {
-			p.fail(at+"name", fmt.Errorf("%q: allowed: a name that no other class has", c.Name))
+			p.fail(prefix+"name", fmt.Errorf("duplicate class name %q", c.Name))
 		}
-		switch e := p.m[at+"effect"]; e {
+		switch e := p.values[prefix+"effect"]; e {
 		case "safe":
 			c.Effect = policy.Safe
 		case "keyed":
@@ -99,69 +98,69 @@
 		case "unsafe":
 			c.Effect = policy.Unsafe
 		default:
-			p.fail(at+"effect", fmt.Errorf("%q is not an effect; allowed: safe, keyed, unsafe", e))
+			p.fail(prefix+"effect", fmt.Errorf("invalid value %q; allowed: safe, keyed, unsafe", e))
 		}
-		if c.Effect == policy.Keyed { // without a window no repeat would ever be allowed: that is another effect
-			p.over(at+"memory_span", p.float(at+"memory_span", need), 0, "a time in milliseconds over 0, where the effect is keyed")
+		if c.Effect == policy.Keyed { // without a dedup window no repeat would be allowed, which is another effect
+			p.requireOver(prefix+"memory_span", p.float(prefix+"memory_span", required), 0, "a time in milliseconds greater than 0, which the effect keyed requires")
 		}
 		s.Classes = append(s.Classes, c)
 	}
 	for i := range p.count("tenants.count", 0) {
-		at := fmt.Sprintf("tenants.%d.", i)
-		t := policy.Tenant{Name: p.m[at+"name"], Quota: p.float(at+"quota_per_s", need)}
-		p.float(at+"fraction", 0) // nothing goes by it, but a wrong one tells of a wrong file
+		prefix := fmt.Sprintf("tenants.%d.", i)
+		t := policy.Tenant{Name: p.values[prefix+"name"], Quota: p.float(prefix+"quota_per_s", required)}
+		p.float(prefix+"fraction", 0) // unused, but validated: an invalid value indicates a wrong file
 		if slices.ContainsFunc(s.Tenants, func(o policy.Tenant) bool { return o.Name == t.Name }) {
-			p.fail(at+"name", fmt.Errorf("%q: allowed: a name that no other tenant has", t.Name))
+			p.fail(prefix+"name", fmt.Errorf("duplicate tenant name %q", t.Name))
 		}
 		s.Tenants = append(s.Tenants, t)
 	}
-	own, batch := p.list("family_info.own_limits"), p.list("family_info.kind_batch")
+	ownLimits, batches := p.list("family_info.own_limits"), p.list("family_info.kind_batch")
 	names := p.list("kinds")
-	for i := range max(len(own), len(batch), len(names)) {
+	for i := range max(len(ownLimits), len(batches), len(names)) {
 		k := policy.DestKind{Batch: 1}
 		if i < len(names) {
 			k.Name = names[i]
 		}
-		if i < len(own) {
-			k.OwnLimits = own[i] == "true"
+		if i < len(ownLimits) {
+			k.OwnLimits = ownLimits[i] == "true"
 		}
-		if i < len(batch) {
-			n, err := strconv.Atoi(batch[i])
+		if i < len(batches) {
+			n, err := strconv.Atoi(batches[i])
 			if err != nil || n < 1 || n > maxBatch {
-				p.fail(fmt.Sprintf("family_info.kind_batch.%d", i), fmt.Errorf("%q: allowed: a whole number of messages in one call, 1 to %d", batch[i], maxBatch))
+				p.fail(fmt.Sprintf("family_info.kind_batch.%d", i), fmt.Errorf("invalid value %q; allowed: messages in one call, 1 to %d", batches[i], maxBatch))
 			}
 			k.Batch = max(n, 1)
 		}
 		s.Kinds = append(s.Kinds, k)
 	}
 	for _, v := range p.list("family_info.toll") {
-		toll, err := number(v)
+		fee, err := number(v)
 		if err != nil {
 			p.fail("family_info.toll", err)
 		}
-		s.ZoneFees = append(s.ZoneFees, toll)
+		s.ZoneFees = append(s.ZoneFees, fee)
 	}
 	if len(s.Zones) > 0 && (s.Zone < 0 || s.Zone >= len(s.Zones)) {
-		p.fail("zone", fmt.Errorf("%d names no zone; allowed: 0 to %d, the positions of areas %v", s.Zone, len(s.Zones)-1, s.Zones))
+		p.fail("zone", fmt.Errorf("index %d is out of range; allowed: 0 to %d, the indices of areas %v", s.Zone, len(s.Zones)-1, s.Zones))
 	}
 	if len(s.ZoneFees) > 1 && len(s.ZoneFees) != len(s.Zones) {
-		p.fail("family_info.toll", fmt.Errorf("%d figures for the %d zones of areas %v; allowed: one for each", len(s.ZoneFees), len(s.Zones), s.Zones))
+		p.fail("family_info.toll", fmt.Errorf("%d values for the %d zones of areas %v; allowed: one for each zone", len(s.ZoneFees), len(s.Zones), s.Zones))
 	}
-	p.over("limits.max_attempts", float64(s.MaxAttempts), 0, "a whole number over 0")
-	p.over("family_info.call_slots", float64(s.CallSlots), 0, "a whole number over 0")
+	p.requireOver("limits.max_attempts", float64(s.MaxAttempts), 0, "an integer greater than 0")
+	p.requireOver("family_info.call_slots", float64(s.CallSlots), 0, "an integer greater than 0")
 	return s, p.err
 }
 
-// maxBatch bounds the messages of one call that a kind may allow: what one body of 64 KiB can carry.
+// maxBatch bounds the messages in one call that a kind may allow: a body of 64 KiB holds no more.
 const maxBatch = 1000
 
-// need marks a setting that has no default.
-const need = -1
+// required, as a default, marks a required setting.
+const required = -1
 
-// pairs reads typed values and keeps the first error.
+// pairs reads typed values of path=value pairs and keeps the first error.
 type pairs struct {
-	m   map[string]string
-	err error
+	values map[string]string
+	err    error
 }
 
 func (p *pairs) fail(key string, err error) {
@@ -171,9 +170,9 @@
 }
 
 func (p *pairs) float(key string, def float64) float64 {
-	v, ok := p.m[key]
+	v, ok := p.values[key]
 	if !ok || v == "" {
-		if def == need {
+		if def == required {
 			p.fail(key, fmt.Errorf("missing"))
 			return 0
 		}
@@ -186,11 +185,11 @@
 	return f
 }
 
-// number reads a figure of the settings: times, rates, counts, shares and worths are all finite, and none is negative.
+// number parses a numeric setting. Times, rates, counts, shares and worths are all finite and not negative.
 func number(v string) (float64, error) {
 	f, err := strconv.ParseFloat(v, 64)
 	if err != nil || !(f >= 0) || math.IsInf(f, 0) {
-		return 0, fmt.Errorf("%q is not allowed; allowed: a number from 0 on", v)
+		return 0, fmt.Errorf("invalid value %q; allowed: a number of 0 or more", v)
 	}
 	return f, nil
 }
@@ -207,24 +206,24 @@
 func (p *pairs) count(key string, def int) int {
 	n := p.integer(key, def)
 	if n < 0 || n > maxItems {
-		p.fail(key, fmt.Errorf("%d items", n))
+		p.fail(key, fmt.Errorf("%d items: out of range", n))
 		return 0
 	}
 	return n
 }
 
-// over fails where v is not over least, saying what is allowed.
-func (p *pairs) over(key string, v, least float64, allowed string) {
-	if !(v > least) && p.err == nil {
-		p.fail(key, fmt.Errorf("%v is not allowed; allowed: %s", v, allowed))
+// requireOver records an error unless v is greater than bound; allowed describes the permitted values.
+func (p *pairs) requireOver(key string, v, bound float64, allowed string) {
+	if !(v > bound) && p.err == nil {
+		p.fail(key, fmt.Errorf("invalid value %v; allowed: %s", v, allowed))
 	}
 }
 
-func (p *pairs) flag(key string) bool { return p.m[key] == "true" }
+func (p *pairs) flag(key string) bool { return p.values[key] == "true" }
 
 func (p *pairs) list(key string) []string {
-	if p.m[key] == "" {
+	if p.values[key] == "" {
 		return nil
 	}
-	return strings.Split(p.m[key], ",")
+	return strings.Split(p.values[key], ",")
 }
--- a/internal/operator/fleet.go
+++ b/internal/operator/fleet.go
@@ -332,7 +332,7 @@
 	return ""
 }
 
-// Has reports whether a member has that name.
+// HasMember reports whether a member has that name.
 func (f *Fleet) HasMember(name string) bool {
 	return slices.ContainsFunc(f.Members, func(m Member) bool { return m.Name == name })
 }
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -50,7 +50,7 @@
 	Limits  []ContractLimit
 }
 
-// StatedLimit is a partner's limit as its contract has it.
+// ContractLimit is a partner's limit as its contract has it.
 type ContractLimit struct {
 	Dest           int
 	CallsPerSecond float64 // calls a second, over all senders
--- a/internal/strictxml/read.go
+++ b/internal/strictxml/read.go
@@ -10,7 +10,7 @@
 )
 
 const (
-	// MaxFile is the most bytes that a document may have.
+	// MaxFileSize is the most bytes that a document may have.
 	MaxFileSize = 1 << 20
 	xsiSpace    = "http://www.w3.org/2001/XMLSchema-instance"
 	xmlnsSpace  = "xmlns"
--- a/internal/strictxml/spec.go
+++ b/internal/strictxml/spec.go
@@ -55,15 +55,15 @@
 	sizeUnits = []unit{{"B", 1}, {"KiB", 1 << 10}, {"MiB", 1 << 20}, {"GiB", 1 << 30}}
 )
 
-// Between is a time from lo to hi, such as 250ms.
+// Duration is a time from lo to hi, such as 250ms.
 func Duration(lo, hi time.Duration) Values {
 	return Values{units: timeUnits, lo: int64(lo), hi: int64(hi)}
 }
 
-// Sized is a number of bytes, such as 64KiB.
+// Size is a number of bytes, such as 64KiB.
 func Size(lo, hi int64) Values { return Values{units: sizeUnits, lo: lo, hi: hi} }
 
-// Whole is a whole number from lo to hi.
+// Integer is a whole number from lo to hi.
 func Integer(lo, hi int64) Values { return Values{units: []unit{{"", 1}}, lo: lo, hi: hi} }
 
 // Text is what matches pattern all through; what says so in words.
@@ -74,7 +74,7 @@
 // OneOf is one of the words; its number is its place among them.
 func OneOf(words ...string) Values { return Values{words: words} }
 
-// Defaults fills f with the fallbacks. A repeated element has them when it begins.
+// ApplyDefaults fills f with the fallbacks. A repeated element has them when it begins.
 func (e *Element[T]) ApplyDefaults(f *T) {
 	e.own(f)
 	for i := range e.Children {
