--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -84,9 +84,9 @@
 	}
 }
 
-// acquireSlot acquires a slot for a new connection. If none is free, it expires the read deadline of the oldest connection
-// whose request is incomplete: its slot would be freed by CallTimeout anyway, but silent connections must not keep an
-// operator out until then.
+// acquireSlot waits for a slot for a new connection. If none is free, it expires the read deadline of the oldest
+// connection whose request is incomplete: its slot would be freed by CallTimeout anyway, but silent connections must
+// not keep an operator out until then.
 func (s *Server) acquireSlot() {
 	for {
 		select {
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -1,8 +1,8 @@
-// Package operator reads the operators' file, deploy/sliptide.xml: all that is set by the people who
-// run a sender and is not in the platform's own configuration. One table (spec.go) says what the file
-// may hold; the strict reader and the XML schema both come from it, so that they cannot part.
+// Package operator reads and checks the operators' file, deploy/sliptide.xml: the settings that the operators of a
+// sender choose, beside the platform's own configuration (package config). One specification (spec.go) describes the
+// file; the strict reader and the XML Schema are both derived from it, so that they cannot diverge.
 //
-// It reads and checks. It starts nothing, and it knows nothing of the parts that it configures.
+// The package does not depend on the parts that it configures.
 package operator
 
 import (
@@ -14,8 +14,7 @@
 	"sliptide/internal/strictxml"
 )
 
-// File is what the operators have set. Whatever the file leaves out stands at its default; every part
-// is off by default.
+// File holds the settings of an operators' file. What the file omits has its default; every part is off by default.
 type File struct {
 	Ready     Ready
 	Log       Log
@@ -26,7 +25,8 @@
 	Fleet     Fleet
 }
 
-// Telemetry sets how traces and metrics go to a collector. Empty texts: as the environment says.
+// Telemetry configures the export of traces and metrics to a collector. For a text that is empty, the environment
+// variable of OpenTelemetry applies.
 type Telemetry struct {
 	Enabled            bool
 	Endpoint           string
@@ -44,19 +44,19 @@
 // Pair is a name with its value.
 type Pair struct{ Name, Value string }
 
-// Storms sets how retry storms are damped.
+// Storms configures the damping of retry storms.
 type Storms struct {
 	Enabled bool
 	Limits  []ContractLimit
 }
 
-// ContractLimit is a partner's limit as its contract has it.
+// ContractLimit is the limit that a partner's contract states.
 type ContractLimit struct {
 	Dest           int
-	CallsPerSecond float64 // calls a second, over all senders
+	CallsPerSecond float64 // over all senders
 }
 
-// Protocol is how a partner is spoken to.
+// Protocol is the protocol of the calls to a partner.
 type Protocol string
 
 // The protocols.
@@ -67,7 +67,7 @@
 	H2C   Protocol = "h2c"   // HTTP/2 by prior knowledge, without TLS
 )
 
-// Partner is how the endpoints of one destination are reached.
+// Partner configures how the endpoints of one destination are reached.
 type Partner struct {
 	Dest          int
 	Protocol      Protocol
@@ -78,34 +78,34 @@
 	PingTimeout   time.Duration
 }
 
-// Ready says when a starting sender answers /up with 200.
+// Ready configures when a starting sender answers /up with 200.
 type Ready struct {
-	Timeout time.Duration // with an empty list and no word from discovery, it is ready after so long
+	Timeout time.Duration // after this time it is ready even with an empty list and no answer from discovery
 }
 
-// Log sets what the log holds beside changes of state.
+// Log configures what the log holds besides changes of state.
 type Log struct {
-	Records bool // a line for each thing that happens to a message
+	Records bool // a line for each event of a message
 }
 
-// Knowledge sets what a sender keeps of what it has learned, over its restarts.
+// Knowledge configures how a sender preserves over restarts what it has learned of its partners.
 type Knowledge struct {
 	Enabled       bool
-	MaxSize       int64         // bytes of the folder that lasts, copies included, that knowledge may take
-	WriteInterval time.Duration // between two snapshots; told waits are written at once
-	Sync          bool          // fsync before a file takes the old one's place
+	MaxSize       int64         // bytes that knowledge may take in the state directory, temporary copies included
+	WriteInterval time.Duration // between two snapshots; requested waits are written at once
+	Sync          bool          // fsync a file before it replaces the old one
 	HalfLives     HalfLives
 }
 
-// HalfLives are the times after which what was learned weighs half. docs/knowledge.md says why each
-// default is what it is. A told wait has none: it is kept to its end.
+// HalfLives holds, for each kind of fact, the time after which its weight is halved. docs/knowledge.md gives the reason
+// for each default. A requested wait has no half-life: it is kept until its end.
 type HalfLives struct {
-	Limit       time.Duration // a limit that a partner told
+	Limit       time.Duration // a partner's advertised limit
 	Pace        time.Duration // the sender's own pace there
 	Health      time.Duration // breakers, trials and ramps
 	Latency     time.Duration // call latencies
 	Admission   time.Duration // a controller's theta and E[X]
-	Connections time.Duration // what connections are worth
+	Connections time.Duration // failure shares of idle and of new connections
 }
 
 // Default returns the settings of an operators' file that sets nothing.
@@ -115,11 +115,11 @@
 	return f
 }
 
-// Error is one fault of an operators' file: where it is, what is wrong, what is allowed.
+// Error describes an error in an operators' file: its position, the problem and what is allowed.
 type Error = strictxml.Error
 
-// Load reads the operators' file at path; the files that it names are relative to its folder. Errors are
-// of type *Error.
+// Load reads the operators' file at path. Relative file names in it are resolved against its directory. Errors are of
+// type *Error.
 func Load(path string) (*File, error) {
 	f, err := strictxml.Open(path, spec())
 	if err != nil {
@@ -144,8 +144,8 @@
 	return f, nil
 }
 
-// Read reads an operators' file. Whatever it does not know, it refuses; name stands in messages.
-// Errors are of type *Error.
+// Read reads an operators' file and refuses anything that the specification does not allow. name is the file name in
+// errors, which are of type *Error.
 func Read(name string, in io.Reader) (*File, error) {
 	f, err := strictxml.Read(name, in, spec())
 	if err != nil {
@@ -162,24 +162,24 @@
 	return strictxml.Schema(spec(), `The schema of the operators' file. "sliptide schema" writes it.`)
 }
 
-// check finds what a schema cannot: values that do not go together.
+// check finds combinations of values that are not allowed, which a schema cannot express.
 func (f *File) check(name string) error {
 	if (f.Telemetry.Cert == "") != (f.Telemetry.Key == "") {
-		return &Error{File: name, What: "telemetry: cert and key go together"}
+		return &Error{File: name, What: "telemetry: cert and key are needed together"}
 	}
-	if bad := f.Fleet.check(f.Storms.Enabled); bad != "" {
-		return &Error{File: name, What: bad}
+	if problem := f.Fleet.check(f.Storms.Enabled); problem != "" {
+		return &Error{File: name, What: problem}
 	}
 	for _, p := range f.Partners {
-		bad := ""
+		problem := ""
 		switch withTLS := p.Protocol == HTTPS || p.Protocol == H2; {
 		case (p.Cert == "") != (p.Key == ""):
-			bad = "cert and key go together"
+			problem = "cert and key are needed together"
 		case !withTLS && (p.CA != "" || p.Cert != "" || p.ServerName != ""):
-			bad = fmt.Sprintf("ca, cert, key and server-name need TLS, which %s has not", p.Protocol)
+			problem = fmt.Sprintf("ca, cert, key and server-name need TLS, which %s does not use", p.Protocol)
 		}
-		if bad != "" {
-			return &Error{File: name, What: fmt.Sprintf("partner of destination %d: %s", p.Dest, bad)}
+		if problem != "" {
+			return &Error{File: name, What: fmt.Sprintf("partner of destination %d: %s", p.Dest, problem)}
 		}
 	}
 	return nil
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -16,27 +16,27 @@
 
 const schemaFile = "../../deploy/sliptide.xsd"
 
-const voters3 = `<member name="n1" addr="127.0.0.1:1" voter="true"/><member name="n2" addr="10.0.0.2:1" zone="b" voter="true"/><member name="n3" addr="[::1]:1" voter="true"/>`
+const threeVoters = `<member name="n1" addr="127.0.0.1:1" voter="true"/><member name="n2" addr="10.0.0.2:1" zone="b" voter="true"/><member name="n3" addr="[::1]:1" voter="true"/>`
 
-func fleetOf(duties, members string) string {
+func fleetDocument(duties, members string) string {
 	return `<sliptide version="1"><fleet enabled="true">` + members + `<duties ` + duties + `/></fleet></sliptide>`
 }
 
-// TestFleetThatMakesNoSense: one line says what, where and what is allowed. A schema cannot tell these.
-func TestFleetThatMakesNoSense(t *testing.T) {
+// Fleet settings that the schema accepts but that are not allowed together are refused with an error of one line.
+func TestInvalidFleet(t *testing.T) {
 	for name, c := range map[string]struct{ text, want string }{
-		"no voters":         {fleetOf(``, ``), "allowed: 3 or 5"},
-		"more than count":   {strings.Replace(fleetOf(``, voters3), `<duties`, `<copies enabled="true" count="1" needed="2"/><duties`, 1), "count at most"},
-		"class over count":  {strings.Replace(fleetOf(``, voters3), `<duties`, `<copies enabled="true" count="1"><class name="pay" needed="2"/></copies><duties`, 1), `class "pay"`},
-		"too few members":   {strings.Replace(fleetOf(``, voters3), `<duties`, `<copies enabled="true" count="3"/><duties`, 1), "among 3 members"},
-		"even":              {fleetOf(``, voters3+`<member name="n4" addr="127.0.0.1:4" voter="true"/>`), "4 members have voter"},
-		"one address":       {fleetOf(``, voters3+`<member name="n4" addr="127.0.0.1:1"/>`), `"n1" and "n4" both have`},
-		"public address":    {fleetOf(``, voters3+`<member name="n4" addr="203.0.113.9:1"/>`), "without ca, cert and key"},
-		"no port":           {fleetOf(``, voters3+`<member name="n4" addr="127.0.0.1"/>`), "an IP address and a port"},
-		"lease too short":   {fleetOf(`lease="900ms"`, voters3), "shorter than two election times"},
-		"minimum too small": {strings.Replace(fleetOf(``, voters3+`<member name="n4" addr="127.0.0.1:4" voter="true"/><member name="n5" addr="127.0.0.1:5" voter="true"/>`), `enabled="true"`, `enabled="true" voter-minimum="2"`, 1), "allowed: 3 to 5"},
-		"key without cert":  {strings.Replace(fleetOf(``, voters3), `enabled="true"`, `enabled="true" key="/k"`, 1), "go together"},
-		"trials, no storms": {strings.Replace(fleetOf(``, voters3), `<duties`, `<trials enabled="true"/><duties`, 1), "trials need"},
+		"no voters":         {fleetDocument(``, ``), "allowed: 3 or 5"},
+		"more than count":   {strings.Replace(fleetDocument(``, threeVoters), `<duties`, `<copies enabled="true" count="1" needed="2"/><duties`, 1), "count at most"},
+		"class over count":  {strings.Replace(fleetDocument(``, threeVoters), `<duties`, `<copies enabled="true" count="1"><class name="pay" needed="2"/></copies><duties`, 1), `class "pay"`},
+		"too few members":   {strings.Replace(fleetDocument(``, threeVoters), `<duties`, `<copies enabled="true" count="3"/><duties`, 1), "among 3 members"},
+		"even":              {fleetDocument(``, threeVoters+`<member name="n4" addr="127.0.0.1:4" voter="true"/>`), "4 members have voter"},
+		"one address":       {fleetDocument(``, threeVoters+`<member name="n4" addr="127.0.0.1:1"/>`), `"n1" and "n4" both have`},
+		"public address":    {fleetDocument(``, threeVoters+`<member name="n4" addr="203.0.113.9:1"/>`), "without ca, cert and key"},
+		"no port":           {fleetDocument(``, threeVoters+`<member name="n4" addr="127.0.0.1"/>`), "an IP address and a port"},
+		"lease too short":   {fleetDocument(`lease="900ms"`, threeVoters), "shorter than two election times"},
+		"minimum too small": {strings.Replace(fleetDocument(``, threeVoters+`<member name="n4" addr="127.0.0.1:4" voter="true"/><member name="n5" addr="127.0.0.1:5" voter="true"/>`), `enabled="true"`, `enabled="true" voter-minimum="2"`, 1), "allowed: 3 to 5"},
+		"key without cert":  {strings.Replace(fleetDocument(``, threeVoters), `enabled="true"`, `enabled="true" key="/k"`, 1), "needed together"},
+		"trials, no storms": {strings.Replace(fleetDocument(``, threeVoters), `<duties`, `<trials enabled="true"/><duties`, 1), "trials need"},
 	} {
 		_, err := Read("f.xml", strings.NewReader(c.text))
 		if err == nil || !strings.Contains(err.Error(), c.want) || strings.Contains(err.Error(), "\n") {
@@ -45,8 +45,8 @@
 	}
 }
 
-// What a table row holds of the root element, and what Read says of it: empty if it is fine.
-var files = []struct{ name, text, want string }{
+// documents are files with a part of the error that Read returns for them; empty: none.
+var documents = []struct{ name, text, want string }{
 	{"empty root", `<sliptide version="1"/>`, ""},
 	{"all defaults", `<sliptide version="1"><ready/><knowledge><half-life/></knowledge></sliptide>`, ""},
 	{"other order", `<sliptide version="1"><knowledge/><ready/></sliptide>`, ""},
@@ -58,26 +58,26 @@
 	{"a week", `<sliptide version="1"><knowledge><half-life limit="7d" pace="365d"/></knowledge></sliptide>`, ""},
 	{"partners", `<sliptide version="1"><partners><partner dest="0" protocol="h2c"/><partner dest="65535" protocol="h2" ca="/etc/ca.pem" server-name="a.example.org" max-connections="64"/></partners></sliptide>`, ""},
 	{"no partners", `<sliptide version="1"><partners/></sliptide>`, ""},
-	{"partner twice", `<sliptide version="1"><partners><partner dest="7" protocol="h2c"/><partner dest="7" protocol="https"/></partners></sliptide>`, "stands twice"},
-	{"partner without a number", `<sliptide version="1"><partners><partner protocol="h2c"/></partners></sliptide>`, "lacks dest"},
+	{"partner twice", `<sliptide version="1"><partners><partner dest="7" protocol="h2c"/><partner dest="7" protocol="https"/></partners></sliptide>`, "duplicate <partner>"},
+	{"partner without a number", `<sliptide version="1"><partners><partner protocol="h2c"/></partners></sliptide>`, "lacks attribute dest"},
 	{"partner out of range", `<sliptide version="1"><partners><partner dest="65536" protocol="h2c"/></partners></sliptide>`, "from 0 to 65535"},
 	{"other protocol", `<sliptide version="1"><partners><partner dest="1" protocol="h3"/></partners></sliptide>`, "http/1.1, https, h2, h2c"},
 	{"bad name", `<sliptide version="1"><partners><partner dest="1" protocol="h2" server-name="a b"/></partners></sliptide>`, "a host name"},
 	{"empty path", `<sliptide version="1"><partners><partner dest="1" protocol="h2" ca=""/></partners></sliptide>`, "a path"},
 	{"no connections", `<sliptide version="1"><partners><partner dest="1" protocol="h2" max-connections="0"/></partners></sliptide>`, "from 1 to 64"},
-	{"fleet", fleetOf(`lease="1s" drift="0.1"`, voters3), ""},
+	{"fleet", fleetDocument(`lease="1s" drift="0.1"`, threeVoters), ""},
 	{"fleet off", `<sliptide version="1"><fleet><member name="a" addr="8.8.8.8:1"/></fleet></sliptide>`, ""},
-	{"two with one name", fleetOf(``, voters3+`<member name="n1" addr="127.0.0.1:9"/>`), "stands twice"},
+	{"two with one name", fleetDocument(``, threeVoters+`<member name="n1" addr="127.0.0.1:9"/>`), "duplicate <member>"},
 	{"nothing", ``, "<sliptide>"},
 	{"other root", `<config version="1"/>`, "root element <config>"},
-	{"no version", `<sliptide/>`, "lacks version"},
+	{"no version", `<sliptide/>`, "lacks attribute version"},
 	{"other version", `<sliptide version="2"/>`, `version="2"`},
 	{"unknown element", `<sliptide version="1"><kafka/></sliptide>`, "<ready>, <log>, <knowledge>"},
 	{"unknown attribute", `<sliptide version="1"><ready patient="5s"/></sliptide>`, "allowed: patience"},
 	{"misplaced", `<sliptide version="1"><half-life/></sliptide>`, "unknown element <half-life>"},
 	{"nested wrongly", `<sliptide version="1"><ready><knowledge/></ready></sliptide>`, "no elements here"},
-	{"element twice", `<sliptide version="1"><ready/><ready/></sliptide>`, "stands twice"},
-	{"attribute twice", `<sliptide version="1"><ready patience="5s" patience="6s"/></sliptide>`, "twice"},
+	{"element twice", `<sliptide version="1"><ready/><ready/></sliptide>`, "duplicate <ready>"},
+	{"attribute twice", `<sliptide version="1"><ready patience="5s" patience="6s"/></sliptide>`, "duplicate attribute"},
 	{"no unit", `<sliptide version="1"><ready patience="5"/></sliptide>`, "0ms to 1h"},
 	{"wrong unit", `<sliptide version="1"><ready patience="5min"/></sliptide>`, "one of ms, s, m, h, d"},
 	{"size for time", `<sliptide version="1"><ready patience="5KiB"/></sliptide>`, "one of ms"},
@@ -97,27 +97,27 @@
 	{"word in capitals", `<sliptide version="1"><knowledge enabled="True"/></sliptide>`, "false, true"},
 	{"text", `<sliptide version="1">5s</sliptide>`, "text"},
 	{"namespace", `<sliptide version="1" xmlns="urn:x"/>`, "root element"},
-	{"two roots", `<sliptide version="1"/><sliptide version="1"/>`, "behind"},
+	{"two roots", `<sliptide version="1"/><sliptide version="1"/>`, "content after"},
 	{"no end", `<sliptide version="1"><ready>`, "not well-formed"},
 	{"crossed", `<sliptide version="1"><ready></sliptide></ready>`, "not well-formed"},
 	{"no entity", `<sliptide version="1"><ready patience="&five;"/></sliptide>`, "not well-formed"},
 	{"not XML", `ready: 5s`, "text"},
 }
 
-// Reader and schema judge alike; and each fault is told in one line with its place.
+// The reader and the schema accept the same documents, and each error is one line with its position.
 func TestReaderAndSchemaAgree(t *testing.T) {
 	if _, err := exec.LookPath("xmllint"); err != nil {
 		t.Fatal("xmllint is needed: apt-get install libxml2-utils (./test.sh does so as root)")
 	}
 	dir := t.TempDir()
-	for _, f := range files {
+	for _, f := range documents {
 		t.Run(f.name, func(t *testing.T) {
 			_, err := Read("f.xml", strings.NewReader(f.text))
 			if (err == nil) != (f.want == "") || err != nil && !strings.Contains(err.Error(), f.want) {
 				t.Fatalf("Read: %v, want %q", err, f.want)
 			}
 			if err != nil && (strings.Contains(err.Error(), "\n") || !strings.HasPrefix(err.Error(), "f.xml:1: ")) {
-				t.Errorf("%q is not one line with its place", err)
+				t.Errorf("%q is not one line that begins with its position", err)
 			}
 			path := filepath.Join(dir, "f.xml")
 			os.WriteFile(path, []byte(f.text), 0o600)
@@ -129,7 +129,7 @@
 	}
 }
 
-// The schema that lies beside the file is the one that the reader's table gives.
+// The schema in deploy/ is the one generated from the specification.
 func TestSchemaIsCurrent(t *testing.T) {
 	text, err := os.ReadFile(schemaFile)
 	if err != nil || string(text) != Schema() {
@@ -147,7 +147,7 @@
 	}
 }
 
-// Every part is off, and a file that sets nothing sets the same as none.
+// By default every part is off, and a file without settings is equivalent to no file.
 func TestDefaults(t *testing.T) {
 	f, err := Read("f", strings.NewReader(`<sliptide version="1"/>`))
 	if d := Default(); err != nil || !reflect.DeepEqual(*f, d) || d.Knowledge.Enabled || d.Ready.Timeout != 5*time.Second {
@@ -155,10 +155,10 @@
 	}
 }
 
-// What no schema can say.
-func TestValuesThatDoNotGoTogether(t *testing.T) {
+// Partner settings that are not allowed together, which the schema cannot express.
+func TestInvalidCombinations(t *testing.T) {
 	for text, want := range map[string]string{
-		`protocol="h2" cert="/c"`:             "cert and key go together",
+		`protocol="h2" cert="/c"`:             "cert and key are needed together",
 		`protocol="h2c" ca="/c"`:              "need TLS",
 		`protocol="http/1.1" server-name="x"`: "need TLS",
 	} {
@@ -179,22 +179,22 @@
 		t.Error(err)
 	}
 	if _, err := Read("f", strings.NewReader(`<!DOCTYPE a><sliptide version="1"/>`)); err == nil {
-		t.Error("a document type declaration passes")
+		t.Error("a document type declaration is accepted")
 	}
 	if _, err := Read("f", strings.NewReader(`<sliptide version="1">`+strings.Repeat(" ", strictxml.MaxFileSize)+`</sliptide>`)); err == nil || !strings.Contains(err.Error(), "too long") {
 		t.Error(err)
 	}
 }
 
-// Whatever is read, there is a file or one line that says what is wrong.
+// For any input Read returns a file or an error, and the values of the file are within their ranges.
 func FuzzRead(f *testing.F) {
-	for _, row := range files {
+	for _, row := range documents {
 		f.Add([]byte(row.text))
 	}
 	f.Fuzz(func(t *testing.T, text []byte) {
 		file, err := Read("f", bytes.NewReader(text))
 		if file == nil && err == nil {
-			t.Fatal("neither a file nor a reason")
+			t.Fatal("neither a file nor an error")
 		}
 		if err == nil && (file.Knowledge.MaxSize < 16<<10 || file.Knowledge.WriteInterval < 100*time.Millisecond) {
 			t.Fatalf("out of range: %+v", file)
--- a/internal/strictxml/error.go
+++ b/internal/strictxml/error.go
@@ -2,15 +2,15 @@
 
 import "fmt"
 
-// Error is one fault of a document: where it is, what is wrong, what is allowed.
+// Error describes an error in a document: its position, the problem and what is allowed.
 type Error struct {
 	File    string
 	Line    int // 0: the whole file
 	What    string
-	Allowed string // empty if What says it all
+	Allowed string // may be empty
 }
 
-// Error is the one line that a person reads.
+// Error returns the error in one line.
 func (e *Error) Error() string {
 	where := e.File
 	if e.Line > 0 {
--- a/internal/strictxml/schema.go
+++ b/internal/strictxml/schema.go
@@ -6,23 +6,23 @@
 	"strings"
 )
 
-// Schema returns the XML Schema (1.0) of the documents that root describes; head is its first comment. It
-// judges a document as Read does, but for a document type declaration, which no schema can forbid.
-func Schema[T any](root *Element[T], head string) string {
+// Schema returns the XML Schema (1.0) of the documents that root specifies; comment becomes its first comment. The schema
+// accepts the same documents as Read, except that it cannot forbid a document type declaration.
+func Schema[T any](root *Element[T], comment string) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, `<?xml version="1.0" encoding="UTF-8"?>
 <!-- %s -->
 <xs:schema xmlns:xs="http://www.w3.org/2001/XMLSchema">
-`, head)
+`, comment)
 	writeElement(&b, root, "  ", "")
 	b.WriteString("</xs:schema>\n")
 	return b.String()
 }
 
-func writeElement[T any](b *strings.Builder, e *Element[T], in, occurs string) {
-	fmt.Fprintf(b, "%s<xs:element name=%q%s>\n", in, e.Name, occurs)
-	writeDoc(b, e.Doc, in+"  ")
-	fmt.Fprintf(b, "%s  <xs:complexType>\n", in)
+func writeElement[T any](b *strings.Builder, e *Element[T], indent, occurs string) {
+	fmt.Fprintf(b, "%s<xs:element name=%q%s>\n", indent, e.Name, occurs)
+	writeDoc(b, e.Doc, indent+"  ")
+	fmt.Fprintf(b, "%s  <xs:complexType>\n", indent)
 	if len(e.Children) > 0 {
 		group := "all" // in any order
 		for i := range e.Children {
@@ -30,29 +30,29 @@
 				group = "sequence"
 			}
 		}
-		fmt.Fprintf(b, "%s    <xs:%s>\n", in, group)
+		fmt.Fprintf(b, "%s    <xs:%s>\n", indent, group)
 		for i := range e.Children {
 			occurs := ` minOccurs="0"`
 			if e.Children[i].Repeated {
 				occurs += ` maxOccurs="unbounded"`
 			}
-			writeElement(b, &e.Children[i], in+"      ", occurs)
+			writeElement(b, &e.Children[i], indent+"      ", occurs)
 		}
-		fmt.Fprintf(b, "%s    </xs:%s>\n", in, group)
+		fmt.Fprintf(b, "%s    </xs:%s>\n", indent, group)
 	}
 	for i := range e.Attrs {
-		writeAttribute(b, &e.Attrs[i], in+"    ")
+		writeAttribute(b, &e.Attrs[i], indent+"    ")
 	}
-	fmt.Fprintf(b, "%s  </xs:complexType>\n", in)
+	fmt.Fprintf(b, "%s  </xs:complexType>\n", indent)
 	for i := range e.Children {
 		if c := &e.Children[i]; c.Unique != "" {
-			fmt.Fprintf(b, "%s  <xs:unique name=\"one-%s\"><xs:selector xpath=%q/><xs:field xpath=\"@%s\"/></xs:unique>\n", in, c.Name, c.Name, c.Unique)
+			fmt.Fprintf(b, "%s  <xs:unique name=\"one-%s\"><xs:selector xpath=%q/><xs:field xpath=\"@%s\"/></xs:unique>\n", indent, c.Name, c.Name, c.Unique)
 		}
 	}
-	fmt.Fprintf(b, "%s</xs:element>\n", in)
+	fmt.Fprintf(b, "%s</xs:element>\n", indent)
 }
 
-func writeAttribute[T any](b *strings.Builder, a *Attribute[T], in string) {
+func writeAttribute[T any](b *strings.Builder, a *Attribute[T], indent string) {
 	use := `use="optional"`
 	switch {
 	case a.Required:
@@ -60,18 +60,18 @@
 	case a.Default != "":
 		use = fmt.Sprintf("default=%q", a.Default)
 	}
-	fmt.Fprintf(b, "%s<xs:attribute name=%q %s>\n", in, a.Name, use)
-	writeDoc(b, a.Doc+" Allowed: "+a.Values.String()+".", in+"  ")
-	fmt.Fprintf(b, "%s  <xs:simpleType>\n%s    <xs:restriction base=\"xs:string\">\n", in, in)
+	fmt.Fprintf(b, "%s<xs:attribute name=%q %s>\n", indent, a.Name, use)
+	writeDoc(b, a.Doc+" Allowed: "+a.Values.String()+".", indent+"  ")
+	fmt.Fprintf(b, "%s  <xs:simpleType>\n%s    <xs:restriction base=\"xs:string\">\n", indent, indent)
 	for _, w := range a.Values.words {
-		fmt.Fprintf(b, "%s      <xs:enumeration value=%q/>\n", in, w)
+		fmt.Fprintf(b, "%s      <xs:enumeration value=%q/>\n", indent, w)
 	}
 	if len(a.Values.words) == 0 {
-		fmt.Fprintf(b, "%s      <xs:pattern value=\"%s\"/>\n", in, html.EscapeString(a.Values.pattern()))
+		fmt.Fprintf(b, "%s      <xs:pattern value=\"%s\"/>\n", indent, html.EscapeString(a.Values.pattern()))
 	}
-	fmt.Fprintf(b, "%s    </xs:restriction>\n%s  </xs:simpleType>\n%s</xs:attribute>\n", in, in, in)
+	fmt.Fprintf(b, "%s    </xs:restriction>\n%s  </xs:simpleType>\n%s</xs:attribute>\n", indent, indent, indent)
 }
 
-func writeDoc(b *strings.Builder, doc, in string) {
-	fmt.Fprintf(b, "%s<xs:annotation><xs:documentation>%s</xs:documentation></xs:annotation>\n", in, html.EscapeString(doc))
+func writeDoc(b *strings.Builder, doc, indent string) {
+	fmt.Fprintf(b, "%s<xs:annotation><xs:documentation>%s</xs:documentation></xs:annotation>\n", indent, html.EscapeString(doc))
 }
--- a/internal/strictxml/spec.go
+++ b/internal/strictxml/spec.go
@@ -1,8 +1,9 @@
-// Package strictxml reads small XML documents by a table that says all that they may hold, and writes the XML
-// Schema of the same table, so that the two cannot part. Values stand in attributes; whatever the table does
-// not know is refused, with the line, what is wrong and what is allowed.
+// Package strictxml reads small XML documents described by a specification, a tree of Elements, and generates the XML
+// Schema from the same specification, so that reader and schema cannot diverge. All values are attributes. Anything
+// that the specification does not describe is refused with an error that states the line, the problem and what is
+// allowed.
 //
-// It knows nothing of what it reads for, opens no file but the one it is asked to, and keeps nothing.
+// The package is independent of what the documents configure, and keeps no state between calls.
 package strictxml
 
 import (
@@ -11,35 +12,35 @@
 	"time"
 )
 
-// Element is one element that the file may hold: at most once in its parent, unless it is repeated.
+// Element specifies an element of the document. It may occur at most once in its parent, unless it is repeated.
 type Element[T any] struct {
 	Name, Doc string
 	Attrs     []Attribute[T]
 	Children  []Element[T]
 	Repeated  bool
-	Unique    string   // attribute of a repeated element of which no value stands twice
-	Add       func(*T) // a further one of a repeated element begins
+	Unique    string   // attribute of a repeated element whose values must differ
+	Add       func(*T) // called at the start of each repeated element, to append an item
 }
 
-// Attribute is one attribute of an element, with the values that it takes.
+// Attribute specifies an attribute of an element.
 type Attribute[T any] struct {
 	Name, Doc string
 	Required  bool
-	Default   string // the value of a file that leaves it out; read like any other
+	Default   string // value if the document omits the attribute, in the document's notation
 	Values    Values
-	SetNumber func(*T, int64)  // takes the value that Values.parse returns,
-	SetText   func(*T, string) // or the text
+	SetNumber func(*T, int64)  // stores the value that Values.Parse returns; may be nil
+	SetText   func(*T, string) // stores the text; may be nil
 }
 
-// Values is a set of values that the reader can tell and the schema can state. A value is a number:
-// nanoseconds, bytes, or the place of a word in a list.
+// Values is the set of allowed values of an attribute: numbers with a unit, words or texts. Parse turns a value into a
+// number: nanoseconds, bytes, or the index of a word in its list.
 type Values struct {
-	units []unit // a whole number with one of these, from lo to hi
-	lo    int64
-	hi    int64
-	words []string       // or one of these words
-	text  *regexp.Regexp // or a text that matches this; nil: none
-	what  string         // the text, in words
+	units       []unit // integers with one of these units, from lo to hi
+	lo          int64
+	hi          int64
+	words       []string       // or these words
+	text        *regexp.Regexp // or the texts that match this expression; nil: none
+	description string         // description of the texts, for messages
 }
 
 type unit struct {
@@ -55,28 +56,29 @@
 	sizeUnits = []unit{{"B", 1}, {"KiB", 1 << 10}, {"MiB", 1 << 20}, {"GiB", 1 << 30}}
 )
 
-// Duration is a time from lo to hi, such as 250ms.
+// Duration returns the durations from lo to hi, such as 250ms.
 func Duration(lo, hi time.Duration) Values {
 	return Values{units: timeUnits, lo: int64(lo), hi: int64(hi)}
 }
 
-// Size is a number of bytes, such as 64KiB.
+// Size returns the numbers of bytes from lo to hi, such as 64KiB.
 func Size(lo, hi int64) Values { return Values{units: sizeUnits, lo: lo, hi: hi} }
 
-// Integer is a whole number from lo to hi.
+// Integer returns the integers from lo to hi.
 func Integer(lo, hi int64) Values { return Values{units: []unit{{"", 1}}, lo: lo, hi: hi} }
 
-// Text is what matches pattern all through; what says so in words.
-func Text(pattern, what string) Values {
-	return Values{text: regexp.MustCompile("^(" + pattern + ")$"), what: what}
+// Text returns the texts that match the whole of pattern; description describes them in messages and in the schema.
+func Text(pattern, description string) Values {
+	return Values{text: regexp.MustCompile("^(" + pattern + ")$"), description: description}
 }
 
-// OneOf is one of the words; its number is its place among them.
+// OneOf returns the given words. Parse turns a word into its index.
 func OneOf(words ...string) Values { return Values{words: words} }
 
-// ApplyDefaults fills f with the fallbacks. A repeated element has them when it begins.
+// ApplyDefaults stores the default values of e and its children in f. The defaults of a repeated element are stored
+// when an item is read.
 func (e *Element[T]) ApplyDefaults(f *T) {
-	e.own(f)
+	e.applyOwnDefaults(f)
 	for i := range e.Children {
 		if !e.Children[i].Repeated {
 			e.Children[i].ApplyDefaults(f)
@@ -84,7 +86,8 @@
 	}
 }
 
-func (e *Element[T]) own(f *T) {
+// applyOwnDefaults stores the default values of e's own attributes in f.
+func (e *Element[T]) applyOwnDefaults(f *T) {
 	for i := range e.Attrs {
 		if a := &e.Attrs[i]; a.SetNumber != nil && a.Default != "" {
 			v, _ := a.Values.Parse(a.Default)
@@ -114,8 +117,8 @@
 	return nil
 }
 
-// contents names what e may hold, for a message.
-func (e *Element[T]) contents() string {
+// childNames lists the elements allowed in e, for a message.
+func (e *Element[T]) childNames() string {
 	var names []string
 	for i := range e.Children {
 		names = append(names, "<"+e.Children[i].Name+">")
--- a/internal/strictxml/units.go
+++ b/internal/strictxml/units.go
@@ -7,8 +7,8 @@
 	"strings"
 )
 
-// Parse reads a value. It takes whole numbers without a sign or leading zeros and with a unit, such as
-// 250ms, 7d or 256KiB, or one of the words.
+// Parse reads a value and reports whether it is allowed. A number has no sign and no leading zeros and is followed by
+// its unit, as in 250ms, 7d or 256KiB. For texts the number returned is 0.
 func (v *Values) Parse(text string) (int64, bool) {
 	if v.text != nil {
 		return 0, v.text.MatchString(text)
@@ -36,10 +36,10 @@
 	return 0, false
 }
 
-// String says which values there are, for a message.
+// String describes the allowed values, for messages and for the schema.
 func (v *Values) String() string {
 	if v.text != nil {
-		return v.what
+		return v.description
 	}
 	if len(v.words) > 0 {
 		return strings.Join(v.words, ", ")
@@ -51,11 +51,11 @@
 	if len(names) == 1 && names[0] == "" {
 		return fmt.Sprintf("a whole number from %d to %d", v.lo, v.hi)
 	}
-	return fmt.Sprintf("%s to %s, as a whole number and one of %s", v.show(v.lo), v.show(v.hi), strings.Join(names, ", "))
+	return fmt.Sprintf("%s to %s, as a whole number and one of %s", v.format(v.lo), v.format(v.hi), strings.Join(names, ", "))
 }
 
-// show writes n with the largest unit that leaves it whole.
-func (v *Values) show(n int64) string {
+// format formats n with the largest unit that divides it.
+func (v *Values) format(n int64) string {
 	for i := len(v.units) - 1; i >= 0; i-- {
 		if u := v.units[i]; n%u.size == 0 && n >= u.size {
 			return strconv.FormatInt(n/u.size, 10) + u.name
@@ -64,8 +64,8 @@
 	return "0" + v.units[0].name
 }
 
-// pattern is a regular expression in XML Schema's form that matches just what parse takes (XML Schema
-// Part 2, appendix F; such a pattern is anchored).
+// pattern returns a regular expression of XML Schema that matches exactly what Parse accepts. Such expressions are
+// anchored (XML Schema Part 2, appendix F).
 func (v *Values) pattern() string {
 	if v.text != nil {
 		return strings.TrimSuffix(strings.TrimPrefix(v.text.String(), "^("), ")$")
@@ -81,12 +81,12 @@
 	return strings.Join(alternatives, "|")
 }
 
-// rangePatterns returns patterns that together match the decimal numbers from lo to hi.
+// rangePatterns returns patterns that together match exactly the decimal numbers from lo to hi.
 func rangePatterns(lo, hi int64) []string {
 	var all []string
 	for lo <= hi {
 		text := strconv.FormatInt(lo, 10)
-		end := int64(math.Pow10(len(text))) - 1 // the last of as many digits
+		end := int64(math.Pow10(len(text))) - 1 // the largest number with as many digits as lo
 		if end > hi || end < lo {
 			end = hi
 		}
@@ -99,7 +99,7 @@
 	return all
 }
 
-// sameLength is rangePatterns for numbers of one length.
+// sameLength returns the patterns of rangePatterns for a lo and a hi with equally many digits.
 func sameLength(lo, hi string) []string {
 	switch {
 	case lo == hi:
@@ -107,18 +107,18 @@
 	case len(lo) == 1:
 		return []string{"[" + lo + "-" + hi + "]"}
 	case lo[0] == hi[0]:
-		return prefixed(lo[:1], sameLength(lo[1:], hi[1:]))
+		return withPrefix(lo[:1], sameLength(lo[1:], hi[1:]))
 	}
 	rest := len(lo) - 1
 	zeros, nines := strings.Repeat("0", rest), strings.Repeat("9", rest)
 	first, last := lo[0], hi[0]
 	var all, tail []string
 	if lo[1:] != zeros {
-		all = prefixed(lo[:1], sameLength(lo[1:], nines))
+		all = withPrefix(lo[:1], sameLength(lo[1:], nines))
 		first++
 	}
 	if hi[1:] != nines {
-		tail = prefixed(hi[:1], sameLength(zeros, hi[1:]))
+		tail = withPrefix(hi[:1], sameLength(zeros, hi[1:]))
 		last--
 	}
 	if first <= last {
@@ -127,9 +127,9 @@
 	return append(all, tail...)
 }
 
-func prefixed(with string, list []string) []string {
+func withPrefix(prefix string, list []string) []string {
 	for i := range list {
-		list[i] = with + list[i]
+		list[i] = prefix + list[i]
 	}
 	return list
 }
