--- a/cmd/sliptide/fleet_test.go
+++ b/cmd/sliptide/fleet_test.go
@@ -314,7 +314,7 @@
 	}{
 		{"no such duty", []string{"hand-over", "trial/77", "n1"}},
 		{"no <fleet enabled", []string{"status", "--operator", writeXML(t, `<ready/>`)}},
-		{"no member answers", []string{"status", "--at", teamAddr(t)}},
+		{"no member answered", []string{"status", "--at", teamAddr(t)}},
 	} {
 		args := append([]string{"fleet"}, c.args...)
 		if !strings.Contains(strings.Join(args, " "), "--operator") {
--- a/cmd/sliptide/knowledge_test.go
+++ b/cmd/sliptide/knowledge_test.go
@@ -240,7 +240,7 @@
 		{"knowledge", 2, "show"},
 		{"knowledge show " + dir, 1, "no knowledge files"},
 		{"knowledge verify " + bad, 1, "does not begin as a knowledge file"},
-		{"knowledge forget " + bad, 2, "not a folder"},
+		{"knowledge forget " + bad, 2, "not a directory"},
 		{"journal show " + dir, 1, "no such file"},
 		{"journal verify " + bad, 1, "can't be read"},
 	} {
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -1,5 +1,5 @@
-// Package cli is sliptide's command line: the sub-commands, their help, and the exit status. It reads
-// and shows; what runs a sender is given to it.
+// Package cli implements sliptide's command line: the sub-commands, their help and the exit status. The functions that
+// run a sender or a control member are passed in by the caller.
 package cli
 
 import (
@@ -13,24 +13,24 @@
 	"sliptide/internal/operator"
 )
 
-// The exit status.
+// Exit statuses.
 const (
 	ExitOK      = command.ExitOK
 	ExitFailure = command.ExitFailure
 	ExitUsage   = command.ExitUsage // wrong use or configuration; nothing was started
 )
 
-// ErrConfig marks an error of the configuration: nothing was started.
+// ErrConfig marks an error of the configuration, after which nothing was started.
 var ErrConfig = errors.New("configuration")
 
-// Env is what the commands work with.
+// Env holds what the commands need from their caller.
 type Env struct {
 	Out, Err io.Writer
-	// RunSender runs a sender until it is told to stop. An error that wraps ErrConfig is of the configuration.
+	// RunSender runs a sender until it is asked to stop. An error of the configuration wraps ErrConfig.
 	RunSender func(operatorFile string) error
-	// RunControlMember runs a control member by its file until it is told to stop.
+	// RunControlMember runs a control member, configured by the file, until it is asked to stop.
 	RunControlMember func(file string) error
-	// Now is the time in Unix milliseconds.
+	// Now returns the time in Unix milliseconds.
 	Now func() float64
 }
 
@@ -39,7 +39,7 @@
 	Check     checkCmd     `cmd:"" help:"Check an operators' file as a start would."`
 	Schema    schemaCmd    `cmd:"" help:"Print the XML Schema of the operators' file."`
 	Knowledge knowledgeCmd `cmd:"" help:"Look at what senders have learned and keep over restarts."`
-	Journal   journalCmd   `cmd:"" help:"Look at what a sender has taken on."`
+	Journal   journalCmd   `cmd:"" help:"Look at the messages that a sender has accepted."`
 	Partner   partnerCmd   `cmd:"" help:"Look at partners."`
 	Fleet     fleetCmd     `cmd:"" help:"Look at a fleet of senders and its duties, by asking a running member."`
 	Control   controlCmd   `cmd:"" help:"Run or look at a control member, which keeps the directory of a sharded fleet."`
@@ -51,17 +51,15 @@
 	Operator string `help:"The operators' file. Without one, every part of it is off." placeholder:"FILE" env:"SLIPTIDE_OPERATOR"`
 }
 
-// RunSender runs the command.
 func (c *runCmd) Run(env *Env) error { return env.RunSender(c.Operator) }
 
 type checkCmd struct {
 	File string `arg:"" help:"The operators' file."`
 }
 
-// Run runs the command.
 func (c *checkCmd) Run(env *Env) error {
 	if _, err := operator.Load(c.File); err != nil {
-		return fmt.Errorf("%w%w", misuse, err)
+		return fmt.Errorf("%w%w", usageError, err)
 	}
 	fmt.Fprintf(env.Out, "%s: fine\n", c.File)
 	return nil
@@ -69,7 +67,6 @@
 
 type schemaCmd struct{}
 
-// Run runs the command.
 func (schemaCmd) Run(env *Env) error {
 	_, err := io.WriteString(env.Out, operator.Schema())
 	return err
@@ -77,7 +74,6 @@
 
 type versionCmd struct{}
 
-// Run runs the command.
 func (versionCmd) Run(env *Env) error {
 	version, revision := "unreleased", "unknown"
 	if info, ok := debug.ReadBuildInfo(); ok {
@@ -94,25 +90,26 @@
 	return err
 }
 
-// misuse marks errors of what was typed or configured; it shows nothing.
-var misuse = silent{}
+// usageError marks errors of the command line or the configuration, for statusOf. Its text is empty, so that wrapping it
+// leaves a message unchanged.
+var usageError = emptyError{}
 
-type silent struct{}
+type emptyError struct{}
 
-func (silent) Error() string { return "" }
+func (emptyError) Error() string { return "" }
 
 // Main runs the command that args name and returns the exit status.
 func Main(args []string, env Env) int {
 	p := command.Program{Name: "sliptide", Out: env.Out, Err: env.Err, Env: &env, Status: statusOf,
-		Description: "A sender: takes messages and delivers each by a call to an endpoint of one partner, in time."}
+		Description: "A sender: accepts messages and delivers each within its deadline by a call to an endpoint of one partner."}
 	return p.Main(&grammar{}, args)
 }
 
-// statusOf is the exit status of an error.
+// statusOf returns the exit status for an error, and whether its message has been written already.
 func statusOf(err error) (status int, quiet bool) {
-	var heard told
-	quiet = errors.As(err, &heard)
-	if errors.Is(err, misuse) || errors.Is(err, ErrConfig) {
+	var reported reportedError
+	quiet = errors.As(err, &reported)
+	if errors.Is(err, usageError) || errors.Is(err, ErrConfig) {
 		return ExitUsage, quiet
 	}
 	return ExitFailure, quiet
--- a/internal/cli/control.go
+++ b/internal/cli/control.go
@@ -13,7 +13,7 @@
 type controlCmd struct {
 	Run    controlRun    `cmd:"" help:"Run a control member."`
 	Check  controlCheck  `cmd:"" help:"Check a control member's file as a start would."`
-	Status controlStatus `cmd:"" help:"What a control member holds, who leads, and how many have subscribed there."`
+	Status controlStatus `cmd:"" help:"Show each control member's leader, versions, endpoints, members and subscribers."`
 	Schema controlSchema `cmd:"" help:"Print the XML Schema of a control member's file."`
 }
 
@@ -21,17 +21,15 @@
 	File string `arg:"" help:"The control member's file."`
 }
 
-// Run runs the command.
 func (c *controlRun) Run(env *Env) error { return env.RunControlMember(c.File) }
 
 type controlCheck struct {
 	File string `arg:"" help:"The control member's file."`
 }
 
-// Run runs the command.
 func (c *controlCheck) Run(env *Env) error {
 	if _, err := control.Load(c.File); err != nil {
-		return fmt.Errorf("%w%w", misuse, err)
+		return fmt.Errorf("%w%w", usageError, err)
 	}
 	fmt.Fprintf(env.Out, "%s: fine\n", c.File)
 	return nil
@@ -39,7 +37,6 @@
 
 type controlSchema struct{}
 
-// Run runs the command.
 func (c *controlSchema) Run(env *Env) error {
 	_, err := fmt.Fprint(env.Out, control.Schema())
 	return err
@@ -47,25 +44,24 @@
 
 type controlStatus struct {
 	File string `arg:"" help:"A control member's file, whose members are asked."`
-	JSON bool   `help:"For programs."`
+	JSON bool   `help:"As JSON."`
 }
 
-// Run runs the command.
 func (c *controlStatus) Run(env *Env) error {
-	set, err := control.Load(c.File)
+	settings, err := control.Load(c.File)
 	if err != nil {
-		return fmt.Errorf("%w%w", misuse, err)
+		return fmt.Errorf("%w%w", usageError, err)
 	}
-	with, _, err := keys.Load(keys.Files{CA: set.CA, Cert: set.Cert, Key: set.Key}, time.Now())
-	if set.Cert == "" {
-		with, err = nil, nil
+	tlsConfig, _, err := keys.Load(keys.Files{CA: settings.CA, Cert: settings.Cert, Key: settings.Key}, time.Now())
+	if settings.Cert == "" {
+		tlsConfig, err = nil, nil
 	}
 	if err != nil {
 		return err
 	}
 	answered := 0
-	for _, m := range set.Members {
-		a, err := askAt(m.DirectoryAddr, with, &pb.Ask{Status: &pb.Status{}})
+	for _, m := range settings.Members {
+		a, err := callMember(m.DirectoryAddr, tlsConfig, &pb.Ask{Status: &pb.Status{}})
 		if err != nil {
 			fmt.Fprintf(env.Err, "%s at %s: %v\n", m.Name, m.DirectoryAddr, err)
 			continue
@@ -82,7 +78,7 @@
 		fmt.Fprintf(env.Out, "%s: leader %q, version %d, discovery's %d, %d endpoints, %d members, %d subscribed here\n", s.Name, s.Leader, s.Version, s.DiscoveryVersion, s.Endpoints, s.Members, s.Subscribers)
 	}
 	if answered == 0 {
-		return fmt.Errorf("no control member answers")
+		return fmt.Errorf("no control member answered")
 	}
 	return nil
 }
--- a/internal/cli/fleet.go
+++ b/internal/cli/fleet.go
@@ -21,40 +21,40 @@
 	"sliptide/internal/operator"
 )
 
-const askFor = 4 * time.Second // a member is waited for so long
+const callTimeout = 4 * time.Second // timeout of a call to a member
 
 type fleetCmd struct {
-	Status   fleetStatus   `cmd:"" help:"Who leads, who is there, who holds how much."`
+	Status   fleetStatus   `cmd:"" help:"Show the leader, the members and how many duties each holds."`
 	Duties   fleetDuties   `cmd:"" help:"Each duty, its holder and its token."`
-	Copies   fleetCopies   `cmd:"" help:"Who keeps copies of each sender's journal, and who takes one over."`
-	HandOver fleetHandOver `cmd:"" help:"Ask the holder of a duty to hand it to a member."`
-	Remove   fleetRemove   `cmd:"" help:"End a member for good: what it holds goes on to others once its lease is over."`
+	Copies   fleetCopies   `cmd:"" help:"Show which members hold copies of each sender's journal, and takeovers in progress."`
+	HandOver fleetHandOver `cmd:"" help:"Ask the holder of a duty to transfer it to another member."`
+	Remove   fleetRemove   `cmd:"" help:"Remove a member: its duties pass to others once its lease has expired."`
 }
 
-// fleetAsk says whom to ask.
-type fleetAsk struct {
+// memberQuery holds the flags that select the member to query.
+type memberQuery struct {
 	Operator string `help:"The operators' file, whose members are asked." placeholder:"FILE" env:"SLIPTIDE_OPERATOR" default:"deploy/sliptide.xml"`
 	At       string `help:"Ask the member at this address alone." placeholder:"HOST:PORT"`
 }
 
-// fleet is the operators' file, with what links need where it names keys.
-func (c *fleetAsk) fleet() (f *operator.Fleet, with *tls.Config, err error) {
+// fleet returns the fleet settings of the operators' file, and the TLS configuration for links if it names keys.
+func (c *memberQuery) fleet() (f *operator.Fleet, tlsConfig *tls.Config, err error) {
 	file, err := operator.Load(c.Operator)
 	if err != nil {
-		return nil, nil, fmt.Errorf("%w%w", misuse, err)
+		return nil, nil, fmt.Errorf("%w%w", usageError, err)
 	}
 	if f = &file.Fleet; !f.Enabled {
-		return nil, nil, fmt.Errorf("%w%s: no <fleet enabled=\"true\">", misuse, c.Operator)
+		return nil, nil, fmt.Errorf("%w%s: no <fleet enabled=\"true\">", usageError, c.Operator)
 	}
 	if f.Cert != "" {
-		with, _, err = keys.Load(keys.Files{CA: f.CA, Cert: f.Cert, Key: f.Key}, time.Now())
+		tlsConfig, _, err = keys.Load(keys.Files{CA: f.CA, Cert: f.Cert, Key: f.Key}, time.Now())
 	}
-	return f, with, err
+	return f, tlsConfig, err
 }
 
-// ask puts a question to a running member, and returns the first answer.
-func (c *fleetAsk) ask(q *pb.Ask) (*pb.Answer, error) {
-	f, with, err := c.fleet()
+// ask sends the request to the members in turn until one answers, and returns that answer.
+func (c *memberQuery) ask(request *pb.Ask) (*pb.Answer, error) {
+	f, tlsConfig, err := c.fleet()
 	if err != nil {
 		return nil, err
 	}
@@ -65,33 +65,33 @@
 			addrs = append(addrs, m.Addr)
 		}
 	}
-	var failed []error
+	var errs []error
 	for _, addr := range addrs {
-		a, err := askAt(addr, with, q)
+		a, err := callMember(addr, tlsConfig, request)
 		if err == nil {
 			return a, nil
 		}
-		failed = append(failed, fmt.Errorf("%s: %w", addr, err))
+		errs = append(errs, fmt.Errorf("%s: %w", addr, err))
 	}
-	return nil, fmt.Errorf("no member answers: %w", errors.Join(failed...))
+	return nil, fmt.Errorf("no member answered: %w", errors.Join(errs...))
 }
 
-func askAt(addr string, with *tls.Config, q *pb.Ask) (*pb.Answer, error) {
-	conn, err := link.Dial(addr, with)
+func callMember(addr string, tlsConfig *tls.Config, request *pb.Ask) (*pb.Answer, error) {
+	conn, err := link.Dial(addr, tlsConfig)
 	if err != nil {
 		return nil, err
 	}
 	defer conn.Close()
-	ctx, cancel := context.WithTimeout(context.Background(), askFor)
+	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
-	a, err := pb.NewLinksClient(conn).Call(ctx, q)
+	a, err := pb.NewLinksClient(conn).Call(ctx, request)
 	if err == nil && a.Error != "" {
 		err = errors.New(a.Error)
 	}
 	return a, err
 }
 
-func (c *fleetAsk) status() (*voter.Status, error) {
+func (c *memberQuery) status() (*voter.Status, error) {
 	a, err := c.ask(&pb.Ask{Status: &pb.Status{}})
 	if err != nil {
 		return nil, err
@@ -100,14 +100,14 @@
 	if err := json.Unmarshal([]byte(a.Status), &s); err != nil {
 		return nil, err
 	}
-	// A voter that follows knows nothing of when members were heard: the one that leads does.
+	// Only the leader knows when members were last heard, so a follower's answer is replaced by the leader's.
 	if c.At == "" && s.Leader != "" && s.Leader != s.ReportedBy {
 		if file, err := operator.Load(c.Operator); err == nil {
 			for _, m := range file.Fleet.Members {
 				if m.Name == s.Leader {
-					lead := fleetAsk{Operator: c.Operator, At: m.Addr}
-					if t, err := lead.status(); err == nil && t.Leader == t.ReportedBy {
-						return t, nil
+					leaderQuery := memberQuery{Operator: c.Operator, At: m.Addr}
+					if answer, err := leaderQuery.status(); err == nil && answer.Leader == answer.ReportedBy {
+						return answer, nil
 					}
 				}
 			}
@@ -117,26 +117,25 @@
 }
 
 type fleetStatus struct {
-	fleetAsk
+	memberQuery
 	JSON bool `help:"As JSON."`
 }
 
-// Run runs the command.
 func (c *fleetStatus) Run(env *Env) error {
 	s, err := c.status()
 	if err != nil {
 		return err
 	}
 	if c.JSON {
-		return putJSON(env, s)
+		return writeJSON(env, s)
 	}
 	leader := s.Leader
 	if leader == "" {
-		leader = "nobody: no quorum is known here"
+		leader = "none: no quorum is known here"
 	}
 	fmt.Fprintf(env.Out, "asked %s: leader %s, term %d, applied %d, log %d bytes\n", s.ReportedBy, leader, s.Term, s.Applied, s.LogBytes)
 	if s.Failed != "" {
-		fmt.Fprintf(env.Out, "%s takes no part: %s\n", s.ReportedBy, s.Failed)
+		fmt.Fprintf(env.Out, "%s does not participate: %s\n", s.ReportedBy, s.Failed)
 		return nil
 	}
 	w := tabwriter.NewWriter(env.Out, 0, 0, 2, ' ', 0)
@@ -155,11 +154,10 @@
 }
 
 type fleetDuties struct {
-	fleetAsk
+	memberQuery
 	JSON bool `help:"As JSON."`
 }
 
-// Run runs the command.
 func (c *fleetDuties) Run(env *Env) error {
 	s, err := c.status()
 	if err != nil {
@@ -169,7 +167,7 @@
 		if s.Duties == nil {
 			s.Duties = []voter.DutyStatus{}
 		}
-		return putJSON(env, s.Duties)
+		return writeJSON(env, s.Duties)
 	}
 	w := tabwriter.NewWriter(env.Out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "DUTY\tHOLDER\tTOKEN\tTO BE HANDED TO\tWORD")
@@ -180,41 +178,41 @@
 }
 
 type fleetCopies struct {
-	fleetAsk
+	memberQuery
 	JSON bool `help:"As JSON."`
 }
 
-// copyView is one sender's journal.
+// copyView describes the copies of one sender's journal.
 type copyView struct {
 	Owner  string   `json:"owner"`
-	With   string   `json:"with"` // whoever answers for it now: the owner, its heir, or nobody
+	Holder string   `json:"with"` // current holder: the owner, its successor, or empty
 	Epoch  uint64   `json:"epoch"`
 	Copies []string `json:"copies"`
 	State  string   `json:"state"`
-	// Own is what the sender itself says of its copies; nil: it does not answer.
+	// Own is the owner's report of its copies; nil if there is none.
 	Own *copies.Status `json:"own,omitempty"`
 }
 
-// mostAsks is how many senders are asked at once.
-const mostAsks = 32
+// maxConcurrentCalls bounds the number of senders that are queried at once.
+const maxConcurrentCalls = 32
 
-// askOwners asks each sender how its copies are.
+// askOwners queries each sender that holds its own journal, and stores its report in list.
 func (c *fleetCopies) askOwners(list []copyView) {
-	f, with, err := c.fleet()
+	f, tlsConfig, err := c.fleet()
 	if err != nil || c.At != "" {
 		return
 	}
 	var wg sync.WaitGroup
-	room := make(chan struct{}, mostAsks)
+	slots := make(chan struct{}, maxConcurrentCalls)
 	for i := range list {
-		k := slices.IndexFunc(f.Members, func(m operator.Member) bool { return m.Name == list[i].Owner && m.Name == list[i].With })
+		k := slices.IndexFunc(f.Members, func(m operator.Member) bool { return m.Name == list[i].Owner && m.Name == list[i].Holder })
 		if k < 0 {
 			continue
 		}
 		wg.Go(func() {
-			room <- struct{}{}
-			defer func() { <-room }()
-			a, err := askAt(f.Members[k].Addr, with, &pb.Ask{Copies: &pb.Copies{}})
+			slots <- struct{}{}
+			defer func() { <-slots }()
+			a, err := callMember(f.Members[k].Addr, tlsConfig, &pb.Ask{Copies: &pb.Copies{}})
 			var own copies.Status
 			if err == nil && json.Unmarshal([]byte(a.Status), &own) == nil {
 				list[i].Own = &own
@@ -224,7 +222,7 @@
 	wg.Wait()
 }
 
-// lag is how far the furthest holder is behind, in words.
+// lag formats the last columns of a row: the lag of the holder that is furthest behind, and the owner's counts.
 func (v *copyView) lag() string {
 	if v.Own == nil {
 		return "-\t-\t-\t-"
@@ -238,7 +236,6 @@
 	return fmt.Sprintf("%d batches, %.0f ms\t%d\t%d\t%d", worst.Batches, worst.MS, v.Own.Waiting, v.Own.UnderReplicated, v.Own.RemainingBytes)
 }
 
-// Run runs the command.
 func (c *fleetCopies) Run(env *Env) error {
 	s, err := c.status()
 	if err != nil {
@@ -246,11 +243,11 @@
 	}
 	list := []copyView{}
 	for _, d := range s.Duties {
-		owner, own := strings.CutPrefix(d.Name, duty.JournalDuty(""))
-		if !own {
+		owner, ok := strings.CutPrefix(d.Name, duty.JournalDuty(""))
+		if !ok {
 			continue
 		}
-		v := copyView{Owner: owner, With: d.Holder, Epoch: d.Token, Copies: d.CopyHolders, State: "copied"}
+		v := copyView{Owner: owner, Holder: d.Holder, Epoch: d.Token, Copies: d.CopyHolders, State: "copied"}
 		switch {
 		case d.Holder == "":
 			v.State = "nobody answers for it"
@@ -263,49 +260,47 @@
 	}
 	c.askOwners(list)
 	if c.JSON {
-		return putJSON(env, list)
+		return writeJSON(env, list)
 	}
 	w := tabwriter.NewWriter(env.Out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "OWNER\tWITH\tEPOCH\tCOPIES AT\tSTATE\tLAG\tWAITING\tSHORT\tBYTES LEFT")
 	for i := range list {
 		v := &list[i]
-		fmt.Fprintf(w, "%s\t%s\t%d\t%s\t%s\t%s\n", v.Owner, v.With, v.Epoch, strings.Join(v.Copies, ", "), v.State, v.lag())
+		fmt.Fprintf(w, "%s\t%s\t%d\t%s\t%s\t%s\n", v.Owner, v.Holder, v.Epoch, strings.Join(v.Copies, ", "), v.State, v.lag())
 	}
 	return w.Flush()
 }
 
 type fleetHandOver struct {
-	fleetAsk
+	memberQuery
 	Duty string `arg:"" help:"The duty, as fleet duties names it."`
 	Name string `arg:"" help:"The member that is to hold it."`
 }
 
-// Run runs the command.
 func (c *fleetHandOver) Run(env *Env) error {
 	_, err := c.ask(&pb.Ask{Command: &pb.Command{What: &pb.Command_HandOver{HandOver: &pb.HandOver{Duty: c.Duty, To: c.Name}}}})
 	if err != nil {
 		return err
 	}
-	fmt.Fprintf(env.Out, "%s: its holder is asked to hand over to %s\n", c.Duty, c.Name)
+	fmt.Fprintf(env.Out, "%s: its holder has been asked to transfer it to %s\n", c.Duty, c.Name)
 	return nil
 }
 
 type fleetRemove struct {
-	fleetAsk
+	memberQuery
 	Name string `arg:"" help:"The member."`
 }
 
-// Run runs the command.
 func (c *fleetRemove) Run(env *Env) error {
 	_, err := c.ask(&pb.Ask{Command: &pb.Command{What: &pb.Command_Remove{Remove: &pb.Remove{Member: c.Name}}}})
 	if err != nil {
 		return err
 	}
-	fmt.Fprintf(env.Out, "%s: removed; what it holds goes on to others once its lease is over\n", c.Name)
+	fmt.Fprintf(env.Out, "%s: removed; its duties pass to others once its lease has expired\n", c.Name)
 	return nil
 }
 
-func putJSON(env *Env, v any) error {
+func writeJSON(env *Env, v any) error {
 	enc := json.NewEncoder(env.Out)
 	enc.SetIndent("", "  ")
 	return enc.Encode(v)
--- a/internal/cli/knowledge.go
+++ b/internal/cli/knowledge.go
@@ -24,8 +24,8 @@
 	Forget knowledgeForget `cmd:"" help:"Forget everything, or some destinations. The sender must not run."`
 }
 
-// files are the knowledge files that path stands for: itself, or those of a folder.
-func files(path string) ([]string, error) {
+// knowledgeFiles returns path itself, or the knowledge files in it if it is a directory.
+func knowledgeFiles(path string) ([]string, error) {
 	info, err := os.Stat(path)
 	if err != nil {
 		return nil, err
@@ -51,43 +51,42 @@
 	if err != nil {
 		return nil, 0, err
 	}
-	b, err := store.Decode(text)
+	facts, err := store.Decode(text)
 	if err != nil {
 		return nil, len(text), fmt.Errorf("%s: %w", file, err)
 	}
-	return b, len(text), nil
+	return facts, len(text), nil
 }
 
 type knowledgeShow struct {
-	Path     string `arg:"" help:"A knowledge file, or the folder that lasts."`
+	Path     string `arg:"" help:"A knowledge file, or the state directory."`
 	JSON     bool   `help:"As JSON."`
 	Operator string `help:"The operators' file with the half-lives; else their defaults." placeholder:"FILE"`
 }
 
-// Run runs the command.
 func (c *knowledgeShow) Run(env *Env) error {
-	set := operator.Default()
+	settings := operator.Default()
 	if c.Operator != "" {
 		f, err := operator.Load(c.Operator)
 		if err != nil {
-			return fmt.Errorf("%w%w", misuse, err)
+			return fmt.Errorf("%w%w", usageError, err)
 		}
-		set = *f
+		settings = *f
 	}
-	list, err := files(c.Path)
+	list, err := knowledgeFiles(c.Path)
 	if err != nil {
 		return err
 	}
-	book := knowledge.New("")
+	merged := knowledge.New("")
 	for _, file := range list {
-		b, _, err := decode(file)
+		facts, _, err := decode(file)
 		if err != nil {
 			return err
 		}
-		book.Merge(b)
-		book.Sender, book.WrittenAt = b.Sender, max(book.WrittenAt, b.WrittenAt)
+		merged.Merge(facts)
+		merged.Sender, merged.WrittenAt = facts.Sender, max(merged.WrittenAt, facts.WrittenAt)
 	}
-	v := viewOf(book, env.Now(), set.Knowledge.HalfLives)
+	v := viewOf(merged, env.Now(), settings.Knowledge.HalfLives)
 	if c.JSON {
 		enc := json.NewEncoder(env.Out)
 		enc.SetIndent("", "  ")
@@ -96,7 +95,7 @@
 	return v.print(env)
 }
 
-// view is a book as people and their programs read it.
+// view holds facts in the form that is printed, as text or JSON.
 type view struct {
 	Sender       string     `json:"sender"`
 	Written      time.Time  `json:"written"`
@@ -112,50 +111,50 @@
 }
 
 type destView struct {
-	Dest       int            `json:"dest"`
-	AgeSeconds float64        `json:"age_s"`
-	Limit      float64        `json:"limit_per_s"` // 0: none known
-	Reported   bool           `json:"limit_reported"`
-	LimitLeft  float64        `json:"limit_weight"`
-	Pace       float64        `json:"pace_per_s"`
-	LatencyMS  float64        `json:"latency_ms"`
-	Theta      [2]float64     `json:"theta"`
-	EXMS       float64        `json:"ex_ms"`
-	Endpoints  []endpointView `json:"endpoints"`
+	Dest           int            `json:"dest"`
+	AgeSeconds     float64        `json:"age_s"`
+	LimitPerSecond float64        `json:"limit_per_s"` // 0: none known
+	LimitReported  bool           `json:"limit_reported"`
+	LimitWeight    float64        `json:"limit_weight"`
+	PacePerSecond  float64        `json:"pace_per_s"`
+	LatencyMS      float64        `json:"latency_ms"`
+	Theta          [2]float64     `json:"theta"`
+	EXMS           float64        `json:"ex_ms"`
+	Endpoints      []endpointView `json:"endpoints"`
 }
 
 type endpointView struct {
-	Name       string  `json:"name"`
-	AgeSeconds float64 `json:"age_s"`
-	Health     string  `json:"health"`
-	Weight     float64 `json:"health_weight"`
-	Fails      int     `json:"fails"`
-	Base       float64 `json:"rate_before_outage_per_s"`
-	Limit      float64 `json:"limit_per_s,omitempty"`
+	Name             string  `json:"name"`
+	AgeSeconds       float64 `json:"age_s"`
+	Health           string  `json:"health"`
+	HealthWeight     float64 `json:"health_weight"`
+	Failures         int     `json:"fails"`
+	RateBeforeOutage float64 `json:"rate_before_outage_per_s"`
+	LimitPerSecond   float64 `json:"limit_per_s,omitempty"`
 }
 
-func viewOf(b *knowledge.Facts, now float64, h operator.HalfLives) *view {
-	v := &view{Sender: b.Sender, Written: time.UnixMilli(b.WrittenAt).UTC(), AgeSeconds: round(now-float64(b.WrittenAt)) / 1e3,
+func viewOf(facts *knowledge.Facts, now float64, h operator.HalfLives) *view {
+	v := &view{Sender: facts.Sender, Written: time.UnixMilli(facts.WrittenAt).UTC(), AgeSeconds: round(now-float64(facts.WrittenAt)) / 1e3,
 		Waits: []waitView{}, Destinations: []destView{}}
-	for _, w := range b.SortedWaits() {
+	for _, w := range facts.SortedWaits() {
 		if left := w.End(now) - now; left > 0 {
 			v.Waits = append(v.Waits, waitView{w.Dest, w.Endpoint, round(left)})
 		}
 	}
-	for _, n := range b.DestNumbers() {
-		d := b.Dests[n]
+	for _, n := range facts.DestNumbers() {
+		d := facts.Dests[n]
 		shared := policy.RouteFacts{}
 		if d.SharedRoute != nil {
 			shared = *d.SharedRoute
 		}
-		dv := destView{Dest: n, AgeSeconds: round(now-d.LearnedAt) / 1e3, Limit: shared.AdvertisedLimit, Reported: shared.LimitReported,
-			LimitLeft: share(now-d.LearnedAt, h.Limit), Pace: shared.Pace, LatencyMS: d.Latency.Mean,
+		dv := destView{Dest: n, AgeSeconds: round(now-d.LearnedAt) / 1e3, LimitPerSecond: shared.AdvertisedLimit, LimitReported: shared.LimitReported,
+			LimitWeight: roundedWeight(now-d.LearnedAt, h.Limit), PacePerSecond: shared.Pace, LatencyMS: d.Latency.Mean,
 			Theta: d.Admission.Theta, EXMS: d.Admission.EX, Endpoints: []endpointView{}}
 		for _, e := range d.Endpoints {
 			ev := endpointView{Name: e.Name, AgeSeconds: round(now-e.LearnedAt) / 1e3, Health: healthName(e.Health),
-				Weight: share(now-e.LearnedAt, h.Health), Fails: e.Failures, Base: e.RateBeforeOutage}
+				HealthWeight: roundedWeight(now-e.LearnedAt, h.Health), Failures: e.Failures, RateBeforeOutage: e.RateBeforeOutage}
 			if e.OwnRoute != nil {
-				ev.Limit = e.OwnRoute.AdvertisedLimit
+				ev.LimitPerSecond = e.OwnRoute.AdvertisedLimit
 			}
 			dv.Endpoints = append(dv.Endpoints, ev)
 		}
@@ -166,7 +165,7 @@
 
 func round(v float64) float64 { return math.Round(v) }
 
-func share(age float64, halfLife time.Duration) float64 {
+func roundedWeight(age float64, halfLife time.Duration) float64 {
 	return math.Round(1000*knowledge.Weight(age, halfLife)) / 1000
 }
 
@@ -197,15 +196,15 @@
 	}
 	for _, d := range v.Destinations {
 		fmt.Fprintf(w, "%d\t\t%.0f s\t\t\t%s\t%.2f\t%s\t%.0f ms\t%.2f %.2f\t%.0f ms\n", d.Dest, d.AgeSeconds,
-			rate(d.Limit), d.LimitLeft, rate(d.Pace), d.LatencyMS, d.Theta[0], d.Theta[1], d.EXMS)
+			formatRate(d.LimitPerSecond), d.LimitWeight, formatRate(d.PacePerSecond), d.LatencyMS, d.Theta[0], d.Theta[1], d.EXMS)
 		for _, e := range d.Endpoints {
-			fmt.Fprintf(w, "\t%s\t%.0f s\t%s\t%d\t%s\t%.2f\t\t\t\t\n", e.Name, e.AgeSeconds, e.Health, e.Fails, rate(e.Limit), e.Weight)
+			fmt.Fprintf(w, "\t%s\t%.0f s\t%s\t%d\t%s\t%.2f\t\t\t\t\n", e.Name, e.AgeSeconds, e.Health, e.Failures, formatRate(e.LimitPerSecond), e.HealthWeight)
 		}
 	}
 	return w.Flush()
 }
 
-func rate(v float64) string {
+func formatRate(v float64) string {
 	if v == 0 {
 		return "-"
 	}
@@ -213,31 +212,30 @@
 }
 
 type knowledgeVerify struct {
-	Path string `arg:"" help:"A knowledge file, or the folder that lasts."`
+	Path string `arg:"" help:"A knowledge file, or the state directory."`
 	JSON bool   `help:"As JSON."`
 }
 
 type verdict struct {
-	File  string `json:"file"`
-	Bytes int    `json:"bytes"`
-	Fine  bool   `json:"fine"`
-	Why   string `json:"why,omitempty"`
+	File    string `json:"file"`
+	Bytes   int    `json:"bytes"`
+	Valid   bool   `json:"fine"`
+	Problem string `json:"why,omitempty"`
 }
 
-// Run runs the command.
 func (c *knowledgeVerify) Run(env *Env) error {
-	list, err := files(c.Path)
+	list, err := knowledgeFiles(c.Path)
 	if err != nil {
 		return err
 	}
 	var verdicts []verdict
-	bad := 0
+	invalid := 0
 	for _, file := range list {
 		_, n, err := decode(file)
-		v := verdict{File: file, Bytes: n, Fine: err == nil}
+		v := verdict{File: file, Bytes: n, Valid: err == nil}
 		if err != nil {
-			bad++
-			v.Why = errors.Unwrap(err).Error()
+			invalid++
+			v.Problem = errors.Unwrap(err).Error()
 		}
 		verdicts = append(verdicts, v)
 	}
@@ -248,27 +246,26 @@
 	} else {
 		for _, v := range verdicts {
 			state := "fine"
-			if !v.Fine {
-				state = v.Why
+			if !v.Valid {
+				state = v.Problem
 			}
 			fmt.Fprintf(env.Out, "%s: %d bytes, %s\n", v.File, v.Bytes, state)
 		}
 	}
-	if bad > 0 {
-		return fmt.Errorf("%d of %d files can't be read", bad, len(list))
+	if invalid > 0 {
+		return fmt.Errorf("%d of %d files can't be read", invalid, len(list))
 	}
 	return nil
 }
 
 type knowledgeForget struct {
-	Path string `arg:"" help:"The folder that lasts."`
+	Path string `arg:"" help:"The state directory."`
 	Dest []int  `help:"Forget these destinations only." placeholder:"NUMBER"`
 }
 
-// Run runs the command.
 func (c *knowledgeForget) Run(env *Env) error {
 	if info, err := os.Stat(c.Path); err != nil || !info.IsDir() {
-		return fmt.Errorf("%w%s: not a folder", misuse, c.Path)
+		return fmt.Errorf("%w%s: not a directory", usageError, c.Path)
 	}
 	lock, err := statedir.Lock(c.Path, 0)
 	if err != nil {
@@ -276,51 +273,51 @@
 	}
 	defer lock.Unlock()
 	if len(c.Dest) > 0 {
-		return c.some(env)
+		return c.forgetDestinations(env)
 	}
-	n := 0
+	removed := 0
 	for _, name := range store.FileNames {
 		err := os.Remove(filepath.Join(c.Path, name))
 		switch {
 		case err == nil:
-			n++
+			removed++
 		case !errors.Is(err, fs.ErrNotExist):
 			return err
 		}
 	}
-	fmt.Fprintf(env.Out, "%s: %d files removed\n", c.Path, n)
+	fmt.Fprintf(env.Out, "%s: %d files removed\n", c.Path, removed)
 	return nil
 }
 
-// some rewrites the files without the destinations that are named. The generation before, which has
-// them too, goes.
-func (c *knowledgeForget) some(env *Env) error {
-	list, err := files(c.Path)
+// forgetDestinations rewrites the files without the given destinations. It removes the previous snapshot, which may
+// contain them too.
+func (c *knowledgeForget) forgetDestinations(env *Env) error {
+	list, err := knowledgeFiles(c.Path)
 	if err != nil {
 		return err
 	}
 	for _, file := range list {
-		b, _, err := decode(file)
+		facts, _, err := decode(file)
 		if err != nil {
 			return err
 		}
 		for _, n := range c.Dest {
-			delete(b.Dests, n)
-			for r := range b.Waits {
+			delete(facts.Dests, n)
+			for r := range facts.Waits {
 				if r.Dest == n {
-					delete(b.Waits, r)
+					delete(facts.Waits, r)
 				}
 			}
 		}
-		text, err := store.Encode(b)
+		text, err := store.Encode(facts)
 		if err != nil {
 			return err
 		}
-		fresh := file + ".new"
-		if err := os.WriteFile(fresh, text, 0o600); err != nil {
-			return errors.Join(err, os.Remove(fresh))
+		temporary := file + ".new"
+		if err := os.WriteFile(temporary, text, 0o600); err != nil {
+			return errors.Join(err, os.Remove(temporary))
 		}
-		if err := os.Rename(fresh, file); err != nil {
+		if err := os.Rename(temporary, file); err != nil {
 			return err
 		}
 	}
--- a/internal/cli/lab.go
+++ b/internal/cli/lab.go
@@ -8,14 +8,14 @@
 	"path/filepath"
 )
 
-// labProgram is the lab's program. It is not part of this one: what it links would cost each sender memory.
+// labProgram is the name of the lab's program. It is a program of its own because what it links would cost every sender
+// memory.
 const labProgram = "sliptide-lab"
 
 type labCmd struct {
-	Args []string `arg:"" optional:"" passthrough:"" help:"run, list, report, compare or schema; --help tells more."`
+	Args []string `arg:"" optional:"" passthrough:"" help:"run, list, report, compare or schema; see --help."`
 }
 
-// Run runs the command.
 func (c *labCmd) Run(env *Env) error {
 	path, err := labPath()
 	if err != nil {
@@ -24,21 +24,21 @@
 	cmd := exec.Command(path, c.Args...)
 	cmd.Stdin, cmd.Stdout, cmd.Stderr = os.Stdin, env.Out, env.Err
 	err = cmd.Run()
-	var ended *exec.ExitError
-	if errors.As(err, &ended) && ended.ExitCode() == ExitUsage {
-		return told{misuse}
+	var exitErr *exec.ExitError
+	if errors.As(err, &exitErr) && exitErr.ExitCode() == ExitUsage {
+		return reportedError{usageError}
 	}
-	if errors.As(err, &ended) {
-		return told{errors.New("the lab failed")}
+	if errors.As(err, &exitErr) {
+		return reportedError{errors.New("the lab failed")}
 	}
 	return err
 }
 
-// labPath is the lab's program beside this one, or else on the search path.
+// labPath returns the path of the lab's program: in the directory of this program, or else on the search path.
 func labPath() (string, error) {
-	if own, err := os.Executable(); err == nil {
-		if own, err = filepath.EvalSymlinks(own); err == nil {
-			path := filepath.Join(filepath.Dir(own), labProgram)
+	if executable, err := os.Executable(); err == nil {
+		if executable, err = filepath.EvalSymlinks(executable); err == nil {
+			path := filepath.Join(filepath.Dir(executable), labProgram)
 			if info, err := os.Stat(path); err == nil && info.Mode().IsRegular() {
 				return path, nil
 			}
@@ -46,12 +46,12 @@
 	}
 	path, err := exec.LookPath(labProgram)
 	if err != nil {
-		return "", fmt.Errorf("%s is neither beside this program nor on the search path; make build builds both", labProgram)
+		return "", fmt.Errorf("%s is neither in the directory of this program nor on the search path; make build builds both", labProgram)
 	}
 	return path, nil
 }
 
-// told marks an error of which the reader has been told.
-type told struct{ error }
+// reportedError marks an error whose message has been written already.
+type reportedError struct{ error }
 
-func (t told) Unwrap() error { return t.error }
+func (e reportedError) Unwrap() error { return e.error }
--- a/internal/cli/partner.go
+++ b/internal/cli/partner.go
@@ -24,23 +24,23 @@
 type partnerProbe struct {
 	Address  string        `arg:"" help:"host:port"`
 	Operator string        `help:"The operators' file." placeholder:"FILE"`
-	Dest     int           `help:"Reach it as that file says of this destination." default:"-1"`
+	Dest     int           `help:"Connect as that file configures this destination." default:"-1"`
 	Protocol string        `help:"Without a destination: http/1.1, https, h2 or h2c." enum:"http/1.1,https,h2,h2c" default:"h2"`
 	Timeout  time.Duration `help:"How long it may take." default:"3s"`
 	JSON     bool          `help:"As JSON."`
 }
 
-// offer is what a partner offers.
-type offer struct {
-	Address  string     `json:"address"`
-	Protocol string     `json:"protocol"`
-	TLS      string     `json:"tls,omitempty"`
-	Cipher   string     `json:"cipher,omitempty"`
-	Settings []h2.Field `json:"settings,omitempty"`
-	Certs    []cert     `json:"certificates,omitempty"`
+// probeResult is the result of a probe.
+type probeResult struct {
+	Address      string        `json:"address"`
+	Protocol     string        `json:"protocol"`
+	TLS          string        `json:"tls,omitempty"`
+	Cipher       string        `json:"cipher,omitempty"`
+	Settings     []h2.Field    `json:"settings,omitempty"`
+	Certificates []certificate `json:"certificates,omitempty"`
 }
 
-type cert struct {
+type certificate struct {
 	Subject  string    `json:"subject"`
 	Names    []string  `json:"names,omitempty"`
 	Issuer   string    `json:"issuer"`
@@ -48,45 +48,44 @@
 	DaysLeft int       `json:"days_left"`
 }
 
-// partner is how the probe reaches it.
+// partner returns the connection settings for the probe.
 func (c *partnerProbe) partner(env *Env) (*outbound.Partner, error) {
-	set := operator.Partner{Dest: 0, Protocol: operator.Protocol(c.Protocol), MaxConns: 1}
+	settings := operator.Partner{Dest: 0, Protocol: operator.Protocol(c.Protocol), MaxConns: 1}
 	if c.Dest >= 0 {
 		if c.Operator == "" {
-			return nil, fmt.Errorf("%w--dest needs --operator", misuse)
+			return nil, fmt.Errorf("%w--dest needs --operator", usageError)
 		}
 		f, err := operator.Load(c.Operator)
 		if err != nil {
-			return nil, fmt.Errorf("%w%w", misuse, err)
+			return nil, fmt.Errorf("%w%w", usageError, err)
 		}
 		found := false
 		for _, p := range f.Partners {
 			if p.Dest == c.Dest {
-				set, found = p, true
+				settings, found = p, true
 			}
 		}
 		if !found {
-			set = operator.Partner{Dest: c.Dest, Protocol: operator.HTTP1}
+			settings = operator.Partner{Dest: c.Dest, Protocol: operator.HTTP1}
 		}
 	}
-	book := partners.New(func() time.Time { return time.UnixMilli(int64(env.Now())) })
-	warnings, err := book.Load([]operator.Partner{set})
+	registry := partners.New(func() time.Time { return time.UnixMilli(int64(env.Now())) })
+	warnings, err := registry.Load([]operator.Partner{settings})
 	if err != nil {
-		return nil, fmt.Errorf("%w%w", misuse, err)
+		return nil, fmt.Errorf("%w%w", usageError, err)
 	}
 	for _, w := range warnings {
 		fmt.Fprintln(env.Err, "warning:", w)
 	}
-	if p := book.Lookup(set.Dest); p != nil {
+	if p := registry.Lookup(settings.Dest); p != nil {
 		return p, nil
 	}
 	return &outbound.Partner{}, nil
 }
 
-// Run runs the command.
 func (c *partnerProbe) Run(env *Env) error {
 	if _, _, err := net.SplitHostPort(c.Address); err != nil {
-		return fmt.Errorf("%w%w; allowed: host:port", misuse, err)
+		return fmt.Errorf("%w%w; allowed: host:port", usageError, err)
 	}
 	p, err := c.partner(env)
 	if err != nil {
@@ -94,54 +93,54 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), c.Timeout)
 	defer cancel()
-	nc, proto, err := p.Dial(ctx, c.Address)
+	nc, protocol, err := p.Dial(ctx, c.Address)
 	if err != nil {
 		return fmt.Errorf("%s: %w", c.Address, err)
 	}
 	defer nc.Close()
-	o := offer{Address: c.Address, Protocol: proto}
+	result := probeResult{Address: c.Address, Protocol: protocol}
 	if t, ok := nc.(*tls.Conn); ok {
-		st := t.ConnectionState()
-		o.TLS, o.Cipher = tls.VersionName(st.Version), tls.CipherSuiteName(st.CipherSuite)
-		for _, x := range st.PeerCertificates {
-			o.Certs = append(o.Certs, certOf(x, env.Now()))
+		state := t.ConnectionState()
+		result.TLS, result.Cipher = tls.VersionName(state.Version), tls.CipherSuiteName(state.CipherSuite)
+		for _, x := range state.PeerCertificates {
+			result.Certificates = append(result.Certificates, newCertificate(x, env.Now()))
 		}
 	}
-	if proto == "h2" {
-		k := h2.New(nc, h2.Options{MaxBody: 1 << 10})
-		defer k.Abort(h2.ErrClosed)
+	if protocol == "h2" {
+		conn := h2.New(nc, h2.Options{MaxBody: 1 << 10})
+		defer conn.Abort(h2.ErrClosed)
 		select {
-		case <-k.Ready():
-			o.Settings = k.PeerSettings()
-		case <-k.Done():
-			return fmt.Errorf("%s: %w", c.Address, k.State().Lost)
+		case <-conn.Ready():
+			result.Settings = conn.PeerSettings()
+		case <-conn.Done():
+			return fmt.Errorf("%s: %w", c.Address, conn.State().Lost)
 		case <-ctx.Done():
 			return fmt.Errorf("%s: %w", c.Address, errNoSettings)
 		}
 	}
-	return o.print(env, c.JSON)
+	return result.print(env, c.JSON)
 }
 
-var errNoSettings = errors.New("it accepts connections and does not speak HTTP/2")
+var errNoSettings = errors.New("accepts connections but does not speak HTTP/2")
 
-func certOf(x *x509.Certificate, now float64) cert {
+func newCertificate(x *x509.Certificate, now float64) certificate {
 	left := x.NotAfter.Sub(time.UnixMilli(int64(now)))
-	return cert{x.Subject.CommonName, x.DNSNames, x.Issuer.CommonName, x.NotAfter.UTC(), int(math.Floor(left.Hours() / 24))}
+	return certificate{x.Subject.CommonName, x.DNSNames, x.Issuer.CommonName, x.NotAfter.UTC(), int(math.Floor(left.Hours() / 24))}
 }
 
-func (o *offer) print(env *Env, asJSON bool) error {
+func (r *probeResult) print(env *Env, asJSON bool) error {
 	if asJSON {
-		return json.NewEncoder(env.Out).Encode(o)
+		return json.NewEncoder(env.Out).Encode(r)
 	}
-	fmt.Fprintf(env.Out, "%s speaks %s", o.Address, o.Protocol)
-	if o.TLS != "" {
-		fmt.Fprintf(env.Out, " over %s, %s", o.TLS, o.Cipher)
+	fmt.Fprintf(env.Out, "%s speaks %s", r.Address, r.Protocol)
+	if r.TLS != "" {
+		fmt.Fprintf(env.Out, " over %s, %s", r.TLS, r.Cipher)
 	}
 	fmt.Fprintln(env.Out)
-	for _, s := range o.Settings {
+	for _, s := range r.Settings {
 		fmt.Fprintf(env.Out, "  %s = %s\n", s.Name, s.Value)
 	}
-	for _, x := range o.Certs {
+	for _, x := range r.Certificates {
 		fmt.Fprintf(env.Out, "  certificate of %q %v, by %q, ends %s: %d days left\n", x.Subject, x.Names, x.Issuer, x.Ends.Format(time.DateOnly), x.DaysLeft)
 	}
 	return nil
--- a/internal/command/command.go
+++ b/internal/command/command.go
@@ -1,5 +1,5 @@
-// Package command runs a command line by its grammar, for the programs of this repository: help, errors and the
-// exit status are alike in all of them. It knows none of the commands.
+// Package command parses and runs the command lines of this repository's programs, with the same help, error messages
+// and exit statuses in all of them. It does not depend on any of the commands.
 package command
 
 import (
@@ -9,44 +9,45 @@
 	"github.com/alecthomas/kong"
 )
 
-// The exit status.
+// Exit statuses.
 const (
 	ExitOK      = 0
 	ExitFailure = 1
 	ExitUsage   = 2 // wrong use or configuration; nothing was started
 )
 
-// Program is one command line.
+// Program is a command-line program.
 type Program struct {
 	Name        string
 	Description string
 	Out, Err    io.Writer
-	Env         any                                      // a pointer, which the commands' Run takes
-	Status      func(err error) (status int, quiet bool) // of a command that failed; quiet: its reader has been told
+	Env         any                                      // a pointer, passed to the commands' Run methods
+	Status      func(err error) (status int, quiet bool) // exit status of a failed command; quiet: its message has been written already
 }
 
-type exit int
+type exitCode int
 
-// Main runs the command of the grammar g (a pointer to kong's struct) that args name and returns the exit status.
-func (p *Program) Main(g any, args []string) (status int) {
-	defer func() { // kong ends the process after --help; here it ends the command
+// Main runs the command of grammar, a pointer to a struct with kong's tags, that args select, and returns the exit
+// status.
+func (p *Program) Main(grammar any, args []string) (status int) {
+	defer func() { // kong calls its exit function after --help; that panics, so that only the command ends
 		if r := recover(); r != nil {
-			code, ok := r.(exit)
+			code, ok := r.(exitCode)
 			if !ok {
 				panic(r)
 			}
 			status = int(code)
 		}
 	}()
-	parser, err := kong.New(g, kong.Name(p.Name), kong.Description(p.Description), kong.Writers(p.Out, p.Err),
-		kong.Exit(func(code int) { panic(exit(code)) }), kong.ConfigureHelp(kong.HelpOptions{Compact: true}), kong.Bind(p.Env))
+	parser, err := kong.New(grammar, kong.Name(p.Name), kong.Description(p.Description), kong.Writers(p.Out, p.Err),
+		kong.Exit(func(code int) { panic(exitCode(code)) }), kong.ConfigureHelp(kong.HelpOptions{Compact: true}), kong.Bind(p.Env))
 	if err != nil {
 		fmt.Fprintf(p.Err, "%s: %v\n", p.Name, err)
 		return ExitFailure
 	}
 	ctx, err := parser.Parse(args)
 	if err != nil {
-		fmt.Fprintf(p.Err, "%s: %v (%s --help tells more)\n", p.Name, err, p.Name)
+		fmt.Fprintf(p.Err, "%s: %v (see %s --help)\n", p.Name, err, p.Name)
 		return ExitUsage
 	}
 	if err = ctx.Run(); err == nil {
