--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -166,7 +166,10 @@
 		t.Fatal(err)
 	}
 	var applied []string
-	apply := func(id string, out bool) error { applied = append(applied, fmt.Sprint(id, " ", out)); return nil }
+	apply := func(id string, disabled bool) error {
+		applied = append(applied, fmt.Sprint(id, " ", disabled))
+		return nil
+	}
 	old.Disable("s-1")
 	old.Disable("s-2")
 	successor.sync(apply)
--- a/internal/knowledge/keeper/writer.go
+++ b/internal/knowledge/keeper/writer.go
@@ -107,7 +107,7 @@
 	}
 }
 
-// Run writes until Close: waits at once, all facts every WriteEvery.
+// Run writes until Close: waits at once, all facts every WriteInterval.
 func (w *Writer) Run() {
 	defer close(w.done)
 	snapshots := time.NewTicker(w.opts.Settings.WriteInterval)
--- a/internal/operator/fleet.go
+++ b/internal/operator/fleet.go
@@ -62,11 +62,11 @@
 // Copies configures how a sender's journal is copied to other members.
 type Copies struct {
 	Enabled        bool
-	Count          int // members that hold copies
-	Required       int // copies that a message must have before its client is answered 202
-	Timeout        time.Duration
-	AcceptUncopied bool  // with too few members in reach, accept messages nevertheless instead of refusing them
-	QuotaBytes     int64 // space that copies of other senders' journals may take here
+	Count          int           // members that hold copies
+	Required       int           // copies that a message must have before its client is answered 202
+	Timeout        time.Duration // for the required copies to be made
+	AcceptUncopied bool          // with too few members in reach, accept messages nevertheless instead of refusing them
+	QuotaBytes     int64         // space that copies of other senders' journals may take here
 	Classes        []CopyClass
 }
 
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -32,10 +32,10 @@
 	Endpoint           string
 	Protocol           string
 	Compression        string
-	Timeout            time.Duration
-	MetricsInterval    time.Duration
-	SampledShare       float64
-	QueueBytes         int64 // bytes
+	Timeout            time.Duration // of one request
+	MetricsInterval    time.Duration // between two exports of the metrics
+	SampledShare       float64       // of ordinary traces, 0 to 1
+	QueueBytes         int64         // memory for data that waits for the collector
 	CA, Cert, Key      string
 	Headers            []Pair
 	ResourceAttributes []Pair
@@ -72,10 +72,10 @@
 	Dest          int
 	Protocol      Protocol
 	ServerName    string
-	CA, Cert, Key string // files; empty: none
-	MaxConns      int    // HTTP/2 connections to one endpoint
-	PingAfter     time.Duration
-	PingTimeout   time.Duration
+	CA, Cert, Key string        // files; empty: none
+	MaxConns      int           // HTTP/2 connections to one endpoint
+	PingAfter     time.Duration // silence with requests outstanding after which an HTTP/2 connection is pinged
+	PingTimeout   time.Duration // for the answer to a ping
 }
 
 // Ready configures when a starting sender answers /up with 200.
