--- a/cmd/sliptide/desync_test.go
+++ b/cmd/sliptide/desync_test.go
@@ -55,7 +55,7 @@
 			return c
 		}
 		carried[c.Conn] = true
-		answerLater(c, standin.OK)
+		answerLater(c, standin.AnswerOK)
 		r.awaitRecords("ended", n+1)
 	}
 	r.t.Fatal("no connection is kept")
@@ -66,13 +66,13 @@
 func TestRepeatedAnswerCrossesARequestAndLosesIt(t *testing.T) {
 	r, p := rawRig(t)
 	c := r.callOnKept(p)
-	c.Write(standin.OK) // of the call before
-	answerLater(c, standin.Full)
+	c.Write(standin.AnswerOK) // of the call before
+	answerLater(c, standin.AnswerUnavailable)
 	again := next(t, p.Calls, "a further attempt")
 	if again.ID != c.ID {
 		t.Errorf("call for %q, want %q again", again.ID, c.ID)
 	}
-	answerLater(again, standin.OK)
+	answerLater(again, standin.AnswerOK)
 }
 
 // Guards against an answer that ends the next call of its connection, whose message is then out twice.
@@ -80,7 +80,7 @@
 	r, p := rawRig(t)
 	c := r.callOnKept(p)
 	ended := r.records("ended")
-	c.Write(standin.OK) // of the call before; its own answer is still owed
+	c.Write(standin.AnswerOK) // of the call before; its own answer is still owed
 	r.awaitRecords("ended", ended+1)
 	r.take("next", 5, 10, "")
 	for {
@@ -88,7 +88,7 @@
 		if following.Conn == c.Conn {
 			t.Fatalf("%q goes out on connection %d, which owes the answer to %q", following.ID, c.Conn, c.ID)
 		}
-		answerLater(following, standin.OK)
+		answerLater(following, standin.AnswerOK)
 		if following.ID == "next" {
 			return
 		}
--- a/cmd/sliptide/h2_test.go
+++ b/cmd/sliptide/h2_test.go
@@ -33,13 +33,13 @@
 	return b.String() + "</partners>"
 }
 
-func standIn(t *testing.T, p *standin.H2) *standin.H2 {
+func standIn(t *testing.T, p *standin.H2Partner) *standin.H2Partner {
 	t.Cleanup(p.Listen().Close)
 	return p
 }
 
 // listed puts partners in the list of discovery, in place of what is there.
-func (r *rig) listed(ps ...*standin.H2) {
+func (r *rig) listed(ps ...*standin.H2Partner) {
 	r.change(func() {
 		r.list = nil
 		for i, p := range ps {
@@ -80,7 +80,7 @@
 		t.Run(what, func(t *testing.T) {
 			answer := make(chan standin.Reply, 1)
 			seen := make(chan string, 100)
-			p := standIn(t, &standin.H2{Limit: 1, On: func(q *standin.Request) standin.Reply {
+			p := standIn(t, &standin.H2Partner{MaxStreams: 1, Handler: func(q *standin.Request) standin.Reply {
 				seen <- q.Fields["x-trace-id"]
 				return <-answer
 			}})
@@ -96,7 +96,7 @@
 			var told time.Time
 			if what == "wait" {
 				told = time.Now()
-				answer <- standin.Reply{Status: 429, Uncounted: true, Fields: map[string]string{"retry-after": "1.200"}}
+				answer <- standin.Reply{Status: 429, NotRun: true, Fields: map[string]string{"retry-after": "1.200"}}
 			} else {
 				r.change(func() { r.list[0].State = "draining" })
 				r.take("n", 0, 0.3, "") // its end comes after the drain is known
@@ -125,13 +125,13 @@
 // The partner lowers its limit to none: what is queued ends in time, and nothing is lost. It raises it, and
 // what came last is delivered.
 func TestNoStreamsForAWhile(t *testing.T) {
-	p := standIn(t, &standin.H2{Limit: 10})
+	p := standIn(t, &standin.H2Partner{MaxStreams: 10})
 	r := newRigWith(t, multiplexed(1, 1), nil)
 	r.listed(p)
 	r.awaitTaken("first", 0, 8)
-	for end := time.Now().Add(patient); p.Acks() < 2; time.Sleep(time.Millisecond) {
-		if p.Runs("first") == 1 && p.Limit == 10 {
-			p.Set(0)
+	for end := time.Now().Add(patient); p.SettingsAcks() < 2; time.Sleep(time.Millisecond) {
+		if p.EffectCount("first") == 1 && p.MaxStreams == 10 {
+			p.SetMaxStreams(0)
 		}
 		if time.Now().After(end) {
 			t.Fatal("the new limit is not acknowledged")
@@ -143,14 +143,14 @@
 		t.Errorf("%+v after %v", n, time.Since(begin))
 	}
 	r.take("lasts", 0, 10, "")
-	p.Set(10)
-	for end := time.Now().Add(patient); p.Runs("lasts") == 0; {
+	p.SetMaxStreams(10)
+	for end := time.Now().Add(patient); p.EffectCount("lasts") == 0; {
 		if time.Now().After(end) {
 			t.Fatal("not delivered")
 		}
 		time.Sleep(time.Millisecond)
 	}
-	if p.Runs("ends") > 0 {
+	if p.EffectCount("ends") > 0 {
 		t.Error("a message that was handed back has run")
 	}
 }
@@ -170,32 +170,32 @@
 
 func chaos(t *testing.T, seed uint64, total int) {
 	const dests = 4
-	var ps []*standin.H2
+	var ps []*standin.H2Partner
 	var mu sync.Mutex
 	for i := range dests {
 		rng := rand.New(rand.NewPCG(seed, uint64(i)))
-		ps = append(ps, standIn(t, &standin.H2{Limit: 20, Delay: 2 * time.Millisecond, On: func(q *standin.Request) standin.Reply {
+		ps = append(ps, standIn(t, &standin.H2Partner{MaxStreams: 20, Delay: 2 * time.Millisecond, Handler: func(q *standin.Request) standin.Reply {
 			mu.Lock()
 			defer mu.Unlock()
 			// No 503 and 429 among them: a limit would have the module send a few messages a second, and
 			// the test is of connections.
 			switch n := rng.IntN(1000); {
 			case n < 30:
-				return standin.Reply{Reset: http2.ErrCodeInternal}
+				return standin.Reply{ResetCode: http2.ErrCodeInternal}
 			case n < 60:
-				return standin.Reply{Reset: http2.ErrCodeRefusedStream, Uncounted: true}
+				return standin.Reply{ResetCode: http2.ErrCodeRefusedStream, NotRun: true}
 			case n < 80:
 				return standin.Reply{Status: 200, GoAway: true}
 			case n < 84:
-				return standin.Reply{Hangup: true}
+				return standin.Reply{CloseConn: true}
 			case n < 88:
-				return standin.Reply{Status: 200, Hangup: true}
+				return standin.Reply{Status: 200, CloseConn: true}
 			case n < 90:
-				return standin.Reply{Silence: true}
+				return standin.Reply{NoAnswer: true}
 			case n < 120:
 				return standin.Reply{Status: 500}
 			case n < 130:
-				return standin.Reply{Status: 200, Body: "half", Cut: true}
+				return standin.Reply{Status: 200, Body: "half", Truncate: true}
 			}
 			return standin.Reply{Status: 200}
 		}}))
@@ -269,7 +269,7 @@
 	for id := range taken {
 		runs := 0
 		for _, p := range ps {
-			runs += p.Runs(id)
+			runs += p.EffectCount(id)
 		}
 		n := notices[id]
 		switch {
@@ -400,7 +400,7 @@
 	<-got
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 128}}
 	var wg sync.WaitGroup
-	from, begin, n := standin.CPU(r.proc.Process.Pid), time.Now(), 0
+	from, begin, n := standin.CPUSeconds(r.proc.Process.Pid), time.Now(), 0
 	for w := range flight {
 		wg.Add(1)
 		go func() {
@@ -425,12 +425,12 @@
 		}()
 	}
 	wg.Wait()
-	cpu := standin.CPU(r.proc.Process.Pid) - from
+	cpu := standin.CPUSeconds(r.proc.Process.Pid) - from
 	mu.Lock()
 	defer mu.Unlock()
 	slices.Sort(delivery)
 	return fmt.Sprintf("%-8s %2d in flight: %4d messages, %2d connections, delivery p50 %.2f p99 %.2f ms, CPU %.0f us and %d bytes a message, resident %.1f MB",
-		proto, flight, n, conns, quantile(delivery, .5), quantile(delivery, .99), cpu/float64(n)*1e6, wire.bytes.Load()/int64(n), standin.Resident(r.proc.Process.Pid))
+		proto, flight, n, conns, quantile(delivery, .5), quantile(delivery, .99), cpu/float64(n)*1e6, wire.bytes.Load()/int64(n), standin.ResidentMB(r.proc.Process.Pid))
 }
 
 // Keys are read again on SIGHUP: a request that is out goes on, the next connection uses the new ones; and
@@ -441,7 +441,7 @@
 	old, fresh := standin.NewAuthority("old CA"), standin.NewAuthority("new CA")
 	old.WriteCA(at("ca.pem"))
 	ends := time.Now().Add(30 * 24 * time.Hour)
-	server := func(cert tls.Certificate, p *standin.H2) *standin.H2 {
+	server := func(cert tls.Certificate, p *standin.H2Partner) *standin.H2Partner {
 		ln, err := tls.Listen("tcp", "127.0.0.1:0", &tls.Config{Certificates: []tls.Certificate{cert}, NextProtos: []string{"h2"}})
 		if err != nil {
 			t.Fatal(err)
@@ -451,14 +451,14 @@
 		return p
 	}
 	answer := make(chan standin.Reply)
-	first := server(old.Pair("lodge.example.org", ends), &standin.H2{On: func(*standin.Request) standin.Reply { return <-answer }})
-	second := server(fresh.Pair("lodge.example.org", ends), &standin.H2{Limit: 33})
+	first := server(old.IssueCertificate("lodge.example.org", ends), &standin.H2Partner{Handler: func(*standin.Request) standin.Reply { return <-answer }})
+	second := server(fresh.IssueCertificate("lodge.example.org", ends), &standin.H2Partner{MaxStreams: 33})
 	r := newRigWith(t, fmt.Sprintf(`<partners><partner dest="0" protocol="h2" server-name="lodge.example.org" ca="%s"/><partner dest="1" protocol="h2" server-name="lodge.example.org" ca="%s"/></partners>`, at("ca.pem"), at("ca.pem")), nil)
 	r.listed(first, second)
 	r.awaitTaken("out", 0, 10)
 	r.awaitTaken("waits", 1, 10) // its partner's CA is not known yet
 	r.awaitLog("certificate signed by unknown authority")
-	for end := time.Now().Add(patient); first.Acks() == 0; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(patient); first.SettingsAcks() == 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("not called")
 		}
@@ -467,9 +467,9 @@
 	r.proc.Process.Signal(syscall.SIGHUP)
 	r.awaitLog("configuration read again")
 	answer <- standin.Reply{Status: 200}
-	for end := time.Now().Add(patient); first.Runs("out") == 0 || second.Runs("waits") == 0; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(patient); first.EffectCount("out") == 0 || second.EffectCount("waits") == 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("delivered %d and %d times", first.Runs("out"), second.Runs("waits"))
+			t.Fatalf("delivered %d and %d times", first.EffectCount("out"), second.EffectCount("waits"))
 		}
 	}
 	os.WriteFile(at("ca.pem"), []byte("nonsense"), 0o600)
--- a/cmd/sliptide/holders_test.go
+++ b/cmd/sliptide/holders_test.go
@@ -64,7 +64,7 @@
 			m := newTeamOf(t, fmt.Sprintf(`<copies enabled="true" count="2" needed="%d"/>`, needed), 4, (*team).relayed)
 			m.run()
 			slow := m.awaitHolders(3)[0]
-			m.links(3, slow, func(r *standin.Relay) { r.Delay(300 * time.Millisecond) })
+			m.links(3, slow, func(r *standin.Relay) { r.SetDelay(300 * time.Millisecond) })
 			taken, refused := 0, 0
 			for k := range 12 {
 				code, took := m.timed(3, fmt.Sprintf("n3-slow-%d", k), "x")
@@ -81,7 +81,7 @@
 			if needed == 1 && taken < 11 || needed == 2 && refused < 11 { // the first may have been on its way
 				t.Errorf("needed %d: %d taken on, %d refused", needed, taken, refused)
 			}
-			m.links(3, slow, func(r *standin.Relay) { r.Delay(0) })
+			m.links(3, slow, func(r *standin.Relay) { r.SetDelay(0) })
 			m.await("all is well again", func() bool {
 				code, _ := m.timed(3, fmt.Sprint("n3-after-", time.Now().UnixNano()), "x")
 				return code == 202
@@ -99,15 +99,15 @@
 func TestHolderCutOneWay(t *testing.T) {
 	m := newTeamOf(t, copiesXML, 4, (*team).relayed)
 	m.run()
-	for _, direction := range []int{standin.There, standin.Back} {
+	for _, direction := range []int{standin.ToTarget, standin.FromTarget} {
 		cut := m.awaitHolders(3)[0]
-		m.links(3, cut, func(r *standin.Relay) { r.Hold(direction, true) })
+		m.links(3, cut, func(r *standin.Relay) { r.Block(direction, true) })
 		for k := range 6 {
 			if code, took := m.timed(3, fmt.Sprintf("n3-%d-%d", direction, k), "x"); code != 202 || took > 400*time.Millisecond {
 				t.Errorf("direction %d: %d after %v", direction, code, took)
 			}
 		}
-		m.links(3, cut, func(r *standin.Relay) { r.Cut(false) })
+		m.links(3, cut, func(r *standin.Relay) { r.BlockBoth(false) })
 	}
 }
 
--- a/cmd/sliptide/inherit_test.go
+++ b/cmd/sliptide/inherit_test.go
@@ -285,7 +285,7 @@
 	ids := m.hold(3, 6, 19)
 	for k, relay := range m.relays {
 		if k[0] == 3 || k[1] == 3 {
-			relay.Cut(true)
+			relay.BlockBoth(true)
 		}
 	}
 	m.await("somebody has taken over", func() bool {
@@ -298,7 +298,7 @@
 	m.set(false)
 	m.allEnded(ids)
 	for _, r := range m.relays {
-		r.Cut(false)
+		r.BlockBoth(false)
 	}
 	m.rigs[3].awaitLog("messages were taken over while this sender was away")
 	m.await("it takes messages on again", func() bool {
--- a/cmd/sliptide/losses_test.go
+++ b/cmd/sliptide/losses_test.go
@@ -256,32 +256,32 @@
 	switch rng.IntN(7) {
 	case 0:
 		name = "pair cut"
-		each(func(r *standin.Relay) { r.Cut(true) })
-		end = func() { each(func(r *standin.Relay) { r.Cut(false) }) }
+		each(func(r *standin.Relay) { r.BlockBoth(true) })
+		end = func() { each(func(r *standin.Relay) { r.BlockBoth(false) }) }
 	case 1:
 		name = "one way cut"
-		each(func(r *standin.Relay) { r.Hold(standin.There, true) })
-		end = func() { each(func(r *standin.Relay) { r.Cut(false) }) }
+		each(func(r *standin.Relay) { r.Block(standin.ToTarget, true) })
+		end = func() { each(func(r *standin.Relay) { r.BlockBoth(false) }) }
 	case 2:
 		name = "slow link"
-		each(func(r *standin.Relay) { r.Delay(60 * time.Millisecond) })
-		end = func() { each(func(r *standin.Relay) { r.Delay(0) }) }
+		each(func(r *standin.Relay) { r.SetDelay(60 * time.Millisecond) })
+		end = func() { each(func(r *standin.Relay) { r.SetDelay(0) }) }
 	case 3:
 		name = "links broken"
 		for _, r := range l.relays {
-			r.Break()
+			r.CloseConns()
 		}
 	case 4:
 		name = "member cut off"
 		l.book.SenderUnreachable(time.Now(), a, l.has(a))
 		for k, r := range l.relays {
 			if k[0] == a || k[1] == a {
-				r.Cut(true)
+				r.BlockBoth(true)
 			}
 		}
 		end = func() {
 			for _, r := range l.relays {
-				r.Cut(false)
+				r.BlockBoth(false)
 			}
 		}
 	case 5:
@@ -405,7 +405,7 @@
 	})
 	m.run()
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 128}, Timeout: time.Second}
-	cpu := standin.CPU(r.proc.Process.Pid)
+	cpu := standin.CPUSeconds(r.proc.Process.Pid)
 	refused := 0
 	var wg sync.WaitGroup
 	const span = 6 * time.Second
@@ -438,7 +438,7 @@
 	}
 	wg.Wait()
 	time.Sleep(300 * time.Millisecond) // the last calls end
-	used := standin.CPU(r.proc.Process.Pid) - cpu
+	used := standin.CPUSeconds(r.proc.Process.Pid) - cpu
 	mu.Lock()
 	defer mu.Unlock()
 	t.Logf("202: p50 %.1f ms, p99 %.1f ms; delivery: p50 %.1f ms, p99 %.1f ms; %d taken on, %d refused, %.2f ms of a core a message",
@@ -469,7 +469,7 @@
 	m.run()
 	bytes := func() (n int64) {
 		for _, r := range m.relays {
-			n += r.Bytes()
+			n += r.BytesCarried()
 		}
 		return n
 	}
@@ -490,7 +490,7 @@
 	const span = 5 * time.Second
 	var taken atomic.Int64
 	var wg sync.WaitGroup
-	began, before, cpu := time.Now(), bytes(), standin.CPU(m.rigs[0].proc.Process.Pid)
+	began, before, cpu := time.Now(), bytes(), standin.CPUSeconds(m.rigs[0].proc.Process.Pid)
 	delivered := len(m.taken())
 	for w := range 48 {
 		wg.Go(func() {
@@ -502,12 +502,12 @@
 		})
 	}
 	wg.Wait()
-	used := standin.CPU(m.rigs[0].proc.Process.Pid) - cpu
+	used := standin.CPUSeconds(m.rigs[0].proc.Process.Pid) - cpu
 	n := taken.Load()
 	t.Logf("most: %.0f taken on a second, %.0f delivered; %.2f ms of a core and %.0f bytes on links a message", float64(n)/span.Seconds(),
 		float64(len(m.taken())-delivered)/span.Seconds(), used*1000/float64(n), float64(bytes()-before)/float64(n))
 	m.set(true)
-	rss := func(k int) float64 { return standin.Resident(m.rigs[k].proc.Process.Pid) }
+	rss := func(k int) float64 { return standin.ResidentMB(m.rigs[k].proc.Process.Pid) }
 	was := []float64{rss(0), rss(1), rss(2)}
 	held := 0
 	for k := range 2500 {
--- a/cmd/sliptide/measure_test.go
+++ b/cmd/sliptide/measure_test.go
@@ -234,14 +234,14 @@
 		client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64}}
 		rng := rand.New(rand.NewPCG(seed, 3))
 		time.Sleep(time.Second)
-		from := standin.CPU(r.proc.Process.Pid)
+		from := standin.CPUSeconds(r.proc.Process.Pid)
 		began := time.Now()
 		next := time.Now()
 		for i, end := 0, time.Now().Add(length); time.Now().Before(end); i++ {
 			next = next.Add(time.Duration(rng.ExpFloat64() / rate * 1e9)) // open loop: a late one is made up for
 			time.Sleep(time.Until(next))
 			if time.Since(began) > time.Duration(len(res.rssAt)+1)*10*time.Second {
-				res.rssAt = append(res.rssAt, math.Round(10*standin.Resident(r.proc.Process.Pid))/10)
+				res.rssAt = append(res.rssAt, math.Round(10*standin.ResidentMB(r.proc.Process.Pid))/10)
 			}
 			wg.Add(1)
 			go func() {
@@ -267,8 +267,8 @@
 			}()
 		}
 		wg.Wait()
-		res.cpu = (standin.CPU(r.proc.Process.Pid) - from) / length.Seconds() * 100
-		res.rss = standin.Resident(r.proc.Process.Pid)
+		res.cpu = (standin.CPUSeconds(r.proc.Process.Pid) - from) / length.Seconds() * 100
+		res.rss = standin.ResidentMB(r.proc.Process.Pid)
 		mu.Lock()
 		defer mu.Unlock()
 		res.intake50, res.intake99 = quantile(intake, .5), quantile(intake, .99)
--- a/internal/fleet/cuts_test.go
+++ b/internal/fleet/cuts_test.go
@@ -29,9 +29,9 @@
 	r := newRig(t, 5, 1, nil)
 	well := func() {
 		for _, l := range r.relays {
-			l.Cut(false)
-			l.Delay(0)
-			l.Refuse(false)
+			l.BlockBoth(false)
+			l.SetDelay(0)
+			l.RefuseNew(false)
 		}
 		r.awaitAll(25 * time.Second)
 		r.judge()
@@ -56,15 +56,15 @@
 	well()
 
 	// It hears and is not heard, then is heard and does not hear.
-	for _, direction := range []int{standin.There, standin.Back} {
+	for _, direction := range []int{standin.ToTarget, standin.FromTarget} {
 		l = r.holder(0, fleet.Now(), "", 25*time.Second)
 		at = fleet.Now()
 		for k, relay := range r.relays {
 			switch l.member {
 			case k[0]:
-				relay.Hold(direction, true)
+				relay.Block(direction, true)
 			case k[1]:
-				relay.Hold(1-direction, true)
+				relay.Block(1-direction, true)
 			}
 		}
 		r.holder(0, at+int64(1500*time.Millisecond), l.member, 25*time.Second)
@@ -98,12 +98,12 @@
 	well()
 	for range 5 {
 		for _, relay := range r.relays {
-			relay.Break()
-			relay.Refuse(true)
+			relay.CloseConns()
+			relay.RefuseNew(true)
 		}
 		time.Sleep(100 * time.Millisecond) // faults stand for a while
 		for _, relay := range r.relays {
-			relay.Refuse(false)
+			relay.RefuseNew(false)
 		}
 	}
 	well()
--- a/internal/fleet/measure_test.go
+++ b/internal/fleet/measure_test.go
@@ -96,7 +96,7 @@
 		time.Sleep(5 * time.Second)
 		cpu := func() (voters, rest float64) {
 			for i, p := range r.procs {
-				if v := standin.CPU(p.cmd.Process.Pid); i < 3 {
+				if v := standin.CPUSeconds(p.cmd.Process.Pid); i < 3 {
 					voters += v
 				} else {
 					rest += v
@@ -112,7 +112,7 @@
 		b1 := r.bytes()
 		rss := 0.0
 		for _, p := range r.procs {
-			rss = max(rss, standin.Resident(p.cmd.Process.Pid))
+			rss = max(rss, standin.ResidentMB(p.cmd.Process.Pid))
 		}
 		t.Logf("%d members: %.2f%% of a core a voter, %.2f%% another member (with this test's own looks each 4 ms), most memory %.1f MB, %.0f B/s on links a member",
 			3+members, (v1-v0)/3/span*100, (m1-m0)/float64(max(members, 1))/span*100, rss, float64(b1-b0)/span/float64(3+members))
@@ -122,7 +122,7 @@
 
 func (r *rig) bytes() (n int64) {
 	for _, l := range r.relays {
-		n += l.Bytes()
+		n += l.BytesCarried()
 	}
 	return n
 }
--- a/internal/fleet/procs_test.go
+++ b/internal/fleet/procs_test.go
@@ -284,7 +284,7 @@
 func (r *rig) cut(a, b string, cut bool) {
 	for _, k := range [][2]string{{a, b}, {b, a}} {
 		if l := r.relays[k]; l != nil {
-			l.Cut(cut)
+			l.BlockBoth(cut)
 		}
 	}
 }
@@ -292,7 +292,7 @@
 func (r *rig) isolate(name string, cut bool) {
 	for k, l := range r.relays {
 		if k[0] == name || k[1] == name {
-			l.Cut(cut)
+			l.BlockBoth(cut)
 		}
 	}
 }
@@ -553,14 +553,14 @@
 		case 4:
 			for k, l := range r.relays {
 				if k[0] == p.name || k[1] == p.name {
-					l.Hold(rng.IntN(2), true)
+					l.Block(rng.IntN(2), true)
 				}
 			}
 			time.Sleep(pause)
 			r.isolate(p.name, false)
 		case 5:
 			for _, l := range r.relays {
-				l.Delay(time.Duration(rng.IntN(60)) * time.Millisecond)
+				l.SetDelay(time.Duration(rng.IntN(60)) * time.Millisecond)
 			}
 			time.Sleep(pause / 2)
 		case 6:
@@ -576,8 +576,8 @@
 		}
 	}
 	for _, l := range r.relays {
-		l.Cut(false)
-		l.Delay(0)
+		l.BlockBoth(false)
+		l.SetDelay(0)
 	}
 }
 
--- a/internal/h2/h2_test.go
+++ b/internal/h2/h2_test.go
@@ -21,7 +21,7 @@
 
 var testOptions = h2.Options{MaxBody: 64 << 10, BodyTimeout: 300 * time.Millisecond}
 
-func startPartner(t *testing.T, p *standin.H2) *standin.H2 {
+func startPartner(t *testing.T, p *standin.H2Partner) *standin.H2Partner {
 	t.Cleanup(p.Listen().Close)
 	return p
 }
@@ -80,7 +80,7 @@
 
 // Many concurrent requests on one connection, with bodies larger than the flow-control windows and long headers.
 func TestConcurrentRequests(t *testing.T) {
-	p := startPartner(t, &standin.H2{Limit: 100, Window: 1000, On: func(r *standin.Request) standin.Reply {
+	p := startPartner(t, &standin.H2Partner{MaxStreams: 100, InitialWindow: 1000, Handler: func(r *standin.Request) standin.Reply {
 		return standin.Reply{Status: 200, Body: string(r.Body), Fields: map[string]string{"retry-after": "1.5", "x-long": r.Fields["x-long"]}}
 	}})
 	c := dial(t, p.Addr(), testOptions)
@@ -142,12 +142,12 @@
 		status int
 	}{
 		"answered":                 {standin.Reply{Status: 503}, h2.Answered, 503},
-		"refused":                  {standin.Reply{Reset: http2.ErrCodeRefusedStream, Uncounted: true}, h2.Refused, 0},
-		"reset after sending":      {standin.Reply{Reset: http2.ErrCodeInternal}, h2.Broken, 0},
-		"cancelled by the peer":    {standin.Reply{Reset: http2.ErrCodeCancel}, h2.Broken, 0},
-		"connection closed":        {standin.Reply{Hangup: true}, h2.Broken, 0},
-		"closed during response":   {standin.Reply{Status: 500, Body: "half", Cut: true, Hangup: true}, h2.Broken, 500},
-		"response without an end":  {standin.Reply{Status: 200, Body: "half", Cut: true}, h2.InvalidResponse, 200},
+		"refused":                  {standin.Reply{ResetCode: http2.ErrCodeRefusedStream, NotRun: true}, h2.Refused, 0},
+		"reset after sending":      {standin.Reply{ResetCode: http2.ErrCodeInternal}, h2.Broken, 0},
+		"cancelled by the peer":    {standin.Reply{ResetCode: http2.ErrCodeCancel}, h2.Broken, 0},
+		"connection closed":        {standin.Reply{CloseConn: true}, h2.Broken, 0},
+		"closed during response":   {standin.Reply{Status: 500, Body: "half", Truncate: true, CloseConn: true}, h2.Broken, 500},
+		"response without an end":  {standin.Reply{Status: 200, Body: "half", Truncate: true}, h2.InvalidResponse, 200},
 		"content-length mismatch":  {standin.Reply{Status: 500, Body: "ab", Fields: map[string]string{"content-length": "3"}}, h2.InvalidResponse, 500},
 		"invalid content-length":   {standin.Reply{Status: 500, Fields: map[string]string{"content-length": "x"}}, h2.InvalidResponse, 500},
 		"invalid status":           {standin.Reply{Status: 99}, h2.InvalidResponse, 0},
@@ -156,7 +156,7 @@
 		"GOAWAY naming the stream": {standin.Reply{Status: 200, GoAway: true}, h2.Answered, 200},
 	} {
 		t.Run(name, func(t *testing.T) {
-			p := startPartner(t, &standin.H2{On: func(r *standin.Request) standin.Reply { return tc.reply }})
+			p := startPartner(t, &standin.H2Partner{Handler: func(r *standin.Request) standin.Reply { return tc.reply }})
 			c := dial(t, p.Addr(), testOptions)
 			_, result := startRequest(t, c, "m", "body")
 			if r := wantOutcome(t, result, tc.want); r.Status != tc.status {
@@ -172,14 +172,14 @@
 // The first GOAWAY names all streams, the second the actual last one: streams after it end as GoneAway, streams up
 // to it continue.
 func TestGoAwayTwice(t *testing.T) {
-	p := startPartner(t, &standin.H2{On: func(r *standin.Request) standin.Reply { return standin.Reply{Silence: true} }})
+	p := startPartner(t, &standin.H2Partner{Handler: func(r *standin.Request) standin.Reply { return standin.Reply{NoAnswer: true} }})
 	c := dial(t, p.Addr(), testOptions)
 	var results []<-chan h2.Result
 	for i := range 4 {
 		_, result := startRequest(t, c, fmt.Sprint(i), "x")
 		results = append(results, result)
 	}
-	p.Each(func(fr *http2.Framer) { fr.WriteGoAway(1<<31-1, http2.ErrCodeNo, nil) })
+	p.WriteFrames(func(fr *http2.Framer) { fr.WriteGoAway(1<<31-1, http2.ErrCodeNo, nil) })
 	for !c.State().Draining {
 		runtime.Gosched()
 	}
@@ -189,7 +189,7 @@
 	if n := c.State().Active; n != 4 {
 		t.Errorf("%d streams are open, want 4", n)
 	}
-	p.Each(func(fr *http2.Framer) { fr.WriteGoAway(3, http2.ErrCodeNo, nil) })
+	p.WriteFrames(func(fr *http2.Framer) { fr.WriteGoAway(3, http2.ErrCodeNo, nil) })
 	wantOutcome(t, results[2], h2.GoneAway)
 	wantOutcome(t, results[3], h2.GoneAway)
 	if n := c.State().Active; n != 2 {
@@ -203,14 +203,14 @@
 // The peer lowers its stream limit while streams are open, down to 0, and raises it again: open streams continue,
 // and no new one starts above the limit.
 func TestStreamLimitLowered(t *testing.T) {
-	p := startPartner(t, &standin.H2{Limit: 3, On: func(r *standin.Request) standin.Reply {
-		return standin.Reply{Silence: string(r.Body) == "hang", Status: 200}
+	p := startPartner(t, &standin.H2Partner{MaxStreams: 3, Handler: func(r *standin.Request) standin.Reply {
+		return standin.Reply{NoAnswer: string(r.Body) == "hang", Status: 200}
 	}})
 	c := dial(t, p.Addr(), testOptions)
 	_, resultA := startRequest(t, c, "a", "hang")
 	startRequest(t, c, "b", "hang")
 	for _, limit := range []uint32{1, 0} {
-		p.Set(limit)
+		p.SetMaxStreams(limit)
 		for c.State().Limit != int(limit) {
 			runtime.Gosched()
 		}
@@ -221,7 +221,7 @@
 	if len(resultA) > 0 || c.State().Active != 2 {
 		t.Error("lowering the limit ended an open stream")
 	}
-	p.Set(4)
+	p.SetMaxStreams(4)
 	for c.State().Limit != 4 {
 		runtime.Gosched()
 	}
@@ -232,16 +232,16 @@
 // A cancelled stream is reset before its result is reported. One whose body was held back by flow control ends as
 // NeverRan.
 func TestCancel(t *testing.T) {
-	p := startPartner(t, &standin.H2{Window: 10, On: func(r *standin.Request) standin.Reply { return standin.Reply{Silence: true} }})
+	p := startPartner(t, &standin.H2Partner{InitialWindow: 10, Handler: func(r *standin.Request) standin.Reply { return standin.Reply{NoAnswer: true} }})
 	c := dial(t, p.Addr(), testOptions)
 	s, result := startRequest(t, c, "a", "short")
-	for p.Runs("a") == 0 {
+	for p.EffectCount("a") == 0 {
 		runtime.Gosched()
 	}
 	s.Cancel()
 	s.Cancel()
 	wantOutcome(t, result, h2.Cancelled)
-	p = startPartner(t, &standin.H2{Raw: func(nc net.Conn, fr *http2.Framer) { // never opens a window
+	p = startPartner(t, &standin.H2Partner{RawHandler: func(nc net.Conn, fr *http2.Framer) { // never opens a window
 		fr.WriteSettings(http2.Setting{ID: http2.SettingInitialWindowSize, Val: 0})
 		io.Copy(io.Discard, nc)
 	}})
@@ -258,7 +258,7 @@
 func TestUnresponsivePartner(t *testing.T) {
 	opt := testOptions
 	opt.ReadIdleTimeout, opt.PingTimeout = 50*time.Millisecond, 50*time.Millisecond
-	p := startPartner(t, &standin.H2{Raw: func(nc net.Conn, _ *http2.Framer) { io.Copy(io.Discard, nc) }})
+	p := startPartner(t, &standin.H2Partner{RawHandler: func(nc net.Conn, _ *http2.Framer) { io.Copy(io.Discard, nc) }})
 	c := dial(t, p.Addr(), opt)
 	time.Sleep(200 * time.Millisecond) // no PING is sent while no stream is open
 	if c.State().Lost != nil {
@@ -273,7 +273,7 @@
 func TestPartnerReadsNothing(t *testing.T) {
 	release := make(chan struct{})
 	t.Cleanup(func() { close(release) })
-	p := startPartner(t, &standin.H2{Raw: func(nc net.Conn, _ *http2.Framer) { <-release }})
+	p := startPartner(t, &standin.H2Partner{RawHandler: func(nc net.Conn, _ *http2.Framer) { <-release }})
 	opt := testOptions
 	opt.ReadIdleTimeout, opt.PingTimeout = 50*time.Millisecond, 50*time.Millisecond
 	c := dial(t, p.Addr(), opt)
@@ -296,7 +296,7 @@
 
 // No stream starts after Close: a request sent after its GOAWAY would be reported as one that may have run.
 func TestNoStreamsAfterClose(t *testing.T) {
-	p := startPartner(t, &standin.H2{})
+	p := startPartner(t, &standin.H2Partner{})
 	for range 50 {
 		c := dial(t, p.Addr(), testOptions)
 		c.Close()
@@ -353,7 +353,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			p := startPartner(t, &standin.H2{Raw: func(nc net.Conn, fr *http2.Framer) {
+			p := startPartner(t, &standin.H2Partner{RawHandler: func(nc net.Conn, fr *http2.Framer) {
 				nc.SetDeadline(time.Now().Add(testTimeout))
 				buf := make([]byte, 4096)
 				for n, total := 0, 0; total < 150; total += n { // until the request has arrived
@@ -386,11 +386,11 @@
 
 // Frames that arrive for a stream that has ended do not affect the connection.
 func TestLateFrames(t *testing.T) {
-	p := startPartner(t, &standin.H2{On: func(r *standin.Request) standin.Reply { return standin.Reply{Status: 200} }})
+	p := startPartner(t, &standin.H2Partner{Handler: func(r *standin.Request) standin.Reply { return standin.Reply{Status: 200} }})
 	c := dial(t, p.Addr(), testOptions)
 	_, result := startRequest(t, c, "a", "")
 	wantOutcome(t, result, h2.Answered)
-	p.Each(func(fr *http2.Framer) {
+	p.WriteFrames(func(fr *http2.Framer) {
 		fr.WriteData(1, false, []byte("late"))
 		fr.WriteWindowUpdate(1, 5)
 		fr.WriteRSTStream(1, http2.ErrCodeCancel)
--- a/internal/outbound/dial_test.go
+++ b/internal/outbound/dial_test.go
@@ -35,7 +35,7 @@
 			})
 			select {
 			case c := <-partner.Calls:
-				c.Write(standin.OK)
+				c.Write(standin.AnswerOK)
 			case events := <-ended:
 				t.Fatalf("outcome %v after %d dials", events[0].Outcome, attempts)
 			}
--- a/internal/outbound/matching_test.go
+++ b/internal/outbound/matching_test.go
@@ -68,12 +68,12 @@
 func TestUnsolicitedResponseLimitsConnectionsToOneCall(t *testing.T) {
 	pt := newPoolTest(t)
 	c := pt.call("first")
-	c.Write(standin.OK)
+	c.Write(standin.AnswerOK)
 	<-pt.ended
-	c.Write(standin.OK)
+	c.Write(standin.AnswerOK)
 	pt.waitIdle(sockets.Unsolicited)
 	for want := 2; want < 4; want++ {
-		if n := pt.callAndAnswer(standin.OK); n != want {
+		if n := pt.callAndAnswer(standin.AnswerOK); n != want {
 			t.Errorf("call on connection %d, want %d", n, want)
 		}
 	}
@@ -86,13 +86,13 @@
 func TestUnsolicitedResponseBeforeRequestMovesCallToNewConnection(t *testing.T) {
 	pt := newPoolTest(t)
 	first := pt.call("first")
-	first.Write(standin.OK)
+	first.Write(standin.AnswerOK)
 	<-pt.ended
 	cn := pt.waitIdle(sockets.Idle)
 	if !pt.removeIdle(cn) {
 		t.Fatal("the connection is not among the idle ones")
 	}
-	first.Write(standin.OK)
+	first.Write(standin.AnswerOK)
 	for sockets.Check(cn.nc) != sockets.Unsolicited {
 		time.Sleep(time.Millisecond)
 	}
@@ -122,14 +122,14 @@
 // the call still runs.
 func TestConnectionIsClosedAfterNon200Response(t *testing.T) {
 	pt := newPoolTest(t)
-	pt.callAndAnswer(standin.Full)
+	pt.callAndAnswer(standin.AnswerUnavailable)
 	pt.wantClosed(CloseOtherStatus)
 }
 
 // Guards against a retry whose response comes at once and is taken for a copy of an earlier response.
 func TestNewConnBypassesIdleConnections(t *testing.T) {
 	pt := newPoolTest(t)
-	pt.callAndAnswer(standin.OK)
+	pt.callAndAnswer(standin.AnswerOK)
 	pt.waitIdle(sockets.Idle)
 	pt.Go(&Call{
 		Endpoint: 1, Addr: pt.partner.Addr, SentAt: time.Now(), Timeout: 5 * time.Second, NewConn: true,
@@ -167,7 +167,7 @@
 		Endpoint: 1, Addr: pt.partner.Addr, SentAt: time.Now(), Timeout: 5 * time.Second,
 		Items: []Item{{ID: 1, Attempt: 1, Trace: "again"}},
 	})
-	(<-pt.partner.Calls).Write(standin.OK) // at once, as to a message that the partner already knows
+	(<-pt.partner.Calls).Write(standin.AnswerOK) // at once, as to a message that the partner already knows
 	<-pt.ended
 	pt.wantClosed(CloseResponseTimeUnknown)
 }
@@ -176,11 +176,11 @@
 // only their connection is closed.
 func TestTrailingBytesCloseOnlyTheirConnection(t *testing.T) {
 	pt := newPoolTest(t)
-	pt.callAndAnswer(standin.OK + "noise")
+	pt.callAndAnswer(standin.AnswerOK + "noise")
 	pt.wantClosed(CloseTrailingBytes)
-	pt.callAndAnswer(standin.OK)
+	pt.callAndAnswer(standin.AnswerOK)
 	pt.waitIdle(sockets.Idle)
-	if n := pt.callAndAnswer(standin.OK); n != 2 {
+	if n := pt.callAndAnswer(standin.AnswerOK); n != 2 {
 		t.Errorf("call on connection %d, want 2, the idle one", n)
 	}
 }
--- a/internal/outbound/mux_test.go
+++ b/internal/outbound/mux_test.go
@@ -21,23 +21,23 @@
 		final bool
 	}{
 		"delivered":                               {reply: standin.Reply{Status: 200}, want: policy.OK},
-		"200 without an end, one message":         {reply: standin.Reply{Status: 200, Body: "x", Cut: true}, want: policy.OK},
-		"200, then connection lost, one message":  {reply: standin.Reply{Status: 200, Body: "x", Cut: true, Hangup: true}, want: policy.OK},
-		"200, then connection lost, two messages": {reply: standin.Reply{Status: 200, Body: "[", Cut: true, Hangup: true}, items: 2, want: policy.Reset},
+		"200 without an end, one message":         {reply: standin.Reply{Status: 200, Body: "x", Truncate: true}, want: policy.OK},
+		"200, then connection lost, one message":  {reply: standin.Reply{Status: 200, Body: "x", Truncate: true, CloseConn: true}, want: policy.OK},
+		"200, then connection lost, two messages": {reply: standin.Reply{Status: 200, Body: "[", Truncate: true, CloseConn: true}, items: 2, want: policy.Reset},
 		"200 that names no message, two messages": {reply: standin.Reply{Status: 200, Body: "[]"}, items: 2, want: policy.Error},
 		"accepted, two messages":                  {reply: standin.Reply{Status: 200, Body: `[{"id":"a","state":"accepted"},{"id":"b","state":"accepted"}]`}, items: 2, want: policy.OK},
 		"error":                                   {reply: standin.Reply{Status: 500}, want: policy.Error},
 		"requested wait":                          {reply: standin.Reply{Status: 429, Fields: map[string]string{"retry-after": "1.5"}}, want: policy.Full, wait: 1500},
 		"over":                                    {reply: standin.Reply{Status: 410}, want: policy.Moot, final: true},
-		"refused":                                 {reply: standin.Reply{Reset: http2.ErrCodeRefusedStream}, want: policy.Moot},
-		"reset":                                   {reply: standin.Reply{Reset: http2.ErrCodeInternal}, want: policy.Reset},
-		"lost":                                    {reply: standin.Reply{Hangup: true}, want: policy.Reset},
-		"silent":                                  {reply: standin.Reply{Silence: true}, want: policy.Timeout},
+		"refused":                                 {reply: standin.Reply{ResetCode: http2.ErrCodeRefusedStream}, want: policy.Moot},
+		"reset":                                   {reply: standin.Reply{ResetCode: http2.ErrCodeInternal}, want: policy.Reset},
+		"lost":                                    {reply: standin.Reply{CloseConn: true}, want: policy.Reset},
+		"silent":                                  {reply: standin.Reply{NoAnswer: true}, want: policy.Timeout},
 		"wrong content-length":                    {reply: standin.Reply{Status: 503, Body: "x", Fields: map[string]string{"content-length": "9"}}, want: policy.Error},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			p := (&standin.H2{On: func(*standin.Request) standin.Reply { return row.reply }}).Listen()
+			p := (&standin.H2Partner{Handler: func(*standin.Request) standin.Reply { return row.reply }}).Listen()
 			t.Cleanup(p.Close)
 			ended := make(chan []policy.Event, 2)
 			pool := NewPool(Options{MaxConns: 4, KeepAlive: time.Second, DialTimeout: 5 * time.Second, X0: -1, X1: -1,
@@ -66,17 +66,17 @@
 // Guards against a partner that floods the sender with PINGs, or that reads nothing, and so delays calls to other
 // partners: all calls to a healthy partner succeed within their time-out meanwhile.
 func TestMisbehavingPartnersDoNotDelayOthers(t *testing.T) {
-	start := func(p *standin.H2) *standin.H2 {
+	start := func(p *standin.H2Partner) *standin.H2Partner {
 		t.Cleanup(p.Listen().Close)
 		return p
 	}
 	stop := make(chan struct{})
-	healthy := start(&standin.H2{})
-	flooding := start(&standin.H2{Raw: func(nc net.Conn, fr *http2.Framer) {
+	healthy := start(&standin.H2Partner{})
+	flooding := start(&standin.H2Partner{RawHandler: func(nc net.Conn, fr *http2.Framer) {
 		for fr.WritePing(false, [8]byte{}) == nil {
 		}
 	}})
-	notReading := start(&standin.H2{Raw: func(net.Conn, *http2.Framer) { <-stop }})
+	notReading := start(&standin.H2Partner{RawHandler: func(net.Conn, *http2.Framer) { <-stop }})
 	t.Cleanup(func() { close(stop) })
 	type callEnd struct {
 		endpoint uint32
--- a/internal/outbound/pace_test.go
+++ b/internal/outbound/pace_test.go
@@ -64,7 +64,7 @@
 			ln := listenTimed(t)
 			lns = append(lns, ln)
 			if h2 {
-				s := &standin.H2{On: func(*standin.Request) standin.Reply { return standin.Reply{Status: 200} }}
+				s := &standin.H2Partner{Handler: func(*standin.Request) standin.Reply { return standin.Reply{Status: 200} }}
 				s.Start(ln)
 				t.Cleanup(s.Close)
 			} else {
--- a/internal/outbound/tls_test.go
+++ b/internal/outbound/tls_test.go
@@ -71,8 +71,8 @@
 	testCA, otherCA := standin.NewAuthority("test CA"), standin.NewAuthority("other CA")
 	testCA.WriteCA(path("ca.pem"))
 	notAfter := time.Now().Add(90 * 24 * time.Hour)
-	valid := testCA.Pair("partner.example.org", notAfter)
-	standin.WritePair(testCA.Pair("sender.example.org", notAfter), path("own.pem"), path("own.key"), 0o600)
+	valid := testCA.IssueCertificate("partner.example.org", notAfter)
+	standin.WriteKeyPair(testCA.IssueCertificate("sender.example.org", notAfter), path("own.pem"), path("own.key"), 0o600)
 	caOnly := keys.Files{CA: path("ca.pem")}
 	clientCert := keys.Files{CA: path("ca.pem"), Cert: path("own.pem"), Key: path("own.key")}
 	requireClientCert := func(s *httptest.Server) {
@@ -92,11 +92,11 @@
 		"HTTP/1.1 by setting": {valid, nil, caOnly, false, policy.OK, 1, ""},
 		"HTTP/1.1 by ALPN":    {valid, func(s *httptest.Server) { s.EnableHTTP2 = false }, caOnly, true, policy.OK, 1, ""},
 		"mutual":              {valid, requireClientCert, clientCert, true, policy.OK, 2, ""},
-		"unknown CA":          {otherCA.Pair("partner.example.org", notAfter), nil, caOnly, true, policy.ConnectFailed, 0, "unknown authority"},
-		"self-signed":         {selfSigned.Pair("partner.example.org", notAfter), nil, caOnly, true, policy.ConnectFailed, 0, "unknown authority"},
-		"wrong name":          {testCA.Pair("else.example.org", notAfter), nil, caOnly, true, policy.ConnectFailed, 0, "else.example.org"},
-		"expired":             {testCA.Pair("partner.example.org", time.Now().Add(-time.Hour)), nil, caOnly, true, policy.ConnectFailed, 0, "expired"},
-		"expired, HTTP/1.1":   {testCA.Pair("partner.example.org", time.Now().Add(-time.Hour)), nil, caOnly, false, policy.ConnectFailed, 0, "expired"},
+		"unknown CA":          {otherCA.IssueCertificate("partner.example.org", notAfter), nil, caOnly, true, policy.ConnectFailed, 0, "unknown authority"},
+		"self-signed":         {selfSigned.IssueCertificate("partner.example.org", notAfter), nil, caOnly, true, policy.ConnectFailed, 0, "unknown authority"},
+		"wrong name":          {testCA.IssueCertificate("else.example.org", notAfter), nil, caOnly, true, policy.ConnectFailed, 0, "else.example.org"},
+		"expired":             {testCA.IssueCertificate("partner.example.org", time.Now().Add(-time.Hour)), nil, caOnly, true, policy.ConnectFailed, 0, "expired"},
+		"expired, HTTP/1.1":   {testCA.IssueCertificate("partner.example.org", time.Now().Add(-time.Hour)), nil, caOnly, false, policy.ConnectFailed, 0, "expired"},
 		"TLS 1.1 only":        {valid, func(s *httptest.Server) { s.TLS.MaxVersion = tls.VersionTLS11 }, caOnly, true, policy.ConnectFailed, 0, "protocol version"},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -125,9 +125,9 @@
 	now := time.Now()
 	testCA := standin.NewAuthority("test CA")
 	testCA.WriteCA(path("ca.pem"))
-	expiring := testCA.Pair("sender.example.org", now.Add(13*24*time.Hour))
-	standin.WritePair(expiring, path("own.pem"), path("own.key"), 0o600)
-	standin.WritePair(expiring, path("own.pem"), path("open.key"), 0o640)
+	expiring := testCA.IssueCertificate("sender.example.org", now.Add(13*24*time.Hour))
+	standin.WriteKeyPair(expiring, path("own.pem"), path("own.key"), 0o600)
+	standin.WriteKeyPair(expiring, path("own.pem"), path("open.key"), 0o640)
 	os.WriteFile(path("empty.pem"), nil, 0o600)
 	for name, row := range map[string]struct {
 		files     keys.Files
--- a/internal/standin/certs.go
+++ b/internal/standin/certs.go
@@ -54,7 +54,7 @@
 
 // Pair issues a certificate for a host name, for both sides of a connection. A nil Authority signs with
 // the certificate's own key.
-func (a *Authority) Pair(name string, ends time.Time) tls.Certificate {
+func (a *Authority) IssueCertificate(name string, ends time.Time) tls.Certificate {
 	c, key := issue(&x509.Certificate{Subject: pkix.Name{CommonName: name}, DNSNames: []string{name}, NotAfter: ends,
 		ExtKeyUsage: []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth, x509.ExtKeyUsageClientAuth}}, a)
 	return tls.Certificate{Certificate: [][]byte{c.Raw}, PrivateKey: key, Leaf: c}
@@ -71,7 +71,7 @@
 func (a *Authority) WriteCA(path string) { write(path, 0o644, "CERTIFICATE", a.cert.Raw) }
 
 // WritePair writes a certificate and its key in PEM.
-func WritePair(c tls.Certificate, certPath, keyPath string, keyMode os.FileMode) {
+func WriteKeyPair(c tls.Certificate, certPath, keyPath string, keyMode os.FileMode) {
 	write(certPath, 0o644, "CERTIFICATE", c.Certificate[0])
 	write(keyPath, keyMode, "EC PRIVATE KEY", must(x509.MarshalECPrivateKey(c.PrivateKey.(*ecdsa.PrivateKey))))
 }
--- a/internal/standin/h2partner.go
+++ b/internal/standin/h2partner.go
@@ -31,22 +31,22 @@
 	Status    int               // 0: no answer
 	Fields    map[string]string // of the answer
 	Body      string
-	Reset     http2.ErrCode // with NoReply false and Status 0: a reset with this code
-	Silence   bool          // nothing at all
+	ResetCode http2.ErrCode // with NoReply false and Status 0: a reset with this code
+	NoAnswer  bool          // nothing at all
 	GoAway    bool          // a GOAWAY that names this stream as the last, before the answer
-	Hangup    bool          // the connection is closed, after the answer if there is one
-	Cut       bool          // and in the middle of it
-	Uncounted bool          // the effect does not happen: the request is refused before it ran
+	CloseConn bool          // the connection is closed, after the answer if there is one
+	Truncate  bool          // and in the middle of it
+	NotRun    bool          // the effect does not happen: the request is refused before it ran
 }
 
 // H2 is an HTTP/2 partner by prior knowledge (RFC 9113 3.3), with TLS if its listener has it.
-type H2 struct {
+type H2Partner struct {
 	// On says what becomes of a request, from the goroutine of its connection. Nil: 200.
-	On func(*Request) Reply
+	Handler func(*Request) Reply
 	// Limit is SETTINGS_MAX_CONCURRENT_STREAMS; Window the initial window; 0: none is sent.
-	Limit, Window uint32
+	MaxStreams, InitialWindow uint32
 	// Raw takes a connection in place of all else, after the preface and SETTINGS of both sides.
-	Raw func(nc net.Conn, fr *http2.Framer)
+	RawHandler func(nc net.Conn, fr *http2.Framer)
 	// Delay is the time that an answer takes.
 	Delay time.Duration
 
@@ -60,7 +60,7 @@
 }
 
 // Start serves ln until Close.
-func (p *H2) Start(ln net.Listener) {
+func (p *H2Partner) Start(ln net.Listener) {
 	p.ln, p.conns, p.runs = ln, map[*h2conn]bool{}, map[string]int{}
 	go func() {
 		for {
@@ -79,21 +79,21 @@
 }
 
 // Listen serves a loopback address of its own until Close. It panics where a test could not go on.
-func (p *H2) Listen() *H2 {
+func (p *H2Partner) Listen() *H2Partner {
 	p.Start(must(net.Listen("tcp", "127.0.0.1:0")))
 	return p
 }
 
 // Addr is where it listens.
-func (p *H2) Addr() string { return p.ln.Addr().String() }
+func (p *H2Partner) Addr() string { return p.ln.Addr().String() }
 
 // Close ends the listener and all connections.
-func (p *H2) Close() {
+func (p *H2Partner) Close() {
 	p.ln.Close()
 	p.each(func(k *h2conn) { k.nc.Close() })
 }
 
-func (p *H2) each(f func(*h2conn)) {
+func (p *H2Partner) each(f func(*h2conn)) {
 	p.mu.Lock()
 	var list []*h2conn
 	for k := range p.conns {
@@ -106,9 +106,9 @@
 }
 
 // Set sends SETTINGS_MAX_CONCURRENT_STREAMS on every connection, new ones too.
-func (p *H2) Set(limit uint32) {
+func (p *H2Partner) SetMaxStreams(limit uint32) {
 	p.mu.Lock()
-	p.Limit = limit
+	p.MaxStreams = limit
 	p.mu.Unlock()
 	p.each(func(k *h2conn) {
 		k.write(func(fr *http2.Framer) {
@@ -118,31 +118,31 @@
 }
 
 // Each writes frames on every connection.
-func (p *H2) Each(f func(fr *http2.Framer)) { p.each(func(k *h2conn) { k.write(f) }) }
+func (p *H2Partner) WriteFrames(f func(fr *http2.Framer)) { p.each(func(k *h2conn) { k.write(f) }) }
 
 // Runs is how often a message took effect.
-func (p *H2) Runs(id string) int {
+func (p *H2Partner) EffectCount(id string) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.runs[id]
 }
 
 // Acks is how many of its SETTINGS were acknowledged.
-func (p *H2) Acks() int {
+func (p *H2Partner) SettingsAcks() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.acks
 }
 
 // Stats are the connections seen, the messages that took effect, and the most streams on one connection.
-func (p *H2) Stats() (conns, messages, most int) {
+func (p *H2Partner) Stats() (conns, messages, most int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.seen, len(p.runs), p.most
 }
 
 // Ledger calls f with each message's id and how often it took effect.
-func (p *H2) Ledger(f func(id string, runs int)) {
+func (p *H2Partner) ForEachEffect(f func(id string, runs int)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for id, n := range p.runs {
@@ -151,7 +151,7 @@
 }
 
 type h2conn struct {
-	p      *H2
+	p      *H2Partner
 	nc     net.Conn
 	number int
 	rd     *http2.Framer
@@ -193,17 +193,17 @@
 	k.enc = hpack.NewEncoder(&k.head)
 	k.p.mu.Lock()
 	var set []http2.Setting
-	if k.p.Limit > 0 {
-		set = append(set, http2.Setting{ID: http2.SettingMaxConcurrentStreams, Val: k.p.Limit})
+	if k.p.MaxStreams > 0 {
+		set = append(set, http2.Setting{ID: http2.SettingMaxConcurrentStreams, Val: k.p.MaxStreams})
 	}
-	if k.p.Window > 0 {
-		set = append(set, http2.Setting{ID: http2.SettingInitialWindowSize, Val: k.p.Window})
+	if k.p.InitialWindow > 0 {
+		set = append(set, http2.Setting{ID: http2.SettingInitialWindowSize, Val: k.p.InitialWindow})
 	}
 	k.p.mu.Unlock()
 	k.fr.WriteSettings(set...)
 	k.mu.Unlock()
-	if k.p.Raw != nil {
-		k.p.Raw(k.nc, k.fr)
+	if k.p.RawHandler != nil {
+		k.p.RawHandler(k.nc, k.fr)
 		return
 	}
 	for k.frame() {
@@ -277,15 +277,15 @@
 func (k *h2conn) whole(r *Request) bool {
 	delete(k.parts, r.Stream)
 	reply := Reply{Status: 200}
-	if k.p.On != nil {
-		reply = k.p.On(r)
+	if k.p.Handler != nil {
+		reply = k.p.Handler(r)
 	}
-	if !reply.Uncounted {
+	if !reply.NotRun {
 		k.p.mu.Lock()
 		k.p.runs[r.Fields["x-trace-id"]]++
 		k.p.mu.Unlock()
 	}
-	if reply.Silence {
+	if reply.NoAnswer {
 		return true
 	}
 	if reply.GoAway && k.last == 0 {
@@ -301,7 +301,7 @@
 	answer := func() {
 		k.write(func(fr *http2.Framer) {
 			if reply.Status == 0 {
-				fr.WriteRSTStream(r.Stream, reply.Reset)
+				fr.WriteRSTStream(r.Stream, reply.ResetCode)
 				return
 			}
 			k.head.Reset()
@@ -312,20 +312,20 @@
 			body := []byte(reply.Body)
 			head := k.head.Bytes()
 			n := min(len(head), frameMost)
-			fr.WriteHeaders(http2.HeadersFrameParam{StreamID: r.Stream, BlockFragment: head[:n], EndHeaders: n == len(head), EndStream: len(body) == 0 && !reply.Cut})
+			fr.WriteHeaders(http2.HeadersFrameParam{StreamID: r.Stream, BlockFragment: head[:n], EndHeaders: n == len(head), EndStream: len(body) == 0 && !reply.Truncate})
 			for head = head[n:]; len(head) > 0; head = head[n:] {
 				n = min(len(head), frameMost)
 				fr.WriteContinuation(r.Stream, n == len(head), head[:n])
 			}
 			for len(body) > 0 {
 				n = min(len(body), frameMost)
-				fr.WriteData(r.Stream, !reply.Cut && n == len(body), body[:n])
+				fr.WriteData(r.Stream, !reply.Truncate && n == len(body), body[:n])
 				body = body[n:]
 			}
 		})
 		k.closed()
 	}
-	if reply.Hangup {
+	if reply.CloseConn {
 		if reply.Status != 0 {
 			answer()
 		}
--- a/internal/standin/process.go
+++ b/internal/standin/process.go
@@ -9,7 +9,7 @@
 )
 
 // CPU is the processor time that a process has used, in seconds; NaN if there is no such process.
-func CPU(pid int) float64 {
+func CPUSeconds(pid int) float64 {
 	text, _ := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	f := strings.Fields(string(text[strings.LastIndexByte(string(text), ')')+1:]))
 	if len(f) < 13 {
@@ -21,7 +21,7 @@
 }
 
 // Resident is the resident memory of a process in MB; NaN if there is no such process.
-func Resident(pid int) float64 {
+func ResidentMB(pid int) float64 {
 	text, _ := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	for _, line := range strings.Split(string(text), "\n") {
 		if v, ok := strings.CutPrefix(line, "VmRSS:"); ok {
--- a/internal/standin/rawpartner.go
+++ b/internal/standin/rawpartner.go
@@ -10,29 +10,29 @@
 
 // Answers of a RawPartner that tests share.
 const (
-	OK   = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
-	Full = "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"
+	AnswerOK          = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
+	AnswerUnavailable = "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"
 )
 
 // RawCall is one request that a RawPartner has read, on a connection that the test writes to as it likes.
 type RawCall struct {
-	ID   string // of a single message; empty of others
-	Conn int    // the connection's number, from 1
-	NC   net.Conn
-	q    *http.Request
+	ID      string // of a single message; empty of others
+	Conn    int    // the connection's number, from 1
+	NetConn net.Conn
+	q       *http.Request
 }
 
 // Write writes bytes to the connection, whoever they answer.
-func (c *RawCall) Write(text string) { c.NC.Write([]byte(text)) }
+func (c *RawCall) Write(text string) { c.NetConn.Write([]byte(text)) }
 
 // URI is the request's path and query.
 func (c *RawCall) URI() string { return c.q.URL.RequestURI() }
 
 // RawPartner reads requests and leaves all that is written back to the test: answers out of turn, twice or not at all.
 type RawPartner struct {
-	Addr  string
-	Calls chan *RawCall
-	Ends  chan int // numbers of connections that the sender has closed
+	Addr        string
+	Calls       chan *RawCall
+	ClosedConns chan int // numbers of connections that the sender has closed
 
 	mu    sync.Mutex
 	conns []net.Conn
@@ -44,7 +44,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := &RawPartner{Addr: ln.Addr().String(), Calls: make(chan *RawCall, 100), Ends: make(chan int, 100)}
+	p := &RawPartner{Addr: ln.Addr().String(), Calls: make(chan *RawCall, 100), ClosedConns: make(chan int, 100)}
 	t.Cleanup(func() {
 		ln.Close()
 		p.mu.Lock()
@@ -72,7 +72,7 @@
 }
 
 func (p *RawPartner) read(nc net.Conn, number int) {
-	defer func() { p.Ends <- number }()
+	defer func() { p.ClosedConns <- number }()
 	r := bufio.NewReader(nc)
 	for {
 		q, err := http.ReadRequest(r)
@@ -84,6 +84,6 @@
 				return
 			}
 		}
-		p.Calls <- &RawCall{ID: q.Header.Get("X-Trace-Id"), Conn: number, NC: nc, q: q}
+		p.Calls <- &RawCall{ID: q.Header.Get("X-Trace-Id"), Conn: number, NetConn: nc, q: q}
 	}
 }
--- a/internal/standin/relay.go
+++ b/internal/standin/relay.go
@@ -13,18 +13,18 @@
 	ln     net.Listener
 	target string
 
-	mu     sync.Mutex
-	cond   *sync.Cond
-	held   [2]bool // towards the target, and back
-	delay  time.Duration
-	refuse bool
-	closed bool
-	bytes  int64
-	conns  map[net.Conn]bool
+	mu         sync.Mutex
+	cond       *sync.Cond
+	held       [2]bool // towards the target, and back
+	addedDelay time.Duration
+	refuse     bool
+	closed     bool
+	bytes      int64
+	conns      map[net.Conn]bool
 }
 
 // Bytes is what it has carried, both ways.
-func (r *Relay) Bytes() int64 {
+func (r *Relay) BytesCarried() int64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.bytes
@@ -32,8 +32,8 @@
 
 // Directions of a Relay.
 const (
-	There = 0 // from who dials to the target
-	Back  = 1
+	ToTarget   = 0 // from who dials to the target
+	FromTarget = 1
 )
 
 // NewRelay returns a Relay to target, on an address of its own.
@@ -52,19 +52,19 @@
 func (r *Relay) Addr() string { return r.ln.Addr().String() }
 
 // Hold holds back what goes in a direction, or lets it go on.
-func (r *Relay) Hold(direction int, held bool) { r.set(func() { r.held[direction] = held }) }
+func (r *Relay) Block(direction int, held bool) { r.set(func() { r.held[direction] = held }) }
 
 // Cut holds back both directions, or lets them go on.
-func (r *Relay) Cut(cut bool) { r.set(func() { r.held = [2]bool{cut, cut} }) }
+func (r *Relay) BlockBoth(cut bool) { r.set(func() { r.held = [2]bool{cut, cut} }) }
 
 // Delay delays what goes either way.
-func (r *Relay) Delay(d time.Duration) { r.set(func() { r.delay = d }) }
+func (r *Relay) SetDelay(d time.Duration) { r.set(func() { r.addedDelay = d }) }
 
 // Refuse closes new connections at once, or takes them again.
-func (r *Relay) Refuse(on bool) { r.set(func() { r.refuse = on }) }
+func (r *Relay) RefuseNew(on bool) { r.set(func() { r.refuse = on }) }
 
 // Break ends all connections.
-func (r *Relay) Break() {
+func (r *Relay) CloseConns() {
 	r.set(func() {
 		for c := range r.conns {
 			c.Close()
@@ -88,7 +88,7 @@
 func (r *Relay) Close() {
 	r.ln.Close()
 	r.set(func() { r.closed, r.held = true, [2]bool{} })
-	r.Break()
+	r.CloseConns()
 }
 
 func (r *Relay) set(f func()) {
@@ -130,8 +130,8 @@
 		to.Close()
 		from.Close()
 	}
-	go pipe(c, t, There)
-	go pipe(t, c, Back)
+	go pipe(c, t, ToTarget)
+	go pipe(t, c, FromTarget)
 	both.Wait()
 	r.set(func() { delete(r.conns, c); delete(r.conns, t) })
 }
@@ -145,7 +145,7 @@
 			for r.held[direction] && !r.closed {
 				r.cond.Wait()
 			}
-			delay := r.delay
+			delay := r.addedDelay
 			r.bytes += int64(n)
 			r.mu.Unlock()
 			if delay > 0 {
--- a/internal/telemetry/otlp/otlp_test.go
+++ b/internal/telemetry/otlp/otlp_test.go
@@ -246,7 +246,7 @@
 func TestWrongCertificate(t *testing.T) {
 	both(t, func(t *testing.T, overGRPC bool) {
 		ca, until := standin.NewAuthority("test CA"), time.Now().Add(time.Hour)
-		for name, cert := range map[string]tls.Certificate{"other name": ca.Pair("other.example", until), "right": ca.Pair("collector.example", until)} {
+		for name, cert := range map[string]tls.Certificate{"other name": ca.IssueCertificate("other.example", until), "right": ca.IssueCertificate("collector.example", until)} {
 			ln, err := net.Listen("tcp", "127.0.0.1:0")
 			if err != nil {
 				t.Fatal(err)
