--- a/cmd/sliptide/copies_test.go
+++ b/cmd/sliptide/copies_test.go
@@ -11,12 +11,12 @@
 )
 
 // taken counts, for each message, the calls that the partner took.
-func (m *team) taken() map[string]int {
+func (m *testFleet) acceptedCalls() map[string]int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	n := map[string]int{}
 	for _, c := range m.calls {
-		if c.taken {
+		if c.accepted {
 			n[c.id]++
 		}
 	}
@@ -24,16 +24,16 @@
 }
 
 // run reads what the platforms hear until the test is over, and waits until each sender takes messages on.
-func (m *team) run() {
+func (m *testFleet) awaitReady() {
 	m.t.Helper()
 	stop := make(chan struct{})
 	m.t.Cleanup(func() { close(stop) })
-	m.drain(stop)
-	m.copying()
+	m.consumeReports(stop)
+	m.awaitAccepting()
 }
 
 // copying waits until each sender has the lease on its journal and takes messages on.
-func (m *team) copying() {
+func (m *testFleet) awaitAccepting() {
 	m.t.Helper()
 	for i, r := range m.rigs {
 		n := 0
@@ -50,11 +50,11 @@
 }
 
 // final counts the final answers of each message: deliveries, and notices.
-func (m *team) final() map[string]int {
-	n := m.taken()
+func (m *testFleet) finalAnswers() map[string]int {
+	n := m.acceptedCalls()
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	for _, e := range m.ends {
+	for _, e := range m.endings {
 		n[e.Message]++
 	}
 	return n
@@ -65,25 +65,25 @@
 // TestMachineLost: a sender that holds messages is killed and its folder is gone. Its heir delivers each of them once.
 // One whose 202 was under way in the last moment may be handed back instead: its heir can't know that it was told.
 func TestMachineLost(t *testing.T) {
-	m := newTeamWith(t, copiesXML, 4)
-	m.run()
+	m := newTestFleet(t, copiesXML, 4)
+	m.awaitReady()
 	if out, errs, code := command(t, "fleet", "copies", "--operator", m.rigs[0].operator); code != 0 || strings.Count(out, "copied") != 4 || strings.Count(out, "batches") != 4 {
 		t.Errorf("fleet copies: status %d\n%s%s", code, out, errs)
 	}
-	m.set(true)
+	m.setPartnerDown(true)
 	ids := m.hold(0, 12, 15)
 	m.lose(0)
 	lost := time.Now()
-	m.set(false)
+	m.setPartnerDown(false)
 	m.allEnded(ids)
 	t.Logf("all delivered %v after the loss", time.Since(lost).Round(10*time.Millisecond))
 	delivered := 0
-	for id, n := range m.final() {
+	for id, n := range m.finalAnswers() {
 		if strings.HasPrefix(id, "n0-held") && n > 1 {
 			t.Errorf("%s has %d final answers", id, n)
 		}
 	}
-	for id := range m.taken() {
+	for id := range m.acceptedCalls() {
 		if strings.HasPrefix(id, "n0-held") {
 			delivered++
 		}
@@ -93,11 +93,11 @@
 	}
 }
 
-// TestOwnerIsBack: a sender that was stopped past its lease finds its messages taken over, and sends none of them.
-func TestOwnerIsBack(t *testing.T) {
-	m := newTeamWith(t, copiesXML, 4)
-	m.run()
-	m.set(true)
+// TestOwnerReturnsAfterTakeover: a sender that was stopped past its lease finds its messages taken over, and sends none of them.
+func TestOwnerReturnsAfterTakeover(t *testing.T) {
+	m := newTestFleet(t, copiesXML, 4)
+	m.awaitReady()
+	m.setPartnerDown(true)
 	ids := m.hold(3, 8, 19)
 	m.rigs[3].proc.Process.Signal(syscall.SIGSTOP)
 	m.await("somebody has taken over", func() bool {
@@ -111,7 +111,7 @@
 	m.rigs[3].proc.Process.Signal(syscall.SIGCONT)
 	m.rigs[3].awaitUp(200) // it may have said 503 meanwhile, and why
 	m.rigs[3].awaitLog("messages were taken over while this sender was away")
-	m.set(false)
+	m.setPartnerDown(false)
 	m.allEnded(ids)
 	// The one that is back takes messages on again, and sends them itself.
 	m.await("it takes messages on again", func() bool {
@@ -122,7 +122,7 @@
 		resp.Body.Close()
 		return resp.StatusCode == 202
 	})
-	for id, n := range m.final() {
+	for id, n := range m.finalAnswers() {
 		if n > 1 && strings.HasPrefix(id, "n3-held") {
 			t.Errorf("%s has %d final answers", id, n)
 		}
@@ -132,8 +132,8 @@
 // TestNoQuorum: without a majority of voters new work is refused plainly, with when to come back and why, what was taken
 // on is kept, and all goes on when they are back.
 func TestNoQuorum(t *testing.T) {
-	m := newTeamWith(t, copiesXML, 4)
-	m.run()
+	m := newTestFleet(t, copiesXML, 4)
+	m.awaitReady()
 	for _, r := range m.rigs[:2] {
 		r.proc.Process.Signal(syscall.SIGSTOP)
 	}
@@ -154,8 +154,8 @@
 	for _, r := range m.rigs[:2] {
 		r.proc.Process.Signal(syscall.SIGCONT)
 	}
-	m.copying()
-	if m.taken()["n3-refused"] > 0 {
+	m.awaitAccepting()
+	if m.acceptedCalls()["n3-refused"] > 0 {
 		t.Error("what was refused was sent")
 	}
 }
--- a/cmd/sliptide/fleet_test.go
+++ b/cmd/sliptide/fleet_test.go
@@ -20,19 +20,19 @@
 
 // team is three senders of one fleet, each with its platform, and one partner, destination 5, that all of them
 // call.
-type team struct {
-	t      *testing.T
-	rigs   []*rig
-	relays map[[2]int]*standin.Relay // of links, by who dials and who is dialled; only where each has one
-	addrs  []string                  // where each takes links
-	more   string                    // what else the fleet's element holds
-	xml    string
+type testFleet struct {
+	t           *testing.T
+	rigs        []*rig
+	relays      map[[2]int]*standin.Relay // of links, by who dials and who is dialled; only where each has one
+	linkAddrs   []string                  // where each takes links
+	extraXML    string                    // what else the fleet's element holds
+	operatorXML string
 
-	mu    sync.Mutex
-	down  bool
-	calls []teamCall   // at the partner
-	ends  []ending     // at the platform
-	heard func(ending) // each of them; nil: nobody
+	mu          sync.Mutex
+	partnerDown bool
+	calls       []partnerCall // at the partner
+	endings     []ending      // at the platform
+	onEnding    func(ending)  // each of them; nil: nobody
 }
 
 // ending is a notice with when it came.
@@ -41,18 +41,18 @@
 	at time.Time
 }
 
-type teamCall struct {
-	at     time.Time
-	sender string
-	id     string
-	key    string
-	rig    int // the sender that called, by whose endpoint it came to
-	taken  bool
+type partnerCall struct {
+	at       time.Time
+	sender   string
+	id       string
+	key      string
+	rig      int // the sender that called, by whose endpoint it came to
+	accepted bool
 }
 
 // teamAddr is an address that no other test has, with a port that is free: two runs side by side have the same
 // addresses.
-func teamAddr(t *testing.T) string {
+func reserveAddr(t *testing.T) string {
 	t.Helper()
 	n := rigs.Add(1)
 	ln, err := net.Listen("tcp", fmt.Sprintf("127.78.%d.%d:0", n/250, n%250+1))
@@ -63,30 +63,32 @@
 	return ln.Addr().String()
 }
 
-func newTeam(t *testing.T, bound string) *team {
-	return newTeamWith(t, `<trials enabled="true" bound="`+bound+`"/>`, 3)
+func newTrialFleet(t *testing.T, bound string) *testFleet {
+	return newTestFleet(t, `<trials enabled="true" bound="`+bound+`"/>`, 3)
 }
 
 // newTeamWith is a team of n senders, the first three voters, with what else the fleet's element holds.
-func newTeamWith(t *testing.T, more string, n int) *team { return newTeamOf(t, more, n, nil) }
+func newTestFleet(t *testing.T, more string, n int) *testFleet {
+	return newTestFleetWith(t, more, n, nil)
+}
 
 // newTeamOf is newTeamWith with changes to each sender's rig before it starts.
-func newTeamOf(t *testing.T, more string, n int, change func(m *team, i int, r *rig)) *team {
+func newTestFleetWith(t *testing.T, more string, n int, change func(m *testFleet, i int, r *rig)) *testFleet {
 	t.Parallel()
-	m := &team{t: t, more: more}
+	m := &testFleet{t: t, extraXML: more}
 	for range n {
-		m.addrs = append(m.addrs, teamAddr(t))
+		m.linkAddrs = append(m.linkAddrs, reserveAddr(t))
 	}
-	m.xml = m.file(func(k int) string { return m.addrs[k] }, "")
+	m.operatorXML = m.operatorFile(func(k int) string { return m.linkAddrs[k] }, "")
 	for i := range n {
-		r := makeRig(t, m.xml, func(settings, _ map[string]any) {
+		r := makeRig(t, m.operatorXML, func(settings, _ map[string]any) {
 			settings["balancers"] = 3
 			settings["family_info"].(map[string]any)["kind_batch"] = []int{1, 10}
 			settings["limits"].(map[string]any)["max_attempts"] = 100 // a partner that is down must not use them up
 			settings["services"] = append(settings["services"].([]any), map[string]any{"name": "pay", "aim": 2000, "deadline": 20000, "effect": "unsafe", "worth": 2, "late_worth": 0.4})
 		})
 		r.config["name"] = fmt.Sprint("n", i)
-		r.list = append(r.list, r.partner("p-5", 5, func(w http.ResponseWriter, q *http.Request) { m.partner(i, w, q) }))
+		r.list = append(r.list, r.partner("p-5", 5, func(w http.ResponseWriter, q *http.Request) { m.servePartner(i, w, q) }))
 		r.config["known"] = map[string]any{"version": 1, "full": true, "servers": r.list}
 		if change != nil {
 			change(m, i, r)
@@ -103,24 +105,24 @@
 }
 
 // file is an operators' file by which the others are reached at those addresses.
-func (m *team) file(addr func(k int) string, listen string) string {
+func (m *testFleet) operatorFile(addr func(k int) string, listen string) string {
 	var members strings.Builder
-	for k := range m.addrs {
+	for k := range m.linkAddrs {
 		fmt.Fprintf(&members, `<member name="n%d" addr="%s" zone="a" voter="%t"/>`, k, addr(k), k < 3)
 	}
-	return `<storms enabled="true"/><fleet enabled="true"` + listen + `>` + members.String() + `<duties lease="1s" election="300ms"/>` + m.more + `</fleet>`
+	return `<storms enabled="true"/><fleet enabled="true"` + listen + `>` + members.String() + `<duties lease="1s" election="300ms"/>` + m.extraXML + `</fleet>`
 }
 
 // relayed gives a sender's rig an operators' file by which each other member is behind a relay.
-func (m *team) relayed(i int, r *rig) {
+func (m *testFleet) connectByRelays(i int, r *rig) {
 	if m.relays == nil {
 		m.relays = map[[2]int]*standin.Relay{}
 	}
-	r.operate(m.file(func(k int) string {
+	r.operate(m.operatorFile(func(k int) string {
 		if k == i {
-			return m.addrs[k]
+			return m.linkAddrs[k]
 		}
-		relay, err := standin.NewRelay(m.addrs[k])
+		relay, err := standin.NewRelay(m.linkAddrs[k])
 		if err != nil {
 			m.t.Fatal(err)
 		}
@@ -131,21 +133,21 @@
 }
 
 // links does something to the relays between two members.
-func (m *team) links(a, b int, do func(*standin.Relay)) {
+func (m *testFleet) eachRelay(a, b int, do func(*standin.Relay)) {
 	for _, k := range [][2]int{{a, b}, {b, a}} {
 		do(m.relays[k])
 	}
 }
 
 // partner breaks each call off while it is down. It knows the sender by the message's name.
-func (m *team) partner(rig int, w http.ResponseWriter, q *http.Request) {
+func (m *testFleet) servePartner(rig int, w http.ResponseWriter, q *http.Request) {
 	sender, _, _ := strings.Cut(q.Header.Get("X-Trace-Id"), "-")
 	if sender == "" {
 		return // a probe
 	}
 	m.mu.Lock()
-	down := m.down
-	m.calls = append(m.calls, teamCall{time.Now(), sender, q.Header.Get("X-Trace-Id"), q.Header.Get("Idempotency-Key"), rig, !down})
+	down := m.partnerDown
+	m.calls = append(m.calls, partnerCall{time.Now(), sender, q.Header.Get("X-Trace-Id"), q.Header.Get("Idempotency-Key"), rig, !down})
 	m.mu.Unlock()
 	if down {
 		nc, _, _ := w.(http.Hijacker).Hijack()
@@ -153,14 +155,14 @@
 	}
 }
 
-func (m *team) set(down bool) {
+func (m *testFleet) setPartnerDown(down bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.down = down
+	m.partnerDown = down
 }
 
 // callers counts the calls of each sender since then.
-func (m *team) callers(since time.Time) map[string]int {
+func (m *testFleet) callsBySender(since time.Time) map[string]int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	n := map[string]int{}
@@ -173,17 +175,17 @@
 }
 
 // await polls until ok, or fails.
-func (m *team) await(what string, ok func() bool) {
+func (m *testFleet) await(what string, ok func() bool) {
 	m.t.Helper()
 	for end := time.Now().Add(patient); !ok(); time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(end) {
-			m.t.Fatalf("never: %s; calls %v", what, m.callers(time.Time{}))
+			m.t.Fatalf("never: %s; calls %v", what, m.callsBySender(time.Time{}))
 		}
 	}
 }
 
 // status asks the fleet by the command line; nil where nobody answers.
-func (m *team) status() *voter.Status {
+func (m *testFleet) status() *voter.Status {
 	out, err := exec.Command(binary, "fleet", "status", "--json", "--operator", m.rigs[0].operator).Output()
 	var s voter.Status
 	if err != nil || json.Unmarshal(out, &s) != nil {
@@ -192,7 +194,7 @@
 	return &s
 }
 
-func (m *team) holder(duty string) string {
+func (m *testFleet) holder(duty string) string {
 	if s := m.status(); s != nil {
 		for _, d := range s.Duties {
 			if d.Name == duty {
@@ -204,7 +206,7 @@
 }
 
 // load hands in messages at each sender now and then, until stop.
-func (m *team) load(stop <-chan struct{}) *sync.WaitGroup {
+func (m *testFleet) submitLoad(stop <-chan struct{}) *sync.WaitGroup {
 	var wg sync.WaitGroup
 	for i, r := range m.rigs {
 		wg.Go(func() {
@@ -224,7 +226,7 @@
 }
 
 // drain reads notices and watches so that no rig stands still.
-func (m *team) drain(stop <-chan struct{}) {
+func (m *testFleet) consumeReports(stop <-chan struct{}) {
 	for _, r := range m.rigs {
 		go func() {
 			for {
@@ -237,10 +239,10 @@
 				case n := <-r.notices:
 					e := ending{n, time.Now()}
 					m.mu.Lock()
-					m.ends = append(m.ends, e)
+					m.endings = append(m.endings, e)
 					m.mu.Unlock()
-					if m.heard != nil {
-						m.heard(e)
+					if m.onEnding != nil {
+						m.onEnding(e)
 					}
 				}
 			}
@@ -251,21 +253,21 @@
 // TestTrialsAreShared: while a partner is down, one sender of three tries it. It is killed, and another does. Once
 // the partner is back, all of them deliver.
 func TestTrialsAreShared(t *testing.T) {
-	m := newTeam(t, "4s")
+	m := newTrialFleet(t, "4s")
 	stop := make(chan struct{})
-	m.drain(stop)
-	wg := m.load(stop)
+	m.consumeReports(stop)
+	wg := m.submitLoad(stop)
 	defer wg.Wait()
 	defer close(stop)
-	m.await("each sender delivers", func() bool { return len(m.callers(time.Time{})) == 3 })
-	m.set(true)
+	m.await("each sender delivers", func() bool { return len(m.callsBySender(time.Time{})) == 3 })
+	m.setPartnerDown(true)
 	m.await("a member holds the trial", func() bool { return m.holder("trial/5") != "" })
 	holder := m.holder("trial/5")
 	// Attempts that were under way when the duty was given out end first.
 	time.Sleep(500 * time.Millisecond) // the watched span begins: nothing is waited for
 	from := time.Now()
-	m.await("the holder has tried five times", func() bool { return m.callers(from)[holder] >= 5 })
-	if n := m.callers(from); len(n) != 1 {
+	m.await("the holder has tried five times", func() bool { return m.callsBySender(from)[holder] >= 5 })
+	if n := m.callsBySender(from); len(n) != 1 {
 		t.Errorf("calls by %v while %s holds the trial", n, holder)
 	}
 	for i, r := range m.rigs {
@@ -276,19 +278,19 @@
 	}
 	m.await("another member holds the trial", func() bool { h := m.holder("trial/5"); return h != "" && h != holder })
 	next := m.holder("trial/5")
-	m.await("it tries", func() bool { return m.callers(from)[next] >= 2 })
-	m.set(false)
+	m.await("it tries", func() bool { return m.callsBySender(from)[next] >= 2 })
+	m.setPartnerDown(false)
 	back := time.Now()
-	m.await("both that are left deliver", func() bool { return len(m.callers(back)) == 2 })
+	m.await("both that are left deliver", func() bool { return len(m.callsBySender(back)) == 2 })
 	t.Logf("back: all deliver after %v", time.Since(back).Round(10*time.Millisecond))
 }
 
 // TestFleetCommands: what operators ask a running member, and what they are told.
 func TestFleetCommands(t *testing.T) {
-	m := newTeam(t, "4s")
+	m := newTrialFleet(t, "4s")
 	stop := make(chan struct{})
 	defer close(stop)
-	m.drain(stop)
+	m.consumeReports(stop)
 	m.await("three sessions", func() bool {
 		s := m.status()
 		n := 0
@@ -314,7 +316,7 @@
 	}{
 		{"no such duty", []string{"hand-over", "trial/77", "n1"}},
 		{"no <fleet enabled", []string{"status", "--operator", writeXML(t, `<ready/>`)}},
-		{"no member answers", []string{"status", "--at", teamAddr(t)}},
+		{"no member answers", []string{"status", "--at", reserveAddr(t)}},
 	} {
 		args := append([]string{"fleet"}, c.args...)
 		if !strings.Contains(strings.Join(args, " "), "--operator") {
@@ -325,7 +327,7 @@
 		}
 	}
 	// A second process under a name that is taken, in a folder of its own: it takes no part, and says why.
-	twin := makeRig(t, strings.Replace(m.xml, `<fleet enabled="true">`, `<fleet enabled="true" listen="`+teamAddr(t)+`">`, 1), nil)
+	twin := makeRig(t, strings.Replace(m.operatorXML, `<fleet enabled="true">`, `<fleet enabled="true" listen="`+reserveAddr(t)+`">`, 1), nil)
 	twin.config["name"] = "n0"
 	twin.launch()
 	twin.awaitLog("another process runs under this member's name")
@@ -360,10 +362,10 @@
 
 // TestFleetUpgrade: a new version beside the old is the same member, which has one session throughout.
 func TestFleetUpgrade(t *testing.T) {
-	m := newTeam(t, "4s")
+	m := newTrialFleet(t, "4s")
 	stop := make(chan struct{})
 	defer close(stop)
-	m.drain(stop)
+	m.consumeReports(stop)
 	session := func() uint64 {
 		if s := m.status(); s != nil && s.Leader != "" {
 			for _, x := range s.Members {
@@ -400,10 +402,10 @@
 // TestFleetDiskFails: a voter whose log cannot be written steps down, and its sender goes on sending; when the log
 // can be written again, it takes part again.
 func TestFleetDiskFails(t *testing.T) {
-	m := newTeam(t, "4s")
+	m := newTrialFleet(t, "4s")
 	stop := make(chan struct{})
 	defer close(stop)
-	m.drain(stop)
+	m.consumeReports(stop)
 	m.await("a leader", func() bool { s := m.status(); return s != nil && s.Leader != "" })
 	r := m.rigs[0]
 	log, aside := filepath.Join(r.state, "fleet.log"), filepath.Join(r.state, "aside")
@@ -419,7 +421,7 @@
 	}
 	r.awaitLog("the log cannot be written: stepping down")
 	r.take("n0-1", 5, 10, "x")
-	m.await("its message is delivered", func() bool { return m.callers(time.Time{})["n0"] == 1 })
+	m.await("its message is delivered", func() bool { return m.callsBySender(time.Time{})["n0"] == 1 })
 	if err := os.Remove(log); err != nil {
 		t.Fatal(err)
 	}
@@ -431,11 +433,11 @@
 
 // TestFleetThatDoesNotStart: a name that is no member's, and a folder that is another's, end the program with one
 // line that says so.
-func TestFleetThatDoesNotStart(t *testing.T) {
-	m := newTeam(t, "4s")
+func TestFleetRefusesToStart(t *testing.T) {
+	m := newTrialFleet(t, "4s")
 	stop := make(chan struct{})
 	defer close(stop)
-	m.drain(stop)
+	m.consumeReports(stop)
 	m.await("a leader", func() bool { s := m.status(); return s != nil && s.Leader != "" })
 	r := m.rigs[2]
 	r.kill(syscall.SIGKILL)
--- a/cmd/sliptide/h2_test.go
+++ b/cmd/sliptide/h2_test.go
@@ -24,7 +24,7 @@
 )
 
 // multiplexed is the operators' file for destinations reached by HTTP/2 without TLS.
-func multiplexed(dests, conns int) string {
+func h2cPartnersXML(dests, conns int) string {
 	var b strings.Builder
 	b.WriteString("<partners>")
 	for d := range dests {
@@ -33,13 +33,13 @@
 	return b.String() + "</partners>"
 }
 
-func standIn(t *testing.T, p *standin.H2Partner) *standin.H2Partner {
+func startPartner(t *testing.T, p *standin.H2Partner) *standin.H2Partner {
 	t.Cleanup(p.Listen().Close)
 	return p
 }
 
 // listed puts partners in the list of discovery, in place of what is there.
-func (r *rig) listed(ps ...*standin.H2Partner) {
+func (r *rig) setList(ps ...*standin.H2Partner) {
 	r.change(func() {
 		r.list = nil
 		for i, p := range ps {
@@ -49,7 +49,7 @@
 }
 
 // drained lets the test's channels take what nobody looks at.
-func (r *rig) drained(stop <-chan struct{}) {
+func (r *rig) discardWatches(stop <-chan struct{}) {
 	for {
 		select {
 		case <-r.watches:
@@ -60,7 +60,7 @@
 }
 
 // awaitTaken hands messages in until the sender has the list.
-func (r *rig) awaitTaken(id string, dest int, left float64) {
+func (r *rig) awaitAccepted(id string, dest int, left float64) {
 	r.t.Helper()
 	for end := time.Now().Add(patient); ; {
 		resp := r.handIn(id, dest, left, "body")
@@ -80,15 +80,15 @@
 		t.Run(what, func(t *testing.T) {
 			answer := make(chan standin.Reply, 1)
 			seen := make(chan string, 100)
-			p := standIn(t, &standin.H2Partner{MaxStreams: 1, Handler: func(q *standin.Request) standin.Reply {
+			p := startPartner(t, &standin.H2Partner{MaxStreams: 1, Handler: func(q *standin.Request) standin.Reply {
 				seen <- q.Fields["x-trace-id"]
 				return <-answer
 			}})
-			r := newRigWith(t, multiplexed(1, 1), func(set, _ map[string]any) {
+			r := newRigWith(t, h2cPartnersXML(1, 1), func(set, _ map[string]any) {
 				set["family_info"].(map[string]any)["kind_batch"] = []int{1, 1}
 			})
-			r.listed(p)
-			r.awaitTaken("first", 0, 8)
+			r.setList(p)
+			r.awaitAccepted("first", 0, 8)
 			next(t, seen, "the first call")
 			for i := range 5 { // they find no stream
 				r.take(fmt.Sprint("q", i), 0, 8, "")
@@ -124,11 +124,11 @@
 
 // The partner lowers its limit to none: what is queued ends in time, and nothing is lost. It raises it, and
 // what came last is delivered.
-func TestNoStreamsForAWhile(t *testing.T) {
-	p := standIn(t, &standin.H2Partner{MaxStreams: 10})
-	r := newRigWith(t, multiplexed(1, 1), nil)
-	r.listed(p)
-	r.awaitTaken("first", 0, 8)
+func TestStreamLimitOfZero(t *testing.T) {
+	p := startPartner(t, &standin.H2Partner{MaxStreams: 10})
+	r := newRigWith(t, h2cPartnersXML(1, 1), nil)
+	r.setList(p)
+	r.awaitAccepted("first", 0, 8)
 	for end := time.Now().Add(patient); p.SettingsAcks() < 2; time.Sleep(time.Millisecond) {
 		if p.EffectCount("first") == 1 && p.MaxStreams == 10 {
 			p.SetMaxStreams(0)
@@ -164,17 +164,17 @@
 		total, seeds = v, 4
 	}
 	for seed := range uint64(seeds) {
-		t.Run(fmt.Sprint(seed), func(t *testing.T) { chaos(t, seed, total/seeds) })
+		t.Run(fmt.Sprint(seed), func(t *testing.T) { runChaos(t, seed, total/seeds) })
 	}
 }
 
-func chaos(t *testing.T, seed uint64, total int) {
+func runChaos(t *testing.T, seed uint64, total int) {
 	const dests = 4
 	var ps []*standin.H2Partner
 	var mu sync.Mutex
 	for i := range dests {
 		rng := rand.New(rand.NewPCG(seed, uint64(i)))
-		ps = append(ps, standIn(t, &standin.H2Partner{MaxStreams: 20, Delay: 2 * time.Millisecond, Handler: func(q *standin.Request) standin.Reply {
+		ps = append(ps, startPartner(t, &standin.H2Partner{MaxStreams: 20, Delay: 2 * time.Millisecond, Handler: func(q *standin.Request) standin.Reply {
 			mu.Lock()
 			defer mu.Unlock()
 			// No 503 and 429 among them: a limit would have the module send a few messages a second, and
@@ -200,7 +200,7 @@
 			return standin.Reply{Status: 200}
 		}}))
 	}
-	r := newRigWith(t, multiplexed(dests, 4), func(set, _ map[string]any) {
+	r := newRigWith(t, h2cPartnersXML(dests, 4), func(set, _ map[string]any) {
 		set["services"].([]any)[0].(map[string]any)["effect"] = "unsafe"
 		set["family_info"].(map[string]any)["kind_batch"] = []int{1, 1}
 		set["family_info"].(map[string]any)["call_slots"] = 48
@@ -208,10 +208,10 @@
 		set["contract"].(map[string]any)["cold"] = 300
 		set["contract"].(map[string]any)["cold_from"] = 0.9
 	})
-	r.listed(ps...)
+	r.setList(ps...)
 	stop := make(chan struct{})
 	defer close(stop)
-	go r.drained(stop)
+	go r.discardWatches(stop)
 	notices := map[string][]string{}
 	ended := make(chan struct{})
 	go func() {
@@ -227,7 +227,7 @@
 			}
 		}
 	}()
-	r.awaitTaken("warm", 0, 3)
+	r.awaitAccepted("warm", 0, 3)
 	taken := make(chan string, total)
 	var wg sync.WaitGroup
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 32}}
@@ -313,7 +313,7 @@
 			for _, proto := range []string{"http/1.1", "h2c"} {
 				var line string
 				t.Run(fmt.Sprint(proto, flight, round), func(t *testing.T) {
-					t.Run("run", func(t *testing.T) { line = side(t, proto, flight) })
+					t.Run("run", func(t *testing.T) { line = measureProtocol(t, proto, flight) })
 				})
 				t.Log(line)
 			}
@@ -322,34 +322,34 @@
 }
 
 // countedListener counts the bytes of its connections, both ways.
-type countedListener struct {
+type countingListener struct {
 	net.Listener
 	bytes atomic.Int64
 }
 
-func (l *countedListener) Accept() (net.Conn, error) {
+func (l *countingListener) Accept() (net.Conn, error) {
 	nc, err := l.Listener.Accept()
-	return countedConn{nc, l}, err
+	return countingConn{nc, l}, err
 }
 
-type countedConn struct {
+type countingConn struct {
 	net.Conn
-	l *countedListener
+	l *countingListener
 }
 
-func (c countedConn) Read(b []byte) (int, error) {
+func (c countingConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	c.l.bytes.Add(int64(n))
 	return n, err
 }
 
-func (c countedConn) Write(b []byte) (int, error) {
+func (c countingConn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
 	c.l.bytes.Add(int64(n))
 	return n, err
 }
 
-func side(t *testing.T, proto string, flight int) string {
+func measureProtocol(t *testing.T, proto string, flight int) string {
 	var mu sync.Mutex
 	handed, delivery := map[string]time.Time{}, []float64{}
 	conns := 0
@@ -387,7 +387,7 @@
 		note(q.Header.Get("X-Trace-Id"))
 		time.Sleep(20 * time.Millisecond)
 	})}
-	wire := &countedListener{Listener: ln}
+	wire := &countingListener{Listener: ln}
 	go srv.Serve(wire)
 	t.Cleanup(func() { srv.Close() })
 	r.change(func() {
@@ -396,7 +396,7 @@
 	stop := make(chan struct{})
 	defer close(stop)
 	go r.quiet(stop)
-	r.awaitTaken("warm", 0, 5)
+	r.awaitAccepted("warm", 0, 5)
 	<-got
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 128}}
 	var wg sync.WaitGroup
@@ -435,7 +435,7 @@
 
 // Keys are read again on SIGHUP: a request that is out goes on, the next connection uses the new ones; and
 // the probe shows what the partner offers.
-func TestKeysReadAgain(t *testing.T) {
+func TestCertificateReload(t *testing.T) {
 	dir := t.TempDir()
 	at := func(name string) string { return filepath.Join(dir, name) }
 	old, fresh := standin.NewAuthority("old CA"), standin.NewAuthority("new CA")
@@ -454,9 +454,9 @@
 	first := server(old.IssueCertificate("lodge.example.org", ends), &standin.H2Partner{Handler: func(*standin.Request) standin.Reply { return <-answer }})
 	second := server(fresh.IssueCertificate("lodge.example.org", ends), &standin.H2Partner{MaxStreams: 33})
 	r := newRigWith(t, fmt.Sprintf(`<partners><partner dest="0" protocol="h2" server-name="lodge.example.org" ca="%s"/><partner dest="1" protocol="h2" server-name="lodge.example.org" ca="%s"/></partners>`, at("ca.pem"), at("ca.pem")), nil)
-	r.listed(first, second)
-	r.awaitTaken("out", 0, 10)
-	r.awaitTaken("waits", 1, 10) // its partner's CA is not known yet
+	r.setList(first, second)
+	r.awaitAccepted("out", 0, 10)
+	r.awaitAccepted("waits", 1, 10) // its partner's CA is not known yet
 	r.awaitLog("certificate signed by unknown authority")
 	for end := time.Now().Add(patient); first.SettingsAcks() == 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
--- a/cmd/sliptide/holders_test.go
+++ b/cmd/sliptide/holders_test.go
@@ -18,7 +18,7 @@
 // These tests put the holders of copies in trouble: what a client hears meanwhile, and that nothing is lost after it.
 
 // holders are who keeps copies of a sender's journal, as numbers, by the command line.
-func (m *team) holders(i int) (list []int) {
+func (m *testFleet) holders(i int) (list []int) {
 	out, err := exec.Command(binary, "fleet", "copies", "--json", "--operator", m.rigs[0].operator).Output()
 	var views []struct {
 		Owner  string
@@ -40,14 +40,14 @@
 }
 
 // awaitHolders waits until a sender's journal has two.
-func (m *team) awaitHolders(i int) (list []int) {
+func (m *testFleet) awaitHolders(i int) (list []int) {
 	m.t.Helper()
 	m.await(fmt.Sprintf("n%d has two holders", i), func() bool { list = m.holders(i); return len(list) == 2 })
 	return list
 }
 
 // timed hands a message in and returns the status and how long the answer took.
-func (m *team) timed(i int, id, body string) (int, time.Duration) {
+func (m *testFleet) submitTimed(i int, id, body string) (int, time.Duration) {
 	at := time.Now()
 	resp, err := m.rigs[i].tryHandIn(id, 5, 12, body)
 	if err != nil {
@@ -61,13 +61,13 @@
 func TestSlowHolder(t *testing.T) {
 	for _, needed := range []int{1, 2} {
 		t.Run(fmt.Sprint("needed ", needed), func(t *testing.T) {
-			m := newTeamOf(t, fmt.Sprintf(`<copies enabled="true" count="2" needed="%d"/>`, needed), 4, (*team).relayed)
-			m.run()
+			m := newTestFleetWith(t, fmt.Sprintf(`<copies enabled="true" count="2" needed="%d"/>`, needed), 4, (*testFleet).connectByRelays)
+			m.awaitReady()
 			slow := m.awaitHolders(3)[0]
-			m.links(3, slow, func(r *standin.Relay) { r.SetDelay(300 * time.Millisecond) })
+			m.eachRelay(3, slow, func(r *standin.Relay) { r.SetDelay(300 * time.Millisecond) })
 			taken, refused := 0, 0
 			for k := range 12 {
-				code, took := m.timed(3, fmt.Sprintf("n3-slow-%d", k), "x")
+				code, took := m.submitTimed(3, fmt.Sprintf("n3-slow-%d", k), "x")
 				if took > 400*time.Millisecond {
 					t.Errorf("the answer took %v", took)
 				}
@@ -81,12 +81,12 @@
 			if needed == 1 && taken < 11 || needed == 2 && refused < 11 { // the first may have been on its way
 				t.Errorf("needed %d: %d taken on, %d refused", needed, taken, refused)
 			}
-			m.links(3, slow, func(r *standin.Relay) { r.SetDelay(0) })
+			m.eachRelay(3, slow, func(r *standin.Relay) { r.SetDelay(0) })
 			m.await("all is well again", func() bool {
-				code, _ := m.timed(3, fmt.Sprint("n3-after-", time.Now().UnixNano()), "x")
+				code, _ := m.submitTimed(3, fmt.Sprint("n3-after-", time.Now().UnixNano()), "x")
 				return code == 202
 			})
-			for id := range m.taken() {
+			for id := range m.acceptedCalls() {
 				if strings.HasPrefix(id, "n3-slow") && needed == 2 && refused == 12 {
 					t.Errorf("%s was refused and sent", id)
 				}
@@ -97,25 +97,25 @@
 
 // TestHolderCutOneWay: a holder that is not heard by the owner, or does not hear it, holds nothing up.
 func TestHolderCutOneWay(t *testing.T) {
-	m := newTeamOf(t, copiesXML, 4, (*team).relayed)
-	m.run()
+	m := newTestFleetWith(t, copiesXML, 4, (*testFleet).connectByRelays)
+	m.awaitReady()
 	for _, direction := range []int{standin.ToTarget, standin.FromTarget} {
 		cut := m.awaitHolders(3)[0]
-		m.links(3, cut, func(r *standin.Relay) { r.Block(direction, true) })
+		m.eachRelay(3, cut, func(r *standin.Relay) { r.Block(direction, true) })
 		for k := range 6 {
-			if code, took := m.timed(3, fmt.Sprintf("n3-%d-%d", direction, k), "x"); code != 202 || took > 400*time.Millisecond {
+			if code, took := m.submitTimed(3, fmt.Sprintf("n3-%d-%d", direction, k), "x"); code != 202 || took > 400*time.Millisecond {
 				t.Errorf("direction %d: %d after %v", direction, code, took)
 			}
 		}
-		m.links(3, cut, func(r *standin.Relay) { r.BlockBoth(false) })
+		m.eachRelay(3, cut, func(r *standin.Relay) { r.BlockBoth(false) })
 	}
 }
 
-// TestHoldersGone: both holders of a sender are lost with their disks. It holds what it has, finds others, and takes
+// TestHoldersLost: both holders of a sender are lost with their disks. It holds what it has, finds others, and takes
 // messages on again; then it is lost itself, and nothing is.
-func TestHoldersGone(t *testing.T) {
-	m := newTeamWith(t, copiesXML, 7)
-	m.run()
+func TestHoldersLost(t *testing.T) {
+	m := newTestFleet(t, copiesXML, 7)
+	m.awaitReady()
 	owner, gone := -1, []int(nil)
 	for i := 3; i < 7 && owner < 0; i++ { // one with a holder that is no voter: a majority of the disks stays
 		if list := m.awaitHolders(i); list[0] >= 3 || list[1] >= 3 {
@@ -125,7 +125,7 @@
 	if owner < 0 {
 		owner, gone = 3, m.awaitHolders(3)[:1]
 	}
-	m.set(true)
+	m.setPartnerDown(true)
 	ids := m.hold(owner, 5, 19)
 	for _, k := range gone {
 		m.lose(k)
@@ -135,19 +135,19 @@
 		return len(list) == 2 && !slices.ContainsFunc(list, func(k int) bool { return slices.Contains(gone, k) })
 	})
 	m.await("it takes messages on again", func() bool {
-		code, _ := m.timed(owner, fmt.Sprintf("n%d-more-%d", owner, time.Now().UnixNano()), "x")
+		code, _ := m.submitTimed(owner, fmt.Sprintf("n%d-more-%d", owner, time.Now().UnixNano()), "x")
 		return code == 202
 	})
 	m.lose(owner)
-	m.set(false)
+	m.setPartnerDown(false)
 	m.allEnded(ids)
 }
 
 // TestHolderDiskFails: a holder that cannot write its copy answers nothing for it; the other one does. When it can
 // write again, it is brought everything.
 func TestHolderDiskFails(t *testing.T) {
-	m := newTeamWith(t, copiesXML, 4)
-	m.run()
+	m := newTestFleet(t, copiesXML, 4)
+	m.awaitReady()
 	list := m.awaitHolders(3)
 	file := filepath.Join(m.rigs[list[0]].state, "copy-n3")
 	m.await("the holder has a file", func() bool { _, err := os.Stat(file); return err == nil })
@@ -160,7 +160,7 @@
 	if err := os.Mkdir(filepath.Join(file, "x"), 0o700); err != nil {
 		t.Fatal(err)
 	}
-	m.set(true)
+	m.setPartnerDown(true)
 	ids := m.hold(3, 4, 15)
 	if err := os.RemoveAll(file); err != nil {
 		t.Fatal(err)
@@ -168,23 +168,23 @@
 	m.await("the holder has a file again", func() bool { _, err := os.Stat(file); return err == nil })
 	m.lose(3)
 	m.lose(list[1])
-	m.set(false)
+	m.setPartnerDown(false)
 	m.allEnded(ids)
 }
 
 // TestBurstOfBodies: bodies of 64 KiB until the holders' room is used up: refused plainly and in time, with nothing lost,
 // and taken on again when there is room.
-func TestBurstOfBodies(t *testing.T) {
-	m := newTeamOf(t, `<copies enabled="true" count="2" needed="1" room="400KiB"/>`, 4, nil)
-	m.run()
+func TestHolderSpaceExhausted(t *testing.T) {
+	m := newTestFleetWith(t, `<copies enabled="true" count="2" needed="1" room="400KiB"/>`, 4, nil)
+	m.awaitReady()
 	m.awaitHolders(3)
-	m.set(true)
+	m.setPartnerDown(true)
 	body := strings.Repeat("a booking of a large party. ", 2300) // a little under 64 KiB
 	var taken []string
 	refused := 0
 	for k := range 24 {
 		id := fmt.Sprintf("n3-large-%d", k)
-		code, took := m.timed(3, id, body)
+		code, took := m.submitTimed(3, id, body)
 		if took > 400*time.Millisecond {
 			t.Errorf("the answer took %v", took)
 		}
@@ -200,10 +200,10 @@
 	if len(taken) < 3 || refused == 0 {
 		t.Errorf("%d taken on, %d refused", len(taken), refused)
 	}
-	m.set(false)
+	m.setPartnerDown(false)
 	m.allEnded(taken)
 	m.await("there is room again", func() bool {
-		code, _ := m.timed(3, fmt.Sprint("n3-room-", time.Now().UnixNano()), body)
+		code, _ := m.submitTimed(3, fmt.Sprint("n3-room-", time.Now().UnixNano()), body)
 		return code == 202
 	})
 }
@@ -211,9 +211,9 @@
 // TestRollingRestart: all senders are restarted in turn, every second one by SIGKILL, with messages held: they are held
 // and ended by their own sender, none is taken over that need not be, none is lost or ended twice.
 func TestRollingRestart(t *testing.T) {
-	m := newTeamWith(t, copiesXML, 5)
-	m.run()
-	m.set(true)
+	m := newTestFleet(t, copiesXML, 5)
+	m.awaitReady()
+	m.setPartnerDown(true)
 	var ids []string
 	for i := range m.rigs {
 		ids = append(ids, m.hold(i, 3, 19)...)
@@ -228,14 +228,14 @@
 		r.launch()
 		r.awaitLog(`"held":true`)
 	}
-	m.set(false)
+	m.setPartnerDown(false)
 	m.allEnded(ids)
-	for id, n := range m.final() {
+	for id, n := range m.finalAnswers() {
 		if strings.Contains(id, "-held-") && n > 1 {
 			t.Errorf("%s has %d final answers", id, n)
 		}
 	}
-	got := m.taken()
+	got := m.acceptedCalls()
 	delivered := 0
 	for _, id := range ids {
 		delivered += min(got[id], 1)
--- a/cmd/sliptide/inherit_test.go
+++ b/cmd/sliptide/inherit_test.go
@@ -45,7 +45,7 @@
 }
 
 // hold hands in messages at a sender that must take them on.
-func (m *team) hold(i, n int, left float64) (ids []string) {
+func (m *testFleet) hold(i, n int, left float64) (ids []string) {
 	m.t.Helper()
 	for k := range n {
 		id := fmt.Sprintf("n%d-held-%d", i, k)
@@ -56,7 +56,7 @@
 }
 
 // lose kills a sender and takes its folder away.
-func (m *team) lose(i int) {
+func (m *testFleet) lose(i int) {
 	m.t.Helper()
 	m.rigs[i].kill(syscall.SIGKILL)
 	m.rigs[i].proc = nil
@@ -66,10 +66,10 @@
 }
 
 // allEnded waits until each message has a final answer.
-func (m *team) allEnded(ids []string) {
+func (m *testFleet) allEnded(ids []string) {
 	m.t.Helper()
 	m.await("all have their final answer", func() bool {
-		got := m.final()
+		got := m.finalAnswers()
 		for _, id := range ids {
 			if got[id] == 0 {
 				return false
@@ -85,13 +85,13 @@
 	for _, by := range []time.Duration{time.Hour, -time.Hour} {
 		t.Run(by.String(), func(t *testing.T) {
 			program := shifted(t, by)
-			m := newTeamOf(t, copiesXML, 4, func(_ *team, i int, r *rig) {
+			m := newTestFleetWith(t, copiesXML, 4, func(_ *testFleet, i int, r *rig) {
 				if i > 0 {
 					r.binary = program
 				}
 			})
-			m.run()
-			m.set(true)
+			m.awaitReady()
+			m.setPartnerDown(true)
 			from := time.Now()
 			var short []string
 			for k := range 4 {
@@ -107,9 +107,9 @@
 					t.Errorf("%s: %s after %v, its time was 4 s", e.Message, e.Outcome, e.at.Sub(from))
 				}
 			})
-			m.set(false)
+			m.setPartnerDown(false)
 			m.allEnded(ids)
-			got := m.taken()
+			got := m.acceptedCalls()
 			delivered := 0
 			for _, id := range ids {
 				delivered += got[id]
@@ -122,16 +122,16 @@
 }
 
 // eachEnd looks at each notice that the platforms had.
-func (m *team) eachEnd(look func(ending)) {
+func (m *testFleet) eachEnd(look func(ending)) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	for _, e := range m.ends {
+	for _, e := range m.endings {
 		look(e)
 	}
 }
 
 // handAgain hands a message in again elsewhere, as its sender died.
-func (m *team) handAgain(i int, id, key, class string) int {
+func (m *testFleet) handAgain(i int, id, key, class string) int {
 	q, _ := http.NewRequest("POST", "http://"+m.rigs[i].addr+"/api", strings.NewReader("two guests, one night"))
 	for k, v := range map[string]string{"X-Trace-Id": id, "X-Qos": class, "X-Customer": "acme", "Idempotency-Key": key,
 		"X-Expires-In": "15", "X-Route-To": "dest=5", "X-Second-Try": "again"} {
@@ -146,11 +146,11 @@
 }
 
 // effects counts the calls that the partner took, by the message's idempotency key.
-func (m *team) effects(key string) (n int) {
+func (m *testFleet) effects(key string) (n int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, c := range m.calls {
-		if c.taken && c.key == key {
+		if c.accepted && c.key == key {
 			n++
 		}
 	}
@@ -162,9 +162,9 @@
 func TestHandedInAgain(t *testing.T) {
 	for _, after := range []bool{false, true} {
 		t.Run(fmt.Sprintf("after the heir %v", after), func(t *testing.T) {
-			m := newTeamWith(t, copiesXML, 4)
-			m.run()
-			m.set(true)
+			m := newTestFleet(t, copiesXML, 4)
+			m.awaitReady()
+			m.setPartnerDown(true)
 			ids := m.hold(0, 6, 15)
 			m.lose(0)
 			took := func() bool {
@@ -190,7 +190,7 @@
 				second = append(second, id)
 			}
 			m.await("an heir has taken over", took)
-			m.set(false)
+			m.setPartnerDown(false)
 			m.allEnded(ids)
 			if !after {
 				m.allEnded(second)
@@ -217,8 +217,8 @@
 	const wait = 7 * time.Second
 	var waits atomic.Int64 // until when, in nanoseconds
 	var early, good, shunned atomic.Int32
-	admin := teamAddr(t)
-	m := newTeamOf(t, copiesXML, 4, func(_ *team, i int, r *rig) {
+	admin := reserveAddr(t)
+	m := newTestFleetWith(t, copiesXML, 4, func(_ *testFleet, i int, r *rig) {
 		if i == 0 {
 			r.config["admin"] = admin
 		}
@@ -242,7 +242,7 @@
 		}))
 		r.config["known"] = map[string]any{"version": 1, "full": true, "servers": r.list}
 	})
-	m.run()
+	m.awaitReady()
 	if status, text := byHand(t, admin, "POST", "/endpoints/disable", "p-6b"); status != 200 {
 		t.Fatalf("disable: %d %s", status, text)
 	}
@@ -278,10 +278,10 @@
 // its lease is over it takes nothing on and calls nobody; its heir delivers what it had; when the links are well it learns
 // that, drops just that, and takes messages on again. No message has two attempts out, or two ends.
 func TestOwnerAndHeirCutApart(t *testing.T) {
-	m := newTeamOf(t, copiesXML, 4, (*team).relayed)
-	m.run()
+	m := newTestFleetWith(t, copiesXML, 4, (*testFleet).connectByRelays)
+	m.awaitReady()
 	m.awaitHolders(3)
-	m.set(true)
+	m.setPartnerDown(true)
 	ids := m.hold(3, 6, 19)
 	for k, relay := range m.relays {
 		if k[0] == 3 || k[1] == 3 {
@@ -291,21 +291,21 @@
 	m.await("somebody has taken over", func() bool {
 		return slices.ContainsFunc(m.rigs[:3], func(r *rig) bool { return strings.Contains(r.logs.String(), `"copies: took over"`) })
 	})
-	if code, _ := m.timed(3, "n3-refused", "x"); code != 503 {
+	if code, _ := m.submitTimed(3, "n3-refused", "x"); code != 503 {
 		t.Errorf("cut off from the fleet it answers %d", code)
 	}
 	from := time.Now()
-	m.set(false)
+	m.setPartnerDown(false)
 	m.allEnded(ids)
 	for _, r := range m.relays {
 		r.BlockBoth(false)
 	}
 	m.rigs[3].awaitLog("messages were taken over while this sender was away")
 	m.await("it takes messages on again", func() bool {
-		code, _ := m.timed(3, fmt.Sprint("n3-again-", time.Now().UnixNano()), "x")
+		code, _ := m.submitTimed(3, fmt.Sprint("n3-again-", time.Now().UnixNano()), "x")
 		return code == 202
 	})
-	for id, n := range m.final() {
+	for id, n := range m.finalAnswers() {
 		if strings.HasPrefix(id, "n3-held") && n != 1 || id == "n3-refused" {
 			t.Errorf("%s has %d final answers", id, n)
 		}
--- a/cmd/sliptide/losses_test.go
+++ b/cmd/sliptide/losses_test.go
@@ -21,20 +21,20 @@
 
 // losses is a team under load whose machines are lost. Each link goes through a relay of its own; the book has what
 // clients, the partner and the platforms see.
-type losses struct {
-	*team
-	book *ledger.Ledger
+type lossRun struct {
+	*testFleet
+	ledger *ledger.Ledger
 
-	mu      sync.Mutex
-	rng     *rand.Rand // the partner's
-	history []string   // what was done, and when
-	began   time.Time
-	most    int // messages in a call
+	mu        sync.Mutex
+	rng       *rand.Rand // the partner's
+	history   []string   // what was done, and when
+	startedAt time.Time
+	maxBatch  int // messages in a call
 }
 
 // serve is the partner of sender i, for one message or several in a call: some calls fail, some break off, of which
 // some took effect, some tell a wait.
-func (l *losses) serve(i int, w http.ResponseWriter, q *http.Request) {
+func (l *lossRun) serve(i int, w http.ResponseWriter, q *http.Request) {
 	body, _ := io.ReadAll(q.Body)
 	var ids []string
 	bulk := q.URL.Path == "/inbox/bulk"
@@ -54,26 +54,26 @@
 	}
 	began := time.Now()
 	l.mu.Lock()
-	l.most = max(l.most, len(ids))
+	l.maxBatch = max(l.maxBatch, len(ids))
 	chance := l.rng.IntN(1000)
 	l.mu.Unlock()
 	for _, id := range ids {
-		l.book.CallStarted(began, i, id)
+		l.ledger.CallStarted(began, i, id)
 		if chance >= 45 {
-			l.book.TookEffect(began, id)
+			l.ledger.TookEffect(began, id)
 		}
 	}
 	time.Sleep(20 * time.Millisecond)
 	for _, id := range ids {
-		l.book.CallEnded(time.Now(), id, chance >= 85)
+		l.ledger.CallEnded(time.Now(), id, chance >= 85)
 	}
 	if chance < 5 {
-		l.book.WaitRequested(time.Now(), i, began, time.Now().Add(waitTold))
-		l.note("n%d is told a wait", i)
+		l.ledger.WaitRequested(time.Now(), i, began, time.Now().Add(requestedWait))
+		l.record("n%d is told a wait", i)
 	}
 	switch {
 	case chance < 5:
-		w.Header().Set("Retry-After", fmt.Sprint(waitTold.Seconds()))
+		w.Header().Set("Retry-After", fmt.Sprint(requestedWait.Seconds()))
 		w.WriteHeader(429)
 	case chance < 45:
 		w.WriteHeader(500)
@@ -90,10 +90,10 @@
 }
 
 // waitTold is the wait that the partner tells.
-const waitTold = 1500 * time.Millisecond
+const requestedWait = 1500 * time.Millisecond
 
 // hand hands messages in at one sender until stop, of both classes in turn.
-func (l *losses) hand(i int, stop <-chan struct{}) {
+func (l *lossRun) submitMessages(i int, stop <-chan struct{}) {
 	for n := 0; ; n++ {
 		select {
 		case <-stop:
@@ -105,7 +105,7 @@
 			class = "pay"
 		}
 		id := fmt.Sprintf("%s-%d-%d", class, i, n)
-		l.book.Submitted(id, i, class == "pay")
+		l.ledger.Submitted(id, i, class == "pay")
 		q, _ := http.NewRequest("POST", "http://"+l.rigs[i].addr+"/api", strings.NewReader("two guests, one night"))
 		for k, v := range map[string]string{"X-Trace-Id": id, "X-Qos": class, "X-Customer": "acme", "Idempotency-Key": "key-" + id,
 			"X-Expires-In": strconv.FormatFloat(left, 'f', 3, 64), "X-Route-To": "dest=5"} {
@@ -116,7 +116,7 @@
 			continue // not heard: nothing was promised
 		}
 		resp.Body.Close()
-		l.book.Answered(id, resp.StatusCode == 202, time.Now().Add(time.Duration(left*float64(time.Second))))
+		l.ledger.Answered(id, resp.StatusCode == 202, time.Now().Add(time.Duration(left*float64(time.Second))))
 	}
 }
 
@@ -128,19 +128,19 @@
 	if err != nil {
 		n = 3
 	}
-	for first := 0; first < n; first += lossesEach {
-		t.Run(fmt.Sprint("from ", first), func(t *testing.T) { lose(t, min(lossesEach, n-first), uint64(first)) })
+	for first := 0; first < n; first += lossesPerFleet {
+		t.Run(fmt.Sprint("from ", first), func(t *testing.T) { runLosses(t, min(lossesPerFleet, n-first), uint64(first)) })
 	}
 }
 
 // lossesEach is how many losses one team goes through.
-const lossesEach = 50
+const lossesPerFleet = 50
 
-func lose(t *testing.T, n int, seed uint64) {
-	l := &losses{rng: rand.New(rand.NewPCG(seed, 24)), book: ledger.New()}
-	two := seed/lossesEach%2 == 1 // every second team waits for two copies, and loses two machines at once
-	l.began = time.Now()
-	l.team = newTeamOf(t, fmt.Sprintf(`<copies enabled="true" count="2" needed="%d"/>`, map[bool]int{false: 1, true: 2}[two]), 5, (*team).relayed)
+func runLosses(t *testing.T, n int, seed uint64) {
+	l := &lossRun{rng: rand.New(rand.NewPCG(seed, 24)), ledger: ledger.New()}
+	two := seed/lossesPerFleet%2 == 1 // every second team waits for two copies, and loses two machines at once
+	l.startedAt = time.Now()
+	l.testFleet = newTestFleetWith(t, fmt.Sprintf(`<copies enabled="true" count="2" needed="%d"/>`, map[bool]int{false: 1, true: 2}[two]), 5, (*testFleet).connectByRelays)
 	for i, r := range l.rigs {
 		r.change(func() {
 			p := r.partner("p-loss", 5, func(w http.ResponseWriter, q *http.Request) { l.serve(i, w, q) })
@@ -154,13 +154,13 @@
 			}
 		})
 	}
-	l.heard = func(e ending) { l.book.NoticeReceived(e.at, e.Message) }
+	l.onEnding = func(e ending) { l.ledger.NoticeReceived(e.at, e.Message) }
 	stop := make(chan struct{})
-	l.drain(stop)
-	l.copying()
+	l.consumeReports(stop)
+	l.awaitAccepting()
 	var clients sync.WaitGroup
 	for i := range l.rigs {
-		clients.Go(func() { l.hand(i, stop) })
+		clients.Go(func() { l.submitMessages(i, stop) })
 	}
 	rng := rand.New(rand.NewPCG(seed, 25)) // the partner draws from its own
 	counts := map[string]int{}
@@ -176,19 +176,19 @@
 			longest = 1200 * time.Millisecond
 		}
 		healed := make(chan struct{})
-		heal := l.fault(rng, counts, longest)
+		heal := l.startFault(rng, counts, longest)
 		go func() { heal(); close(healed) }()
 		for _, k := range lost {
 			l.loseMachine(k)
 		}
 		i += len(lost)
 		if !two && rng.IntN(4) == 0 {
-			l.killHeir(rng, lost[0], counts)
+			l.killSuccessor(rng, lost[0], counts)
 		}
 		<-healed
 		for _, k := range lost {
 			r := l.rigs[k]
-			l.note("n%d starts", k)
+			l.record("n%d starts", k)
 			r.logs.Reset()
 			r.launch()
 			if k < 3 { // before a further voter is lost, this one has its vote again
@@ -198,9 +198,9 @@
 		for _, r := range l.rigs {
 			r.awaitLog(`"held":true`)
 		}
-		l.note("all hold their journals")
+		l.record("all hold their journals")
 		if i%10 == 9 {
-			t.Logf("%d losses: %d messages under way", i+1, l.book.Unfinished())
+			t.Logf("%d losses: %d messages under way", i+1, l.ledger.Unfinished())
 		}
 	}
 	close(stop)
@@ -208,14 +208,14 @@
 	ended := time.Now()
 	more := make(chan struct{})
 	defer close(more)
-	l.drain(more)
+	l.consumeReports(more)
 	l.await("every message has its final answer, or its time is long over", func() bool {
-		return l.book.Unfinished() == 0 || time.Since(ended) > 10*time.Second
+		return l.ledger.Unfinished() == 0 || time.Since(ended) > 10*time.Second
 	})
-	v := l.book.Judge()
+	v := l.ledger.Judge()
 	t.Logf("%d losses of a machine with its disk (needed %d; %v): %d taken on, %d lost, %d late, %d of a class that forbids it took effect twice, %d others repeated, %d refused and sent, "+
 		"%d calls by heirs, %d inside a wait, %d with another attempt out, %d ended more than once; %d messages at most in a call",
-		n, map[bool]int{false: 1, true: 2}[two], counts, v.Accepted, v.Lost, v.Late, v.ForbiddenRepeats, v.Repeated, v.RefusedSent, v.BySuccessors, v.SentInWait, v.Overlapping, v.MultipleEnds, l.most)
+		n, map[bool]int{false: 1, true: 2}[two], counts, v.Accepted, v.Lost, v.Late, v.ForbiddenRepeats, v.Repeated, v.RefusedSent, v.BySuccessors, v.SentInWait, v.Overlapping, v.MultipleEnds, l.maxBatch)
 	t.Logf("%d messages whose time was up while they were taken over ended up to %.0f ms late", len(v.TakeoverDelays), quantile(v.TakeoverDelays, 1))
 	t.Logf("from a loss to the heir's first call: p50 %.0f ms, max %.0f; until all is ended: p50 %.0f ms, max %.0f",
 		quantile(v.FirstCalls, 0.5), quantile(v.FirstCalls, 1), quantile(v.Settlements, 0.5), quantile(v.Settlements, 1))
@@ -231,14 +231,14 @@
 }
 
 // note writes down what is done.
-func (l *losses) note(format string, args ...any) {
+func (l *lossRun) record(format string, args ...any) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.history = append(l.history, fmt.Sprintf("%v: ", time.Since(l.began).Round(time.Millisecond))+fmt.Sprintf(format, args...))
+	l.history = append(l.history, fmt.Sprintf("%v: ", time.Since(l.startedAt).Round(time.Millisecond))+fmt.Sprintf(format, args...))
 }
 
 // fault begins a fault that overlaps a loss, and returns what ends it.
-func (l *losses) fault(rng *rand.Rand, counts map[string]int, longest time.Duration) (heal func()) {
+func (l *lossRun) startFault(rng *rand.Rand, counts map[string]int, longest time.Duration) (heal func()) {
 	a, b := rng.IntN(5), rng.IntN(4)
 	if b >= a {
 		b++
@@ -273,7 +273,7 @@
 		}
 	case 4:
 		name = "member cut off"
-		l.book.SenderUnreachable(time.Now(), a, l.has(a))
+		l.ledger.SenderUnreachable(time.Now(), a, l.takenOver(a))
 		for k, r := range l.relays {
 			if k[0] == a || k[1] == a {
 				r.BlockBoth(true)
@@ -286,7 +286,7 @@
 		}
 	case 5:
 		name = "member stopped"
-		l.book.SenderUnreachable(time.Now(), a, l.has(a))
+		l.ledger.SenderUnreachable(time.Now(), a, l.takenOver(a))
 		p := l.rigs[a].proc
 		p.Process.Signal(syscall.SIGSTOP)
 		end = func() { p.Process.Signal(syscall.SIGCONT) }
@@ -294,19 +294,19 @@
 		name = "none"
 	}
 	counts[name]++
-	l.note("%s, %d and %d, for %v", name, a, b, span)
+	l.record("%s, %d and %d, for %v", name, a, b, span)
 	at := time.Now()
 	return func() {
 		time.Sleep(time.Until(at.Add(span))) // the fault stands for so long
 		end()
-		l.note("%s ends", name)
+		l.record("%s ends", name)
 	}
 }
 
 // loseMachine kills a sender and takes its folder away.
-func (l *losses) loseMachine(k int) {
+func (l *lossRun) loseMachine(k int) {
 	r := l.rigs[k]
-	l.note("n%d is lost with its disk", k)
+	l.record("n%d is lost with its disk", k)
 	r.proc.Process.Signal(syscall.SIGCONT)
 	r.kill(syscall.SIGKILL)
 	if err := os.RemoveAll(r.state); err != nil {
@@ -315,11 +315,11 @@
 	if err := os.Mkdir(r.state, 0o700); err != nil {
 		l.t.Fatal(err)
 	}
-	l.book.SenderLost(time.Now(), k, l.has(k))
+	l.ledger.SenderLost(time.Now(), k, l.takenOver(k))
 }
 
 // has are the senders whose messages a member has taken over, by its log.
-func (l *losses) has(k int) (of []int) {
+func (l *lossRun) takenOver(k int) (of []int) {
 	for _, line := range strings.Split(l.rigs[k].logs.String(), "\n") {
 		var e struct{ Message, Owner string }
 		if json.Unmarshal([]byte(line), &e) == nil && e.Message == "copies: took over" {
@@ -332,7 +332,7 @@
 }
 
 // killHeir kills the process of who takes over from a lost sender, at some step of it, and starts it again.
-func (l *losses) killHeir(rng *rand.Rand, owner int, counts map[string]int) {
+func (l *lossRun) killSuccessor(rng *rand.Rand, owner int, counts map[string]int) {
 	said := fmt.Sprintf(`"owner":"n%d"`, owner)
 	for end := time.Now().Add(3 * time.Second); time.Now().Before(end); time.Sleep(2 * time.Millisecond) {
 		for k, r := range l.rigs {
@@ -343,10 +343,10 @@
 				if strings.Contains(line, "taking over from a lost sender") && strings.Contains(line, said) && !strings.Contains(r.logs.String(), `"copies: took over"`) {
 					time.Sleep(time.Duration(rng.IntN(40)) * time.Millisecond) // some step of it
 					counts["heir killed"]++
-					l.note("n%d, the heir of n%d, is killed", k, owner)
+					l.record("n%d, the heir of n%d, is killed", k, owner)
 					r.proc.Process.Signal(syscall.SIGCONT)
 					r.kill(syscall.SIGKILL)
-					l.book.SenderKilled(time.Now(), k, append(l.has(k), owner))
+					l.ledger.SenderKilled(time.Now(), k, append(l.takenOver(k), owner))
 					r.logs.Reset()
 					r.launch()
 					return
@@ -369,20 +369,20 @@
 			{"count 2 needed 1", `<copies enabled="true" count="2" needed="1" room="16MiB"/>`},
 			{"count 2 needed 2", `<copies enabled="true" count="2" needed="2" room="16MiB"/>`},
 		} {
-			t.Run(fmt.Sprintf("%s at %.0f a second", c.name, rate), func(t *testing.T) { price(t, c.xml, rate) })
+			t.Run(fmt.Sprintf("%s at %.0f a second", c.name, rate), func(t *testing.T) { measureCopiesCost(t, c.xml, rate) })
 		}
 	}
 }
 
 // ample gives a sender room for thousands of messages a second.
-func ample(_ *team, _ int, r *rig) {
+func raiseLimits(_ *testFleet, _ int, r *rig) {
 	r.config["settings"].(map[string]any)["limits"].(map[string]any)["most_held"] = 4000
 	r.config["settings"].(map[string]any)["family_info"].(map[string]any)["call_slots"] = 64
 	r.config["limits"].(map[string]any)["disk_mb"] = 32.0
 }
 
-func price(t *testing.T, xml string, rate float64) {
-	m := newTeamOf(t, xml, 3, ample)
+func measureCopiesCost(t *testing.T, xml string, rate float64) {
+	m := newTestFleetWith(t, xml, 3, raiseLimits)
 	var mu sync.Mutex
 	sent := map[string]time.Time{}
 	var heard, delivered []float64
@@ -403,7 +403,7 @@
 			}
 		}
 	})
-	m.run()
+	m.awaitReady()
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 128}, Timeout: time.Second}
 	cpu := standin.CPUSeconds(r.proc.Process.Pid)
 	refused := 0
@@ -457,16 +457,16 @@
 		{"count 2 needed 1", `<copies enabled="true" count="2" needed="1" room="16MiB"/>`},
 		{"count 2 needed 2", `<copies enabled="true" count="2" needed="2" room="16MiB"/>`},
 	} {
-		t.Run(c.name, func(t *testing.T) { most(t, c.xml) })
+		t.Run(c.name, func(t *testing.T) { measureThroughput(t, c.xml) })
 	}
 }
 
-func most(t *testing.T, xml string) {
-	m := newTeamOf(t, xml, 3, func(m *team, i int, r *rig) {
-		m.relayed(i, r)
-		ample(m, i, r)
+func measureThroughput(t *testing.T, xml string) {
+	m := newTestFleetWith(t, xml, 3, func(m *testFleet, i int, r *rig) {
+		m.connectByRelays(i, r)
+		raiseLimits(m, i, r)
 	})
-	m.run()
+	m.awaitReady()
 	bytes := func() (n int64) {
 		for _, r := range m.relays {
 			n += r.BytesCarried()
@@ -491,7 +491,7 @@
 	var taken atomic.Int64
 	var wg sync.WaitGroup
 	began, before, cpu := time.Now(), bytes(), standin.CPUSeconds(m.rigs[0].proc.Process.Pid)
-	delivered := len(m.taken())
+	delivered := len(m.acceptedCalls())
 	for w := range 48 {
 		wg.Go(func() {
 			for n := 0; time.Since(began) < span; n++ {
@@ -505,8 +505,8 @@
 	used := standin.CPUSeconds(m.rigs[0].proc.Process.Pid) - cpu
 	n := taken.Load()
 	t.Logf("most: %.0f taken on a second, %.0f delivered; %.2f ms of a core and %.0f bytes on links a message", float64(n)/span.Seconds(),
-		float64(len(m.taken())-delivered)/span.Seconds(), used*1000/float64(n), float64(bytes()-before)/float64(n))
-	m.set(true)
+		float64(len(m.acceptedCalls())-delivered)/span.Seconds(), used*1000/float64(n), float64(bytes()-before)/float64(n))
+	m.setPartnerDown(true)
 	rss := func(k int) float64 { return standin.ResidentMB(m.rigs[k].proc.Process.Pid) }
 	was := []float64{rss(0), rss(1), rss(2)}
 	held := 0
@@ -528,16 +528,16 @@
 	}
 	for _, disk := range []bool{false, true} {
 		for range 5 {
-			worth(t, disk)
+			measureWorth(t, disk)
 		}
 	}
 }
 
-func worth(t *testing.T, disk bool) {
+func measureWorth(t *testing.T, disk bool) {
 	t.Run(fmt.Sprintf("with its disk %v", disk), func(t *testing.T) {
-		m := newTeamOf(t, copiesXML, 5, nil)
-		m.run()
-		m.set(true)
+		m := newTestFleetWith(t, copiesXML, 5, nil)
+		m.awaitReady()
+		m.setPartnerDown(true)
 		handed := map[string]time.Time{}
 		for k := range 40 {
 			id := fmt.Sprintf("n0-worth-%d", k)
@@ -546,7 +546,7 @@
 			time.Sleep(20 * time.Millisecond) // the load's pace
 		}
 		time.Sleep(100 * time.Millisecond) // what was taken on last is copied
-		m.set(false)
+		m.setPartnerDown(false)
 		if disk {
 			m.rigs[0].kill(syscall.SIGKILL)
 			m.rigs[0].launch()
@@ -555,7 +555,7 @@
 		}
 		lost := time.Now()
 		m.await("all have their final answer, or ten seconds are over", func() bool {
-			got := m.final()
+			got := m.finalAnswers()
 			for id := range handed {
 				if got[id] == 0 {
 					return time.Since(lost) > 10*time.Second
@@ -567,7 +567,7 @@
 		defer m.mu.Unlock()
 		seen, share, last := map[string]bool{}, 0.0, 0.0
 		for _, c := range m.calls {
-			if at, ours := handed[c.id]; ours && c.taken && !seen[c.id] {
+			if at, ours := handed[c.id]; ours && c.accepted && !seen[c.id] {
 				seen[c.id] = true
 				age := c.at.Sub(at).Seconds()
 				share += 1 - 0.5*min(max(age-4, 0)/4, 1)
--- a/cmd/sliptide/shards_test.go
+++ b/cmd/sliptide/shards_test.go
@@ -17,10 +17,10 @@
 )
 
 // inForceWithin is the time within which a change is in force at every sender that can be reached.
-const inForceWithin = 20 * time.Second
+const changeTimeout = 20 * time.Second
 
 // controlTeam is three control members of one region, as processes.
-type controlTeam struct {
+type controlRegion struct {
 	t         *testing.T
 	discovery string
 	replicas  int
@@ -34,10 +34,10 @@
 	exited                      chan struct{}
 }
 
-func newControlTeam(t *testing.T, discovery string, replicas int) *controlTeam {
-	c := &controlTeam{t: t, discovery: discovery, replicas: replicas}
+func newControlRegion(t *testing.T, discovery string, replicas int) *controlRegion {
+	c := &controlRegion{t: t, discovery: discovery, replicas: replicas}
 	for i := range 3 {
-		m := &controlMember{name: fmt.Sprintf("control-%d", i), addr: teamAddr(t), directory: teamAddr(t)}
+		m := &controlMember{name: fmt.Sprintf("control-%d", i), addr: reserveAddr(t), directory: reserveAddr(t)}
 		c.members = append(c.members, m)
 	}
 	for _, m := range c.members {
@@ -65,7 +65,7 @@
 	return c
 }
 
-func (c *controlTeam) start(m *controlMember) {
+func (c *controlRegion) start(m *controlMember) {
 	m.proc = exec.Command(binary, "control", "run", m.path)
 	m.proc.Env = append(os.Environ(), "GORACE=atexit_sleep_ms=0")
 	m.proc.Stderr = &m.logs
@@ -77,7 +77,7 @@
 	go func(proc *exec.Cmd) { proc.Wait(); close(exited) }(m.proc)
 }
 
-func (c *controlTeam) kill(m *controlMember) {
+func (c *controlRegion) kill(m *controlMember) {
 	if m.proc != nil {
 		m.proc.Process.Signal(syscall.SIGKILL)
 		<-m.exited
@@ -86,7 +86,7 @@
 }
 
 // leader is the control member that began to lead last and still runs.
-func (c *controlTeam) leader() *controlMember {
+func (c *controlRegion) leader() *controlMember {
 	c.t.Helper()
 	for end := time.Now().Add(patient); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
 		for _, m := range c.members {
@@ -100,7 +100,7 @@
 }
 
 // operator is what an operators' file of a sender holds.
-func (c *controlTeam) operator(zone string) string {
+func (c *controlRegion) operatorXML(zone string) string {
 	var text strings.Builder
 	fmt.Fprintf(&text, `<fleet><shards enabled="true" region="r" zone=%q replicas="%d">`, zone, c.replicas)
 	for _, m := range c.members {
@@ -111,26 +111,26 @@
 
 // shardRigs are senders of one sharded fleet with one discovery, that of the first, whose list names count destinations
 // of one partner.
-type shardRigs struct {
-	t       *testing.T
-	control *controlTeam
-	rigs    []*rig
-	mu      sync.Mutex
-	calls   map[string]int // at the partner, by message
-	hang    map[string]chan struct{}
+type shardedFleet struct {
+	t            *testing.T
+	control      *controlRegion
+	rigs         []*rig
+	mu           sync.Mutex
+	calls        map[string]int // at the partner, by message
+	blockedCalls map[string]chan struct{}
 }
 
-func newShardRigs(t *testing.T, senders, destinations, replicas int) *shardRigs {
+func newShardedFleet(t *testing.T, senders, destinations, replicas int) *shardedFleet {
 	t.Parallel()
-	s := &shardRigs{t: t, calls: map[string]int{}, hang: map[string]chan struct{}{}}
-	first := makeRigSerially(t, "")
+	s := &shardedFleet{t: t, calls: map[string]int{}, blockedCalls: map[string]chan struct{}{}}
+	first := makeShardRig(t, "")
 	partner := first.partner("partner", 0, func(w http.ResponseWriter, q *http.Request) {
 		id := q.Header.Get("X-Trace-Id")
 		s.mu.Lock()
 		s.calls[id]++
-		wait := s.hang[id]
+		wait := s.blockedCalls[id]
 		s.mu.Unlock()
-		if id == "held" && s.count(id) == 1 {
+		if id == "held" && s.callCount(id) == 1 {
 			w.Header().Set("Retry-After", "2")
 			w.WriteHeader(http.StatusServiceUnavailable)
 			return
@@ -147,32 +147,32 @@
 			first.list = append(first.list, e)
 		}
 	})
-	s.control = newControlTeam(t, first.config["discovery"].(string), replicas)
+	s.control = newControlRegion(t, first.config["discovery"].(string), replicas)
 	s.rigs = append(s.rigs, first)
 	for len(s.rigs) < senders {
-		s.rigs = append(s.rigs, makeRigSerially(t, ""))
+		s.rigs = append(s.rigs, makeShardRig(t, ""))
 	}
 	for i, r := range s.rigs {
-		s.prepare(i, r)
+		s.configureRig(i, r)
 	}
 	return s
 }
 
 // makeRigSerially is makeRig; the test is parallel already.
-func makeRigSerially(t *testing.T, operator string) *rig {
+func makeShardRig(t *testing.T, operator string) *rig {
 	return makeRig(t, operator, func(settings, _ map[string]any) {
 		settings["services"] = []any{map[string]any{"name": "note", "aim": 4000, "deadline": 60000, "effect": "keyed", "key_scope": "all", "memory_span": 60000, "worth": 1, "late_worth": 0.4}}
 	})
 }
 
-func (s *shardRigs) prepare(i int, r *rig) {
+func (s *shardedFleet) configureRig(i int, r *rig) {
 	r.config["name"] = fmt.Sprintf("sender-%d", i)
 	r.config["known"] = map[string]any{"version": 0, "full": true, "servers": []any{}}
-	r.operate(s.control.operator(fmt.Sprintf("z%d", i)))
+	r.operate(s.control.operatorXML(fmt.Sprintf("z%d", i)))
 }
 
 // try hands a message in and returns the status, and who serves its destination where that was told.
-func (s *shardRigs) try(i int, id string, dest int) (status int, belongs []string) {
+func (s *shardedFleet) submit(i int, id string, dest int) (status int, belongs []string) {
 	s.t.Helper()
 	response, err := s.rigs[i].tryHandIn(id, dest, 50, "x")
 	if err != nil {
@@ -186,15 +186,15 @@
 
 // served waits until each destination is taken on by the senders that are to serve it, and refused by the others with
 // their names.
-func (s *shardRigs) served(round string, up []int, destinations, replicas int) {
+func (s *shardedFleet) awaitServed(round string, up []int, destinations, replicas int) {
 	s.t.Helper()
 	wrong := ""
-	for end := time.Now().Add(inForceWithin); time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
+	for end := time.Now().Add(changeTimeout); time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
 		wrong = ""
 		for d := range destinations {
 			var takers, named []string
 			for _, i := range up {
-				status, belongs := s.try(i, fmt.Sprintf("%s-%d-%d-%d", round, d, i, time.Now().UnixNano()), d)
+				status, belongs := s.submit(i, fmt.Sprintf("%s-%d-%d-%d", round, d, i, time.Now().UnixNano()), d)
 				switch status {
 				case 202:
 					takers = append(takers, fmt.Sprintf("sender-%d", i))
@@ -216,7 +216,7 @@
 			return
 		}
 	}
-	s.t.Fatalf("%s: %s, %v after the change", round, wrong, inForceWithin)
+	s.t.Fatalf("%s: %s, %v after the change", round, wrong, changeTimeout)
 }
 
 // Senders of a sharded fleet take on what their shards' destinations are handed in for, and say of others who serves
@@ -224,11 +224,11 @@
 // is killed and comes back.
 func TestShards(t *testing.T) {
 	const destinations, replicas = 12, 2
-	s := newShardRigs(t, 3, destinations, replicas)
+	s := newShardedFleet(t, 3, destinations, replicas)
 	for _, r := range s.rigs {
 		r.start()
 	}
-	s.served("first", []int{0, 1, 2}, destinations, replicas)
+	s.awaitServed("first", []int{0, 1, 2}, destinations, replicas)
 
 	s.control.kill(s.control.leader())
 	first := s.rigs[0]
@@ -237,19 +237,19 @@
 		e.ID, e.Cell = "e-new", destinations
 		first.list = append(first.list, e)
 	})
-	s.served("a further destination", []int{0, 1, 2}, destinations+1, replicas)
+	s.awaitServed("a further destination", []int{0, 1, 2}, destinations+1, replicas)
 
 	s.rigs[2].kill(syscall.SIGKILL)
-	s.served("two are left", []int{0, 1}, destinations+1, replicas)
+	s.awaitServed("two are left", []int{0, 1}, destinations+1, replicas)
 	s.rigs[2].start()
-	s.served("back", []int{0, 1, 2}, destinations+1, replicas)
+	s.awaitServed("back", []int{0, 1, 2}, destinations+1, replicas)
 }
 
 // A shard leaves with a call out and a message held: both end here, while new messages are refused with word of who
 // serves the destination now.
 func TestLeavingShardEndsItsMessagesHere(t *testing.T) {
 	const destinations, replicas = 40, 1
-	s := newShardRigs(t, 3, destinations, replicas)
+	s := newShardedFleet(t, 3, destinations, replicas)
 	table := shard.NewTable(replicas)
 	table.Update([]shard.Member{{Name: "sender-0", Zone: "z0", Weight: 1}, {Name: "sender-1", Zone: "z1", Weight: 1}}, nil)
 	before := map[int]string{}
@@ -269,22 +269,22 @@
 	}
 	s.rigs[0].start()
 	s.rigs[1].start()
-	s.served("two", []int{0, 1}, destinations, replicas)
+	s.awaitServed("two", []int{0, 1}, destinations, replicas)
 
 	out := make(chan struct{})
 	s.mu.Lock()
-	s.hang["out"] = out
+	s.blockedCalls["out"] = out
 	s.mu.Unlock()
-	if status, _ := s.try(owner, "out", moves); status != 202 {
+	if status, _ := s.submit(owner, "out", moves); status != 202 {
 		t.Fatalf("the message whose call is to be out: %d", status)
 	}
-	if status, _ := s.try(owner, "held", moves); status != 202 {
+	if status, _ := s.submit(owner, "held", moves); status != 202 {
 		t.Fatalf("the message that is to be held: %d", status)
 	}
-	s.eventually("a call is out, and the other message is told to wait", func() bool { return s.calls["out"] == 1 && s.calls["held"] == 1 })
+	s.await("a call is out, and the other message is told to wait", func() bool { return s.calls["out"] == 1 && s.calls["held"] == 1 })
 	s.rigs[2].start()
-	for end := time.Now().Add(inForceWithin); ; time.Sleep(50 * time.Millisecond) {
-		status, belongs := s.try(owner, fmt.Sprintf("new-%d", time.Now().UnixNano()), moves)
+	for end := time.Now().Add(changeTimeout); ; time.Sleep(50 * time.Millisecond) {
+		status, belongs := s.submit(owner, fmt.Sprintf("new-%d", time.Now().UnixNano()), moves)
 		if status == 421 && slices.Equal(belongs, []string{"sender-2"}) {
 			break
 		}
@@ -293,12 +293,12 @@
 		}
 	}
 	close(out)
-	s.eventually("the held message is called again after its wait", func() bool { return s.calls["held"] == 2 })
-	s.served("three", []int{0, 1, 2}, destinations, replicas)
+	s.await("the held message is called again after its wait", func() bool { return s.calls["held"] == 2 })
+	s.awaitServed("three", []int{0, 1, 2}, destinations, replicas)
 	// Both have ended here, by delivery: the owner knows them as taken on, no notice gave one back or up, and nobody else
 	// was handed them. A call that is out for over 2.5 s, as it may be here, is given up and repeated.
 	for _, id := range []string{"out", "held"} {
-		if status, _ := s.try(owner, id, moves); status != 409 {
+		if status, _ := s.submit(owner, id, moves); status != 409 {
 			t.Errorf("message %q handed in again at its sender: %d, want 409", id, status)
 		}
 	}
@@ -312,7 +312,7 @@
 }
 
 // count is how often the partner was called with a message.
-func (s *shardRigs) count(id string) int {
+func (s *shardedFleet) callCount(id string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.calls[id]
@@ -321,20 +321,20 @@
 // A sender is stopped for longer than the others wait for it, and woken: they serve its destinations meanwhile, and it
 // takes none on by what it knew once it has heard again. Its clock stood still for it, so that nothing it counted by
 // itself says that it was away.
-func TestStoppedPastItsSubscription(t *testing.T) {
+func TestSenderStoppedPastSubscription(t *testing.T) {
 	const destinations, replicas = 12, 2
-	s := newShardRigs(t, 3, destinations, replicas)
+	s := newShardedFleet(t, 3, destinations, replicas)
 	for _, r := range s.rigs {
 		r.start()
 	}
-	s.served("first", []int{0, 1, 2}, destinations, replicas)
+	s.awaitServed("first", []int{0, 1, 2}, destinations, replicas)
 	s.rigs[1].proc.Process.Signal(syscall.SIGSTOP)
-	s.served("one is stopped", []int{0, 2}, destinations, replicas)
+	s.awaitServed("one is stopped", []int{0, 2}, destinations, replicas)
 	s.rigs[1].proc.Process.Signal(syscall.SIGCONT)
-	s.served("woken", []int{0, 1, 2}, destinations, replicas)
+	s.awaitServed("woken", []int{0, 1, 2}, destinations, replicas)
 }
 
-func (s *shardRigs) eventually(what string, holds func() bool) {
+func (s *shardedFleet) await(what string, holds func() bool) {
 	s.t.Helper()
 	for end := time.Now().Add(patient); ; time.Sleep(5 * time.Millisecond) {
 		s.mu.Lock()
--- a/cmd/sliptide/soak_partner_test.go
+++ b/cmd/sliptide/soak_partner_test.go
@@ -24,46 +24,48 @@
 }
 
 // soakAct is what an endpoint does with a request.
-type soakAct int
+type soakBehaviour int
 
 const (
-	actAnswer soakAct = iota // 200
-	actRepeat                // 200, and a copy of it later
-	actFull                  // 503
-	actWait                  // 503 that tells a wait
-	actError                 // 500, which has run
-	actReset                 // the connection ends, it has run
-	actDrop                  // the connection ends, it has not run
-	actHang                  // nothing more comes on this connection, it has run
-	actNoise                 // 200, and bytes behind it that are no answer
-	actHalf                  // a first line alone, then the end
+	respondOK                soakBehaviour = iota // 200
+	respondTwice                                  // 200, and a copy of it later
+	respondUnavailable                            // 503
+	respondRetryAfter                             // 503 that tells a wait
+	respondError                                  // 500, which has run
+	closeAfterEffect                              // the connection ends, it has run
+	closeBeforeEffect                             // the connection ends, it has not run
+	neverRespond                                  // nothing more comes on this connection, it has run
+	respondWithTrailingBytes                      // 200, and bytes behind it that are no answer
+	respondPartially                              // a first line alone, then the end
 )
 
 // soakMix is how many of a hundred requests each act gets.
-type soakMix map[soakAct]int
+type soakMix map[soakBehaviour]int
 
 // soakMixes are played in turn: all faults, and repeated answers with some refusals alone, under which most is delivered.
 var soakMixes = []soakMix{
-	{actAnswer: 66, actRepeat: 16, actFull: 4, actWait: 1, actError: 3, actReset: 3, actDrop: 2, actHang: 1, actNoise: 2, actHalf: 2},
-	{actAnswer: 64, actRepeat: 30, actFull: 6},
+	{respondOK: 66, respondTwice: 16, respondUnavailable: 4, respondRetryAfter: 1, respondError: 3, closeAfterEffect: 3, closeBeforeEffect: 2, neverRespond: 1, respondWithTrailingBytes: 2, respondPartially: 2},
+	{respondOK: 64, respondTwice: 30, respondUnavailable: 6},
 }
 
 // runs reports whether the message takes effect.
-func (a soakAct) runs() bool { return a != actFull && a != actWait && a != actDrop }
+func (a soakBehaviour) hasEffect() bool {
+	return a != respondUnavailable && a != respondRetryAfter && a != closeBeforeEffect
+}
 
 // delivers reports whether the sender is told that the message is taken on.
-func (a soakAct) delivers() bool {
-	return a == actAnswer || a == actRepeat || a == actNoise || a == actHalf
+func (a soakBehaviour) accepts() bool {
+	return a == respondOK || a == respondTwice || a == respondWithTrailingBytes || a == respondPartially
 }
 
-func (m soakMix) draw(rng *rand.Rand) soakAct {
+func (m soakMix) draw(rng *rand.Rand) soakBehaviour {
 	n := rng.IntN(100)
-	for act := actAnswer; act <= actHalf; act++ {
+	for act := respondOK; act <= respondPartially; act++ {
 		if n -= m[act]; n < 0 {
 			return act
 		}
 	}
-	return actAnswer
+	return respondOK
 }
 
 func newSoakEndpoint(t *testing.T, s *soak, sender, dest int) *soakEndpoint {
@@ -104,7 +106,7 @@
 }
 
 // read reads requests ahead, so that the end of the connection is seen while one is served.
-func (e *soakEndpoint) read(nc net.Conn, requests chan<- soakRequest) {
+func (e *soakEndpoint) readRequests(nc net.Conn, requests chan<- soakRequest) {
 	defer close(requests)
 	r := bufio.NewReader(nc)
 	for {
@@ -122,7 +124,7 @@
 // serve answers the requests of one connection, one at a time, with what the seed draws.
 func (e *soakEndpoint) serve(nc net.Conn) {
 	requests := make(chan soakRequest, 4)
-	go e.read(nc, requests)
+	go e.readRequests(nc, requests)
 	defer func() {
 		nc.Close()
 		e.mu.Lock()
@@ -136,51 +138,51 @@
 		io.WriteString(nc, stale)
 		stale = ""
 		if q.id == "" {
-			io.WriteString(nc, okAnswer)
+			io.WriteString(nc, okResponse)
 			continue
 		}
 		rng := e.soak.draw()
 		act := e.soak.mix.draw(rng)
-		c := e.soak.called(e, q)
-		if act.runs() && !e.soak.effect(q.id) {
-			act = actAnswer // the partner knows it: a repeat is answered at once
-		} else if !e.work(requests, time.Duration(40+rng.IntN(120))*time.Millisecond) {
-			e.soak.over(c)
+		c := e.soak.attemptStarted(e, q)
+		if act.hasEffect() && !e.soak.takeEffect(q.id) {
+			act = respondOK // the partner knows it: a repeat is answered at once
+		} else if !e.process(requests, time.Duration(40+rng.IntN(120))*time.Millisecond) {
+			e.soak.attemptEnded(c)
 			return
 		}
-		if act == actHang {
+		if act == neverRespond {
 			for range requests { // until the sender ends it
 			}
-			e.soak.over(c)
+			e.soak.attemptEnded(c)
 			return
 		}
-		text, more := answerOf(act, rng)
-		if act == actWait {
-			e.soak.tellWait(e)
+		text, more := responseText(act, rng)
+		if act == respondRetryAfter {
+			e.soak.waitRequested(e)
 		}
-		e.soak.over(c)
-		if _, err := io.WriteString(nc, text); err == nil && act.delivers() {
-			e.soak.delivered(q.id)
+		e.soak.attemptEnded(c)
+		if _, err := io.WriteString(nc, text); err == nil && act.accepts() {
+			e.soak.messageDelivered(q.id)
 		}
 		if !more {
 			return
 		}
-		if act == actRepeat {
+		if act == respondTwice {
 			if when := rng.IntN(3); when == 0 {
-				stale = okAnswer
+				stale = okResponse
 			} else {
-				time.AfterFunc(time.Duration(rng.IntN(10+when*when*30))*time.Millisecond, func() { io.WriteString(nc, okAnswer) })
+				time.AfterFunc(time.Duration(rng.IntN(10+when*when*30))*time.Millisecond, func() { io.WriteString(nc, okResponse) })
 			}
 		}
 	}
 }
 
 // work takes the time of a call, and reports whether the connection is still there then.
-func (e *soakEndpoint) work(requests <-chan soakRequest, d time.Duration) bool {
+func (e *soakEndpoint) process(requests <-chan soakRequest, d time.Duration) bool {
 	select {
 	case _, open := <-requests:
 		if open {
-			e.soak.breach("a further request on a connection that carries a call")
+			e.soak.violation("a further request on a connection that carries a call")
 		}
 		return false
 	case <-time.After(d):
@@ -188,26 +190,26 @@
 	}
 }
 
-const okAnswer = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
+const okResponse = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
 
 // soakWait is the wait that an endpoint tells.
-const soakWait = 700 * time.Millisecond
+const soakRetryAfter = 700 * time.Millisecond
 
 // answerOf is what an act writes, and whether the connection goes on.
-func answerOf(act soakAct, rng *rand.Rand) (text string, more bool) {
+func responseText(act soakBehaviour, rng *rand.Rand) (text string, more bool) {
 	switch act {
-	case actFull:
+	case respondUnavailable:
 		return "HTTP/1.1 503 Full\r\nContent-Length: 0\r\n\r\n", true
-	case actWait:
-		return fmt.Sprintf("HTTP/1.1 503 Full\r\nRetry-After: %.3f\r\nContent-Length: 0\r\n\r\n", soakWait.Seconds()), true
-	case actError:
+	case respondRetryAfter:
+		return fmt.Sprintf("HTTP/1.1 503 Full\r\nRetry-After: %.3f\r\nContent-Length: 0\r\n\r\n", soakRetryAfter.Seconds()), true
+	case respondError:
 		return "HTTP/1.1 500 Error\r\nContent-Length: 0\r\n\r\n", true
-	case actReset, actDrop:
+	case closeAfterEffect, closeBeforeEffect:
 		return "", false
-	case actNoise:
-		return okAnswer + "HTTP/1.1 2"[:1+rng.IntN(9)], true
-	case actHalf:
+	case respondWithTrailingBytes:
+		return okResponse + "HTTP/1.1 2"[:1+rng.IntN(9)], true
+	case respondPartially:
 		return "HTTP/1.1 200 OK\r\n", false
 	}
-	return okAnswer, true
+	return okResponse, true
 }
--- a/cmd/sliptide/soak_test.go
+++ b/cmd/sliptide/soak_test.go
@@ -20,14 +20,14 @@
 )
 
 const (
-	soakSeedsInCI = 3
-	soakFor       = 22 * time.Second // that clients hand messages in
-	soakLeft      = 6 * time.Second  // the longest that a message may be delivered
-	clientWaits   = 400 * time.Millisecond
-	killAfter     = 3700 * time.Millisecond // from the SIGTERM of a restart, at the earliest
-	startAfter    = 600 * time.Millisecond  // from its end to the next start
-	readyWithin   = 10 * time.Second
-	idleClients   = 150 // connections that say nothing
+	soakSeedsInCI      = 3
+	soakSubmitDuration = 22 * time.Second // that clients hand messages in
+	soakMaxExpiry      = 6 * time.Second  // the longest that a message may be delivered
+	clientTimeout      = 400 * time.Millisecond
+	killDelay          = 3700 * time.Millisecond // from the SIGTERM of a restart, at the earliest
+	startDelay         = 600 * time.Millisecond  // from its end to the next start
+	readyTimeout       = 10 * time.Second
+	maxIdleConns       = 150 // connections that say nothing
 )
 
 // TestSoakOfFaults plays senders with faulty partners, agents, clients, signals and clocks, and judges what all saw.
@@ -42,13 +42,13 @@
 	for seed := first; seed < first+seeds; seed++ {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Parallel()
-			soakOnce(t, uint64(seed), binaries)
+			runSoak(t, uint64(seed), binaries)
 		})
 	}
 }
 
 // soakOnce plays one seed.
-func soakOnce(t *testing.T, seed uint64, binaries []string) {
+func runSoak(t *testing.T, seed uint64, binaries []string) {
 	rng := rand.New(rand.NewPCG(seed, 35))
 	senders, crowd := 1+rng.IntN(3), rng.IntN(3) == 0
 	s := newSoak(seed)
@@ -60,36 +60,36 @@
 	for i := range nodes {
 		n := newSoakNode(t, s, i, senders, rand.New(rand.NewPCG(seed, 100+uint64(i))))
 		nodes[i] = n
-		rest.Go(func() { n.drain(over) })
+		rest.Go(func() { n.discardReports(over) })
 		n.rig.binary = binaries[0]
 		n.rig.start()
-		s.began = time.Now()
+		s.startedAt = time.Now()
 		for c := range 4 {
 			client := &soakClient{node: n, rng: rand.New(rand.NewPCG(seed, 1000+uint64(10*i+c))), name: fmt.Sprintf("%d-%d", i, c)}
 			play.Go(func() { client.run(stop) })
 		}
 		if crowd {
-			play.Go(func() { n.crowd(stop) })
+			play.Go(func() { n.openIdleConns(stop) })
 		}
-		play.Go(func() { n.faults(stop, binaries) })
+		play.Go(func() { n.injectFaults(stop, binaries) })
 	}
-	time.AfterFunc(soakFor, func() { close(stop) })
+	time.AfterFunc(soakSubmitDuration, func() { close(stop) })
 	play.Wait()
-	time.Sleep(soakLeft + restartSlack + endWithin) // the time of every message is up then
+	time.Sleep(soakMaxExpiry + restartSlack + endTolerance) // the time of every message is up then
 	taken, repeated := s.judge()
 	halts := 0
 	for _, n := range nodes {
 		halts += strings.Count(n.rig.logs.String(), "the journal can't be written")
 		n.rig.kill(syscall.SIGTERM)
-		n.wantClean()
+		n.checkExitStatus()
 	}
 	close(over)
 	rest.Wait()
-	t.Logf("seed %d: %d senders, crowd %v: %d messages taken on, %d calls, %d ran again, %d halts by the disk, %d breaches", seed, senders, crowd, taken, s.calls, repeated, halts, len(s.breaches))
+	t.Logf("seed %d: %d senders, crowd %v: %d messages taken on, %d calls, %d ran again, %d halts by the disk, %d breaches", seed, senders, crowd, taken, s.calls, repeated, halts, len(s.violations))
 	if taken == 0 {
 		t.Error("nothing was taken on")
 	}
-	for _, b := range s.breaches[:min(len(s.breaches), 20)] {
+	for _, b := range s.violations[:min(len(s.violations), 20)] {
 		t.Error(b)
 	}
 }
@@ -123,11 +123,11 @@
 }
 
 // drain takes what the sender tells the platform.
-func (n *soakNode) drain(over <-chan struct{}) {
+func (n *soakNode) discardReports(over <-chan struct{}) {
 	for {
 		select {
 		case notice := <-n.rig.notices:
-			n.noticed(notice.Message)
+			n.noticeReceived(notice.Message)
 		case <-n.rig.watches:
 		case <-over:
 			return
@@ -136,7 +136,7 @@
 }
 
 // faults plays one after the other what the seed draws.
-func (n *soakNode) faults(stop <-chan struct{}, binaries []string) {
+func (n *soakNode) injectFaults(stop <-chan struct{}, binaries []string) {
 	for {
 		select {
 		case <-stop:
@@ -157,7 +157,7 @@
 			time.Sleep(time.Duration(50+n.rng.IntN(100)) * time.Millisecond)
 			n.rig.proc.Process.Signal(syscall.SIGCONT)
 		case 5:
-			n.fewFiles(time.Duration(100+n.rng.IntN(300)) * time.Millisecond)
+			n.exhaustDescriptors(time.Duration(100+n.rng.IntN(300)) * time.Millisecond)
 		case 6:
 			n.rig.change(func() { n.rig.silent = true })
 			time.Sleep(time.Duration(500+n.rng.IntN(2000)) * time.Millisecond)
@@ -171,7 +171,7 @@
 // restart ends the sender, by a series of signals or by SIGKILL alone, and starts it again, now and then on a wall clock
 // that was stepped.
 func (n *soakNode) restart(binaries []string, planned bool) {
-	n.leave(n.index)
+	n.senderStopping(n.index)
 	var disk sync.WaitGroup // a disk that fails through the end and the start
 	defer disk.Wait()
 	if n.rng.IntN(3) == 0 {
@@ -183,34 +183,34 @@
 		}
 		select {
 		case <-n.rig.exited:
-			n.wantClean()
-		case <-time.After(killAfter):
+			n.checkExitStatus()
+		case <-time.After(killDelay):
 		}
 	}
 	n.rig.kill(syscall.SIGKILL)
-	time.Sleep(startAfter)
+	time.Sleep(startDelay)
 	n.rig.binary = binaries[n.rng.IntN(len(binaries))]
 	begun := time.Now()
 	n.rig.launch()
 	for n.rig.up() != http.StatusOK {
-		if time.Since(begun) > readyWithin {
-			n.breach("n%d is not ready %v after its start", n.index, readyWithin)
+		if time.Since(begun) > readyTimeout {
+			n.violation("n%d is not ready %v after its start", n.index, readyTimeout)
 			break
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	n.back(n.index)
+	n.senderReady(n.index)
 }
 
 // wantClean looks at how the process has ended after a SIGTERM.
-func (n *soakNode) wantClean() {
+func (n *soakNode) checkExitStatus() {
 	if status := n.rig.proc.ProcessState; !status.Success() {
-		n.breach("n%d ended by itself: %v", n.index, status)
+		n.violation("n%d ended by itself: %v", n.index, status)
 	}
 }
 
 // fewFiles takes all free descriptors from the sender for a while: accept, socket and open fail with EMFILE.
-func (n *soakNode) fewFiles(d time.Duration) {
+func (n *soakNode) exhaustDescriptors(d time.Duration) {
 	pid := n.rig.proc.Process.Pid
 	var was unix.Rlimit
 	if err := unix.Prlimit(pid, unix.RLIMIT_NOFILE, nil, &was); err != nil {
@@ -233,7 +233,7 @@
 }
 
 // crowd holds connections that say nothing.
-func (n *soakNode) crowd(stop <-chan struct{}) {
+func (n *soakNode) openIdleConns(stop <-chan struct{}) {
 	var held []net.Conn
 	defer func() {
 		for _, nc := range held {
@@ -244,7 +244,7 @@
 		if nc, err := net.Dial("tcp", n.rig.addr); err == nil {
 			held = append(held, nc)
 		}
-		if len(held) > idleClients {
+		if len(held) > maxIdleConns {
 			held[0].Close()
 			held = held[1:]
 		}
@@ -274,7 +274,7 @@
 			return
 		case <-time.After(time.Duration(10+c.rng.IntN(150)) * time.Millisecond):
 		}
-		c.hand(fmt.Sprintf("m-%s-%d", c.name, k))
+		c.submit(fmt.Sprintf("m-%s-%d", c.name, k))
 	}
 }
 
@@ -289,40 +289,40 @@
 var errUnanswered = errors.New("the connection ended without an answer")
 
 // hand hands one message in; on a kept connection that ends without an answer once more, on a new one.
-func (c *soakClient) hand(id string) {
+func (c *soakClient) submit(id string) {
 	class := []string{"note", "pay"}[c.rng.IntN(2)]
-	left := time.Duration(700+c.rng.IntN(int(soakLeft/time.Millisecond)-700)) * time.Millisecond
+	left := time.Duration(700+c.rng.IntN(int(soakMaxExpiry/time.Millisecond)-700)) * time.Millisecond
 	sent := time.Now()
-	c.node.offered(id, class, c.node.index, sent.Add(left))
+	c.node.submitted(id, class, c.node.index, sent.Add(left))
 	request := strings.Join([]string{"POST /api HTTP/1.1", "Host: app.svc", "X-Trace-Id: " + id, "X-Qos: " + class, "X-Customer: acme",
 		fmt.Sprintf("X-Expires-In: %.3f", left.Seconds()), "Idempotency-Key: key-" + id, "Content-Length: 4",
 		fmt.Sprintf("X-Route-To: dest=%d", 20+c.rng.IntN(3)), "", "body"}, "\r\n")
 	for {
 		kept := c.nc != nil && c.used
-		status, err := c.try(request)
+		status, err := c.send(request)
 		switch {
 		case err == nil:
-			c.node.answered(id, status)
+			c.node.submissionAnswered(id, status)
 			return
 		case kept && errors.Is(err, errUnanswered): // it may have crossed the close of a connection that rested
 			continue
-		case errors.Is(err, errUnanswered) && !c.node.isAway(sent):
-			c.node.breach("%s: read on a new connection, which ended without an answer", id)
+		case errors.Is(err, errUnanswered) && !c.node.wasUnavailable(sent):
+			c.node.violation("%s: read on a new connection, which ended without an answer", id)
 		}
 		return
 	}
 }
 
 // try writes a request and reads its answer.
-func (c *soakClient) try(request string) (int, error) {
+func (c *soakClient) send(request string) (int, error) {
 	if c.nc == nil {
-		nc, err := net.DialTimeout("tcp", c.node.rig.addr, clientWaits)
+		nc, err := net.DialTimeout("tcp", c.node.rig.addr, clientTimeout)
 		if err != nil {
 			return 0, err
 		}
 		c.nc, c.rd, c.used = nc, bufio.NewReader(nc), false
 	}
-	c.nc.SetDeadline(time.Now().Add(clientWaits))
+	c.nc.SetDeadline(time.Now().Add(clientTimeout))
 	if _, err := c.nc.Write([]byte(request)); err != nil {
 		c.close()
 		return 0, errUnanswered
@@ -344,8 +344,8 @@
 }
 
 // isAway reports whether the sender is away, or was after a moment.
-func (n *soakNode) isAway(since time.Time) bool {
+func (n *soakNode) wasUnavailable(since time.Time) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return slices.ContainsFunc(n.away[n.index], func(o outage) bool { return o.to.IsZero() || o.to.After(since) })
+	return slices.ContainsFunc(n.outages[n.index], func(o outage) bool { return o.to.IsZero() || o.to.After(since) })
 }
--- a/cmd/sliptide/storm_test.go
+++ b/cmd/sliptide/storm_test.go
@@ -24,42 +24,42 @@
 // in its model, as experiments/storm.xml.
 
 const (
-	stormLimit = 40.0 // calls a second that the partner states, over all senders
-	stormWatch = 11   // seconds from the return that are looked at
+	stormLimit           = 40.0 // calls a second that the partner states, over all senders
+	stormObservedSeconds = 11   // seconds from the return that are looked at
 )
 
 // fallen is a stand-in partner that can be down: nobody listens then. It answers 429 over its limit, and comes
 // back cold: it is slow at first, as its caches are empty.
-type fallen struct {
-	addr  string
-	limit float64
-	tells bool // it tells its limit in each answer; else the limit stands in its contract alone
+type stoppablePartner struct {
+	addr       string
+	limit      float64
+	advertises bool // it tells its limit in each answer; else the limit stands in its contract alone
 
-	mu     sync.Mutex
-	srv    *http.Server
-	back   time.Time
-	calls  []time.Time
-	taken  []time.Time // of these, under the limit
-	dials  []time.Time
-	doneAt []time.Time
+	mu         sync.Mutex
+	srv        *http.Server
+	restoredAt time.Time
+	calledAt   []time.Time
+	acceptedAt []time.Time // of these, under the limit
+	dialledAt  []time.Time
+	answeredAt []time.Time
 }
 
-func newFallen(t *testing.T, limit float64, tells bool) *fallen {
+func newStoppablePartner(t *testing.T, limit float64, tells bool) *stoppablePartner {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := &fallen{addr: ln.Addr().String(), limit: limit, tells: tells}
+	p := &stoppablePartner{addr: ln.Addr().String(), limit: limit, advertises: tells}
 	p.serve(ln)
-	t.Cleanup(p.down)
+	t.Cleanup(p.stop)
 	return p
 }
 
-func (p *fallen) serve(ln net.Listener) {
+func (p *stoppablePartner) serve(ln net.Listener) {
 	srv := &http.Server{Handler: http.HandlerFunc(p.answer), ConnState: func(_ net.Conn, st http.ConnState) {
 		if st == http.StateNew {
 			p.mu.Lock()
-			p.dials = append(p.dials, time.Now())
+			p.dialledAt = append(p.dialledAt, time.Now())
 			p.mu.Unlock()
 		}
 	}}
@@ -69,13 +69,13 @@
 	go srv.Serve(ln)
 }
 
-func (p *fallen) down() {
+func (p *stoppablePartner) stop() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.srv.Close()
 }
 
-func (p *fallen) up(t *testing.T) {
+func (p *stoppablePartner) restart(t *testing.T) {
 	var ln net.Listener
 	for end := time.Now().Add(patient); ln == nil; { // its port may be a dialling sender's for a moment
 		var err error
@@ -84,31 +84,31 @@
 		}
 	}
 	p.mu.Lock()
-	p.back = time.Now()
+	p.restoredAt = time.Now()
 	p.mu.Unlock()
 	p.serve(ln)
 }
 
 // window is how many calls were taken in the last second. The lock is held.
-func (p *fallen) window(now time.Time) (n int) {
-	for i := len(p.taken) - 1; i >= 0 && now.Sub(p.taken[i]) < time.Second; i-- {
+func (p *stoppablePartner) acceptedInLastSecond(now time.Time) (n int) {
+	for i := len(p.acceptedAt) - 1; i >= 0 && now.Sub(p.acceptedAt[i]) < time.Second; i-- {
 		n++
 	}
 	return n
 }
 
-func (p *fallen) answer(w http.ResponseWriter, q *http.Request) {
+func (p *stoppablePartner) answer(w http.ResponseWriter, q *http.Request) {
 	io.Copy(io.Discard, q.Body)
 	now := time.Now()
 	p.mu.Lock()
-	p.calls = append(p.calls, now)
-	over := float64(p.window(now)) >= p.limit
+	p.calledAt = append(p.calledAt, now)
+	over := float64(p.acceptedInLastSecond(now)) >= p.limit
 	if !over {
-		p.taken = append(p.taken, now)
+		p.acceptedAt = append(p.acceptedAt, now)
 	}
-	cold := !p.back.IsZero() && now.Sub(p.back) < 9*time.Second
+	cold := !p.restoredAt.IsZero() && now.Sub(p.restoredAt) < 9*time.Second
 	p.mu.Unlock()
-	if p.tells {
+	if p.advertises {
 		w.Header().Set("Endpoint-Load-Metrics", fmt.Sprintf("TEXT x0=0.5, x1=%.1f", p.limit))
 	}
 	if over {
@@ -121,13 +121,13 @@
 	}
 	time.Sleep(30 * time.Millisecond)
 	p.mu.Lock()
-	p.doneAt = append(p.doneAt, time.Now())
+	p.answeredAt = append(p.answeredAt, time.Now())
 	p.mu.Unlock()
 	w.WriteHeader(200)
 }
 
 // perSecond counts times by the second after from.
-func perSecond(times []time.Time, from time.Time, n int) []int {
+func countPerSecond(times []time.Time, from time.Time, n int) []int {
 	counts := make([]int, n)
 	for _, at := range times {
 		if i := int(at.Sub(from) / time.Second); !at.Before(from) && i < n {
@@ -138,47 +138,47 @@
 }
 
 // stormRun is one run: what the partner saw from its return on.
-type stormRun struct {
-	calls, dials, done []int
-	handed, delivered  int
-	retries, refusals  int64
-	again              string // the log of the sender that was restarted, up to the return
+type stormResult struct {
+	calls, dials, answered []int
+	submitted, delivered   int
+	retries, refusals      int64
+	restartLog             string // the log of the sender that was restarted, up to the return
 }
 
 // crowdOf hands in messages at a rate, each up to three times, to senders at random as a front would. Half of
 // the clients come back when they were told, to the millisecond; the others do not care and come at once.
-type crowdOf struct {
-	t        *testing.T
-	rigs     []*rig
-	rng      *rand.Rand
-	mu       sync.Mutex
-	open     map[string]*tried // by trace id, taken on
-	wg       sync.WaitGroup
-	stop     chan struct{}
-	handed   atomic.Int64
-	retries  atomic.Int64
-	refusals atomic.Int64
+type stormClients struct {
+	t         *testing.T
+	rigs      []*rig
+	rng       *rand.Rand
+	mu        sync.Mutex
+	pending   map[string]*clientMessage // by trace id, taken on
+	wg        sync.WaitGroup
+	stop      chan struct{}
+	submitted atomic.Int64
+	retries   atomic.Int64
+	refusals  atomic.Int64
 }
 
-type tried struct {
-	key   string
-	tries int
-	until time.Time
-	deaf  bool
+type clientMessage struct {
+	key               string
+	submissions       int
+	deadline          time.Time
+	ignoresRetryAfter bool
 }
 
-func (c *crowdOf) draw() (sender int, deaf bool) {
+func (c *stormClients) draw() (sender int, deaf bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.rng.IntN(len(c.rigs)), c.rng.IntN(2) == 0
 }
 
 // try hands a message in once more.
-func (c *crowdOf) try(m *tried) {
+func (c *stormClients) submit(m *clientMessage) {
 	sender, _ := c.draw()
-	m.tries++
-	id := fmt.Sprintf("%s-%d", m.key, m.tries)
-	left := time.Until(m.until).Seconds()
+	m.submissions++
+	id := fmt.Sprintf("%s-%d", m.key, m.submissions)
+	left := time.Until(m.deadline).Seconds()
 	if left < 0.05 {
 		return
 	}
@@ -187,12 +187,12 @@
 		"X-Expires-In": strconv.FormatFloat(left, 'f', 3, 64), "X-Route-To": "dest=3"} {
 		q.Header.Set(k, v)
 	}
-	if m.tries > 1 {
+	if m.submissions > 1 {
 		q.Header.Set("X-Second-Try", "1")
 		c.retries.Add(1)
 	}
 	c.mu.Lock()
-	c.open[id] = m
+	c.pending[id] = m
 	c.mu.Unlock()
 	resp, err := http.DefaultClient.Do(q)
 	if err != nil {
@@ -204,19 +204,19 @@
 		return
 	}
 	c.mu.Lock()
-	delete(c.open, id)
+	delete(c.pending, id)
 	c.mu.Unlock()
 	after, _ := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64)
-	c.again(m, time.Duration(after*float64(time.Second)))
+	c.refused(m, time.Duration(after*float64(time.Second)))
 }
 
 // again is a refusal, by answer or by notice.
-func (c *crowdOf) again(m *tried, after time.Duration) {
+func (c *stormClients) refused(m *clientMessage, after time.Duration) {
 	c.refusals.Add(1)
-	if m.tries >= 3 {
+	if m.submissions >= 3 {
 		return
 	}
-	if m.deaf {
+	if m.ignoresRetryAfter {
 		after = 50 * time.Millisecond
 	}
 	c.wg.Add(1)
@@ -225,70 +225,70 @@
 		select {
 		case <-c.stop:
 		default:
-			c.try(m)
+			c.submit(m)
 		}
 	})
 }
 
 // listen takes the notices that senders give.
-func (c *crowdOf) listen(r *rig) {
+func (c *stormClients) consumeNotices(r *rig) {
 	for {
 		select {
 		case <-c.stop:
 			return
 		case n := <-r.notices:
 			c.mu.Lock()
-			m := c.open[n.Message]
-			delete(c.open, n.Message)
+			m := c.pending[n.Message]
+			delete(c.pending, n.Message)
 			c.mu.Unlock()
 			if m != nil && n.Outcome == "handed_back" {
-				c.again(m, time.Duration(n.Retry)*time.Millisecond)
+				c.refused(m, time.Duration(n.Retry)*time.Millisecond)
 			}
 		}
 	}
 }
 
 // hand hands in a new message.
-func (c *crowdOf) hand(key string) {
+func (c *stormClients) submitNew(key string) {
 	_, deaf := c.draw()
-	c.handed.Add(1)
+	c.submitted.Add(1)
 	c.wg.Add(1)
 	go func() {
 		defer c.wg.Done()
-		c.try(&tried{key: key, until: time.Now().Add(20 * time.Second), deaf: deaf})
+		c.submit(&clientMessage{key: key, deadline: time.Now().Add(20 * time.Second), ignoresRetryAfter: deaf})
 	}()
 }
 
 // run hands in at a rate for a while.
-func (c *crowdOf) run(rate float64, d time.Duration, name string) {
+func (c *stormClients) submitAtRate(rate float64, d time.Duration, name string) {
 	for i, end := 0, time.Now().Add(d); time.Now().Before(end); i++ {
 		c.mu.Lock()
 		gap := c.rng.ExpFloat64() / rate
 		c.mu.Unlock()
 		time.Sleep(time.Duration(gap * float64(time.Second)))
-		c.hand(fmt.Sprint(name, i))
+		c.submitNew(fmt.Sprint(name, i))
 	}
 }
 
 // stormCase is how a partner goes down and comes back.
 type stormCase struct {
-	name    string
-	tells   bool
-	cold    float64 // milliseconds that the settings give it to warm up
-	down    time.Duration
-	restart bool // one sender is killed in the middle
+	name       string
+	advertises bool
+	coldMS     float64 // milliseconds that the settings give it to warm up
+	downtime   time.Duration
+	restart    bool // one sender is killed in the middle
 }
 
 // runStorm has a partner down for a while under senders and clients, with an operators' file.
-func runStorm(t *testing.T, operator string, seed uint64, senders int, sc stormCase) stormRun {
-	p, down, restart := newFallen(t, stormLimit, sc.tells), sc.down, sc.restart
-	c := &crowdOf{t: t, rng: rand.New(rand.NewPCG(seed, 9)), open: map[string]*tried{}, stop: make(chan struct{})}
+func runStorm(t *testing.T, operator string, seed uint64, senders int, sc stormCase) stormResult {
+	p, down, restart := newStoppablePartner(t, stormLimit, sc.advertises), sc.downtime, sc.restart
+	c := &stormClients{t: t, rng: rand.New(rand.NewPCG(seed, 9)), pending: map[string]*clientMessage{}, stop: make(chan struct{})}
 	for i := range senders {
 		r := makeRig(t, operator, func(settings, limits map[string]any) {
 			settings["balancers"], settings["index"] = senders, i
 			settings["callers"] = map[string]any{"marks_retry": true}
 			settings["limits"].(map[string]any)["max_retry_after"] = 5000
-			settings["contract"].(map[string]any)["cold"] = sc.cold
+			settings["contract"].(map[string]any)["cold"] = sc.coldMS
 		})
 		r.list = append(r.list, endpoint{ID: "s-p", Addr: p.addr, Zone: "a", Kind: "one", Cell: 3, State: "up"})
 		r.config["known"] = map[string]any{"version": 1, "full": true, "servers": r.list}
@@ -296,7 +296,7 @@
 		r.config["name"] = fmt.Sprint("n", i)
 		r.start()
 		c.rigs = append(c.rigs, r)
-		go c.listen(r)
+		go c.consumeNotices(r)
 		go func() {
 			for {
 				select {
@@ -309,50 +309,50 @@
 	}
 	load := 0.7 * stormLimit
 	again := ""
-	c.run(load, 4*time.Second, "before-")
-	p.down()
+	c.submitAtRate(load, 4*time.Second, "before-")
+	p.stop()
 	if restart {
-		c.run(load, down/2, "down1-")
+		c.submitAtRate(load, down/2, "down1-")
 		c.rigs[0].kill(syscall.SIGKILL)
 		life := len(c.rigs[0].logs.String())
 		c.rigs[0].start()
-		c.run(load, down/2, "down2-")
+		c.submitAtRate(load, down/2, "down2-")
 		again = c.rigs[0].logs.String()[life:]
 	} else {
-		c.run(load, down, "down-")
+		c.submitAtRate(load, down, "down-")
 	}
-	p.up(t)
+	p.restart(t)
 	for i := range int(load) { // new work that has waited elsewhere comes in a clump
-		c.hand(fmt.Sprint("clump-", i))
+		c.submitNew(fmt.Sprint("clump-", i))
 	}
-	c.run(load, stormWatch*time.Second, "after-")
+	c.submitAtRate(load, stormObservedSeconds*time.Second, "after-")
 	close(c.stop)
 	c.wg.Wait()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	s := stormRun{calls: perSecond(p.calls, p.back, stormWatch), dials: perSecond(p.dials, p.back, stormWatch),
-		done: perSecond(p.doneAt, p.back, stormWatch), handed: int(c.handed.Load()),
-		retries: c.retries.Load(), refusals: c.refusals.Load(), again: again}
-	for _, at := range p.doneAt { // what goes out while the clients' last tries are awaited is not of the time watched
-		if at.Before(p.back.Add(stormWatch * time.Second)) {
+	s := stormResult{calls: countPerSecond(p.calledAt, p.restoredAt, stormObservedSeconds), dials: countPerSecond(p.dialledAt, p.restoredAt, stormObservedSeconds),
+		answered: countPerSecond(p.answeredAt, p.restoredAt, stormObservedSeconds), submitted: int(c.submitted.Load()),
+		retries: c.retries.Load(), refusals: c.refusals.Load(), restartLog: again}
+	for _, at := range p.answeredAt { // what goes out while the clients' last tries are awaited is not of the time watched
+		if at.Before(p.restoredAt.Add(stormObservedSeconds * time.Second)) {
 			s.delivered++
 		}
 	}
 	return s
 }
 
-const stormsOn = `<knowledge enabled="true" write-every="500ms"/><storms enabled="true"><limit dest="3" calls-per-second="40"/></storms>`
+const stormsXML = `<knowledge enabled="true" write-every="500ms"/><storms enabled="true"><limit dest="3" calls-per-second="40"/></storms>`
 
 // A partner that was down is called within its stated limit in each second from its first one back.
-func TestReturnStaysWithinTheLimit(t *testing.T) {
+func TestCallsAfterOutageStayWithinLimit(t *testing.T) {
 	for _, row := range []stormCase{
 		{"limit told, cold", true, 9000, 5 * time.Second, false},
 		{"limit in the contract alone, no word of cold, one sender restarted", false, 0, 5 * time.Second, true},
 	} {
 		t.Run(row.name, func(t *testing.T) {
 			t.Parallel()
-			s := runStorm(t, stormsOn, 1, 3, row)
-			t.Logf("calls %v connections %v done %v", s.calls, s.dials, s.done)
+			s := runStorm(t, stormsXML, 1, 3, row)
+			t.Logf("calls %v connections %v done %v", s.calls, s.dials, s.answered)
 			// make storms holds each second to the limit. Here a machine that stalls for a moment lets the calls of
 			// two seconds arrive in one: one such second may pass. Without the guard it is 59 to 86 calls.
 			total, over := 0, 0
@@ -366,13 +366,13 @@
 				}
 			}
 			if total < int(stormLimit) { // the promise must not be kept by silence
-				t.Errorf("%d calls in %d seconds", total, stormWatch)
+				t.Errorf("%d calls in %d seconds", total, stormObservedSeconds)
 			}
 			// What the first life knew is there: the second need not find the outage out, its breaker is open.
-			if row.restart && (!strings.Contains(s.again, `"phase":"outage"`) || strings.Contains(s.again, "breaker open")) {
-				t.Errorf("a sender that is restarted in an outage begins anew:\n%s", s.again)
+			if row.restart && (!strings.Contains(s.restartLog, `"phase":"outage"`) || strings.Contains(s.restartLog, "breaker open")) {
+				t.Errorf("a sender that is restarted in an outage begins anew:\n%s", s.restartLog)
 			}
-			holdModel(t, row, &s)
+			compareWithLab(t, row, &s)
 		})
 	}
 }
@@ -380,15 +380,15 @@
 // What the lab's model may part from the sockets: the calls at the partner over the seconds watched, as a ratio,
 // and the share of the messages that are delivered.
 const (
-	partCalls = 0.25
-	partDone  = 0.12
+	maxCallsDeviation     = 0.25
+	maxDeliveredDeviation = 0.12
 )
 
 // modelOf is the world of runStorm in the lab.
-func modelOf(sc stormCase, sys world.System) world.Params {
-	p := world.Params{System: sys, Senders: 3, Partners: 1, Endpoints: 1, Load: 0.7 * stormLimit, Limit: stormLimit, Tells: sc.tells,
-		Headroom: 10, Queue: 2000, Latency: 60, Sigma: 0.5, Cold: sc.cold, ColdFrom: 0.25, TipOver: 1.5, TipAfter: 3000, Dial: 1,
-		Warm: 4000, Outage: float64(sc.down.Milliseconds()), OutShare: 1, Kind: world.Refuses, After: stormWatch * 1000,
+func labParams(sc stormCase, sys world.System) world.Params {
+	p := world.Params{System: sys, Senders: 3, Partners: 1, Endpoints: 1, Load: 0.7 * stormLimit, Limit: stormLimit, Tells: sc.advertises,
+		Headroom: 10, Queue: 2000, Latency: 60, Sigma: 0.5, Cold: sc.coldMS, ColdFrom: 0.25, TipOver: 1.5, TipAfter: 3000, Dial: 1,
+		Warm: 4000, Outage: float64(sc.downtime.Milliseconds()), OutShare: 1, Kind: world.Refuses, After: stormObservedSeconds * 1000,
 		Tries: 3, Honour: 0.5, DeafPause: 50, Marks: true, Clump: 1, Deadline: 20000, Aim: 4000, Slots: 20, Held: 100, MaxRetry: 5000, Batch: 1}
 	if sc.restart {
 		p.Restarts = 1
@@ -397,13 +397,13 @@
 }
 
 // holdModel fails if the lab and the sockets part by more than they may.
-func holdModel(t *testing.T, sc stormCase, real *stormRun) {
+func compareWithLab(t *testing.T, sc stormCase, real *stormResult) {
 	const seeds = 10
-	p := modelOf(sc, world.Sliptide)
+	p := labParams(sc, world.Sliptide)
 	calls, handed, done, real11 := 0, 0, 0, 0
 	for seed := range uint64(seeds) {
 		m := world.New(p, seed).Run(nil)
-		for i := range stormWatch {
+		for i := range stormObservedSeconds {
 			calls += m.Seconds[int(p.Back()/1000)+i].Calls
 		}
 		handed, done = handed+m.Handed, done+m.Done
@@ -412,9 +412,9 @@
 		real11 += n
 	}
 	modelCalls, modelDone := float64(calls)/seeds, float64(done)/float64(handed)
-	realDone := float64(real.delivered) / float64(real.handed)
-	t.Logf("calls in %d seconds: %d on sockets, %.0f in the lab; delivered: %.3f and %.3f", stormWatch, real11, modelCalls, realDone, modelDone)
-	if math.Abs(float64(real11)-modelCalls) > partCalls*modelCalls || math.Abs(realDone-modelDone) > partDone {
+	realDone := float64(real.delivered) / float64(real.submitted)
+	t.Logf("calls in %d seconds: %d on sockets, %.0f in the lab; delivered: %.3f and %.3f", stormObservedSeconds, real11, modelCalls, realDone, modelDone)
+	if math.Abs(float64(real11)-modelCalls) > maxCallsDeviation*modelCalls || math.Abs(realDone-modelDone) > maxDeliveredDeviation {
 		t.Errorf("the lab's model parts from the sockets: calls %d and %.0f, delivered %.3f and %.3f", real11, modelCalls, realDone, modelDone)
 	}
 }
@@ -430,8 +430,8 @@
 		{"limit in the contract alone, no word of cold", false, 0, 15 * time.Second, false},
 		{"the same, one sender restarted in the middle", false, 0, 15 * time.Second, true},
 	} {
-		for _, mode := range []struct{ name, operator string }{{"before", `<knowledge enabled="true"/>`}, {"after", stormsOn}} {
-			results := make([]stormRun, seeds)
+		for _, mode := range []struct{ name, operator string }{{"before", `<knowledge enabled="true"/>`}, {"after", stormsXML}} {
+			results := make([]stormResult, seeds)
 			t.Run(sc.name+"/"+mode.name, func(t *testing.T) {
 				for i := range results {
 					t.Run(fmt.Sprint(i), func(t *testing.T) {
@@ -440,19 +440,19 @@
 					})
 				}
 			})
-			t.Log(tableStorms(sc.name+", "+mode.name, results))
+			t.Log(formatStormTable(sc.name+", "+mode.name, results))
 		}
 	}
 }
 
-func tableStorms(name string, results []stormRun) string {
+func formatStormTable(name string, results []stormResult) string {
 	var b strings.Builder
 	over, runsOver := 0, 0
 	fmt.Fprintf(&b, "%s, %d runs, limit %.0f\n", name, len(results), stormLimit)
-	for sec := range stormWatch {
+	for sec := range stormObservedSeconds {
 		var calls, dials, done []int
 		for _, r := range results {
-			calls, dials, done = append(calls, r.calls[sec]), append(dials, r.dials[sec]), append(done, r.done[sec])
+			calls, dials, done = append(calls, r.calls[sec]), append(dials, r.dials[sec]), append(done, r.answered[sec])
 			if float64(r.calls[sec]) > stormLimit {
 				over++
 			}
@@ -466,7 +466,7 @@
 	}
 	var retries, refusals, handed, delivered int64
 	for _, r := range results {
-		retries, refusals, handed, delivered = retries+r.retries, refusals+r.refusals, handed+int64(r.handed), delivered+int64(r.delivered)
+		retries, refusals, handed, delivered = retries+r.retries, refusals+r.refusals, handed+int64(r.submitted), delivered+int64(r.delivered)
 		for _, n := range r.calls {
 			if float64(n) > stormLimit {
 				runsOver++
@@ -475,6 +475,6 @@
 		}
 	}
 	fmt.Fprintf(&b, "seconds over the limit %d of %d, runs with one %d; second tries %d, refusals %d, handed in %d, delivered %d (%.3f)",
-		over, len(results)*stormWatch, runsOver, retries, refusals, handed, delivered, float64(delivered)/float64(max(handed, 1)))
+		over, len(results)*stormObservedSeconds, runsOver, retries, refusals, handed, delivered, float64(delivered)/float64(max(handed, 1)))
 	return b.String()
 }
