--- a/cmd/sliptide/copies_test.go
+++ b/cmd/sliptide/copies_test.go
@@ -73,10 +73,10 @@
 	m.setPartnerDown(true)
 	ids := m.hold(0, 12, 15)
 	m.lose(0)
-	lost := time.Now()
+	lostAt := time.Now()
 	m.setPartnerDown(false)
 	m.allEnded(ids)
-	t.Logf("all delivered %v after the loss", time.Since(lost).Round(10*time.Millisecond))
+	t.Logf("all delivered %v after the loss", time.Since(lostAt).Round(10*time.Millisecond))
 	delivered := 0
 	for id, n := range m.finalAnswers() {
 		if strings.HasPrefix(id, "n0-held") && n > 1 {
--- a/cmd/sliptide/fleet_test.go
+++ b/cmd/sliptide/fleet_test.go
@@ -155,10 +155,10 @@
 	}
 }
 
-func (m *testFleet) setPartnerDown(down bool) {
+func (m *testFleet) setPartnerDown(partnerDown bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.partnerDown = down
+	m.partnerDown = partnerDown
 }
 
 // callers counts the calls of each sender since then.
@@ -265,9 +265,9 @@
 	holder := m.holder("trial/5")
 	// Attempts that were under way when the duty was given out end first.
 	time.Sleep(500 * time.Millisecond) // the watched span begins: nothing is waited for
-	from := time.Now()
-	m.await("the holder has tried five times", func() bool { return m.callsBySender(from)[holder] >= 5 })
-	if n := m.callsBySender(from); len(n) != 1 {
+	observedFrom := time.Now()
+	m.await("the holder has tried five times", func() bool { return m.callsBySender(observedFrom)[holder] >= 5 })
+	if n := m.callsBySender(observedFrom); len(n) != 1 {
 		t.Errorf("calls by %v while %s holds the trial", n, holder)
 	}
 	for i, r := range m.rigs {
@@ -277,12 +277,12 @@
 		}
 	}
 	m.await("another member holds the trial", func() bool { h := m.holder("trial/5"); return h != "" && h != holder })
-	next := m.holder("trial/5")
-	m.await("it tries", func() bool { return m.callsBySender(from)[next] >= 2 })
+	nextHolder := m.holder("trial/5")
+	m.await("it tries", func() bool { return m.callsBySender(observedFrom)[nextHolder] >= 2 })
 	m.setPartnerDown(false)
-	back := time.Now()
-	m.await("both that are left deliver", func() bool { return len(m.callsBySender(back)) == 2 })
-	t.Logf("back: all deliver after %v", time.Since(back).Round(10*time.Millisecond))
+	restoredAt := time.Now()
+	m.await("both that are left deliver", func() bool { return len(m.callsBySender(restoredAt)) == 2 })
+	t.Logf("back: all deliver after %v", time.Since(restoredAt).Round(10*time.Millisecond))
 }
 
 // TestFleetCommands: what operators ask a running member, and what they are told.
@@ -377,23 +377,23 @@
 		return 0
 	}
 	m.await("n1 has a session", func() bool { return session() != 0 })
-	was := session()
+	before := session()
 	r := m.rigs[1]
 	var logs logBuffer
-	next := exec.Command(binary, "run", "--operator", r.operator)
-	next.Env, next.Stderr = r.proc.Env, &logs
-	if err := next.Start(); err != nil {
+	newProcess := exec.Command(binary, "run", "--operator", r.operator)
+	newProcess.Env, newProcess.Stderr = r.proc.Env, &logs
+	if err := newProcess.Start(); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { next.Process.Kill(); next.Wait() })
+	t.Cleanup(func() { newProcess.Process.Kill(); newProcess.Wait() })
 	m.await("the new version waits", func() bool { return strings.Contains(logs.String(), `"started"`) })
-	if now := session(); now != was {
-		t.Errorf("session %d became %d while both run", was, now)
+	if now := session(); now != before {
+		t.Errorf("session %d became %d while both run", before, now)
 	}
 	r.proc.Process.Signal(syscall.SIGTERM)
 	r.await(r.exited, "the old process leaves")
 	r.proc = nil
-	m.await("n1 has a further session", func() bool { s := session(); return s != 0 && s != was })
+	m.await("n1 has a further session", func() bool { s := session(); return s != 0 && s != before })
 	if strings.Contains(logs.String(), "goes on without this sender") {
 		t.Errorf("log of the new process:\n%s", logs.String())
 	}
--- a/cmd/sliptide/h2_test.go
+++ b/cmd/sliptide/h2_test.go
@@ -76,8 +76,8 @@
 
 // A told wait and a drain bind calls that wait for a stream as they bind those that wait for a connection.
 func TestWaitAndDrainBindQueuedStreams(t *testing.T) {
-	for _, what := range []string{"wait", "drain"} {
-		t.Run(what, func(t *testing.T) {
+	for _, signal := range []string{"wait", "drain"} {
+		t.Run(signal, func(t *testing.T) {
 			answer := make(chan standin.Reply, 1)
 			seen := make(chan string, 100)
 			p := startPartner(t, &standin.H2Partner{MaxStreams: 1, Handler: func(q *standin.Request) standin.Reply {
@@ -93,18 +93,18 @@
 			for i := range 5 { // they find no stream
 				r.take(fmt.Sprint("q", i), 0, 8, "")
 			}
-			var told time.Time
-			if what == "wait" {
-				told = time.Now()
+			var notifiedAt time.Time
+			if signal == "wait" {
+				notifiedAt = time.Now()
 				answer <- standin.Reply{Status: 429, NotRun: true, Fields: map[string]string{"retry-after": "1.200"}}
 			} else {
 				r.change(func() { r.list[0].State = "draining" })
 				r.take("n", 0, 0.3, "") // its end comes after the drain is known
 				r.notice()
-				told = time.Now()
+				notifiedAt = time.Now()
 				answer <- standin.Reply{Status: 200}
 			}
-			if what == "drain" {
+			if signal == "drain" {
 				for range 5 {
 					r.notice()
 				}
@@ -114,7 +114,7 @@
 				return
 			}
 			next(t, seen, "a call after the wait")
-			if early := time.Since(told); early < 1200*time.Millisecond {
+			if early := time.Since(notifiedAt); early < 1200*time.Millisecond {
 				t.Errorf("called %v after a wait of 1.2 s was told", early)
 			}
 			close(answer)
@@ -137,10 +137,10 @@
 			t.Fatal("the new limit is not acknowledged")
 		}
 	}
-	begin := time.Now()
+	submittedAt := time.Now()
 	r.take("ends", 0, 1, "")
-	if n := r.notice(); n.Message != "ends" || time.Since(begin) > 1500*time.Millisecond {
-		t.Errorf("%+v after %v", n, time.Since(begin))
+	if n := r.notice(); n.Message != "ends" || time.Since(submittedAt) > 1500*time.Millisecond {
+		t.Errorf("%+v after %v", n, time.Since(submittedAt))
 	}
 	r.take("lasts", 0, 10, "")
 	p.SetMaxStreams(10)
@@ -228,7 +228,7 @@
 		}
 	}()
 	r.awaitAccepted("warm", 0, 3)
-	taken := make(chan string, total)
+	accepted := make(chan string, total)
 	var wg sync.WaitGroup
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 32}}
 	for w := range 32 {
@@ -251,7 +251,7 @@
 					io.Copy(io.Discard, resp.Body)
 					resp.Body.Close()
 					if resp.StatusCode == 202 {
-						taken <- id
+						accepted <- id
 						break
 					}
 					time.Sleep(10 * time.Millisecond)
@@ -260,13 +260,13 @@
 		}()
 	}
 	wg.Wait()
-	close(taken)
+	close(accepted)
 	time.Sleep(5 * time.Second) // all time is up, with what an end may take
 	r.kill(syscall.SIGTERM)
 	mu.Lock()
 	defer mu.Unlock()
-	var delivered, gaveUp, back, twice, none, runTwice, backRun int
-	for id := range taken {
+	var delivered, abandoned, returned, multipleEnds, noEnd, repeated, returnedAfterEffect int
+	for id := range accepted {
 		runs := 0
 		for _, p := range ps {
 			runs += p.EffectCount(id)
@@ -274,19 +274,19 @@
 		n := notices[id]
 		switch {
 		case runs > 1:
-			runTwice++
+			repeated++
 		case len(n) > 1:
-			twice++
+			multipleEnds++
 		case len(n) == 0 && runs == 0:
-			none++
+			noEnd++
 		case len(n) == 0:
 			delivered++
 		case n[0] == "handed_back" && runs > 0:
-			backRun++
+			returnedAfterEffect++
 		case n[0] == "handed_back":
-			back++
+			returned++
 		default:
-			gaveUp++
+			abandoned++
 		}
 	}
 	conns := 0
@@ -295,25 +295,25 @@
 		conns += n
 	}
 	t.Logf("seed %d: %d delivered, %d given up, %d handed back; %d connections; %d ran twice, %d handed back though they ran, %d with two ends, %d with none",
-		seed, delivered, gaveUp, back, conns, runTwice, backRun, twice, none)
-	if runTwice+twice+none+backRun > 0 || delivered < total/2 {
+		seed, delivered, abandoned, returned, conns, repeated, returnedAfterEffect, multipleEnds, noEnd)
+	if repeated+multipleEnds+noEnd+returnedAfterEffect > 0 || delivered < total/2 {
 		t.Error("a promise is broken")
 	}
 }
 
 // HTTP/1.1 and HTTP/2 against the same kind of partner, by calls in flight: connections, latency, CPU.
 func TestMeasureH2(t *testing.T) {
-	flights, rounds := []int{1, 8, 64}, 3
+	concurrencies, rounds := []int{1, 8, 64}, 3
 	if v, err := strconv.Atoi(os.Getenv("SLIPTIDE_IN_FLIGHT")); err == nil {
-		flights, rounds = []int{v}, 8
+		concurrencies, rounds = []int{v}, 8
 	}
 	measuring(t)
-	for _, flight := range flights {
+	for _, inFlight := range concurrencies {
 		for round := range rounds {
 			for _, proto := range []string{"http/1.1", "h2c"} {
 				var line string
-				t.Run(fmt.Sprint(proto, flight, round), func(t *testing.T) {
-					t.Run("run", func(t *testing.T) { line = measureProtocol(t, proto, flight) })
+				t.Run(fmt.Sprint(proto, inFlight, round), func(t *testing.T) {
+					t.Run("run", func(t *testing.T) { line = measureProtocol(t, proto, inFlight) })
 				})
 				t.Log(line)
 			}
@@ -349,19 +349,19 @@
 	return n, err
 }
 
-func measureProtocol(t *testing.T, proto string, flight int) string {
+func measureProtocol(t *testing.T, proto string, inFlight int) string {
 	var mu sync.Mutex
-	handed, delivery := map[string]time.Time{}, []float64{}
+	submittedAt, deliveryMS := map[string]time.Time{}, []float64{}
 	conns := 0
-	got := make(chan struct{}, 1000)
-	note := func(id string) {
+	called := make(chan struct{}, 1000)
+	recordCall := func(id string) {
 		at := time.Now()
 		mu.Lock()
-		if from, ok := handed[id]; ok {
-			delivery = append(delivery, float64(at.Sub(from))/1e6)
+		if submitted, ok := submittedAt[id]; ok {
+			deliveryMS = append(deliveryMS, float64(at.Sub(submitted))/1e6)
 		}
 		mu.Unlock()
-		got <- struct{}{}
+		called <- struct{}{}
 	}
 	r := newRigWith(t, fmt.Sprintf(`<partners><partner dest="0" protocol="%s"/></partners>`, proto), func(set, _ map[string]any) {
 		set["family_info"].(map[string]any)["call_slots"] = 80
@@ -384,7 +384,7 @@
 		}
 	}, Handler: http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
 		io.Copy(io.Discard, q.Body)
-		note(q.Header.Get("X-Trace-Id"))
+		recordCall(q.Header.Get("X-Trace-Id"))
 		time.Sleep(20 * time.Millisecond)
 	})}
 	wire := &countingListener{Listener: ln}
@@ -397,18 +397,18 @@
 	defer close(stop)
 	go r.quiet(stop)
 	r.awaitAccepted("warm", 0, 5)
-	<-got
+	<-called
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 128}}
 	var wg sync.WaitGroup
-	from, begin, n := standin.CPUSeconds(r.proc.Process.Pid), time.Now(), 0
-	for w := range flight {
+	cpuBefore, begin, n := standin.CPUSeconds(r.proc.Process.Pid), time.Now(), 0
+	for w := range inFlight {
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
 			for i := 0; time.Since(begin) < 4*time.Second; i++ {
 				id := fmt.Sprintf("m%d-%d", w, i)
 				mu.Lock()
-				handed[id] = time.Now()
+				submittedAt[id] = time.Now()
 				n++
 				mu.Unlock()
 				q, _ := http.NewRequest("POST", "http://"+r.addr+"/api", strings.NewReader(strings.Repeat("b", 500)))
@@ -419,18 +419,18 @@
 					io.Copy(io.Discard, resp.Body)
 					resp.Body.Close()
 				}
-				<-got
+				<-called
 				time.Sleep(22 * time.Millisecond) // the call's own time: so many are in flight
 			}
 		}()
 	}
 	wg.Wait()
-	cpu := standin.CPUSeconds(r.proc.Process.Pid) - from
+	cpu := standin.CPUSeconds(r.proc.Process.Pid) - cpuBefore
 	mu.Lock()
 	defer mu.Unlock()
-	slices.Sort(delivery)
+	slices.Sort(deliveryMS)
 	return fmt.Sprintf("%-8s %2d in flight: %4d messages, %2d connections, delivery p50 %.2f p99 %.2f ms, CPU %.0f us and %d bytes a message, resident %.1f MB",
-		proto, flight, n, conns, quantile(delivery, .5), quantile(delivery, .99), cpu/float64(n)*1e6, wire.bytes.Load()/int64(n), standin.ResidentMB(r.proc.Process.Pid))
+		proto, inFlight, n, conns, quantile(deliveryMS, .5), quantile(deliveryMS, .99), cpu/float64(n)*1e6, wire.bytes.Load()/int64(n), standin.ResidentMB(r.proc.Process.Pid))
 }
 
 // Keys are read again on SIGHUP: a request that is out goes on, the next connection uses the new ones; and
--- a/cmd/sliptide/holders_test.go
+++ b/cmd/sliptide/holders_test.go
@@ -65,7 +65,7 @@
 			m.awaitReady()
 			slow := m.awaitHolders(3)[0]
 			m.eachRelay(3, slow, func(r *standin.Relay) { r.SetDelay(300 * time.Millisecond) })
-			taken, refused := 0, 0
+			accepted, refused := 0, 0
 			for k := range 12 {
 				code, took := m.submitTimed(3, fmt.Sprintf("n3-slow-%d", k), "x")
 				if took > 400*time.Millisecond {
@@ -73,13 +73,13 @@
 				}
 				switch code {
 				case 202:
-					taken++
+					accepted++
 				case 503:
 					refused++
 				}
 			}
-			if needed == 1 && taken < 11 || needed == 2 && refused < 11 { // the first may have been on its way
-				t.Errorf("needed %d: %d taken on, %d refused", needed, taken, refused)
+			if needed == 1 && accepted < 11 || needed == 2 && refused < 11 { // the first may have been on its way
+				t.Errorf("needed %d: %d taken on, %d refused", needed, accepted, refused)
 			}
 			m.eachRelay(3, slow, func(r *standin.Relay) { r.SetDelay(0) })
 			m.await("all is well again", func() bool {
@@ -116,23 +116,23 @@
 func TestHoldersLost(t *testing.T) {
 	m := newTestFleet(t, copiesXML, 7)
 	m.awaitReady()
-	owner, gone := -1, []int(nil)
+	owner, lostHolders := -1, []int(nil)
 	for i := 3; i < 7 && owner < 0; i++ { // one with a holder that is no voter: a majority of the disks stays
 		if list := m.awaitHolders(i); list[0] >= 3 || list[1] >= 3 {
-			owner, gone = i, list
+			owner, lostHolders = i, list
 		}
 	}
 	if owner < 0 {
-		owner, gone = 3, m.awaitHolders(3)[:1]
+		owner, lostHolders = 3, m.awaitHolders(3)[:1]
 	}
 	m.setPartnerDown(true)
 	ids := m.hold(owner, 5, 19)
-	for _, k := range gone {
+	for _, k := range lostHolders {
 		m.lose(k)
 	}
 	m.await("it has other holders", func() bool {
 		list := m.holders(owner)
-		return len(list) == 2 && !slices.ContainsFunc(list, func(k int) bool { return slices.Contains(gone, k) })
+		return len(list) == 2 && !slices.ContainsFunc(list, func(k int) bool { return slices.Contains(lostHolders, k) })
 	})
 	m.await("it takes messages on again", func() bool {
 		code, _ := m.submitTimed(owner, fmt.Sprintf("n%d-more-%d", owner, time.Now().UnixNano()), "x")
@@ -180,7 +180,7 @@
 	m.awaitHolders(3)
 	m.setPartnerDown(true)
 	body := strings.Repeat("a booking of a large party. ", 2300) // a little under 64 KiB
-	var taken []string
+	var accepted []string
 	refused := 0
 	for k := range 24 {
 		id := fmt.Sprintf("n3-large-%d", k)
@@ -190,18 +190,18 @@
 		}
 		switch code {
 		case 202:
-			taken = append(taken, id)
+			accepted = append(accepted, id)
 		case 503, 429:
 			refused++
 		default:
 			t.Errorf("%s: %d", id, code)
 		}
 	}
-	if len(taken) < 3 || refused == 0 {
-		t.Errorf("%d taken on, %d refused", len(taken), refused)
+	if len(accepted) < 3 || refused == 0 {
+		t.Errorf("%d taken on, %d refused", len(accepted), refused)
 	}
 	m.setPartnerDown(false)
-	m.allEnded(taken)
+	m.allEnded(accepted)
 	m.await("there is room again", func() bool {
 		code, _ := m.submitTimed(3, fmt.Sprint("n3-room-", time.Now().UnixNano()), body)
 		return code == 202
@@ -235,10 +235,10 @@
 			t.Errorf("%s has %d final answers", id, n)
 		}
 	}
-	got := m.acceptedCalls()
+	accepted := m.acceptedCalls()
 	delivered := 0
 	for _, id := range ids {
-		delivered += min(got[id], 1)
+		delivered += min(accepted[id], 1)
 	}
 	if delivered < len(ids)-2 {
 		t.Errorf("%d of %d were delivered", delivered, len(ids))
--- a/cmd/sliptide/losses_test.go
+++ b/cmd/sliptide/losses_test.go
@@ -100,7 +100,7 @@
 			return
 		case <-time.After(60 * time.Millisecond):
 		}
-		class, left := "note", 8.0
+		class, expiresIn := "note", 8.0
 		if n%2 == 1 {
 			class = "pay"
 		}
@@ -108,7 +108,7 @@
 		l.ledger.Submitted(id, i, class == "pay")
 		q, _ := http.NewRequest("POST", "http://"+l.rigs[i].addr+"/api", strings.NewReader("two guests, one night"))
 		for k, v := range map[string]string{"X-Trace-Id": id, "X-Qos": class, "X-Customer": "acme", "Idempotency-Key": "key-" + id,
-			"X-Expires-In": strconv.FormatFloat(left, 'f', 3, 64), "X-Route-To": "dest=5"} {
+			"X-Expires-In": strconv.FormatFloat(expiresIn, 'f', 3, 64), "X-Route-To": "dest=5"} {
 			q.Header.Set(k, v)
 		}
 		resp, err := (&http.Client{Timeout: 400 * time.Millisecond}).Do(q)
@@ -116,7 +116,7 @@
 			continue // not heard: nothing was promised
 		}
 		resp.Body.Close()
-		l.ledger.Answered(id, resp.StatusCode == 202, time.Now().Add(time.Duration(left*float64(time.Second))))
+		l.ledger.Answered(id, resp.StatusCode == 202, time.Now().Add(time.Duration(expiresIn*float64(time.Second))))
 	}
 }
 
@@ -206,9 +206,9 @@
 	close(stop)
 	clients.Wait()
 	ended := time.Now()
-	more := make(chan struct{})
-	defer close(more)
-	l.consumeReports(more)
+	settled := make(chan struct{})
+	defer close(settled)
+	l.consumeReports(settled)
 	l.await("every message has its final answer, or its time is long over", func() bool {
 		return l.ledger.Unfinished() == 0 || time.Since(ended) > 10*time.Second
 	})
@@ -238,7 +238,7 @@
 }
 
 // fault begins a fault that overlaps a loss, and returns what ends it.
-func (l *lossRun) startFault(rng *rand.Rand, counts map[string]int, longest time.Duration) (heal func()) {
+func (l *lossRun) startFault(rng *rand.Rand, counts map[string]int, maxDuration time.Duration) (heal func()) {
 	a, b := rng.IntN(5), rng.IntN(4)
 	if b >= a {
 		b++
@@ -251,7 +251,7 @@
 		}
 		return nil
 	}
-	span := 300*time.Millisecond + time.Duration(rng.Int64N(int64(longest)))
+	faultDuration := 300*time.Millisecond + time.Duration(rng.Int64N(int64(maxDuration)))
 	name, end := "", func() {}
 	switch rng.IntN(7) {
 	case 0:
@@ -294,10 +294,10 @@
 		name = "none"
 	}
 	counts[name]++
-	l.record("%s, %d and %d, for %v", name, a, b, span)
+	l.record("%s, %d and %d, for %v", name, a, b, faultDuration)
 	at := time.Now()
 	return func() {
-		time.Sleep(time.Until(at.Add(span))) // the fault stands for so long
+		time.Sleep(time.Until(at.Add(faultDuration))) // the fault stands for so long
 		end()
 		l.record("%s ends", name)
 	}
@@ -319,28 +319,28 @@
 }
 
 // has are the senders whose messages a member has taken over, by its log.
-func (l *lossRun) takenOver(k int) (of []int) {
+func (l *lossRun) takenOver(k int) (owners []int) {
 	for _, line := range strings.Split(l.rigs[k].logs.String(), "\n") {
 		var e struct{ Message, Owner string }
 		if json.Unmarshal([]byte(line), &e) == nil && e.Message == "copies: took over" {
 			var from int
 			fmt.Sscanf(e.Owner, "n%d", &from)
-			of = append(of, from)
+			owners = append(owners, from)
 		}
 	}
-	return of
+	return owners
 }
 
 // killHeir kills the process of who takes over from a lost sender, at some step of it, and starts it again.
 func (l *lossRun) killSuccessor(rng *rand.Rand, owner int, counts map[string]int) {
-	said := fmt.Sprintf(`"owner":"n%d"`, owner)
+	ownerField := fmt.Sprintf(`"owner":"n%d"`, owner)
 	for end := time.Now().Add(3 * time.Second); time.Now().Before(end); time.Sleep(2 * time.Millisecond) {
 		for k, r := range l.rigs {
 			if k == owner {
 				continue
 			}
 			for _, line := range strings.Split(r.logs.String(), "\n") {
-				if strings.Contains(line, "taking over from a lost sender") && strings.Contains(line, said) && !strings.Contains(r.logs.String(), `"copies: took over"`) {
+				if strings.Contains(line, "taking over from a lost sender") && strings.Contains(line, ownerField) && !strings.Contains(r.logs.String(), `"copies: took over"`) {
 					time.Sleep(time.Duration(rng.IntN(40)) * time.Millisecond) // some step of it
 					counts["heir killed"]++
 					l.record("n%d, the heir of n%d, is killed", k, owner)
@@ -384,15 +384,15 @@
 func measureCopiesCost(t *testing.T, xml string, rate float64) {
 	m := newTestFleetWith(t, xml, 3, raiseLimits)
 	var mu sync.Mutex
-	sent := map[string]time.Time{}
-	var heard, delivered []float64
+	sentAt := map[string]time.Time{}
+	var acceptedMS, deliveredMS []float64
 	r := m.rigs[0]
 	p := r.partner("p-price", 5, func(w http.ResponseWriter, q *http.Request) {
 		io.Copy(io.Discard, q.Body)
 		mu.Lock()
-		if at, ok := sent[q.Header.Get("X-Trace-Id")]; ok {
-			delivered = append(delivered, float64(time.Since(at))/1e6)
-			delete(sent, q.Header.Get("X-Trace-Id"))
+		if at, ok := sentAt[q.Header.Get("X-Trace-Id")]; ok {
+			deliveredMS = append(deliveredMS, float64(time.Since(at))/1e6)
+			delete(sentAt, q.Header.Get("X-Trace-Id"))
 		}
 		mu.Unlock()
 	})
@@ -420,7 +420,7 @@
 			}
 			at := time.Now()
 			mu.Lock()
-			sent[id] = at
+			sentAt[id] = at
 			mu.Unlock()
 			resp, err := client.Do(q)
 			if err != nil {
@@ -433,7 +433,7 @@
 				refused++
 				return
 			}
-			heard = append(heard, float64(time.Since(at))/1e6)
+			acceptedMS = append(acceptedMS, float64(time.Since(at))/1e6)
 		})
 	}
 	wg.Wait()
@@ -442,7 +442,7 @@
 	mu.Lock()
 	defer mu.Unlock()
 	t.Logf("202: p50 %.1f ms, p99 %.1f ms; delivery: p50 %.1f ms, p99 %.1f ms; %d taken on, %d refused, %.2f ms of a core a message",
-		quantile(heard, 0.5), quantile(heard, 0.99), quantile(delivered, 0.5), quantile(delivered, 0.99), len(heard), refused, used*1000/float64(max(len(heard), 1)))
+		quantile(acceptedMS, 0.5), quantile(acceptedMS, 0.99), quantile(deliveredMS, 0.5), quantile(deliveredMS, 0.99), len(acceptedMS), refused, used*1000/float64(max(len(acceptedMS), 1)))
 }
 
 // TestMeasureMost tells how many messages a second a sender of three takes on and delivers at most, what copies add to
@@ -474,7 +474,7 @@
 		return n
 	}
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 128}, Timeout: time.Second}
-	hand := func(id string) int {
+	submit := func(id string) int {
 		q, _ := http.NewRequest("POST", "http://"+m.rigs[0].addr+"/api", strings.NewReader("two guests, one night"))
 		for k, v := range map[string]string{"X-Trace-Id": id, "X-Qos": "note", "X-Customer": "acme", "Idempotency-Key": "key-" + id, "X-Expires-In": "15", "X-Route-To": "dest=5"} {
 			q.Header.Set(k, v)
@@ -488,35 +488,35 @@
 		return resp.StatusCode
 	}
 	const span = 5 * time.Second
-	var taken atomic.Int64
+	var accepted atomic.Int64
 	var wg sync.WaitGroup
 	began, before, cpu := time.Now(), bytes(), standin.CPUSeconds(m.rigs[0].proc.Process.Pid)
 	delivered := len(m.acceptedCalls())
 	for w := range 48 {
 		wg.Go(func() {
 			for n := 0; time.Since(began) < span; n++ {
-				if hand(fmt.Sprintf("n0-%d-%d", w, n)) == 202 {
-					taken.Add(1)
+				if submit(fmt.Sprintf("n0-%d-%d", w, n)) == 202 {
+					accepted.Add(1)
 				}
 			}
 		})
 	}
 	wg.Wait()
 	used := standin.CPUSeconds(m.rigs[0].proc.Process.Pid) - cpu
-	n := taken.Load()
+	n := accepted.Load()
 	t.Logf("most: %.0f taken on a second, %.0f delivered; %.2f ms of a core and %.0f bytes on links a message", float64(n)/span.Seconds(),
 		float64(len(m.acceptedCalls())-delivered)/span.Seconds(), used*1000/float64(n), float64(bytes()-before)/float64(n))
 	m.setPartnerDown(true)
 	rss := func(k int) float64 { return standin.ResidentMB(m.rigs[k].proc.Process.Pid) }
-	was := []float64{rss(0), rss(1), rss(2)}
+	rssBefore := []float64{rss(0), rss(1), rss(2)}
 	held := 0
 	for k := range 2500 {
-		if hand(fmt.Sprintf("n0-held-%d", k)) == 202 {
+		if submit(fmt.Sprintf("n0-held-%d", k)) == 202 {
 			held++
 		}
 	}
 	if held > 0 {
-		t.Logf("%d held: %.1f KB a message at the owner, %.1f and %.1f at the others", held, (rss(0)-was[0])*1e3/float64(held), (rss(1)-was[1])*1e3/float64(held), (rss(2)-was[2])*1e3/float64(held))
+		t.Logf("%d held: %.1f KB a message at the owner, %.1f and %.1f at the others", held, (rss(0)-rssBefore[0])*1e3/float64(held), (rss(1)-rssBefore[1])*1e3/float64(held), (rss(2)-rssBefore[2])*1e3/float64(held))
 	}
 }
 
@@ -526,39 +526,39 @@
 	if os.Getenv("SLIPTIDE_MEASURE") == "" {
 		t.Skip("a measurement: make copies-price")
 	}
-	for _, disk := range []bool{false, true} {
+	for _, diskKept := range []bool{false, true} {
 		for range 5 {
-			measureWorth(t, disk)
+			measureWorth(t, diskKept)
 		}
 	}
 }
 
-func measureWorth(t *testing.T, disk bool) {
-	t.Run(fmt.Sprintf("with its disk %v", disk), func(t *testing.T) {
+func measureWorth(t *testing.T, diskKept bool) {
+	t.Run(fmt.Sprintf("with its disk %v", diskKept), func(t *testing.T) {
 		m := newTestFleetWith(t, copiesXML, 5, nil)
 		m.awaitReady()
 		m.setPartnerDown(true)
-		handed := map[string]time.Time{}
+		submittedAt := map[string]time.Time{}
 		for k := range 40 {
 			id := fmt.Sprintf("n0-worth-%d", k)
 			m.rigs[0].take(id, 5, 15, "x")
-			handed[id] = time.Now()
+			submittedAt[id] = time.Now()
 			time.Sleep(20 * time.Millisecond) // the load's pace
 		}
 		time.Sleep(100 * time.Millisecond) // what was taken on last is copied
 		m.setPartnerDown(false)
-		if disk {
+		if diskKept {
 			m.rigs[0].kill(syscall.SIGKILL)
 			m.rigs[0].launch()
 		} else {
 			m.lose(0)
 		}
-		lost := time.Now()
+		stoppedAt := time.Now()
 		m.await("all have their final answer, or ten seconds are over", func() bool {
-			got := m.finalAnswers()
-			for id := range handed {
-				if got[id] == 0 {
-					return time.Since(lost) > 10*time.Second
+			final := m.finalAnswers()
+			for id := range submittedAt {
+				if final[id] == 0 {
+					return time.Since(stoppedAt) > 10*time.Second
 				}
 			}
 			return true
@@ -567,13 +567,13 @@
 		defer m.mu.Unlock()
 		seen, share, last := map[string]bool{}, 0.0, 0.0
 		for _, c := range m.calls {
-			if at, ours := handed[c.id]; ours && c.accepted && !seen[c.id] {
+			if at, ours := submittedAt[c.id]; ours && c.accepted && !seen[c.id] {
 				seen[c.id] = true
 				age := c.at.Sub(at).Seconds()
 				share += 1 - 0.5*min(max(age-4, 0)/4, 1)
-				last = max(last, float64(c.at.Sub(lost))/1e6)
+				last = max(last, float64(c.at.Sub(stoppedAt))/1e6)
 			}
 		}
-		t.Logf("disk kept %v: %.2f of the worth of %d messages; the last is delivered after %.0f ms", disk, share/float64(len(handed)), len(handed), last)
+		t.Logf("disk kept %v: %.2f of the worth of %d messages; the last is delivered after %.0f ms", diskKept, share/float64(len(submittedAt)), len(submittedAt), last)
 	})
 }
--- a/cmd/sliptide/shards_test.go
+++ b/cmd/sliptide/shards_test.go
@@ -172,51 +172,51 @@
 }
 
 // try hands a message in and returns the status, and who serves its destination where that was told.
-func (s *shardedFleet) submit(i int, id string, dest int) (status int, belongs []string) {
+func (s *shardedFleet) submit(i int, id string, dest int) (status int, servers []string) {
 	s.t.Helper()
 	response, err := s.rigs[i].tryHandIn(id, dest, 50, "x")
 	if err != nil {
 		return 0, nil
 	}
 	if text := response.Header.Get("X-Belongs-To"); text != "" {
-		belongs = strings.Split(text, ", ")
+		servers = strings.Split(text, ", ")
 	}
-	return response.StatusCode, belongs
+	return response.StatusCode, servers
 }
 
 // served waits until each destination is taken on by the senders that are to serve it, and refused by the others with
 // their names.
 func (s *shardedFleet) awaitServed(round string, up []int, destinations, replicas int) {
 	s.t.Helper()
-	wrong := ""
+	mismatch := ""
 	for end := time.Now().Add(changeTimeout); time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
-		wrong = ""
+		mismatch = ""
 		for d := range destinations {
-			var takers, named []string
+			var accepting, named []string
 			for _, i := range up {
-				status, belongs := s.submit(i, fmt.Sprintf("%s-%d-%d-%d", round, d, i, time.Now().UnixNano()), d)
+				status, servers := s.submit(i, fmt.Sprintf("%s-%d-%d-%d", round, d, i, time.Now().UnixNano()), d)
 				switch status {
 				case 202:
-					takers = append(takers, fmt.Sprintf("sender-%d", i))
+					accepting = append(accepting, fmt.Sprintf("sender-%d", i))
 				case 421:
-					named = belongs
+					named = servers
 				default:
-					wrong = fmt.Sprintf("destination %d: sender-%d answers %d", d, i, status)
+					mismatch = fmt.Sprintf("destination %d: sender-%d answers %d", d, i, status)
 				}
 			}
 			slices.Sort(named)
-			if len(takers) != min(replicas, len(up)) || len(up) > replicas && !slices.Equal(takers, named) {
-				wrong = fmt.Sprintf("destination %d: taken on by %v, said to belong to %v", d, takers, named)
+			if len(accepting) != min(replicas, len(up)) || len(up) > replicas && !slices.Equal(accepting, named) {
+				mismatch = fmt.Sprintf("destination %d: taken on by %v, said to belong to %v", d, accepting, named)
 			}
-			if wrong != "" {
+			if mismatch != "" {
 				break
 			}
 		}
-		if wrong == "" {
+		if mismatch == "" {
 			return
 		}
 	}
-	s.t.Fatalf("%s: %s, %v after the change", round, wrong, changeTimeout)
+	s.t.Fatalf("%s: %s, %v after the change", round, mismatch, changeTimeout)
 }
 
 // Senders of a sharded fleet take on what their shards' destinations are handed in for, and say of others who serves
@@ -257,48 +257,48 @@
 		before[d] = table.Replicas(shard.Of(uint64(d)))[0]
 	}
 	table.Update([]shard.Member{{Name: "sender-2", Zone: "z2", Weight: 1}}, nil)
-	moves, owner := -1, 0
+	movingDest, owner := -1, 0
 	for d := range destinations {
 		if table.Replicas(shard.Of(uint64(d)))[0] == "sender-2" {
-			moves = d
+			movingDest = d
 			owner = int(before[d][len("sender-")] - '0')
 		}
 	}
-	if moves < 0 {
+	if movingDest < 0 {
 		t.Fatal("no destination moves")
 	}
 	s.rigs[0].start()
 	s.rigs[1].start()
 	s.awaitServed("two", []int{0, 1}, destinations, replicas)
 
-	out := make(chan struct{})
+	release := make(chan struct{})
 	s.mu.Lock()
-	s.blockedCalls["out"] = out
+	s.blockedCalls["out"] = release
 	s.mu.Unlock()
-	if status, _ := s.submit(owner, "out", moves); status != 202 {
+	if status, _ := s.submit(owner, "out", movingDest); status != 202 {
 		t.Fatalf("the message whose call is to be out: %d", status)
 	}
-	if status, _ := s.submit(owner, "held", moves); status != 202 {
+	if status, _ := s.submit(owner, "held", movingDest); status != 202 {
 		t.Fatalf("the message that is to be held: %d", status)
 	}
 	s.await("a call is out, and the other message is told to wait", func() bool { return s.calls["out"] == 1 && s.calls["held"] == 1 })
 	s.rigs[2].start()
 	for end := time.Now().Add(changeTimeout); ; time.Sleep(50 * time.Millisecond) {
-		status, belongs := s.submit(owner, fmt.Sprintf("new-%d", time.Now().UnixNano()), moves)
-		if status == 421 && slices.Equal(belongs, []string{"sender-2"}) {
+		status, servers := s.submit(owner, fmt.Sprintf("new-%d", time.Now().UnixNano()), movingDest)
+		if status == 421 && slices.Equal(servers, []string{"sender-2"}) {
 			break
 		}
 		if time.Now().After(end) {
-			t.Fatalf("destination %d moves from sender-%d to sender-2: a new message is answered %d, %v", moves, owner, status, belongs)
+			t.Fatalf("destination %d moves from sender-%d to sender-2: a new message is answered %d, %v", movingDest, owner, status, servers)
 		}
 	}
-	close(out)
+	close(release)
 	s.await("the held message is called again after its wait", func() bool { return s.calls["held"] == 2 })
 	s.awaitServed("three", []int{0, 1, 2}, destinations, replicas)
 	// Both have ended here, by delivery: the owner knows them as taken on, no notice gave one back or up, and nobody else
 	// was handed them. A call that is out for over 2.5 s, as it may be here, is given up and repeated.
 	for _, id := range []string{"out", "held"} {
-		if status, _ := s.submit(owner, id, moves); status != 409 {
+		if status, _ := s.submit(owner, id, movingDest); status != 409 {
 			t.Errorf("message %q handed in again at its sender: %d, want 409", id, status)
 		}
 	}
--- a/cmd/sliptide/soak_judge_test.go
+++ b/cmd/sliptide/soak_judge_test.go
@@ -121,7 +121,7 @@
 	}
 	m.attempt = c
 	route := [2]int{e.sender, e.dest}
-	if told := s.waitRequestedAt[route]; q.at.Sub(told) > inFlightGrace && q.at.Before(s.waitUntil[route]) && !s.unavailableSince(e.sender, told) {
+	if requestedAt := s.waitRequestedAt[route]; q.at.Sub(requestedAt) > inFlightGrace && q.at.Before(s.waitUntil[route]) && !s.unavailableSince(e.sender, requestedAt) {
 		s.addViolation("%s: called %v before the end of a wait", q.id, s.waitUntil[route].Sub(q.at))
 	}
 	if m.refused {
@@ -210,7 +210,7 @@
 }
 
 // judge adds what is broken at the end, when all should be over.
-func (s *soak) judge() (taken, repeated int) {
+func (s *soak) judge() (accepted, repeated int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for id, m := range s.msgs {
@@ -220,19 +220,19 @@
 		if !m.accepted {
 			continue
 		}
-		taken++
-		limit := m.deadline.Add(endTolerance)
+		accepted++
+		latest := m.deadline.Add(endTolerance)
 		for _, o := range s.outages[m.sender] {
-			if !o.from.After(limit) && o.to.After(limit) {
-				limit = o.to
+			if !o.from.After(latest) && o.to.After(latest) {
+				latest = o.to
 			}
 		}
 		switch {
 		case m.endedAt.IsZero():
 			s.addViolation("%s: lost: taken on, neither delivered nor ended by a notice", id)
-		case m.endedAt.After(limit):
-			s.addViolation("%s: lost: ended %v late", id, m.endedAt.Sub(limit))
+		case m.endedAt.After(latest):
+			s.addViolation("%s: lost: ended %v late", id, m.endedAt.Sub(latest))
 		}
 	}
-	return taken, repeated
+	return accepted, repeated
 }
--- a/cmd/sliptide/soak_partner_test.go
+++ b/cmd/sliptide/soak_partner_test.go
@@ -133,45 +133,45 @@
 		for range requests { // what the reader still holds
 		}
 	}()
-	var stale string // a copy to be written as the next request arrives
+	var pendingCopy string // a copy to be written as the next request arrives
 	for q := range requests {
-		io.WriteString(nc, stale)
-		stale = ""
+		io.WriteString(nc, pendingCopy)
+		pendingCopy = ""
 		if q.id == "" {
 			io.WriteString(nc, okResponse)
 			continue
 		}
 		rng := e.soak.draw()
-		act := e.soak.mix.draw(rng)
+		behaviour := e.soak.mix.draw(rng)
 		c := e.soak.attemptStarted(e, q)
-		if act.hasEffect() && !e.soak.takeEffect(q.id) {
-			act = respondOK // the partner knows it: a repeat is answered at once
+		if behaviour.hasEffect() && !e.soak.takeEffect(q.id) {
+			behaviour = respondOK // the partner knows it: a repeat is answered at once
 		} else if !e.process(requests, time.Duration(40+rng.IntN(120))*time.Millisecond) {
 			e.soak.attemptEnded(c)
 			return
 		}
-		if act == neverRespond {
+		if behaviour == neverRespond {
 			for range requests { // until the sender ends it
 			}
 			e.soak.attemptEnded(c)
 			return
 		}
-		text, more := responseText(act, rng)
-		if act == respondRetryAfter {
+		text, keepAlive := responseText(behaviour, rng)
+		if behaviour == respondRetryAfter {
 			e.soak.waitRequested(e)
 		}
 		e.soak.attemptEnded(c)
-		if _, err := io.WriteString(nc, text); err == nil && act.accepts() {
+		if _, err := io.WriteString(nc, text); err == nil && behaviour.accepts() {
 			e.soak.messageDelivered(q.id)
 		}
-		if !more {
+		if !keepAlive {
 			return
 		}
-		if act == respondTwice {
-			if when := rng.IntN(3); when == 0 {
-				stale = okResponse
+		if behaviour == respondTwice {
+			if variant := rng.IntN(3); variant == 0 {
+				pendingCopy = okResponse
 			} else {
-				time.AfterFunc(time.Duration(rng.IntN(10+when*when*30))*time.Millisecond, func() { io.WriteString(nc, okResponse) })
+				time.AfterFunc(time.Duration(rng.IntN(10+variant*variant*30))*time.Millisecond, func() { io.WriteString(nc, okResponse) })
 			}
 		}
 	}
@@ -196,8 +196,8 @@
 const soakRetryAfter = 700 * time.Millisecond
 
 // answerOf is what an act writes, and whether the connection goes on.
-func responseText(act soakBehaviour, rng *rand.Rand) (text string, more bool) {
-	switch act {
+func responseText(behaviour soakBehaviour, rng *rand.Rand) (text string, keepAlive bool) {
+	switch behaviour {
 	case respondUnavailable:
 		return "HTTP/1.1 503 Full\r\nContent-Length: 0\r\n\r\n", true
 	case respondRetryAfter:
--- a/cmd/sliptide/soak_test.go
+++ b/cmd/sliptide/soak_test.go
@@ -50,43 +50,43 @@
 // soakOnce plays one seed.
 func runSoak(t *testing.T, seed uint64, binaries []string) {
 	rng := rand.New(rand.NewPCG(seed, 35))
-	senders, crowd := 1+rng.IntN(3), rng.IntN(3) == 0
+	senders, idleConns := 1+rng.IntN(3), rng.IntN(3) == 0
 	s := newSoak(seed)
 	stop := make(chan struct{})
-	var rest sync.WaitGroup // what goes on until all is over
-	var play sync.WaitGroup // what ends with the clients
+	var background sync.WaitGroup // what goes on until all is over
+	var load sync.WaitGroup       // what ends with the clients
 	nodes := make([]*soakNode, senders)
-	over := make(chan struct{})
+	done := make(chan struct{})
 	for i := range nodes {
 		n := newSoakNode(t, s, i, senders, rand.New(rand.NewPCG(seed, 100+uint64(i))))
 		nodes[i] = n
-		rest.Go(func() { n.discardReports(over) })
+		background.Go(func() { n.discardReports(done) })
 		n.rig.binary = binaries[0]
 		n.rig.start()
 		s.startedAt = time.Now()
 		for c := range 4 {
 			client := &soakClient{node: n, rng: rand.New(rand.NewPCG(seed, 1000+uint64(10*i+c))), name: fmt.Sprintf("%d-%d", i, c)}
-			play.Go(func() { client.run(stop) })
+			load.Go(func() { client.run(stop) })
 		}
-		if crowd {
-			play.Go(func() { n.openIdleConns(stop) })
+		if idleConns {
+			load.Go(func() { n.openIdleConns(stop) })
 		}
-		play.Go(func() { n.injectFaults(stop, binaries) })
+		load.Go(func() { n.injectFaults(stop, binaries) })
 	}
 	time.AfterFunc(soakSubmitDuration, func() { close(stop) })
-	play.Wait()
+	load.Wait()
 	time.Sleep(soakMaxExpiry + restartSlack + endTolerance) // the time of every message is up then
-	taken, repeated := s.judge()
+	accepted, repeated := s.judge()
 	halts := 0
 	for _, n := range nodes {
 		halts += strings.Count(n.rig.logs.String(), "the journal can't be written")
 		n.rig.kill(syscall.SIGTERM)
 		n.checkExitStatus()
 	}
-	close(over)
-	rest.Wait()
-	t.Logf("seed %d: %d senders, crowd %v: %d messages taken on, %d calls, %d ran again, %d halts by the disk, %d breaches", seed, senders, crowd, taken, s.calls, repeated, halts, len(s.violations))
-	if taken == 0 {
+	close(done)
+	background.Wait()
+	t.Logf("seed %d: %d senders, crowd %v: %d messages taken on, %d calls, %d ran again, %d halts by the disk, %d breaches", seed, senders, idleConns, accepted, s.calls, repeated, halts, len(s.violations))
+	if accepted == 0 {
 		t.Error("nothing was taken on")
 	}
 	for _, b := range s.violations[:min(len(s.violations), 20)] {
@@ -103,10 +103,10 @@
 	rng   *rand.Rand // of its faults
 }
 
-func newSoakNode(t *testing.T, s *soak, index, senders int, rng *rand.Rand) *soakNode {
+func newSoakNode(t *testing.T, s *soak, index, senderCount int, rng *rand.Rand) *soakNode {
 	n := &soakNode{soak: s, t: t, index: index, rng: rng}
 	n.rig = makeRig(t, `<log records="true"/><knowledge enabled="true" write-every="1s"/><storms enabled="true"/>`, func(settings, limits map[string]any) {
-		settings["balancers"] = senders
+		settings["balancers"] = senderCount
 		settings["services"] = append(settings["services"].([]any),
 			map[string]any{"name": "pay", "aim": 2000, "deadline": 20000, "effect": "unsafe", "worth": 2, "late_worth": 0.4})
 		limits["sockets"] = 256
@@ -123,13 +123,13 @@
 }
 
 // drain takes what the sender tells the platform.
-func (n *soakNode) discardReports(over <-chan struct{}) {
+func (n *soakNode) discardReports(done <-chan struct{}) {
 	for {
 		select {
 		case notice := <-n.rig.notices:
 			n.noticeReceived(notice.Message)
 		case <-n.rig.watches:
-		case <-over:
+		case <-done:
 			return
 		}
 	}
@@ -190,10 +190,10 @@
 	n.rig.kill(syscall.SIGKILL)
 	time.Sleep(startDelay)
 	n.rig.binary = binaries[n.rng.IntN(len(binaries))]
-	begun := time.Now()
+	launched := time.Now()
 	n.rig.launch()
 	for n.rig.up() != http.StatusOK {
-		if time.Since(begun) > readyTimeout {
+		if time.Since(launched) > readyTimeout {
 			n.violation("n%d is not ready %v after its start", n.index, readyTimeout)
 			break
 		}
@@ -212,14 +212,14 @@
 // fewFiles takes all free descriptors from the sender for a while: accept, socket and open fail with EMFILE.
 func (n *soakNode) exhaustDescriptors(d time.Duration) {
 	pid := n.rig.proc.Process.Pid
-	var was unix.Rlimit
-	if err := unix.Prlimit(pid, unix.RLIMIT_NOFILE, nil, &was); err != nil {
+	var original unix.Rlimit
+	if err := unix.Prlimit(pid, unix.RLIMIT_NOFILE, nil, &original); err != nil {
 		return // it has just ended
 	}
-	few := unix.Rlimit{Cur: 8, Max: was.Max}
-	unix.Prlimit(pid, unix.RLIMIT_NOFILE, &few, nil)
+	lowered := unix.Rlimit{Cur: 8, Max: original.Max}
+	unix.Prlimit(pid, unix.RLIMIT_NOFILE, &lowered, nil)
 	time.Sleep(d)
-	unix.Prlimit(pid, unix.RLIMIT_NOFILE, &was, nil)
+	unix.Prlimit(pid, unix.RLIMIT_NOFILE, &original, nil)
 }
 
 // failDisk makes all that the sender writes in its folder fail for a while.
@@ -291,22 +291,22 @@
 // hand hands one message in; on a kept connection that ends without an answer once more, on a new one.
 func (c *soakClient) submit(id string) {
 	class := []string{"note", "pay"}[c.rng.IntN(2)]
-	left := time.Duration(700+c.rng.IntN(int(soakMaxExpiry/time.Millisecond)-700)) * time.Millisecond
-	sent := time.Now()
-	c.node.submitted(id, class, c.node.index, sent.Add(left))
+	expiresIn := time.Duration(700+c.rng.IntN(int(soakMaxExpiry/time.Millisecond)-700)) * time.Millisecond
+	sentAt := time.Now()
+	c.node.submitted(id, class, c.node.index, sentAt.Add(expiresIn))
 	request := strings.Join([]string{"POST /api HTTP/1.1", "Host: app.svc", "X-Trace-Id: " + id, "X-Qos: " + class, "X-Customer: acme",
-		fmt.Sprintf("X-Expires-In: %.3f", left.Seconds()), "Idempotency-Key: key-" + id, "Content-Length: 4",
+		fmt.Sprintf("X-Expires-In: %.3f", expiresIn.Seconds()), "Idempotency-Key: key-" + id, "Content-Length: 4",
 		fmt.Sprintf("X-Route-To: dest=%d", 20+c.rng.IntN(3)), "", "body"}, "\r\n")
 	for {
-		kept := c.nc != nil && c.used
+		reused := c.nc != nil && c.used
 		status, err := c.send(request)
 		switch {
 		case err == nil:
 			c.node.submissionAnswered(id, status)
 			return
-		case kept && errors.Is(err, errUnanswered): // it may have crossed the close of a connection that rested
+		case reused && errors.Is(err, errUnanswered): // it may have crossed the close of a connection that rested
 			continue
-		case errors.Is(err, errUnanswered) && !c.node.wasUnavailable(sent):
+		case errors.Is(err, errUnanswered) && !c.node.wasUnavailable(sentAt):
 			c.node.violation("%s: read on a new connection, which ended without an answer", id)
 		}
 		return
--- a/cmd/sliptide/storm_test.go
+++ b/cmd/sliptide/storm_test.go
@@ -44,12 +44,12 @@
 	answeredAt []time.Time
 }
 
-func newStoppablePartner(t *testing.T, limit float64, tells bool) *stoppablePartner {
+func newStoppablePartner(t *testing.T, limit float64, advertises bool) *stoppablePartner {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := &stoppablePartner{addr: ln.Addr().String(), limit: limit, advertises: tells}
+	p := &stoppablePartner{addr: ln.Addr().String(), limit: limit, advertises: advertises}
 	p.serve(ln)
 	t.Cleanup(p.stop)
 	return p
@@ -102,8 +102,8 @@
 	now := time.Now()
 	p.mu.Lock()
 	p.calledAt = append(p.calledAt, now)
-	over := float64(p.acceptedInLastSecond(now)) >= p.limit
-	if !over {
+	overLimit := float64(p.acceptedInLastSecond(now)) >= p.limit
+	if !overLimit {
 		p.acceptedAt = append(p.acceptedAt, now)
 	}
 	cold := !p.restoredAt.IsZero() && now.Sub(p.restoredAt) < 9*time.Second
@@ -111,7 +111,7 @@
 	if p.advertises {
 		w.Header().Set("Endpoint-Load-Metrics", fmt.Sprintf("TEXT x0=0.5, x1=%.1f", p.limit))
 	}
-	if over {
+	if overLimit {
 		w.Header().Set("Retry-After", "0.3")
 		w.WriteHeader(429)
 		return
@@ -167,7 +167,7 @@
 	ignoresRetryAfter bool
 }
 
-func (c *stormClients) draw() (sender int, deaf bool) {
+func (c *stormClients) draw() (sender int, ignoresRetryAfter bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.rng.IntN(len(c.rigs)), c.rng.IntN(2) == 0
@@ -178,13 +178,13 @@
 	sender, _ := c.draw()
 	m.submissions++
 	id := fmt.Sprintf("%s-%d", m.key, m.submissions)
-	left := time.Until(m.deadline).Seconds()
-	if left < 0.05 {
+	expiresIn := time.Until(m.deadline).Seconds()
+	if expiresIn < 0.05 {
 		return
 	}
 	q, _ := http.NewRequest("POST", "http://"+c.rigs[sender].addr+"/api", strings.NewReader("x"))
 	for k, v := range map[string]string{"X-Trace-Id": id, "X-Qos": "note", "X-Customer": "acme", "Idempotency-Key": m.key,
-		"X-Expires-In": strconv.FormatFloat(left, 'f', 3, 64), "X-Route-To": "dest=3"} {
+		"X-Expires-In": strconv.FormatFloat(expiresIn, 'f', 3, 64), "X-Route-To": "dest=3"} {
 		q.Header.Set(k, v)
 	}
 	if m.submissions > 1 {
@@ -211,16 +211,16 @@
 }
 
 // again is a refusal, by answer or by notice.
-func (c *stormClients) refused(m *clientMessage, after time.Duration) {
+func (c *stormClients) refused(m *clientMessage, retryAfter time.Duration) {
 	c.refusals.Add(1)
 	if m.submissions >= 3 {
 		return
 	}
 	if m.ignoresRetryAfter {
-		after = 50 * time.Millisecond
+		retryAfter = 50 * time.Millisecond
 	}
 	c.wg.Add(1)
-	time.AfterFunc(after, func() {
+	time.AfterFunc(retryAfter, func() {
 		defer c.wg.Done()
 		select {
 		case <-c.stop:
@@ -281,7 +281,7 @@
 
 // runStorm has a partner down for a while under senders and clients, with an operators' file.
 func runStorm(t *testing.T, operator string, seed uint64, senders int, sc stormCase) stormResult {
-	p, down, restart := newStoppablePartner(t, stormLimit, sc.advertises), sc.downtime, sc.restart
+	p, downtime, restart := newStoppablePartner(t, stormLimit, sc.advertises), sc.downtime, sc.restart
 	c := &stormClients{t: t, rng: rand.New(rand.NewPCG(seed, 9)), pending: map[string]*clientMessage{}, stop: make(chan struct{})}
 	for i := range senders {
 		r := makeRig(t, operator, func(settings, limits map[string]any) {
@@ -308,18 +308,18 @@
 		}()
 	}
 	load := 0.7 * stormLimit
-	again := ""
+	restartLog := ""
 	c.submitAtRate(load, 4*time.Second, "before-")
 	p.stop()
 	if restart {
-		c.submitAtRate(load, down/2, "down1-")
+		c.submitAtRate(load, downtime/2, "down1-")
 		c.rigs[0].kill(syscall.SIGKILL)
-		life := len(c.rigs[0].logs.String())
+		logged := len(c.rigs[0].logs.String())
 		c.rigs[0].start()
-		c.submitAtRate(load, down/2, "down2-")
-		again = c.rigs[0].logs.String()[life:]
+		c.submitAtRate(load, downtime/2, "down2-")
+		restartLog = c.rigs[0].logs.String()[logged:]
 	} else {
-		c.submitAtRate(load, down, "down-")
+		c.submitAtRate(load, downtime, "down-")
 	}
 	p.restart(t)
 	for i := range int(load) { // new work that has waited elsewhere comes in a clump
@@ -332,7 +332,7 @@
 	defer p.mu.Unlock()
 	s := stormResult{calls: countPerSecond(p.calledAt, p.restoredAt, stormObservedSeconds), dials: countPerSecond(p.dialledAt, p.restoredAt, stormObservedSeconds),
 		answered: countPerSecond(p.answeredAt, p.restoredAt, stormObservedSeconds), submitted: int(c.submitted.Load()),
-		retries: c.retries.Load(), refusals: c.refusals.Load(), restartLog: again}
+		retries: c.retries.Load(), refusals: c.refusals.Load(), restartLog: restartLog}
 	for _, at := range p.answeredAt { // what goes out while the clients' last tries are awaited is not of the time watched
 		if at.Before(p.restoredAt.Add(stormObservedSeconds * time.Second)) {
 			s.delivered++
@@ -345,23 +345,23 @@
 
 // A partner that was down is called within its stated limit in each second from its first one back.
 func TestCallsAfterOutageStayWithinLimit(t *testing.T) {
-	for _, row := range []stormCase{
+	for _, sc := range []stormCase{
 		{"limit told, cold", true, 9000, 5 * time.Second, false},
 		{"limit in the contract alone, no word of cold, one sender restarted", false, 0, 5 * time.Second, true},
 	} {
-		t.Run(row.name, func(t *testing.T) {
+		t.Run(sc.name, func(t *testing.T) {
 			t.Parallel()
-			s := runStorm(t, stormsXML, 1, 3, row)
+			s := runStorm(t, stormsXML, 1, 3, sc)
 			t.Logf("calls %v connections %v done %v", s.calls, s.dials, s.answered)
 			// make storms holds each second to the limit. Here a machine that stalls for a moment lets the calls of
 			// two seconds arrive in one: one such second may pass. Without the guard it is 59 to 86 calls.
-			total, over := 0, 0
+			total, secondsOver := 0, 0
 			for i, n := range s.calls {
 				total += n
 				if float64(n) > stormLimit {
-					over++
+					secondsOver++
 				}
-				if float64(n) > 1.25*stormLimit || over > 1 {
+				if float64(n) > 1.25*stormLimit || secondsOver > 1 {
 					t.Errorf("second %d back: %d calls, limit %v", i+1, n, stormLimit)
 				}
 			}
@@ -369,10 +369,10 @@
 				t.Errorf("%d calls in %d seconds", total, stormObservedSeconds)
 			}
 			// What the first life knew is there: the second need not find the outage out, its breaker is open.
-			if row.restart && (!strings.Contains(s.restartLog, `"phase":"outage"`) || strings.Contains(s.restartLog, "breaker open")) {
+			if sc.restart && (!strings.Contains(s.restartLog, `"phase":"outage"`) || strings.Contains(s.restartLog, "breaker open")) {
 				t.Errorf("a sender that is restarted in an outage begins anew:\n%s", s.restartLog)
 			}
-			compareWithLab(t, row, &s)
+			compareWithLab(t, sc, &s)
 		})
 	}
 }
@@ -400,22 +400,22 @@
 func compareWithLab(t *testing.T, sc stormCase, real *stormResult) {
 	const seeds = 10
 	p := labParams(sc, world.Sliptide)
-	calls, handed, done, real11 := 0, 0, 0, 0
+	calls, submitted, delivered, realCalls := 0, 0, 0, 0
 	for seed := range uint64(seeds) {
 		m := world.New(p, seed).Run(nil)
 		for i := range stormObservedSeconds {
 			calls += m.Seconds[int(p.Back()/1000)+i].Calls
 		}
-		handed, done = handed+m.Handed, done+m.Done
+		submitted, delivered = submitted+m.Handed, delivered+m.Done
 	}
 	for _, n := range real.calls {
-		real11 += n
+		realCalls += n
 	}
-	modelCalls, modelDone := float64(calls)/seeds, float64(done)/float64(handed)
+	modelCalls, modelDone := float64(calls)/seeds, float64(delivered)/float64(submitted)
 	realDone := float64(real.delivered) / float64(real.submitted)
-	t.Logf("calls in %d seconds: %d on sockets, %.0f in the lab; delivered: %.3f and %.3f", stormObservedSeconds, real11, modelCalls, realDone, modelDone)
-	if math.Abs(float64(real11)-modelCalls) > maxCallsDeviation*modelCalls || math.Abs(realDone-modelDone) > maxDeliveredDeviation {
-		t.Errorf("the lab's model parts from the sockets: calls %d and %.0f, delivered %.3f and %.3f", real11, modelCalls, realDone, modelDone)
+	t.Logf("calls in %d seconds: %d on sockets, %.0f in the lab; delivered: %.3f and %.3f", stormObservedSeconds, realCalls, modelCalls, realDone, modelDone)
+	if math.Abs(float64(realCalls)-modelCalls) > maxCallsDeviation*modelCalls || math.Abs(realDone-modelDone) > maxDeliveredDeviation {
+		t.Errorf("the lab's model parts from the sockets: calls %d and %.0f, delivered %.3f and %.3f", realCalls, modelCalls, realDone, modelDone)
 	}
 }
 
@@ -447,14 +447,14 @@
 
 func formatStormTable(name string, results []stormResult) string {
 	var b strings.Builder
-	over, runsOver := 0, 0
+	secondsOver, runsOver := 0, 0
 	fmt.Fprintf(&b, "%s, %d runs, limit %.0f\n", name, len(results), stormLimit)
 	for sec := range stormObservedSeconds {
 		var calls, dials, done []int
 		for _, r := range results {
 			calls, dials, done = append(calls, r.calls[sec]), append(dials, r.dials[sec]), append(done, r.answered[sec])
 			if float64(r.calls[sec]) > stormLimit {
-				over++
+				secondsOver++
 			}
 		}
 		slices.Sort(calls)
@@ -475,6 +475,6 @@
 		}
 	}
 	fmt.Fprintf(&b, "seconds over the limit %d of %d, runs with one %d; second tries %d, refusals %d, handed in %d, delivered %d (%.3f)",
-		over, len(results)*stormObservedSeconds, runsOver, retries, refusals, handed, delivered, float64(delivered)/float64(max(handed, 1)))
+		secondsOver, len(results)*stormObservedSeconds, runsOver, retries, refusals, handed, delivered, float64(delivered)/float64(max(handed, 1)))
 	return b.String()
 }
