--- a/cmd/sliptide/copies_test.go
+++ b/cmd/sliptide/copies_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// taken counts, for each message, the calls that the partner took.
+// acceptedCalls counts, for each message, the calls that the partner accepted.
 func (m *testFleet) acceptedCalls() map[string]int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -23,7 +23,7 @@
 	return n
 }
 
-// run reads what the platforms hear until the test is over, and waits until each sender takes messages on.
+// awaitReady consumes the senders' reports until the test ends, and waits until each sender accepts messages.
 func (m *testFleet) awaitReady() {
 	m.t.Helper()
 	stop := make(chan struct{})
@@ -32,12 +32,12 @@
 	m.awaitAccepting()
 }
 
-// copying waits until each sender has the lease on its journal and takes messages on.
+// awaitAccepting waits until each sender accepts messages, for which it needs the lease on its journal.
 func (m *testFleet) awaitAccepting() {
 	m.t.Helper()
 	for i, r := range m.rigs {
 		n := 0
-		m.await(fmt.Sprintf("n%d takes messages on", i), func() bool {
+		m.await(fmt.Sprintf("n%d accepts messages", i), func() bool {
 			n++
 			resp, err := r.tryHandIn(fmt.Sprintf("n%d-warm-%d", i, n), 5, 12, "x")
 			if err != nil {
@@ -49,7 +49,7 @@
 	}
 }
 
-// final counts the final answers of each message: deliveries, and notices.
+// finalAnswers counts the final answers of each message: deliveries and notices.
 func (m *testFleet) finalAnswers() map[string]int {
 	n := m.acceptedCalls()
 	m.mu.Lock()
@@ -62,8 +62,9 @@
 
 const copiesXML = `<copies enabled="true" count="2" needed="1"/>`
 
-// TestMachineLost: a sender that holds messages is killed and its folder is gone. Its heir delivers each of them once.
-// One whose 202 was under way in the last moment may be handed back instead: its heir can't know that it was told.
+// TestMachineLost kills a sender that holds messages and deletes its state directory: its successor delivers each of
+// them once. One whose 202 was in flight at the loss may be returned instead: the successor can't know whether the
+// client received it.
 func TestMachineLost(t *testing.T) {
 	m := newTestFleet(t, copiesXML, 4)
 	m.awaitReady()
@@ -93,14 +94,15 @@
 	}
 }
 
-// TestOwnerReturnsAfterTakeover: a sender that was stopped past its lease finds its messages taken over, and sends none of them.
+// TestOwnerReturnsAfterTakeover stops a sender past its lease: it finds its messages taken over, sends none of them, and
+// accepts new ones.
 func TestOwnerReturnsAfterTakeover(t *testing.T) {
 	m := newTestFleet(t, copiesXML, 4)
 	m.awaitReady()
 	m.setPartnerDown(true)
 	ids := m.hold(3, 8, 19)
 	m.rigs[3].proc.Process.Signal(syscall.SIGSTOP)
-	m.await("somebody has taken over", func() bool {
+	m.await("another member has taken over", func() bool {
 		for _, r := range m.rigs[:3] {
 			if strings.Contains(r.logs.String(), `"copies: took over"`) {
 				return true
@@ -109,12 +111,12 @@
 		return false
 	})
 	m.rigs[3].proc.Process.Signal(syscall.SIGCONT)
-	m.rigs[3].awaitUp(200) // it may have said 503 meanwhile, and why
+	m.rigs[3].awaitUp(200) // it may have answered 503 in between
 	m.rigs[3].awaitLog("messages were taken over while this sender was away")
 	m.setPartnerDown(false)
 	m.allEnded(ids)
-	// The one that is back takes messages on again, and sends them itself.
-	m.await("it takes messages on again", func() bool {
+	// It accepts messages again.
+	m.await("it accepts messages again", func() bool {
 		resp, err := m.rigs[3].tryHandIn("n3-again-"+fmt.Sprint(time.Now().UnixNano()), 5, 12, "x")
 		if err != nil {
 			return false
@@ -129,8 +131,8 @@
 	}
 }
 
-// TestNoQuorum: without a majority of voters new work is refused plainly, with when to come back and why, what was taken
-// on is kept, and all goes on when they are back.
+// TestNoQuorum checks that without a majority of voters new messages are refused with Retry-After and the reason in /up,
+// that none of the refused ones is sent, and that messages are accepted again when the voters are back.
 func TestNoQuorum(t *testing.T) {
 	m := newTestFleet(t, copiesXML, 4)
 	m.awaitReady()
@@ -138,7 +140,7 @@
 		r.proc.Process.Signal(syscall.SIGSTOP)
 	}
 	r := m.rigs[3]
-	m.await("new work is refused, with the reason in /up", func() bool {
+	m.await("/up answers 503 with the reason", func() bool {
 		resp, err := http.Get("http://" + r.addr + "/up")
 		if err != nil {
 			return false
@@ -149,13 +151,13 @@
 	})
 	resp := r.handIn("n3-refused", 5, 10, "x")
 	if resp.StatusCode != 503 || resp.Header.Get("Retry-After") == "" {
-		t.Errorf("new work without a quorum: %s, Retry-After %q", resp.Status, resp.Header.Get("Retry-After"))
+		t.Errorf("submission without a quorum: %s, Retry-After %q", resp.Status, resp.Header.Get("Retry-After"))
 	}
 	for _, r := range m.rigs[:2] {
 		r.proc.Process.Signal(syscall.SIGCONT)
 	}
 	m.awaitAccepting()
 	if m.acceptedCalls()["n3-refused"] > 0 {
-		t.Error("what was refused was sent")
+		t.Error("a refused message was sent")
 	}
 }
--- a/cmd/sliptide/fleet_test.go
+++ b/cmd/sliptide/fleet_test.go
@@ -18,40 +18,40 @@
 	"sliptide/internal/standin"
 )
 
-// team is three senders of one fleet, each with its platform, and one partner, destination 5, that all of them
-// call.
+// testFleet is the senders of one fleet, each with its own rig, and one partner, destination 5, that all of them call.
 type testFleet struct {
 	t           *testing.T
 	rigs        []*rig
-	relays      map[[2]int]*standin.Relay // of links, by who dials and who is dialled; only where each has one
-	linkAddrs   []string                  // where each takes links
-	extraXML    string                    // what else the fleet's element holds
+	relays      map[[2]int]*standin.Relay // of links, by dialling and dialled member; nil unless connectByRelays was used
+	linkAddrs   []string                  // where each member accepts links
+	extraXML    string                    // further content of the fleet element
 	operatorXML string
 
 	mu          sync.Mutex
 	partnerDown bool
-	calls       []partnerCall // at the partner
-	endings     []ending      // at the platform
-	onEnding    func(ending)  // each of them; nil: nobody
+	calls       []partnerCall // received by the partner
+	endings     []ending      // notices received from the senders
+	onEnding    func(ending)  // called for each of endings; may be nil
 }
 
-// ending is a notice with when it came.
+// ending is a notice with its time of arrival.
 type ending struct {
 	notice
 	at time.Time
 }
 
+// partnerCall is one call that the partner received.
 type partnerCall struct {
 	at       time.Time
 	sender   string
 	id       string
 	key      string
-	rig      int // the sender that called, by whose endpoint it came to
+	rig      int // index of the rig whose endpoint received it: the sender that called
 	accepted bool
 }
 
-// teamAddr is an address that no other test has, with a port that is free: two runs side by side have the same
-// addresses.
+// reserveAddr returns an address that no other test of this process uses, with a free port: a second test process on
+// the machine draws the same addresses.
 func reserveAddr(t *testing.T) string {
 	t.Helper()
 	n := rigs.Add(1)
@@ -63,16 +63,17 @@
 	return ln.Addr().String()
 }
 
+// newTrialFleet starts three senders that share their trials.
 func newTrialFleet(t *testing.T, bound string) *testFleet {
 	return newTestFleet(t, `<trials enabled="true" bound="`+bound+`"/>`, 3)
 }
 
-// newTeamWith is a team of n senders, the first three voters, with what else the fleet's element holds.
+// newTestFleet starts n senders, the first three of which are voters, with further content of the fleet element.
 func newTestFleet(t *testing.T, more string, n int) *testFleet {
 	return newTestFleetWith(t, more, n, nil)
 }
 
-// newTeamOf is newTeamWith with changes to each sender's rig before it starts.
+// newTestFleetWith is newTestFleet with changes to each sender's rig before it starts.
 func newTestFleetWith(t *testing.T, more string, n int, change func(m *testFleet, i int, r *rig)) *testFleet {
 	t.Parallel()
 	m := &testFleet{t: t, extraXML: more}
@@ -84,7 +85,7 @@
 		r := makeRig(t, m.operatorXML, func(settings, _ map[string]any) {
 			settings["balancers"] = 3
 			settings["family_info"].(map[string]any)["kind_batch"] = []int{1, 10}
-			settings["limits"].(map[string]any)["max_attempts"] = 100 // a partner that is down must not use them up
+			settings["limits"].(map[string]any)["max_attempts"] = 100 // an outage of the partner must not use them up
 			settings["services"] = append(settings["services"].([]any), map[string]any{"name": "pay", "aim": 2000, "deadline": 20000, "effect": "unsafe", "worth": 2, "late_worth": 0.4})
 		})
 		r.config["name"] = fmt.Sprint("n", i)
@@ -104,7 +105,7 @@
 	return m
 }
 
-// file is an operators' file by which the others are reached at those addresses.
+// operatorFile returns an operators' file in which addr gives the address of each member.
 func (m *testFleet) operatorFile(addr func(k int) string, listen string) string {
 	var members strings.Builder
 	for k := range m.linkAddrs {
@@ -113,7 +114,7 @@
 	return `<storms enabled="true"/><fleet enabled="true"` + listen + `>` + members.String() + `<duties lease="1s" election="300ms"/>` + m.extraXML + `</fleet>`
 }
 
-// relayed gives a sender's rig an operators' file by which each other member is behind a relay.
+// connectByRelays gives a sender's rig an operators' file in which each other member is reached through a relay.
 func (m *testFleet) connectByRelays(i int, r *rig) {
 	if m.relays == nil {
 		m.relays = map[[2]int]*standin.Relay{}
@@ -132,14 +133,15 @@
 	}, ""))
 }
 
-// links does something to the relays between two members.
+// eachRelay applies do to both relays between two members.
 func (m *testFleet) eachRelay(a, b int, do func(*standin.Relay)) {
 	for _, k := range [][2]int{{a, b}, {b, a}} {
 		do(m.relays[k])
 	}
 }
 
-// partner breaks each call off while it is down. It knows the sender by the message's name.
+// servePartner answers calls to the partner, and closes their connections while the partner is down. The message's ID
+// starts with the name of its sender.
 func (m *testFleet) servePartner(rig int, w http.ResponseWriter, q *http.Request) {
 	sender, _, _ := strings.Cut(q.Header.Get("X-Trace-Id"), "-")
 	if sender == "" {
@@ -161,7 +163,7 @@
 	m.partnerDown = partnerDown
 }
 
-// callers counts the calls of each sender since then.
+// callsBySender counts the calls of each sender after a time.
 func (m *testFleet) callsBySender(since time.Time) map[string]int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -174,17 +176,17 @@
 	return n
 }
 
-// await polls until ok, or fails.
+// await polls until ok returns true, or fails the test.
 func (m *testFleet) await(what string, ok func() bool) {
 	m.t.Helper()
 	for end := time.Now().Add(patient); !ok(); time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(end) {
-			m.t.Fatalf("never: %s; calls %v", what, m.callsBySender(time.Time{}))
+			m.t.Fatalf("not in time: %s; calls %v", what, m.callsBySender(time.Time{}))
 		}
 	}
 }
 
-// status asks the fleet by the command line; nil where nobody answers.
+// status returns the fleet's status from the command line, or nil if no member answers.
 func (m *testFleet) status() *voter.Status {
 	out, err := exec.Command(binary, "fleet", "status", "--json", "--operator", m.rigs[0].operator).Output()
 	var s voter.Status
@@ -194,6 +196,7 @@
 	return &s
 }
 
+// holder returns the member that holds a duty, or the empty string.
 func (m *testFleet) holder(duty string) string {
 	if s := m.status(); s != nil {
 		for _, d := range s.Duties {
@@ -205,7 +208,7 @@
 	return ""
 }
 
-// load hands in messages at each sender now and then, until stop.
+// submitLoad submits a message at each sender every 150 ms, until stop is closed.
 func (m *testFleet) submitLoad(stop <-chan struct{}) *sync.WaitGroup {
 	var wg sync.WaitGroup
 	for i, r := range m.rigs {
@@ -225,7 +228,7 @@
 	return &wg
 }
 
-// drain reads notices and watches so that no rig stands still.
+// consumeReports reads notices, calls and discovery requests until stop is closed, so that no rig blocks.
 func (m *testFleet) consumeReports(stop <-chan struct{}) {
 	for _, r := range m.rigs {
 		go func() {
@@ -250,8 +253,8 @@
 	}
 }
 
-// TestTrialsAreShared: while a partner is down, one sender of three tries it. It is killed, and another does. Once
-// the partner is back, all of them deliver.
+// TestTrialsAreShared checks that one sender of three makes the trials of a partner that is down, that another takes
+// over when it is killed, and that all remaining senders deliver once the partner is back.
 func TestTrialsAreShared(t *testing.T) {
 	m := newTrialFleet(t, "4s")
 	stop := make(chan struct{})
@@ -263,8 +266,8 @@
 	m.setPartnerDown(true)
 	m.await("a member holds the trial", func() bool { return m.holder("trial/5") != "" })
 	holder := m.holder("trial/5")
-	// Attempts that were under way when the duty was given out end first.
-	time.Sleep(500 * time.Millisecond) // the watched span begins: nothing is waited for
+	// Attempts that were in flight when the duty was assigned end first.
+	time.Sleep(500 * time.Millisecond) // no event marks their end
 	observedFrom := time.Now()
 	m.await("the holder has tried five times", func() bool { return m.callsBySender(observedFrom)[holder] >= 5 })
 	if n := m.callsBySender(observedFrom); len(n) != 1 {
@@ -278,14 +281,15 @@
 	}
 	m.await("another member holds the trial", func() bool { h := m.holder("trial/5"); return h != "" && h != holder })
 	nextHolder := m.holder("trial/5")
-	m.await("it tries", func() bool { return m.callsBySender(observedFrom)[nextHolder] >= 2 })
+	m.await("the new holder makes trials", func() bool { return m.callsBySender(observedFrom)[nextHolder] >= 2 })
 	m.setPartnerDown(false)
 	restoredAt := time.Now()
-	m.await("both that are left deliver", func() bool { return len(m.callsBySender(restoredAt)) == 2 })
-	t.Logf("back: all deliver after %v", time.Since(restoredAt).Round(10*time.Millisecond))
+	m.await("both remaining senders deliver", func() bool { return len(m.callsBySender(restoredAt)) == 2 })
+	t.Logf("all remaining senders deliver %v after the partner is back", time.Since(restoredAt).Round(10*time.Millisecond))
 }
 
-// TestFleetCommands: what operators ask a running member, and what they are told.
+// TestFleetCommands checks the operators' commands on a running fleet and their error messages, that a second process
+// under a member's name stays out of the fleet, and that a removed member loses its session.
 func TestFleetCommands(t *testing.T) {
 	m := newTrialFleet(t, "4s")
 	stop := make(chan struct{})
@@ -326,14 +330,14 @@
 			t.Errorf("%v: status %d, %s%s; want %q", args, code, out, errs, c.want)
 		}
 	}
-	// A second process under a name that is taken, in a folder of its own: it takes no part, and says why.
+	// A second process under a member's name, with its own state directory, does not join and logs the reason.
 	twin := makeRig(t, strings.Replace(m.operatorXML, `<fleet enabled="true">`, `<fleet enabled="true" listen="`+reserveAddr(t)+`">`, 1), nil)
 	twin.config["name"] = "n0"
 	twin.launch()
 	twin.awaitLog("another process runs under this member's name")
-	// It is up all the same, and what it is handed is taken on.
+	// It is ready all the same.
 	twin.awaitUp(200)
-	// A member that is removed has no session once its lease is over, and gets none.
+	// A removed member has no session once its lease has expired, and gets no new one.
 	if _, errs, code := command(t, "fleet", "remove", "n2", "--operator", op); code != 0 {
 		t.Errorf("remove: %s", errs)
 	}
@@ -360,7 +364,8 @@
 	return path
 }
 
-// TestFleetUpgrade: a new version beside the old is the same member, which has one session throughout.
+// TestFleetUpgrade checks that a new version started beside the old one is the same member: the old process keeps the
+// session until it exits, and only then does the new one open another.
 func TestFleetUpgrade(t *testing.T) {
 	m := newTrialFleet(t, "4s")
 	stop := make(chan struct{})
@@ -386,21 +391,21 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { newProcess.Process.Kill(); newProcess.Wait() })
-	m.await("the new version waits", func() bool { return strings.Contains(logs.String(), `"started"`) })
+	m.await("the new version has started and waits", func() bool { return strings.Contains(logs.String(), `"started"`) })
 	if now := session(); now != before {
 		t.Errorf("session %d became %d while both run", before, now)
 	}
 	r.proc.Process.Signal(syscall.SIGTERM)
-	r.await(r.exited, "the old process leaves")
+	r.await(r.exited, "the old process exits")
 	r.proc = nil
-	m.await("n1 has a further session", func() bool { s := session(); return s != 0 && s != before })
+	m.await("n1 has a new session", func() bool { s := session(); return s != 0 && s != before })
 	if strings.Contains(logs.String(), "goes on without this sender") {
 		t.Errorf("log of the new process:\n%s", logs.String())
 	}
 }
 
-// TestFleetDiskFails: a voter whose log cannot be written steps down, and its sender goes on sending; when the log
-// can be written again, it takes part again.
+// TestFleetDiskFails checks that a voter whose log cannot be written steps down while its sender keeps delivering, and
+// that it takes part again when the log can be written.
 func TestFleetDiskFails(t *testing.T) {
 	m := newTrialFleet(t, "4s")
 	stop := make(chan struct{})
@@ -412,10 +417,10 @@
 	if err := os.Rename(log, aside); err != nil {
 		t.Fatal(err)
 	}
-	if err := os.Mkdir(log, 0o700); err != nil { // an append to a folder fails
+	if err := os.Mkdir(log, 0o700); err != nil { // an append to a directory fails
 		t.Fatal(err)
 	}
-	// Something to be written: every voter appends what is agreed on.
+	// A change to the fleet makes every voter append to its log.
 	if _, errs, code := command(t, "fleet", "remove", "nobody", "--operator", m.rigs[0].operator); code != 0 {
 		t.Errorf("remove: %s", errs)
 	}
@@ -431,8 +436,8 @@
 	r.awaitLog("the log can be written again")
 }
 
-// TestFleetThatDoesNotStart: a name that is no member's, and a folder that is another's, end the program with one
-// line that says so.
+// TestFleetRefusesToStart checks that the program exits with an error message when its name is no member's, and when
+// its state directory belongs to another member.
 func TestFleetRefusesToStart(t *testing.T) {
 	m := newTrialFleet(t, "4s")
 	stop := make(chan struct{})
--- a/cmd/sliptide/h2_test.go
+++ b/cmd/sliptide/h2_test.go
@@ -23,7 +23,7 @@
 	"sliptide/internal/standin"
 )
 
-// multiplexed is the operators' file for destinations reached by HTTP/2 without TLS.
+// h2cPartnersXML returns the content of an operators' file with destinations reached by HTTP/2 without TLS.
 func h2cPartnersXML(dests, conns int) string {
 	var b strings.Builder
 	b.WriteString("<partners>")
@@ -33,12 +33,13 @@
 	return b.String() + "</partners>"
 }
 
+// startPartner makes p listen on a loopback address until the test ends.
 func startPartner(t *testing.T, p *standin.H2Partner) *standin.H2Partner {
 	t.Cleanup(p.Listen().Close)
 	return p
 }
 
-// listed puts partners in the list of discovery, in place of what is there.
+// setList replaces the endpoint list of discovery by the partners.
 func (r *rig) setList(ps ...*standin.H2Partner) {
 	r.change(func() {
 		r.list = nil
@@ -48,7 +49,7 @@
 	})
 }
 
-// drained lets the test's channels take what nobody looks at.
+// discardWatches discards the recorded discovery calls until stop is closed.
 func (r *rig) discardWatches(stop <-chan struct{}) {
 	for {
 		select {
@@ -59,7 +60,7 @@
 	}
 }
 
-// awaitTaken hands messages in until the sender has the list.
+// awaitAccepted submits a message until the sender, which needs the endpoint list for it, accepts it.
 func (r *rig) awaitAccepted(id string, dest int, left float64) {
 	r.t.Helper()
 	for end := time.Now().Add(patient); ; {
@@ -68,13 +69,14 @@
 			return
 		}
 		if time.Now().After(end) {
-			r.t.Fatalf("not taken: %s", resp.Status)
+			r.t.Fatalf("message not accepted: %s", resp.Status)
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
 }
 
-// A told wait and a drain bind calls that wait for a stream as they bind those that wait for a connection.
+// TestWaitAndDrainBindQueuedStreams checks that a requested wait and a drain apply to messages queued for a stream, as
+// they do to those queued for a connection.
 func TestWaitAndDrainBindQueuedStreams(t *testing.T) {
 	for _, signal := range []string{"wait", "drain"} {
 		t.Run(signal, func(t *testing.T) {
@@ -90,7 +92,7 @@
 			r.setList(p)
 			r.awaitAccepted("first", 0, 8)
 			next(t, seen, "the first call")
-			for i := range 5 { // they find no stream
+			for i := range 5 { // they queue: the only stream is in use
 				r.take(fmt.Sprint("q", i), 0, 8, "")
 			}
 			var notifiedAt time.Time
@@ -99,7 +101,7 @@
 				answer <- standin.Reply{Status: 429, NotRun: true, Fields: map[string]string{"retry-after": "1.200"}}
 			} else {
 				r.change(func() { r.list[0].State = "draining" })
-				r.take("n", 0, 0.3, "") // its end comes after the drain is known
+				r.take("n", 0, 0.3, "") // its notice shows that the sender has the new list
 				r.notice()
 				notifiedAt = time.Now()
 				answer <- standin.Reply{Status: 200}
@@ -109,21 +111,21 @@
 					r.notice()
 				}
 				if len(seen) > 0 {
-					t.Error("called after it was told to drain")
+					t.Error("called while it is draining")
 				}
 				return
 			}
 			next(t, seen, "a call after the wait")
 			if early := time.Since(notifiedAt); early < 1200*time.Millisecond {
-				t.Errorf("called %v after a wait of 1.2 s was told", early)
+				t.Errorf("called %v after it requested a wait of 1.2 s", early)
 			}
 			close(answer)
 		})
 	}
 }
 
-// The partner lowers its limit to none: what is queued ends in time, and nothing is lost. It raises it, and
-// what came last is delivered.
+// TestStreamLimitOfZero checks that a message queued while the partner permits no streams ends at its deadline, and that
+// a queued message is delivered once the partner permits streams again.
 func TestStreamLimitOfZero(t *testing.T) {
 	p := startPartner(t, &standin.H2Partner{MaxStreams: 10})
 	r := newRigWith(t, h2cPartnersXML(1, 1), nil)
@@ -134,30 +136,30 @@
 			p.SetMaxStreams(0)
 		}
 		if time.Now().After(end) {
-			t.Fatal("the new limit is not acknowledged")
+			t.Fatal("the new stream limit was not acknowledged")
 		}
 	}
 	submittedAt := time.Now()
 	r.take("ends", 0, 1, "")
 	if n := r.notice(); n.Message != "ends" || time.Since(submittedAt) > 1500*time.Millisecond {
-		t.Errorf("%+v after %v", n, time.Since(submittedAt))
+		t.Errorf("notice %+v after %v, want the one of message \"ends\" after 1 s", n, time.Since(submittedAt))
 	}
 	r.take("lasts", 0, 10, "")
 	p.SetMaxStreams(10)
 	for end := time.Now().Add(patient); p.EffectCount("lasts") == 0; {
 		if time.Now().After(end) {
-			t.Fatal("not delivered")
+			t.Fatal("message not delivered after the stream limit was raised")
 		}
 		time.Sleep(time.Millisecond)
 	}
 	if p.EffectCount("ends") > 0 {
-		t.Error("a message that was handed back has run")
+		t.Error("a returned message took effect")
 	}
 }
 
-// Partners close, reset, refuse, say GOAWAY and fall silent at random, and the class permits no repeat of
-// what may have run: no message takes effect twice, none is handed back that has run, and each that was
-// taken on has one end: it was delivered, or there is one notice. SLIPTIDE_H2_MESSAGES says how many.
+// TestH2Chaos runs a class that permits no repeat of a message that may have run against partners that close, reset,
+// refuse, send GOAWAY and do not answer, at random. No message may take effect twice, none that took effect may be
+// returned, and each accepted message has one end: delivery or one notice. SLIPTIDE_H2_MESSAGES sets their number.
 func TestH2Chaos(t *testing.T) {
 	total, seeds := 1500, 1
 	if v, err := strconv.Atoi(os.Getenv("SLIPTIDE_H2_MESSAGES")); err == nil {
@@ -177,8 +179,8 @@
 		ps = append(ps, startPartner(t, &standin.H2Partner{MaxStreams: 20, Delay: 2 * time.Millisecond, Handler: func(q *standin.Request) standin.Reply {
 			mu.Lock()
 			defer mu.Unlock()
-			// No 503 and 429 among them: a limit would have the module send a few messages a second, and
-			// the test is of connections.
+			// No 503 or 429 among them: these would make the sender's limiter slow down to a few messages a second,
+			// and the test is about connections.
 			switch n := rng.IntN(1000); {
 			case n < 30:
 				return standin.Reply{ResetCode: http2.ErrCodeInternal}
@@ -236,7 +238,7 @@
 		go func() {
 			defer wg.Done()
 			for i := w; i < total; i += 32 {
-				time.Sleep(100 * time.Millisecond) // 320 a second in all
+				time.Sleep(100 * time.Millisecond) // 32 clients: 320 messages a second
 				for try := range 200 {
 					id := fmt.Sprintf("c%d-%d-%d", seed, i, try)
 					q, _ := http.NewRequest("POST", "http://"+r.addr+"/api", strings.NewReader("x"))
@@ -261,7 +263,7 @@
 	}
 	wg.Wait()
 	close(accepted)
-	time.Sleep(5 * time.Second) // all time is up, with what an end may take
+	time.Sleep(5 * time.Second) // every message is past its deadline of 4 s
 	r.kill(syscall.SIGTERM)
 	mu.Lock()
 	defer mu.Unlock()
@@ -294,14 +296,15 @@
 		n, _, _ := p.Stats()
 		conns += n
 	}
-	t.Logf("seed %d: %d delivered, %d given up, %d handed back; %d connections; %d ran twice, %d handed back though they ran, %d with two ends, %d with none",
+	t.Logf("seed %d: %d delivered, %d abandoned, %d returned; %d connections; %d took effect twice, %d returned after they took effect, %d with two ends, %d with none",
 		seed, delivered, abandoned, returned, conns, repeated, returnedAfterEffect, multipleEnds, noEnd)
 	if repeated+multipleEnds+noEnd+returnedAfterEffect > 0 || delivered < total/2 {
-		t.Error("a promise is broken")
+		t.Error("a delivery guarantee is violated, or under half of the messages were delivered")
 	}
 }
 
-// HTTP/1.1 and HTTP/2 against the same kind of partner, by calls in flight: connections, latency, CPU.
+// TestMeasureH2 compares HTTP/1.1 and HTTP/2 with the same kind of partner, by calls in flight: connections, latency and
+// CPU time.
 func TestMeasureH2(t *testing.T) {
 	concurrencies, rounds := []int{1, 8, 64}, 3
 	if v, err := strconv.Atoi(os.Getenv("SLIPTIDE_IN_FLIGHT")); err == nil {
@@ -321,7 +324,7 @@
 	}
 }
 
-// countedListener counts the bytes of its connections, both ways.
+// countingListener counts the bytes of its connections in both directions.
 type countingListener struct {
 	net.Listener
 	bytes atomic.Int64
@@ -349,6 +352,7 @@
 	return n, err
 }
 
+// measureProtocol runs one protocol with a number of calls in flight, and returns a line of results.
 func measureProtocol(t *testing.T, proto string, inFlight int) string {
 	var mu sync.Mutex
 	submittedAt, deliveryMS := map[string]time.Time{}, []float64{}
@@ -368,7 +372,7 @@
 		set["family_info"].(map[string]any)["kind_batch"] = []int{1, 1}
 		set["limits"].(map[string]any)["most_held"] = 400
 	})
-	// One independent peer for both: net/http's server.
+	// Both protocols use the same independent peer, the server of net/http.
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -420,7 +424,7 @@
 					resp.Body.Close()
 				}
 				<-called
-				time.Sleep(22 * time.Millisecond) // the call's own time: so many are in flight
+				time.Sleep(22 * time.Millisecond) // the call's duration, so that inFlight calls overlap
 			}
 		}()
 	}
@@ -433,8 +437,8 @@
 		proto, inFlight, n, conns, quantile(deliveryMS, .5), quantile(deliveryMS, .99), cpu/float64(n)*1e6, wire.bytes.Load()/int64(n), standin.ResidentMB(r.proc.Process.Pid))
 }
 
-// Keys are read again on SIGHUP: a request that is out goes on, the next connection uses the new ones; and
-// the probe shows what the partner offers.
+// TestCertificateReload checks that certificates are read again on SIGHUP: a request in flight goes on, the next
+// connection uses the new ones, and unreadable ones are ignored. It also checks the output of the partner probe.
 func TestCertificateReload(t *testing.T) {
 	dir := t.TempDir()
 	at := func(name string) string { return filepath.Join(dir, name) }
@@ -456,11 +460,11 @@
 	r := newRigWith(t, fmt.Sprintf(`<partners><partner dest="0" protocol="h2" server-name="lodge.example.org" ca="%s"/><partner dest="1" protocol="h2" server-name="lodge.example.org" ca="%s"/></partners>`, at("ca.pem"), at("ca.pem")), nil)
 	r.setList(first, second)
 	r.awaitAccepted("out", 0, 10)
-	r.awaitAccepted("waits", 1, 10) // its partner's CA is not known yet
+	r.awaitAccepted("waits", 1, 10) // the file does not hold its partner's CA yet
 	r.awaitLog("certificate signed by unknown authority")
 	for end := time.Now().Add(patient); first.SettingsAcks() == 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("not called")
+			t.Fatal("the first partner was not called")
 		}
 	}
 	fresh.WriteCA(at("ca.pem"))
@@ -469,7 +473,7 @@
 	answer <- standin.Reply{Status: 200}
 	for end := time.Now().Add(patient); first.EffectCount("out") == 0 || second.EffectCount("waits") == 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("delivered %d and %d times", first.EffectCount("out"), second.EffectCount("waits"))
+			t.Fatalf("delivered %d and %d times, want once each", first.EffectCount("out"), second.EffectCount("waits"))
 		}
 	}
 	os.WriteFile(at("ca.pem"), []byte("nonsense"), 0o600)
@@ -479,16 +483,16 @@
 	out, errs, status := command(t, "partner", "probe", second.Addr(), "--operator", r.operator, "--dest", "1")
 	for _, want := range []string{"speaks h2 over TLS 1.3", "MAX_CONCURRENT_STREAMS = 33", "lodge.example.org", "29 days left"} {
 		if status != 0 || !strings.Contains(out, want) {
-			t.Errorf("probe: %d, no %q in %s%s", status, want, out, errs)
+			t.Errorf("probe: status %d, no %q in %s%s", status, want, out, errs)
 		}
 	}
 	if _, errs, status := command(t, "partner", "probe", first.Addr(), "--operator", r.operator, "--dest", "0"); status != 1 || !strings.Contains(errs, "unknown authority") {
-		t.Errorf("probe: %d %s", status, errs)
+		t.Errorf("probe: status %d %s", status, errs)
 	}
 	if out, errs, status := command(t, "partner", "probe", r.addr, "--protocol", "h2c"); status != 1 {
-		t.Errorf("probe of what is no partner: %d %s%s", status, out, errs)
+		t.Errorf("probe of an address that is no partner: status %d %s%s", status, out, errs)
 	}
 	if _, _, status := command(t, "partner", "probe", "nowhere"); status != 2 {
-		t.Errorf("probe of no address: %d", status)
+		t.Errorf("probe of an invalid address: status %d", status)
 	}
 }
--- a/cmd/sliptide/holders_test.go
+++ b/cmd/sliptide/holders_test.go
@@ -15,9 +15,10 @@
 	"sliptide/internal/standin"
 )
 
-// These tests put the holders of copies in trouble: what a client hears meanwhile, and that nothing is lost after it.
+// These tests inject faults into the holders of copies, and check what clients receive meanwhile and that no message is
+// lost.
 
-// holders are who keeps copies of a sender's journal, as numbers, by the command line.
+// holders returns the indices of the members that hold copies of a sender's journal, from the command line.
 func (m *testFleet) holders(i int) (list []int) {
 	out, err := exec.Command(binary, "fleet", "copies", "--json", "--operator", m.rigs[0].operator).Output()
 	var views []struct {
@@ -39,14 +40,14 @@
 	return list
 }
 
-// awaitHolders waits until a sender's journal has two.
+// awaitHolders waits until a sender's journal has two holders, and returns them.
 func (m *testFleet) awaitHolders(i int) (list []int) {
 	m.t.Helper()
 	m.await(fmt.Sprintf("n%d has two holders", i), func() bool { list = m.holders(i); return len(list) == 2 })
 	return list
 }
 
-// timed hands a message in and returns the status and how long the answer took.
+// submitTimed submits a message and returns the status and the time until the answer.
 func (m *testFleet) submitTimed(i int, id, body string) (int, time.Duration) {
 	at := time.Now()
 	resp, err := m.rigs[i].tryHandIn(id, 5, 12, body)
@@ -56,8 +57,8 @@
 	return resp.StatusCode, time.Since(at)
 }
 
-// TestSlowHolder: a holder that answers 300 ms late holds nothing up where one copy is waited for, and has messages
-// refused plainly and in time where two are.
+// TestSlowHolder checks that a holder that answers 300 ms late delays no message where one copy is needed, and that
+// messages are refused within the time limit where two are.
 func TestSlowHolder(t *testing.T) {
 	for _, needed := range []int{1, 2} {
 		t.Run(fmt.Sprint("needed ", needed), func(t *testing.T) {
@@ -69,7 +70,7 @@
 			for k := range 12 {
 				code, took := m.submitTimed(3, fmt.Sprintf("n3-slow-%d", k), "x")
 				if took > 400*time.Millisecond {
-					t.Errorf("the answer took %v", took)
+					t.Errorf("submission answered after %v, want 400 ms at most", took)
 				}
 				switch code {
 				case 202:
@@ -78,11 +79,11 @@
 					refused++
 				}
 			}
-			if needed == 1 && accepted < 11 || needed == 2 && refused < 11 { // the first may have been on its way
-				t.Errorf("needed %d: %d taken on, %d refused", needed, accepted, refused)
+			if needed == 1 && accepted < 11 || needed == 2 && refused < 11 { // one may have been in flight when the delay began
+				t.Errorf("needed %d: %d accepted, %d refused", needed, accepted, refused)
 			}
 			m.eachRelay(3, slow, func(r *standin.Relay) { r.SetDelay(0) })
-			m.await("all is well again", func() bool {
+			m.await("messages are accepted again", func() bool {
 				code, _ := m.submitTimed(3, fmt.Sprint("n3-after-", time.Now().UnixNano()), "x")
 				return code == 202
 			})
@@ -95,7 +96,7 @@
 	}
 }
 
-// TestHolderCutOneWay: a holder that is not heard by the owner, or does not hear it, holds nothing up.
+// TestHolderCutOneWay checks that a holder whose link is blocked in one direction delays no message.
 func TestHolderCutOneWay(t *testing.T) {
 	m := newTestFleetWith(t, copiesXML, 4, (*testFleet).connectByRelays)
 	m.awaitReady()
@@ -104,20 +105,20 @@
 		m.eachRelay(3, cut, func(r *standin.Relay) { r.Block(direction, true) })
 		for k := range 6 {
 			if code, took := m.submitTimed(3, fmt.Sprintf("n3-%d-%d", direction, k), "x"); code != 202 || took > 400*time.Millisecond {
-				t.Errorf("direction %d: %d after %v", direction, code, took)
+				t.Errorf("direction %d: status %d after %v", direction, code, took)
 			}
 		}
 		m.eachRelay(3, cut, func(r *standin.Relay) { r.BlockBoth(false) })
 	}
 }
 
-// TestHoldersLost: both holders of a sender are lost with their disks. It holds what it has, finds others, and takes
-// messages on again; then it is lost itself, and nothing is.
+// TestHoldersLost loses both holders of a sender with their disks: the sender keeps its messages, gets other holders and
+// accepts messages again. Then the sender is lost too, and no message is.
 func TestHoldersLost(t *testing.T) {
 	m := newTestFleet(t, copiesXML, 7)
 	m.awaitReady()
 	owner, lostHolders := -1, []int(nil)
-	for i := 3; i < 7 && owner < 0; i++ { // one with a holder that is no voter: a majority of the disks stays
+	for i := 3; i < 7 && owner < 0; i++ { // one with a holder that is no voter: most voters keep their disks
 		if list := m.awaitHolders(i); list[0] >= 3 || list[1] >= 3 {
 			owner, lostHolders = i, list
 		}
@@ -130,11 +131,11 @@
 	for _, k := range lostHolders {
 		m.lose(k)
 	}
-	m.await("it has other holders", func() bool {
+	m.await("the owner has other holders", func() bool {
 		list := m.holders(owner)
 		return len(list) == 2 && !slices.ContainsFunc(list, func(k int) bool { return slices.Contains(lostHolders, k) })
 	})
-	m.await("it takes messages on again", func() bool {
+	m.await("the owner accepts messages again", func() bool {
 		code, _ := m.submitTimed(owner, fmt.Sprintf("n%d-more-%d", owner, time.Now().UnixNano()), "x")
 		return code == 202
 	})
@@ -143,18 +144,18 @@
 	m.allEnded(ids)
 }
 
-// TestHolderDiskFails: a holder that cannot write its copy answers nothing for it; the other one does. When it can
-// write again, it is brought everything.
+// TestHolderDiskFails checks that a holder that cannot write its copy does not acknowledge it while the other one does,
+// and that it gets the whole copy when it can write again: the messages survive the loss of the owner and of the other.
 func TestHolderDiskFails(t *testing.T) {
 	m := newTestFleet(t, copiesXML, 4)
 	m.awaitReady()
 	list := m.awaitHolders(3)
 	file := filepath.Join(m.rigs[list[0]].state, "copy-n3")
-	m.await("the holder has a file", func() bool { _, err := os.Stat(file); return err == nil })
+	m.await("the holder has the file of the copy", func() bool { _, err := os.Stat(file); return err == nil })
 	if err := os.Remove(file); err != nil {
 		t.Fatal(err)
 	}
-	if err := os.Mkdir(file, 0o700); err != nil { // an append to a folder fails, and so does a rename onto it
+	if err := os.Mkdir(file, 0o700); err != nil { // appends to a directory fail, and so do renames onto a full one
 		t.Fatal(err)
 	}
 	if err := os.Mkdir(filepath.Join(file, "x"), 0o700); err != nil {
@@ -165,15 +166,15 @@
 	if err := os.RemoveAll(file); err != nil {
 		t.Fatal(err)
 	}
-	m.await("the holder has a file again", func() bool { _, err := os.Stat(file); return err == nil })
+	m.await("the holder has the file of the copy again", func() bool { _, err := os.Stat(file); return err == nil })
 	m.lose(3)
 	m.lose(list[1])
 	m.setPartnerDown(false)
 	m.allEnded(ids)
 }
 
-// TestBurstOfBodies: bodies of 64 KiB until the holders' room is used up: refused plainly and in time, with nothing lost,
-// and taken on again when there is room.
+// TestHolderSpaceExhausted submits bodies of 64 KiB until the holders' space is used up: further messages are refused
+// within the time limit, none is lost, and they are accepted again when there is space.
 func TestHolderSpaceExhausted(t *testing.T) {
 	m := newTestFleetWith(t, `<copies enabled="true" count="2" needed="1" room="400KiB"/>`, 4, nil)
 	m.awaitReady()
@@ -186,7 +187,7 @@
 		id := fmt.Sprintf("n3-large-%d", k)
 		code, took := m.submitTimed(3, id, body)
 		if took > 400*time.Millisecond {
-			t.Errorf("the answer took %v", took)
+			t.Errorf("submission answered after %v, want 400 ms at most", took)
 		}
 		switch code {
 		case 202:
@@ -194,22 +195,22 @@
 		case 503, 429:
 			refused++
 		default:
-			t.Errorf("%s: %d", id, code)
+			t.Errorf("%s: unexpected status %d", id, code)
 		}
 	}
 	if len(accepted) < 3 || refused == 0 {
-		t.Errorf("%d taken on, %d refused", len(accepted), refused)
+		t.Errorf("%d accepted, %d refused", len(accepted), refused)
 	}
 	m.setPartnerDown(false)
 	m.allEnded(accepted)
-	m.await("there is room again", func() bool {
+	m.await("messages are accepted again", func() bool {
 		code, _ := m.submitTimed(3, fmt.Sprint("n3-room-", time.Now().UnixNano()), body)
 		return code == 202
 	})
 }
 
-// TestRollingRestart: all senders are restarted in turn, every second one by SIGKILL, with messages held: they are held
-// and ended by their own sender, none is taken over that need not be, none is lost or ended twice.
+// TestRollingRestart restarts all senders in turn, every second one by SIGKILL, while they hold messages: each message
+// ends, almost all by delivery, and none has two final answers.
 func TestRollingRestart(t *testing.T) {
 	m := newTestFleet(t, copiesXML, 5)
 	m.awaitReady()
--- a/cmd/sliptide/losses_test.go
+++ b/cmd/sliptide/losses_test.go
@@ -19,21 +19,21 @@
 	"sliptide/internal/standin"
 )
 
-// losses is a team under load whose machines are lost. Each link goes through a relay of its own; the book has what
-// clients, the partner and the platforms see.
+// lossRun is a fleet under load whose machines are lost. Each link goes through its own relay; the ledger records what
+// clients, the partner and the receivers of notices observe.
 type lossRun struct {
 	*testFleet
 	ledger *ledger.Ledger
 
 	mu        sync.Mutex
-	rng       *rand.Rand // the partner's
-	history   []string   // what was done, and when
+	rng       *rand.Rand // of the partner
+	history   []string   // injected events with their times
 	startedAt time.Time
-	maxBatch  int // messages in a call
+	maxBatch  int // most messages in one call
 }
 
-// serve is the partner of sender i, for one message or several in a call: some calls fail, some break off, of which
-// some took effect, some tell a wait.
+// serve handles the partner's calls from sender i, with one message or several in each. Some calls fail, some end without
+// an answer after they took effect, and some request a wait.
 func (l *lossRun) serve(i int, w http.ResponseWriter, q *http.Request) {
 	body, _ := io.ReadAll(q.Body)
 	var ids []string
@@ -69,7 +69,7 @@
 	}
 	if chance < 5 {
 		l.ledger.WaitRequested(time.Now(), i, began, time.Now().Add(requestedWait))
-		l.record("n%d is told a wait", i)
+		l.record("a wait is requested of n%d", i)
 	}
 	switch {
 	case chance < 5:
@@ -89,10 +89,10 @@
 	}
 }
 
-// waitTold is the wait that the partner tells.
+// requestedWait is the wait that the partner requests.
 const requestedWait = 1500 * time.Millisecond
 
-// hand hands messages in at one sender until stop, of both classes in turn.
+// submitMessages submits messages of both classes in turn at one sender, until stop is closed.
 func (l *lossRun) submitMessages(i int, stop <-chan struct{}) {
 	for n := 0; ; n++ {
 		select {
@@ -113,7 +113,7 @@
 		}
 		resp, err := (&http.Client{Timeout: 400 * time.Millisecond}).Do(q)
 		if err != nil {
-			continue // not heard: nothing was promised
+			continue // no answer: the message was not accepted
 		}
 		resp.Body.Close()
 		l.ledger.Answered(id, resp.StatusCode == 202, time.Now().Add(time.Duration(expiresIn*float64(time.Second))))
@@ -121,8 +121,7 @@
 }
 
 // TestLosses loses machines with their disks under load and link faults: one after the other, or two at once where two
-// copies are waited for. SLIPTIDE_LOSSES sets how many; CI
-// plays three.
+// copies are needed. SLIPTIDE_LOSSES sets how many; CI loses three.
 func TestLosses(t *testing.T) {
 	n, err := strconv.Atoi(os.Getenv("SLIPTIDE_LOSSES"))
 	if err != nil {
@@ -133,18 +132,18 @@
 	}
 }
 
-// lossesEach is how many losses one team goes through.
+// lossesPerFleet is the number of losses that one fleet goes through.
 const lossesPerFleet = 50
 
 func runLosses(t *testing.T, n int, seed uint64) {
 	l := &lossRun{rng: rand.New(rand.NewPCG(seed, 24)), ledger: ledger.New()}
-	two := seed/lossesPerFleet%2 == 1 // every second team waits for two copies, and loses two machines at once
+	two := seed/lossesPerFleet%2 == 1 // every second fleet needs two copies, and loses two machines at once
 	l.startedAt = time.Now()
 	l.testFleet = newTestFleetWith(t, fmt.Sprintf(`<copies enabled="true" count="2" needed="%d"/>`, map[bool]int{false: 1, true: 2}[two]), 5, (*testFleet).connectByRelays)
 	for i, r := range l.rigs {
 		r.change(func() {
 			p := r.partner("p-loss", 5, func(w http.ResponseWriter, q *http.Request) { l.serve(i, w, q) })
-			if two { // and takes several messages in a call
+			if two { // and its partner accepts several messages in a call
 				p.Kind = "bulk"
 			}
 			for i := range r.list {
@@ -162,15 +161,15 @@
 	for i := range l.rigs {
 		clients.Go(func() { l.submitMessages(i, stop) })
 	}
-	rng := rand.New(rand.NewPCG(seed, 25)) // the partner draws from its own
+	rng := rand.New(rand.NewPCG(seed, 25)) // the partner has its own source
 	counts := map[string]int{}
 	for i := 0; i < n; {
-		time.Sleep(time.Duration(200+rng.IntN(600)) * time.Millisecond) // load runs: nothing is waited for
+		time.Sleep(time.Duration(200+rng.IntN(600)) * time.Millisecond) // under load, between two faults
 		lost := []int{rng.IntN(5)}
-		if k := 3 + rng.IntN(2); two && k != lost[0] && rng.IntN(2) == 0 { // never two voters: their disks are the fleet's agreement
+		if k := 3 + rng.IntN(2); two && k != lost[0] && rng.IntN(2) == 0 { // never two voters: the fleet's log is on a majority of their disks
 			lost = append(lost, k)
 		}
-		// Who is away for longer than a lease is as good as lost: only where one more may be.
+		// A member that is unreachable for longer than a lease counts as lost: only where one more loss is permitted.
 		longest := 400 * time.Millisecond
 		if two && len(lost) == 1 {
 			longest = 1200 * time.Millisecond
@@ -191,16 +190,16 @@
 			l.record("n%d starts", k)
 			r.logs.Reset()
 			r.launch()
-			if k < 3 { // before a further voter is lost, this one has its vote again
+			if k < 3 { // it must vote again before a further voter is lost
 				r.awaitLog(fmt.Sprintf("voters changed: n%d", k))
 			}
 		}
 		for _, r := range l.rigs {
 			r.awaitLog(`"held":true`)
 		}
-		l.record("all hold their journals")
+		l.record("all members hold their journals")
 		if i%10 == 9 {
-			t.Logf("%d losses: %d messages under way", i+1, l.ledger.Unfinished())
+			t.Logf("%d losses: %d messages unfinished", i+1, l.ledger.Unfinished())
 		}
 	}
 	close(stop)
@@ -209,35 +208,35 @@
 	settled := make(chan struct{})
 	defer close(settled)
 	l.consumeReports(settled)
-	l.await("every message has its final answer, or its time is long over", func() bool {
+	l.await("every message has its final answer, or is 10 s past the end of the load", func() bool {
 		return l.ledger.Unfinished() == 0 || time.Since(ended) > 10*time.Second
 	})
 	v := l.ledger.Judge()
-	t.Logf("%d losses of a machine with its disk (needed %d; %v): %d taken on, %d lost, %d late, %d of a class that forbids it took effect twice, %d others repeated, %d refused and sent, "+
-		"%d calls by heirs, %d inside a wait, %d with another attempt out, %d ended more than once; %d messages at most in a call",
+	t.Logf("%d losses of a machine with its disk (needed %d; %v): %d accepted, %d lost, %d late, %d of a class that forbids it took effect twice, %d others repeated, %d refused and sent, "+
+		"%d calls by successors, %d inside a wait, %d with another attempt in flight, %d ended more than once; %d messages at most in a call",
 		n, map[bool]int{false: 1, true: 2}[two], counts, v.Accepted, v.Lost, v.Late, v.ForbiddenRepeats, v.Repeated, v.RefusedSent, v.BySuccessors, v.SentInWait, v.Overlapping, v.MultipleEnds, l.maxBatch)
-	t.Logf("%d messages whose time was up while they were taken over ended up to %.0f ms late", len(v.TakeoverDelays), quantile(v.TakeoverDelays, 1))
-	t.Logf("from a loss to the heir's first call: p50 %.0f ms, max %.0f; until all is ended: p50 %.0f ms, max %.0f",
+	t.Logf("%d messages whose deadline passed during the takeover ended up to %.0f ms late", len(v.TakeoverDelays), quantile(v.TakeoverDelays, 1))
+	t.Logf("from a loss to the successor's first call: p50 %.0f ms, max %.0f; until all messages have ended: p50 %.0f ms, max %.0f",
 		quantile(v.FirstCalls, 0.5), quantile(v.FirstCalls, 1), quantile(v.Settlements, 0.5), quantile(v.Settlements, 1))
 	for _, r := range l.rigs {
 		if strings.Contains(r.logs.String(), "differs from its owner's journal") {
-			t.Errorf("a copy was found to differ:\n%s", r.logs.String())
+			t.Errorf("a copy differed from its owner's journal:\n%s", r.logs.String())
 		}
 	}
 	if v.Violated() {
 		t.Logf("%s\n%s", strings.Join(l.history, "\n"), strings.Join(v.Violations, "\n"))
-		t.Error("the promise is broken")
+		t.Error("the delivery guarantees are violated")
 	}
 }
 
-// note writes down what is done.
+// record adds an event to the history.
 func (l *lossRun) record(format string, args ...any) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.history = append(l.history, fmt.Sprintf("%v: ", time.Since(l.startedAt).Round(time.Millisecond))+fmt.Sprintf(format, args...))
 }
 
-// fault begins a fault that overlaps a loss, and returns what ends it.
+// startFault starts a random fault that overlaps a loss, and returns a function that waits for its duration and ends it.
 func (l *lossRun) startFault(rng *rand.Rand, counts map[string]int, maxDuration time.Duration) (heal func()) {
 	a, b := rng.IntN(5), rng.IntN(4)
 	if b >= a {
@@ -297,13 +296,13 @@
 	l.record("%s, %d and %d, for %v", name, a, b, faultDuration)
 	at := time.Now()
 	return func() {
-		time.Sleep(time.Until(at.Add(faultDuration))) // the fault stands for so long
+		time.Sleep(time.Until(at.Add(faultDuration))) // the fault's duration
 		end()
 		l.record("%s ends", name)
 	}
 }
 
-// loseMachine kills a sender and takes its folder away.
+// loseMachine kills a sender and empties its state directory.
 func (l *lossRun) loseMachine(k int) {
 	r := l.rigs[k]
 	l.record("n%d is lost with its disk", k)
@@ -318,7 +317,7 @@
 	l.ledger.SenderLost(time.Now(), k, l.takenOver(k))
 }
 
-// has are the senders whose messages a member has taken over, by its log.
+// takenOver returns the senders whose messages a member has taken over, from its log.
 func (l *lossRun) takenOver(k int) (owners []int) {
 	for _, line := range strings.Split(l.rigs[k].logs.String(), "\n") {
 		var e struct{ Message, Owner string }
@@ -331,7 +330,8 @@
 	return owners
 }
 
-// killHeir kills the process of who takes over from a lost sender, at some step of it, and starts it again.
+// killSuccessor kills the process that takes over from a lost sender, at a random moment of the takeover, and starts it
+// again.
 func (l *lossRun) killSuccessor(rng *rand.Rand, owner int, counts map[string]int) {
 	ownerField := fmt.Sprintf(`"owner":"n%d"`, owner)
 	for end := time.Now().Add(3 * time.Second); time.Now().Before(end); time.Sleep(2 * time.Millisecond) {
@@ -341,9 +341,9 @@
 			}
 			for _, line := range strings.Split(r.logs.String(), "\n") {
 				if strings.Contains(line, "taking over from a lost sender") && strings.Contains(line, ownerField) && !strings.Contains(r.logs.String(), `"copies: took over"`) {
-					time.Sleep(time.Duration(rng.IntN(40)) * time.Millisecond) // some step of it
-					counts["heir killed"]++
-					l.record("n%d, the heir of n%d, is killed", k, owner)
+					time.Sleep(time.Duration(rng.IntN(40)) * time.Millisecond) // a random moment of the takeover
+					counts["successor killed"]++
+					l.record("n%d, the successor of n%d, is killed", k, owner)
 					r.proc.Process.Signal(syscall.SIGCONT)
 					r.kill(syscall.SIGKILL)
 					l.ledger.SenderKilled(time.Now(), k, append(l.takenOver(k), owner))
@@ -356,13 +356,13 @@
 	}
 }
 
-// TestMeasureCopies tells what copies cost: the time of the 202 and of the delivery at three loads on one sender, with
-// copies off and on, one after the other in one run.
+// TestMeasureCopies measures the cost of copies: the time until the 202 and until the delivery, at five loads on one
+// sender, with copies off and on, one after the other in one run.
 func TestMeasureCopies(t *testing.T) {
 	if os.Getenv("SLIPTIDE_MEASURE") == "" {
 		t.Skip("a measurement: make copies-price")
 	}
-	for _, rate := range []float64{150, 500, 3000, 7000, 10000} { // the last three about 0.3, 0.7 and 1 of the most with copies
+	for _, rate := range []float64{150, 500, 3000, 7000, 10000} { // the last three are about 0.3, 0.7 and 1 of the maximum with copies
 		for _, c := range []struct{ name, xml string }{
 			{"off", ``},
 			{"count 1 needed 1", `<copies enabled="true" count="1" needed="1" room="16MiB"/>`},
@@ -374,13 +374,14 @@
 	}
 }
 
-// ample gives a sender room for thousands of messages a second.
+// raiseLimits raises a sender's limits so that it can deliver thousands of messages a second.
 func raiseLimits(_ *testFleet, _ int, r *rig) {
 	r.config["settings"].(map[string]any)["limits"].(map[string]any)["most_held"] = 4000
 	r.config["settings"].(map[string]any)["family_info"].(map[string]any)["call_slots"] = 64
 	r.config["limits"].(map[string]any)["disk_mb"] = 32.0
 }
 
+// measureCopiesCost measures one configuration at one rate.
 func measureCopiesCost(t *testing.T, xml string, rate float64) {
 	m := newTestFleetWith(t, xml, 3, raiseLimits)
 	var mu sync.Mutex
@@ -437,16 +438,16 @@
 		})
 	}
 	wg.Wait()
-	time.Sleep(300 * time.Millisecond) // the last calls end
+	time.Sleep(300 * time.Millisecond) // for the last calls to end
 	used := standin.CPUSeconds(r.proc.Process.Pid) - cpu
 	mu.Lock()
 	defer mu.Unlock()
-	t.Logf("202: p50 %.1f ms, p99 %.1f ms; delivery: p50 %.1f ms, p99 %.1f ms; %d taken on, %d refused, %.2f ms of a core a message",
+	t.Logf("202: p50 %.1f ms, p99 %.1f ms; delivery: p50 %.1f ms, p99 %.1f ms; %d accepted, %d refused, %.2f ms of a core a message",
 		quantile(acceptedMS, 0.5), quantile(acceptedMS, 0.99), quantile(deliveredMS, 0.5), quantile(deliveredMS, 0.99), len(acceptedMS), refused, used*1000/float64(max(len(acceptedMS), 1)))
 }
 
-// TestMeasureMost tells how many messages a second a sender of three takes on and delivers at most, what copies add to
-// the bytes on links, and what a held message takes in memory, at its owner and at a holder.
+// TestMeasureMost measures the maximum rate at which one sender of three accepts and delivers messages, the bytes that
+// copies add on the links, and the memory of a held message at its owner and at a holder.
 func TestMeasureMost(t *testing.T) {
 	if os.Getenv("SLIPTIDE_MEASURE") == "" {
 		t.Skip("a measurement: make copies-price")
@@ -461,6 +462,7 @@
 	}
 }
 
+// measureThroughput measures one configuration.
 func measureThroughput(t *testing.T, xml string) {
 	m := newTestFleetWith(t, xml, 3, func(m *testFleet, i int, r *rig) {
 		m.connectByRelays(i, r)
@@ -504,7 +506,7 @@
 	wg.Wait()
 	used := standin.CPUSeconds(m.rigs[0].proc.Process.Pid) - cpu
 	n := accepted.Load()
-	t.Logf("most: %.0f taken on a second, %.0f delivered; %.2f ms of a core and %.0f bytes on links a message", float64(n)/span.Seconds(),
+	t.Logf("maximum: %.0f accepted a second, %.0f delivered; %.2f ms of a core and %.0f bytes on links a message", float64(n)/span.Seconds(),
 		float64(len(m.acceptedCalls())-delivered)/span.Seconds(), used*1000/float64(n), float64(bytes()-before)/float64(n))
 	m.setPartnerDown(true)
 	rss := func(k int) float64 { return standin.ResidentMB(m.rigs[k].proc.Process.Pid) }
@@ -520,8 +522,8 @@
 	}
 }
 
-// TestMeasureWorth tells what is delivered of what a sender held, in the ten seconds after it was lost with its disk,
-// against one that was killed and is back with its disk at once. Of the aim's 4 s on, a message's worth falls.
+// TestMeasureWorth measures the share of the worth of a sender's held messages that is delivered within ten seconds of
+// its loss with its disk, and of its restart with its disk for comparison. A message's worth falls from its aim of 4 s on.
 func TestMeasureWorth(t *testing.T) {
 	if os.Getenv("SLIPTIDE_MEASURE") == "" {
 		t.Skip("a measurement: make copies-price")
@@ -533,6 +535,7 @@
 	}
 }
 
+// measureWorth measures one loss, or one restart if diskKept.
 func measureWorth(t *testing.T, diskKept bool) {
 	t.Run(fmt.Sprintf("with its disk %v", diskKept), func(t *testing.T) {
 		m := newTestFleetWith(t, copiesXML, 5, nil)
@@ -543,9 +546,9 @@
 			id := fmt.Sprintf("n0-worth-%d", k)
 			m.rigs[0].take(id, 5, 15, "x")
 			submittedAt[id] = time.Now()
-			time.Sleep(20 * time.Millisecond) // the load's pace
+			time.Sleep(20 * time.Millisecond) // 50 messages a second
 		}
-		time.Sleep(100 * time.Millisecond) // what was taken on last is copied
+		time.Sleep(100 * time.Millisecond) // for the copies of the last messages
 		m.setPartnerDown(false)
 		if diskKept {
 			m.rigs[0].kill(syscall.SIGKILL)
@@ -554,7 +557,7 @@
 			m.lose(0)
 		}
 		stoppedAt := time.Now()
-		m.await("all have their final answer, or ten seconds are over", func() bool {
+		m.await("all have their final answer, or ten seconds have passed", func() bool {
 			final := m.finalAnswers()
 			for id := range submittedAt {
 				if final[id] == 0 {
--- a/cmd/sliptide/shards_test.go
+++ b/cmd/sliptide/shards_test.go
@@ -16,10 +16,10 @@
 	"sliptide/internal/fleet/shard"
 )
 
-// inForceWithin is the time within which a change is in force at every sender that can be reached.
+// changeTimeout is the time within which a change must take effect at every reachable sender.
 const changeTimeout = 20 * time.Second
 
-// controlTeam is three control members of one region, as processes.
+// controlRegion is the three control members of one region, as processes.
 type controlRegion struct {
 	t         *testing.T
 	discovery string
@@ -27,6 +27,7 @@
 	members   []*controlMember
 }
 
+// controlMember is one control member with its process.
 type controlMember struct {
 	name, addr, directory, path string
 	proc                        *exec.Cmd
@@ -85,7 +86,7 @@
 	}
 }
 
-// leader is the control member that began to lead last and still runs.
+// leader returns the running control member whose log says last that it leads.
 func (c *controlRegion) leader() *controlMember {
 	c.t.Helper()
 	for end := time.Now().Add(patient); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
@@ -99,7 +100,7 @@
 	return nil
 }
 
-// operator is what an operators' file of a sender holds.
+// operatorXML returns the content of a sender's operators' file.
 func (c *controlRegion) operatorXML(zone string) string {
 	var text strings.Builder
 	fmt.Fprintf(&text, `<fleet><shards enabled="true" region="r" zone=%q replicas="%d">`, zone, c.replicas)
@@ -109,14 +110,14 @@
 	return text.String() + `</shards></fleet>`
 }
 
-// shardRigs are senders of one sharded fleet with one discovery, that of the first, whose list names count destinations
-// of one partner.
+// shardedFleet is the senders of one sharded fleet. They share the discovery of the first one, whose list has the
+// destinations, all of one partner.
 type shardedFleet struct {
 	t            *testing.T
 	control      *controlRegion
 	rigs         []*rig
 	mu           sync.Mutex
-	calls        map[string]int // at the partner, by message
+	calls        map[string]int // received by the partner, by message ID
 	blockedCalls map[string]chan struct{}
 }
 
@@ -158,7 +159,7 @@
 	return s
 }
 
-// makeRigSerially is makeRig; the test is parallel already.
+// makeShardRig makes a rig with one class whose deadline outlasts a change of shards. It does not start the program.
 func makeShardRig(t *testing.T, operator string) *rig {
 	return makeRig(t, operator, func(settings, _ map[string]any) {
 		settings["services"] = []any{map[string]any{"name": "note", "aim": 4000, "deadline": 60000, "effect": "keyed", "key_scope": "all", "memory_span": 60000, "worth": 1, "late_worth": 0.4}}
@@ -171,7 +172,7 @@
 	r.operate(s.control.operatorXML(fmt.Sprintf("z%d", i)))
 }
 
-// try hands a message in and returns the status, and who serves its destination where that was told.
+// submit submits a message and returns the status, and the senders that serve its destination if the answer names them.
 func (s *shardedFleet) submit(i int, id string, dest int) (status int, servers []string) {
 	s.t.Helper()
 	response, err := s.rigs[i].tryHandIn(id, dest, 50, "x")
@@ -184,8 +185,8 @@
 	return response.StatusCode, servers
 }
 
-// served waits until each destination is taken on by the senders that are to serve it, and refused by the others with
-// their names.
+// awaitServed waits until the messages of each destination are accepted by as many senders as are to serve it, and the
+// others refuse them and name these senders.
 func (s *shardedFleet) awaitServed(round string, up []int, destinations, replicas int) {
 	s.t.Helper()
 	mismatch := ""
@@ -201,12 +202,12 @@
 				case 421:
 					named = servers
 				default:
-					mismatch = fmt.Sprintf("destination %d: sender-%d answers %d", d, i, status)
+					mismatch = fmt.Sprintf("destination %d: sender-%d answers unexpected status %d", d, i, status)
 				}
 			}
 			slices.Sort(named)
 			if len(accepting) != min(replicas, len(up)) || len(up) > replicas && !slices.Equal(accepting, named) {
-				mismatch = fmt.Sprintf("destination %d: taken on by %v, said to belong to %v", d, accepting, named)
+				mismatch = fmt.Sprintf("destination %d: accepted by %v, others name %v", d, accepting, named)
 			}
 			if mismatch != "" {
 				break
@@ -216,12 +217,12 @@
 			return
 		}
 	}
-	s.t.Fatalf("%s: %s, %v after the change", round, mismatch, changeTimeout)
+	s.t.Fatalf("%s: still %s, %v after the change", round, mismatch, changeTimeout)
 }
 
-// Senders of a sharded fleet take on what their shards' destinations are handed in for, and say of others who serves
-// them, before any 202. That stays so as the leader of the control members is killed, a destination comes, and a sender
-// is killed and comes back.
+// TestShards checks that senders of a sharded fleet accept messages for destinations of their own shards only, and name
+// the senders that serve the others. That must hold again after the leader of the control members is killed, a
+// destination is added, and a sender is killed and restarted.
 func TestShards(t *testing.T) {
 	const destinations, replicas = 12, 2
 	s := newShardedFleet(t, 3, destinations, replicas)
@@ -232,7 +233,7 @@
 
 	s.control.kill(s.control.leader())
 	first := s.rigs[0]
-	first.change(func() { // a further destination, that of one whose endpoint is known
+	first.change(func() { // adds a destination with the same endpoint
 		e := first.list[0]
 		e.ID, e.Cell = "e-new", destinations
 		first.list = append(first.list, e)
@@ -245,8 +246,8 @@
 	s.awaitServed("back", []int{0, 1, 2}, destinations+1, replicas)
 }
 
-// A shard leaves with a call out and a message held: both end here, while new messages are refused with word of who
-// serves the destination now.
+// TestLeavingShardEndsItsMessagesHere moves a shard away from a sender that has a call in flight and holds a message:
+// both end at this sender, while new messages are refused with the name of the sender that serves the destination now.
 func TestLeavingShardEndsItsMessagesHere(t *testing.T) {
 	const destinations, replicas = 40, 1
 	s := newShardedFleet(t, 3, destinations, replicas)
@@ -265,7 +266,7 @@
 		}
 	}
 	if movingDest < 0 {
-		t.Fatal("no destination moves")
+		t.Fatal("no destination moves to the new sender")
 	}
 	s.rigs[0].start()
 	s.rigs[1].start()
@@ -276,12 +277,12 @@
 	s.blockedCalls["out"] = release
 	s.mu.Unlock()
 	if status, _ := s.submit(owner, "out", movingDest); status != 202 {
-		t.Fatalf("the message whose call is to be out: %d", status)
+		t.Fatalf("message \"out\": status %d, want 202", status)
 	}
 	if status, _ := s.submit(owner, "held", movingDest); status != 202 {
-		t.Fatalf("the message that is to be held: %d", status)
+		t.Fatalf("message \"held\": status %d, want 202", status)
 	}
-	s.await("a call is out, and the other message is told to wait", func() bool { return s.calls["out"] == 1 && s.calls["held"] == 1 })
+	s.await("one call is in flight, and a wait is requested for the other message", func() bool { return s.calls["out"] == 1 && s.calls["held"] == 1 })
 	s.rigs[2].start()
 	for end := time.Now().Add(changeTimeout); ; time.Sleep(50 * time.Millisecond) {
 		status, servers := s.submit(owner, fmt.Sprintf("new-%d", time.Now().UnixNano()), movingDest)
@@ -295,11 +296,11 @@
 	close(release)
 	s.await("the held message is called again after its wait", func() bool { return s.calls["held"] == 2 })
 	s.awaitServed("three", []int{0, 1, 2}, destinations, replicas)
-	// Both have ended here, by delivery: the owner knows them as taken on, no notice gave one back or up, and nobody else
-	// was handed them. A call that is out for over 2.5 s, as it may be here, is given up and repeated.
+	// Both have ended at their sender, by delivery: it knows them as accepted, and no sender gave a notice of return or
+	// abandonment. A call in flight for over 2.5 s, as it may be here, is abandoned and repeated.
 	for _, id := range []string{"out", "held"} {
 		if status, _ := s.submit(owner, id, movingDest); status != 409 {
-			t.Errorf("message %q handed in again at its sender: %d, want 409", id, status)
+			t.Errorf("message %q resubmitted to its sender: status %d, want 409", id, status)
 		}
 	}
 	for i, r := range s.rigs {
@@ -311,16 +312,16 @@
 	}
 }
 
-// count is how often the partner was called with a message.
+// callCount returns the number of calls of a message that the partner received.
 func (s *shardedFleet) callCount(id string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.calls[id]
 }
 
-// A sender is stopped for longer than the others wait for it, and woken: they serve its destinations meanwhile, and it
-// takes none on by what it knew once it has heard again. Its clock stood still for it, so that nothing it counted by
-// itself says that it was away.
+// TestSenderStoppedPastSubscription stops a sender for longer than its subscription lasts, and resumes it: the others
+// serve its destinations meanwhile, and it accepts no messages by its outdated table once it has the new one. No timer
+// of its own shows it that it was stopped, as its process did not run.
 func TestSenderStoppedPastSubscription(t *testing.T) {
 	const destinations, replicas = 12, 2
 	s := newShardedFleet(t, 3, destinations, replicas)
@@ -334,6 +335,7 @@
 	s.awaitServed("woken", []int{0, 1, 2}, destinations, replicas)
 }
 
+// await polls until holds, called with the lock held, returns true, or fails the test.
 func (s *shardedFleet) await(what string, holds func() bool) {
 	s.t.Helper()
 	for end := time.Now().Add(patient); ; time.Sleep(5 * time.Millisecond) {
--- a/cmd/sliptide/soak_judge_test.go
+++ b/cmd/sliptide/soak_judge_test.go
@@ -7,21 +7,21 @@
 	"time"
 )
 
-// Bounds of the rules on sockets: an end is late past endWithin, a wait binds after waitCrossing, and a sender that has
-// been restarted owes nothing until restartSlack after it is ready.
+// Tolerances of the checks, for what is in flight on sockets. A sender that has been restarted may be late until
+// restartSlack after it is ready.
 const (
-	endTolerance  = 350 * time.Millisecond
-	inFlightGrace = 100 * time.Millisecond
+	endTolerance  = 350 * time.Millisecond // a message that ends later than this past its deadline counts as lost
+	inFlightGrace = 100 * time.Millisecond // for which a call may cross a requested wait or an earlier attempt's end
 )
 
-// soakMessage is what befell one message.
+// soakMessage records the events of one message.
 type soakMessage struct {
 	class    string
 	sender   int
-	deadline time.Time // its time is up
-	accepted bool      // its client heard 202
-	refused  bool      // or a refusal
-	attempt  *soakCall // the attempt that is out
+	deadline time.Time
+	accepted bool      // the client received 202
+	refused  bool      // the client received 429 or 503
+	attempt  *soakCall // in flight
 	effects  int
 	endedAt  time.Time // the first delivery or notice
 	notices  int
@@ -34,17 +34,17 @@
 	once sync.Once
 }
 
-// outage is when a sender was away, up to when it owes its ends again; zero: not yet.
+// outage is a span in which a sender was unavailable. It ends when late messages count again; a zero end means not yet.
 type outage struct{ from, to time.Time }
 
-// soak is one run: what clients, endpoints and the platform saw, and what is broken by it.
+// soak is the state of one run: what clients, endpoints and the discovery agent observed, and the violations found.
 type soak struct {
 	mu              sync.Mutex
 	rng             *rand.Rand
 	mix             soakMix
 	startedAt       time.Time
 	msgs            map[string]*soakMessage
-	waitUntil       map[[2]int]time.Time // by sender and destination, from when on it binds to when
+	waitUntil       map[[2]int]time.Time // by sender and destination: no calls before
 	waitRequestedAt map[[2]int]time.Time
 	outages         map[int][]outage
 	violations      []string
@@ -56,32 +56,33 @@
 		waitUntil: map[[2]int]time.Time{}, waitRequestedAt: map[[2]int]time.Time{}, outages: map[int][]outage{}}
 }
 
-// draw is a source of its own for one request.
+// draw returns a new random source for one request, derived from the seed.
 func (s *soak) draw() *rand.Rand {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return rand.New(rand.NewPCG(s.rng.Uint64(), 1))
 }
 
+// violation records a violation of the guarantees.
 func (s *soak) violation(format string, args ...any) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.addViolation(format, args...)
 }
 
-// broken notes a breach. The lock is held.
+// addViolation is violation for callers that hold the lock.
 func (s *soak) addViolation(format string, args ...any) {
 	s.violations = append(s.violations, fmt.Sprintf("%7.3f ", time.Since(s.startedAt).Seconds())+fmt.Sprintf(format, args...))
 }
 
-// offered notes a message that a client is about to hand in.
+// submitted records a message that a client is about to submit.
 func (s *soak) submitted(id, class string, sender int, until time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.msgs[id] = &soakMessage{class: class, sender: sender, deadline: until}
 }
 
-// answered notes what its client heard.
+// submissionAnswered records the status that the client received.
 func (s *soak) submissionAnswered(id string, status int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -92,14 +93,14 @@
 	case status == 429 || status == 503:
 		m.refused = true
 		if m.effects > 0 {
-			s.addViolation("%s: refused, and has run", id)
+			s.addViolation("%s: refused, but took effect", id)
 		}
 	default:
-		s.addViolation("%s: answered %d", id, status)
+		s.addViolation("%s: submission answered with unexpected status %d", id, status)
 	}
 }
 
-// called notes an attempt. An earlier one may have been given up a moment ago: its end is waited for.
+// attemptStarted records an attempt. An earlier one may have been abandoned a moment ago: it has inFlightGrace to end.
 func (s *soak) attemptStarted(e *soakEndpoint, q soakRequest) *soakCall {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -107,7 +108,7 @@
 	c := &soakCall{id: q.id, done: make(chan struct{})}
 	m := s.msgs[q.id]
 	if m == nil {
-		s.addViolation("%s: sent, and no client has handed it in", q.id)
+		s.addViolation("%s: called, but no client has submitted it", q.id)
 		return c
 	}
 	if earlier := m.attempt; earlier != nil {
@@ -115,22 +116,22 @@
 		select {
 		case <-earlier.done:
 		case <-time.After(inFlightGrace):
-			s.violation("%s: two attempts out at once", q.id)
+			s.violation("%s: two attempts in flight at once", q.id)
 		}
 		s.mu.Lock()
 	}
 	m.attempt = c
 	route := [2]int{e.sender, e.dest}
 	if requestedAt := s.waitRequestedAt[route]; q.at.Sub(requestedAt) > inFlightGrace && q.at.Before(s.waitUntil[route]) && !s.unavailableSince(e.sender, requestedAt) {
-		s.addViolation("%s: called %v before the end of a wait", q.id, s.waitUntil[route].Sub(q.at))
+		s.addViolation("%s: called %v before the end of a requested wait", q.id, s.waitUntil[route].Sub(q.at))
 	}
 	if m.refused {
-		s.addViolation("%s: refused, and called", q.id)
+		s.addViolation("%s: refused, but called", q.id)
 	}
 	return c
 }
 
-// over notes that an attempt is out no more.
+// attemptEnded records that an attempt is no longer in flight.
 func (s *soak) attemptEnded(c *soakCall) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -140,7 +141,7 @@
 	c.once.Do(func() { close(c.done) })
 }
 
-// effect notes that a message runs, and reports whether it is the first time.
+// takeEffect records that a message takes effect, and reports whether it is the first time.
 func (s *soak) takeEffect(id string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -149,15 +150,15 @@
 		return false
 	}
 	if m.effects++; m.effects > 1 && m.class == "pay" {
-		s.addViolation("%s: ran twice, which its class forbids", id)
+		s.addViolation("%s: took effect twice, which its class forbids", id)
 	}
 	return m.effects == 1
 }
 
-// delivered notes a 200 that went out as a message's own answer.
+// messageDelivered records that the partner sent a 200 as the answer to a message.
 func (s *soak) messageDelivered(id string) { s.messageEnded(id) }
 
-// noticed notes a notice.
+// noticeReceived records a notice.
 func (s *soak) noticeReceived(id string) {
 	s.messageEnded(id)
 	s.mu.Lock()
@@ -171,13 +172,13 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if m := s.msgs[id]; m == nil {
-		s.addViolation("%s: ended, and no client has handed it in", id)
+		s.addViolation("%s: ended, but no client has submitted it", id)
 	} else if m.endedAt.IsZero() {
 		m.endedAt = time.Now()
 	}
 }
 
-// tellWait notes a wait as it is told.
+// waitRequested records that an endpoint is about to request a wait.
 func (s *soak) waitRequested(e *soakEndpoint) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -185,13 +186,14 @@
 	s.waitRequestedAt[route], s.waitUntil[route] = time.Now(), time.Now().Add(soakRetryAfter)
 }
 
-// leave notes that a sender is told to end, or killed; back, that it is ready again.
+// senderStopping records that a sender is about to be stopped or killed.
 func (s *soak) senderStopping(sender int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.outages[sender] = append(s.outages[sender], outage{from: time.Now()})
 }
 
+// senderReady records that a sender is ready again.
 func (s *soak) senderReady(sender int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -199,7 +201,7 @@
 	list[len(list)-1].to = time.Now().Add(restartSlack)
 }
 
-// awaySince reports whether a sender has been away after a moment. The lock is held.
+// unavailableSince reports whether a sender was unavailable at any time after at. The lock is held.
 func (s *soak) unavailableSince(sender int, at time.Time) bool {
 	for _, o := range s.outages[sender] {
 		if o.to.IsZero() || o.to.After(at) {
@@ -209,7 +211,8 @@
 	return false
 }
 
-// judge adds what is broken at the end, when all should be over.
+// judge checks the accepted messages after the run, when all of them should have ended, and adds the violations. It
+// returns how many messages were accepted and how many took effect more than once.
 func (s *soak) judge() (accepted, repeated int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -229,9 +232,9 @@
 		}
 		switch {
 		case m.endedAt.IsZero():
-			s.addViolation("%s: lost: taken on, neither delivered nor ended by a notice", id)
+			s.addViolation("%s: lost: accepted, but neither delivered nor ended by a notice", id)
 		case m.endedAt.After(latest):
-			s.addViolation("%s: lost: ended %v late", id, m.endedAt.Sub(latest))
+			s.addViolation("%s: lost: ended %v past the latest permitted time", id, m.endedAt.Sub(latest))
 		}
 	}
 	return accepted, repeated
--- a/cmd/sliptide/soak_partner_test.go
+++ b/cmd/sliptide/soak_partner_test.go
@@ -12,7 +12,7 @@
 	"time"
 )
 
-// soakEndpoint is an endpoint of one partner as one sender reaches it, with faults drawn from the soak's seed.
+// soakEndpoint is a partner's endpoint that serves one sender, with faults drawn from the seed of the run.
 type soakEndpoint struct {
 	soak   *soak
 	sender int
@@ -23,37 +23,38 @@
 	conns map[net.Conn]bool
 }
 
-// soakAct is what an endpoint does with a request.
+// soakBehaviour is how an endpoint handles a request.
 type soakBehaviour int
 
 const (
 	respondOK                soakBehaviour = iota // 200
-	respondTwice                                  // 200, and a copy of it later
+	respondTwice                                  // 200, and a copy of the answer later
 	respondUnavailable                            // 503
-	respondRetryAfter                             // 503 that tells a wait
-	respondError                                  // 500, which has run
-	closeAfterEffect                              // the connection ends, it has run
-	closeBeforeEffect                             // the connection ends, it has not run
-	neverRespond                                  // nothing more comes on this connection, it has run
-	respondWithTrailingBytes                      // 200, and bytes behind it that are no answer
-	respondPartially                              // a first line alone, then the end
+	respondRetryAfter                             // 503 with Retry-After
+	respondError                                  // 500, after the message took effect
+	closeAfterEffect                              // closes the connection after the message took effect
+	closeBeforeEffect                             // closes the connection before the message takes effect
+	neverRespond                                  // leaves the connection open after the message took effect
+	respondWithTrailingBytes                      // 200, followed by bytes that are no answer
+	respondPartially                              // the status line alone, then closes the connection
 )
 
-// soakMix is how many of a hundred requests each act gets.
+// soakMix is the percentage of requests that each behaviour gets.
 type soakMix map[soakBehaviour]int
 
-// soakMixes are played in turn: all faults, and repeated answers with some refusals alone, under which most is delivered.
+// soakMixes are used in turn: one with all faults, and one with only duplicate answers and some refusals, under which
+// most messages are delivered.
 var soakMixes = []soakMix{
 	{respondOK: 66, respondTwice: 16, respondUnavailable: 4, respondRetryAfter: 1, respondError: 3, closeAfterEffect: 3, closeBeforeEffect: 2, neverRespond: 1, respondWithTrailingBytes: 2, respondPartially: 2},
 	{respondOK: 64, respondTwice: 30, respondUnavailable: 6},
 }
 
-// runs reports whether the message takes effect.
+// hasEffect reports whether the message takes effect.
 func (a soakBehaviour) hasEffect() bool {
 	return a != respondUnavailable && a != respondRetryAfter && a != closeBeforeEffect
 }
 
-// delivers reports whether the sender is told that the message is taken on.
+// accepts reports whether the sender receives at least the status line of a 200.
 func (a soakBehaviour) accepts() bool {
 	return a == respondOK || a == respondTwice || a == respondWithTrailingBytes || a == respondPartially
 }
@@ -99,13 +100,13 @@
 	}
 }
 
-// soakRequest is one request, or the end of its connection.
+// soakRequest is one request that an endpoint has read.
 type soakRequest struct {
-	id string // empty: a probe
+	id string // empty for a probe
 	at time.Time
 }
 
-// read reads requests ahead, so that the end of the connection is seen while one is served.
+// readRequests reads requests ahead of serve, so that a close of the connection is seen while a request is served.
 func (e *soakEndpoint) readRequests(nc net.Conn, requests chan<- soakRequest) {
 	defer close(requests)
 	r := bufio.NewReader(nc)
@@ -121,7 +122,7 @@
 	}
 }
 
-// serve answers the requests of one connection, one at a time, with what the seed draws.
+// serve answers the requests of one connection, one at a time, each with a behaviour drawn at random.
 func (e *soakEndpoint) serve(nc net.Conn) {
 	requests := make(chan soakRequest, 4)
 	go e.readRequests(nc, requests)
@@ -130,10 +131,10 @@
 		e.mu.Lock()
 		delete(e.conns, nc)
 		e.mu.Unlock()
-		for range requests { // what the reader still holds
+		for range requests { // unblocks the reader
 		}
 	}()
-	var pendingCopy string // a copy to be written as the next request arrives
+	var pendingCopy string // copy of an answer, written when the next request arrives
 	for q := range requests {
 		io.WriteString(nc, pendingCopy)
 		pendingCopy = ""
@@ -145,13 +146,13 @@
 		behaviour := e.soak.mix.draw(rng)
 		c := e.soak.attemptStarted(e, q)
 		if behaviour.hasEffect() && !e.soak.takeEffect(q.id) {
-			behaviour = respondOK // the partner knows it: a repeat is answered at once
+			behaviour = respondOK // the partner deduplicates: a repeat is answered at once
 		} else if !e.process(requests, time.Duration(40+rng.IntN(120))*time.Millisecond) {
 			e.soak.attemptEnded(c)
 			return
 		}
 		if behaviour == neverRespond {
-			for range requests { // until the sender ends it
+			for range requests { // until the sender closes the connection
 			}
 			e.soak.attemptEnded(c)
 			return
@@ -177,12 +178,12 @@
 	}
 }
 
-// work takes the time of a call, and reports whether the connection is still there then.
+// process waits for the duration of a call, and reports whether the connection is still open then.
 func (e *soakEndpoint) process(requests <-chan soakRequest, d time.Duration) bool {
 	select {
 	case _, open := <-requests:
 		if open {
-			e.soak.violation("a further request on a connection that carries a call")
+			e.soak.violation("a second request on a connection with a call in flight")
 		}
 		return false
 	case <-time.After(d):
@@ -192,10 +193,10 @@
 
 const okResponse = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
 
-// soakWait is the wait that an endpoint tells.
+// soakRetryAfter is the wait that an endpoint requests.
 const soakRetryAfter = 700 * time.Millisecond
 
-// answerOf is what an act writes, and whether the connection goes on.
+// responseText returns the bytes that a behaviour writes, and whether the connection stays open.
 func responseText(behaviour soakBehaviour, rng *rand.Rand) (text string, keepAlive bool) {
 	switch behaviour {
 	case respondUnavailable:
--- a/cmd/sliptide/soak_test.go
+++ b/cmd/sliptide/soak_test.go
@@ -21,17 +21,18 @@
 
 const (
 	soakSeedsInCI      = 3
-	soakSubmitDuration = 22 * time.Second // that clients hand messages in
-	soakMaxExpiry      = 6 * time.Second  // the longest that a message may be delivered
+	soakSubmitDuration = 22 * time.Second // during which clients submit messages
+	soakMaxExpiry      = 6 * time.Second  // longest time to deadline of a message
 	clientTimeout      = 400 * time.Millisecond
-	killDelay          = 3700 * time.Millisecond // from the SIGTERM of a restart, at the earliest
-	startDelay         = 600 * time.Millisecond  // from its end to the next start
+	killDelay          = 3700 * time.Millisecond // from SIGTERM to SIGKILL during a restart
+	startDelay         = 600 * time.Millisecond  // from the end of a process to the next start
 	readyTimeout       = 10 * time.Second
-	maxIdleConns       = 150 // connections that say nothing
+	maxIdleConns       = 150 // open connections without a request
 )
 
-// TestSoakOfFaults plays senders with faulty partners, agents, clients, signals and clocks, and judges what all saw.
-// SLIPTIDE_SOAK_SEEDS says how many seeds, SLIPTIDE_SOAK_FIRST the first; CI plays a few.
+// TestSoakOfFaults runs senders against faulty partners, discovery agents, clients, signals, disks and clocks, and
+// checks the delivery guarantees against what all of them observed. SLIPTIDE_SOAK_SEEDS sets the number of seeds,
+// SLIPTIDE_SOAK_FIRST the first one; CI runs three.
 func TestSoakOfFaults(t *testing.T) {
 	seeds, err := strconv.Atoi(os.Getenv("SLIPTIDE_SOAK_SEEDS"))
 	if err != nil {
@@ -47,14 +48,14 @@
 	}
 }
 
-// soakOnce plays one seed.
+// runSoak runs one seed.
 func runSoak(t *testing.T, seed uint64, binaries []string) {
 	rng := rand.New(rand.NewPCG(seed, 35))
 	senders, idleConns := 1+rng.IntN(3), rng.IntN(3) == 0
 	s := newSoak(seed)
 	stop := make(chan struct{})
-	var background sync.WaitGroup // what goes on until all is over
-	var load sync.WaitGroup       // what ends with the clients
+	var background sync.WaitGroup // runs until the senders have stopped
+	var load sync.WaitGroup       // ends when the clients stop
 	nodes := make([]*soakNode, senders)
 	done := make(chan struct{})
 	for i := range nodes {
@@ -75,7 +76,7 @@
 	}
 	time.AfterFunc(soakSubmitDuration, func() { close(stop) })
 	load.Wait()
-	time.Sleep(soakMaxExpiry + restartSlack + endTolerance) // the time of every message is up then
+	time.Sleep(soakMaxExpiry + restartSlack + endTolerance) // every message is past its deadline
 	accepted, repeated := s.judge()
 	halts := 0
 	for _, n := range nodes {
@@ -85,22 +86,22 @@
 	}
 	close(done)
 	background.Wait()
-	t.Logf("seed %d: %d senders, crowd %v: %d messages taken on, %d calls, %d ran again, %d halts by the disk, %d breaches", seed, senders, idleConns, accepted, s.calls, repeated, halts, len(s.violations))
+	t.Logf("seed %d: %d senders, idle connections %v: %d messages accepted, %d calls, %d took effect repeatedly, %d halts by the disk, %d violations", seed, senders, idleConns, accepted, s.calls, repeated, halts, len(s.violations))
 	if accepted == 0 {
-		t.Error("nothing was taken on")
+		t.Error("no message was accepted")
 	}
 	for _, b := range s.violations[:min(len(s.violations), 20)] {
 		t.Error(b)
 	}
 }
 
-// soakNode is one sender with its platform.
+// soakNode is one sender with the discovery agent, endpoints and clients around it.
 type soakNode struct {
 	*soak
 	t     *testing.T
 	index int
 	rig   *rig
-	rng   *rand.Rand // of its faults
+	rng   *rand.Rand // draws its faults
 }
 
 func newSoakNode(t *testing.T, s *soak, index, senderCount int, rng *rand.Rand) *soakNode {
@@ -122,7 +123,7 @@
 	return n
 }
 
-// drain takes what the sender tells the platform.
+// discardReports records the sender's notices and discards its discovery calls until done is closed.
 func (n *soakNode) discardReports(done <-chan struct{}) {
 	for {
 		select {
@@ -135,7 +136,7 @@
 	}
 }
 
-// faults plays one after the other what the seed draws.
+// injectFaults injects random faults one after the other until stop is closed.
 func (n *soakNode) injectFaults(stop <-chan struct{}, binaries []string) {
 	for {
 		select {
@@ -168,11 +169,11 @@
 	}
 }
 
-// restart ends the sender, by a series of signals or by SIGKILL alone, and starts it again, now and then on a wall clock
-// that was stepped.
+// restart stops the sender, with a series of signals if planned or else with SIGKILL alone, and starts it again with a
+// binary drawn at random: some of them have a shifted wall clock.
 func (n *soakNode) restart(binaries []string, planned bool) {
 	n.senderStopping(n.index)
-	var disk sync.WaitGroup // a disk that fails through the end and the start
+	var disk sync.WaitGroup // disk writes fail from before the stop until after the start
 	defer disk.Wait()
 	if n.rng.IntN(3) == 0 {
 		disk.Go(func() { n.failDisk(2 * time.Second) })
@@ -194,7 +195,7 @@
 	n.rig.launch()
 	for n.rig.up() != http.StatusOK {
 		if time.Since(launched) > readyTimeout {
-			n.violation("n%d is not ready %v after its start", n.index, readyTimeout)
+			n.violation("n%d is not ready within %v of its start", n.index, readyTimeout)
 			break
 		}
 		time.Sleep(10 * time.Millisecond)
@@ -202,19 +203,19 @@
 	n.senderReady(n.index)
 }
 
-// wantClean looks at how the process has ended after a SIGTERM.
+// checkExitStatus records a violation if the process did not exit with status 0 after a SIGTERM.
 func (n *soakNode) checkExitStatus() {
 	if status := n.rig.proc.ProcessState; !status.Success() {
-		n.violation("n%d ended by itself: %v", n.index, status)
+		n.violation("n%d exited with an error: %v", n.index, status)
 	}
 }
 
-// fewFiles takes all free descriptors from the sender for a while: accept, socket and open fail with EMFILE.
+// exhaustDescriptors lowers the sender's limit of open files for a while: accept, socket and open fail with EMFILE.
 func (n *soakNode) exhaustDescriptors(d time.Duration) {
 	pid := n.rig.proc.Process.Pid
 	var original unix.Rlimit
 	if err := unix.Prlimit(pid, unix.RLIMIT_NOFILE, nil, &original); err != nil {
-		return // it has just ended
+		return // the process has just exited
 	}
 	lowered := unix.Rlimit{Cur: 8, Max: original.Max}
 	unix.Prlimit(pid, unix.RLIMIT_NOFILE, &lowered, nil)
@@ -222,7 +223,7 @@
 	unix.Prlimit(pid, unix.RLIMIT_NOFILE, &original, nil)
 }
 
-// failDisk makes all that the sender writes in its folder fail for a while.
+// failDisk makes all writes to the sender's state directory fail for a while.
 func (n *soakNode) failDisk(d time.Duration) {
 	path := n.rig.state + failWhile
 	if err := os.WriteFile(path, nil, 0o600); err != nil {
@@ -232,7 +233,7 @@
 	os.Remove(path)
 }
 
-// crowd holds connections that say nothing.
+// openIdleConns keeps opening connections that carry no request, and closes the oldest above maxIdleConns.
 func (n *soakNode) openIdleConns(stop <-chan struct{}) {
 	var held []net.Conn
 	defer func() {
@@ -256,7 +257,7 @@
 	}
 }
 
-// soakClient hands messages in, one at a time, on a connection that it keeps as long as that stays open.
+// soakClient submits messages, one at a time, on a connection that it reuses as long as it stays open.
 type soakClient struct {
 	node *soakNode
 	rng  *rand.Rand
@@ -285,10 +286,10 @@
 	}
 }
 
-// errUnanswered is a connection's end without an answer.
-var errUnanswered = errors.New("the connection ended without an answer")
+// errUnanswered reports a connection that was closed without an answer.
+var errUnanswered = errors.New("connection closed without an answer")
 
-// hand hands one message in; on a kept connection that ends without an answer once more, on a new one.
+// submit submits one message. If a reused connection closes without an answer, it submits once more on a new one.
 func (c *soakClient) submit(id string) {
 	class := []string{"note", "pay"}[c.rng.IntN(2)]
 	expiresIn := time.Duration(700+c.rng.IntN(int(soakMaxExpiry/time.Millisecond)-700)) * time.Millisecond
@@ -304,16 +305,16 @@
 		case err == nil:
 			c.node.submissionAnswered(id, status)
 			return
-		case reused && errors.Is(err, errUnanswered): // it may have crossed the close of a connection that rested
+		case reused && errors.Is(err, errUnanswered): // the request may have crossed the sender's close of an idle connection
 			continue
 		case errors.Is(err, errUnanswered) && !c.node.wasUnavailable(sentAt):
-			c.node.violation("%s: read on a new connection, which ended without an answer", id)
+			c.node.violation("%s: sent on a new connection, which was closed without an answer", id)
 		}
 		return
 	}
 }
 
-// try writes a request and reads its answer.
+// send writes a request and reads the status of its answer.
 func (c *soakClient) send(request string) (int, error) {
 	if c.nc == nil {
 		nc, err := net.DialTimeout("tcp", c.node.rig.addr, clientTimeout)
@@ -331,7 +332,7 @@
 	if err != nil {
 		c.close()
 		if errors.Is(err, os.ErrDeadlineExceeded) {
-			return 0, err // the client goes: nothing was promised
+			return 0, err // the client gives up: the message was not accepted
 		}
 		return 0, errUnanswered
 	}
@@ -343,7 +344,7 @@
 	return resp.StatusCode, nil
 }
 
-// isAway reports whether the sender is away, or was after a moment.
+// wasUnavailable reports whether the sender is unavailable, or was at any time after since.
 func (n *soakNode) wasUnavailable(since time.Time) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/cmd/sliptide/storm_test.go
+++ b/cmd/sliptide/storm_test.go
@@ -20,26 +20,26 @@
 	"sliptide/internal/lab/world"
 )
 
-// A partner that is down under several real senders and clients that storm. internal/lab has the same scenario
-// in its model, as experiments/storm.xml.
+// These tests take a partner down under several sender processes and clients that resubmit. internal/lab has the same
+// scenario in its model, as experiments/storm.xml.
 
 const (
-	stormLimit           = 40.0 // calls a second that the partner states, over all senders
-	stormObservedSeconds = 11   // seconds from the return that are looked at
+	stormLimit           = 40.0 // calls a second from all senders that the partner states as its limit
+	stormObservedSeconds = 11   // observed after the partner is back
 )
 
-// fallen is a stand-in partner that can be down: nobody listens then. It answers 429 over its limit, and comes
-// back cold: it is slow at first, as its caches are empty.
+// stoppablePartner is a partner whose listener can be closed and opened again. It answers 429 over its limit, and is
+// slow for some time after a restart, as a partner with cold caches is.
 type stoppablePartner struct {
 	addr       string
 	limit      float64
-	advertises bool // it tells its limit in each answer; else the limit stands in its contract alone
+	advertises bool // it states its limit in each answer; otherwise only its contract does
 
 	mu         sync.Mutex
 	srv        *http.Server
 	restoredAt time.Time
 	calledAt   []time.Time
-	acceptedAt []time.Time // of these, under the limit
+	acceptedAt []time.Time // the subset of calledAt under the limit
 	dialledAt  []time.Time
 	answeredAt []time.Time
 }
@@ -77,7 +77,7 @@
 
 func (p *stoppablePartner) restart(t *testing.T) {
 	var ln net.Listener
-	for end := time.Now().Add(patient); ln == nil; { // its port may be a dialling sender's for a moment
+	for end := time.Now().Add(patient); ln == nil; { // a sender's outgoing connection may briefly hold the port
 		var err error
 		if ln, err = net.Listen("tcp", p.addr); err != nil && time.Now().After(end) {
 			t.Fatal(err)
@@ -89,7 +89,7 @@
 	p.serve(ln)
 }
 
-// window is how many calls were taken in the last second. The lock is held.
+// acceptedInLastSecond counts the calls accepted in the second before now. The lock is held.
 func (p *stoppablePartner) acceptedInLastSecond(now time.Time) (n int) {
 	for i := len(p.acceptedAt) - 1; i >= 0 && now.Sub(p.acceptedAt[i]) < time.Second; i-- {
 		n++
@@ -126,7 +126,7 @@
 	w.WriteHeader(200)
 }
 
-// perSecond counts times by the second after from.
+// countPerSecond counts times in each of the n seconds after from.
 func countPerSecond(times []time.Time, from time.Time, n int) []int {
 	counts := make([]int, n)
 	for _, at := range times {
@@ -137,22 +137,22 @@
 	return counts
 }
 
-// stormRun is one run: what the partner saw from its return on.
+// stormResult is the outcome of one run. The counts per second start when the partner is back.
 type stormResult struct {
 	calls, dials, answered []int
 	submitted, delivered   int
 	retries, refusals      int64
-	restartLog             string // the log of the sender that was restarted, up to the return
+	restartLog             string // log of the restarted sender from its restart until the partner is back
 }
 
-// crowdOf hands in messages at a rate, each up to three times, to senders at random as a front would. Half of
-// the clients come back when they were told, to the millisecond; the others do not care and come at once.
+// stormClients submits messages at a rate, each up to three times, to senders at random as a load balancer would. Half
+// of the clients resubmit exactly after the requested wait; the others ignore it and resubmit after 50 ms.
 type stormClients struct {
 	t         *testing.T
 	rigs      []*rig
 	rng       *rand.Rand
 	mu        sync.Mutex
-	pending   map[string]*clientMessage // by trace id, taken on
+	pending   map[string]*clientMessage // submitted and not refused so far, by trace ID
 	wg        sync.WaitGroup
 	stop      chan struct{}
 	submitted atomic.Int64
@@ -160,6 +160,7 @@
 	refusals  atomic.Int64
 }
 
+// clientMessage is one message over all of its submissions.
 type clientMessage struct {
 	key               string
 	submissions       int
@@ -173,7 +174,7 @@
 	return c.rng.IntN(len(c.rigs)), c.rng.IntN(2) == 0
 }
 
-// try hands a message in once more.
+// submit submits a message once more.
 func (c *stormClients) submit(m *clientMessage) {
 	sender, _ := c.draw()
 	m.submissions++
@@ -196,7 +197,7 @@
 	c.mu.Unlock()
 	resp, err := http.DefaultClient.Do(q)
 	if err != nil {
-		return // its sender is being restarted
+		return // the sender is being restarted
 	}
 	io.Copy(io.Discard, resp.Body)
 	resp.Body.Close()
@@ -210,7 +211,7 @@
 	c.refused(m, time.Duration(after*float64(time.Second)))
 }
 
-// again is a refusal, by answer or by notice.
+// refused handles a refusal, by answer or by notice: it schedules a resubmission unless there were three.
 func (c *stormClients) refused(m *clientMessage, retryAfter time.Duration) {
 	c.refusals.Add(1)
 	if m.submissions >= 3 {
@@ -230,7 +231,7 @@
 	})
 }
 
-// listen takes the notices that senders give.
+// consumeNotices handles the notices of one sender.
 func (c *stormClients) consumeNotices(r *rig) {
 	for {
 		select {
@@ -248,7 +249,7 @@
 	}
 }
 
-// hand hands in a new message.
+// submitNew submits a new message.
 func (c *stormClients) submitNew(key string) {
 	_, deaf := c.draw()
 	c.submitted.Add(1)
@@ -259,7 +260,7 @@
 	}()
 }
 
-// run hands in at a rate for a while.
+// submitAtRate submits new messages at a rate for a duration.
 func (c *stormClients) submitAtRate(rate float64, d time.Duration, name string) {
 	for i, end := 0, time.Now().Add(d); time.Now().Before(end); i++ {
 		c.mu.Lock()
@@ -270,16 +271,16 @@
 	}
 }
 
-// stormCase is how a partner goes down and comes back.
+// stormCase describes an outage of the partner.
 type stormCase struct {
 	name       string
 	advertises bool
-	coldMS     float64 // milliseconds that the settings give it to warm up
+	coldMS     float64 // warm-up time of the partner in the senders' settings
 	downtime   time.Duration
-	restart    bool // one sender is killed in the middle
+	restart    bool // one sender is killed and restarted halfway through the outage
 }
 
-// runStorm has a partner down for a while under senders and clients, with an operators' file.
+// runStorm runs senders and clients through an outage of their partner, with the content of an operators' file.
 func runStorm(t *testing.T, operator string, seed uint64, senders int, sc stormCase) stormResult {
 	p, downtime, restart := newStoppablePartner(t, stormLimit, sc.advertises), sc.downtime, sc.restart
 	c := &stormClients{t: t, rng: rand.New(rand.NewPCG(seed, 9)), pending: map[string]*clientMessage{}, stop: make(chan struct{})}
@@ -322,7 +323,7 @@
 		c.submitAtRate(load, downtime, "down-")
 	}
 	p.restart(t)
-	for i := range int(load) { // new work that has waited elsewhere comes in a clump
+	for i := range int(load) { // a burst of new messages that clients held back during the outage
 		c.submitNew(fmt.Sprint("clump-", i))
 	}
 	c.submitAtRate(load, stormObservedSeconds*time.Second, "after-")
@@ -333,7 +334,7 @@
 	s := stormResult{calls: countPerSecond(p.calledAt, p.restoredAt, stormObservedSeconds), dials: countPerSecond(p.dialledAt, p.restoredAt, stormObservedSeconds),
 		answered: countPerSecond(p.answeredAt, p.restoredAt, stormObservedSeconds), submitted: int(c.submitted.Load()),
 		retries: c.retries.Load(), refusals: c.refusals.Load(), restartLog: restartLog}
-	for _, at := range p.answeredAt { // what goes out while the clients' last tries are awaited is not of the time watched
+	for _, at := range p.answeredAt { // deliveries while the clients finish are outside the observed time
 		if at.Before(p.restoredAt.Add(stormObservedSeconds * time.Second)) {
 			s.delivered++
 		}
@@ -343,7 +344,8 @@
 
 const stormsXML = `<knowledge enabled="true" write-every="500ms"/><storms enabled="true"><limit dest="3" calls-per-second="40"/></storms>`
 
-// A partner that was down is called within its stated limit in each second from its first one back.
+// TestCallsAfterOutageStayWithinLimit checks that a partner that was down receives no more calls than its stated limit
+// in each second after it is back, and that the lab's model agrees with the processes.
 func TestCallsAfterOutageStayWithinLimit(t *testing.T) {
 	for _, sc := range []stormCase{
 		{"limit told, cold", true, 9000, 5 * time.Second, false},
@@ -352,9 +354,9 @@
 		t.Run(sc.name, func(t *testing.T) {
 			t.Parallel()
 			s := runStorm(t, stormsXML, 1, 3, sc)
-			t.Logf("calls %v connections %v done %v", s.calls, s.dials, s.answered)
-			// make storms holds each second to the limit. Here a machine that stalls for a moment lets the calls of
-			// two seconds arrive in one: one such second may pass. Without the guard it is 59 to 86 calls.
+			t.Logf("calls %v connections %v answered %v", s.calls, s.dials, s.answered)
+			// "make storms" holds each second to the limit. Here, one second may exceed it by a quarter: a short stall
+			// of the machine makes calls of two seconds arrive in one. Without storm control, 59 to 86 calls arrive.
 			total, secondsOver := 0, 0
 			for i, n := range s.calls {
 				total += n
@@ -362,29 +364,29 @@
 					secondsOver++
 				}
 				if float64(n) > 1.25*stormLimit || secondsOver > 1 {
-					t.Errorf("second %d back: %d calls, limit %v", i+1, n, stormLimit)
+					t.Errorf("second %d after the outage: %d calls, limit %v", i+1, n, stormLimit)
 				}
 			}
-			if total < int(stormLimit) { // the promise must not be kept by silence
-				t.Errorf("%d calls in %d seconds", total, stormObservedSeconds)
+			if total < int(stormLimit) { // not calling at all must not pass
+				t.Errorf("only %d calls in %d seconds", total, stormObservedSeconds)
 			}
-			// What the first life knew is there: the second need not find the outage out, its breaker is open.
+			// The restarted process restores the outage from its state directory: it need not detect it again.
 			if sc.restart && (!strings.Contains(s.restartLog, `"phase":"outage"`) || strings.Contains(s.restartLog, "breaker open")) {
-				t.Errorf("a sender that is restarted in an outage begins anew:\n%s", s.restartLog)
+				t.Errorf("a sender that is restarted during an outage has lost its knowledge of it:\n%s", s.restartLog)
 			}
 			compareWithLab(t, sc, &s)
 		})
 	}
 }
 
-// What the lab's model may part from the sockets: the calls at the partner over the seconds watched, as a ratio,
-// and the share of the messages that are delivered.
+// Maximum deviations of the lab's model from the processes: of the calls at the partner over the observed seconds, as a
+// ratio, and of the share of messages that are delivered.
 const (
 	maxCallsDeviation     = 0.25
 	maxDeliveredDeviation = 0.12
 )
 
-// modelOf is the world of runStorm in the lab.
+// labParams returns the parameters of the lab's model that match runStorm.
 func labParams(sc stormCase, sys world.System) world.Params {
 	p := world.Params{System: sys, Senders: 3, Partners: 1, Endpoints: 1, Load: 0.7 * stormLimit, Limit: stormLimit, Tells: sc.advertises,
 		Headroom: 10, Queue: 2000, Latency: 60, Sigma: 0.5, Cold: sc.coldMS, ColdFrom: 0.25, TipOver: 1.5, TipAfter: 3000, Dial: 1,
@@ -396,7 +398,7 @@
 	return p
 }
 
-// holdModel fails if the lab and the sockets part by more than they may.
+// compareWithLab fails the test if the lab's model deviates from the processes by more than the maximum.
 func compareWithLab(t *testing.T, sc stormCase, real *stormResult) {
 	const seeds = 10
 	p := labParams(sc, world.Sliptide)
@@ -413,13 +415,14 @@
 	}
 	modelCalls, modelDone := float64(calls)/seeds, float64(delivered)/float64(submitted)
 	realDone := float64(real.delivered) / float64(real.submitted)
-	t.Logf("calls in %d seconds: %d on sockets, %.0f in the lab; delivered: %.3f and %.3f", stormObservedSeconds, realCalls, modelCalls, realDone, modelDone)
+	t.Logf("calls in %d seconds: %d by the processes, %.0f in the lab; delivered: %.3f and %.3f", stormObservedSeconds, realCalls, modelCalls, realDone, modelDone)
 	if math.Abs(float64(realCalls)-modelCalls) > maxCallsDeviation*modelCalls || math.Abs(realDone-modelDone) > maxDeliveredDeviation {
-		t.Errorf("the lab's model parts from the sockets: calls %d and %.0f, delivered %.3f and %.3f", realCalls, modelCalls, realDone, modelDone)
+		t.Errorf("the lab's model deviates from the processes: calls %d and %.0f, delivered %.3f and %.3f", realCalls, modelCalls, realDone, modelDone)
 	}
 }
 
-// TestMeasureStorms tables the calls that the partner receives from its return on, before and after.
+// TestMeasureStorms prints a table of the calls that the partner receives after an outage, without and with storm
+// control.
 func TestMeasureStorms(t *testing.T) {
 	measuring(t)
 	seeds, _ := strconv.Atoi(os.Getenv("SLIPTIDE_SEEDS"))
@@ -445,6 +448,7 @@
 	}
 }
 
+// formatStormTable returns the table of a case's results.
 func formatStormTable(name string, results []stormResult) string {
 	var b strings.Builder
 	secondsOver, runsOver := 0, 0
