--- a/cmd/sliptide/copies_test.go
+++ b/cmd/sliptide/copies_test.go
@@ -39,7 +39,7 @@
 		n := 0
 		m.await(fmt.Sprintf("n%d accepts messages", i), func() bool {
 			n++
-			resp, err := r.tryHandIn(fmt.Sprintf("n%d-warm-%d", i, n), 5, 12, "x")
+			resp, err := r.trySubmit(fmt.Sprintf("n%d-warm-%d", i, n), 5, 12, "x")
 			if err != nil {
 				return false
 			}
@@ -68,15 +68,15 @@
 func TestMachineLost(t *testing.T) {
 	m := newTestFleet(t, copiesXML, 4)
 	m.awaitReady()
-	if out, errs, code := command(t, "fleet", "copies", "--operator", m.rigs[0].operator); code != 0 || strings.Count(out, "copied") != 4 || strings.Count(out, "batches") != 4 {
+	if out, errs, code := runCommand(t, "fleet", "copies", "--operator", m.rigs[0].operatorPath); code != 0 || strings.Count(out, "copied") != 4 || strings.Count(out, "batches") != 4 {
 		t.Errorf("fleet copies: status %d\n%s%s", code, out, errs)
 	}
 	m.setPartnerDown(true)
-	ids := m.hold(0, 12, 15)
-	m.lose(0)
+	ids := m.submitHeld(0, 12, 15)
+	m.killAndWipe(0)
 	lostAt := time.Now()
 	m.setPartnerDown(false)
-	m.allEnded(ids)
+	m.awaitFinalAnswers(ids)
 	t.Logf("all delivered %v after the loss", time.Since(lostAt).Round(10*time.Millisecond))
 	delivered := 0
 	for id, n := range m.finalAnswers() {
@@ -100,7 +100,7 @@
 	m := newTestFleet(t, copiesXML, 4)
 	m.awaitReady()
 	m.setPartnerDown(true)
-	ids := m.hold(3, 8, 19)
+	ids := m.submitHeld(3, 8, 19)
 	m.rigs[3].proc.Process.Signal(syscall.SIGSTOP)
 	m.await("another member has taken over", func() bool {
 		for _, r := range m.rigs[:3] {
@@ -114,10 +114,10 @@
 	m.rigs[3].awaitUp(200) // it may have answered 503 in between
 	m.rigs[3].awaitLog("messages were taken over while this sender was away")
 	m.setPartnerDown(false)
-	m.allEnded(ids)
+	m.awaitFinalAnswers(ids)
 	// It accepts messages again.
 	m.await("it accepts messages again", func() bool {
-		resp, err := m.rigs[3].tryHandIn("n3-again-"+fmt.Sprint(time.Now().UnixNano()), 5, 12, "x")
+		resp, err := m.rigs[3].trySubmit("n3-again-"+fmt.Sprint(time.Now().UnixNano()), 5, 12, "x")
 		if err != nil {
 			return false
 		}
@@ -149,7 +149,7 @@
 		text, _ := io.ReadAll(resp.Body)
 		return resp.StatusCode == 503 && strings.Contains(string(text), "too few members")
 	})
-	resp := r.handIn("n3-refused", 5, 10, "x")
+	resp := r.submit("n3-refused", 5, 10, "x")
 	if resp.StatusCode != 503 || resp.Header.Get("Retry-After") == "" {
 		t.Errorf("submission without a quorum: %s, Retry-After %q", resp.Status, resp.Header.Get("Retry-After"))
 	}
--- a/cmd/sliptide/fleet_test.go
+++ b/cmd/sliptide/fleet_test.go
@@ -54,7 +54,7 @@
 // the machine draws the same addresses.
 func reserveAddr(t *testing.T) string {
 	t.Helper()
-	n := rigs.Add(1)
+	n := rigCount.Add(1)
 	ln, err := net.Listen("tcp", fmt.Sprintf("127.78.%d.%d:0", n/250, n%250+1))
 	if err != nil {
 		t.Fatal(err)
@@ -82,15 +82,15 @@
 	}
 	m.operatorXML = m.operatorFile(func(k int) string { return m.linkAddrs[k] }, "")
 	for i := range n {
-		r := makeRig(t, m.operatorXML, func(settings, _ map[string]any) {
+		r := newUnstartedRig(t, m.operatorXML, func(settings, _ map[string]any) {
 			settings["balancers"] = 3
 			settings["family_info"].(map[string]any)["kind_batch"] = []int{1, 10}
 			settings["limits"].(map[string]any)["max_attempts"] = 100 // an outage of the partner must not use them up
 			settings["services"] = append(settings["services"].([]any), map[string]any{"name": "pay", "aim": 2000, "deadline": 20000, "effect": "unsafe", "worth": 2, "late_worth": 0.4})
 		})
 		r.config["name"] = fmt.Sprint("n", i)
-		r.list = append(r.list, r.partner("p-5", 5, func(w http.ResponseWriter, q *http.Request) { m.servePartner(i, w, q) }))
-		r.config["known"] = map[string]any{"version": 1, "full": true, "servers": r.list}
+		r.endpoints = append(r.endpoints, r.endpointWithHandler("p-5", 5, func(w http.ResponseWriter, q *http.Request) { m.servePartner(i, w, q) }))
+		r.config["known"] = map[string]any{"version": 1, "full": true, "servers": r.endpoints}
 		if change != nil {
 			change(m, i, r)
 		}
@@ -119,7 +119,7 @@
 	if m.relays == nil {
 		m.relays = map[[2]int]*standin.Relay{}
 	}
-	r.operate(m.operatorFile(func(k int) string {
+	r.writeOperatorFile(m.operatorFile(func(k int) string {
 		if k == i {
 			return m.linkAddrs[k]
 		}
@@ -179,7 +179,7 @@
 // await polls until ok returns true, or fails the test.
 func (m *testFleet) await(what string, ok func() bool) {
 	m.t.Helper()
-	for end := time.Now().Add(patient); !ok(); time.Sleep(10 * time.Millisecond) {
+	for end := time.Now().Add(testTimeout); !ok(); time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(end) {
 			m.t.Fatalf("not in time: %s; calls %v", what, m.callsBySender(time.Time{}))
 		}
@@ -188,7 +188,7 @@
 
 // status returns the fleet's status from the command line, or nil if no member answers.
 func (m *testFleet) status() *voter.Status {
-	out, err := exec.Command(binary, "fleet", "status", "--json", "--operator", m.rigs[0].operator).Output()
+	out, err := exec.Command(binary, "fleet", "status", "--json", "--operator", m.rigs[0].operatorPath).Output()
 	var s voter.Status
 	if err != nil || json.Unmarshal(out, &s) != nil {
 		return nil
@@ -219,7 +219,7 @@
 					return
 				case <-time.After(150 * time.Millisecond):
 				}
-				if resp, err := r.tryHandIn(fmt.Sprintf("n%d-%d", i, n), 5, 12, "x"); err == nil {
+				if resp, err := r.trySubmit(fmt.Sprintf("n%d-%d", i, n), 5, 12, "x"); err == nil {
 					resp.Body.Close()
 				}
 			}
@@ -238,7 +238,7 @@
 					return
 				case <-r.watches:
 				case c := <-r.calls:
-					c.status(200)
+					c.respond(200)
 				case n := <-r.notices:
 					e := ending{n, time.Now()}
 					m.mu.Lock()
@@ -307,8 +307,8 @@
 		}
 		return n == 3
 	})
-	op := m.rigs[0].operator
-	out, errs, code := command(t, "fleet", "status", "--operator", op)
+	op := m.rigs[0].operatorPath
+	out, errs, code := runCommand(t, "fleet", "status", "--operator", op)
 	for _, want := range []string{"leader n", "MEMBER", "n0", "n1", "n2", "true"} {
 		if !strings.Contains(out, want) || code != 0 {
 			t.Errorf("status %d: %s%s, want %q", code, out, errs, want)
@@ -326,19 +326,19 @@
 		if !strings.Contains(strings.Join(args, " "), "--operator") {
 			args = append(args, "--operator", op)
 		}
-		if out, errs, code := command(t, args...); code == 0 || !strings.Contains(errs, c.want) {
+		if out, errs, code := runCommand(t, args...); code == 0 || !strings.Contains(errs, c.want) {
 			t.Errorf("%v: status %d, %s%s; want %q", args, code, out, errs, c.want)
 		}
 	}
 	// A second process under a member's name, with its own state directory, does not join and logs the reason.
-	twin := makeRig(t, strings.Replace(m.operatorXML, `<fleet enabled="true">`, `<fleet enabled="true" listen="`+reserveAddr(t)+`">`, 1), nil)
+	twin := newUnstartedRig(t, strings.Replace(m.operatorXML, `<fleet enabled="true">`, `<fleet enabled="true" listen="`+reserveAddr(t)+`">`, 1), nil)
 	twin.config["name"] = "n0"
 	twin.launch()
 	twin.awaitLog("another process runs under this member's name")
 	// It is ready all the same.
 	twin.awaitUp(200)
 	// A removed member has no session once its lease has expired, and gets no new one.
-	if _, errs, code := command(t, "fleet", "remove", "n2", "--operator", op); code != 0 {
+	if _, errs, code := runCommand(t, "fleet", "remove", "n2", "--operator", op); code != 0 {
 		t.Errorf("remove: %s", errs)
 	}
 	m.await("n2 has no session", func() bool {
@@ -385,7 +385,7 @@
 	before := session()
 	r := m.rigs[1]
 	var logs logBuffer
-	newProcess := exec.Command(binary, "run", "--operator", r.operator)
+	newProcess := exec.Command(binary, "run", "--operator", r.operatorPath)
 	newProcess.Env, newProcess.Stderr = r.proc.Env, &logs
 	if err := newProcess.Start(); err != nil {
 		t.Fatal(err)
@@ -413,7 +413,7 @@
 	m.consumeReports(stop)
 	m.await("a leader", func() bool { s := m.status(); return s != nil && s.Leader != "" })
 	r := m.rigs[0]
-	log, aside := filepath.Join(r.state, "fleet.log"), filepath.Join(r.state, "aside")
+	log, aside := filepath.Join(r.stateDir, "fleet.log"), filepath.Join(r.stateDir, "aside")
 	if err := os.Rename(log, aside); err != nil {
 		t.Fatal(err)
 	}
@@ -421,11 +421,11 @@
 		t.Fatal(err)
 	}
 	// A change to the fleet makes every voter append to its log.
-	if _, errs, code := command(t, "fleet", "remove", "nobody", "--operator", m.rigs[0].operator); code != 0 {
+	if _, errs, code := runCommand(t, "fleet", "remove", "nobody", "--operator", m.rigs[0].operatorPath); code != 0 {
 		t.Errorf("remove: %s", errs)
 	}
 	r.awaitLog("the log cannot be written: stepping down")
-	r.take("n0-1", 5, 10, "x")
+	r.mustSubmit("n0-1", 5, 10, "x")
 	m.await("its message is delivered", func() bool { return m.callsBySender(time.Time{})["n0"] == 1 })
 	if err := os.Remove(log); err != nil {
 		t.Fatal(err)
--- a/cmd/sliptide/h2_test.go
+++ b/cmd/sliptide/h2_test.go
@@ -41,10 +41,10 @@
 
 // setList replaces the endpoint list of discovery by the partners.
 func (r *rig) setList(ps ...*standin.H2Partner) {
-	r.change(func() {
-		r.list = nil
+	r.updateList(func() {
+		r.endpoints = nil
 		for i, p := range ps {
-			r.list = append(r.list, endpoint{ID: fmt.Sprint("h-", i), Addr: p.Addr(), Zone: "a", Kind: "bulk", Cell: i, State: "up"})
+			r.endpoints = append(r.endpoints, endpoint{ID: fmt.Sprint("h-", i), Addr: p.Addr(), Zone: "a", Kind: "bulk", Cell: i, State: "up"})
 		}
 	})
 }
@@ -63,8 +63,8 @@
 // awaitAccepted submits a message until the sender, which needs the endpoint list for it, accepts it.
 func (r *rig) awaitAccepted(id string, dest int, left float64) {
 	r.t.Helper()
-	for end := time.Now().Add(patient); ; {
-		resp := r.handIn(id, dest, left, "body")
+	for end := time.Now().Add(testTimeout); ; {
+		resp := r.submit(id, dest, left, "body")
 		if resp.StatusCode == 202 {
 			return
 		}
@@ -91,31 +91,31 @@
 			})
 			r.setList(p)
 			r.awaitAccepted("first", 0, 8)
-			next(t, seen, "the first call")
+			receive(t, seen, "the first call")
 			for i := range 5 { // they queue: the only stream is in use
-				r.take(fmt.Sprint("q", i), 0, 8, "")
+				r.mustSubmit(fmt.Sprint("q", i), 0, 8, "")
 			}
 			var notifiedAt time.Time
 			if signal == "wait" {
 				notifiedAt = time.Now()
 				answer <- standin.Reply{Status: 429, NotRun: true, Fields: map[string]string{"retry-after": "1.200"}}
 			} else {
-				r.change(func() { r.list[0].State = "draining" })
-				r.take("n", 0, 0.3, "") // its notice shows that the sender has the new list
-				r.notice()
+				r.updateList(func() { r.endpoints[0].State = "draining" })
+				r.mustSubmit("n", 0, 0.3, "") // its notice shows that the sender has the new list
+				r.nextNotice()
 				notifiedAt = time.Now()
 				answer <- standin.Reply{Status: 200}
 			}
 			if signal == "drain" {
 				for range 5 {
-					r.notice()
+					r.nextNotice()
 				}
 				if len(seen) > 0 {
 					t.Error("called while it is draining")
 				}
 				return
 			}
-			next(t, seen, "a call after the wait")
+			receive(t, seen, "a call after the wait")
 			if early := time.Since(notifiedAt); early < 1200*time.Millisecond {
 				t.Errorf("called %v after it requested a wait of 1.2 s", early)
 			}
@@ -131,7 +131,7 @@
 	r := newRigWith(t, h2cPartnersXML(1, 1), nil)
 	r.setList(p)
 	r.awaitAccepted("first", 0, 8)
-	for end := time.Now().Add(patient); p.SettingsAcks() < 2; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); p.SettingsAcks() < 2; time.Sleep(time.Millisecond) {
 		if p.EffectCount("first") == 1 && p.MaxStreams == 10 {
 			p.SetMaxStreams(0)
 		}
@@ -140,13 +140,13 @@
 		}
 	}
 	submittedAt := time.Now()
-	r.take("ends", 0, 1, "")
-	if n := r.notice(); n.Message != "ends" || time.Since(submittedAt) > 1500*time.Millisecond {
+	r.mustSubmit("ends", 0, 1, "")
+	if n := r.nextNotice(); n.Message != "ends" || time.Since(submittedAt) > 1500*time.Millisecond {
 		t.Errorf("notice %+v after %v, want the one of message \"ends\" after 1 s", n, time.Since(submittedAt))
 	}
-	r.take("lasts", 0, 10, "")
+	r.mustSubmit("lasts", 0, 10, "")
 	p.SetMaxStreams(10)
-	for end := time.Now().Add(patient); p.EffectCount("lasts") == 0; {
+	for end := time.Now().Add(testTimeout); p.EffectCount("lasts") == 0; {
 		if time.Now().After(end) {
 			t.Fatal("message not delivered after the stream limit was raised")
 		}
@@ -310,7 +310,7 @@
 	if v, err := strconv.Atoi(os.Getenv("SLIPTIDE_IN_FLIGHT")); err == nil {
 		concurrencies, rounds = []int{v}, 8
 	}
-	measuring(t)
+	skipUnlessMeasuring(t)
 	for _, inFlight := range concurrencies {
 		for round := range rounds {
 			for _, proto := range []string{"http/1.1", "h2c"} {
@@ -394,12 +394,12 @@
 	wire := &countingListener{Listener: ln}
 	go srv.Serve(wire)
 	t.Cleanup(func() { srv.Close() })
-	r.change(func() {
-		r.list = []endpoint{{ID: "h", Addr: ln.Addr().String(), Zone: "a", Kind: "one", Cell: 0, State: "up"}}
+	r.updateList(func() {
+		r.endpoints = []endpoint{{ID: "h", Addr: ln.Addr().String(), Zone: "a", Kind: "one", Cell: 0, State: "up"}}
 	})
 	stop := make(chan struct{})
 	defer close(stop)
-	go r.quiet(stop)
+	go r.discardPlatformCalls(stop)
 	r.awaitAccepted("warm", 0, 5)
 	<-called
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 128}}
@@ -462,7 +462,7 @@
 	r.awaitAccepted("out", 0, 10)
 	r.awaitAccepted("waits", 1, 10) // the file does not hold its partner's CA yet
 	r.awaitLog("certificate signed by unknown authority")
-	for end := time.Now().Add(patient); first.SettingsAcks() == 0; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); first.SettingsAcks() == 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("the first partner was not called")
 		}
@@ -471,7 +471,7 @@
 	r.proc.Process.Signal(syscall.SIGHUP)
 	r.awaitLog("configuration read again")
 	answer <- standin.Reply{Status: 200}
-	for end := time.Now().Add(patient); first.EffectCount("out") == 0 || second.EffectCount("waits") == 0; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); first.EffectCount("out") == 0 || second.EffectCount("waits") == 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatalf("delivered %d and %d times, want once each", first.EffectCount("out"), second.EffectCount("waits"))
 		}
@@ -480,19 +480,19 @@
 	r.proc.Process.Signal(syscall.SIGHUP)
 	r.awaitLog("keeping the old")
 	fresh.WriteCA(at("ca.pem"))
-	out, errs, status := command(t, "partner", "probe", second.Addr(), "--operator", r.operator, "--dest", "1")
+	out, errs, status := runCommand(t, "partner", "probe", second.Addr(), "--operator", r.operatorPath, "--dest", "1")
 	for _, want := range []string{"speaks h2 over TLS 1.3", "MAX_CONCURRENT_STREAMS = 33", "lodge.example.org", "29 days left"} {
 		if status != 0 || !strings.Contains(out, want) {
 			t.Errorf("probe: status %d, no %q in %s%s", status, want, out, errs)
 		}
 	}
-	if _, errs, status := command(t, "partner", "probe", first.Addr(), "--operator", r.operator, "--dest", "0"); status != 1 || !strings.Contains(errs, "unknown authority") {
+	if _, errs, status := runCommand(t, "partner", "probe", first.Addr(), "--operator", r.operatorPath, "--dest", "0"); status != 1 || !strings.Contains(errs, "unknown authority") {
 		t.Errorf("probe: status %d %s", status, errs)
 	}
-	if out, errs, status := command(t, "partner", "probe", r.addr, "--protocol", "h2c"); status != 1 {
+	if out, errs, status := runCommand(t, "partner", "probe", r.addr, "--protocol", "h2c"); status != 1 {
 		t.Errorf("probe of an address that is no partner: status %d %s%s", status, out, errs)
 	}
-	if _, _, status := command(t, "partner", "probe", "nowhere"); status != 2 {
+	if _, _, status := runCommand(t, "partner", "probe", "nowhere"); status != 2 {
 		t.Errorf("probe of an invalid address: status %d", status)
 	}
 }
--- a/cmd/sliptide/holders_test.go
+++ b/cmd/sliptide/holders_test.go
@@ -20,7 +20,7 @@
 
 // holders returns the indices of the members that hold copies of a sender's journal, from the command line.
 func (m *testFleet) holders(i int) (list []int) {
-	out, err := exec.Command(binary, "fleet", "copies", "--json", "--operator", m.rigs[0].operator).Output()
+	out, err := exec.Command(binary, "fleet", "copies", "--json", "--operator", m.rigs[0].operatorPath).Output()
 	var views []struct {
 		Owner  string
 		Copies []string
@@ -50,7 +50,7 @@
 // submitTimed submits a message and returns the status and the time until the answer.
 func (m *testFleet) submitTimed(i int, id, body string) (int, time.Duration) {
 	at := time.Now()
-	resp, err := m.rigs[i].tryHandIn(id, 5, 12, body)
+	resp, err := m.rigs[i].trySubmit(id, 5, 12, body)
 	if err != nil {
 		m.t.Fatal(err)
 	}
@@ -127,9 +127,9 @@
 		owner, lostHolders = 3, m.awaitHolders(3)[:1]
 	}
 	m.setPartnerDown(true)
-	ids := m.hold(owner, 5, 19)
+	ids := m.submitHeld(owner, 5, 19)
 	for _, k := range lostHolders {
-		m.lose(k)
+		m.killAndWipe(k)
 	}
 	m.await("the owner has other holders", func() bool {
 		list := m.holders(owner)
@@ -139,9 +139,9 @@
 		code, _ := m.submitTimed(owner, fmt.Sprintf("n%d-more-%d", owner, time.Now().UnixNano()), "x")
 		return code == 202
 	})
-	m.lose(owner)
+	m.killAndWipe(owner)
 	m.setPartnerDown(false)
-	m.allEnded(ids)
+	m.awaitFinalAnswers(ids)
 }
 
 // TestHolderDiskFails checks that a holder that cannot write its copy does not acknowledge it while the other one does,
@@ -150,7 +150,7 @@
 	m := newTestFleet(t, copiesXML, 4)
 	m.awaitReady()
 	list := m.awaitHolders(3)
-	file := filepath.Join(m.rigs[list[0]].state, "copy-n3")
+	file := filepath.Join(m.rigs[list[0]].stateDir, "copy-n3")
 	m.await("the holder has the file of the copy", func() bool { _, err := os.Stat(file); return err == nil })
 	if err := os.Remove(file); err != nil {
 		t.Fatal(err)
@@ -162,15 +162,15 @@
 		t.Fatal(err)
 	}
 	m.setPartnerDown(true)
-	ids := m.hold(3, 4, 15)
+	ids := m.submitHeld(3, 4, 15)
 	if err := os.RemoveAll(file); err != nil {
 		t.Fatal(err)
 	}
 	m.await("the holder has the file of the copy again", func() bool { _, err := os.Stat(file); return err == nil })
-	m.lose(3)
-	m.lose(list[1])
+	m.killAndWipe(3)
+	m.killAndWipe(list[1])
 	m.setPartnerDown(false)
-	m.allEnded(ids)
+	m.awaitFinalAnswers(ids)
 }
 
 // TestHolderSpaceExhausted submits bodies of 64 KiB until the holders' space is used up: further messages are refused
@@ -202,7 +202,7 @@
 		t.Errorf("%d accepted, %d refused", len(accepted), refused)
 	}
 	m.setPartnerDown(false)
-	m.allEnded(accepted)
+	m.awaitFinalAnswers(accepted)
 	m.await("messages are accepted again", func() bool {
 		code, _ := m.submitTimed(3, fmt.Sprint("n3-room-", time.Now().UnixNano()), body)
 		return code == 202
@@ -217,7 +217,7 @@
 	m.setPartnerDown(true)
 	var ids []string
 	for i := range m.rigs {
-		ids = append(ids, m.hold(i, 3, 19)...)
+		ids = append(ids, m.submitHeld(i, 3, 19)...)
 	}
 	for i, r := range m.rigs {
 		r.logs.Reset()
@@ -230,7 +230,7 @@
 		r.awaitLog(`"held":true`)
 	}
 	m.setPartnerDown(false)
-	m.allEnded(ids)
+	m.awaitFinalAnswers(ids)
 	for id, n := range m.finalAnswers() {
 		if strings.Contains(id, "-held-") && n > 1 {
 			t.Errorf("%s has %d final answers", id, n)
--- a/cmd/sliptide/losses_test.go
+++ b/cmd/sliptide/losses_test.go
@@ -141,14 +141,14 @@
 	l.startedAt = time.Now()
 	l.testFleet = newTestFleetWith(t, fmt.Sprintf(`<copies enabled="true" count="2" needed="%d"/>`, map[bool]int{false: 1, true: 2}[two]), 5, (*testFleet).connectByRelays)
 	for i, r := range l.rigs {
-		r.change(func() {
-			p := r.partner("p-loss", 5, func(w http.ResponseWriter, q *http.Request) { l.serve(i, w, q) })
+		r.updateList(func() {
+			p := r.endpointWithHandler("p-loss", 5, func(w http.ResponseWriter, q *http.Request) { l.serve(i, w, q) })
 			if two { // and its partner accepts several messages in a call
 				p.Kind = "bulk"
 			}
-			for i := range r.list {
-				if r.list[i].ID == "p-5" {
-					r.list[i] = p
+			for i := range r.endpoints {
+				if r.endpoints[i].ID == "p-5" {
+					r.endpoints[i] = p
 				}
 			}
 		})
@@ -308,10 +308,10 @@
 	l.record("n%d is lost with its disk", k)
 	r.proc.Process.Signal(syscall.SIGCONT)
 	r.kill(syscall.SIGKILL)
-	if err := os.RemoveAll(r.state); err != nil {
+	if err := os.RemoveAll(r.stateDir); err != nil {
 		l.t.Fatal(err)
 	}
-	if err := os.Mkdir(r.state, 0o700); err != nil {
+	if err := os.Mkdir(r.stateDir, 0o700); err != nil {
 		l.t.Fatal(err)
 	}
 	l.ledger.SenderLost(time.Now(), k, l.takenOver(k))
@@ -388,7 +388,7 @@
 	sentAt := map[string]time.Time{}
 	var acceptedMS, deliveredMS []float64
 	r := m.rigs[0]
-	p := r.partner("p-price", 5, func(w http.ResponseWriter, q *http.Request) {
+	p := r.endpointWithHandler("p-price", 5, func(w http.ResponseWriter, q *http.Request) {
 		io.Copy(io.Discard, q.Body)
 		mu.Lock()
 		if at, ok := sentAt[q.Header.Get("X-Trace-Id")]; ok {
@@ -397,10 +397,10 @@
 		}
 		mu.Unlock()
 	})
-	r.change(func() {
-		for i := range r.list {
-			if r.list[i].ID == "p-5" {
-				r.list[i] = p
+	r.updateList(func() {
+		for i := range r.endpoints {
+			if r.endpoints[i].ID == "p-5" {
+				r.endpoints[i] = p
 			}
 		}
 	})
@@ -544,7 +544,7 @@
 		submittedAt := map[string]time.Time{}
 		for k := range 40 {
 			id := fmt.Sprintf("n0-worth-%d", k)
-			m.rigs[0].take(id, 5, 15, "x")
+			m.rigs[0].mustSubmit(id, 5, 15, "x")
 			submittedAt[id] = time.Now()
 			time.Sleep(20 * time.Millisecond) // 50 messages a second
 		}
@@ -554,7 +554,7 @@
 			m.rigs[0].kill(syscall.SIGKILL)
 			m.rigs[0].launch()
 		} else {
-			m.lose(0)
+			m.killAndWipe(0)
 		}
 		stoppedAt := time.Now()
 		m.await("all have their final answer, or ten seconds have passed", func() bool {
--- a/cmd/sliptide/shards_test.go
+++ b/cmd/sliptide/shards_test.go
@@ -89,7 +89,7 @@
 // leader returns the running control member whose log says last that it leads.
 func (c *controlRegion) leader() *controlMember {
 	c.t.Helper()
-	for end := time.Now().Add(patient); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
+	for end := time.Now().Add(testTimeout); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
 		for _, m := range c.members {
 			if s := m.logs.String(); m.proc != nil && strings.LastIndex(s, "directory: leads\"") > strings.LastIndex(s, "leads no more\"") {
 				return m
@@ -125,7 +125,7 @@
 	t.Parallel()
 	s := &shardedFleet{t: t, calls: map[string]int{}, blockedCalls: map[string]chan struct{}{}}
 	first := makeShardRig(t, "")
-	partner := first.partner("partner", 0, func(w http.ResponseWriter, q *http.Request) {
+	partner := first.endpointWithHandler("partner", 0, func(w http.ResponseWriter, q *http.Request) {
 		id := q.Header.Get("X-Trace-Id")
 		s.mu.Lock()
 		s.calls[id]++
@@ -140,12 +140,12 @@
 			<-wait
 		}
 	})
-	first.change(func() {
-		first.list = nil
+	first.updateList(func() {
+		first.endpoints = nil
 		for d := range destinations {
 			e := partner
 			e.ID, e.Cell = fmt.Sprintf("e-%d", d), d
-			first.list = append(first.list, e)
+			first.endpoints = append(first.endpoints, e)
 		}
 	})
 	s.control = newControlRegion(t, first.config["discovery"].(string), replicas)
@@ -161,7 +161,7 @@
 
 // makeShardRig makes a rig with one class whose deadline outlasts a change of shards. It does not start the program.
 func makeShardRig(t *testing.T, operator string) *rig {
-	return makeRig(t, operator, func(settings, _ map[string]any) {
+	return newUnstartedRig(t, operator, func(settings, _ map[string]any) {
 		settings["services"] = []any{map[string]any{"name": "note", "aim": 4000, "deadline": 60000, "effect": "keyed", "key_scope": "all", "memory_span": 60000, "worth": 1, "late_worth": 0.4}}
 	})
 }
@@ -169,13 +169,13 @@
 func (s *shardedFleet) configureRig(i int, r *rig) {
 	r.config["name"] = fmt.Sprintf("sender-%d", i)
 	r.config["known"] = map[string]any{"version": 0, "full": true, "servers": []any{}}
-	r.operate(s.control.operatorXML(fmt.Sprintf("z%d", i)))
+	r.writeOperatorFile(s.control.operatorXML(fmt.Sprintf("z%d", i)))
 }
 
 // submit submits a message and returns the status, and the senders that serve its destination if the answer names them.
 func (s *shardedFleet) submit(i int, id string, dest int) (status int, servers []string) {
 	s.t.Helper()
-	response, err := s.rigs[i].tryHandIn(id, dest, 50, "x")
+	response, err := s.rigs[i].trySubmit(id, dest, 50, "x")
 	if err != nil {
 		return 0, nil
 	}
@@ -233,10 +233,10 @@
 
 	s.control.kill(s.control.leader())
 	first := s.rigs[0]
-	first.change(func() { // adds a destination with the same endpoint
-		e := first.list[0]
+	first.updateList(func() { // adds a destination with the same endpoint
+		e := first.endpoints[0]
 		e.ID, e.Cell = "e-new", destinations
-		first.list = append(first.list, e)
+		first.endpoints = append(first.endpoints, e)
 	})
 	s.awaitServed("a further destination", []int{0, 1, 2}, destinations+1, replicas)
 
@@ -338,7 +338,7 @@
 // await polls until holds, called with the lock held, returns true, or fails the test.
 func (s *shardedFleet) await(what string, holds func() bool) {
 	s.t.Helper()
-	for end := time.Now().Add(patient); ; time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(testTimeout); ; time.Sleep(5 * time.Millisecond) {
 		s.mu.Lock()
 		yes := holds()
 		s.mu.Unlock()
--- a/cmd/sliptide/soak_test.go
+++ b/cmd/sliptide/soak_test.go
@@ -39,7 +39,7 @@
 		seeds = soakSeedsInCI
 	}
 	first, _ := strconv.Atoi(os.Getenv("SLIPTIDE_SOAK_FIRST"))
-	binaries := []string{shifted(t, 0), shifted(t, time.Hour), shifted(t, -time.Hour), shifted(t, -3*time.Second)}
+	binaries := []string{buildWithClockShift(t, 0), buildWithClockShift(t, time.Hour), buildWithClockShift(t, -time.Hour), buildWithClockShift(t, -3*time.Second)}
 	for seed := first; seed < first+seeds; seed++ {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Parallel()
@@ -106,7 +106,7 @@
 
 func newSoakNode(t *testing.T, s *soak, index, senderCount int, rng *rand.Rand) *soakNode {
 	n := &soakNode{soak: s, t: t, index: index, rng: rng}
-	n.rig = makeRig(t, `<log records="true"/><knowledge enabled="true" write-every="1s"/><storms enabled="true"/>`, func(settings, limits map[string]any) {
+	n.rig = newUnstartedRig(t, `<log records="true"/><knowledge enabled="true" write-every="1s"/><storms enabled="true"/>`, func(settings, limits map[string]any) {
 		settings["balancers"] = senderCount
 		settings["services"] = append(settings["services"].([]any),
 			map[string]any{"name": "pay", "aim": 2000, "deadline": 20000, "effect": "unsafe", "worth": 2, "late_worth": 0.4})
@@ -115,10 +115,10 @@
 	for dest := 20; dest < 23; dest++ {
 		for k := range 2 {
 			e := newSoakEndpoint(t, s, index, dest)
-			n.rig.list = append(n.rig.list, endpoint{ID: fmt.Sprintf("s-%d-%d", dest, k), Addr: e.ln.Addr().String(), Zone: "a", Kind: "one", Cell: dest, State: "up"})
+			n.rig.endpoints = append(n.rig.endpoints, endpoint{ID: fmt.Sprintf("s-%d-%d", dest, k), Addr: e.ln.Addr().String(), Zone: "a", Kind: "one", Cell: dest, State: "up"})
 		}
 	}
-	n.rig.config["known"] = map[string]any{"version": 1, "full": true, "servers": n.rig.list}
+	n.rig.config["known"] = map[string]any{"version": 1, "full": true, "servers": n.rig.endpoints}
 	n.rig.config["name"] = fmt.Sprint("n", index)
 	return n
 }
@@ -160,9 +160,9 @@
 		case 5:
 			n.exhaustDescriptors(time.Duration(100+n.rng.IntN(300)) * time.Millisecond)
 		case 6:
-			n.rig.change(func() { n.rig.silent = true })
+			n.rig.updateList(func() { n.rig.discoverySilent = true })
 			time.Sleep(time.Duration(500+n.rng.IntN(2000)) * time.Millisecond)
-			n.rig.change(func() { n.rig.silent = false })
+			n.rig.updateList(func() { n.rig.discoverySilent = false })
 		case 7:
 			n.failDisk(time.Duration(50+n.rng.IntN(1500)) * time.Millisecond)
 		}
@@ -193,7 +193,7 @@
 	n.rig.binary = binaries[n.rng.IntN(len(binaries))]
 	launched := time.Now()
 	n.rig.launch()
-	for n.rig.up() != http.StatusOK {
+	for n.rig.upStatus() != http.StatusOK {
 		if time.Since(launched) > readyTimeout {
 			n.violation("n%d is not ready within %v of its start", n.index, readyTimeout)
 			break
@@ -225,7 +225,7 @@
 
 // failDisk makes all writes to the sender's state directory fail for a while.
 func (n *soakNode) failDisk(d time.Duration) {
-	path := n.rig.state + failWhile
+	path := n.rig.stateDir + diskFailSuffix
 	if err := os.WriteFile(path, nil, 0o600); err != nil {
 		n.t.Error(err)
 	}
--- a/cmd/sliptide/storm_test.go
+++ b/cmd/sliptide/storm_test.go
@@ -77,7 +77,7 @@
 
 func (p *stoppablePartner) restart(t *testing.T) {
 	var ln net.Listener
-	for end := time.Now().Add(patient); ln == nil; { // a sender's outgoing connection may briefly hold the port
+	for end := time.Now().Add(testTimeout); ln == nil; { // a sender's outgoing connection may briefly hold the port
 		var err error
 		if ln, err = net.Listen("tcp", p.addr); err != nil && time.Now().After(end) {
 			t.Fatal(err)
@@ -285,14 +285,14 @@
 	p, downtime, restart := newStoppablePartner(t, stormLimit, sc.advertises), sc.downtime, sc.restart
 	c := &stormClients{t: t, rng: rand.New(rand.NewPCG(seed, 9)), pending: map[string]*clientMessage{}, stop: make(chan struct{})}
 	for i := range senders {
-		r := makeRig(t, operator, func(settings, limits map[string]any) {
+		r := newUnstartedRig(t, operator, func(settings, limits map[string]any) {
 			settings["balancers"], settings["index"] = senders, i
 			settings["callers"] = map[string]any{"marks_retry": true}
 			settings["limits"].(map[string]any)["max_retry_after"] = 5000
 			settings["contract"].(map[string]any)["cold"] = sc.coldMS
 		})
-		r.list = append(r.list, endpoint{ID: "s-p", Addr: p.addr, Zone: "a", Kind: "one", Cell: 3, State: "up"})
-		r.config["known"] = map[string]any{"version": 1, "full": true, "servers": r.list}
+		r.endpoints = append(r.endpoints, endpoint{ID: "s-p", Addr: p.addr, Zone: "a", Kind: "one", Cell: 3, State: "up"})
+		r.config["known"] = map[string]any{"version": 1, "full": true, "servers": r.endpoints}
 		r.config["seed"] = fmt.Sprintf("%016x", seed*1000+uint64(i))
 		r.config["name"] = fmt.Sprint("n", i)
 		r.start()
@@ -424,7 +424,7 @@
 // TestMeasureStorms prints a table of the calls that the partner receives after an outage, without and with storm
 // control.
 func TestMeasureStorms(t *testing.T) {
-	measuring(t)
+	skipUnlessMeasuring(t)
 	seeds, _ := strconv.Atoi(os.Getenv("SLIPTIDE_SEEDS"))
 	seeds = max(seeds, 1)
 	for _, sc := range []stormCase{
