--- a/cmd/sliptide/soak_test.go
+++ b/cmd/sliptide/soak_test.go
@@ -26,7 +26,7 @@
 	clientTimeout      = 400 * time.Millisecond
 	killDelay          = 3700 * time.Millisecond // from SIGTERM to SIGKILL during a restart
 	startDelay         = 600 * time.Millisecond  // from the end of a process to the next start
-	readyTimeout       = 10 * time.Second
+	soakReadyTimeout   = 10 * time.Second
 	maxIdleConns       = 150 // open connections without a request
 )
 
@@ -194,8 +194,8 @@
 	launched := time.Now()
 	n.rig.launch()
 	for n.rig.upStatus() != http.StatusOK {
-		if time.Since(launched) > readyTimeout {
-			n.violation("n%d is not ready within %v of its start", n.index, readyTimeout)
+		if time.Since(launched) > soakReadyTimeout {
+			n.violation("n%d is not ready within %v of its start", n.index, soakReadyTimeout)
 			break
 		}
 		time.Sleep(10 * time.Millisecond)
