--- a/internal/standin/certs.go
+++ b/internal/standin/certs.go
@@ -21,9 +21,9 @@
 }
 
 // serial is the last certificate's number: no two of a process have the same.
-var serial atomic.Int64
+var lastSerial atomic.Int64
 
-func init() { serial.Store(time.Now().UnixNano()) }
+func init() { lastSerial.Store(time.Now().UnixNano()) }
 
 // NewAuthority returns one with a certificate of its own.
 func NewAuthority(name string) *Authority {
@@ -33,15 +33,15 @@
 	return a
 }
 
-func issue(c *x509.Certificate, by *Authority) (*x509.Certificate, *ecdsa.PrivateKey) {
+func issue(template *x509.Certificate, issuer *Authority) (*x509.Certificate, *ecdsa.PrivateKey) {
 	key := must(ecdsa.GenerateKey(elliptic.P256(), rand.Reader))
-	c.SerialNumber = big.NewInt(serial.Add(1))
-	c.NotBefore = time.Now().Add(-100 * time.Hour)
-	parent, signer := c, key
-	if by != nil {
-		parent, signer = by.cert, by.key
+	template.SerialNumber = big.NewInt(lastSerial.Add(1))
+	template.NotBefore = time.Now().Add(-100 * time.Hour)
+	parent, signer := template, key
+	if issuer != nil {
+		parent, signer = issuer.cert, issuer.key
 	}
-	der := must(x509.CreateCertificate(rand.Reader, c, parent, &key.PublicKey, signer))
+	der := must(x509.CreateCertificate(rand.Reader, template, parent, &key.PublicKey, signer))
 	return must(x509.ParseCertificate(der)), key
 }
 
@@ -68,15 +68,15 @@
 }
 
 // WriteCA writes the authority's certificate in PEM.
-func (a *Authority) WriteCA(path string) { write(path, 0o644, "CERTIFICATE", a.cert.Raw) }
+func (a *Authority) WriteCA(path string) { writePEM(path, 0o644, "CERTIFICATE", a.cert.Raw) }
 
 // WritePair writes a certificate and its key in PEM.
 func WriteKeyPair(c tls.Certificate, certPath, keyPath string, keyMode os.FileMode) {
-	write(certPath, 0o644, "CERTIFICATE", c.Certificate[0])
-	write(keyPath, keyMode, "EC PRIVATE KEY", must(x509.MarshalECPrivateKey(c.PrivateKey.(*ecdsa.PrivateKey))))
+	writePEM(certPath, 0o644, "CERTIFICATE", c.Certificate[0])
+	writePEM(keyPath, keyMode, "EC PRIVATE KEY", must(x509.MarshalECPrivateKey(c.PrivateKey.(*ecdsa.PrivateKey))))
 }
 
-func write(path string, mode os.FileMode, kind string, der []byte) {
+func writePEM(path string, mode os.FileMode, kind string, der []byte) {
 	if err := os.WriteFile(path, pem.EncodeToMemory(&pem.Block{Type: kind, Bytes: der}), mode); err != nil {
 		panic(err)
 	}
--- a/internal/standin/h2partner.go
+++ b/internal/standin/h2partner.go
@@ -15,7 +15,7 @@
 	"golang.org/x/net/http2/hpack"
 )
 
-const frameMost = 16 << 10 // bytes of a frame
+const maxFrameSize = 16 << 10 // bytes of a frame
 
 // Request is one that the partner has in full.
 type Request struct {
@@ -50,18 +50,18 @@
 	// Delay is the time that an answer takes.
 	Delay time.Duration
 
-	ln    net.Listener
-	mu    sync.Mutex
-	conns map[*h2conn]bool
-	seen  int
-	runs  map[string]int // ledger: effects by message id
-	acks  int            // of SETTINGS
-	most  int            // streams open at once on one connection
+	ln             net.Listener
+	mu             sync.Mutex
+	conns          map[*h2Conn]bool
+	connCount      int
+	effects        map[string]int // ledger: effects by message id
+	settingsAcks   int            // of SETTINGS
+	maxOpenStreams int            // streams open at once on one connection
 }
 
 // Start serves ln until Close.
 func (p *H2Partner) Start(ln net.Listener) {
-	p.ln, p.conns, p.runs = ln, map[*h2conn]bool{}, map[string]int{}
+	p.ln, p.conns, p.effects = ln, map[*h2Conn]bool{}, map[string]int{}
 	go func() {
 		for {
 			nc, err := ln.Accept()
@@ -69,8 +69,8 @@
 				return
 			}
 			p.mu.Lock()
-			p.seen++
-			k := &h2conn{p: p, nc: nc, number: p.seen, parts: map[uint32]*Request{}}
+			p.connCount++
+			k := &h2Conn{p: p, nc: nc, number: p.connCount, incomplete: map[uint32]*Request{}}
 			p.conns[k] = true
 			p.mu.Unlock()
 			go k.serve()
@@ -90,17 +90,17 @@
 // Close ends the listener and all connections.
 func (p *H2Partner) Close() {
 	p.ln.Close()
-	p.each(func(k *h2conn) { k.nc.Close() })
+	p.eachConn(func(k *h2Conn) { k.nc.Close() })
 }
 
-func (p *H2Partner) each(f func(*h2conn)) {
+func (p *H2Partner) eachConn(f func(*h2Conn)) {
 	p.mu.Lock()
-	var list []*h2conn
-	for k := range p.conns {
-		list = append(list, k)
+	var conns []*h2Conn
+	for c := range p.conns {
+		conns = append(conns, c)
 	}
 	p.mu.Unlock()
-	for _, k := range list {
+	for _, k := range conns {
 		f(k)
 	}
 }
@@ -110,7 +110,7 @@
 	p.mu.Lock()
 	p.MaxStreams = limit
 	p.mu.Unlock()
-	p.each(func(k *h2conn) {
+	p.eachConn(func(k *h2Conn) {
 		k.write(func(fr *http2.Framer) {
 			fr.WriteSettings(http2.Setting{ID: http2.SettingMaxConcurrentStreams, Val: limit})
 		})
@@ -118,63 +118,63 @@
 }
 
 // Each writes frames on every connection.
-func (p *H2Partner) WriteFrames(f func(fr *http2.Framer)) { p.each(func(k *h2conn) { k.write(f) }) }
+func (p *H2Partner) WriteFrames(f func(fr *http2.Framer)) { p.eachConn(func(k *h2Conn) { k.write(f) }) }
 
 // Runs is how often a message took effect.
 func (p *H2Partner) EffectCount(id string) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.runs[id]
+	return p.effects[id]
 }
 
 // Acks is how many of its SETTINGS were acknowledged.
 func (p *H2Partner) SettingsAcks() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.acks
+	return p.settingsAcks
 }
 
 // Stats are the connections seen, the messages that took effect, and the most streams on one connection.
-func (p *H2Partner) Stats() (conns, messages, most int) {
+func (p *H2Partner) Stats() (conns, messages, maxStreams int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.seen, len(p.runs), p.most
+	return p.connCount, len(p.effects), p.maxOpenStreams
 }
 
 // Ledger calls f with each message's id and how often it took effect.
-func (p *H2Partner) ForEachEffect(f func(id string, runs int)) {
+func (p *H2Partner) ForEachEffect(f func(id string, count int)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for id, n := range p.runs {
+	for id, n := range p.effects {
 		f(id, n)
 	}
 }
 
-type h2conn struct {
-	p      *H2Partner
-	nc     net.Conn
-	number int
-	rd     *http2.Framer
-	parts  map[uint32]*Request
+type h2Conn struct {
+	p          *H2Partner
+	nc         net.Conn
+	number     int
+	reader     *http2.Framer
+	incomplete map[uint32]*Request
 
-	mu   sync.Mutex // over writing
-	fr   *http2.Framer
-	enc  *hpack.Encoder
-	head bytes.Buffer
-	open int
-	last uint32 // of a GOAWAY that was sent; 0: none
+	mu           sync.Mutex // over writing
+	writer       *http2.Framer
+	encoder      *hpack.Encoder
+	headerBlock  bytes.Buffer
+	openStreams  int
+	goAwayStream uint32 // of a GOAWAY that was sent; 0: none
 }
 
-func (k *h2conn) write(f func(*http2.Framer)) {
+func (k *h2Conn) write(f func(*http2.Framer)) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if k.fr != nil {
+	if k.writer != nil {
 		k.nc.SetWriteDeadline(time.Now().Add(time.Second))
-		f(k.fr)
+		f(k.writer)
 	}
 }
 
-func (k *h2conn) serve() {
+func (k *h2Conn) serve() {
 	defer func() {
 		k.nc.Close()
 		k.p.mu.Lock()
@@ -185,74 +185,74 @@
 	if _, err := io.ReadFull(k.nc, preface); err != nil || string(preface) != http2.ClientPreface {
 		return
 	}
-	k.rd = http2.NewFramer(nil, k.nc)
-	k.rd.ReadMetaHeaders = hpack.NewDecoder(4096, nil)
+	k.reader = http2.NewFramer(nil, k.nc)
+	k.reader.ReadMetaHeaders = hpack.NewDecoder(4096, nil)
 	k.mu.Lock()
-	k.fr = http2.NewFramer(k.nc, nil)
-	k.fr.AllowIllegalWrites = true
-	k.enc = hpack.NewEncoder(&k.head)
+	k.writer = http2.NewFramer(k.nc, nil)
+	k.writer.AllowIllegalWrites = true
+	k.encoder = hpack.NewEncoder(&k.headerBlock)
 	k.p.mu.Lock()
-	var set []http2.Setting
+	var settings []http2.Setting
 	if k.p.MaxStreams > 0 {
-		set = append(set, http2.Setting{ID: http2.SettingMaxConcurrentStreams, Val: k.p.MaxStreams})
+		settings = append(settings, http2.Setting{ID: http2.SettingMaxConcurrentStreams, Val: k.p.MaxStreams})
 	}
 	if k.p.InitialWindow > 0 {
-		set = append(set, http2.Setting{ID: http2.SettingInitialWindowSize, Val: k.p.InitialWindow})
+		settings = append(settings, http2.Setting{ID: http2.SettingInitialWindowSize, Val: k.p.InitialWindow})
 	}
 	k.p.mu.Unlock()
-	k.fr.WriteSettings(set...)
+	k.writer.WriteSettings(settings...)
 	k.mu.Unlock()
 	if k.p.RawHandler != nil {
-		k.p.RawHandler(k.nc, k.fr)
+		k.p.RawHandler(k.nc, k.writer)
 		return
 	}
-	for k.frame() {
+	for k.handleFrame() {
 	}
 }
 
 // frame takes one frame and reports whether the connection goes on.
-func (k *h2conn) frame() bool {
-	f, err := k.rd.ReadFrame()
+func (k *h2Conn) handleFrame() bool {
+	f, err := k.reader.ReadFrame()
 	if err != nil {
 		var se http2.StreamError
 		return errors.As(err, &se)
 	}
 	switch f := f.(type) {
 	case *http2.MetaHeadersFrame:
-		if k.last > 0 && f.StreamID > k.last { // 6.8: it is not run, as it was said
+		if k.goAwayStream > 0 && f.StreamID > k.goAwayStream { // 6.8: it is not run, as it was said
 			return true
 		}
 		r := &Request{Stream: f.StreamID, Conn: k.number, Path: f.PseudoValue("path"), Fields: map[string]string{}}
 		for _, h := range f.RegularFields() {
 			r.Fields[h.Name] = h.Value
 		}
-		k.parts[f.StreamID] = r
+		k.incomplete[f.StreamID] = r
 		k.p.mu.Lock()
-		k.open++
-		k.p.most = max(k.p.most, k.open)
+		k.openStreams++
+		k.p.maxOpenStreams = max(k.p.maxOpenStreams, k.openStreams)
 		k.p.mu.Unlock()
 		if f.StreamEnded() {
-			return k.whole(r)
+			return k.handleRequest(r)
 		}
 	case *http2.DataFrame:
-		if r := k.parts[f.StreamID]; r != nil {
+		if r := k.incomplete[f.StreamID]; r != nil {
 			r.Body = append(r.Body, f.Data()...)
 			if n := uint32(len(f.Data())); n > 0 {
 				k.write(func(fr *http2.Framer) { fr.WriteWindowUpdate(0, n); fr.WriteWindowUpdate(f.StreamID, n) })
 			}
 			if f.StreamEnded() {
-				return k.whole(r)
+				return k.handleRequest(r)
 			}
 		}
 	case *http2.RSTStreamFrame:
-		if k.parts[f.StreamID] != nil {
-			delete(k.parts, f.StreamID)
-			k.closed()
+		if k.incomplete[f.StreamID] != nil {
+			delete(k.incomplete, f.StreamID)
+			k.streamClosed()
 		}
 	case *http2.SettingsFrame:
 		if f.IsAck() {
 			k.p.mu.Lock()
-			k.p.acks++
+			k.p.settingsAcks++
 			k.p.mu.Unlock()
 			return true
 		}
@@ -267,33 +267,33 @@
 	return true
 }
 
-func (k *h2conn) closed() {
+func (k *h2Conn) streamClosed() {
 	k.p.mu.Lock()
-	k.open--
+	k.openStreams--
 	k.p.mu.Unlock()
 }
 
 // whole takes a request that is there in full: from here on it has run, unless the reply says otherwise.
-func (k *h2conn) whole(r *Request) bool {
-	delete(k.parts, r.Stream)
+func (k *h2Conn) handleRequest(r *Request) bool {
+	delete(k.incomplete, r.Stream)
 	reply := Reply{Status: 200}
 	if k.p.Handler != nil {
 		reply = k.p.Handler(r)
 	}
 	if !reply.NotRun {
 		k.p.mu.Lock()
-		k.p.runs[r.Fields["x-trace-id"]]++
+		k.p.effects[r.Fields["x-trace-id"]]++
 		k.p.mu.Unlock()
 	}
 	if reply.NoAnswer {
 		return true
 	}
-	if reply.GoAway && k.last == 0 {
-		k.last = r.Stream
-		for id := range k.parts { // whose bodies are still to come
-			if id > k.last {
-				delete(k.parts, id)
-				k.closed()
+	if reply.GoAway && k.goAwayStream == 0 {
+		k.goAwayStream = r.Stream
+		for id := range k.incomplete { // whose bodies are still to come
+			if id > k.goAwayStream {
+				delete(k.incomplete, id)
+				k.streamClosed()
 			}
 		}
 		k.write(func(fr *http2.Framer) { fr.WriteGoAway(r.Stream, http2.ErrCodeNo, nil) })
@@ -304,26 +304,26 @@
 				fr.WriteRSTStream(r.Stream, reply.ResetCode)
 				return
 			}
-			k.head.Reset()
-			k.enc.WriteField(hpack.HeaderField{Name: ":status", Value: strconv.Itoa(reply.Status)})
+			k.headerBlock.Reset()
+			k.encoder.WriteField(hpack.HeaderField{Name: ":status", Value: strconv.Itoa(reply.Status)})
 			for name, v := range reply.Fields {
-				k.enc.WriteField(hpack.HeaderField{Name: name, Value: v})
+				k.encoder.WriteField(hpack.HeaderField{Name: name, Value: v})
 			}
 			body := []byte(reply.Body)
-			head := k.head.Bytes()
-			n := min(len(head), frameMost)
-			fr.WriteHeaders(http2.HeadersFrameParam{StreamID: r.Stream, BlockFragment: head[:n], EndHeaders: n == len(head), EndStream: len(body) == 0 && !reply.Truncate})
-			for head = head[n:]; len(head) > 0; head = head[n:] {
-				n = min(len(head), frameMost)
-				fr.WriteContinuation(r.Stream, n == len(head), head[:n])
+			block := k.headerBlock.Bytes()
+			n := min(len(block), maxFrameSize)
+			fr.WriteHeaders(http2.HeadersFrameParam{StreamID: r.Stream, BlockFragment: block[:n], EndHeaders: n == len(block), EndStream: len(body) == 0 && !reply.Truncate})
+			for block = block[n:]; len(block) > 0; block = block[n:] {
+				n = min(len(block), maxFrameSize)
+				fr.WriteContinuation(r.Stream, n == len(block), block[:n])
 			}
 			for len(body) > 0 {
-				n = min(len(body), frameMost)
+				n = min(len(body), maxFrameSize)
 				fr.WriteData(r.Stream, !reply.Truncate && n == len(body), body[:n])
 				body = body[n:]
 			}
 		})
-		k.closed()
+		k.streamClosed()
 	}
 	if reply.CloseConn {
 		if reply.Status != 0 {
--- a/internal/standin/rawpartner.go
+++ b/internal/standin/rawpartner.go
@@ -19,14 +19,14 @@
 	ID      string // of a single message; empty of others
 	Conn    int    // the connection's number, from 1
 	NetConn net.Conn
-	q       *http.Request
+	request *http.Request
 }
 
 // Write writes bytes to the connection, whoever they answer.
 func (c *RawCall) Write(text string) { c.NetConn.Write([]byte(text)) }
 
 // URI is the request's path and query.
-func (c *RawCall) URI() string { return c.q.URL.RequestURI() }
+func (c *RawCall) URI() string { return c.request.URL.RequestURI() }
 
 // RawPartner reads requests and leaves all that is written back to the test: answers out of turn, twice or not at all.
 type RawPartner struct {
@@ -67,11 +67,11 @@
 		p.conns = append(p.conns, nc)
 		number := len(p.conns)
 		p.mu.Unlock()
-		go p.read(nc, number)
+		go p.readRequests(nc, number)
 	}
 }
 
-func (p *RawPartner) read(nc net.Conn, number int) {
+func (p *RawPartner) readRequests(nc net.Conn, number int) {
 	defer func() { p.ClosedConns <- number }()
 	r := bufio.NewReader(nc)
 	for {
@@ -84,6 +84,6 @@
 				return
 			}
 		}
-		p.Calls <- &RawCall{ID: q.Header.Get("X-Trace-Id"), Conn: number, NetConn: nc, q: q}
+		p.Calls <- &RawCall{ID: q.Header.Get("X-Trace-Id"), Conn: number, NetConn: nc, request: q}
 	}
 }
--- a/internal/standin/relay.go
+++ b/internal/standin/relay.go
@@ -14,12 +14,12 @@
 	target string
 
 	mu         sync.Mutex
-	cond       *sync.Cond
-	held       [2]bool // towards the target, and back
+	changed    *sync.Cond
+	blocked    [2]bool // towards the target, and back
 	addedDelay time.Duration
-	refuse     bool
+	refuseNew  bool
 	closed     bool
-	bytes      int64
+	carried    int64
 	conns      map[net.Conn]bool
 }
 
@@ -27,7 +27,7 @@
 func (r *Relay) BytesCarried() int64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.bytes
+	return r.carried
 }
 
 // Directions of a Relay.
@@ -43,7 +43,7 @@
 		return nil, err
 	}
 	r := &Relay{ln: ln, target: target, conns: map[net.Conn]bool{}}
-	r.cond = sync.NewCond(&r.mu)
+	r.changed = sync.NewCond(&r.mu)
 	go r.serve()
 	return r, nil
 }
@@ -52,20 +52,22 @@
 func (r *Relay) Addr() string { return r.ln.Addr().String() }
 
 // Hold holds back what goes in a direction, or lets it go on.
-func (r *Relay) Block(direction int, held bool) { r.set(func() { r.held[direction] = held }) }
+func (r *Relay) Block(direction int, blocked bool) {
+	r.update(func() { r.blocked[direction] = blocked })
+}
 
 // Cut holds back both directions, or lets them go on.
-func (r *Relay) BlockBoth(cut bool) { r.set(func() { r.held = [2]bool{cut, cut} }) }
+func (r *Relay) BlockBoth(blocked bool) { r.update(func() { r.blocked = [2]bool{blocked, blocked} }) }
 
 // Delay delays what goes either way.
-func (r *Relay) SetDelay(d time.Duration) { r.set(func() { r.addedDelay = d }) }
+func (r *Relay) SetDelay(d time.Duration) { r.update(func() { r.addedDelay = d }) }
 
 // Refuse closes new connections at once, or takes them again.
-func (r *Relay) RefuseNew(on bool) { r.set(func() { r.refuse = on }) }
+func (r *Relay) RefuseNew(refuse bool) { r.update(func() { r.refuseNew = refuse }) }
 
 // Break ends all connections.
 func (r *Relay) CloseConns() {
-	r.set(func() {
+	r.update(func() {
 		for c := range r.conns {
 			c.Close()
 		}
@@ -75,7 +77,7 @@
 // HalfClose ends all connections in one direction alone: the target, or who dialled, reads an end and may go on
 // writing.
 func (r *Relay) HalfClose() {
-	r.set(func() {
+	r.update(func() {
 		for c := range r.conns {
 			if t, ok := c.(*net.TCPConn); ok {
 				t.CloseWrite()
@@ -87,15 +89,15 @@
 // Close ends everything.
 func (r *Relay) Close() {
 	r.ln.Close()
-	r.set(func() { r.closed, r.held = true, [2]bool{} })
+	r.update(func() { r.closed, r.blocked = true, [2]bool{} })
 	r.CloseConns()
 }
 
-func (r *Relay) set(f func()) {
+func (r *Relay) update(f func()) {
 	r.mu.Lock()
 	f()
 	r.mu.Unlock()
-	r.cond.Broadcast()
+	r.changed.Broadcast()
 }
 
 func (r *Relay) serve() {
@@ -105,23 +107,23 @@
 			return
 		}
 		r.mu.Lock()
-		refuse := r.refuse || r.closed
+		refuse := r.refuseNew || r.closed
 		r.mu.Unlock()
 		if refuse {
 			c.Close()
 			continue
 		}
-		go r.carry(c)
+		go r.relay(c)
 	}
 }
 
-func (r *Relay) carry(c net.Conn) {
+func (r *Relay) relay(c net.Conn) {
 	t, err := net.Dial("tcp", r.target)
 	if err != nil {
 		c.Close()
 		return
 	}
-	r.set(func() { r.conns[c], r.conns[t] = true, true })
+	r.update(func() { r.conns[c], r.conns[t] = true, true })
 	var both sync.WaitGroup
 	both.Add(2)
 	pipe := func(from, to net.Conn, direction int) {
@@ -133,7 +135,7 @@
 	go pipe(c, t, ToTarget)
 	go pipe(t, c, FromTarget)
 	both.Wait()
-	r.set(func() { delete(r.conns, c); delete(r.conns, t) })
+	r.update(func() { delete(r.conns, c); delete(r.conns, t) })
 }
 
 func (r *Relay) copy(from io.Reader, to io.Writer, direction int) {
@@ -142,11 +144,11 @@
 		n, err := from.Read(b)
 		if n > 0 {
 			r.mu.Lock()
-			for r.held[direction] && !r.closed {
-				r.cond.Wait()
+			for r.blocked[direction] && !r.closed {
+				r.changed.Wait()
 			}
 			delay := r.addedDelay
-			r.bytes += int64(n)
+			r.carried += int64(n)
 			r.mu.Unlock()
 			if delay > 0 {
 				time.Sleep(delay)
