--- a/cmd/sliptide/copies_test.go
+++ b/cmd/sliptide/copies_test.go
@@ -94,8 +94,8 @@
 	}
 }
 
-// TestOwnerReturnsAfterTakeover stops a sender past its lease: it finds its messages taken over, sends none of them, and
-// accepts new ones.
+// TestOwnerReturnsAfterTakeover stops a sender past its lease: it finds its messages taken over, sends none of them,
+// and accepts new ones.
 func TestOwnerReturnsAfterTakeover(t *testing.T) {
 	m := newTestFleet(t, copiesXML, 4)
 	m.awaitReady()
@@ -131,8 +131,8 @@
 	}
 }
 
-// TestNoQuorum checks that without a majority of voters new messages are refused with Retry-After and the reason in /up,
-// that none of the refused ones is sent, and that messages are accepted again when the voters are back.
+// TestNoQuorum checks that without a majority of voters new messages are refused with Retry-After and the reason in
+// /up, that the refused one is not sent, and that messages are accepted again when the voters are back.
 func TestNoQuorum(t *testing.T) {
 	m := newTestFleet(t, copiesXML, 4)
 	m.awaitReady()
--- a/cmd/sliptide/h2_test.go
+++ b/cmd/sliptide/h2_test.go
@@ -39,8 +39,8 @@
 	return p
 }
 
-// setList replaces the endpoint list of discovery by the partners.
-func (r *rig) setList(ps ...*standin.H2Partner) {
+// setPartnerList replaces the endpoint list of discovery with the partners.
+func (r *rig) setPartnerList(ps ...*standin.H2Partner) {
 	r.updateList(func() {
 		r.endpoints = nil
 		for i, p := range ps {
@@ -61,10 +61,10 @@
 }
 
 // awaitAccepted submits a message until the sender, which needs the endpoint list for it, accepts it.
-func (r *rig) awaitAccepted(id string, dest int, left float64) {
+func (r *rig) awaitAccepted(id string, dest int, expiresIn float64) {
 	r.t.Helper()
 	for end := time.Now().Add(testTimeout); ; {
-		resp := r.submit(id, dest, left, "body")
+		resp := r.submit(id, dest, expiresIn, "body")
 		if resp.StatusCode == 202 {
 			return
 		}
@@ -86,24 +86,24 @@
 				seen <- q.Fields["x-trace-id"]
 				return <-answer
 			}})
-			r := newRigWith(t, h2cPartnersXML(1, 1), func(set, _ map[string]any) {
-				set["family_info"].(map[string]any)["kind_batch"] = []int{1, 1}
+			r := newRigWith(t, h2cPartnersXML(1, 1), func(settings, _ map[string]any) {
+				settings["family_info"].(map[string]any)["kind_batch"] = []int{1, 1}
 			})
-			r.setList(p)
+			r.setPartnerList(p)
 			r.awaitAccepted("first", 0, 8)
 			receive(t, seen, "the first call")
 			for i := range 5 { // they queue: the only stream is in use
 				r.mustSubmit(fmt.Sprint("q", i), 0, 8, "")
 			}
-			var notifiedAt time.Time
+			var signalledAt time.Time
 			if signal == "wait" {
-				notifiedAt = time.Now()
+				signalledAt = time.Now()
 				answer <- standin.Reply{Status: 429, NotRun: true, Fields: map[string]string{"retry-after": "1.200"}}
 			} else {
 				r.updateList(func() { r.endpoints[0].State = "draining" })
 				r.mustSubmit("n", 0, 0.3, "") // its notice shows that the sender has the new list
 				r.nextNotice()
-				notifiedAt = time.Now()
+				signalledAt = time.Now()
 				answer <- standin.Reply{Status: 200}
 			}
 			if signal == "drain" {
@@ -116,20 +116,20 @@
 				return
 			}
 			receive(t, seen, "a call after the wait")
-			if early := time.Since(notifiedAt); early < 1200*time.Millisecond {
-				t.Errorf("called %v after it requested a wait of 1.2 s", early)
+			if elapsed := time.Since(signalledAt); elapsed < 1200*time.Millisecond {
+				t.Errorf("called %v after it requested a wait of 1.2 s", elapsed)
 			}
 			close(answer)
 		})
 	}
 }
 
-// TestStreamLimitOfZero checks that a message queued while the partner permits no streams ends at its deadline, and that
-// a queued message is delivered once the partner permits streams again.
+// TestStreamLimitOfZero checks that a message queued while the partner permits no streams ends at its deadline, and
+// that a queued message is delivered once the partner permits streams again.
 func TestStreamLimitOfZero(t *testing.T) {
 	p := startPartner(t, &standin.H2Partner{MaxStreams: 10})
 	r := newRigWith(t, h2cPartnersXML(1, 1), nil)
-	r.setList(p)
+	r.setPartnerList(p)
 	r.awaitAccepted("first", 0, 8)
 	for end := time.Now().Add(testTimeout); p.SettingsAcks() < 2; time.Sleep(time.Millisecond) {
 		if p.EffectCount("first") == 1 && p.MaxStreams == 10 {
@@ -202,15 +202,15 @@
 			return standin.Reply{Status: 200}
 		}}))
 	}
-	r := newRigWith(t, h2cPartnersXML(dests, 4), func(set, _ map[string]any) {
-		set["services"].([]any)[0].(map[string]any)["effect"] = "unsafe"
-		set["family_info"].(map[string]any)["kind_batch"] = []int{1, 1}
-		set["family_info"].(map[string]any)["call_slots"] = 48
-		set["limits"].(map[string]any)["most_held"] = 400
-		set["contract"].(map[string]any)["cold"] = 300
-		set["contract"].(map[string]any)["cold_from"] = 0.9
+	r := newRigWith(t, h2cPartnersXML(dests, 4), func(settings, _ map[string]any) {
+		settings["services"].([]any)[0].(map[string]any)["effect"] = "unsafe"
+		settings["family_info"].(map[string]any)["kind_batch"] = []int{1, 1}
+		settings["family_info"].(map[string]any)["call_slots"] = 48
+		settings["limits"].(map[string]any)["most_held"] = 400
+		settings["contract"].(map[string]any)["cold"] = 300
+		settings["contract"].(map[string]any)["cold_from"] = 0.9
 	})
-	r.setList(ps...)
+	r.setPartnerList(ps...)
 	stop := make(chan struct{})
 	defer close(stop)
 	go r.discardWatches(stop)
@@ -303,8 +303,8 @@
 	}
 }
 
-// TestMeasureH2 compares HTTP/1.1 and HTTP/2 with the same kind of partner, by calls in flight: connections, latency and
-// CPU time.
+// TestMeasureH2 compares HTTP/1.1 and HTTP/2 with the same kind of partner, by calls in flight: connections, latency
+// and CPU time.
 func TestMeasureH2(t *testing.T) {
 	concurrencies, rounds := []int{1, 8, 64}, 3
 	if v, err := strconv.Atoi(os.Getenv("SLIPTIDE_IN_FLIGHT")); err == nil {
@@ -367,10 +367,10 @@
 		mu.Unlock()
 		called <- struct{}{}
 	}
-	r := newRigWith(t, fmt.Sprintf(`<partners><partner dest="0" protocol="%s"/></partners>`, proto), func(set, _ map[string]any) {
-		set["family_info"].(map[string]any)["call_slots"] = 80
-		set["family_info"].(map[string]any)["kind_batch"] = []int{1, 1}
-		set["limits"].(map[string]any)["most_held"] = 400
+	r := newRigWith(t, fmt.Sprintf(`<partners><partner dest="0" protocol="%s"/></partners>`, proto), func(settings, _ map[string]any) {
+		settings["family_info"].(map[string]any)["call_slots"] = 80
+		settings["family_info"].(map[string]any)["kind_batch"] = []int{1, 1}
+		settings["limits"].(map[string]any)["most_held"] = 400
 	})
 	// Both protocols use the same independent peer, the server of net/http.
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -458,7 +458,7 @@
 	first := server(old.IssueCertificate("lodge.example.org", ends), &standin.H2Partner{Handler: func(*standin.Request) standin.Reply { return <-answer }})
 	second := server(fresh.IssueCertificate("lodge.example.org", ends), &standin.H2Partner{MaxStreams: 33})
 	r := newRigWith(t, fmt.Sprintf(`<partners><partner dest="0" protocol="h2" server-name="lodge.example.org" ca="%s"/><partner dest="1" protocol="h2" server-name="lodge.example.org" ca="%s"/></partners>`, at("ca.pem"), at("ca.pem")), nil)
-	r.setList(first, second)
+	r.setPartnerList(first, second)
 	r.awaitAccepted("out", 0, 10)
 	r.awaitAccepted("waits", 1, 10) // the file does not hold its partner's CA yet
 	r.awaitLog("certificate signed by unknown authority")
--- a/cmd/sliptide/holders_test.go
+++ b/cmd/sliptide/holders_test.go
@@ -112,8 +112,8 @@
 	}
 }
 
-// TestHoldersLost loses both holders of a sender with their disks: the sender keeps its messages, gets other holders and
-// accepts messages again. Then the sender is lost too, and no message is.
+// TestHoldersLost loses both holders of a sender with their disks: the sender keeps its messages, gets other holders
+// and accepts messages again. Then the sender is lost too, and no message is.
 func TestHoldersLost(t *testing.T) {
 	m := newTestFleet(t, copiesXML, 7)
 	m.awaitReady()
--- a/cmd/sliptide/losses_test.go
+++ b/cmd/sliptide/losses_test.go
@@ -32,8 +32,8 @@
 	maxBatch  int // most messages in one call
 }
 
-// serve handles the partner's calls from sender i, with one message or several in each. Some calls fail, some end without
-// an answer after they took effect, and some request a wait.
+// serve handles the partner's calls from sender i, with one message or several in each. Some calls fail, some end
+// without an answer after they took effect, and some request a wait.
 func (l *lossRun) serve(i int, w http.ResponseWriter, q *http.Request) {
 	body, _ := io.ReadAll(q.Body)
 	var ids []string
@@ -137,13 +137,13 @@
 
 func runLosses(t *testing.T, n int, seed uint64) {
 	l := &lossRun{rng: rand.New(rand.NewPCG(seed, 24)), ledger: ledger.New()}
-	two := seed/lossesPerFleet%2 == 1 // every second fleet needs two copies, and loses two machines at once
+	needsTwo := seed/lossesPerFleet%2 == 1 // every second fleet needs two copies, and loses two machines at once
 	l.startedAt = time.Now()
-	l.testFleet = newTestFleetWith(t, fmt.Sprintf(`<copies enabled="true" count="2" needed="%d"/>`, map[bool]int{false: 1, true: 2}[two]), 5, (*testFleet).connectByRelays)
+	l.testFleet = newTestFleetWith(t, fmt.Sprintf(`<copies enabled="true" count="2" needed="%d"/>`, map[bool]int{false: 1, true: 2}[needsTwo]), 5, (*testFleet).connectByRelays)
 	for i, r := range l.rigs {
 		r.updateList(func() {
 			p := r.endpointWithHandler("p-loss", 5, func(w http.ResponseWriter, q *http.Request) { l.serve(i, w, q) })
-			if two { // and its partner accepts several messages in a call
+			if needsTwo { // and its partner accepts several messages in a call
 				p.Kind = "bulk"
 			}
 			for i := range r.endpoints {
@@ -166,22 +166,22 @@
 	for i := 0; i < n; {
 		time.Sleep(time.Duration(200+rng.IntN(600)) * time.Millisecond) // under load, between two faults
 		lost := []int{rng.IntN(5)}
-		if k := 3 + rng.IntN(2); two && k != lost[0] && rng.IntN(2) == 0 { // never two voters: the fleet's log is on a majority of their disks
+		if k := 3 + rng.IntN(2); needsTwo && k != lost[0] && rng.IntN(2) == 0 { // never two voters: a majority must keep the fleet's log
 			lost = append(lost, k)
 		}
 		// A member that is unreachable for longer than a lease counts as lost: only where one more loss is permitted.
-		longest := 400 * time.Millisecond
-		if two && len(lost) == 1 {
-			longest = 1200 * time.Millisecond
+		maxFault := 400 * time.Millisecond
+		if needsTwo && len(lost) == 1 {
+			maxFault = 1200 * time.Millisecond
 		}
 		healed := make(chan struct{})
-		heal := l.startFault(rng, counts, longest)
+		heal := l.startFault(rng, counts, maxFault)
 		go func() { heal(); close(healed) }()
 		for _, k := range lost {
 			l.loseMachine(k)
 		}
 		i += len(lost)
-		if !two && rng.IntN(4) == 0 {
+		if !needsTwo && rng.IntN(4) == 0 {
 			l.killSuccessor(rng, lost[0], counts)
 		}
 		<-healed
@@ -205,16 +205,16 @@
 	close(stop)
 	clients.Wait()
 	ended := time.Now()
-	settled := make(chan struct{})
-	defer close(settled)
-	l.consumeReports(settled)
+	stopConsuming := make(chan struct{})
+	defer close(stopConsuming)
+	l.consumeReports(stopConsuming)
 	l.await("every message has its final answer, or is 10 s past the end of the load", func() bool {
 		return l.ledger.Unfinished() == 0 || time.Since(ended) > 10*time.Second
 	})
 	v := l.ledger.Judge()
 	t.Logf("%d losses of a machine with its disk (needed %d; %v): %d accepted, %d lost, %d late, %d of a class that forbids it took effect twice, %d others repeated, %d refused and sent, "+
 		"%d calls by successors, %d inside a wait, %d with another attempt in flight, %d ended more than once; %d messages at most in a call",
-		n, map[bool]int{false: 1, true: 2}[two], counts, v.Accepted, v.Lost, v.Late, v.ForbiddenRepeats, v.Repeated, v.RefusedSent, v.BySuccessors, v.SentInWait, v.Overlapping, v.MultipleEnds, l.maxBatch)
+		n, map[bool]int{false: 1, true: 2}[needsTwo], counts, v.Accepted, v.Lost, v.Late, v.ForbiddenRepeats, v.Repeated, v.RefusedSent, v.BySuccessors, v.SentInWait, v.Overlapping, v.MultipleEnds, l.maxBatch)
 	t.Logf("%d messages whose deadline passed during the takeover ended up to %.0f ms late", len(v.TakeoverDelays), quantile(v.TakeoverDelays, 1))
 	t.Logf("from a loss to the successor's first call: p50 %.0f ms, max %.0f; until all messages have ended: p50 %.0f ms, max %.0f",
 		quantile(v.FirstCalls, 0.5), quantile(v.FirstCalls, 1), quantile(v.Settlements, 0.5), quantile(v.Settlements, 1))
@@ -236,7 +236,8 @@
 	l.history = append(l.history, fmt.Sprintf("%v: ", time.Since(l.startedAt).Round(time.Millisecond))+fmt.Sprintf(format, args...))
 }
 
-// startFault starts a random fault that overlaps a loss, and returns a function that waits for its duration and ends it.
+// startFault starts a random fault that overlaps a loss, and returns a function that waits for its duration and ends
+// it.
 func (l *lossRun) startFault(rng *rand.Rand, counts map[string]int, maxDuration time.Duration) (heal func()) {
 	a, b := rng.IntN(5), rng.IntN(4)
 	if b >= a {
@@ -523,7 +524,8 @@
 }
 
 // TestMeasureWorth measures the share of the worth of a sender's held messages that is delivered within ten seconds of
-// its loss with its disk, and of its restart with its disk for comparison. A message's worth falls from its aim of 4 s on.
+// its loss with its disk, and of its restart with its disk for comparison. A message's worth falls from its aim of 4 s
+// on.
 func TestMeasureWorth(t *testing.T) {
 	if os.Getenv("SLIPTIDE_MEASURE") == "" {
 		t.Skip("a measurement: make copies-price")
--- a/cmd/sliptide/shards_test.go
+++ b/cmd/sliptide/shards_test.go
@@ -160,8 +160,8 @@
 }
 
 // makeShardRig makes a rig with one class whose deadline outlasts a change of shards. It does not start the program.
-func makeShardRig(t *testing.T, operator string) *rig {
-	return newUnstartedRig(t, operator, func(settings, _ map[string]any) {
+func makeShardRig(t *testing.T, operatorXML string) *rig {
+	return newUnstartedRig(t, operatorXML, func(settings, _ map[string]any) {
 		settings["services"] = []any{map[string]any{"name": "note", "aim": 4000, "deadline": 60000, "effect": "keyed", "key_scope": "all", "memory_span": 60000, "worth": 1, "late_worth": 0.4}}
 	})
 }
@@ -220,9 +220,9 @@
 	s.t.Fatalf("%s: still %s, %v after the change", round, mismatch, changeTimeout)
 }
 
-// TestShards checks that senders of a sharded fleet accept messages for destinations of their own shards only, and name
-// the senders that serve the others. That must hold again after the leader of the control members is killed, a
-// destination is added, and a sender is killed and restarted.
+// TestShards checks that senders of a sharded fleet accept messages for destinations of their own shards only, and
+// refuse others, before any 202, with the names of the senders that serve them. That must hold again after the leader
+// of the control members is killed, a destination is added, and a sender is killed and restarted.
 func TestShards(t *testing.T) {
 	const destinations, replicas = 12, 2
 	s := newShardedFleet(t, 3, destinations, replicas)
@@ -340,9 +340,9 @@
 	s.t.Helper()
 	for end := time.Now().Add(testTimeout); ; time.Sleep(5 * time.Millisecond) {
 		s.mu.Lock()
-		yes := holds()
+		ok := holds()
 		s.mu.Unlock()
-		if yes {
+		if ok {
 			return
 		}
 		if time.Now().After(end) {
--- a/cmd/sliptide/soak_test.go
+++ b/cmd/sliptide/soak_test.go
@@ -61,7 +61,7 @@
 	for i := range nodes {
 		n := newSoakNode(t, s, i, senders, rand.New(rand.NewPCG(seed, 100+uint64(i))))
 		nodes[i] = n
-		background.Go(func() { n.discardReports(done) })
+		background.Go(func() { n.consumeReports(done) })
 		n.rig.binary = binaries[0]
 		n.rig.start()
 		s.startedAt = time.Now()
@@ -90,8 +90,8 @@
 	if accepted == 0 {
 		t.Error("no message was accepted")
 	}
-	for _, b := range s.violations[:min(len(s.violations), 20)] {
-		t.Error(b)
+	for _, violation := range s.violations[:min(len(s.violations), 20)] {
+		t.Error(violation)
 	}
 }
 
@@ -123,8 +123,8 @@
 	return n
 }
 
-// discardReports records the sender's notices and discards its discovery calls until done is closed.
-func (n *soakNode) discardReports(done <-chan struct{}) {
+// consumeReports records the sender's notices and discards its discovery calls until done is closed.
+func (n *soakNode) consumeReports(done <-chan struct{}) {
 	for {
 		select {
 		case notice := <-n.rig.notices:
--- a/cmd/sliptide/storm_test.go
+++ b/cmd/sliptide/storm_test.go
@@ -31,9 +31,9 @@
 // stoppablePartner is a partner whose listener can be closed and opened again. It answers 429 over its limit, and is
 // slow for some time after a restart, as a partner with cold caches is.
 type stoppablePartner struct {
-	addr       string
-	limit      float64
-	advertises bool // it states its limit in each answer; otherwise only its contract does
+	addr            string
+	limit           float64
+	advertisesLimit bool // it states its limit in each answer; otherwise only its contract does
 
 	mu         sync.Mutex
 	srv        *http.Server
@@ -49,7 +49,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := &stoppablePartner{addr: ln.Addr().String(), limit: limit, advertises: advertises}
+	p := &stoppablePartner{addr: ln.Addr().String(), limit: limit, advertisesLimit: advertises}
 	p.serve(ln)
 	t.Cleanup(p.stop)
 	return p
@@ -108,7 +108,7 @@
 	}
 	cold := !p.restoredAt.IsZero() && now.Sub(p.restoredAt) < 9*time.Second
 	p.mu.Unlock()
-	if p.advertises {
+	if p.advertisesLimit {
 		w.Header().Set("Endpoint-Load-Metrics", fmt.Sprintf("TEXT x0=0.5, x1=%.1f", p.limit))
 	}
 	if overLimit {
@@ -264,28 +264,28 @@
 func (c *stormClients) submitAtRate(rate float64, d time.Duration, name string) {
 	for i, end := 0, time.Now().Add(d); time.Now().Before(end); i++ {
 		c.mu.Lock()
-		gap := c.rng.ExpFloat64() / rate
+		interval := c.rng.ExpFloat64() / rate
 		c.mu.Unlock()
-		time.Sleep(time.Duration(gap * float64(time.Second)))
+		time.Sleep(time.Duration(interval * float64(time.Second)))
 		c.submitNew(fmt.Sprint(name, i))
 	}
 }
 
 // stormCase describes an outage of the partner.
 type stormCase struct {
-	name       string
-	advertises bool
-	coldMS     float64 // warm-up time of the partner in the senders' settings
-	downtime   time.Duration
-	restart    bool // one sender is killed and restarted halfway through the outage
+	name            string
+	advertisesLimit bool
+	coldMS          float64 // warm-up time of the partner in the senders' settings
+	downtime        time.Duration
+	restart         bool // one sender is killed and restarted halfway through the outage
 }
 
 // runStorm runs senders and clients through an outage of their partner, with the content of an operators' file.
-func runStorm(t *testing.T, operator string, seed uint64, senders int, sc stormCase) stormResult {
-	p, downtime, restart := newStoppablePartner(t, stormLimit, sc.advertises), sc.downtime, sc.restart
+func runStorm(t *testing.T, operatorXML string, seed uint64, senders int, sc stormCase) stormResult {
+	p, downtime, restart := newStoppablePartner(t, stormLimit, sc.advertisesLimit), sc.downtime, sc.restart
 	c := &stormClients{t: t, rng: rand.New(rand.NewPCG(seed, 9)), pending: map[string]*clientMessage{}, stop: make(chan struct{})}
 	for i := range senders {
-		r := newUnstartedRig(t, operator, func(settings, limits map[string]any) {
+		r := newUnstartedRig(t, operatorXML, func(settings, limits map[string]any) {
 			settings["balancers"], settings["index"] = senders, i
 			settings["callers"] = map[string]any{"marks_retry": true}
 			settings["limits"].(map[string]any)["max_retry_after"] = 5000
@@ -348,15 +348,15 @@
 // in each second after it is back, and that the lab's model agrees with the processes.
 func TestCallsAfterOutageStayWithinLimit(t *testing.T) {
 	for _, sc := range []stormCase{
-		{"limit told, cold", true, 9000, 5 * time.Second, false},
-		{"limit in the contract alone, no word of cold, one sender restarted", false, 0, 5 * time.Second, true},
+		{"advertised limit, cold partner", true, 9000, 5 * time.Second, false},
+		{"limit in the contract alone, no warm-up in the settings, one sender restarted", false, 0, 5 * time.Second, true},
 	} {
 		t.Run(sc.name, func(t *testing.T) {
 			t.Parallel()
 			s := runStorm(t, stormsXML, 1, 3, sc)
 			t.Logf("calls %v connections %v answered %v", s.calls, s.dials, s.answered)
 			// "make storms" holds each second to the limit. Here, one second may exceed it by a quarter: a short stall
-			// of the machine makes calls of two seconds arrive in one. Without storm control, 59 to 86 calls arrive.
+			// of the machine makes calls of two seconds arrive in one. Without storm control, 59 to 86 arrive in a second.
 			total, secondsOver := 0, 0
 			for i, n := range s.calls {
 				total += n
@@ -388,7 +388,7 @@
 
 // labParams returns the parameters of the lab's model that match runStorm.
 func labParams(sc stormCase, sys world.System) world.Params {
-	p := world.Params{System: sys, Senders: 3, Partners: 1, Endpoints: 1, Load: 0.7 * stormLimit, Limit: stormLimit, Tells: sc.advertises,
+	p := world.Params{System: sys, Senders: 3, Partners: 1, Endpoints: 1, Load: 0.7 * stormLimit, Limit: stormLimit, Tells: sc.advertisesLimit,
 		Headroom: 10, Queue: 2000, Latency: 60, Sigma: 0.5, Cold: sc.coldMS, ColdFrom: 0.25, TipOver: 1.5, TipAfter: 3000, Dial: 1,
 		Warm: 4000, Outage: float64(sc.downtime.Milliseconds()), OutShare: 1, Kind: world.Refuses, After: stormObservedSeconds * 1000,
 		Tries: 3, Honour: 0.5, DeafPause: 50, Marks: true, Clump: 1, Deadline: 20000, Aim: 4000, Slots: 20, Held: 100, MaxRetry: 5000, Batch: 1}
@@ -413,11 +413,11 @@
 	for _, n := range real.calls {
 		realCalls += n
 	}
-	modelCalls, modelDone := float64(calls)/seeds, float64(delivered)/float64(submitted)
-	realDone := float64(real.delivered) / float64(real.submitted)
-	t.Logf("calls in %d seconds: %d by the processes, %.0f in the lab; delivered: %.3f and %.3f", stormObservedSeconds, realCalls, modelCalls, realDone, modelDone)
-	if math.Abs(float64(realCalls)-modelCalls) > maxCallsDeviation*modelCalls || math.Abs(realDone-modelDone) > maxDeliveredDeviation {
-		t.Errorf("the lab's model deviates from the processes: calls %d and %.0f, delivered %.3f and %.3f", realCalls, modelCalls, realDone, modelDone)
+	modelCalls, modelDelivered := float64(calls)/seeds, float64(delivered)/float64(submitted)
+	realDelivered := float64(real.delivered) / float64(real.submitted)
+	t.Logf("calls in %d seconds: %d by the processes, %.0f in the lab; delivered: %.3f and %.3f", stormObservedSeconds, realCalls, modelCalls, realDelivered, modelDelivered)
+	if math.Abs(float64(realCalls)-modelCalls) > maxCallsDeviation*modelCalls || math.Abs(realDelivered-modelDelivered) > maxDeliveredDeviation {
+		t.Errorf("the lab's model deviates from the processes: calls %d and %.0f, delivered %.3f and %.3f", realCalls, modelCalls, realDelivered, modelDelivered)
 	}
 }
 
@@ -428,9 +428,9 @@
 	seeds, _ := strconv.Atoi(os.Getenv("SLIPTIDE_SEEDS"))
 	seeds = max(seeds, 1)
 	for _, sc := range []stormCase{
-		{"limit told, cold 9 s", true, 9000, 15 * time.Second, false},
-		{"limit in the contract alone, cold 9 s", false, 9000, 15 * time.Second, false},
-		{"limit in the contract alone, no word of cold", false, 0, 15 * time.Second, false},
+		{"advertised limit, warm-up of 9 s", true, 9000, 15 * time.Second, false},
+		{"limit in the contract alone, warm-up of 9 s", false, 9000, 15 * time.Second, false},
+		{"limit in the contract alone, no warm-up in the settings", false, 0, 15 * time.Second, false},
 		{"the same, one sender restarted in the middle", false, 0, 15 * time.Second, true},
 	} {
 		for _, mode := range []struct{ name, operator string }{{"before", `<knowledge enabled="true"/>`}, {"after", stormsXML}} {
@@ -454,19 +454,19 @@
 	secondsOver, runsOver := 0, 0
 	fmt.Fprintf(&b, "%s, %d runs, limit %.0f\n", name, len(results), stormLimit)
 	for sec := range stormObservedSeconds {
-		var calls, dials, done []int
+		var calls, dials, answered []int
 		for _, r := range results {
-			calls, dials, done = append(calls, r.calls[sec]), append(dials, r.dials[sec]), append(done, r.answered[sec])
+			calls, dials, answered = append(calls, r.calls[sec]), append(dials, r.dials[sec]), append(answered, r.answered[sec])
 			if float64(r.calls[sec]) > stormLimit {
 				secondsOver++
 			}
 		}
 		slices.Sort(calls)
 		slices.Sort(dials)
-		slices.Sort(done)
+		slices.Sort(answered)
 		mid := len(calls) / 2
 		fmt.Fprintf(&b, "second %2d: calls median %d most %d, connections median %d most %d, delivered median %d\n",
-			sec+1, calls[mid], calls[len(calls)-1], dials[mid], dials[len(dials)-1], done[mid])
+			sec+1, calls[mid], calls[len(calls)-1], dials[mid], dials[len(dials)-1], answered[mid])
 	}
 	var retries, refusals, handed, delivered int64
 	for _, r := range results {
--- a/internal/standin/certs.go
+++ b/internal/standin/certs.go
@@ -14,18 +14,18 @@
 	"time"
 )
 
-// Authority makes certificates for tests. Its methods panic where a test could not go on.
+// Authority is a certificate authority for tests. Its methods panic on errors.
 type Authority struct {
 	cert *x509.Certificate
 	key  *ecdsa.PrivateKey
 }
 
-// serial is the last certificate's number: no two of a process have the same.
+// lastSerial is the serial number of the last certificate. It is unique within the process.
 var lastSerial atomic.Int64
 
 func init() { lastSerial.Store(time.Now().UnixNano()) }
 
-// NewAuthority returns one with a certificate of its own.
+// NewAuthority returns an Authority with a new self-signed certificate.
 func NewAuthority(name string) *Authority {
 	a := &Authority{}
 	a.cert, a.key = issue(&x509.Certificate{Subject: pkix.Name{CommonName: name}, IsCA: true, BasicConstraintsValid: true,
@@ -33,6 +33,7 @@
 	return a
 }
 
+// issue makes a certificate with a new key. A nil issuer means self-signed.
 func issue(template *x509.Certificate, issuer *Authority) (*x509.Certificate, *ecdsa.PrivateKey) {
 	key := must(ecdsa.GenerateKey(elliptic.P256(), rand.Reader))
 	template.SerialNumber = big.NewInt(lastSerial.Add(1))
@@ -52,25 +53,25 @@
 	return v
 }
 
-// Pair issues a certificate for a host name, for both sides of a connection. A nil Authority signs with
-// the certificate's own key.
+// IssueCertificate issues a certificate for a host name, for use as client and as server. With a nil Authority it is
+// self-signed.
 func (a *Authority) IssueCertificate(name string, ends time.Time) tls.Certificate {
 	c, key := issue(&x509.Certificate{Subject: pkix.Name{CommonName: name}, DNSNames: []string{name}, NotAfter: ends,
 		ExtKeyUsage: []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth, x509.ExtKeyUsageClientAuth}}, a)
 	return tls.Certificate{Certificate: [][]byte{c.Raw}, PrivateKey: key, Leaf: c}
 }
 
-// Pool holds the authority's certificate.
+// Pool returns a pool with the authority's certificate.
 func (a *Authority) Pool() *x509.CertPool {
 	p := x509.NewCertPool()
 	p.AddCert(a.cert)
 	return p
 }
 
-// WriteCA writes the authority's certificate in PEM.
+// WriteCA writes the authority's certificate as PEM.
 func (a *Authority) WriteCA(path string) { writePEM(path, 0o644, "CERTIFICATE", a.cert.Raw) }
 
-// WritePair writes a certificate and its key in PEM.
+// WriteKeyPair writes a certificate and its key as PEM.
 func WriteKeyPair(c tls.Certificate, certPath, keyPath string, keyMode os.FileMode) {
 	writePEM(certPath, 0o644, "CERTIFICATE", c.Certificate[0])
 	writePEM(keyPath, keyMode, "EC PRIVATE KEY", must(x509.MarshalECPrivateKey(c.PrivateKey.(*ecdsa.PrivateKey))))
--- a/internal/standin/h2partner.go
+++ b/internal/standin/h2partner.go
@@ -1,5 +1,6 @@
-// Package standin holds partners that the project writes itself, for tests and measurements: they speak
-// by frames, misbehave as they are told, and keep a ledger of every effect. No part of the sender uses them.
+// Package standin provides stand-ins for partners, networks and certificate authorities, for tests and measurements.
+// The partners inject faults as the test requests, and count how often each message takes effect. They share no code
+// with the sender.
 package standin
 
 import (
@@ -15,51 +16,51 @@
 	"golang.org/x/net/http2/hpack"
 )
 
-const maxFrameSize = 16 << 10 // bytes of a frame
+const maxFrameSize = 16 << 10 // bytes
 
-// Request is one that the partner has in full.
+// Request is a request that the partner has received in full.
 type Request struct {
 	Stream uint32
-	Conn   int // by number, from 1
+	Conn   int // number of the connection, from 1
 	Path   string
 	Fields map[string]string
 	Body   []byte
 }
 
-// Reply is what the partner does about a request.
+// Reply is how the partner handles a request.
 type Reply struct {
-	Status    int               // 0: no answer
+	Status    int               // 0: none, but a reset
 	Fields    map[string]string // of the answer
 	Body      string
-	ResetCode http2.ErrCode // with NoReply false and Status 0: a reset with this code
-	NoAnswer  bool          // nothing at all
-	GoAway    bool          // a GOAWAY that names this stream as the last, before the answer
-	CloseConn bool          // the connection is closed, after the answer if there is one
-	Truncate  bool          // and in the middle of it
-	NotRun    bool          // the effect does not happen: the request is refused before it ran
+	ResetCode http2.ErrCode // of the reset that is sent if Status is 0
+	NoAnswer  bool          // sends neither an answer nor a reset
+	GoAway    bool          // sends a GOAWAY with this stream as the last one, before the answer
+	CloseConn bool          // closes the connection, after the answer if Status is not 0
+	Truncate  bool          // leaves out the end of the stream after the answer
+	NotRun    bool          // the message does not take effect
 }
 
-// H2 is an HTTP/2 partner by prior knowledge (RFC 9113 3.3), with TLS if its listener has it.
+// H2Partner is an HTTP/2 partner with prior knowledge (RFC 9113, section 3.3), over TLS if its listener uses it.
 type H2Partner struct {
-	// On says what becomes of a request, from the goroutine of its connection. Nil: 200.
+	// Handler returns the reply to a request. It runs on the goroutine of the connection. Nil: always 200.
 	Handler func(*Request) Reply
-	// Limit is SETTINGS_MAX_CONCURRENT_STREAMS; Window the initial window; 0: none is sent.
+	// MaxStreams is SETTINGS_MAX_CONCURRENT_STREAMS, InitialWindow is SETTINGS_INITIAL_WINDOW_SIZE. 0: not sent.
 	MaxStreams, InitialWindow uint32
-	// Raw takes a connection in place of all else, after the preface and SETTINGS of both sides.
+	// RawHandler, if set, handles connections instead of the partner, after the client's preface and the SETTINGS frame.
 	RawHandler func(nc net.Conn, fr *http2.Framer)
-	// Delay is the time that an answer takes.
+	// Delay is the time from a request to its answer, unless the reply closes the connection.
 	Delay time.Duration
 
 	ln             net.Listener
 	mu             sync.Mutex
 	conns          map[*h2Conn]bool
 	connCount      int
-	effects        map[string]int // ledger: effects by message id
-	settingsAcks   int            // of SETTINGS
-	maxOpenStreams int            // streams open at once on one connection
+	effects        map[string]int // how often each message took effect, by ID
+	settingsAcks   int            // SETTINGS acknowledgements received
+	maxOpenStreams int            // highest number on one connection
 }
 
-// Start serves ln until Close.
+// Start accepts connections on ln until Close.
 func (p *H2Partner) Start(ln net.Listener) {
 	p.ln, p.conns, p.effects = ln, map[*h2Conn]bool{}, map[string]int{}
 	go func() {
@@ -70,29 +71,30 @@
 			}
 			p.mu.Lock()
 			p.connCount++
-			k := &h2Conn{p: p, nc: nc, number: p.connCount, incomplete: map[uint32]*Request{}}
-			p.conns[k] = true
+			c := &h2Conn{partner: p, nc: nc, number: p.connCount, incomplete: map[uint32]*Request{}}
+			p.conns[c] = true
 			p.mu.Unlock()
-			go k.serve()
+			go c.serve()
 		}
 	}()
 }
 
-// Listen serves a loopback address of its own until Close. It panics where a test could not go on.
+// Listen starts the partner on a free loopback port and returns it. It panics on errors.
 func (p *H2Partner) Listen() *H2Partner {
 	p.Start(must(net.Listen("tcp", "127.0.0.1:0")))
 	return p
 }
 
-// Addr is where it listens.
+// Addr returns the listener's address.
 func (p *H2Partner) Addr() string { return p.ln.Addr().String() }
 
-// Close ends the listener and all connections.
+// Close closes the listener and all connections.
 func (p *H2Partner) Close() {
 	p.ln.Close()
 	p.eachConn(func(k *h2Conn) { k.nc.Close() })
 }
 
+// eachConn calls f for every open connection.
 func (p *H2Partner) eachConn(f func(*h2Conn)) {
 	p.mu.Lock()
 	var conns []*h2Conn
@@ -105,7 +107,7 @@
 	}
 }
 
-// Set sends SETTINGS_MAX_CONCURRENT_STREAMS on every connection, new ones too.
+// SetMaxStreams changes SETTINGS_MAX_CONCURRENT_STREAMS, on existing and new connections.
 func (p *H2Partner) SetMaxStreams(limit uint32) {
 	p.mu.Lock()
 	p.MaxStreams = limit
@@ -117,31 +119,32 @@
 	})
 }
 
-// Each writes frames on every connection.
+// WriteFrames calls f with the framer of every connection.
 func (p *H2Partner) WriteFrames(f func(fr *http2.Framer)) { p.eachConn(func(k *h2Conn) { k.write(f) }) }
 
-// Runs is how often a message took effect.
+// EffectCount returns how often a message took effect.
 func (p *H2Partner) EffectCount(id string) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.effects[id]
 }
 
-// Acks is how many of its SETTINGS were acknowledged.
+// SettingsAcks returns the number of SETTINGS frames that the sender has acknowledged.
 func (p *H2Partner) SettingsAcks() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.settingsAcks
 }
 
-// Stats are the connections seen, the messages that took effect, and the most streams on one connection.
+// Stats returns the number of connections accepted and of messages that took effect, and the highest number of streams
+// open at once on one connection.
 func (p *H2Partner) Stats() (conns, messages, maxStreams int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.connCount, len(p.effects), p.maxOpenStreams
 }
 
-// Ledger calls f with each message's id and how often it took effect.
+// ForEachEffect calls f with each message's ID and how often it took effect.
 func (p *H2Partner) ForEachEffect(f func(id string, count int)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -150,116 +153,118 @@
 	}
 }
 
+// h2Conn is one connection to an H2Partner.
 type h2Conn struct {
-	p          *H2Partner
+	partner    *H2Partner
 	nc         net.Conn
 	number     int
 	reader     *http2.Framer
 	incomplete map[uint32]*Request
 
-	mu           sync.Mutex // over writing
+	mu           sync.Mutex // guards writer, encoder and headerBlock; the partner's mu guards openStreams
 	writer       *http2.Framer
 	encoder      *hpack.Encoder
 	headerBlock  bytes.Buffer
 	openStreams  int
-	goAwayStream uint32 // of a GOAWAY that was sent; 0: none
+	goAwayStream uint32 // last stream of the GOAWAY that was sent; 0: none
 }
 
-func (k *h2Conn) write(f func(*http2.Framer)) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if k.writer != nil {
-		k.nc.SetWriteDeadline(time.Now().Add(time.Second))
-		f(k.writer)
+// write calls f with the framer, once the SETTINGS frame has been sent.
+func (c *h2Conn) write(f func(*http2.Framer)) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.writer != nil {
+		c.nc.SetWriteDeadline(time.Now().Add(time.Second))
+		f(c.writer)
 	}
 }
 
-func (k *h2Conn) serve() {
+func (c *h2Conn) serve() {
 	defer func() {
-		k.nc.Close()
-		k.p.mu.Lock()
-		delete(k.p.conns, k)
-		k.p.mu.Unlock()
+		c.nc.Close()
+		c.partner.mu.Lock()
+		delete(c.partner.conns, c)
+		c.partner.mu.Unlock()
 	}()
 	preface := make([]byte, len(http2.ClientPreface))
-	if _, err := io.ReadFull(k.nc, preface); err != nil || string(preface) != http2.ClientPreface {
+	if _, err := io.ReadFull(c.nc, preface); err != nil || string(preface) != http2.ClientPreface {
 		return
 	}
-	k.reader = http2.NewFramer(nil, k.nc)
-	k.reader.ReadMetaHeaders = hpack.NewDecoder(4096, nil)
-	k.mu.Lock()
-	k.writer = http2.NewFramer(k.nc, nil)
-	k.writer.AllowIllegalWrites = true
-	k.encoder = hpack.NewEncoder(&k.headerBlock)
-	k.p.mu.Lock()
+	c.reader = http2.NewFramer(nil, c.nc)
+	c.reader.ReadMetaHeaders = hpack.NewDecoder(4096, nil)
+	c.mu.Lock()
+	c.writer = http2.NewFramer(c.nc, nil)
+	c.writer.AllowIllegalWrites = true
+	c.encoder = hpack.NewEncoder(&c.headerBlock)
+	c.partner.mu.Lock()
 	var settings []http2.Setting
-	if k.p.MaxStreams > 0 {
-		settings = append(settings, http2.Setting{ID: http2.SettingMaxConcurrentStreams, Val: k.p.MaxStreams})
+	if c.partner.MaxStreams > 0 {
+		settings = append(settings, http2.Setting{ID: http2.SettingMaxConcurrentStreams, Val: c.partner.MaxStreams})
 	}
-	if k.p.InitialWindow > 0 {
-		settings = append(settings, http2.Setting{ID: http2.SettingInitialWindowSize, Val: k.p.InitialWindow})
+	if c.partner.InitialWindow > 0 {
+		settings = append(settings, http2.Setting{ID: http2.SettingInitialWindowSize, Val: c.partner.InitialWindow})
 	}
-	k.p.mu.Unlock()
-	k.writer.WriteSettings(settings...)
-	k.mu.Unlock()
-	if k.p.RawHandler != nil {
-		k.p.RawHandler(k.nc, k.writer)
+	c.partner.mu.Unlock()
+	c.writer.WriteSettings(settings...)
+	c.mu.Unlock()
+	if c.partner.RawHandler != nil {
+		c.partner.RawHandler(c.nc, c.writer)
 		return
 	}
-	for k.handleFrame() {
+	for c.handleFrame() {
 	}
 }
 
-// frame takes one frame and reports whether the connection goes on.
-func (k *h2Conn) handleFrame() bool {
-	f, err := k.reader.ReadFrame()
+// handleFrame reads and handles one frame, and reports whether the connection stays open.
+func (c *h2Conn) handleFrame() bool {
+	f, err := c.reader.ReadFrame()
 	if err != nil {
 		var se http2.StreamError
 		return errors.As(err, &se)
 	}
 	switch f := f.(type) {
 	case *http2.MetaHeadersFrame:
-		if k.goAwayStream > 0 && f.StreamID > k.goAwayStream { // 6.8: it is not run, as it was said
+		if c.goAwayStream > 0 && f.StreamID > c.goAwayStream { // RFC 9113, section 6.8: the request is not processed
 			return true
 		}
-		r := &Request{Stream: f.StreamID, Conn: k.number, Path: f.PseudoValue("path"), Fields: map[string]string{}}
+		r := &Request{Stream: f.StreamID, Conn: c.number, Path: f.PseudoValue("path"), Fields: map[string]string{}}
 		for _, h := range f.RegularFields() {
 			r.Fields[h.Name] = h.Value
 		}
-		k.incomplete[f.StreamID] = r
-		k.p.mu.Lock()
-		k.openStreams++
-		k.p.maxOpenStreams = max(k.p.maxOpenStreams, k.openStreams)
-		k.p.mu.Unlock()
+		c.incomplete[f.StreamID] = r
+		c.partner.mu.Lock()
+		c.openStreams++
+		c.partner.maxOpenStreams = max(c.partner.maxOpenStreams, c.openStreams)
+		c.partner.mu.Unlock()
 		if f.StreamEnded() {
-			return k.handleRequest(r)
+			return c.handleRequest(r)
 		}
 	case *http2.DataFrame:
-		if r := k.incomplete[f.StreamID]; r != nil {
+		if r := c.incomplete[f.StreamID]; r != nil {
 			r.Body = append(r.Body, f.Data()...)
 			if n := uint32(len(f.Data())); n > 0 {
-				k.write(func(fr *http2.Framer) { fr.WriteWindowUpdate(0, n); fr.WriteWindowUpdate(f.StreamID, n) })
+				c.write(func(fr *http2.Framer) { fr.WriteWindowUpdate(0, n); fr.WriteWindowUpdate(f.StreamID, n) })
 			}
 			if f.StreamEnded() {
-				return k.handleRequest(r)
+				return c.handleRequest(r)
 			}
 		}
 	case *http2.RSTStreamFrame:
-		if k.incomplete[f.StreamID] != nil {
-			delete(k.incomplete, f.StreamID)
-			k.streamClosed()
+		if c.incomplete[f.StreamID] != nil {
+			delete(c.incomplete, f.StreamID)
+			c.streamClosed()
 		}
 	case *http2.SettingsFrame:
 		if f.IsAck() {
-			k.p.mu.Lock()
-			k.p.settingsAcks++
-			k.p.mu.Unlock()
+			c.partner.mu.Lock()
+			c.partner.settingsAcks++
+			c.partner.mu.Unlock()
 			return true
 		}
-		k.write(func(fr *http2.Framer) { fr.WriteSettingsAck() })
+		c.write(func(fr *http2.Framer) { fr.WriteSettingsAck() })
 	case *http2.PingFrame:
 		if !f.IsAck() {
-			k.write(func(fr *http2.Framer) { fr.WritePing(true, f.Data) })
+			c.write(func(fr *http2.Framer) { fr.WritePing(true, f.Data) })
 		}
 	case *http2.GoAwayFrame:
 		return false
@@ -267,50 +272,51 @@
 	return true
 }
 
-func (k *h2Conn) streamClosed() {
-	k.p.mu.Lock()
-	k.openStreams--
-	k.p.mu.Unlock()
+func (c *h2Conn) streamClosed() {
+	c.partner.mu.Lock()
+	c.openStreams--
+	c.partner.mu.Unlock()
 }
 
-// whole takes a request that is there in full: from here on it has run, unless the reply says otherwise.
-func (k *h2Conn) handleRequest(r *Request) bool {
-	delete(k.incomplete, r.Stream)
+// handleRequest handles a complete request, and reports whether the connection stays open. The message takes effect
+// unless the reply says otherwise.
+func (c *h2Conn) handleRequest(r *Request) bool {
+	delete(c.incomplete, r.Stream)
 	reply := Reply{Status: 200}
-	if k.p.Handler != nil {
-		reply = k.p.Handler(r)
+	if c.partner.Handler != nil {
+		reply = c.partner.Handler(r)
 	}
 	if !reply.NotRun {
-		k.p.mu.Lock()
-		k.p.effects[r.Fields["x-trace-id"]]++
-		k.p.mu.Unlock()
+		c.partner.mu.Lock()
+		c.partner.effects[r.Fields["x-trace-id"]]++
+		c.partner.mu.Unlock()
 	}
 	if reply.NoAnswer {
 		return true
 	}
-	if reply.GoAway && k.goAwayStream == 0 {
-		k.goAwayStream = r.Stream
-		for id := range k.incomplete { // whose bodies are still to come
-			if id > k.goAwayStream {
-				delete(k.incomplete, id)
-				k.streamClosed()
+	if reply.GoAway && c.goAwayStream == 0 {
+		c.goAwayStream = r.Stream
+		for id := range c.incomplete { // requests whose bodies are incomplete
+			if id > c.goAwayStream {
+				delete(c.incomplete, id)
+				c.streamClosed()
 			}
 		}
-		k.write(func(fr *http2.Framer) { fr.WriteGoAway(r.Stream, http2.ErrCodeNo, nil) })
+		c.write(func(fr *http2.Framer) { fr.WriteGoAway(r.Stream, http2.ErrCodeNo, nil) })
 	}
 	answer := func() {
-		k.write(func(fr *http2.Framer) {
+		c.write(func(fr *http2.Framer) {
 			if reply.Status == 0 {
 				fr.WriteRSTStream(r.Stream, reply.ResetCode)
 				return
 			}
-			k.headerBlock.Reset()
-			k.encoder.WriteField(hpack.HeaderField{Name: ":status", Value: strconv.Itoa(reply.Status)})
+			c.headerBlock.Reset()
+			c.encoder.WriteField(hpack.HeaderField{Name: ":status", Value: strconv.Itoa(reply.Status)})
 			for name, v := range reply.Fields {
-				k.encoder.WriteField(hpack.HeaderField{Name: name, Value: v})
+				c.encoder.WriteField(hpack.HeaderField{Name: name, Value: v})
 			}
 			body := []byte(reply.Body)
-			block := k.headerBlock.Bytes()
+			block := c.headerBlock.Bytes()
 			n := min(len(block), maxFrameSize)
 			fr.WriteHeaders(http2.HeadersFrameParam{StreamID: r.Stream, BlockFragment: block[:n], EndHeaders: n == len(block), EndStream: len(body) == 0 && !reply.Truncate})
 			for block = block[n:]; len(block) > 0; block = block[n:] {
@@ -323,7 +329,7 @@
 				body = body[n:]
 			}
 		})
-		k.streamClosed()
+		c.streamClosed()
 	}
 	if reply.CloseConn {
 		if reply.Status != 0 {
@@ -331,8 +337,8 @@
 		}
 		return false
 	}
-	if k.p.Delay > 0 {
-		time.AfterFunc(k.p.Delay, answer)
+	if c.partner.Delay > 0 {
+		time.AfterFunc(c.partner.Delay, answer)
 	} else {
 		answer()
 	}
--- a/internal/standin/process.go
+++ b/internal/standin/process.go
@@ -8,7 +8,7 @@
 	"strings"
 )
 
-// CPU is the processor time that a process has used, in seconds; NaN if there is no such process.
+// CPUSeconds returns the CPU time that a process has used, or NaN if there is no such process.
 func CPUSeconds(pid int) float64 {
 	text, _ := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	f := strings.Fields(string(text[strings.LastIndexByte(string(text), ')')+1:]))
@@ -20,7 +20,7 @@
 	return (user + system) / 100
 }
 
-// Resident is the resident memory of a process in MB; NaN if there is no such process.
+// ResidentMB returns the resident memory of a process, or NaN if there is no such process.
 func ResidentMB(pid int) float64 {
 	text, _ := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	for _, line := range strings.Split(string(text), "\n") {
--- a/internal/standin/rawpartner.go
+++ b/internal/standin/rawpartner.go
@@ -8,37 +8,37 @@
 	"testing"
 )
 
-// Answers of a RawPartner that tests share.
+// Answers that tests write with RawCall.Write.
 const (
 	AnswerOK          = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
 	AnswerUnavailable = "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"
 )
 
-// RawCall is one request that a RawPartner has read, on a connection that the test writes to as it likes.
+// RawCall is a request that a RawPartner has read. The test writes the answers to its connection itself.
 type RawCall struct {
-	ID      string // of a single message; empty of others
+	ID      string // message ID; empty for a batch or a probe
 	Conn    int    // the connection's number, from 1
 	NetConn net.Conn
 	request *http.Request
 }
 
-// Write writes bytes to the connection, whoever they answer.
+// Write writes raw bytes to the connection.
 func (c *RawCall) Write(text string) { c.NetConn.Write([]byte(text)) }
 
-// URI is the request's path and query.
+// URI returns the request's path and query.
 func (c *RawCall) URI() string { return c.request.URL.RequestURI() }
 
-// RawPartner reads requests and leaves all that is written back to the test: answers out of turn, twice or not at all.
+// RawPartner reads requests and leaves the answers to the test, which may send them out of order, twice or not at all.
 type RawPartner struct {
 	Addr        string
 	Calls       chan *RawCall
-	ClosedConns chan int // numbers of connections that the sender has closed
+	ClosedConns chan int // numbers of the connections that have ended
 
 	mu    sync.Mutex
 	conns []net.Conn
 }
 
-// NewRawPartner starts a RawPartner, which ends with the test.
+// NewRawPartner starts a RawPartner that runs until the test ends.
 func NewRawPartner(t testing.TB) *RawPartner {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/standin/relay.go
+++ b/internal/standin/relay.go
@@ -7,15 +7,15 @@
 	"time"
 )
 
-// Relay is a TCP relay with faults, one for each link of a test: it can hold back either direction, delay, break
-// all connections, half-close them and refuse new ones.
+// Relay is a TCP relay that injects faults into one link: it can block either direction, delay data, close or half-close
+// all connections and refuse new ones.
 type Relay struct {
 	ln     net.Listener
 	target string
 
 	mu         sync.Mutex
 	changed    *sync.Cond
-	blocked    [2]bool // towards the target, and back
+	blocked    [2]bool // by direction
 	addedDelay time.Duration
 	refuseNew  bool
 	closed     bool
@@ -23,7 +23,7 @@
 	conns      map[net.Conn]bool
 }
 
-// Bytes is what it has carried, both ways.
+// BytesCarried returns the number of bytes relayed in both directions.
 func (r *Relay) BytesCarried() int64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -32,11 +32,11 @@
 
 // Directions of a Relay.
 const (
-	ToTarget   = 0 // from who dials to the target
+	ToTarget   = 0 // from the dialling side to the target
 	FromTarget = 1
 )
 
-// NewRelay returns a Relay to target, on an address of its own.
+// NewRelay starts a Relay to target on a free loopback port.
 func NewRelay(target string) (*Relay, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -48,24 +48,24 @@
 	return r, nil
 }
 
-// Addr is where it listens.
+// Addr returns the address to dial.
 func (r *Relay) Addr() string { return r.ln.Addr().String() }
 
-// Hold holds back what goes in a direction, or lets it go on.
+// Block blocks the data in one direction, or unblocks it. Blocked data is kept.
 func (r *Relay) Block(direction int, blocked bool) {
 	r.update(func() { r.blocked[direction] = blocked })
 }
 
-// Cut holds back both directions, or lets them go on.
+// BlockBoth blocks or unblocks both directions.
 func (r *Relay) BlockBoth(blocked bool) { r.update(func() { r.blocked = [2]bool{blocked, blocked} }) }
 
-// Delay delays what goes either way.
+// SetDelay sets the delay of each chunk of data, in both directions.
 func (r *Relay) SetDelay(d time.Duration) { r.update(func() { r.addedDelay = d }) }
 
-// Refuse closes new connections at once, or takes them again.
+// RefuseNew closes new connections at once, or accepts them again.
 func (r *Relay) RefuseNew(refuse bool) { r.update(func() { r.refuseNew = refuse }) }
 
-// Break ends all connections.
+// CloseConns closes all connections.
 func (r *Relay) CloseConns() {
 	r.update(func() {
 		for c := range r.conns {
@@ -74,8 +74,8 @@
 	})
 }
 
-// HalfClose ends all connections in one direction alone: the target, or who dialled, reads an end and may go on
-// writing.
+// HalfClose closes the writing direction of all connections, to both sides: each side reads the end of the stream and
+// may go on writing.
 func (r *Relay) HalfClose() {
 	r.update(func() {
 		for c := range r.conns {
@@ -86,7 +86,7 @@
 	})
 }
 
-// Close ends everything.
+// Close closes the listener and all connections.
 func (r *Relay) Close() {
 	r.ln.Close()
 	r.update(func() { r.closed, r.blocked = true, [2]bool{} })
