--- a/cmd/sliptide/h2_test.go
+++ b/cmd/sliptide/h2_test.go
@@ -23,8 +23,8 @@
 	"sliptide/internal/standin"
 )
 
-// multiplexed is the operators' file for destinations reached by HTTP/2 without TLS.
-func multiplexed(dests, conns int) string {
+// h2cPartnersXML returns the content of an operators' file with destinations reached by HTTP/2 without TLS.
+func h2cPartnersXML(dests, conns int) string {
 	var b strings.Builder
 	b.WriteString("<partners>")
 	for d := range dests {
@@ -33,13 +33,14 @@
 	return b.String() + "</partners>"
 }
 
-func standIn(t *testing.T, p *standin.H2) *standin.H2 {
+// startPartner makes p listen on a loopback address until the test ends.
+func startPartner(t *testing.T, p *standin.H2Partner) *standin.H2Partner {
 	t.Cleanup(p.Listen().Close)
 	return p
 }
 
-// listed puts partners in the list of discovery, in place of what is there.
-func (r *rig) listed(ps ...*standin.H2) {
+// setPartnerList replaces the endpoint list of discovery with the partners.
+func (r *rig) setPartnerList(ps ...*standin.H2Partner) {
 	r.updateList(func() {
 		r.endpoints = nil
 		for i, p := range ps {
@@ -48,8 +49,8 @@
 	})
 }
 
-// drained lets the test's channels take what nobody looks at.
-func (r *rig) drained(stop <-chan struct{}) {
+// discardWatches discards the recorded discovery calls until stop is closed.
+func (r *rig) discardWatches(stop <-chan struct{}) {
 	for {
 		select {
 		case <-r.watches:
@@ -59,159 +60,160 @@
 	}
 }
 
-// awaitTaken hands messages in until the sender has the list.
-func (r *rig) awaitTaken(id string, dest int, left float64) {
+// awaitAccepted submits a message until the sender, which needs the endpoint list for it, accepts it.
+func (r *rig) awaitAccepted(id string, dest int, expiresIn float64) {
 	r.t.Helper()
 	for end := time.Now().Add(testTimeout); ; {
-		resp := r.submit(id, dest, left, "body")
+		resp := r.submit(id, dest, expiresIn, "body")
 		if resp.StatusCode == 202 {
 			return
 		}
 		if time.Now().After(end) {
-			r.t.Fatalf("not taken: %s", resp.Status)
+			r.t.Fatalf("message not accepted: %s", resp.Status)
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
 }
 
-// A told wait and a drain bind calls that wait for a stream as they bind those that wait for a connection.
+// TestWaitAndDrainBindQueuedStreams checks that a requested wait and a drain apply to messages queued for a stream, as
+// they do to those queued for a connection.
 func TestWaitAndDrainBindQueuedStreams(t *testing.T) {
-	for _, what := range []string{"wait", "drain"} {
-		t.Run(what, func(t *testing.T) {
+	for _, signal := range []string{"wait", "drain"} {
+		t.Run(signal, func(t *testing.T) {
 			answer := make(chan standin.Reply, 1)
 			seen := make(chan string, 100)
-			p := standIn(t, &standin.H2{Limit: 1, On: func(q *standin.Request) standin.Reply {
+			p := startPartner(t, &standin.H2Partner{MaxStreams: 1, Handler: func(q *standin.Request) standin.Reply {
 				seen <- q.Fields["x-trace-id"]
 				return <-answer
 			}})
-			r := newRigWith(t, multiplexed(1, 1), func(set, _ map[string]any) {
-				set["family_info"].(map[string]any)["kind_batch"] = []int{1, 1}
+			r := newRigWith(t, h2cPartnersXML(1, 1), func(settings, _ map[string]any) {
+				settings["family_info"].(map[string]any)["kind_batch"] = []int{1, 1}
 			})
-			r.listed(p)
-			r.awaitTaken("first", 0, 8)
+			r.setPartnerList(p)
+			r.awaitAccepted("first", 0, 8)
 			receive(t, seen, "the first call")
-			for i := range 5 { // they find no stream
+			for i := range 5 { // they queue: the only stream is in use
 				r.mustSubmit(fmt.Sprint("q", i), 0, 8, "")
 			}
-			var told time.Time
-			if what == "wait" {
-				told = time.Now()
-				answer <- standin.Reply{Status: 429, Uncounted: true, Fields: map[string]string{"retry-after": "1.200"}}
+			var signalledAt time.Time
+			if signal == "wait" {
+				signalledAt = time.Now()
+				answer <- standin.Reply{Status: 429, NotRun: true, Fields: map[string]string{"retry-after": "1.200"}}
 			} else {
 				r.updateList(func() { r.endpoints[0].State = "draining" })
-				r.mustSubmit("n", 0, 0.3, "") // its end comes after the drain is known
+				r.mustSubmit("n", 0, 0.3, "") // its notice shows that the sender has the new list
 				r.nextNotice()
-				told = time.Now()
+				signalledAt = time.Now()
 				answer <- standin.Reply{Status: 200}
 			}
-			if what == "drain" {
+			if signal == "drain" {
 				for range 5 {
 					r.nextNotice()
 				}
 				if len(seen) > 0 {
-					t.Error("called after it was told to drain")
+					t.Error("called while it is draining")
 				}
 				return
 			}
 			receive(t, seen, "a call after the wait")
-			if early := time.Since(told); early < 1200*time.Millisecond {
-				t.Errorf("called %v after a wait of 1.2 s was told", early)
+			if elapsed := time.Since(signalledAt); elapsed < 1200*time.Millisecond {
+				t.Errorf("called %v after it requested a wait of 1.2 s", elapsed)
 			}
 			close(answer)
 		})
 	}
 }
 
-// The partner lowers its limit to none: what is queued ends in time, and nothing is lost. It raises it, and
-// what came last is delivered.
-func TestNoStreamsForAWhile(t *testing.T) {
-	p := standIn(t, &standin.H2{Limit: 10})
-	r := newRigWith(t, multiplexed(1, 1), nil)
-	r.listed(p)
-	r.awaitTaken("first", 0, 8)
-	for end := time.Now().Add(testTimeout); p.Acks() < 2; time.Sleep(time.Millisecond) {
-		if p.Runs("first") == 1 && p.Limit == 10 {
-			p.Set(0)
+// TestStreamLimitOfZero checks that a message queued while the partner permits no streams ends at its deadline, and
+// that a queued message is delivered once the partner permits streams again.
+func TestStreamLimitOfZero(t *testing.T) {
+	p := startPartner(t, &standin.H2Partner{MaxStreams: 10})
+	r := newRigWith(t, h2cPartnersXML(1, 1), nil)
+	r.setPartnerList(p)
+	r.awaitAccepted("first", 0, 8)
+	for end := time.Now().Add(testTimeout); p.SettingsAcks() < 2; time.Sleep(time.Millisecond) {
+		if p.EffectCount("first") == 1 && p.MaxStreams == 10 {
+			p.SetMaxStreams(0)
 		}
 		if time.Now().After(end) {
-			t.Fatal("the new limit is not acknowledged")
+			t.Fatal("the new stream limit was not acknowledged")
 		}
 	}
-	begin := time.Now()
+	submittedAt := time.Now()
 	r.mustSubmit("ends", 0, 1, "")
-	if n := r.nextNotice(); n.Message != "ends" || time.Since(begin) > 1500*time.Millisecond {
-		t.Errorf("%+v after %v", n, time.Since(begin))
+	if n := r.nextNotice(); n.Message != "ends" || time.Since(submittedAt) > 1500*time.Millisecond {
+		t.Errorf("notice %+v after %v, want the one of message \"ends\" after 1 s", n, time.Since(submittedAt))
 	}
 	r.mustSubmit("lasts", 0, 10, "")
-	p.Set(10)
-	for end := time.Now().Add(testTimeout); p.Runs("lasts") == 0; {
+	p.SetMaxStreams(10)
+	for end := time.Now().Add(testTimeout); p.EffectCount("lasts") == 0; {
 		if time.Now().After(end) {
-			t.Fatal("not delivered")
+			t.Fatal("message not delivered after the stream limit was raised")
 		}
 		time.Sleep(time.Millisecond)
 	}
-	if p.Runs("ends") > 0 {
-		t.Error("a message that was handed back has run")
+	if p.EffectCount("ends") > 0 {
+		t.Error("a returned message took effect")
 	}
 }
 
-// Partners close, reset, refuse, say GOAWAY and fall silent at random, and the class permits no repeat of
-// what may have run: no message takes effect twice, none is handed back that has run, and each that was
-// taken on has one end: it was delivered, or there is one notice. SLIPTIDE_H2_MESSAGES says how many.
+// TestH2Chaos runs a class that permits no repeat of a message that may have run against partners that close, reset,
+// refuse, send GOAWAY and do not answer, at random. No message may take effect twice, none that took effect may be
+// returned, and each accepted message has one end: delivery or one notice. SLIPTIDE_H2_MESSAGES sets their number.
 func TestH2Chaos(t *testing.T) {
 	total, seeds := 1500, 1
 	if v, err := strconv.Atoi(os.Getenv("SLIPTIDE_H2_MESSAGES")); err == nil {
 		total, seeds = v, 4
 	}
 	for seed := range uint64(seeds) {
-		t.Run(fmt.Sprint(seed), func(t *testing.T) { chaos(t, seed, total/seeds) })
+		t.Run(fmt.Sprint(seed), func(t *testing.T) { runChaos(t, seed, total/seeds) })
 	}
 }
 
-func chaos(t *testing.T, seed uint64, total int) {
+func runChaos(t *testing.T, seed uint64, total int) {
 	const dests = 4
-	var ps []*standin.H2
+	var ps []*standin.H2Partner
 	var mu sync.Mutex
 	for i := range dests {
 		rng := rand.New(rand.NewPCG(seed, uint64(i)))
-		ps = append(ps, standIn(t, &standin.H2{Limit: 20, Delay: 2 * time.Millisecond, On: func(q *standin.Request) standin.Reply {
+		ps = append(ps, startPartner(t, &standin.H2Partner{MaxStreams: 20, Delay: 2 * time.Millisecond, Handler: func(q *standin.Request) standin.Reply {
 			mu.Lock()
 			defer mu.Unlock()
-			// No 503 and 429 among them: a limit would have the module send a few messages a second, and
-			// the test is of connections.
+			// No 503 or 429 among them: these would make the sender's limiter slow down to a few messages a second,
+			// and the test is about connections.
 			switch n := rng.IntN(1000); {
 			case n < 30:
-				return standin.Reply{Reset: http2.ErrCodeInternal}
+				return standin.Reply{ResetCode: http2.ErrCodeInternal}
 			case n < 60:
-				return standin.Reply{Reset: http2.ErrCodeRefusedStream, Uncounted: true}
+				return standin.Reply{ResetCode: http2.ErrCodeRefusedStream, NotRun: true}
 			case n < 80:
 				return standin.Reply{Status: 200, GoAway: true}
 			case n < 84:
-				return standin.Reply{Hangup: true}
+				return standin.Reply{CloseConn: true}
 			case n < 88:
-				return standin.Reply{Status: 200, Hangup: true}
+				return standin.Reply{Status: 200, CloseConn: true}
 			case n < 90:
-				return standin.Reply{Silence: true}
+				return standin.Reply{NoAnswer: true}
 			case n < 120:
 				return standin.Reply{Status: 500}
 			case n < 130:
-				return standin.Reply{Status: 200, Body: "half", Cut: true}
+				return standin.Reply{Status: 200, Body: "half", Truncate: true}
 			}
 			return standin.Reply{Status: 200}
 		}}))
 	}
-	r := newRigWith(t, multiplexed(dests, 4), func(set, _ map[string]any) {
-		set["services"].([]any)[0].(map[string]any)["effect"] = "unsafe"
-		set["family_info"].(map[string]any)["kind_batch"] = []int{1, 1}
-		set["family_info"].(map[string]any)["call_slots"] = 48
-		set["limits"].(map[string]any)["most_held"] = 400
-		set["contract"].(map[string]any)["cold"] = 300
-		set["contract"].(map[string]any)["cold_from"] = 0.9
+	r := newRigWith(t, h2cPartnersXML(dests, 4), func(settings, _ map[string]any) {
+		settings["services"].([]any)[0].(map[string]any)["effect"] = "unsafe"
+		settings["family_info"].(map[string]any)["kind_batch"] = []int{1, 1}
+		settings["family_info"].(map[string]any)["call_slots"] = 48
+		settings["limits"].(map[string]any)["most_held"] = 400
+		settings["contract"].(map[string]any)["cold"] = 300
+		settings["contract"].(map[string]any)["cold_from"] = 0.9
 	})
-	r.listed(ps...)
+	r.setPartnerList(ps...)
 	stop := make(chan struct{})
 	defer close(stop)
-	go r.drained(stop)
+	go r.discardWatches(stop)
 	notices := map[string][]string{}
 	ended := make(chan struct{})
 	go func() {
@@ -227,8 +229,8 @@
 			}
 		}
 	}()
-	r.awaitTaken("warm", 0, 3)
-	taken := make(chan string, total)
+	r.awaitAccepted("warm", 0, 3)
+	accepted := make(chan string, total)
 	var wg sync.WaitGroup
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 32}}
 	for w := range 32 {
@@ -236,7 +238,7 @@
 		go func() {
 			defer wg.Done()
 			for i := w; i < total; i += 32 {
-				time.Sleep(100 * time.Millisecond) // 320 a second in all
+				time.Sleep(100 * time.Millisecond) // 32 clients: 320 messages a second
 				for try := range 200 {
 					id := fmt.Sprintf("c%d-%d-%d", seed, i, try)
 					q, _ := http.NewRequest("POST", "http://"+r.addr+"/api", strings.NewReader("x"))
@@ -251,7 +253,7 @@
 					io.Copy(io.Discard, resp.Body)
 					resp.Body.Close()
 					if resp.StatusCode == 202 {
-						taken <- id
+						accepted <- id
 						break
 					}
 					time.Sleep(10 * time.Millisecond)
@@ -260,33 +262,33 @@
 		}()
 	}
 	wg.Wait()
-	close(taken)
-	time.Sleep(5 * time.Second) // all time is up, with what an end may take
+	close(accepted)
+	time.Sleep(5 * time.Second) // every message is past its deadline of 4 s
 	r.kill(syscall.SIGTERM)
 	mu.Lock()
 	defer mu.Unlock()
-	var delivered, gaveUp, back, twice, none, runTwice, backRun int
-	for id := range taken {
+	var delivered, abandoned, returned, multipleEnds, noEnd, repeated, returnedAfterEffect int
+	for id := range accepted {
 		runs := 0
 		for _, p := range ps {
-			runs += p.Runs(id)
+			runs += p.EffectCount(id)
 		}
 		n := notices[id]
 		switch {
 		case runs > 1:
-			runTwice++
+			repeated++
 		case len(n) > 1:
-			twice++
+			multipleEnds++
 		case len(n) == 0 && runs == 0:
-			none++
+			noEnd++
 		case len(n) == 0:
 			delivered++
 		case n[0] == "handed_back" && runs > 0:
-			backRun++
+			returnedAfterEffect++
 		case n[0] == "handed_back":
-			back++
+			returned++
 		default:
-			gaveUp++
+			abandoned++
 		}
 	}
 	conns := 0
@@ -294,26 +296,27 @@
 		n, _, _ := p.Stats()
 		conns += n
 	}
-	t.Logf("seed %d: %d delivered, %d given up, %d handed back; %d connections; %d ran twice, %d handed back though they ran, %d with two ends, %d with none",
-		seed, delivered, gaveUp, back, conns, runTwice, backRun, twice, none)
-	if runTwice+twice+none+backRun > 0 || delivered < total/2 {
-		t.Error("a promise is broken")
+	t.Logf("seed %d: %d delivered, %d abandoned, %d returned; %d connections; %d took effect twice, %d returned after they took effect, %d with two ends, %d with none",
+		seed, delivered, abandoned, returned, conns, repeated, returnedAfterEffect, multipleEnds, noEnd)
+	if repeated+multipleEnds+noEnd+returnedAfterEffect > 0 || delivered < total/2 {
+		t.Error("a delivery guarantee is violated, or under half of the messages were delivered")
 	}
 }
 
-// HTTP/1.1 and HTTP/2 against the same kind of partner, by calls in flight: connections, latency, CPU.
+// TestMeasureH2 compares HTTP/1.1 and HTTP/2 with the same kind of partner, by calls in flight: connections, latency
+// and CPU time.
 func TestMeasureH2(t *testing.T) {
-	flights, rounds := []int{1, 8, 64}, 3
+	concurrencies, rounds := []int{1, 8, 64}, 3
 	if v, err := strconv.Atoi(os.Getenv("SLIPTIDE_IN_FLIGHT")); err == nil {
-		flights, rounds = []int{v}, 8
+		concurrencies, rounds = []int{v}, 8
 	}
 	skipUnlessMeasuring(t)
-	for _, flight := range flights {
+	for _, inFlight := range concurrencies {
 		for round := range rounds {
 			for _, proto := range []string{"http/1.1", "h2c"} {
 				var line string
-				t.Run(fmt.Sprint(proto, flight, round), func(t *testing.T) {
-					t.Run("run", func(t *testing.T) { line = side(t, proto, flight) })
+				t.Run(fmt.Sprint(proto, inFlight, round), func(t *testing.T) {
+					t.Run("run", func(t *testing.T) { line = measureProtocol(t, proto, inFlight) })
 				})
 				t.Log(line)
 			}
@@ -321,54 +324,55 @@
 	}
 }
 
-// countedListener counts the bytes of its connections, both ways.
-type countedListener struct {
+// countingListener counts the bytes of its connections in both directions.
+type countingListener struct {
 	net.Listener
 	bytes atomic.Int64
 }
 
-func (l *countedListener) Accept() (net.Conn, error) {
+func (l *countingListener) Accept() (net.Conn, error) {
 	nc, err := l.Listener.Accept()
-	return countedConn{nc, l}, err
+	return countingConn{nc, l}, err
 }
 
-type countedConn struct {
+type countingConn struct {
 	net.Conn
-	l *countedListener
+	l *countingListener
 }
 
-func (c countedConn) Read(b []byte) (int, error) {
+func (c countingConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	c.l.bytes.Add(int64(n))
 	return n, err
 }
 
-func (c countedConn) Write(b []byte) (int, error) {
+func (c countingConn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
 	c.l.bytes.Add(int64(n))
 	return n, err
 }
 
-func side(t *testing.T, proto string, flight int) string {
+// measureProtocol runs one protocol with a number of calls in flight, and returns a line of results.
+func measureProtocol(t *testing.T, proto string, inFlight int) string {
 	var mu sync.Mutex
-	handed, delivery := map[string]time.Time{}, []float64{}
+	submittedAt, deliveryMS := map[string]time.Time{}, []float64{}
 	conns := 0
-	got := make(chan struct{}, 1000)
-	note := func(id string) {
+	called := make(chan struct{}, 1000)
+	recordCall := func(id string) {
 		at := time.Now()
 		mu.Lock()
-		if from, ok := handed[id]; ok {
-			delivery = append(delivery, float64(at.Sub(from))/1e6)
+		if submitted, ok := submittedAt[id]; ok {
+			deliveryMS = append(deliveryMS, float64(at.Sub(submitted))/1e6)
 		}
 		mu.Unlock()
-		got <- struct{}{}
+		called <- struct{}{}
 	}
-	r := newRigWith(t, fmt.Sprintf(`<partners><partner dest="0" protocol="%s"/></partners>`, proto), func(set, _ map[string]any) {
-		set["family_info"].(map[string]any)["call_slots"] = 80
-		set["family_info"].(map[string]any)["kind_batch"] = []int{1, 1}
-		set["limits"].(map[string]any)["most_held"] = 400
+	r := newRigWith(t, fmt.Sprintf(`<partners><partner dest="0" protocol="%s"/></partners>`, proto), func(settings, _ map[string]any) {
+		settings["family_info"].(map[string]any)["call_slots"] = 80
+		settings["family_info"].(map[string]any)["kind_batch"] = []int{1, 1}
+		settings["limits"].(map[string]any)["most_held"] = 400
 	})
-	// One independent peer for both: net/http's server.
+	// Both protocols use the same independent peer, the server of net/http.
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -384,10 +388,10 @@
 		}
 	}, Handler: http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
 		io.Copy(io.Discard, q.Body)
-		note(q.Header.Get("X-Trace-Id"))
+		recordCall(q.Header.Get("X-Trace-Id"))
 		time.Sleep(20 * time.Millisecond)
 	})}
-	wire := &countedListener{Listener: ln}
+	wire := &countingListener{Listener: ln}
 	go srv.Serve(wire)
 	t.Cleanup(func() { srv.Close() })
 	r.updateList(func() {
@@ -396,19 +400,19 @@
 	stop := make(chan struct{})
 	defer close(stop)
 	go r.discardPlatformCalls(stop)
-	r.awaitTaken("warm", 0, 5)
-	<-got
+	r.awaitAccepted("warm", 0, 5)
+	<-called
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 128}}
 	var wg sync.WaitGroup
-	from, begin, n := standin.CPU(r.proc.Process.Pid), time.Now(), 0
-	for w := range flight {
+	cpuBefore, begin, n := standin.CPUSeconds(r.proc.Process.Pid), time.Now(), 0
+	for w := range inFlight {
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
 			for i := 0; time.Since(begin) < 4*time.Second; i++ {
 				id := fmt.Sprintf("m%d-%d", w, i)
 				mu.Lock()
-				handed[id] = time.Now()
+				submittedAt[id] = time.Now()
 				n++
 				mu.Unlock()
 				q, _ := http.NewRequest("POST", "http://"+r.addr+"/api", strings.NewReader(strings.Repeat("b", 500)))
@@ -419,29 +423,29 @@
 					io.Copy(io.Discard, resp.Body)
 					resp.Body.Close()
 				}
-				<-got
-				time.Sleep(22 * time.Millisecond) // the call's own time: so many are in flight
+				<-called
+				time.Sleep(22 * time.Millisecond) // the call's duration, so that inFlight calls overlap
 			}
 		}()
 	}
 	wg.Wait()
-	cpu := standin.CPU(r.proc.Process.Pid) - from
+	cpu := standin.CPUSeconds(r.proc.Process.Pid) - cpuBefore
 	mu.Lock()
 	defer mu.Unlock()
-	slices.Sort(delivery)
+	slices.Sort(deliveryMS)
 	return fmt.Sprintf("%-8s %2d in flight: %4d messages, %2d connections, delivery p50 %.2f p99 %.2f ms, CPU %.0f us and %d bytes a message, resident %.1f MB",
-		proto, flight, n, conns, quantile(delivery, .5), quantile(delivery, .99), cpu/float64(n)*1e6, wire.bytes.Load()/int64(n), standin.Resident(r.proc.Process.Pid))
+		proto, inFlight, n, conns, quantile(deliveryMS, .5), quantile(deliveryMS, .99), cpu/float64(n)*1e6, wire.bytes.Load()/int64(n), standin.ResidentMB(r.proc.Process.Pid))
 }
 
-// Keys are read again on SIGHUP: a request that is out goes on, the next connection uses the new ones; and
-// the probe shows what the partner offers.
-func TestKeysReadAgain(t *testing.T) {
+// TestCertificateReload checks that certificates are read again on SIGHUP: a request in flight goes on, the next
+// connection uses the new ones, and unreadable ones are ignored. It also checks the output of the partner probe.
+func TestCertificateReload(t *testing.T) {
 	dir := t.TempDir()
 	at := func(name string) string { return filepath.Join(dir, name) }
 	old, fresh := standin.NewAuthority("old CA"), standin.NewAuthority("new CA")
 	old.WriteCA(at("ca.pem"))
 	ends := time.Now().Add(30 * 24 * time.Hour)
-	server := func(cert tls.Certificate, p *standin.H2) *standin.H2 {
+	server := func(cert tls.Certificate, p *standin.H2Partner) *standin.H2Partner {
 		ln, err := tls.Listen("tcp", "127.0.0.1:0", &tls.Config{Certificates: []tls.Certificate{cert}, NextProtos: []string{"h2"}})
 		if err != nil {
 			t.Fatal(err)
@@ -451,25 +455,25 @@
 		return p
 	}
 	answer := make(chan standin.Reply)
-	first := server(old.Pair("lodge.example.org", ends), &standin.H2{On: func(*standin.Request) standin.Reply { return <-answer }})
-	second := server(fresh.Pair("lodge.example.org", ends), &standin.H2{Limit: 33})
+	first := server(old.IssueCertificate("lodge.example.org", ends), &standin.H2Partner{Handler: func(*standin.Request) standin.Reply { return <-answer }})
+	second := server(fresh.IssueCertificate("lodge.example.org", ends), &standin.H2Partner{MaxStreams: 33})
 	r := newRigWith(t, fmt.Sprintf(`<partners><partner dest="0" protocol="h2" server-name="lodge.example.org" ca="%s"/><partner dest="1" protocol="h2" server-name="lodge.example.org" ca="%s"/></partners>`, at("ca.pem"), at("ca.pem")), nil)
-	r.listed(first, second)
-	r.awaitTaken("out", 0, 10)
-	r.awaitTaken("waits", 1, 10) // its partner's CA is not known yet
+	r.setPartnerList(first, second)
+	r.awaitAccepted("out", 0, 10)
+	r.awaitAccepted("waits", 1, 10) // the file does not hold its partner's CA yet
 	r.awaitLog("certificate signed by unknown authority")
-	for end := time.Now().Add(testTimeout); first.Acks() == 0; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); first.SettingsAcks() == 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("not called")
+			t.Fatal("the first partner was not called")
 		}
 	}
 	fresh.WriteCA(at("ca.pem"))
 	r.proc.Process.Signal(syscall.SIGHUP)
 	r.awaitLog("configuration read again")
 	answer <- standin.Reply{Status: 200}
-	for end := time.Now().Add(testTimeout); first.Runs("out") == 0 || second.Runs("waits") == 0; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); first.EffectCount("out") == 0 || second.EffectCount("waits") == 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("delivered %d and %d times", first.Runs("out"), second.Runs("waits"))
+			t.Fatalf("delivered %d and %d times, want once each", first.EffectCount("out"), second.EffectCount("waits"))
 		}
 	}
 	os.WriteFile(at("ca.pem"), []byte("nonsense"), 0o600)
@@ -479,16 +483,16 @@
 	out, errs, status := runCommand(t, "partner", "probe", second.Addr(), "--operator", r.operatorPath, "--dest", "1")
 	for _, want := range []string{"speaks h2 over TLS 1.3", "MAX_CONCURRENT_STREAMS = 33", "lodge.example.org", "29 days left"} {
 		if status != 0 || !strings.Contains(out, want) {
-			t.Errorf("probe: %d, no %q in %s%s", status, want, out, errs)
+			t.Errorf("probe: status %d, no %q in %s%s", status, want, out, errs)
 		}
 	}
 	if _, errs, status := runCommand(t, "partner", "probe", first.Addr(), "--operator", r.operatorPath, "--dest", "0"); status != 1 || !strings.Contains(errs, "unknown authority") {
-		t.Errorf("probe: %d %s", status, errs)
+		t.Errorf("probe: status %d %s", status, errs)
 	}
 	if out, errs, status := runCommand(t, "partner", "probe", r.addr, "--protocol", "h2c"); status != 1 {
-		t.Errorf("probe of what is no partner: %d %s%s", status, out, errs)
+		t.Errorf("probe of an address that is no partner: status %d %s%s", status, out, errs)
 	}
 	if _, _, status := runCommand(t, "partner", "probe", "nowhere"); status != 2 {
-		t.Errorf("probe of no address: %d", status)
+		t.Errorf("probe of an invalid address: status %d", status)
 	}
 }
--- a/internal/fleet/commands.go
+++ b/internal/fleet/commands.go
@@ -10,18 +10,16 @@
 	"sliptide/internal/fleet/voter"
 )
 
-// This file answers operators' commands, which any member takes.
-
-// call answers an operator's command, at any member.
-func (m *Member) call(ctx context.Context, a *pb.Ask) (*pb.Answer, error) {
+// handleCommand answers an operator's command. Every member accepts commands.
+func (m *Member) handleCommand(ctx context.Context, a *pb.Ask) (*pb.Answer, error) {
 	if a.Copies != nil {
 		return m.copyStatus(), nil
 	}
-	ctx, cancel := context.WithTimeout(ctx, callFor)
+	ctx, cancel := context.WithTimeout(ctx, commandTimeout)
 	defer cancel()
 	answers := make(chan *pb.Answer, 2)
 	if a.Status != nil && m.self.Voter {
-		m.askStatus(ctx, answers)
+		m.requestStatus(ctx, answers)
 	} else {
 		m.forward(ctx, a, answers)
 	}
@@ -33,7 +31,7 @@
 	}
 }
 
-// copyStatus is how this member's own copies are.
+// copyStatus returns the status of the copies of this member's own journal.
 func (m *Member) copyStatus() *pb.Answer {
 	if m.o.CopyStatus != nil {
 		if text := m.o.CopyStatus(); text != "" {
@@ -43,8 +41,8 @@
 	return &pb.Answer{Error: "this member's journal is not copied"}
 }
 
-func (m *Member) askStatus(ctx context.Context, answers chan<- *pb.Answer) {
-	f := func() {
+func (m *Member) requestStatus(ctx context.Context, answers chan<- *pb.Answer) {
+	report := func() {
 		r := &pb.Answer{}
 		if m.voter != nil {
 			r.Status, r.Leader = m.voter.StatusJSON(), m.voter.Leader()
@@ -55,14 +53,14 @@
 		answers <- r
 	}
 	select {
-	case m.toVoter <- input{call: f}:
+	case m.voterInbox <- input{call: report}:
 	case <-ctx.Done():
 	}
 }
 
 func (m *Member) forward(ctx context.Context, a *pb.Ask, answers chan<- *pb.Answer) {
-	f := func() {
-		m.session.Do(a, callFor-200*time.Millisecond, func(r *pb.Answer, err error) {
+	ask := func() {
+		m.session.Do(a, commandTimeout-200*time.Millisecond, func(r *pb.Answer, err error) {
 			if r == nil {
 				r = &pb.Answer{Error: err.Error()}
 			}
@@ -70,7 +68,7 @@
 		})
 	}
 	select {
-	case m.toOwn <- input{call: f}:
+	case m.sessionInbox <- input{call: ask}:
 	case <-ctx.Done():
 	}
 }
--- a/internal/fleet/link/link.go
+++ b/internal/fleet/link/link.go
@@ -1,10 +1,10 @@
-// Package link carries frames between the members of a fleet: one gRPC stream for each pair of a voter and another
-// member, over one connection. Of two voters the one whose name sorts first dials; every other member dials the
-// voters, and the voters dial nobody else. A link that says nothing for a while is closed, connection and all, and
-// dialled anew: a cut in one direction is then a cut in both.
+// Package link carries frames between the members of a fleet: one gRPC stream over one connection for each pair of a
+// voter and another member. Of two voters the one whose name sorts first dials; every other member dials the voters,
+// and voters dial no other members. A link on which nothing arrives for a while is closed together with its connection
+// and dialled again, so that a loss of one direction becomes a loss of both.
 //
-// Nothing waits for a link: what finds its bounded queue full, or no link, is dropped, and whoever needs an answer
-// asks again.
+// Sending never blocks: a frame is dropped if there is no link or its bounded queue is full. A caller that needs an
+// answer sends its request again.
 package link
 
 import (
@@ -29,40 +29,40 @@
 )
 
 const (
-	maxQueue   = 256 // frames that wait on a link
-	pingEvery  = 250 * time.Millisecond
-	maxSilence = 1500 * time.Millisecond // a link that says nothing for so long is closed
-	minRedial  = 50 * time.Millisecond   // before a further try, doubled up to
-	maxRedial  = time.Second
+	maxQueuedFrames = 256 // frames queued on a link
+	pingInterval    = 250 * time.Millisecond
+	silenceTimeout  = 1500 * time.Millisecond // a link on which nothing arrives for this long is closed
+	minRedialDelay  = 50 * time.Millisecond   // doubled after each failed attempt, up to maxRedialDelay
+	maxRedialDelay  = time.Second
 )
 
-// Bounds of a member's links.
+// Bounds on a member's links.
 const (
-	MaxFrame = 8 << 20 // bytes of a frame
+	MaxFrame = 8 << 20 // bytes in a frame
 	MaxLinks = 1100    // links that a voter accepts
 )
 
-// Options are what a Net works with.
+// Options configure a Manager.
 type Options struct {
 	Self         string
 	Incarnation  uint64
-	SettingsHash uint64            // hash of what must be alike at both ends
-	DialAddrs    map[string]string // members that this one dials, with their addresses
+	SettingsHash uint64            // hash of the settings that must be equal at both ends
+	DialAddrs    map[string]string // addresses of the members that this one dials, by name
 	IsMember     func(name string) bool
 	Client       *tls.Config // nil: no TLS
 	Server       *tls.Config
-	// Receive takes a frame; it may wait for a short time, as long as ctx goes on.
+	// Receive handles a frame. It may block for a short time, until ctx ends.
 	Receive func(ctx context.Context, from string, f *pb.Frame)
 	// Call answers an operator's command.
-	Call     func(ctx context.Context, a *pb.Ask) (*pb.Answer, error)
-	LogEvent func(what, member string, err error) // a change of state, for the log
-	// How often a link says that it is there, how long one may say nothing, and how many are accepted; 0: as for voters.
+	Call    func(ctx context.Context, a *pb.Ask) (*pb.Answer, error)
+	OnEvent func(what, member string, err error) // logs a change of a link's state
+	// How often a link sends a ping, after which silence it is closed, and how many are accepted; 0: the defaults.
 	PingInterval   time.Duration
 	SilenceTimeout time.Duration
 	MaxLinks       int
 }
 
-// Net is a member's links.
+// Manager holds a member's links.
 type Manager struct {
 	pb.UnimplementedLinksServer
 	o      Options
@@ -71,27 +71,27 @@
 	cancel context.CancelFunc
 	done   sync.WaitGroup
 
-	mu    sync.Mutex
-	links map[string]*link
-	dials map[string]bool
+	mu      sync.Mutex
+	links   map[string]*link
+	dialing map[string]bool
 }
 
 type link struct {
 	queue       chan *pb.Frame
 	cancel      context.CancelFunc
-	incarnation uint64 // of the folder at its other end
+	incarnation uint64 // of the peer's state directory
 }
 
-// stream is either end of one.
+// stream is the client's or the server's end of a gRPC stream.
 type stream interface {
 	Send(*pb.Frame) error
 	Recv() (*pb.Frame, error)
 }
 
-// New returns a Net, and dials.
+// New returns a Manager and starts to dial.
 func New(o Options) *Manager {
-	o.PingInterval, o.SilenceTimeout, o.MaxLinks = cmp.Or(o.PingInterval, pingEvery), cmp.Or(o.SilenceTimeout, maxSilence), cmp.Or(o.MaxLinks, MaxLinks)
-	n := &Manager{o: o, links: map[string]*link{}, dials: map[string]bool{}}
+	o.PingInterval, o.SilenceTimeout, o.MaxLinks = cmp.Or(o.PingInterval, pingInterval), cmp.Or(o.SilenceTimeout, silenceTimeout), cmp.Or(o.MaxLinks, MaxLinks)
+	n := &Manager{o: o, links: map[string]*link{}, dialing: map[string]bool{}}
 	n.ctx, n.cancel = context.WithCancel(context.Background())
 	opts := []grpc.ServerOption{grpc.MaxRecvMsgSize(MaxFrame), grpc.MaxConcurrentStreams(16), grpc.ConnectionTimeout(2 * time.Second),
 		grpc.ReadBufferSize(4 << 10), grpc.WriteBufferSize(4 << 10)}
@@ -106,33 +106,33 @@
 	return n
 }
 
-// Reach keeps a link to a further member up from now on. Of two members one alone is to reach the other.
-func (n *Manager) Connect(name, addr string) {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	if n.dials[name] || n.ctx.Err() != nil {
+// Connect keeps a link to another member up from now on. Only one of two members may connect to the other.
+func (m *Manager) Connect(name, addr string) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if m.dialing[name] || m.ctx.Err() != nil {
 		return
 	}
-	n.dials[name] = true
-	n.done.Add(1)
-	go n.dial(name, addr)
+	m.dialing[name] = true
+	m.done.Add(1)
+	go m.dialLoop(name, addr)
 }
 
 // Serve accepts links until Close.
-func (n *Manager) Serve(ln net.Listener) error { return n.server.Serve(ln) }
+func (m *Manager) Serve(ln net.Listener) error { return m.server.Serve(ln) }
 
-// Close ends all links. What is queued is given a moment.
-func (n *Manager) Close() {
-	n.cancel()
-	n.server.Stop()
-	n.done.Wait()
+// Close closes all links. Queued frames may be lost.
+func (m *Manager) Close() {
+	m.cancel()
+	m.server.Stop()
+	m.done.Wait()
 }
 
-// Send queues a frame for a member. It never waits.
-func (n *Manager) Send(to string, f *pb.Frame) {
-	n.mu.Lock()
-	l := n.links[to]
-	n.mu.Unlock()
+// Send queues a frame for a member. It never blocks; without a link or space in the queue the frame is dropped.
+func (m *Manager) Send(to string, f *pb.Frame) {
+	m.mu.Lock()
+	l := m.links[to]
+	m.mu.Unlock()
 	if l == nil {
 		return
 	}
@@ -142,90 +142,91 @@
 	}
 }
 
-// Linked are the members that a link is up to.
-func (n *Manager) Connected() (names []string) {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	for name := range n.links {
+// Connected returns the members to which a link is up.
+func (m *Manager) Connected() (names []string) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	for name := range m.links {
 		names = append(names, name)
 	}
 	return names
 }
 
-func (n *Manager) dial(name, addr string) {
-	defer n.done.Done()
-	pause := minRedial
-	told := false
-	for n.ctx.Err() == nil {
-		began := time.Now()
-		err := n.reach(name, addr)
-		if time.Since(began) > 2*maxSilence {
-			pause, told = minRedial, false
+func (m *Manager) dialLoop(name, addr string) {
+	defer m.done.Done()
+	delay := minRedialDelay
+	logged := false
+	for m.ctx.Err() == nil {
+		startedAt := time.Now()
+		err := m.dialOnce(name, addr)
+		if time.Since(startedAt) > 2*silenceTimeout {
+			delay, logged = minRedialDelay, false
 		}
-		if !told && n.ctx.Err() == nil {
-			n.o.LogEvent("link down", name, err)
-			told = true
+		if !logged && m.ctx.Err() == nil {
+			m.o.OnEvent("link down", name, err)
+			logged = true
 		}
 		select {
-		case <-n.ctx.Done():
-		case <-time.After(pause/2 + rand.N(pause)):
+		case <-m.ctx.Done():
+		case <-time.After(delay/2 + rand.N(delay)):
 		}
-		pause = min(2*pause, maxRedial)
+		delay = min(2*delay, maxRedialDelay)
 	}
 }
 
-// reach keeps a link to a member up for as long as it goes.
-func (n *Manager) reach(name, addr string) error {
-	conn, err := Dial(addr, n.o.Client)
+// dialOnce dials a member and runs the link until it fails.
+func (m *Manager) dialOnce(name, addr string) error {
+	conn, err := Dial(addr, m.o.Client)
 	if err != nil {
 		return err
 	}
 	defer conn.Close()
-	ctx, cancel := context.WithCancel(n.ctx)
+	ctx, cancel := context.WithCancel(m.ctx)
 	defer cancel()
-	up := time.AfterFunc(maxSilence, cancel)
+	handshakeTimer := time.AfterFunc(silenceTimeout, cancel)
 	st, err := pb.NewLinksClient(conn).Link(ctx)
 	if err != nil {
 		return err
 	}
-	if err := st.Send(n.hello()); err != nil {
+	if err := st.Send(m.hello()); err != nil {
 		return err
 	}
 	first, err := st.Recv()
 	if err != nil {
 		return err
 	}
-	up.Stop()
+	handshakeTimer.Stop()
 	h := first.GetHello()
 	if h == nil || h.Member != name {
-		return fmt.Errorf("at %s is %q, not %q", addr, h.GetMember(), name)
+		return fmt.Errorf("the member at %s is %q, expected %q", addr, h.GetMember(), name)
 	}
-	return n.run(ctx, cancel, h, st)
+	return m.runLink(ctx, cancel, h, st)
 }
 
-// Dial returns a connection to the member at addr, which comes up when it is used.
-func Dial(addr string, with *tls.Config) (*grpc.ClientConn, error) {
+// Dial returns a connection to the member at addr, which is established on first use.
+func Dial(addr string, tlsConfig *tls.Config) (*grpc.ClientConn, error) {
 	creds := insecure.NewCredentials()
-	if with != nil {
-		creds = credentials.NewTLS(with)
+	if tlsConfig != nil {
+		creds = credentials.NewTLS(tlsConfig)
 	}
 	return grpc.NewClient("passthrough:///"+addr, grpc.WithTransportCredentials(creds),
 		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(MaxFrame)), grpc.WithReadBufferSize(4<<10), grpc.WithWriteBufferSize(4<<10),
 		grpc.WithNoProxy(), grpc.WithDisableServiceConfig(),
-		grpc.WithConnectParams(grpc.ConnectParams{MinConnectTimeout: maxSilence, Backoff: backoff.Config{BaseDelay: minRedial, Multiplier: 2, Jitter: 0.2, MaxDelay: maxRedial}}))
+		grpc.WithConnectParams(grpc.ConnectParams{MinConnectTimeout: silenceTimeout,
+			Backoff: backoff.Config{BaseDelay: minRedialDelay, Multiplier: 2, Jitter: 0.2, MaxDelay: maxRedialDelay}}))
 }
 
-func (n *Manager) hello() *pb.Frame {
-	return &pb.Frame{What: &pb.Frame_Hello{Hello: &pb.Hello{Member: n.o.Self, Settings: n.o.SettingsHash, Incarnation: n.o.Incarnation}}}
+func (m *Manager) hello() *pb.Frame {
+	return &pb.Frame{What: &pb.Frame_Hello{Hello: &pb.Hello{Member: m.o.Self, Settings: m.o.SettingsHash, Incarnation: m.o.Incarnation}}}
 }
 
-var errFull = errors.New("no more links are taken")
+var errTooManyLinks = errors.New("no more links are taken")
 
-// Link accepts a link.
-func (n *Manager) Link(st grpc.BidiStreamingServer[pb.Frame, pb.Frame]) error {
+// Link implements pb.LinksServer: it accepts a link from another member.
+func (m *Manager) Link(st grpc.BidiStreamingServer[pb.Frame, pb.Frame]) error {
 	ctx, cancel := context.WithCancel(st.Context())
 	defer cancel()
-	stop := context.AfterFunc(n.ctx, cancel)
+	stop := context.AfterFunc(m.ctx, cancel)
 	defer stop()
 	first := make(chan *pb.Frame, 1)
 	go func() {
@@ -238,68 +239,68 @@
 	select {
 	case f := <-first:
 		h = f.GetHello()
-	case <-time.After(maxSilence):
+	case <-time.After(silenceTimeout):
 	case <-ctx.Done():
 	}
-	if err := n.welcome(h); err != nil {
-		n.o.LogEvent("link refused", h.GetMember(), err)
+	if err := m.checkHello(h); err != nil {
+		m.o.OnEvent("link refused", h.GetMember(), err)
 		return status.Error(codes.FailedPrecondition, err.Error())
 	}
-	if err := st.Send(n.hello()); err != nil {
+	if err := st.Send(m.hello()); err != nil {
 		return err
 	}
-	return n.run(ctx, cancel, h, st)
+	return m.runLink(ctx, cancel, h, st)
 }
 
-func (n *Manager) welcome(h *pb.Hello) error {
-	n.mu.Lock()
-	defer n.mu.Unlock()
+func (m *Manager) checkHello(h *pb.Hello) error {
+	m.mu.Lock()
+	defer m.mu.Unlock()
 	switch {
 	case h == nil:
 		return errors.New("no word of who calls")
-	case h.Member == n.o.Self:
+	case h.Member == m.o.Self:
 		return fmt.Errorf("a second process runs as %q", h.Member)
-	case !n.o.IsMember(h.Member):
+	case !m.o.IsMember(h.Member):
 		return fmt.Errorf("%q is no member of this fleet", h.Member)
-	case h.Settings != n.o.SettingsHash:
+	case h.Settings != m.o.SettingsHash:
 		return fmt.Errorf("%q has other fleet settings: voters, lease and drift must be alike in all operators' files", h.Member)
-	case len(n.links) >= n.o.MaxLinks:
-		return errFull
+	case len(m.links) >= m.o.MaxLinks:
+		return errTooManyLinks
 	}
-	if l := n.links[h.Member]; l != nil && l.incarnation != h.Incarnation {
+	if l := m.links[h.Member]; l != nil && l.incarnation != h.Incarnation {
 		return fmt.Errorf("another process runs under this member's name: %q", h.Member)
 	}
 	return nil
 }
 
-// run carries frames until the link goes down; a later link to the same member takes its place.
-func (n *Manager) run(ctx context.Context, cancel context.CancelFunc, h *pb.Hello, st stream) error {
+// runLink carries frames until the link goes down or a later link to the same member replaces it.
+func (m *Manager) runLink(ctx context.Context, cancel context.CancelFunc, h *pb.Hello, st stream) error {
 	name := h.Member
-	l := &link{queue: make(chan *pb.Frame, maxQueue), cancel: cancel, incarnation: h.Incarnation}
-	n.mu.Lock()
-	if old := n.links[name]; old != nil {
+	l := &link{queue: make(chan *pb.Frame, maxQueuedFrames), cancel: cancel, incarnation: h.Incarnation}
+	m.mu.Lock()
+	if old := m.links[name]; old != nil {
 		old.cancel()
 	}
-	n.links[name] = l
-	n.mu.Unlock()
-	n.o.LogEvent("link up", name, nil)
+	m.links[name] = l
+	m.mu.Unlock()
+	m.o.OnEvent("link up", name, nil)
 	defer func() {
-		n.mu.Lock()
-		if n.links[name] == l {
-			delete(n.links, name)
+		m.mu.Lock()
+		if m.links[name] == l {
+			delete(m.links, name)
 		}
-		n.mu.Unlock()
+		m.mu.Unlock()
 	}()
 	errs := make(chan error, 2)
-	n.done.Add(1)
+	m.done.Add(1)
 	go func() {
-		defer n.done.Done()
-		errs <- n.write(ctx, l, st)
+		defer m.done.Done()
+		errs <- m.write(ctx, l, st)
 		cancel()
 	}()
-	silent := time.AfterFunc(n.o.SilenceTimeout, cancel)
-	defer silent.Stop()
-	go func() { errs <- n.read(ctx, name, st, silent) }()
+	silenceTimer := time.AfterFunc(m.o.SilenceTimeout, cancel)
+	defer silenceTimer.Stop()
+	go func() { errs <- m.read(ctx, name, st, silenceTimer) }()
 	select {
 	case err := <-errs:
 		cancel()
@@ -309,15 +310,15 @@
 	}
 }
 
-func (n *Manager) read(ctx context.Context, name string, st stream, silent *time.Timer) error {
+func (m *Manager) read(ctx context.Context, name string, st stream, silenceTimer *time.Timer) error {
 	for {
 		f, err := st.Recv()
 		if err != nil {
 			return err
 		}
-		silent.Reset(n.o.SilenceTimeout)
+		silenceTimer.Reset(m.o.SilenceTimeout)
 		if f.GetPing() == nil {
-			n.o.Receive(ctx, name, f)
+			m.o.Receive(ctx, name, f)
 		}
 		if ctx.Err() != nil {
 			return ctx.Err()
@@ -325,8 +326,8 @@
 	}
 }
 
-func (n *Manager) write(ctx context.Context, l *link, st stream) error {
-	ping := time.NewTicker(n.o.PingInterval)
+func (m *Manager) write(ctx context.Context, l *link, st stream) error {
+	ping := time.NewTicker(m.o.PingInterval)
 	defer ping.Stop()
 	for {
 		var f *pb.Frame
@@ -343,5 +344,5 @@
 	}
 }
 
-// Call answers an operator's command.
-func (n *Manager) Call(ctx context.Context, a *pb.Ask) (*pb.Answer, error) { return n.o.Call(ctx, a) }
+// Call implements pb.LinksServer: it answers an operator's command.
+func (m *Manager) Call(ctx context.Context, a *pb.Ask) (*pb.Answer, error) { return m.o.Call(ctx, a) }
--- a/internal/standin/h2partner.go
+++ b/internal/standin/h2partner.go
@@ -1,5 +1,6 @@
-// Package standin holds partners that the project writes itself, for tests and measurements: they speak
-// by frames, misbehave as they are told, and keep a ledger of every effect. No part of the sender uses them.
+// Package standin provides stand-ins for partners, networks and certificate authorities, for tests and measurements.
+// The partners inject faults as the test requests, and count how often each message takes effect. They share no code
+// with the sender.
 package standin
 
 import (
@@ -15,53 +16,53 @@
 	"golang.org/x/net/http2/hpack"
 )
 
-const frameMost = 16 << 10 // bytes of a frame
+const maxFrameSize = 16 << 10 // bytes
 
-// Request is one that the partner has in full.
+// Request is a request that the partner has received in full.
 type Request struct {
 	Stream uint32
-	Conn   int // by number, from 1
+	Conn   int // number of the connection, from 1
 	Path   string
 	Fields map[string]string
 	Body   []byte
 }
 
-// Reply is what the partner does about a request.
+// Reply is how the partner handles a request.
 type Reply struct {
-	Status    int               // 0: no answer
+	Status    int               // 0: none, but a reset
 	Fields    map[string]string // of the answer
 	Body      string
-	Reset     http2.ErrCode // with NoReply false and Status 0: a reset with this code
-	Silence   bool          // nothing at all
-	GoAway    bool          // a GOAWAY that names this stream as the last, before the answer
-	Hangup    bool          // the connection is closed, after the answer if there is one
-	Cut       bool          // and in the middle of it
-	Uncounted bool          // the effect does not happen: the request is refused before it ran
+	ResetCode http2.ErrCode // of the reset that is sent if Status is 0
+	NoAnswer  bool          // sends neither an answer nor a reset
+	GoAway    bool          // sends a GOAWAY with this stream as the last one, before the answer
+	CloseConn bool          // closes the connection, after the answer if Status is not 0
+	Truncate  bool          // leaves out the end of the stream after the answer
+	NotRun    bool          // the message does not take effect
 }
 
-// H2 is an HTTP/2 partner by prior knowledge (RFC 9113 3.3), with TLS if its listener has it.
-type H2 struct {
-	// On says what becomes of a request, from the goroutine of its connection. Nil: 200.
-	On func(*Request) Reply
-	// Limit is SETTINGS_MAX_CONCURRENT_STREAMS; Window the initial window; 0: none is sent.
-	Limit, Window uint32
-	// Raw takes a connection in place of all else, after the preface and SETTINGS of both sides.
-	Raw func(nc net.Conn, fr *http2.Framer)
-	// Delay is the time that an answer takes.
+// H2Partner is an HTTP/2 partner with prior knowledge (RFC 9113, section 3.3), over TLS if its listener uses it.
+type H2Partner struct {
+	// Handler returns the reply to a request. It runs on the goroutine of the connection. Nil: always 200.
+	Handler func(*Request) Reply
+	// MaxStreams is SETTINGS_MAX_CONCURRENT_STREAMS, InitialWindow is SETTINGS_INITIAL_WINDOW_SIZE. 0: not sent.
+	MaxStreams, InitialWindow uint32
+	// RawHandler, if set, handles connections instead of the partner, after the client's preface and the SETTINGS frame.
+	RawHandler func(nc net.Conn, fr *http2.Framer)
+	// Delay is the time from a request to its answer, unless the reply closes the connection.
 	Delay time.Duration
 
-	ln    net.Listener
-	mu    sync.Mutex
-	conns map[*h2conn]bool
-	seen  int
-	runs  map[string]int // ledger: effects by message id
-	acks  int            // of SETTINGS
-	most  int            // streams open at once on one connection
+	ln             net.Listener
+	mu             sync.Mutex
+	conns          map[*h2Conn]bool
+	connCount      int
+	effects        map[string]int // how often each message took effect, by ID
+	settingsAcks   int            // SETTINGS acknowledgements received
+	maxOpenStreams int            // highest number on one connection
 }
 
-// Start serves ln until Close.
-func (p *H2) Start(ln net.Listener) {
-	p.ln, p.conns, p.runs = ln, map[*h2conn]bool{}, map[string]int{}
+// Start accepts connections on ln until Close.
+func (p *H2Partner) Start(ln net.Listener) {
+	p.ln, p.conns, p.effects = ln, map[*h2Conn]bool{}, map[string]int{}
 	go func() {
 		for {
 			nc, err := ln.Accept()
@@ -69,197 +70,201 @@
 				return
 			}
 			p.mu.Lock()
-			p.seen++
-			k := &h2conn{p: p, nc: nc, number: p.seen, parts: map[uint32]*Request{}}
-			p.conns[k] = true
+			p.connCount++
+			c := &h2Conn{partner: p, nc: nc, number: p.connCount, incomplete: map[uint32]*Request{}}
+			p.conns[c] = true
 			p.mu.Unlock()
-			go k.serve()
+			go c.serve()
 		}
 	}()
 }
 
-// Listen serves a loopback address of its own until Close. It panics where a test could not go on.
-func (p *H2) Listen() *H2 {
+// Listen starts the partner on a free loopback port and returns it. It panics on errors.
+func (p *H2Partner) Listen() *H2Partner {
 	p.Start(must(net.Listen("tcp", "127.0.0.1:0")))
 	return p
 }
 
-// Addr is where it listens.
-func (p *H2) Addr() string { return p.ln.Addr().String() }
+// Addr returns the listener's address.
+func (p *H2Partner) Addr() string { return p.ln.Addr().String() }
 
-// Close ends the listener and all connections.
-func (p *H2) Close() {
+// Close closes the listener and all connections.
+func (p *H2Partner) Close() {
 	p.ln.Close()
-	p.each(func(k *h2conn) { k.nc.Close() })
+	p.eachConn(func(k *h2Conn) { k.nc.Close() })
 }
 
-func (p *H2) each(f func(*h2conn)) {
+// eachConn calls f for every open connection.
+func (p *H2Partner) eachConn(f func(*h2Conn)) {
 	p.mu.Lock()
-	var list []*h2conn
-	for k := range p.conns {
-		list = append(list, k)
+	var conns []*h2Conn
+	for c := range p.conns {
+		conns = append(conns, c)
 	}
 	p.mu.Unlock()
-	for _, k := range list {
+	for _, k := range conns {
 		f(k)
 	}
 }
 
-// Set sends SETTINGS_MAX_CONCURRENT_STREAMS on every connection, new ones too.
-func (p *H2) Set(limit uint32) {
+// SetMaxStreams changes SETTINGS_MAX_CONCURRENT_STREAMS, on existing and new connections.
+func (p *H2Partner) SetMaxStreams(limit uint32) {
 	p.mu.Lock()
-	p.Limit = limit
+	p.MaxStreams = limit
 	p.mu.Unlock()
-	p.each(func(k *h2conn) {
+	p.eachConn(func(k *h2Conn) {
 		k.write(func(fr *http2.Framer) {
 			fr.WriteSettings(http2.Setting{ID: http2.SettingMaxConcurrentStreams, Val: limit})
 		})
 	})
 }
 
-// Each writes frames on every connection.
-func (p *H2) Each(f func(fr *http2.Framer)) { p.each(func(k *h2conn) { k.write(f) }) }
+// WriteFrames calls f with the framer of every connection.
+func (p *H2Partner) WriteFrames(f func(fr *http2.Framer)) { p.eachConn(func(k *h2Conn) { k.write(f) }) }
 
-// Runs is how often a message took effect.
-func (p *H2) Runs(id string) int {
+// EffectCount returns how often a message took effect.
+func (p *H2Partner) EffectCount(id string) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.runs[id]
+	return p.effects[id]
 }
 
-// Acks is how many of its SETTINGS were acknowledged.
-func (p *H2) Acks() int {
+// SettingsAcks returns the number of SETTINGS frames that the sender has acknowledged.
+func (p *H2Partner) SettingsAcks() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.acks
+	return p.settingsAcks
 }
 
-// Stats are the connections seen, the messages that took effect, and the most streams on one connection.
-func (p *H2) Stats() (conns, messages, most int) {
+// Stats returns the number of connections accepted and of messages that took effect, and the highest number of streams
+// open at once on one connection.
+func (p *H2Partner) Stats() (conns, messages, maxStreams int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.seen, len(p.runs), p.most
+	return p.connCount, len(p.effects), p.maxOpenStreams
 }
 
-// Ledger calls f with each message's id and how often it took effect.
-func (p *H2) Ledger(f func(id string, runs int)) {
+// ForEachEffect calls f with each message's ID and how often it took effect.
+func (p *H2Partner) ForEachEffect(f func(id string, count int)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for id, n := range p.runs {
+	for id, n := range p.effects {
 		f(id, n)
 	}
 }
 
-type h2conn struct {
-	p      *H2
-	nc     net.Conn
-	number int
-	rd     *http2.Framer
-	parts  map[uint32]*Request
+// h2Conn is one connection to an H2Partner.
+type h2Conn struct {
+	partner    *H2Partner
+	nc         net.Conn
+	number     int
+	reader     *http2.Framer
+	incomplete map[uint32]*Request
 
-	mu   sync.Mutex // over writing
-	fr   *http2.Framer
-	enc  *hpack.Encoder
-	head bytes.Buffer
-	open int
-	last uint32 // of a GOAWAY that was sent; 0: none
+	mu           sync.Mutex // guards writer, encoder and headerBlock; the partner's mu guards openStreams
+	writer       *http2.Framer
+	encoder      *hpack.Encoder
+	headerBlock  bytes.Buffer
+	openStreams  int
+	goAwayStream uint32 // last stream of the GOAWAY that was sent; 0: none
 }
 
-func (k *h2conn) write(f func(*http2.Framer)) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if k.fr != nil {
-		k.nc.SetWriteDeadline(time.Now().Add(time.Second))
-		f(k.fr)
+// write calls f with the framer, once the SETTINGS frame has been sent.
+func (c *h2Conn) write(f func(*http2.Framer)) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.writer != nil {
+		c.nc.SetWriteDeadline(time.Now().Add(time.Second))
+		f(c.writer)
 	}
 }
 
-func (k *h2conn) serve() {
+func (c *h2Conn) serve() {
 	defer func() {
-		k.nc.Close()
-		k.p.mu.Lock()
-		delete(k.p.conns, k)
-		k.p.mu.Unlock()
+		c.nc.Close()
+		c.partner.mu.Lock()
+		delete(c.partner.conns, c)
+		c.partner.mu.Unlock()
 	}()
 	preface := make([]byte, len(http2.ClientPreface))
-	if _, err := io.ReadFull(k.nc, preface); err != nil || string(preface) != http2.ClientPreface {
+	if _, err := io.ReadFull(c.nc, preface); err != nil || string(preface) != http2.ClientPreface {
 		return
 	}
-	k.rd = http2.NewFramer(nil, k.nc)
-	k.rd.ReadMetaHeaders = hpack.NewDecoder(4096, nil)
-	k.mu.Lock()
-	k.fr = http2.NewFramer(k.nc, nil)
-	k.fr.AllowIllegalWrites = true
-	k.enc = hpack.NewEncoder(&k.head)
-	k.p.mu.Lock()
-	var set []http2.Setting
-	if k.p.Limit > 0 {
-		set = append(set, http2.Setting{ID: http2.SettingMaxConcurrentStreams, Val: k.p.Limit})
+	c.reader = http2.NewFramer(nil, c.nc)
+	c.reader.ReadMetaHeaders = hpack.NewDecoder(4096, nil)
+	c.mu.Lock()
+	c.writer = http2.NewFramer(c.nc, nil)
+	c.writer.AllowIllegalWrites = true
+	c.encoder = hpack.NewEncoder(&c.headerBlock)
+	c.partner.mu.Lock()
+	var settings []http2.Setting
+	if c.partner.MaxStreams > 0 {
+		settings = append(settings, http2.Setting{ID: http2.SettingMaxConcurrentStreams, Val: c.partner.MaxStreams})
 	}
-	if k.p.Window > 0 {
-		set = append(set, http2.Setting{ID: http2.SettingInitialWindowSize, Val: k.p.Window})
+	if c.partner.InitialWindow > 0 {
+		settings = append(settings, http2.Setting{ID: http2.SettingInitialWindowSize, Val: c.partner.InitialWindow})
 	}
-	k.p.mu.Unlock()
-	k.fr.WriteSettings(set...)
-	k.mu.Unlock()
-	if k.p.Raw != nil {
-		k.p.Raw(k.nc, k.fr)
+	c.partner.mu.Unlock()
+	c.writer.WriteSettings(settings...)
+	c.mu.Unlock()
+	if c.partner.RawHandler != nil {
+		c.partner.RawHandler(c.nc, c.writer)
 		return
 	}
-	for k.frame() {
+	for c.handleFrame() {
 	}
 }
 
-// frame takes one frame and reports whether the connection goes on.
-func (k *h2conn) frame() bool {
-	f, err := k.rd.ReadFrame()
+// handleFrame reads and handles one frame, and reports whether the connection stays open.
+func (c *h2Conn) handleFrame() bool {
+	f, err := c.reader.ReadFrame()
 	if err != nil {
 		var se http2.StreamError
 		return errors.As(err, &se)
 	}
 	switch f := f.(type) {
 	case *http2.MetaHeadersFrame:
-		if k.last > 0 && f.StreamID > k.last { // 6.8: it is not run, as it was said
+		if c.goAwayStream > 0 && f.StreamID > c.goAwayStream { // RFC 9113, section 6.8: the request is not processed
 			return true
 		}
-		r := &Request{Stream: f.StreamID, Conn: k.number, Path: f.PseudoValue("path"), Fields: map[string]string{}}
+		r := &Request{Stream: f.StreamID, Conn: c.number, Path: f.PseudoValue("path"), Fields: map[string]string{}}
 		for _, h := range f.RegularFields() {
 			r.Fields[h.Name] = h.Value
 		}
-		k.parts[f.StreamID] = r
-		k.p.mu.Lock()
-		k.open++
-		k.p.most = max(k.p.most, k.open)
-		k.p.mu.Unlock()
+		c.incomplete[f.StreamID] = r
+		c.partner.mu.Lock()
+		c.openStreams++
+		c.partner.maxOpenStreams = max(c.partner.maxOpenStreams, c.openStreams)
+		c.partner.mu.Unlock()
 		if f.StreamEnded() {
-			return k.whole(r)
+			return c.handleRequest(r)
 		}
 	case *http2.DataFrame:
-		if r := k.parts[f.StreamID]; r != nil {
+		if r := c.incomplete[f.StreamID]; r != nil {
 			r.Body = append(r.Body, f.Data()...)
 			if n := uint32(len(f.Data())); n > 0 {
-				k.write(func(fr *http2.Framer) { fr.WriteWindowUpdate(0, n); fr.WriteWindowUpdate(f.StreamID, n) })
+				c.write(func(fr *http2.Framer) { fr.WriteWindowUpdate(0, n); fr.WriteWindowUpdate(f.StreamID, n) })
 			}
 			if f.StreamEnded() {
-				return k.whole(r)
+				return c.handleRequest(r)
 			}
 		}
 	case *http2.RSTStreamFrame:
-		if k.parts[f.StreamID] != nil {
-			delete(k.parts, f.StreamID)
-			k.closed()
+		if c.incomplete[f.StreamID] != nil {
+			delete(c.incomplete, f.StreamID)
+			c.streamClosed()
 		}
 	case *http2.SettingsFrame:
 		if f.IsAck() {
-			k.p.mu.Lock()
-			k.p.acks++
-			k.p.mu.Unlock()
+			c.partner.mu.Lock()
+			c.partner.settingsAcks++
+			c.partner.mu.Unlock()
 			return true
 		}
-		k.write(func(fr *http2.Framer) { fr.WriteSettingsAck() })
+		c.write(func(fr *http2.Framer) { fr.WriteSettingsAck() })
 	case *http2.PingFrame:
 		if !f.IsAck() {
-			k.write(func(fr *http2.Framer) { fr.WritePing(true, f.Data) })
+			c.write(func(fr *http2.Framer) { fr.WritePing(true, f.Data) })
 		}
 	case *http2.GoAwayFrame:
 		return false
@@ -267,72 +272,73 @@
 	return true
 }
 
-func (k *h2conn) closed() {
-	k.p.mu.Lock()
-	k.open--
-	k.p.mu.Unlock()
+func (c *h2Conn) streamClosed() {
+	c.partner.mu.Lock()
+	c.openStreams--
+	c.partner.mu.Unlock()
 }
 
-// whole takes a request that is there in full: from here on it has run, unless the reply says otherwise.
-func (k *h2conn) whole(r *Request) bool {
-	delete(k.parts, r.Stream)
+// handleRequest handles a complete request, and reports whether the connection stays open. The message takes effect
+// unless the reply says otherwise.
+func (c *h2Conn) handleRequest(r *Request) bool {
+	delete(c.incomplete, r.Stream)
 	reply := Reply{Status: 200}
-	if k.p.On != nil {
-		reply = k.p.On(r)
+	if c.partner.Handler != nil {
+		reply = c.partner.Handler(r)
 	}
-	if !reply.Uncounted {
-		k.p.mu.Lock()
-		k.p.runs[r.Fields["x-trace-id"]]++
-		k.p.mu.Unlock()
+	if !reply.NotRun {
+		c.partner.mu.Lock()
+		c.partner.effects[r.Fields["x-trace-id"]]++
+		c.partner.mu.Unlock()
 	}
-	if reply.Silence {
+	if reply.NoAnswer {
 		return true
 	}
-	if reply.GoAway && k.last == 0 {
-		k.last = r.Stream
-		for id := range k.parts { // whose bodies are still to come
-			if id > k.last {
-				delete(k.parts, id)
-				k.closed()
+	if reply.GoAway && c.goAwayStream == 0 {
+		c.goAwayStream = r.Stream
+		for id := range c.incomplete { // requests whose bodies are incomplete
+			if id > c.goAwayStream {
+				delete(c.incomplete, id)
+				c.streamClosed()
 			}
 		}
-		k.write(func(fr *http2.Framer) { fr.WriteGoAway(r.Stream, http2.ErrCodeNo, nil) })
+		c.write(func(fr *http2.Framer) { fr.WriteGoAway(r.Stream, http2.ErrCodeNo, nil) })
 	}
 	answer := func() {
-		k.write(func(fr *http2.Framer) {
+		c.write(func(fr *http2.Framer) {
 			if reply.Status == 0 {
-				fr.WriteRSTStream(r.Stream, reply.Reset)
+				fr.WriteRSTStream(r.Stream, reply.ResetCode)
 				return
 			}
-			k.head.Reset()
-			k.enc.WriteField(hpack.HeaderField{Name: ":status", Value: strconv.Itoa(reply.Status)})
+			c.headerBlock.Reset()
+			c.encoder.WriteField(hpack.HeaderField{Name: ":status", Value: strconv.Itoa(reply.Status)})
 			for name, v := range reply.Fields {
-				k.enc.WriteField(hpack.HeaderField{Name: name, Value: v})
+				c.encoder.WriteField(hpack.HeaderField{Name: name, Value: v})
 			}
 			body := []byte(reply.Body)
-			head := k.head.Bytes()
-			n := min(len(head), frameMost)
-			fr.WriteHeaders(http2.HeadersFrameParam{StreamID: r.Stream, BlockFragment: head[:n], EndHeaders: n == len(head), EndStream: len(body) == 0 && !reply.Cut})
-			for head = head[n:]; len(head) > 0; head = head[n:] {
-				n = min(len(head), frameMost)
-				fr.WriteContinuation(r.Stream, n == len(head), head[:n])
+			block := c.headerBlock.Bytes()
+			n := min(len(block), maxFrameSize)
+			fr.WriteHeaders(http2.HeadersFrameParam{StreamID: r.Stream, BlockFragment: block[:n], EndHeaders: n == len(block), EndStream: len(body) == 0 && !reply.Truncate})
+			for block = block[n:]; len(block) > 0; block = block[n:] {
+				n = min(len(block), maxFrameSize)
+				fr.WriteContinuation(r.Stream, n == len(block), block[:n])
 			}
 			for len(body) > 0 {
-				n = min(len(body), frameMost)
-				fr.WriteData(r.Stream, !reply.Cut && n == len(body), body[:n])
+				n = min(len(body), maxFrameSize)
+				fr.WriteData(r.Stream, !reply.Truncate && n == len(body), body[:n])
 				body = body[n:]
 			}
 		})
-		k.closed()
+		c.streamClosed()
 	}
-	if reply.Hangup {
+	if reply.CloseConn {
 		if reply.Status != 0 {
 			answer()
 		}
 		return false
 	}
-	if k.p.Delay > 0 {
-		time.AfterFunc(k.p.Delay, answer)
+	if c.partner.Delay > 0 {
+		time.AfterFunc(c.partner.Delay, answer)
 	} else {
 		answer()
 	}
