--- a/internal/telemetry/metric/registry.go
+++ b/internal/telemetry/metric/registry.go
@@ -52,7 +52,7 @@
 
 // findOrCreate returns the series of a metric with these attributes, or nil if the Registry is full. A metric must
 // always list its attributes in the same order.
-func (s *Registry) findOrCreate(d *Descriptor, attrs []Attr) *Series {
+func (r *Registry) findOrCreate(d *Descriptor, attrs []Attr) *Series {
 	var b strings.Builder
 	b.WriteString(d.Name)
 	for _, a := range attrs {
@@ -60,45 +60,45 @@
 		b.WriteString(a.Value)
 	}
 	key := b.String()
-	p := s.series[key]
-	if p == nil {
-		if len(s.series) >= maxSeries {
-			s.Overflow++
+	series := r.series[key]
+	if series == nil {
+		if len(r.series) >= maxSeries {
+			r.Overflow++
 			return nil
 		}
-		p = &Series{Name: d.Name, Unit: d.Unit, Description: d.Description, Kind: d.Kind, Attrs: slices.Clone(attrs)}
+		series = &Series{Name: d.Name, Unit: d.Unit, Description: d.Description, Kind: d.Kind, Attrs: slices.Clone(attrs)}
 		if d.Kind == Distribution {
-			p.Histogram = NewHistogram()
+			series.Histogram = NewHistogram()
 		}
-		s.series[key] = p
+		r.series[key] = series
 	}
-	return p
+	return series
 }
 
 // Add adds v to a counter, or records v in a histogram.
-func (s *Registry) Add(d *Descriptor, v float64, attrs ...Attr) {
-	p := s.findOrCreate(d, attrs)
+func (r *Registry) Add(d *Descriptor, v float64, attrs ...Attr) {
+	series := r.findOrCreate(d, attrs)
 	switch {
-	case p == nil:
-	case p.Histogram != nil:
-		p.Histogram.Add(v)
+	case series == nil:
+	case series.Histogram != nil:
+		series.Histogram.Add(v)
 	default:
-		p.Value += v
+		series.Value += v
 	}
 }
 
 // Set sets a gauge, or a counter that is maintained elsewhere.
-func (s *Registry) Set(d *Descriptor, v float64, attrs ...Attr) {
-	if p := s.findOrCreate(d, attrs); p != nil {
-		p.Value = v
+func (r *Registry) Set(d *Descriptor, v float64, attrs ...Attr) {
+	if series := r.findOrCreate(d, attrs); series != nil {
+		series.Value = v
 	}
 }
 
 // AllSeries returns all series, sorted by metric name and attribute values.
-func (s *Registry) AllSeries() []*Series {
-	list := make([]*Series, 0, len(s.series))
-	for _, p := range s.series {
-		list = append(list, p)
+func (r *Registry) AllSeries() []*Series {
+	list := make([]*Series, 0, len(r.series))
+	for _, series := range r.series {
+		list = append(list, series)
 	}
 	slices.SortFunc(list, func(a, b *Series) int {
 		return cmp.Or(cmp.Compare(a.Name, b.Name), slices.CompareFunc(a.Attrs, b.Attrs, func(x, y Attr) int { return cmp.Compare(x.Value, y.Value) }))
--- a/internal/telemetry/otlp/encode.go
+++ b/internal/telemetry/otlp/encode.go
@@ -83,8 +83,8 @@
 	return &resource.Resource{Attributes: keyValues(list)}
 }
 
-// encodeMetrics returns an encoded ExportMetricsServiceRequest with all series, cumulative since start.
-func encodeMetrics(res *resource.Resource, series []*metric.Series, start, now float64) ([]byte, error) {
+// encodeMetrics returns an encoded ExportMetricsServiceRequest with all series, cumulative since startMS.
+func encodeMetrics(res *resource.Resource, series []*metric.Series, startMS, nowMS float64) ([]byte, error) {
 	sm := &metrics.ScopeMetrics{Scope: scope}
 	var m *metrics.Metric
 	for _, p := range series {
@@ -92,7 +92,7 @@
 			m = &metrics.Metric{Name: p.Name, Unit: p.Unit, Description: p.Description}
 			sm.Metrics = append(sm.Metrics, m)
 		}
-		addSeries(m, p, unixNanos(start), unixNanos(now))
+		addSeries(m, p, unixNanos(startMS), unixNanos(nowMS))
 	}
 	return proto.Marshal(&collmetrics.ExportMetricsServiceRequest{ResourceMetrics: []*metrics.ResourceMetrics{{Resource: res, ScopeMetrics: []*metrics.ScopeMetrics{sm}}}})
 }
