--- a/cmd/sliptide/storm_test.go
+++ b/cmd/sliptide/storm_test.go
@@ -388,10 +388,10 @@
 
 // labParams returns the parameters of the lab's model that match runStorm.
 func labParams(sc stormCase, sys world.System) world.Params {
-	p := world.Params{System: sys, Senders: 3, Partners: 1, Endpoints: 1, Load: 0.7 * stormLimit, Limit: stormLimit, Tells: sc.advertisesLimit,
-		Headroom: 10, Queue: 2000, Latency: 60, Sigma: 0.5, Cold: sc.coldMS, ColdFrom: 0.25, TipOver: 1.5, TipAfter: 3000, Dial: 1,
-		Warm: 4000, Outage: float64(sc.downtime.Milliseconds()), OutShare: 1, Kind: world.Refuses, After: stormObservedSeconds * 1000,
-		Tries: 3, Honour: 0.5, DeafPause: 50, Marks: true, Clump: 1, Deadline: 20000, Aim: 4000, Slots: 20, Held: 100, MaxRetry: 5000, Batch: 1}
+	p := world.Params{System: sys, Senders: 3, Partners: 1, Endpoints: 1, Load: 0.7 * stormLimit, Limit: stormLimit, ReportsLimit: sc.advertisesLimit,
+		Headroom: 10, MaxQueue: 2000, Latency: 60, LatencySigma: 0.5, AnnouncedWarmUp: sc.coldMS, ColdCapacity: 0.25, OverloadMultiple: 1.5, OverloadWindow: 3000, DialTime: 1,
+		BeforeOutage: 4000, Outage: float64(sc.downtime.Milliseconds()), OutageShare: 1, OutageKind: world.RefusesConnections, AfterOutage: stormObservedSeconds * 1000,
+		MaxTries: 3, HonourShare: 0.5, ImmediateRetryDelay: 50, MarksRetries: true, ReturnBurst: 1, Deadline: 20000, Aim: 4000, CallSlots: 20, MaxHeld: 100, MaxRetryAfter: 5000, Batch: 1}
 	if sc.restart {
 		p.Restarts = 1
 	}
@@ -406,9 +406,9 @@
 	for seed := range uint64(seeds) {
 		m := world.New(p, seed).Run(nil)
 		for i := range stormObservedSeconds {
-			calls += m.Seconds[int(p.Back()/1000)+i].Calls
+			calls += m.Seconds[int(p.ReturnTime()/1000)+i].Calls
 		}
-		submitted, delivered = submitted+m.Handed, delivered+m.Done
+		submitted, delivered = submitted+m.Submitted, delivered+m.Delivered
 	}
 	for _, n := range real.calls {
 		realCalls += n
--- a/internal/lab/cli/cli.go
+++ b/internal/lab/cli/cli.go
@@ -57,12 +57,12 @@
 		return err
 	}
 	if c.Seeds > 0 {
-		f.Seeds = c.Seeds
+		f.SeedCount = c.Seeds
 	}
 	if err := os.MkdirAll(c.Out, 0o777); err != nil {
 		return err
 	}
-	total := len(f.Points()) * f.Seeds
+	total := len(f.Points()) * f.SeedCount
 	done := func() {}
 	if env.Bar {
 		bar := progressbar.NewOptions(total, progressbar.OptionSetWriter(env.Err), progressbar.OptionShowCount(),
@@ -147,7 +147,7 @@
 			have = info.ModTime().Format("2006-01-02 15:04")
 		}
 		n := len(f.Points())
-		fmt.Fprintf(w, "%s\t%d\t%d\t%s\t%s\n", f.Name, n, n*f.Seeds, have, f.About)
+		fmt.Fprintf(w, "%s\t%d\t%d\t%s\t%s\n", f.Name, n, n*f.SeedCount, have, f.About)
 	}
 	return w.Flush()
 }
@@ -209,7 +209,7 @@
 	w := tabwriter.NewWriter(env.Out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "point\tmeasure\ta\tb\tp")
 	for _, d := range list {
-		fmt.Fprintf(w, "%s\t%s\t%.4g±%.2g\t%.4g±%.2g\t%.2g\n", strings.Join(d.Labels, " "), d.Measure, d.A.Mean, d.A.Half, d.B.Mean, d.B.Half, d.P)
+		fmt.Fprintf(w, "%s\t%s\t%.4g±%.2g\t%.4g±%.2g\t%.2g\n", strings.Join(d.Labels, " "), d.Measure, d.A.Mean, d.A.Half, d.B.Mean, d.B.Half, d.PValue)
 	}
 	w.Flush()
 	fmt.Fprintf(env.Out, "%d points in common, %d differences (Welch's t-test, %g)\n", common, len(list), c.Level)
--- a/internal/lab/experiment/experiment.go
+++ b/internal/lab/experiment/experiment.go
@@ -21,16 +21,16 @@
 
 // File is one experiment.
 type File struct {
-	Name  string
-	About string
-	World world.Params
-	Vary  []Vary
-	First int // of the seeds
-	Seeds int
+	Name       string
+	About      string
+	World      world.Params
+	Dimensions []Dimension
+	FirstSeed  int // of the seeds
+	SeedCount  int
 }
 
 // Vary is one dimension of the grid.
-type Vary struct {
+type Dimension struct {
 	Name   string
 	Values []string
 }
@@ -47,7 +47,7 @@
 // spec is all that an experiment file may hold.
 func spec() *strictxml.Element[File] {
 	type attribute = strictxml.Attribute[File]
-	last := func(f *File) *Vary { return &f.Vary[len(f.Vary)-1] }
+	last := func(f *File) *Dimension { return &f.Dimensions[len(f.Dimensions)-1] }
 	var names []string
 	var attrs []attribute
 	for _, p := range params() {
@@ -70,7 +70,7 @@
 			Name: "world", Doc: "Partner 0 goes down and comes back; all others stay well.", Attrs: attrs,
 		}, {
 			Name: "vary", Doc: "One dimension of the grid.", Repeated: true, Unique: "name",
-			Add: func(f *File) { f.Vary = append(f.Vary, Vary{}) },
+			Add: func(f *File) { f.Dimensions = append(f.Dimensions, Dimension{}) },
 			Attrs: []attribute{{
 				Name: "name", Required: true, Doc: "An attribute of world.", Values: strictxml.OneOf(names...),
 				SetNumber: func(f *File, v int64) { last(f).Name = names[v] },
@@ -82,10 +82,10 @@
 			Name: "seeds", Doc: "Each point runs once for each seed.",
 			Attrs: []attribute{{
 				Name: "first", Default: "1", Doc: "The first seed.", Values: strictxml.Integer(0, 1e9),
-				SetNumber: func(f *File, v int64) { f.First = int(v) },
+				SetNumber: func(f *File, v int64) { f.FirstSeed = int(v) },
 			}, {
 				Name: "count", Default: "5", Doc: "How many.", Values: strictxml.Integer(1, 10000),
-				SetNumber: func(f *File, v int64) { f.Seeds = int(v) },
+				SetNumber: func(f *File, v int64) { f.SeedCount = int(v) },
 			}},
 		}},
 	}
@@ -117,7 +117,7 @@
 // check finds what the table cannot.
 func (f *File) check(name string) error {
 	points := 1
-	for _, v := range f.Vary {
+	for _, v := range f.Dimensions {
 		p := paramOf(v.Name)
 		for i, text := range v.Values {
 			if _, ok := p.Values.Parse(text); !ok {
@@ -131,8 +131,8 @@
 			return &strictxml.Error{File: name, What: "the grid is too large", Allowed: fmt.Sprintf("%d points at most", maxPoints)}
 		}
 	}
-	if points*f.Seeds > maxRuns {
-		return &strictxml.Error{File: name, What: fmt.Sprintf("%d runs", points*f.Seeds), Allowed: fmt.Sprintf("%d at most", maxRuns)}
+	if points*f.SeedCount > maxRuns {
+		return &strictxml.Error{File: name, What: fmt.Sprintf("%d runs", points*f.SeedCount), Allowed: fmt.Sprintf("%d at most", maxRuns)}
 	}
 	for _, p := range f.Points() {
 		if n := p.Params.Partners * p.Params.Endpoints; n > 20000 {
@@ -145,7 +145,7 @@
 // Points is the grid, the last dimension changing fastest.
 func (f *File) Points() []Point {
 	points := []Point{{Params: f.World}}
-	for _, v := range f.Vary {
+	for _, v := range f.Dimensions {
 		p := paramOf(v.Name)
 		var next []Point
 		for _, at := range points {
--- a/internal/lab/report/report.go
+++ b/internal/lab/report/report.go
@@ -95,7 +95,7 @@
 		for i, pt := range g.Points {
 			xy := make(plotter.XYs, 0, len(pt.Series))
 			for at, b := range pt.Series[:len(pt.Series)-1] { // the last second is not whole
-				xy = append(xy, plotter.XY{X: float64(at-pt.BackAt) + 0.5, Y: s.value(b)})
+				xy = append(xy, plotter.XY{X: float64(at-pt.ReturnSecond) + 0.5, Y: s.value(b)})
 			}
 			line, err := plotter.NewLine(xy)
 			if err != nil {
--- a/internal/lab/results/results.go
+++ b/internal/lab/results/results.go
@@ -20,7 +20,7 @@
 )
 
 // Watched is how many seconds from the return are held against the limit: the first one back, and ten more.
-const Watched = 11
+const WatchedSeconds = 11
 
 // Measures are the names of a run's figures, in the order of the tables.
 var Measures = []string{
@@ -60,12 +60,12 @@
 
 // Point is one point of the grid.
 type Point struct {
-	Labels  []string           `json:"labels"`
-	BackAt  int                `json:"back_at"` // second of the return
-	Limit   float64            `json:"limit"`
-	Runs    []Run              `json:"runs"`
-	Summary map[string]Summary `json:"summary"`
-	Series  []Band             `json:"series"`
+	Labels       []string           `json:"labels"`
+	ReturnSecond int                `json:"back_at"` // second of the return
+	Limit        float64            `json:"limit"`
+	Runs         []Run              `json:"runs"`
+	Summary      map[string]Summary `json:"summary"`
+	Series       []Band             `json:"series"`
 }
 
 // Run is the figures of one run, by measure.
@@ -91,11 +91,11 @@
 }
 
 // Of computes the figures of one run.
-func Of(p *world.Params, r *world.Run) Run {
-	back := int(math.Ceil(p.Back() / 1000))
-	f := map[string]float64{"goodput": float64(r.Done) / float64(max(r.Handed, 1)), "retries": float64(r.Retries),
-		"refusals": float64(r.Refusals), "falls": float64(r.Falls), "twice": float64(r.Twice)}
-	for i := back; i < min(back+Watched, len(r.Seconds)); i++ {
+func FromRun(p *world.Params, r *world.Run) Run {
+	back := int(math.Ceil(p.ReturnTime() / 1000))
+	f := map[string]float64{"goodput": float64(r.Delivered) / float64(max(r.Submitted, 1)), "retries": float64(r.Retries),
+		"refusals": float64(r.Refusals), "falls": float64(r.Overloads), "twice": float64(r.RunTwice)}
+	for i := back; i < min(back+WatchedSeconds, len(r.Seconds)); i++ {
 		calls := float64(r.Seconds[i].Calls)
 		if i == back {
 			f["first-second"] = calls
@@ -108,9 +108,9 @@
 	f["most-of-limit"] = f["most-in-a-second"] / r.Limit
 	f["back-95"] = backAfter(p, r, back)
 	for name, q := range map[string]float64{"p50": 50, "p99": 99, "p99.9": 99.9} {
-		f[name] = float64(r.Stormy.ValueAtQuantile(q))
+		f[name] = float64(r.AffectedLatency.ValueAtQuantile(q))
 		if name != "p99.9" {
-			f["others-"+name] = float64(r.Others.ValueAtQuantile(q))
+			f["others-"+name] = float64(r.OtherLatency.ValueAtQuantile(q))
 		}
 	}
 	for _, m := range Measures {
@@ -123,7 +123,7 @@
 // before the outage, on average.
 func backAfter(p *world.Params, r *world.Run, back int) float64 {
 	before, n := 0.0, 0
-	for i := 2; i < int(p.Warm/1000); i++ {
+	for i := 2; i < int(p.BeforeOutage/1000); i++ {
 		before += float64(r.Seconds[i].Delivered)
 		n++
 	}
@@ -133,12 +133,12 @@
 			return float64(i - back)
 		}
 	}
-	return p.After / 1000
+	return p.AfterOutage / 1000
 }
 
 // Add puts the runs of a point together.
-func Add(labels []string, p *world.Params, limit float64, runs []Run) Point {
-	pt := Point{Labels: labels, BackAt: int(math.Ceil(p.Back() / 1000)), Limit: limit, Runs: runs, Summary: map[string]Summary{}}
+func Aggregate(labels []string, p *world.Params, limit float64, runs []Run) Point {
+	pt := Point{Labels: labels, ReturnSecond: int(math.Ceil(p.ReturnTime() / 1000)), Limit: limit, Runs: runs, Summary: map[string]Summary{}}
 	for _, m := range Measures {
 		var list []float64
 		for i := range runs {
@@ -156,7 +156,7 @@
 			b.Delivered += float64(s.Delivered) / n
 			b.Retries += float64(s.Retries) / n
 			b.Refusals += float64(s.Refusals) / n
-			b.Handed += float64(s.Handed) / n
+			b.Handed += float64(s.Submitted) / n
 		}
 		pt.Series = append(pt.Series, b)
 	}
@@ -220,7 +220,7 @@
 	Labels  []string
 	Measure string
 	A, B    Summary
-	P       float64 // of Welch's t-test: how likely such a difference is by chance
+	PValue  float64 // of Welch's t-test: how likely such a difference is by chance
 }
 
 // Compare finds the measures in which two experiments part, by Welch's t-test at the level given, for the
@@ -234,7 +234,7 @@
 		common++
 		for _, m := range Measures {
 			d := Difference{a.Points[i].Labels, m, a.Points[i].Summary[m], b.Points[j].Summary[m], 1}
-			if d.P = welch(d.A, d.B); d.P < level {
+			if d.PValue = welch(d.A, d.B); d.PValue < level {
 				list = append(list, d)
 			}
 		}
--- a/internal/lab/rivals/rivals.go
+++ b/internal/lab/rivals/rivals.go
@@ -27,7 +27,7 @@
 // The kinds.
 const (
 	Backoff Kind = iota
-	Budget
+	RetryBudget
 	ideal
 )
 
@@ -42,8 +42,8 @@
 
 // Oracle knows what no sender can: package world.
 type Oracle interface {
-	Turn(now float64, dest int) float64
-	Up(endpoint uint32) bool
+	NextCallTime(now float64, dest int) float64
+	EndpointUp(endpoint uint32) bool
 }
 
 // Sender is one rival. It is not safe for concurrent use.
@@ -151,7 +151,7 @@
 	}
 	d.tokens = max(d.tokens-1, 0)
 	m.doubt = m.doubt || !e.Outcome.NeverRan()
-	if m.attempts >= s.set.MaxAttempts && s.kind != ideal || s.kind == Budget && d.tokens <= maxTokens/2 {
+	if m.attempts >= s.set.MaxAttempts && s.kind != ideal || s.kind == RetryBudget && d.tokens <= maxTokens/2 {
 		s.refuse(m)
 		return
 	}
@@ -186,7 +186,7 @@
 			}
 			next = min(next, m.deadline-40)
 		case s.oracle != nil:
-			if at = s.oracle.Turn(now, m.num); at > now {
+			if at = s.oracle.NextCallTime(now, m.num); at > now {
 				next = min(next, at)
 				break
 			}
@@ -207,7 +207,7 @@
 
 func (s *Sender) send(now float64, m *message) {
 	ep := m.dest.eps[s.rng.IntN(len(m.dest.eps))]
-	for i := 0; s.oracle != nil && !s.oracle.Up(ep) && i < len(m.dest.eps); i++ {
+	for i := 0; s.oracle != nil && !s.oracle.EndpointUp(ep) && i < len(m.dest.eps); i++ {
 		ep = m.dest.eps[i]
 	}
 	m.attempts++
--- a/internal/lab/runner/runner.go
+++ b/internal/lab/runner/runner.go
@@ -22,7 +22,7 @@
 	runs := make([][]results.Run, len(points))
 	limits := make([]float64, len(points))
 	for i := range runs {
-		runs[i] = make([]results.Run, f.Seeds)
+		runs[i] = make([]results.Run, f.SeedCount)
 	}
 	if workers <= 0 {
 		workers = runtime.GOMAXPROCS(0)
@@ -37,13 +37,13 @@
 			for j := range jobs {
 				p := points[j.point].Params
 				began := time.Now()
-				r := world.New(p, uint64(f.First+j.seed)).Run(func() bool { return ctx.Err() != nil })
+				r := world.New(p, uint64(f.FirstSeed+j.seed)).Run(func() bool { return ctx.Err() != nil })
 				took := time.Since(began)
 				mu.Lock()
 				events += r.Events
 				busy += took
 				limits[j.point] = r.Limit
-				runs[j.point][j.seed] = results.Of(&p, r)
+				runs[j.point][j.seed] = results.FromRun(&p, r)
 				mu.Unlock()
 				if done != nil {
 					done()
@@ -52,7 +52,7 @@
 		})
 	}
 	for i := range points {
-		for k := range f.Seeds {
+		for k := range f.SeedCount {
 			select {
 			case jobs <- job{i, k}:
 			case <-ctx.Done():
@@ -65,7 +65,7 @@
 		return nil, ctx.Err()
 	}
 	e := &results.Experiment{Name: f.Name, About: f.About, Events: events, PerSecond: float64(events) / busy.Seconds()}
-	for _, v := range f.Vary {
+	for _, v := range f.Dimensions {
 		e.Vary = append(e.Vary, v.Name)
 	}
 	for i := range points {
@@ -73,7 +73,7 @@
 		if labels == nil {
 			labels = []string{}
 		}
-		e.Points = append(e.Points, results.Add(labels, &points[i].Params, limits[i], runs[i]))
+		e.Points = append(e.Points, results.Aggregate(labels, &points[i].Params, limits[i], runs[i]))
 	}
 	if e.Vary == nil {
 		e.Vary = []string{}
--- a/internal/lab/world/client.go
+++ b/internal/lab/world/client.go
@@ -40,13 +40,13 @@
 	w.keys++
 	m := &message{key: w.keys, partner: to, born: now, until: now + w.p.Deadline, habit: deaf}
 	switch v := w.rng.Float64(); {
-	case v < w.p.Honour:
+	case v < w.p.HonourShare:
 		m.habit = honours
-	case v < w.p.Honour+w.p.BackingUp:
+	case v < w.p.HonourShare+w.p.BackoffShare:
 		m.habit = backsUp
 	}
-	w.counts(now, w.partners[to]).Handed++
-	w.run.Handed++
+	w.counts(now, w.partners[to]).Submitted++
+	w.run.Submitted++
 	w.handIn(now, m)
 }
 
@@ -71,14 +71,14 @@
 func (w *World) refused(now float64, m *message, after float64) {
 	w.counts(now, w.partners[m.partner]).Refusals++
 	w.run.Refusals++
-	if m.tries >= w.p.Tries || m.done {
+	if m.tries >= w.p.MaxTries || m.done {
 		return
 	}
 	switch m.habit {
 	case backsUp:
 		after = w.rng.Float64() * 200 * math.Exp2(float64(m.tries))
 	case deaf:
-		after = w.p.DeafPause
+		after = w.p.ImmediateRetryDelay
 	}
 	w.queue.push(event{at: now + after, kind: evHandIn, msg: m})
 }
--- a/internal/lab/world/node.go
+++ b/internal/lab/world/node.go
@@ -88,13 +88,13 @@
 		}
 		n.guard = storm.New(storm.SettingsFrom(&n.set, limits), seed)
 		fallthrough
-	case Before:
+	case ModuleOnly:
 		n.mod = policy.New(n.set, seed)
 		n.brain = n.mod
 	case Backoff:
 		n.brain = rivals.New(rivals.Backoff, n.set, seed)
-	case Budget:
-		n.brain = rivals.New(rivals.Budget, n.set, seed)
+	case RetryBudget:
+		n.brain = rivals.New(rivals.RetryBudget, n.set, seed)
 	case Ideal:
 		n.brain = rivals.NewIdeal(n.set, n.w)
 	}
@@ -109,7 +109,7 @@
 		}
 		for _, s := range p.endpoints {
 			l := policy.Endpoint{ID: s.id, State: policy.Ready, Dest: p.id}
-			if s.down && n.w.p.Delists {
+			if s.down && n.w.p.DelistsDown {
 				l.State = policy.Gone
 			}
 			ev.List = append(ev.List, l)
@@ -131,7 +131,7 @@
 
 // take is a message handed in.
 func (n *node) take(now float64, m *message) {
-	again := n.w.p.Marks && m.tries > 1
+	again := n.w.p.MarksRetries && m.tries > 1
 	n.guard.RecordArrival(now, m.partner, m.key, again)
 	if n.downUntil > now || n.set.MaxHeld > 0 && len(n.held) >= n.set.MaxHeld {
 		n.w.refused(now, m, n.comeBack(now, m, min(1000, max(n.set.MaxRetryAfter, 1))))
@@ -251,7 +251,7 @@
 		used := idle[len(idle)-1]
 		idle = idle[:len(idle)-1]
 		n.idle[c.at.id] = idle
-		if c.at.down && n.w.p.Kind != Silent || now-used > n.set.KeepAlive-500 {
+		if c.at.down && n.w.p.OutageKind != NeverAnswers || now-used > n.set.KeepAlive-500 {
 			c.at.conns--
 			continue // closed meanwhile, which shows
 		}
@@ -267,7 +267,7 @@
 		n.w.end(now, c, policy.Moot, 0, 0)
 		return
 	}
-	n.w.queue.push(event{at: at + n.w.p.Dial, kind: evDialled, call: c})
+	n.w.queue.push(event{at: at + n.w.p.DialTime, kind: evDialled, call: c})
 }
 
 func (n *node) hangUp(endpoint uint32) {
--- a/internal/lab/world/params.go
+++ b/internal/lab/world/params.go
@@ -13,92 +13,92 @@
 
 // The systems.
 const (
-	Sliptide System = "sliptide" // module and storm guard
-	Fleet    System = "fleet"    // module and storm guard, with the trials of a partner that is down shared out
-	Before   System = "before"   // the module alone
-	Backoff  System = "backoff"  // exponential back-off with full jitter
-	Budget   System = "budget"   // the same under a token bucket of retries
-	Ideal    System = "ideal"    // all that the partner can take, by a sender that knows everything
+	Sliptide    System = "sliptide" // module and storm guard
+	Fleet       System = "fleet"    // module and storm guard, with the trials of a partner that is down shared out
+	ModuleOnly  System = "before"   // the module alone
+	Backoff     System = "backoff"  // exponential back-off with full jitter
+	RetryBudget System = "budget"   // the same under a token bucket of retries
+	Ideal       System = "ideal"    // all that the partner can take, by a sender that knows everything
 )
 
 // Down is how a partner is down.
-type Down string
+type OutageKind string
 
 // The ways.
 const (
-	Refuses Down = "refuse" // connections are refused
-	Silent  Down = "silent" // nothing answers
-	Errors  Down = "error"  // each call is answered 500
-	Waits   Down = "wait"   // each call is told the wait until the return
+	RefusesConnections OutageKind = "refuse" // connections are refused
+	NeverAnswers       OutageKind = "silent" // nothing answers
+	AnswersErrors      OutageKind = "error"  // each call is answered 500
+	RequestsWait       OutageKind = "wait"   // each call is told the wait until the return
 )
 
 // Params are one point of an experiment's grid. Times are milliseconds, rates are per second, shares run from
 // 0 to 1.
 type Params struct {
-	System    System
-	Senders   int
-	Partners  int
-	Endpoints int     // of each partner
-	Load      float64 // new messages, over all partners
-	Limit     float64 // calls that each partner states, over all senders; 0: its load / 0.7
-	Span      float64 // the limit is counted in spans of this length, and a wait told to their end; 0: over any second
-	Tells     bool    // the limit is told in each answer; else it stands in the contract alone
-	Headroom  float64 // what a partner can do, as a multiple of its limit
-	Queue     float64 // how much work may wait there
-	Latency   float64
-	Sigma     float64 // of the logarithm of the latency
-	Cold      float64 // what the senders are told of its warming up
-	WarmsIn   float64 // and what it takes
-	ColdFrom  float64
-	TipOver   float64 // load, as a multiple of what it can do, that
-	TipAfter  float64 // after so long pushes a partner over;
-	FallsFor  float64 // it is down for so long then; 0: it does not fall
-	Conns     int     // connections that an endpoint holds; 0: any number
-	Dial      float64
+	System           System
+	Senders          int
+	Partners         int
+	Endpoints        int     // of each partner
+	Load             float64 // new messages, over all partners
+	Limit            float64 // calls that each partner states, over all senders; 0: its load / 0.7
+	LimitWindow      float64 // the limit is counted in spans of this length, and a wait told to their end; 0: over any second
+	ReportsLimit     bool    // the limit is told in each answer; else it stands in the contract alone
+	Headroom         float64 // what a partner can do, as a multiple of its limit
+	MaxQueue         float64 // how much work may wait there
+	Latency          float64
+	LatencySigma     float64 // of the logarithm of the latency
+	AnnouncedWarmUp  float64 // what the senders are told of its warming up
+	WarmUpDuration   float64 // and what it takes
+	ColdCapacity     float64
+	OverloadMultiple float64 // load, as a multiple of what it can do, that
+	OverloadWindow   float64 // after so long pushes a partner over;
+	OverloadOutage   float64 // it is down for so long then; 0: it does not fall
+	MaxConns         int     // connections that an endpoint holds; 0: any number
+	DialTime         float64
 
-	Warm       float64 // before the outage of partner 0
-	Outage     float64
-	OutShare   float64 // of its endpoints
-	Kind       Down
-	After      float64 // that the run goes on from its return
-	LimitAfter float64 // its limit then, as a multiple
-	RelapseAt  float64 // it falls once more so long after its return; 0: it does not,
-	RelapseFor float64 // and for so long
-	Restarts   int     // senders that are killed in the middle of the outage
-	Delists    bool    // discovery takes what is down off its list, and puts it back
-	NewsLate   float64 // its news reaches each sender within this time
+	BeforeOutage       float64 // before the outage of partner 0
+	Outage             float64
+	OutageShare        float64 // of its endpoints
+	OutageKind         OutageKind
+	AfterOutage        float64 // that the run goes on from its return
+	LimitMultipleAfter float64 // its limit then, as a multiple
+	RelapseDelay       float64 // it falls once more so long after its return; 0: it does not,
+	RelapseDuration    float64 // and for so long
+	Restarts           int     // senders that are killed in the middle of the outage
+	DelistsDown        bool    // discovery takes what is down off its list, and puts it back
+	MaxListDelay       float64 // its news reaches each sender within this time
 
-	Tries     int
-	Honour    float64 // share of clients that come when they were told,
-	BackingUp float64 // and of those that back off by their own measure; the rest comes at once:
-	DeafPause float64
-	Marks     bool    // second tries are marked
-	Clump     float64 // new messages for partner 0 at the moment of its return, as seconds of its load
+	MaxTries            int
+	HonourShare         float64 // share of clients that come when they were told,
+	BackoffShare        float64 // and of those that back off by their own measure; the rest comes at once:
+	ImmediateRetryDelay float64
+	MarksRetries        bool    // second tries are marked
+	ReturnBurst         float64 // new messages for partner 0 at the moment of its return, as seconds of its load
 
-	Deadline float64
-	Aim      float64
-	Slots    int
-	Held     int
-	MaxRetry float64
-	Batch    int
-	Own      bool // endpoints have limits of their own
+	Deadline      float64
+	Aim           float64
+	CallSlots     int
+	MaxHeld       int
+	MaxRetryAfter float64
+	Batch         int
+	OwnLimits     bool // endpoints have limits of their own
 }
 
 // settings are what the senders start with.
 func (p *Params) settings(index int) policy.Settings {
 	x1 := -1
-	if p.Tells {
+	if p.ReportsLimit {
 		x1 = 1
 	}
 	return policy.Settings{
 		Index: index, Senders: p.Senders, Zones: []string{"a"}, MinStepInterval: 1,
 		Classes:   []policy.Class{{Name: "note", Aim: p.Aim, Deadline: p.Deadline, Worth: 1, LateWorth: 0.4, Effect: policy.Keyed, DedupWindow: p.Deadline}},
 		Tenants:   []policy.Tenant{{Name: "acme", Quota: 1e6}},
-		Kinds:     []policy.DestKind{{Name: "one", OwnLimits: p.Own, Batch: max(p.Batch, 1)}},
-		CallSlots: p.Slots, WorthHalves: true, OverShareWorth: 1, AllowanceIndex: -1, LimitIndex: x1, MarksResubmissions: p.Marks,
-		SendsRetryAfter: true, MaxRetryAfter: p.MaxRetry, MaxAttempts: 6, MaxHeld: p.Held, StreamsPerConn: 1,
-		KeepAlive: 15000, DialTimeout: 500, AnswerSlack: 20, DrainGrace: 500, WarmUpDuration: p.Cold, ColdCapacity: p.ColdFrom,
-		OverloadMultiple: p.TipOver, OverloadWindow: p.TipAfter,
+		Kinds:     []policy.DestKind{{Name: "one", OwnLimits: p.OwnLimits, Batch: max(p.Batch, 1)}},
+		CallSlots: p.CallSlots, WorthHalves: true, OverShareWorth: 1, AllowanceIndex: -1, LimitIndex: x1, MarksResubmissions: p.MarksRetries,
+		SendsRetryAfter: true, MaxRetryAfter: p.MaxRetryAfter, MaxAttempts: 6, MaxHeld: p.MaxHeld, StreamsPerConn: 1,
+		KeepAlive: 15000, DialTimeout: 500, AnswerSlack: 20, DrainGrace: 500, WarmUpDuration: p.AnnouncedWarmUp, ColdCapacity: p.ColdCapacity,
+		OverloadMultiple: p.OverloadMultiple, OverloadWindow: p.OverloadWindow,
 	}
 }
 
@@ -111,7 +111,7 @@
 }
 
 // Length is how long a run goes on.
-func (p *Params) Length() float64 { return p.Warm + p.Outage + p.After }
+func (p *Params) Duration() float64 { return p.BeforeOutage + p.Outage + p.AfterOutage }
 
 // Back is when partner 0 is back.
-func (p *Params) Back() float64 { return p.Warm + p.Outage }
+func (p *Params) ReturnTime() float64 { return p.BeforeOutage + p.Outage }
--- a/internal/lab/world/partner.go
+++ b/internal/lab/world/partner.go
@@ -77,11 +77,11 @@
 func newPartner(w *World, id int) *partner {
 	p := &partner{w: w, id: id, limit: w.p.limitOf(), backAt: math.Inf(-1), hotSince: math.Inf(1)}
 	routes := 1
-	if w.p.Own {
+	if w.p.OwnLimits {
 		routes = w.p.Endpoints
 	}
 	for range routes {
-		p.limits = append(p.limits, &limiter{rate: p.limit / float64(routes), span: w.p.Span})
+		p.limits = append(p.limits, &limiter{rate: p.limit / float64(routes), span: w.p.LimitWindow})
 	}
 	for i := range w.p.Endpoints {
 		p.endpoints = append(p.endpoints, &station{id: uint32(id*w.p.Endpoints+i) + 1, partner: p, limiter: p.limits[i%routes]})
@@ -92,8 +92,8 @@
 // capacity is the calls a second that the partner can do now.
 func (p *partner) capacity(now float64) float64 {
 	share := 1.0
-	if p.w.p.WarmsIn > 0 {
-		share = min(p.w.p.ColdFrom+(1-p.w.p.ColdFrom)*(now-p.backAt)/p.w.p.WarmsIn, 1)
+	if p.w.p.WarmUpDuration > 0 {
+		share = min(p.w.p.ColdCapacity+(1-p.w.p.ColdCapacity)*(now-p.backAt)/p.w.p.WarmUpDuration, 1)
 	}
 	return max(p.limit*p.w.p.Headroom*share, 0.1)
 }
@@ -109,7 +109,7 @@
 	}
 	p.waitUntil = now + length
 	p.w.queue.push(event{at: now + length, kind: evReturn, n: p.id})
-	if p.w.p.Delists {
+	if p.w.p.DelistsDown {
 		p.w.spread(now, p.id)
 	}
 }
@@ -126,7 +126,7 @@
 		s.down = false
 	}
 	p.downs, p.busyUntil, p.hotSince = 0, now, math.Inf(1)
-	if p.w.p.Delists {
+	if p.w.p.DelistsDown {
 		p.w.spread(now, p.id)
 	}
 }
@@ -138,12 +138,12 @@
 	n := p.rate.add(now)
 	latency := p.w.latency.Rand()
 	if s.down {
-		switch p.w.p.Kind {
-		case Refuses:
+		switch p.w.p.OutageKind {
+		case RefusesConnections:
 			return policy.ConnectFailed, 0, 0
-		case Silent:
+		case NeverAnswers:
 			return policy.Timeout, 0, math.Inf(1)
-		case Errors:
+		case AnswersErrors:
 			return policy.Error, 0, latency
 		default:
 			return policy.Full, max(p.waitUntil-now, 1), latency
@@ -158,7 +158,7 @@
 	}
 	c := p.capacity(now)
 	p.busyUntil = max(p.busyUntil, now)
-	if p.busyUntil-now > p.w.p.Queue {
+	if p.busyUntil-now > p.w.p.MaxQueue {
 		return policy.Full, 0, min(latency, 5)
 	}
 	p.busyUntil += 1000 / c
@@ -167,20 +167,20 @@
 
 // tip pushes the partner over if it has had too much for too long.
 func (p *partner) tip(now float64, lastSecond int) {
-	if p.w.p.FallsFor <= 0 || float64(lastSecond) <= p.w.p.TipOver*p.capacity(now) {
+	if p.w.p.OverloadOutage <= 0 || float64(lastSecond) <= p.w.p.OverloadMultiple*p.capacity(now) {
 		p.hotSince = math.Inf(1)
 		return
 	}
 	p.hotSince = min(p.hotSince, now)
-	if now-p.hotSince >= p.w.p.TipAfter {
+	if now-p.hotSince >= p.w.p.OverloadWindow {
 		p.fallen++
-		p.fall(now, p.w.p.FallsFor, 1)
+		p.fall(now, p.w.p.OverloadOutage, 1)
 	}
 }
 
 // report is what an answer tells of the limit.
 func (s *station) report() []float64 {
-	if !s.partner.w.p.Tells {
+	if !s.partner.w.p.ReportsLimit {
 		return nil
 	}
 	return []float64{0.5, s.limiter.rate}
--- a/internal/lab/world/world.go
+++ b/internal/lab/world/world.go
@@ -12,7 +12,7 @@
 
 // Second is what one second of a run saw at partner 0.
 type Second struct {
-	Handed    int // new messages for it
+	Submitted int // new messages for it
 	Delivered int
 	Calls     int // that reached it
 	Retries   int // second tries by clients
@@ -21,18 +21,18 @@
 
 // Run is what a run has come to. Latencies are milliseconds from a message's first hand-in to its delivery.
 type Run struct {
-	Seed     uint64
-	Events   uint64
-	Seconds  []Second // of partner 0
-	Handed   int
-	Done     int
-	Retries  int
-	Refusals int
-	Twice    int // messages that ran more than once
-	Falls    int // times that a partner was pushed over
-	Limit    float64
-	Stormy   *hdrhistogram.Histogram // of partner 0
-	Others   *hdrhistogram.Histogram // of all others
+	Seed            uint64
+	Events          uint64
+	Seconds         []Second // of partner 0
+	Submitted       int
+	Delivered       int
+	Retries         int
+	Refusals        int
+	RunTwice        int // messages that ran more than once
+	Overloads       int // times that a partner was pushed over
+	Limit           float64
+	AffectedLatency *hdrhistogram.Histogram // of partner 0
+	OtherLatency    *hdrhistogram.Histogram // of all others
 }
 
 // World is one run of the emulator.
@@ -56,9 +56,9 @@
 	src := rand.NewPCG(seed, 0x1ab)
 	w := &World{p: p, rng: rand.New(src), stations: map[uint32]*station{}, oracle: map[int]float64{}}
 	// A log-normal of that mean: service times have a tail, and no negative ones.
-	w.latency = distuv.LogNormal{Mu: math.Log(p.Latency) - p.Sigma*p.Sigma/2, Sigma: p.Sigma, Src: rand.NewPCG(seed, 0x1a7)}
-	w.run = Run{Seed: seed, Seconds: make([]Second, int(p.Length()/1000)+1), Limit: p.limitOf(),
-		Stormy: hdrhistogram.New(1, 600_000, 3), Others: hdrhistogram.New(1, 600_000, 3)}
+	w.latency = distuv.LogNormal{Mu: math.Log(p.Latency) - p.LatencySigma*p.LatencySigma/2, Sigma: p.LatencySigma, Src: rand.NewPCG(seed, 0x1a7)}
+	w.run = Run{Seed: seed, Seconds: make([]Second, int(p.Duration()/1000)+1), Limit: p.limitOf(),
+		AffectedLatency: hdrhistogram.New(1, 600_000, 3), OtherLatency: hdrhistogram.New(1, 600_000, 3)}
 	for i := range p.Partners {
 		pa := newPartner(w, i)
 		w.partners = append(w.partners, pa)
@@ -77,12 +77,12 @@
 	}
 	w.queue.push(event{at: 1, kind: evArrive})
 	if p.Outage > 0 {
-		w.queue.push(event{at: p.Warm, kind: evOutage})
+		w.queue.push(event{at: p.BeforeOutage, kind: evOutage})
 		for i := range min(p.Restarts, p.Senders) {
-			w.queue.push(event{at: p.Warm + p.Outage/2, kind: evRestart, node: w.nodes[i]})
+			w.queue.push(event{at: p.BeforeOutage + p.Outage/2, kind: evRestart, node: w.nodes[i]})
 		}
-		if p.RelapseAt > 0 {
-			w.queue.push(event{at: p.Back() + p.RelapseAt, kind: evOutage, v: p.RelapseFor})
+		if p.RelapseDelay > 0 {
+			w.queue.push(event{at: p.ReturnTime() + p.RelapseDelay, kind: evOutage, v: p.RelapseDuration})
 		}
 	}
 	return w
@@ -90,7 +90,7 @@
 
 // Run lets the time pass, and returns what has come of it. stop is asked now and then; it may be nil.
 func (w *World) Run(stop func() bool) *Run {
-	length := w.p.Length()
+	length := w.p.Duration()
 	for len(w.queue.list) > 0 {
 		e := w.queue.pop()
 		if e.at > length {
@@ -103,7 +103,7 @@
 		w.happen(&e)
 	}
 	for _, p := range w.partners {
-		w.run.Falls += p.fallen
+		w.run.Overloads += p.fallen
 	}
 	return &w.run
 }
@@ -138,7 +138,7 @@
 		if length == 0 {
 			length = w.p.Outage
 		}
-		w.partners[0].fall(now, length, w.p.OutShare)
+		w.partners[0].fall(now, length, w.p.OutageShare)
 	case evReturn:
 		w.returned(now, w.partners[e.n])
 	case evNews:
@@ -152,17 +152,17 @@
 
 // returned brings a partner back. New work that has waited elsewhere comes in a clump.
 func (w *World) returned(now float64, p *partner) {
-	first := p.id == 0 && math.Abs(now-w.p.Back()) < 1e-6
-	if first && w.p.LimitAfter > 0 {
-		p.limit *= w.p.LimitAfter
+	first := p.id == 0 && math.Abs(now-w.p.ReturnTime()) < 1e-6
+	if first && w.p.LimitMultipleAfter > 0 {
+		p.limit *= w.p.LimitMultipleAfter
 		for _, l := range p.limits {
-			l.rate *= w.p.LimitAfter
+			l.rate *= w.p.LimitMultipleAfter
 		}
 		w.run.Limit = p.limit
 	}
 	p.rise(now)
 	if first {
-		for range int(w.p.Clump * w.p.Load / float64(w.p.Partners)) {
+		for range int(w.p.ReturnBurst * w.p.Load / float64(w.p.Partners)) {
 			w.born(now, 0)
 		}
 	}
@@ -171,7 +171,7 @@
 // spread lets the news of a partner reach each sender at its own time.
 func (w *World) spread(now float64, partner int) {
 	for _, n := range w.nodes {
-		w.queue.push(event{at: now + w.rng.Float64()*w.p.NewsLate, kind: evNews, node: n, n: partner})
+		w.queue.push(event{at: now + w.rng.Float64()*w.p.MaxListDelay, kind: evNews, node: n, n: partner})
 	}
 }
 
@@ -180,9 +180,9 @@
 	s := c.at
 	switch {
 	case c.life != c.node.life:
-	case s.down && w.p.Kind == Silent:
+	case s.down && w.p.OutageKind == NeverAnswers:
 		w.end(now, c, policy.ConnectFailed, 0, min(c.node.set.DialTimeout, c.timeout))
-	case s.down && w.p.Kind == Refuses, w.p.Conns > 0 && s.conns >= w.p.Conns:
+	case s.down && w.p.OutageKind == RefusesConnections, w.p.MaxConns > 0 && s.conns >= w.p.MaxConns:
 		w.end(now, c, policy.ConnectFailed, 0, 0)
 	default:
 		s.conns++
@@ -201,7 +201,7 @@
 	if o == policy.OK {
 		for _, m := range c.msgs {
 			if m.runs++; m.runs == 2 {
-				w.run.Twice++
+				w.run.RunTwice++
 			}
 		}
 	}
@@ -223,11 +223,11 @@
 		return
 	}
 	m.done = true
-	w.run.Done++
+	w.run.Delivered++
 	w.counts(now, w.partners[m.partner]).Delivered++
-	h := w.run.Others
+	h := w.run.OtherLatency
 	if m.partner == 0 {
-		h = w.run.Stormy
+		h = w.run.AffectedLatency
 	}
 	h.RecordValue(int64(math.Round(max(now-m.born, 1))))
 }
@@ -242,7 +242,7 @@
 
 // Turn tells the ideal sender when it may call a partner: as fast as the partner can take it, by one who knows
 // its state and all other senders. Such a sender cannot be built; it is the physical limit.
-func (w *World) Turn(now float64, dest int) (at float64) {
+func (w *World) NextCallTime(now float64, dest int) (at float64) {
 	p := w.partners[dest]
 	if p.downs == len(p.endpoints) {
 		return max(p.waitUntil, now+1)
@@ -256,4 +256,4 @@
 }
 
 // Up tells the ideal sender whether an endpoint is up.
-func (w *World) Up(endpoint uint32) bool { return !w.stations[endpoint].down }
+func (w *World) EndpointUp(endpoint uint32) bool { return !w.stations[endpoint].down }
--- a/internal/lab/world/world_test.go
+++ b/internal/lab/world/world_test.go
@@ -8,15 +8,15 @@
 
 // base is a partner that is down for 15 s under three senders, half of the clients deaf.
 func base() Params {
-	return Params{System: Sliptide, Senders: 3, Partners: 1, Endpoints: 1, Load: 140, Limit: 200, Headroom: 1.25, Queue: 2000,
-		Latency: 30, Sigma: 0.3, Cold: 9000, WarmsIn: 9000, ColdFrom: 0.25, TipOver: 1.5, TipAfter: 3000, Dial: 1, Warm: 5000,
-		Outage: 15000, OutShare: 1, Kind: Refuses, After: 14000, Tries: 3, Honour: 0.5, DeafPause: 50, Marks: true, Clump: 1,
-		Deadline: 20000, Aim: 4000, Slots: 20, Held: 200, MaxRetry: 5000, Batch: 1, NewsLate: 1000}
+	return Params{System: Sliptide, Senders: 3, Partners: 1, Endpoints: 1, Load: 140, Limit: 200, Headroom: 1.25, MaxQueue: 2000,
+		Latency: 30, LatencySigma: 0.3, AnnouncedWarmUp: 9000, WarmUpDuration: 9000, ColdCapacity: 0.25, OverloadMultiple: 1.5, OverloadWindow: 3000, DialTime: 1, BeforeOutage: 5000,
+		Outage: 15000, OutageShare: 1, OutageKind: RefusesConnections, AfterOutage: 14000, MaxTries: 3, HonourShare: 0.5, ImmediateRetryDelay: 50, MarksRetries: true, ReturnBurst: 1,
+		Deadline: 20000, Aim: 4000, CallSlots: 20, MaxHeld: 200, MaxRetryAfter: 5000, Batch: 1, MaxListDelay: 1000}
 }
 
 // over counts the seconds with more calls than the limit, of the first eleven from the return.
 func over(p Params, r *Run) (n, most, calls int) {
-	back := int(p.Back() / 1000)
+	back := int(p.ReturnTime() / 1000)
 	for i := back; i < back+11; i++ {
 		c := r.Seconds[i].Calls
 		calls += c
@@ -42,26 +42,26 @@
 // hard are the cases that a storm guard exists for: each way down, each habit, and each way back.
 var hard = map[string]func(*Params){
 	"as it is":                     func(*Params) {},
-	"clients honour what is told":  func(p *Params) { p.Honour = 1 },
-	"clients are deaf":             func(p *Params) { p.Honour = 0 },
-	"clients back off":             func(p *Params) { p.Honour, p.BackingUp = 0, 1 },
-	"second tries are not marked":  func(p *Params) { p.Marks = false },
-	"a clump of three seconds":     func(p *Params) { p.Clump = 3 },
-	"silent":                       func(p *Params) { p.Kind = Silent },
-	"errors":                       func(p *Params) { p.Kind = Errors },
-	"tells the wait to its return": func(p *Params) { p.Kind = Waits },
-	"one endpoint of four":         func(p *Params) { p.Endpoints, p.OutShare = 4, 0.25 },
-	"falls once more":              func(p *Params) { p.RelapseAt, p.RelapseFor = 3000, 3000 },
-	"23% of its capacity":          func(p *Params) { p.ColdFrom = 0.23 },
-	"its limit has fallen":         func(p *Params) { p.LimitAfter, p.Tells = 0.5, true },
+	"clients honour what is told":  func(p *Params) { p.HonourShare = 1 },
+	"clients are deaf":             func(p *Params) { p.HonourShare = 0 },
+	"clients back off":             func(p *Params) { p.HonourShare, p.BackoffShare = 0, 1 },
+	"second tries are not marked":  func(p *Params) { p.MarksRetries = false },
+	"a clump of three seconds":     func(p *Params) { p.ReturnBurst = 3 },
+	"silent":                       func(p *Params) { p.OutageKind = NeverAnswers },
+	"errors":                       func(p *Params) { p.OutageKind = AnswersErrors },
+	"tells the wait to its return": func(p *Params) { p.OutageKind = RequestsWait },
+	"one endpoint of four":         func(p *Params) { p.Endpoints, p.OutageShare = 4, 0.25 },
+	"falls once more":              func(p *Params) { p.RelapseDelay, p.RelapseDuration = 3000, 3000 },
+	"23% of its capacity":          func(p *Params) { p.ColdCapacity = 0.23 },
+	"its limit has fallen":         func(p *Params) { p.LimitMultipleAfter, p.ReportsLimit = 0.5, true },
 	"one sender restarted":         func(p *Params) { p.Restarts = 1 },
-	"off the list meanwhile":       func(p *Params) { p.Delists, p.Endpoints = true, 2 },
-	"limits of each endpoint":      func(p *Params) { p.Own, p.Endpoints, p.Tells = true, 4, true },
+	"off the list meanwhile":       func(p *Params) { p.DelistsDown, p.Endpoints = true, 2 },
+	"limits of each endpoint":      func(p *Params) { p.OwnLimits, p.Endpoints, p.ReportsLimit = true, 4, true },
 	"bulk calls":                   func(p *Params) { p.Batch = 5 },
-	"limit in spans":               func(p *Params) { p.Span = 1000 },
+	"limit in spans":               func(p *Params) { p.LimitWindow = 1000 },
 	"thirty senders":               func(p *Params) { p.Senders = 30 },
 	"two hundred senders":          func(p *Params) { p.Senders = 200 },
-	"falls over what is too much":  func(p *Params) { p.FallsFor = 4000 },
+	"falls over what is too much":  func(p *Params) { p.OverloadOutage = 4000 },
 }
 
 // From its first second back a partner is never called more than it has stated; nor is it left alone.
@@ -80,8 +80,8 @@
 				if calls < int(r.Limit) {
 					t.Errorf("seed %d: %d calls in eleven seconds", seed, calls)
 				}
-				if r.Falls > 0 {
-					t.Errorf("seed %d: pushed over %d times", seed, r.Falls)
+				if r.Overloads > 0 {
+					t.Errorf("seed %d: pushed over %d times", seed, r.Overloads)
 				}
 			}
 		})
@@ -92,13 +92,13 @@
 func TestGoodputIsBack(t *testing.T) {
 	for _, row := range []struct {
 		senders int
-		down    Down
-	}{{3, Refuses}, {30, Refuses}, {200, Refuses}, {3, Waits}} {
+		down    OutageKind
+	}{{3, RefusesConnections}, {30, RefusesConnections}, {200, RefusesConnections}, {3, RequestsWait}} {
 		p := base()
-		p.Senders, p.Kind = row.senders, row.down
+		p.Senders, p.OutageKind = row.senders, row.down
 		for seed := range uint64(3) {
 			r := New(p, seed).Run(nil)
-			done, at := 0, int(p.Back()/1000)+9
+			done, at := 0, int(p.ReturnTime()/1000)+9
 			for _, s := range r.Seconds[at : at+4] {
 				done += s.Delivered
 			}
@@ -116,12 +116,12 @@
 	if n, _, _ := over(p, New(p, 1).Run(nil)); n == 0 {
 		t.Error("thirty senders that back off stay within the limit")
 	}
-	p.FallsFor = 4000
-	if r := New(p, 1).Run(nil); r.Falls == 0 {
+	p.OverloadOutage = 4000
+	if r := New(p, 1).Run(nil); r.Overloads == 0 {
 		t.Error("nothing pushes this partner over")
 	}
 	p = base()
-	p.System, p.Senders = Before, 30
+	p.System, p.Senders = ModuleOnly, 30
 	worst := 0
 	for seed := range uint64(6) {
 		n, _, _ := over(p, New(p, seed).Run(nil))
@@ -140,8 +140,8 @@
 	calm.Outage = 0
 	var with, without int64
 	for seed := range uint64(5) {
-		with += New(p, seed).Run(nil).Others.ValueAtQuantile(99)
-		without += New(calm, seed).Run(nil).Others.ValueAtQuantile(99)
+		with += New(p, seed).Run(nil).OtherLatency.ValueAtQuantile(99)
+		without += New(calm, seed).Run(nil).OtherLatency.ValueAtQuantile(99)
 	}
 	if math.Abs(float64(with-without)) > 0.05*float64(without) {
 		t.Errorf("p99 of the others, over five seeds: %d ms with the storm, %d without", with, without)
@@ -150,20 +150,20 @@
 
 // Each message ends at most once, no sender holds more than it may, and no keyed message is lost sight of.
 func TestEachMessageEndsOnce(t *testing.T) {
-	for _, sys := range []System{Sliptide, Before, Backoff, Budget, Ideal} {
+	for _, sys := range []System{Sliptide, ModuleOnly, Backoff, RetryBudget, Ideal} {
 		p := base()
-		p.System, p.Restarts, p.Kind = sys, 2, Silent
+		p.System, p.Restarts, p.OutageKind = sys, 2, NeverAnswers
 		w := New(p, 3)
 		r := w.Run(nil)
 		held := 0
 		for _, n := range w.nodes {
-			if len(n.held) > p.Held {
+			if len(n.held) > p.MaxHeld {
 				t.Errorf("%s: a sender holds %d", sys, len(n.held))
 			}
 			held += len(n.held)
 		}
-		if r.Done == 0 || r.Done+held > r.Handed+r.Twice {
-			t.Errorf("%s: %d delivered and %d held of %d", sys, r.Done, held, r.Handed)
+		if r.Delivered == 0 || r.Delivered+held > r.Submitted+r.RunTwice {
+			t.Errorf("%s: %d delivered and %d held of %d", sys, r.Delivered, held, r.Submitted)
 		}
 	}
 }
