--- a/cmd/sliptide/fleet_test.go
+++ b/cmd/sliptide/fleet_test.go
@@ -69,14 +69,14 @@
 }
 
 // newTestFleet starts n senders, the first three of which are voters, with further content of the fleet element.
-func newTestFleet(t *testing.T, more string, n int) *testFleet {
-	return newTestFleetWith(t, more, n, nil)
+func newTestFleet(t *testing.T, extraXML string, n int) *testFleet {
+	return newTestFleetWith(t, extraXML, n, nil)
 }
 
 // newTestFleetWith is newTestFleet with changes to each sender's rig before it starts.
-func newTestFleetWith(t *testing.T, more string, n int, change func(m *testFleet, i int, r *rig)) *testFleet {
+func newTestFleetWith(t *testing.T, extraXML string, n int, change func(m *testFleet, i int, r *rig)) *testFleet {
 	t.Parallel()
-	m := &testFleet{t: t, extraXML: more}
+	m := &testFleet{t: t, extraXML: extraXML}
 	for range n {
 		m.linkAddrs = append(m.linkAddrs, reserveAddr(t))
 	}
--- a/cmd/sliptide/losses_test.go
+++ b/cmd/sliptide/losses_test.go
@@ -243,7 +243,7 @@
 	if b >= a {
 		b++
 	}
-	each := func(do func(*standin.Relay)) func() {
+	onPair := func(do func(*standin.Relay)) func() {
 		for k, relay := range l.relays {
 			if k == [2]int{a, b} || k == [2]int{b, a} {
 				do(relay)
@@ -252,20 +252,20 @@
 		return nil
 	}
 	faultDuration := 300*time.Millisecond + time.Duration(rng.Int64N(int64(maxDuration)))
-	name, end := "", func() {}
+	name, endFault := "", func() {}
 	switch rng.IntN(7) {
 	case 0:
 		name = "pair cut"
-		each(func(r *standin.Relay) { r.BlockBoth(true) })
-		end = func() { each(func(r *standin.Relay) { r.BlockBoth(false) }) }
+		onPair(func(r *standin.Relay) { r.BlockBoth(true) })
+		endFault = func() { onPair(func(r *standin.Relay) { r.BlockBoth(false) }) }
 	case 1:
 		name = "one way cut"
-		each(func(r *standin.Relay) { r.Block(standin.ToTarget, true) })
-		end = func() { each(func(r *standin.Relay) { r.BlockBoth(false) }) }
+		onPair(func(r *standin.Relay) { r.Block(standin.ToTarget, true) })
+		endFault = func() { onPair(func(r *standin.Relay) { r.BlockBoth(false) }) }
 	case 2:
 		name = "slow link"
-		each(func(r *standin.Relay) { r.SetDelay(60 * time.Millisecond) })
-		end = func() { each(func(r *standin.Relay) { r.SetDelay(0) }) }
+		onPair(func(r *standin.Relay) { r.SetDelay(60 * time.Millisecond) })
+		endFault = func() { onPair(func(r *standin.Relay) { r.SetDelay(0) }) }
 	case 3:
 		name = "links broken"
 		for _, r := range l.relays {
@@ -279,7 +279,7 @@
 				r.BlockBoth(true)
 			}
 		}
-		end = func() {
+		endFault = func() {
 			for _, r := range l.relays {
 				r.BlockBoth(false)
 			}
@@ -289,7 +289,7 @@
 		l.ledger.SenderUnreachable(time.Now(), a, l.takenOver(a))
 		p := l.rigs[a].proc
 		p.Process.Signal(syscall.SIGSTOP)
-		end = func() { p.Process.Signal(syscall.SIGCONT) }
+		endFault = func() { p.Process.Signal(syscall.SIGCONT) }
 	default:
 		name = "none"
 	}
@@ -297,8 +297,8 @@
 	l.record("%s, %d and %d, for %v", name, a, b, faultDuration)
 	at := time.Now()
 	return func() {
-		time.Sleep(time.Until(at.Add(faultDuration))) // the fault's duration
-		end()
+		time.Sleep(time.Until(at.Add(faultDuration)))
+		endFault()
 		l.record("%s ends", name)
 	}
 }
@@ -323,9 +323,9 @@
 	for _, line := range strings.Split(l.rigs[k].logs.String(), "\n") {
 		var e struct{ Message, Owner string }
 		if json.Unmarshal([]byte(line), &e) == nil && e.Message == "copies: took over" {
-			var from int
-			fmt.Sscanf(e.Owner, "n%d", &from)
-			owners = append(owners, from)
+			var owner int
+			fmt.Sscanf(e.Owner, "n%d", &owner)
+			owners = append(owners, owner)
 		}
 	}
 	return owners
--- a/cmd/sliptide/shards_test.go
+++ b/cmd/sliptide/shards_test.go
@@ -187,14 +187,14 @@
 
 // awaitServed waits until the messages of each destination are accepted by as many senders as are to serve it, and the
 // others refuse them and name these senders.
-func (s *shardedFleet) awaitServed(round string, up []int, destinations, replicas int) {
+func (s *shardedFleet) awaitServed(round string, running []int, destinations, replicas int) {
 	s.t.Helper()
 	mismatch := ""
 	for end := time.Now().Add(changeTimeout); time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
 		mismatch = ""
 		for d := range destinations {
 			var accepting, named []string
-			for _, i := range up {
+			for _, i := range running {
 				status, servers := s.submit(i, fmt.Sprintf("%s-%d-%d-%d", round, d, i, time.Now().UnixNano()), d)
 				switch status {
 				case 202:
@@ -206,7 +206,7 @@
 				}
 			}
 			slices.Sort(named)
-			if len(accepting) != min(replicas, len(up)) || len(up) > replicas && !slices.Equal(accepting, named) {
+			if len(accepting) != min(replicas, len(running)) || len(running) > replicas && !slices.Equal(accepting, named) {
 				mismatch = fmt.Sprintf("destination %d: accepted by %v, others name %v", d, accepting, named)
 			}
 			if mismatch != "" {
--- a/cmd/sliptide/soak_judge_test.go
+++ b/cmd/sliptide/soak_judge_test.go
@@ -76,10 +76,10 @@
 }
 
 // submitted records a message that a client is about to submit.
-func (s *soak) submitted(id, class string, sender int, until time.Time) {
+func (s *soak) submitted(id, class string, sender int, deadline time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.msgs[id] = &soakMessage{class: class, sender: sender, deadline: until}
+	s.msgs[id] = &soakMessage{class: class, sender: sender, deadline: deadline}
 }
 
 // submissionAnswered records the status that the client received.
--- a/cmd/sliptide/storm_test.go
+++ b/cmd/sliptide/storm_test.go
@@ -168,6 +168,7 @@
 	ignoresRetryAfter bool
 }
 
+// draw returns a random sender, and whether a client ignores the requested wait.
 func (c *stormClients) draw() (sender int, ignoresRetryAfter bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -468,9 +469,9 @@
 		fmt.Fprintf(&b, "second %2d: calls median %d most %d, connections median %d most %d, delivered median %d\n",
 			sec+1, calls[mid], calls[len(calls)-1], dials[mid], dials[len(dials)-1], answered[mid])
 	}
-	var retries, refusals, handed, delivered int64
+	var retries, refusals, submitted, delivered int64
 	for _, r := range results {
-		retries, refusals, handed, delivered = retries+r.retries, refusals+r.refusals, handed+int64(r.submitted), delivered+int64(r.delivered)
+		retries, refusals, submitted, delivered = retries+r.retries, refusals+r.refusals, submitted+int64(r.submitted), delivered+int64(r.delivered)
 		for _, n := range r.calls {
 			if float64(n) > stormLimit {
 				runsOver++
@@ -479,6 +480,6 @@
 		}
 	}
 	fmt.Fprintf(&b, "seconds over the limit %d of %d, runs with one %d; second tries %d, refusals %d, handed in %d, delivered %d (%.3f)",
-		secondsOver, len(results)*stormObservedSeconds, runsOver, retries, refusals, handed, delivered, float64(delivered)/float64(max(handed, 1)))
+		secondsOver, len(results)*stormObservedSeconds, runsOver, retries, refusals, submitted, delivered, float64(delivered)/float64(max(submitted, 1)))
 	return b.String()
 }
