--- a/cmd/sliptide/fleet.go
+++ b/cmd/sliptide/fleet.go
@@ -51,7 +51,7 @@
 	}
 	m := &membership{keep: f.Copies, space: space, files: fsys.OS{Dir: cfg.StateDir}, room: space.Account(), log: log}
 	m.set = fleet.Settings{Name: cfg.Name, Listen: f.ListenAddr, Members: peers(f), MinVoters: f.MinVoters, Weight: uint32(f.Weight),
-		Terms: lease.Params{Length: f.Duties.Lease, Drift: f.Duties.ClockDrift}, ElectionTimeout: f.Duties.ElectionTimeout, Hash: f.Hash()}
+		Lease: lease.Params{Length: f.Duties.Lease, Drift: f.Duties.ClockDrift}, ElectionTimeout: f.Duties.ElectionTimeout, Hash: f.Hash()}
 	if m.set.MinVoters == 0 {
 		m.set.MinVoters = len(f.Voters())
 	}
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -121,7 +121,7 @@
 	if err != nil {
 		return nil, errors.Join(fmt.Errorf("directory: %w", err), groupListener.Close())
 	}
-	groupSettings := fleet.Settings{Name: s.Name, Weight: 1, Terms: lease.Params{Length: s.Lease, Drift: s.ClockDrift}, ElectionTimeout: s.ElectionTimeout, Hash: s.groupHash(), Client: client, Server: server}
+	groupSettings := fleet.Settings{Name: s.Name, Weight: 1, Lease: lease.Params{Length: s.Lease, Drift: s.ClockDrift}, ElectionTimeout: s.ElectionTimeout, Hash: s.groupHash(), Client: client, Server: server}
 	for _, m := range s.Members {
 		groupSettings.Members = append(groupSettings.Members, fleet.Peer{Name: m.Name, Addr: m.Addr, Zone: m.Region, Voter: m.Voter})
 	}
@@ -133,7 +133,7 @@
 	c.group.Request(leaderDuty, "")
 	c.links = link.New(link.Options{Self: s.Name, SettingsHash: subscriber.LinkSettingsHash, DialAddrs: c.dialAddrs(), IsMember: func(name string) bool { return name != "" }, Client: client, Server: server,
 		PingInterval: subscriber.LinkPingInterval, SilenceTimeout: subscriber.LinkSilenceTimeout, MaxLinks: maxLinks, Receive: c.enqueueFrame, Call: c.handleCall,
-		LogEvent: func(what, member string, err error) {
+		OnEvent: func(what, member string, err error) {
 			o.Log.Debug().Str("member", member).Err(err).Msg("directory: " + what)
 		}})
 	go c.links.Serve(directoryListener)
--- a/internal/fleet/measure_test.go
+++ b/internal/fleet/measure_test.go
@@ -12,8 +12,8 @@
 	"sliptide/internal/standin"
 )
 
-// TestMeasureGaps tells, for each kind of fault, how long a duty had no holder, over SLIPTIDE_FAULTS faults (100 by
-// `make duties-gaps`). A gap runs from the holder's last look that found it held to the next holder's first.
+// TestMeasureGaps measures, for each kind of fault, how long a duty had no holder, over SLIPTIDE_FAULTS faults (100 by
+// `make duties-gaps`). A gap lasts from the old holder's last observation to the next holder's first.
 func TestMeasureGaps(t *testing.T) {
 	if os.Getenv("SLIPTIDE_MEASURE") == "" {
 		t.Skip("a measurement: make duties-gaps")
@@ -23,7 +23,7 @@
 		n = 10
 	}
 	lease2s := func(s *nodeSettings) {
-		s.Settings.Terms.Length, s.Settings.ElectionTimeout, s.Rate = 2*time.Second, 500*time.Millisecond, 1
+		s.Settings.Lease.Length, s.Settings.ElectionTimeout, s.ClockRate = 2*time.Second, 500*time.Millisecond, 1
 	}
 	for _, c := range []struct {
 		name  string
@@ -40,18 +40,18 @@
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			r := newRig(t, 3, 2, lease2s)
-			l := r.holder(0, 0, "", 20*time.Second)
+			holder := r.holder(0, 0, "", 20*time.Second)
 			var gaps []float64
 			for range n {
-				l = r.holder(0, fleet.Now(), "", 10*time.Second)
+				holder = r.holder(0, fleet.Now(), "", 10*time.Second)
 				at := fleet.Now()
-				heal := c.fault(r, r.proc(l.member))
-				next := r.holder(0, at, l.member, 15*time.Second)
-				gaps = append(gaps, float64(next.begin-r.lastHeld(0, l.member))/1e6)
+				heal := c.fault(r, r.proc(holder.member))
+				next := r.holder(0, at, holder.member, 15*time.Second)
+				gaps = append(gaps, float64(next.begin-r.lastHeld(0, holder.member))/1e6)
 				heal()
-				// All are back before the next one: a majority is always there.
-				r.awaitLinks(l.member)
-				r.forgetLooks()
+				// All members are back before the next fault, so that there is always a majority.
+				r.settle(holder.member)
+				r.checkAndReset()
 			}
 			slices.Sort(gaps)
 			t.Logf("holder %s, lease 2 s, %d faults: without a holder p50 %.0f ms, max %.0f ms", c.name, n, gaps[len(gaps)/2], gaps[len(gaps)-1])
@@ -59,38 +59,38 @@
 	}
 }
 
-// lastHeld is when a member was last seen to hold a duty.
+// lastHeld returns when a member was last observed to hold a duty.
 func (r *rig) lastHeld(duty int, member string) int64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for i := len(r.looks) - 1; i >= 0; i-- {
-		if l := r.looks[i]; l.duty == duty && l.member == member {
-			return l.end
+	for i := len(r.observations) - 1; i >= 0; i-- {
+		if seen := r.observations[i]; seen.duty == duty && seen.member == member {
+			return seen.end
 		}
 	}
 	return 0
 }
 
-// awaitLinks waits until a member that is back can have a session again.
-func (r *rig) awaitLinks(string) { time.Sleep(3500 * time.Millisecond) }
+// settle waits until a returned member has had time to open a session again.
+func (r *rig) settle(string) { time.Sleep(3500 * time.Millisecond) }
 
-// forgetLooks checks the looks so far and drops them.
-func (r *rig) forgetLooks() {
-	r.judge()
+// checkAndReset checks the observations so far and drops them.
+func (r *rig) checkAndReset() {
+	r.checkObservations()
 	r.mu.Lock()
-	r.looks = nil
+	r.observations = nil
 	r.logs.Reset()
 	r.mu.Unlock()
 }
 
-// TestMeasureIdle tells what an idle fleet costs a member: processor time, resident memory, bytes on links.
+// TestMeasureIdle measures what an idle fleet costs a member: processor time, resident memory, bytes on links.
 func TestMeasureIdle(t *testing.T) {
 	if os.Getenv("SLIPTIDE_MEASURE") == "" {
 		t.Skip("a measurement: make duties-idle")
 	}
 	for _, members := range []int{0, 27} {
 		r := newRig(t, 3, members, func(s *nodeSettings) {
-			s.Settings.Terms.Length, s.Settings.ElectionTimeout, s.Rate = 2*time.Second, 500*time.Millisecond, 1
+			s.Settings.Lease.Length, s.Settings.ElectionTimeout, s.ClockRate = 2*time.Second, 500*time.Millisecond, 1
 		})
 		r.holder(0, 0, "", 30*time.Second)
 		time.Sleep(5 * time.Second)
@@ -105,24 +105,24 @@
 			return voters, rest
 		}
 		v0, m0 := cpu()
-		b0 := r.bytes()
+		b0 := r.linkBytes()
 		const span = 20
 		time.Sleep(span * time.Second)
 		v1, m1 := cpu()
-		b1 := r.bytes()
+		b1 := r.linkBytes()
 		rss := 0.0
 		for _, p := range r.procs {
 			rss = max(rss, standin.ResidentMB(p.cmd.Process.Pid))
 		}
-		t.Logf("%d members: %.2f%% of a core a voter, %.2f%% another member (with this test's own looks each 4 ms), most memory %.1f MB, %.0f B/s on links a member",
+		t.Logf("%d members: %.2f%% of a core a voter, %.2f%% another member (with this test's own checks every 4 ms), most memory %.1f MB, %.0f B/s on links a member",
 			3+members, (v1-v0)/3/span*100, (m1-m0)/float64(max(members, 1))/span*100, rss, float64(b1-b0)/span/float64(3+members))
 		r.close()
 	}
 }
 
-func (r *rig) bytes() (n int64) {
-	for _, l := range r.relays {
-		n += l.BytesCarried()
+func (r *rig) linkBytes() (n int64) {
+	for _, relay := range r.relays {
+		n += relay.BytesCarried()
 	}
 	return n
 }
--- a/internal/fleet/model/model.go
+++ b/internal/fleet/model/model.go
@@ -1,11 +1,11 @@
-// Package model runs the voters and sessions of a fleet, the very code of the processes, in a world of its own: one
-// goroutine, a clock for each process that drifts, links that delay, lose, repeat and reorder, processes that are
-// stopped, killed and started again, disks that lose what was not synced. It judges after every event whether two
-// members hold a duty at once, and whether a resource that refuses old tokens was ever acted on by two with one.
+// Package model simulates the voters and sessions of a fleet with the code of the real processes: on one goroutine,
+// with a drifting clock for each process, links that delay, lose, repeat and reorder frames, processes that are
+// stopped, killed and restarted, and disks that lose data that was not synced. After every event it checks that no two
+// members hold a duty at once, and that no two members acted on a resource, which refuses old tokens, with one token.
 //
-// It is for tests and figures; nothing of the program uses it. Elections draw their time-outs from the Raft
-// library's own generator, which no seed reaches: a schedule of faults is repeated to the letter by its seed, the
-// moment of an election within it is not.
+// It is for tests and measurements; the program does not use it. Elections draw their time-outs from the Raft library's
+// own generator, which cannot be seeded: a seed reproduces a schedule of faults exactly, but not the times of elections
+// in it.
 package model
 
 import (
@@ -22,39 +22,39 @@
 	"sliptide/internal/fleet/voter"
 )
 
-// Options are a world.
+// Options configure a World.
 type Options struct {
-	Voters, Members int // members beside the voters
-	Duties          int
-	Terms           lease.Params
-	ElectionTimeout time.Duration
-	Drift           float64 // by which clocks run fast or slow at most
-	Seed            uint64
-	BreakVoter      voter.Skip
-	BreakSession    session.Break
-	LoseSyncedData  bool // a guard taken out: what was synced is lost in a crash, too
-	AcceptOldTokens bool // a guard taken out: the resource takes any token
-}
-
-// FaultKind is what goes wrong.
+	Voters, Members   int // Members: those that do not vote
+	Duties            int
+	Lease             lease.Params
+	ElectionTimeout   time.Duration
+	Drift             float64 // the greatest fraction by which clocks run fast or slow
+	Seed              uint64
+	SkipVoterChecks   voter.Skip
+	SkipSessionChecks session.Skip
+	LoseSyncedData    bool // disables a safety check: a crash also loses synced data
+	AcceptOldTokens   bool // disables a safety check: the resource accepts any token
+}
+
+// FaultKind is a kind of fault.
 type FaultKind int
 
-// The faults.
+// The kinds of faults. Proc, Peer and Duration are fields of Fault.
 const (
-	Kill        FaultKind = iota // the process ends and starts again after For
-	KillAndWipe                  // with its disk
-	Stop                         // it is stopped for For (SIGSTOP), its connections stay
-	Cut                          // it and With do not hear each other
-	CutOneWay                    // it hears With, which does not hear it
-	Isolate                      // it is cut off from everybody
-	Loss                         // a third of all frames is lost, a tenth repeated
-	BadDisk                      // its disk refuses all writes
-	KillAll                      // every voter ends and starts again
-	HandOver                     // an operator asks for a hand-over
+	Kill        FaultKind = iota // the process is killed and restarted after Duration
+	KillAndWipe                  // as Kill, and its disk is lost
+	Stop                         // the process is stopped (SIGSTOP) for Duration, its connections stay open
+	Cut                          // no frames pass between Proc and Peer
+	CutOneWay                    // no frames pass from Proc to Peer
+	Isolate                      // no frames pass between Proc and all others
+	Loss                         // a third of all frames is lost, a tenth is repeated
+	BadDisk                      // the disk refuses all writes
+	KillAll                      // every voter is killed and restarted
+	HandOver                     // an operator requests a hand-over
 	FaultKinds
 )
 
-// String is the fault in a word.
+// String returns the name of the fault.
 func (k FaultKind) String() string {
 	return [...]string{"kill", "kill with disk", "stop", "cut", "one-way cut", "cut off", "loss", "bad disk", "kill all voters", "hand-over", "?"}[min(k, FaultKinds)]
 }
@@ -75,18 +75,18 @@
 	now           int64
 	queue         events
 	seq           int
-	procs         []*proc
-	names         map[string]*proc
-	cuts          map[[2]int]int // from, to: cuts that hold
-	loss          int
-	res           map[string]*resource
-	Violation     string // the first rule that was broken; empty: none
-	FramesSent    int    // sent
-	Grants        int    // tokens that were acted with
-	LeaderChanges int    // times that a voter began to lead
-	// Noted, if set, is told what a voter notes, while it notes it.
-	OnNote func(voter int, what string)
-	heldBy map[string]int
+	processes     []*process
+	names         map[string]*process
+	cuts          map[[2]int]int // number of active cuts, by sender and receiver
+	lossFaults    int
+	resources     map[string]*resource
+	Violation     string // the first violation of an invariant; empty: none
+	FramesSent    int    // number of frames sent
+	Grants        int    // number of tokens with which a member acted
+	LeaderChanges int    // number of times that a voter became leader
+	// OnVoterEvent, if set, is called by a voter with each event that it logs.
+	OnVoterEvent func(voter int, what string)
+	heldBy       map[string]int
 }
 
 type resource struct {
@@ -94,30 +94,30 @@
 	holder string
 }
 
-type proc struct {
-	w       *World
-	n       int
-	name    string
-	rate    float64
-	offset  int64
-	disk    *memDisk
-	voter   *voter.Voter
-	session *session.Session
-	up      bool
-	epoch   int       // of the process: a start is a new one
-	stopped int64     // until
-	inbox   []inFrame // while it is stopped
+type process struct {
+	world        *World
+	index        int
+	name         string
+	clockRate    float64
+	clockOffset  int64
+	disk         *memDisk
+	voter        *voter.Voter
+	session      *session.Session
+	up           bool
+	run          int             // number of the process run: each start begins a new one
+	stoppedUntil int64           // stopped until this time
+	inbox        []receivedFrame // frames that arrive while it is stopped
 }
 
-type inFrame struct {
-	from string
-	f    *pb.Frame
+type receivedFrame struct {
+	from  string
+	frame *pb.Frame
 }
 
 type event struct {
 	at  int64
 	seq int
-	do  func()
+	run func()
 }
 
 type events []event
@@ -141,18 +141,19 @@
 
 // New returns a world with all processes started.
 func New(o Options) *World {
-	w := &World{o: o, rng: rand.New(rand.NewPCG(o.Seed, 1)), names: map[string]*proc{}, cuts: map[[2]int]int{}, res: map[string]*resource{},
+	w := &World{o: o, rng: rand.New(rand.NewPCG(o.Seed, 1)), names: map[string]*process{}, cuts: map[[2]int]int{}, resources: map[string]*resource{},
 		heldBy: map[string]int{}}
 	for i := range o.Voters + o.Members {
-		p := &proc{w: w, n: i, name: fmt.Sprintf("n%03d", i), rate: 1 + o.Drift*(2*w.rng.Float64()-1), offset: w.rng.Int64N(1e15), disk: newMemDisk()}
-		w.procs = append(w.procs, p)
+		p := &process{world: w, index: i, name: fmt.Sprintf("n%03d", i), clockRate: 1 + o.Drift*(2*w.rng.Float64()-1),
+			clockOffset: w.rng.Int64N(1e15), disk: newMemDisk()}
+		w.processes = append(w.processes, p)
 		w.names[p.name] = p
 	}
-	for _, p := range w.procs {
+	for _, p := range w.processes {
 		p.start()
 	}
 	for d := range o.Duties {
-		w.res[dutyName(d)] = &resource{}
+		w.resources[dutyName(d)] = &resource{}
 	}
 	return w
 }
@@ -160,7 +161,7 @@
 func dutyName(d int) string { return fmt.Sprintf("duty/%d", d) }
 
 func (w *World) voters() (names []string) {
-	for _, p := range w.procs[:w.o.Voters] {
+	for _, p := range w.processes[:w.o.Voters] {
 		names = append(names, p.name)
 	}
 	return names
@@ -173,67 +174,67 @@
 
 func (w *World) after(d time.Duration, do func()) { w.at(w.now+int64(d), do) }
 
-// Schedule adds the faults.
+// Schedule adds faults to the schedule.
 func (w *World) Schedule(list []Fault) {
 	for _, f := range list {
 		w.at(int64(f.At), func() { w.fault(f) })
 	}
 }
 
-// Run plays until that time or the first breach.
+// Run simulates until that time or the first violation.
 func (w *World) Run(until time.Duration) {
 	for len(w.queue) > 0 && w.Violation == "" && w.queue[0].at <= int64(until) {
 		e := heap.Pop(&w.queue).(event)
 		w.now = e.at
-		e.do()
-		w.judge()
+		e.run()
+		w.checkHolders()
 	}
 }
 
-func (p *proc) local() int64 { return p.offset + int64(float64(p.w.now)*p.rate) }
+func (p *process) localTime() int64 { return p.clockOffset + int64(float64(p.world.now)*p.clockRate) }
 
-func (p *proc) start() {
-	p.up, p.epoch, p.stopped, p.inbox = true, p.epoch+1, 0, nil
-	id := &pb.Identity{Incarnation: uint64(p.n+1)<<32 | uint64(p.disk.lost), Boot: uint64(p.epoch)}
+func (p *process) start() {
+	p.up, p.run, p.stoppedUntil, p.inbox = true, p.run+1, 0, nil
+	id := &pb.Identity{Incarnation: uint64(p.index+1)<<32 | uint64(p.disk.wipes), Boot: uint64(p.run)}
 	p.voter = nil
-	if p.n < p.w.o.Voters {
+	if p.index < p.world.o.Voters {
 		log, err := disk.Open(p.disk, nil, p.name)
 		if err != nil {
 			p.up = false
-			p.w.after(time.Second, p.start)
+			p.world.after(time.Second, p.start)
 			return
 		}
 		id = log.Identity()
-		p.voter, err = voter.New(voter.Options{Name: p.name, Voters: p.w.voters(), MinVoters: p.w.o.Voters, Lease: p.w.o.Terms, ElectionTimeout: p.w.o.ElectionTimeout,
-			Log: log, Skip: p.w.o.BreakVoter, OnEvent: func(what string, _ error) {
+		p.voter, err = voter.New(voter.Options{Name: p.name, Voters: p.world.voters(), MinVoters: p.world.o.Voters, Lease: p.world.o.Lease,
+			ElectionTimeout: p.world.o.ElectionTimeout, Log: log, Skip: p.world.o.SkipVoterChecks, OnEvent: func(what string, _ error) {
 				if what == voter.EventLeading {
-					p.w.LeaderChanges++
+					p.world.LeaderChanges++
 				}
-				if p.w.OnNote != nil {
-					p.w.OnNote(p.n, what)
+				if p.world.OnVoterEvent != nil {
+					p.world.OnVoterEvent(p.index, what)
 				}
-			}}, p.local())
+			}}, p.localTime())
 		if err != nil {
-			p.w.Violation = "a voter does not start: " + err.Error()
+			p.world.Violation = "voter failed to start: " + err.Error()
 			return
 		}
 	}
-	p.session = session.New(session.Options{Member: p.name, Incarnation: id.Incarnation, Boot: id.Boot, Voters: p.w.voters(), Terms: p.w.o.Terms,
-		Rand: rand.New(rand.NewPCG(p.w.rng.Uint64(), 2)), Break: p.w.o.BreakSession})
-	for d := range p.w.o.Duties {
+	p.session = session.New(session.Options{Member: p.name, Incarnation: id.Incarnation, Boot: id.Boot, Voters: p.world.voters(), Lease: p.world.o.Lease,
+		Rand: rand.New(rand.NewPCG(p.world.rng.Uint64(), 2)), Skip: p.world.o.SkipSessionChecks})
+	for d := range p.world.o.Duties {
 		p.session.Request(dutyName(d), "")
 	}
-	epoch := p.epoch
-	p.w.after(time.Duration(p.w.rng.Int64N(int64(p.w.o.ElectionTimeout/20))), func() { p.tick(epoch) })
-	p.w.after(time.Duration(p.w.rng.Int64N(int64(100*time.Millisecond))), func() { p.act(epoch) })
+	run := p.run
+	p.world.after(time.Duration(p.world.rng.Int64N(int64(p.world.o.ElectionTimeout/20))), func() { p.tick(run) })
+	p.world.after(time.Duration(p.world.rng.Int64N(int64(100*time.Millisecond))), func() { p.act(run) })
 }
 
-func (p *proc) tick(epoch int) {
-	if !p.up || p.epoch != epoch {
+func (p *process) tick(run int) {
+	if !p.up || p.run != run {
 		return
 	}
-	if p.w.now < p.stopped {
-		p.w.at(p.stopped, func() { p.tick(epoch) })
+	if p.world.now < p.stoppedUntil {
+		p.world.at(p.stoppedUntil, func() { p.tick(run) })
 		return
 	}
 	for _, in := range p.inbox {
@@ -241,70 +242,70 @@
 	}
 	p.inbox = nil
 	if p.voter != nil {
-		p.voter.Tick(p.local())
+		p.voter.Tick(p.localTime())
 	}
-	p.session.Tick(p.local())
+	p.session.Tick(p.localTime())
 	p.flush()
-	p.w.after(p.w.o.ElectionTimeout/20, func() { p.tick(epoch) })
+	p.world.after(p.world.o.ElectionTimeout/20, func() { p.tick(run) })
 }
 
-// act does what a holder of a duty does: it looks at its lease, and what it then does arrives somewhat later, or
-// much later if it is stopped in between.
-func (p *proc) act(epoch int) {
-	if !p.up || p.epoch != epoch {
+// act models a holder's use of a duty: the process checks its lease, and its action reaches the resource a little
+// later, or much later if the process is stopped in between.
+func (p *process) act(run int) {
+	if !p.up || p.run != run {
 		return
 	}
-	p.w.after(time.Duration(p.w.rng.Int64N(int64(80*time.Millisecond))), func() { p.act(epoch) })
-	if p.w.now < p.stopped {
+	p.world.after(time.Duration(p.world.rng.Int64N(int64(80*time.Millisecond))), func() { p.act(run) })
+	if p.world.now < p.stoppedUntil {
 		return
 	}
-	for d := range p.w.o.Duties {
+	for d := range p.world.o.Duties {
 		name := dutyName(d)
-		if t := p.session.Token(name, p.local()); t != 0 {
-			p.w.after(time.Duration(p.w.rng.Int64N(int64(5*time.Millisecond))), func() { p.arrive(epoch, name, t) })
+		if t := p.session.Token(name, p.localTime()); t != 0 {
+			p.world.after(time.Duration(p.world.rng.Int64N(int64(5*time.Millisecond))), func() { p.reachResource(run, name, t) })
 		}
 	}
 }
 
-func (p *proc) arrive(epoch int, name string, token uint64) {
-	if p.w.now < p.stopped { // stopped in the middle of the act: it goes on when it is resumed
-		p.w.at(p.stopped, func() { p.arrive(epoch, name, token) })
+func (p *process) reachResource(run int, name string, token uint64) {
+	if p.world.now < p.stoppedUntil { // stopped during the action, which continues when the process is resumed
+		p.world.at(p.stoppedUntil, func() { p.reachResource(run, name, token) })
 		return
 	}
-	r := p.w.res[name]
+	r := p.world.resources[name]
 	switch {
-	case token < r.token && p.w.o.AcceptOldTokens:
-		p.w.breach("%s acted on %s with token %d after %s had with %d", p.name, name, token, r.holder, r.token)
+	case token < r.token && p.world.o.AcceptOldTokens:
+		p.world.recordViolation("%s acted on %s with token %d after %s had with %d", p.name, name, token, r.holder, r.token)
 	case token < r.token: // refused
 	case token == r.token && r.holder != p.name:
-		p.w.breach("%s and %s acted on %s with one token, %d", p.name, r.holder, name, token)
+		p.world.recordViolation("%s and %s acted on %s with one token, %d", p.name, r.holder, name, token)
 	default:
 		if token > r.token {
-			p.w.Grants++
+			p.world.Grants++
 		}
 		r.token, r.holder = token, p.name
 	}
 }
 
-func (w *World) breach(format string, args ...any) {
+func (w *World) recordViolation(format string, args ...any) {
 	if w.Violation == "" {
 		w.Violation = time.Duration(w.now).Round(time.Millisecond).String() + ": " + fmt.Sprintf(format, args...)
 	}
 }
 
-// judge looks for two holders of a duty at this moment, of which a stopped one counts, too.
-func (w *World) judge() {
+// checkHolders checks that no duty has two holders now. Stopped processes count as holders.
+func (w *World) checkHolders() {
 	for d := range w.o.Duties {
 		name := dutyName(d)
 		holder := -1
-		for _, p := range w.procs {
-			if !p.up || p.session.Token(name, p.local()) == 0 {
+		for _, p := range w.processes {
+			if !p.up || p.session.Token(name, p.localTime()) == 0 {
 				continue
 			}
 			if holder >= 0 {
-				w.breach("%s and %s hold %s at once", w.procs[holder].name, p.name, name)
+				w.recordViolation("%s and %s hold %s at once", w.processes[holder].name, p.name, name)
 			}
-			holder = p.n
+			holder = p.index
 		}
 		if _, known := w.heldBy[name]; holder >= 0 || known {
 			w.heldBy[name] = holder
@@ -312,7 +313,7 @@
 	}
 }
 
-// Held reports whether every duty has a holder.
+// AllHeld reports whether every duty has a holder.
 func (w *World) AllHeld() bool {
 	for d := range w.o.Duties {
 		if h, known := w.heldBy[dutyName(d)]; !known || h < 0 {
@@ -322,17 +323,17 @@
 	return true
 }
 
-func (p *proc) receive(in inFrame) {
-	switch f := in.f; {
+func (p *process) receive(in receivedFrame) {
+	switch f := in.frame; {
 	case f.GetNews() != nil, f.GetAnswer() != nil && f.GetAnswer().Id != 0:
-		p.session.Receive(in.from, f, p.local())
+		p.session.Receive(in.from, f, p.localTime())
 	case p.voter != nil:
-		p.voter.Receive(in.from, f, p.local())
+		p.voter.Receive(in.from, f, p.localTime())
 	}
 }
 
-// flush sends what the process has to say.
-func (p *proc) flush() {
+// flush sends the outgoing frames of the process.
+func (p *process) flush() {
 	for {
 		var out []session.Outgoing
 		out = append(out, p.session.TakeOutgoing()...)
@@ -345,12 +346,12 @@
 			return
 		}
 		for _, o := range out {
-			p.w.send(p, p.w.names[o.To], o.Frame)
+			p.world.send(p, p.world.names[o.To], o.Frame)
 		}
 	}
 }
 
-func (w *World) send(from, to *proc, f *pb.Frame) {
+func (w *World) send(from, to *process, f *pb.Frame) {
 	if to == nil {
 		return
 	}
@@ -358,10 +359,10 @@
 	delay := time.Duration(w.rng.Int64N(int64(4 * time.Millisecond)))
 	copies := 1
 	if from != to {
-		if w.cuts[[2]int{from.n, to.n}] > 0 || w.loss > 0 && w.rng.IntN(3) == 0 {
+		if w.cuts[[2]int{from.index, to.index}] > 0 || w.lossFaults > 0 && w.rng.IntN(3) == 0 {
 			return
 		}
-		if w.loss > 0 {
+		if w.lossFaults > 0 {
 			delay += time.Duration(w.rng.Int64N(int64(300 * time.Millisecond)))
 			if w.rng.IntN(10) == 0 {
 				copies = 2
@@ -374,49 +375,49 @@
 	}
 }
 
-func (w *World) deliver(from, to *proc, f *pb.Frame) {
+func (w *World) deliver(from, to *process, f *pb.Frame) {
 	if !to.up {
 		return
 	}
-	if w.now < to.stopped { // the kernel keeps it
+	if w.now < to.stoppedUntil { // the kernel buffers the frame
 		if len(to.inbox) < 2000 {
-			to.inbox = append(to.inbox, inFrame{from.name, f})
+			to.inbox = append(to.inbox, receivedFrame{from.name, f})
 		}
 		return
 	}
-	to.receive(inFrame{from.name, f})
+	to.receive(receivedFrame{from.name, f})
 	to.flush()
 }
 
 func (w *World) fault(f Fault) {
-	p, q := w.procs[f.Proc%len(w.procs)], w.procs[f.Peer%len(w.procs)]
+	p, q := w.processes[f.Proc%len(w.processes)], w.processes[f.Peer%len(w.processes)]
 	switch f.Kind {
 	case Kill:
 		p.kill(f.Duration, false)
 	case KillAndWipe:
 		p.kill(f.Duration, true)
 	case KillAll:
-		for _, v := range w.procs[:w.o.Voters] {
+		for _, v := range w.processes[:w.o.Voters] {
 			v.kill(f.Duration+time.Duration(w.rng.Int64N(int64(time.Second))), false)
 		}
 	case Stop:
-		p.stopped = max(p.stopped, w.now+int64(f.Duration))
+		p.stoppedUntil = max(p.stoppedUntil, w.now+int64(f.Duration))
 	case Cut:
 		w.cut(p, q, f.Duration)
 		w.cut(q, p, f.Duration)
 	case CutOneWay:
 		w.cut(p, q, f.Duration)
 	case Isolate:
-		for _, o := range w.procs {
+		for _, o := range w.processes {
 			w.cut(p, o, f.Duration)
 			w.cut(o, p, f.Duration)
 		}
 	case Loss:
-		w.loss++
-		w.after(f.Duration, func() { w.loss-- })
+		w.lossFaults++
+		w.after(f.Duration, func() { w.lossFaults-- })
 	case BadDisk:
-		p.disk.bad++
-		w.after(f.Duration, func() { p.disk.bad-- })
+		p.disk.writeFaults++
+		w.after(f.Duration, func() { p.disk.writeFaults-- })
 	case HandOver:
 		if w.o.Duties > 0 && p.up {
 			c := &pb.Command{What: &pb.Command_HandOver{HandOver: &pb.HandOver{Duty: dutyName(f.Peer % w.o.Duties), To: q.name}}}
@@ -425,40 +426,40 @@
 	}
 }
 
-func (w *World) cut(p, q *proc, d time.Duration) {
+func (w *World) cut(p, q *process, d time.Duration) {
 	if p == q {
 		return
 	}
-	k := [2]int{p.n, q.n}
+	k := [2]int{p.index, q.index}
 	w.cuts[k]++
 	w.after(d, func() { w.cuts[k]-- })
 }
 
-// kill ends a process. One whose disk goes with it is not killed while another voter is without its disk: losing
-// the disks of a majority is beyond what is promised.
-func (p *proc) kill(d time.Duration, withDisk bool) {
+// kill kills a process. It does not wipe the disk while another voter is down or without a vote, since the fleet does
+// not tolerate the loss of a majority's disks.
+func (p *process) kill(d time.Duration, wipe bool) {
 	if !p.up {
 		return
 	}
 	p.up = false
-	if withDisk && !p.w.diskAway(p) {
-		p.disk.lose()
+	if wipe && !p.world.otherVoterAway(p) {
+		p.disk.wipe()
 	}
-	p.disk.crash(p.w.o.LoseSyncedData, p.w.rng)
-	epoch := p.epoch
-	p.w.after(d, func() {
-		if !p.up && p.epoch == epoch {
+	p.disk.crash(p.world.o.LoseSyncedData, p.world.rng)
+	run := p.run
+	p.world.after(d, func() {
+		if !p.up && p.run == run {
 			p.start()
 		}
 	})
 }
 
-// diskAway reports whether another voter has no vote now, having lost its disk.
-func (w *World) diskAway(p *proc) bool {
-	if p.n >= w.o.Voters {
+// otherVoterAway reports whether another voter is down or has no vote, as after the loss of its disk.
+func (w *World) otherVoterAway(p *process) bool {
+	if p.index >= w.o.Voters {
 		return false
 	}
-	for _, v := range w.procs[:w.o.Voters] {
+	for _, v := range w.processes[:w.o.Voters] {
 		if v == p {
 			continue
 		}
@@ -469,26 +470,26 @@
 	return false
 }
 
-// memDisk is a disk that loses in a crash what was not synced, and can refuse writes.
+// memDisk is a disk in memory that loses unsynced data in a crash and can refuse writes.
 type memDisk struct {
-	files  map[string][]byte
-	synced map[string][]byte // as they are after a crash
-	bad    int
-	lost   int
+	files       map[string][]byte
+	synced      map[string][]byte // the files after a crash
+	writeFaults int
+	wipes       int
 }
 
 func newMemDisk() *memDisk { return &memDisk{files: map[string][]byte{}, synced: map[string][]byte{}} }
 
-func (d *memDisk) lose() {
+func (d *memDisk) wipe() {
 	d.files, d.synced = map[string][]byte{}, map[string][]byte{}
-	d.lost++
+	d.wipes++
 }
 
-func (d *memDisk) crash(forget bool, rng *rand.Rand) {
+func (d *memDisk) crash(loseSynced bool, rng *rand.Rand) {
 	d.files = map[string][]byte{}
 	for name, b := range d.synced {
-		if keep := d.files; forget && name == "fleet.log" && len(b) > 400 {
-			keep[name] = append([]byte(nil), b[:len(b)-rng.IntN(len(b)-400)]...)
+		if files := d.files; loseSynced && name == "fleet.log" && len(b) > 400 {
+			files[name] = append([]byte(nil), b[:len(b)-rng.IntN(len(b)-400)]...)
 			continue
 		}
 		d.files[name] = append([]byte(nil), b...)
@@ -503,7 +504,7 @@
 }
 
 func (d *memDisk) Write(name string, data []byte, sync bool) error {
-	if d.bad > 0 {
+	if d.writeFaults > 0 {
 		return fs.ErrPermission
 	}
 	d.files[name] = append([]byte(nil), data...)
@@ -514,7 +515,7 @@
 }
 
 func (d *memDisk) Append(name string, data []byte, sync bool) error {
-	if d.bad > 0 {
+	if d.writeFaults > 0 {
 		return fs.ErrPermission
 	}
 	d.files[name] = append(d.files[name], data...)
@@ -525,7 +526,7 @@
 }
 
 func (d *memDisk) Rename(from, to string) error {
-	if d.bad > 0 {
+	if d.writeFaults > 0 {
 		return fs.ErrPermission
 	}
 	d.files[to], d.synced[to] = d.files[from], d.synced[from]
--- a/internal/fleet/share/holder.go
+++ b/internal/fleet/share/holder.go
@@ -7,175 +7,178 @@
 )
 
 const (
-	spare   = 0.15 // a member is given that much more than it asks for, where there is room: demand moves
-	idle    = 0.05 // and at the least this part of its even part: a first message goes at once
-	absentN = 3    // times Length without a report: a member is away, and its even part is its own again
+	headroom     = 0.15 // a member gets this much more than its demand if the limit allows, since demand changes
+	idleShare    = 0.05 // and at least this fraction of its even part, so that a first message is sent at once
+	absentFactor = 3    // a member without a report for so many BindDurations counts as absent and has its even part back
 )
 
-// Holder is the side of the member that holds a partner's duty. It keeps no more than a line for each member.
+// Holder is the side of the member that holds a partner's duty. It keeps one memberState for each member.
 type Holder struct {
-	terms   Terms
-	token   uint64
-	limit   float64
-	quiet   int64 // until then it says nothing
-	stamp   int64
-	members map[string]*line
-	Break   Break
+	terms      Terms
+	token      uint64
+	limit      float64
+	quietUntil int64 // no answers are sent before this time
+	stamp      int64
+	members    map[string]*memberState
+	Skip       Skip
 }
 
-// line is what the holder knows of one member.
-type line struct {
-	heard  int64
-	demand float64
-	// The answers that it may go by: the one that it has told, and all since. Without one it may send its even part.
-	sent []sent
-	free bool  // it may go by none of them
-	gone int64 // the stamp of the last one whose time was over: it may be taken still, and be over at once
+// memberState holds what the holder knows of one member.
+type memberState struct {
+	reportedAt int64
+	demand     float64
+	// openAnswers holds the answers that the member may be following: the one that it confirmed and all later ones. If it
+	// is empty, the member may send its even part.
+	openAnswers  []sentAnswer
+	mayBeAtEven  bool  // it may be following none of them
+	expiredStamp int64 // stamp of the latest expired answer, which may still arrive and then lapses at once
 }
 
-// sent is an answer: a rate below the even part binds at least until then, one above it is over by then.
-type sent struct {
+// sentAnswer is an answer that was sent. A rate below the even part binds at least until the time until; a rate above
+// it has lapsed by then.
+type sentAnswer struct {
 	stamp int64
 	rate  float64
-	till  int64
+	until int64
 }
 
-// sentMost bounds the answers to one member that it has not spoken of. There is none while so many are open.
-const sentMost = 32
+// maxOpenAnswers bounds the unconfirmed answers to one member. While so many are open, its reports are not answered.
+const maxOpenAnswers = 32
 
-// NewHolder returns the side of a member that has begun to hold the duty, with that token, at now.
+// NewHolder returns the Holder of a member that began to hold the duty, with that token, at now.
 func NewHolder(t Terms, token uint64, now int64) *Holder {
-	h := &Holder{terms: t, token: token, members: map[string]*line{}}
-	h.quiet = now + int64(float64(t.RaiseDuration)*(1+2*t.Drift))
+	h := &Holder{terms: t, token: token, members: map[string]*memberState{}}
+	h.quietUntil = now + int64(float64(t.RaiseDuration)*(1+2*t.Drift))
 	return h
 }
 
 func (h *Holder) drift() float64 {
-	if h.Break&BreakDrift != 0 {
+	if h.Skip&SkipDrift != 0 {
 		return 0
 	}
 	return h.terms.Drift
 }
 
-// Report takes a member's report, and returns the answer; false: there is none. The duty's lease must hold when the
-// answer goes out.
+// HandleReport handles a member's report and returns the answer, false if there is none. The duty's lease must be valid
+// when the answer is sent.
 func (h *Holder) HandleReport(now int64, name string, r Report) (Answer, bool) {
-	l := h.members[name]
-	if l == nil {
+	m := h.members[name]
+	if m == nil {
 		if len(h.members) >= h.terms.Members {
-			return Answer{}, false // more than the limit is shared by: it keeps to its even part
+			return Answer{}, false // more members than share the limit: this one gets no share
 		}
-		l = &line{}
-		h.members[name] = l
+		m = &memberState{}
+		h.members[name] = m
 	}
-	l.heard, l.demand = now, max(r.Demand, 0)
+	m.reportedAt, m.demand = now, max(r.Demand, 0)
 	if r.Limit > 0 {
 		h.limit = r.Limit
 	}
-	h.confirm(l, r)
-	if h.limit <= 0 || now < h.quiet && h.Break&BreakWait == 0 {
+	h.confirm(m, r)
+	if h.limit <= 0 || now < h.quietUntil && h.Skip&SkipWait == 0 {
 		return Answer{}, false
 	}
-	if l.settle(now); len(l.sent) >= sentMost {
+	if m.expireAnswers(now); len(m.openAnswers) >= maxOpenAnswers {
 		return Answer{}, false
 	}
 	end := now + int64(float64(h.terms.RaiseDuration)*(1+h.drift()))
-	rate := max(min(h.due(now, name), h.limit-h.others(now, end, name)), 0)
+	rate := max(min(h.fairShare(now, name), h.limit-h.maxOtherRates(now, end, name)), 0)
 	h.stamp = max(h.stamp+1, now)
-	till := end
+	until := end
 	if rate < h.terms.EvenShare(h.limit) {
-		till = now + int64(float64(h.terms.BindDuration)*(1-h.drift()))
+		until = now + int64(float64(h.terms.BindDuration)*(1-h.drift()))
 	}
-	l.sent = append(l.sent, sent{h.stamp, rate, till})
-	if h.Break&BreakConfirm != 0 {
-		l.sent, l.free = l.sent[len(l.sent)-1:], false
+	m.openAnswers = append(m.openAnswers, sentAnswer{h.stamp, rate, until})
+	if h.Skip&SkipConfirm != 0 {
+		m.openAnswers, m.mayBeAtEven = m.openAnswers[len(m.openAnswers)-1:], false
 	}
 	return Answer{Token: h.token, At: r.At, Stamp: h.stamp, Rate: rate, RaiseDuration: h.terms.RaiseDuration, Limit: h.limit}, true
 }
 
-// confirm takes what a report says of the answer that its member goes by.
-func (h *Holder) confirm(l *line, r Report) {
+// confirm applies what a report says about the answer that its member follows.
+func (h *Holder) confirm(m *memberState, r Report) {
 	if r.Token != h.token {
-		l.free = true // it goes by another holder's, or by none
+		m.mayBeAtEven = true // it follows another holder's answer, or none
 		return
 	}
-	if i := slices.IndexFunc(l.sent, func(s sent) bool { return s.stamp == r.Stamp }); i >= 0 {
-		l.sent, l.free = l.sent[i:], r.Stamp < l.gone // what was sent before is late, and is not taken any more
+	if i := slices.IndexFunc(m.openAnswers, func(s sentAnswer) bool { return s.stamp == r.Stamp }); i >= 0 {
+		m.openAnswers, m.mayBeAtEven = m.openAnswers[i:], r.Stamp < m.expiredStamp // it ignores answers sent earlier
 	}
 }
 
-// settle forgets answers whose time is over: a member that goes by one is back at its even part.
-func (l *line) settle(now int64) {
-	l.sent = slices.DeleteFunc(l.sent, func(s sent) bool {
-		over := s.till <= now
+// expireAnswers removes answers that have lapsed. A member that followed one is back at its even part.
+func (m *memberState) expireAnswers(now int64) {
+	m.openAnswers = slices.DeleteFunc(m.openAnswers, func(s sentAnswer) bool {
+		over := s.until <= now
 		if over {
-			l.free, l.gone = true, max(l.gone, s.stamp)
+			m.mayBeAtEven, m.expiredStamp = true, max(m.expiredStamp, s.stamp)
 		}
 		return over
 	})
 }
 
-// most is the most that a member may send at any moment until end, whatever befalls it.
-func (h *Holder) most(l *line, now, end int64) (most float64) {
+// maxRate returns the highest rate at which a member may send at any moment until end, whatever happens to it.
+func (h *Holder) maxRate(m *memberState, now, end int64) (highest float64) {
 	even := h.terms.EvenShare(h.limit)
-	l.settle(now)
-	if l.free || len(l.sent) == 0 {
-		most = even
+	m.expireAnswers(now)
+	if m.mayBeAtEven || len(m.openAnswers) == 0 {
+		highest = even
 	}
-	for _, s := range l.sent {
+	for _, s := range m.openAnswers {
 		switch {
-		case s.rate < even && s.till >= end:
-			most = max(most, s.rate)
+		case s.rate < even && s.until >= end:
+			highest = max(highest, s.rate)
 		case s.rate < even:
-			most = max(most, even)
+			highest = max(highest, even)
 		default:
-			most = max(most, s.rate)
+			highest = max(highest, s.rate)
 		}
 	}
-	return most
+	return highest
 }
 
-// others is the most that all but one may send at any moment until end. Members that were never heard of count.
-func (h *Holder) others(now, end int64, but string) (sum float64) {
-	unheard := h.terms.Members
-	for name, l := range h.members {
-		unheard--
-		if name != but {
-			sum += h.most(l, now, end)
+// maxOtherRates returns the highest sum of the rates of all members but one at any moment until end. Members that have
+// never reported count with their even parts.
+func (h *Holder) maxOtherRates(now, end int64, except string) (sum float64) {
+	unreported := h.terms.Members
+	for name, m := range h.members {
+		unreported--
+		if name != except {
+			sum += h.maxRate(m, now, end)
 		}
 	}
-	return sum + float64(unheard)*h.terms.EvenShare(h.limit)
+	return sum + float64(unreported)*h.terms.EvenShare(h.limit)
 }
 
-// due is a member's due part of the limit: as much as it wants where there is enough for all; else what is left is
-// divided evenly over those that want more.
-func (h *Holder) due(now int64, name string) float64 {
+// fairShare returns a member's max-min fair part of the limit: as much as it needs if there is enough for all;
+// otherwise the members that need more divide the rest evenly.
+func (h *Holder) fairShare(now int64, name string) float64 {
 	even := h.terms.EvenShare(h.limit)
-	want := func(l *line) float64 { return max(l.demand*(1+spare), idle*even) }
-	left, n := h.limit, 0
-	var wants []float64
+	need := func(m *memberState) float64 { return max(m.demand*(1+headroom), idleShare*even) }
+	remaining, n := h.limit, 0
+	var needs []float64
 	for _, other := range slices.Sorted(maps.Keys(h.members)) {
-		l := h.members[other]
-		if now-l.heard > absentN*h.terms.BindDuration {
-			left -= even // it is away
+		m := h.members[other]
+		if now-m.reportedAt > absentFactor*h.terms.BindDuration {
+			remaining -= even // absent
 			continue
 		}
-		wants = append(wants, want(l))
+		needs = append(needs, need(m))
 		n++
 	}
-	left -= float64(h.terms.Members-len(h.members)) * even
-	slices.SortFunc(wants, cmp.Compare[float64])
-	level := left // the water level
-	for i, w := range wants {
-		if part := left / float64(n-i); w > part {
+	remaining -= float64(h.terms.Members-len(h.members)) * even
+	slices.SortFunc(needs, cmp.Compare[float64])
+	level := remaining // the highest part that any member gets
+	for i, w := range needs {
+		if part := remaining / float64(n-i); w > part {
 			level = part
 			break
 		}
-		left -= w
-		level = left + w // all have what they want
+		remaining -= w
+		level = remaining + w // all members so far get what they need
 	}
-	return min(want(h.members[name]), max(level, 0))
+	return min(need(h.members[name]), max(level, 0))
 }
 
-// Limit is the limit that is divided, as last told; 0: none is known.
+// Limit returns the limit that is divided, as last reported; 0: unknown.
 func (h *Holder) Limit() float64 { return h.limit }
--- a/internal/fleet/trial/trial.go
+++ b/internal/fleet/trial/trial.go
@@ -1,11 +1,11 @@
-// Package trial decides who makes the first calls to a partner that is down. One member of the fleet holds the
-// duty trial/PARTNER and tries; the others hold their own trials back while they hear from it, and go on by
-// themselves once they do not. A Board is one member's part in that, over all partners.
+// Package trial decides which member makes the trial calls to a partner that is down. One member of the fleet holds
+// the duty trial/PARTNER and makes the trials; the others suspend their own trials while they receive its updates, and
+// resume them when the updates stop. A State is one member's part in that, for all partners.
 //
-// It is pure: no clock, no I/O, no goroutine. Times are milliseconds on the caller's clock, rates calls a second.
-// It changes nothing but the paces that internal/storm asks of the decision module while a partner is down, and
-// never for longer than Bound without a word: a fleet without a holder, a quorum or this member's own session
-// leaves every sender as it is without a fleet.
+// It is pure: no clock, no I/O, no goroutine. Times are milliseconds on the caller's clock, rates calls per second.
+// It changes only the paces that internal/storm requests of the decision module while a partner is down, and never
+// for longer than SilenceTimeoutMS without an update. Without a holder, a quorum or this member's own session, every
+// sender behaves as it does without a fleet.
 package trial
 
 import (
@@ -19,206 +19,207 @@
 )
 
 const (
-	kind     = "trial"
-	hushed   = 1e-3   // a pace that holds every trial back, yet is one: 0 would be none
-	tryMost  = 10.0   // the holder's pace at most: a trial each half second, by the share that trials may take
-	sayEvery = 1000.0 // between two words that the partner is down still
+	kind           = "trial"
+	suspendedRate  = 1e-3   // a pace that suspends all trials; 0 would mean no pace
+	maxTrialRate   = 10.0   // the holder's highest pace; the share that trials may take of it is one each half second
+	downIntervalMS = 1000.0 // between two words that the partner is still down
 )
 
-// The words.
+// The words that a holder publishes.
 const (
 	Down = "down"
 	Open = "open"
 )
 
-// Duty is the name of a partner's duty.
+// Duty returns the name of a partner's duty.
 func Duty(dest int) string { return duty.PartnerDuty(kind, dest) }
 
-// Dest is the partner of a duty, false if the duty is of another kind.
+// Dest returns the partner of a duty, false if the duty is of another kind.
 func Dest(name string) (int, bool) { return duty.ParsePartnerDuty(kind, name) }
 
-// News is what is heard of a duty.
+// Update is a reported state of a duty.
 type Update struct {
-	Holder      string // empty: nobody
-	HeldLocally bool   // this member holds it
-	Word        string // the holder's last, with a number that grows
+	Holder      string // empty: none
+	HeldLocally bool   // this member is the holder
+	Word        string // the holder's latest word, with a number that grows
 }
 
-// Settings are what a Board starts with.
+// Settings configure a State.
 type Settings struct {
 	Senders          int
 	SilenceTimeoutMS float64
 }
 
-// Act is what a member is to do about a partner's duty.
+// Action is what the member is to do about a partner's duty: one of the last three fields is set.
 type Action struct {
 	Dest    int
-	Request bool   // be in line for it,
-	Release bool   // or give it up
-	Publish string // or tell this word
+	Request bool   // request the duty
+	Release bool   // release the duty
+	Publish string // publish this word
 }
 
-// Board is one member's part in the trials of all partners. A nil Board holds nothing back.
+// State is one member's part in the trials of all partners. A nil State suspends no trials.
 type State struct {
-	set   Settings
-	dests map[int]*dest
-	acts  []Action
-	live  bool // the session holds
+	settings    Settings
+	partners    map[int]*partner
+	actions     []Action
+	sessionHeld bool // this member's session is valid
 }
 
-type dest struct {
-	phase  storm.Phase
-	since  float64 // of the outage
-	news   Update
-	heard  float64 // when a word last came that the partner is down, or the outage began
-	said   float64
-	number int
-	hush   bool // as last told
-	holds  bool
-	order  storm.Throttle
+type partner struct {
+	phase       storm.Phase
+	outageSince float64 // when the outage began
+	update      Update
+	updatedAt   float64 // when the holder or its word last changed, or the outage began
+	publishedAt float64
+	wordNumber  int
+	suspended   bool // trials are suspended, by the last throttle returned
+	raised      bool // the pace is raised, by the last throttle returned
+	throttle    storm.Throttle
 }
 
-// New returns a Board that has heard of nothing.
+// New returns a State without partners.
 func New(set Settings) *State {
 	set.Senders = max(set.Senders, 1)
-	return &State{set: set, dests: map[int]*dest{}}
+	return &State{settings: set, partners: map[int]*partner{}}
 }
 
-// Ordered takes what storms ask at a partner, and returns what is asked in its place.
-func (b *State) AdjustThrottle(now float64, o storm.Throttle) storm.Throttle {
-	if b == nil {
-		return o
+// AdjustThrottle takes the throttle that storm control requests at a partner, and returns the one to apply instead.
+func (s *State) AdjustThrottle(now float64, t storm.Throttle) storm.Throttle {
+	if s == nil {
+		return t
 	}
-	d := b.dests[o.Dest]
-	if d == nil {
-		if o.Phase != storm.Outage {
-			return o
+	p := s.partners[t.Dest]
+	if p == nil {
+		if t.Phase != storm.Outage {
+			return t
 		}
-		d = &dest{said: math.Inf(-1)}
-		b.dests[o.Dest] = d
+		p = &partner{publishedAt: math.Inf(-1)}
+		s.partners[t.Dest] = p
 	}
-	was := d.phase
-	d.phase, d.order = o.Phase, o
+	previous := p.phase
+	p.phase, p.throttle = t.Phase, t
 	switch {
-	case o.Phase == storm.Outage && was != storm.Outage:
-		d.since, d.heard = now, now
-		b.acts = append(b.acts, Action{Dest: o.Dest, Request: true})
-	case o.Phase != storm.Outage && was == storm.Outage && d.news.HeldLocally:
-		b.say(o.Dest, d, now, Open)
+	case t.Phase == storm.Outage && previous != storm.Outage:
+		p.outageSince, p.updatedAt = now, now
+		s.actions = append(s.actions, Action{Dest: t.Dest, Request: true})
+	case t.Phase != storm.Outage && previous == storm.Outage && p.update.HeldLocally:
+		s.publish(t.Dest, p, now, Open)
 	}
-	if o.Phase == storm.Calm {
-		b.acts = append(b.acts, Action{Dest: o.Dest, Release: true})
-		delete(b.dests, o.Dest)
+	if t.Phase == storm.Calm {
+		s.actions = append(s.actions, Action{Dest: t.Dest, Release: true})
+		delete(s.partners, t.Dest)
 	}
-	return b.adjusted(now, d)
+	return s.adjust(now, p)
 }
 
-// Tried takes a failed call to a partner: the holder tells that it is down still.
-func (b *State) CallFailed(now float64, id int) {
-	if b == nil {
+// CallFailed takes a failed call to a partner. The holder publishes that the partner is still down.
+func (s *State) CallFailed(now float64, dest int) {
+	if s == nil {
 		return
 	}
-	if d := b.dests[id]; d != nil && d.news.HeldLocally && d.phase == storm.Outage && now-d.said >= sayEvery {
-		b.say(id, d, now, Down)
+	if p := s.partners[dest]; p != nil && p.update.HeldLocally && p.phase == storm.Outage && now-p.publishedAt >= downIntervalMS {
+		s.publish(dest, p, now, Down)
 	}
 }
 
-func (b *State) say(id int, d *dest, now float64, word string) {
-	d.number++
-	d.said = now
-	b.acts = append(b.acts, Action{Dest: id, Publish: word + " " + strconv.Itoa(d.number)})
+func (s *State) publish(dest int, p *partner, now float64, word string) {
+	p.wordNumber++
+	p.publishedAt = now
+	s.actions = append(s.actions, Action{Dest: dest, Publish: word + " " + strconv.Itoa(p.wordNumber)})
 }
 
-// Heard takes news of a partner's duty.
-func (b *State) HandleUpdate(now float64, id int, n Update) {
-	if b == nil {
+// HandleUpdate takes an update of a partner's duty.
+func (s *State) HandleUpdate(now float64, dest int, update Update) {
+	if s == nil {
 		return
 	}
-	d := b.dests[id]
-	if d == nil {
-		return // a partner that is well here
+	p := s.partners[dest]
+	if p == nil {
+		return // no outage of this partner here
 	}
-	if n.Holder != d.news.Holder || n.Word != d.news.Word {
-		d.heard = now // a new holder is given time for its first word
+	if update.Holder != p.update.Holder || update.Word != p.update.Word {
+		p.updatedAt = now // also gives a new holder time for its first word
 	}
-	if n.HeldLocally && !d.news.HeldLocally && d.phase != storm.Outage {
-		b.say(id, d, now, Open) // the last holder went while the partner came back
+	if update.HeldLocally && !p.update.HeldLocally && p.phase != storm.Outage {
+		s.publish(dest, p, now, Open) // the previous holder went away while the partner came back
 	}
-	d.news = n
+	p.update = update
 }
 
-// Live takes whether this member's session holds: without it nothing that was heard can be relied on.
-func (b *State) SetLive(live bool) {
-	if b != nil {
-		b.live = live
+// SetLive sets whether this member's session is valid. Without it no update can be relied on.
+func (s *State) SetLive(live bool) {
+	if s != nil {
+		s.sessionHeld = live
 	}
 }
 
-// Changed returns the orders that time or news have changed since they were given.
-func (b *State) ChangedThrottles(now float64) (list []storm.Throttle) {
-	if b == nil {
+// ChangedThrottles returns the throttles that time or updates have changed since they were last returned.
+func (s *State) ChangedThrottles(now float64) (list []storm.Throttle) {
+	if s == nil {
 		return nil
 	}
-	for _, d := range b.dests {
-		if hush, holds := b.state(now, d); hush != d.hush || holds != d.holds {
-			list = append(list, b.adjusted(now, d))
+	for _, p := range s.partners {
+		if suspended, raised := s.trialState(now, p); suspended != p.suspended || raised != p.raised {
+			list = append(list, s.adjust(now, p))
 		}
 	}
 	slices.SortFunc(list, func(x, y storm.Throttle) int { return x.Dest - y.Dest })
 	return list
 }
 
-// Acts returns what is to be done about duties, and forgets it.
-func (b *State) TakeActions() []Action {
-	if b == nil {
+// TakeActions returns and clears the pending actions.
+func (s *State) TakeActions() []Action {
+	if s == nil {
 		return nil
 	}
-	acts := b.acts
-	b.acts = nil
-	return acts
+	actions := s.actions
+	s.actions = nil
+	return actions
 }
 
-// Next is when Changed may have something by time alone, +Inf if never.
-func (b *State) NextChange() float64 {
+// NextChange returns when time alone may next change a throttle, +Inf if never.
+func (s *State) NextChange() float64 {
 	next := math.Inf(1)
-	if b == nil {
+	if s == nil {
 		return next
 	}
-	for _, d := range b.dests {
-		if d.hush {
-			next = min(next, d.heard+b.set.SilenceTimeoutMS)
+	for _, p := range s.partners {
+		if p.suspended {
+			next = min(next, p.updatedAt+s.settings.SilenceTimeoutMS)
 		}
 	}
 	return next
 }
 
-// state tells whether trials are held back here, and whether this member makes those of the fleet.
-func (b *State) state(now float64, d *dest) (hush, holds bool) {
-	if d.phase != storm.Outage || !b.live {
+// trialState reports whether trials are suspended here, and whether the pace is raised because this member makes the
+// trials of the fleet.
+func (s *State) trialState(now float64, p *partner) (suspended, raised bool) {
+	if p.phase != storm.Outage || !s.sessionHeld {
 		return false, false
 	}
-	if d.news.HeldLocally {
+	if p.update.HeldLocally {
 		return false, true
 	}
-	open := strings.HasPrefix(d.news.Word, Open)
-	return d.news.Holder != "" && !open && now < d.heard+b.set.SilenceTimeoutMS, false
+	open := strings.HasPrefix(p.update.Word, Open)
+	return p.update.Holder != "" && !open && now < p.updatedAt+s.settings.SilenceTimeoutMS, false
 }
 
-// adjusted is the order as it stands with what is known of the duty.
-func (b *State) adjusted(now float64, d *dest) storm.Throttle {
-	d.hush, d.holds = b.state(now, d)
-	o := d.order
-	if !d.hush && !d.holds {
-		return o
+// adjust returns the throttle of a partner, adjusted to the known state of its duty.
+func (s *State) adjust(now float64, p *partner) storm.Throttle {
+	p.suspended, p.raised = s.trialState(now, p)
+	t := p.throttle
+	if !p.suspended && !p.raised {
+		return t
 	}
-	o.Paces = slices.Clone(o.Paces)
-	for i := range o.Paces {
-		p := &o.Paces[i]
-		if d.hush {
-			p.Rate = min(p.Rate, hushed)
-		} else if part := p.Rate * float64(b.set.Senders); p.Rate > 0 { // the others' parts, which they leave unused
-			p.Rate = max(p.Rate, min(part, tryMost))
+	t.Paces = slices.Clone(t.Paces)
+	for i := range t.Paces {
+		pace := &t.Paces[i]
+		if p.suspended {
+			pace.Rate = min(pace.Rate, suspendedRate)
+		} else if fleetRate := pace.Rate * float64(s.settings.Senders); pace.Rate > 0 { // with the parts unused by the others
+			pace.Rate = max(pace.Rate, min(fleetRate, maxTrialRate))
 		}
 	}
-	return o
+	return t
 }
