--- a/cmd/sliptide/measure_test.go
+++ b/cmd/sliptide/measure_test.go
@@ -310,7 +310,7 @@
 			case "absent":
 				c.Close()
 			case "black hole":
-				c.Set(collector.Mood{Hole: true})
+				c.SetBehaviour(collector.Behaviour{NeverAnswer: true})
 			}
 			var res cost
 			t.Run(fmt.Sprint(mode, round), func(t *testing.T) { runCost(t, op, 320, 50*time.Millisecond, 6*time.Second, uint64(round), &res) })
@@ -344,7 +344,7 @@
 			t.Run(mode, func(t *testing.T) {
 				t.Parallel()
 				c, op := startCollector(t, mode == "gRPC")
-				c.Set(collector.Mood{Hole: true})
+				c.SetBehaviour(collector.Behaviour{NeverAnswer: true})
 				if mode == "off" {
 					op = ""
 				}
--- a/cmd/sliptide/telemetry_test.go
+++ b/cmd/sliptide/telemetry_test.go
@@ -36,7 +36,7 @@
 func awaitTraces(t *testing.T, c *collector.Collector, n int) map[string][]*trace.Span {
 	t.Helper()
 	for end := time.Now().Add(testTimeout); ; {
-		traces, err := collector.Whole(c.Spans())
+		traces, err := collector.GroupTraces(c.Spans())
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -152,7 +152,7 @@
 // A sender whose collector is a black hole delivers, and stops in its time.
 func TestBlackHoleDelaysNothing(t *testing.T) {
 	c, file := startCollector(t, true)
-	c.Set(collector.Mood{Hole: true})
+	c.SetBehaviour(collector.Behaviour{NeverAnswer: true})
 	r := newRigWith(t, file, nil, "one")
 	for i := range 50 {
 		id := fmt.Sprint("m", i)
--- a/example/fleet/main.go
+++ b/example/fleet/main.go
@@ -32,7 +32,7 @@
 const dest = 7
 
 func main() {
-	lose := flag.Bool("lose", false, "kill a sender and remove its folder, and count what became of its messages")
+	losesSender := flag.Bool("lose", false, "kill a sender and remove its folder, and count what became of its messages")
 	flag.Parse()
 	dir, err := os.MkdirTemp("", "sliptide-fleet")
 	if err != nil {
@@ -43,20 +43,20 @@
 	go func() { log.Fatal(http.ListenAndServe("127.0.0.1:9100", partner(&down))) }()
 	go func() { log.Fatal(http.ListenAndServe("127.0.0.1:8500", discovery())) }()
 	operator := filepath.Join("example", "fleet", "sliptide.xml")
-	if *lose {
+	if *losesSender {
 		operator = filepath.Join("example", "fleet", "copies.xml")
 	}
 	var senders []*exec.Cmd
 	for i := range 3 {
-		senders = append(senders, start(dir, operator, i))
+		senders = append(senders, startSender(dir, operator, i))
 	}
 	stop := make(chan os.Signal, 1)
 	signal.Notify(stop, os.Interrupt)
-	go load()
-	if *lose {
-		go loss(senders[2], filepath.Join(dir, "n2"), &down, stop)
+	go sendMessages()
+	if *losesSender {
+		go loseSender(senders[2], filepath.Join(dir, "n2"), &down, stop)
 	} else {
-		go outages(&down)
+		go repeatOutages(&down)
 	}
 	fmt.Printf("ask it:  bin/sliptide fleet status --operator %s\n         bin/sliptide fleet duties --operator %s\n", operator, operator)
 	fmt.Println("kill one: the pids are", senders[0].Process.Pid, senders[1].Process.Pid, senders[2].Process.Pid)
@@ -70,7 +70,7 @@
 }
 
 // start starts sender i with a configuration made from the example's.
-func start(dir, operator string, i int) *exec.Cmd {
+func startSender(dir, operator string, i int) *exec.Cmd {
 	text, err := os.ReadFile("example/config.json")
 	if err != nil {
 		log.Fatal("start it from the root of the repository: ", err)
@@ -93,7 +93,7 @@
 	}
 	c := exec.Command("bin/sliptide", "run", "--operator", operator)
 	c.Env = append(os.Environ(), "RELAY_CONFIG="+path, "RELAY_STATE="+state)
-	c.Stderr = &duties{name: name}
+	c.Stderr = &fleetLog{name: name}
 	if err := c.Start(); err != nil {
 		log.Fatal("make build first: ", err)
 	}
@@ -101,20 +101,20 @@
 }
 
 // duties prints the lines of a sender's log that tell of the fleet.
-type duties struct {
-	name string
-	rest []byte
+type fleetLog struct {
+	name     string
+	buffered []byte
 }
 
 // Write implements io.Writer.
-func (d *duties) Write(b []byte) (int, error) {
-	d.rest = append(d.rest, b...)
+func (d *fleetLog) Write(b []byte) (int, error) {
+	d.buffered = append(d.buffered, b...)
 	for {
-		line, rest, whole := bytes.Cut(d.rest, []byte{'\n'})
-		if !whole {
+		line, rest, found := bytes.Cut(d.buffered, []byte{'\n'})
+		if !found {
 			return len(b), nil
 		}
-		d.rest = rest
+		d.buffered = rest
 		var l struct{ Message, Duty string }
 		if json.Unmarshal(line, &l) == nil && (strings.HasPrefix(l.Message, "fleet: ") || strings.HasPrefix(l.Message, "copies: ")) && !strings.Contains(l.Message, "link") {
 			log.Printf("%s %s %s", d.name, l.Message, l.Duty)
@@ -129,67 +129,67 @@
 			w.WriteHeader(http.StatusServiceUnavailable)
 			return
 		}
-		book.note(book.ended, r.Header.Get("X-Trace-Id"))
+		messages.add(messages.ended, r.Header.Get("X-Trace-Id"))
 	})
 }
 
 // ledger is what became of each message.
-type ledger struct {
+type outcomes struct {
 	sync.Mutex
-	taken, ended map[string]bool
+	accepted, ended map[string]bool
 }
 
-var book = ledger{taken: map[string]bool{}, ended: map[string]bool{}}
+var messages = outcomes{accepted: map[string]bool{}, ended: map[string]bool{}}
 
-func (l *ledger) note(list map[string]bool, id string) {
+func (l *outcomes) add(ids map[string]bool, id string) {
 	l.Lock()
 	defer l.Unlock()
-	list[id] = true
+	ids[id] = true
 }
 
 // count is how many were taken on, and how many of these have no final answer.
-func (l *ledger) count() (taken, open int) {
+func (l *outcomes) count() (accepted, unanswered int) {
 	l.Lock()
 	defer l.Unlock()
-	for id := range l.taken {
+	for id := range l.accepted {
 		if !l.ended[id] {
-			open++
+			unanswered++
 		}
 	}
-	return len(l.taken), open
+	return len(l.accepted), unanswered
 }
 
 // loss loses a machine while it holds messages, and tells what became of them.
-func loss(s *exec.Cmd, folder string, down *atomic.Bool, stop chan<- os.Signal) {
+func loseSender(sender *exec.Cmd, stateDir string, down *atomic.Bool, stop chan<- os.Signal) {
 	time.Sleep(8 * time.Second)
 	down.Store(true)
 	time.Sleep(3 * time.Second)
-	s.Process.Kill()
-	s.Wait()
-	if err := os.RemoveAll(folder); err != nil {
+	sender.Process.Kill()
+	sender.Wait()
+	if err := os.RemoveAll(stateDir); err != nil {
 		log.Print(err)
 	}
-	taken, open := book.count()
-	log.Printf("n2 is killed and its folder removed; %d messages were taken on so far, %d of them have no final answer yet", taken, open)
+	accepted, unanswered := messages.count()
+	log.Printf("n2 is killed and its folder removed; %d messages were taken on so far, %d of them have no final answer yet", accepted, unanswered)
 	time.Sleep(time.Second)
 	down.Store(false)
 	log.Print("the partner is back")
 	time.Sleep(6 * time.Second)
-	quiet.Store(true)
+	loadStopped.Store(true)
 	for range 200 {
-		if taken, open = book.count(); open == 0 {
+		if accepted, unanswered = messages.count(); unanswered == 0 {
 			break
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
-	log.Printf("%d messages were taken on, %d have no final answer", taken, open)
+	log.Printf("%d messages were taken on, %d have no final answer", accepted, unanswered)
 	stop <- os.Interrupt
 }
 
 // quiet ends the load.
-var quiet atomic.Bool
+var loadStopped atomic.Bool
 
-func outages(down *atomic.Bool) {
+func repeatOutages(down *atomic.Bool) {
 	for {
 		time.Sleep(20 * time.Second)
 		log.Print("the partner is down")
@@ -207,7 +207,7 @@
 			for lines := bufio.NewScanner(r.Body); lines.Scan(); {
 				var n struct{ Message string }
 				if json.Unmarshal(lines.Bytes(), &n) == nil {
-					book.note(book.ended, n.Message)
+					messages.add(messages.ended, n.Message)
 				}
 			}
 			w.WriteHeader(http.StatusNoContent)
@@ -225,8 +225,8 @@
 }
 
 // load hands in ten messages a second, to the senders in turn.
-func load() {
-	for n := 0; !quiet.Load(); n++ {
+func sendMessages() {
+	for n := 0; !loadStopped.Load(); n++ {
 		time.Sleep(100 * time.Millisecond)
 		q, err := http.NewRequest("POST", fmt.Sprintf("http://127.0.0.1:%d/api", 9000+n%3), strings.NewReader("two guests, one night"))
 		if err != nil {
@@ -240,7 +240,7 @@
 			io.Copy(io.Discard, resp.Body)
 			resp.Body.Close()
 			if resp.StatusCode == http.StatusAccepted {
-				book.note(book.taken, fmt.Sprintf("%016x", n))
+				messages.add(messages.accepted, fmt.Sprintf("%016x", n))
 			}
 		}
 	}
--- a/internal/lab/capacity/measure.go
+++ b/internal/lab/capacity/measure.go
@@ -29,7 +29,7 @@
 
 // Run makes all measurements, or those whose names are given. done is told after each size.
 func Run(e *Env, only []string, done func(name string)) (*Record, error) {
-	r := &Record{Cores: runtime.NumCPU(), GoVersion: runtime.Version(), LoadBefore: proc.Load()}
+	r := &Record{Cores: runtime.NumCPU(), GoVersion: runtime.Version(), LoadBefore: proc.LoadAverage()}
 	began := time.Now()
 	for _, m := range Measurements() {
 		if !selected(m.Name, only) {
@@ -41,7 +41,7 @@
 		}
 		r.Series = append(r.Series, *s)
 	}
-	r.Seconds, r.LoadAfter = time.Since(began).Seconds(), proc.Load()
+	r.Seconds, r.LoadAfter = time.Since(began).Seconds(), proc.LoadAverage()
 	return r, nil
 }
 
--- a/internal/lab/capacity/measure_process.go
+++ b/internal/lab/capacity/measure_process.go
@@ -148,7 +148,7 @@
 func (p *process) resident() (float64, error) {
 	most, calm := int64(0), 0
 	for end := time.Now().Add(settleWithin); calm < settleFor && time.Now().Before(end); calm++ {
-		now := proc.Resident(p.cmd.Process.Pid)
+		now := proc.ResidentBytes(p.cmd.Process.Pid)
 		if now == 0 {
 			return 0, errors.New("the sender is gone")
 		}
@@ -162,7 +162,7 @@
 
 // processorTime is what the process has taken so far, in milliseconds.
 func (p *process) processorTime() (float64, error) {
-	taken, err := proc.ProcessorTime(p.cmd.Process.Pid)
+	taken, err := proc.CPUSeconds(p.cmd.Process.Pid)
 	return taken * 1e3, err
 }
 
--- a/internal/lab/cli/capacity.go
+++ b/internal/lab/cli/capacity.go
@@ -26,7 +26,7 @@
 		return err
 	}
 	if c.Again {
-		return c.write(target)
+		return c.writePage(target)
 	}
 	binary, err := filepath.Abs(c.Binary)
 	if err != nil {
@@ -38,7 +38,7 @@
 	}
 	defer os.RemoveAll(dir)
 	done := func(string) {}
-	if env.Bar {
+	if env.ShowProgress {
 		bar := progressbar.NewOptions(capacity.Sizes(c.Only), progressbar.OptionSetWriter(env.Err), progressbar.OptionShowCount(), progressbar.OptionClearOnFinish())
 		done = func(name string) { bar.Describe(name); bar.Add(1) }
 	}
@@ -60,10 +60,10 @@
 	if err := record.Save(c.Record); err != nil {
 		return err
 	}
-	return c.write(target)
+	return c.writePage(target)
 }
 
-func (c *capacityCmd) write(target *capacity.Target) error {
+func (c *capacityCmd) writePage(target *capacity.Target) error {
 	record, err := capacity.LoadRecord(c.Record)
 	if err != nil {
 		return err
--- a/internal/lab/cli/cli.go
+++ b/internal/lab/cli/cli.go
@@ -25,9 +25,9 @@
 
 // Env is what the commands work with.
 type Env struct {
-	Ctx      context.Context
-	Out, Err io.Writer
-	Bar      bool // Err is a terminal
+	Ctx          context.Context
+	Out, Err     io.Writer
+	ShowProgress bool // Err is a terminal
 }
 
 type grammar struct {
@@ -64,7 +64,7 @@
 	}
 	total := len(f.Points()) * f.SeedCount
 	done := func() {}
-	if env.Bar {
+	if env.ShowProgress {
 		bar := progressbar.NewOptions(total, progressbar.OptionSetWriter(env.Err), progressbar.OptionShowCount(),
 			progressbar.OptionSetDescription(f.Name), progressbar.OptionClearOnFinish())
 		done = func() { bar.Add(1) }
@@ -85,7 +85,7 @@
 			return err
 		}
 	}
-	table(env.Out, e)
+	writeTable(env.Out, e)
 	fmt.Fprintf(env.Out, "%d runs, %d events, %.0f a second on one core; %s.json, .csv, .html\n", total, e.Events, e.PerSecond, base)
 	return nil
 }
@@ -107,14 +107,14 @@
 }
 
 // shown are the measures that a terminal has room for.
-var shown = []string{"first-second", "most-in-a-second", "seconds-over", "back-95", "goodput", "retries", "p99", "others-p99"}
+var shownMeasures = []string{"first-second", "most-in-a-second", "seconds-over", "back-95", "goodput", "retries", "p99", "others-p99"}
 
-func table(out io.Writer, e *results.Experiment) {
+func writeTable(out io.Writer, e *results.Experiment) {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(w, strings.Join(e.Vary, "\t")+"\tlimit\t"+strings.Join(shown, "\t"))
+	fmt.Fprintln(w, strings.Join(e.Vary, "\t")+"\tlimit\t"+strings.Join(shownMeasures, "\t"))
 	for _, p := range e.Points {
 		fmt.Fprintf(w, "%s\t%.0f", strings.Join(p.Labels, "\t"), p.Limit)
-		for _, m := range shown {
+		for _, m := range shownMeasures {
 			s := p.Summary[m]
 			fmt.Fprintf(w, "\t%.4g±%.2g", s.Mean, s.Half)
 		}
@@ -142,12 +142,12 @@
 			fmt.Fprintln(w, filepath.Base(name)+"\t-\t-\t-\t"+err.Error())
 			continue
 		}
-		have := "none"
+		resultsTime := "none"
 		if info, err := os.Stat(filepath.Join(c.Results, f.Name+".json")); err == nil {
-			have = info.ModTime().Format("2006-01-02 15:04")
+			resultsTime = info.ModTime().Format("2006-01-02 15:04")
 		}
 		n := len(f.Points())
-		fmt.Fprintf(w, "%s\t%d\t%d\t%s\t%s\n", f.Name, n, n*f.SeedCount, have, f.About)
+		fmt.Fprintf(w, "%s\t%d\t%d\t%s\t%s\n", f.Name, n, n*f.SeedCount, resultsTime, f.About)
 	}
 	return w.Flush()
 }
@@ -159,7 +159,7 @@
 
 // Run runs the command.
 func (c *reportCmd) Run(env *Env) error {
-	e, err := load(c.File)
+	e, err := loadResults(c.File)
 	if err != nil {
 		return err
 	}
@@ -173,7 +173,7 @@
 	return nil
 }
 
-func load(name string) (*results.Experiment, error) {
+func loadResults(name string) (*results.Experiment, error) {
 	in, err := os.Open(name)
 	if err != nil {
 		return nil, err
@@ -194,11 +194,11 @@
 
 // Run runs the command.
 func (c *compareCmd) Run(env *Env) error {
-	a, err := load(c.A)
+	a, err := loadResults(c.A)
 	if err != nil {
 		return err
 	}
-	b, err := load(c.B)
+	b, err := loadResults(c.B)
 	if err != nil {
 		return err
 	}
@@ -226,13 +226,13 @@
 
 // Main runs the command that args name and returns the exit status.
 func Main(args []string, env Env) int {
-	p := command.Program{Name: "sliptide lab", Out: env.Out, Err: env.Err, Env: &env, Status: statusOf,
+	p := command.Program{Name: "sliptide lab", Out: env.Out, Err: env.Err, Env: &env, Status: exitStatus,
 		Description: "An emulator of senders, clients and partners, and experiments with it."}
 	return p.Main(&grammar{}, args)
 }
 
 // statusOf is the exit status of an error.
-func statusOf(err error) (status int, quiet bool) {
+func exitStatus(err error) (status int, quiet bool) {
 	var bad *strictxml.Error
 	if errors.As(err, &bad) {
 		return command.ExitUsage, false
--- a/internal/lab/cli/collector.go
+++ b/internal/lab/cli/collector.go
@@ -21,12 +21,12 @@
 // Run runs the command until it is interrupted.
 func (c *collectorCmd) Run(env *Env) error {
 	var mu sync.Mutex
-	col := &collector.Collector{Got: func(list []*trace.ResourceSpans) {
+	col := &collector.Collector{OnTraces: func(list []*trace.ResourceSpans) {
 		mu.Lock()
 		defer mu.Unlock()
-		show(env, list)
+		printTraces(env, list)
 	}}
-	col.Set(moodOf(c.Mood))
+	col.SetBehaviour(behaviourOf(c.Mood))
 	defer col.Close()
 	for _, l := range []struct {
 		addr, what string
@@ -46,30 +46,30 @@
 	return nil
 }
 
-func moodOf(name string) collector.Mood {
-	return map[string]collector.Mood{"hole": {Hole: true}, "sip": {Sip: true}, "slow": {Slow: 1e9}, "full": {Status: 503, Retry: 5e9}, "lying": {Garbage: true}}[name]
+func behaviourOf(name string) collector.Behaviour {
+	return map[string]collector.Behaviour{"hole": {NeverAnswer: true}, "sip": {SlowRead: true}, "slow": {AnswerDelay: 1e9}, "full": {Status: 503, RetryAfter: 5e9}, "lying": {InvalidBody: true}}[name]
 }
 
 // show writes the traces of one request, in the order in which they began.
-func show(env *Env, list []*trace.ResourceSpans) {
+func printTraces(env *Env, list []*trace.ResourceSpans) {
 	for _, rs := range list {
-		var who []string
+		var attributes []string
 		for _, a := range rs.Resource.GetAttributes() {
-			who = append(who, a.Key+"="+a.Value.GetStringValue())
+			attributes = append(attributes, a.Key+"="+a.Value.GetStringValue())
 		}
-		fmt.Fprintln(env.Out, "from", strings.Join(who, " "))
+		fmt.Fprintln(env.Out, "from", strings.Join(attributes, " "))
 		var spans []*trace.Span
 		for _, ss := range rs.ScopeSpans {
 			spans = append(spans, ss.Spans...)
 		}
 		for len(spans) > 0 {
 			id := string(spans[0].TraceId)
-			other := slices.IndexFunc(spans, func(s *trace.Span) bool { return string(s.TraceId) != id })
-			if other < 0 {
-				other = len(spans)
+			end := slices.IndexFunc(spans, func(s *trace.Span) bool { return string(s.TraceId) != id })
+			if end < 0 {
+				end = len(spans)
 			}
-			collector.WriteTree(env.Out, spans[:other])
-			spans = spans[other:]
+			collector.WriteTree(env.Out, spans[:end])
+			spans = spans[end:]
 		}
 	}
 }
--- a/internal/lab/cli/count.go
+++ b/internal/lab/cli/count.go
@@ -18,10 +18,10 @@
 	if c.Every <= 0 {
 		return errors.New("--every: a row needs a length over 0")
 	}
-	n := fleet.NewCount(c.Every, c.Dest)
-	if err := n.Folder(c.Folder); err != nil {
+	counter := fleet.NewCounter(c.Every, c.Dest)
+	if err := counter.AddFolder(c.Folder); err != nil {
 		return err
 	}
-	n.Write(env.Out)
+	counter.WriteTable(env.Out)
 	return nil
 }
--- a/internal/lab/cli/scale.go
+++ b/internal/lab/cli/scale.go
@@ -43,7 +43,7 @@
 		return err
 	}
 	base := filepath.Join(c.Out, f.Name)
-	result, err := c.result(env, f, base)
+	result, err := c.runOrLoad(env, f, base)
 	if err != nil {
 		return err
 	}
@@ -56,11 +56,11 @@
 			return err
 		}
 	}
-	return c.tell(env, result)
+	return c.printResult(env, result)
 }
 
 // result runs the file, or reads what an earlier run came to.
-func (c *scaleCmd) result(env *Env, f *scale.File, base string) (*scale.Result, error) {
+func (c *scaleCmd) runOrLoad(env *Env, f *scale.File, base string) (*scale.Result, error) {
 	if c.Again {
 		return scale.LoadResult(base + ".json")
 	}
@@ -71,7 +71,7 @@
 	if err != nil {
 		return nil, err
 	}
-	lab, err := os.Executable()
+	labBinary, err := os.Executable()
 	if err != nil {
 		return nil, err
 	}
@@ -82,11 +82,11 @@
 		}
 		defer os.RemoveAll(dir)
 	}
-	o := scale.Options{File: f, Programs: scale.Programs{Sender: binary, Lab: lab}, Dir: dir,
+	o := scale.Options{File: f, Programs: scale.Programs{Sender: binary, Lab: labBinary}, Dir: dir,
 		Progress: func(size int, phase string) { fmt.Fprintf(env.Err, "%d members: %s\n", size, phase) },
 		Tick:     func(time.Duration, time.Duration) {},
 		Sized:    func(r *scale.Result) error { return writeFile(base+".json", r.WriteJSON) }}
-	if env.Bar {
+	if env.ShowProgress {
 		bar := progressbar.NewOptions(int(f.Length/time.Second), progressbar.OptionSetWriter(env.Err), progressbar.OptionClearOnFinish())
 		o.Tick = func(done, _ time.Duration) { bar.Set(int(done / time.Second)) }
 	}
@@ -98,7 +98,7 @@
 }
 
 // tell prints what a run came to.
-func (c *scaleCmd) tell(env *Env, r *scale.Result) error {
+func (c *scaleCmd) printResult(env *Env, r *scale.Result) error {
 	clean := true
 	for i := range r.Sizes {
 		s := &r.Sizes[i]
@@ -107,16 +107,16 @@
 			clean = false
 			continue
 		}
-		v, x := s.Verdict, scale.Worst(s.Senders)
+		verdict, worst := s.Verdict, scale.Worst(s.Senders)
 		fmt.Fprintf(env.Out, "%d members: findings %v; a change in force p50 %.2f, p99 %.2f, worst %.2f s; longest unserved %.1f s; worst real sender %.3f %% of a core, %.1f MB, %.2f KB/s\n",
-			s.Members, v.Findings, v.Median, v.P99, v.Worst, v.Unserved, x.CorePercent, x.MemoryMB, x.LinkKBps)
-		for _, e := range v.Examples[:min(len(v.Examples), 5)] {
+			s.Members, verdict.Findings, verdict.Median, verdict.P99, verdict.Worst, verdict.Unserved, worst.CorePercent, worst.MemoryMB, worst.LinkKBps)
+		for _, e := range verdict.Examples[:min(len(verdict.Examples), 5)] {
 			fmt.Fprintf(env.Out, "  %s: %s\n", e.Rule, e.Detail)
 		}
-		clean = clean && v.Clean()
+		clean = clean && verdict.Clean()
 	}
-	for _, x := range r.Compare {
-		fmt.Fprintf(env.Out, "%d destinations: of shards %.1f MB, ready in %.2f s; of all %.1f MB, ready in %.2f s %s\n", x.Destinations, x.Shards.MemoryMB, x.Shards.ReadyS, x.Whole.MemoryMB, x.Whole.ReadyS, x.WholeEnded)
+	for _, comparison := range r.Compare {
+		fmt.Fprintf(env.Out, "%d destinations: of shards %.1f MB, ready in %.2f s; of all %.1f MB, ready in %.2f s %s\n", comparison.Destinations, comparison.Shards.MemoryMB, comparison.Shards.ReadyS, comparison.Whole.MemoryMB, comparison.Whole.ReadyS, comparison.WholeEnded)
 	}
 	if !clean {
 		return errNotClean
--- a/internal/lab/collector/collector.go
+++ b/internal/lab/collector/collector.go
@@ -27,77 +27,77 @@
 	"google.golang.org/protobuf/types/known/durationpb"
 )
 
-const bodyMost = 16 << 20
+const maxBodyBytes = 16 << 20
 
 // Mood is how a collector behaves.
-type Mood struct {
-	Hole    bool          // accepts, reads and never answers
-	Sip     bool          // reads a byte a second
-	Slow    time.Duration // before each answer
-	Status  int           // answers this HTTP status, or what stands for it over gRPC
-	Retry   time.Duration // and tells this wait
-	Reject  int64         // takes all but so many spans, and says so
-	Garbage bool          // answers 200 with what is no protobuf
-	Endless bool          // and with a body that does not end
+type Behaviour struct {
+	NeverAnswer   bool          // accepts, reads and never answers
+	SlowRead      bool          // reads a byte a second
+	AnswerDelay   time.Duration // before each answer
+	Status        int           // answers this HTTP status, or what stands for it over gRPC
+	RetryAfter    time.Duration // and tells this wait
+	RejectedSpans int64         // takes all but so many spans, and says so
+	InvalidBody   bool          // answers 200 with what is no protobuf
+	EndlessBody   bool          // and with a body that does not end
 }
 
 // Collector is one stand-in. Change its mood by Set.
 type Collector struct {
-	Got func([]*trace.ResourceSpans) // told of each request with traces that it took; may be nil
+	OnTraces func([]*trace.ResourceSpans) // told of each request with traces that it took; may be nil
 
-	mu      sync.Mutex
-	mood    Mood
-	spans   []*trace.Span
-	metrics []*metrics.ResourceMetrics
-	asked   int
-	gone    chan struct{}
-	srv     *http.Server
-	rpc     *grpc.Server
+	mu         sync.Mutex
+	behaviour  Behaviour
+	spans      []*trace.Span
+	metrics    []*metrics.ResourceMetrics
+	requests   int
+	closed     chan struct{}
+	httpServer *http.Server
+	grpcServer *grpc.Server
 }
 
 // ServeHTTP serves OTLP/HTTP on ln until Close.
 func (c *Collector) ServeHTTP(ln net.Listener) {
-	c.init()
-	c.srv = &http.Server{Handler: http.HandlerFunc(c.overHTTP), ReadHeaderTimeout: time.Minute}
-	go c.srv.Serve(&sipping{ln, c})
+	c.initClosed()
+	c.httpServer = &http.Server{Handler: http.HandlerFunc(c.handleHTTP), ReadHeaderTimeout: time.Minute}
+	go c.httpServer.Serve(&slowListener{ln, c})
 }
 
 // ServeGRPC serves OTLP/gRPC on ln until Close.
 func (c *Collector) ServeGRPC(ln net.Listener, opts ...grpc.ServerOption) {
-	c.init()
-	c.rpc = grpc.NewServer(append(opts, grpc.ForceServerCodec(raw{}), grpc.UnknownServiceHandler(c.overGRPC))...)
-	go c.rpc.Serve(&sipping{ln, c})
+	c.initClosed()
+	c.grpcServer = grpc.NewServer(append(opts, grpc.ForceServerCodec(rawCodec{}), grpc.UnknownServiceHandler(c.handleGRPC))...)
+	go c.grpcServer.Serve(&slowListener{ln, c})
 }
 
-func (c *Collector) init() {
+func (c *Collector) initClosed() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.gone == nil {
-		c.gone = make(chan struct{})
+	if c.closed == nil {
+		c.closed = make(chan struct{})
 	}
 }
 
 // Close ends it; open requests are cut off.
 func (c *Collector) Close() {
 	c.mu.Lock()
-	if c.gone != nil {
-		close(c.gone)
-		c.gone = nil
+	if c.closed != nil {
+		close(c.closed)
+		c.closed = nil
 	}
 	c.mu.Unlock()
-	if c.srv != nil {
-		c.srv.Close()
+	if c.httpServer != nil {
+		c.httpServer.Close()
 	}
-	if c.rpc != nil {
-		c.rpc.Stop()
+	if c.grpcServer != nil {
+		c.grpcServer.Stop()
 	}
 }
 
 // Set changes its mood.
-func (c *Collector) Set(m Mood) {
+func (c *Collector) SetBehaviour(behaviour Behaviour) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.mood = m
+	c.behaviour = behaviour
 }
 
 // Spans is all spans that it took.
@@ -108,39 +108,39 @@
 }
 
 // Metrics is what it last took of metrics, and how often it was asked in all.
-func (c *Collector) Metrics() (last []*metrics.ResourceMetrics, asked int) {
+func (c *Collector) Metrics() (last []*metrics.ResourceMetrics, requests int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.metrics, c.asked
+	return c.metrics, c.requests
 }
 
 // sipping makes connections that are read slowly, if the mood is such.
-type sipping struct {
+type slowListener struct {
 	net.Listener
 	c *Collector
 }
 
-type sip struct {
+type slowConn struct {
 	net.Conn
 	c *Collector
 }
 
-func (l *sipping) Accept() (net.Conn, error) {
+func (l *slowListener) Accept() (net.Conn, error) {
 	nc, err := l.Listener.Accept()
-	return &sip{nc, l.c}, err
+	return &slowConn{nc, l.c}, err
 }
 
-func (s *sip) Read(b []byte) (int, error) {
+func (s *slowConn) Read(b []byte) (int, error) {
 	s.c.mu.Lock()
-	slow, gone := s.c.mood.Sip, s.c.gone
+	slow, closed := s.c.behaviour.SlowRead, s.c.closed
 	s.c.mu.Unlock()
-	if gone == nil {
+	if closed == nil {
 		return 0, io.EOF
 	}
 	if slow && len(b) > 0 {
 		select {
 		case <-time.After(time.Second):
-		case <-gone:
+		case <-closed:
 		}
 		b = b[:1]
 	}
@@ -148,72 +148,72 @@
 }
 
 // now is the mood for one request, and what ends it.
-func (c *Collector) now() (Mood, <-chan struct{}) {
+func (c *Collector) beginRequest() (Behaviour, <-chan struct{}) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.asked++
-	return c.mood, c.gone
+	c.requests++
+	return c.behaviour, c.closed
 }
 
 // behave does what the mood has for a request before its answer; false: there is none.
-func behave(ctx context.Context, m *Mood, gone <-chan struct{}) bool {
-	if m.Hole {
+func waitToAnswer(ctx context.Context, behaviour *Behaviour, closed <-chan struct{}) bool {
+	if behaviour.NeverAnswer {
 		select {
 		case <-ctx.Done():
-		case <-gone:
+		case <-closed:
 		}
 		return false
 	}
-	if m.Slow > 0 {
+	if behaviour.AnswerDelay > 0 {
 		select {
-		case <-time.After(m.Slow):
+		case <-time.After(behaviour.AnswerDelay):
 		case <-ctx.Done():
 			return false
-		case <-gone:
+		case <-closed:
 			return false
 		}
 	}
 	return true
 }
 
-func (c *Collector) overHTTP(w http.ResponseWriter, q *http.Request) {
-	m, gone := c.now()
-	var in io.Reader = http.MaxBytesReader(w, q.Body, bodyMost)
-	if q.Header.Get("Content-Encoding") == "gzip" {
-		z, err := gzip.NewReader(in)
+func (c *Collector) handleHTTP(w http.ResponseWriter, r *http.Request) {
+	behaviour, closed := c.beginRequest()
+	var reader io.Reader = http.MaxBytesReader(w, r.Body, maxBodyBytes)
+	if r.Header.Get("Content-Encoding") == "gzip" {
+		z, err := gzip.NewReader(reader)
 		if err != nil {
 			w.WriteHeader(400)
 			return
 		}
-		in = z
+		reader = z
 	}
-	body, err := io.ReadAll(in)
-	if err != nil || q.Method != "POST" || q.Header.Get("Content-Type") != "application/x-protobuf" {
+	body, err := io.ReadAll(reader)
+	if err != nil || r.Method != "POST" || r.Header.Get("Content-Type") != "application/x-protobuf" {
 		w.WriteHeader(400)
 		return
 	}
-	if !behave(q.Context(), &m, gone) {
+	if !waitToAnswer(r.Context(), &behaviour, closed) {
 		panic(http.ErrAbortHandler)
 	}
 	switch {
-	case m.Status != 0:
-		if m.Retry > 0 {
-			w.Header().Set("Retry-After", fmt.Sprint(m.Retry.Seconds()))
+	case behaviour.Status != 0:
+		if behaviour.RetryAfter > 0 {
+			w.Header().Set("Retry-After", fmt.Sprint(behaviour.RetryAfter.Seconds()))
 		}
-		w.WriteHeader(m.Status)
+		w.WriteHeader(behaviour.Status)
 		return
-	case m.Garbage:
+	case behaviour.InvalidBody:
 		w.Write([]byte("\xff\xff\xffgarbage"))
 		return
-	case m.Endless:
-		for q.Context().Err() == nil {
+	case behaviour.EndlessBody:
+		for r.Context().Err() == nil {
 			if _, err := w.Write(make([]byte, 1<<16)); err != nil {
 				return
 			}
 		}
 		return
 	}
-	answer, err := c.take(q.URL.Path == "/v1/traces", body, m.Reject)
+	answer, err := c.accept(r.URL.Path == "/v1/traces", body, behaviour.RejectedSpans)
 	if err != nil {
 		w.WriteHeader(400)
 		return
@@ -222,38 +222,38 @@
 	w.Write(answer)
 }
 
-func (c *Collector) overGRPC(_ any, st grpc.ServerStream) error {
-	m, gone := c.now()
-	method, _ := grpc.MethodFromServerStream(st)
+func (c *Collector) handleGRPC(_ any, stream grpc.ServerStream) error {
+	behaviour, closed := c.beginRequest()
+	method, _ := grpc.MethodFromServerStream(stream)
 	var body []byte
-	if err := st.RecvMsg(&body); err != nil {
+	if err := stream.RecvMsg(&body); err != nil {
 		return err
 	}
-	if !behave(st.Context(), &m, gone) {
+	if !waitToAnswer(stream.Context(), &behaviour, closed) {
 		return status.Error(codes.Unavailable, "gone")
 	}
 	switch {
-	case m.Status == 400:
+	case behaviour.Status == 400:
 		return status.Error(codes.InvalidArgument, "as told")
-	case m.Status != 0:
+	case behaviour.Status != 0:
 		s := status.New(codes.Unavailable, "as told")
-		if m.Retry > 0 {
-			s, _ = s.WithDetails(&errdetails.RetryInfo{RetryDelay: durationpb.New(m.Retry)})
+		if behaviour.RetryAfter > 0 {
+			s, _ = s.WithDetails(&errdetails.RetryInfo{RetryDelay: durationpb.New(behaviour.RetryAfter)})
 		}
 		return s.Err()
-	case m.Garbage || m.Endless:
+	case behaviour.InvalidBody || behaviour.EndlessBody:
 		answer := []byte("\xff\xff\xffgarbage")
-		return st.SendMsg(&answer)
+		return stream.SendMsg(&answer)
 	}
-	answer, err := c.take(method == "/opentelemetry.proto.collector.trace.v1.TraceService/Export", body, m.Reject)
+	answer, err := c.accept(method == "/opentelemetry.proto.collector.trace.v1.TraceService/Export", body, behaviour.RejectedSpans)
 	if err != nil {
 		return status.Error(codes.InvalidArgument, err.Error())
 	}
-	return st.SendMsg(&answer)
+	return stream.SendMsg(&answer)
 }
 
 // take keeps what a request brings, and is its answer.
-func (c *Collector) take(isTrace bool, body []byte, reject int64) ([]byte, error) {
+func (c *Collector) accept(isTrace bool, body []byte, reject int64) ([]byte, error) {
 	if !isTrace {
 		var r collmetrics.ExportMetricsServiceRequest
 		if err := proto.Unmarshal(body, &r); err != nil {
@@ -279,8 +279,8 @@
 		}
 	}
 	c.mu.Unlock()
-	if c.Got != nil {
-		c.Got(r.ResourceSpans)
+	if c.OnTraces != nil {
+		c.OnTraces(r.ResourceSpans)
 	}
 	answer := &colltrace.ExportTraceServiceResponse{}
 	if reject > 0 {
@@ -290,8 +290,11 @@
 }
 
 // raw passes bytes through: what a method takes is known by its name.
-type raw struct{}
+type rawCodec struct{}
 
-func (raw) Marshal(v any) ([]byte, error)   { return *v.(*[]byte), nil }
-func (raw) Unmarshal(b []byte, v any) error { *v.(*[]byte) = append([]byte(nil), b...); return nil }
-func (raw) Name() string                    { return "proto" }
+func (rawCodec) Marshal(v any) ([]byte, error) { return *v.(*[]byte), nil }
+func (rawCodec) Unmarshal(b []byte, v any) error {
+	*v.(*[]byte) = append([]byte(nil), b...)
+	return nil
+}
+func (rawCodec) Name() string { return "proto" }
--- a/internal/lab/collector/tree.go
+++ b/internal/lab/collector/tree.go
@@ -11,11 +11,11 @@
 	trace "go.opentelemetry.io/proto/slim/otlp/trace/v1"
 )
 
-const bar = 40 // columns of the waterfall
+const waterfallColumns = 40 // columns of the waterfall
 
 // Whole checks that spans are whole traces: each has one root (a span whose parent is not among them), and no
 // span stands twice. It returns the traces by id.
-func Whole(spans []*trace.Span) (map[string][]*trace.Span, error) {
+func GroupTraces(spans []*trace.Span) (map[string][]*trace.Span, error) {
 	traces := map[string][]*trace.Span{}
 	seen := map[string]bool{}
 	for _, s := range spans {
@@ -52,8 +52,8 @@
 	fmt.Fprintf(w, "trace %x  %v\n", spans[0].TraceId, time.Duration(last-first).Round(time.Millisecond))
 	list := slices.Clone(spans)
 	slices.SortStableFunc(list, func(a, b *trace.Span) int { return int(int64(a.StartTimeUnixNano) - int64(b.StartTimeUnixNano)) })
-	var write func(parent []byte, depth int)
-	write = func(parent []byte, depth int) {
+	var writeChildren func(parent []byte, depth int)
+	writeChildren = func(parent []byte, depth int) {
 		for _, s := range list {
 			root := depth == 0 && !byID[string(s.ParentSpanId)]
 			if !root && (depth == 0 || string(s.ParentSpanId) != string(parent)) {
@@ -66,21 +66,21 @@
 			}
 			fmt.Fprintln(w)
 			if depth < 16 {
-				write(s.SpanId, depth+1)
+				writeChildren(s.SpanId, depth+1)
 			}
 		}
 	}
-	write(nil, 0)
+	writeChildren(nil, 0)
 }
 
 // waterfall is when a span was within its trace.
 func waterfall(s *trace.Span, first, last uint64) string {
 	length := max(float64(last-first), 1)
-	from := min(int(float64(s.StartTimeUnixNano-first)/length*bar), bar-1)
-	to := max(int(float64(s.EndTimeUnixNano-first)/length*bar), from+1)
+	from := min(int(float64(s.StartTimeUnixNano-first)/length*waterfallColumns), waterfallColumns-1)
+	to := max(int(float64(s.EndTimeUnixNano-first)/length*waterfallColumns), from+1)
 	mark := "="
 	if s.Status.GetCode() == trace.Status_STATUS_CODE_ERROR {
 		mark = "x"
 	}
-	return strings.Repeat(" ", from) + strings.Repeat(mark, to-from) + strings.Repeat(" ", max(bar-to, 0))
+	return strings.Repeat(" ", from) + strings.Repeat(mark, to-from) + strings.Repeat(" ", max(waterfallColumns-to, 0))
 }
--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -19,7 +19,7 @@
 )
 
 // lineMost is the longest line that is read, in bytes.
-const lineMost = 1 << 20
+const maxLineBytes = 1 << 20
 
 // columns are what is counted, in the order of the table. Messages, but for the last five.
 var columns = []string{
@@ -28,26 +28,26 @@
 }
 
 // texts are the log's messages that count, by how they begin.
-var texts = map[string]string{
+var columnsByPrefix = map[string]string{
 	"started": "starts", "discovery does not answer": "lists_failed", "breaker open": "broken", "ramp": "ramps", "storm": "storms",
 }
 
 // Count is the sums of a fleet's logs.
-type Count struct {
-	Every   time.Duration // length of a window
-	Dest    int           // the destination that is counted; -1: all
-	first   float64       // Unix seconds of the earliest line
-	windows map[int]map[string]int
-	Skipped int // lines that are no JSON
+type Counter struct {
+	Interval     time.Duration // length of a window
+	Dest         int           // the destination that is counted; -1: all
+	firstSeconds float64       // Unix seconds of the earliest line
+	windows      map[int]map[string]int
+	SkippedLines int // lines that are no JSON
 }
 
 // NewCount returns an empty count of one destination, or of all if dest is -1.
-func NewCount(every time.Duration, dest int) *Count {
-	return &Count{Every: every, Dest: dest, windows: map[int]map[string]int{}}
+func NewCounter(every time.Duration, dest int) *Counter {
+	return &Counter{Interval: every, Dest: dest, windows: map[int]map[string]int{}}
 }
 
 // Folder adds every *.log of a folder, one for each sender. Errors are the file system's.
-func (c *Count) Folder(dir string) error {
+func (c *Counter) AddFolder(dir string) error {
 	names, err := filepath.Glob(filepath.Join(dir, "*.log"))
 	if err != nil {
 		return err
@@ -70,54 +70,54 @@
 }
 
 // Add adds one sender's log. A line is the sender's JSON, alone or after the seconds at which it was read.
-func (c *Count) Add(in io.Reader) error {
+func (c *Counter) Add(in io.Reader) error {
 	lines := bufio.NewScanner(in)
-	lines.Buffer(nil, lineMost)
+	lines.Buffer(nil, maxLineBytes)
 	var parser fastjson.Parser
 	for lines.Scan() {
 		text := lines.Text()
-		at, body := 0.0, text
+		seconds, body := 0.0, text
 		if prefix, rest, ok := strings.Cut(text, " "); ok && !strings.HasPrefix(text, "{") {
 			if n, err := strconv.ParseFloat(prefix, 64); err == nil {
-				at, body = n, strings.TrimSpace(rest)
+				seconds, body = n, strings.TrimSpace(rest)
 			}
 		}
 		v, err := parser.Parse(body)
 		if err != nil {
-			c.Skipped++
+			c.SkippedLines++
 			continue
 		}
 		if body == text {
-			if at = c.since(string(v.GetStringBytes("time"))); at < 0 {
-				c.Skipped++
+			if seconds = c.secondsSinceFirst(string(v.GetStringBytes("time"))); seconds < 0 {
+				c.SkippedLines++
 				continue
 			}
 		}
-		c.line(at, v)
+		c.countRecord(seconds, v)
 	}
 	return lines.Err()
 }
 
 // since is the time of a line in seconds after the first one, -1 if it has none.
-func (c *Count) since(stamp string) float64 {
+func (c *Counter) secondsSinceFirst(stamp string) float64 {
 	t, err := time.Parse(time.RFC3339Nano, stamp)
 	if err != nil {
 		return -1
 	}
 	at := float64(t.UnixNano()) / 1e9
-	if c.first == 0 {
-		c.first = at
+	if c.firstSeconds == 0 {
+		c.firstSeconds = at
 	}
-	return max(at-c.first, 0)
+	return max(at-c.firstSeconds, 0)
 }
 
-func (c *Count) line(at float64, v *fastjson.Value) {
-	w := int(at / c.Every.Seconds())
+func (c *Counter) countRecord(seconds float64, v *fastjson.Value) {
+	window := int(seconds / c.Interval.Seconds())
 	add := func(column string, n int) {
-		if c.windows[w] == nil {
-			c.windows[w] = map[string]int{}
+		if c.windows[window] == nil {
+			c.windows[window] = map[string]int{}
 		}
-		c.windows[w][column] += n
+		c.windows[window][column] += n
 	}
 	if c.Dest >= 0 && (v.Get("dest") == nil || v.GetInt("dest") != c.Dest) {
 		return
@@ -150,7 +150,7 @@
 		add("held", -1)
 	case "":
 		message := string(v.GetStringBytes("message"))
-		for text, column := range texts {
+		for text, column := range columnsByPrefix {
 			if strings.HasPrefix(message, text) {
 				add(column, 1)
 			}
@@ -159,27 +159,27 @@
 }
 
 // Write writes a row for each window, with its first second.
-func (c *Count) Write(out io.Writer) {
+func (c *Counter) WriteTable(out io.Writer) {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(w, "from\t"+strings.Join(columns, "\t")+"\t")
-	var order []int
+	var indexes []int
 	for n := range c.windows {
-		order = append(order, n)
+		indexes = append(indexes, n)
 	}
-	slices.Sort(order)
+	slices.Sort(indexes)
 	held := 0
-	for _, n := range order {
+	for _, n := range indexes {
 		row := c.windows[n]
 		held += row["held"]
 		row["held"] = held // so many at its end
-		fmt.Fprintf(w, "%.4g\t", float64(n)*c.Every.Seconds())
+		fmt.Fprintf(w, "%.4g\t", float64(n)*c.Interval.Seconds())
 		for _, column := range columns {
 			fmt.Fprintf(w, "%d\t", row[column])
 		}
 		fmt.Fprintln(w)
 	}
 	w.Flush()
-	if c.Skipped > 0 {
-		fmt.Fprintf(out, "%d lines passed over: no JSON\n", c.Skipped)
+	if c.SkippedLines > 0 {
+		fmt.Fprintf(out, "%d lines passed over: no JSON\n", c.SkippedLines)
 	}
 }
--- a/internal/lab/fleet/fleet_test.go
+++ b/internal/lab/fleet/fleet_test.go
@@ -8,9 +8,9 @@
 
 // One log as a bench writes it, with the seconds before each line, one as the sender writes it; what is no JSON
 // is passed over and said. A message that a restart brings back is not held twice.
-func TestCountAddsUpOverSendersAndTime(t *testing.T) {
-	c := NewCount(5*time.Second, -1)
-	one := `0.1 {"message":"started"}
+func TestCounterSumsOverSendersAndTime(t *testing.T) {
+	c := NewCounter(5*time.Second, -1)
+	timedLog := `0.1 {"message":"started"}
 0.2 {"dest":3,"num":1,"again":true,"record":"taken"}
 0.3 {"dest":3,"num":1,"attempt":0,"record":"began"}
 panic: not JSON
@@ -20,10 +20,10 @@
 6.2 {"dest":3,"num":1,"outcome":"ok","wait":0,"record":"ended"}
 6.2 {"dest":3,"num":1,"end":"delivered","record":"over"}
 `
-	two := `{"time":"2026-01-01T00:00:01Z","dest":4,"cause":"load","record":"refused"}
+	senderLog := `{"time":"2026-01-01T00:00:01Z","dest":4,"cause":"load","record":"refused"}
 {"time":"2026-01-01T00:00:02Z","message":"breaker open dest=4 endpoint=5"}
 `
-	for _, log := range []string{one, two} {
+	for _, log := range []string{timedLog, senderLog} {
 		if err := c.Add(strings.NewReader(log)); err != nil {
 			t.Fatal(err)
 		}
@@ -39,7 +39,7 @@
 		}
 	}
 	var out strings.Builder
-	c.Write(&out)
+	c.WriteTable(&out)
 	if !strings.Contains(out.String(), "1 lines passed over") || strings.Count(out.String(), "\n") != 4 {
 		t.Errorf("table:\n%s", out.String())
 	}
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -20,7 +20,7 @@
 	"sliptide/internal/strictxml"
 )
 
-const small = `<experiment version="1" name="small" about="A test.">
+const smallExperiment = `<experiment version="1" name="small" about="A test.">
   <world load="20" limit="30" warm-up="3s" outage="2s" after="5s"/>
   <vary name="system" values="before sliptide"/><vary name="senders" values="1 3"/>
   <seeds first="4" count="3"/>
@@ -63,12 +63,12 @@
 }
 
 // However many workers there are, the results are the same; and they come back from JSON as they were.
-func TestResultsDependOnTheFileAlone(t *testing.T) {
-	f, err := experiment.Read("f.xml", strings.NewReader(small))
+func TestResultsIndependentOfWorkers(t *testing.T) {
+	f, err := experiment.Read("f.xml", strings.NewReader(smallExperiment))
 	if err != nil {
 		t.Fatal(err)
 	}
-	var texts [][]byte
+	var encoded [][]byte
 	for _, workers := range []int{1, 4} {
 		e, err := runner.Run(context.Background(), f, workers, nil)
 		if err != nil {
@@ -79,23 +79,23 @@
 		if err := e.WriteJSON(&b); err != nil {
 			t.Fatal(err)
 		}
-		texts = append(texts, b.Bytes())
+		encoded = append(encoded, b.Bytes())
 	}
-	if !bytes.Equal(texts[0], texts[1]) {
+	if !bytes.Equal(encoded[0], encoded[1]) {
 		t.Error("four workers give other results than one")
 	}
-	e, err := results.ReadJSON(bytes.NewReader(texts[0]))
+	e, err := results.ReadJSON(bytes.NewReader(encoded[0]))
 	if err != nil || len(e.Points) != 4 || len(e.Points[0].Runs) != 3 {
 		t.Fatalf("%v, %+v", err, e)
 	}
 	if list, common := results.Compare(e, e, 0.05); len(list) > 0 || common != 4 {
 		t.Errorf("results differ from themselves: %v", list)
 	}
-	g, _ := results.ReadJSON(bytes.NewReader(texts[0]))
-	s := g.Points[0].Summary["goodput"]
+	changed, _ := results.ReadJSON(bytes.NewReader(encoded[0]))
+	s := changed.Points[0].Summary["goodput"]
 	s.Mean -= 10 * (s.SD + 0.01)
-	g.Points[0].Summary["goodput"] = s
-	if list, _ := results.Compare(e, g, 0.01); len(list) != 1 || list[0].Measure != "goodput" {
+	changed.Points[0].Summary["goodput"] = s
+	if list, _ := results.Compare(e, changed, 0.01); len(list) != 1 || list[0].Measure != "goodput" {
 		t.Errorf("a goodput ten deviations lower shows as %+v", list)
 	}
 	if _, err := results.ReadJSON(strings.NewReader(`{"name":"x","vary":["a"],"points":[{"labels":[]}]}`)); err == nil {
@@ -107,23 +107,23 @@
 func TestCommandLine(t *testing.T) {
 	dir := t.TempDir()
 	file := filepath.Join(dir, "small.xml")
-	if err := os.WriteFile(file, []byte(small), 0o600); err != nil {
+	if err := os.WriteFile(file, []byte(smallExperiment), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	do := func(args ...string) (int, string) {
+	runCLI := func(args ...string) (int, string) {
 		var out bytes.Buffer
 		status := cli.Main(args, cli.Env{Ctx: context.Background(), Out: &out, Err: &out})
 		return status, out.String()
 	}
-	json := filepath.Join(dir, "small.json")
+	resultsFile := filepath.Join(dir, "small.json")
 	for _, row := range []struct {
 		want   int
 		substr string
 		args   []string
 	}{
 		{0, "12 runs", []string{"run", file, "--out", dir}},
-		{0, "small.html", []string{"report", json}},
-		{0, "4 points in common, 0 differences", []string{"compare", json, json}},
+		{0, "small.html", []string{"report", resultsFile}},
+		{0, "4 points in common, 0 differences", []string{"compare", resultsFile, resultsFile}},
 		{0, "A test.", []string{"list", dir, "--results", dir}},
 		{0, "xs:schema", []string{"schema"}},
 		{1, "no such file", []string{"report", filepath.Join(dir, "none.json")}},
@@ -131,7 +131,7 @@
 		{2, "no such file", []string{"run", filepath.Join(dir, "none.xml")}},
 		{2, "nonsense", []string{"nonsense"}},
 	} {
-		if status, out := do(row.args...); status != row.want || !strings.Contains(out, row.substr) {
+		if status, out := runCLI(row.args...); status != row.want || !strings.Contains(out, row.substr) {
 			t.Errorf("%v: status %d, want %d with %q:\n%s", row.args, status, row.want, row.substr, out)
 		}
 	}
@@ -161,10 +161,10 @@
 }
 
 // A run that is stopped writes nothing.
-func TestStoppedRun(t *testing.T) {
+func TestCancelledRun(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
-	f, _ := experiment.Read("f.xml", strings.NewReader(small))
+	f, _ := experiment.Read("f.xml", strings.NewReader(smallExperiment))
 	if e, err := runner.Run(ctx, f, 2, nil); e != nil || !reflect.DeepEqual(err, context.Canceled) {
 		t.Errorf("%v, %v", e, err)
 	}
--- a/internal/lab/proc/proc.go
+++ b/internal/lab/proc/proc.go
@@ -14,7 +14,7 @@
 )
 
 // Resident is a process's resident memory in bytes, 0 if it is gone.
-func Resident(pid int) int64 {
+func ResidentBytes(pid int) int64 {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/statm", pid))
 	if err != nil {
 		return 0
@@ -28,7 +28,7 @@
 }
 
 // ProcessorTime is what the threads of a process have taken so far, in seconds. Threads that have ended are not in it.
-func ProcessorTime(pid int) (float64, error) {
+func CPUSeconds(pid int) (float64, error) {
 	tasks, err := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/schedstat", pid))
 	if err != nil || len(tasks) == 0 {
 		return 0, errors.New("the process is gone")
@@ -49,7 +49,7 @@
 }
 
 // Load is the mean number of runnable processes over the last minute, 0 where the system does not tell.
-func Load() float64 {
+func LoadAverage() float64 {
 	text, err := os.ReadFile("/proc/loadavg")
 	if err != nil {
 		return 0
@@ -60,13 +60,13 @@
 }
 
 // addrs counts the addresses that FreeAddr has given.
-var addrs atomic.Int32
+var addrCount atomic.Int32
 
 // FreeAddr is a loopback address of its own, for a process that is yet to start: with a port under those that the system
 // gives to connections, which could else take it meanwhile. It is safe for concurrent use.
 func FreeAddr() (string, error) {
 	for range 100 {
-		n := int(addrs.Add(1))
+		n := int(addrCount.Add(1))
 		addr := fmt.Sprintf("127.%d.%d.%d:%d", 80+os.Getpid()%100, n>>8&0xff, n&0xff, 20000+os.Getpid()%10000)
 		ln, err := net.Listen("tcp", addr)
 		if err != nil {
--- a/internal/lab/proc/proc_test.go
+++ b/internal/lab/proc/proc_test.go
@@ -8,28 +8,28 @@
 )
 
 // What this very process takes is seen: memory, and processor time that grows with work.
-func TestOfThisProcess(t *testing.T) {
-	if n := Resident(os.Getpid()); n < 1<<20 {
+func TestOwnProcess(t *testing.T) {
+	if n := ResidentBytes(os.Getpid()); n < 1<<20 {
 		t.Errorf("resident: %d bytes", n)
 	}
-	before, err := ProcessorTime(os.Getpid())
+	before, err := CPUSeconds(os.Getpid())
 	if err != nil {
 		t.Fatal(err)
 	}
 	for began := time.Now(); time.Since(began) < 50*time.Millisecond; {
 	}
-	after, err := ProcessorTime(os.Getpid())
+	after, err := CPUSeconds(os.Getpid())
 	if err != nil || after <= before {
 		t.Errorf("processor time %g, then %g: %v", before, after, err)
 	}
 }
 
-func TestOfNoProcess(t *testing.T) {
-	const none = 1 << 30
-	if n := Resident(none); n != 0 {
+func TestMissingProcess(t *testing.T) {
+	const missingPID = 1 << 30
+	if n := ResidentBytes(missingPID); n != 0 {
 		t.Errorf("resident: %d bytes", n)
 	}
-	if _, err := ProcessorTime(none); err == nil {
+	if _, err := CPUSeconds(missingPID); err == nil {
 		t.Error("processor time of a process that is not there")
 	}
 }
--- a/internal/lab/scale/run.go
+++ b/internal/lab/scale/run.go
@@ -160,7 +160,7 @@
 	result.SettleS = time.Since(began).Seconds()
 	o.Progress(size, "schedule")
 	err = p.schedule(ctx)
-	result.MemoryMB, result.Load = p.mostMB, proc.Load()
+	result.MemoryMB, result.Load = p.mostMB, proc.LoadAverage()
 	for _, c := range s.controls {
 		result.Controls = append(result.Controls, p.used(c.name, c.child.Load(), 0, 0))
 	}
@@ -255,7 +255,7 @@
 
 // measure begins to watch a process.
 func (p *play) measure(c *child, bytes int64) {
-	taken, _ := proc.ProcessorTime(c.cmd.Process.Pid)
+	taken, _ := proc.CPUSeconds(c.cmd.Process.Pid)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.usage[c] = &meter{began: taken, bytes: bytes, at: time.Now()}
@@ -269,7 +269,7 @@
 	if m == nil {
 		return Usage{Name: name}
 	}
-	taken, err := proc.ProcessorTime(c.cmd.Process.Pid)
+	taken, err := proc.CPUSeconds(c.cmd.Process.Pid)
 	elapsed := time.Since(m.at).Seconds()
 	if err == nil && elapsed > 0 {
 		m.CorePercent = 100 * (taken - m.began) / elapsed
@@ -284,7 +284,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for c, m := range p.usage {
-		m.MemoryMB = max(m.MemoryMB, float64(proc.Resident(c.cmd.Process.Pid))/1e6)
+		m.MemoryMB = max(m.MemoryMB, float64(proc.ResidentBytes(c.cmd.Process.Pid))/1e6)
 	}
 	total := p.memory()
 	p.mostMB = max(p.mostMB, float64(total)/1e6)
--- a/internal/lab/scale/site.go
+++ b/internal/lab/scale/site.go
@@ -342,10 +342,10 @@
 
 // memory is what all processes hold, this one included.
 func (s *site) memory() int64 {
-	total := proc.Resident(os.Getpid())
+	total := proc.ResidentBytes(os.Getpid())
 	add := func(c *child) {
 		if c != nil {
-			total += proc.Resident(c.cmd.Process.Pid)
+			total += proc.ResidentBytes(c.cmd.Process.Pid)
 		}
 	}
 	for _, c := range s.controls {
--- a/internal/telemetry/otlp/otlp_test.go
+++ b/internal/telemetry/otlp/otlp_test.go
@@ -21,14 +21,14 @@
 )
 
 // startExporter starts a collector and an Exporter that sends to it.
-func startExporter(t *testing.T, overGRPC bool, mood collector.Mood, adjust func(*Options)) (*collector.Collector, *Exporter) {
+func startExporter(t *testing.T, overGRPC bool, mood collector.Behaviour, adjust func(*Options)) (*collector.Collector, *Exporter) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	c := &collector.Collector{}
-	c.Set(mood)
+	c.SetBehaviour(mood)
 	if overGRPC {
 		c.ServeGRPC(ln)
 	} else {
@@ -85,12 +85,12 @@
 // A healthy collector receives every recorded message as a complete trace, and the metrics.
 func TestHealthyCollector(t *testing.T) {
 	forEachTransport(t, func(t *testing.T, overGRPC bool) {
-		c, e := startExporter(t, overGRPC, collector.Mood{}, nil)
+		c, e := startExporter(t, overGRPC, collector.Behaviour{}, nil)
 		recordMessages(e, 0, 500)
 		if n := closeExporter(t, e, closeTimeout); n.Sent != 500 {
 			t.Errorf("%+v", n)
 		}
-		traces, err := collector.Whole(c.Spans())
+		traces, err := collector.GroupTraces(c.Spans())
 		if err != nil || len(traces) != 500 {
 			t.Fatalf("%d traces, %v", len(traces), err)
 		}
@@ -116,23 +116,23 @@
 func TestCollectorResponses(t *testing.T) {
 	forEachTransport(t, func(t *testing.T, overGRPC bool) {
 		for name, row := range map[string]struct {
-			mood     collector.Mood
+			mood     collector.Behaviour
 			sent     uint64
 			rejected uint64
 			again    bool
 		}{
-			"400":               {mood: collector.Mood{Status: 400}},
-			"503":               {mood: collector.Mood{Status: 503}, again: true},
-			"503, Retry-After":  {mood: collector.Mood{Status: 503, Retry: 20 * time.Second}, again: true},
-			"partial success":   {mood: collector.Mood{Reject: 3}, sent: 10, rejected: 3},
-			"200, invalid body": {mood: collector.Mood{Garbage: true}, sent: 10},
-			"endless body":      {mood: collector.Mood{Endless: true}, sent: 10},
+			"400":               {mood: collector.Behaviour{Status: 400}},
+			"503":               {mood: collector.Behaviour{Status: 503}, again: true},
+			"503, Retry-After":  {mood: collector.Behaviour{Status: 503, RetryAfter: 20 * time.Second}, again: true},
+			"partial success":   {mood: collector.Behaviour{RejectedSpans: 3}, sent: 10, rejected: 3},
+			"200, invalid body": {mood: collector.Behaviour{InvalidBody: true}, sent: 10},
+			"endless body":      {mood: collector.Behaviour{EndlessBody: true}, sent: 10},
 		} {
 			t.Run(name, func(t *testing.T) {
 				t.Parallel()
 				_, e := startExporter(t, overGRPC, row.mood, nil)
 				result := e.transport.send(context.Background(), tracesSignal, encodeTraceRequest(e.resourceBytes, nil))
-				if result.retryable != row.again || row.mood.Retry > 0 && result.retryAfter != row.mood.Retry || (result.err == nil) != (row.sent > 0) {
+				if result.retryable != row.again || row.mood.RetryAfter > 0 && result.retryAfter != row.mood.RetryAfter || (result.err == nil) != (row.sent > 0) {
 					t.Errorf("%+v", result)
 				}
 				recordMessages(e, 0, 10)
@@ -149,7 +149,7 @@
 // within its bound, traces that do not fit are dropped and counted, and Close returns in time.
 func TestUnresponsiveCollectorDoesNotBlock(t *testing.T) {
 	forEachTransport(t, func(t *testing.T, overGRPC bool) {
-		for name, mood := range map[string]collector.Mood{"hole": {Hole: true}, "sip": {Sip: true}, "absent": {}} {
+		for name, mood := range map[string]collector.Behaviour{"hole": {NeverAnswer: true}, "sip": {SlowRead: true}, "absent": {}} {
 			t.Run(name, func(t *testing.T) {
 				t.Parallel()
 				c, e := startExporter(t, overGRPC, mood, func(o *Options) { o.QueueBytes = 64 << 10; o.Target.Timeout = time.Minute })
@@ -181,7 +181,7 @@
 // A collector that recovers receives what was recorded meanwhile, and each trace once.
 func TestCollectorRecovers(t *testing.T) {
 	forEachTransport(t, func(t *testing.T, overGRPC bool) {
-		c, e := startExporter(t, overGRPC, collector.Mood{Status: 503}, nil)
+		c, e := startExporter(t, overGRPC, collector.Behaviour{Status: 503}, nil)
 		recordMessages(e, 0, 50)
 		for end := time.Now().Add(closeTimeout); ; { // until the collector has refused a request
 			if _, requests := c.Metrics(); requests > 0 {
@@ -192,13 +192,13 @@
 			}
 			time.Sleep(time.Millisecond)
 		}
-		c.Set(collector.Mood{})
+		c.SetBehaviour(collector.Behaviour{})
 		recordMessages(e, 50, 50)
 		for end := time.Now().Add(closeTimeout); e.Counts().Sent < 100 && time.Now().Before(end); {
 			time.Sleep(time.Millisecond)
 		}
 		closeExporter(t, e, closeTimeout)
-		if traces, err := collector.Whole(c.Spans()); err != nil || len(traces) != 100 {
+		if traces, err := collector.GroupTraces(c.Spans()); err != nil || len(traces) != 100 {
 			t.Errorf("%d traces, %v", len(traces), err)
 		}
 	})
@@ -207,7 +207,7 @@
 // With a collector that restarts repeatedly, losses are counted exactly, and every trace counted as sent has arrived.
 func TestCollectorRestarts(t *testing.T) {
 	forEachTransport(t, func(t *testing.T, overGRPC bool) {
-		c, e := startExporter(t, overGRPC, collector.Mood{}, nil)
+		c, e := startExporter(t, overGRPC, collector.Behaviour{}, nil)
 		addr := strings.TrimPrefix(e.options.Target.URL, "http://")
 		arrived := map[string]bool{}
 		collectArrived := func() {
@@ -260,7 +260,7 @@
 				c.ServeHTTP(tls.NewListener(ln, cfg))
 			}
 			t.Cleanup(c.Close)
-			_, e := startExporter(t, overGRPC, collector.Mood{}, func(o *Options) {
+			_, e := startExporter(t, overGRPC, collector.Behaviour{}, func(o *Options) {
 				o.Target.URL, o.Target.TLS = "https://"+ln.Addr().String(), &tls.Config{RootCAs: ca.Pool(), ServerName: "collector.example"}
 			})
 			recordMessages(e, 0, 10)
