--- a/internal/lab/collector/collector.go
+++ b/internal/lab/collector/collector.go
@@ -1,6 +1,6 @@
-// Package collector is a stand-in for an OpenTelemetry collector, written from the OTLP specification: it takes
-// traces and metrics over HTTP and gRPC, keeps what it got, and misbehaves as told. "sliptide lab collector"
-// shows what arrives. It is for tests and for trying things out, never part of a sender.
+// Package collector is a stand-in for an OpenTelemetry collector, written from the OTLP specification. It receives
+// traces and metrics over HTTP and gRPC, stores them in memory, and can simulate faults. "sliptide lab collector"
+// prints the traces that arrive. The package is for tests and manual trials; senders do not link it.
 package collector
 
 import (
@@ -21,7 +21,7 @@
 	"google.golang.org/genproto/googleapis/rpc/errdetails"
 	"google.golang.org/grpc"
 	"google.golang.org/grpc/codes"
-	_ "google.golang.org/grpc/encoding/gzip" // requests may be compressed
+	_ "google.golang.org/grpc/encoding/gzip" // registers the decompressor for gzip requests
 	"google.golang.org/grpc/status"
 	"google.golang.org/protobuf/proto"
 	"google.golang.org/protobuf/types/known/durationpb"
@@ -29,21 +29,21 @@
 
 const maxBodyBytes = 16 << 20
 
-// Mood is how a collector behaves.
+// Behaviour configures how a Collector answers. Its zero value accepts every valid request at once.
 type Behaviour struct {
-	NeverAnswer   bool          // accepts, reads and never answers
-	SlowRead      bool          // reads a byte a second
-	AnswerDelay   time.Duration // before each answer
-	Status        int           // answers this HTTP status, or what stands for it over gRPC
-	RetryAfter    time.Duration // and tells this wait
-	RejectedSpans int64         // takes all but so many spans, and says so
-	InvalidBody   bool          // answers 200 with what is no protobuf
-	EndlessBody   bool          // and with a body that does not end
+	NeverAnswer   bool          // reads requests and never answers
+	SlowRead      bool          // reads one byte a second
+	AnswerDelay   time.Duration // delay before each answer
+	Status        int           // HTTP status of the answer, or its gRPC equivalent; 0: success
+	RetryAfter    time.Duration // wait requested together with Status
+	RejectedSpans int64         // number of spans reported as rejected in a partial success
+	InvalidBody   bool          // answers 200 with a body that is not valid protobuf
+	EndlessBody   bool          // answers 200 with a body that does not end; over gRPC as InvalidBody
 }
 
-// Collector is one stand-in. Change its mood by Set.
+// Collector is a stand-in collector. SetBehaviour changes how it answers.
 type Collector struct {
-	OnTraces func([]*trace.ResourceSpans) // told of each request with traces that it took; may be nil
+	OnTraces func([]*trace.ResourceSpans) // called with the traces of each accepted request; may be nil
 
 	mu         sync.Mutex
 	behaviour  Behaviour
@@ -65,7 +65,8 @@
 // ServeGRPC serves OTLP/gRPC on ln until Close.
 func (c *Collector) ServeGRPC(ln net.Listener, opts ...grpc.ServerOption) {
 	c.initClosed()
-	c.grpcServer = grpc.NewServer(append(opts, grpc.ForceServerCodec(rawCodec{}), grpc.UnknownServiceHandler(c.handleGRPC))...)
+	c.grpcServer = grpc.NewServer(append(opts,
+		grpc.ForceServerCodec(rawCodec{}), grpc.UnknownServiceHandler(c.handleGRPC))...)
 	go c.grpcServer.Serve(&slowListener{ln, c})
 }
 
@@ -77,7 +78,7 @@
 	}
 }
 
-// Close ends it; open requests are cut off.
+// Close stops the collector and cuts off open requests.
 func (c *Collector) Close() {
 	c.mu.Lock()
 	if c.closed != nil {
@@ -93,28 +94,28 @@
 	}
 }
 
-// Set changes its mood.
+// SetBehaviour replaces the behaviour. Requests that are being answered keep the earlier one; SlowRead applies at once.
 func (c *Collector) SetBehaviour(behaviour Behaviour) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.behaviour = behaviour
 }
 
-// Spans is all spans that it took.
+// Spans returns all accepted spans.
 func (c *Collector) Spans() []*trace.Span {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return append([]*trace.Span(nil), c.spans...)
 }
 
-// Metrics is what it last took of metrics, and how often it was asked in all.
+// Metrics returns the metrics of the last accepted request with metrics, and the number of requests of any kind.
 func (c *Collector) Metrics() (last []*metrics.ResourceMetrics, requests int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.metrics, c.requests
 }
 
-// sipping makes connections that are read slowly, if the mood is such.
+// slowListener accepts connections that are read slowly while Behaviour.SlowRead is set.
 type slowListener struct {
 	net.Listener
 	c *Collector
@@ -147,7 +148,7 @@
 	return s.Conn.Read(b)
 }
 
-// now is the mood for one request, and what ends it.
+// beginRequest counts a request. It returns the behaviour for it and a channel that Close closes.
 func (c *Collector) beginRequest() (Behaviour, <-chan struct{}) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -155,7 +156,7 @@
 	return c.behaviour, c.closed
 }
 
-// behave does what the mood has for a request before its answer; false: there is none.
+// waitToAnswer waits as long as behaviour delays the answer. It returns false if the request gets no answer.
 func waitToAnswer(ctx context.Context, behaviour *Behaviour, closed <-chan struct{}) bool {
 	if behaviour.NeverAnswer {
 		select {
@@ -230,13 +231,13 @@
 		return err
 	}
 	if !waitToAnswer(stream.Context(), &behaviour, closed) {
-		return status.Error(codes.Unavailable, "gone")
+		return status.Error(codes.Unavailable, "collector closed or request cancelled")
 	}
 	switch {
 	case behaviour.Status == 400:
-		return status.Error(codes.InvalidArgument, "as told")
+		return status.Error(codes.InvalidArgument, "simulated rejection")
 	case behaviour.Status != 0:
-		s := status.New(codes.Unavailable, "as told")
+		s := status.New(codes.Unavailable, "simulated unavailability")
 		if behaviour.RetryAfter > 0 {
 			s, _ = s.WithDetails(&errdetails.RetryInfo{RetryDelay: durationpb.New(behaviour.RetryAfter)})
 		}
@@ -245,14 +246,15 @@
 		answer := []byte("\xff\xff\xffgarbage")
 		return stream.SendMsg(&answer)
 	}
-	answer, err := c.accept(method == "/opentelemetry.proto.collector.trace.v1.TraceService/Export", body, behaviour.RejectedSpans)
+	answer, err := c.accept(method == "/opentelemetry.proto.collector.trace.v1.TraceService/Export",
+		body, behaviour.RejectedSpans)
 	if err != nil {
 		return status.Error(codes.InvalidArgument, err.Error())
 	}
 	return stream.SendMsg(&answer)
 }
 
-// take keeps what a request brings, and is its answer.
+// accept stores the content of a request and returns the encoded answer.
 func (c *Collector) accept(isTrace bool, body []byte, reject int64) ([]byte, error) {
 	if !isTrace {
 		var r collmetrics.ExportMetricsServiceRequest
@@ -273,7 +275,7 @@
 		for _, ss := range rs.ScopeSpans {
 			if ss.Scope.GetName() == "" {
 				c.mu.Unlock()
-				return nil, errors.New("a scope without a name")
+				return nil, errors.New("instrumentation scope has no name")
 			}
 			c.spans = append(c.spans, ss.Spans...)
 		}
@@ -284,12 +286,13 @@
 	}
 	answer := &colltrace.ExportTraceServiceResponse{}
 	if reject > 0 {
-		answer.PartialSuccess = &colltrace.ExportTracePartialSuccess{RejectedSpans: reject, ErrorMessage: "as told"}
+		answer.PartialSuccess = &colltrace.ExportTracePartialSuccess{
+			RejectedSpans: reject, ErrorMessage: "simulated partial rejection"}
 	}
 	return proto.Marshal(answer)
 }
 
-// raw passes bytes through: what a method takes is known by its name.
+// rawCodec passes bytes through undecoded, since one handler serves all methods and decodes by the method's name.
 type rawCodec struct{}
 
 func (rawCodec) Marshal(v any) ([]byte, error) { return *v.(*[]byte), nil }
--- a/internal/lab/collector/tree.go
+++ b/internal/lab/collector/tree.go
@@ -11,10 +11,10 @@
 	trace "go.opentelemetry.io/proto/slim/otlp/trace/v1"
 )
 
-const waterfallColumns = 40 // columns of the waterfall
+const waterfallColumns = 40
 
-// Whole checks that spans are whole traces: each has one root (a span whose parent is not among them), and no
-// span stands twice. It returns the traces by id.
+// GroupTraces returns spans grouped by trace ID in hexadecimal. It fails if a trace does not have exactly one root
+// (a span whose parent is not among the spans) or if a span occurs twice.
 func GroupTraces(spans []*trace.Span) (map[string][]*trace.Span, error) {
 	traces := map[string][]*trace.Span{}
 	seen := map[string]bool{}
@@ -22,7 +22,7 @@
 		id := hex.EncodeToString(s.TraceId)
 		key := id + hex.EncodeToString(s.SpanId)
 		if seen[key] {
-			return traces, fmt.Errorf("trace %s: span %x (%s) stands twice", id, s.SpanId, s.Name)
+			return traces, fmt.Errorf("trace %s: span %x (%s) occurs twice", id, s.SpanId, s.Name)
 		}
 		seen[key] = true
 		traces[id] = append(traces[id], s)
@@ -35,13 +35,13 @@
 			}
 		}
 		if roots != 1 {
-			return traces, fmt.Errorf("trace %s: %d roots in %d spans", id, roots, len(list))
+			return traces, fmt.Errorf("trace %s has %d roots in %d spans, want one root", id, roots, len(list))
 		}
 	}
 	return traces, nil
 }
 
-// WriteTree writes a trace as a tree, with a waterfall beside it.
+// WriteTree writes the spans of one trace as a tree, each with its bar in a waterfall chart.
 func WriteTree(w io.Writer, spans []*trace.Span) {
 	byID := map[string]bool{}
 	first, last := ^uint64(0), uint64(0)
@@ -73,7 +73,7 @@
 	writeChildren(nil, 0)
 }
 
-// waterfall is when a span was within its trace.
+// waterfall returns the bar of a span on the time axis of its trace, which spans first to last. An x marks an error.
 func waterfall(s *trace.Span, first, last uint64) string {
 	length := max(float64(last-first), 1)
 	from := min(int(float64(s.StartTimeUnixNano-first)/length*waterfallColumns), waterfallColumns-1)
