--- a/internal/lab/proc/proc.go
+++ b/internal/lab/proc/proc.go
@@ -1,5 +1,5 @@
-// Package proc measures processes of this machine and finds loopback addresses for them, for the lab's tools that run the
-// real program.
+// Package proc measures processes of this machine and finds loopback addresses for them. The lab's tools that run the
+// real program use it.
 package proc
 
 import (
@@ -13,7 +13,7 @@
 	"sync/atomic"
 )
 
-// Resident is a process's resident memory in bytes, 0 if it is gone.
+// ResidentBytes returns the resident memory of a process, or 0 if there is no such process.
 func ResidentBytes(pid int) int64 {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/statm", pid))
 	if err != nil {
@@ -27,17 +27,17 @@
 	return pages * int64(os.Getpagesize())
 }
 
-// ProcessorTime is what the threads of a process have taken so far, in seconds. Threads that have ended are not in it.
+// CPUSeconds returns the CPU time used by the running threads of a process. Threads that have ended are not included.
 func CPUSeconds(pid int) (float64, error) {
 	tasks, err := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/schedstat", pid))
 	if err != nil || len(tasks) == 0 {
-		return 0, errors.New("the process is gone")
+		return 0, errors.New("no threads found in /proc: the process has ended")
 	}
 	total := 0.0
 	for _, task := range tasks {
 		text, err := os.ReadFile(task)
 		if err != nil {
-			continue // a thread that has ended
+			continue // the thread has ended
 		}
 		nanoseconds, err := strconv.ParseFloat(strings.Fields(string(text))[0], 64)
 		if err != nil {
@@ -48,7 +48,7 @@
 	return total, nil
 }
 
-// Load is the mean number of runnable processes over the last minute, 0 where the system does not tell.
+// LoadAverage returns the system's load average over the last minute, or 0 where the system does not report it.
 func LoadAverage() float64 {
 	text, err := os.ReadFile("/proc/loadavg")
 	if err != nil {
@@ -59,11 +59,12 @@
 	return value
 }
 
-// addrs counts the addresses that FreeAddr has given.
+// addrCount is the number of addresses that FreeAddr has tried.
 var addrCount atomic.Int32
 
-// FreeAddr is a loopback address of its own, for a process that is yet to start: with a port under those that the system
-// gives to connections, which could else take it meanwhile. It is safe for concurrent use.
+// FreeAddr returns an unused loopback address for a process that is not started yet. Its port is below the range of
+// ephemeral ports, so that no outgoing connection can take it before the process listens. FreeAddr is safe for
+// concurrent use.
 func FreeAddr() (string, error) {
 	for range 100 {
 		n := int(addrCount.Add(1))
@@ -74,5 +75,5 @@
 		}
 		return addr, ln.Close()
 	}
-	return "", errors.New("no free loopback address")
+	return "", errors.New("no free loopback address in 100 attempts")
 }
--- a/internal/lab/proc/proc_test.go
+++ b/internal/lab/proc/proc_test.go
@@ -7,10 +7,10 @@
 	"time"
 )
 
-// What this very process takes is seen: memory, and processor time that grows with work.
+// The figures of the test's own process are plausible: resident memory, and CPU time that grows with work.
 func TestOwnProcess(t *testing.T) {
 	if n := ResidentBytes(os.Getpid()); n < 1<<20 {
-		t.Errorf("resident: %d bytes", n)
+		t.Errorf("resident memory is %d bytes, want at least 1 MiB", n)
 	}
 	before, err := CPUSeconds(os.Getpid())
 	if err != nil {
@@ -20,17 +20,17 @@
 	}
 	after, err := CPUSeconds(os.Getpid())
 	if err != nil || after <= before {
-		t.Errorf("processor time %g, then %g: %v", before, after, err)
+		t.Errorf("CPU time was %g s, then %g s: %v", before, after, err)
 	}
 }
 
 func TestMissingProcess(t *testing.T) {
 	const missingPID = 1 << 30
 	if n := ResidentBytes(missingPID); n != 0 {
-		t.Errorf("resident: %d bytes", n)
+		t.Errorf("resident memory of a missing process is %d bytes, want 0", n)
 	}
 	if _, err := CPUSeconds(missingPID); err == nil {
-		t.Error("processor time of a process that is not there")
+		t.Error("no error for the CPU time of a missing process")
 	}
 }
 
@@ -39,7 +39,7 @@
 	for range 20 {
 		addr, err := FreeAddr()
 		if err != nil || seen[addr] {
-			t.Fatalf("%q again, or %v", addr, err)
+			t.Fatalf("address %q was returned before, or error: %v", addr, err)
 		}
 		seen[addr] = true
 		ln, err := net.Listen("tcp", addr)
