--- a/internal/lab/cli/capacity.go
+++ b/internal/lab/cli/capacity.go
@@ -39,7 +39,8 @@
 	defer os.RemoveAll(dir)
 	done := func(string) {}
 	if env.ShowProgress {
-		bar := progressbar.NewOptions(capacity.Sizes(c.Only), progressbar.OptionSetWriter(env.Err), progressbar.OptionShowCount(), progressbar.OptionClearOnFinish())
+		bar := progressbar.NewOptions(capacity.Sizes(c.Only), progressbar.OptionSetWriter(env.Err),
+			progressbar.OptionShowCount(), progressbar.OptionClearOnFinish())
 		done = func(name string) { bar.Describe(name); bar.Add(1) }
 	}
 	record, err := capacity.Run(&capacity.Env{Ctx: env.Ctx, Binary: binary, Dir: dir}, c.Only, done)
@@ -48,8 +49,9 @@
 	}
 	for i := range record.Series {
 		s := &record.Series[i]
-		fmt.Fprintf(env.Out, "%-26s %.4g + %.4g %s a %s, residual %.1f %%; at %.0f foretold %.4g, measured %.4g: missed by %+.1f %%\n", s.Name,
-			s.Fit.Base, s.Fit.Slope, s.Unit, s.Per, 100*s.Fit.Residual, s.Largest().Size, s.Fit.At(s.Largest().Size), s.Largest().Value, 100*s.Missed())
+		fmt.Fprintf(env.Out, "%-26s %.4g + %.4g %s a %s, residual %.1f %%; at %.0f predicted %.4g, measured %.4g: error %+.1f %%\n",
+			s.Name, s.Fit.Base, s.Fit.Slope, s.Unit, s.Per, 100*s.Fit.Residual, s.Largest().Size,
+			s.Fit.At(s.Largest().Size), s.Largest().Value, 100*s.Missed())
 	}
 	if len(c.Only) > 0 {
 		return nil
--- a/internal/lab/cli/cli.go
+++ b/internal/lab/cli/cli.go
@@ -1,6 +1,5 @@
-// Package cli is the lab's command line. A sender links none of it: plots, distributions and progress bars
-// would cost it memory that the leanest machine has not, so the lab is a program of its own, which "sliptide
-// lab" starts.
+// Package cli implements the command line of the lab, a separate program that "sliptide lab" starts. Senders do not
+// link it: plots, distributions and progress bars would cost memory that the smallest supported machine does not have.
 package cli
 
 import (
@@ -23,21 +22,21 @@
 	"sliptide/internal/strictxml"
 )
 
-// Env is what the commands work with.
+// Env holds the context, the output streams and the terminal setting of the commands.
 type Env struct {
 	Ctx          context.Context
 	Out, Err     io.Writer
-	ShowProgress bool // Err is a terminal
+	ShowProgress bool // whether Err is a terminal
 }
 
 type grammar struct {
 	Run       runCmd       `cmd:"" help:"Run an experiment and write its results."`
 	List      listCmd      `cmd:"" help:"List the experiments of a folder, and their results."`
 	Report    reportCmd    `cmd:"" help:"Draw results as an HTML page."`
-	Compare   compareCmd   `cmd:"" help:"Tell in what two results differ by more than chance."`
+	Compare   compareCmd   `cmd:"" help:"Show the statistically significant differences between two results."`
 	Collector collectorCmd `cmd:"" help:"Serve as an OTLP collector and show the traces that arrive."`
 	Count     countCmd     `cmd:"" help:"Add up the logs of a fleet over time: calls, refusals, lists, what is held."`
-	Capacity  capacityCmd  `cmd:"" help:"Measure what each part grows by, and write the page of capacity."`
+	Capacity  capacityCmd  `cmd:"" help:"Measure how the use of each resource grows, and write the capacity page."`
 	Scale     scaleCmd     `cmd:"" help:"Run a sharded fleet of hollow members on this machine, with faults and a judge."`
 	Members   membersCmd   `cmd:"" name:"scale-members" hidden:"" help:"Hollow members of a scale run."`
 	Schema    schemaCmd    `cmd:"" help:"Print the XML Schema of experiment files."`
@@ -71,7 +70,7 @@
 	}
 	e, err := runner.Run(env.Ctx, f, c.Workers, done)
 	if err != nil {
-		return fmt.Errorf("%s: stopped, nothing is written: %w", f.Name, err)
+		return fmt.Errorf("%s: run stopped, no results written: %w", f.Name, err)
 	}
 	base := filepath.Join(c.Out, f.Name)
 	for _, o := range []struct {
@@ -86,11 +85,12 @@
 		}
 	}
 	writeTable(env.Out, e)
-	fmt.Fprintf(env.Out, "%d runs, %d events, %.0f a second on one core; %s.json, .csv, .html\n", total, e.Events, e.PerSecond, base)
+	fmt.Fprintf(env.Out, "%d runs, %d events, %.0f a second on one core; %s.json, .csv, .html\n",
+		total, e.Events, e.PerSecond, base)
 	return nil
 }
 
-// writeFile replaces a file only by a whole one.
+// writeFile replaces a file atomically: after an error the old file is unchanged.
 func writeFile(name string, write func(io.Writer) error) error {
 	f, err := os.CreateTemp(filepath.Dir(name), ".lab-*")
 	if err != nil {
@@ -106,8 +106,9 @@
 	return err
 }
 
-// shown are the measures that a terminal has room for.
-var shownMeasures = []string{"first-second", "most-in-a-second", "seconds-over", "back-95", "goodput", "retries", "p99", "others-p99"}
+// shownMeasures lists the measures that fit into the width of a terminal.
+var shownMeasures = []string{"first-second", "most-in-a-second", "seconds-over", "back-95",
+	"goodput", "retries", "p99", "others-p99"}
 
 func writeTable(out io.Writer, e *results.Experiment) {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
@@ -188,8 +189,8 @@
 
 type compareCmd struct {
 	A     string  `arg:"" help:"Results in JSON."`
-	B     string  `arg:"" help:"Others."`
-	Level float64 `default:"0.01" help:"A difference is told that chance makes less often than this."`
+	B     string  `arg:"" help:"Results in JSON to compare with."`
+	Level float64 `default:"0.01" help:"Significance level: differences with a lower p-value are shown."`
 }
 
 // Run runs the command.
@@ -204,12 +205,13 @@
 	}
 	list, common := results.Compare(a, b, c.Level)
 	if common == 0 {
-		return errors.New("the two have no point in common")
+		return errors.New("the two results have no points in common")
 	}
 	w := tabwriter.NewWriter(env.Out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "point\tmeasure\ta\tb\tp")
 	for _, d := range list {
-		fmt.Fprintf(w, "%s\t%s\t%.4g±%.2g\t%.4g±%.2g\t%.2g\n", strings.Join(d.Labels, " "), d.Measure, d.A.Mean, d.A.Half, d.B.Mean, d.B.Half, d.PValue)
+		fmt.Fprintf(w, "%s\t%s\t%.4g±%.2g\t%.4g±%.2g\t%.2g\n",
+			strings.Join(d.Labels, " "), d.Measure, d.A.Mean, d.A.Half, d.B.Mean, d.B.Half, d.PValue)
 	}
 	w.Flush()
 	fmt.Fprintf(env.Out, "%d points in common, %d differences (Welch's t-test, %g)\n", common, len(list), c.Level)
@@ -224,14 +226,14 @@
 	return err
 }
 
-// Main runs the command that args name and returns the exit status.
+// Main runs the command given by args and returns its exit status.
 func Main(args []string, env Env) int {
 	p := command.Program{Name: "sliptide lab", Out: env.Out, Err: env.Err, Env: &env, Status: exitStatus,
 		Description: "An emulator of senders, clients and partners, and experiments with it."}
 	return p.Main(&grammar{}, args)
 }
 
-// statusOf is the exit status of an error.
+// exitStatus returns the exit status for an error.
 func exitStatus(err error) (status int, quiet bool) {
 	var bad *strictxml.Error
 	if errors.As(err, &bad) {
--- a/internal/lab/cli/collector.go
+++ b/internal/lab/cli/collector.go
@@ -21,36 +21,40 @@
 // Run runs the command until it is interrupted.
 func (c *collectorCmd) Run(env *Env) error {
 	var mu sync.Mutex
-	col := &collector.Collector{OnTraces: func(list []*trace.ResourceSpans) {
+	server := &collector.Collector{OnTraces: func(list []*trace.ResourceSpans) {
 		mu.Lock()
 		defer mu.Unlock()
 		printTraces(env, list)
 	}}
-	col.SetBehaviour(behaviourOf(c.Mood))
-	defer col.Close()
+	server.SetBehaviour(behaviourOf(c.Mood))
+	defer server.Close()
 	for _, l := range []struct {
-		addr, what string
-		serve      func(net.Listener)
-	}{{c.HTTP, "OTLP/HTTP", col.ServeHTTP}, {c.GRPC, "OTLP/gRPC", func(ln net.Listener) { col.ServeGRPC(ln) }}} {
+		addr, protocol string
+		serve          func(net.Listener)
+	}{{c.HTTP, "OTLP/HTTP", server.ServeHTTP}, {c.GRPC, "OTLP/gRPC", func(ln net.Listener) { server.ServeGRPC(ln) }}} {
 		if l.addr == "" {
 			continue
 		}
 		ln, err := net.Listen("tcp", l.addr)
 		if err != nil {
-			return fmt.Errorf("%s: %w", l.what, err)
+			return fmt.Errorf("%s: %w", l.protocol, err)
 		}
-		fmt.Fprintf(env.Out, "%s on %s, %s\n", l.what, ln.Addr(), c.Mood)
+		fmt.Fprintf(env.Out, "%s on %s, %s\n", l.protocol, ln.Addr(), c.Mood)
 		l.serve(ln)
 	}
 	<-env.Ctx.Done()
 	return nil
 }
 
+// behaviourOf returns the collector behaviour for a value of --mood.
 func behaviourOf(name string) collector.Behaviour {
-	return map[string]collector.Behaviour{"hole": {NeverAnswer: true}, "sip": {SlowRead: true}, "slow": {AnswerDelay: 1e9}, "full": {Status: 503, RetryAfter: 5e9}, "lying": {InvalidBody: true}}[name]
+	return map[string]collector.Behaviour{
+		"hole": {NeverAnswer: true}, "sip": {SlowRead: true}, "slow": {AnswerDelay: 1e9},
+		"full": {Status: 503, RetryAfter: 5e9}, "lying": {InvalidBody: true},
+	}[name]
 }
 
-// show writes the traces of one request, in the order in which they began.
+// printTraces prints the traces of one request in the order of the request.
 func printTraces(env *Env, list []*trace.ResourceSpans) {
 	for _, rs := range list {
 		var attributes []string
--- a/internal/lab/cli/count.go
+++ b/internal/lab/cli/count.go
@@ -9,14 +9,14 @@
 
 type countCmd struct {
 	Folder string        `arg:"" help:"Folder with one *.log for each sender, written with <log records=\"true\"/>."`
-	Every  time.Duration `default:"5s" help:"Length of a row."`
+	Every  time.Duration `default:"5s" help:"Time covered by a row."`
 	Dest   int           `default:"-1" help:"One destination alone." placeholder:"N"`
 }
 
 // Run runs the command.
 func (c *countCmd) Run(env *Env) error {
 	if c.Every <= 0 {
-		return errors.New("--every: a row needs a length over 0")
+		return errors.New("--every must be more than 0")
 	}
 	counter := fleet.NewCounter(c.Every, c.Dest)
 	if err := counter.AddFolder(c.Folder); err != nil {
--- a/internal/lab/cli/scale.go
+++ b/internal/lab/cli/scale.go
@@ -17,7 +17,7 @@
 type scaleCmd struct {
 	File   string `arg:"" optional:"" help:"The scale run's file." default:"experiments/fleet/scale.xml"`
 	Out    string `default:"lab-results" help:"Folder for NAME.json and NAME.html." placeholder:"DIR"`
-	Target string `default:"experiments/fleet/target.xml" help:"The target whose budgets are held against." placeholder:"FILE"`
+	Target string `default:"experiments/fleet/target.xml" help:"The target whose budgets the results are compared with." placeholder:"FILE"`
 	Page   string `help:"A page whose tables are written, too." placeholder:"FILE"`
 	Binary string `default:"bin/sliptide" help:"The program of control members and senders." placeholder:"FILE"`
 	Keep   string `help:"Keep the processes' logs in this folder." placeholder:"DIR"`
@@ -25,8 +25,8 @@
 	Schema bool   `help:"Print the XML Schema of scale files."`
 }
 
-// errNotClean is the error of a run whose judge found something, or that did not end as planned.
-var errNotClean = errors.New("the run is not clean")
+// errNotClean reports a run with findings, or one that did not complete as planned.
+var errNotClean = errors.New("the run has findings or did not complete")
 
 // Run runs the command.
 func (c *scaleCmd) Run(env *Env) error {
@@ -59,7 +59,7 @@
 	return c.printResult(env, result)
 }
 
-// result runs the file, or reads what an earlier run came to.
+// runOrLoad runs the file, or with --again loads the result of an earlier run.
 func (c *scaleCmd) runOrLoad(env *Env, f *scale.File, base string) (*scale.Result, error) {
 	if c.Again {
 		return scale.LoadResult(base + ".json")
@@ -87,7 +87,8 @@
 		Tick:     func(time.Duration, time.Duration) {},
 		Sized:    func(r *scale.Result) error { return writeFile(base+".json", r.WriteJSON) }}
 	if env.ShowProgress {
-		bar := progressbar.NewOptions(int(f.Length/time.Second), progressbar.OptionSetWriter(env.Err), progressbar.OptionClearOnFinish())
+		bar := progressbar.NewOptions(int(f.Length/time.Second),
+			progressbar.OptionSetWriter(env.Err), progressbar.OptionClearOnFinish())
 		o.Tick = func(done, _ time.Duration) { bar.Set(int(done / time.Second)) }
 	}
 	result, err := scale.Run(env.Ctx, o)
@@ -97,7 +98,7 @@
 	return result, writeFile(base+".json", result.WriteJSON)
 }
 
-// tell prints what a run came to.
+// printResult prints a summary of the result. It returns errNotClean if a size has findings or did not complete.
 func (c *scaleCmd) printResult(env *Env, r *scale.Result) error {
 	clean := true
 	for i := range r.Sizes {
@@ -109,14 +110,17 @@
 		}
 		verdict, worst := s.Verdict, scale.Worst(s.Senders)
 		fmt.Fprintf(env.Out, "%d members: findings %v; a change in force p50 %.2f, p99 %.2f, worst %.2f s; longest unserved %.1f s; worst real sender %.3f %% of a core, %.1f MB, %.2f KB/s\n",
-			s.Members, verdict.Findings, verdict.Median, verdict.P99, verdict.Worst, verdict.Unserved, worst.CorePercent, worst.MemoryMB, worst.LinkKBps)
+			s.Members, verdict.Findings, verdict.Median, verdict.P99, verdict.Worst, verdict.Unserved,
+			worst.CorePercent, worst.MemoryMB, worst.LinkKBps)
 		for _, e := range verdict.Examples[:min(len(verdict.Examples), 5)] {
 			fmt.Fprintf(env.Out, "  %s: %s\n", e.Rule, e.Detail)
 		}
 		clean = clean && verdict.Clean()
 	}
 	for _, comparison := range r.Compare {
-		fmt.Fprintf(env.Out, "%d destinations: of shards %.1f MB, ready in %.2f s; of all %.1f MB, ready in %.2f s %s\n", comparison.Destinations, comparison.Shards.MemoryMB, comparison.Shards.ReadyS, comparison.Whole.MemoryMB, comparison.Whole.ReadyS, comparison.WholeEnded)
+		fmt.Fprintf(env.Out, "%d destinations: of shards %.1f MB, ready in %.2f s; of all %.1f MB, ready in %.2f s %s\n",
+			comparison.Destinations, comparison.Shards.MemoryMB, comparison.Shards.ReadyS,
+			comparison.Whole.MemoryMB, comparison.Whole.ReadyS, comparison.WholeEnded)
 	}
 	if !clean {
 		return errNotClean
@@ -124,7 +128,7 @@
 	return nil
 }
 
-// membersCmd is a process of hollow members, which a scale run starts.
+// membersCmd runs a process of hollow members. Scale runs start it.
 type membersCmd struct{}
 
 // Run runs the command.
--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -102,8 +102,8 @@
 	return lines.Err()
 }
 
-// secondsSinceFirst returns the seconds from the time stamp of the first line to stamp, 0 if stamp is earlier, and -1 if
-// it is not valid.
+// secondsSinceFirst returns the seconds from the time stamp of the first line to stamp, 0 if stamp is earlier, and -1
+// if it is not valid.
 func (c *Counter) secondsSinceFirst(stamp string) float64 {
 	t, err := time.Parse(time.RFC3339Nano, stamp)
 	if err != nil {
