--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -1,4 +1,4 @@
-// Package lab holds the lab's parts; this test goes through all of them.
+// Package lab contains the packages of the lab. Its tests run them together, from the experiment file to the report.
 package lab
 
 import (
@@ -26,7 +26,7 @@
   <seeds first="4" count="3"/>
 </experiment>`
 
-// What makes no sense is refused, with what is wrong and what is allowed.
+// Invalid experiments are refused with an error that names the fault and what is allowed.
 func TestBadExperiments(t *testing.T) {
 	for text, want := range map[string]string{
 		`<experiment version="1" name="a"><vary name="sender" values="1"/></experiment>`:                                    `name="sender" in <vary>; allowed: system, senders`,
@@ -46,11 +46,11 @@
 	}
 }
 
-// The shipped experiments can be read, and the schema stands beside them as it is.
+// The shipped experiments can be read, and the schema file beside them is up to date.
 func TestShippedExperiments(t *testing.T) {
 	files, _ := filepath.Glob("../../experiments/*.xml")
 	if len(files) == 0 {
-		t.Fatal("none")
+		t.Fatal("no experiment files in ../../experiments")
 	}
 	for _, name := range files {
 		if _, err := experiment.Load(name); err != nil {
@@ -58,11 +58,12 @@
 		}
 	}
 	if have, err := os.ReadFile("../../experiments/experiment.xsd"); err != nil || string(have) != experiment.Schema() {
-		t.Errorf("experiments/experiment.xsd is not what the table says (make generate): %v", err)
+		t.Errorf("experiments/experiment.xsd differs from the generated schema (run make generate): %v", err)
 	}
 }
 
-// However many workers there are, the results are the same; and they come back from JSON as they were.
+// The results do not depend on the number of workers, and can be read back from JSON. Compared with themselves they show
+// no differences; a lowered goodput shows as the only one.
 func TestResultsIndependentOfWorkers(t *testing.T) {
 	f, err := experiment.Read("f.xml", strings.NewReader(smallExperiment))
 	if err != nil {
@@ -74,7 +75,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		e.PerSecond = 0 // the machine's
+		e.PerSecond = 0 // depends on the machine
 		var b bytes.Buffer
 		if err := e.WriteJSON(&b); err != nil {
 			t.Fatal(err)
@@ -82,28 +83,28 @@
 		encoded = append(encoded, b.Bytes())
 	}
 	if !bytes.Equal(encoded[0], encoded[1]) {
-		t.Error("four workers give other results than one")
+		t.Error("results with four workers differ from those with one")
 	}
 	e, err := results.ReadJSON(bytes.NewReader(encoded[0]))
 	if err != nil || len(e.Points) != 4 || len(e.Points[0].Runs) != 3 {
-		t.Fatalf("%v, %+v", err, e)
+		t.Fatalf("read back: error %v, experiment %+v", err, e)
 	}
 	if list, common := results.Compare(e, e, 0.05); len(list) > 0 || common != 4 {
-		t.Errorf("results differ from themselves: %v", list)
+		t.Errorf("results compared with themselves: differences %v, want none, and 4 points in common", list)
 	}
 	changed, _ := results.ReadJSON(bytes.NewReader(encoded[0]))
 	s := changed.Points[0].Summary["goodput"]
 	s.Mean -= 10 * (s.SD + 0.01)
 	changed.Points[0].Summary["goodput"] = s
 	if list, _ := results.Compare(e, changed, 0.01); len(list) != 1 || list[0].Measure != "goodput" {
-		t.Errorf("a goodput ten deviations lower shows as %+v", list)
+		t.Errorf("goodput lowered by ten standard deviations: differences %+v, want goodput only", list)
 	}
 	if _, err := results.ReadJSON(strings.NewReader(`{"name":"x","vary":["a"],"points":[{"labels":[]}]}`)); err == nil {
-		t.Error("half a point passes")
+		t.Error("a point with too few labels was accepted")
 	}
 }
 
-// The command line from a file to a page, with each command's errors.
+// The commands work in sequence from an experiment file to the report, and errors give the right exit status.
 func TestCommandLine(t *testing.T) {
 	dir := t.TempDir()
 	file := filepath.Join(dir, "small.xml")
@@ -149,23 +150,23 @@
 			break
 		}
 		if err != nil {
-			t.Fatalf("the page: %v", err)
+			t.Fatalf("parse the report page: %v", err)
 		}
 		if s, ok := tok.(xml.StartElement); ok && s.Name.Local == "svg" {
 			svgs++
 		}
 	}
 	if svgs != 8 { // four plots for each number of senders
-		t.Errorf("%d plots", svgs)
+		t.Errorf("the report has %d plots, want 8", svgs)
 	}
 }
 
-// A run that is stopped writes nothing.
+// A cancelled run returns context.Canceled and no results.
 func TestCancelledRun(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	f, _ := experiment.Read("f.xml", strings.NewReader(smallExperiment))
 	if e, err := runner.Run(ctx, f, 2, nil); e != nil || !reflect.DeepEqual(err, context.Canceled) {
-		t.Errorf("%v, %v", e, err)
+		t.Errorf("result %v, error %v; want no result and %v", e, err, context.Canceled)
 	}
 }
