--- a/cmd/sliptide-lab/main.go
+++ b/cmd/sliptide-lab/main.go
@@ -14,7 +14,8 @@
 	ctx, cancel := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer cancel()
 	info, err := os.Stderr.Stat()
-	status := cli.Main(os.Args[1:], cli.Env{Ctx: ctx, Out: os.Stdout, Err: os.Stderr, ShowProgress: err == nil && info.Mode()&os.ModeCharDevice != 0})
+	status := cli.Main(os.Args[1:], cli.Env{Ctx: ctx, Out: os.Stdout, Err: os.Stderr,
+		ShowProgress: err == nil && info.Mode()&os.ModeCharDevice != 0})
 	cancel()
 	os.Exit(status)
 }
--- a/example/fleet/main.go
+++ b/example/fleet/main.go
@@ -1,11 +1,12 @@
-// Command fleet starts three senders of one fleet on loopback, with a toy of the world round them: discovery with one
-// partner, which is down for ten seconds of each half minute, and a client that hands in messages. It prints what the
-// fleet's duties do; Ctrl-C ends all of it.
+// Command fleet starts three senders of one fleet on loopback, and simulates their surroundings: discovery with one
+// partner, which is down for ten seconds of every thirty, and a client that submits messages. It prints what happens to
+// the fleet's duties. Ctrl-C stops everything.
 //
 //	make fleet
 //
-// With -lose the senders copy what they take on. One of them is killed, and its folder removed, while the partner is down;
-// when the time of all is over, the example counts what was taken on and what became of it, and ends.
+// With -lose the senders copy the messages that they accept. One sender is killed and its state directory removed while
+// the partner is down. Later the partner returns and the load stops; the example waits up to 20 seconds for the remaining
+// final answers, reports how many messages were accepted and how many of these have no final answer, and exits.
 //
 //	make copies
 package main
@@ -32,7 +33,8 @@
 const dest = 7
 
 func main() {
-	losesSender := flag.Bool("lose", false, "kill a sender and remove its folder, and count what became of its messages")
+	lose := flag.Bool("lose", false,
+		"kill a sender, remove its state directory, and count the messages without a final answer")
 	flag.Parse()
 	dir, err := os.MkdirTemp("", "sliptide-fleet")
 	if err != nil {
@@ -43,24 +45,25 @@
 	go func() { log.Fatal(http.ListenAndServe("127.0.0.1:9100", partner(&down))) }()
 	go func() { log.Fatal(http.ListenAndServe("127.0.0.1:8500", discovery())) }()
 	operator := filepath.Join("example", "fleet", "sliptide.xml")
-	if *losesSender {
+	if *lose {
 		operator = filepath.Join("example", "fleet", "copies.xml")
 	}
 	var senders []*exec.Cmd
 	for i := range 3 {
 		senders = append(senders, startSender(dir, operator, i))
 	}
-	stop := make(chan os.Signal, 1)
-	signal.Notify(stop, os.Interrupt)
+	interrupts := make(chan os.Signal, 1)
+	signal.Notify(interrupts, os.Interrupt)
 	go sendMessages()
-	if *losesSender {
-		go loseSender(senders[2], filepath.Join(dir, "n2"), &down, stop)
+	if *lose {
+		go loseSender(senders[2], filepath.Join(dir, "n2"), &down, interrupts)
 	} else {
 		go repeatOutages(&down)
 	}
-	fmt.Printf("ask it:  bin/sliptide fleet status --operator %s\n         bin/sliptide fleet duties --operator %s\n", operator, operator)
-	fmt.Println("kill one: the pids are", senders[0].Process.Pid, senders[1].Process.Pid, senders[2].Process.Pid)
-	<-stop
+	fmt.Printf("status:  bin/sliptide fleet status --operator %s\n         bin/sliptide fleet duties --operator %s\n",
+		operator, operator)
+	fmt.Println("process IDs, to kill a sender:", senders[0].Process.Pid, senders[1].Process.Pid, senders[2].Process.Pid)
+	<-interrupts
 	for _, s := range senders {
 		s.Process.Signal(os.Interrupt)
 	}
@@ -69,11 +72,11 @@
 	}
 }
 
-// start starts sender i with a configuration made from the example's.
+// startSender starts sender i with a configuration derived from example/config.json.
 func startSender(dir, operator string, i int) *exec.Cmd {
 	text, err := os.ReadFile("example/config.json")
 	if err != nil {
-		log.Fatal("start it from the root of the repository: ", err)
+		log.Fatal("read the configuration (run the example from the root of the repository): ", err)
 	}
 	var config map[string]any
 	if err := json.Unmarshal(text, &config); err != nil {
@@ -95,12 +98,12 @@
 	c.Env = append(os.Environ(), "RELAY_CONFIG="+path, "RELAY_STATE="+state)
 	c.Stderr = &fleetLog{name: name}
 	if err := c.Start(); err != nil {
-		log.Fatal("make build first: ", err)
+		log.Fatal("start the sender (run make build first): ", err)
 	}
 	return c
 }
 
-// duties prints the lines of a sender's log that tell of the fleet.
+// fleetLog prints the lines of a sender's log about the fleet and the copies, except those about links.
 type fleetLog struct {
 	name     string
 	buffered []byte
@@ -115,9 +118,11 @@
 			return len(b), nil
 		}
 		d.buffered = rest
-		var l struct{ Message, Duty string }
-		if json.Unmarshal(line, &l) == nil && (strings.HasPrefix(l.Message, "fleet: ") || strings.HasPrefix(l.Message, "copies: ")) && !strings.Contains(l.Message, "link") {
-			log.Printf("%s %s %s", d.name, l.Message, l.Duty)
+		var record struct{ Message, Duty string }
+		if json.Unmarshal(line, &record) == nil &&
+			(strings.HasPrefix(record.Message, "fleet: ") || strings.HasPrefix(record.Message, "copies: ")) &&
+			!strings.Contains(record.Message, "link") {
+			log.Printf("%s %s %s", d.name, record.Message, record.Duty)
 		}
 	}
 }
@@ -133,7 +138,7 @@
 	})
 }
 
-// ledger is what became of each message.
+// outcomes records which messages were accepted and which have a final answer, by trace ID.
 type outcomes struct {
 	sync.Mutex
 	accepted, ended map[string]bool
@@ -147,7 +152,7 @@
 	ids[id] = true
 }
 
-// count is how many were taken on, and how many of these have no final answer.
+// count returns the number of accepted messages, and of those without a final answer.
 func (l *outcomes) count() (accepted, unanswered int) {
 	l.Lock()
 	defer l.Unlock()
@@ -159,7 +164,7 @@
 	return len(l.accepted), unanswered
 }
 
-// loss loses a machine while it holds messages, and tells what became of them.
+// loseSender simulates the loss of a machine that holds messages, and reports how many messages have no final answer.
 func loseSender(sender *exec.Cmd, stateDir string, down *atomic.Bool, stop chan<- os.Signal) {
 	time.Sleep(8 * time.Second)
 	down.Store(true)
@@ -170,7 +175,8 @@
 		log.Print(err)
 	}
 	accepted, unanswered := messages.count()
-	log.Printf("n2 is killed and its folder removed; %d messages were taken on so far, %d of them have no final answer yet", accepted, unanswered)
+	log.Printf("n2 was killed and its state directory removed; %d messages accepted so far, %d of them without a final answer",
+		accepted, unanswered)
 	time.Sleep(time.Second)
 	down.Store(false)
 	log.Print("the partner is back")
@@ -182,11 +188,11 @@
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
-	log.Printf("%d messages were taken on, %d have no final answer", accepted, unanswered)
+	log.Printf("%d messages accepted, %d without a final answer", accepted, unanswered)
 	stop <- os.Interrupt
 }
 
-// quiet ends the load.
+// loadStopped stops sendMessages.
 var loadStopped atomic.Bool
 
 func repeatOutages(down *atomic.Bool) {
@@ -205,9 +211,9 @@
 		switch {
 		case r.Method == http.MethodPost:
 			for lines := bufio.NewScanner(r.Body); lines.Scan(); {
-				var n struct{ Message string }
-				if json.Unmarshal(lines.Bytes(), &n) == nil {
-					messages.add(messages.ended, n.Message)
+				var notice struct{ Message string }
+				if json.Unmarshal(lines.Bytes(), &notice) == nil {
+					messages.add(messages.ended, notice.Message)
 				}
 			}
 			w.WriteHeader(http.StatusNoContent)
@@ -224,19 +230,21 @@
 	})
 }
 
-// load hands in ten messages a second, to the senders in turn.
+// sendMessages submits ten messages a second, to the senders in turn.
 func sendMessages() {
 	for n := 0; !loadStopped.Load(); n++ {
 		time.Sleep(100 * time.Millisecond)
-		q, err := http.NewRequest("POST", fmt.Sprintf("http://127.0.0.1:%d/api", 9000+n%3), strings.NewReader("two guests, one night"))
+		req, err := http.NewRequest("POST", fmt.Sprintf("http://127.0.0.1:%d/api", 9000+n%3),
+			strings.NewReader("two guests, one night"))
 		if err != nil {
 			log.Fatal(err)
 		}
-		for k, v := range map[string]string{"X-Trace-Id": fmt.Sprintf("%016x", n), "X-Qos": "booking-msg", "X-Customer": "savanna-trails",
+		for k, v := range map[string]string{"X-Trace-Id": fmt.Sprintf("%016x", n), "X-Qos": "booking-msg",
+			"X-Customer":   "savanna-trails",
 			"X-Expires-In": "20", "Idempotency-Key": fmt.Sprint("k", n), "X-Route-To": fmt.Sprint("dest=", dest)} {
-			q.Header.Set(k, v)
+			req.Header.Set(k, v)
 		}
-		if resp, err := http.DefaultClient.Do(q); err == nil {
+		if resp, err := http.DefaultClient.Do(req); err == nil {
 			io.Copy(io.Discard, resp.Body)
 			resp.Body.Close()
 			if resp.StatusCode == http.StatusAccepted {
--- a/example/toy/main.go
+++ b/example/toy/main.go
@@ -1,5 +1,5 @@
-// Command toy is the world round one sender, small enough to read: discovery with
-// a single partner in its list, and that partner, which prints what it is sent.
+// Command toy simulates the surroundings of one sender in a short program: a discovery agent with a single partner in
+// its list, and that partner, which prints the messages that it receives.
 //
 //	go run ./example/toy              answers every message with 200
 //	go run ./example/toy -answer 500  fails every message
@@ -18,7 +18,7 @@
 	discovery := flag.String("discovery", "127.0.0.1:8500", "address of the discovery agent")
 	partner := flag.String("partner", "127.0.0.1:9100", "address of the partner")
 	dest := flag.Int("dest", 7, "number of the partner's destination")
-	answer := flag.Int("answer", 200, "status with which the partner answers")
+	answer := flag.Int("answer", 200, "HTTP status of the partner's answers")
 	flag.Parse()
 
 	inbox := http.NewServeMux()
@@ -32,7 +32,7 @@
 	agent := http.NewServeMux()
 	agent.HandleFunc("GET /discovery/hosts", func(w http.ResponseWriter, r *http.Request) {
 		const version = 1
-		if r.FormValue("index") == fmt.Sprint(version) { // a watch: nothing ever changes here
+		if r.FormValue("index") == fmt.Sprint(version) { // a watch: the list never changes
 			wait, _ := time.ParseDuration(r.FormValue("wait") + "ms")
 			select {
 			case <-time.After(wait):
