--- a/internal/lab/cli/scale.go
+++ b/internal/lab/cli/scale.go
@@ -83,12 +83,12 @@
 		defer os.RemoveAll(dir)
 	}
 	o := scale.Options{File: f, Programs: scale.Programs{Sender: binary, Lab: lab}, Dir: dir,
-		Progress: func(size int, phase string) { fmt.Fprintf(env.Err, "%d members: %s\n", size, phase) },
-		Tick:     func(time.Duration, time.Duration) {},
-		Sized:    func(r *scale.Result) error { return writeFile(base+".json", r.WriteJSON) }}
+		OnPhase:    func(size int, phase string) { fmt.Fprintf(env.Err, "%d members: %s\n", size, phase) },
+		OnTick:     func(time.Duration, time.Duration) {},
+		OnSizeDone: func(r *scale.Result) error { return writeFile(base+".json", r.WriteJSON) }}
 	if env.Bar {
-		bar := progressbar.NewOptions(int(f.Length/time.Second), progressbar.OptionSetWriter(env.Err), progressbar.OptionClearOnFinish())
-		o.Tick = func(done, _ time.Duration) { bar.Set(int(done / time.Second)) }
+		bar := progressbar.NewOptions(int(f.Duration/time.Second), progressbar.OptionSetWriter(env.Err), progressbar.OptionClearOnFinish())
+		o.OnTick = func(done, _ time.Duration) { bar.Set(int(done / time.Second)) }
 	}
 	result, err := scale.Run(env.Ctx, o)
 	if err != nil {
@@ -103,20 +103,20 @@
 	for i := range r.Sizes {
 		s := &r.Sizes[i]
 		if s.Verdict == nil {
-			fmt.Fprintf(env.Out, "%d members: ended: %s\n", s.Members, s.Ended)
+			fmt.Fprintf(env.Out, "%d members: ended: %s\n", s.Members, s.Failure)
 			clean = false
 			continue
 		}
 		v, x := s.Verdict, scale.Worst(s.Senders)
 		fmt.Fprintf(env.Out, "%d members: findings %v; a change in force p50 %.2f, p99 %.2f, worst %.2f s; longest unserved %.1f s; worst real sender %.3f %% of a core, %.1f MB, %.2f KB/s\n",
-			s.Members, v.Findings, v.Median, v.P99, v.Worst, v.Unserved, x.CorePercent, x.MemoryMB, x.LinkKBps)
+			s.Members, v.Findings, v.Median, v.P99, v.Worst, v.LongestUnserved, x.CorePercent, x.MemoryMB, x.LinkKBps)
 		for _, e := range v.Examples[:min(len(v.Examples), 5)] {
 			fmt.Fprintf(env.Out, "  %s: %s\n", e.Rule, e.Detail)
 		}
 		clean = clean && v.Clean()
 	}
-	for _, x := range r.Compare {
-		fmt.Fprintf(env.Out, "%d destinations: of shards %.1f MB, ready in %.2f s; of all %.1f MB, ready in %.2f s %s\n", x.Destinations, x.Shards.MemoryMB, x.Shards.ReadyS, x.Whole.MemoryMB, x.Whole.ReadyS, x.WholeEnded)
+	for _, x := range r.Comparisons {
+		fmt.Fprintf(env.Out, "%d destinations: of shards %.1f MB, ready in %.2f s; of all %.1f MB, ready in %.2f s %s\n", x.Destinations, x.Sharded.MemoryMB, x.Sharded.ReadySeconds, x.Whole.MemoryMB, x.Whole.ReadySeconds, x.WholeFailure)
 	}
 	if !clean {
 		return errNotClean
--- a/internal/lab/scale/agent.go
+++ b/internal/lab/scale/agent.go
@@ -16,11 +16,11 @@
 	listener net.Listener
 	server   *http.Server
 
-	mu      sync.Mutex
-	count   int
-	at      []int // by destination: the number of its last change
-	changes []int // by number, from 1: the destination that it changed
-	changed chan struct{}
+	mu                  sync.Mutex
+	destinations        int
+	lastChange          []int // by destination: the number of its last change
+	changedDestinations []int // by number, from 1: the destination that it changed
+	changeSignal        chan struct{}
 }
 
 // newAgent serves a list of so many destinations.
@@ -29,7 +29,7 @@
 	if err != nil {
 		return nil, err
 	}
-	a := &agent{listener: listener, count: destinations, at: make([]int, destinations), changes: []int{0}, changed: make(chan struct{})}
+	a := &agent{listener: listener, destinations: destinations, lastChange: make([]int, destinations), changedDestinations: []int{0}, changeSignal: make(chan struct{})}
 	a.server = &http.Server{Handler: http.HandlerFunc(a.serve)}
 	go a.server.Serve(listener)
 	return a, nil
@@ -43,16 +43,16 @@
 func (a *agent) change(destination int) int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	number := len(a.changes)
-	a.changes = append(a.changes, destination)
-	a.at[destination] = number
-	close(a.changed)
-	a.changed = make(chan struct{})
+	number := len(a.changedDestinations)
+	a.changedDestinations = append(a.changedDestinations, destination)
+	a.lastChange[destination] = number
+	close(a.changeSignal)
+	a.changeSignal = make(chan struct{})
 	return number
 }
 
-func (a *agent) line(b *strings.Builder, destination int) {
-	fmt.Fprintf(b, `{"id":"endpoint-%07d","addr":"127.0.0.1:9","zone":"zone","kind":"partner","cell":%d,"state":"up","weight":%d}`, destination, destination, a.at[destination])
+func (a *agent) writeEndpoint(b *strings.Builder, destination int) {
+	fmt.Fprintf(b, `{"id":"endpoint-%07d","addr":"127.0.0.1:9","zone":"zone","kind":"partner","cell":%d,"state":"up","weight":%d}`, destination, destination, a.lastChange[destination])
 }
 
 // serve answers an ask for the list, or a watch. Versions are the numbers of changes, from 1 on.
@@ -66,9 +66,9 @@
 	end := time.After(time.Duration(wait) * time.Millisecond)
 	for {
 		a.mu.Lock()
-		version, changed := len(a.changes), a.changed
+		version, changed := len(a.changedDestinations), a.changeSignal
 		if index == 0 || index < version {
-			text := a.text(index)
+			text := a.listSince(index)
 			a.mu.Unlock()
 			w.Header().Set("Content-Length", strconv.Itoa(len(text)))
 			w.Write([]byte(text))
@@ -87,22 +87,22 @@
 }
 
 // text is the list since an index, whole from 0.
-func (a *agent) text(index int) string {
+func (a *agent) listSince(index int) string {
 	var b strings.Builder
-	fmt.Fprintf(&b, `{"version":%d,"full":%t,"servers":[`, len(a.changes), index == 0)
+	fmt.Fprintf(&b, `{"version":%d,"full":%t,"servers":[`, len(a.changedDestinations), index == 0)
 	if index == 0 {
-		for d := range a.count {
+		for d := range a.destinations {
 			if d > 0 {
 				b.WriteByte(',')
 			}
-			a.line(&b, d)
+			a.writeEndpoint(&b, d)
 		}
 	} else {
-		for i, d := range a.changes[index:] {
+		for i, d := range a.changedDestinations[index:] {
 			if i > 0 {
 				b.WriteByte(',')
 			}
-			a.line(&b, d)
+			a.writeEndpoint(&b, d)
 		}
 	}
 	b.WriteString("]}")
--- a/internal/lab/scale/compare.go
+++ b/internal/lab/scale/compare.go
@@ -13,18 +13,18 @@
 
 // Comparison is one number of destinations with both kinds of senders beside each other.
 type Comparison struct {
-	Destinations int   `json:"destinations"`
-	Members      int   `json:"members"`
-	Shards       Usage `json:"shards"`
-	Known        int   `json:"known"` // destinations that the sender of shards knows, about
+	Destinations      int   `json:"destinations"`
+	Members           int   `json:"members"`
+	Sharded           Usage `json:"shards"`
+	KnownDestinations int   `json:"known"` // destinations that the sender of shards knows, about
 	// What links carried from the start until ready.
-	ShardsStartKB float64 `json:"shards_start_kb"`
-	WholeStartKB  float64 `json:"whole_start_kb"`
-	Whole         Usage   `json:"whole"`
-	WholeEnded    string  `json:"whole_ended,omitempty"` // why the sender of all destinations was not ready
+	ShardedStartKB float64 `json:"shards_start_kb"`
+	WholeStartKB   float64 `json:"whole_start_kb"`
+	Whole          Usage   `json:"whole"`
+	WholeFailure   string  `json:"whole_ended,omitempty"` // why the sender of all destinations was not ready
 }
 
-const compareFor = 15 * time.Second
+const comparisonDuration = 15 * time.Second
 
 // compare measures a sender of shards beside one that is told the whole list, in one run.
 func compare(ctx context.Context, o Options, destinations int) (*Comparison, error) {
@@ -36,7 +36,7 @@
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	o.Progress(f.CompareMembers, fmt.Sprint("comparison, destinations: ", destinations))
+	o.OnPhase(f.CompareMembers, fmt.Sprint("comparison, destinations: ", destinations))
 	s, err := newSite(ctx, &f, o.Programs, dir, destinations)
 	if s != nil {
 		defer s.close()
@@ -53,7 +53,7 @@
 	if err := s.awaitServing(ctx); err != nil {
 		return c, err
 	}
-	p := &play{site: s, o: o, rng: rand.New(rand.NewPCG(uint64(f.Seed), uint64(destinations))), usage: map[*child]*meter{}}
+	p := &sizeRun{site: s, options: o, rng: rand.New(rand.NewPCG(uint64(f.Seed), uint64(destinations))), meters: map[*child]*usageMeter{}}
 	sharded, err := s.startSender(ctx, "sharded", f.CompareMembers, true)
 	if err != nil {
 		return c, err
@@ -65,21 +65,21 @@
 		return c, err
 	}
 	if err != nil {
-		c.WholeEnded = "not ready within a minute: the list is past the bounds"
+		c.WholeFailure = "not ready within a minute: the list is past the bounds"
 	}
-	c.ShardsStartKB, c.WholeStartKB = float64(sharded.linkBytes())/1e3, float64(whole.linkBytes())/1e3
-	p.measure(sharded.child, sharded.linkBytes())
-	p.measure(whole.child, whole.linkBytes())
+	c.ShardedStartKB, c.WholeStartKB = float64(sharded.linkBytes())/1e3, float64(whole.linkBytes())/1e3
+	p.startMeter(sharded.child, sharded.linkBytes())
+	p.startMeter(whole.child, whole.linkBytes())
 	change := time.NewTicker(time.Duration(float64(time.Second) / f.ChangesPerSecond))
 	defer change.Stop()
-	for began := time.Now(); time.Since(began) < compareFor; <-change.C {
-		p.changeOne()
-		if err := p.look(); err != nil {
+	for began := time.Now(); time.Since(began) < comparisonDuration; <-change.C {
+		p.changeRandomEndpoint()
+		if err := p.sampleMemory(); err != nil {
 			return c, err
 		}
 	}
-	c.Shards = p.used("shards", sharded.child, sharded.linkBytes(), sharded.ready)
-	c.Whole = p.used("whole", whole.child, whole.linkBytes(), whole.ready)
-	c.Known = destinations * f.Replicas * f.Regions / max(f.CompareMembers, 1)
+	c.Sharded = p.readMeter("shards", sharded.child, sharded.linkBytes(), sharded.readyDelay)
+	c.Whole = p.readMeter("whole", whole.child, whole.linkBytes(), whole.readyDelay)
+	c.KnownDestinations = destinations * f.Replicas * f.Regions / max(f.CompareMembers, 1)
 	return c, nil
 }
--- a/internal/lab/scale/faults.go
+++ b/internal/lab/scale/faults.go
@@ -11,16 +11,16 @@
 // This file makes the faults of a schedule.
 
 // strike makes a fault, for as long as it lasts.
-func (p *play) strike(ctx context.Context, f *Fault) error {
+func (p *sizeRun) injectFault(ctx context.Context, f *Fault) error {
 	switch f.Kind {
 	case RestartWave:
 		return p.restartWave(ctx, f)
 	case Rack:
-		return p.rack(ctx, f)
+		return p.stopRack(ctx, f)
 	case Zone:
-		return p.zone(ctx, f)
+		return p.killZone(ctx, f)
 	case RegionCut:
-		return p.cutRegion(ctx, f)
+		return p.partitionRegion(ctx, f)
 	case LeaderKill:
 		return p.killLeader(ctx, f)
 	}
@@ -28,7 +28,7 @@
 }
 
 // draw picks so many of n, by the run's seed.
-func (p *play) draw(n, count int) []int {
+func (p *sizeRun) pick(n, count int) []int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	order := p.rng.Perm(n)
@@ -37,15 +37,15 @@
 
 // restartWave kills a part of all processes of members, one after the other over the fault's time, and starts each again
 // at once.
-func (p *play) restartWave(ctx context.Context, f *Fault) error {
-	struck := p.draw(len(p.hollows), max(len(p.hollows)/f.Size, 1))
-	for _, i := range struck {
+func (p *sizeRun) restartWave(ctx context.Context, f *Fault) error {
+	selected := p.pick(len(p.hollows), max(len(p.hollows)/f.Size, 1))
+	for _, i := range selected {
 		h := p.hollows[i]
-		h.kill(fleet.Now, p.record)
-		if err := h.start(ctx, p.programs.Lab, p.dir, p.record); err != nil {
+		h.kill(fleet.Now, p.observations)
+		if err := h.start(ctx, p.programs.Lab, p.dir, p.observations); err != nil {
 			return err
 		}
-		if !sleep(ctx, f.For/time.Duration(len(struck))) {
+		if !sleep(ctx, f.Duration/time.Duration(len(selected))) {
 			return nil
 		}
 	}
@@ -53,36 +53,36 @@
 }
 
 // rack ends members of one process without a word, and starts them again later.
-func (p *play) rack(ctx context.Context, f *Fault) error {
-	h := p.hollows[p.draw(len(p.hollows), 1)[0]]
+func (p *sizeRun) stopRack(ctx context.Context, f *Fault) error {
+	h := p.hollows[p.pick(len(p.hollows), 1)[0]]
 	var numbers []int
 	for _, m := range h.settings.Members[:min(f.Size, len(h.settings.Members))] {
 		numbers = append(numbers, m.Number)
 	}
-	if err := h.tell(Order{Stop: numbers}); err != nil {
+	if err := h.send(Command{Stop: numbers}); err != nil {
 		return err
 	}
-	if !sleep(ctx, f.For) {
+	if !sleep(ctx, f.Duration) {
 		return nil
 	}
-	return h.tell(Order{Start: numbers})
+	return h.send(Command{Start: numbers})
 }
 
 // zone kills all members of a zone, and starts them again later.
-func (p *play) zone(ctx context.Context, f *Fault) error {
-	zone := p.hollows[p.draw(len(p.hollows), 1)[0]].zone
-	var struck []*hollowProcess
+func (p *sizeRun) killZone(ctx context.Context, f *Fault) error {
+	zone := p.hollows[p.pick(len(p.hollows), 1)[0]].zone
+	var selected []*hollowProcess
 	for _, h := range p.hollows {
 		if h.zone == zone {
-			h.kill(fleet.Now, p.record)
-			struck = append(struck, h)
+			h.kill(fleet.Now, p.observations)
+			selected = append(selected, h)
 		}
 	}
-	if !sleep(ctx, f.For) {
+	if !sleep(ctx, f.Duration) {
 		return nil
 	}
-	for _, h := range struck {
-		if err := h.start(ctx, p.programs.Lab, p.dir, p.record); err != nil {
+	for _, h := range selected {
+		if err := h.start(ctx, p.programs.Lab, p.dir, p.observations); err != nil {
 			return err
 		}
 	}
@@ -90,15 +90,15 @@
 }
 
 // cutRegion cuts the links between the control members of a region and those of others, for a while.
-func (p *play) cutRegion(ctx context.Context, f *Fault) error {
-	region := regionName(p.draw(p.o.File.Regions, 1)[0])
+func (p *sizeRun) partitionRegion(ctx context.Context, f *Fault) error {
+	region := regionName(p.pick(p.options.File.Regions, 1)[0])
 	var cut []*relay
 	inside := map[*relay]int{}
 	for _, c := range p.controls {
 		if c.region != region {
 			continue
 		}
-		for _, r := range c.in {
+		for _, r := range c.relays {
 			inside[r]++
 		}
 	}
@@ -111,31 +111,31 @@
 	for _, r := range cut {
 		r.setCut(true)
 	}
-	sleep(ctx, f.For)
+	sleep(ctx, f.Duration)
 	for _, r := range cut {
 		r.setCut(false)
 	}
 	p.mu.Lock()
-	p.cuts = append(p.cuts, Cut{region, from, fleet.Now()})
+	p.partitions = append(p.partitions, Partition{region, from, fleet.Now()})
 	p.mu.Unlock()
 	return nil
 }
 
 // killLeader kills the control member that leads, and starts it again later.
-func (p *play) killLeader(ctx context.Context, f *Fault) error {
+func (p *sizeRun) killLeader(ctx context.Context, f *Fault) error {
 	var leader *controlProcess
 	for leader == nil {
-		if leader = p.leader(ctx); leader == nil && !sleep(ctx, lookEvery) {
+		if leader = p.leader(ctx); leader == nil && !sleep(ctx, pollInterval) {
 			return nil
 		}
 	}
 	leader.child.Load().kill()
-	if !sleep(ctx, f.For) {
+	if !sleep(ctx, f.Duration) {
 		return nil
 	}
 	if err := p.startControl(ctx, leader); err != nil {
 		return err
 	}
-	p.measure(leader.child.Load(), 0)
+	p.startMeter(leader.child.Load(), 0)
 	return nil
 }
--- a/internal/lab/scale/file.go
+++ b/internal/lab/scale/file.go
@@ -29,32 +29,32 @@
 
 // Fault is one fault of the schedule.
 type Fault struct {
-	Kind FaultKind
-	At   time.Duration // from when all members are up
-	For  time.Duration
-	Size int // of a wave: one in so many; of a rack: members
+	Kind     FaultKind
+	At       time.Duration // from when all members are up
+	Duration time.Duration
+	Size     int // of a wave: one in so many; of a rack: members
 }
 
 // File is a scale run.
 type File struct {
-	Name             string
-	About            string
-	Seed             int
-	Sizes            []int // members
-	Controls         int
-	Senders          int // real ones
-	Regions          int
-	Zones            int // of all regions
-	Replicas         int
-	DestinationsEach float64 // for each member
-	ChangesPerSecond float64
-	Length           time.Duration // of the schedule, from when all members are up
-	PerProcess       int           // hollow members
-	MaxMemory        int64
-	Unserved         time.Duration // a destination may have no live member so long
-	Faults           []Fault
-	Compare          []int // numbers of destinations for the comparison with senders that know them all
-	CompareMembers   int
+	Name                  string
+	About                 string
+	Seed                  int
+	Sizes                 []int // members
+	Controls              int
+	Senders               int // real ones
+	Regions               int
+	Zones                 int // of all regions
+	Replicas              int
+	DestinationsPerMember float64 // for each member
+	ChangesPerSecond      float64
+	Duration              time.Duration // of the schedule, from when all members are up
+	MembersPerProcess     int           // hollow members
+	MaxMemory             int64
+	MaxUnserved           time.Duration // a destination may have no live member so long
+	Faults                []Fault
+	ComparisonSizes       []int // numbers of destinations for the comparison with senders that know them all
+	CompareMembers        int
 }
 
 func spec() *strictxml.Element[File] {
@@ -74,7 +74,7 @@
 			{Name: "about", Doc: "What it is to show.", Values: strictxml.Text("[^<>]{1,1000}", "a sentence"), SetText: func(f *File, v string) { f.About = v }},
 			whole("seed", "1", 1, 1<<30, "Draws who is struck.", func(f *File, v int64) { f.Seed = int(v) }),
 			{Name: "sizes", Required: true, Doc: "Members, in ascending order.", Values: list, SetText: func(f *File, v string) { f.Sizes = numbers(v) }},
-			{Name: "length", Required: true, Doc: "Of the schedule at each size, from when all members are up.", Values: strictxml.Duration(5*time.Second, time.Hour), SetNumber: func(f *File, v int64) { f.Length = time.Duration(v) }},
+			{Name: "length", Required: true, Doc: "Of the schedule at each size, from when all members are up.", Values: strictxml.Duration(5*time.Second, time.Hour), SetNumber: func(f *File, v int64) { f.Duration = time.Duration(v) }},
 		},
 		Children: []element{{
 			Name: "fleet", Doc: "Who takes part.", Attrs: []attribute{
@@ -83,25 +83,25 @@
 				whole("regions", "5", 1, 20, "Regions.", func(f *File, v int64) { f.Regions = int(v) }),
 				whole("zones", "13", 1, 100, "Zones of all regions.", func(f *File, v int64) { f.Zones = int(v) }),
 				whole("replicas", "2", 1, 5, "Members of a region that serve a destination.", func(f *File, v int64) { f.Replicas = int(v) }),
-				whole("per-process", "100", 1, 1000, "Hollow members that share a process.", func(f *File, v int64) { f.PerProcess = int(v) }),
-				{Name: "destinations-each", Default: "142.857", Doc: "Destinations for each member.", Values: number, SetText: func(f *File, v string) { f.DestinationsEach, _ = strconv.ParseFloat(v, 64) }},
+				whole("per-process", "100", 1, 1000, "Hollow members that share a process.", func(f *File, v int64) { f.MembersPerProcess = int(v) }),
+				{Name: "destinations-each", Default: "142.857", Doc: "Destinations for each member.", Values: number, SetText: func(f *File, v string) { f.DestinationsPerMember, _ = strconv.ParseFloat(v, 64) }},
 				{Name: "changes-per-second", Default: "4.4", Doc: "Changes of endpoints: ten times the target's rate.", Values: number, SetText: func(f *File, v string) { f.ChangesPerSecond, _ = strconv.ParseFloat(v, 64) }},
 			},
 		}, {
 			Name: "limits", Doc: "What ends the run, and what the judge holds it to.", Attrs: []attribute{
 				{Name: "memory", Default: "12GiB", Doc: "Of all processes; a size that needs more ends the run.", Values: strictxml.Size(1<<28, 1<<40), SetNumber: func(f *File, v int64) { f.MaxMemory = v }},
-				{Name: "unserved", Default: "15s", Doc: "A destination may be without a live member so long.", Values: strictxml.Duration(time.Second, time.Minute), SetNumber: func(f *File, v int64) { f.Unserved = time.Duration(v) }},
+				{Name: "unserved", Default: "15s", Doc: "A destination may be without a live member so long.", Values: strictxml.Duration(time.Second, time.Minute), SetNumber: func(f *File, v int64) { f.MaxUnserved = time.Duration(v) }},
 			},
 		}, {
 			Name: "fault", Doc: "One fault.", Repeated: true, Add: func(f *File) { f.Faults = append(f.Faults, Fault{}) }, Attrs: []attribute{
 				{Name: "kind", Required: true, Doc: "What goes wrong.", Values: strictxml.OneOf(faultKinds...), SetNumber: func(f *File, v int64) { last(f).Kind = FaultKind(faultKinds[v]) }},
 				{Name: "at", Required: true, Doc: "From when all members are up.", Values: strictxml.Duration(0, time.Hour), SetNumber: func(f *File, v int64) { last(f).At = time.Duration(v) }},
-				{Name: "for", Default: "0s", Doc: "How long.", Values: strictxml.Duration(0, time.Hour), SetNumber: func(f *File, v int64) { last(f).For = time.Duration(v) }},
+				{Name: "for", Default: "0s", Doc: "How long.", Values: strictxml.Duration(0, time.Hour), SetNumber: func(f *File, v int64) { last(f).Duration = time.Duration(v) }},
 				{Name: "size", Default: "8", Doc: "Of a restart-wave: one in so many members; of a rack: its members.", Values: strictxml.Integer(1, 10000), SetNumber: func(f *File, v int64) { last(f).Size = int(v) }},
 			},
 		}, {
 			Name: "compare", Doc: "Real senders of shards beside such that know every destination.", Attrs: []attribute{
-				{Name: "destinations", Required: true, Doc: "Numbers of destinations.", Values: list, SetText: func(f *File, v string) { f.Compare = numbers(v) }},
+				{Name: "destinations", Required: true, Doc: "Numbers of destinations.", Values: list, SetText: func(f *File, v string) { f.ComparisonSizes = numbers(v) }},
 				whole("members", "2000", 1, 100000, "Hollow members.", func(f *File, v int64) { f.CompareMembers = int(v) }),
 			},
 		}},
@@ -132,8 +132,8 @@
 		return nil, wrong(fmt.Sprintf("fleet: %d zones of %d regions", f.Zones, f.Regions), "a zone for each region at least")
 	}
 	for _, x := range f.Faults {
-		if x.At+x.For > f.Length {
-			return nil, wrong(fmt.Sprintf("fault %s at %v for %v", x.Kind, x.At, x.For), fmt.Sprintf("an end within length=%v", f.Length))
+		if x.At+x.Duration > f.Duration {
+			return nil, wrong(fmt.Sprintf("fault %s at %v for %v", x.Kind, x.At, x.Duration), fmt.Sprintf("an end within length=%v", f.Duration))
 		}
 	}
 	return f, nil
--- a/internal/lab/scale/hollow.go
+++ b/internal/lab/scale/hollow.go
@@ -18,53 +18,53 @@
 )
 
 const (
-	tellVersions = 2 * time.Second // between two looks at the members' versions
-	startSpread  = 3 * time.Second // members of a process start over this time
-	flushEvery   = 100 * time.Millisecond
+	versionReportInterval = 2 * time.Second // between two looks at the members' versions
+	startWindow           = 3 * time.Second // members of a process start over this time
+	flushInterval         = 100 * time.Millisecond
 )
 
 // hollows are the members of one process.
-type hollows struct {
+type hollowSet struct {
 	settings HollowSettings
 	out      chan Observation
 	mu       sync.Mutex
-	running  map[int]*hollow
+	running  map[int]*runningMember
 }
 
-type hollow struct {
-	cancel context.CancelFunc
-	done   chan struct{}
-	sub    *subscriber.Subscriber
+type runningMember struct {
+	cancel     context.CancelFunc
+	done       chan struct{}
+	subscriber *subscriber.Subscriber
 }
 
 // RunHollow runs hollow members until its input ends: the settings first, then orders, one JSON text each. What the
 // members see goes to out, one JSON text a line.
 func RunHollow(ctx context.Context, in io.Reader, out io.Writer) error {
 	decoder := json.NewDecoder(bufio.NewReader(in))
-	h := &hollows{out: make(chan Observation, 4096), running: map[int]*hollow{}}
+	h := &hollowSet{out: make(chan Observation, 4096), running: map[int]*runningMember{}}
 	if err := decoder.Decode(&h.settings); err != nil {
 		return err
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	written := make(chan error, 1)
-	go func() { written <- h.write(ctx, out) }()
-	go h.tellVersions(ctx)
+	go func() { written <- h.writeObservations(ctx, out) }()
+	go h.reportVersions(ctx)
 	for i := range h.settings.Members {
-		go h.start(ctx, &h.settings.Members[i], rand.N(startSpread))
+		go h.start(ctx, &h.settings.Members[i], rand.N(startWindow))
 	}
 	for {
-		var o Order
+		var o Command
 		if err := decoder.Decode(&o); err != nil {
 			cancel()
 			<-written
 			return nil
 		}
-		h.obey(ctx, o)
+		h.execute(ctx, o)
 	}
 }
 
-func (h *hollows) obey(ctx context.Context, o Order) {
+func (h *hollowSet) execute(ctx context.Context, o Command) {
 	for _, n := range o.Stop {
 		h.stop(n)
 	}
@@ -77,47 +77,47 @@
 	}
 }
 
-func (h *hollows) start(ctx context.Context, m *HollowMember, after time.Duration) {
+func (h *hollowSet) start(ctx context.Context, m *HollowMember, after time.Duration) {
 	select {
 	case <-time.After(after):
 	case <-ctx.Done():
 		return
 	}
 	own, cancel := context.WithCancel(ctx)
-	x := &hollow{cancel: cancel, done: make(chan struct{})}
+	member := &runningMember{cancel: cancel, done: make(chan struct{})}
 	o := subscriber.Options{Name: m.Name, Region: m.Region, Zone: m.Zone, Weight: 1, Log: zerolog.Nop(), Now: fleet.Now,
-		DisabledChecks: directory.SubscriptionCheck(h.settings.Break)}
+		DisabledChecks: directory.SubscriptionCheck(h.settings.DisabledChecks)}
 	for _, c := range h.settings.Controls {
 		o.Servers = append(o.Servers, subscriber.Server(c))
 	}
 	o.Apply = func(a *directory.AppliedUpdate) {
-		h.tell(ctx, applied(m.Number, a))
-		x.sub.Release(a.Unassigned) // nothing is held
+		h.emit(ctx, appliedObservation(m.Number, a))
+		member.subscriber.Release(a.Unassigned) // nothing is held
 	}
-	x.sub = subscriber.New(o)
+	member.subscriber = subscriber.New(o)
 	h.mu.Lock()
-	h.running[m.Number] = x
+	h.running[m.Number] = member
 	h.mu.Unlock()
-	h.tell(ctx, Observation{At: fleet.Now(), Kind: Up, Member: m.Number})
-	x.sub.Run(own)
-	close(x.done)
+	h.emit(ctx, Observation{At: fleet.Now(), Kind: Up, Member: m.Number})
+	member.subscriber.Run(own)
+	close(member.done)
 }
 
 // stop ends a member without a word to anybody, and tells when it is over.
-func (h *hollows) stop(n int) {
+func (h *hollowSet) stop(n int) {
 	h.mu.Lock()
-	x := h.running[n]
+	member := h.running[n]
 	delete(h.running, n)
 	h.mu.Unlock()
-	if x == nil {
+	if member == nil {
 		return
 	}
-	x.cancel()
-	h.tell(context.Background(), Observation{At: fleet.Now(), Kind: Down, Member: n})
+	member.cancel()
+	h.emit(context.Background(), Observation{At: fleet.Now(), Kind: Down, Member: n})
 }
 
-func applied(member int, a *directory.AppliedUpdate) Observation {
-	o := Observation{At: fleet.Now(), Kind: Applied, Member: member, Version: a.To, Assigned: words(a.Assigned), Unassigned: words(a.Unassigned)}
+func appliedObservation(member int, a *directory.AppliedUpdate) Observation {
+	o := Observation{At: fleet.Now(), Kind: Applied, Member: member, Version: a.To, Assigned: shardNumbers(a.Assigned), Unassigned: shardNumbers(a.Unassigned)}
 	for i := range a.Endpoints {
 		if n := int(a.Endpoints[i].Weight); n > 0 {
 			o.Changes = append(o.Changes, SeenChange{a.Endpoints[i].Destination, n})
@@ -126,14 +126,14 @@
 	return o
 }
 
-func words(ids []shard.ID) (list []uint32) {
+func shardNumbers(ids []shard.ID) (list []uint32) {
 	for _, id := range ids {
 		list = append(list, uint32(id))
 	}
 	return list
 }
 
-func (h *hollows) tell(ctx context.Context, o Observation) {
+func (h *hollowSet) emit(ctx context.Context, o Observation) {
 	select {
 	case h.out <- o:
 	case <-ctx.Done():
@@ -141,8 +141,8 @@
 }
 
 // tellVersions tells now and then which version each member is at.
-func (h *hollows) tellVersions(ctx context.Context) {
-	tick := time.NewTicker(tellVersions)
+func (h *hollowSet) reportVersions(ctx context.Context) {
+	tick := time.NewTicker(versionReportInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -153,20 +153,20 @@
 		now := fleet.Now() // before the look: what is learned meanwhile comes after it
 		h.mu.Lock()
 		versions := make(map[int]uint64, len(h.running))
-		for n, x := range h.running {
-			versions[n] = x.sub.Version()
+		for n, member := range h.running {
+			versions[n] = member.subscriber.Version()
 		}
 		h.mu.Unlock()
 		for n, version := range versions {
-			h.tell(ctx, Observation{At: now, Kind: At, Member: n, Version: version})
+			h.emit(ctx, Observation{At: now, Kind: AtVersion, Member: n, Version: version})
 		}
 	}
 }
 
-func (h *hollows) write(ctx context.Context, out io.Writer) error {
+func (h *hollowSet) writeObservations(ctx context.Context, out io.Writer) error {
 	buffered := bufio.NewWriterSize(out, 64<<10)
 	encoder := json.NewEncoder(buffered)
-	flush := time.NewTicker(flushEvery)
+	flush := time.NewTicker(flushInterval)
 	defer flush.Stop()
 	for {
 		select {
--- a/internal/lab/scale/judge.go
+++ b/internal/lab/scale/judge.go
@@ -11,9 +11,9 @@
 
 // Rules are what a run is held to.
 type Rules struct {
-	Unserved time.Duration // a destination may be without a live member so long, once it has had one
-	InForce  time.Duration // a change has to be in force at a member that could be reached so long
-	Replicas int
+	MaxUnserved    time.Duration // a destination may be without a live member so long, once it has had one
+	InForceTimeout time.Duration // a change has to be in force at a member that could be reached so long
+	Replicas       int
 }
 
 // Change is one change of a destination's endpoint, as discovery told it.
@@ -24,7 +24,7 @@
 }
 
 // Cut is a time in which the control members of a region heard none of the others.
-type Cut struct {
+type Partition struct {
 	Region   string
 	From, To int64
 }
@@ -45,15 +45,15 @@
 
 // Verdict is what a judge says of a run.
 type Verdict struct {
-	Findings  map[string]int `json:"findings"` // by rule
-	Examples  []Finding      `json:"examples,omitempty"`
-	Changes   int            `json:"changes"`
-	InForce   int            `json:"in_force"` // at members
-	Median    float64        `json:"p50_seconds"`
-	P99       float64        `json:"p99_seconds"`
-	Worst     float64        `json:"worst_seconds"`
-	Unserved  float64        `json:"longest_unserved_seconds"`
-	OldestGap float64        `json:"longest_on_an_old_version_seconds"`
+	Findings        map[string]int `json:"findings"` // by rule
+	Examples        []Finding      `json:"examples,omitempty"`
+	Changes         int            `json:"changes"`
+	InForceCount    int            `json:"in_force"` // at members
+	Median          float64        `json:"p50_seconds"`
+	P99             float64        `json:"p99_seconds"`
+	Worst           float64        `json:"worst_seconds"`
+	LongestUnserved float64        `json:"longest_unserved_seconds"`
+	LongestStale    float64        `json:"longest_on_an_old_version_seconds"`
 }
 
 // Clean reports whether no rule was broken.
@@ -69,29 +69,29 @@
 
 // Judge holds what members saw against the rules. It reads a whole run after its end.
 type Judge struct {
-	Rules   Rules
-	Members []HollowMember // by number
-	Real    []HollowMember // real senders, which are always up and tell nothing
-	Changes []Change       // by time
-	Cuts    []Cut
-
-	members []judged
-	cover   map[place]*coverage
-	byPlace map[place]map[int]bool // members that serve a shard
-	pending map[int]map[uint64]waiting
-	planned map[string]*shard.Locator // by region, of all members, up or not
-	newest  []versionAt               // the highest version that any member was at, by time
-	verdict Verdict
-	delays  []float64
+	Rules       Rules
+	Members     []HollowMember // by number
+	RealSenders []HollowMember // real senders, which are always up and tell nothing
+	Changes     []Change       // by time
+	Partitions  []Partition
+
+	memberStates    []memberState
+	coverageByShard map[regionShard]*coverage
+	membersByShard  map[regionShard]map[int]bool // members that serve a shard
+	pendingByMember map[int]map[uint64]pendingChange
+	allLocators     map[string]*shard.Locator // by region, of all members, up or not
+	versionHistory  []firstSeenVersion        // the highest version that any member was at, by time
+	verdict         Verdict
+	delays          []float64
 }
 
 // place is a shard of a region.
-type place struct {
+type regionShard struct {
 	region string
 	shard  uint32
 }
 
-type judged struct {
+type memberState struct {
 	up      bool
 	upSince int64
 	version uint64
@@ -99,225 +99,225 @@
 }
 
 type coverage struct {
-	live  int
-	since int64 // since when nobody serves; 0: somebody does
-	told  bool
+	liveMembers   int
+	unservedSince int64 // since when nobody serves; 0: somebody does
+	reported      bool
 }
 
-type waiting struct {
-	number int
-	from   int64
+type pendingChange struct {
+	number        int
+	reachableFrom int64
 }
 
-type versionAt struct {
+type firstSeenVersion struct {
 	at      int64
 	version uint64
 }
 
 // Run judges a run that ended at end.
-func (j *Judge) Run(seen []Observation, end int64) *Verdict {
-	j.members = make([]judged, len(j.Members))
-	j.cover, j.byPlace, j.pending = map[place]*coverage{}, map[place]map[int]bool{}, map[int]map[uint64]waiting{}
+func (j *Judge) Run(observations []Observation, end int64) *Verdict {
+	j.memberStates = make([]memberState, len(j.Members))
+	j.coverageByShard, j.membersByShard, j.pendingByMember = map[regionShard]*coverage{}, map[regionShard]map[int]bool{}, map[int]map[uint64]pendingChange{}
 	j.verdict.Findings = map[string]int{}
-	j.planned = j.locators(func(int) bool { return true })
-	slices.SortStableFunc(seen, func(x, y Observation) int { return cmp.Compare(x.At, y.At) })
+	j.allLocators = j.locators(func(int) bool { return true })
+	slices.SortStableFunc(observations, func(x, y Observation) int { return cmp.Compare(x.At, y.At) })
 	next := 0
-	look := int64(0)
-	for i := range seen {
-		for next < len(j.Changes) && j.Changes[next].At <= seen[i].At {
-			j.changed(&j.Changes[next])
+	lastCheck := int64(0)
+	for i := range observations {
+		for next < len(j.Changes) && j.Changes[next].At <= observations[i].At {
+			j.recordChange(&j.Changes[next])
 			next++
 		}
-		j.take(&seen[i])
-		if seen[i].At-look > int64(time.Second) {
-			look = seen[i].At
-			j.lookAtCover(look)
+		j.observe(&observations[i])
+		if observations[i].At-lastCheck > int64(time.Second) {
+			lastCheck = observations[i].At
+			j.checkCoverage(lastCheck)
 		}
 	}
 	for ; next < len(j.Changes); next++ {
-		j.changed(&j.Changes[next])
+		j.recordChange(&j.Changes[next])
 	}
 	j.finish(end)
 	return &j.verdict
 }
 
-func (j *Judge) find(rule, format string, args ...any) {
+func (j *Judge) addFinding(rule, format string, args ...any) {
 	j.verdict.Findings[rule]++
 	if len(j.verdict.Examples) < maxExamples {
 		j.verdict.Examples = append(j.verdict.Examples, Finding{rule, fmt.Sprintf(format, args...)})
 	}
 }
 
-func (j *Judge) take(o *Observation) {
-	m := &j.members[o.Member]
+func (j *Judge) observe(o *Observation) {
+	m := &j.memberStates[o.Member]
 	switch o.Kind {
 	case Up:
-		*m = judged{up: true, upSince: o.At, serves: map[uint32]bool{}}
+		*m = memberState{up: true, upSince: o.At, serves: map[uint32]bool{}}
 	case Down:
-		j.down(o.Member, o.At)
+		j.memberDown(o.Member, o.At)
 	case Applied:
-		j.applied(o, m)
-	case At:
+		j.updateApplied(o, m)
+	case AtVersion:
 		if m.up {
-			j.version(o, m)
+			j.checkVersion(o, m)
 		}
 	}
 }
 
-func (j *Judge) down(n int, at int64) {
-	m := &j.members[n]
+func (j *Judge) memberDown(n int, at int64) {
+	m := &j.memberStates[n]
 	for id := range m.serves {
-		j.leave(n, id, at)
+		j.stopServing(n, id, at)
 	}
 	m.up = false
-	delete(j.pending, n)
+	delete(j.pendingByMember, n)
 }
 
-func (j *Judge) applied(o *Observation, m *judged) {
+func (j *Judge) updateApplied(o *Observation, m *memberState) {
 	if !m.up {
 		return // told as it ended
 	}
-	j.version(o, m)
+	j.checkVersion(o, m)
 	for _, id := range o.Assigned {
 		if !m.serves[id] {
 			m.serves[id] = true
-			j.enter(o.Member, id, o.At)
+			j.startServing(o.Member, id, o.At)
 		}
 	}
 	for _, id := range o.Unassigned {
 		if m.serves[id] {
-			j.leave(o.Member, id, o.At)
+			j.stopServing(o.Member, id, o.At)
 			delete(m.serves, id)
 		}
 	}
 	for _, c := range o.Changes {
-		if w, waits := j.pending[o.Member][c.Destination]; waits && c.Number >= w.number {
-			j.inForce(o.Member, w, o.At)
-			delete(j.pending[o.Member], c.Destination)
+		if w, waits := j.pendingByMember[o.Member][c.Destination]; waits && c.Number >= w.number {
+			j.recordInForce(o.Member, w, o.At)
+			delete(j.pendingByMember[o.Member], c.Destination)
 		}
 	}
 }
 
 // version takes the version that a member is at. A look at it may be overtaken by what the member learns meanwhile, and
 // tells nothing of the order in which it did.
-func (j *Judge) version(o *Observation, m *judged) {
+func (j *Judge) checkVersion(o *Observation, m *memberState) {
 	if o.Kind == Applied {
 		if o.Version < m.version {
-			j.find(RuleBackward, "%s went back from version %d to %d", j.Members[o.Member].Name, m.version, o.Version)
+			j.addFinding(RuleBackward, "%s went back from version %d to %d", j.Members[o.Member].Name, m.version, o.Version)
 		}
 		m.version = o.Version
 	}
 	o.Version = max(o.Version, m.version)
-	if n := len(j.newest); n == 0 || o.Version > j.newest[n-1].version {
-		j.newest = append(j.newest, versionAt{o.At, o.Version})
+	if n := len(j.versionHistory); n == 0 || o.Version > j.versionHistory[n-1].version {
+		j.versionHistory = append(j.versionHistory, firstSeenVersion{o.At, o.Version})
 	}
 	if o.Kind == Applied {
 		return
 	}
-	behind := j.behindSince(o, m)
-	if behind == 0 {
+	staleSince := j.staleSince(o, m)
+	if staleSince == 0 {
 		return
 	}
-	gap := o.At - behind
-	j.verdict.OldestGap = max(j.verdict.OldestGap, seconds(gap))
-	if gap > int64(j.Rules.InForce) {
-		j.find(RuleStale, "%s was at version %d for %.1f s after a later one was known", j.Members[o.Member].Name, o.Version, seconds(gap))
+	gap := o.At - staleSince
+	j.verdict.LongestStale = max(j.verdict.LongestStale, seconds(gap))
+	if gap > int64(j.Rules.InForceTimeout) {
+		j.addFinding(RuleStale, "%s was at version %d for %.1f s after a later one was known", j.Members[o.Member].Name, o.Version, seconds(gap))
 	}
 }
 
 // behindSince is since when a member could have had a later version than it is at; 0: it is at the newest.
-func (j *Judge) behindSince(o *Observation, m *judged) int64 {
-	at, _ := slices.BinarySearchFunc(j.newest, o.Version+1, func(v versionAt, want uint64) int { return cmp.Compare(v.version, want) })
-	if at == len(j.newest) {
+func (j *Judge) staleSince(o *Observation, m *memberState) int64 {
+	at, _ := slices.BinarySearchFunc(j.versionHistory, o.Version+1, func(v firstSeenVersion, want uint64) int { return cmp.Compare(v.version, want) })
+	if at == len(j.versionHistory) {
 		return 0
 	}
-	return max(j.newest[at].at, m.upSince, j.reachable(j.Members[o.Member].Region, j.newest[at].at))
+	return max(j.versionHistory[at].at, m.upSince, j.reachableFrom(j.Members[o.Member].Region, j.versionHistory[at].at))
 }
 
 // reachable is from when a member of a region could hear of what was told at that time.
-func (j *Judge) reachable(region string, told int64) int64 {
-	from := told
-	for _, c := range j.Cuts {
-		if c.Region == region && told < c.To && c.From < told+int64(j.Rules.InForce) {
-			from = max(from, c.To)
+func (j *Judge) reachableFrom(region string, at int64) int64 {
+	reachableFrom := at
+	for _, c := range j.Partitions {
+		if c.Region == region && at < c.To && c.From < at+int64(j.Rules.InForceTimeout) {
+			reachableFrom = max(reachableFrom, c.To)
 		}
 	}
-	return from
+	return reachableFrom
 }
 
-func (j *Judge) enter(n int, id uint32, at int64) {
-	p := place{j.Members[n].Region, id}
-	if j.byPlace[p] == nil {
-		j.byPlace[p] = map[int]bool{}
+func (j *Judge) startServing(n int, id uint32, at int64) {
+	p := regionShard{j.Members[n].Region, id}
+	if j.membersByShard[p] == nil {
+		j.membersByShard[p] = map[int]bool{}
 	}
-	j.byPlace[p][n] = true
-	c := j.cover[p]
+	j.membersByShard[p][n] = true
+	c := j.coverageByShard[p]
 	if c == nil {
 		c = &coverage{}
-		j.cover[p] = c
+		j.coverageByShard[p] = c
 	}
-	if c.live++; c.since != 0 {
-		j.unserved(p, c, at)
-		c.since, c.told = 0, false
+	if c.liveMembers++; c.unservedSince != 0 {
+		j.endGap(p, c, at)
+		c.unservedSince, c.reported = 0, false
 	}
 }
 
-func (j *Judge) leave(n int, id uint32, at int64) {
-	p := place{j.Members[n].Region, id}
-	delete(j.byPlace[p], n)
-	for destination := range j.pending[n] {
+func (j *Judge) stopServing(n int, id uint32, at int64) {
+	p := regionShard{j.Members[n].Region, id}
+	delete(j.membersByShard[p], n)
+	for destination := range j.pendingByMember[n] {
 		if uint32(shard.Of(destination)) == id {
-			delete(j.pending[n], destination)
+			delete(j.pendingByMember[n], destination)
 		}
 	}
-	if c := j.cover[p]; c != nil {
-		if c.live--; c.live == 0 && !j.servedByReal(j.planned[p.region], id) {
-			c.since = at
+	if c := j.coverageByShard[p]; c != nil {
+		if c.liveMembers--; c.liveMembers == 0 && !j.servedByRealSender(j.allLocators[p.region], id) {
+			c.unservedSince = at
 		}
 	}
 }
 
 // lookAtCover finds shards that nobody has served for too long. One whose replicas are real senders is served by them.
-func (j *Judge) lookAtCover(now int64) {
+func (j *Judge) checkCoverage(now int64) {
 	var locators map[string]*shard.Locator
-	for p, c := range j.cover {
-		if c.since == 0 || c.told || now-c.since <= int64(j.Rules.Unserved) {
+	for p, c := range j.coverageByShard {
+		if c.unservedSince == 0 || c.reported || now-c.unservedSince <= int64(j.Rules.MaxUnserved) {
 			continue
 		}
 		if locators == nil {
-			locators = j.locators(func(n int) bool { return j.members[n].up })
+			locators = j.locators(func(n int) bool { return j.memberStates[n].up })
 		}
-		if j.servedByReal(locators[p.region], p.shard) {
-			c.since = now
+		if j.servedByRealSender(locators[p.region], p.shard) {
+			c.unservedSince = now
 			continue
 		}
-		j.unserved(p, c, now)
+		j.endGap(p, c, now)
 	}
 }
 
 // unserved takes how long nobody has served a shard.
-func (j *Judge) unserved(p place, c *coverage, now int64) {
-	gap := now - c.since
-	j.verdict.Unserved = max(j.verdict.Unserved, seconds(gap))
-	if gap > int64(j.Rules.Unserved) && !c.told {
-		c.told = true
-		j.find(RuleUnserved, "shard %d of %s has had no live member for %.1f s", p.shard, p.region, seconds(gap))
+func (j *Judge) endGap(p regionShard, c *coverage, now int64) {
+	gap := now - c.unservedSince
+	j.verdict.LongestUnserved = max(j.verdict.LongestUnserved, seconds(gap))
+	if gap > int64(j.Rules.MaxUnserved) && !c.reported {
+		c.reported = true
+		j.addFinding(RuleUnserved, "shard %d of %s has had no live member for %.1f s", p.shard, p.region, seconds(gap))
 	}
 }
 
 // locators are of some members and all real senders, by region.
-func (j *Judge) locators(of func(n int) bool) map[string]*shard.Locator {
+func (j *Judge) locators(include func(n int) bool) map[string]*shard.Locator {
 	up := map[string][]shard.Member{}
 	add := func(m *HollowMember) {
 		up[m.Region] = append(up[m.Region], shard.Member{Name: m.Name, Zone: m.Zone, Weight: 1})
 	}
 	for i := range j.Members {
-		if of(i) {
+		if include(i) {
 			add(&j.Members[i])
 		}
 	}
-	for i := range j.Real {
-		add(&j.Real[i])
+	for i := range j.RealSenders {
+		add(&j.RealSenders[i])
 	}
 	locators := map[string]*shard.Locator{}
 	for region, list := range up {
@@ -327,12 +327,12 @@
 	return locators
 }
 
-func (j *Judge) servedByReal(l *shard.Locator, id uint32) bool {
-	if l == nil {
+func (j *Judge) servedByRealSender(locator *shard.Locator, id uint32) bool {
+	if locator == nil {
 		return false
 	}
-	for _, name := range l.Replicas(shard.ID(id)) {
-		if slices.ContainsFunc(j.Real, func(m HollowMember) bool { return m.Name == name }) {
+	for _, name := range locator.Replicas(shard.ID(id)) {
+		if slices.ContainsFunc(j.RealSenders, func(m HollowMember) bool { return m.Name == name }) {
 			return true
 		}
 	}
@@ -340,28 +340,28 @@
 }
 
 // changed notes who has to hear of a change: who serves its destination at that time.
-func (j *Judge) changed(c *Change) {
+func (j *Judge) recordChange(c *Change) {
 	j.verdict.Changes++
 	id := uint32(shard.Of(c.Destination))
-	for p, members := range j.places(id) {
+	for p, members := range j.servingMembers(id) {
 		for n := range members {
-			if j.pending[n] == nil {
-				j.pending[n] = map[uint64]waiting{}
+			if j.pendingByMember[n] == nil {
+				j.pendingByMember[n] = map[uint64]pendingChange{}
 			}
-			if _, waits := j.pending[n][c.Destination]; waits {
+			if _, waits := j.pendingByMember[n][c.Destination]; waits {
 				continue // an earlier change is waited for: whoever hears of a later one has it
 			}
-			j.pending[n][c.Destination] = waiting{c.Number, j.reachable(p.region, c.At)}
+			j.pendingByMember[n][c.Destination] = pendingChange{c.Number, j.reachableFrom(p.region, c.At)}
 		}
 	}
 }
 
 // places are those of a shard in all regions.
-func (j *Judge) places(id uint32) map[place]map[int]bool {
-	list := map[place]map[int]bool{}
+func (j *Judge) servingMembers(id uint32) map[regionShard]map[int]bool {
+	list := map[regionShard]map[int]bool{}
 	for _, region := range j.regions() {
-		p := place{region, id}
-		if members := j.byPlace[p]; len(members) > 0 {
+		p := regionShard{region, id}
+		if members := j.membersByShard[p]; len(members) > 0 {
 			list[p] = members
 		}
 	}
@@ -377,25 +377,25 @@
 	return list
 }
 
-func (j *Judge) inForce(n int, w waiting, at int64) {
-	delay := max(at-w.from, 0)
+func (j *Judge) recordInForce(n int, w pendingChange, at int64) {
+	delay := max(at-w.reachableFrom, 0)
 	j.delays = append(j.delays, seconds(delay))
-	if delay > int64(j.Rules.InForce) {
-		j.find(RuleMissed, "change %d was in force at %s after %.1f s", w.number, j.Members[n].Name, seconds(delay))
+	if delay > int64(j.Rules.InForceTimeout) {
+		j.addFinding(RuleMissed, "change %d was in force at %s after %.1f s", w.number, j.Members[n].Name, seconds(delay))
 	}
 }
 
 func (j *Judge) finish(end int64) {
-	for n, list := range j.pending {
+	for n, list := range j.pendingByMember {
 		for destination, w := range list {
-			if end-w.from > int64(j.Rules.InForce) {
-				j.find(RuleMissed, "change %d of destination %d is not in force at %s, %.1f s after it could be", w.number, destination, j.Members[n].Name, seconds(end-w.from))
+			if end-w.reachableFrom > int64(j.Rules.InForceTimeout) {
+				j.addFinding(RuleMissed, "change %d of destination %d is not in force at %s, %.1f s after it could be", w.number, destination, j.Members[n].Name, seconds(end-w.reachableFrom))
 			}
 		}
 	}
-	j.lookAtCover(end)
+	j.checkCoverage(end)
 	slices.Sort(j.delays)
-	j.verdict.InForce = len(j.delays)
+	j.verdict.InForceCount = len(j.delays)
 	if n := len(j.delays); n > 0 {
 		j.verdict.Median, j.verdict.P99, j.verdict.Worst = j.delays[n/2], j.delays[min(n*99/100, n-1)], j.delays[n-1]
 	}
--- a/internal/lab/scale/judge_test.go
+++ b/internal/lab/scale/judge_test.go
@@ -14,10 +14,10 @@
 )
 
 // run is a run of two members of one region that serve the shard of destination 7, one of which the test makes err.
-func run(change func(j *Judge, seen []Observation) []Observation) *Verdict {
+func judgeTwoMembers(change func(j *Judge, seen []Observation) []Observation) *Verdict {
 	at := func(d time.Duration) int64 { return int64(time.Hour + d) }
 	id := []uint32{uint32(shard.Of(7))}
-	j := &Judge{Rules: Rules{Unserved: 15 * time.Second, InForce: 20 * time.Second, Replicas: 2},
+	j := &Judge{Rules: Rules{MaxUnserved: 15 * time.Second, InForceTimeout: 20 * time.Second, Replicas: 2},
 		Members: []HollowMember{{0, "a", "r", "z1"}, {1, "b", "r", "z2"}}, Changes: []Change{{at(10 * time.Second), 7, 1}}}
 	seen := []Observation{
 		{At: at(0), Kind: Up, Member: 0}, {At: at(0), Kind: Up, Member: 1},
@@ -25,7 +25,7 @@
 		{At: at(time.Second), Kind: Applied, Member: 1, Version: 100, Assigned: id},
 		{At: at(11 * time.Second), Kind: Applied, Member: 0, Version: 101, Changes: []SeenChange{{7, 1}}},
 		{At: at(12 * time.Second), Kind: Applied, Member: 1, Version: 101, Changes: []SeenChange{{7, 1}}},
-		{At: at(60 * time.Second), Kind: At, Member: 0, Version: 101}, {At: at(60 * time.Second), Kind: At, Member: 1, Version: 101},
+		{At: at(60 * time.Second), Kind: AtVersion, Member: 0, Version: 101}, {At: at(60 * time.Second), Kind: AtVersion, Member: 1, Version: 101},
 	}
 	if change != nil {
 		seen = change(j, seen)
@@ -34,8 +34,8 @@
 }
 
 func TestJudgeOfACleanRun(t *testing.T) {
-	v := run(nil)
-	if !v.Clean() || v.Changes != 1 || v.InForce != 2 || v.Worst != 2 || v.Median != 2 {
+	v := judgeTwoMembers(nil)
+	if !v.Clean() || v.Changes != 1 || v.InForceCount != 2 || v.Worst != 2 || v.Median != 2 {
 		t.Errorf("%+v", v)
 	}
 }
@@ -72,7 +72,7 @@
 			return append(seen[:6:6], Observation{At: at(30 * time.Second), Kind: Down, Member: 0}, Observation{At: at(31 * time.Second), Kind: Down, Member: 1})
 		}},
 	} {
-		v := run(c.change)
+		v := judgeTwoMembers(c.change)
 		if v.Findings[c.rule] == 0 || len(v.Findings) != 1 {
 			t.Errorf("%s: findings %v, want %s alone: %v", name, v.Findings, c.rule, v.Examples)
 		}
@@ -85,7 +85,7 @@
 	at := func(d time.Duration) int64 { return int64(time.Hour + d) }
 	for name, change := range map[string]func(j *Judge, seen []Observation) []Observation{
 		"a region that was cut off": func(j *Judge, seen []Observation) []Observation {
-			j.Cuts = []Cut{{"r", at(9 * time.Second), at(40 * time.Second)}}
+			j.Partitions = []Partition{{"r", at(9 * time.Second), at(40 * time.Second)}}
 			seen[4].At, seen[5].At = at(45*time.Second), at(50*time.Second)
 			return seen
 		},
@@ -98,16 +98,16 @@
 			return seen
 		},
 		"a real sender serves it": func(j *Judge, seen []Observation) []Observation {
-			j.Real = []HollowMember{{0, "c", "r", "z3"}}
+			j.RealSenders = []HollowMember{{0, "c", "r", "z3"}}
 			return append(seen[:6:6], Observation{At: at(30 * time.Second), Kind: Down, Member: 0}, Observation{At: at(31 * time.Second), Kind: Down, Member: 1})
 		},
 		"a look that the member has overtaken": func(_ *Judge, seen []Observation) []Observation {
-			return append(seen, Observation{At: at(59 * time.Second), Kind: At, Member: 0, Version: 103},
+			return append(seen, Observation{At: at(59 * time.Second), Kind: AtVersion, Member: 0, Version: 103},
 				Observation{At: at(59*time.Second + 1), Kind: Applied, Member: 0, Version: 102}, Observation{At: at(59*time.Second + 2), Kind: Applied, Member: 0, Version: 103},
-				Observation{At: at(59*time.Second + 3), Kind: Applied, Member: 1, Version: 103}, Observation{At: at(60*time.Second + 1), Kind: At, Member: 0, Version: 102})
+				Observation{At: at(59*time.Second + 3), Kind: Applied, Member: 1, Version: 103}, Observation{At: at(60*time.Second + 1), Kind: AtVersion, Member: 0, Version: 102})
 		},
 	} {
-		if v := run(change); !v.Clean() {
+		if v := judgeTwoMembers(change); !v.Clean() {
 			t.Errorf("%s: %v", name, v.Examples)
 		}
 	}
@@ -151,8 +151,8 @@
 		{Members: 500, Verdict: &Verdict{Worst: 1}, Senders: []Usage{{MemoryMB: 20}}},
 		{Members: 1000, Verdict: &Verdict{Worst: 2, Findings: map[string]int{RuleStale: 3}}, Senders: []Usage{{MemoryMB: 21}}},
 		{Members: 2000, Verdict: &Verdict{Worst: 30}, Senders: []Usage{{MemoryMB: 23}}},
-		{Members: 4000, Ended: "the memory"},
-	}, Compare: []Comparison{{Destinations: 9, WholeEnded: "the list"}}}
+		{Members: 4000, Failure: "the memory"},
+	}, Comparisons: []Comparison{{Destinations: 9, WholeFailure: "the list"}}}
 	var tables, html bytes.Buffer
 	WriteTables(&tables, r, budgets)
 	for _, want := range []string{"NOT CLEAN: stale 3", "not judged: the memory", "2000: 30 (DOES NOT HOLD)", "WOULD NOT HOLD", "the list"} {
@@ -173,21 +173,21 @@
 		t.Fatal(err)
 	}
 	h := &hollowProcess{name: "hollows"}
-	r := newRecord()
+	r := newObservationLog()
 	if err := h.start(context.Background(), lab, t.TempDir(), r); err != nil {
 		t.Fatal(err)
 	}
-	if err := h.tell(Order{Stop: []int{1}}); err != nil {
+	if err := h.send(Command{Stop: []int{1}}); err != nil {
 		t.Errorf("an order to a process that runs: %v", err)
 	}
 	h.kill(func() int64 { return 1 }, r)
-	if err := h.tell(Order{Start: []int{1}}); err != nil {
+	if err := h.send(Command{Start: []int{1}}); err != nil {
 		t.Errorf("an order to a process that has ended: %v", err)
 	}
 	if err := h.start(context.Background(), lab, t.TempDir(), r); err != nil {
 		t.Fatal(err)
 	}
-	if err := h.tell(Order{Start: []int{1}}); err != nil {
+	if err := h.send(Command{Start: []int{1}}); err != nil {
 		t.Errorf("an order to a process that was started again: %v", err)
 	}
 	h.kill(func() int64 { return 2 }, r)
--- a/internal/lab/scale/observation.go
+++ b/internal/lab/scale/observation.go
@@ -23,23 +23,23 @@
 
 // The kinds.
 const (
-	Up      EventKind = "up"      // the member began, and knows nothing
-	Down    EventKind = "down"    // it ended
-	Applied EventKind = "applied" // it learned something
-	At      EventKind = "at"      // the version that it is at, told now and then
+	Up        EventKind = "up"      // the member began, and knows nothing
+	Down      EventKind = "down"    // it ended
+	Applied   EventKind = "applied" // it learned something
+	AtVersion EventKind = "at"      // the version that it is at, told now and then
 )
 
 // Order is what the runner tells a process of hollow members.
-type Order struct {
+type Command struct {
 	Stop  []int `json:"stop,omitempty"`
 	Start []int `json:"start,omitempty"`
 }
 
 // HollowSettings are what a process of hollow members is told first.
 type HollowSettings struct {
-	Members  []HollowMember  `json:"members"`
-	Controls []ControlServer `json:"controls"`
-	Break    uint            `json:"break,omitempty"`
+	Members        []HollowMember  `json:"members"`
+	Controls       []ControlServer `json:"controls"`
+	DisabledChecks uint            `json:"break,omitempty"`
 }
 
 // HollowMember is one member.
--- a/internal/lab/scale/process.go
+++ b/internal/lab/scale/process.go
@@ -50,45 +50,45 @@
 
 // hollowProcess is a process of hollow members.
 type hollowProcess struct {
-	name     string
-	zone     string
-	settings HollowSettings
-	child    atomic.Pointer[child]
-	mu       sync.Mutex // held while the process is started, ended or told something
-	orders   io.WriteCloser
-	encoder  *json.Encoder
+	name        string
+	zone        string
+	settings    HollowSettings
+	child       atomic.Pointer[child]
+	mu          sync.Mutex // held while the process is started, ended or told something
+	commandPipe io.WriteCloser
+	encoder     *json.Encoder
 }
 
 // record collects what members see, in the order in which it arrives.
-type record struct {
-	mu       sync.Mutex
-	seen     []Observation
-	assigned map[int]bool // members that serve something
+type observationLog struct {
+	mu             sync.Mutex
+	entries        []Observation
+	servingMembers map[int]bool // members that serve something
 }
 
-func newRecord() *record { return &record{assigned: map[int]bool{}} }
+func newObservationLog() *observationLog { return &observationLog{servingMembers: map[int]bool{}} }
 
-func (r *record) take(o Observation) {
+func (r *observationLog) add(o Observation) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.seen = append(r.seen, o)
+	r.entries = append(r.entries, o)
 	switch {
 	case len(o.Assigned) > 0:
-		r.assigned[o.Member] = true
+		r.servingMembers[o.Member] = true
 	case o.Kind == Up || o.Kind == Down:
-		delete(r.assigned, o.Member)
+		delete(r.servingMembers, o.Member)
 	}
 }
 
 // serving is how many members serve something.
-func (r *record) serving() int {
+func (r *observationLog) servingCount() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return len(r.assigned)
+	return len(r.servingMembers)
 }
 
 // start starts the process of hollow members.
-func (h *hollowProcess) start(ctx context.Context, lab, dir string, r *record) error {
+func (h *hollowProcess) start(ctx context.Context, lab, dir string, r *observationLog) error {
 	ordersOut, ordersIn, err := os.Pipe()
 	if err != nil {
 		return err
@@ -106,7 +106,7 @@
 		return err
 	}
 	h.child.Store(started)
-	h.orders, h.encoder = ordersIn, json.NewEncoder(ordersIn)
+	h.commandPipe, h.encoder = ordersIn, json.NewEncoder(ordersIn)
 	go func() {
 		defer seenOut.Close()
 		decoder := json.NewDecoder(bufio.NewReaderSize(seenOut, 64<<10))
@@ -115,7 +115,7 @@
 			if decoder.Decode(&o) != nil {
 				return
 			}
-			r.take(o)
+			r.add(o)
 		}
 	}()
 	return h.encoder.Encode(h.settings)
@@ -123,7 +123,7 @@
 
 // tell gives the process an order. One that another fault has ended is told nothing: all its members are down, and all
 // of them start with it.
-func (h *hollowProcess) tell(o Order) error {
+func (h *hollowProcess) send(o Command) error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.encoder == nil {
@@ -133,14 +133,14 @@
 }
 
 // kill ends the process, and notes that its members are down.
-func (h *hollowProcess) kill(now func() int64, r *record) {
+func (h *hollowProcess) kill(now func() int64, r *observationLog) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.child.Load().kill()
-	h.orders.Close()
+	h.commandPipe.Close()
 	h.encoder = nil
 	at := now()
 	for _, m := range h.settings.Members {
-		r.take(Observation{At: at, Kind: Down, Member: m.Number})
+		r.add(Observation{At: at, Kind: Down, Member: m.Number})
 	}
 }
--- a/internal/lab/scale/relay.go
+++ b/internal/lab/scale/relay.go
@@ -10,12 +10,12 @@
 // relay carries connections to an address, counts their bytes, and can be cut: connections are closed then, and further
 // ones too.
 type relay struct {
-	listener net.Listener
-	target   string
-	bytes    atomic.Int64
-	mu       sync.Mutex
-	cut      bool
-	open     map[net.Conn]bool
+	listener    net.Listener
+	target      string
+	bytes       atomic.Int64
+	mu          sync.Mutex
+	cut         bool
+	connections map[net.Conn]bool
 }
 
 func newRelay(target string) (*relay, error) {
@@ -23,7 +23,7 @@
 	if err != nil {
 		return nil, err
 	}
-	r := &relay{listener: listener, target: target, open: map[net.Conn]bool{}}
+	r := &relay{listener: listener, target: target, connections: map[net.Conn]bool{}}
 	go r.accept()
 	return r, nil
 }
@@ -40,29 +40,29 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.cut = cut; cut {
-		for c := range r.open {
+		for c := range r.connections {
 			c.Close()
 		}
 	}
 }
 
 // enter notes a connection, or closes it where the relay is cut.
-func (r *relay) enter(c net.Conn) bool {
+func (r *relay) track(c net.Conn) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.cut {
 		c.Close()
 		return false
 	}
-	r.open[c] = true
+	r.connections[c] = true
 	return true
 }
 
-func (r *relay) leave(c net.Conn) {
+func (r *relay) untrack(c net.Conn) {
 	c.Close()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	delete(r.open, c)
+	delete(r.connections, c)
 }
 
 func (r *relay) accept() {
@@ -71,22 +71,22 @@
 		if err != nil {
 			return
 		}
-		if r.enter(near) {
-			go r.carry(near)
+		if r.track(near) {
+			go r.forward(near)
 		}
 	}
 }
 
-func (r *relay) carry(near net.Conn) {
-	defer r.leave(near)
+func (r *relay) forward(near net.Conn) {
+	defer r.untrack(near)
 	far, err := net.Dial("tcp", r.target)
-	if err != nil || !r.enter(far) {
+	if err != nil || !r.track(far) {
 		return
 	}
-	defer r.leave(far)
+	defer r.untrack(far)
 	done := make(chan struct{}, 2)
 	pass := func(to, from net.Conn) {
-		io.Copy(counted{to, &r.bytes}, from)
+		io.Copy(countingWriter{to, &r.bytes}, from)
 		to.Close()
 		done <- struct{}{}
 	}
@@ -99,13 +99,13 @@
 }
 
 // counted counts what is written.
-type counted struct {
+type countingWriter struct {
 	io.Writer
-	n *atomic.Int64
+	total *atomic.Int64
 }
 
-func (c counted) Write(p []byte) (int, error) {
+func (c countingWriter) Write(p []byte) (int, error) {
 	n, err := c.Writer.Write(p)
-	c.n.Add(int64(n))
+	c.total.Add(int64(n))
 	return n, err
 }
--- a/internal/lab/scale/report.go
+++ b/internal/lab/scale/report.go
@@ -44,13 +44,13 @@
 	{"processor of the worst real sender", "% of a core", func(b Budgets) float64 { return b.CorePercent }, func(s *SizeResult) float64 { return Worst(s.Senders).CorePercent }},
 	{"memory of the worst real sender", "MB", func(b Budgets) float64 { return b.MemoryMB }, func(s *SizeResult) float64 { return Worst(s.Senders).MemoryMB }},
 	{"links of the worst real sender", "KB/s", func(b Budgets) float64 { return b.LinkKBps }, func(s *SizeResult) float64 { return Worst(s.Senders).LinkKBps }},
-	{"a change in force, median", "s", func(Budgets) float64 { return InForceWithin.Seconds() }, func(s *SizeResult) float64 { return s.Verdict.Median }},
-	{"a change in force, 99th percentile", "s", func(Budgets) float64 { return InForceWithin.Seconds() }, func(s *SizeResult) float64 { return s.Verdict.P99 }},
-	{"a change in force, worst", "s", func(Budgets) float64 { return InForceWithin.Seconds() }, func(s *SizeResult) float64 { return s.Verdict.Worst }},
+	{"a change in force, median", "s", func(Budgets) float64 { return InForceTimeout.Seconds() }, func(s *SizeResult) float64 { return s.Verdict.Median }},
+	{"a change in force, 99th percentile", "s", func(Budgets) float64 { return InForceTimeout.Seconds() }, func(s *SizeResult) float64 { return s.Verdict.P99 }},
+	{"a change in force, worst", "s", func(Budgets) float64 { return InForceTimeout.Seconds() }, func(s *SizeResult) float64 { return s.Verdict.Worst }},
 }
 
 // foretold is a quantity at a size by a line through what was measured; false: from fewer than three sizes.
-func (q *quantity) foretold(sizes []SizeResult, at float64) (float64, bool) {
+func (q *quantity) extrapolate(sizes []SizeResult, at float64) (float64, bool) {
 	var points []capacity.Point
 	for i := range sizes {
 		points = append(points, capacity.Point{Size: float64(sizes[i].Members), Value: q.value(&sizes[i])})
@@ -68,15 +68,15 @@
 	for i := range r.Sizes {
 		s := &r.Sizes[i]
 		if s.Verdict == nil {
-			fmt.Fprintf(b, "| %d | %d | not judged: %s | | | | | %.0f MB | %.1f |\n", s.Members, s.Destinations, s.Ended, s.MemoryMB, s.Load)
+			fmt.Fprintf(b, "| %d | %d | not judged: %s | | | | | %.0f MB | %.1f |\n", s.Members, s.Destinations, s.Failure, s.MemoryMB, s.LoadAverage)
 			continue
 		}
 		v, x, c := s.Verdict, Worst(s.Senders), Worst(s.Controls)
 		fmt.Fprintf(b, "| %d | %d | %s | %.2f, %.2f, %.2f s (%d changes, %d times) | %.1f s | %.3f %% of a core, %.1f MB, %.2f KB/s | %.1f %%, %.0f MB | %.0f MB | %.1f |\n",
-			s.Members, s.Destinations, verdictText(v), v.Median, v.P99, v.Worst, v.Changes, v.InForce, v.Unserved, x.CorePercent, x.MemoryMB, x.LinkKBps, c.CorePercent, c.MemoryMB, s.MemoryMB, s.Load)
+			s.Members, s.Destinations, verdictText(v), v.Median, v.P99, v.Worst, v.Changes, v.InForceCount, v.LongestUnserved, x.CorePercent, x.MemoryMB, x.LinkKBps, c.CorePercent, c.MemoryMB, s.MemoryMB, s.LoadAverage)
 	}
 	writeBudgets(b, r, budgets)
-	if len(r.Compare) > 0 {
+	if len(r.Comparisons) > 0 {
 		writeComparison(b, r)
 	}
 }
@@ -95,7 +95,7 @@
 
 // writeBudgets says of each quantity at which measured sizes its budget holds, and what a line through them foretells.
 func writeBudgets(b *bytes.Buffer, r *Result, budgets Budgets) {
-	sizes := r.sizesOf()
+	sizes := r.judgedSizes()
 	if len(sizes) == 0 {
 		return
 	}
@@ -111,7 +111,7 @@
 			measured = append(measured, fmt.Sprintf("%d: %.3g (%s)", sizes[i].Members, q.value(&sizes[i]), mark))
 		}
 		foretold := "fewer than three sizes: not foretold"
-		if v, ok := q.foretold(sizes, budgets.Senders); ok && v <= 0 {
+		if v, ok := q.extrapolate(sizes, budgets.Senders); ok && v <= 0 {
 			foretold = "the line falls under 0: it says nothing"
 		} else if ok {
 			mark := "would hold"
@@ -127,12 +127,12 @@
 func writeComparison(b *bytes.Buffer, r *Result) {
 	fmt.Fprintln(b, "\n| destinations | members | sender of shards: knows about, ready, memory, links until ready, links then | sender of all: ready, memory, links until ready, links then |")
 	fmt.Fprintln(b, "| --- | --- | --- | --- |")
-	for _, c := range r.Compare {
-		whole := fmt.Sprintf("%.2f s, %.1f MB, %.0f KB, %.2f KB/s", c.Whole.ReadyS, c.Whole.MemoryMB, c.WholeStartKB, c.Whole.LinkKBps)
-		if c.WholeEnded != "" {
-			whole = fmt.Sprintf("%s (%.1f MB, %.0f KB asked for in vain)", c.WholeEnded, c.Whole.MemoryMB, c.WholeStartKB)
+	for _, c := range r.Comparisons {
+		whole := fmt.Sprintf("%.2f s, %.1f MB, %.0f KB, %.2f KB/s", c.Whole.ReadySeconds, c.Whole.MemoryMB, c.WholeStartKB, c.Whole.LinkKBps)
+		if c.WholeFailure != "" {
+			whole = fmt.Sprintf("%s (%.1f MB, %.0f KB asked for in vain)", c.WholeFailure, c.Whole.MemoryMB, c.WholeStartKB)
 		}
-		fmt.Fprintf(b, "| %d | %d | %d, %.2f s, %.1f MB, %.0f KB, %.2f KB/s | %s |\n", c.Destinations, c.Members, c.Known, c.Shards.ReadyS, c.Shards.MemoryMB, c.ShardsStartKB, c.Shards.LinkKBps, whole)
+		fmt.Fprintf(b, "| %d | %d | %d, %.2f s, %.1f MB, %.0f KB, %.2f KB/s | %s |\n", c.Destinations, c.Members, c.KnownDestinations, c.Sharded.ReadySeconds, c.Sharded.MemoryMB, c.ShardedStartKB, c.Sharded.LinkKBps, whole)
 	}
 }
 
@@ -186,7 +186,7 @@
 		Tables string
 		Plots  []template.HTML
 	}{Result: r, Tables: tables.String()}
-	sizes := r.sizesOf()
+	sizes := r.judgedSizes()
 	for i := range quantities {
 		if len(sizes) == 0 {
 			break
--- a/internal/lab/scale/run_test.go
+++ b/internal/lab/scale/run_test.go
@@ -47,7 +47,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	o := Options{File: f, Programs: programs(t), Dir: t.TempDir(), Progress: func(size int, phase string) { t.Logf("%d members: %s", size, phase) }, Tick: func(time.Duration, time.Duration) {}}
+	o := Options{File: f, Programs: programs(t), Dir: t.TempDir(), OnPhase: func(size int, phase string) { t.Logf("%d members: %s", size, phase) }, OnTick: func(time.Duration, time.Duration) {}}
 	if change != nil {
 		change(&o)
 	}
@@ -65,13 +65,13 @@
 	r := runFile(t, "../../../experiments/fleet/scale-small.xml", nil)
 	s := r.Sizes[0]
 	if s.Verdict == nil {
-		t.Fatalf("ended: %s", s.Ended)
+		t.Fatalf("ended: %s", s.Failure)
 	}
-	t.Logf("p50 %.2f, p99 %.2f, worst %.2f s of %d times; longest unserved %.1f s", s.Verdict.Median, s.Verdict.P99, s.Verdict.Worst, s.Verdict.InForce, s.Verdict.Unserved)
+	t.Logf("p50 %.2f, p99 %.2f, worst %.2f s of %d times; longest unserved %.1f s", s.Verdict.Median, s.Verdict.P99, s.Verdict.Worst, s.Verdict.InForceCount, s.Verdict.LongestUnserved)
 	if !s.Verdict.Clean() {
 		t.Errorf("findings %v: %+v", s.Verdict.Findings, s.Verdict.Examples)
 	}
-	if s.Verdict.InForce < 100 || len(s.Senders) != 2 || Worst(s.Senders).MemoryMB == 0 {
+	if s.Verdict.InForceCount < 100 || len(s.Senders) != 2 || Worst(s.Senders).MemoryMB == 0 {
 		t.Errorf("little was seen: %+v", s)
 	}
 }
@@ -79,10 +79,10 @@
 // TestSmallRunWithoutAGuard takes out what makes a member notice that its control member is silent: the judge finds
 // members that stay behind.
 func TestSmallRunWithoutAGuard(t *testing.T) {
-	r := runFile(t, "../../../experiments/fleet/scale-small.xml", func(o *Options) { o.Guard = directory.CheckSilence })
+	r := runFile(t, "../../../experiments/fleet/scale-small.xml", func(o *Options) { o.DisabledChecks = directory.CheckSilence })
 	v := r.Sizes[0].Verdict
 	if v == nil {
-		t.Fatalf("ended: %s", r.Sizes[0].Ended)
+		t.Fatalf("ended: %s", r.Sizes[0].Failure)
 	}
 	if v.Findings[RuleStale]+v.Findings[RuleMissed] == 0 {
 		t.Errorf("without the guard the judge finds %v", v.Findings)
--- a/internal/lab/scale/site.go
+++ b/internal/lab/scale/site.go
@@ -18,8 +18,8 @@
 )
 
 const (
-	settleWithin = 2 * time.Minute
-	lookEvery    = 100 * time.Millisecond
+	settleTimeout = 2 * time.Minute
+	pollInterval  = 100 * time.Millisecond
 )
 
 // Programs are the programs that a run starts.
@@ -27,58 +27,58 @@
 
 // site is all processes of one size of a run.
 type site struct {
-	file     *File
-	programs Programs
-	dir      string
-	agent    *agent
-	controls []*controlProcess
-	relays   []*relay // all, to be closed
-	hollows  []*hollowProcess
-	senders  []*senderProcess
-	record   *record
-	members  []HollowMember
-	real     []HollowMember
+	file         *File
+	programs     Programs
+	dir          string
+	agent        *agent
+	controls     []*controlProcess
+	relays       []*relay // all, to be closed
+	hollows      []*hollowProcess
+	senders      []*senderProcess
+	observations *observationLog
+	members      []HollowMember
+	realSenders  []HollowMember
 }
 
 // controlProcess is a control member. The others reach it by relays.
 type controlProcess struct {
-	name, group, directory, region string
-	index                          int
-	path                           string
-	child                          atomic.Pointer[child]
-	in                             []*relay // by which others reach it, by the other's index; two each
+	name, groupAddr, directoryAddr, region string
+	index                                  int
+	configPath                             string
+	child                                  atomic.Pointer[child]
+	relays                                 []*relay // by which others reach it, by the other's index; two each
 }
 
 // senderProcess is a real sender, whose links to control members are counted.
 type senderProcess struct {
-	name   string
-	addr   string
-	child  *child // started once
-	relays []*relay
-	config string
-	xml    string
-	ready  time.Duration // from its start until /up answered 200
+	name         string
+	addr         string
+	child        *child // started once
+	relays       []*relay
+	configPath   string
+	operatorPath string
+	readyDelay   time.Duration // from its start until /up answered 200
 }
 
 func regionName(i int) string { return fmt.Sprintf("region-%d", i) }
 
 // placeOf is the region and zone of the n-th of a row of members, which goes round the zones.
-func (f *File) placeOf(n int) (region, zone string) {
+func (f *File) locationOf(n int) (region, zone string) {
 	z := n % f.Zones
 	return regionName(z % f.Regions), fmt.Sprintf("zone-%02d", z)
 }
 
 // newSite prepares the processes of so many members and destinations, and starts the control members.
 func newSite(ctx context.Context, f *File, programs Programs, dir string, destinations int) (*site, error) {
-	s := &site{file: f, programs: programs, dir: dir, record: newRecord()}
+	s := &site{file: f, programs: programs, dir: dir, observations: newObservationLog()}
 	var err error
 	if s.agent, err = newAgent(destinations); err != nil {
 		return nil, err
 	}
 	for i := range f.Controls {
 		c := &controlProcess{name: fmt.Sprintf("control-%02d", i), region: regionName(i % f.Regions), index: i}
-		if c.group, err = proc.FreeAddr(); err == nil {
-			c.directory, err = proc.FreeAddr()
+		if c.groupAddr, err = proc.FreeAddr(); err == nil {
+			c.directoryAddr, err = proc.FreeAddr()
 		}
 		if err != nil {
 			return s, err
@@ -111,7 +111,7 @@
 	var text strings.Builder
 	fmt.Fprintf(&text, "<control version=\"1\" name=%q state=\"state\" discovery=%q replicas=\"%d\">\n", c.name, s.agent.addr(), s.file.Replicas)
 	for _, other := range s.controls {
-		group, dir := other.group, other.directory
+		group, dir := other.groupAddr, other.directoryAddr
 		if other != c {
 			for _, target := range []*string{&group, &dir} {
 				r, err := newRelay(*target)
@@ -119,8 +119,8 @@
 					return err
 				}
 				s.relays = append(s.relays, r)
-				other.in = append(other.in, r)
-				c.in = append(c.in, r) // cut where either end is cut off
+				other.relays = append(other.relays, r)
+				c.relays = append(c.relays, r) // cut where either end is cut off
 				*target = r.addr()
 			}
 		}
@@ -131,12 +131,12 @@
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return err
 	}
-	c.path = filepath.Join(dir, "control.xml")
-	return os.WriteFile(c.path, []byte(text.String()), 0o600)
+	c.configPath = filepath.Join(dir, "control.xml")
+	return os.WriteFile(c.configPath, []byte(text.String()), 0o600)
 }
 
 func (s *site) startControl(ctx context.Context, c *controlProcess) error {
-	started, err := spawn(ctx, s.dir, c.name, nil, nil, nil, s.programs.Sender, "control", "run", c.path)
+	started, err := spawn(ctx, s.dir, c.name, nil, nil, nil, s.programs.Sender, "control", "run", c.configPath)
 	if err == nil {
 		c.child.Store(started)
 	}
@@ -146,7 +146,7 @@
 // status asks a control member what it holds.
 func (c *controlProcess) status(ctx context.Context) (control.Status, error) {
 	var status control.Status
-	conn, err := link.Dial(c.directory, nil)
+	conn, err := link.Dial(c.directoryAddr, nil)
 	if err != nil {
 		return status, err
 	}
@@ -178,7 +178,7 @@
 
 // awaitDirectory waits until every control member holds the whole list.
 func (s *site) awaitDirectory(ctx context.Context) error {
-	for end := time.Now().Add(settleWithin); time.Now().Before(end); time.Sleep(lookEvery) {
+	for end := time.Now().Add(settleTimeout); time.Now().Before(end); time.Sleep(pollInterval) {
 		behind := 0
 		for _, c := range s.controls {
 			select {
@@ -186,7 +186,7 @@
 				return fmt.Errorf("%s ended at its start", c.name)
 			default:
 			}
-			if status, err := c.status(ctx); err != nil || status.Endpoints < s.agent.count {
+			if status, err := c.status(ctx); err != nil || status.Endpoints < s.agent.destinations {
 				behind++
 			}
 		}
@@ -197,12 +197,12 @@
 			return err
 		}
 	}
-	return fmt.Errorf("the control members did not hold the list in %v", settleWithin)
+	return fmt.Errorf("the control members did not hold the list in %v", settleTimeout)
 }
 
 func (s *site) servers() (list []ControlServer) {
 	for _, c := range s.controls {
-		list = append(list, ControlServer{c.name, c.directory, c.region})
+		list = append(list, ControlServer{c.name, c.directoryAddr, c.region})
 	}
 	return list
 }
@@ -211,19 +211,19 @@
 func (s *site) startHollows(ctx context.Context, count int, guard uint) error {
 	byZone := map[string]*hollowProcess{}
 	for n := range count {
-		region, zone := s.file.placeOf(n)
+		region, zone := s.file.locationOf(n)
 		m := HollowMember{Number: n, Name: fmt.Sprintf("hollow-%05d", n), Region: region, Zone: zone}
 		s.members = append(s.members, m)
 		h := byZone[zone]
-		if h == nil || len(h.settings.Members) >= s.file.PerProcess {
-			h = &hollowProcess{name: fmt.Sprintf("hollows-%03d", len(s.hollows)), zone: zone, settings: HollowSettings{Controls: s.servers(), Break: guard}}
+		if h == nil || len(h.settings.Members) >= s.file.MembersPerProcess {
+			h = &hollowProcess{name: fmt.Sprintf("hollows-%03d", len(s.hollows)), zone: zone, settings: HollowSettings{Controls: s.servers(), DisabledChecks: guard}}
 			byZone[zone] = h
 			s.hollows = append(s.hollows, h)
 		}
 		h.settings.Members = append(h.settings.Members, m)
 	}
 	for _, h := range s.hollows {
-		if err := h.start(ctx, s.programs.Lab, s.dir, s.record); err != nil {
+		if err := h.start(ctx, s.programs.Lab, s.dir, s.observations); err != nil {
 			return err
 		}
 	}
@@ -232,21 +232,21 @@
 
 // awaitServing waits until all hollow members serve something.
 func (s *site) awaitServing(ctx context.Context) error {
-	for end := time.Now().Add(settleWithin); time.Now().Before(end); time.Sleep(lookEvery) {
-		if s.record.serving() == len(s.members) {
+	for end := time.Now().Add(settleTimeout); time.Now().Before(end); time.Sleep(pollInterval) {
+		if s.observations.servingCount() == len(s.members) {
 			return nil
 		}
 		if err := ctx.Err(); err != nil {
 			return err
 		}
 	}
-	return fmt.Errorf("%d of %d members served something in %v", s.record.serving(), len(s.members), settleWithin)
+	return fmt.Errorf("%d of %d members served something in %v", s.observations.servingCount(), len(s.members), settleTimeout)
 }
 
 // startSender starts a real sender, of shards or as one that knows every destination, and waits until it is ready.
 func (s *site) startSender(ctx context.Context, name string, n int, sharded bool) (*senderProcess, error) {
 	p := &senderProcess{name: name}
-	region, zone := s.file.placeOf(n)
+	region, zone := s.file.locationOf(n)
 	addr, err := proc.FreeAddr()
 	if err != nil {
 		return nil, err
@@ -263,7 +263,7 @@
 	if sharded {
 		fmt.Fprintf(&xml, " <fleet><shards enabled=\"true\" region=%q zone=%q replicas=\"%d\">\n", region, zone, s.file.Replicas)
 		for _, c := range s.controls {
-			r, err := newRelay(c.directory)
+			r, err := newRelay(c.directoryAddr)
 			if err != nil {
 				return nil, err
 			}
@@ -272,35 +272,35 @@
 			fmt.Fprintf(&xml, "  <control name=%q addr=%q region=%q/>\n", c.name, r.addr(), c.region)
 		}
 		xml.WriteString(" </shards></fleet>\n")
-		s.real = append(s.real, HollowMember{Name: name, Region: region, Zone: zone})
+		s.realSenders = append(s.realSenders, HollowMember{Name: name, Region: region, Zone: zone})
 	}
 	xml.WriteString("</sliptide>\n")
 	dir := filepath.Join(s.dir, name)
 	if err := os.MkdirAll(filepath.Join(dir, "state"), 0o700); err != nil {
 		return nil, err
 	}
-	p.config, p.xml = filepath.Join(dir, "config.json"), filepath.Join(dir, "sliptide.xml")
-	if err := os.WriteFile(p.xml, []byte(xml.String()), 0o600); err != nil {
+	p.configPath, p.operatorPath = filepath.Join(dir, "config.json"), filepath.Join(dir, "sliptide.xml")
+	if err := os.WriteFile(p.operatorPath, []byte(xml.String()), 0o600); err != nil {
 		return nil, err
 	}
 	text, err := json.Marshal(senderConfig(name, addr, agentRelay.addr()))
 	if err == nil {
-		err = os.WriteFile(p.config, text, 0o600)
+		err = os.WriteFile(p.configPath, text, 0o600)
 	}
 	if err != nil {
 		return nil, err
 	}
 	began := time.Now()
-	p.child, err = spawn(ctx, s.dir, name, []string{"RELAY_CONFIG=" + p.config, "RELAY_STATE=" + filepath.Join(dir, "state")}, nil, nil, s.programs.Sender, "run", "--operator", p.xml)
+	p.child, err = spawn(ctx, s.dir, name, []string{"RELAY_CONFIG=" + p.configPath, "RELAY_STATE=" + filepath.Join(dir, "state")}, nil, nil, s.programs.Sender, "run", "--operator", p.operatorPath)
 	if err != nil {
 		return nil, err
 	}
 	s.senders = append(s.senders, p)
-	for end := time.Now().Add(settleWithin); time.Now().Before(end); time.Sleep(lookEvery / 10) {
+	for end := time.Now().Add(settleTimeout); time.Now().Before(end); time.Sleep(pollInterval / 10) {
 		if response, err := http.Get("http://" + addr + "/up"); err == nil {
 			response.Body.Close()
 			if response.StatusCode == http.StatusOK {
-				p.ready = time.Since(began)
+				p.readyDelay = time.Since(began)
 				return p, nil
 			}
 		}
@@ -312,7 +312,7 @@
 		default:
 		}
 	}
-	return p, fmt.Errorf("%s was not ready in %v", name, settleWithin)
+	return p, fmt.Errorf("%s was not ready in %v", name, settleTimeout)
 }
 
 // senderConfig is the platform's file of a real sender.
@@ -341,7 +341,7 @@
 }
 
 // memory is what all processes hold, this one included.
-func (s *site) memory() int64 {
+func (s *site) residentBytes() int64 {
 	total := proc.Resident(os.Getpid())
 	add := func(c *child) {
 		if c != nil {
