--- a/internal/lab/scale/judge.go
+++ b/internal/lab/scale/judge.go
@@ -9,46 +9,46 @@
 	"sliptide/internal/fleet/shard"
 )
 
-// Rules are what a run is held to.
+// Rules are the limits that a run must keep.
 type Rules struct {
-	MaxUnserved    time.Duration // a destination may be without a live member so long, once it has had one
-	InForceTimeout time.Duration // a change has to be in force at a member that could be reached so long
+	MaxUnserved    time.Duration // longest time without a live member for a destination that has had one
+	InForceTimeout time.Duration // a change must be in force at a member within this time of the member being reachable
 	Replicas       int
 }
 
-// Change is one change of a destination's endpoint, as discovery told it.
+// Change is one change of a destination's endpoint, as published by discovery.
 type Change struct {
 	At          int64
 	Destination uint64
 	Number      int
 }
 
-// Cut is a time in which the control members of a region heard none of the others.
+// Partition is a period in which the control members of a region were disconnected from those of other regions.
 type Partition struct {
 	Region   string
 	From, To int64
 }
 
-// Finding is one break of a rule.
+// Finding is one violation of a rule.
 type Finding struct {
 	Rule   string `json:"rule"`
 	Detail string `json:"detail"`
 }
 
-// The rules' names.
+// Names of the rules, as written in findings.
 const (
-	RuleUnserved = "unserved"
-	RuleStale    = "stale"
-	RuleMissed   = "missed"
-	RuleBackward = "backward"
+	RuleUnserved = "unserved" // a shard had no live member for longer than MaxUnserved
+	RuleStale    = "stale"    // a member stayed at an old version for longer than InForceTimeout
+	RuleMissed   = "missed"   // a change was not in force at a serving member within InForceTimeout
+	RuleBackward = "backward" // a member applied a lower version than it had
 )
 
-// Verdict is what a judge says of a run.
+// Verdict is the judge's result for a run. Median, P99 and Worst are the delays until changes were in force.
 type Verdict struct {
 	Findings        map[string]int `json:"findings"` // by rule
 	Examples        []Finding      `json:"examples,omitempty"`
 	Changes         int            `json:"changes"`
-	InForceCount    int            `json:"in_force"` // at members
+	InForceCount    int            `json:"in_force"` // changes that came into force, counted per member
 	Median          float64        `json:"p50_seconds"`
 	P99             float64        `json:"p99_seconds"`
 	Worst           float64        `json:"worst_seconds"`
@@ -56,7 +56,7 @@
 	LongestStale    float64        `json:"longest_on_an_old_version_seconds"`
 }
 
-// Clean reports whether no rule was broken.
+// Clean reports whether no rule was violated.
 func (v *Verdict) Clean() bool {
 	total := 0
 	for _, n := range v.Findings {
@@ -67,25 +67,25 @@
 
 const maxExamples = 20
 
-// Judge holds what members saw against the rules. It reads a whole run after its end.
+// Judge checks the members' observations against the rules, after the whole run has ended.
 type Judge struct {
 	Rules       Rules
-	Members     []HollowMember // by number
-	RealSenders []HollowMember // real senders, which are always up and tell nothing
-	Changes     []Change       // by time
+	Members     []HollowMember // indexed by member number
+	RealSenders []HollowMember // always up; they send no observations
+	Changes     []Change       // in order of time
 	Partitions  []Partition
 
 	memberStates    []memberState
 	coverageByShard map[regionShard]*coverage
-	membersByShard  map[regionShard]map[int]bool // members that serve a shard
+	membersByShard  map[regionShard]map[int]bool // hollow members that serve a shard
 	pendingByMember map[int]map[uint64]pendingChange
-	allLocators     map[string]*shard.Locator // by region, of all members, up or not
-	versionHistory  []firstSeenVersion        // the highest version that any member was at, by time
+	allLocators     map[string]*shard.Locator // by region, over all members, whether up or down
+	versionHistory  []firstSeenVersion        // each new highest version of any member, in order of time
 	verdict         Verdict
 	delays          []float64
 }
 
-// place is a shard of a region.
+// regionShard identifies a shard within a region.
 type regionShard struct {
 	region string
 	shard  uint32
@@ -100,7 +100,7 @@
 
 type coverage struct {
 	liveMembers   int
-	unservedSince int64 // since when nobody serves; 0: somebody does
+	unservedSince int64 // 0: the shard is served
 	reported      bool
 }
 
@@ -114,7 +114,7 @@
 	version uint64
 }
 
-// Run judges a run that ended at end.
+// Run returns the verdict for a run that ended at end. It sorts the observations by time.
 func (j *Judge) Run(observations []Observation, end int64) *Verdict {
 	j.memberStates = make([]memberState, len(j.Members))
 	j.coverageByShard, j.membersByShard, j.pendingByMember = map[regionShard]*coverage{}, map[regionShard]map[int]bool{}, map[int]map[uint64]pendingChange{}
@@ -175,7 +175,7 @@
 
 func (j *Judge) updateApplied(o *Observation, m *memberState) {
 	if !m.up {
-		return // told as it ended
+		return // an update that was applied while the member was being stopped
 	}
 	j.checkVersion(o, m)
 	for _, id := range o.Assigned {
@@ -198,8 +198,9 @@
 	}
 }
 
-// version takes the version that a member is at. A look at it may be overtaken by what the member learns meanwhile, and
-// tells nothing of the order in which it did.
+// checkVersion records a member's version and checks that it neither decreases nor stays old for too long. Only applied
+// updates show the order of versions: the member may apply an update between a periodic version report's time and its
+// arrival here.
 func (j *Judge) checkVersion(o *Observation, m *memberState) {
 	if o.Kind == Applied {
 		if o.Version < m.version {
@@ -225,7 +226,7 @@
 	}
 }
 
-// behindSince is since when a member could have had a later version than it is at; 0: it is at the newest.
+// staleSince returns the time from which the member could have had a later version, or 0 if it is at the newest.
 func (j *Judge) staleSince(o *Observation, m *memberState) int64 {
 	at, _ := slices.BinarySearchFunc(j.versionHistory, o.Version+1, func(v firstSeenVersion, want uint64) int { return cmp.Compare(v.version, want) })
 	if at == len(j.versionHistory) {
@@ -234,7 +235,8 @@
 	return max(j.versionHistory[at].at, m.upSince, j.reachableFrom(j.Members[o.Member].Region, j.versionHistory[at].at))
 }
 
-// reachable is from when a member of a region could hear of what was told at that time.
+// reachableFrom returns the time from which members of a region could learn of an update published at that time: the end
+// of a partition of their region that delayed it, otherwise the time itself.
 func (j *Judge) reachableFrom(region string, at int64) int64 {
 	reachableFrom := at
 	for _, c := range j.Partitions {
@@ -277,7 +279,8 @@
 	}
 }
 
-// lookAtCover finds shards that nobody has served for too long. One whose replicas are real senders is served by them.
+// checkCoverage reports shards without a live member for longer than MaxUnserved. A shard with a real sender among its
+// replicas counts as served.
 func (j *Judge) checkCoverage(now int64) {
 	var locators map[string]*shard.Locator
 	for p, c := range j.coverageByShard {
@@ -295,7 +298,7 @@
 	}
 }
 
-// unserved takes how long nobody has served a shard.
+// recordGap records the time that a shard has had no live member, and reports it once if it exceeds MaxUnserved.
 func (j *Judge) endGap(p regionShard, c *coverage, now int64) {
 	gap := now - c.unservedSince
 	j.verdict.LongestUnserved = max(j.verdict.LongestUnserved, seconds(gap))
@@ -305,7 +308,7 @@
 	}
 }
 
-// locators are of some members and all real senders, by region.
+// locators returns a locator for each region, over the hollow members that include selects and all real senders.
 func (j *Judge) locators(include func(n int) bool) map[string]*shard.Locator {
 	up := map[string][]shard.Member{}
 	add := func(m *HollowMember) {
@@ -339,7 +342,7 @@
 	return false
 }
 
-// changed notes who has to hear of a change: who serves its destination at that time.
+// recordChange marks a change as pending at each member that serves its destination at that time.
 func (j *Judge) recordChange(c *Change) {
 	j.verdict.Changes++
 	id := uint32(shard.Of(c.Destination))
@@ -349,14 +352,14 @@
 				j.pendingByMember[n] = map[uint64]pendingChange{}
 			}
 			if _, waits := j.pendingByMember[n][c.Destination]; waits {
-				continue // an earlier change is waited for: whoever hears of a later one has it
+				continue // an earlier change is pending; any later change number satisfies it
 			}
 			j.pendingByMember[n][c.Destination] = pendingChange{c.Number, j.reachableFrom(p.region, c.At)}
 		}
 	}
 }
 
-// places are those of a shard in all regions.
+// servingMembers returns the members that serve a shard, for each region that has any.
 func (j *Judge) servingMembers(id uint32) map[regionShard]map[int]bool {
 	list := map[regionShard]map[int]bool{}
 	for _, region := range j.regions() {
--- a/internal/lab/scale/run.go
+++ b/internal/lab/scale/run.go
@@ -16,10 +16,10 @@
 	"sliptide/internal/lab/proc"
 )
 
-// InForceWithin is the time within which a change has to be in force at a member that can be reached.
+// InForceTimeout is the time within which a change must be in force at a reachable member.
 const InForceTimeout = 20 * time.Second
 
-// Result is what a run came to.
+// Result holds the results of all sizes of a run and of its comparisons.
 type Result struct {
 	Name        string       `json:"name"`
 	About       string       `json:"about,omitempty"`
@@ -27,30 +27,30 @@
 	Comparisons []Comparison `json:"compare,omitempty"`
 }
 
-// SizeResult is what one size came to.
+// SizeResult holds the result for one fleet size.
 type SizeResult struct {
 	Members          int       `json:"members"`
 	Destinations     int       `json:"destinations"`
-	Failure          string    `json:"ended,omitempty"` // why it did not end as planned
+	Failure          string    `json:"ended,omitempty"` // why the run of this size ended early
 	Verdict          *Verdict  `json:"verdict,omitempty"`
 	Senders          []Usage   `json:"senders"`
 	Controls         []Usage   `json:"controls"`
-	SettleSeconds    float64   `json:"settle_seconds"` // from the start of members until all served
-	MemoryMB         float64   `json:"memory_mb"`      // of all processes, at most
-	LoadAverage      float64   `json:"load"`           // runnable processes at the end, mean of a minute
+	SettleSeconds    float64   `json:"settle_seconds"` // from the start of the members until each serves a shard
+	MemoryMB         float64   `json:"memory_mb"`      // peak sum over all processes
+	LoadAverage      float64   `json:"load"`           // one-minute load average at the end
 	PartitionSeconds []float64 `json:"cut_seconds,omitempty"`
 }
 
-// Usage is what a process took over the schedule.
+// Usage is the resource usage of a process over the schedule.
 type Usage struct {
 	Name         string  `json:"name"`
 	CorePercent  float64 `json:"core_percent"`
-	MemoryMB     float64 `json:"memory_mb"` // at most
+	MemoryMB     float64 `json:"memory_mb"` // peak
 	LinkKBps     float64 `json:"link_kb_per_second"`
 	ReadySeconds float64 `json:"ready_seconds"`
 }
 
-// Worst is the most that any of the processes took.
+// Worst returns the maximum of each figure over the processes.
 func Worst(list []Usage) (worst Usage) {
 	for _, u := range list {
 		worst.CorePercent = max(worst.CorePercent, u.CorePercent)
@@ -61,18 +61,18 @@
 	return worst
 }
 
-// Options are what a run works with.
+// Options configures a run.
 type Options struct {
 	File           *File
 	Programs       Programs
-	Dir            string                          // a scratch folder
-	DisabledChecks directory.SubscriptionCheck     // taken out of the hollow members
-	OnPhase        func(size int, phase string)    // told of each phase
-	OnTick         func(done, total time.Duration) // told of the schedule's progress
-	OnSizeDone     func(*Result) error             // told of the result so far after each size; nil: nobody is
+	Dir            string                          // scratch directory
+	DisabledChecks directory.SubscriptionCheck     // disabled in the hollow members
+	OnPhase        func(size int, phase string)    // called at the start of each phase
+	OnTick         func(done, total time.Duration) // called once a second during the schedule
+	OnSizeDone     func(*Result) error             // called with the results so far after each size; may be nil
 }
 
-// Run plays all sizes, and the comparison.
+// Run runs all sizes in ascending order, up to the first that fails, and then the comparisons.
 func Run(ctx context.Context, o Options) (*Result, error) {
 	result := &Result{Name: o.File.Name, About: o.File.About}
 	for _, size := range o.File.Sizes {
@@ -103,7 +103,7 @@
 	return result, nil
 }
 
-// play is a size under way.
+// sizeRun is the run of one size in progress.
 type sizeRun struct {
 	*site
 	options     Options
@@ -115,10 +115,10 @@
 	maxMemoryMB float64
 }
 
-// meter watches what a process takes.
+// usageMeter measures the resource usage of a process.
 type usageMeter struct {
 	Usage
-	startProcessorTime float64 // processor time
+	startProcessorTime float64 // in seconds
 	startBytes         int64
 	startTime          time.Time
 }
@@ -181,10 +181,10 @@
 	return result, nil
 }
 
-// errMemory ends a size that needs too much memory.
+// errMemoryLimit ends a size whose processes exceed the run's memory limit.
 var errMemoryLimit = errors.New("the processes hold more than the run's memory limit")
 
-// schedule plays changes and faults for the run's length.
+// runSchedule makes changes and injects faults for the duration of the schedule.
 func (p *sizeRun) runSchedule(ctx context.Context) error {
 	file := p.options.File
 	for _, c := range p.controls {
@@ -213,7 +213,7 @@
 	defer change.Stop()
 	memoryTicker := time.NewTicker(time.Second)
 	defer memoryTicker.Stop()
-	// No change comes in the last part of the schedule: each has to be in force at its end.
+	// The last InForceTimeout of the schedule has no changes, so that each change can be in force by its end.
 	calmFrom := file.Duration - InForceTimeout
 	for time.Since(began) < file.Duration {
 		select {
@@ -253,7 +253,7 @@
 	p.changes = append(p.changes, Change{At: at, Destination: uint64(destination), Number: number})
 }
 
-// measure begins to watch a process.
+// startMeter starts measuring a process that has carried the given bytes so far.
 func (p *sizeRun) startMeter(c *child, bytes int64) {
 	processorTime, _ := proc.ProcessorTime(c.cmd.Process.Pid)
 	p.mu.Lock()
@@ -261,7 +261,7 @@
 	p.meters[c] = &usageMeter{startProcessorTime: processorTime, startBytes: bytes, startTime: time.Now()}
 }
 
-// used is what a process has taken since it was watched.
+// readMeter returns the usage of a process since startMeter.
 func (p *sizeRun) readMeter(name string, c *child, bytes int64, ready time.Duration) Usage {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -279,7 +279,7 @@
 	return m.Usage
 }
 
-// look notes what processes hold, and ends a run that holds too much.
+// sampleMemory updates the peak memory of the processes. It fails if their sum exceeds the limit.
 func (p *sizeRun) sampleMemory() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -294,7 +294,7 @@
 	return nil
 }
 
-// sizesOf are the sizes that ended as planned.
+// judgedSizes returns the sizes that ran to the end and have a verdict.
 func (r *Result) judgedSizes() (list []SizeResult) {
 	return slices.DeleteFunc(slices.Clone(r.Sizes), func(s SizeResult) bool { return s.Verdict == nil })
 }
