--- a/internal/lab/scale/agent.go
+++ b/internal/lab/scale/agent.go
@@ -10,20 +10,20 @@
 	"time"
 )
 
-// agent is the discovery of a run: one endpoint for each destination. The weight of an endpoint's line is the number of
-// the change that made it as it is, so that members can tell what they have seen.
+// agent is the discovery agent of a run, with one endpoint for each destination. An endpoint's weight carries the number
+// of its last change, so that members can report which changes they have applied.
 type agent struct {
 	listener net.Listener
 	server   *http.Server
 
 	mu                  sync.Mutex
 	destinations        int
-	lastChange          []int // by destination: the number of its last change
-	changedDestinations []int // by number, from 1: the destination that it changed
+	lastChange          []int // indexed by destination: the number of its last change
+	changedDestinations []int // indexed by change number, from 1: the changed destination
 	changeSignal        chan struct{}
 }
 
-// newAgent serves a list of so many destinations.
+// newAgent starts an agent that serves a list of the given number of destinations.
 func newAgent(destinations int) (*agent, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -39,7 +39,7 @@
 
 func (a *agent) close() { a.server.Close() }
 
-// change changes a destination's endpoint and returns the number of the change.
+// change changes a destination's endpoint and returns the change's number.
 func (a *agent) change(destination int) int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -55,10 +55,11 @@
 	fmt.Fprintf(b, `{"id":"endpoint-%07d","addr":"127.0.0.1:9","zone":"zone","kind":"partner","cell":%d,"state":"up","weight":%d}`, destination, destination, a.lastChange[destination])
 }
 
-// serve answers an ask for the list, or a watch. Versions are the numbers of changes, from 1 on.
+// serve answers requests for the endpoint list, with a long poll for updates after a given version. The first version
+// is 1, and each change increments it.
 func (a *agent) serve(w http.ResponseWriter, q *http.Request) {
 	if q.URL.Path != "/discovery/hosts" {
-		w.WriteHeader(http.StatusNoContent) // notices
+		w.WriteHeader(http.StatusNoContent) // notices are accepted and ignored
 		return
 	}
 	index, _ := strconv.Atoi(q.URL.Query().Get("index"))
@@ -86,7 +87,7 @@
 	}
 }
 
-// text is the list since an index, whole from 0.
+// listSince returns the response with the endpoints changed since a version, or with the whole list if it is 0.
 func (a *agent) listSince(index int) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, `{"version":%d,"full":%t,"servers":[`, len(a.changedDestinations), index == 0)
--- a/internal/lab/scale/compare.go
+++ b/internal/lab/scale/compare.go
@@ -9,24 +9,25 @@
 	"time"
 )
 
-// This file measures senders of shards beside such that know every destination.
+// This file compares sharded senders with senders that know every destination.
 
-// Comparison is one number of destinations with both kinds of senders beside each other.
+// Comparison holds the figures of a sharded sender and of one that knows every destination, for one number of
+// destinations.
 type Comparison struct {
 	Destinations      int   `json:"destinations"`
 	Members           int   `json:"members"`
 	Sharded           Usage `json:"shards"`
-	KnownDestinations int   `json:"known"` // destinations that the sender of shards knows, about
-	// What links carried from the start until ready.
+	KnownDestinations int   `json:"known"` // estimate of the destinations that the sharded sender knows
+	// Traffic on the sender's links from its start until both senders were ready.
 	ShardedStartKB float64 `json:"shards_start_kb"`
 	WholeStartKB   float64 `json:"whole_start_kb"`
 	Whole          Usage   `json:"whole"`
-	WholeFailure   string  `json:"whole_ended,omitempty"` // why the sender of all destinations was not ready
+	WholeFailure   string  `json:"whole_ended,omitempty"` // why the sender that knows every destination did not become ready
 }
 
 const comparisonDuration = 15 * time.Second
 
-// compare measures a sender of shards beside one that is told the whole list, in one run.
+// compare measures a sharded sender and one that receives the whole endpoint list, at the same time.
 func compare(ctx context.Context, o Options, destinations int) (*Comparison, error) {
 	f := *o.File
 	c := &Comparison{Destinations: destinations, Members: f.CompareMembers}
--- a/internal/lab/scale/faults.go
+++ b/internal/lab/scale/faults.go
@@ -8,9 +8,9 @@
 	"sliptide/internal/fleet"
 )
 
-// This file makes the faults of a schedule.
+// This file injects the faults of a schedule.
 
-// strike makes a fault, for as long as it lasts.
+// injectFault injects a fault, and returns when it is over.
 func (p *sizeRun) injectFault(ctx context.Context, f *Fault) error {
 	switch f.Kind {
 	case RestartWave:
@@ -27,7 +27,7 @@
 	return fmt.Errorf("no fault of this kind")
 }
 
-// draw picks so many of n, by the run's seed.
+// pick returns up to count distinct numbers below n, drawn by the run's seeded generator.
 func (p *sizeRun) pick(n, count int) []int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -35,8 +35,8 @@
 	return order[:min(count, n)]
 }
 
-// restartWave kills a part of all processes of members, one after the other over the fault's time, and starts each again
-// at once.
+// restartWave kills one in Size of the processes of hollow members, one after another over the fault's duration, and
+// restarts each at once.
 func (p *sizeRun) restartWave(ctx context.Context, f *Fault) error {
 	selected := p.pick(len(p.hollows), max(len(p.hollows)/f.Size, 1))
 	for _, i := range selected {
@@ -52,7 +52,8 @@
 	return nil
 }
 
-// rack ends members of one process without a word, and starts them again later.
+// stopRack stops members of one process without notice to their control members, and starts them again after the
+// fault's duration.
 func (p *sizeRun) stopRack(ctx context.Context, f *Fault) error {
 	h := p.hollows[p.pick(len(p.hollows), 1)[0]]
 	var numbers []int
@@ -68,7 +69,7 @@
 	return h.send(Command{Start: numbers})
 }
 
-// zone kills all members of a zone, and starts them again later.
+// killZone kills all hollow members of a zone, and starts them again after the fault's duration.
 func (p *sizeRun) killZone(ctx context.Context, f *Fault) error {
 	zone := p.hollows[p.pick(len(p.hollows), 1)[0]].zone
 	var selected []*hollowProcess
@@ -89,7 +90,8 @@
 	return nil
 }
 
-// cutRegion cuts the links between the control members of a region and those of others, for a while.
+// partitionRegion cuts the links between the control members of one region and those of the others for the fault's
+// duration.
 func (p *sizeRun) partitionRegion(ctx context.Context, f *Fault) error {
 	region := regionName(p.pick(p.options.File.Regions, 1)[0])
 	var cut []*relay
@@ -121,7 +123,8 @@
 	return nil
 }
 
-// killLeader kills the control member that leads, and starts it again later.
+// killLeader kills the leader of the control members, and starts it again after the fault's duration. If there is no
+// leader, it waits for one.
 func (p *sizeRun) killLeader(ctx context.Context, f *Fault) error {
 	var leader *controlProcess
 	for leader == nil {
--- a/internal/lab/scale/file.go
+++ b/internal/lab/scale/file.go
@@ -1,7 +1,7 @@
-// Package scale runs a sharded fleet on one machine: real control members and a few real senders as processes, with
-// hollow members beside them, which run a sender's real subscription over real loopback links, without journal and calls,
-// hundreds to a process. Faults come by schedule; a judge reads what all members saw. What budgets are held against is
-// measured on the real senders.
+// Package scale runs a sharded fleet on one machine: control members and a few senders as real processes, and hollow
+// members, hundreds to a process. A hollow member runs a sender's real subscription over loopback links, without a
+// journal and without calls. Faults are injected by a schedule, and a judge checks the observations of all hollow members
+// afterwards. Budgets are checked against the usage of the real senders.
 package scale
 
 import (
@@ -13,47 +13,47 @@
 	"sliptide/internal/strictxml"
 )
 
-// FaultKind is what goes wrong.
+// FaultKind is the kind of a fault.
 type FaultKind string
 
-// The faults.
+// Kinds of faults.
 const (
-	RestartWave FaultKind = "restart-wave" // a part of all members is killed, and starts again at once
-	Rack        FaultKind = "rack"         // so many members end at once, and come back
-	Zone        FaultKind = "zone"         // all members of one zone are killed, and come back
-	RegionCut   FaultKind = "region-cut"   // the control members of one region hear none of the others, nor they them
-	LeaderKill  FaultKind = "leader-kill"  // the control member that leads is killed, and starts again
+	RestartWave FaultKind = "restart-wave" // processes of hollow members are killed one after another, each restarted at once
+	Rack        FaultKind = "rack"         // some members of one process stop together, and start again later
+	Zone        FaultKind = "zone"         // all hollow members of one zone are killed, and start again later
+	RegionCut   FaultKind = "region-cut"   // the control members of one region are disconnected from those of the others
+	LeaderKill  FaultKind = "leader-kill"  // the leader of the control members is killed, and starts again later
 )
 
 var faultKinds = []string{string(RestartWave), string(Rack), string(Zone), string(RegionCut), string(LeaderKill)}
 
-// Fault is one fault of the schedule.
+// Fault is a fault in the schedule.
 type Fault struct {
 	Kind     FaultKind
-	At       time.Duration // from when all members are up
+	At       time.Duration // since the start of the schedule, when all members are up
 	Duration time.Duration
-	Size     int // of a wave: one in so many; of a rack: members
+	Size     int // restart-wave: one in Size processes is killed; rack: number of members
 }
 
-// File is a scale run.
+// File describes a scale run.
 type File struct {
 	Name                  string
 	About                 string
 	Seed                  int
-	Sizes                 []int // members
+	Sizes                 []int // numbers of members, ascending
 	Controls              int
-	Senders               int // real ones
+	Senders               int // real senders
 	Regions               int
-	Zones                 int // of all regions
+	Zones                 int // in all regions together
 	Replicas              int
-	DestinationsPerMember float64 // for each member
+	DestinationsPerMember float64 // size of the endpoint list, in destinations for each member
 	ChangesPerSecond      float64
-	Duration              time.Duration // of the schedule, from when all members are up
-	MembersPerProcess     int           // hollow members
+	Duration              time.Duration // length of the schedule, from when all members are up
+	MembersPerProcess     int           // hollow members in a process, at most
 	MaxMemory             int64
-	MaxUnserved           time.Duration // a destination may have no live member so long
+	MaxUnserved           time.Duration // longest time without a live member for a destination
 	Faults                []Fault
-	ComparisonSizes       []int // numbers of destinations for the comparison with senders that know them all
+	ComparisonSizes       []int // numbers of destinations at which sharded senders are compared with senders that know them all
 	CompareMembers        int
 }
 
@@ -110,13 +110,13 @@
 
 func numbers(text string) (list []int) {
 	for field := range strings.FieldsSeq(text) {
-		n, _ := strconv.Atoi(field) // the pattern has let nothing else through
+		n, _ := strconv.Atoi(field) // cannot fail: the value has matched the pattern
 		list = append(list, n)
 	}
 	return list
 }
 
-// Load reads a scale run's file.
+// Load reads and validates the file of a scale run.
 func Load(path string) (*File, error) {
 	f, err := strictxml.Open(path, spec())
 	if err != nil {
--- a/internal/lab/scale/hollow.go
+++ b/internal/lab/scale/hollow.go
@@ -18,12 +18,12 @@
 )
 
 const (
-	versionReportInterval = 2 * time.Second // between two looks at the members' versions
-	startWindow           = 3 * time.Second // members of a process start over this time
+	versionReportInterval = 2 * time.Second // interval between version reports of the running members
+	startWindow           = 3 * time.Second // the members of a process start at random times within this window
 	flushInterval         = 100 * time.Millisecond
 )
 
-// hollows are the members of one process.
+// hollowSet holds the hollow members of one process.
 type hollowSet struct {
 	settings HollowSettings
 	out      chan Observation
@@ -37,8 +37,8 @@
 	subscriber *subscriber.Subscriber
 }
 
-// RunHollow runs hollow members until its input ends: the settings first, then orders, one JSON text each. What the
-// members see goes to out, one JSON text a line.
+// RunHollow runs hollow members until its input ends. The input is a stream of JSON values: a HollowSettings, then
+// Commands. The members' observations go to out, one JSON value a line.
 func RunHollow(ctx context.Context, in io.Reader, out io.Writer) error {
 	decoder := json.NewDecoder(bufio.NewReader(in))
 	h := &hollowSet{out: make(chan Observation, 4096), running: map[int]*runningMember{}}
@@ -92,7 +92,7 @@
 	}
 	o.Apply = func(a *directory.AppliedUpdate) {
 		h.emit(ctx, appliedObservation(m.Number, a))
-		member.subscriber.Release(a.Unassigned) // nothing is held
+		member.subscriber.Release(a.Unassigned) // hollow members hold no messages, so shards are released at once
 	}
 	member.subscriber = subscriber.New(o)
 	h.mu.Lock()
@@ -103,7 +103,7 @@
 	close(member.done)
 }
 
-// stop ends a member without a word to anybody, and tells when it is over.
+// stop cancels a member's subscription without notifying its control member, and reports the member as down.
 func (h *hollowSet) stop(n int) {
 	h.mu.Lock()
 	member := h.running[n]
@@ -140,7 +140,7 @@
 	}
 }
 
-// tellVersions tells now and then which version each member is at.
+// reportVersions reports each running member's version at regular intervals.
 func (h *hollowSet) reportVersions(ctx context.Context) {
 	tick := time.NewTicker(versionReportInterval)
 	defer tick.Stop()
@@ -150,7 +150,7 @@
 			return
 		case <-tick.C:
 		}
-		now := fleet.Now() // before the look: what is learned meanwhile comes after it
+		now := fleet.Now() // read before the versions, so that updates applied meanwhile have a later time
 		h.mu.Lock()
 		versions := make(map[int]uint64, len(h.running))
 		for n, member := range h.running {
--- a/internal/lab/scale/observation.go
+++ b/internal/lab/scale/observation.go
@@ -1,48 +1,50 @@
 package scale
 
-// Observation is one thing that a member saw, with the machine's monotonic clock, which all processes of a run read.
+// Observation is one event at a hollow member. Its time is the machine's monotonic clock, which all processes of a run
+// share.
 type Observation struct {
 	At      int64     `json:"at"` // nanoseconds
 	Kind    EventKind `json:"kind"`
 	Member  int       `json:"member"`
 	Version uint64    `json:"version,omitempty"`
-	// Of Applied: destinations whose endpoints it holds now, with the number of the change that made them so, and shards.
+	// Only with kind Applied: the destinations whose endpoints the update set, each with the number of its last change, and
+	// the shards assigned to and withdrawn from the member.
 	Changes    []SeenChange `json:"changes,omitempty"`
 	Assigned   []uint32     `json:"assigned,omitempty"`
 	Unassigned []uint32     `json:"unassigned,omitempty"`
 }
 
-// SeenChange is a destination as a member knows it.
+// SeenChange is a destination with the number of the last change that the member has applied to it.
 type SeenChange struct {
 	Destination uint64 `json:"d"`
 	Number      int    `json:"n"`
 }
 
-// EventKind is what an observation tells.
+// EventKind is the kind of an observation.
 type EventKind string
 
-// The kinds.
+// Kinds of observations.
 const (
-	Up        EventKind = "up"      // the member began, and knows nothing
-	Down      EventKind = "down"    // it ended
-	Applied   EventKind = "applied" // it learned something
-	AtVersion EventKind = "at"      // the version that it is at, told now and then
+	Up        EventKind = "up"      // the member started, with empty state
+	Down      EventKind = "down"    // the member stopped
+	Applied   EventKind = "applied" // the member applied an update
+	AtVersion EventKind = "at"      // periodic report of the member's version
 )
 
-// Order is what the runner tells a process of hollow members.
+// Command tells a process of hollow members to stop and start members, given by number.
 type Command struct {
 	Stop  []int `json:"stop,omitempty"`
 	Start []int `json:"start,omitempty"`
 }
 
-// HollowSettings are what a process of hollow members is told first.
+// HollowSettings is the first message to a process of hollow members.
 type HollowSettings struct {
 	Members        []HollowMember  `json:"members"`
 	Controls       []ControlServer `json:"controls"`
 	DisabledChecks uint            `json:"break,omitempty"`
 }
 
-// HollowMember is one member.
+// HollowMember identifies a member and its location.
 type HollowMember struct {
 	Number int    `json:"number"`
 	Name   string `json:"name"`
@@ -50,7 +52,7 @@
 	Zone   string `json:"zone"`
 }
 
-// ControlServer is a control member that members may subscribe at.
+// ControlServer is a control member to which members can subscribe.
 type ControlServer struct {
 	Name   string `json:"name"`
 	Addr   string `json:"addr"`
--- a/internal/lab/scale/process.go
+++ b/internal/lab/scale/process.go
@@ -15,14 +15,14 @@
 	"bufio"
 )
 
-// child is a process of a run. It dies with this one.
+// child is a process of a run. The kernel kills it when this process dies.
 type child struct {
 	name   string
 	cmd    *exec.Cmd
 	exited chan struct{}
 }
 
-// spawn starts a program; its standard error goes to a file of the run's folder.
+// spawn starts a program. Its standard error is appended to a file in the run's directory.
 func spawn(ctx context.Context, dir, name string, env []string, in io.Reader, out io.Writer, program string, args ...string) (*child, error) {
 	log, err := os.OpenFile(filepath.Join(dir, name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
@@ -40,7 +40,7 @@
 	return c, nil
 }
 
-// kill ends the process and waits for its end.
+// kill kills the process and waits until it has exited. It does nothing for nil.
 func (c *child) kill() {
 	if c != nil {
 		c.cmd.Process.Signal(syscall.SIGKILL)
@@ -48,22 +48,22 @@
 	}
 }
 
-// hollowProcess is a process of hollow members.
+// hollowProcess is a process that runs hollow members of one zone.
 type hollowProcess struct {
 	name        string
 	zone        string
 	settings    HollowSettings
 	child       atomic.Pointer[child]
-	mu          sync.Mutex // held while the process is started, ended or told something
+	mu          sync.Mutex // held while the process is started, killed or sent a command
 	commandPipe io.WriteCloser
 	encoder     *json.Encoder
 }
 
-// record collects what members see, in the order in which it arrives.
+// observationLog collects the members' observations in the order of arrival.
 type observationLog struct {
 	mu             sync.Mutex
 	entries        []Observation
-	servingMembers map[int]bool // members that serve something
+	servingMembers map[int]bool // members that serve a shard
 }
 
 func newObservationLog() *observationLog { return &observationLog{servingMembers: map[int]bool{}} }
@@ -80,14 +80,14 @@
 	}
 }
 
-// serving is how many members serve something.
+// servingCount returns the number of members that serve a shard.
 func (r *observationLog) servingCount() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return len(r.servingMembers)
 }
 
-// start starts the process of hollow members.
+// start starts the process, sends it the settings and collects its observations in r.
 func (h *hollowProcess) start(ctx context.Context, lab, dir string, r *observationLog) error {
 	ordersOut, ordersIn, err := os.Pipe()
 	if err != nil {
@@ -121,8 +121,8 @@
 	return h.encoder.Encode(h.settings)
 }
 
-// tell gives the process an order. One that another fault has ended is told nothing: all its members are down, and all
-// of them start with it.
+// send sends the process a command. It does nothing for a process that another fault has killed: all its members are
+// down, and all of them start when the process is started again.
 func (h *hollowProcess) send(o Command) error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -132,7 +132,7 @@
 	return h.encoder.Encode(o)
 }
 
-// kill ends the process, and notes that its members are down.
+// kill kills the process, and records all its members as down.
 func (h *hollowProcess) kill(now func() int64, r *observationLog) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/lab/scale/relay.go
+++ b/internal/lab/scale/relay.go
@@ -7,8 +7,7 @@
 	"sync/atomic"
 )
 
-// relay carries connections to an address, counts their bytes, and can be cut: connections are closed then, and further
-// ones too.
+// relay forwards connections to an address and counts their bytes. While it is cut, it closes open and new connections.
 type relay struct {
 	listener    net.Listener
 	target      string
@@ -35,7 +34,7 @@
 	r.setCut(true)
 }
 
-// setCut cuts the relay, or lets connections through again.
+// setCut cuts the relay, or restores it.
 func (r *relay) setCut(cut bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -46,7 +45,7 @@
 	}
 }
 
-// enter notes a connection, or closes it where the relay is cut.
+// track registers a connection. If the relay is cut, it closes the connection and returns false.
 func (r *relay) track(c net.Conn) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -98,7 +97,7 @@
 	<-done
 }
 
-// counted counts what is written.
+// countingWriter adds the bytes written to a total.
 type countingWriter struct {
 	io.Writer
 	total *atomic.Int64
--- a/internal/lab/scale/report.go
+++ b/internal/lab/scale/report.go
@@ -20,20 +20,20 @@
 	"sliptide/internal/lab/capacity"
 )
 
-// Budgets are what a real sender is held against.
+// Budgets holds the limits for a real sender.
 type Budgets struct {
-	Senders     float64 // at the target
+	Senders     float64 // number of senders at the target
 	CorePercent float64
 	MemoryMB    float64
 	LinkKBps    float64
 }
 
-// BudgetsOf are those of a target.
+// BudgetsOf returns the budgets of a capacity target.
 func BudgetsOf(t *capacity.Target) Budgets {
 	return Budgets{t.Senders, t.CorePercent, t.MemoryMB, t.LinkKBPerSecond}
 }
 
-// quantity is one figure of a size that is drawn and foretold.
+// quantity is a figure of each size that is plotted and extrapolated to the target.
 type quantity struct {
 	name, unit string
 	budget     func(Budgets) float64
@@ -49,7 +49,8 @@
 	{"a change in force, worst", "s", func(Budgets) float64 { return InForceTimeout.Seconds() }, func(s *SizeResult) float64 { return s.Verdict.Worst }},
 }
 
-// foretold is a quantity at a size by a line through what was measured; false: from fewer than three sizes.
+// extrapolate returns the quantity at a size, by a line fitted through the measured sizes. It returns false for fewer than
+// three sizes.
 func (q *quantity) extrapolate(sizes []SizeResult, at float64) (float64, bool) {
 	var points []capacity.Point
 	for i := range sizes {
@@ -61,7 +62,7 @@
 	return capacity.FitLine(points).At(at), true
 }
 
-// WriteTables writes the result's tables as Markdown.
+// WriteTables writes a result's tables in Markdown.
 func WriteTables(b *bytes.Buffer, r *Result, budgets Budgets) {
 	fmt.Fprintln(b, "| members | destinations | judge | p50, p99, worst of a change in force | longest without a live member | worst real sender | worst control member | all processes | load |")
 	fmt.Fprintln(b, "| --- | --- | --- | --- | --- | --- | --- | --- | --- |")
@@ -93,7 +94,7 @@
 	return "NOT CLEAN: " + strings.Join(parts, ", ")
 }
 
-// writeBudgets says of each quantity at which measured sizes its budget holds, and what a line through them foretells.
+// writeBudgets writes, for each quantity, whether its budget holds at each measured size and at the extrapolated target.
 func writeBudgets(b *bytes.Buffer, r *Result, budgets Budgets) {
 	sizes := r.judgedSizes()
 	if len(sizes) == 0 {
@@ -136,13 +137,13 @@
 	}
 }
 
-// The marks between which a page's tables stand.
+// Marks around the generated tables of a page.
 const (
 	beginMark = "<!-- generated: scale. `make scale` writes what stands between these lines. -->"
 	endMark   = "<!-- end of scale -->"
 )
 
-// WritePage replaces a page's tables by those of a result.
+// WritePage replaces the tables between a page's marks with those of a result.
 func WritePage(path string, r *Result, budgets Budgets) error {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -157,14 +158,14 @@
 	return os.WriteFile(path, slices.Concat(text[:at+len(beginMark)], []byte("\n\n"), b.Bytes(), []byte("\n"), text[till:]), 0o644)
 }
 
-// WriteJSON writes a result.
+// WriteJSON writes the result as indented JSON.
 func (r *Result) WriteJSON(out io.Writer) error {
 	encoder := json.NewEncoder(out)
 	encoder.SetIndent("", " ")
 	return encoder.Encode(r)
 }
 
-// LoadResult reads a result.
+// LoadResult reads a result from a JSON file.
 func LoadResult(path string) (*Result, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -177,7 +178,7 @@
 	return &r, nil
 }
 
-// WriteHTML draws a result as one page that needs nothing beside itself: the plots are SVG in it.
+// WriteHTML writes the result as a self-contained HTML page, with the plots as inline SVG.
 func (r *Result) WriteHTML(out io.Writer, budgets Budgets) error {
 	var tables bytes.Buffer
 	WriteTables(&tables, r, budgets)
@@ -200,7 +201,7 @@
 	return pageTemplate.Execute(out, page)
 }
 
-// draw plots a quantity over the size, with its budget.
+// draw plots the quantity over the number of members, with its budget as a dashed line.
 func (q *quantity) draw(sizes []SizeResult, budgets Budgets) (template.HTML, error) {
 	p := plot.New()
 	p.Title.Text = q.name
--- a/internal/lab/scale/site.go
+++ b/internal/lab/scale/site.go
@@ -22,17 +22,17 @@
 	pollInterval  = 100 * time.Millisecond
 )
 
-// Programs are the programs that a run starts.
+// Programs holds the paths of the programs that a run starts.
 type Programs struct{ Sender, Lab string }
 
-// site is all processes of one size of a run.
+// site holds all processes of one size of a run.
 type site struct {
 	file         *File
 	programs     Programs
 	dir          string
 	agent        *agent
 	controls     []*controlProcess
-	relays       []*relay // all, to be closed
+	relays       []*relay // all relays, for close
 	hollows      []*hollowProcess
 	senders      []*senderProcess
 	observations *observationLog
@@ -40,35 +40,35 @@
 	realSenders  []HollowMember
 }
 
-// controlProcess is a control member. The others reach it by relays.
+// controlProcess is a control member. The other control members reach it through relays.
 type controlProcess struct {
 	name, groupAddr, directoryAddr, region string
 	index                                  int
 	configPath                             string
 	child                                  atomic.Pointer[child]
-	relays                                 []*relay // by which others reach it, by the other's index; two each
+	relays                                 []*relay // relays with this member at either end: two for each direction of a pair
 }
 
-// senderProcess is a real sender, whose links to control members are counted.
+// senderProcess is a real sender. Relays count the bytes on its links to control members and discovery.
 type senderProcess struct {
 	name         string
 	addr         string
-	child        *child // started once
+	child        *child // never restarted
 	relays       []*relay
 	configPath   string
 	operatorPath string
-	readyDelay   time.Duration // from its start until /up answered 200
+	readyDelay   time.Duration // from the process start until /up answered 200
 }
 
 func regionName(i int) string { return fmt.Sprintf("region-%d", i) }
 
-// placeOf is the region and zone of the n-th of a row of members, which goes round the zones.
+// locationOf returns the region and zone of the n-th member. Members are spread over the zones in turn.
 func (f *File) locationOf(n int) (region, zone string) {
 	z := n % f.Zones
 	return regionName(z % f.Regions), fmt.Sprintf("zone-%02d", z)
 }
 
-// newSite prepares the processes of so many members and destinations, and starts the control members.
+// newSite starts the discovery agent, with the given number of destinations, and the control members.
 func newSite(ctx context.Context, f *File, programs Programs, dir string, destinations int) (*site, error) {
 	s := &site{file: f, programs: programs, dir: dir, observations: newObservationLog()}
 	var err error
@@ -98,7 +98,7 @@
 	return s, nil
 }
 
-// voters is how many control members vote.
+// voters returns the number of control members that vote.
 func (f *File) voters() int {
 	if f.Controls >= 5 {
 		return 5
@@ -106,7 +106,7 @@
 	return 3
 }
 
-// configureControl writes a control member's file. It reaches each other one by relays of its own.
+// configureControl writes a control member's file. The member reaches each of the others through relays of its own.
 func (s *site) configureControl(c *controlProcess) error {
 	var text strings.Builder
 	fmt.Fprintf(&text, "<control version=\"1\" name=%q state=\"state\" discovery=%q replicas=\"%d\">\n", c.name, s.agent.addr(), s.file.Replicas)
@@ -120,7 +120,7 @@
 				}
 				s.relays = append(s.relays, r)
 				other.relays = append(other.relays, r)
-				c.relays = append(c.relays, r) // cut where either end is cut off
+				c.relays = append(c.relays, r) // to be cut when either end is partitioned
 				*target = r.addr()
 			}
 		}
@@ -143,7 +143,7 @@
 	return err
 }
 
-// status asks a control member what it holds.
+// status requests a control member's status.
 func (c *controlProcess) status(ctx context.Context) (control.Status, error) {
 	var status control.Status
 	conn, err := link.Dial(c.directoryAddr, nil)
@@ -160,7 +160,7 @@
 	return status, json.Unmarshal([]byte(a.Status), &status)
 }
 
-// leader is the control member that leads by what most say, nil if none does.
+// leader returns the control member that a majority reports as leader, or nil if there is none.
 func (s *site) leader(ctx context.Context) *controlProcess {
 	votes := map[string]int{}
 	for _, c := range s.controls {
@@ -176,7 +176,7 @@
 	return nil
 }
 
-// awaitDirectory waits until every control member holds the whole list.
+// awaitDirectory waits until every control member holds the whole endpoint list.
 func (s *site) awaitDirectory(ctx context.Context) error {
 	for end := time.Now().Add(settleTimeout); time.Now().Before(end); time.Sleep(pollInterval) {
 		behind := 0
@@ -207,7 +207,7 @@
 	return list
 }
 
-// startHollows starts so many hollow members, a process for each zone and so many of its members.
+// startHollows starts count hollow members. The members of a process are all of one zone.
 func (s *site) startHollows(ctx context.Context, count int, guard uint) error {
 	byZone := map[string]*hollowProcess{}
 	for n := range count {
@@ -230,7 +230,7 @@
 	return nil
 }
 
-// awaitServing waits until all hollow members serve something.
+// awaitServing waits until every hollow member serves a shard.
 func (s *site) awaitServing(ctx context.Context) error {
 	for end := time.Now().Add(settleTimeout); time.Now().Before(end); time.Sleep(pollInterval) {
 		if s.observations.servingCount() == len(s.members) {
@@ -243,7 +243,8 @@
 	return fmt.Errorf("%d of %d members served something in %v", s.observations.servingCount(), len(s.members), settleTimeout)
 }
 
-// startSender starts a real sender, of shards or as one that knows every destination, and waits until it is ready.
+// startSender starts a real sender and waits until it is ready. It is either sharded, or subscribes to discovery itself
+// and knows every destination.
 func (s *site) startSender(ctx context.Context, name string, n int, sharded bool) (*senderProcess, error) {
 	p := &senderProcess{name: name}
 	region, zone := s.file.locationOf(n)
@@ -315,7 +316,7 @@
 	return p, fmt.Errorf("%s was not ready in %v", name, settleTimeout)
 }
 
-// senderConfig is the platform's file of a real sender.
+// senderConfig returns the platform's configuration of a real sender.
 func senderConfig(name, addr, discovery string) map[string]any {
 	return map[string]any{
 		"name": name, "listen": addr, "discovery": discovery, "seed": "8c1f30d27a5be964",
@@ -332,7 +333,8 @@
 	}
 }
 
-// linkBytes is what a sender's links to control members and discovery have carried so far, both ways.
+// linkBytes returns the bytes carried so far, in both directions, by the sender's links to control members and
+// discovery.
 func (p *senderProcess) linkBytes() (n int64) {
 	for _, r := range p.relays {
 		n += r.bytes.Load()
@@ -340,7 +342,7 @@
 	return n
 }
 
-// memory is what all processes hold, this one included.
+// residentBytes returns the resident memory of all processes, including this one.
 func (s *site) residentBytes() int64 {
 	total := proc.Resident(os.Getpid())
 	add := func(c *child) {
@@ -360,7 +362,7 @@
 	return total
 }
 
-// close ends all processes.
+// close ends all processes, relays and the agent.
 func (s *site) close() {
 	for _, h := range s.hollows {
 		h.child.Load().kill()
