--- a/internal/lab/scale/file.go
+++ b/internal/lab/scale/file.go
@@ -53,7 +53,7 @@
 	MaxMemory             int64
 	MaxUnserved           time.Duration // longest time without a live member for a destination
 	Faults                []Fault
-	ComparisonSizes       []int // numbers of destinations at which sharded senders are compared with senders that know them all
+	ComparisonSizes       []int // numbers of destinations for the comparison of both kinds of senders
 	CompareMembers        int
 }
 
--- a/internal/lab/scale/judge_test.go
+++ b/internal/lab/scale/judge_test.go
@@ -13,7 +13,8 @@
 	"sliptide/internal/lab/capacity"
 )
 
-// run is a run of two members of one region that serve the shard of destination 7, one of which the test makes err.
+// judgeTwoMembers judges a clean run of two members of one region that both serve the shard of destination 7. change, if
+// set, alters the judge or the observations first.
 func judgeTwoMembers(change func(j *Judge, seen []Observation) []Observation) *Verdict {
 	at := func(d time.Duration) int64 { return int64(time.Hour + d) }
 	id := []uint32{uint32(shard.Of(7))}
@@ -40,35 +41,35 @@
 	}
 }
 
-// Each rule that is broken is found, and nothing else.
+// Each violated rule is reported, and no other rule is.
 func TestJudgeFinds(t *testing.T) {
 	at := func(d time.Duration) int64 { return int64(time.Hour + d) }
 	for name, c := range map[string]struct {
 		rule   string
 		change func(j *Judge, seen []Observation) []Observation
 	}{
-		"a version that goes back": {RuleBackward, func(_ *Judge, seen []Observation) []Observation {
+		"a version that decreases": {RuleBackward, func(_ *Judge, seen []Observation) []Observation {
 			return append(seen, Observation{At: at(61 * time.Second), Kind: Applied, Member: 0, Version: 100}, Observation{At: at(62 * time.Second), Kind: Applied, Member: 0, Version: 101})
 		}},
-		"a member that stays behind": {RuleStale, func(_ *Judge, seen []Observation) []Observation {
+		"a member that stays at an old version": {RuleStale, func(_ *Judge, seen []Observation) []Observation {
 			seen[7].Version = 100
 			seen[5].Version = 100
 			return seen
 		}},
-		"a change that comes late": {RuleMissed, func(_ *Judge, seen []Observation) []Observation {
+		"a change that is applied late": {RuleMissed, func(_ *Judge, seen []Observation) []Observation {
 			seen[5].At = at(31 * time.Second)
 			return seen
 		}},
-		"a change that never comes": {RuleMissed, func(_ *Judge, seen []Observation) []Observation {
+		"a change that is never applied": {RuleMissed, func(_ *Judge, seen []Observation) []Observation {
 			seen[5].Changes = nil
 			return seen
 		}},
-		"nobody serves a shard, until just after the bound": {RuleUnserved, func(_ *Judge, seen []Observation) []Observation {
+		"a shard without a live member until just after the limit": {RuleUnserved, func(_ *Judge, seen []Observation) []Observation {
 			id := []uint32{uint32(shard.Of(7))}
 			return append(seen[:6:6], Observation{At: at(30 * time.Second), Kind: Down, Member: 0}, Observation{At: at(30 * time.Second), Kind: Down, Member: 1},
 				Observation{At: at(45*time.Second + time.Millisecond), Kind: Up, Member: 0}, Observation{At: at(45*time.Second + 2*time.Millisecond), Kind: Applied, Member: 0, Version: 101, Assigned: id})
 		}},
-		"nobody serves a shard": {RuleUnserved, func(_ *Judge, seen []Observation) []Observation {
+		"a shard without a live member": {RuleUnserved, func(_ *Judge, seen []Observation) []Observation {
 			return append(seen[:6:6], Observation{At: at(30 * time.Second), Kind: Down, Member: 0}, Observation{At: at(31 * time.Second), Kind: Down, Member: 1})
 		}},
 	} {
@@ -79,21 +80,22 @@
 	}
 }
 
-// What a member could not hear of is counted from when it could: its region was cut off. And members that were down, or
-// whose shard a real sender serves, owe nothing.
+// Delays in a partitioned region count from the end of the partition. Members that are down or no longer serve the shard
+// need not apply its changes, and a shard that a real sender serves is not unserved. A periodic version report that
+// arrives late is no step backward.
 func TestJudgeExcuses(t *testing.T) {
 	at := func(d time.Duration) int64 { return int64(time.Hour + d) }
 	for name, change := range map[string]func(j *Judge, seen []Observation) []Observation{
-		"a region that was cut off": func(j *Judge, seen []Observation) []Observation {
+		"a partitioned region": func(j *Judge, seen []Observation) []Observation {
 			j.Partitions = []Partition{{"r", at(9 * time.Second), at(40 * time.Second)}}
 			seen[4].At, seen[5].At = at(45*time.Second), at(50*time.Second)
 			return seen
 		},
-		"a member that went down before": func(_ *Judge, seen []Observation) []Observation {
+		"a member that went down before the change was applied": func(_ *Judge, seen []Observation) []Observation {
 			seen[5] = Observation{At: at(12 * time.Second), Kind: Down, Member: 1}
 			return seen[:7]
 		},
-		"a shard that went to others": func(_ *Judge, seen []Observation) []Observation {
+		"a shard that was reassigned": func(_ *Judge, seen []Observation) []Observation {
 			seen[5] = Observation{At: at(12 * time.Second), Kind: Applied, Member: 1, Version: 101, Unassigned: []uint32{uint32(shard.Of(7))}}
 			return seen
 		},
@@ -101,7 +103,7 @@
 			j.RealSenders = []HollowMember{{0, "c", "r", "z3"}}
 			return append(seen[:6:6], Observation{At: at(30 * time.Second), Kind: Down, Member: 0}, Observation{At: at(31 * time.Second), Kind: Down, Member: 1})
 		},
-		"a look that the member has overtaken": func(_ *Judge, seen []Observation) []Observation {
+		"a version report that arrives after a later update": func(_ *Judge, seen []Observation) []Observation {
 			return append(seen, Observation{At: at(59 * time.Second), Kind: AtVersion, Member: 0, Version: 103},
 				Observation{At: at(59*time.Second + 1), Kind: Applied, Member: 0, Version: 102}, Observation{At: at(59*time.Second + 2), Kind: Applied, Member: 0, Version: 103},
 				Observation{At: at(59*time.Second + 3), Kind: Applied, Member: 1, Version: 103}, Observation{At: at(60*time.Second + 1), Kind: AtVersion, Member: 0, Version: 102})
@@ -113,7 +115,7 @@
 	}
 }
 
-// The tables of docs/scale.md are those of the recorded result.
+// The tables of docs/scale.md match the recorded result.
 func TestPageIsCurrent(t *testing.T) {
 	const page, record = "../../../docs/scale.md", "../../../docs/capacity/scale.json"
 	target, err := capacity.LoadTarget("../../../experiments/fleet/target.xml")
@@ -140,11 +142,11 @@
 		t.Fatal(err)
 	}
 	if string(written) != string(text) {
-		t.Error("docs/scale.md differs from what its record comes to: sliptide lab scale --again --out docs/capacity --page docs/scale.md")
+		t.Error("docs/scale.md differs from the tables of the recorded result; to regenerate it: sliptide lab scale --again --out docs/capacity --page docs/scale.md")
 	}
 }
 
-// A result is drawn whole, also where sizes ended early or the judge found something.
+// Reports are complete, also for sizes that ended early or have findings.
 func TestReports(t *testing.T) {
 	budgets := Budgets{Senders: 14000, CorePercent: 3.6, MemoryMB: 128, LinkKBps: 19}
 	r := &Result{Name: "x", Sizes: []SizeResult{
@@ -165,8 +167,8 @@
 	}
 }
 
-// An order that crosses the end of its process, as when a zone is lost while a rack of it is to come back, is no failure
-// of the run. It was: the two coincided to the second in the small run.
+// A command to a process that has just been killed must not fail the run. This occurs when a zone is killed while a
+// stopped rack in it is due to start again; the two faults can coincide to the second in the small run.
 func TestOrderToAnEndedProcess(t *testing.T) {
 	lab, err := os.Executable()
 	if err != nil {
@@ -178,17 +180,17 @@
 		t.Fatal(err)
 	}
 	if err := h.send(Command{Stop: []int{1}}); err != nil {
-		t.Errorf("an order to a process that runs: %v", err)
+		t.Errorf("command to a running process: %v", err)
 	}
 	h.kill(func() int64 { return 1 }, r)
 	if err := h.send(Command{Start: []int{1}}); err != nil {
-		t.Errorf("an order to a process that has ended: %v", err)
+		t.Errorf("command to a killed process: %v", err)
 	}
 	if err := h.start(context.Background(), lab, t.TempDir(), r); err != nil {
 		t.Fatal(err)
 	}
 	if err := h.send(Command{Start: []int{1}}); err != nil {
-		t.Errorf("an order to a process that was started again: %v", err)
+		t.Errorf("command to a restarted process: %v", err)
 	}
 	h.kill(func() int64 { return 2 }, r)
 }
--- a/internal/lab/scale/report.go
+++ b/internal/lab/scale/report.go
@@ -49,8 +49,8 @@
 	{"a change in force, worst", "s", func(Budgets) float64 { return InForceTimeout.Seconds() }, func(s *SizeResult) float64 { return s.Verdict.Worst }},
 }
 
-// extrapolate returns the quantity at a size, by a line fitted through the measured sizes. It returns false for fewer than
-// three sizes.
+// extrapolate returns the quantity at a size, by a line fitted through the measured sizes. It returns false
+// for fewer than three sizes.
 func (q *quantity) extrapolate(sizes []SizeResult, at float64) (float64, bool) {
 	var points []capacity.Point
 	for i := range sizes {
--- a/internal/lab/scale/run_test.go
+++ b/internal/lab/scale/run_test.go
@@ -13,7 +13,7 @@
 	"sliptide/internal/fleet/directory"
 )
 
-// hollowEnv makes the test binary a process of hollow members.
+// hollowEnv is the environment variable that makes the test binary run as a process of hollow members.
 const hollowEnv = "SLIPTIDE_SCALE_MEMBERS"
 
 func TestMain(m *testing.M) {
@@ -27,7 +27,7 @@
 	os.Exit(m.Run())
 }
 
-// programs are the sender's program, built here, and this test binary as that of hollow members.
+// programs builds the sender's program, and returns it with this test binary as the program of hollow members.
 func programs(t *testing.T) Programs {
 	t.Helper()
 	sender := filepath.Join(t.TempDir(), "sliptide")
@@ -60,7 +60,7 @@
 	return r
 }
 
-// TestSmallRun plays all faults on sixty members, three control members and two real senders.
+// TestSmallRun runs all faults against sixty members, three control members and two real senders.
 func TestSmallRun(t *testing.T) {
 	r := runFile(t, "../../../experiments/fleet/scale-small.xml", nil)
 	s := r.Sizes[0]
@@ -72,12 +72,12 @@
 		t.Errorf("findings %v: %+v", s.Verdict.Findings, s.Verdict.Examples)
 	}
 	if s.Verdict.InForceCount < 100 || len(s.Senders) != 2 || Worst(s.Senders).MemoryMB == 0 {
-		t.Errorf("little was seen: %+v", s)
+		t.Errorf("too few observations or measurements: %+v", s)
 	}
 }
 
-// TestSmallRunWithoutAGuard takes out what makes a member notice that its control member is silent: the judge finds
-// members that stay behind.
+// TestSmallRunWithoutAGuard disables the check by which a member notices that its control member is silent: the judge
+// must report members that stay at an old version or miss changes.
 func TestSmallRunWithoutAGuard(t *testing.T) {
 	r := runFile(t, "../../../experiments/fleet/scale-small.xml", func(o *Options) { o.DisabledChecks = directory.CheckSilence })
 	v := r.Sizes[0].Verdict
@@ -85,7 +85,7 @@
 		t.Fatalf("ended: %s", r.Sizes[0].Failure)
 	}
 	if v.Findings[RuleStale]+v.Findings[RuleMissed] == 0 {
-		t.Errorf("without the guard the judge finds %v", v.Findings)
+		t.Errorf("with the silence check disabled, the judge found neither stale members nor missed changes: %v", v.Findings)
 	}
 }
 
@@ -112,13 +112,13 @@
 	}
 }
 
-// The schema beside the files is that of this version.
+// The schema file matches this version's schema.
 func TestSchemaIsCurrent(t *testing.T) {
 	text, err := os.ReadFile("../../../experiments/fleet/scale.xsd")
 	if err != nil {
 		t.Fatal(err)
 	}
 	if string(text) != Schema() {
-		t.Error("experiments/fleet/scale.xsd is not what `sliptide lab scale --schema` prints: make generate")
+		t.Error("experiments/fleet/scale.xsd differs from the output of `sliptide lab scale --schema`: run make generate")
 	}
 }
