--- a/internal/lab/scale/agent.go
+++ b/internal/lab/scale/agent.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// agent is the discovery agent of a run, with one endpoint for each destination. An endpoint's weight carries the number
-// of its last change, so that members can report which changes they have applied.
+// agent is the discovery agent of a run, with one endpoint for each destination. An endpoint's weight carries the
+// number of its last change, so that members can report which changes they have applied.
 type agent struct {
 	listener net.Listener
 	server   *http.Server
@@ -57,13 +57,13 @@
 
 // serve answers requests for the endpoint list, with a long poll for updates after a given version. The first version
 // is 1, and each change increments it.
-func (a *agent) serve(w http.ResponseWriter, q *http.Request) {
-	if q.URL.Path != "/discovery/hosts" {
+func (a *agent) serve(w http.ResponseWriter, request *http.Request) {
+	if request.URL.Path != "/discovery/hosts" {
 		w.WriteHeader(http.StatusNoContent) // notices are accepted and ignored
 		return
 	}
-	index, _ := strconv.Atoi(q.URL.Query().Get("index"))
-	wait, _ := strconv.Atoi(q.URL.Query().Get("wait"))
+	index, _ := strconv.Atoi(request.URL.Query().Get("index"))
+	wait, _ := strconv.Atoi(request.URL.Query().Get("wait"))
 	end := time.After(time.Duration(wait) * time.Millisecond)
 	for {
 		a.mu.Lock()
@@ -78,7 +78,7 @@
 		a.mu.Unlock()
 		select {
 		case <-changed:
-		case <-q.Context().Done():
+		case <-request.Context().Done():
 			return
 		case <-end:
 			fmt.Fprintf(w, `{"version":%d,"full":false,"servers":[]}`, version)
--- a/internal/lab/scale/compare.go
+++ b/internal/lab/scale/compare.go
@@ -28,17 +28,17 @@
 const comparisonDuration = 15 * time.Second
 
 // compare measures a sharded sender and one that receives the whole endpoint list, at the same time.
-func compare(ctx context.Context, o Options, destinations int) (*Comparison, error) {
-	f := *o.File
+func compare(ctx context.Context, options Options, destinations int) (*Comparison, error) {
+	f := *options.File
 	c := &Comparison{Destinations: destinations, Members: f.CompareMembers}
-	dir := filepath.Join(o.Dir, fmt.Sprint("compare-", destinations))
+	dir := filepath.Join(options.Dir, fmt.Sprint("compare-", destinations))
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return c, err
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	o.OnPhase(f.CompareMembers, fmt.Sprint("comparison, destinations: ", destinations))
-	s, err := newSite(ctx, &f, o.Programs, dir, destinations)
+	options.OnPhase(f.CompareMembers, fmt.Sprint("comparison, destinations: ", destinations))
+	s, err := newSite(ctx, &f, options.Programs, dir, destinations)
 	if s != nil {
 		defer s.close()
 	}
@@ -54,7 +54,7 @@
 	if err := s.awaitServing(ctx); err != nil {
 		return c, err
 	}
-	p := &sizeRun{site: s, options: o, rng: rand.New(rand.NewPCG(uint64(f.Seed), uint64(destinations))), meters: map[*child]*usageMeter{}}
+	run := &sizeRun{site: s, options: options, rng: rand.New(rand.NewPCG(uint64(f.Seed), uint64(destinations))), meters: map[*child]*usageMeter{}}
 	sharded, err := s.startSender(ctx, "sharded", f.CompareMembers, true)
 	if err != nil {
 		return c, err
@@ -69,18 +69,18 @@
 		c.WholeFailure = "not ready within a minute: the list is past the bounds"
 	}
 	c.ShardedStartKB, c.WholeStartKB = float64(sharded.linkBytes())/1e3, float64(whole.linkBytes())/1e3
-	p.startMeter(sharded.child, sharded.linkBytes())
-	p.startMeter(whole.child, whole.linkBytes())
-	change := time.NewTicker(time.Duration(float64(time.Second) / f.ChangesPerSecond))
-	defer change.Stop()
-	for began := time.Now(); time.Since(began) < comparisonDuration; <-change.C {
-		p.changeRandomEndpoint()
-		if err := p.sampleMemory(); err != nil {
+	run.startMeter(sharded.child, sharded.linkBytes())
+	run.startMeter(whole.child, whole.linkBytes())
+	changeTicker := time.NewTicker(time.Duration(float64(time.Second) / f.ChangesPerSecond))
+	defer changeTicker.Stop()
+	for began := time.Now(); time.Since(began) < comparisonDuration; <-changeTicker.C {
+		run.changeRandomEndpoint()
+		if err := run.sampleMemory(); err != nil {
 			return c, err
 		}
 	}
-	c.Sharded = p.readMeter("shards", sharded.child, sharded.linkBytes(), sharded.readyDelay)
-	c.Whole = p.readMeter("whole", whole.child, whole.linkBytes(), whole.readyDelay)
+	c.Sharded = run.readMeter("shards", sharded.child, sharded.linkBytes(), sharded.readyDelay)
+	c.Whole = run.readMeter("whole", whole.child, whole.linkBytes(), whole.readyDelay)
 	c.KnownDestinations = destinations * f.Replicas * f.Regions / max(f.CompareMembers, 1)
 	return c, nil
 }
--- a/internal/lab/scale/file.go
+++ b/internal/lab/scale/file.go
@@ -1,7 +1,7 @@
 // Package scale runs a sharded fleet on one machine: control members and a few senders as real processes, and hollow
 // members, hundreds to a process. A hollow member runs a sender's real subscription over loopback links, without a
-// journal and without calls. Faults are injected by a schedule, and a judge checks the observations of all hollow members
-// afterwards. Budgets are checked against the usage of the real senders.
+// journal and without calls. Faults are injected by a schedule, and a judge checks the observations of all hollow
+// members afterwards. Budgets are checked against the usage of the real senders.
 package scale
 
 import (
--- a/internal/lab/scale/hollow.go
+++ b/internal/lab/scale/hollow.go
@@ -64,11 +64,11 @@
 	}
 }
 
-func (h *hollowSet) execute(ctx context.Context, o Command) {
-	for _, n := range o.Stop {
+func (h *hollowSet) execute(ctx context.Context, command Command) {
+	for _, n := range command.Stop {
 		h.stop(n)
 	}
-	for _, n := range o.Start {
+	for _, n := range command.Start {
 		for i := range h.settings.Members {
 			if h.settings.Members[i].Number == n {
 				go h.start(ctx, &h.settings.Members[i], 0)
@@ -77,13 +77,13 @@
 	}
 }
 
-func (h *hollowSet) start(ctx context.Context, m *HollowMember, after time.Duration) {
+func (h *hollowSet) start(ctx context.Context, m *HollowMember, delay time.Duration) {
 	select {
-	case <-time.After(after):
+	case <-time.After(delay):
 	case <-ctx.Done():
 		return
 	}
-	own, cancel := context.WithCancel(ctx)
+	memberCtx, cancel := context.WithCancel(ctx)
 	member := &runningMember{cancel: cancel, done: make(chan struct{})}
 	o := subscriber.Options{Name: m.Name, Region: m.Region, Zone: m.Zone, Weight: 1, Log: zerolog.Nop(), Now: fleet.Now,
 		DisabledChecks: directory.SubscriptionCheck(h.settings.DisabledChecks)}
@@ -99,7 +99,7 @@
 	h.running[m.Number] = member
 	h.mu.Unlock()
 	h.emit(ctx, Observation{At: fleet.Now(), Kind: Up, Member: m.Number})
-	member.subscriber.Run(own)
+	member.subscriber.Run(memberCtx)
 	close(member.done)
 }
 
--- a/internal/lab/scale/judge.go
+++ b/internal/lab/scale/judge.go
@@ -76,7 +76,7 @@
 	Partitions  []Partition
 
 	memberStates    []memberState
-	coverageByShard map[regionShard]*coverage
+	coverageByShard map[regionShard]*shardCoverage
 	membersByShard  map[regionShard]map[int]bool // hollow members that serve a shard
 	pendingByMember map[int]map[uint64]pendingChange
 	allLocators     map[string]*shard.Locator // by region, over all members, whether up or down
@@ -98,7 +98,7 @@
 	serves  map[uint32]bool
 }
 
-type coverage struct {
+type shardCoverage struct {
 	liveMembers   int
 	unservedSince int64 // 0: the shard is served
 	reported      bool
@@ -117,7 +117,7 @@
 // Run returns the verdict for a run that ended at end. It sorts the observations by time.
 func (j *Judge) Run(observations []Observation, end int64) *Verdict {
 	j.memberStates = make([]memberState, len(j.Members))
-	j.coverageByShard, j.membersByShard, j.pendingByMember = map[regionShard]*coverage{}, map[regionShard]map[int]bool{}, map[int]map[uint64]pendingChange{}
+	j.coverageByShard, j.membersByShard, j.pendingByMember = map[regionShard]*shardCoverage{}, map[regionShard]map[int]bool{}, map[int]map[uint64]pendingChange{}
 	j.verdict.Findings = map[string]int{}
 	j.allLocators = j.locators(func(int) bool { return true })
 	slices.SortStableFunc(observations, func(x, y Observation) int { return cmp.Compare(x.At, y.At) })
@@ -164,13 +164,13 @@
 	}
 }
 
-func (j *Judge) memberDown(n int, at int64) {
-	m := &j.memberStates[n]
-	for id := range m.serves {
-		j.stopServing(n, id, at)
+func (j *Judge) memberDown(member int, at int64) {
+	state := &j.memberStates[member]
+	for id := range state.serves {
+		j.stopServing(member, id, at)
 	}
-	m.up = false
-	delete(j.pendingByMember, n)
+	state.up = false
+	delete(j.pendingByMember, member)
 }
 
 func (j *Judge) updateApplied(o *Observation, m *memberState) {
@@ -191,16 +191,16 @@
 		}
 	}
 	for _, c := range o.Changes {
-		if w, waits := j.pendingByMember[o.Member][c.Destination]; waits && c.Number >= w.number {
-			j.recordInForce(o.Member, w, o.At)
+		if pending, found := j.pendingByMember[o.Member][c.Destination]; found && c.Number >= pending.number {
+			j.recordInForce(o.Member, pending, o.At)
 			delete(j.pendingByMember[o.Member], c.Destination)
 		}
 	}
 }
 
-// checkVersion records a member's version and checks that it neither decreases nor stays old for too long. Only applied
-// updates show the order of versions: the member may apply an update between a periodic version report's time and its
-// arrival here.
+// checkVersion records a member's version and checks that it neither decreases nor stays old for too long. Only
+// applied updates show the order of versions: the member may apply an update between the time of a periodic version
+// report and the reading of its version, and the report may name a lower version than an update that came before it.
 func (j *Judge) checkVersion(o *Observation, m *memberState) {
 	if o.Kind == Applied {
 		if o.Version < m.version {
@@ -235,45 +235,45 @@
 	return max(j.versionHistory[at].at, m.upSince, j.reachableFrom(j.Members[o.Member].Region, j.versionHistory[at].at))
 }
 
-// reachableFrom returns the time from which members of a region could learn of an update published at that time: the end
-// of a partition of their region that delayed it, otherwise the time itself.
+// reachableFrom returns the time from which members of a region could learn of an update published at that time: the
+// end of a partition of their region that delayed it, otherwise the time itself.
 func (j *Judge) reachableFrom(region string, at int64) int64 {
 	reachableFrom := at
-	for _, c := range j.Partitions {
-		if c.Region == region && at < c.To && c.From < at+int64(j.Rules.InForceTimeout) {
-			reachableFrom = max(reachableFrom, c.To)
+	for _, partition := range j.Partitions {
+		if partition.Region == region && at < partition.To && partition.From < at+int64(j.Rules.InForceTimeout) {
+			reachableFrom = max(reachableFrom, partition.To)
 		}
 	}
 	return reachableFrom
 }
 
-func (j *Judge) startServing(n int, id uint32, at int64) {
-	p := regionShard{j.Members[n].Region, id}
-	if j.membersByShard[p] == nil {
-		j.membersByShard[p] = map[int]bool{}
+func (j *Judge) startServing(member int, id uint32, at int64) {
+	key := regionShard{j.Members[member].Region, id}
+	if j.membersByShard[key] == nil {
+		j.membersByShard[key] = map[int]bool{}
 	}
-	j.membersByShard[p][n] = true
-	c := j.coverageByShard[p]
+	j.membersByShard[key][member] = true
+	c := j.coverageByShard[key]
 	if c == nil {
-		c = &coverage{}
-		j.coverageByShard[p] = c
+		c = &shardCoverage{}
+		j.coverageByShard[key] = c
 	}
 	if c.liveMembers++; c.unservedSince != 0 {
-		j.endGap(p, c, at)
+		j.recordGap(key, c, at)
 		c.unservedSince, c.reported = 0, false
 	}
 }
 
-func (j *Judge) stopServing(n int, id uint32, at int64) {
-	p := regionShard{j.Members[n].Region, id}
-	delete(j.membersByShard[p], n)
-	for destination := range j.pendingByMember[n] {
+func (j *Judge) stopServing(member int, id uint32, at int64) {
+	key := regionShard{j.Members[member].Region, id}
+	delete(j.membersByShard[key], member)
+	for destination := range j.pendingByMember[member] {
 		if uint32(shard.Of(destination)) == id {
-			delete(j.pendingByMember[n], destination)
+			delete(j.pendingByMember[member], destination)
 		}
 	}
-	if c := j.coverageByShard[p]; c != nil {
-		if c.liveMembers--; c.liveMembers == 0 && !j.servedByRealSender(j.allLocators[p.region], id) {
+	if c := j.coverageByShard[key]; c != nil {
+		if c.liveMembers--; c.liveMembers == 0 && !j.servedByRealSender(j.allLocators[key.region], id) {
 			c.unservedSince = at
 		}
 	}
@@ -283,28 +283,28 @@
 // replicas counts as served.
 func (j *Judge) checkCoverage(now int64) {
 	var locators map[string]*shard.Locator
-	for p, c := range j.coverageByShard {
+	for key, c := range j.coverageByShard {
 		if c.unservedSince == 0 || c.reported || now-c.unservedSince <= int64(j.Rules.MaxUnserved) {
 			continue
 		}
 		if locators == nil {
 			locators = j.locators(func(n int) bool { return j.memberStates[n].up })
 		}
-		if j.servedByRealSender(locators[p.region], p.shard) {
+		if j.servedByRealSender(locators[key.region], key.shard) {
 			c.unservedSince = now
 			continue
 		}
-		j.endGap(p, c, now)
+		j.recordGap(key, c, now)
 	}
 }
 
 // recordGap records the time that a shard has had no live member, and reports it once if it exceeds MaxUnserved.
-func (j *Judge) endGap(p regionShard, c *coverage, now int64) {
+func (j *Judge) recordGap(key regionShard, c *shardCoverage, now int64) {
 	gap := now - c.unservedSince
 	j.verdict.LongestUnserved = max(j.verdict.LongestUnserved, seconds(gap))
 	if gap > int64(j.Rules.MaxUnserved) && !c.reported {
 		c.reported = true
-		j.addFinding(RuleUnserved, "shard %d of %s has had no live member for %.1f s", p.shard, p.region, seconds(gap))
+		j.addFinding(RuleUnserved, "shard %d of %s has had no live member for %.1f s", key.shard, key.region, seconds(gap))
 	}
 }
 
@@ -346,15 +346,15 @@
 func (j *Judge) recordChange(c *Change) {
 	j.verdict.Changes++
 	id := uint32(shard.Of(c.Destination))
-	for p, members := range j.servingMembers(id) {
-		for n := range members {
-			if j.pendingByMember[n] == nil {
-				j.pendingByMember[n] = map[uint64]pendingChange{}
+	for key, members := range j.servingMembers(id) {
+		for member := range members {
+			if j.pendingByMember[member] == nil {
+				j.pendingByMember[member] = map[uint64]pendingChange{}
 			}
-			if _, waits := j.pendingByMember[n][c.Destination]; waits {
+			if _, waits := j.pendingByMember[member][c.Destination]; waits {
 				continue // an earlier change is pending; any later change number satisfies it
 			}
-			j.pendingByMember[n][c.Destination] = pendingChange{c.Number, j.reachableFrom(p.region, c.At)}
+			j.pendingByMember[member][c.Destination] = pendingChange{c.Number, j.reachableFrom(key.region, c.At)}
 		}
 	}
 }
@@ -363,9 +363,9 @@
 func (j *Judge) servingMembers(id uint32) map[regionShard]map[int]bool {
 	list := map[regionShard]map[int]bool{}
 	for _, region := range j.regions() {
-		p := regionShard{region, id}
-		if members := j.membersByShard[p]; len(members) > 0 {
-			list[p] = members
+		key := regionShard{region, id}
+		if members := j.membersByShard[key]; len(members) > 0 {
+			list[key] = members
 		}
 	}
 	return list
@@ -380,19 +380,19 @@
 	return list
 }
 
-func (j *Judge) recordInForce(n int, w pendingChange, at int64) {
-	delay := max(at-w.reachableFrom, 0)
+func (j *Judge) recordInForce(member int, pending pendingChange, at int64) {
+	delay := max(at-pending.reachableFrom, 0)
 	j.delays = append(j.delays, seconds(delay))
 	if delay > int64(j.Rules.InForceTimeout) {
-		j.addFinding(RuleMissed, "change %d was in force at %s after %.1f s", w.number, j.Members[n].Name, seconds(delay))
+		j.addFinding(RuleMissed, "change %d was in force at %s after %.1f s", pending.number, j.Members[member].Name, seconds(delay))
 	}
 }
 
 func (j *Judge) finish(end int64) {
-	for n, list := range j.pendingByMember {
-		for destination, w := range list {
+	for member, changes := range j.pendingByMember {
+		for destination, w := range changes {
 			if end-w.reachableFrom > int64(j.Rules.InForceTimeout) {
-				j.addFinding(RuleMissed, "change %d of destination %d is not in force at %s, %.1f s after it could be", w.number, destination, j.Members[n].Name, seconds(end-w.reachableFrom))
+				j.addFinding(RuleMissed, "change %d of destination %d is not in force at %s, %.1f s after it could be", w.number, destination, j.Members[member].Name, seconds(end-w.reachableFrom))
 			}
 		}
 	}
--- a/internal/lab/scale/judge_test.go
+++ b/internal/lab/scale/judge_test.go
@@ -13,9 +13,9 @@
 	"sliptide/internal/lab/capacity"
 )
 
-// judgeTwoMembers judges a clean run of two members of one region that both serve the shard of destination 7. change, if
+// judgeTwoMembers judges a clean run of two members of one region that both serve the shard of destination 7. edit, if
 // set, alters the judge or the observations first.
-func judgeTwoMembers(change func(j *Judge, seen []Observation) []Observation) *Verdict {
+func judgeTwoMembers(edit func(j *Judge, seen []Observation) []Observation) *Verdict {
 	at := func(d time.Duration) int64 { return int64(time.Hour + d) }
 	id := []uint32{uint32(shard.Of(7))}
 	j := &Judge{Rules: Rules{MaxUnserved: 15 * time.Second, InForceTimeout: 20 * time.Second, Replicas: 2},
@@ -28,13 +28,13 @@
 		{At: at(12 * time.Second), Kind: Applied, Member: 1, Version: 101, Changes: []SeenChange{{7, 1}}},
 		{At: at(60 * time.Second), Kind: AtVersion, Member: 0, Version: 101}, {At: at(60 * time.Second), Kind: AtVersion, Member: 1, Version: 101},
 	}
-	if change != nil {
-		seen = change(j, seen)
+	if edit != nil {
+		seen = edit(j, seen)
 	}
 	return j.Run(seen, at(70*time.Second))
 }
 
-func TestJudgeOfACleanRun(t *testing.T) {
+func TestJudgeCleanRun(t *testing.T) {
 	v := judgeTwoMembers(nil)
 	if !v.Clean() || v.Changes != 1 || v.InForceCount != 2 || v.Worst != 2 || v.Median != 2 {
 		t.Errorf("%+v", v)
@@ -42,7 +42,7 @@
 }
 
 // Each violated rule is reported, and no other rule is.
-func TestJudgeFinds(t *testing.T) {
+func TestJudgeReportsViolations(t *testing.T) {
 	at := func(d time.Duration) int64 { return int64(time.Hour + d) }
 	for name, c := range map[string]struct {
 		rule   string
@@ -80,10 +80,10 @@
 	}
 }
 
-// Delays in a partitioned region count from the end of the partition. Members that are down or no longer serve the shard
-// need not apply its changes, and a shard that a real sender serves is not unserved. A periodic version report that
-// arrives late is no step backward.
-func TestJudgeExcuses(t *testing.T) {
+// Delays in a partitioned region count from the end of the partition. Members that are down or no longer serve the
+// shard need not apply its changes, and a shard that a real sender serves is not unserved. A periodic version report
+// that does not agree with the order of updates around it is no step backward.
+func TestJudgeAcceptsPermittedDelays(t *testing.T) {
 	at := func(d time.Duration) int64 { return int64(time.Hour + d) }
 	for name, change := range map[string]func(j *Judge, seen []Observation) []Observation{
 		"a partitioned region": func(j *Judge, seen []Observation) []Observation {
@@ -103,7 +103,7 @@
 			j.RealSenders = []HollowMember{{0, "c", "r", "z3"}}
 			return append(seen[:6:6], Observation{At: at(30 * time.Second), Kind: Down, Member: 0}, Observation{At: at(31 * time.Second), Kind: Down, Member: 1})
 		},
-		"a version report that arrives after a later update": func(_ *Judge, seen []Observation) []Observation {
+		"a version report that overlaps with updates": func(_ *Judge, seen []Observation) []Observation {
 			return append(seen, Observation{At: at(59 * time.Second), Kind: AtVersion, Member: 0, Version: 103},
 				Observation{At: at(59*time.Second + 1), Kind: Applied, Member: 0, Version: 102}, Observation{At: at(59*time.Second + 2), Kind: Applied, Member: 0, Version: 103},
 				Observation{At: at(59*time.Second + 3), Kind: Applied, Member: 1, Version: 103}, Observation{At: at(60*time.Second + 1), Kind: AtVersion, Member: 0, Version: 102})
@@ -169,7 +169,7 @@
 
 // A command to a process that has just been killed must not fail the run. This occurs when a zone is killed while a
 // stopped rack in it is due to start again; the two faults can coincide to the second in the small run.
-func TestOrderToAnEndedProcess(t *testing.T) {
+func TestCommandToKilledProcess(t *testing.T) {
 	lab, err := os.Executable()
 	if err != nil {
 		t.Fatal(err)
--- a/internal/lab/scale/process.go
+++ b/internal/lab/scale/process.go
@@ -68,27 +68,27 @@
 
 func newObservationLog() *observationLog { return &observationLog{servingMembers: map[int]bool{}} }
 
-func (r *observationLog) add(o Observation) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.entries = append(r.entries, o)
+func (l *observationLog) add(o Observation) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.entries = append(l.entries, o)
 	switch {
 	case len(o.Assigned) > 0:
-		r.servingMembers[o.Member] = true
+		l.servingMembers[o.Member] = true
 	case o.Kind == Up || o.Kind == Down:
-		delete(r.servingMembers, o.Member)
+		delete(l.servingMembers, o.Member)
 	}
 }
 
 // servingCount returns the number of members that serve a shard.
-func (r *observationLog) servingCount() int {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return len(r.servingMembers)
+func (l *observationLog) servingCount() int {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return len(l.servingMembers)
 }
 
 // start starts the process, sends it the settings and collects its observations in r.
-func (h *hollowProcess) start(ctx context.Context, lab, dir string, r *observationLog) error {
+func (h *hollowProcess) start(ctx context.Context, lab, dir string, observations *observationLog) error {
 	ordersOut, ordersIn, err := os.Pipe()
 	if err != nil {
 		return err
@@ -115,7 +115,7 @@
 			if decoder.Decode(&o) != nil {
 				return
 			}
-			r.add(o)
+			observations.add(o)
 		}
 	}()
 	return h.encoder.Encode(h.settings)
@@ -133,7 +133,7 @@
 }
 
 // kill kills the process, and records all its members as down.
-func (h *hollowProcess) kill(now func() int64, r *observationLog) {
+func (h *hollowProcess) kill(now func() int64, observations *observationLog) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.child.Load().kill()
@@ -141,6 +141,6 @@
 	h.encoder = nil
 	at := now()
 	for _, m := range h.settings.Members {
-		r.add(Observation{At: at, Kind: Down, Member: m.Number})
+		observations.add(Observation{At: at, Kind: Down, Member: m.Number})
 	}
 }
--- a/internal/lab/scale/relay.go
+++ b/internal/lab/scale/relay.go
@@ -7,7 +7,8 @@
 	"sync/atomic"
 )
 
-// relay forwards connections to an address and counts their bytes. While it is cut, it closes open and new connections.
+// relay forwards connections to an address and counts their bytes. While it is cut, it closes open and new
+// connections.
 type relay struct {
 	listener    net.Listener
 	target      string
@@ -66,34 +67,34 @@
 
 func (r *relay) accept() {
 	for {
-		near, err := r.listener.Accept()
+		client, err := r.listener.Accept()
 		if err != nil {
 			return
 		}
-		if r.track(near) {
-			go r.forward(near)
+		if r.track(client) {
+			go r.forward(client)
 		}
 	}
 }
 
-func (r *relay) forward(near net.Conn) {
-	defer r.untrack(near)
-	far, err := net.Dial("tcp", r.target)
-	if err != nil || !r.track(far) {
+func (r *relay) forward(client net.Conn) {
+	defer r.untrack(client)
+	server, err := net.Dial("tcp", r.target)
+	if err != nil || !r.track(server) {
 		return
 	}
-	defer r.untrack(far)
+	defer r.untrack(server)
 	done := make(chan struct{}, 2)
 	pass := func(to, from net.Conn) {
 		io.Copy(countingWriter{to, &r.bytes}, from)
 		to.Close()
 		done <- struct{}{}
 	}
-	go pass(near, far)
-	go pass(far, near)
+	go pass(client, server)
+	go pass(server, client)
 	<-done
-	near.Close()
-	far.Close()
+	client.Close()
+	server.Close()
 	<-done
 }
 
--- a/internal/lab/scale/report.go
+++ b/internal/lab/scale/report.go
@@ -94,7 +94,8 @@
 	return "NOT CLEAN: " + strings.Join(parts, ", ")
 }
 
-// writeBudgets writes, for each quantity, whether its budget holds at each measured size and at the extrapolated target.
+// writeBudgets writes, for each quantity, whether its budget holds at each measured size and at the extrapolated
+// target.
 func writeBudgets(b *bytes.Buffer, r *Result, budgets Budgets) {
 	sizes := r.judgedSizes()
 	if len(sizes) == 0 {
@@ -111,17 +112,17 @@
 			}
 			measured = append(measured, fmt.Sprintf("%d: %.3g (%s)", sizes[i].Members, q.value(&sizes[i]), mark))
 		}
-		foretold := "fewer than three sizes: not foretold"
+		extrapolated := "fewer than three sizes: not foretold"
 		if v, ok := q.extrapolate(sizes, budgets.Senders); ok && v <= 0 {
-			foretold = "the line falls under 0: it says nothing"
+			extrapolated = "the line falls under 0: it says nothing"
 		} else if ok {
 			mark := "would hold"
 			if v > budget {
 				mark = "WOULD NOT HOLD"
 			}
-			foretold = fmt.Sprintf("%.3g (%s)", v, mark)
+			extrapolated = fmt.Sprintf("%.3g (%s)", v, mark)
 		}
-		fmt.Fprintf(b, "| %s | %.3g %s | %s | %s |\n", q.name, budget, q.unit, strings.Join(measured, ", "), foretold)
+		fmt.Fprintf(b, "| %s | %.3g %s | %s | %s |\n", q.name, budget, q.unit, strings.Join(measured, ", "), extrapolated)
 	}
 }
 
@@ -149,13 +150,13 @@
 	if err != nil {
 		return err
 	}
-	at, till := bytes.Index(text, []byte(beginMark)), bytes.Index(text, []byte(endMark))
-	if at < 0 || till < at {
+	begin, end := bytes.Index(text, []byte(beginMark)), bytes.Index(text, []byte(endMark))
+	if begin < 0 || end < begin {
 		return fmt.Errorf("%s: the lines %q and %q are missing, or not in this order", path, beginMark, endMark)
 	}
 	var b bytes.Buffer
 	WriteTables(&b, r, budgets)
-	return os.WriteFile(path, slices.Concat(text[:at+len(beginMark)], []byte("\n\n"), b.Bytes(), []byte("\n"), text[till:]), 0o644)
+	return os.WriteFile(path, slices.Concat(text[:begin+len(beginMark)], []byte("\n\n"), b.Bytes(), []byte("\n"), text[end:]), 0o644)
 }
 
 // WriteJSON writes the result as indented JSON.
@@ -208,10 +209,10 @@
 	p.X.Label.Text, p.Y.Label.Text = "members", q.unit
 	p.X.Min, p.Y.Min = 0, 0
 	var points plotter.XYs
-	most := q.budget(budgets)
+	maxValue := q.budget(budgets)
 	for i := range sizes {
 		points = append(points, plotter.XY{X: float64(sizes[i].Members), Y: q.value(&sizes[i])})
-		most = math.Max(most, points[i].Y)
+		maxValue = math.Max(maxValue, points[i].Y)
 	}
 	line, marks, err := plotter.NewLinePoints(points)
 	if err != nil {
@@ -222,7 +223,7 @@
 	p.Add(line, marks, limit)
 	p.Legend.Add("measured", line)
 	p.Legend.Add("budget", limit)
-	p.Y.Max = most * 1.1
+	p.Y.Max = maxValue * 1.1
 	canvas := vgsvg.New(16*vg.Centimeter, 7*vg.Centimeter)
 	p.Draw(draw.New(canvas))
 	var b bytes.Buffer
--- a/internal/lab/scale/run.go
+++ b/internal/lab/scale/run.go
@@ -145,7 +145,7 @@
 	}
 	run := &sizeRun{site: site, options: o, rng: rand.New(rand.NewPCG(uint64(file.Seed), uint64(size))), meters: map[*child]*usageMeter{}}
 	o.OnPhase(size, "members")
-	began := time.Now()
+	startTime := time.Now()
 	if err := site.startHollows(ctx, max(size-file.Senders, 1), uint(o.DisabledChecks)); err != nil {
 		return result, err
 	}
@@ -157,7 +157,7 @@
 	if err := site.awaitServing(ctx); err != nil {
 		return result, err
 	}
-	result.SettleSeconds = time.Since(began).Seconds()
+	result.SettleSeconds = time.Since(startTime).Seconds()
 	o.OnPhase(size, "schedule")
 	err = run.runSchedule(ctx)
 	result.MemoryMB, result.LoadAverage = run.maxMemoryMB, proc.Load()
@@ -175,8 +175,8 @@
 	site.observations.mu.Lock()
 	defer site.observations.mu.Unlock()
 	result.Verdict = j.Run(site.observations.entries, fleet.Now())
-	for _, c := range run.partitions {
-		result.PartitionSeconds = append(result.PartitionSeconds, seconds(c.To-c.From))
+	for _, partition := range run.partitions {
+		result.PartitionSeconds = append(result.PartitionSeconds, seconds(partition.To-partition.From))
 	}
 	return result, nil
 }
@@ -185,49 +185,49 @@
 var errMemoryLimit = errors.New("the processes hold more than the run's memory limit")
 
 // runSchedule makes changes and injects faults for the duration of the schedule.
-func (p *sizeRun) runSchedule(ctx context.Context) error {
-	file := p.options.File
-	for _, c := range p.controls {
-		p.startMeter(c.child.Load(), 0)
+func (r *sizeRun) runSchedule(ctx context.Context) error {
+	file := r.options.File
+	for _, c := range r.controls {
+		r.startMeter(c.child.Load(), 0)
 	}
-	for _, sender := range p.senders {
-		p.startMeter(sender.child, sender.linkBytes())
+	for _, sender := range r.senders {
+		r.startMeter(sender.child, sender.linkBytes())
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	var faults sync.WaitGroup
 	defer faults.Wait()
 	errs := make(chan error, len(file.Faults))
-	began := time.Now()
+	startTime := time.Now()
 	for i := range file.Faults {
 		fault := &file.Faults[i]
 		faults.Go(func() {
 			if sleep(ctx, fault.At) {
-				if err := p.injectFault(ctx, fault); err != nil && ctx.Err() == nil {
+				if err := r.injectFault(ctx, fault); err != nil && ctx.Err() == nil {
 					errs <- fmt.Errorf("%s at %v: %w", fault.Kind, fault.At, err)
 				}
 			}
 		})
 	}
-	change := time.NewTicker(time.Duration(float64(time.Second) / max(file.ChangesPerSecond, 0.001)))
-	defer change.Stop()
+	changeTicker := time.NewTicker(time.Duration(float64(time.Second) / max(file.ChangesPerSecond, 0.001)))
+	defer changeTicker.Stop()
 	memoryTicker := time.NewTicker(time.Second)
 	defer memoryTicker.Stop()
 	// The last InForceTimeout of the schedule has no changes, so that each change can be in force by its end.
-	calmFrom := file.Duration - InForceTimeout
-	for time.Since(began) < file.Duration {
+	changesUntil := file.Duration - InForceTimeout
+	for time.Since(startTime) < file.Duration {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
 		case err := <-errs:
 			return err
-		case <-change.C:
-			if time.Since(began) < calmFrom {
-				p.changeRandomEndpoint()
+		case <-changeTicker.C:
+			if time.Since(startTime) < changesUntil {
+				r.changeRandomEndpoint()
 			}
 		case <-memoryTicker.C:
-			p.options.OnTick(time.Since(began), file.Duration)
-			if err := p.sampleMemory(); err != nil {
+			r.options.OnTick(time.Since(startTime), file.Duration)
+			if err := r.sampleMemory(); err != nil {
 				return err
 			}
 		}
@@ -244,28 +244,28 @@
 	}
 }
 
-func (p *sizeRun) changeRandomEndpoint() {
-	p.mu.Lock()
-	destination := p.rng.IntN(p.agent.destinations)
-	p.mu.Unlock()
+func (r *sizeRun) changeRandomEndpoint() {
+	r.mu.Lock()
+	destination := r.rng.IntN(r.agent.destinations)
+	r.mu.Unlock()
 	at := fleet.Now()
-	number := p.agent.change(destination)
-	p.changes = append(p.changes, Change{At: at, Destination: uint64(destination), Number: number})
+	number := r.agent.change(destination)
+	r.changes = append(r.changes, Change{At: at, Destination: uint64(destination), Number: number})
 }
 
 // startMeter starts measuring a process that has carried the given bytes so far.
-func (p *sizeRun) startMeter(c *child, bytes int64) {
+func (r *sizeRun) startMeter(c *child, bytes int64) {
 	processorTime, _ := proc.ProcessorTime(c.cmd.Process.Pid)
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.meters[c] = &usageMeter{startProcessorTime: processorTime, startBytes: bytes, startTime: time.Now()}
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.meters[c] = &usageMeter{startProcessorTime: processorTime, startBytes: bytes, startTime: time.Now()}
 }
 
 // readMeter returns the usage of a process since startMeter.
-func (p *sizeRun) readMeter(name string, c *child, bytes int64, ready time.Duration) Usage {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	m := p.meters[c]
+func (r *sizeRun) readMeter(name string, c *child, bytes int64, ready time.Duration) Usage {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	m := r.meters[c]
 	if m == nil {
 		return Usage{Name: name}
 	}
@@ -280,15 +280,15 @@
 }
 
 // sampleMemory updates the peak memory of the processes. It fails if their sum exceeds the limit.
-func (p *sizeRun) sampleMemory() error {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	for c, m := range p.meters {
+func (r *sizeRun) sampleMemory() error {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	for c, m := range r.meters {
 		m.MemoryMB = max(m.MemoryMB, float64(proc.Resident(c.cmd.Process.Pid))/1e6)
 	}
-	total := p.residentBytes()
-	p.maxMemoryMB = max(p.maxMemoryMB, float64(total)/1e6)
-	if total > p.options.File.MaxMemory {
+	total := r.residentBytes()
+	r.maxMemoryMB = max(r.maxMemoryMB, float64(total)/1e6)
+	if total > r.options.File.MaxMemory {
 		return errMemoryLimit
 	}
 	return nil
--- a/internal/lab/scale/run_test.go
+++ b/internal/lab/scale/run_test.go
@@ -41,15 +41,15 @@
 	return Programs{Sender: sender, Lab: lab}
 }
 
-func runFile(t *testing.T, path string, change func(*Options)) *Result {
+func runFile(t *testing.T, path string, configure func(*Options)) *Result {
 	t.Helper()
 	f, err := Load(path)
 	if err != nil {
 		t.Fatal(err)
 	}
 	o := Options{File: f, Programs: programs(t), Dir: t.TempDir(), OnPhase: func(size int, phase string) { t.Logf("%d members: %s", size, phase) }, OnTick: func(time.Duration, time.Duration) {}}
-	if change != nil {
-		change(&o)
+	if configure != nil {
+		configure(&o)
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), 4*time.Minute)
 	defer cancel()
@@ -76,9 +76,9 @@
 	}
 }
 
-// TestSmallRunWithoutAGuard disables the check by which a member notices that its control member is silent: the judge
-// must report members that stay at an old version or miss changes.
-func TestSmallRunWithoutAGuard(t *testing.T) {
+// TestSmallRunWithoutSilenceCheck disables the check by which a member notices that its control member is silent: the
+// judge must report members that stay at an old version or miss changes.
+func TestSmallRunWithoutSilenceCheck(t *testing.T) {
 	r := runFile(t, "../../../experiments/fleet/scale-small.xml", func(o *Options) { o.DisabledChecks = directory.CheckSilence })
 	v := r.Sizes[0].Verdict
 	if v == nil {
@@ -89,7 +89,7 @@
 	}
 }
 
-func TestFiles(t *testing.T) {
+func TestLoad(t *testing.T) {
 	for _, name := range []string{"scale.xml", "scale-small.xml"} {
 		if _, err := Load("../../../experiments/fleet/" + name); err != nil {
 			t.Error(err)
--- a/internal/lab/scale/site.go
+++ b/internal/lab/scale/site.go
@@ -108,8 +108,8 @@
 
 // configureControl writes a control member's file. The member reaches each of the others through relays of its own.
 func (s *site) configureControl(c *controlProcess) error {
-	var text strings.Builder
-	fmt.Fprintf(&text, "<control version=\"1\" name=%q state=\"state\" discovery=%q replicas=\"%d\">\n", c.name, s.agent.addr(), s.file.Replicas)
+	var xml strings.Builder
+	fmt.Fprintf(&xml, "<control version=\"1\" name=%q state=\"state\" discovery=%q replicas=\"%d\">\n", c.name, s.agent.addr(), s.file.Replicas)
 	for _, other := range s.controls {
 		group, dir := other.groupAddr, other.directoryAddr
 		if other != c {
@@ -124,15 +124,15 @@
 				*target = r.addr()
 			}
 		}
-		fmt.Fprintf(&text, " <member name=%q addr=%q directory=%q region=%q voter=\"%t\"/>\n", other.name, group, dir, other.region, other.index < s.file.voters())
+		fmt.Fprintf(&xml, " <member name=%q addr=%q directory=%q region=%q voter=\"%t\"/>\n", other.name, group, dir, other.region, other.index < s.file.voters())
 	}
-	text.WriteString(" <duties lease=\"5s\" election=\"1s\"/>\n</control>\n")
+	xml.WriteString(" <duties lease=\"5s\" election=\"1s\"/>\n</control>\n")
 	dir := filepath.Join(s.dir, c.name)
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return err
 	}
 	c.configPath = filepath.Join(dir, "control.xml")
-	return os.WriteFile(c.configPath, []byte(text.String()), 0o600)
+	return os.WriteFile(c.configPath, []byte(xml.String()), 0o600)
 }
 
 func (s *site) startControl(ctx context.Context, c *controlProcess) error {
@@ -208,7 +208,7 @@
 }
 
 // startHollows starts count hollow members. The members of a process are all of one zone.
-func (s *site) startHollows(ctx context.Context, count int, guard uint) error {
+func (s *site) startHollows(ctx context.Context, count int, disabledChecks uint) error {
 	byZone := map[string]*hollowProcess{}
 	for n := range count {
 		region, zone := s.file.locationOf(n)
@@ -216,7 +216,7 @@
 		s.members = append(s.members, m)
 		h := byZone[zone]
 		if h == nil || len(h.settings.Members) >= s.file.MembersPerProcess {
-			h = &hollowProcess{name: fmt.Sprintf("hollows-%03d", len(s.hollows)), zone: zone, settings: HollowSettings{Controls: s.servers(), DisabledChecks: guard}}
+			h = &hollowProcess{name: fmt.Sprintf("hollows-%03d", len(s.hollows)), zone: zone, settings: HollowSettings{Controls: s.servers(), DisabledChecks: disabledChecks}}
 			byZone[zone] = h
 			s.hollows = append(s.hollows, h)
 		}
@@ -243,8 +243,8 @@
 	return fmt.Errorf("%d of %d members served something in %v", s.observations.servingCount(), len(s.members), settleTimeout)
 }
 
-// startSender starts a real sender and waits until it is ready. It is either sharded, or subscribes to discovery itself
-// and knows every destination.
+// startSender starts a real sender and waits until it is ready. It is either sharded, or subscribes to discovery
+// itself and knows every destination.
 func (s *site) startSender(ctx context.Context, name string, n int, sharded bool) (*senderProcess, error) {
 	p := &senderProcess{name: name}
 	region, zone := s.file.locationOf(n)
@@ -291,7 +291,7 @@
 	if err != nil {
 		return nil, err
 	}
-	began := time.Now()
+	startTime := time.Now()
 	p.child, err = spawn(ctx, s.dir, name, []string{"RELAY_CONFIG=" + p.configPath, "RELAY_STATE=" + filepath.Join(dir, "state")}, nil, nil, s.programs.Sender, "run", "--operator", p.operatorPath)
 	if err != nil {
 		return nil, err
@@ -301,7 +301,7 @@
 		if response, err := http.Get("http://" + addr + "/up"); err == nil {
 			response.Body.Close()
 			if response.StatusCode == http.StatusOK {
-				p.readyDelay = time.Since(began)
+				p.readyDelay = time.Since(startTime)
 				return p, nil
 			}
 		}
