--- a/internal/lab/scale/faults.go
+++ b/internal/lab/scale/faults.go
@@ -100,22 +100,22 @@
 		if c.region != region {
 			continue
 		}
-		for _, r := range c.relays {
-			endsInRegion[r]++
+		for _, link := range c.relays {
+			endsInRegion[link]++
 		}
 	}
-	for r, ends := range endsInRegion {
+	for link, ends := range endsInRegion {
 		if ends == 1 { // the other end is in another region
-			cut = append(cut, r)
+			cut = append(cut, link)
 		}
 	}
 	from := fleet.Now()
-	for _, r := range cut {
-		r.setCut(true)
+	for _, link := range cut {
+		link.setCut(true)
 	}
 	sleep(ctx, f.Duration)
-	for _, r := range cut {
-		r.setCut(false)
+	for _, link := range cut {
+		link.setCut(false)
 	}
 	r.mu.Lock()
 	r.partitions = append(r.partitions, Partition{region, from, fleet.Now()})
--- a/internal/lab/scale/file.go
+++ b/internal/lab/scale/file.go
@@ -60,32 +60,32 @@
 func spec() *strictxml.Element[File] {
 	type attribute = strictxml.Attribute[File]
 	type element = strictxml.Element[File]
-	whole := func(name, fallback string, lo, hi int64, doc string, put func(*File, int64)) attribute {
-		return attribute{Name: name, Default: fallback, Doc: doc, Values: strictxml.Integer(lo, hi), SetNumber: put}
+	integer := func(name, defaultValue string, minValue, maxValue int64, doc string, set func(*File, int64)) attribute {
+		return attribute{Name: name, Default: defaultValue, Doc: doc, Values: strictxml.Integer(minValue, maxValue), SetNumber: set}
 	}
-	number := strictxml.Text(`[0-9]{1,6}(\.[0-9]{1,3})?`, "a decimal number")
+	decimal := strictxml.Text(`[0-9]{1,6}(\.[0-9]{1,3})?`, "a decimal number")
 	list := strictxml.Text(`[1-9][0-9]{0,7}( [1-9][0-9]{0,7}){0,9}`, "whole numbers, with single blanks between")
-	last := func(f *File) *Fault { return &f.Faults[len(f.Faults)-1] }
+	lastFault := func(f *File) *Fault { return &f.Faults[len(f.Faults)-1] }
 	return &element{
 		Name: "scale", Doc: "A sharded fleet of hollow members, real senders and real control members, with faults.",
 		Attrs: []attribute{
 			{Name: "version", Required: true, Doc: "The form of this file.", Values: strictxml.OneOf("1")},
 			{Name: "name", Required: true, Doc: "The name of its results.", Values: strictxml.Text("[a-z0-9-]{1,60}", "small letters, digits and dashes"), SetText: func(f *File, v string) { f.Name = v }},
 			{Name: "about", Doc: "What it is to show.", Values: strictxml.Text("[^<>]{1,1000}", "a sentence"), SetText: func(f *File, v string) { f.About = v }},
-			whole("seed", "1", 1, 1<<30, "Draws who is struck.", func(f *File, v int64) { f.Seed = int(v) }),
+			integer("seed", "1", 1, 1<<30, "Draws who is struck.", func(f *File, v int64) { f.Seed = int(v) }),
 			{Name: "sizes", Required: true, Doc: "Members, in ascending order.", Values: list, SetText: func(f *File, v string) { f.Sizes = numbers(v) }},
 			{Name: "length", Required: true, Doc: "Of the schedule at each size, from when all members are up.", Values: strictxml.Duration(5*time.Second, time.Hour), SetNumber: func(f *File, v int64) { f.Duration = time.Duration(v) }},
 		},
 		Children: []element{{
 			Name: "fleet", Doc: "Who takes part.", Attrs: []attribute{
-				whole("controls", "10", 3, 50, "Control members, as processes; the first five vote, or three of fewer.", func(f *File, v int64) { f.Controls = int(v) }),
-				whole("senders", "10", 1, 50, "Real senders, as processes, beside the hollow members.", func(f *File, v int64) { f.Senders = int(v) }),
-				whole("regions", "5", 1, 20, "Regions.", func(f *File, v int64) { f.Regions = int(v) }),
-				whole("zones", "13", 1, 100, "Zones of all regions.", func(f *File, v int64) { f.Zones = int(v) }),
-				whole("replicas", "2", 1, 5, "Members of a region that serve a destination.", func(f *File, v int64) { f.Replicas = int(v) }),
-				whole("per-process", "100", 1, 1000, "Hollow members that share a process.", func(f *File, v int64) { f.MembersPerProcess = int(v) }),
-				{Name: "destinations-each", Default: "142.857", Doc: "Destinations for each member.", Values: number, SetText: func(f *File, v string) { f.DestinationsPerMember, _ = strconv.ParseFloat(v, 64) }},
-				{Name: "changes-per-second", Default: "4.4", Doc: "Changes of endpoints: ten times the target's rate.", Values: number, SetText: func(f *File, v string) { f.ChangesPerSecond, _ = strconv.ParseFloat(v, 64) }},
+				integer("controls", "10", 3, 50, "Control members, as processes; the first five vote, or three of fewer.", func(f *File, v int64) { f.Controls = int(v) }),
+				integer("senders", "10", 1, 50, "Real senders, as processes, beside the hollow members.", func(f *File, v int64) { f.Senders = int(v) }),
+				integer("regions", "5", 1, 20, "Regions.", func(f *File, v int64) { f.Regions = int(v) }),
+				integer("zones", "13", 1, 100, "Zones of all regions.", func(f *File, v int64) { f.Zones = int(v) }),
+				integer("replicas", "2", 1, 5, "Members of a region that serve a destination.", func(f *File, v int64) { f.Replicas = int(v) }),
+				integer("per-process", "100", 1, 1000, "Hollow members that share a process.", func(f *File, v int64) { f.MembersPerProcess = int(v) }),
+				{Name: "destinations-each", Default: "142.857", Doc: "Destinations for each member.", Values: decimal, SetText: func(f *File, v string) { f.DestinationsPerMember, _ = strconv.ParseFloat(v, 64) }},
+				{Name: "changes-per-second", Default: "4.4", Doc: "Changes of endpoints: ten times the target's rate.", Values: decimal, SetText: func(f *File, v string) { f.ChangesPerSecond, _ = strconv.ParseFloat(v, 64) }},
 			},
 		}, {
 			Name: "limits", Doc: "What ends the run, and what the judge holds it to.", Attrs: []attribute{
@@ -94,15 +94,15 @@
 			},
 		}, {
 			Name: "fault", Doc: "One fault.", Repeated: true, Add: func(f *File) { f.Faults = append(f.Faults, Fault{}) }, Attrs: []attribute{
-				{Name: "kind", Required: true, Doc: "What goes wrong.", Values: strictxml.OneOf(faultKinds...), SetNumber: func(f *File, v int64) { last(f).Kind = FaultKind(faultKinds[v]) }},
-				{Name: "at", Required: true, Doc: "From when all members are up.", Values: strictxml.Duration(0, time.Hour), SetNumber: func(f *File, v int64) { last(f).At = time.Duration(v) }},
-				{Name: "for", Default: "0s", Doc: "How long.", Values: strictxml.Duration(0, time.Hour), SetNumber: func(f *File, v int64) { last(f).Duration = time.Duration(v) }},
-				{Name: "size", Default: "8", Doc: "Of a restart-wave: one in so many members; of a rack: its members.", Values: strictxml.Integer(1, 10000), SetNumber: func(f *File, v int64) { last(f).Size = int(v) }},
+				{Name: "kind", Required: true, Doc: "What goes wrong.", Values: strictxml.OneOf(faultKinds...), SetNumber: func(f *File, v int64) { lastFault(f).Kind = FaultKind(faultKinds[v]) }},
+				{Name: "at", Required: true, Doc: "From when all members are up.", Values: strictxml.Duration(0, time.Hour), SetNumber: func(f *File, v int64) { lastFault(f).At = time.Duration(v) }},
+				{Name: "for", Default: "0s", Doc: "How long.", Values: strictxml.Duration(0, time.Hour), SetNumber: func(f *File, v int64) { lastFault(f).Duration = time.Duration(v) }},
+				{Name: "size", Default: "8", Doc: "Of a restart-wave: one in so many members; of a rack: its members.", Values: strictxml.Integer(1, 10000), SetNumber: func(f *File, v int64) { lastFault(f).Size = int(v) }},
 			},
 		}, {
 			Name: "compare", Doc: "Real senders of shards beside such that know every destination.", Attrs: []attribute{
 				{Name: "destinations", Required: true, Doc: "Numbers of destinations.", Values: list, SetText: func(f *File, v string) { f.ComparisonSizes = numbers(v) }},
-				whole("members", "2000", 1, 100000, "Hollow members.", func(f *File, v int64) { f.CompareMembers = int(v) }),
+				integer("members", "2000", 1, 100000, "Hollow members.", func(f *File, v int64) { f.CompareMembers = int(v) }),
 			},
 		}},
 	}
@@ -122,18 +122,20 @@
 	if err != nil {
 		return nil, err
 	}
-	wrong := func(what, allowed string) error { return &strictxml.Error{File: path, What: what, Allowed: allowed} }
+	invalid := func(problem, allowed string) error {
+		return &strictxml.Error{File: path, What: problem, Allowed: allowed}
+	}
 	for i := 1; i < len(f.Sizes); i++ {
 		if f.Sizes[i] <= f.Sizes[i-1] {
-			return nil, wrong(fmt.Sprintf("sizes: %d after %d", f.Sizes[i], f.Sizes[i-1]), "ascending sizes")
+			return nil, invalid(fmt.Sprintf("sizes: %d after %d", f.Sizes[i], f.Sizes[i-1]), "ascending sizes")
 		}
 	}
 	if f.Zones < f.Regions {
-		return nil, wrong(fmt.Sprintf("fleet: %d zones of %d regions", f.Zones, f.Regions), "a zone for each region at least")
+		return nil, invalid(fmt.Sprintf("fleet: %d zones of %d regions", f.Zones, f.Regions), "a zone for each region at least")
 	}
-	for _, x := range f.Faults {
-		if x.At+x.Duration > f.Duration {
-			return nil, wrong(fmt.Sprintf("fault %s at %v for %v", x.Kind, x.At, x.Duration), fmt.Sprintf("an end within length=%v", f.Duration))
+	for _, fault := range f.Faults {
+		if fault.At+fault.Duration > f.Duration {
+			return nil, invalid(fmt.Sprintf("fault %s at %v for %v", fault.Kind, fault.At, fault.Duration), fmt.Sprintf("an end within length=%v", f.Duration))
 		}
 	}
 	return f, nil
--- a/internal/lab/scale/hollow.go
+++ b/internal/lab/scale/hollow.go
@@ -54,13 +54,13 @@
 		go h.start(ctx, &h.settings.Members[i], rand.N(startWindow))
 	}
 	for {
-		var o Command
-		if err := decoder.Decode(&o); err != nil {
+		var command Command
+		if err := decoder.Decode(&command); err != nil {
 			cancel()
 			<-written
 			return nil
 		}
-		h.execute(ctx, o)
+		h.execute(ctx, command)
 	}
 }
 
@@ -142,13 +142,13 @@
 
 // reportVersions reports each running member's version at regular intervals.
 func (h *hollowSet) reportVersions(ctx context.Context) {
-	tick := time.NewTicker(versionReportInterval)
-	defer tick.Stop()
+	ticker := time.NewTicker(versionReportInterval)
+	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-tick.C:
+		case <-ticker.C:
 		}
 		now := fleet.Now() // read before the versions, so that updates applied meanwhile have a later time
 		h.mu.Lock()
@@ -166,8 +166,8 @@
 func (h *hollowSet) writeObservations(ctx context.Context, out io.Writer) error {
 	buffered := bufio.NewWriterSize(out, 64<<10)
 	encoder := json.NewEncoder(buffered)
-	flush := time.NewTicker(flushInterval)
-	defer flush.Stop()
+	flushTicker := time.NewTicker(flushInterval)
+	defer flushTicker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
@@ -176,7 +176,7 @@
 			if err := encoder.Encode(o); err != nil {
 				return err
 			}
-		case <-flush.C:
+		case <-flushTicker.C:
 			if err := buffered.Flush(); err != nil {
 				return err
 			}
--- a/internal/lab/scale/judge_test.go
+++ b/internal/lab/scale/judge_test.go
@@ -20,7 +20,7 @@
 	id := []uint32{uint32(shard.Of(7))}
 	j := &Judge{Rules: Rules{MaxUnserved: 15 * time.Second, InForceTimeout: 20 * time.Second, Replicas: 2},
 		Members: []HollowMember{{0, "a", "r", "z1"}, {1, "b", "r", "z2"}}, Changes: []Change{{at(10 * time.Second), 7, 1}}}
-	seen := []Observation{
+	observations := []Observation{
 		{At: at(0), Kind: Up, Member: 0}, {At: at(0), Kind: Up, Member: 1},
 		{At: at(time.Second), Kind: Applied, Member: 0, Version: 100, Assigned: id},
 		{At: at(time.Second), Kind: Applied, Member: 1, Version: 100, Assigned: id},
@@ -29,9 +29,9 @@
 		{At: at(60 * time.Second), Kind: AtVersion, Member: 0, Version: 101}, {At: at(60 * time.Second), Kind: AtVersion, Member: 1, Version: 101},
 	}
 	if edit != nil {
-		seen = edit(j, seen)
+		observations = edit(j, observations)
 	}
-	return j.Run(seen, at(70*time.Second))
+	return j.Run(observations, at(70*time.Second))
 }
 
 func TestJudgeCleanRun(t *testing.T) {
@@ -117,12 +117,12 @@
 
 // The tables of docs/scale.md match the recorded result.
 func TestPageIsCurrent(t *testing.T) {
-	const page, record = "../../../docs/scale.md", "../../../docs/capacity/scale.json"
+	const page, recordedResult = "../../../docs/scale.md", "../../../docs/capacity/scale.json"
 	target, err := capacity.LoadTarget("../../../experiments/fleet/target.xml")
 	if err != nil {
 		t.Fatal(err)
 	}
-	r, err := LoadResult(record)
+	r, err := LoadResult(recordedResult)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -130,14 +130,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	again := filepath.Join(t.TempDir(), "page.md")
-	if err := os.WriteFile(again, text, 0o600); err != nil {
+	regenerated := filepath.Join(t.TempDir(), "page.md")
+	if err := os.WriteFile(regenerated, text, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if err := WritePage(again, r, BudgetsOf(target)); err != nil {
+	if err := WritePage(regenerated, r, BudgetsOf(target)); err != nil {
 		t.Fatal(err)
 	}
-	written, err := os.ReadFile(again)
+	written, err := os.ReadFile(regenerated)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/lab/scale/process.go
+++ b/internal/lab/scale/process.go
@@ -1,6 +1,7 @@
 package scale
 
 import (
+	"bufio"
 	"context"
 	"encoding/json"
 	"fmt"
@@ -11,8 +12,6 @@
 	"sync"
 	"sync/atomic"
 	"syscall"
-
-	"bufio"
 )
 
 // child is a process of a run. The kernel kills it when this process dies.
@@ -89,27 +88,27 @@
 
 // start starts the process, sends it the settings and collects its observations in r.
 func (h *hollowProcess) start(ctx context.Context, lab, dir string, observations *observationLog) error {
-	ordersOut, ordersIn, err := os.Pipe()
+	commandReader, commandWriter, err := os.Pipe()
 	if err != nil {
 		return err
 	}
-	seenOut, seenIn, err := os.Pipe()
+	observationReader, observationWriter, err := os.Pipe()
 	if err != nil {
 		return err
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	started, err := spawn(ctx, dir, h.name, []string{"GOMAXPROCS=2"}, ordersOut, seenIn, lab, "scale-members")
-	ordersOut.Close()
-	seenIn.Close()
+	started, err := spawn(ctx, dir, h.name, []string{"GOMAXPROCS=2"}, commandReader, observationWriter, lab, "scale-members")
+	commandReader.Close()
+	observationWriter.Close()
 	if err != nil {
 		return err
 	}
 	h.child.Store(started)
-	h.commandPipe, h.encoder = ordersIn, json.NewEncoder(ordersIn)
+	h.commandPipe, h.encoder = commandWriter, json.NewEncoder(commandWriter)
 	go func() {
-		defer seenOut.Close()
-		decoder := json.NewDecoder(bufio.NewReaderSize(seenOut, 64<<10))
+		defer observationReader.Close()
+		decoder := json.NewDecoder(bufio.NewReaderSize(observationReader, 64<<10))
 		for {
 			var o Observation
 			if decoder.Decode(&o) != nil {
--- a/internal/lab/scale/relay.go
+++ b/internal/lab/scale/relay.go
@@ -85,13 +85,13 @@
 	}
 	defer r.untrack(server)
 	done := make(chan struct{}, 2)
-	pass := func(to, from net.Conn) {
+	copyBytes := func(to, from net.Conn) {
 		io.Copy(countingWriter{to, &r.bytes}, from)
 		to.Close()
 		done <- struct{}{}
 	}
-	go pass(client, server)
-	go pass(server, client)
+	go copyBytes(client, server)
+	go copyBytes(server, client)
 	<-done
 	client.Close()
 	server.Close()
--- a/internal/lab/scale/run.go
+++ b/internal/lab/scale/run.go
@@ -197,14 +197,14 @@
 	defer cancel()
 	var faults sync.WaitGroup
 	defer faults.Wait()
-	errs := make(chan error, len(file.Faults))
+	faultErrors := make(chan error, len(file.Faults))
 	startTime := time.Now()
 	for i := range file.Faults {
 		fault := &file.Faults[i]
 		faults.Go(func() {
 			if sleep(ctx, fault.At) {
 				if err := r.injectFault(ctx, fault); err != nil && ctx.Err() == nil {
-					errs <- fmt.Errorf("%s at %v: %w", fault.Kind, fault.At, err)
+					faultErrors <- fmt.Errorf("%s at %v: %w", fault.Kind, fault.At, err)
 				}
 			}
 		})
@@ -219,7 +219,7 @@
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case err := <-errs:
+		case err := <-faultErrors:
 			return err
 		case <-changeTicker.C:
 			if time.Since(startTime) < changesUntil {
--- a/internal/lab/scale/site.go
+++ b/internal/lab/scale/site.go
@@ -246,18 +246,18 @@
 // startSender starts a real sender and waits until it is ready. It is either sharded, or subscribes to discovery
 // itself and knows every destination.
 func (s *site) startSender(ctx context.Context, name string, n int, sharded bool) (*senderProcess, error) {
-	p := &senderProcess{name: name}
+	sender := &senderProcess{name: name}
 	region, zone := s.file.locationOf(n)
 	addr, err := proc.FreeAddr()
 	if err != nil {
 		return nil, err
 	}
-	p.addr = addr
+	sender.addr = addr
 	agentRelay, err := newRelay(s.agent.addr())
 	if err != nil {
 		return nil, err
 	}
-	p.relays = append(p.relays, agentRelay)
+	sender.relays = append(sender.relays, agentRelay)
 	s.relays = append(s.relays, agentRelay)
 	var xml strings.Builder
 	xml.WriteString("<sliptide version=\"1\">\n <ready patience=\"2m\"/>\n")
@@ -268,7 +268,7 @@
 			if err != nil {
 				return nil, err
 			}
-			p.relays = append(p.relays, r)
+			sender.relays = append(sender.relays, r)
 			s.relays = append(s.relays, r)
 			fmt.Fprintf(&xml, "  <control name=%q addr=%q region=%q/>\n", c.name, r.addr(), c.region)
 		}
@@ -280,40 +280,40 @@
 	if err := os.MkdirAll(filepath.Join(dir, "state"), 0o700); err != nil {
 		return nil, err
 	}
-	p.configPath, p.operatorPath = filepath.Join(dir, "config.json"), filepath.Join(dir, "sliptide.xml")
-	if err := os.WriteFile(p.operatorPath, []byte(xml.String()), 0o600); err != nil {
+	sender.configPath, sender.operatorPath = filepath.Join(dir, "config.json"), filepath.Join(dir, "sliptide.xml")
+	if err := os.WriteFile(sender.operatorPath, []byte(xml.String()), 0o600); err != nil {
 		return nil, err
 	}
 	text, err := json.Marshal(senderConfig(name, addr, agentRelay.addr()))
 	if err == nil {
-		err = os.WriteFile(p.configPath, text, 0o600)
+		err = os.WriteFile(sender.configPath, text, 0o600)
 	}
 	if err != nil {
 		return nil, err
 	}
 	startTime := time.Now()
-	p.child, err = spawn(ctx, s.dir, name, []string{"RELAY_CONFIG=" + p.configPath, "RELAY_STATE=" + filepath.Join(dir, "state")}, nil, nil, s.programs.Sender, "run", "--operator", p.operatorPath)
+	sender.child, err = spawn(ctx, s.dir, name, []string{"RELAY_CONFIG=" + sender.configPath, "RELAY_STATE=" + filepath.Join(dir, "state")}, nil, nil, s.programs.Sender, "run", "--operator", sender.operatorPath)
 	if err != nil {
 		return nil, err
 	}
-	s.senders = append(s.senders, p)
+	s.senders = append(s.senders, sender)
 	for end := time.Now().Add(settleTimeout); time.Now().Before(end); time.Sleep(pollInterval / 10) {
 		if response, err := http.Get("http://" + addr + "/up"); err == nil {
 			response.Body.Close()
 			if response.StatusCode == http.StatusOK {
-				p.readyDelay = time.Since(startTime)
-				return p, nil
+				sender.readyDelay = time.Since(startTime)
+				return sender, nil
 			}
 		}
 		select {
-		case <-p.child.exited:
-			return p, fmt.Errorf("%s ended", name)
+		case <-sender.child.exited:
+			return sender, fmt.Errorf("%s ended", name)
 		case <-ctx.Done():
-			return p, ctx.Err()
+			return sender, ctx.Err()
 		default:
 		}
 	}
-	return p, fmt.Errorf("%s was not ready in %v", name, settleTimeout)
+	return sender, fmt.Errorf("%s was not ready in %v", name, settleTimeout)
 }
 
 // senderConfig returns the platform's configuration of a real sender.
@@ -356,8 +356,8 @@
 	for _, h := range s.hollows {
 		add(h.child.Load())
 	}
-	for _, p := range s.senders {
-		add(p.child)
+	for _, sender := range s.senders {
+		add(sender.child)
 	}
 	return total
 }
@@ -367,8 +367,8 @@
 	for _, h := range s.hollows {
 		h.child.Load().kill()
 	}
-	for _, p := range s.senders {
-		p.child.kill()
+	for _, sender := range s.senders {
+		sender.child.kill()
 	}
 	for _, c := range s.controls {
 		c.child.Load().kill()
