--- a/internal/lab/experiment/experiment.go
+++ b/internal/lab/experiment/experiment.go
@@ -45,12 +45,12 @@
 func (p *Point) String() string { return strings.Join(p.Labels, " ") }
 
 // spec is all that an experiment file may hold.
-func spec() *strictxml.Element[File] {
+func fileSpec() *strictxml.Element[File] {
 	type attribute = strictxml.Attribute[File]
 	last := func(f *File) *Dimension { return &f.Dimensions[len(f.Dimensions)-1] }
 	var names []string
 	var attrs []attribute
-	for _, p := range params() {
+	for _, p := range worldParams() {
 		names = append(names, p.Name)
 		attrs = append(attrs, attribute{Name: p.Name, Doc: p.Doc, Default: p.Default, Values: p.Values,
 			SetNumber: func(f *File, v int64) { p.SetNumber(&f.World, v) }})
@@ -93,12 +93,12 @@
 
 // Schema is the XML Schema of experiment files.
 func Schema() string {
-	return strictxml.Schema(spec(), `The schema of the lab's experiment files. "sliptide lab schema" writes it.`)
+	return strictxml.Schema(fileSpec(), `The schema of the lab's experiment files. "sliptide lab schema" writes it.`)
 }
 
 // Load reads the experiment file at path. Errors are of type *strictxml.Error.
 func Load(path string) (*File, error) {
-	f, err := strictxml.Open(path, spec())
+	f, err := strictxml.Open(path, fileSpec())
 	if err != nil {
 		return nil, err
 	}
@@ -107,7 +107,7 @@
 
 // Read reads an experiment; name stands in messages.
 func Read(name string, in io.Reader) (*File, error) {
-	f, err := strictxml.Read(name, in, spec())
+	f, err := strictxml.Read(name, in, fileSpec())
 	if err != nil {
 		return nil, err
 	}
@@ -118,7 +118,7 @@
 func (f *File) check(name string) error {
 	points := 1
 	for _, v := range f.Dimensions {
-		p := paramOf(v.Name)
+		p := findParam(v.Name)
 		for i, text := range v.Values {
 			if _, ok := p.Values.Parse(text); !ok {
 				return &strictxml.Error{File: name, What: fmt.Sprintf("vary %s: value %q", v.Name, text), Allowed: p.Values.String()}
@@ -146,7 +146,7 @@
 func (f *File) Points() []Point {
 	points := []Point{{Params: f.World}}
 	for _, v := range f.Dimensions {
-		p := paramOf(v.Name)
+		p := findParam(v.Name)
 		var next []Point
 		for _, at := range points {
 			for _, text := range v.Values {
@@ -161,8 +161,8 @@
 	return points
 }
 
-func paramOf(name string) *strictxml.Attribute[world.Params] {
-	list := params()
+func findParam(name string) *strictxml.Attribute[world.Params] {
+	list := worldParams()
 	i := slices.IndexFunc(list, func(p strictxml.Attribute[world.Params]) bool { return p.Name == name })
 	return &list[i]
 }
--- a/internal/lab/experiment/params.go
+++ b/internal/lab/experiment/params.go
@@ -8,7 +8,7 @@
 )
 
 // params is what a world is made of, for its element and for what is varied.
-func params() []strictxml.Attribute[world.Params] {
+func worldParams() []strictxml.Attribute[world.Params] {
 	type p = strictxml.Attribute[world.Params]
 	type w = world.Params
 	ms := func(v int64) float64 { return float64(v) / float64(time.Millisecond) }
--- a/internal/lab/report/report.go
+++ b/internal/lab/report/report.go
@@ -49,7 +49,7 @@
 func Write(out io.Writer, e *results.Experiment) error {
 	p := page{Experiment: e, Measures: results.Measures, Meaning: results.Meaning}
 	for _, pt := range e.Points {
-		title := titleOf(e.Vary, pt.Labels)
+		title := groupTitle(e.Vary, pt.Labels)
 		i := slices.IndexFunc(p.Groups, func(g group) bool { return g.Title == title })
 		if i < 0 {
 			i = len(p.Groups)
@@ -66,7 +66,7 @@
 }
 
 // titleOf names what a point's group has in common.
-func titleOf(vary, labels []string) string {
+func groupTitle(vary, labels []string) string {
 	var parts []string
 	for i := 1; i < len(vary); i++ {
 		parts = append(parts, vary[i]+" "+labels[i])
@@ -75,7 +75,7 @@
 }
 
 // series are the plots of a group.
-var series = []struct {
+var plots = []struct {
 	name  string
 	value func(results.Band) float64
 	limit bool
@@ -87,7 +87,7 @@
 }
 
 func (g *group) draw(vary []string) error {
-	for _, s := range series {
+	for _, s := range plots {
 		pl := plot.New()
 		pl.Title.Text, pl.X.Label.Text, pl.Y.Min = s.name, "seconds from the return", 0
 		pl.Legend.Top = true
@@ -128,7 +128,7 @@
 	return nil
 }
 
-func show(v float64) string {
+func formatNumber(v float64) string {
 	switch {
 	case v == 0:
 		return "0"
@@ -138,7 +138,7 @@
 	return fmt.Sprintf("%.0f", v)
 }
 
-var pageTemplate = template.Must(template.New("page").Funcs(template.FuncMap{"show": show}).Parse(`<!DOCTYPE html>
+var pageTemplate = template.Must(template.New("page").Funcs(template.FuncMap{"show": formatNumber}).Parse(`<!DOCTYPE html>
 <html lang="en"><head><meta charset="utf-8"><title>{{.Name}}</title>
 <style>
 body{font:15px/1.5 sans-serif;margin:2em auto;max-width:75em;padding:0 1em;color:#222}
--- a/internal/lab/results/results.go
+++ b/internal/lab/results/results.go
@@ -106,7 +106,7 @@
 		}
 	}
 	f["most-of-limit"] = f["most-in-a-second"] / r.Limit
-	f["back-95"] = backAfter(p, r, back)
+	f["back-95"] = goodputRecovery(p, r, back)
 	for name, q := range map[string]float64{"p50": 50, "p99": 99, "p99.9": 99.9} {
 		f[name] = float64(r.AffectedLatency.ValueAtQuantile(q))
 		if name != "p99.9" {
@@ -121,7 +121,7 @@
 
 // backAfter is the seconds from the return until three seconds in a row deliver 95% of what was delivered
 // before the outage, on average.
-func backAfter(p *world.Params, r *world.Run, back int) float64 {
+func goodputRecovery(p *world.Params, r *world.Run, back int) float64 {
 	before, n := 0.0, 0
 	for i := 2; i < int(p.BeforeOutage/1000); i++ {
 		before += float64(r.Seconds[i].Delivered)
@@ -234,7 +234,7 @@
 		common++
 		for _, m := range Measures {
 			d := Difference{a.Points[i].Labels, m, a.Points[i].Summary[m], b.Points[j].Summary[m], 1}
-			if d.PValue = welch(d.A, d.B); d.PValue < level {
+			if d.PValue = welchPValue(d.A, d.B); d.PValue < level {
 				list = append(list, d)
 			}
 		}
@@ -243,7 +243,7 @@
 }
 
 // welch is the two-sided p-value of Welch's t-test (B. L. Welch, Biometrika 34, 1947).
-func welch(a, b Summary) float64 {
+func welchPValue(a, b Summary) float64 {
 	if a.N < 2 || b.N < 2 {
 		return 1
 	}
--- a/internal/lab/rivals/rivals.go
+++ b/internal/lab/rivals/rivals.go
@@ -32,12 +32,12 @@
 )
 
 const (
-	base       = 100.0 // milliseconds
-	ceiling    = 5000.0
-	timeout    = 2500.0
-	retryAfter = 1000.0
-	maxTokens  = 10.0
-	tokenRatio = 0.1
+	baseBackoffMS    = 100.0 // milliseconds
+	maxBackoffMS     = 5000.0
+	callTimeoutMS    = 2500.0
+	retryAfterMS     = 1000.0
+	maxTokens        = 10.0
+	tokensPerSuccess = 0.1
 )
 
 // Oracle knows what no sender can: package world.
@@ -48,39 +48,39 @@
 
 // Sender is one rival. It is not safe for concurrent use.
 type Sender struct {
-	kind   Kind
-	set    policy.Settings
-	rng    *rand.Rand
-	oracle Oracle
-	dests  map[int]*dest
-	msgs   map[uint64]*message
-	line   []*message // not out, by the time that each may go
-	busy   int
-	token  uint32
-	armed  float64
-	out    []policy.Action
+	kind       Kind
+	settings   policy.Settings
+	rng        *rand.Rand
+	oracle     Oracle
+	dests      map[int]*dest
+	messages   map[uint64]*message
+	waiting    []*message // not out, by the time that each may go
+	inFlight   int
+	timerToken uint32
+	timerAt    float64
+	actions    []policy.Action
 }
 
 type dest struct {
-	eps    []uint32
-	tokens float64
-	waits  float64
+	endpoints []uint32
+	tokens    float64
+	waitUntil float64
 }
 
 type message struct {
-	id       uint64
-	dest     *dest
-	num      int
-	deadline float64
-	at       float64
-	attempts int
-	out      bool
-	doubt    bool
+	id         uint64
+	dest       *dest
+	destID     int
+	deadline   float64
+	notBefore  float64
+	attempts   int
+	inFlight   bool
+	mayHaveRun bool
 }
 
 // New returns a rival of a kind.
 func New(kind Kind, set policy.Settings, seed uint64) *Sender {
-	return &Sender{kind: kind, set: set, rng: rand.New(rand.NewPCG(seed, 0x71)), dests: map[int]*dest{}, msgs: map[uint64]*message{}, armed: math.Inf(1)}
+	return &Sender{kind: kind, settings: set, rng: rand.New(rand.NewPCG(seed, 0x71)), dests: map[int]*dest{}, messages: map[uint64]*message{}, timerAt: math.Inf(1)}
 }
 
 // NewIdeal returns an ideal sender.
@@ -92,23 +92,23 @@
 
 // Step takes one batch of events and appends the actions, as policy.Sender does.
 func (s *Sender) Step(now float64, events []policy.Event, actions []policy.Action) []policy.Action {
-	s.out = actions
+	s.actions = actions
 	for i := range events {
 		switch e := &events[i]; e.Kind {
 		case policy.EvList:
-			s.list(e)
+			s.updateEndpoints(e)
 		case policy.EvMessage:
-			m := &message{id: e.ID, dest: s.dest(e.Dest), num: e.Dest, deadline: now + e.Remaining, at: now, attempts: e.Attempts, doubt: e.MayHaveRun}
-			s.msgs[m.id] = m
-			s.line = append(s.line, m)
+			m := &message{id: e.ID, dest: s.dest(e.Dest), destID: e.Dest, deadline: now + e.Remaining, notBefore: now, attempts: e.Attempts, mayHaveRun: e.MayHaveRun}
+			s.messages[m.id] = m
+			s.waiting = append(s.waiting, m)
 		case policy.EvOutcome:
-			s.outcome(now, e)
+			s.handleOutcome(now, e)
 		case policy.EvTimer:
-			s.armed = math.Inf(1)
+			s.timerAt = math.Inf(1)
 		}
 	}
-	s.pass(now)
-	return s.out
+	s.sendDue(now)
+	return s.actions
 }
 
 func (s *Sender) dest(id int) *dest {
@@ -120,73 +120,73 @@
 	return d
 }
 
-func (s *Sender) list(e *policy.Event) {
+func (s *Sender) updateEndpoints(e *policy.Event) {
 	for _, l := range e.List {
 		d := s.dest(l.Dest)
-		i := slices.Index(d.eps, l.ID)
+		i := slices.Index(d.endpoints, l.ID)
 		switch {
 		case l.State == policy.Ready && i < 0:
-			d.eps = append(d.eps, l.ID)
+			d.endpoints = append(d.endpoints, l.ID)
 		case l.State != policy.Ready && i >= 0:
-			d.eps = slices.Delete(d.eps, i, i+1)
+			d.endpoints = slices.Delete(d.endpoints, i, i+1)
 		}
 	}
 }
 
-func (s *Sender) outcome(now float64, e *policy.Event) {
-	m := s.msgs[e.ID]
+func (s *Sender) handleOutcome(now float64, e *policy.Event) {
+	m := s.messages[e.ID]
 	if m == nil {
 		return
 	}
-	s.busy--
-	m.out = false
+	s.inFlight--
+	m.inFlight = false
 	d := m.dest
 	if e.RequestedWait > 0 {
-		d.waits = max(d.waits, now+e.RequestedWait+1)
+		d.waitUntil = max(d.waitUntil, now+e.RequestedWait+1)
 	}
 	if e.Outcome == policy.OK {
-		d.tokens = min(d.tokens+tokenRatio, maxTokens)
-		delete(s.msgs, m.id)
+		d.tokens = min(d.tokens+tokensPerSuccess, maxTokens)
+		delete(s.messages, m.id)
 		return
 	}
 	d.tokens = max(d.tokens-1, 0)
-	m.doubt = m.doubt || !e.Outcome.NeverRan()
-	if m.attempts >= s.set.MaxAttempts && s.kind != ideal || s.kind == RetryBudget && d.tokens <= maxTokens/2 {
+	m.mayHaveRun = m.mayHaveRun || !e.Outcome.NeverRan()
+	if m.attempts >= s.settings.MaxAttempts && s.kind != ideal || s.kind == RetryBudget && d.tokens <= maxTokens/2 {
 		s.refuse(m)
 		return
 	}
-	m.at = now
+	m.notBefore = now
 	if s.kind != ideal {
-		m.at += s.rng.Float64() * min(ceiling, base*math.Exp2(float64(m.attempts)))
+		m.notBefore += s.rng.Float64() * min(maxBackoffMS, baseBackoffMS*math.Exp2(float64(m.attempts)))
 	}
-	s.line = append(s.line, m)
+	s.waiting = append(s.waiting, m)
 }
 
 // refuse hands a message back.
 func (s *Sender) refuse(m *message) {
-	delete(s.msgs, m.id)
-	s.out = append(s.out, policy.Action{Kind: policy.ActRefuse, ID: m.id, After: min(retryAfter, s.set.MaxRetryAfter)})
+	delete(s.messages, m.id)
+	s.actions = append(s.actions, policy.Action{Kind: policy.ActRefuse, ID: m.id, After: min(retryAfterMS, s.settings.MaxRetryAfter)})
 }
 
 // pass sends what may go.
-func (s *Sender) pass(now float64) {
-	slices.SortStableFunc(s.line, func(a, b *message) int { return cmp.Compare(a.at, b.at) })
+func (s *Sender) sendDue(now float64) {
+	slices.SortStableFunc(s.waiting, func(a, b *message) int { return cmp.Compare(a.notBefore, b.notBefore) })
 	next := math.Inf(1)
-	keep := s.line[:0]
-	for _, m := range s.line {
-		at := max(m.at, m.dest.waits)
+	keep := s.waiting[:0]
+	for _, m := range s.waiting {
+		at := max(m.notBefore, m.dest.waitUntil)
 		switch {
 		case m.deadline-now <= 40:
 			s.refuse(m)
 			continue
-		case at > now, s.busy >= s.set.CallSlots, len(m.dest.eps) == 0:
+		case at > now, s.inFlight >= s.settings.CallSlots, len(m.dest.endpoints) == 0:
 			next = min(next, max(at, now+1))
 			if at <= now { // an end of a call frees a slot, and is an event; a list is one
 				next = min(next, now+100)
 			}
 			next = min(next, m.deadline-40)
 		case s.oracle != nil:
-			if at = s.oracle.NextCallTime(now, m.num); at > now {
+			if at = s.oracle.NextCallTime(now, m.destID); at > now {
 				next = min(next, at)
 				break
 			}
@@ -197,21 +197,21 @@
 		}
 		keep = append(keep, m)
 	}
-	s.line = keep
-	if next < s.armed {
-		s.armed = max(next, now+1)
-		s.token++
-		s.out = append(s.out, policy.Action{Kind: policy.ActTimer, Token: s.token, After: s.armed - now})
+	s.waiting = keep
+	if next < s.timerAt {
+		s.timerAt = max(next, now+1)
+		s.timerToken++
+		s.actions = append(s.actions, policy.Action{Kind: policy.ActTimer, Token: s.timerToken, After: s.timerAt - now})
 	}
 }
 
 func (s *Sender) send(now float64, m *message) {
-	ep := m.dest.eps[s.rng.IntN(len(m.dest.eps))]
-	for i := 0; s.oracle != nil && !s.oracle.EndpointUp(ep) && i < len(m.dest.eps); i++ {
-		ep = m.dest.eps[i]
+	ep := m.dest.endpoints[s.rng.IntN(len(m.dest.endpoints))]
+	for i := 0; s.oracle != nil && !s.oracle.EndpointUp(ep) && i < len(m.dest.endpoints); i++ {
+		ep = m.dest.endpoints[i]
 	}
 	m.attempts++
-	m.out = true
-	s.busy++
-	s.out = append(s.out, policy.Action{Kind: policy.ActSend, ID: m.id, Endpoint: ep, After: min(timeout, m.deadline-now)})
+	m.inFlight = true
+	s.inFlight++
+	s.actions = append(s.actions, policy.Action{Kind: policy.ActSend, ID: m.id, Endpoint: ep, After: min(callTimeoutMS, m.deadline-now)})
 }
--- a/internal/lab/world/params.go
+++ b/internal/lab/world/params.go
@@ -85,17 +85,17 @@
 }
 
 // settings are what the senders start with.
-func (p *Params) settings(index int) policy.Settings {
-	x1 := -1
+func (p *Params) senderSettings(index int) policy.Settings {
+	limitIndex := -1
 	if p.ReportsLimit {
-		x1 = 1
+		limitIndex = 1
 	}
 	return policy.Settings{
 		Index: index, Senders: p.Senders, Zones: []string{"a"}, MinStepInterval: 1,
 		Classes:   []policy.Class{{Name: "note", Aim: p.Aim, Deadline: p.Deadline, Worth: 1, LateWorth: 0.4, Effect: policy.Keyed, DedupWindow: p.Deadline}},
 		Tenants:   []policy.Tenant{{Name: "acme", Quota: 1e6}},
 		Kinds:     []policy.DestKind{{Name: "one", OwnLimits: p.OwnLimits, Batch: max(p.Batch, 1)}},
-		CallSlots: p.CallSlots, WorthHalves: true, OverShareWorth: 1, AllowanceIndex: -1, LimitIndex: x1, MarksResubmissions: p.MarksRetries,
+		CallSlots: p.CallSlots, WorthHalves: true, OverShareWorth: 1, AllowanceIndex: -1, LimitIndex: limitIndex, MarksResubmissions: p.MarksRetries,
 		SendsRetryAfter: true, MaxRetryAfter: p.MaxRetryAfter, MaxAttempts: 6, MaxHeld: p.MaxHeld, StreamsPerConn: 1,
 		KeepAlive: 15000, DialTimeout: 500, AnswerSlack: 20, DrainGrace: 500, WarmUpDuration: p.AnnouncedWarmUp, ColdCapacity: p.ColdCapacity,
 		OverloadMultiple: p.OverloadMultiple, OverloadWindow: p.OverloadWindow,
@@ -103,7 +103,7 @@
 }
 
 // limitOf is the limit of each partner.
-func (p *Params) limitOf() float64 {
+func (p *Params) partnerLimit() float64 {
 	if p.Limit > 0 {
 		return p.Limit
 	}
--- /dev/null
+++ b/internal/lab/world/sender.go
@@ -0,0 +1,375 @@
+package world
+
+import (
+	"math"
+	"slices"
+	"strconv"
+
+	"sliptide/internal/fleet/trial"
+	"sliptide/internal/lab/rivals"
+	"sliptide/internal/storm"
+	"sliptide/policy"
+)
+
+// brain decides for one sender: the decision module, or a rival.
+type decider interface {
+	Step(now float64, events []policy.Event, actions []policy.Action) []policy.Action
+}
+
+// node is one sender. It feeds and obeys its brain and its guard as internal/sender does.
+type sender struct {
+	w            *World
+	index        int
+	settings     policy.Settings
+	decider      decider
+	module       *policy.Sender // the brain, if it is the module
+	guard        *storm.Guard   // nil: none
+	events       []policy.Event
+	actions      []policy.Action
+	held         map[uint64]*message
+	nextID       uint64
+	stepAt       float64 // of the step that is due; +Inf: none
+	lastStep     float64
+	timerToken   uint32
+	guardDueAt   float64
+	downUntil    float64
+	incarnation  int                  // restarts so far
+	idle         map[uint32][]float64 // idle connections by endpoint: when each was used last
+	dialPaces    map[int]*dialPace
+	calls        map[*call]bool
+	newCalls     []*call
+	trialState   *trial.State // its part in the fleet's trials; nil: none
+	trialUpdates map[int]trial.Update
+	session      uint64 // 0: not yet
+}
+
+// dialPace spaces new connections to one partner.
+type dialPace struct{ interval, next float64 }
+
+// call is one attempt under way, with one message or several.
+type call struct {
+	sender        *sender
+	incarnation   int
+	endpoint      *endpoint
+	msgs          []*message
+	ids           []uint64
+	attempts      []int
+	sentAt        float64
+	timeout       float64
+	outcome       policy.Outcome
+	requestedWait float64
+	connected     bool
+	ended         bool
+}
+
+func newSender(w *World, index int) *sender {
+	s := &sender{
+		w: w, index: index, settings: w.params.senderSettings(index), held: map[uint64]*message{}, stepAt: math.Inf(1),
+		lastStep: -1, guardDueAt: math.Inf(1), idle: map[uint32][]float64{}, dialPaces: map[int]*dialPace{}, calls: map[*call]bool{},
+	}
+	s.resetDecider()
+	if w.fleet != nil {
+		w.fleet.openSession(0, s)
+	}
+	return s
+}
+
+func (s *sender) name() string { return "n" + strconv.Itoa(s.index) }
+
+// think gives the node a brain that has learned nothing.
+func (s *sender) resetDecider() {
+	p, seed := &s.w.params, s.w.rng.Uint64()
+	s.module, s.guard = nil, nil
+	switch p.System {
+	case Sliptide, Fleet:
+		limits := map[int]float64{}
+		for i := range s.w.partners {
+			limits[i] = p.partnerLimit()
+		}
+		s.guard = storm.New(storm.SettingsFrom(&s.settings, limits), seed)
+		fallthrough
+	case ModuleOnly:
+		s.module = policy.New(s.settings, seed)
+		s.decider = s.module
+	case Backoff:
+		s.decider = rivals.New(rivals.Backoff, s.settings, seed)
+	case RetryBudget:
+		s.decider = rivals.New(rivals.RetryBudget, s.settings, seed)
+	case Ideal:
+		s.decider = rivals.NewIdeal(s.settings, s.w)
+	}
+}
+
+// list is what discovery has told this sender.
+func (s *sender) receiveList(now float64, onlyPartner int) {
+	ev := policy.Event{Kind: policy.EvList, FullList: onlyPartner < 0}
+	for _, p := range s.w.partners {
+		if onlyPartner >= 0 && p.id != onlyPartner {
+			continue
+		}
+		for _, e := range p.endpoints {
+			l := policy.Endpoint{ID: e.id, State: policy.Ready, Dest: p.id}
+			if e.down && s.w.params.DelistsDown {
+				l.State = policy.Gone
+			}
+			ev.List = append(ev.List, l)
+		}
+	}
+	s.guard.UpdateEndpoints(now, ev.List, ev.FullList)
+	s.events = append(s.events, ev)
+	s.scheduleStep(now)
+}
+
+// due sees that a step comes, a round after the last at the earliest, and not while the process is down.
+func (s *sender) scheduleStep(now float64) {
+	at := max(now, s.lastStep+s.settings.MinStepInterval, s.downUntil)
+	if at < s.stepAt {
+		s.stepAt = at
+		s.w.queue.push(event{at: at, kind: evStep, sender: s})
+	}
+}
+
+// take is a message handed in.
+func (s *sender) accept(now float64, m *message) {
+	resubmitted := s.w.params.MarksRetries && m.tries > 1
+	s.guard.RecordArrival(now, m.partner, m.key, resubmitted)
+	if s.downUntil > now || s.settings.MaxHeld > 0 && len(s.held) >= s.settings.MaxHeld {
+		s.w.recordRefusal(now, m, s.retryAfter(now, m, min(1000, max(s.settings.MaxRetryAfter, 1))))
+		return
+	}
+	s.nextID++
+	m.id, m.attempts, m.mayHaveRun = s.nextID, 0, false
+	s.hold(now, m)
+	s.events = append(s.events, policy.Event{Kind: policy.EvMessage, ID: m.id, Remaining: m.deadline - now, Resubmitted: resubmitted, Dest: m.partner})
+	s.scheduleStep(now)
+}
+
+func (s *sender) hold(now float64, m *message) {
+	s.held[m.id] = m
+	s.guard.AdjustHeld(now, m.partner, 1)
+}
+
+func (s *sender) release(now float64, m *message) {
+	if _, ok := s.held[m.id]; !ok {
+		return
+	}
+	delete(s.held, m.id)
+	s.guard.AdjustHeld(now, m.partner, -1)
+}
+
+func (s *sender) retryAfter(now float64, m *message, minWait float64) float64 {
+	return s.guard.RetryAfter(now, m.partner, m.key, max(m.deadline-now, 0), minWait)
+}
+
+// step lets the brain decide, and carries out what it does.
+func (s *sender) step(now float64) {
+	s.stepAt, s.lastStep = math.Inf(1), now
+	for _, o := range s.adjustThrottles(now, s.guard.Throttles(now)) {
+		for _, p := range o.Paces {
+			s.events = append(s.events, policy.Event{Kind: policy.EvPace, Dest: o.Dest, Endpoint: p.Endpoint, Pace: p.Rate})
+		}
+		s.paceDials(o.Dest, o.DialRate)
+	}
+	s.actions = s.decider.Step(now, s.events, s.actions[:0])
+	s.events = s.events[:0]
+	s.newCalls = s.newCalls[:0]
+	for i := range s.actions {
+		s.execute(now, &s.actions[i])
+	}
+	for _, c := range s.newCalls {
+		s.startCall(now, c)
+	}
+	if at := min(s.guard.NextDue(), s.trialState.NextChange()); at < s.guardDueAt || s.guardDueAt <= now {
+		if s.guardDueAt = at; !math.IsInf(at, 1) {
+			s.w.queue.push(event{at: max(at, now+1), kind: evGuardDue, sender: s})
+		}
+	}
+}
+
+// paceDials is Pool.PaceDials: a pace that changes goes on from the turns that are taken.
+func (s *sender) paceDials(partner int, perSecond float64) {
+	if perSecond <= 0 {
+		delete(s.dialPaces, partner)
+		return
+	}
+	d := s.dialPaces[partner]
+	if d == nil {
+		d = &dialPace{}
+		s.dialPaces[partner] = d
+	}
+	d.interval = 1000 / perSecond
+}
+
+func (s *sender) execute(now float64, a *policy.Action) {
+	switch a.Kind {
+	case policy.ActSend:
+		if m := s.held[a.ID]; m != nil && m.call == nil {
+			s.send(now, m, a)
+		}
+	case policy.ActRefuse, policy.ActFail:
+		m := s.held[a.ID]
+		if m == nil {
+			return
+		}
+		s.release(now, m)
+		after := a.After
+		if a.Kind == policy.ActFail { // given up: its client does not hand it in again
+			return
+		}
+		s.w.recordRefusal(now, m, s.retryAfter(now, m, after))
+	case policy.ActTimer:
+		s.timerToken = a.Token
+		s.w.queue.push(event{at: now + a.After, kind: evTimer, sender: s, n: int(a.Token)})
+	case policy.ActCloseIdle:
+		s.closeIdle(a.Endpoint)
+	}
+}
+
+// send enters an attempt. Sends of one step to one endpoint share a call.
+func (s *sender) send(now float64, m *message, a *policy.Action) {
+	var c *call
+	for _, v := range s.newCalls {
+		if v.endpoint.id == a.Endpoint && len(v.msgs) < s.settings.Kinds[0].Batch {
+			c = v
+		}
+	}
+	if c == nil {
+		c = &call{sender: s, incarnation: s.incarnation, endpoint: s.w.endpoints[a.Endpoint], sentAt: now}
+		s.newCalls = append(s.newCalls, c)
+	}
+	c.msgs, c.ids, c.attempts = append(c.msgs, m), append(c.ids, m.id), append(c.attempts, m.attempts)
+	c.timeout = max(c.timeout, a.After)
+	m.attempts++
+	m.call = c
+}
+
+// start puts a call on an idle connection, or on a new one when that is its turn.
+func (s *sender) startCall(now float64, c *call) {
+	s.calls[c] = true
+	idle := s.idle[c.endpoint.id]
+	for len(idle) > 0 {
+		used := idle[len(idle)-1]
+		idle = idle[:len(idle)-1]
+		s.idle[c.endpoint.id] = idle
+		if c.endpoint.down && s.w.params.OutageKind != NeverAnswers || now-used > s.settings.KeepAlive-500 {
+			c.endpoint.conns--
+			continue // closed meanwhile, which shows
+		}
+		s.w.queue.push(event{at: now + 0.2, kind: evCallArrives, call: c})
+		return
+	}
+	at := now
+	if d := s.dialPaces[c.endpoint.partner.id]; d != nil {
+		at = max(now, d.next)
+		d.next = at + d.interval
+	}
+	if at-now >= c.timeout {
+		s.w.endCall(now, c, policy.Moot, 0, 0)
+		return
+	}
+	s.w.queue.push(event{at: at + s.w.params.DialTime, kind: evDialled, call: c})
+}
+
+func (s *sender) closeIdle(endpoint uint32) {
+	s.w.endpoints[endpoint].conns -= len(s.idle[endpoint])
+	delete(s.idle, endpoint)
+}
+
+// ended takes the end of a call.
+func (s *sender) callEnded(now float64, c *call) {
+	if c.ended || c.incarnation != s.incarnation {
+		return
+	}
+	c.ended = true
+	delete(s.calls, c)
+	if c.connected && (c.outcome == policy.OK || c.outcome == policy.Full || c.outcome == policy.Error) {
+		s.idle[c.endpoint.id] = append(s.idle[c.endpoint.id], now)
+	} else if c.connected {
+		c.endpoint.conns--
+	}
+	var loadReport []float64
+	if c.outcome == policy.OK || c.outcome == policy.Full || c.outcome == policy.Error {
+		loadReport = c.endpoint.loadReport()
+	}
+	for i, m := range c.msgs {
+		e := policy.Event{Kind: policy.EvOutcome, ID: c.ids[i], Endpoint: c.endpoint.id, Attempt: c.attempts[i], Outcome: c.outcome,
+			RequestedWait: c.requestedWait, Latency: now - c.sentAt, Report: loadReport}
+		s.events = append(s.events, e)
+		s.guard.RecordOutcome(now, &e)
+		s.reportFailure(now, c.endpoint.partner.id, &e)
+		if m.call == c {
+			m.call = nil
+		}
+		if s.held[c.ids[i]] != m {
+			continue
+		}
+		if c.outcome == policy.OK {
+			s.release(now, m)
+			s.w.recordDelivery(now, m)
+		} else if !c.outcome.NeverRan() && !m.mayHaveRun {
+			m.mayHaveRun, m.mayHaveRunAt = true, c.sentAt
+		}
+	}
+	s.scheduleStep(now)
+}
+
+// restart kills the sender and starts it again: its journal and what it knew come back, its clock runs on.
+func (s *sender) restart(now, downtime float64) {
+	var facts []policy.DestFacts
+	if s.module != nil {
+		for _, p := range s.w.partners {
+			if f, ok := s.module.Facts(p.id); ok {
+				facts = append(facts, f)
+			}
+		}
+	}
+	if s.w.fleet != nil {
+		s.w.fleet.expireSession(now, s.session)
+		s.session = 0
+	}
+	s.incarnation++
+	s.downUntil = now + downtime
+	s.events = s.events[:0]
+	for c := range s.calls {
+		for _, m := range c.msgs { // it was out when the process ended: it may have run
+			if m.call == c {
+				m.call = nil
+				if !m.mayHaveRun {
+					m.mayHaveRun, m.mayHaveRunAt = true, c.sentAt
+				}
+			}
+		}
+		if c.connected {
+			c.endpoint.conns--
+		}
+	}
+	clear(s.calls)
+	for id := range s.idle {
+		s.closeIdle(id)
+	}
+	clear(s.dialPaces)
+	s.resetDecider()
+	if s.w.fleet != nil {
+		s.w.fleet.openSession(now+downtime, s)
+	}
+	s.guard.Restore(now+downtime, facts)
+	s.stepAt, s.guardDueAt = math.Inf(1), math.Inf(1)
+	if s.module != nil {
+		s.events = append(s.events, policy.Event{Kind: policy.EvFacts, Facts: facts})
+	}
+	s.receiveList(now+downtime, -1)
+	ids := make([]uint64, 0, len(s.held))
+	for id := range s.held {
+		ids = append(ids, id)
+	}
+	slices.Sort(ids)
+	for _, id := range ids {
+		m := s.held[id]
+		s.guard.AdjustHeld(now, m.partner, 1)
+		e := policy.Event{Kind: policy.EvMessage, ID: id, Remaining: m.deadline - now - downtime, Dest: m.partner, Restored: true, Attempts: m.attempts, MayHaveRun: m.mayHaveRun}
+		if m.mayHaveRun {
+			e.MayHaveRunAge = now + downtime - m.mayHaveRunAt
+		}
+		s.events = append(s.events, e)
+	}
+}
--- a/internal/lab/world/world.go
+++ b/internal/lab/world/world.go
@@ -37,52 +37,52 @@
 
 // World is one run of the emulator.
 type World struct {
-	p        Params
-	queue    queue
-	rng      *rand.Rand
-	latency  distuv.LogNormal
-	partners []*partner
-	stations map[uint32]*station
-	nodes    []*node
-	keys     uint64
-	run      Run
-	other    Second // where what befalls other partners is counted
-	oracle   map[int]float64
-	team     *team // nil: each sender is alone
+	params        Params
+	queue         queue
+	rng           *rand.Rand
+	latency       distuv.LogNormal
+	partners      []*partner
+	endpoints     map[uint32]*endpoint
+	senders       []*sender
+	lastKey       uint64
+	result        Run
+	otherPartners Second // where what befalls other partners is counted
+	idealNextCall map[int]float64
+	fleet         *fleet // nil: each sender is alone
 }
 
 // New returns a world in which nothing has happened yet.
 func New(p Params, seed uint64) *World {
 	src := rand.NewPCG(seed, 0x1ab)
-	w := &World{p: p, rng: rand.New(src), stations: map[uint32]*station{}, oracle: map[int]float64{}}
+	w := &World{params: p, rng: rand.New(src), endpoints: map[uint32]*endpoint{}, idealNextCall: map[int]float64{}}
 	// A log-normal of that mean: service times have a tail, and no negative ones.
 	w.latency = distuv.LogNormal{Mu: math.Log(p.Latency) - p.LatencySigma*p.LatencySigma/2, Sigma: p.LatencySigma, Src: rand.NewPCG(seed, 0x1a7)}
-	w.run = Run{Seed: seed, Seconds: make([]Second, int(p.Duration()/1000)+1), Limit: p.limitOf(),
+	w.result = Run{Seed: seed, Seconds: make([]Second, int(p.Duration()/1000)+1), Limit: p.partnerLimit(),
 		AffectedLatency: hdrhistogram.New(1, 600_000, 3), OtherLatency: hdrhistogram.New(1, 600_000, 3)}
 	for i := range p.Partners {
 		pa := newPartner(w, i)
 		w.partners = append(w.partners, pa)
-		for _, s := range pa.endpoints {
-			w.stations[s.id] = s
+		for _, e := range pa.endpoints {
+			w.endpoints[e.id] = e
 		}
 	}
 	if p.System == Fleet {
-		w.team = newTeam(w)
+		w.fleet = newFleet(w)
 	}
 	for i := range p.Senders {
-		w.nodes = append(w.nodes, newNode(w, i))
+		w.senders = append(w.senders, newSender(w, i))
 	}
-	for _, n := range w.nodes {
-		n.list(0, -1)
+	for _, s := range w.senders {
+		s.receiveList(0, -1)
 	}
-	w.queue.push(event{at: 1, kind: evArrive})
+	w.queue.push(event{at: 1, kind: evNewMessage})
 	if p.Outage > 0 {
 		w.queue.push(event{at: p.BeforeOutage, kind: evOutage})
 		for i := range min(p.Restarts, p.Senders) {
-			w.queue.push(event{at: p.BeforeOutage + p.Outage/2, kind: evRestart, node: w.nodes[i]})
+			w.queue.push(event{at: p.BeforeOutage + p.Outage/2, kind: evRestart, sender: w.senders[i]})
 		}
 		if p.RelapseDelay > 0 {
-			w.queue.push(event{at: p.ReturnTime() + p.RelapseDelay, kind: evOutage, v: p.RelapseDuration})
+			w.queue.push(event{at: p.ReturnTime() + p.RelapseDelay, kind: evOutage, duration: p.RelapseDuration})
 		}
 	}
 	return w
@@ -90,170 +90,170 @@
 
 // Run lets the time pass, and returns what has come of it. stop is asked now and then; it may be nil.
 func (w *World) Run(stop func() bool) *Run {
-	length := w.p.Duration()
-	for len(w.queue.list) > 0 {
+	length := w.params.Duration()
+	for len(w.queue.heap) > 0 {
 		e := w.queue.pop()
 		if e.at > length {
 			break
 		}
-		w.run.Events++
-		if w.run.Events%(1<<14) == 0 && stop != nil && stop() {
+		w.result.Events++
+		if w.result.Events%(1<<14) == 0 && stop != nil && stop() {
 			break
 		}
-		w.happen(&e)
+		w.dispatch(&e)
 	}
 	for _, p := range w.partners {
-		w.run.Overloads += p.fallen
+		w.result.Overloads += p.overloads
 	}
-	return &w.run
+	return &w.result
 }
 
-func (w *World) happen(e *event) {
+func (w *World) dispatch(e *event) {
 	now := e.at
 	switch e.kind {
-	case evArrive:
-		w.arrive(now)
-	case evHandIn:
-		w.handIn(now, e.msg)
+	case evNewMessage:
+		w.createNext(now)
+	case evSubmit:
+		w.submit(now, e.msg)
 	case evStep:
-		if e.at == e.node.stepAt {
-			e.node.step(now)
+		if e.at == e.sender.stepAt {
+			e.sender.step(now)
 		}
 	case evTimer:
-		if uint32(e.n) == e.node.token {
-			e.node.events = append(e.node.events, policy.Event{Kind: policy.EvTimer, Token: e.node.token})
-			e.node.due(now)
+		if uint32(e.n) == e.sender.timerToken {
+			e.sender.events = append(e.sender.events, policy.Event{Kind: policy.EvTimer, Token: e.sender.timerToken})
+			e.sender.scheduleStep(now)
 		}
-	case evLook:
-		e.node.lookAt = now
-		e.node.due(now)
+	case evGuardDue:
+		e.sender.guardDueAt = now
+		e.sender.scheduleStep(now)
 	case evDialled:
-		w.dialled(now, e.call)
-	case evReach:
-		w.reach(now, e.call)
-	case evEnd:
-		e.call.node.ended(now, e.call)
+		w.finishDial(now, e.call)
+	case evCallArrives:
+		w.callArrives(now, e.call)
+	case evCallEnds:
+		e.call.sender.callEnded(now, e.call)
 	case evOutage:
-		length := e.v
+		length := e.duration
 		if length == 0 {
-			length = w.p.Outage
+			length = w.params.Outage
 		}
-		w.partners[0].fall(now, length, w.p.OutageShare)
+		w.partners[0].goDown(now, length, w.params.OutageShare)
 	case evReturn:
-		w.returned(now, w.partners[e.n])
-	case evNews:
-		e.node.list(now, e.n)
+		w.partnerReturns(now, w.partners[e.n])
+	case evList:
+		e.sender.receiveList(now, e.n)
 	case evFleet:
 		e.do(now)
 	case evRestart:
-		e.node.restart(now, 600)
+		e.sender.restart(now, 600)
 	}
 }
 
 // returned brings a partner back. New work that has waited elsewhere comes in a clump.
-func (w *World) returned(now float64, p *partner) {
-	first := p.id == 0 && math.Abs(now-w.p.ReturnTime()) < 1e-6
-	if first && w.p.LimitMultipleAfter > 0 {
-		p.limit *= w.p.LimitMultipleAfter
-		for _, l := range p.limits {
-			l.rate *= w.p.LimitMultipleAfter
+func (w *World) partnerReturns(now float64, p *partner) {
+	first := p.id == 0 && math.Abs(now-w.params.ReturnTime()) < 1e-6
+	if first && w.params.LimitMultipleAfter > 0 {
+		p.limit *= w.params.LimitMultipleAfter
+		for _, l := range p.limiters {
+			l.rate *= w.params.LimitMultipleAfter
 		}
-		w.run.Limit = p.limit
+		w.result.Limit = p.limit
 	}
-	p.rise(now)
+	p.comeBack(now)
 	if first {
-		for range int(w.p.ReturnBurst * w.p.Load / float64(w.p.Partners)) {
-			w.born(now, 0)
+		for range int(w.params.ReturnBurst * w.params.Load / float64(w.params.Partners)) {
+			w.createMessage(now, 0)
 		}
 	}
 }
 
 // spread lets the news of a partner reach each sender at its own time.
-func (w *World) spread(now float64, partner int) {
-	for _, n := range w.nodes {
-		w.queue.push(event{at: now + w.rng.Float64()*w.p.MaxListDelay, kind: evNews, node: n, n: partner})
+func (w *World) sendListUpdates(now float64, partner int) {
+	for _, s := range w.senders {
+		w.queue.push(event{at: now + w.rng.Float64()*w.params.MaxListDelay, kind: evList, sender: s, n: partner})
 	}
 }
 
 // dialled brings a connection up, if the endpoint is there and has room.
-func (w *World) dialled(now float64, c *call) {
-	s := c.at
+func (w *World) finishDial(now float64, c *call) {
+	e := c.endpoint
 	switch {
-	case c.life != c.node.life:
-	case s.down && w.p.OutageKind == NeverAnswers:
-		w.end(now, c, policy.ConnectFailed, 0, min(c.node.set.DialTimeout, c.timeout))
-	case s.down && w.p.OutageKind == RefusesConnections, w.p.MaxConns > 0 && s.conns >= w.p.MaxConns:
-		w.end(now, c, policy.ConnectFailed, 0, 0)
+	case c.incarnation != c.sender.incarnation:
+	case e.down && w.params.OutageKind == NeverAnswers:
+		w.endCall(now, c, policy.ConnectFailed, 0, min(c.sender.settings.DialTimeout, c.timeout))
+	case e.down && w.params.OutageKind == RefusesConnections, w.params.MaxConns > 0 && e.conns >= w.params.MaxConns:
+		w.endCall(now, c, policy.ConnectFailed, 0, 0)
 	default:
-		s.conns++
-		c.reached = true
-		w.reach(now, c)
+		e.conns++
+		c.connected = true
+		w.callArrives(now, c)
 	}
 }
 
 // reach is a call's last byte at its endpoint.
-func (w *World) reach(now float64, c *call) {
-	if c.life != c.node.life {
+func (w *World) callArrives(now float64, c *call) {
+	if c.incarnation != c.sender.incarnation {
 		return
 	}
-	c.reached = true
-	o, wait, after := c.at.answer(now, len(c.msgs))
+	c.connected = true
+	o, requestedWait, delay := c.endpoint.handleCall(now, len(c.msgs))
 	if o == policy.OK {
 		for _, m := range c.msgs {
 			if m.runs++; m.runs == 2 {
-				w.run.RunTwice++
+				w.result.RunTwice++
 			}
 		}
 	}
-	if limit := c.sentAt + c.timeout - now; after > limit {
-		o, wait, after = policy.Timeout, 0, max(limit, 0)
+	if remaining := c.sentAt + c.timeout - now; delay > remaining {
+		o, requestedWait, delay = policy.Timeout, 0, max(remaining, 0)
 	}
-	w.end(now, c, o, wait, after)
+	w.endCall(now, c, o, requestedWait, delay)
 }
 
 // end lets a call end at its sender after a time.
-func (w *World) end(now float64, c *call, o policy.Outcome, wait, after float64) {
-	c.outcome, c.wait = o, wait
-	w.queue.push(event{at: now + after, kind: evEnd, call: c})
+func (w *World) endCall(now float64, c *call, o policy.Outcome, requestedWait, delay float64) {
+	c.outcome, c.requestedWait = o, requestedWait
+	w.queue.push(event{at: now + delay, kind: evCallEnds, call: c})
 }
 
 // delivered is a message's end.
-func (w *World) delivered(now float64, m *message) {
-	if m.done {
+func (w *World) recordDelivery(now float64, m *message) {
+	if m.delivered {
 		return
 	}
-	m.done = true
-	w.run.Delivered++
-	w.counts(now, w.partners[m.partner]).Delivered++
-	h := w.run.OtherLatency
+	m.delivered = true
+	w.result.Delivered++
+	w.countersFor(now, w.partners[m.partner]).Delivered++
+	h := w.result.OtherLatency
 	if m.partner == 0 {
-		h = w.run.AffectedLatency
+		h = w.result.AffectedLatency
 	}
-	h.RecordValue(int64(math.Round(max(now-m.born, 1))))
+	h.RecordValue(int64(math.Round(max(now-m.createdAt, 1))))
 }
 
 // counts is where what befalls a partner now is counted.
-func (w *World) counts(now float64, p *partner) *Second {
-	if i := int(now / 1000); p.id == 0 && i < len(w.run.Seconds) {
-		return &w.run.Seconds[i]
+func (w *World) countersFor(now float64, p *partner) *Second {
+	if i := int(now / 1000); p.id == 0 && i < len(w.result.Seconds) {
+		return &w.result.Seconds[i]
 	}
-	return &w.other
+	return &w.otherPartners
 }
 
 // Turn tells the ideal sender when it may call a partner: as fast as the partner can take it, by one who knows
 // its state and all other senders. Such a sender cannot be built; it is the physical limit.
 func (w *World) NextCallTime(now float64, dest int) (at float64) {
 	p := w.partners[dest]
-	if p.downs == len(p.endpoints) {
-		return max(p.waitUntil, now+1)
+	if p.downCount == len(p.endpoints) {
+		return max(p.downUntil, now+1)
 	}
-	next := w.oracle[dest]
+	next := w.idealNextCall[dest]
 	if next > now {
 		return next
 	}
-	w.oracle[dest] = max(next, now-2) + 1000/min(p.limit, p.capacity(now))
+	w.idealNextCall[dest] = max(next, now-2) + 1000/min(p.limit, p.capacity(now))
 	return now
 }
 
 // Up tells the ideal sender whether an endpoint is up.
-func (w *World) EndpointUp(endpoint uint32) bool { return !w.stations[endpoint].down }
+func (w *World) EndpointUp(endpoint uint32) bool { return !w.endpoints[endpoint].down }
--- a/internal/lab/world/world_test.go
+++ b/internal/lab/world/world_test.go
@@ -7,7 +7,7 @@
 )
 
 // base is a partner that is down for 15 s under three senders, half of the clients deaf.
-func base() Params {
+func baseParams() Params {
 	return Params{System: Sliptide, Senders: 3, Partners: 1, Endpoints: 1, Load: 140, Limit: 200, Headroom: 1.25, MaxQueue: 2000,
 		Latency: 30, LatencySigma: 0.3, AnnouncedWarmUp: 9000, WarmUpDuration: 9000, ColdCapacity: 0.25, OverloadMultiple: 1.5, OverloadWindow: 3000, DialTime: 1, BeforeOutage: 5000,
 		Outage: 15000, OutageShare: 1, OutageKind: RefusesConnections, AfterOutage: 14000, MaxTries: 3, HonourShare: 0.5, ImmediateRetryDelay: 50, MarksRetries: true, ReturnBurst: 1,
@@ -15,22 +15,22 @@
 }
 
 // over counts the seconds with more calls than the limit, of the first eleven from the return.
-func over(p Params, r *Run) (n, most, calls int) {
+func callsAfterReturn(p Params, r *Run) (secondsOver, maxCalls, calls int) {
 	back := int(p.ReturnTime() / 1000)
 	for i := back; i < back+11; i++ {
 		c := r.Seconds[i].Calls
 		calls += c
-		most = max(most, c)
+		maxCalls = max(maxCalls, c)
 		if float64(c) > r.Limit {
-			n++
+			secondsOver++
 		}
 	}
-	return n, most, calls
+	return secondsOver, maxCalls, calls
 }
 
 // A run is its parameters and its seed.
-func TestSameSeedSameRun(t *testing.T) {
-	a, b, c := New(base(), 5).Run(nil), New(base(), 5).Run(nil), New(base(), 6).Run(nil)
+func TestRunDependsOnParamsAndSeedOnly(t *testing.T) {
+	a, b, c := New(baseParams(), 5).Run(nil), New(baseParams(), 5).Run(nil), New(baseParams(), 6).Run(nil)
 	if !reflect.DeepEqual(a.Seconds, b.Seconds) || a.Events != b.Events {
 		t.Error("the same seed gives another run")
 	}
@@ -40,7 +40,7 @@
 }
 
 // hard are the cases that a storm guard exists for: each way down, each habit, and each way back.
-var hard = map[string]func(*Params){
+var returnCases = map[string]func(*Params){
 	"as it is":                     func(*Params) {},
 	"clients honour what is told":  func(p *Params) { p.HonourShare = 1 },
 	"clients are deaf":             func(p *Params) { p.HonourShare = 0 },
@@ -66,14 +66,14 @@
 
 // From its first second back a partner is never called more than it has stated; nor is it left alone.
 func TestReturnsStayWithinTheLimit(t *testing.T) {
-	for name, change := range hard {
+	for name, change := range returnCases {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			p := base()
+			p := baseParams()
 			change(&p)
 			for seed := range uint64(3) {
 				r := New(p, seed).Run(nil)
-				n, most, calls := over(p, r)
+				n, most, calls := callsAfterReturn(p, r)
 				if n > 0 {
 					t.Errorf("seed %d: %d seconds over the limit of %v, up to %d calls", seed, n, r.Limit, most)
 				}
@@ -89,12 +89,12 @@
 }
 
 // The limit is not kept by silence: when the partner is warm, its goodput is back, however many senders.
-func TestGoodputIsBack(t *testing.T) {
+func TestGoodputRecovers(t *testing.T) {
 	for _, row := range []struct {
 		senders int
 		down    OutageKind
 	}{{3, RefusesConnections}, {30, RefusesConnections}, {200, RefusesConnections}, {3, RequestsWait}} {
-		p := base()
+		p := baseParams()
 		p.Senders, p.OutageKind = row.senders, row.down
 		for seed := range uint64(3) {
 			r := New(p, seed).Run(nil)
@@ -110,21 +110,21 @@
 }
 
 // The check of the limit can fail: senders that only back off break the limit, and push a partner over.
-func TestLimitIsBrokenWithoutAGuard(t *testing.T) {
-	p := base()
+func TestLimitExceededWithoutGuard(t *testing.T) {
+	p := baseParams()
 	p.System, p.Senders = Backoff, 30
-	if n, _, _ := over(p, New(p, 1).Run(nil)); n == 0 {
+	if n, _, _ := callsAfterReturn(p, New(p, 1).Run(nil)); n == 0 {
 		t.Error("thirty senders that back off stay within the limit")
 	}
 	p.OverloadOutage = 4000
 	if r := New(p, 1).Run(nil); r.Overloads == 0 {
 		t.Error("nothing pushes this partner over")
 	}
-	p = base()
+	p = baseParams()
 	p.System, p.Senders = ModuleOnly, 30
 	worst := 0
 	for seed := range uint64(6) {
-		n, _, _ := over(p, New(p, seed).Run(nil))
+		n, _, _ := callsAfterReturn(p, New(p, seed).Run(nil))
 		worst = max(worst, n)
 	}
 	if worst == 0 {
@@ -133,8 +133,8 @@
 }
 
 // A storm at one partner leaves the others as they are: their p99 moves by less than 5%.
-func TestStormLeavesOthersAlone(t *testing.T) {
-	p := base()
+func TestStormDoesNotSlowOtherPartners(t *testing.T) {
+	p := baseParams()
 	p.Partners, p.Load, p.Limit = 5, 200, 100
 	calm := p
 	calm.Outage = 0
@@ -151,12 +151,12 @@
 // Each message ends at most once, no sender holds more than it may, and no keyed message is lost sight of.
 func TestEachMessageEndsOnce(t *testing.T) {
 	for _, sys := range []System{Sliptide, ModuleOnly, Backoff, RetryBudget, Ideal} {
-		p := base()
+		p := baseParams()
 		p.System, p.Restarts, p.OutageKind = sys, 2, NeverAnswers
 		w := New(p, 3)
 		r := w.Run(nil)
 		held := 0
-		for _, n := range w.nodes {
+		for _, n := range w.senders {
 			if len(n.held) > p.MaxHeld {
 				t.Errorf("%s: a sender holds %d", sys, len(n.held))
 			}
@@ -171,10 +171,10 @@
 // The limiter lets a stated rate through and no more, in any second or in spans.
 func TestLimiter(t *testing.T) {
 	for _, span := range []float64{0, 1000, 5000} {
-		l := limiter{rate: 10, span: span}
+		l := limiter{rate: 10, window: span}
 		taken := 0
 		for at := 0.0; at < 20000; at += 7 {
-			wait := l.take(at)
+			wait := l.admit(at)
 			if wait == 0 {
 				taken++
 			} else if span > 0 && math.Mod(at+wait, span) > 1e-6 && span-math.Mod(at+wait, span) > 1e-6 {
@@ -194,7 +194,7 @@
 		q.push(event{at: float64((i * 7919) % 100), n: i})
 	}
 	last := event{at: -1}
-	for len(q.list) > 0 {
+	for len(q.heap) > 0 {
 		e := q.pop()
 		if e.at < last.at || e.at == last.at && e.n < last.n {
 			t.Fatalf("%v/%d after %v/%d", e.at, e.n, last.at, last.n)
@@ -206,7 +206,7 @@
 func BenchmarkRun(b *testing.B) {
 	var events uint64
 	for i := range b.N {
-		events += New(base(), uint64(i)).Run(nil).Events
+		events += New(baseParams(), uint64(i)).Run(nil).Events
 	}
 	b.ReportMetric(float64(events)/b.Elapsed().Seconds(), "events/s")
 }
