--- a/internal/lab/world/client.go
+++ b/internal/lab/world/client.go
@@ -2,16 +2,16 @@
 
 import "math"
 
-// habit is what a client does after a refusal.
+// retryBehaviour is how a client chooses the time of a retry after a refusal.
 type retryBehaviour uint8
 
 const (
-	honoursRetryAfter retryBehaviour = iota // comes when it was told
-	backsOff                                // by its own exponential back-off with jitter, whatever it was told
-	retriesAtOnce                           // at once, near enough
+	honoursRetryAfter retryBehaviour = iota // retries after the requested wait
+	backsOff                                // retries by its own exponential back-off with jitter
+	retriesAtOnce                           // retries after ImmediateRetryDelay
 )
 
-// message is one message, over all its tries.
+// message is one message over all of its submissions.
 type message struct {
 	key       uint64
 	partner   int
@@ -21,7 +21,7 @@
 	deadline  float64
 	runs      int
 	delivered bool
-	// The try that a sender holds, 0 if none does.
+	// State of the last submission that a sender accepted. id is 0 if there was none.
 	id           uint64
 	attempts     int
 	mayHaveRun   bool
@@ -29,16 +29,17 @@
 	call         *call
 }
 
-// arrive brings up the next new message, and sets the time of the one after it.
+// createNext creates a message for a random partner and schedules the next one.
 func (w *World) createNext(now float64) {
 	w.queue.push(event{at: now + w.rng.ExpFloat64()*1000/w.params.Load, kind: evNewMessage})
 	w.createMessage(now, w.rng.IntN(w.params.Partners))
 }
 
-// born makes a new message, which goes to a sender at once.
+// createMessage creates a message and submits it.
 func (w *World) createMessage(now float64, partner int) {
 	w.lastKey++
-	m := &message{key: w.lastKey, partner: partner, createdAt: now, deadline: now + w.params.Deadline, behaviour: retriesAtOnce}
+	m := &message{key: w.lastKey, partner: partner, createdAt: now, deadline: now + w.params.Deadline,
+		behaviour: retriesAtOnce}
 	switch v := w.rng.Float64(); {
 	case v < w.params.HonourShare:
 		m.behaviour = honoursRetryAfter
@@ -50,7 +51,7 @@
 	w.submit(now, m)
 }
 
-// handIn gives a message to a sender, as the front would: any of those that are up.
+// submit gives a message to a random sender, or to the next one if that is down, as a load balancer does.
 func (w *World) submit(now float64, m *message) {
 	if m.delivered || m.deadline-now < 50 {
 		return
@@ -61,13 +62,13 @@
 		w.result.Retries++
 	}
 	s := w.senders[w.rng.IntN(len(w.senders))]
-	if s.downUntil > now { // the front deals out another connection
+	if s.downUntil > now { // the load balancer uses another connection
 		s = w.senders[(s.index+1)%len(w.senders)]
 	}
 	s.accept(now, m)
 }
 
-// refused tells the client of a message that it was turned away, and after how long to come again.
+// recordRefusal counts a refusal and schedules the client's retry, if it has tries left.
 func (w *World) recordRefusal(now float64, m *message, after float64) {
 	w.countersFor(now, w.partners[m.partner]).Refusals++
 	w.result.Refusals++
--- a/internal/lab/world/fleet.go
+++ b/internal/lab/world/fleet.go
@@ -8,9 +8,9 @@
 	"sliptide/policy"
 )
 
-// team is the fleet that the senders of System Fleet are members of: the real state of duties, agreed on and told
-// after a while each. Votes, leases and lost frames are internal/fleet/model's matter; here a session of a sender
-// that is killed lapses after a lease.
+// fleet models the fleet that senders of System Fleet are members of. It applies commands to the real state of duties
+// (package duty) after a commit delay and notifies members after a further delay. Elections, leases and lost frames are
+// covered by internal/fleet/model; here the session of a killed sender ends after sessionTimeoutMS.
 type fleet struct {
 	w     *World
 	state *duty.State
@@ -18,15 +18,15 @@
 }
 
 const (
-	commitDelayMS    = 10.0   // milliseconds until a command is agreed on,
-	maxNotifyDelayMS = 10.0   // and within which each member has heard of it
-	sessionTimeoutMS = 2100.0 // until the session of a sender that was killed has lapsed
-	silenceTimeoutMS = 4000.0 // for which senders wait for a word
+	commitDelayMS    = 10.0   // mean time from a proposal to its commit
+	maxNotifyDelayMS = 10.0   // each member learns of a committed command within this time
+	sessionTimeoutMS = 2100.0 // from the death of a sender to the end of its session
+	silenceTimeoutMS = 4000.0 // how long senders wait for an update of a shared trial
 )
 
 func newFleet(w *World) *fleet { return &fleet{w: w, state: duty.New(nil)} }
 
-// later has something happen to a node, in the life that it lives now.
+// schedule schedules a function for a sender. The function is dropped if the sender restarts first.
 func (f *fleet) schedule(now, after float64, s *sender, do func(now float64)) {
 	incarnation := s.incarnation
 	f.w.queue.push(event{at: now + after, kind: evFleet, sender: s, do: func(now float64) {
@@ -36,7 +36,7 @@
 	}})
 }
 
-// join begins a node's session.
+// openSession opens a sender's session.
 func (f *fleet) openSession(now float64, s *sender) {
 	s.trialState = trial.New(trial.Settings{Senders: f.w.params.Senders, SilenceTimeoutMS: silenceTimeoutMS})
 	s.trialUpdates = map[int]trial.Update{}
@@ -47,11 +47,12 @@
 	})
 }
 
-// command has a command agreed on and tells all of what came of it.
+// propose commits a command after 0.5 to 1.5 times commitDelayMS.
 func (f *fleet) propose(now float64, s *sender, c *pb.Command) {
 	f.schedule(now, commitDelayMS*(0.5+f.w.rng.Float64()), s, func(now float64) { f.apply(now, c) })
 }
 
+// apply applies a command and notifies all senders of the changed trials.
 func (f *fleet) apply(now float64, c *pb.Command) {
 	f.index++
 	for _, d := range f.state.Apply(f.index, 1, c).Changed {
@@ -68,14 +69,15 @@
 	}
 }
 
-// lost lets the session of a node that was killed lapse.
+// expireSession ends the session of a killed sender after sessionTimeoutMS.
 func (f *fleet) expireSession(now float64, session uint64) {
 	f.w.queue.push(event{at: now + sessionTimeoutMS, kind: evFleet, do: func(now float64) {
 		f.apply(now, &pb.Command{What: &pb.Command_Close{Close: &pb.Close{Session: session}}})
 	}})
 }
 
-// trials changes what storms ask of a node, as internal/sender does.
+// adjustThrottles adapts the storm guard's throttles to the fleet's shared trials, as internal/sender does, and
+// proposes the commands that the trials need.
 func (s *sender) adjustThrottles(now float64, list []storm.Throttle) []storm.Throttle {
 	if s.trialState == nil {
 		return list
@@ -103,7 +105,7 @@
 	return list
 }
 
-// token is with what a session holds a duty, 0 if it does not.
+// token returns the fencing token by which a session holds a duty, 0 if it does not hold it.
 func token(list []*pb.Duty, name string, session uint64) uint64 {
 	for _, d := range list {
 		if d.Name == name && d.Session == session {
@@ -113,7 +115,7 @@
 	return 0
 }
 
-// tried tells of the end of a call to a partner.
+// reportFailure reports a failed call to the partner's shared trial.
 func (s *sender) reportFailure(now float64, dest int, e *policy.Event) {
 	if e.Outcome != policy.OK && e.Outcome != policy.Moot {
 		s.trialState.CallFailed(now, dest)
--- a/internal/lab/world/partner.go
+++ b/internal/lab/world/partner.go
@@ -6,24 +6,23 @@
 	"sliptide/policy"
 )
 
-// partner is one destination. Its endpoints share its capacity and, unless they have limits of their own, its
-// limit.
+// partner is one destination. Its endpoints share its capacity and, unless they have limits of their own, its limit.
 type partner struct {
 	w               *World
 	id              int
 	endpoints       []*endpoint
 	limiters        []*limiter // one, or one for each endpoint
 	limit           float64
-	downCount       int // endpoints that are down
-	returnedAt      float64
-	overloadedSince float64 // over its tipping point since
-	overloads       int     // outages that are over by themselves
-	busyUntil       float64 // its work is done then: a fluid queue
-	downUntil       float64 // told to those that ask while it is down
+	downCount       int     // endpoints that are down
+	returnedAt      float64 // end of the last outage of all endpoints: the warm-up starts then
+	overloadedSince float64 // +Inf: not overloaded
+	overloads       int     // collapses so far
+	busyUntil       float64 // when the queued work is done (fluid queue)
+	downUntil       float64 // also the wait that answers request during an outage
 	lastSecond      slidingWindow
 }
 
-// station is one endpoint.
+// endpoint is one endpoint of a partner.
 type endpoint struct {
 	id      uint32
 	partner *partner
@@ -32,11 +31,12 @@
 	conns   int
 }
 
-// window counts what came in the last second.
+// slidingWindow holds the times of the events of the last second.
 type slidingWindow struct {
 	at []float64
 }
 
+// add records an event and returns the number of events in the last second.
 func (w *slidingWindow) add(now float64) int {
 	expired := 0
 	for expired < len(w.at) && w.at[expired] <= now-1000 {
@@ -46,16 +46,17 @@
 	return len(w.at)
 }
 
-// limiter is a stated limit: calls in any second, or in spans.
+// limiter enforces a stated limit: calls in any second, or in fixed windows.
 type limiter struct {
 	rate        float64
 	lastSecond  slidingWindow
-	window      float64
-	count       int
-	windowStart float64
+	window      float64 // 0: any second
+	count       int     // calls in the current window
+	windowStart float64 // of the current window
 }
 
-// take counts a call; wait > 0: it is over the limit, and is told that. A call that is refused uses nothing up.
+// admit admits a call, or returns the wait to request of the sender if the call exceeds the limit. Calls that are
+// refused do not count towards the limit.
 func (l *limiter) admit(now float64) (requestedWait float64) {
 	if l.window <= 0 {
 		if n := l.lastSecond.add(now); float64(n) > l.rate {
@@ -84,12 +85,13 @@
 		p.limiters = append(p.limiters, &limiter{rate: p.limit / float64(routes), window: w.params.LimitWindow})
 	}
 	for i := range w.params.Endpoints {
-		p.endpoints = append(p.endpoints, &endpoint{id: uint32(id*w.params.Endpoints+i) + 1, partner: p, limiter: p.limiters[i%routes]})
+		p.endpoints = append(p.endpoints, &endpoint{id: uint32(id*w.params.Endpoints+i) + 1, partner: p,
+			limiter: p.limiters[i%routes]})
 	}
 	return p
 }
 
-// capacity is the calls a second that the partner can do now.
+// capacity returns the calls per second that the partner can process now.
 func (p *partner) capacity(now float64) float64 {
 	share := 1.0
 	if p.w.params.WarmUpDuration > 0 {
@@ -98,7 +100,7 @@
 	return max(p.limit*p.w.params.Headroom*share, 0.1)
 }
 
-// fall takes endpoints down for a while.
+// goDown takes a share of the endpoints down.
 func (p *partner) goDown(now, length, share float64) {
 	n := int(math.Ceil(share * float64(len(p.endpoints))))
 	for _, e := range p.endpoints[:n] {
@@ -114,9 +116,9 @@
 	}
 }
 
-// rise brings the partner back, cold.
+// comeBack ends an outage; the partner starts cold if all of its endpoints were down.
 func (p *partner) comeBack(now float64) {
-	if p.downUntil > now+1e-6 { // it has fallen again meanwhile
+	if p.downUntil > now+1e-6 { // a later outage has begun meanwhile
 		return
 	}
 	if p.downCount == len(p.endpoints) {
@@ -131,7 +133,8 @@
 	}
 }
 
-// answer is how a call fares that reaches an endpoint, and how long until its answer is written.
+// handleCall returns the outcome of a call that reaches the endpoint, the wait that its answer requests, and the
+// delay until the answer is written.
 func (e *endpoint) handleCall(now float64, items int) (o policy.Outcome, requestedWait, delay float64) {
 	p := e.partner
 	p.w.countersFor(now, p).Calls++
@@ -150,7 +153,7 @@
 		}
 	}
 	p.checkOverload(now, n)
-	if e.down { // that was the call too many
+	if e.down { // this call made the partner collapse
 		return policy.Reset, 0, 1
 	}
 	if requestedWait = e.limiter.admit(now); requestedWait > 0 {
@@ -165,7 +168,7 @@
 	return policy.OK, 0, p.busyUntil - now + latency + 2*float64(items-1)
 }
 
-// tip pushes the partner over if it has had too much for too long.
+// checkOverload lets the partner collapse if it has been overloaded for OverloadWindow.
 func (p *partner) checkOverload(now float64, lastSecond int) {
 	if p.w.params.OverloadOutage <= 0 || float64(lastSecond) <= p.w.params.OverloadMultiple*p.capacity(now) {
 		p.overloadedSince = math.Inf(1)
@@ -178,7 +181,7 @@
 	}
 }
 
-// report is what an answer tells of the limit.
+// loadReport returns the load report of an answer, nil if answers carry none.
 func (e *endpoint) loadReport() []float64 {
 	if !e.partner.w.params.ReportsLimit {
 		return nil
--- a/internal/lab/world/queue.go
+++ b/internal/lab/world/queue.go
@@ -1,37 +1,38 @@
 package world
 
-// what happens to whom is an event; times are virtual milliseconds.
+// event is one event of the simulation. Times are virtual milliseconds.
 type event struct {
 	at       float64
-	seq      uint64 // equal times go in the order of their making, so that a seed gives one run
+	seq      uint64 // order of creation: breaks ties of equal times, so that a seed determines the run
 	kind     eventKind
 	sender   *sender
 	call     *call
 	msg      *message
-	n        int // a token, a partner, a key
-	duration float64
+	n        int               // token of evTimer, partner of evReturn and evList
+	duration float64           // of evOutage; 0: the length in Params
 	do       func(now float64) // of evFleet
 }
 
 type eventKind uint8
 
 const (
-	evNewMessage  eventKind = iota // a new message comes up at a client
-	evSubmit                       // a message reaches a sender
-	evStep                         // a sender steps
-	evTimer                        // its module's timer
-	evGuardDue                     // its guard's
-	evDialled                      // a connection is up, or failed
-	evCallArrives                  // a call's last byte reaches its endpoint
+	evNewMessage  eventKind = iota // a client creates a message
+	evSubmit                       // a client submits a message to a sender
+	evStep                         // a sender runs a step
+	evTimer                        // the decision module's timer is due
+	evGuardDue                     // the storm guard or a shared trial is due
+	evDialled                      // a dial ends
+	evCallArrives                  // the last byte of a call reaches its endpoint
 	evCallEnds                     // a call ends at its sender
 	evOutage                       // a partner goes down
-	evReturn                       // and is back
-	evList                         // the list of endpoints reaches a sender
+	evReturn                       // a partner comes back
+	evList                         // an update of the endpoint list reaches a sender
 	evRestart                      // a sender is killed and starts again
-	evFleet                        // something in the fleet that the senders are members of
+	evFleet                        // a change in the fleet that the senders are members of
 )
 
-// queue is a 4-ary heap of events: shallower than a binary one, which matters with a million waiting.
+// queue is a priority queue of events. It is a 4-ary heap, which is shallower than a binary one: this matters with
+// a million events in it.
 type queue struct {
 	heap []event
 	seq  uint64
--- a/internal/lab/world/sender.go
+++ b/internal/lab/world/sender.go
@@ -11,61 +11,63 @@
 	"sliptide/policy"
 )
 
-// brain decides for one sender: the decision module, or a rival.
+// decider decides when one sender calls: the decision module or a rival.
 type decider interface {
 	Step(now float64, events []policy.Event, actions []policy.Action) []policy.Action
 }
 
-// node is one sender. It feeds and obeys its brain and its guard as internal/sender does.
+// sender is one sender. It passes events to its decider and its guard and executes their decisions, as internal/sender
+// does.
 type sender struct {
 	w            *World
 	index        int
 	settings     policy.Settings
 	decider      decider
-	module       *policy.Sender // the brain, if it is the module
+	module       *policy.Sender // the decider, if it is the module
 	guard        *storm.Guard   // nil: none
 	events       []policy.Event
 	actions      []policy.Action
 	held         map[uint64]*message
 	nextID       uint64
-	stepAt       float64 // of the step that is due; +Inf: none
-	lastStep     float64
+	stepAt       float64 // time of the next step; +Inf: none is due
+	lastStep     float64 // time of the last step
 	timerToken   uint32
-	guardDueAt   float64
+	guardDueAt   float64 // time of the pending evGuardDue; +Inf: none
 	downUntil    float64
-	incarnation  int                  // restarts so far
-	idle         map[uint32][]float64 // idle connections by endpoint: when each was used last
+	incarnation  int                  // number of restarts so far
+	idle         map[uint32][]float64 // idle connections by endpoint, as times of last use
 	dialPaces    map[int]*dialPace
 	calls        map[*call]bool
 	newCalls     []*call
-	trialState   *trial.State // its part in the fleet's trials; nil: none
+	trialState   *trial.State // shared trials of the fleet; nil: none
 	trialUpdates map[int]trial.Update
-	session      uint64 // 0: not yet
+	session      uint64 // 0: not open
 }
 
-// dialPace spaces new connections to one partner.
+// dialPace limits the rate of new connections to one partner.
 type dialPace struct{ interval, next float64 }
 
-// call is one attempt under way, with one message or several.
+// call is one attempt, with one or more messages.
 type call struct {
 	sender        *sender
 	incarnation   int
 	endpoint      *endpoint
 	msgs          []*message
-	ids           []uint64
-	attempts      []int
+	ids           []uint64 // of msgs when the call was made
+	attempts      []int    // attempts of msgs before this one
 	sentAt        float64
 	timeout       float64
 	outcome       policy.Outcome
 	requestedWait float64
-	connected     bool
+	connected     bool // the call has a connection
 	ended         bool
 }
 
 func newSender(w *World, index int) *sender {
 	s := &sender{
 		w: w, index: index, settings: w.params.senderSettings(index), held: map[uint64]*message{}, stepAt: math.Inf(1),
-		lastStep: -1, guardDueAt: math.Inf(1), idle: map[uint32][]float64{}, dialPaces: map[int]*dialPace{}, calls: map[*call]bool{},
+		lastStep: -1, guardDueAt: math.Inf(1), idle: map[uint32][]float64{},
+		dialPaces: map[int]*dialPace{}, calls: map[*call]bool{},
 	}
 	s.resetDecider()
 	if w.fleet != nil {
@@ -76,7 +78,7 @@
 
 func (s *sender) name() string { return "n" + strconv.Itoa(s.index) }
 
-// think gives the node a brain that has learned nothing.
+// resetDecider replaces the decider and the guard by new ones without learned state.
 func (s *sender) resetDecider() {
 	p, seed := &s.w.params, s.w.rng.Uint64()
 	s.module, s.guard = nil, nil
@@ -100,7 +102,8 @@
 	}
 }
 
-// list is what discovery has told this sender.
+// receiveList handles an endpoint list from discovery: the full list, or the endpoints of one partner if onlyPartner is
+// not negative.
 func (s *sender) receiveList(now float64, onlyPartner int) {
 	ev := policy.Event{Kind: policy.EvList, FullList: onlyPartner < 0}
 	for _, p := range s.w.partners {
@@ -120,7 +123,7 @@
 	s.scheduleStep(now)
 }
 
-// due sees that a step comes, a round after the last at the earliest, and not while the process is down.
+// scheduleStep schedules the next step: at least MinStepInterval after the last one, and not while the process is down.
 func (s *sender) scheduleStep(now float64) {
 	at := max(now, s.lastStep+s.settings.MinStepInterval, s.downUntil)
 	if at < s.stepAt {
@@ -129,7 +132,7 @@
 	}
 }
 
-// take is a message handed in.
+// accept accepts or refuses a submitted message.
 func (s *sender) accept(now float64, m *message) {
 	resubmitted := s.w.params.MarksRetries && m.tries > 1
 	s.guard.RecordArrival(now, m.partner, m.key, resubmitted)
@@ -140,7 +143,8 @@
 	s.nextID++
 	m.id, m.attempts, m.mayHaveRun = s.nextID, 0, false
 	s.hold(now, m)
-	s.events = append(s.events, policy.Event{Kind: policy.EvMessage, ID: m.id, Remaining: m.deadline - now, Resubmitted: resubmitted, Dest: m.partner})
+	s.events = append(s.events, policy.Event{Kind: policy.EvMessage, ID: m.id, Remaining: m.deadline - now,
+		Resubmitted: resubmitted, Dest: m.partner})
 	s.scheduleStep(now)
 }
 
@@ -161,7 +165,7 @@
 	return s.guard.RetryAfter(now, m.partner, m.key, max(m.deadline-now, 0), minWait)
 }
 
-// step lets the brain decide, and carries out what it does.
+// step passes the pending events to the decider and executes its actions.
 func (s *sender) step(now float64) {
 	s.stepAt, s.lastStep = math.Inf(1), now
 	for _, o := range s.adjustThrottles(now, s.guard.Throttles(now)) {
@@ -186,7 +190,8 @@
 	}
 }
 
-// paceDials is Pool.PaceDials: a pace that changes goes on from the turns that are taken.
+// paceDials sets the rate of new connections to a partner; 0 removes it. As in Pool.PaceDials, dials that are already
+// scheduled keep their times when the rate changes.
 func (s *sender) paceDials(partner int, perSecond float64) {
 	if perSecond <= 0 {
 		delete(s.dialPaces, partner)
@@ -213,7 +218,7 @@
 		}
 		s.release(now, m)
 		after := a.After
-		if a.Kind == policy.ActFail { // given up: its client does not hand it in again
+		if a.Kind == policy.ActFail { // abandoned: the client does not resubmit it
 			return
 		}
 		s.w.recordRefusal(now, m, s.retryAfter(now, m, after))
@@ -225,7 +230,7 @@
 	}
 }
 
-// send enters an attempt. Sends of one step to one endpoint share a call.
+// send adds an attempt to a new call. Attempts of one step to the same endpoint share a call up to the batch size.
 func (s *sender) send(now float64, m *message, a *policy.Action) {
 	var c *call
 	for _, v := range s.newCalls {
@@ -243,7 +248,7 @@
 	m.call = c
 }
 
-// start puts a call on an idle connection, or on a new one when that is its turn.
+// startCall makes a call on an idle connection, or dials when the dial pace permits.
 func (s *sender) startCall(now float64, c *call) {
 	s.calls[c] = true
 	idle := s.idle[c.endpoint.id]
@@ -253,7 +258,7 @@
 		s.idle[c.endpoint.id] = idle
 		if c.endpoint.down && s.w.params.OutageKind != NeverAnswers || now-used > s.settings.KeepAlive-500 {
 			c.endpoint.conns--
-			continue // closed meanwhile, which shows
+			continue // closed by the partner meanwhile, which the sender has noticed
 		}
 		s.w.queue.push(event{at: now + 0.2, kind: evCallArrives, call: c})
 		return
@@ -275,7 +280,7 @@
 	delete(s.idle, endpoint)
 }
 
-// ended takes the end of a call.
+// callEnded handles the end of a call.
 func (s *sender) callEnded(now float64, c *call) {
 	if c.ended || c.incarnation != s.incarnation {
 		return
@@ -313,7 +318,8 @@
 	s.scheduleStep(now)
 }
 
-// restart kills the sender and starts it again: its journal and what it knew come back, its clock runs on.
+// restart kills the sender and starts it again after a downtime. It restores the journal and the stored knowledge, and
+// its clock continues.
 func (s *sender) restart(now, downtime float64) {
 	var facts []policy.DestFacts
 	if s.module != nil {
@@ -331,7 +337,7 @@
 	s.downUntil = now + downtime
 	s.events = s.events[:0]
 	for c := range s.calls {
-		for _, m := range c.msgs { // it was out when the process ended: it may have run
+		for _, m := range c.msgs { // the call was in flight when the process ended: the message may have run
 			if m.call == c {
 				m.call = nil
 				if !m.mayHaveRun {
@@ -366,7 +372,8 @@
 	for _, id := range ids {
 		m := s.held[id]
 		s.guard.AdjustHeld(now, m.partner, 1)
-		e := policy.Event{Kind: policy.EvMessage, ID: id, Remaining: m.deadline - now - downtime, Dest: m.partner, Restored: true, Attempts: m.attempts, MayHaveRun: m.mayHaveRun}
+		e := policy.Event{Kind: policy.EvMessage, ID: id, Remaining: m.deadline - now - downtime,
+			Dest: m.partner, Restored: true, Attempts: m.attempts, MayHaveRun: m.mayHaveRun}
 		if m.mayHaveRun {
 			e.MayHaveRunAge = now + downtime - m.mayHaveRunAt
 		}
--- a/internal/lab/world/world.go
+++ b/internal/lab/world/world.go
@@ -10,16 +10,16 @@
 	"sliptide/policy"
 )
 
-// Second is what one second of a run saw at partner 0.
+// Second holds the counters of partner 0 for one second of a run.
 type Second struct {
-	Submitted int // new messages for it
+	Submitted int // new messages
 	Delivered int
-	Calls     int // that reached it
-	Retries   int // second tries by clients
+	Calls     int // calls that reached the partner
+	Retries   int // resubmissions by clients
 	Refusals  int
 }
 
-// Run is what a run has come to. Latencies are milliseconds from a message's first hand-in to its delivery.
+// Run holds the results of a run. Latencies are milliseconds from a message's first submission to its delivery.
 type Run struct {
 	Seed            uint64
 	Events          uint64
@@ -28,11 +28,11 @@
 	Delivered       int
 	Retries         int
 	Refusals        int
-	RunTwice        int // messages that ran more than once
-	Overloads       int // times that a partner was pushed over
-	Limit           float64
-	AffectedLatency *hdrhistogram.Histogram // of partner 0
-	OtherLatency    *hdrhistogram.Histogram // of all others
+	RunTwice        int                     // messages that ran more than once
+	Overloads       int                     // overload collapses, over all partners
+	Limit           float64                 // of partner 0, at the end of the run
+	AffectedLatency *hdrhistogram.Histogram // of messages to partner 0
+	OtherLatency    *hdrhistogram.Histogram // of messages to all other partners
 }
 
 // World is one run of the emulator.
@@ -46,17 +46,18 @@
 	senders       []*sender
 	lastKey       uint64
 	result        Run
-	otherPartners Second // where what befalls other partners is counted
-	idealNextCall map[int]float64
-	fleet         *fleet // nil: each sender is alone
+	otherPartners Second          // counters of all other partners, over the whole run
+	idealNextCall map[int]float64 // by partner: when ideal senders may make the next call
+	fleet         *fleet          // nil unless System is Fleet
 }
 
-// New returns a world in which nothing has happened yet.
+// New returns a world at time zero.
 func New(p Params, seed uint64) *World {
 	src := rand.NewPCG(seed, 0x1ab)
 	w := &World{params: p, rng: rand.New(src), endpoints: map[uint32]*endpoint{}, idealNextCall: map[int]float64{}}
-	// A log-normal of that mean: service times have a tail, and no negative ones.
-	w.latency = distuv.LogNormal{Mu: math.Log(p.Latency) - p.LatencySigma*p.LatencySigma/2, Sigma: p.LatencySigma, Src: rand.NewPCG(seed, 0x1a7)}
+	// A log-normal distribution with the mean p.Latency: service times have a long tail and are never negative.
+	w.latency = distuv.LogNormal{Mu: math.Log(p.Latency) - p.LatencySigma*p.LatencySigma/2, Sigma: p.LatencySigma,
+		Src: rand.NewPCG(seed, 0x1a7)}
 	w.result = Run{Seed: seed, Seconds: make([]Second, int(p.Duration()/1000)+1), Limit: p.partnerLimit(),
 		AffectedLatency: hdrhistogram.New(1, 600_000, 3), OtherLatency: hdrhistogram.New(1, 600_000, 3)}
 	for i := range p.Partners {
@@ -88,7 +89,8 @@
 	return w
 }
 
-// Run lets the time pass, and returns what has come of it. stop is asked now and then; it may be nil.
+// Run runs the simulation and returns its results. It calls stop every 2^14 events and ends early if that returns
+// true; stop may be nil.
 func (w *World) Run(stop func() bool) *Run {
 	length := w.params.Duration()
 	for len(w.queue.heap) > 0 {
@@ -150,7 +152,8 @@
 	}
 }
 
-// returned brings a partner back. New work that has waited elsewhere comes in a clump.
+// partnerReturns brings a partner back. At the end of partner 0's first outage its new limit takes effect, and a
+// burst of new messages arrives that were kept back upstream.
 func (w *World) partnerReturns(now float64, p *partner) {
 	first := p.id == 0 && math.Abs(now-w.params.ReturnTime()) < 1e-6
 	if first && w.params.LimitMultipleAfter > 0 {
@@ -168,14 +171,14 @@
 	}
 }
 
-// spread lets the news of a partner reach each sender at its own time.
+// sendListUpdates sends the endpoint list of a partner to each sender, with a random delay for each.
 func (w *World) sendListUpdates(now float64, partner int) {
 	for _, s := range w.senders {
 		w.queue.push(event{at: now + w.rng.Float64()*w.params.MaxListDelay, kind: evList, sender: s, n: partner})
 	}
 }
 
-// dialled brings a connection up, if the endpoint is there and has room.
+// finishDial ends a dial: the connection is open unless the endpoint is down or has no connection left.
 func (w *World) finishDial(now float64, c *call) {
 	e := c.endpoint
 	switch {
@@ -191,7 +194,7 @@
 	}
 }
 
-// reach is a call's last byte at its endpoint.
+// callArrives handles the last byte of a call at its endpoint.
 func (w *World) callArrives(now float64, c *call) {
 	if c.incarnation != c.sender.incarnation {
 		return
@@ -211,13 +214,13 @@
 	w.endCall(now, c, o, requestedWait, delay)
 }
 
-// end lets a call end at its sender after a time.
+// endCall schedules the end of a call at its sender.
 func (w *World) endCall(now float64, c *call, o policy.Outcome, requestedWait, delay float64) {
 	c.outcome, c.requestedWait = o, requestedWait
 	w.queue.push(event{at: now + delay, kind: evCallEnds, call: c})
 }
 
-// delivered is a message's end.
+// recordDelivery counts the first delivery of a message.
 func (w *World) recordDelivery(now float64, m *message) {
 	if m.delivered {
 		return
@@ -232,7 +235,7 @@
 	h.RecordValue(int64(math.Round(max(now-m.createdAt, 1))))
 }
 
-// counts is where what befalls a partner now is counted.
+// countersFor returns the counters for events at a partner now.
 func (w *World) countersFor(now float64, p *partner) *Second {
 	if i := int(now / 1000); p.id == 0 && i < len(w.result.Seconds) {
 		return &w.result.Seconds[i]
@@ -240,8 +243,9 @@
 	return &w.otherPartners
 }
 
-// Turn tells the ideal sender when it may call a partner: as fast as the partner can take it, by one who knows
-// its state and all other senders. Such a sender cannot be built; it is the physical limit.
+// NextCallTime returns when an ideal sender may call a partner, and reserves the call if that is now. All ideal
+// senders together call at the partner's limit or capacity, whichever is lower. They know the partner's state and
+// each other, which no real sender can: they are the upper bound.
 func (w *World) NextCallTime(now float64, dest int) (at float64) {
 	p := w.partners[dest]
 	if p.downCount == len(p.endpoints) {
@@ -255,5 +259,5 @@
 	return now
 }
 
-// Up tells the ideal sender whether an endpoint is up.
+// EndpointUp reports whether an endpoint is up.
 func (w *World) EndpointUp(endpoint uint32) bool { return !w.endpoints[endpoint].down }
--- a/internal/lab/world/world_test.go
+++ b/internal/lab/world/world_test.go
@@ -6,15 +6,18 @@
 	"testing"
 )
 
-// base is a partner that is down for 15 s under three senders, half of the clients deaf.
+// baseParams returns parameters of a partner that is down for 15 s, with three senders; half of the clients retry at
+// once.
 func baseParams() Params {
 	return Params{System: Sliptide, Senders: 3, Partners: 1, Endpoints: 1, Load: 140, Limit: 200, Headroom: 1.25, MaxQueue: 2000,
-		Latency: 30, LatencySigma: 0.3, AnnouncedWarmUp: 9000, WarmUpDuration: 9000, ColdCapacity: 0.25, OverloadMultiple: 1.5, OverloadWindow: 3000, DialTime: 1, BeforeOutage: 5000,
-		Outage: 15000, OutageShare: 1, OutageKind: RefusesConnections, AfterOutage: 14000, MaxTries: 3, HonourShare: 0.5, ImmediateRetryDelay: 50, MarksRetries: true, ReturnBurst: 1,
+		Latency: 30, LatencySigma: 0.3, AnnouncedWarmUp: 9000, WarmUpDuration: 9000, ColdCapacity: 0.25, OverloadMultiple: 1.5,
+		OverloadWindow: 3000, DialTime: 1, BeforeOutage: 5000, Outage: 15000, OutageShare: 1, OutageKind: RefusesConnections,
+		AfterOutage: 14000, MaxTries: 3, HonourShare: 0.5, ImmediateRetryDelay: 50, MarksRetries: true, ReturnBurst: 1,
 		Deadline: 20000, Aim: 4000, CallSlots: 20, MaxHeld: 200, MaxRetryAfter: 5000, Batch: 1, MaxListDelay: 1000}
 }
 
-// over counts the seconds with more calls than the limit, of the first eleven from the return.
+// callsAfterReturn returns, for the first eleven seconds after the return, the number of seconds with more calls than the
+// limit, the calls of the busiest second, and all calls.
 func callsAfterReturn(p Params, r *Run) (secondsOver, maxCalls, calls int) {
 	back := int(p.ReturnTime() / 1000)
 	for i := back; i < back+11; i++ {
@@ -28,43 +31,44 @@
 	return secondsOver, maxCalls, calls
 }
 
-// A run is its parameters and its seed.
+// Parameters and seed determine a run.
 func TestRunDependsOnParamsAndSeedOnly(t *testing.T) {
 	a, b, c := New(baseParams(), 5).Run(nil), New(baseParams(), 5).Run(nil), New(baseParams(), 6).Run(nil)
 	if !reflect.DeepEqual(a.Seconds, b.Seconds) || a.Events != b.Events {
-		t.Error("the same seed gives another run")
+		t.Error("two runs with the same seed differ")
 	}
 	if reflect.DeepEqual(a.Seconds, c.Seconds) {
-		t.Error("another seed gives the same run")
+		t.Error("runs with different seeds are the same")
 	}
 }
 
-// hard are the cases that a storm guard exists for: each way down, each habit, and each way back.
+// returnCases holds the cases that the storm guard must handle: kinds of outages, of retry behaviour and of returns.
 var returnCases = map[string]func(*Params){
-	"as it is":                     func(*Params) {},
-	"clients honour what is told":  func(p *Params) { p.HonourShare = 1 },
-	"clients are deaf":             func(p *Params) { p.HonourShare = 0 },
-	"clients back off":             func(p *Params) { p.HonourShare, p.BackoffShare = 0, 1 },
-	"second tries are not marked":  func(p *Params) { p.MarksRetries = false },
-	"a clump of three seconds":     func(p *Params) { p.ReturnBurst = 3 },
-	"silent":                       func(p *Params) { p.OutageKind = NeverAnswers },
-	"errors":                       func(p *Params) { p.OutageKind = AnswersErrors },
-	"tells the wait to its return": func(p *Params) { p.OutageKind = RequestsWait },
-	"one endpoint of four":         func(p *Params) { p.Endpoints, p.OutageShare = 4, 0.25 },
-	"falls once more":              func(p *Params) { p.RelapseDelay, p.RelapseDuration = 3000, 3000 },
-	"23% of its capacity":          func(p *Params) { p.ColdCapacity = 0.23 },
-	"its limit has fallen":         func(p *Params) { p.LimitMultipleAfter, p.ReportsLimit = 0.5, true },
-	"one sender restarted":         func(p *Params) { p.Restarts = 1 },
-	"off the list meanwhile":       func(p *Params) { p.DelistsDown, p.Endpoints = true, 2 },
-	"limits of each endpoint":      func(p *Params) { p.OwnLimits, p.Endpoints, p.ReportsLimit = true, 4, true },
-	"bulk calls":                   func(p *Params) { p.Batch = 5 },
-	"limit in spans":               func(p *Params) { p.LimitWindow = 1000 },
-	"thirty senders":               func(p *Params) { p.Senders = 30 },
-	"two hundred senders":          func(p *Params) { p.Senders = 200 },
-	"falls over what is too much":  func(p *Params) { p.OverloadOutage = 4000 },
+	"base parameters":                func(*Params) {},
+	"clients honour Retry-After":     func(p *Params) { p.HonourShare = 1 },
+	"clients retry at once":          func(p *Params) { p.HonourShare = 0 },
+	"clients back off":               func(p *Params) { p.HonourShare, p.BackoffShare = 0, 1 },
+	"retries are not marked":         func(p *Params) { p.MarksRetries = false },
+	"burst of three seconds of load": func(p *Params) { p.ReturnBurst = 3 },
+	"no answers":                     func(p *Params) { p.OutageKind = NeverAnswers },
+	"errors":                         func(p *Params) { p.OutageKind = AnswersErrors },
+	"answers request the wait":       func(p *Params) { p.OutageKind = RequestsWait },
+	"one endpoint of four":           func(p *Params) { p.Endpoints, p.OutageShare = 4, 0.25 },
+	"second outage":                  func(p *Params) { p.RelapseDelay, p.RelapseDuration = 3000, 3000 },
+	"23% of its capacity when cold":  func(p *Params) { p.ColdCapacity = 0.23 },
+	"lower limit after the return":   func(p *Params) { p.LimitMultipleAfter, p.ReportsLimit = 0.5, true },
+	"one sender restarted":           func(p *Params) { p.Restarts = 1 },
+	"removed from the list":          func(p *Params) { p.DelistsDown, p.Endpoints = true, 2 },
+	"limit per endpoint":             func(p *Params) { p.OwnLimits, p.Endpoints, p.ReportsLimit = true, 4, true },
+	"bulk calls":                     func(p *Params) { p.Batch = 5 },
+	"limit in fixed windows":         func(p *Params) { p.LimitWindow = 1000 },
+	"thirty senders":                 func(p *Params) { p.Senders = 30 },
+	"two hundred senders":            func(p *Params) { p.Senders = 200 },
+	"collapses under overload":       func(p *Params) { p.OverloadOutage = 4000 },
 }
 
-// From its first second back a partner is never called more than it has stated; nor is it left alone.
+// From the first second after its return, calls to a partner stay within its stated limit in each second, and the
+// senders do call it.
 func TestReturnsStayWithinTheLimit(t *testing.T) {
 	for name, change := range returnCases {
 		t.Run(name, func(t *testing.T) {
@@ -75,20 +79,20 @@
 				r := New(p, seed).Run(nil)
 				n, most, calls := callsAfterReturn(p, r)
 				if n > 0 {
-					t.Errorf("seed %d: %d seconds over the limit of %v, up to %d calls", seed, n, r.Limit, most)
+					t.Errorf("seed %d: %d seconds exceed the limit of %v calls, the worst with %d calls", seed, n, r.Limit, most)
 				}
 				if calls < int(r.Limit) {
-					t.Errorf("seed %d: %d calls in eleven seconds", seed, calls)
+					t.Errorf("seed %d: %d calls in the first eleven seconds, want at least %v", seed, calls, int(r.Limit))
 				}
 				if r.Overloads > 0 {
-					t.Errorf("seed %d: pushed over %d times", seed, r.Overloads)
+					t.Errorf("seed %d: partner collapsed under overload %d times", seed, r.Overloads)
 				}
 			}
 		})
 	}
 }
 
-// The limit is not kept by silence: when the partner is warm, its goodput is back, however many senders.
+// Staying within the limit does not cost goodput: it has recovered once the partner is warm, for any number of senders.
 func TestGoodputRecovers(t *testing.T) {
 	for _, row := range []struct {
 		senders int
@@ -103,22 +107,22 @@
 				done += s.Delivered
 			}
 			if float64(done)/4 < 0.95*p.Load {
-				t.Errorf("%+v, seed %d: %.0f delivered a second in the tenth and on, load %v", row, seed, float64(done)/4, p.Load)
+				t.Errorf("%+v, seed %d: %.0f messages delivered per second from the tenth second on, load %v", row, seed, float64(done)/4, p.Load)
 			}
 		}
 	}
 }
 
-// The check of the limit can fail: senders that only back off break the limit, and push a partner over.
+// The check of the limit can fail: senders that only back off exceed the limit and overload a partner.
 func TestLimitExceededWithoutGuard(t *testing.T) {
 	p := baseParams()
 	p.System, p.Senders = Backoff, 30
 	if n, _, _ := callsAfterReturn(p, New(p, 1).Run(nil)); n == 0 {
-		t.Error("thirty senders that back off stay within the limit")
+		t.Error("30 senders that only back off stay within the limit")
 	}
 	p.OverloadOutage = 4000
 	if r := New(p, 1).Run(nil); r.Overloads == 0 {
-		t.Error("nothing pushes this partner over")
+		t.Error("30 senders that only back off do not overload the partner")
 	}
 	p = baseParams()
 	p.System, p.Senders = ModuleOnly, 30
@@ -128,11 +132,11 @@
 		worst = max(worst, n)
 	}
 	if worst == 0 {
-		t.Error("the module alone stays within the limit with thirty senders in six seeds")
+		t.Error("the module without a guard stays within the limit with 30 senders and six seeds")
 	}
 }
 
-// A storm at one partner leaves the others as they are: their p99 moves by less than 5%.
+// An outage of one partner changes the p99 latency of the others by less than 5%.
 func TestStormDoesNotSlowOtherPartners(t *testing.T) {
 	p := baseParams()
 	p.Partners, p.Load, p.Limit = 5, 200, 100
@@ -144,11 +148,11 @@
 		without += New(calm, seed).Run(nil).OtherLatency.ValueAtQuantile(99)
 	}
 	if math.Abs(float64(with-without)) > 0.05*float64(without) {
-		t.Errorf("p99 of the others, over five seeds: %d ms with the storm, %d without", with, without)
+		t.Errorf("p99 latency of the other partners, summed over five seeds: %d ms with the outage, %d ms without", with, without)
 	}
 }
 
-// Each message ends at most once, no sender holds more than it may, and no keyed message is lost sight of.
+// Each message is delivered at most once, and no sender holds more messages than it may.
 func TestEachMessageEndsOnce(t *testing.T) {
 	for _, sys := range []System{Sliptide, ModuleOnly, Backoff, RetryBudget, Ideal} {
 		p := baseParams()
@@ -158,36 +162,36 @@
 		held := 0
 		for _, n := range w.senders {
 			if len(n.held) > p.MaxHeld {
-				t.Errorf("%s: a sender holds %d", sys, len(n.held))
+				t.Errorf("%s: a sender holds %d messages, maximum %d", sys, len(n.held), p.MaxHeld)
 			}
 			held += len(n.held)
 		}
 		if r.Delivered == 0 || r.Delivered+held > r.Submitted+r.RunTwice {
-			t.Errorf("%s: %d delivered and %d held of %d", sys, r.Delivered, held, r.Submitted)
+			t.Errorf("%s: %d messages delivered and %d held, of %d submitted", sys, r.Delivered, held, r.Submitted)
 		}
 	}
 }
 
-// The limiter lets a stated rate through and no more, in any second or in spans.
+// The limiter admits the stated rate and no more, in any second and in fixed windows.
 func TestLimiter(t *testing.T) {
-	for _, span := range []float64{0, 1000, 5000} {
-		l := limiter{rate: 10, window: span}
-		taken := 0
+	for _, window := range []float64{0, 1000, 5000} {
+		l := limiter{rate: 10, window: window}
+		admitted := 0
 		for at := 0.0; at < 20000; at += 7 {
 			wait := l.admit(at)
 			if wait == 0 {
-				taken++
-			} else if span > 0 && math.Mod(at+wait, span) > 1e-6 && span-math.Mod(at+wait, span) > 1e-6 {
-				t.Fatalf("span %v: told to wait until %v", span, at+wait)
+				admitted++
+			} else if window > 0 && math.Mod(at+wait, window) > 1e-6 && window-math.Mod(at+wait, window) > 1e-6 {
+				t.Fatalf("window %v ms: requested wait ends at %v, not at the end of a window", window, at+wait)
 			}
 		}
-		if taken < 195 || taken > 201 {
-			t.Errorf("span %v: %d calls taken in 20 s at 10 a second", span, taken)
+		if admitted < 195 || admitted > 201 {
+			t.Errorf("window %v ms: %d calls admitted in 20 s at 10 per second", window, admitted)
 		}
 	}
 }
 
-// The queue gives events by time, and equal times in the order of their making.
+// The queue returns events by time, and events of equal time in the order of creation.
 func TestQueueOrder(t *testing.T) {
 	var q queue
 	for i := range 1000 {
@@ -197,7 +201,7 @@
 	for len(q.heap) > 0 {
 		e := q.pop()
 		if e.at < last.at || e.at == last.at && e.n < last.n {
-			t.Fatalf("%v/%d after %v/%d", e.at, e.n, last.at, last.n)
+			t.Fatalf("event %d at %v follows event %d at %v", e.n, e.at, last.n, last.at)
 		}
 		last = e
 	}
