--- a/internal/lab/experiment/params.go
+++ b/internal/lab/experiment/params.go
@@ -7,7 +7,7 @@
 	"sliptide/internal/strictxml"
 )
 
-// params is what a world is made of, for its element and for what is varied.
+// worldParams returns the attributes of the world element. The same attributes can be varied.
 func worldParams() []strictxml.Attribute[world.Params] {
 	type p = strictxml.Attribute[world.Params]
 	type w = world.Params
