--- a/cmd/sliptide/storm_test.go
+++ b/cmd/sliptide/storm_test.go
@@ -392,7 +392,7 @@
 	p := world.Params{System: sys, Senders: 3, Partners: 1, Endpoints: 1, Load: 0.7 * stormLimit, Limit: stormLimit, ReportsLimit: sc.advertisesLimit,
 		Headroom: 10, MaxQueue: 2000, Latency: 60, LatencySigma: 0.5, AnnouncedWarmUp: sc.coldMS, ColdCapacity: 0.25, OverloadMultiple: 1.5, OverloadWindow: 3000, DialTime: 1,
 		BeforeOutage: 4000, Outage: float64(sc.downtime.Milliseconds()), OutageShare: 1, OutageKind: world.RefusesConnections, AfterOutage: stormObservedSeconds * 1000,
-		MaxTries: 3, HonourShare: 0.5, ImmediateRetryDelay: 50, MarksRetries: true, ReturnBurst: 1, Deadline: 20000, Aim: 4000, CallSlots: 20, MaxHeld: 100, MaxRetryAfter: 5000, Batch: 1}
+		MaxSubmissions: 3, HonourShare: 0.5, ImmediateRetryDelay: 50, MarksRetries: true, ReturnBurst: 1, Deadline: 20000, Aim: 4000, CallSlots: 20, MaxHeld: 100, MaxRetryAfter: 5000, Batch: 1}
 	if sc.restart {
 		p.Restarts = 1
 	}
--- a/internal/lab/experiment/params.go
+++ b/internal/lab/experiment/params.go
@@ -78,7 +78,7 @@
 			Doc: "Discovery takes what is down off its list."},
 		{Name: "news-late", Default: "1s", Values: strictxml.Duration(0, time.Minute), SetNumber: func(w *w, v int64) { w.MaxListDelay = ms(v) },
 			Doc: "Its news reaches each sender within this time."},
-		{Name: "tries", Default: "3", Values: strictxml.Integer(1, 100), SetNumber: func(w *w, v int64) { w.MaxTries = int(v) },
+		{Name: "tries", Default: "3", Values: strictxml.Integer(1, 100), SetNumber: func(w *w, v int64) { w.MaxSubmissions = int(v) },
 			Doc: "How often a client hands a message in."},
 		{Name: "honour", Default: "50", Values: strictxml.Integer(0, 100), SetNumber: func(w *w, v int64) { w.HonourShare = float64(v) / 100 },
 			Doc: "Clients that come again when they were told, to the millisecond, in percent."},
--- a/internal/lab/results/results.go
+++ b/internal/lab/results/results.go
@@ -95,7 +95,7 @@
 func FromRun(p *world.Params, r *world.Run) Run {
 	back := int(math.Ceil(p.ReturnTime() / 1000))
 	f := map[string]float64{"goodput": float64(r.Delivered) / float64(max(r.Submitted, 1)), "retries": float64(r.Retries),
-		"refusals": float64(r.Refusals), "falls": float64(r.Overloads), "twice": float64(r.RunTwice)}
+		"refusals": float64(r.Refusals), "falls": float64(r.Overloads), "twice": float64(r.RanTwice)}
 	for i := back; i < min(back+WatchedSeconds, len(r.Seconds)); i++ {
 		calls := float64(r.Seconds[i].Calls)
 		if i == back {
@@ -140,7 +140,8 @@
 
 // Aggregate combines the runs of a point.
 func Aggregate(labels []string, p *world.Params, limit float64, runs []Run) Point {
-	point := Point{Labels: labels, ReturnSecond: int(math.Ceil(p.ReturnTime() / 1000)), Limit: limit, Runs: runs, Summary: map[string]Summary{}}
+	point := Point{Labels: labels, ReturnSecond: int(math.Ceil(p.ReturnTime() / 1000)), Limit: limit, Runs: runs,
+		Summary: map[string]Summary{}}
 	for _, m := range Measures {
 		var values []float64
 		for i := range runs {
--- a/internal/lab/rivals/rivals.go
+++ b/internal/lab/rivals/rivals.go
@@ -80,7 +80,8 @@
 
 // New returns a sender that uses the algorithm kind.
 func New(kind Kind, set policy.Settings, seed uint64) *Sender {
-	return &Sender{kind: kind, settings: set, rng: rand.New(rand.NewPCG(seed, 0x71)), dests: map[int]*dest{}, messages: map[uint64]*message{}, timerAt: math.Inf(1)}
+	return &Sender{kind: kind, settings: set, rng: rand.New(rand.NewPCG(seed, 0x71)), dests: map[int]*dest{},
+		messages: map[uint64]*message{}, timerAt: math.Inf(1)}
 }
 
 // NewIdeal returns an ideal sender, which is informed by o.
@@ -98,7 +99,8 @@
 		case policy.EvList:
 			s.updateEndpoints(e)
 		case policy.EvMessage:
-			m := &message{id: e.ID, dest: s.dest(e.Dest), destID: e.Dest, deadline: now + e.Remaining, notBefore: now, attempts: e.Attempts, mayHaveRun: e.MayHaveRun}
+			m := &message{id: e.ID, dest: s.dest(e.Dest), destID: e.Dest, deadline: now + e.Remaining,
+				notBefore: now, attempts: e.Attempts, mayHaveRun: e.MayHaveRun}
 			s.messages[m.id] = m
 			s.waiting = append(s.waiting, m)
 		case policy.EvOutcome:
@@ -171,8 +173,8 @@
 // sendDue sends the messages that are due, refuses those whose deadline is near, and sets the timer for the others.
 func (s *Sender) sendDue(now float64) {
 	slices.SortStableFunc(s.waiting, func(a, b *message) int { return cmp.Compare(a.notBefore, b.notBefore) })
-	next := math.Inf(1)
-	keep := s.waiting[:0]
+	nextDue := math.Inf(1)
+	remaining := s.waiting[:0]
 	for _, m := range s.waiting {
 		at := max(m.notBefore, m.dest.waitUntil)
 		switch {
@@ -180,14 +182,14 @@
 			s.refuse(m)
 			continue
 		case at > now, s.inFlight >= s.settings.CallSlots, len(m.dest.endpoints) == 0:
-			next = min(next, max(at, now+1))
+			nextDue = min(nextDue, max(at, now+1))
 			if at <= now { // no slot or no endpoint: the end of a call or a list is an event too
-				next = min(next, now+100)
+				nextDue = min(nextDue, now+100)
 			}
-			next = min(next, m.deadline-40)
+			nextDue = min(nextDue, m.deadline-40)
 		case s.oracle != nil:
 			if at = s.oracle.NextCallTime(now, m.destID); at > now {
-				next = min(next, at)
+				nextDue = min(nextDue, at)
 				break
 			}
 			fallthrough
@@ -195,11 +197,11 @@
 			s.send(now, m)
 			continue
 		}
-		keep = append(keep, m)
+		remaining = append(remaining, m)
 	}
-	s.waiting = keep
-	if next < s.timerAt {
-		s.timerAt = max(next, now+1)
+	s.waiting = remaining
+	if nextDue < s.timerAt {
+		s.timerAt = max(nextDue, now+1)
 		s.timerToken++
 		s.actions = append(s.actions, policy.Action{Kind: policy.ActTimer, Token: s.timerToken, After: s.timerAt - now})
 	}
--- a/internal/lab/world/client.go
+++ b/internal/lab/world/client.go
@@ -13,14 +13,14 @@
 
 // message is one message over all of its submissions.
 type message struct {
-	key       uint64
-	partner   int
-	behaviour retryBehaviour
-	tries     int
-	createdAt float64
-	deadline  float64
-	runs      int
-	delivered bool
+	key         uint64
+	partner     int
+	behaviour   retryBehaviour
+	submissions int
+	createdAt   float64
+	deadline    float64
+	runs        int
+	delivered   bool
 	// State of the last submission that a sender accepted. id is 0 if there was none.
 	id           uint64
 	attempts     int
@@ -56,8 +56,8 @@
 	if m.delivered || m.deadline-now < 50 {
 		return
 	}
-	m.tries++
-	if m.tries > 1 {
+	m.submissions++
+	if m.submissions > 1 {
 		w.countersFor(now, w.partners[m.partner]).Retries++
 		w.result.Retries++
 	}
@@ -68,16 +68,16 @@
 	s.accept(now, m)
 }
 
-// recordRefusal counts a refusal and schedules the client's retry, if it has tries left.
+// recordRefusal counts a refusal and schedules the client's retry, if it has submissions left.
 func (w *World) recordRefusal(now float64, m *message, after float64) {
 	w.countersFor(now, w.partners[m.partner]).Refusals++
 	w.result.Refusals++
-	if m.tries >= w.params.MaxTries || m.delivered {
+	if m.submissions >= w.params.MaxSubmissions || m.delivered {
 		return
 	}
 	switch m.behaviour {
 	case backsOff:
-		after = w.rng.Float64() * 200 * math.Exp2(float64(m.tries))
+		after = w.rng.Float64() * 200 * math.Exp2(float64(m.submissions))
 	case retriesAtOnce:
 		after = w.params.ImmediateRetryDelay
 	}
--- a/internal/lab/world/fleet.go
+++ b/internal/lab/world/fleet.go
@@ -12,7 +12,7 @@
 // (package duty) after a commit delay and notifies members after a further delay. Elections, leases and lost frames are
 // covered by internal/fleet/model; here the session of a killed sender ends after sessionTimeoutMS.
 type fleet struct {
-	w     *World
+	world *World
 	state *duty.State
 	index uint64
 }
@@ -24,12 +24,12 @@
 	silenceTimeoutMS = 4000.0 // how long senders wait for an update of a shared trial
 )
 
-func newFleet(w *World) *fleet { return &fleet{w: w, state: duty.New(nil)} }
+func newFleet(w *World) *fleet { return &fleet{world: w, state: duty.New(nil)} }
 
 // schedule schedules a function for a sender. The function is dropped if the sender restarts first.
 func (f *fleet) schedule(now, after float64, s *sender, do func(now float64)) {
 	incarnation := s.incarnation
-	f.w.queue.push(event{at: now + after, kind: evFleet, sender: s, do: func(now float64) {
+	f.world.queue.push(event{at: now + after, kind: evFleet, sender: s, do: func(now float64) {
 		if s.incarnation == incarnation {
 			do(now)
 		}
@@ -38,18 +38,19 @@
 
 // openSession opens a sender's session.
 func (f *fleet) openSession(now float64, s *sender) {
-	s.trialState = trial.New(trial.Settings{Senders: f.w.params.Senders, SilenceTimeoutMS: silenceTimeoutMS})
+	s.trialState = trial.New(trial.Settings{Senders: f.world.params.Senders, SilenceTimeoutMS: silenceTimeoutMS})
 	s.trialUpdates = map[int]trial.Update{}
 	f.schedule(now, commitDelayMS, s, func(now float64) {
 		f.index++
 		s.session = f.index
-		f.state.Apply(f.index, 1, &pb.Command{What: &pb.Command_Open{Open: &pb.Open{Member: s.name(), Boot: uint64(s.incarnation), Incarnation: 1, Seq: 1}}})
+		f.state.Apply(f.index, 1, &pb.Command{What: &pb.Command_Open{Open: &pb.Open{
+			Member: s.name(), Boot: uint64(s.incarnation), Incarnation: 1, Seq: 1}}})
 	})
 }
 
 // propose commits a command after 0.5 to 1.5 times commitDelayMS.
 func (f *fleet) propose(now float64, s *sender, c *pb.Command) {
-	f.schedule(now, commitDelayMS*(0.5+f.w.rng.Float64()), s, func(now float64) { f.apply(now, c) })
+	f.schedule(now, commitDelayMS*(0.5+f.world.rng.Float64()), s, func(now float64) { f.apply(now, c) })
 }
 
 // apply applies a command and notifies all senders of the changed trials.
@@ -60,8 +61,8 @@
 		if !ok {
 			continue
 		}
-		for _, s := range f.w.senders {
-			f.schedule(now, maxNotifyDelayMS*f.w.rng.Float64(), s, func(now float64) {
+		for _, s := range f.world.senders {
+			f.schedule(now, maxNotifyDelayMS*f.world.rng.Float64(), s, func(now float64) {
 				s.trialUpdates[dest] = trial.Update{Holder: d.Holder, HeldLocally: d.Session == s.session && !d.Ended, Word: d.Word}
 				s.scheduleStep(now)
 			})
@@ -71,7 +72,7 @@
 
 // expireSession ends the session of a killed sender after sessionTimeoutMS.
 func (f *fleet) expireSession(now float64, session uint64) {
-	f.w.queue.push(event{at: now + sessionTimeoutMS, kind: evFleet, do: func(now float64) {
+	f.world.queue.push(event{at: now + sessionTimeoutMS, kind: evFleet, do: func(now float64) {
 		f.apply(now, &pb.Command{What: &pb.Command_Close{Close: &pb.Close{Session: session}}})
 	}})
 }
@@ -92,14 +93,16 @@
 	}
 	list = append(list, s.trialState.ChangedThrottles(now)...)
 	for _, a := range s.trialState.TakeActions() {
-		name, f := trial.Duty(a.Dest), s.w.fleet
-		switch d := s.w.fleet.state.Duties(); {
+		name, f := trial.Duty(a.Dest), s.world.fleet
+		switch d := s.world.fleet.state.Duties(); {
 		case a.Request:
 			f.propose(now, s, &pb.Command{What: &pb.Command_Acquire{Acquire: &pb.Acquire{Session: s.session, Duty: name}}})
 		case a.Release:
-			f.propose(now, s, &pb.Command{What: &pb.Command_Release{Release: &pb.Release{Session: s.session, Duty: name, Token: token(d, name, s.session)}}})
+			f.propose(now, s, &pb.Command{What: &pb.Command_Release{Release: &pb.Release{
+				Session: s.session, Duty: name, Token: token(d, name, s.session)}}})
 		case a.Publish != "":
-			f.propose(now, s, &pb.Command{What: &pb.Command_Say{Say: &pb.Say{Session: s.session, Duty: name, Token: token(d, name, s.session), Word: a.Publish}}})
+			f.propose(now, s, &pb.Command{What: &pb.Command_Say{Say: &pb.Say{
+				Session: s.session, Duty: name, Token: token(d, name, s.session), Word: a.Publish}}})
 		}
 	}
 	return list
--- a/internal/lab/world/params.go
+++ b/internal/lab/world/params.go
@@ -66,7 +66,7 @@
 	DelistsDown        bool    // discovery delists endpoints that are down until they return
 	MaxListDelay       float64 // list updates reach each sender within this time
 
-	MaxTries            int     // how often a client submits a message
+	MaxSubmissions      int     // how often a client submits a message
 	HonourShare         float64 // share of clients that honour Retry-After
 	BackoffShare        float64 // share of clients that back off on their own; the others retry at once
 	ImmediateRetryDelay float64 // delay of clients that retry at once
--- a/internal/lab/world/partner.go
+++ b/internal/lab/world/partner.go
@@ -8,7 +8,7 @@
 
 // partner is one destination. Its endpoints share its capacity and, unless they have limits of their own, its limit.
 type partner struct {
-	w               *World
+	world           *World
 	id              int
 	endpoints       []*endpoint
 	limiters        []*limiter // one, or one for each endpoint
@@ -76,7 +76,7 @@
 }
 
 func newPartner(w *World, id int) *partner {
-	p := &partner{w: w, id: id, limit: w.params.partnerLimit(), returnedAt: math.Inf(-1), overloadedSince: math.Inf(1)}
+	p := &partner{world: w, id: id, limit: w.params.partnerLimit(), returnedAt: math.Inf(-1), overloadedSince: math.Inf(1)}
 	routes := 1
 	if w.params.OwnLimits {
 		routes = w.params.Endpoints
@@ -94,10 +94,11 @@
 // capacity returns the calls per second that the partner can process now.
 func (p *partner) capacity(now float64) float64 {
 	share := 1.0
-	if p.w.params.WarmUpDuration > 0 {
-		share = min(p.w.params.ColdCapacity+(1-p.w.params.ColdCapacity)*(now-p.returnedAt)/p.w.params.WarmUpDuration, 1)
+	if p.world.params.WarmUpDuration > 0 {
+		share = min(p.world.params.ColdCapacity+
+			(1-p.world.params.ColdCapacity)*(now-p.returnedAt)/p.world.params.WarmUpDuration, 1)
 	}
-	return max(p.limit*p.w.params.Headroom*share, 0.1)
+	return max(p.limit*p.world.params.Headroom*share, 0.1)
 }
 
 // goDown takes a share of the endpoints down.
@@ -110,9 +111,9 @@
 		}
 	}
 	p.downUntil = now + length
-	p.w.queue.push(event{at: now + length, kind: evReturn, n: p.id})
-	if p.w.params.DelistsDown {
-		p.w.sendListUpdates(now, p.id)
+	p.world.queue.push(event{at: now + length, kind: evReturn, arg: p.id})
+	if p.world.params.DelistsDown {
+		p.world.sendListUpdates(now, p.id)
 	}
 }
 
@@ -128,8 +129,8 @@
 		e.down = false
 	}
 	p.downCount, p.busyUntil, p.overloadedSince = 0, now, math.Inf(1)
-	if p.w.params.DelistsDown {
-		p.w.sendListUpdates(now, p.id)
+	if p.world.params.DelistsDown {
+		p.world.sendListUpdates(now, p.id)
 	}
 }
 
@@ -137,11 +138,11 @@
 // delay until the answer is written.
 func (e *endpoint) handleCall(now float64, items int) (o policy.Outcome, requestedWait, delay float64) {
 	p := e.partner
-	p.w.countersFor(now, p).Calls++
+	p.world.countersFor(now, p).Calls++
 	n := p.lastSecond.add(now)
-	latency := p.w.latency.Rand()
+	latency := p.world.latency.Rand()
 	if e.down {
-		switch p.w.params.OutageKind {
+		switch p.world.params.OutageKind {
 		case RefusesConnections:
 			return policy.ConnectFailed, 0, 0
 		case NeverAnswers:
@@ -161,7 +162,7 @@
 	}
 	c := p.capacity(now)
 	p.busyUntil = max(p.busyUntil, now)
-	if p.busyUntil-now > p.w.params.MaxQueue {
+	if p.busyUntil-now > p.world.params.MaxQueue {
 		return policy.Full, 0, min(latency, 5)
 	}
 	p.busyUntil += 1000 / c
@@ -170,20 +171,20 @@
 
 // checkOverload lets the partner collapse if it has been overloaded for OverloadWindow.
 func (p *partner) checkOverload(now float64, lastSecond int) {
-	if p.w.params.OverloadOutage <= 0 || float64(lastSecond) <= p.w.params.OverloadMultiple*p.capacity(now) {
+	if p.world.params.OverloadOutage <= 0 || float64(lastSecond) <= p.world.params.OverloadMultiple*p.capacity(now) {
 		p.overloadedSince = math.Inf(1)
 		return
 	}
 	p.overloadedSince = min(p.overloadedSince, now)
-	if now-p.overloadedSince >= p.w.params.OverloadWindow {
+	if now-p.overloadedSince >= p.world.params.OverloadWindow {
 		p.overloads++
-		p.goDown(now, p.w.params.OverloadOutage, 1)
+		p.goDown(now, p.world.params.OverloadOutage, 1)
 	}
 }
 
 // loadReport returns the load report of an answer, nil if answers carry none.
 func (e *endpoint) loadReport() []float64 {
-	if !e.partner.w.params.ReportsLimit {
+	if !e.partner.world.params.ReportsLimit {
 		return nil
 	}
 	return []float64{0.5, e.limiter.rate}
--- a/internal/lab/world/queue.go
+++ b/internal/lab/world/queue.go
@@ -8,7 +8,7 @@
 	sender   *sender
 	call     *call
 	msg      *message
-	n        int               // token of evTimer, partner of evReturn and evList
+	arg      int               // token of evTimer, partner of evReturn and evList
 	duration float64           // of evOutage; 0: the length in Params
 	do       func(now float64) // of evFleet
 }
--- a/internal/lab/world/sender.go
+++ b/internal/lab/world/sender.go
@@ -19,7 +19,7 @@
 // sender is one sender. It passes events to its decider and its guard and executes their decisions, as internal/sender
 // does.
 type sender struct {
-	w            *World
+	world        *World
 	index        int
 	settings     policy.Settings
 	decider      decider
@@ -65,7 +65,7 @@
 
 func newSender(w *World, index int) *sender {
 	s := &sender{
-		w: w, index: index, settings: w.params.senderSettings(index), held: map[uint64]*message{}, stepAt: math.Inf(1),
+		world: w, index: index, settings: w.params.senderSettings(index), held: map[uint64]*message{}, stepAt: math.Inf(1),
 		lastStep: -1, guardDueAt: math.Inf(1), idle: map[uint32][]float64{},
 		dialPaces: map[int]*dialPace{}, calls: map[*call]bool{},
 	}
@@ -80,12 +80,12 @@
 
 // resetDecider replaces the decider and the guard by new ones without learned state.
 func (s *sender) resetDecider() {
-	p, seed := &s.w.params, s.w.rng.Uint64()
+	p, seed := &s.world.params, s.world.rng.Uint64()
 	s.module, s.guard = nil, nil
 	switch p.System {
 	case Sliptide, Fleet:
 		limits := map[int]float64{}
-		for i := range s.w.partners {
+		for i := range s.world.partners {
 			limits[i] = p.partnerLimit()
 		}
 		s.guard = storm.New(storm.SettingsFrom(&s.settings, limits), seed)
@@ -98,7 +98,7 @@
 	case RetryBudget:
 		s.decider = rivals.New(rivals.RetryBudget, s.settings, seed)
 	case Ideal:
-		s.decider = rivals.NewIdeal(s.settings, s.w)
+		s.decider = rivals.NewIdeal(s.settings, s.world)
 	}
 }
 
@@ -106,13 +106,13 @@
 // not negative.
 func (s *sender) receiveList(now float64, onlyPartner int) {
 	ev := policy.Event{Kind: policy.EvList, FullList: onlyPartner < 0}
-	for _, p := range s.w.partners {
+	for _, p := range s.world.partners {
 		if onlyPartner >= 0 && p.id != onlyPartner {
 			continue
 		}
 		for _, e := range p.endpoints {
 			l := policy.Endpoint{ID: e.id, State: policy.Ready, Dest: p.id}
-			if e.down && s.w.params.DelistsDown {
+			if e.down && s.world.params.DelistsDown {
 				l.State = policy.Gone
 			}
 			ev.List = append(ev.List, l)
@@ -128,16 +128,16 @@
 	at := max(now, s.lastStep+s.settings.MinStepInterval, s.downUntil)
 	if at < s.stepAt {
 		s.stepAt = at
-		s.w.queue.push(event{at: at, kind: evStep, sender: s})
+		s.world.queue.push(event{at: at, kind: evStep, sender: s})
 	}
 }
 
 // accept accepts or refuses a submitted message.
 func (s *sender) accept(now float64, m *message) {
-	resubmitted := s.w.params.MarksRetries && m.tries > 1
+	resubmitted := s.world.params.MarksRetries && m.submissions > 1
 	s.guard.RecordArrival(now, m.partner, m.key, resubmitted)
 	if s.downUntil > now || s.settings.MaxHeld > 0 && len(s.held) >= s.settings.MaxHeld {
-		s.w.recordRefusal(now, m, s.retryAfter(now, m, min(1000, max(s.settings.MaxRetryAfter, 1))))
+		s.world.recordRefusal(now, m, s.retryAfter(now, m, min(1000, max(s.settings.MaxRetryAfter, 1))))
 		return
 	}
 	s.nextID++
@@ -185,7 +185,7 @@
 	}
 	if at := min(s.guard.NextDue(), s.trialState.NextChange()); at < s.guardDueAt || s.guardDueAt <= now {
 		if s.guardDueAt = at; !math.IsInf(at, 1) {
-			s.w.queue.push(event{at: max(at, now+1), kind: evGuardDue, sender: s})
+			s.world.queue.push(event{at: max(at, now+1), kind: evGuardDue, sender: s})
 		}
 	}
 }
@@ -197,12 +197,12 @@
 		delete(s.dialPaces, partner)
 		return
 	}
-	d := s.dialPaces[partner]
-	if d == nil {
-		d = &dialPace{}
-		s.dialPaces[partner] = d
+	pace := s.dialPaces[partner]
+	if pace == nil {
+		pace = &dialPace{}
+		s.dialPaces[partner] = pace
 	}
-	d.interval = 1000 / perSecond
+	pace.interval = 1000 / perSecond
 }
 
 func (s *sender) execute(now float64, a *policy.Action) {
@@ -221,10 +221,10 @@
 		if a.Kind == policy.ActFail { // abandoned: the client does not resubmit it
 			return
 		}
-		s.w.recordRefusal(now, m, s.retryAfter(now, m, after))
+		s.world.recordRefusal(now, m, s.retryAfter(now, m, after))
 	case policy.ActTimer:
 		s.timerToken = a.Token
-		s.w.queue.push(event{at: now + a.After, kind: evTimer, sender: s, n: int(a.Token)})
+		s.world.queue.push(event{at: now + a.After, kind: evTimer, sender: s, arg: int(a.Token)})
 	case policy.ActCloseIdle:
 		s.closeIdle(a.Endpoint)
 	}
@@ -239,7 +239,7 @@
 		}
 	}
 	if c == nil {
-		c = &call{sender: s, incarnation: s.incarnation, endpoint: s.w.endpoints[a.Endpoint], sentAt: now}
+		c = &call{sender: s, incarnation: s.incarnation, endpoint: s.world.endpoints[a.Endpoint], sentAt: now}
 		s.newCalls = append(s.newCalls, c)
 	}
 	c.msgs, c.ids, c.attempts = append(c.msgs, m), append(c.ids, m.id), append(c.attempts, m.attempts)
@@ -256,11 +256,11 @@
 		used := idle[len(idle)-1]
 		idle = idle[:len(idle)-1]
 		s.idle[c.endpoint.id] = idle
-		if c.endpoint.down && s.w.params.OutageKind != NeverAnswers || now-used > s.settings.KeepAlive-500 {
+		if c.endpoint.down && s.world.params.OutageKind != NeverAnswers || now-used > s.settings.KeepAlive-500 {
 			c.endpoint.conns--
 			continue // closed by the partner meanwhile, which the sender has noticed
 		}
-		s.w.queue.push(event{at: now + 0.2, kind: evCallArrives, call: c})
+		s.world.queue.push(event{at: now + 0.2, kind: evCallArrives, call: c})
 		return
 	}
 	at := now
@@ -269,14 +269,14 @@
 		d.next = at + d.interval
 	}
 	if at-now >= c.timeout {
-		s.w.endCall(now, c, policy.Moot, 0, 0)
+		s.world.endCall(now, c, policy.Moot, 0, 0)
 		return
 	}
-	s.w.queue.push(event{at: at + s.w.params.DialTime, kind: evDialled, call: c})
+	s.world.queue.push(event{at: at + s.world.params.DialTime, kind: evDialled, call: c})
 }
 
 func (s *sender) closeIdle(endpoint uint32) {
-	s.w.endpoints[endpoint].conns -= len(s.idle[endpoint])
+	s.world.endpoints[endpoint].conns -= len(s.idle[endpoint])
 	delete(s.idle, endpoint)
 }
 
@@ -292,13 +292,13 @@
 	} else if c.connected {
 		c.endpoint.conns--
 	}
-	var loadReport []float64
+	var report []float64
 	if c.outcome == policy.OK || c.outcome == policy.Full || c.outcome == policy.Error {
-		loadReport = c.endpoint.loadReport()
+		report = c.endpoint.loadReport()
 	}
 	for i, m := range c.msgs {
-		e := policy.Event{Kind: policy.EvOutcome, ID: c.ids[i], Endpoint: c.endpoint.id, Attempt: c.attempts[i], Outcome: c.outcome,
-			RequestedWait: c.requestedWait, Latency: now - c.sentAt, Report: loadReport}
+		e := policy.Event{Kind: policy.EvOutcome, ID: c.ids[i], Endpoint: c.endpoint.id, Attempt: c.attempts[i],
+			Outcome: c.outcome, RequestedWait: c.requestedWait, Latency: now - c.sentAt, Report: report}
 		s.events = append(s.events, e)
 		s.guard.RecordOutcome(now, &e)
 		s.reportFailure(now, c.endpoint.partner.id, &e)
@@ -310,7 +310,7 @@
 		}
 		if c.outcome == policy.OK {
 			s.release(now, m)
-			s.w.recordDelivery(now, m)
+			s.world.recordDelivery(now, m)
 		} else if !c.outcome.NeverRan() && !m.mayHaveRun {
 			m.mayHaveRun, m.mayHaveRunAt = true, c.sentAt
 		}
@@ -323,14 +323,14 @@
 func (s *sender) restart(now, downtime float64) {
 	var facts []policy.DestFacts
 	if s.module != nil {
-		for _, p := range s.w.partners {
+		for _, p := range s.world.partners {
 			if f, ok := s.module.Facts(p.id); ok {
 				facts = append(facts, f)
 			}
 		}
 	}
-	if s.w.fleet != nil {
-		s.w.fleet.expireSession(now, s.session)
+	if s.world.fleet != nil {
+		s.world.fleet.expireSession(now, s.session)
 		s.session = 0
 	}
 	s.incarnation++
@@ -355,8 +355,8 @@
 	}
 	clear(s.dialPaces)
 	s.resetDecider()
-	if s.w.fleet != nil {
-		s.w.fleet.openSession(now+downtime, s)
+	if s.world.fleet != nil {
+		s.world.fleet.openSession(now+downtime, s)
 	}
 	s.guard.Restore(now+downtime, facts)
 	s.stepAt, s.guardDueAt = math.Inf(1), math.Inf(1)
--- a/internal/lab/world/world.go
+++ b/internal/lab/world/world.go
@@ -28,7 +28,7 @@
 	Delivered       int
 	Retries         int
 	Refusals        int
-	RunTwice        int                     // messages that ran more than once
+	RanTwice        int                     // messages that ran more than once
 	Overloads       int                     // overload collapses, over all partners
 	Limit           float64                 // of partner 0, at the end of the run
 	AffectedLatency *hdrhistogram.Histogram // of messages to partner 0
@@ -122,7 +122,7 @@
 			e.sender.step(now)
 		}
 	case evTimer:
-		if uint32(e.n) == e.sender.timerToken {
+		if uint32(e.arg) == e.sender.timerToken {
 			e.sender.events = append(e.sender.events, policy.Event{Kind: policy.EvTimer, Token: e.sender.timerToken})
 			e.sender.scheduleStep(now)
 		}
@@ -142,9 +142,9 @@
 		}
 		w.partners[0].goDown(now, length, w.params.OutageShare)
 	case evReturn:
-		w.partnerReturns(now, w.partners[e.n])
+		w.partnerReturns(now, w.partners[e.arg])
 	case evList:
-		e.sender.receiveList(now, e.n)
+		e.sender.receiveList(now, e.arg)
 	case evFleet:
 		e.do(now)
 	case evRestart:
@@ -174,7 +174,7 @@
 // sendListUpdates sends the endpoint list of a partner to each sender, with a random delay for each.
 func (w *World) sendListUpdates(now float64, partner int) {
 	for _, s := range w.senders {
-		w.queue.push(event{at: now + w.rng.Float64()*w.params.MaxListDelay, kind: evList, sender: s, n: partner})
+		w.queue.push(event{at: now + w.rng.Float64()*w.params.MaxListDelay, kind: evList, sender: s, arg: partner})
 	}
 }
 
@@ -204,7 +204,7 @@
 	if o == policy.OK {
 		for _, m := range c.msgs {
 			if m.runs++; m.runs == 2 {
-				w.result.RunTwice++
+				w.result.RanTwice++
 			}
 		}
 	}
--- a/internal/lab/world/world_test.go
+++ b/internal/lab/world/world_test.go
@@ -12,12 +12,12 @@
 	return Params{System: Sliptide, Senders: 3, Partners: 1, Endpoints: 1, Load: 140, Limit: 200, Headroom: 1.25, MaxQueue: 2000,
 		Latency: 30, LatencySigma: 0.3, AnnouncedWarmUp: 9000, WarmUpDuration: 9000, ColdCapacity: 0.25, OverloadMultiple: 1.5,
 		OverloadWindow: 3000, DialTime: 1, BeforeOutage: 5000, Outage: 15000, OutageShare: 1, OutageKind: RefusesConnections,
-		AfterOutage: 14000, MaxTries: 3, HonourShare: 0.5, ImmediateRetryDelay: 50, MarksRetries: true, ReturnBurst: 1,
+		AfterOutage: 14000, MaxSubmissions: 3, HonourShare: 0.5, ImmediateRetryDelay: 50, MarksRetries: true, ReturnBurst: 1,
 		Deadline: 20000, Aim: 4000, CallSlots: 20, MaxHeld: 200, MaxRetryAfter: 5000, Batch: 1, MaxListDelay: 1000}
 }
 
-// callsAfterReturn returns, for the first eleven seconds after the return, the number of seconds with more calls than the
-// limit, the calls of the busiest second, and all calls.
+// callsAfterReturn returns, for the first eleven seconds after the return, the number of seconds with more calls than
+// the limit, the calls of the busiest second, and all calls.
 func callsAfterReturn(p Params, r *Run) (secondsOver, maxCalls, calls int) {
 	back := int(p.ReturnTime() / 1000)
 	for i := back; i < back+11; i++ {
@@ -77,9 +77,10 @@
 			change(&p)
 			for seed := range uint64(3) {
 				r := New(p, seed).Run(nil)
-				n, most, calls := callsAfterReturn(p, r)
-				if n > 0 {
-					t.Errorf("seed %d: %d seconds exceed the limit of %v calls, the worst with %d calls", seed, n, r.Limit, most)
+				secondsOver, maxCalls, calls := callsAfterReturn(p, r)
+				if secondsOver > 0 {
+					t.Errorf("seed %d: %d seconds exceed the limit of %v calls, the worst with %d calls",
+						seed, secondsOver, r.Limit, maxCalls)
 				}
 				if calls < int(r.Limit) {
 					t.Errorf("seed %d: %d calls in the first eleven seconds, want at least %v", seed, calls, int(r.Limit))
@@ -107,7 +108,8 @@
 				done += s.Delivered
 			}
 			if float64(done)/4 < 0.95*p.Load {
-				t.Errorf("%+v, seed %d: %.0f messages delivered per second from the tenth second on, load %v", row, seed, float64(done)/4, p.Load)
+				t.Errorf("%+v, seed %d: %.0f messages delivered per second from the tenth second on, load %v",
+					row, seed, float64(done)/4, p.Load)
 			}
 		}
 	}
@@ -126,12 +128,12 @@
 	}
 	p = baseParams()
 	p.System, p.Senders = ModuleOnly, 30
-	worst := 0
+	maxSecondsOver := 0
 	for seed := range uint64(6) {
 		n, _, _ := callsAfterReturn(p, New(p, seed).Run(nil))
-		worst = max(worst, n)
+		maxSecondsOver = max(maxSecondsOver, n)
 	}
-	if worst == 0 {
+	if maxSecondsOver == 0 {
 		t.Error("the module without a guard stays within the limit with 30 senders and six seeds")
 	}
 }
@@ -140,15 +142,16 @@
 func TestStormDoesNotSlowOtherPartners(t *testing.T) {
 	p := baseParams()
 	p.Partners, p.Load, p.Limit = 5, 200, 100
-	calm := p
-	calm.Outage = 0
-	var with, without int64
+	withoutOutage := p
+	withoutOutage.Outage = 0
+	var withOutageP99, withoutOutageP99 int64
 	for seed := range uint64(5) {
-		with += New(p, seed).Run(nil).OtherLatency.ValueAtQuantile(99)
-		without += New(calm, seed).Run(nil).OtherLatency.ValueAtQuantile(99)
+		withOutageP99 += New(p, seed).Run(nil).OtherLatency.ValueAtQuantile(99)
+		withoutOutageP99 += New(withoutOutage, seed).Run(nil).OtherLatency.ValueAtQuantile(99)
 	}
-	if math.Abs(float64(with-without)) > 0.05*float64(without) {
-		t.Errorf("p99 latency of the other partners, summed over five seeds: %d ms with the outage, %d ms without", with, without)
+	if math.Abs(float64(withOutageP99-withoutOutageP99)) > 0.05*float64(withoutOutageP99) {
+		t.Errorf("p99 latency of the other partners, summed over five seeds: %d ms with the outage, %d ms without",
+			withOutageP99, withoutOutageP99)
 	}
 }
 
@@ -166,7 +169,7 @@
 			}
 			held += len(n.held)
 		}
-		if r.Delivered == 0 || r.Delivered+held > r.Submitted+r.RunTwice {
+		if r.Delivered == 0 || r.Delivered+held > r.Submitted+r.RanTwice {
 			t.Errorf("%s: %d messages delivered and %d held, of %d submitted", sys, r.Delivered, held, r.Submitted)
 		}
 	}
@@ -195,13 +198,13 @@
 func TestQueueOrder(t *testing.T) {
 	var q queue
 	for i := range 1000 {
-		q.push(event{at: float64((i * 7919) % 100), n: i})
+		q.push(event{at: float64((i * 7919) % 100), arg: i})
 	}
 	last := event{at: -1}
 	for len(q.heap) > 0 {
 		e := q.pop()
-		if e.at < last.at || e.at == last.at && e.n < last.n {
-			t.Fatalf("event %d at %v follows event %d at %v", e.n, e.at, last.n, last.at)
+		if e.at < last.at || e.at == last.at && e.arg < last.arg {
+			t.Fatalf("event %d at %v follows event %d at %v", e.arg, e.at, last.arg, last.at)
 		}
 		last = e
 	}
