--- a/cmd/sliptide/admin_test.go
+++ b/cmd/sliptide/admin_test.go
@@ -176,7 +176,7 @@
 	r.config["discovery"] = "127.0.0.1:9"
 	r.writeConfig()
 	r.proc.Process.Signal(syscall.SIGHUP)
-	r.awaitLog("the new configuration is of no use")
+	r.awaitLog("the new configuration is invalid")
 	r.config["discovery"] = good
 	if status := r.submitWithClass("early", "urgent"); status != 400 {
 		t.Errorf("a class of a broken file: %d", status)
--- a/cmd/sliptide/fleet.go
+++ b/cmd/sliptide/fleet.go
@@ -23,24 +23,24 @@
 	"sliptide/internal/statedir"
 )
 
-// membership is this sender in its fleet. A nil one is none: the part is off. An heir joins only when the version
-// before has left: the two are one member.
+// membership connects this sender to its fleet. It is nil if the fleet is disabled. The successor in an upgrade joins
+// only after its predecessor has left, since both are the same member.
 type membership struct {
-	set   fleet.Settings
-	files fsys.FS
-	room  *statedir.Account
-	log   zerolog.Logger
-	snd   *sender.Sender
-	keep  operator.Copies
-	space *statedir.Space
+	settings fleet.Settings
+	files    fsys.FS
+	account  *statedir.Account
+	log      zerolog.Logger
+	sender   *sender.Sender
+	copies   operator.Copies
+	space    *statedir.Space
 
 	mu     sync.Mutex
 	member *fleet.Member
-	left   bool
+	closed bool
 }
 
-// newMembership checks the fleet's settings against this sender's name, and gives the sender its part in the
-// trials that the fleet shares.
+// newMembership builds the member's settings from the operators' file. It returns nil if the fleet is disabled, and an
+// error if the file lists no member of this sender's name.
 func newMembership(cfg *config.Config, op *operator.File, space *statedir.Space, log zerolog.Logger) (*membership, error) {
 	f := &op.Fleet
 	if !f.Enabled {
@@ -49,145 +49,153 @@
 	if !f.Has(cfg.Name) {
 		return nil, fmt.Errorf("%w: fleet: RELAY_NAME is %q, which is no <member>", cli.ErrConfig, cfg.Name)
 	}
-	m := &membership{keep: f.Copies, space: space, files: fsys.OS{Dir: cfg.State}, room: space.Account(), log: log}
-	m.set = fleet.Settings{Name: cfg.Name, Listen: f.Listen, Members: peers(f), MinVoters: f.Minimum, Weight: uint32(f.Weight),
+	m := &membership{copies: f.Copies, space: space, files: fsys.OS{Dir: cfg.State}, account: space.Account(), log: log}
+	m.settings = fleet.Settings{Name: cfg.Name, Listen: f.Listen, Members: peers(f),
+		MinVoters: f.Minimum, Weight: uint32(f.Weight),
 		Terms: lease.Params{Length: f.Duties.Lease, Drift: f.Duties.Drift}, ElectionTimeout: f.Duties.Election, Hash: f.Hash()}
-	if m.set.MinVoters == 0 {
-		m.set.MinVoters = len(f.Voters())
+	if m.settings.MinVoters == 0 {
+		m.settings.MinVoters = len(f.Voters())
 	}
 	if f.Cert != "" {
-		cfg, warnings, err := keys.Load(keys.Files{CA: f.CA, Cert: f.Cert, Key: f.Key}, time.Now())
+		tlsConfig, warnings, err := keys.Load(keys.Files{CA: f.CA, Cert: f.Cert, Key: f.Key}, time.Now())
 		if err != nil {
 			return nil, fmt.Errorf("%w: fleet: %w", cli.ErrConfig, err)
 		}
-		warn(log, warnings)
-		m.set.Client = cfg
-		m.set.Server = &tls.Config{MinVersion: tls.VersionTLS12, Certificates: cfg.Certificates, ClientCAs: cfg.RootCAs, ClientAuth: tls.RequireAndVerifyClientCert}
+		logCertificateWarnings(log, warnings)
+		m.settings.Client = tlsConfig
+		m.settings.Server = &tls.Config{MinVersion: tls.VersionTLS12, Certificates: tlsConfig.Certificates,
+			ClientCAs: tlsConfig.RootCAs, ClientAuth: tls.RequireAndVerifyClientCert}
 	}
 	return m, nil
 }
 
-func peers(f *operator.Fleet) (list []fleet.Peer) {
+func peers(f *operator.Fleet) (members []fleet.Peer) {
 	for _, m := range f.Members {
-		list = append(list, fleet.Peer(m))
+		members = append(members, fleet.Peer(m))
 	}
-	return list
+	return members
 }
 
-// bind gives the sender its part in the fleet's trials, before it runs.
+// bind connects the sender to the fleet, with copies and shared trials as enabled. It is called before the sender runs.
 func (m *membership) bind(snd *sender.Sender, op *operator.File, senders int) {
 	if m == nil {
 		return
 	}
-	m.snd = snd
+	m.sender = snd
 	snd.SetFleet(m)
 	if c := op.Fleet.Copies; c.Enabled {
-		self, _ := m.set.Self()
-		set := sender.CopySettings{Name: m.set.Name, Zone: self.Zone, Count: c.Count, Required: c.Needed, Timeout: c.Patience, AcceptUncopied: c.Take, RequiredByClass: map[string]int{}}
-		for _, k := range c.Classes {
-			set.RequiredByClass[k.Name] = k.Needed
+		self, _ := m.settings.Self()
+		settings := sender.CopySettings{Name: m.settings.Name, Zone: self.Zone, Count: c.Count, Required: c.Needed,
+			Timeout: c.Patience, AcceptUncopied: c.Take, RequiredByClass: map[string]int{}}
+		for _, class := range c.Classes {
+			settings.RequiredByClass[class.Name] = class.Needed
 		}
-		snd.EnableCopies(m, set)
+		snd.EnableCopies(m, settings)
 	}
 	if op.Fleet.Trials.Enabled {
-		snd.ShareTrials(m, trial.Settings{Senders: senders, SilenceTimeoutMS: float64(op.Fleet.Trials.Bound) / float64(time.Millisecond)})
+		snd.ShareTrials(m, trial.Settings{Senders: senders,
+			SilenceTimeoutMS: float64(op.Fleet.Trials.Bound) / float64(time.Millisecond)})
 	}
 }
 
-// join makes this process the member. What fails leaves the sender as it is without a fleet, but for a folder that
-// is another member's, which must not be used at all.
+// join makes this process the member. It does nothing if this process has joined or left already. The error may be
+// that the state directory belongs to another member; the sender must not use it then.
 func (m *membership) join() error {
 	if m == nil {
 		return nil
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.left || m.member != nil {
+	if m.closed || m.member != nil {
 		return nil
 	}
-	addr := m.set.Listen
-	if self, known := m.set.Self(); known && addr == "" {
+	addr := m.settings.Listen
+	if self, known := m.settings.Self(); known && addr == "" {
 		addr = self.Addr
 	}
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
 		return fmt.Errorf("fleet: listen: %w", err)
 	}
-	o := fleet.Options{Settings: m.set, Files: m.files, Account: m.room, Log: m.log, DutyChanged: m.heard}
-	if m.keep.Enabled {
-		o.CopyQuota, o.CopyAccount, o.ReceiveCopyReply, o.ViewChanged, o.CopyStatus = m.keep.Room, m.space.Account(), m.snd.ReceiveCopyFrame, m.snd.Wake, m.snd.CopyStatus
+	opts := fleet.Options{Settings: m.settings, Files: m.files, Account: m.account, Log: m.log, DutyChanged: m.dutyChanged}
+	if m.copies.Enabled {
+		opts.CopyQuota, opts.CopyAccount, opts.ReceiveCopyReply, opts.ViewChanged, opts.CopyStatus =
+			m.copies.Room, m.space.Account(), m.sender.ReceiveCopyFrame, m.sender.Wake, m.sender.CopyStatus
 	}
-	m.member, err = fleet.Open(o, ln)
+	m.member, err = fleet.Open(opts, ln)
 	if err != nil {
 		return errors.Join(err, ln.Close())
 	}
 	return nil
 }
 
-func (m *membership) heard(d *pb.Duty, mine bool) {
-	m.snd.UpdateDuty(d.Name, trial.Update{Holder: d.Holder, HeldLocally: mine, Word: d.Word})
+func (m *membership) dutyChanged(d *pb.Duty, heldLocally bool) {
+	m.sender.UpdateDuty(d.Name, trial.Update{Holder: d.Holder, HeldLocally: heldLocally, Word: d.Word})
 }
 
-// stays reports whether the member is to be left only when its sender has: what it holds is copied until then.
-func (m *membership) stays() bool { return m != nil && m.keep.Enabled }
+// outlivesSender reports whether the member must leave only after its sender has exited: with copies enabled, the
+// sender's journal is copied until then.
+func (m *membership) outlivesSender() bool { return m != nil && m.copies.Enabled }
 
-// abandon ends this process's part without a word, for the next process of the same folder to go on in its place.
-func (m *membership) abandon() { m.last().Abandon() }
+// abandon ends the membership of this process without notifying the fleet, so that the next process on the same state
+// directory continues in its place.
+func (m *membership) abandon() { m.stopJoining().Abandon() }
 
-// last is the member, nil if there is none; no further one is made.
-func (m *membership) last() *fleet.Member {
+// stopJoining makes later calls of join do nothing, and returns the member, or nil if this process has not joined.
+func (m *membership) stopJoining() *fleet.Member {
 	if m == nil {
 		return nil
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.left = true
+	m.closed = true
 	return m.member
 }
 
-// leave gives up what is held and leaves the fleet; a later join does nothing.
-func (m *membership) leave() { m.last().Close() }
+// leave releases all duties and leaves the fleet. A later join does nothing.
+func (m *membership) leave() { m.stopJoining().Close() }
 
-func (m *membership) get() *fleet.Member {
+// joined returns the member, or nil if this process has not joined.
+func (m *membership) joined() *fleet.Member {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.member
 }
 
-// retune takes the members of an operators' file that was read again.
-func (m *membership) retune(op *operator.File) {
+// updateMembers applies the member list of a reloaded operators' file.
+func (m *membership) updateMembers(op *operator.File) {
 	if m != nil && op.Fleet.Enabled {
-		m.get().SetMembers(peers(&op.Fleet))
+		m.joined().SetMembers(peers(&op.Fleet))
 	}
 }
 
-// Request implements sender.Fleet, as the others below.
+// Request implements sender.Fleet. Before the member has joined, it and the methods below do nothing.
 func (m *membership) Request(duty, zone string) {
-	if f := m.get(); f != nil {
+	if f := m.joined(); f != nil {
 		f.Request(duty, zone)
 	}
 }
 
 // Release implements sender.Fleet.
 func (m *membership) Release(duty string, end bool) {
-	if f := m.get(); f != nil {
+	if f := m.joined(); f != nil {
 		f.Release(duty, end)
 	}
 }
 
 // Publish implements sender.Fleet.
 func (m *membership) Publish(duty, word string) {
-	if f := m.get(); f != nil {
+	if f := m.joined(); f != nil {
 		f.Publish(duty, word)
 	}
 }
 
 // Token implements sender.Fleet.
-func (m *membership) Token(duty string) uint64 { return m.get().Token(duty) }
+func (m *membership) Token(duty string) uint64 { return m.joined().Token(duty) }
 
-// View implements sender.CopyFleet, as the others below.
+// View implements sender.CopyFleet. Before the member has joined, the view is empty.
 func (m *membership) View() *fleet.View {
-	if f := m.get(); f != nil {
+	if f := m.joined(); f != nil {
 		return f.View()
 	}
 	return &fleet.View{}
@@ -195,28 +203,28 @@
 
 // SendCopy implements sender.CopyFleet.
 func (m *membership) SendCopy(to string, f *pb.Frame) {
-	if member := m.get(); member != nil {
+	if member := m.joined(); member != nil {
 		member.SendCopy(to, f)
 	}
 }
 
 // Propose implements sender.CopyFleet.
 func (m *membership) Propose(c *pb.Command, done func(*pb.Answer, error)) {
-	if f := m.get(); f != nil {
+	if f := m.joined(); f != nil {
 		f.Propose(c, done)
 	}
 }
 
 // Incarnation implements sender.CopyFleet.
 func (m *membership) Incarnation() uint64 {
-	if f := m.get(); f != nil {
+	if f := m.joined(); f != nil {
 		return f.Incarnation()
 	}
 	return 0
 }
 
 // HeldDuties implements sender.Fleet.
-func (m *membership) HeldDuties() int { return m.get().HeldDuties() }
+func (m *membership) HeldDuties() int { return m.joined().HeldDuties() }
 
 // Live implements sender.Fleet.
-func (m *membership) Live() bool { return m.get().Live() }
+func (m *membership) Live() bool { return m.joined().Live() }
--- a/cmd/sliptide/main.go
+++ b/cmd/sliptide/main.go
@@ -1,6 +1,5 @@
-// Command sliptide is one sender: it takes messages from clients, keeps them in
-// its journal, and delivers them to endpoints as the decision module decides. Its
-// sub-commands show what a sender keeps (internal/cli).
+// Command sliptide runs one sender: it accepts messages from clients, journals them, and delivers them to endpoints
+// as the decision module (package policy) decides. Its sub-commands inspect a sender's files (internal/cli).
 package main
 
 import (
--- a/cmd/sliptide/run.go
+++ b/cmd/sliptide/run.go
@@ -37,64 +37,65 @@
 )
 
 const (
-	clientsCome = 500 * time.Millisecond // after a SIGTERM, new connections still come so long
-	leaveBy     = 3200 * time.Millisecond
-	knowBy      = 200 * time.Millisecond // the last snapshot may take so long,
-	telemetryBy = 200 * time.Millisecond // and the last traces
-	closeBy     = 100 * time.Millisecond // and the last records of the journal
-	startFor    = 15 * time.Second       // what fails for a moment is tried so long at a start,
-	readFor     = 2 * time.Second        // and configuration files that can't be read
-	spareFiles  = 32                     // descriptors that are no clients' or endpoints' connections
+	listenerCloseDelay    = 500 * time.Millisecond  // after SIGTERM; new connections still arrive for that long
+	shutdownTimeout       = 3200 * time.Millisecond // for clients and calls in progress
+	snapshotTimeout       = 200 * time.Millisecond  // for the last knowledge snapshot
+	telemetryFlushTimeout = 200 * time.Millisecond  // for the last traces and metrics
+	journalFlushTimeout   = 100 * time.Millisecond  // for the last records of the journal
+	startRetryTimeout     = 15 * time.Second        // for operations that fail transiently at startup
+	configReadTimeout     = 2 * time.Second         // for configuration files that can't be read at the moment
+	reservedFDs           = 32                      // descriptors other than connections of clients and endpoints
 
-	// Connections to endpoints: several for each call that may be out, and some that stand idle.
-	callsForSlot = 4
-	idleCalls    = 64
+	// connsPerCallSlot and maxIdleConns determine the number of connections to endpoints: several for each concurrent
+	// call, and some idle ones.
+	connsPerCallSlot = 4
+	maxIdleConns     = 64
 
-	clientBytes = 24 << 10 // what a client's connection takes, with its goroutine
+	bytesPerClientConn = 24 << 10 // memory of a client's connection, with its goroutine
 )
 
-// run runs a sender until SIGTERM. operatorFile may be empty.
+// run runs a sender until SIGTERM or SIGINT. operatorFile is the path of the operators' file; it may be empty.
 func run(operatorFile string) error {
 	stop := make(chan os.Signal, 1)
 	signal.Notify(stop, syscall.SIGTERM, os.Interrupt)
-	hup := make(chan os.Signal, 1) // or the run time would end the process on it
+	hup := make(chan os.Signal, 1) // the default action of SIGHUP would end the process
 	signal.Notify(hup, syscall.SIGHUP)
-	cfg, op, err := configure(operatorFile, config.Load)
+	cfg, op, err := loadConfig(operatorFile, config.Load)
 	if err != nil {
 		return fmt.Errorf("%w: %w", cli.ErrConfig, err)
 	}
-	limit(cfg.Limits)
-	debug.FreeOSMemory() // what reading the command line has left behind: on the leanest day 32 MB are all
+	setRuntimeLimits(cfg.Limits)
+	debug.FreeOSMemory() // garbage of start-up counts where the whole process has 32 MB
 	log := zerolog.New(os.Stderr).With().Timestamp().Str("sender", cfg.Name).Logger()
 
-	book := partners.New(time.Now)
-	warnings, err := book.Load(op.Partners)
+	registry := partners.New(time.Now)
+	warnings, err := registry.Load(op.Partners)
 	if err != nil {
 		return fmt.Errorf("%w: %w", cli.ErrConfig, err)
 	}
-	warn(log, warnings)
-	var place *place
-	err = transient.Retry(startFor, transient.IsDiskError, func() (err error) {
-		place, err = takePlace(cfg.State, cfg.Listen, log)
+	logCertificateWarnings(log, warnings)
+	var dirLocks *stateDirLocks
+	err = transient.Retry(startRetryTimeout, transient.IsDiskError, func() (err error) {
+		dirLocks, err = lockStateDir(cfg.State, cfg.Listen, log)
 		return err
 	})
 	if err != nil {
 		return err
 	}
-	defer place.release()
+	defer dirLocks.release()
 	space := statedir.NewSpace(cfg.Limits.DiskBytes)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	clock := startClock(ctx, cfg.State, space, log)
-	room := space.Account()
-	memory := &memoryBox{}
-	jr, restored, err := openJournal(cfg, op, place, space, room, clock, memory, log)
+	journalAccount := space.Account()
+	knowledge := &knowledgeRef{}
+	jrnl, restored, err := openJournal(cfg, op, dirLocks, space, journalAccount, clock, knowledge, log)
 	if err != nil {
 		return err
 	}
-	var kept *admin.Kept
-	err = transient.Retry(startFor, transient.IsDiskError, func() (err error) {
-		kept, err = admin.Open(fsys.ForDir(cfg.State))
+	var disabled *admin.Kept
+	err = transient.Retry(startRetryTimeout, transient.IsDiskError, func() (err error) {
+		disabled, err = admin.Open(fsys.ForDir(cfg.State))
 		return err
 	})
 	if err != nil {
@@ -102,7 +103,7 @@
 	}
 	space.Account().Claim(admin.Room)
 	var ln net.Listener
-	err = transient.Retry(startFor, transient.IsResourceError, func() (err error) {
+	err = transient.Retry(startRetryTimeout, transient.IsResourceError, func() (err error) {
 		ln, err = listen(cfg.Listen)
 		return err
 	})
@@ -110,63 +111,66 @@
 		return fmt.Errorf("RELAY_LISTEN: %w", err)
 	}
 
-	// The sender and what it speaks with refer to each other: its calls are bound below.
+	// The sender and its collaborators refer to each other, so snd is set after the first of them exist.
 	var snd *sender.Sender
 	notices := discovery.NewNoticeQueue(cfg.Discovery, log, func(nums []uint64) { snd.AckNotices(nums) })
-	sockets := cfg.Limits.Sockets - spareFiles
-	// The rest is for clients: many may hold a connection and say nothing.
-	calls := min(sockets*2/5, idleCalls+callsForSlot*cfg.Settings.CallSlots)
+	sockets := cfg.Limits.Sockets - reservedFDs
+	// The remaining descriptors are for clients, many of which may hold an idle connection.
+	maxEndpointConns := min(sockets*2/5, maxIdleConns+connsPerCallSlot*cfg.Settings.CallSlots)
 	pipe, err := openTelemetry(cfg, op.Telemetry, clock, log)
 	if err != nil {
 		return fmt.Errorf("%w: telemetry: %w", cli.ErrConfig, err)
 	}
 	snd = sender.New(sender.Options{
-		Settings: cfg.Settings, Seed: cfg.Seed, MaxConns: calls,
-		Journal: jr, Restored: restored, Notify: notices.Post, Knowledge: memory.get().Knowledge, Clock: clock, Log: log,
-		Partner: book.Lookup, HTTP2Streams: partners.StreamsPerConn, StormGuard: guard(cfg, op.Storms), Recorder: pipe.Records(), LogRecords: op.Log.Records,
-		Disabled: kept.Out(), Successor: place.waiting(),
+		Settings: cfg.Settings, Seed: cfg.Seed, MaxConns: maxEndpointConns,
+		Journal: jrnl, Restored: restored, Notify: notices.Post, Knowledge: knowledge.get().Knowledge, Clock: clock, Log: log,
+		Partner: registry.Lookup, HTTP2Streams: partners.StreamsPerConn, StormGuard: newStormGuard(cfg, op.Storms),
+		Recorder: pipe.Records(), LogRecords: op.Log.Records,
+		Disabled: disabled.Out(), Successor: dirLocks.waiting(),
 	})
-	team, err := newMembership(cfg, op, space, log)
+	member, err := newMembership(cfg, op, space, log)
 	if err != nil {
 		return err
 	}
-	team.bind(snd, op, cfg.Settings.Senders)
-	kept.Bind(snd.SetDisabled)
-	go kept.Follow(ctx, snd.ApplyDisabled, log)
-	listed := make(chan struct{}, 1)
+	member.bind(snd, op, cfg.Settings.Senders)
+	disabled.Bind(snd.SetDisabled)
+	go disabled.Follow(ctx, snd.ApplyDisabled, log)
+	listReceived := make(chan struct{}, 1)
 	source, err := openSource(cfg, op, snd, log, func() {
 		select {
-		case listed <- struct{}{}:
+		case listReceived <- struct{}{}:
 		default:
 		}
 	})
 	if err != nil {
 		return err
 	}
-	server := intake.New(&cfg.Settings, snd, clientRoom(sockets-calls, cfg.Limits), log)
+	server := intake.New(&cfg.Settings, snd, maxClientConns(sockets-maxEndpointConns, cfg.Limits), log)
 	if cfg.Admin != "" {
-		aln, err := net.Listen("tcp", cfg.Admin)
+		adminListener, err := net.Listen("tcp", cfg.Admin)
 		if err != nil {
 			return fmt.Errorf("RELAY_ADMIN: %w", err)
 		}
-		defer aln.Close()
-		calls := admin.Calls{Ready: server.Available, Disable: kept.Disable, Enable: kept.Enable, Drain: server.Drain, Undrain: server.Undrain}
-		go admin.New(calls, log).Serve(aln)
+		defer adminListener.Close()
+		calls := admin.Calls{Ready: server.Available, Disable: disabled.Disable, Enable: disabled.Enable,
+			Drain: server.Drain, Undrain: server.Undrain}
+		go admin.New(calls, log).Serve(adminListener)
 	}
-	go reload(ctx, hup, log, operatorFile, book, func(cfg *config.Config, op *operator.File) {
+	go reload(ctx, hup, log, operatorFile, registry, func(cfg *config.Config, op *operator.File) {
 		source.SetAddr(cfg.Discovery)
 		notices.SetAddr(cfg.Discovery)
-		memory.get().Writer.UpdateSettings(op.Knowledge)
+		knowledge.get().Writer.UpdateSettings(op.Knowledge)
 		snd.UpdateSettings(cfg.Settings)
-		team.retune(op)
+		member.updateMembers(op)
 	})
-	if k := memory.get().Writer; k != nil {
-		go k.Run()
-	}
-	if place.waiting() {
-		h := &heir{place: place, cfg: cfg, op: op, space: space, room: room, clock: clock, log: log, snd: snd, kept: kept, memory: memory, team: team}
-		go h.takeOver()
-	} else if err := team.join(); err != nil {
+	if writer := knowledge.get().Writer; writer != nil {
+		go writer.Run()
+	}
+	if dirLocks.waiting() {
+		next := &successor{dirLocks: dirLocks, cfg: cfg, op: op, space: space, journalAccount: journalAccount, clock: clock,
+			log: log, sender: snd, disabled: disabled, knowledge: knowledge, member: member}
+		go next.takeOver()
+	} else if err := member.join(); err != nil {
 		return err
 	}
 	go snd.Run()
@@ -175,136 +179,141 @@
 	go server.Serve(ln)
 	log.Info().Int("restored", len(restored)).Str("listen", cfg.Listen).Str("discovery", cfg.Discovery).Msg("started")
 
-	patience := time.NewTimer(op.Ready.Patience)
-	defer patience.Stop()
+	readyTimer := time.NewTimer(op.Ready.Patience)
+	defer readyTimer.Stop()
 	select {
-	case <-listed: // the list is at hand, and the journal is replayed
+	case <-listReceived: // the first list has arrived, and the journal is replayed
 		server.SetReady()
 		<-stop
-	case <-patience.C:
+	case <-readyTimer.C:
 		log.Warn().Dur("after", op.Ready.Patience).Msg("ready without a list of endpoints")
 		server.SetReady()
 		<-stop
 	case <-stop:
 	}
-	away := make(chan struct{})
-	upgraded := !place.waiting() && statedir.SuccessorWaiting(cfg.State)
-	go func() { // what it holds is handed on at once, while its own calls still end
-		defer close(away)
-		if team.stays() {
+	fleetLeft := make(chan struct{})
+	handingOver := !dirLocks.waiting() && statedir.SuccessorWaiting(cfg.State)
+	go func() { // releases the fleet's duties at once, while calls of this sender still end
+		defer close(fleetLeft)
+		if member.outlivesSender() {
 			<-snd.Done()
 		}
-		if upgraded {
-			team.abandon()
+		if handingOver {
+			member.abandon()
 		} else {
-			team.leave()
+			member.leave()
 		}
 	}()
-	if upgraded {
-		log.Info().Msg("a new version waits: handing over")
+	if handingOver {
+		log.Info().Msg("a successor is waiting: handing over")
 		handOver(server, snd, ln)
 	} else {
 		shutdown(server, snd, ln)
 	}
-	<-away
-	m := memory.get()
-	m.close()
+	<-fleetLeft
+	latest := knowledge.get()
+	latest.close()
 	closeTelemetry(pipe)
-	flushed := transient.Retry(closeBy, transient.IsDiskError, jr.Flush) // Close tries once, and lets go of the file
-	if err := errors.Join(flushed, jr.Close()); err != nil {             // what it can't note is in doubt to the next life
-		log.Error().Err(err).Msg("the journal's last records are not written")
+	// Close tries to write only once. After a restart, messages whose last records are missing may have run.
+	flushed := transient.Retry(journalFlushTimeout, transient.IsDiskError, jrnl.Flush)
+	if err := errors.Join(flushed, jrnl.Close()); err != nil {
+		log.Error().Err(err).Msg("writing the last records of the journal failed")
 	}
 	log.Info().Msg("stopped")
 	return nil
 }
 
-// startClock starts the sender's clock where its timeline in the folder goes on, whatever has become of the wall clock
-// since an earlier life. A folder that can't be written to for a while delays nothing.
+// startClock starts the sender's clock on the timeline that is kept in the state directory, which continues across
+// restarts even if the wall clock was stepped. A directory that can't be written to doesn't delay the start.
 func startClock(ctx context.Context, dir string, space *statedir.Space, log zerolog.Logger) sender.Clock {
 	space.Account().Claim(timeline.DiskBytes)
 	reading, err := timeline.Read(sender.WallClock())
 	if err != nil {
-		log.Warn().Err(err).Msg("the wall clock is taken for the time")
+		log.Warn().Err(err).Msg("reading the system clocks failed; starting the clock at the wall clock's time")
 		return sender.NewClockAt(reading.Wall)
 	}
 	files := fsys.ForDir(dir)
 	start, anchor, err := timeline.Start(files, reading)
 	if err != nil {
-		log.Warn().Err(err).Msg("the timeline of an earlier life is of no use")
+		log.Warn().Err(err).Msg("the timeline of an earlier run cannot be used")
 	}
 	if anchor == nil {
 		return sender.NewClockAt(start)
 	}
 	if err := timeline.Save(files, anchor); err != nil {
-		log.Warn().Err(err).Msg("the timeline is not kept, trying again")
+		log.Warn().Err(err).Msg("saving the timeline failed; retrying")
 		go timeline.RetrySave(files, anchor, ctx.Done())
 	}
 	return sender.NewClockAt(start)
 }
 
-// openJournal opens the journal, and what the sender knows over restarts. An heir starts a journal of its
-// own and knows nothing yet: the version before still writes both.
-func openJournal(cfg *config.Config, op *operator.File, place *place, space *statedir.Space, room *statedir.Account,
-	clock sender.Clock, box *memoryBox, log zerolog.Logger) (*journal.Journal, []*journal.Entry, error) {
-	if place.waiting() {
-		log.Info().Msg("another process holds the state folder: starting beside it, to take over when it leaves")
-		jr, err := journal.OpenSuccessor(fsys.ForDir(cfg.State), room)
-		return jr, nil, err
-	}
-	m := openMemory(cfg, op.Knowledge, space, clock, log)
-	m.room.YieldTo(room)
-	box.set(m)
-	return journal.OpenFS(fsys.ForDir(cfg.State), room)
+// openJournal opens the journal and the persistent knowledge. A successor creates a journal of its own and opens no
+// knowledge yet, since the old process still writes both.
+func openJournal(cfg *config.Config, op *operator.File, dirLocks *stateDirLocks, space *statedir.Space,
+	journalAccount *statedir.Account, clock sender.Clock, knowledge *knowledgeRef, log zerolog.Logger) (*journal.Journal, []*journal.Entry, error) {
+	if dirLocks.waiting() {
+		log.Info().Msg("an older process of this sender holds the state directory; starting as its successor")
+		jrnl, err := journal.OpenSuccessor(fsys.ForDir(cfg.State), journalAccount)
+		return jrnl, nil, err
+	}
+	m := openKnowledge(cfg, op.Knowledge, space, clock, log)
+	m.account.YieldTo(journalAccount)
+	knowledge.set(m)
+	return journal.OpenFS(fsys.ForDir(cfg.State), journalAccount)
 }
 
-// openTelemetry starts the way to a collector, nil where the part is off.
-func openTelemetry(cfg *config.Config, set operator.Telemetry, clock sender.Clock, log zerolog.Logger) (*otlp.Pipe, error) {
-	if !set.Enabled {
+// openTelemetry starts the export to a collector. It returns nil if telemetry is disabled.
+func openTelemetry(cfg *config.Config, settings operator.Telemetry, clock sender.Clock,
+	log zerolog.Logger) (*otlp.Pipe, error) {
+	if !settings.Enabled {
 		return nil, nil
 	}
-	o, err := otlp.Configure(set, cfg.Name, os.Getenv)
+	opts, err := otlp.Configure(settings, cfg.Name, os.Getenv)
 	if err != nil {
 		return nil, err
 	}
-	o.Set = telemetry.Settings{Classes: cfg.Settings.Classes, Life: int(clock.Now())}
-	o.Now = clock.Now
-	o.Log = func(err error, dropped uint64) {
-		log.Warn().Err(err).Uint64("dropped", dropped).Str("endpoint", o.Target.URL).Msg("telemetry: the collector does not take")
+	opts.Set = telemetry.Settings{Classes: cfg.Settings.Classes, Life: int(clock.Now())}
+	opts.Now = clock.Now
+	opts.Log = func(err error, dropped uint64) {
+		log.Warn().Err(err).Uint64("dropped", dropped).Str("endpoint", opts.Target.URL).
+			Msg("telemetry: export to the collector failed")
 	}
-	return otlp.NewPipe(o)
+	return otlp.NewPipe(opts)
 }
 
-// closeTelemetry sends what is left, within its bound.
+// closeTelemetry sends the remaining traces and metrics within telemetryFlushTimeout.
 func closeTelemetry(p *otlp.Pipe) {
-	ctx, cancel := context.WithTimeout(context.Background(), telemetryBy)
+	ctx, cancel := context.WithTimeout(context.Background(), telemetryFlushTimeout)
 	defer cancel()
 	p.Close(ctx)
 }
 
-// guard is the storm guard, nil where the part is off.
-func guard(cfg *config.Config, set operator.Storms) *storm.Guard {
-	if !set.Enabled {
+// newStormGuard returns the storm guard, or nil if it is disabled.
+func newStormGuard(cfg *config.Config, settings operator.Storms) *storm.Guard {
+	if !settings.Enabled {
 		return nil
 	}
 	limits := map[int]float64{}
-	for _, l := range set.Limits {
+	for _, l := range settings.Limits {
 		limits[l.Dest] = l.Rate
 	}
 	return storm.New(storm.SettingsFrom(&cfg.Settings, limits), cfg.Seed)
 }
 
-// configure reads both configuration files. A file that can't be read for a moment is tried again: a SIGHUP comes once.
-func configure(operatorFile string, load func(getenv func(string) string) (*config.Config, error)) (cfg *config.Config, op *operator.File, err error) {
-	err = transient.Retry(readFor, transient.IsDiskError, func() (err error) {
-		var operr error
+// loadConfig reads both configuration files. A file that can't be read at the moment is retried, since a SIGHUP is sent
+// only once.
+func loadConfig(operatorFile string, load func(getenv func(string) string) (*config.Config, error)) (
+	cfg *config.Config, op *operator.File, err error) {
+	err = transient.Retry(configReadTimeout, transient.IsDiskError, func() (err error) {
+		var operatorErr error
 		cfg, err = load(os.Getenv)
-		op, operr = loadOperator(operatorFile)
-		return errors.Join(err, operr)
+		op, operatorErr = loadOperator(operatorFile)
+		return errors.Join(err, operatorErr)
 	})
 	return cfg, op, err
 }
 
-// loadOperator reads the operators' file, or the defaults where there is none.
+// loadOperator reads the operators' file, or returns the defaults if path is empty.
 func loadOperator(path string) (*operator.File, error) {
 	if path == "" {
 		f := operator.Default()
@@ -313,119 +322,126 @@
 	return operator.Load(path)
 }
 
-// memory is what the sender knows over restarts, with its room in the folder.
-type memory struct {
+// persistentKnowledge is the knowledge that a sender keeps across restarts, with its account of disk space.
+type persistentKnowledge struct {
 	sender.Knowledge
-	room *statedir.Account
+	account *statedir.Account
 }
 
-// openMemory reads what an earlier life knew. Where the part is off, files that it left behind still
-// take their room.
-func openMemory(cfg *config.Config, set operator.Knowledge, space *statedir.Space, clock sender.Clock, log zerolog.Logger) memory {
-	m := memory{room: space.Account()}
+// openKnowledge reads the knowledge of an earlier run. If knowledge is disabled, only the disk space of files left by an
+// earlier run is accounted for.
+func openKnowledge(cfg *config.Config, settings operator.Knowledge, space *statedir.Space, clock sender.Clock,
+	log zerolog.Logger) persistentKnowledge {
+	m := persistentKnowledge{account: space.Account()}
 	files := fsys.ForDir(cfg.State)
-	if !set.Enabled {
-		var left int64
+	if !settings.Enabled {
+		var leftoverBytes int64
 		for _, name := range store.FileNames {
-			left += statedir.RoundToBlocks(files.Size(name))
+			leftoverBytes += statedir.RoundToBlocks(files.Size(name))
 		}
-		m.room.Reserve(left)
-		m.room.Claim(left)
+		m.account.Reserve(leftoverBytes)
+		m.account.Claim(leftoverBytes)
 		return m
 	}
-	if most := cfg.Limits.DiskBytes / 4; set.MaxSize > most { // the journal goes first
-		log.Warn().Int64("bytes", most).Msg("knowledge: max-size is cut to a quarter of limits.disk_mb")
-		set.MaxSize = most
+	if maxBytes := cfg.Limits.DiskBytes / 4; settings.MaxSize > maxBytes { // the journal needs the rest
+		log.Warn().Int64("bytes", maxBytes).Msg("knowledge: max-size is reduced to a quarter of limits.disk_mb")
+		settings.MaxSize = maxBytes
 	}
-	m.room.Reserve(set.MaxSize)
-	st, book, problems := store.Open(store.Options{FS: files, Account: m.room, MaxBytes: set.MaxSize, Sync: set.Sync}, cfg.Name)
+	m.account.Reserve(settings.MaxSize)
+	knowledgeStore, facts, problems := store.Open(store.Options{FS: files, Account: m.account, MaxBytes: settings.MaxSize,
+		Sync: settings.Sync}, cfg.Name)
 	for _, p := range problems {
 		log.Warn().Str("file", p.File).Err(p.Err).Bool("set_aside", p.SetAside).Bool("left_untouched", p.LeftUntouched).
-			Msg("knowledge: a file is of no use")
+			Msg("knowledge: a file cannot be used")
 	}
-	if book.Sender != cfg.Name {
-		log.Warn().Str("of", book.Sender).Msg("knowledge is another sender's")
+	if facts.Sender != cfg.Name {
+		log.Warn().Str("of", facts.Sender).Msg("knowledge: the files belong to another sender")
 	}
-	log.Info().Int("destinations", len(book.Dests)).Int("waits", len(book.Waits)).Msg("knowledge of an earlier life")
-	m.Knowledge = sender.Knowledge{Settings: set, Facts: book.Clone()}
-	m.Writer = keeper.New(keeper.Options{Settings: set, Store: st, Facts: book, Account: m.room, Log: log, Clock: clock.Now, WallClock: clock.Now})
+	log.Info().Int("destinations", len(facts.Dests)).Int("waits", len(facts.Waits)).Msg("knowledge of an earlier run loaded")
+	m.Knowledge = sender.Knowledge{Settings: settings, Facts: facts.Clone()}
+	m.Writer = keeper.New(keeper.Options{Settings: settings, Store: knowledgeStore, Facts: facts, Account: m.account,
+		Log: log, Clock: clock.Now, WallClock: clock.Now})
 	return m
 }
 
-func (m *memory) close() {
-	ctx, cancel := context.WithTimeout(context.Background(), knowBy)
+// close writes the last snapshot within snapshotTimeout.
+func (m *persistentKnowledge) close() {
+	ctx, cancel := context.WithTimeout(context.Background(), snapshotTimeout)
 	defer cancel()
 	m.Writer.Close(ctx)
 }
 
-// warn tells of certificates that end soon.
-func warn(log zerolog.Logger, list []keys.Warning) {
-	for _, w := range list {
-		log.Warn().Str("file", w.File).Str("subject", w.Subject).Time("ends", w.Expires).Msg("a certificate ends soon, or has ended")
+// logCertificateWarnings logs certificates that have expired or expire soon.
+func logCertificateWarnings(log zerolog.Logger, warnings []keys.Warning) {
+	for _, w := range warnings {
+		log.Warn().Str("file", w.File).Str("subject", w.Subject).Time("ends", w.Expires).
+			Msg("certificate has expired or expires soon")
 	}
 }
 
-// reload reads the configuration again on each SIGHUP. Discovery may have moved, classes may have come and
-// gone, fewer attempts may be allowed; all else takes effect at the next start. A file that makes no sense
-// (empty, cut off, short of a key, a deadline or attempts not over 0) changes nothing, its discovery neither.
-func reload(ctx context.Context, hup <-chan os.Signal, log zerolog.Logger, operatorFile string, book *partners.Registry, use func(cfg *config.Config, op *operator.File)) {
-	daily := time.NewTicker(24 * time.Hour) // keys too: a certificate ends without anybody's doing
-	defer daily.Stop()
+// reload reads the configuration again on each SIGHUP and once a day. The address of discovery, the classes, a lower
+// max_attempts, the partners' keys and the fleet's members take effect at once, most other settings at the next start.
+// An invalid file (empty, truncated, without a required key, with a deadline or max_attempts not above 0) changes
+// nothing, not even the address of discovery.
+func reload(ctx context.Context, hup <-chan os.Signal, log zerolog.Logger, operatorFile string,
+	registry *partners.Registry, apply func(cfg *config.Config, op *operator.File)) {
+	reloadTicker := time.NewTicker(24 * time.Hour) // certificates expire without a SIGHUP
+	defer reloadTicker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-hup:
-		case <-daily.C:
+		case <-reloadTicker.C:
 		}
-		cfg, op, err := configure(operatorFile, config.Reload)
+		cfg, op, err := loadConfig(operatorFile, config.Reload)
 		if err != nil {
-			log.Error().Err(err).Msg("the new configuration is of no use, keeping the old")
+			log.Error().Err(err).Msg("the new configuration is invalid, keeping the old")
 			continue
 		}
-		warnings, err := book.Load(op.Partners)
+		warnings, err := registry.Load(op.Partners)
 		if err != nil {
-			log.Error().Err(err).Msg("the new keys are of no use, keeping the old")
+			log.Error().Err(err).Msg("the new keys cannot be used, keeping the old")
 			continue
 		}
-		warn(log, warnings)
+		logCertificateWarnings(log, warnings)
 		log.Info().Str("discovery", cfg.Discovery).Msg("configuration read again")
-		use(cfg, op)
+		apply(cfg, op)
 	}
 }
 
-// shutdown stops taking on, answers clients while they still come, lets the calls
-// out end, and leaves the rest to the journal. Connections that rest are closed at once, while the address still
-// listens: a request that crosses the close is sent once more, on a new one. The sender stays until no client is
-// served: what becomes of an answer (a client that went before it) is told to it.
+// shutdown refuses new messages, answers the clients that still arrive, lets the calls in progress end, and leaves the
+// remaining messages to the journal. Idle connections are closed at once, while the listener is still open, so that a
+// client whose request crosses the close can send it again on a new connection. The sender runs until no client is
+// served, since it is informed of clients that left before their answer.
 func shutdown(server *intake.Server, snd *sender.Sender, ln net.Listener) {
-	ctx, cancel := context.WithTimeout(context.Background(), leaveBy)
+	ctx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancel()
 	server.RefuseMessages()
 	snd.Stop()
-	time.AfterFunc(clientsCome, func() { ln.Close() })
+	time.AfterFunc(listenerCloseDelay, func() { ln.Close() })
 	server.Shutdown(ctx)
 	snd.ClientsGone()
 	<-snd.Done()
 	server.WaitClosed(ctx)
 }
 
-// clientRoom is how many clients' connections there may be: as descriptors allow, and so
-// that their buffers and stacks take a third of the memory at most.
-func clientRoom(sockets int, l config.Limits) int {
+// maxClientConns returns the maximum number of client connections: limited by the available descriptors, and so that
+// their buffers and stacks take at most a third of the memory.
+func maxClientConns(available int, l config.Limits) int {
 	if l.MemoryMB > 0 {
-		sockets = min(sockets, int(l.MemoryMB*(1<<20)/3/clientBytes))
+		available = min(available, int(l.MemoryMB*(1<<20)/3/bytesPerClientConn))
 	}
-	return max(sockets, 16)
+	return max(available, 16)
 }
 
-// limit fits the run time to the machine.
-func limit(l config.Limits) {
+// setRuntimeLimits sets GOMAXPROCS and the memory limit of the Go runtime from the configured limits.
+func setRuntimeLimits(l config.Limits) {
 	if l.Cores > 0 {
 		runtime.GOMAXPROCS(max(1, int(math.Ceil(l.Cores))))
 	}
-	if l.MemoryMB > 0 { // files in the state folder count as memory too
-		room := l.MemoryMB*(1<<20)*0.75 - float64(l.DiskBytes)
-		debug.SetMemoryLimit(int64(max(room, 16<<20)))
+	if l.MemoryMB > 0 { // files in the state directory count as memory too
+		heapBytes := l.MemoryMB*(1<<20)*0.75 - float64(l.DiskBytes)
+		debug.SetMemoryLimit(int64(max(heapBytes, 16<<20)))
 	}
 }
--- a/cmd/sliptide/source.go
+++ b/cmd/sliptide/source.go
@@ -21,72 +21,78 @@
 	"sliptide/internal/sharding"
 )
 
-// listSource is where a sender has its endpoints from: discovery, or the control members of a sharded fleet.
+// listSource delivers a sender's endpoint lists: from discovery, or from the control members of a sharded fleet.
 type listSource interface {
 	// Run follows the source until the context ends.
 	Run(ctx context.Context)
-	// SetAddr goes on at another discovery agent, where there is one.
+	// SetAddr switches to the discovery agent at addr; a source that uses no agent ignores it.
 	SetAddr(addr string)
 }
 
-// openSource makes the source that the operators' file names. listed is told whenever the sender has a list to work with.
-func openSource(cfg *config.Config, op *operator.File, snd *sender.Sender, log zerolog.Logger, listed func()) (listSource, error) {
+// openSource opens the source that the operators' file selects. onList is called whenever the sender has received a
+// list that it can work with.
+func openSource(cfg *config.Config, op *operator.File, snd *sender.Sender, log zerolog.Logger,
+	onList func()) (listSource, error) {
 	if op.Fleet.Shards.Enabled {
-		return newShardSource(cfg, op, snd, log, listed)
+		return newShardSource(cfg, op, snd, log, onList)
 	}
-	asked := false // discovery is: what comes from here on is its word, an empty list too
+	following := false // whether lists come from discovery now, not from cfg.Known; an empty one counts too then
 	watch := discovery.NewWatch(cfg.Discovery, &cfg.Settings, cfg.Seed, log, func(l discovery.List) {
 		snd.UpdateEndpoints(l)
-		if !asked && len(l.Endpoints) == 0 {
-			return // a known list without entries would meet the first messages with 503
+		if !following && len(l.Endpoints) == 0 {
+			return // with an empty known list, the sender would be ready and answer the first messages 503
 		}
-		listed()
+		onList()
 	})
 	if err := watch.Restore(cfg.Known); err != nil {
-		log.Warn().Err(err).Msg("known is of no use, waiting for discovery")
+		log.Warn().Err(err).Msg("configuration key known: invalid endpoint list; waiting for discovery")
 	}
-	asked = true
+	following = true
 	return watch, nil
 }
 
-// shardSource is a subscription to the shards of this sender.
+// shardSource is a subscription to the shards that are assigned to this sender.
 type shardSource struct {
 	subscriber *subscriber.Subscriber
 }
 
-// newShardSource makes the sender one of shards. A known list is not used: it names destinations of others.
-func newShardSource(cfg *config.Config, op *operator.File, snd *sender.Sender, log zerolog.Logger, listed func()) (*shardSource, error) {
-	set := op.Fleet.Shards
-	var with *tls.Config
+// newShardSource enables sharding on the sender and returns its subscription. The configured known list is ignored,
+// since it contains destinations of other senders.
+func newShardSource(cfg *config.Config, op *operator.File, snd *sender.Sender, log zerolog.Logger,
+	onList func()) (*shardSource, error) {
+	shards := op.Fleet.Shards
+	var tlsConfig *tls.Config
 	if op.Fleet.Cert != "" {
 		loaded, warnings, err := keys.Load(keys.Files{CA: op.Fleet.CA, Cert: op.Fleet.Cert, Key: op.Fleet.Key}, time.Now())
 		if err != nil {
 			return nil, fmt.Errorf("%w: fleet: %w", cli.ErrConfig, err)
 		}
-		warn(log, warnings)
-		with = loaded
+		logCertificateWarnings(log, warnings)
+		tlsConfig = loaded
 	}
 	source := &shardSource{}
-	snd.EnableSharding(set.Replicas, func(ids []shard.ID) { source.subscriber.Release(ids) })
+	snd.EnableSharding(shards.Replicas, func(ids []shard.ID) { source.subscriber.Release(ids) })
 	view := sharding.NewView(&cfg.Settings, log)
-	o := subscriber.Options{Name: cfg.Name, Region: set.Region, Zone: set.Zone, Weight: uint32(set.Weight), TLS: with, Log: log, Now: fleet.Now,
+	opts := subscriber.Options{Name: cfg.Name, Region: shards.Region, Zone: shards.Zone, Weight: uint32(shards.Weight),
+		TLS: tlsConfig, Log: log, Now: fleet.Now,
 		RequestedShards: snd.HeldShards(), Released: view.Forget,
 		Apply: func(a *directory.AppliedUpdate) {
 			snd.UpdateShards(view.Apply(a))
 			if len(a.Assigned) > 0 {
-				log.Info().Int("assigned", len(a.Assigned)).Int("endpoints", view.Len()).Uint64("version", a.To).Msg("directory: shards assigned")
-				listed()
+				log.Info().Int("assigned", len(a.Assigned)).Int("endpoints", view.Len()).Uint64("version", a.To).
+					Msg("directory: shards assigned")
+				onList()
 			}
 		}}
-	for _, c := range set.Control {
-		o.Servers = append(o.Servers, subscriber.Server{Name: c.Name, Addr: c.Addr, Region: c.Region})
+	for _, c := range shards.Control {
+		opts.Servers = append(opts.Servers, subscriber.Server{Name: c.Name, Addr: c.Addr, Region: c.Region})
 	}
-	source.subscriber = subscriber.New(o)
+	source.subscriber = subscriber.New(opts)
 	return source, nil
 }
 
 // Run implements listSource.
 func (s *shardSource) Run(ctx context.Context) { s.subscriber.Run(ctx) }
 
-// SetAddr implements listSource: notices alone go to discovery.
+// SetAddr implements listSource. It does nothing: the lists do not come from discovery.
 func (s *shardSource) SetAddr(string) {}
--- a/cmd/sliptide/upgrade.go
+++ b/cmd/sliptide/upgrade.go
@@ -18,133 +18,141 @@
 	"sliptide/internal/statedir"
 )
 
-// An upgrade starts the program once more while it serves, in the same folder and on the same address for
-// clients. The new process is the heir: it listens beside the old one (SO_REUSEPORT), takes clients at
-// once, and waits with its calls until the old one has left; see internal/sender/upgrade.go.
+// This file implements the process side of an upgrade. The new version of the program, the successor, starts while the
+// old process still serves, with the same state directory and the same address for clients (SO_REUSEPORT). It serves
+// clients at once, but calls no endpoint until the old process has exited; see internal/sender/upgrade.go.
 
 const (
-	handClients = time.Second            // an old process that hands over answers its clients for so long at most
-	handLinger  = 100 * time.Millisecond // and waits so long for them to close: the heir waits for the folder
-	takeFor     = 24 * time.Hour         // an heir waits so long for the folder; SIGKILL comes seconds after the yes
+	// handOverClientTimeout limits how long a process that hands over answers the clients that it has.
+	handOverClientTimeout = time.Second
+
+	// handOverLingerTimeout limits the wait for clients to close their connections. It is short because the successor
+	// can't send before the state directory is free.
+	handOverLingerTimeout = 100 * time.Millisecond
+
+	// takeOverTimeout limits a successor's wait for the state directory. The wait is far shorter in practice, since the
+	// old process is killed within seconds of the successor reporting ready.
+	takeOverTimeout = 24 * time.Hour
 )
 
-// place is this process's place in the lasting folder: the folder itself, or the heir's beside it.
-type place struct {
-	dir  string
-	mu   sync.Mutex
-	lock *statedir.DirLock // the folder's; nil while an heir waits
-	heir *statedir.DirLock // the heir's place, until it holds the folder
+// stateDirLocks holds this process's lock on the state directory, or the successor's lock beside it.
+type stateDirLocks struct {
+	dir           string
+	mu            sync.Mutex
+	dirLock       *statedir.DirLock // nil in a successor that has not taken over
+	successorLock *statedir.DirLock // nil unless this process is a waiting successor
 }
 
-// takePlace takes the folder, or the heir's place where the same sender, on the same address for clients,
-// holds it: a new version started beside the present one. Any other holder keeps it.
-func takePlace(dir, listen string, log zerolog.Logger) (*place, error) {
+// lockStateDir locks the state directory. If the same sender, with the same address for clients, holds that lock, this
+// process is a new version started beside it and takes the successor's lock instead. Any other holder is an error.
+func lockStateDir(dir, listen string, log zerolog.Logger) (*stateDirLocks, error) {
 	lock, err := statedir.Lock(dir, 0)
 	if err == nil {
-		if err := lock.SetHolder(holder(listen)); err != nil { // an upgrade can't start beside it, which is no reason not to serve
-			log.Warn().Err(err).Msg("state folder: the lock says nothing of its holder")
+		if err := lock.SetHolder(holderText(listen)); err != nil {
+			// Only a later upgrade needs the holder's text.
+			log.Warn().Err(err).Msg("state directory: writing the lock's holder failed; an upgrade cannot start beside this process")
 		}
-		return &place{dir: dir, lock: lock}, nil
+		return &stateDirLocks{dir: dir, dirLock: lock}, nil
 	}
-	if !errors.Is(err, statedir.ErrInUse) || statedir.Holder(dir) != holder(listen) {
+	if !errors.Is(err, statedir.ErrInUse) || statedir.Holder(dir) != holderText(listen) {
 		return nil, err
 	}
-	heir, err := statedir.LockSuccessor(dir)
+	successorLock, err := statedir.LockSuccessor(dir)
 	if err != nil {
 		return nil, err
 	}
-	return &place{dir: dir, heir: heir}, nil
+	return &stateDirLocks{dir: dir, successorLock: successorLock}, nil
 }
 
-// holder is what a holder of the folder notes of itself.
-func holder(listen string) string { return "sender listening on " + listen + "\n" }
+// holderText returns the text by which the holder of the lock identifies itself in the lock file.
+func holderText(listen string) string { return "sender listening on " + listen + "\n" }
 
-// waiting reports whether this process is an heir that has not taken over.
-func (p *place) waiting() bool {
+// waiting reports whether this process is a successor that has not taken over yet.
+func (p *stateDirLocks) waiting() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.lock == nil
+	return p.dirLock == nil
 }
 
-func (p *place) release() {
+func (p *stateDirLocks) release() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.lock != nil {
-		p.lock.Unlock()
+	if p.dirLock != nil {
+		p.dirLock.Unlock()
 	}
-	if p.heir != nil {
-		p.heir.Unlock()
+	if p.successorLock != nil {
+		p.successorLock.Unlock()
 	}
 }
 
-// memoryBox holds what the sender knows over restarts; an heir has it only once it takes over.
-type memoryBox struct {
-	mu sync.Mutex
-	m  memory
+// knowledgeRef guards the sender's persistent knowledge, which a successor opens only when it takes over.
+type knowledgeRef struct {
+	mu        sync.Mutex
+	knowledge persistentKnowledge
 }
 
-func (b *memoryBox) get() memory {
+func (b *knowledgeRef) get() persistentKnowledge {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.m
+	return b.knowledge
 }
 
-func (b *memoryBox) set(m memory) {
+func (b *knowledgeRef) set(m persistentKnowledge) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.m = m
+	b.knowledge = m
 }
 
-// heir is what an heir needs to take over.
-type heir struct {
-	place  *place
-	cfg    *config.Config
-	op     *operator.File
-	space  *statedir.Space
-	room   *statedir.Account // the journal's
-	clock  sender.Clock
-	log    zerolog.Logger
-	snd    *sender.Sender
-	kept   *admin.Kept
-	memory *memoryBox
-	team   *membership
+// successor holds what a successor needs to take over.
+type successor struct {
+	dirLocks       *stateDirLocks
+	cfg            *config.Config
+	op             *operator.File
+	space          *statedir.Space
+	journalAccount *statedir.Account
+	clock          sender.Clock
+	log            zerolog.Logger
+	sender         *sender.Sender
+	disabled       *admin.Kept
+	knowledge      *knowledgeRef
+	member         *membership
 }
 
-// takeOver waits until the version before has left the folder, then makes this process the sender.
-func (h *heir) takeOver() {
-	lock, err := statedir.Lock(h.cfg.State, takeFor)
+// takeOver waits until the old process has released the state directory, then makes this process the active sender.
+func (h *successor) takeOver() {
+	lock, err := statedir.Lock(h.cfg.State, takeOverTimeout)
 	if err != nil {
-		h.log.Error().Err(err).Msg("the version before does not leave the state folder")
+		h.log.Error().Err(err).Msg("upgrade: locking the state directory after the old process failed; this process sends nothing")
 		return
 	}
-	m := openMemory(h.cfg, h.op.Knowledge, h.space, h.clock, h.log)
-	m.room.YieldTo(h.room)
-	if m.Writer != nil {
-		go m.Writer.Run()
+	knowledge := openKnowledge(h.cfg, h.op.Knowledge, h.space, h.clock, h.log)
+	knowledge.account.YieldTo(h.journalAccount)
+	if knowledge.Writer != nil {
+		go knowledge.Writer.Run()
 	}
-	h.memory.set(m)
-	out, err := h.kept.Reread()
+	h.knowledge.set(knowledge)
+	disabled, err := h.disabled.Reread()
 	if err != nil {
-		h.log.Warn().Err(err).Msg("admin: endpoints taken out: the file cannot be read")
+		h.log.Warn().Err(err).Msg("upgrade: reading the endpoints disabled by operators failed")
 	}
-	if err := h.snd.TakeOver(m.Knowledge, out); err != nil {
-		h.log.Error().Err(err).Msg("taking over")
+	if err := h.sender.TakeOver(knowledge.Knowledge, disabled); err != nil {
+		h.log.Error().Err(err).Msg("upgrade: taking over the old process's journal failed")
 	}
-	if err := lock.SetHolder(holder(h.cfg.Listen)); err != nil {
-		h.log.Warn().Err(err).Msg("state folder: the lock says nothing of its holder")
+	if err := lock.SetHolder(holderText(h.cfg.Listen)); err != nil {
+		h.log.Warn().Err(err).Msg("state directory: writing the lock's holder failed; an upgrade cannot start beside this process")
 	}
-	h.place.mu.Lock()
-	h.place.lock = lock
-	h.place.heir.Unlock()
-	h.place.heir = nil
-	h.place.mu.Unlock()
-	if err := h.team.join(); err != nil {
+	h.dirLocks.mu.Lock()
+	h.dirLocks.dirLock = lock
+	h.dirLocks.successorLock.Unlock()
+	h.dirLocks.successorLock = nil
+	h.dirLocks.mu.Unlock()
+	if err := h.member.join(); err != nil {
 		h.log.Error().Err(err).Msg("the fleet goes on without this sender")
 	}
 }
 
-// listen listens for clients beside any other process of this sender on the address: an heir starts
-// while the version before still listens.
+// listen listens for clients with SO_REUSEPORT, since a successor starts while the old process still listens on the
+// address.
 func listen(addr string) (net.Listener, error) {
 	lc := net.ListenConfig{Control: func(_, _ string, c syscall.RawConn) error {
 		var err error
@@ -158,22 +166,22 @@
 	return lc.Listen(context.Background(), "tcp", addr)
 }
 
-// soReusePort is SO_REUSEPORT of Linux, which package syscall does not name.
+// soReusePort is SO_REUSEPORT on Linux, which package syscall does not define.
 const soReusePort = 0xf
 
-// handOver ends an old process whose heir waits: its address for clients closes at once, so that new
-// connections go to the heir; the clients it has are answered, with what they hand in taken on, and their
-// connections closed; then it begins no further call and leaves when its calls out have ended. What it
-// holds goes to the heir by the journal.
+// handOver ends a process whose successor waits. The listener closes at once, so that new connections go to the
+// successor. Existing clients are still answered, and their messages accepted, until their connections are closed. Then
+// no further call begins, and handOver returns when the calls in progress have ended. The successor finds the remaining
+// messages in the journal.
 func handOver(server *intake.Server, snd *sender.Sender, ln net.Listener) {
 	ln.Close()
 	server.Drain()
-	ctx, cancel := context.WithTimeout(context.Background(), handClients)
+	ctx, cancel := context.WithTimeout(context.Background(), handOverClientTimeout)
 	defer cancel()
 	server.Shutdown(ctx)
 	snd.HandOver()
 	<-snd.Done()
-	soon, stop := context.WithTimeout(ctx, handLinger)
-	defer stop()
-	server.WaitClosed(soon)
+	lingerCtx, cancelLinger := context.WithTimeout(ctx, handOverLingerTimeout)
+	defer cancelLinger()
+	server.WaitClosed(lingerCtx)
 }
