--- a/cmd/sliptide/copies_test.go
+++ b/cmd/sliptide/copies_test.go
@@ -10,34 +10,34 @@
 	"time"
 )
 
-// taken counts, for each message, the calls that the partner took.
-func (m *team) taken() map[string]int {
+// acceptedCalls counts, for each message, the calls that the partner accepted.
+func (m *testFleet) acceptedCalls() map[string]int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	n := map[string]int{}
 	for _, c := range m.calls {
-		if c.taken {
+		if c.accepted {
 			n[c.id]++
 		}
 	}
 	return n
 }
 
-// run reads what the platforms hear until the test is over, and waits until each sender takes messages on.
-func (m *team) run() {
+// awaitReady consumes the senders' reports until the test ends, and waits until each sender accepts messages.
+func (m *testFleet) awaitReady() {
 	m.t.Helper()
 	stop := make(chan struct{})
 	m.t.Cleanup(func() { close(stop) })
-	m.drain(stop)
-	m.copying()
+	m.consumeReports(stop)
+	m.awaitAccepting()
 }
 
-// copying waits until each sender has the lease on its journal and takes messages on.
-func (m *team) copying() {
+// awaitAccepting waits until each sender accepts messages, for which it needs the lease on its journal.
+func (m *testFleet) awaitAccepting() {
 	m.t.Helper()
 	for i, r := range m.rigs {
 		n := 0
-		m.await(fmt.Sprintf("n%d takes messages on", i), func() bool {
+		m.await(fmt.Sprintf("n%d accepts messages", i), func() bool {
 			n++
 			resp, err := r.trySubmit(fmt.Sprintf("n%d-warm-%d", i, n), 5, 12, "x")
 			if err != nil {
@@ -49,12 +49,12 @@
 	}
 }
 
-// final counts the final answers of each message: deliveries, and notices.
-func (m *team) final() map[string]int {
-	n := m.taken()
+// finalAnswers counts the final answers of each message: deliveries and notices.
+func (m *testFleet) finalAnswers() map[string]int {
+	n := m.acceptedCalls()
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	for _, e := range m.ends {
+	for _, e := range m.endings {
 		n[e.Message]++
 	}
 	return n
@@ -62,28 +62,29 @@
 
 const copiesXML = `<copies enabled="true" count="2" needed="1"/>`
 
-// TestMachineLost: a sender that holds messages is killed and its folder is gone. Its heir delivers each of them once.
-// One whose 202 was under way in the last moment may be handed back instead: its heir can't know that it was told.
+// TestMachineLost kills a sender that holds messages and deletes its state directory: its successor delivers each of
+// them once. One whose 202 was in flight at the loss may be returned instead: the successor can't know whether the
+// client received it.
 func TestMachineLost(t *testing.T) {
-	m := newTeamWith(t, copiesXML, 4)
-	m.run()
+	m := newTestFleet(t, copiesXML, 4)
+	m.awaitReady()
 	if out, errs, code := runCommand(t, "fleet", "copies", "--operator", m.rigs[0].operatorPath); code != 0 || strings.Count(out, "copied") != 4 || strings.Count(out, "batches") != 4 {
 		t.Errorf("fleet copies: status %d\n%s%s", code, out, errs)
 	}
-	m.set(true)
+	m.setPartnerDown(true)
 	ids := m.submitHeld(0, 12, 15)
 	m.killAndWipe(0)
-	lost := time.Now()
-	m.set(false)
+	lostAt := time.Now()
+	m.setPartnerDown(false)
 	m.awaitFinalAnswers(ids)
-	t.Logf("all delivered %v after the loss", time.Since(lost).Round(10*time.Millisecond))
+	t.Logf("all delivered %v after the loss", time.Since(lostAt).Round(10*time.Millisecond))
 	delivered := 0
-	for id, n := range m.final() {
+	for id, n := range m.finalAnswers() {
 		if strings.HasPrefix(id, "n0-held") && n > 1 {
 			t.Errorf("%s has %d final answers", id, n)
 		}
 	}
-	for id := range m.taken() {
+	for id := range m.acceptedCalls() {
 		if strings.HasPrefix(id, "n0-held") {
 			delivered++
 		}
@@ -93,14 +94,15 @@
 	}
 }
 
-// TestOwnerIsBack: a sender that was stopped past its lease finds its messages taken over, and sends none of them.
-func TestOwnerIsBack(t *testing.T) {
-	m := newTeamWith(t, copiesXML, 4)
-	m.run()
-	m.set(true)
+// TestOwnerReturnsAfterTakeover stops a sender past its lease: it finds its messages taken over, sends none of them,
+// and accepts new ones.
+func TestOwnerReturnsAfterTakeover(t *testing.T) {
+	m := newTestFleet(t, copiesXML, 4)
+	m.awaitReady()
+	m.setPartnerDown(true)
 	ids := m.submitHeld(3, 8, 19)
 	m.rigs[3].proc.Process.Signal(syscall.SIGSTOP)
-	m.await("somebody has taken over", func() bool {
+	m.await("another member has taken over", func() bool {
 		for _, r := range m.rigs[:3] {
 			if strings.Contains(r.logs.String(), `"copies: took over"`) {
 				return true
@@ -109,12 +111,12 @@
 		return false
 	})
 	m.rigs[3].proc.Process.Signal(syscall.SIGCONT)
-	m.rigs[3].awaitUp(200) // it may have said 503 meanwhile, and why
+	m.rigs[3].awaitUp(200) // it may have answered 503 in between
 	m.rigs[3].awaitLog("messages were taken over while this sender was away")
-	m.set(false)
+	m.setPartnerDown(false)
 	m.awaitFinalAnswers(ids)
-	// The one that is back takes messages on again, and sends them itself.
-	m.await("it takes messages on again", func() bool {
+	// It accepts messages again.
+	m.await("it accepts messages again", func() bool {
 		resp, err := m.rigs[3].trySubmit("n3-again-"+fmt.Sprint(time.Now().UnixNano()), 5, 12, "x")
 		if err != nil {
 			return false
@@ -122,23 +124,23 @@
 		resp.Body.Close()
 		return resp.StatusCode == 202
 	})
-	for id, n := range m.final() {
+	for id, n := range m.finalAnswers() {
 		if n > 1 && strings.HasPrefix(id, "n3-held") {
 			t.Errorf("%s has %d final answers", id, n)
 		}
 	}
 }
 
-// TestNoQuorum: without a majority of voters new work is refused plainly, with when to come back and why, what was taken
-// on is kept, and all goes on when they are back.
+// TestNoQuorum checks that without a majority of voters new messages are refused with Retry-After and the reason in
+// /up, that the refused one is not sent, and that messages are accepted again when the voters are back.
 func TestNoQuorum(t *testing.T) {
-	m := newTeamWith(t, copiesXML, 4)
-	m.run()
+	m := newTestFleet(t, copiesXML, 4)
+	m.awaitReady()
 	for _, r := range m.rigs[:2] {
 		r.proc.Process.Signal(syscall.SIGSTOP)
 	}
 	r := m.rigs[3]
-	m.await("new work is refused, with the reason in /up", func() bool {
+	m.await("/up answers 503 with the reason", func() bool {
 		resp, err := http.Get("http://" + r.addr + "/up")
 		if err != nil {
 			return false
@@ -149,13 +151,13 @@
 	})
 	resp := r.submit("n3-refused", 5, 10, "x")
 	if resp.StatusCode != 503 || resp.Header.Get("Retry-After") == "" {
-		t.Errorf("new work without a quorum: %s, Retry-After %q", resp.Status, resp.Header.Get("Retry-After"))
+		t.Errorf("submission without a quorum: %s, Retry-After %q", resp.Status, resp.Header.Get("Retry-After"))
 	}
 	for _, r := range m.rigs[:2] {
 		r.proc.Process.Signal(syscall.SIGCONT)
 	}
-	m.copying()
-	if m.taken()["n3-refused"] > 0 {
-		t.Error("what was refused was sent")
+	m.awaitAccepting()
+	if m.acceptedCalls()["n3-refused"] > 0 {
+		t.Error("a refused message was sent")
 	}
 }
--- a/cmd/sliptide/fleet.go
+++ b/cmd/sliptide/fleet.go
@@ -46,13 +46,13 @@
 	if !f.Enabled {
 		return nil, nil
 	}
-	if !f.Has(cfg.Name) {
+	if !f.HasMember(cfg.Name) {
 		return nil, fmt.Errorf("%w: fleet: RELAY_NAME is %q, which is no <member>", cli.ErrConfig, cfg.Name)
 	}
-	m := &membership{copies: f.Copies, space: space, files: fsys.OS{Dir: cfg.State}, account: space.Account(), log: log}
-	m.settings = fleet.Settings{Name: cfg.Name, Listen: f.Listen, Members: peers(f),
-		MinVoters: f.Minimum, Weight: uint32(f.Weight),
-		Terms: lease.Params{Length: f.Duties.Lease, Drift: f.Duties.Drift}, ElectionTimeout: f.Duties.Election, Hash: f.Hash()}
+	m := &membership{copies: f.Copies, space: space, files: fsys.OS{Dir: cfg.StateDir}, account: space.Account(), log: log}
+	m.settings = fleet.Settings{Name: cfg.Name, Listen: f.ListenAddr, Members: peers(f),
+		MinVoters: f.MinVoters, Weight: uint32(f.Weight),
+		Lease: lease.Params{Length: f.Duties.Lease, Drift: f.Duties.ClockDrift}, ElectionTimeout: f.Duties.ElectionTimeout, Hash: f.Hash()}
 	if m.settings.MinVoters == 0 {
 		m.settings.MinVoters = len(f.Voters())
 	}
@@ -85,16 +85,16 @@
 	snd.SetFleet(m)
 	if c := op.Fleet.Copies; c.Enabled {
 		self, _ := m.settings.Self()
-		settings := sender.CopySettings{Name: m.settings.Name, Zone: self.Zone, Count: c.Count, Required: c.Needed,
-			Timeout: c.Patience, AcceptUncopied: c.Take, RequiredByClass: map[string]int{}}
+		settings := sender.CopySettings{Name: m.settings.Name, Zone: self.Zone, Count: c.Count, Required: c.Required,
+			Timeout: c.Timeout, AcceptUncopied: c.AcceptUncopied, RequiredByClass: map[string]int{}}
 		for _, class := range c.Classes {
-			settings.RequiredByClass[class.Name] = class.Needed
+			settings.RequiredByClass[class.Name] = class.Required
 		}
 		snd.EnableCopies(m, settings)
 	}
 	if op.Fleet.Trials.Enabled {
 		snd.ShareTrials(m, trial.Settings{Senders: senders,
-			SilenceTimeoutMS: float64(op.Fleet.Trials.Bound) / float64(time.Millisecond)})
+			SilenceTimeoutMS: float64(op.Fleet.Trials.SilenceTimeout) / float64(time.Millisecond)})
 	}
 }
 
@@ -120,7 +120,7 @@
 	opts := fleet.Options{Settings: m.settings, Files: m.files, Account: m.account, Log: m.log, DutyChanged: m.dutyChanged}
 	if m.copies.Enabled {
 		opts.CopyQuota, opts.CopyAccount, opts.ReceiveCopyReply, opts.ViewChanged, opts.CopyStatus =
-			m.copies.Room, m.space.Account(), m.sender.ReceiveCopyFrame, m.sender.Wake, m.sender.CopyStatus
+			m.copies.QuotaBytes, m.space.Account(), m.sender.ReceiveCopyFrame, m.sender.Wake, m.sender.CopyStatus
 	}
 	m.member, err = fleet.Open(opts, ln)
 	if err != nil {
--- a/cmd/sliptide/run.go
+++ b/cmd/sliptide/run.go
@@ -76,7 +76,7 @@
 	logCertificateWarnings(log, warnings)
 	var dirLocks *stateDirLocks
 	err = transient.Retry(startRetryTimeout, transient.IsDiskError, func() (err error) {
-		dirLocks, err = lockStateDir(cfg.State, cfg.Listen, log)
+		dirLocks, err = lockStateDir(cfg.StateDir, cfg.ListenAddr, log)
 		return err
 	})
 	if err != nil {
@@ -86,25 +86,25 @@
 	space := statedir.NewSpace(cfg.Limits.DiskBytes)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	clock := startClock(ctx, cfg.State, space, log)
+	clock := startClock(ctx, cfg.StateDir, space, log)
 	journalAccount := space.Account()
 	knowledge := &knowledgeRef{}
 	jrnl, restored, err := openJournal(cfg, op, dirLocks, space, journalAccount, clock, knowledge, log)
 	if err != nil {
 		return err
 	}
-	var disabled *admin.Kept
+	var disabled *admin.DisabledStore
 	err = transient.Retry(startRetryTimeout, transient.IsDiskError, func() (err error) {
-		disabled, err = admin.Open(fsys.ForDir(cfg.State))
+		disabled, err = admin.Open(fsys.ForDir(cfg.StateDir))
 		return err
 	})
 	if err != nil {
 		return err
 	}
-	space.Account().Claim(admin.Room)
+	space.Account().Claim(admin.DiskQuota)
 	var ln net.Listener
 	err = transient.Retry(startRetryTimeout, transient.IsResourceError, func() (err error) {
-		ln, err = listen(cfg.Listen)
+		ln, err = listen(cfg.ListenAddr)
 		return err
 	})
 	if err != nil {
@@ -113,7 +113,7 @@
 
 	// The sender and its collaborators refer to each other, so snd is set after the first of them exist.
 	var snd *sender.Sender
-	notices := discovery.NewNoticeQueue(cfg.Discovery, log, func(nums []uint64) { snd.AckNotices(nums) })
+	notices := discovery.NewNoticeQueue(cfg.DiscoveryAddr, log, func(nums []uint64) { snd.AckNotices(nums) })
 	sockets := cfg.Limits.Sockets - reservedFDs
 	// The remaining descriptors are for clients, many of which may hold an idle connection.
 	maxEndpointConns := min(sockets*2/5, maxIdleConns+connsPerCallSlot*cfg.Settings.CallSlots)
@@ -126,7 +126,7 @@
 		Journal: jrnl, Restored: restored, Notify: notices.Post, Knowledge: knowledge.get().Knowledge, Clock: clock, Log: log,
 		Partner: registry.Lookup, HTTP2Streams: partners.StreamsPerConn, StormGuard: newStormGuard(cfg, op.Storms),
 		Recorder: pipe.Records(), LogRecords: op.Log.Records,
-		Disabled: disabled.Out(), Successor: dirLocks.waiting(),
+		Disabled: disabled.Disabled(), Successor: dirLocks.waiting(),
 	})
 	member, err := newMembership(cfg, op, space, log)
 	if err != nil {
@@ -134,7 +134,7 @@
 	}
 	member.bind(snd, op, cfg.Settings.Senders)
 	disabled.Bind(snd.SetDisabled)
-	go disabled.Follow(ctx, snd.ApplyDisabled, log)
+	go disabled.Watch(ctx, snd.ApplyDisabled, log)
 	listReceived := make(chan struct{}, 1)
 	source, err := openSource(cfg, op, snd, log, func() {
 		select {
@@ -146,19 +146,19 @@
 		return err
 	}
 	server := intake.New(&cfg.Settings, snd, maxClientConns(sockets-maxEndpointConns, cfg.Limits), log)
-	if cfg.Admin != "" {
-		adminListener, err := net.Listen("tcp", cfg.Admin)
+	if cfg.AdminAddr != "" {
+		adminListener, err := net.Listen("tcp", cfg.AdminAddr)
 		if err != nil {
 			return fmt.Errorf("RELAY_ADMIN: %w", err)
 		}
 		defer adminListener.Close()
-		calls := admin.Calls{Ready: server.Available, Disable: disabled.Disable, Enable: disabled.Enable,
+		calls := admin.Handlers{Ready: server.Available, Disable: disabled.Disable, Enable: disabled.Enable,
 			Drain: server.Drain, Undrain: server.Undrain}
 		go admin.New(calls, log).Serve(adminListener)
 	}
 	go reload(ctx, hup, log, operatorFile, registry, func(cfg *config.Config, op *operator.File) {
-		source.SetAddr(cfg.Discovery)
-		notices.SetAddr(cfg.Discovery)
+		source.SetAddr(cfg.DiscoveryAddr)
+		notices.SetAddr(cfg.DiscoveryAddr)
 		knowledge.get().Writer.UpdateSettings(op.Knowledge)
 		snd.UpdateSettings(cfg.Settings)
 		member.updateMembers(op)
@@ -177,22 +177,22 @@
 	go notices.Run(ctx)
 	go source.Run(ctx)
 	go server.Serve(ln)
-	log.Info().Int("restored", len(restored)).Str("listen", cfg.Listen).Str("discovery", cfg.Discovery).Msg("started")
+	log.Info().Int("restored", len(restored)).Str("listen", cfg.ListenAddr).Str("discovery", cfg.DiscoveryAddr).Msg("started")
 
-	readyTimer := time.NewTimer(op.Ready.Patience)
+	readyTimer := time.NewTimer(op.Ready.Timeout)
 	defer readyTimer.Stop()
 	select {
 	case <-listReceived: // the first list has arrived, and the journal is replayed
 		server.SetReady()
 		<-stop
 	case <-readyTimer.C:
-		log.Warn().Dur("after", op.Ready.Patience).Msg("ready without a list of endpoints")
+		log.Warn().Dur("after", op.Ready.Timeout).Msg("ready without a list of endpoints")
 		server.SetReady()
 		<-stop
 	case <-stop:
 	}
 	fleetLeft := make(chan struct{})
-	handingOver := !dirLocks.waiting() && statedir.SuccessorWaiting(cfg.State)
+	handingOver := !dirLocks.waiting() && statedir.SuccessorWaiting(cfg.StateDir)
 	go func() { // releases the fleet's duties at once, while calls of this sender still end
 		defer close(fleetLeft)
 		if member.outlivesSender() {
@@ -253,18 +253,18 @@
 	journalAccount *statedir.Account, clock sender.Clock, knowledge *knowledgeRef, log zerolog.Logger) (*journal.Journal, []*journal.Entry, error) {
 	if dirLocks.waiting() {
 		log.Info().Msg("an older process of this sender holds the state directory; starting as its successor")
-		jrnl, err := journal.OpenSuccessor(fsys.ForDir(cfg.State), journalAccount)
+		jrnl, err := journal.OpenSuccessor(fsys.ForDir(cfg.StateDir), journalAccount)
 		return jrnl, nil, err
 	}
 	m := openKnowledge(cfg, op.Knowledge, space, clock, log)
 	m.account.YieldTo(journalAccount)
 	knowledge.set(m)
-	return journal.OpenFS(fsys.ForDir(cfg.State), journalAccount)
+	return journal.OpenFS(fsys.ForDir(cfg.StateDir), journalAccount)
 }
 
 // openTelemetry starts the export to a collector. It returns nil if telemetry is disabled.
 func openTelemetry(cfg *config.Config, settings operator.Telemetry, clock sender.Clock,
-	log zerolog.Logger) (*otlp.Pipe, error) {
+	log zerolog.Logger) (*otlp.Exporter, error) {
 	if !settings.Enabled {
 		return nil, nil
 	}
@@ -272,17 +272,17 @@
 	if err != nil {
 		return nil, err
 	}
-	opts.Set = telemetry.Settings{Classes: cfg.Settings.Classes, Life: int(clock.Now())}
-	opts.Now = clock.Now
+	opts.Assembler = telemetry.Settings{Classes: cfg.Settings.Classes, Run: int(clock.Now())}
+	opts.NowMS = clock.Now
 	opts.Log = func(err error, dropped uint64) {
 		log.Warn().Err(err).Uint64("dropped", dropped).Str("endpoint", opts.Target.URL).
 			Msg("telemetry: export to the collector failed")
 	}
-	return otlp.NewPipe(opts)
+	return otlp.NewExporter(opts)
 }
 
 // closeTelemetry sends the remaining traces and metrics within telemetryFlushTimeout.
-func closeTelemetry(p *otlp.Pipe) {
+func closeTelemetry(p *otlp.Exporter) {
 	ctx, cancel := context.WithTimeout(context.Background(), telemetryFlushTimeout)
 	defer cancel()
 	p.Close(ctx)
@@ -295,7 +295,7 @@
 	}
 	limits := map[int]float64{}
 	for _, l := range settings.Limits {
-		limits[l.Dest] = l.Rate
+		limits[l.Dest] = l.CallsPerSecond
 	}
 	return storm.New(storm.SettingsFrom(&cfg.Settings, limits), cfg.Seed)
 }
@@ -333,7 +333,7 @@
 func openKnowledge(cfg *config.Config, settings operator.Knowledge, space *statedir.Space, clock sender.Clock,
 	log zerolog.Logger) persistentKnowledge {
 	m := persistentKnowledge{account: space.Account()}
-	files := fsys.ForDir(cfg.State)
+	files := fsys.ForDir(cfg.StateDir)
 	if !settings.Enabled {
 		var leftoverBytes int64
 		for _, name := range store.FileNames {
@@ -405,7 +405,7 @@
 			continue
 		}
 		logCertificateWarnings(log, warnings)
-		log.Info().Str("discovery", cfg.Discovery).Msg("configuration read again")
+		log.Info().Str("discovery", cfg.DiscoveryAddr).Msg("configuration read again")
 		apply(cfg, op)
 	}
 }
--- a/cmd/sliptide/soak_test.go
+++ b/cmd/sliptide/soak_test.go
@@ -20,18 +20,19 @@
 )
 
 const (
-	soakSeedsInCI = 3
-	soakFor       = 22 * time.Second // that clients hand messages in
-	soakLeft      = 6 * time.Second  // the longest that a message may be delivered
-	clientWaits   = 400 * time.Millisecond
-	killAfter     = 3700 * time.Millisecond // from the SIGTERM of a restart, at the earliest
-	startAfter    = 600 * time.Millisecond  // from its end to the next start
-	readyWithin   = 10 * time.Second
-	idleClients   = 150 // connections that say nothing
+	soakSeedsInCI      = 3
+	soakSubmitDuration = 22 * time.Second // during which clients submit messages
+	soakMaxExpiry      = 6 * time.Second  // longest time to deadline of a message
+	clientTimeout      = 400 * time.Millisecond
+	killDelay          = 3700 * time.Millisecond // from SIGTERM to SIGKILL during a restart
+	startDelay         = 600 * time.Millisecond  // from the end of a process to the next start
+	soakReadyTimeout   = 10 * time.Second
+	maxIdleConns       = 150 // open connections without a request
 )
 
-// TestSoakOfFaults plays senders with faulty partners, agents, clients, signals and clocks, and judges what all saw.
-// SLIPTIDE_SOAK_SEEDS says how many seeds, SLIPTIDE_SOAK_FIRST the first; CI plays a few.
+// TestSoakOfFaults runs senders against faulty partners, discovery agents, clients, signals, disks and clocks, and
+// checks the delivery guarantees against what all of them observed. SLIPTIDE_SOAK_SEEDS sets the number of seeds,
+// SLIPTIDE_SOAK_FIRST the first one; CI runs three.
 func TestSoakOfFaults(t *testing.T) {
 	seeds, err := strconv.Atoi(os.Getenv("SLIPTIDE_SOAK_SEEDS"))
 	if err != nil {
@@ -42,71 +43,71 @@
 	for seed := first; seed < first+seeds; seed++ {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Parallel()
-			soakOnce(t, uint64(seed), binaries)
+			runSoak(t, uint64(seed), binaries)
 		})
 	}
 }
 
-// soakOnce plays one seed.
-func soakOnce(t *testing.T, seed uint64, binaries []string) {
+// runSoak runs one seed.
+func runSoak(t *testing.T, seed uint64, binaries []string) {
 	rng := rand.New(rand.NewPCG(seed, 35))
-	senders, crowd := 1+rng.IntN(3), rng.IntN(3) == 0
+	senders, idleConns := 1+rng.IntN(3), rng.IntN(3) == 0
 	s := newSoak(seed)
 	stop := make(chan struct{})
-	var rest sync.WaitGroup // what goes on until all is over
-	var play sync.WaitGroup // what ends with the clients
+	var background sync.WaitGroup // runs until the senders have stopped
+	var load sync.WaitGroup       // ends when the clients stop
 	nodes := make([]*soakNode, senders)
-	over := make(chan struct{})
+	done := make(chan struct{})
 	for i := range nodes {
 		n := newSoakNode(t, s, i, senders, rand.New(rand.NewPCG(seed, 100+uint64(i))))
 		nodes[i] = n
-		rest.Go(func() { n.drain(over) })
+		background.Go(func() { n.consumeReports(done) })
 		n.rig.binary = binaries[0]
 		n.rig.start()
-		s.began = time.Now()
+		s.startedAt = time.Now()
 		for c := range 4 {
 			client := &soakClient{node: n, rng: rand.New(rand.NewPCG(seed, 1000+uint64(10*i+c))), name: fmt.Sprintf("%d-%d", i, c)}
-			play.Go(func() { client.run(stop) })
+			load.Go(func() { client.run(stop) })
 		}
-		if crowd {
-			play.Go(func() { n.crowd(stop) })
+		if idleConns {
+			load.Go(func() { n.openIdleConns(stop) })
 		}
-		play.Go(func() { n.faults(stop, binaries) })
+		load.Go(func() { n.injectFaults(stop, binaries) })
 	}
-	time.AfterFunc(soakFor, func() { close(stop) })
-	play.Wait()
-	time.Sleep(soakLeft + restartSlack + endWithin) // the time of every message is up then
-	taken, repeated := s.judge()
+	time.AfterFunc(soakSubmitDuration, func() { close(stop) })
+	load.Wait()
+	time.Sleep(soakMaxExpiry + restartSlack + endTolerance) // every message is past its deadline
+	accepted, repeated := s.judge()
 	halts := 0
 	for _, n := range nodes {
 		halts += strings.Count(n.rig.logs.String(), "the journal can't be written")
 		n.rig.kill(syscall.SIGTERM)
-		n.wantClean()
+		n.checkExitStatus()
 	}
-	close(over)
-	rest.Wait()
-	t.Logf("seed %d: %d senders, crowd %v: %d messages taken on, %d calls, %d ran again, %d halts by the disk, %d breaches", seed, senders, crowd, taken, s.calls, repeated, halts, len(s.breaches))
-	if taken == 0 {
-		t.Error("nothing was taken on")
+	close(done)
+	background.Wait()
+	t.Logf("seed %d: %d senders, idle connections %v: %d messages accepted, %d calls, %d took effect repeatedly, %d halts by the disk, %d violations", seed, senders, idleConns, accepted, s.calls, repeated, halts, len(s.violations))
+	if accepted == 0 {
+		t.Error("no message was accepted")
 	}
-	for _, b := range s.breaches[:min(len(s.breaches), 20)] {
-		t.Error(b)
+	for _, violation := range s.violations[:min(len(s.violations), 20)] {
+		t.Error(violation)
 	}
 }
 
-// soakNode is one sender with its platform.
+// soakNode is one sender with the discovery agent, endpoints and clients around it.
 type soakNode struct {
 	*soak
 	t     *testing.T
 	index int
 	rig   *rig
-	rng   *rand.Rand // of its faults
+	rng   *rand.Rand // draws its faults
 }
 
-func newSoakNode(t *testing.T, s *soak, index, senders int, rng *rand.Rand) *soakNode {
+func newSoakNode(t *testing.T, s *soak, index, senderCount int, rng *rand.Rand) *soakNode {
 	n := &soakNode{soak: s, t: t, index: index, rng: rng}
 	n.rig = newUnstartedRig(t, `<log records="true"/><knowledge enabled="true" write-every="1s"/><storms enabled="true"/>`, func(settings, limits map[string]any) {
-		settings["balancers"] = senders
+		settings["balancers"] = senderCount
 		settings["services"] = append(settings["services"].([]any),
 			map[string]any{"name": "pay", "aim": 2000, "deadline": 20000, "effect": "unsafe", "worth": 2, "late_worth": 0.4})
 		limits["sockets"] = 256
@@ -122,21 +123,21 @@
 	return n
 }
 
-// drain takes what the sender tells the platform.
-func (n *soakNode) drain(over <-chan struct{}) {
+// consumeReports records the sender's notices and discards its discovery calls until done is closed.
+func (n *soakNode) consumeReports(done <-chan struct{}) {
 	for {
 		select {
 		case notice := <-n.rig.notices:
-			n.noticed(notice.Message)
+			n.noticeReceived(notice.Message)
 		case <-n.rig.watches:
-		case <-over:
+		case <-done:
 			return
 		}
 	}
 }
 
-// faults plays one after the other what the seed draws.
-func (n *soakNode) faults(stop <-chan struct{}, binaries []string) {
+// injectFaults injects random faults one after the other until stop is closed.
+func (n *soakNode) injectFaults(stop <-chan struct{}, binaries []string) {
 	for {
 		select {
 		case <-stop:
@@ -157,7 +158,7 @@
 			time.Sleep(time.Duration(50+n.rng.IntN(100)) * time.Millisecond)
 			n.rig.proc.Process.Signal(syscall.SIGCONT)
 		case 5:
-			n.fewFiles(time.Duration(100+n.rng.IntN(300)) * time.Millisecond)
+			n.exhaustDescriptors(time.Duration(100+n.rng.IntN(300)) * time.Millisecond)
 		case 6:
 			n.rig.updateList(func() { n.rig.discoverySilent = true })
 			time.Sleep(time.Duration(500+n.rng.IntN(2000)) * time.Millisecond)
@@ -168,11 +169,11 @@
 	}
 }
 
-// restart ends the sender, by a series of signals or by SIGKILL alone, and starts it again, now and then on a wall clock
-// that was stepped.
+// restart stops the sender, with a series of signals if planned or else with SIGKILL alone, and starts it again with a
+// binary drawn at random: some of them have a shifted wall clock.
 func (n *soakNode) restart(binaries []string, planned bool) {
-	n.leave(n.index)
-	var disk sync.WaitGroup // a disk that fails through the end and the start
+	n.senderStopping(n.index)
+	var disk sync.WaitGroup // disk writes fail from before the stop until after the start
 	defer disk.Wait()
 	if n.rng.IntN(3) == 0 {
 		disk.Go(func() { n.failDisk(2 * time.Second) })
@@ -183,46 +184,46 @@
 		}
 		select {
 		case <-n.rig.exited:
-			n.wantClean()
-		case <-time.After(killAfter):
+			n.checkExitStatus()
+		case <-time.After(killDelay):
 		}
 	}
 	n.rig.kill(syscall.SIGKILL)
-	time.Sleep(startAfter)
+	time.Sleep(startDelay)
 	n.rig.binary = binaries[n.rng.IntN(len(binaries))]
-	begun := time.Now()
+	launched := time.Now()
 	n.rig.launch()
 	for n.rig.upStatus() != http.StatusOK {
-		if time.Since(begun) > readyWithin {
-			n.breach("n%d is not ready %v after its start", n.index, readyWithin)
+		if time.Since(launched) > soakReadyTimeout {
+			n.violation("n%d is not ready within %v of its start", n.index, soakReadyTimeout)
 			break
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	n.back(n.index)
+	n.senderReady(n.index)
 }
 
-// wantClean looks at how the process has ended after a SIGTERM.
-func (n *soakNode) wantClean() {
+// checkExitStatus records a violation if the process did not exit with status 0 after a SIGTERM.
+func (n *soakNode) checkExitStatus() {
 	if status := n.rig.proc.ProcessState; !status.Success() {
-		n.breach("n%d ended by itself: %v", n.index, status)
+		n.violation("n%d exited with an error: %v", n.index, status)
 	}
 }
 
-// fewFiles takes all free descriptors from the sender for a while: accept, socket and open fail with EMFILE.
-func (n *soakNode) fewFiles(d time.Duration) {
+// exhaustDescriptors lowers the sender's limit of open files for a while: accept, socket and open fail with EMFILE.
+func (n *soakNode) exhaustDescriptors(d time.Duration) {
 	pid := n.rig.proc.Process.Pid
-	var was unix.Rlimit
-	if err := unix.Prlimit(pid, unix.RLIMIT_NOFILE, nil, &was); err != nil {
-		return // it has just ended
+	var original unix.Rlimit
+	if err := unix.Prlimit(pid, unix.RLIMIT_NOFILE, nil, &original); err != nil {
+		return // the process has just exited
 	}
-	few := unix.Rlimit{Cur: 8, Max: was.Max}
-	unix.Prlimit(pid, unix.RLIMIT_NOFILE, &few, nil)
+	lowered := unix.Rlimit{Cur: 8, Max: original.Max}
+	unix.Prlimit(pid, unix.RLIMIT_NOFILE, &lowered, nil)
 	time.Sleep(d)
-	unix.Prlimit(pid, unix.RLIMIT_NOFILE, &was, nil)
+	unix.Prlimit(pid, unix.RLIMIT_NOFILE, &original, nil)
 }
 
-// failDisk makes all that the sender writes in its folder fail for a while.
+// failDisk makes all writes to the sender's state directory fail for a while.
 func (n *soakNode) failDisk(d time.Duration) {
 	path := n.rig.stateDir + diskFailSuffix
 	if err := os.WriteFile(path, nil, 0o600); err != nil {
@@ -232,8 +233,8 @@
 	os.Remove(path)
 }
 
-// crowd holds connections that say nothing.
-func (n *soakNode) crowd(stop <-chan struct{}) {
+// openIdleConns keeps opening connections that carry no request, and closes the oldest above maxIdleConns.
+func (n *soakNode) openIdleConns(stop <-chan struct{}) {
 	var held []net.Conn
 	defer func() {
 		for _, nc := range held {
@@ -244,7 +245,7 @@
 		if nc, err := net.Dial("tcp", n.rig.addr); err == nil {
 			held = append(held, nc)
 		}
-		if len(held) > idleClients {
+		if len(held) > maxIdleConns {
 			held[0].Close()
 			held = held[1:]
 		}
@@ -256,7 +257,7 @@
 	}
 }
 
-// soakClient hands messages in, one at a time, on a connection that it keeps as long as that stays open.
+// soakClient submits messages, one at a time, on a connection that it reuses as long as it stays open.
 type soakClient struct {
 	node *soakNode
 	rng  *rand.Rand
@@ -274,7 +275,7 @@
 			return
 		case <-time.After(time.Duration(10+c.rng.IntN(150)) * time.Millisecond):
 		}
-		c.hand(fmt.Sprintf("m-%s-%d", c.name, k))
+		c.submit(fmt.Sprintf("m-%s-%d", c.name, k))
 	}
 }
 
@@ -285,44 +286,44 @@
 	}
 }
 
-// errUnanswered is a connection's end without an answer.
-var errUnanswered = errors.New("the connection ended without an answer")
+// errUnanswered reports a connection that was closed without an answer.
+var errUnanswered = errors.New("connection closed without an answer")
 
-// hand hands one message in; on a kept connection that ends without an answer once more, on a new one.
-func (c *soakClient) hand(id string) {
+// submit submits one message. If a reused connection closes without an answer, it submits once more on a new one.
+func (c *soakClient) submit(id string) {
 	class := []string{"note", "pay"}[c.rng.IntN(2)]
-	left := time.Duration(700+c.rng.IntN(int(soakLeft/time.Millisecond)-700)) * time.Millisecond
-	sent := time.Now()
-	c.node.offered(id, class, c.node.index, sent.Add(left))
+	expiresIn := time.Duration(700+c.rng.IntN(int(soakMaxExpiry/time.Millisecond)-700)) * time.Millisecond
+	sentAt := time.Now()
+	c.node.submitted(id, class, c.node.index, sentAt.Add(expiresIn))
 	request := strings.Join([]string{"POST /api HTTP/1.1", "Host: app.svc", "X-Trace-Id: " + id, "X-Qos: " + class, "X-Customer: acme",
-		fmt.Sprintf("X-Expires-In: %.3f", left.Seconds()), "Idempotency-Key: key-" + id, "Content-Length: 4",
+		fmt.Sprintf("X-Expires-In: %.3f", expiresIn.Seconds()), "Idempotency-Key: key-" + id, "Content-Length: 4",
 		fmt.Sprintf("X-Route-To: dest=%d", 20+c.rng.IntN(3)), "", "body"}, "\r\n")
 	for {
-		kept := c.nc != nil && c.used
-		status, err := c.try(request)
+		reused := c.nc != nil && c.used
+		status, err := c.send(request)
 		switch {
 		case err == nil:
-			c.node.answered(id, status)
+			c.node.submissionAnswered(id, status)
 			return
-		case kept && errors.Is(err, errUnanswered): // it may have crossed the close of a connection that rested
+		case reused && errors.Is(err, errUnanswered): // the request may have crossed the sender's close of an idle connection
 			continue
-		case errors.Is(err, errUnanswered) && !c.node.isAway(sent):
-			c.node.breach("%s: read on a new connection, which ended without an answer", id)
+		case errors.Is(err, errUnanswered) && !c.node.wasUnavailable(sentAt):
+			c.node.violation("%s: sent on a new connection, which was closed without an answer", id)
 		}
 		return
 	}
 }
 
-// try writes a request and reads its answer.
-func (c *soakClient) try(request string) (int, error) {
+// send writes a request and reads the status of its answer.
+func (c *soakClient) send(request string) (int, error) {
 	if c.nc == nil {
-		nc, err := net.DialTimeout("tcp", c.node.rig.addr, clientWaits)
+		nc, err := net.DialTimeout("tcp", c.node.rig.addr, clientTimeout)
 		if err != nil {
 			return 0, err
 		}
 		c.nc, c.rd, c.used = nc, bufio.NewReader(nc), false
 	}
-	c.nc.SetDeadline(time.Now().Add(clientWaits))
+	c.nc.SetDeadline(time.Now().Add(clientTimeout))
 	if _, err := c.nc.Write([]byte(request)); err != nil {
 		c.close()
 		return 0, errUnanswered
@@ -331,7 +332,7 @@
 	if err != nil {
 		c.close()
 		if errors.Is(err, os.ErrDeadlineExceeded) {
-			return 0, err // the client goes: nothing was promised
+			return 0, err // the client gives up: the message was not accepted
 		}
 		return 0, errUnanswered
 	}
@@ -343,9 +344,9 @@
 	return resp.StatusCode, nil
 }
 
-// isAway reports whether the sender is away, or was after a moment.
-func (n *soakNode) isAway(since time.Time) bool {
+// wasUnavailable reports whether the sender is unavailable, or was at any time after since.
+func (n *soakNode) wasUnavailable(since time.Time) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return slices.ContainsFunc(n.away[n.index], func(o outage) bool { return o.to.IsZero() || o.to.After(since) })
+	return slices.ContainsFunc(n.outages[n.index], func(o outage) bool { return o.to.IsZero() || o.to.After(since) })
 }
--- a/cmd/sliptide/source.go
+++ b/cmd/sliptide/source.go
@@ -37,14 +37,14 @@
 		return newShardSource(cfg, op, snd, log, onList)
 	}
 	following := false // whether lists come from discovery now, not from cfg.Known; an empty one counts too then
-	watch := discovery.NewWatch(cfg.Discovery, &cfg.Settings, cfg.Seed, log, func(l discovery.List) {
+	watch := discovery.NewWatch(cfg.DiscoveryAddr, &cfg.Settings, cfg.Seed, log, func(l discovery.List) {
 		snd.UpdateEndpoints(l)
 		if !following && len(l.Endpoints) == 0 {
 			return // with an empty known list, the sender would be ready and answer the first messages 503
 		}
 		onList()
 	})
-	if err := watch.Restore(cfg.Known); err != nil {
+	if err := watch.Restore(cfg.KnownEndpoints); err != nil {
 		log.Warn().Err(err).Msg("configuration key known: invalid endpoint list; waiting for discovery")
 	}
 	following = true
@@ -84,7 +84,7 @@
 				onList()
 			}
 		}}
-	for _, c := range shards.Control {
+	for _, c := range shards.ControlMembers {
 		opts.Servers = append(opts.Servers, subscriber.Server{Name: c.Name, Addr: c.Addr, Region: c.Region})
 	}
 	source.subscriber = subscriber.New(opts)
--- a/cmd/sliptide/upgrade.go
+++ b/cmd/sliptide/upgrade.go
@@ -113,14 +113,14 @@
 	clock          sender.Clock
 	log            zerolog.Logger
 	sender         *sender.Sender
-	disabled       *admin.Kept
+	disabled       *admin.DisabledStore
 	knowledge      *knowledgeRef
 	member         *membership
 }
 
 // takeOver waits until the old process has released the state directory, then makes this process the active sender.
 func (h *successor) takeOver() {
-	lock, err := statedir.Lock(h.cfg.State, takeOverTimeout)
+	lock, err := statedir.Lock(h.cfg.StateDir, takeOverTimeout)
 	if err != nil {
 		h.log.Error().Err(err).Msg("upgrade: locking the state directory after the old process failed; this process sends nothing")
 		return
@@ -131,14 +131,14 @@
 		go knowledge.Writer.Run()
 	}
 	h.knowledge.set(knowledge)
-	disabled, err := h.disabled.Reread()
+	disabled, err := h.disabled.Reload()
 	if err != nil {
 		h.log.Warn().Err(err).Msg("upgrade: reading the endpoints disabled by operators failed")
 	}
 	if err := h.sender.TakeOver(knowledge.Knowledge, disabled); err != nil {
 		h.log.Error().Err(err).Msg("upgrade: taking over the old process's journal failed")
 	}
-	if err := lock.SetHolder(holderText(h.cfg.Listen)); err != nil {
+	if err := lock.SetHolder(holderText(h.cfg.ListenAddr)); err != nil {
 		h.log.Warn().Err(err).Msg("state directory: writing the lock's holder failed; an upgrade cannot start beside this process")
 	}
 	h.dirLocks.mu.Lock()
--- a/internal/fleet/copies.go
+++ b/internal/fleet/copies.go
@@ -13,93 +13,94 @@
 	"sliptide/internal/fleet/pb"
 )
 
-// Look is what a member knows of journals and their copies. It is not changed once it is published.
+// View is what a member knows of journals and their copies. It is immutable once published.
 type View struct {
 	Session   uint64
-	Journals  map[string]*pb.Duty // by owner: the duty of its journal
+	Journals  map[string]*pb.Duty // the duty of each journal, by owner
 	Adoptions map[string]*pb.Adoption
 	Present   []*pb.Present
 }
 
-// Mine reports whether this member holds a duty by that look.
-func (l *View) Holds(d *pb.Duty) bool { return d != nil && l.Session != 0 && d.Session == l.Session }
+// Holds reports whether this member holds a duty according to the view.
+func (v *View) Holds(d *pb.Duty) bool { return d != nil && v.Session != 0 && d.Session == v.Session }
 
-// Is reports whether a member's session goes on.
-func (l *View) HasMember(name string) bool {
-	return slices.ContainsFunc(l.Present, func(p *pb.Present) bool { return p.Name == name })
+// HasMember reports whether a member has a live session.
+func (v *View) HasMember(name string) bool {
+	return slices.ContainsFunc(v.Present, func(p *pb.Present) bool { return p.Name == name })
 }
 
-// Look is what is known now. It waits for nothing.
-func (m *Member) View() *View { return m.look.Load() }
+// View returns the current view. It does not block.
+func (m *Member) View() *View { return m.view.Load() }
 
-// Incarnation is the number of this member's folder.
-func (m *Member) Incarnation() uint64 { return m.id.Incarnation }
+// Incarnation returns the incarnation of this member's state directory.
+func (m *Member) Incarnation() uint64 { return m.identity.Incarnation }
 
-// publishLook makes what the session knows readable, and sees to links with those that copies go to or come from.
-func (m *Member) publishLook() {
+// publishView publishes what the session knows, and connects this member with the other holders of each journal.
+func (m *Member) publishView() {
 	version, id := m.session.Version(), m.session.ID()
-	if m.o.CopyQuota == 0 || version == m.seen && id == m.seenID {
+	if m.o.CopyQuota == 0 || version == m.viewVersion && id == m.viewSession {
 		return
 	}
-	m.seen, m.seenID = version, id
-	view, adopted, present := m.session.View()
-	l := &View{Session: id, Journals: map[string]*pb.Duty{}, Adoptions: map[string]*pb.Adoption{}, Present: present}
-	for name, d := range view {
-		if owner, own := strings.CutPrefix(name, duty.JournalDuty("")); own {
-			l.Journals[owner] = d
-			m.keepers(owner, d)
+	m.viewVersion, m.viewSession = version, id
+	duties, adoptions, present := m.session.View()
+	published := &View{Session: id, Journals: map[string]*pb.Duty{}, Adoptions: map[string]*pb.Adoption{}, Present: present}
+	for name, d := range duties {
+		if owner, isJournal := strings.CutPrefix(name, duty.JournalDuty("")); isJournal {
+			published.Journals[owner] = d
+			m.connectHolders(owner, d)
 		}
 	}
-	for owner, a := range adopted {
-		l.Adoptions[owner] = a
+	for owner, a := range adoptions {
+		published.Adoptions[owner] = a
 	}
-	m.look.Store(l)
+	m.view.Store(published)
 	if m.o.ViewChanged != nil {
 		m.o.ViewChanged()
 	}
 }
 
-// keepers links this member with the others of a journal, and puts it in line for the journal of an owner that it
-// keeps copies of: one of those becomes the heir.
-func (m *Member) keepers(owner string, d *pb.Duty) {
-	all := append([]string{owner}, d.Holders...)
-	if !slices.Contains(all, m.self.Name) {
+// connectHolders connects this member with the owner and the other holders of a journal. A holder also requests the
+// duty of the journal, since one of the holders becomes the successor of the owner.
+func (m *Member) connectHolders(owner string, d *pb.Duty) {
+	replicas := append([]string{owner}, d.Holders...)
+	if !slices.Contains(replicas, m.self.Name) {
 		return
 	}
 	if owner != m.self.Name {
 		m.session.Request(d.Name, "")
 	}
-	for _, name := range all {
+	for _, name := range replicas {
 		if m.self.Name < name {
 			for _, p := range m.o.Settings.Members {
 				if p.Name == name {
-					m.net.Connect(name, p.Addr)
+					m.links.Connect(name, p.Addr)
 				}
 			}
 		}
 	}
 }
 
-// SendCopy sends a frame of copies to a member; it waits for nothing.
+// SendCopy sends a frame about copies to a member. It does not block.
 func (m *Member) SendCopy(to string, f *pb.Frame) {
 	if to != m.self.Name {
-		m.net.Send(to, f)
+		m.links.Send(to, f)
 		return
 	}
 	select {
-	case m.toKeep <- input{from: to, frame: f}:
-	default: // it is sent again
+	case m.copyInbox <- input{from: to, frame: f}:
+	default: // dropped: the owner sends it again
 	}
 }
 
-// Ask has a command agreed on and tells what came of it, on a goroutine of the member's. It waits for nothing.
+// Propose proposes a command to the voters and passes the result to done on a goroutine of the member. It does not
+// block.
 func (m *Member) Propose(c *pb.Command, done func(*pb.Answer, error)) {
-	m.own(func() {
-		m.session.Do(&pb.Ask{Command: c}, m.o.Settings.Terms.Length, done)
+	m.runOnSessionLoop(func() {
+		m.session.Do(&pb.Ask{Command: c}, m.o.Settings.Lease.Length, done)
 	})
 }
 
-// bootID names this start of the machine, by which CLOCK_BOOTTIME goes; 0: the system does not tell.
+// bootID identifies the current boot of the machine, from which CLOCK_BOOTTIME counts; 0: unknown.
 func bootID() uint64 {
 	id, err := os.ReadFile("/proc/sys/kernel/random/boot_id")
 	if err != nil {
@@ -108,9 +109,9 @@
 	return xxhash.Sum64(id) | 1
 }
 
-// runKeeper keeps copies of others' journals.
-func (m *Member) runKeeper() {
-	defer m.done.Done()
+// runCopies keeps copies of other members' journals.
+func (m *Member) runCopies() {
+	defer m.loops.Done()
 	var holder *copies.Holder
 	if m.o.CopyQuota > 0 {
 		var owners []string
@@ -121,7 +122,7 @@
 		}
 		files, kept, err := keep.Open(m.o.Files, m.o.CopyAccount, owners)
 		if err != nil {
-			m.o.Log.Error().Err(err).Msg("fleet: copies cannot be kept here")
+			m.o.Log.Error().Err(err).Msg("fleet: opening the copies failed; this member keeps none")
 		} else {
 			holder = copies.NewHolder(files, m.o.CopyQuota, bootID(), kept)
 		}
@@ -130,22 +131,22 @@
 		select {
 		case <-m.ctx.Done():
 			return
-		case in := <-m.toKeep:
+		case in := <-m.copyInbox:
 			if holder != nil {
-				m.keep(holder, in)
+				m.handleCopyFrame(holder, in)
 			}
 		}
 	}
 }
 
-func (m *Member) keep(h *copies.Holder, in input) {
+func (m *Member) handleCopyFrame(h *copies.Holder, in input) {
 	var answer *pb.Frame
 	switch w := in.frame.What.(type) {
 	case *pb.Frame_Copy:
-		was := h.Mismatches()
+		repairsBefore := h.Mismatches()
 		a := h.HandleCopy(m.now(), w.Copy)
-		if h.Mismatches() > was {
-			m.o.Log.Warn().Str("owner", w.Copy.Owner).Msg("fleet: a copy differs from its owner's journal: it is asked for anew")
+		if h.Mismatches() > repairsBefore {
+			m.o.Log.Warn().Str("owner", w.Copy.Owner).Msg("fleet: a copy differs from its owner's journal and is requested again")
 		}
 		if a != nil && w.Copy.Owner == in.from {
 			answer = &pb.Frame{What: &pb.Frame_Copied{Copied: a}}
@@ -160,6 +161,6 @@
 	case in.from == m.self.Name:
 		m.o.ReceiveCopyReply(in.from, answer)
 	default:
-		m.net.Send(in.from, answer)
+		m.links.Send(in.from, answer)
 	}
 }
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -1,8 +1,8 @@
-// Package fleet makes a sender a member of a fleet: it runs the session (and, on a voter, the voter) on goroutines
-// of their own, carries their frames over links, and tells whoever acts on a duty whether it is held now.
+// Package fleet makes a sender a member of a fleet. It runs the session (and, on a voter, the voter) on separate
+// goroutines, carries their frames over links, and reports whether this member holds a duty now.
 //
-// Nothing here is on the sender's path: Held reads an atomic value and a clock. Two loops keep a voter's disk away
-// from the member's own session.
+// Nothing here blocks the sender: Token reads an atomic value and a clock. The voter and the session have separate
+// loops, so that the voter's disk writes don't delay the member's own session.
 package fleet
 
 import (
@@ -30,35 +30,35 @@
 )
 
 const (
-	inboxSize  = 1024
-	maxCalls   = 16384
-	asideFor   = 100 * time.Millisecond // a voter that leaves has handed the lead on within this time, or has not
-	closeFor   = 170 * time.Millisecond // and what it holds, or its lease runs out
-	callFor    = 3 * time.Second
-	reviveEach = 2 * time.Second // between two tries of a log that cannot be opened
+	inboxSize       = 1024
+	maxPendingCalls = 16384
+	transferTimeout = 100 * time.Millisecond // how long Close waits for a leading voter to transfer its leadership
+	closeTimeout    = 170 * time.Millisecond // how long Close waits for the session to end; after that its lease lapses
+	commandTimeout  = 3 * time.Second
+	reopenInterval  = 2 * time.Second // between attempts to open a log that could not be opened
 )
 
-// Peer is one member by the operators' file.
+// Peer is one member as listed in the operators' file.
 type Peer struct {
 	Name, Addr, Zone string
 	Voter            bool
 }
 
-// Settings are what the operators' file says of the fleet.
+// Settings are the settings of the fleet from the operators' file.
 type Settings struct {
-	Name            string // of this member
+	Name            string // this member's name
 	Listen          string
 	Members         []Peer
 	MinVoters       int
 	Weight          uint32
-	Terms           lease.Params
+	Lease           lease.Params
 	ElectionTimeout time.Duration
-	Hash            uint64      // of what must be alike in all members' files
+	Hash            uint64      // hash of the settings that must be equal in all members' files
 	Client          *tls.Config `json:"-"`
 	Server          *tls.Config `json:"-"`
 }
 
-// Self is this member's own line.
+// Self returns this member's own entry.
 func (s *Settings) Self() (Peer, bool) {
 	for _, m := range s.Members {
 		if m.Name == s.Name {
@@ -68,7 +68,7 @@
 	return Peer{}, false
 }
 
-// Voters are the names of the voters, in the file's order.
+// VoterNames returns the names of the voters in the order of the file.
 func (s *Settings) VoterNames() (names []string) {
 	for _, m := range s.Members {
 		if m.Voter {
@@ -78,87 +78,88 @@
 	return names
 }
 
-// Now is the time on the clock that goes on while the machine sleeps, in nanoseconds.
+// Now returns the time in nanoseconds on CLOCK_BOOTTIME, which keeps running while the machine sleeps.
 func Now() int64 {
 	var t unix.Timespec
 	if unix.ClockGettime(unix.CLOCK_BOOTTIME, &t) != nil {
-		return int64(time.Since(started))
+		return int64(time.Since(processStart))
 	}
 	return t.Nano()
 }
 
-var started = time.Now()
+var processStart = time.Now()
 
-// Options are what a Member works with.
+// Options configure a Member.
 type Options struct {
 	Settings Settings
 	Files    fsys.FS
-	Account  *statedir.Account // nil: not bounded
+	Account  *statedir.Account // nil: no bound
 	Log      zerolog.Logger
-	// Copies are kept of others' journals within so many bytes; 0: none. Frames of copies that are for the sender go to
-	// Copied, and Changed tells that Look has something new; neither may wait.
+	// CopyQuota is the number of bytes for copies of other members' journals; 0: none are kept. ReceiveCopyReply takes
+	// replies about copies that are for the sender, and ViewChanged is called when View has changed; neither may block.
 	CopyQuota        int64
-	CopyAccount      *statedir.Account // of the folder, for copies; nil: not bounded
+	CopyAccount      *statedir.Account // of the state directory, for copies; nil: no bound
 	ReceiveCopyReply func(from string, f *pb.Frame)
 	ViewChanged      func()
-	// CopyStatus is what operators are told of the copies of this member's own journal; nil: there are none.
+	// CopyStatus returns the status of the copies of this member's own journal for operators; nil: there are none.
 	CopyStatus  func() string
-	DutyChanged func(d *pb.Duty, mine bool) // each change of a duty; it must not wait. nil: none
-	Now         func() int64                // nil: Now
-	// BreakVoter and BreakSession take guards out, for tests that show what finds that.
-	BreakVoter   voter.Skip
-	BreakSession session.Break
+	DutyChanged func(d *pb.Duty, mine bool) // called on each change of a duty; must not block; may be nil
+	Now         func() int64                // nil: the function Now
+	// SkipVoterChecks and SkipSessionChecks disable safety checks, for tests that must detect their absence.
+	SkipVoterChecks   voter.Skip
+	SkipSessionChecks session.Skip
 }
 
-// input is something for a loop: a frame, or a call on its goroutine.
+// input is a frame for a loop, or a function to call on its goroutine.
 type input struct {
 	from  string
 	frame *pb.Frame
 	call  func()
 }
 
-// holds is what a member holds, as Held reads it.
-type holds struct {
-	until  int64
-	tokens map[string]uint64
+// heldTokens holds the tokens of the duties that a member holds, as Token reads them.
+type heldTokens struct {
+	validUntil int64
+	tokens     map[string]uint64
 }
 
-// Member is this process in the fleet.
+// Member is this process as a member of the fleet.
 type Member struct {
-	o       Options
-	now     func() int64
-	self    Peer
-	net     *link.Manager
-	session *session.Session
-	voter   *voter.Voter // nil: not a voter, or its log cannot be opened yet
-	id      *pb.Identity
-	toVoter chan input
-	toOwn   chan input
-	toKeep  chan input
-	look    atomic.Pointer[View]
-	seen    uint64 // the session's view that is published
-	seenID  uint64
-	held    atomic.Pointer[holds]
-	names   atomic.Pointer[map[string]bool]
-	calls   calls
-	ctx     context.Context
-	cancel  context.CancelFunc
-	done    sync.WaitGroup
-	closed  chan struct{}
-}
-
-// Open starts a member on the listener. ErrForeign (package disk) means that the folder is another member's.
+	o             Options
+	now           func() int64
+	self          Peer
+	links         *link.Manager
+	session       *session.Session
+	voter         *voter.Voter // nil: not a voter, or its log could not be opened yet
+	identity      *pb.Identity
+	voterInbox    chan input
+	sessionInbox  chan input
+	copyInbox     chan input
+	view          atomic.Pointer[View]
+	viewVersion   uint64 // the version of the session's view that was published last
+	viewSession   uint64
+	held          atomic.Pointer[heldTokens]
+	memberNames   atomic.Pointer[map[string]bool]
+	pendingCalls  callQueue
+	ctx           context.Context
+	cancel        context.CancelFunc
+	loops         sync.WaitGroup
+	sessionClosed chan struct{}
+}
+
+// Open starts a member on the listener. It returns disk.ErrForeign if the state directory belongs to another member.
 func Open(o Options, ln net.Listener) (*Member, error) {
 	self, known := o.Settings.Self()
 	if !known {
 		return nil, fmt.Errorf("fleet: RELAY_NAME is %q, which is no member of <fleet>", o.Settings.Name)
 	}
-	m := &Member{o: o, now: o.Now, self: self, toVoter: make(chan input, inboxSize), toOwn: make(chan input, inboxSize), toKeep: make(chan input, inboxSize), closed: make(chan struct{}), calls: calls{kick: make(chan struct{}, 1)}}
+	m := &Member{o: o, now: o.Now, self: self, voterInbox: make(chan input, inboxSize), sessionInbox: make(chan input, inboxSize),
+		copyInbox: make(chan input, inboxSize), sessionClosed: make(chan struct{}), pendingCalls: callQueue{wake: make(chan struct{}, 1)}}
 	if m.now == nil {
 		m.now = Now
 	}
-	m.held.Store(&holds{})
-	m.look.Store(&View{})
+	m.held.Store(&heldTokens{})
+	m.view.Store(&View{})
 	m.SetMembers(o.Settings.Members)
 	m.ctx, m.cancel = context.WithCancel(context.Background())
 	log, err := disk.Open(o.Files, o.Account, self.Name)
@@ -166,81 +167,81 @@
 	case errors.Is(err, disk.ErrForeign):
 		return nil, fmt.Errorf("fleet: %w", err)
 	case err != nil:
-		// The sender goes on sending, and its member without a log goes on asking.
-		o.Log.Error().Err(err).Msg("fleet: the log cannot be opened")
-		m.id = &pb.Identity{Member: self.Name, Incarnation: rand.Uint64() | 1, Boot: 1}
+		// The sender keeps sending. A member without a log still has a session, so it can still acquire duties.
+		o.Log.Error().Err(err).Msg("fleet: opening the log failed")
+		m.identity = &pb.Identity{Member: self.Name, Incarnation: rand.Uint64() | 1, Boot: 1}
 	default:
-		m.id = log.Identity()
+		m.identity = log.Identity()
 	}
 	if self.Voter && err == nil {
 		if m.voter, err = m.newVoter(log); err != nil {
 			return nil, err
 		}
 	}
-	m.session = session.New(session.Options{Member: self.Name, Incarnation: m.id.Incarnation, Boot: m.id.Boot, Zone: self.Zone,
-		Weight: o.Settings.Weight, Voters: o.Settings.VoterNames(), Terms: o.Settings.Terms, Rand: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
-		LogEvent: m.noteDuty, Break: o.BreakSession})
+	m.session = session.New(session.Options{Member: self.Name, Incarnation: m.identity.Incarnation, Boot: m.identity.Boot, Zone: self.Zone,
+		Weight: o.Settings.Weight, Voters: o.Settings.VoterNames(), Lease: o.Settings.Lease, Rand: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
+		OnEvent: m.logDuty, Skip: o.SkipSessionChecks})
 	if o.DutyChanged != nil {
 		m.session.DutyChanged = func(d *pb.Duty) { o.DutyChanged(d, m.session.Holds(d)) }
 	}
-	m.net = link.New(link.Options{Self: self.Name, Incarnation: m.id.Incarnation, SettingsHash: o.Settings.Hash, DialAddrs: m.dials(), IsMember: m.known,
-		Client: o.Settings.Client, Server: o.Settings.Server, Receive: m.receive, Call: m.call, LogEvent: m.noteLink})
-	m.done.Add(4)
-	go func() { defer m.done.Done(); m.net.Serve(ln) }()
+	m.links = link.New(link.Options{Self: self.Name, Incarnation: m.identity.Incarnation, SettingsHash: o.Settings.Hash, DialAddrs: m.dialAddrs(), IsMember: m.isMember,
+		Client: o.Settings.Client, Server: o.Settings.Server, Receive: m.receive, Call: m.handleCommand, OnEvent: m.logLink})
+	m.loops.Add(4)
+	go func() { defer m.loops.Done(); m.links.Serve(ln) }()
 	go m.runSession()
 	go m.runVoter()
-	go m.runKeeper()
+	go m.runCopies()
 	return m, nil
 }
 
 func (m *Member) newVoter(log *disk.Log) (*voter.Voter, error) {
 	s := &m.o.Settings
-	return voter.New(voter.Options{Name: m.self.Name, Voters: s.VoterNames(), MinVoters: s.MinVoters, Lease: s.Terms, ElectionTimeout: s.ElectionTimeout, Log: log,
-		OnEvent: m.noteVoter, Skip: m.o.BreakVoter}, m.now())
+	return voter.New(voter.Options{Name: m.self.Name, Voters: s.VoterNames(), MinVoters: s.MinVoters, Lease: s.Lease, ElectionTimeout: s.ElectionTimeout,
+		Log: log, OnEvent: m.logVoter, Skip: m.o.SkipVoterChecks}, m.now())
 }
 
-// dials are the members that this one dials: of two voters the first by name does, and everybody else dials the
-// voters.
-func (m *Member) dials() map[string]string {
-	list := map[string]string{}
+// dialAddrs returns the addresses of the members that this one dials. Of two voters the one whose name sorts first
+// dials; every other member dials the voters.
+func (m *Member) dialAddrs() map[string]string {
+	addrs := map[string]string{}
 	for _, p := range m.o.Settings.Members {
 		if p.Voter && p.Name != m.self.Name && (!m.self.Voter || m.self.Name < p.Name) {
-			list[p.Name] = p.Addr
+			addrs[p.Name] = p.Addr
 		}
 	}
-	return list
+	return addrs
 }
 
-func (m *Member) known(name string) bool { return (*m.names.Load())[name] }
+func (m *Member) isMember(name string) bool { return (*m.memberNames.Load())[name] }
 
-// SetMembers takes the members of an operators' file that was read again: links of new ones are taken from now on.
-// Who votes stays until the next start.
-func (m *Member) SetMembers(list []Peer) {
+// SetMembers applies the member list of a reloaded operators' file: links from new members are accepted from now on.
+// The set of voters does not change until the next start.
+func (m *Member) SetMembers(members []Peer) {
 	if m == nil {
 		return
 	}
-	names := make(map[string]bool, len(list))
-	for _, p := range list {
+	names := make(map[string]bool, len(members))
+	for _, p := range members {
 		names[p.Name] = true
 	}
-	m.names.Store(&names)
+	m.memberNames.Store(&names)
 }
 
-func (m *Member) noteVoter(what string, err error) {
+func (m *Member) logVoter(what string, err error) {
 	m.o.Log.Info().Err(err).Msg("fleet: voter: " + what)
 }
 
-func (m *Member) noteLink(what, member string, err error) {
+func (m *Member) logLink(what, member string, err error) {
 	m.o.Log.Info().Str("member", member).Err(err).Msg("fleet: " + what)
 }
 
-func (m *Member) noteDuty(what, duty string, token uint64) {
+func (m *Member) logDuty(what, duty string, token uint64) {
 	m.o.Log.Info().Str("duty", duty).Uint64("token", token).Msg("fleet: duty " + what)
 }
 
-// receive brings a frame to the loop that it is for. A loop that is behind holds up the link, and no other.
+// receive passes a frame to the loop that handles it. A loop that lags blocks the link of the frame and no other link.
 func (m *Member) receive(ctx context.Context, from string, f *pb.Frame) {
-	to := m.toVoter
+	inbox := m.voterInbox
 	switch w := f.What.(type) {
 	case *pb.Frame_Copied, *pb.Frame_Sealed:
 		if m.o.ReceiveCopyReply != nil {
@@ -248,73 +249,73 @@
 		}
 		return
 	case *pb.Frame_Copy, *pb.Frame_Seal:
-		to = m.toKeep
+		inbox = m.copyInbox
 	case *pb.Frame_News:
-		to = m.toOwn
+		inbox = m.sessionInbox
 	case *pb.Frame_Answer:
-		if w.Answer.Id != 0 { // else it is one voter's to another
-			to = m.toOwn
+		if w.Answer.Id != 0 { // an answer without an id goes from one voter to another
+			inbox = m.sessionInbox
 		}
 	}
 	select {
-	case to <- input{from: from, frame: f}:
+	case inbox <- input{from: from, frame: f}:
 	case <-ctx.Done():
 	case <-m.ctx.Done():
 	}
 }
 
-// route sends a frame over a link, or to the other loop of this very member.
+// route sends a frame over a link, or to the other loop of this member.
 func (m *Member) route(to string, f *pb.Frame) {
 	if to != m.self.Name {
-		m.net.Send(to, f)
+		m.links.Send(to, f)
 		return
 	}
-	in := m.toOwn
+	inbox := m.sessionInbox
 	if f.GetAsk() != nil || f.GetRaft() != nil {
-		in = m.toVoter
+		inbox = m.voterInbox
 	}
 	select {
-	case in <- input{from: to, frame: f}:
-	default: // it is asked again
+	case inbox <- input{from: to, frame: f}:
+	default: // dropped: the request is sent again
 	}
 }
 
 func (m *Member) runSession() {
-	defer m.done.Done()
-	tick := time.NewTicker(max(m.o.Settings.Terms.Length/40, 5*time.Millisecond))
+	defer m.loops.Done()
+	tick := time.NewTicker(max(m.o.Settings.Lease.Length/40, 5*time.Millisecond))
 	defer tick.Stop()
 	m.session.Tick(m.now())
 	for {
-		m.publish()
-		for _, o := range m.session.TakeOutgoing() {
-			m.route(o.To, o.Frame)
+		m.publishHeld()
+		for _, out := range m.session.TakeOutgoing() {
+			m.route(out.To, out.Frame)
 		}
 		select {
 		case <-m.ctx.Done():
 			return
-		case in := <-m.toOwn:
-			m.takeOwn(in)
-			for range len(m.toOwn) {
-				m.takeOwn(<-m.toOwn)
+		case in := <-m.sessionInbox:
+			m.handleSessionInput(in)
+			for range len(m.sessionInbox) {
+				m.handleSessionInput(<-m.sessionInbox)
 			}
-		case <-m.calls.kick:
+		case <-m.pendingCalls.wake:
 		case <-tick.C:
 		}
-		for _, f := range m.calls.take() {
-			f()
+		for _, call := range m.pendingCalls.drain() {
+			call()
 		}
 		m.session.Tick(m.now())
 		if m.session.Closed() {
 			select {
-			case <-m.closed:
+			case <-m.sessionClosed:
 			default:
-				close(m.closed)
+				close(m.sessionClosed)
 			}
 		}
 	}
 }
 
-func (m *Member) takeOwn(in input) {
+func (m *Member) handleSessionInput(in input) {
 	if in.call != nil {
 		in.call()
 		return
@@ -322,45 +323,46 @@
 	m.session.Receive(in.from, in.frame, m.now())
 }
 
-// publish makes what is held readable to Held, before anything is sent that gives it up.
-func (m *Member) publish() {
+// publishHeld publishes the held duties for Token. It runs before frames are sent, so that a duty no longer counts as
+// held here when its release goes out.
+func (m *Member) publishHeld() {
 	now := m.now()
-	h := &holds{until: m.session.LeaseEnd(now), tokens: m.session.HeldTokens(now)}
-	if m.o.BreakSession&session.BreakLeaseCheck != 0 {
-		h.until = now + int64(time.Hour)
+	h := &heldTokens{validUntil: m.session.LeaseEnd(now), tokens: m.session.HeldTokens(now)}
+	if m.o.SkipSessionChecks&session.SkipLeaseCheck != 0 {
+		h.validUntil = now + int64(time.Hour)
 	}
 	m.held.Store(h)
-	m.publishLook()
+	m.publishView()
 }
 
 func (m *Member) runVoter() {
-	defer m.done.Done()
+	defer m.loops.Done()
 	if !m.self.Voter {
-		m.refuse()
+		m.refuseRequests()
 		return
 	}
 	tick := time.NewTicker(m.o.Settings.ElectionTimeout / 20)
 	defer tick.Stop()
-	reviveAt := time.Now().Add(reviveEach)
+	reopenAt := time.Now().Add(reopenInterval)
 	for {
 		if m.voter != nil {
-			for _, o := range m.voter.TakeOutgoing() {
-				m.route(o.To, o.Frame)
+			for _, out := range m.voter.TakeOutgoing() {
+				m.route(out.To, out.Frame)
 			}
 		}
 		select {
 		case <-m.ctx.Done():
 			return
-		case in := <-m.toVoter:
-			m.takeVoter(in)
-			for range len(m.toVoter) {
-				m.takeVoter(<-m.toVoter)
+		case in := <-m.voterInbox:
+			m.handleVoterInput(in)
+			for range len(m.voterInbox) {
+				m.handleVoterInput(<-m.voterInbox)
 			}
 		case <-tick.C:
 		}
-		if m.voter == nil && time.Now().After(reviveAt) {
-			m.revive()
-			reviveAt = time.Now().Add(reviveEach)
+		if m.voter == nil && time.Now().After(reopenAt) {
+			m.reopenLog()
+			reopenAt = time.Now().Add(reopenInterval)
 		}
 		if m.voter != nil {
 			m.voter.Tick(m.now())
@@ -368,62 +370,62 @@
 	}
 }
 
-// revive tries a log again that could not be opened.
-func (m *Member) revive() {
+// reopenLog tries to open a log that could not be opened before, and starts the voter.
+func (m *Member) reopenLog() {
 	log, err := disk.Open(m.o.Files, m.o.Account, m.self.Name)
 	if err != nil {
 		return
 	}
 	if m.voter, err = m.newVoter(log); err == nil {
-		m.noteVoter("the log can be opened now", nil)
+		m.logVoter("log opened on retry", nil)
 	}
 }
 
-func (m *Member) takeVoter(in input) {
+func (m *Member) handleVoterInput(in input) {
 	switch {
 	case in.call != nil:
 		in.call()
 	case m.voter != nil:
 		m.voter.Receive(in.from, in.frame, m.now())
 	case in.frame.GetAsk() != nil && in.frame.GetAsk().Found == nil:
-		m.route(in.from, notLeading(in.frame.GetAsk().Id))
+		m.route(in.from, notLeaderAnswer(in.frame.GetAsk().Id))
 	}
 }
 
-// refuse answers asks at a member that is no voter.
-func (m *Member) refuse() {
+// refuseRequests answers requests at a member that is not a voter.
+func (m *Member) refuseRequests() {
 	for {
 		select {
 		case <-m.ctx.Done():
 			return
-		case in := <-m.toVoter:
+		case in := <-m.voterInbox:
 			if in.call != nil {
 				in.call()
 			} else if a := in.frame.GetAsk(); a != nil {
-				m.route(in.from, notLeading(a.Id))
+				m.route(in.from, notLeaderAnswer(a.Id))
 			}
 		}
 	}
 }
 
-func notLeading(id uint64) *pb.Frame {
+func notLeaderAnswer(id uint64) *pb.Frame {
 	return &pb.Frame{What: &pb.Frame_Answer{Answer: &pb.Answer{Id: id, NotLeader: true}}}
 }
 
-// Held returns the fencing token of a duty that is held at this moment, 0 if it is not. It is to be asked
-// immediately before each act. It waits for nothing.
+// Token returns the fencing token of a duty if this member holds it now, 0 otherwise. Callers check it immediately
+// before each action under the duty. It does not block.
 func (m *Member) Token(duty string) uint64 {
 	if m == nil {
 		return 0
 	}
 	h := m.held.Load()
-	if t := h.tokens[duty]; t != 0 && m.now() < h.until {
+	if t := h.tokens[duty]; t != 0 && m.now() < h.validUntil {
 		return t
 	}
 	return 0
 }
 
-// Duties is how many duties are held at this moment.
+// HeldDuties returns the number of duties that this member holds now.
 func (m *Member) HeldDuties() int {
 	if !m.Live() {
 		return 0
@@ -431,114 +433,118 @@
 	return len(m.held.Load().tokens)
 }
 
-// Live reports whether this member's session holds at this moment: whether the fleet can be relied on.
-func (m *Member) Live() bool { return m != nil && m.now() < m.held.Load().until }
+// Live reports whether this member's session is valid now, so that its view of the fleet can be relied on.
+func (m *Member) Live() bool { return m != nil && m.now() < m.held.Load().validUntil }
 
-// own runs f on the session's loop, in order, and waits for nothing. What is asked is bounded by the duties that
-// callers name, each of which is asked about when something happens to its partner.
-func (m *Member) own(f func()) {
-	m.calls.mu.Lock()
-	full := len(m.calls.list) >= maxCalls
-	if !full {
-		m.calls.list = append(m.calls.list, f)
+// runOnSessionLoop queues f for the session's loop, in order, and does not block. The number of queued
+// calls is bounded by the duties that callers name, each of which is called for when its partner's state changes.
+func (m *Member) runOnSessionLoop(f func()) {
+	m.pendingCalls.mu.Lock()
+	queueFull := len(m.pendingCalls.calls) >= maxPendingCalls
+	if !queueFull {
+		m.pendingCalls.calls = append(m.pendingCalls.calls, f)
 	}
-	m.calls.mu.Unlock()
+	m.pendingCalls.mu.Unlock()
 	select {
-	case m.calls.kick <- struct{}{}:
+	case m.pendingCalls.wake <- struct{}{}:
 	default:
 	}
 }
 
-// calls are functions that wait for the session's loop, in order.
-type calls struct {
-	mu   sync.Mutex
-	list []func()
-	kick chan struct{}
+// callQueue holds functions to run on the session's loop, in order.
+type callQueue struct {
+	mu    sync.Mutex
+	calls []func()
+	wake  chan struct{}
 }
 
-func (q *calls) take() []func() {
+func (q *callQueue) drain() []func() {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	list := q.list
-	q.list = nil
-	return list
+	calls := q.calls
+	q.calls = nil
+	return calls
 }
 
-// Want puts this member in line for a duty. It waits for nothing.
-func (m *Member) Request(duty, zone string) { m.own(func() { m.session.Request(duty, zone) }) }
+// Request requests a duty, or a place in its queue. It does not block.
+func (m *Member) Request(duty, zone string) {
+	m.runOnSessionLoop(func() { m.session.Request(duty, zone) })
+}
 
-// Leave gives a duty up; with end it is over for everybody. It waits for nothing.
-func (m *Member) Release(duty string, end bool) { m.own(func() { m.session.Release(duty, end) }) }
+// Release gives a duty up; end ends the duty for all members. It does not block.
+func (m *Member) Release(duty string, end bool) {
+	m.runOnSessionLoop(func() { m.session.Release(duty, end) })
+}
 
-// Say tells everybody who watches a word about a duty that this member holds.
+// Publish publishes a word about a duty that this member holds to all members that watch it. It does not block.
 func (m *Member) Publish(name, word string) {
-	m.own(func() {
+	m.runOnSessionLoop(func() {
 		if t := m.session.Token(name, m.now()); t != 0 {
 			m.session.Do(&pb.Ask{Command: &pb.Command{What: &pb.Command_Say{Say: &pb.Say{Session: m.session.ID(), Duty: name, Token: t, Word: word}}}},
-				m.o.Settings.Terms.Length, func(*pb.Answer, error) {})
+				m.o.Settings.Lease.Length, func(*pb.Answer, error) {})
 		}
 	})
 }
 
-// aside has a voter that leads hand that on, and waits until it has, for a bounded time.
-func (m *Member) aside() {
+// transferLeadership makes a leading voter transfer its leadership, and waits for that up to transferTimeout.
+func (m *Member) transferLeadership() {
 	if !m.self.Voter {
 		return
 	}
-	ctx, cancel := context.WithTimeout(m.ctx, asideFor)
+	ctx, cancel := context.WithTimeout(m.ctx, transferTimeout)
 	defer cancel()
-	leads := make(chan bool, 1)
-	for again := false; ; again = true {
-		f := func() {
-			if m.voter != nil && !again {
+	leadsNow := make(chan bool, 1)
+	for requested := false; ; requested = true {
+		request := func() {
+			if m.voter != nil && !requested {
 				m.voter.TransferLeadership()
 			}
-			leads <- m.voter != nil && m.voter.IsLeader()
+			leadsNow <- m.voter != nil && m.voter.IsLeader()
 		}
 		select {
-		case m.toVoter <- input{call: f}:
+		case m.voterInbox <- input{call: request}:
 		case <-ctx.Done():
 			return
 		}
 		select {
-		case still := <-leads:
-			if !still {
+		case stillLeads := <-leadsNow:
+			if !stillLeads {
 				return
 			}
 		case <-ctx.Done():
 			return
 		}
 		select {
-		case <-time.After(asideFor / 20):
+		case <-time.After(transferTimeout / 20):
 		case <-ctx.Done():
 		}
 	}
 }
 
-// Close gives everything up, waits for the fleet to take note for a bounded time, and ends the links.
+// Close releases all duties, waits up to closeTimeout for the fleet to end the session, and closes the links.
 func (m *Member) Close() {
 	if m == nil {
 		return
 	}
-	m.aside()
-	m.own(func() { m.session.Close(m.now()) })
+	m.transferLeadership()
+	m.runOnSessionLoop(func() { m.session.Close(m.now()) })
 	select {
-	case <-m.closed:
-	case <-time.After(closeFor):
+	case <-m.sessionClosed:
+	case <-time.After(closeTimeout):
 	}
-	m.end()
+	m.stop()
 }
 
-// Abandon ends the links without a word. The session goes on until it lapses, or the next process of this folder takes
-// its place.
+// Abandon closes the links without ending the session. The session lasts until its lease lapses or the next process of
+// this state directory replaces it.
 func (m *Member) Abandon() {
 	if m != nil {
-		m.end()
+		m.stop()
 	}
 }
 
-func (m *Member) end() {
+func (m *Member) stop() {
 	m.cancel()
-	m.net.Close()
-	m.done.Wait()
+	m.links.Close()
+	m.loops.Wait()
 }
--- a/internal/fleet/procs_test.go
+++ b/internal/fleet/procs_test.go
@@ -28,22 +28,22 @@
 	"sliptide/internal/standin"
 )
 
-// These tests run a fleet of real processes: this test binary, started again as a member that holds duties and
-// says so. Each link goes through a relay. All processes of a machine read one clock, which only the checker uses
-// to put what they say in order; each member counts by that clock run fast or slow.
+// These tests run a fleet of real processes: this test binary, started again as a member that holds duties and reports
+// them. Each link goes through a relay. All processes of a machine read the same clock, which only the checker uses to
+// order their reports; each member itself uses that clock at a rate of its own, fast or slow.
 
 const (
 	nodeEnv = "SLIPTIDE_FLEET_NODE"
 	duties  = 3
 )
 
-// nodeSettings is what a member process is told.
+// nodeSettings holds the settings of a member process.
 type nodeSettings struct {
-	Settings     fleet.Settings
-	Dir          string
-	Rate         float64 // of its clock
-	BreakVoter   voter.Skip
-	BreakSession session.Break
+	Settings          fleet.Settings
+	Dir               string
+	ClockRate         float64 // of the member's clock against the machine's
+	SkipVoterChecks   voter.Skip
+	SkipSessionChecks session.Skip
 }
 
 func TestMain(m *testing.M) {
@@ -52,7 +52,7 @@
 		if err := json.Unmarshal([]byte(text), &s); err != nil {
 			panic(err)
 		}
-		node(s)
+		runNode(s)
 		return
 	}
 	os.Exit(m.Run())
@@ -60,18 +60,18 @@
 
 func dutyName(i int) string { return "duty/" + strconv.Itoa(i) }
 
-// node is a member process. It wants all duties, and prints each look at what it holds: the duty, the token, and
-// the clock before and after. It leaves when its input ends or says so.
-func node(s nodeSettings) {
+// runNode runs a member process. It requests all duties, and prints each observation of a held duty: the duty, the
+// token, and the clock before and after. It leaves the fleet when its standard input ends or has a line.
+func runNode(s nodeSettings) {
 	start := fleet.Now()
-	now := func() int64 { return start + int64(float64(fleet.Now()-start)*s.Rate) }
+	now := func() int64 { return start + int64(float64(fleet.Now()-start)*s.ClockRate) }
 	ln, err := net.Listen("tcp", s.Settings.Listen)
 	if err != nil {
 		fmt.Println("error", err)
 		os.Exit(1)
 	}
 	m, err := fleet.Open(fleet.Options{Settings: s.Settings, Files: fsys.OS{Dir: s.Dir}, Log: zerolog.New(os.Stderr).With().Str("m", s.Settings.Name).Timestamp().Logger(),
-		Now: now, BreakVoter: s.BreakVoter, BreakSession: s.BreakSession}, ln)
+		Now: now, SkipVoterChecks: s.SkipVoterChecks, SkipSessionChecks: s.SkipSessionChecks}, ln)
 	if err != nil {
 		fmt.Println("error", err)
 		os.Exit(1)
@@ -87,9 +87,9 @@
 	out := bufio.NewWriter(os.Stdout)
 	for {
 		for i := range duties {
-			t0 := fleet.Now()
+			before := fleet.Now()
 			if token := m.Token(dutyName(i)); token != 0 {
-				fmt.Fprintln(out, "held", i, token, t0, fleet.Now())
+				fmt.Fprintln(out, "held", i, token, before, fleet.Now())
 			}
 		}
 		out.Flush()
@@ -104,8 +104,8 @@
 	}
 }
 
-// look is one look of a member that found a duty held.
-type look struct {
+// observation is one check by a member that found a duty held.
+type observation struct {
 	member     string
 	duty       int
 	token      uint64
@@ -113,32 +113,32 @@
 }
 
 type proc struct {
-	name  string
-	set   nodeSettings
-	cmd   *exec.Cmd
-	stdin interface{ Close() error }
-	done  chan struct{}
-	up    bool
+	name     string
+	settings nodeSettings
+	cmd      *exec.Cmd
+	stdin    interface{ Close() error }
+	done     chan struct{}
+	up       bool
 }
 
 // rig is a fleet of processes.
 type rig struct {
-	t      testing.TB
-	dir    string
-	procs  []*proc
-	relays map[[2]string]*standin.Relay // by who dials and who is dialled
-	change func(*nodeSettings)
-
-	mu    sync.Mutex
-	looks []look
-	errs  []string
-	logs  strings.Builder
+	t         testing.TB
+	dir       string
+	procs     []*proc
+	relays    map[[2]string]*standin.Relay // by the names of the dialling and the dialled member
+	configure func(*nodeSettings)
+
+	mu           sync.Mutex
+	observations []observation
+	errs         []string
+	logs         strings.Builder
 }
 
 var addrs atomic.Int32
 
-// freeAddr is a port of an address that no other member or test has: nothing else, and no connection's own end, can
-// take it between here and the member's start.
+// freeAddr returns a port on an address that no other member or test uses, so that neither another listener nor the
+// local end of a connection can occupy it before the member starts.
 func freeAddr(t testing.TB) string {
 	n := addrs.Add(1)
 	ln, err := net.Listen("tcp", fmt.Sprintf("127.80.%d.%d:0", n/250, n%250+1))
@@ -149,10 +149,10 @@
 	return ln.Addr().String()
 }
 
-// newRig starts voters and members; each sees the voters at addresses of its own, those of its relays.
-func newRig(t testing.TB, voters, members int, change func(*nodeSettings)) *rig {
+// newRig starts voters and members. Each member reaches the voters at the addresses of its own relays.
+func newRig(t testing.TB, voters, members int, configure func(*nodeSettings)) *rig {
 	t.Helper()
-	r := &rig{t: t, dir: t.TempDir(), relays: map[[2]string]*standin.Relay{}, change: change}
+	r := &rig{t: t, dir: t.TempDir(), relays: map[[2]string]*standin.Relay{}, configure: configure}
 	addrs := map[string]string{}
 	var names []string
 	for i := range voters + members {
@@ -175,15 +175,15 @@
 			}
 			peers = append(peers, p)
 		}
-		set := nodeSettings{Dir: filepath.Join(r.dir, name), Rate: 1, Settings: fleet.Settings{Name: name, Listen: addrs[name], Members: peers,
-			MinVoters: voters, Weight: 1, Terms: lease.Params{Length: time.Second, Drift: 0.05}, ElectionTimeout: 300 * time.Millisecond}}
+		set := nodeSettings{Dir: filepath.Join(r.dir, name), ClockRate: 1, Settings: fleet.Settings{Name: name, Listen: addrs[name], Members: peers,
+			MinVoters: voters, Weight: 1, Lease: lease.Params{Length: time.Second, Drift: 0.05}, ElectionTimeout: 300 * time.Millisecond}}
 		if i%2 == 1 {
-			set.Rate = 1.04
+			set.ClockRate = 1.04
 		}
-		if change != nil {
-			change(&set)
+		if configure != nil {
+			configure(&set)
 		}
-		r.procs = append(r.procs, &proc{name: name, set: set})
+		r.procs = append(r.procs, &proc{name: name, settings: set})
 	}
 	for _, p := range r.procs {
 		r.start(p)
@@ -195,8 +195,8 @@
 	for _, p := range r.procs {
 		r.kill(p)
 	}
-	for _, l := range r.relays {
-		l.Close()
+	for _, relay := range r.relays {
+		relay.Close()
 	}
 }
 
@@ -204,10 +204,10 @@
 	if p.up {
 		return
 	}
-	if err := os.MkdirAll(p.set.Dir, 0o700); err != nil {
+	if err := os.MkdirAll(p.settings.Dir, 0o700); err != nil {
 		r.t.Fatal(err)
 	}
-	text, err := json.Marshal(p.set)
+	text, err := json.Marshal(p.settings)
 	if err != nil {
 		r.t.Fatal(err)
 	}
@@ -230,7 +230,7 @@
 		defer close(done)
 		lines := bufio.NewScanner(out)
 		for lines.Scan() {
-			r.line(p.name, lines.Text())
+			r.recordLine(p.name, lines.Text())
 		}
 		cmd.Wait()
 	}(p.done)
@@ -244,12 +244,12 @@
 	return w.r.logs.Write(b)
 }
 
-func (r *rig) line(member, text string) {
-	l := look{member: member}
+func (r *rig) recordLine(member, text string) {
+	seen := observation{member: member}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if n, _ := fmt.Sscanf(text, "held %d %d %d %d", &l.duty, &l.token, &l.begin, &l.end); n == 4 {
-		r.looks = append(r.looks, l)
+	if n, _ := fmt.Sscanf(text, "held %d %d %d %d", &seen.duty, &seen.token, &seen.begin, &seen.end); n == 4 {
+		r.observations = append(r.observations, seen)
 	} else if strings.HasPrefix(text, "error") {
 		r.errs = append(r.errs, member+": "+text)
 	}
@@ -264,7 +264,7 @@
 	}
 }
 
-// leave ends a member in order.
+// leave makes a member release its duties and exit.
 func (r *rig) leave(p *proc) {
 	p.stdin.Close()
 	<-p.done
@@ -280,76 +280,78 @@
 	return nil
 }
 
-// cut cuts the links between two members, both ways.
+// cut cuts the links between two members in both directions, or restores them.
 func (r *rig) cut(a, b string, cut bool) {
 	for _, k := range [][2]string{{a, b}, {b, a}} {
-		if l := r.relays[k]; l != nil {
-			l.Cut(cut)
+		if relay := r.relays[k]; relay != nil {
+			relay.BlockBoth(cut)
 		}
 	}
 }
 
 func (r *rig) isolate(name string, cut bool) {
-	for k, l := range r.relays {
+	for k, relay := range r.relays {
 		if k[0] == name || k[1] == name {
-			l.Cut(cut)
+			relay.BlockBoth(cut)
 		}
 	}
 }
 
-// holder waits until somebody is seen to hold a duty after a moment, and returns who and when.
-func (r *rig) holder(duty int, after int64, other string, patience time.Duration) look {
+// holder waits for an observation of a duty's holder, other than except, that begins after a given time, and returns
+// it.
+func (r *rig) holder(duty int, after int64, except string, timeout time.Duration) observation {
 	r.t.Helper()
-	for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(timeout); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
 		r.mu.Lock()
-		for i := len(r.looks) - 1; i >= 0; i-- {
-			l := r.looks[i]
-			if l.begin < after {
-				if len(r.looks)-i > 4000 {
+		for i := len(r.observations) - 1; i >= 0; i-- {
+			seen := r.observations[i]
+			if seen.begin < after {
+				if len(r.observations)-i > 4000 {
 					break
 				}
 				continue
 			}
-			if l.duty == duty && l.member != other {
+			if seen.duty == duty && seen.member != except {
 				r.mu.Unlock()
-				return l
+				return seen
 			}
 		}
 		r.mu.Unlock()
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.t.Fatalf("nobody but %q holds %s within %v; errors %v; log:\n%s", other, dutyName(duty), patience, r.errs, tail(r.logs.String(), 6000))
-	return look{}
+	r.t.Fatalf("no holder other than %q of %s within %v; errors %v; log:\n%s", except, dutyName(duty), timeout, r.errs, tail(r.logs.String(), 6000))
+	return observation{}
 }
 
 func tail(s string, n int) string { return s[max(0, len(s)-n):] }
 
-// judge has porcupine check the looks: for each duty, a register whose token only grows must explain them all.
-func (r *rig) judge() {
+// checkObservations has porcupine check the observations: for each duty, a register whose token only grows must explain
+// them all.
+func (r *rig) checkObservations() {
 	r.t.Helper()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if bad := breach(r.looks); bad != "" {
+	if bad := findViolation(r.observations); bad != "" {
 		r.t.Errorf("%s; log:\n%s", bad, tail(r.logs.String(), 3000))
 	}
 }
 
-// breach is what is wrong with the looks, empty if nothing is. A look is an operation that found the register at
-// its token; the register grows and never falls, and a token belongs to one member.
-func breach(looks []look) string {
+// findViolation returns the first violation in the observations, empty if there is none. An observation is an operation
+// that read its token from the register; the register only grows, and each token belongs to one member.
+func findViolation(observations []observation) string {
 	owner := map[uint64]string{}
 	clients := map[string]int{}
 	var ops []porcupine.Operation
-	for _, l := range looks {
-		if o, known := owner[l.token]; known && o != l.member {
-			return fmt.Sprintf("token %d was held by %s and %s", l.token, o, l.member)
+	for _, seen := range observations {
+		if o, known := owner[seen.token]; known && o != seen.member {
+			return fmt.Sprintf("token %d was held by %s and %s", seen.token, o, seen.member)
 		}
-		owner[l.token] = l.member
-		if _, known := clients[l.member]; !known {
-			clients[l.member] = len(clients)
+		owner[seen.token] = seen.member
+		if _, known := clients[seen.member]; !known {
+			clients[seen.member] = len(clients)
 		}
-		ops = append(ops, porcupine.Operation{ClientId: clients[l.member], Input: [2]uint64{uint64(l.duty), l.token}, Call: l.begin, Return: l.end, Output: true})
+		ops = append(ops, porcupine.Operation{ClientId: clients[seen.member], Input: [2]uint64{uint64(seen.duty), seen.token}, Call: seen.begin, Return: seen.end, Output: true})
 	}
 	model := porcupine.Model{
 		Partition: func(h []porcupine.Operation) [][]porcupine.Operation {
@@ -368,91 +370,91 @@
 		DescribeOperation: func(in, _ any) string { return fmt.Sprint(in) },
 	}
 	if res := porcupine.CheckOperationsTimeout(model, ops, 20*time.Second); res != porcupine.Ok {
-		return "two held a duty at once: " + string(res) + "; " + firstPair(looks)
+		return "two members held a duty at once: " + string(res) + "; " + firstConflict(observations)
 	}
 	return ""
 }
 
-// firstPair names two looks that cannot both be right.
-func firstPair(looks []look) string {
-	for _, a := range looks {
-		for _, b := range looks {
+// firstConflict describes two observations that contradict each other.
+func firstConflict(observations []observation) string {
+	for _, a := range observations {
+		for _, b := range observations {
 			if a.duty == b.duty && b.token > a.token && a.begin > b.end {
 				return fmt.Sprintf("%s held %s with token %d %.1f ms after %s had held it with %d", a.member, dutyName(a.duty), a.token, float64(a.begin-b.end)/1e6, b.member, b.token)
 			}
 		}
 	}
-	return "no pair"
+	return "no conflicting pair"
 }
 
-// TestProcesses: who holds a duty is killed, stopped, cut off, and leaves; a voter comes back with an empty disk
-// and with another's folder. At every moment one process holds each duty at most, and soon one does again.
+// TestProcesses: the holder of a duty is killed, stopped, cut off, and leaves; a voter returns with an empty disk. At
+// every moment at most one process holds each duty, and soon after each fault one does again.
 func TestProcesses(t *testing.T) {
 	t.Parallel()
 	r := newRig(t, 3, 1, nil)
-	l := r.holder(0, 0, "", 30*time.Second)
-	again := 20 * time.Second // a lease and an election, and what a machine that is busy takes
+	holder := r.holder(0, 0, "", 30*time.Second)
+	holderTimeout := 20 * time.Second // a lease, an election, and the delays of a busy machine
 
 	at := fleet.Now()
-	r.kill(r.proc(l.member))
-	next := r.holder(0, at, l.member, again)
+	r.kill(r.proc(holder.member))
+	next := r.holder(0, at, holder.member, holderTimeout)
 	t.Logf("killed: %.0f ms without a holder", float64(next.begin-at)/1e6)
-	r.start(r.proc(l.member))
+	r.start(r.proc(holder.member))
 
-	// Stopped for longer than its lease and resumed.
+	// The holder is stopped for longer than its lease and resumed.
 	at = fleet.Now()
 	stopped := r.proc(next.member)
 	stopped.cmd.Process.Signal(syscall.SIGSTOP)
-	l = r.holder(0, at+int64(50*time.Millisecond), next.member, again)
-	t.Logf("stopped: %.0f ms without a holder", float64(l.begin-at)/1e6)
+	holder = r.holder(0, at+int64(50*time.Millisecond), next.member, holderTimeout)
+	t.Logf("stopped: %.0f ms without a holder", float64(holder.begin-at)/1e6)
 	stopped.cmd.Process.Signal(syscall.SIGCONT)
 
-	// Cut off from everybody, and back.
+	// The holder is cut off from all other members and returns.
 	at = fleet.Now()
-	r.isolate(l.member, true)
-	next = r.holder(0, at+int64(1500*time.Millisecond), l.member, again)
-	r.isolate(l.member, false)
+	r.isolate(holder.member, true)
+	next = r.holder(0, at+int64(1500*time.Millisecond), holder.member, holderTimeout)
+	r.isolate(holder.member, false)
 
-	// It leaves in order: handed over in no time.
-	r.awaitAll(again)
-	next = r.holder(0, fleet.Now(), "", again)
+	// The holder leaves, and hands the duty over at once.
+	r.awaitAll(holderTimeout)
+	next = r.holder(0, fleet.Now(), "", holderTimeout)
 	at = fleet.Now()
 	r.leave(r.proc(next.member))
-	l = r.holder(0, at, next.member, again)
-	t.Logf("left: %.0f ms without a holder", float64(l.begin-at)/1e6)
+	holder = r.holder(0, at, next.member, holderTimeout)
+	t.Logf("left: %.0f ms without a holder", float64(holder.begin-at)/1e6)
 	r.start(r.proc(next.member))
-	r.awaitAll(again)
+	r.awaitAll(holderTimeout)
 
 	// A voter loses its disk.
 	v := r.procs[1]
 	r.kill(v)
-	os.RemoveAll(v.set.Dir)
+	os.RemoveAll(v.settings.Dir)
 	r.start(v)
 	r.awaitLog("n2", "voters changed: n2", 20*time.Second)
-	// With its new disk it carries the group: another voter may go.
+	// With its new disk it completes the majority, so another voter may be killed.
 	r.kill(r.procs[2])
-	r.holder(0, fleet.Now()+int64(1200*time.Millisecond), "n3", again)
+	r.holder(0, fleet.Now()+int64(1200*time.Millisecond), "n3", holderTimeout)
 	r.start(r.procs[2])
-	r.judge()
+	r.checkObservations()
 }
 
-// awaitAll waits until each member process has been linked and every duty has a holder.
-func (r *rig) awaitAll(patience time.Duration) {
+// awaitAll waits until every duty has a holder.
+func (r *rig) awaitAll(timeout time.Duration) {
 	r.t.Helper()
 	at := fleet.Now()
 	for d := range duties {
-		r.holder(d, at, "", patience)
+		r.holder(d, at, "", timeout)
 	}
 }
 
-func (r *rig) awaitLog(member, text string, patience time.Duration) {
+func (r *rig) awaitLog(member, text string, timeout time.Duration) {
 	r.t.Helper()
-	for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
+	for end := time.Now().Add(timeout); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
 		r.mu.Lock()
 		logs := r.logs.String()
 		r.mu.Unlock()
 		for _, line := range splitLines(logs) {
-			if who, ok := saying(line, text); ok && who == member {
+			if who, ok := logMember(line, text); ok && who == member {
 				return
 			}
 		}
@@ -462,8 +464,9 @@
 
 func splitLines(s string) []string { return strings.Split(s, "\n") }
 
-// saying returns the member whose line of the log has that text in its message or error.
-func saying(line, text string) (member string, ok bool) {
+// logMember returns the member that logged the line, if its message or error has the text. ok is false if a voter logs
+// that it leads no more.
+func logMember(line, text string) (member string, ok bool) {
 	var l struct{ M, Message, Error string }
 	if json.Unmarshal([]byte(line), &l) != nil || !strings.Contains(l.Message+" ", text+" ") && !strings.Contains(l.Error, text) && !strings.HasSuffix(l.Message, text) {
 		return "", false
@@ -471,8 +474,8 @@
 	return l.M, !strings.Contains(l.Message, "leads no more")
 }
 
-// TestFolderOfAnother: a member that is given another's folder refuses it, and says whose it is.
-func TestFolderOfAnother(t *testing.T) {
+// TestStateDirectoryOfAnotherMember: a member refuses the state directory of another member, and names that member.
+func TestStateDirectoryOfAnotherMember(t *testing.T) {
 	t.Parallel()
 	dir := t.TempDir()
 	open := func(name string) error {
@@ -480,7 +483,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		s := fleet.Settings{Name: name, Terms: lease.Params{Length: time.Second, Drift: 0.05}, ElectionTimeout: 300 * time.Millisecond, MinVoters: 3}
+		s := fleet.Settings{Name: name, Lease: lease.Params{Length: time.Second, Drift: 0.05}, ElectionTimeout: 300 * time.Millisecond, MinVoters: 3}
 		for _, n := range []string{"a", "b", "c"} {
 			s.Members = append(s.Members, fleet.Peer{Name: n, Addr: freeAddr(t), Voter: true})
 		}
@@ -495,13 +498,13 @@
 	if err := open("a"); err != nil {
 		t.Fatal(err)
 	}
-	if err := open("b"); err == nil || !strings.Contains(err.Error(), `of "a", this is "b"`) {
+	if err := open("b"); err == nil || !strings.Contains(err.Error(), `written by "a", opened by "b"`) {
 		t.Errorf("error %v", err)
 	}
 }
 
-// TestFaultsAtRandom plays schedules of faults on processes. SLIPTIDE_FLEET_SCHEDULES sets how many, one after
-// another with each fleet; CI plays one.
+// TestFaultsAtRandom runs random schedules of faults on processes, each with a fleet of its own.
+// SLIPTIDE_FLEET_SCHEDULES sets the number of schedules; CI runs one.
 func TestFaultsAtRandom(t *testing.T) {
 	t.Parallel()
 	n, err := strconv.Atoi(os.Getenv("SLIPTIDE_FLEET_SCHEDULES"))
@@ -514,9 +517,9 @@
 			for seed := first; seed < min(first+10, n); seed++ {
 				r := newRig(t, 3, 2, nil)
 				r.holder(0, 0, "", 30*time.Second)
-				r.play(rand.New(rand.NewPCG(uint64(seed), 23)))
+				r.injectFaults(rand.New(rand.NewPCG(uint64(seed), 23)))
 				r.awaitAll(20 * time.Second)
-				r.judge()
+				r.checkObservations()
 				r.close()
 				if t.Failed() {
 					t.Fatalf("seed %d", seed)
@@ -526,9 +529,9 @@
 	}
 }
 
-// play throws faults for about six seconds, and heals all of them.
-func (r *rig) play(rng *rand.Rand) {
-	away := 0 // voters that are down
+// injectFaults injects faults for about six seconds, and repairs all of them.
+func (r *rig) injectFaults(rng *rand.Rand) {
+	wipedVoters := 0 // voters whose disks were wiped
 	for range 8 {
 		p := r.procs[rng.IntN(len(r.procs))]
 		q := r.procs[rng.IntN(len(r.procs))]
@@ -551,49 +554,49 @@
 			r.cut(p.name, q.name, true)
 			time.Sleep(pause / 2)
 		case 4:
-			for k, l := range r.relays {
+			for k, relay := range r.relays {
 				if k[0] == p.name || k[1] == p.name {
-					l.Hold(rng.IntN(2), true)
+					relay.Block(rng.IntN(2), true)
 				}
 			}
 			time.Sleep(pause)
 			r.isolate(p.name, false)
 		case 5:
-			for _, l := range r.relays {
-				l.Delay(time.Duration(rng.IntN(60)) * time.Millisecond)
+			for _, relay := range r.relays {
+				relay.SetDelay(time.Duration(rng.IntN(60)) * time.Millisecond)
 			}
 			time.Sleep(pause / 2)
 		case 6:
-			if voter && away > 0 {
+			if voter && wipedVoters > 0 {
 				continue
 			}
 			if voter {
-				away++ // once: a second disk lost before the first voter is back in is past what is promised
+				wipedVoters++ // only once: the fleet does not tolerate a second lost disk before the first voter has its vote back
 			}
 			r.kill(p)
-			os.RemoveAll(p.set.Dir)
+			os.RemoveAll(p.settings.Dir)
 			r.start(p)
 		}
 	}
-	for _, l := range r.relays {
-		l.Cut(false)
-		l.Delay(0)
+	for _, relay := range r.relays {
+		relay.BlockBoth(false)
+		relay.SetDelay(0)
 	}
 }
 
-// TestProcessGuards takes guards out of real processes: the checker must find it.
+// TestProcessGuards disables safety checks in real processes: the checker must detect that.
 func TestProcessGuards(t *testing.T) {
 	t.Parallel()
 	for name, c := range map[string]struct {
 		change func(*nodeSettings)
 		fault  func(r *rig, holder string)
 	}{
-		"no check of the lease before the act": {func(s *nodeSettings) { s.BreakSession = session.BreakLeaseCheck }, func(r *rig, holder string) {
+		"no check of the lease before the action": {func(s *nodeSettings) { s.SkipSessionChecks = session.SkipLeaseCheck }, func(r *rig, holder string) {
 			r.isolate(holder, true)
 			r.holder(0, fleet.Now(), holder, 20*time.Second)
 		}},
-		"a new leader gives no whole lease": {func(s *nodeSettings) { s.BreakVoter = voter.SkipLeaseReset }, func(r *rig, holder string) {
-			for _, p := range r.procs[:3] { // whoever leads
+		"a new leader does not wait a whole lease": {func(s *nodeSettings) { s.SkipVoterChecks = voter.SkipLeaseReset }, func(r *rig, holder string) {
+			for _, p := range r.procs[:3] { // one of them leads
 				if p.name != holder {
 					r.kill(p)
 					time.Sleep(900 * time.Millisecond)
@@ -607,11 +610,11 @@
 			t.Parallel()
 			for range 12 {
 				r := newRig(t, 3, 2, c.change)
-				l := r.holder(0, 0, "", 30*time.Second)
-				c.fault(r, l.member)
+				holder := r.holder(0, 0, "", 30*time.Second)
+				c.fault(r, holder.member)
 				time.Sleep(300 * time.Millisecond)
 				r.mu.Lock()
-				bad := breach(r.looks)
+				bad := findViolation(r.observations)
 				r.mu.Unlock()
 				r.close()
 				if bad != "" {
@@ -619,7 +622,7 @@
 					return
 				}
 			}
-			t.Error("the checker does not find that the guard is out")
+			t.Error("the checker does not detect that the check is disabled")
 		})
 	}
 }
--- a/internal/fleet/session/session.go
+++ b/internal/fleet/session/session.go
@@ -1,9 +1,9 @@
-// Package session is a member's side of duties: one session with the fleet's voters, which all duties of the
-// member hang on, and what it knows of everybody's. It has no clock, no sockets and no goroutine: it is told the
-// time and what came in, and says what is to be sent. Chance comes from the caller.
+// Package session implements a member's side of duties: one session with the fleet's voters, on which all duties of
+// the member depend, and the member's knowledge of the duties of all members. It has no clock, sockets or goroutines:
+// the caller passes in the time, received frames and a source of randomness, and collects the frames to send.
 //
-// A duty counts as held only while the lease holds by this member's own clock. When it cannot be renewed, the
-// member gives up by itself; nobody has to tell it.
+// A duty counts as held only while the lease is valid on this member's own clock. If the lease cannot be renewed, the
+// member stops holding its duties without being notified.
 package session
 
 import (
@@ -20,60 +20,60 @@
 )
 
 const (
-	maxRequests  = 64 // asks about duties that are out at once
-	requestShare = 8  // an ask that is not answered within this part of a lease goes to another voter
+	maxRequests         = 64 // requests about duties that are in flight at once
+	requestTimeoutShare = 8  // a request unanswered within 1/requestTimeoutShare of a lease goes to another voter
 )
 
-// Options are what a Session works with.
+// Options configure a Session.
 type Options struct {
 	Member      string
-	Incarnation uint64 // of the member's folder,
-	Boot        uint64 // and how often the program has started there
+	Incarnation uint64 // of the member's state directory
+	Boot        uint64 // number of starts of the program on that state directory
 	Zone        string
 	Weight      uint32
 	Voters      []string
-	Terms       lease.Params
+	Lease       lease.Params
 	Rand        *rand.Rand
-	LogEvent    func(what string, duty string, token uint64) // a duty is held, or no longer; nil: none
-	Break       Break
+	OnEvent     func(what string, duty string, token uint64) // a duty is held or lost, or opening was refused; may be nil
+	Skip        Skip
 }
 
-// Break is a guard that is taken out, for tests that show what finds that.
-type Break uint
+// Skip is a set of disabled safety checks, for tests that must detect their absence.
+type Skip uint
 
-// The guards.
+// The safety checks, each with what happens without it.
 const (
-	BreakLeaseStart  Break = 1 << iota // the lease counts from the answer
-	BreakDriftMargin                   // and in full, whatever the drift
-	BreakLeaseCheck                    // a duty counts as held until it is told to be another's, whatever the time
+	SkipLeaseStart  Skip = 1 << iota // the lease counts from the answer instead of the renewal
+	SkipDriftMargin                  // the lease counts in full, without a margin for clock drift
+	SkipLeaseCheck                   // a duty counts as held until another holder is reported, even after the lease
 )
 
-// Out is a frame for a voter.
+// Outgoing is a frame to send to a voter.
 type Outgoing struct {
 	To    string
 	Frame *pb.Frame
 }
 
-// want is a duty that this member is in line for.
-type want struct {
-	zone    string
-	asked   uint64 // the session in which it is in line, as acknowledged
-	op      uint64 // the ask that is out; 0: none
-	opToken uint64 // that the ask gives up; 0: it is an acquisition
-	opAt    int64
-	again   int64  // no sooner
-	noted   uint64 // token that was noted as held
-	given   uint64 // token that is given up: not held whatever is heard
-	leave   bool   // not wanted any more
-	end     bool   // nor by anybody
+// dutyRequest is the state of a duty that this member has requested.
+type dutyRequest struct {
+	zone          string
+	queuedSession uint64 // the session for which the voters acknowledged the request
+	askID         uint64 // id of the request in flight; 0: none
+	releaseToken  uint64 // the token that the request in flight releases; 0: it releases no held duty
+	sentAt        int64
+	retryAt       int64  // earliest time of the next request
+	loggedToken   uint64 // the token last logged as held
+	releasedToken uint64 // tokens up to this one are released and never count as held again
+	releasing     bool   // no longer wanted by this member
+	ends          bool   // nor by any other member
 }
 
-// ask is a question of somebody in this process, such as a command for the fleet.
-type ask struct {
-	ask  *pb.Ask
-	at   int64
-	till int64
-	done func(*pb.Answer, error)
+// pendingAsk is a request from another part of this process, such as a command to propose.
+type pendingAsk struct {
+	ask      *pb.Ask
+	sentAt   int64
+	deadline int64
+	done     func(*pb.Answer, error)
 }
 
 // Errors of Do.
@@ -86,102 +86,102 @@
 type Session struct {
 	o           Options
 	now         int64
-	out         []Outgoing
+	outgoing    []Outgoing
 	id          uint64
 	lease       lease.Holder
-	seq         uint64 // of sessions that were asked for
-	target      int    // the voter that is asked
-	next        uint64 // number of the next ask
+	openSeq     uint64 // number of the session that is open or being opened
+	targetVoter int    // index of the voter that requests go to
+	lastAskID   uint64 // id of the latest request
 	openID      uint64
-	openAt      int64
+	openSentAt  int64
 	renewID     uint64
-	renewAt     int64
-	retryAt     int64
+	renewSentAt int64
+	openRetryAt int64
 	viewID      uint64
-	viewAt      int64
+	viewSentAt  int64
 	version     uint64
-	view        map[string]*pb.Duty
-	adopted     map[string]*pb.Adoption
+	duties      map[string]*pb.Duty
+	adoptions   map[string]*pb.Adoption
 	present     []*pb.Present
-	wants       map[string]*want
-	ops         map[uint64]string // ask to duty
-	asks        map[uint64]*ask
+	requests    map[string]*dutyRequest
+	dutyAsks    map[uint64]string // duty by request id
+	pendingAsks map[uint64]*pendingAsk
 	closing     bool
 	closed      bool
-	DutyChanged func(*pb.Duty) // told of each change; nil: none
+	DutyChanged func(*pb.Duty) // called on each change of a duty; may be nil
 }
 
-// New returns a session that begins to ask at the first Tick.
+// New returns a session that sends its first request at the first Tick.
 func New(o Options) *Session {
-	if o.LogEvent == nil {
-		o.LogEvent = func(string, string, uint64) {}
+	if o.OnEvent == nil {
+		o.OnEvent = func(string, string, uint64) {}
 	}
-	return &Session{o: o, target: o.Rand.IntN(len(o.Voters)), view: map[string]*pb.Duty{}, adopted: map[string]*pb.Adoption{}, wants: map[string]*want{},
-		ops: map[uint64]string{}, asks: map[uint64]*ask{}, next: o.Rand.Uint64() >> 1}
+	return &Session{o: o, targetVoter: o.Rand.IntN(len(o.Voters)), duties: map[string]*pb.Duty{},
+		adoptions: map[string]*pb.Adoption{}, requests: map[string]*dutyRequest{}, dutyAsks: map[uint64]string{}, pendingAsks: map[uint64]*pendingAsk{}, lastAskID: o.Rand.Uint64() >> 1}
 }
 
-// Take returns what is to be sent, in order, and forgets it.
+// TakeOutgoing returns and clears the frames to send, in order.
 func (s *Session) TakeOutgoing() []Outgoing {
-	out := s.out
-	s.out = nil
+	out := s.outgoing
+	s.outgoing = nil
 	return out
 }
 
-func (s *Session) ask(a *pb.Ask) uint64 {
-	s.next++
-	a.Id, a.Member = s.next, s.o.Member
-	s.out = append(s.out, Outgoing{s.o.Voters[s.target], &pb.Frame{What: &pb.Frame_Ask{Ask: a}}})
+func (s *Session) sendAsk(a *pb.Ask) uint64 {
+	s.lastAskID++
+	a.Id, a.Member = s.lastAskID, s.o.Member
+	s.outgoing = append(s.outgoing, Outgoing{s.o.Voters[s.targetVoter], &pb.Frame{What: &pb.Frame_Ask{Ask: a}}})
 	return a.Id
 }
 
-func (s *Session) patience() int64 { return int64(s.o.Terms.Length) / requestShare }
+func (s *Session) requestTimeout() int64 { return int64(s.o.Lease.Length) / requestTimeoutShare }
 
-// jitter spreads d over half of it to one and a half times it.
+// jitter returns a random duration from d/2 to 3d/2.
 func (s *Session) jitter(d int64) int64 { return d/2 + s.o.Rand.Int64N(d+1) }
 
-// Want puts this member in line for a duty, or makes sure that it is.
+// Request requests a duty or a place in its queue, and cancels an earlier Release of it.
 func (s *Session) Request(name, zone string) {
-	if w := s.wants[name]; w != nil {
-		w.leave, w.end = false, false
+	if r := s.requests[name]; r != nil {
+		r.releasing, r.ends = false, false
 		return
 	}
-	s.wants[name] = &want{zone: zone}
+	s.requests[name] = &dutyRequest{zone: zone}
 }
 
-// Leave gives a duty up; with end nobody needs it any more.
+// Release gives a duty up; end ends the duty for all members.
 func (s *Session) Release(name string, end bool) {
-	if w := s.wants[name]; w != nil {
-		w.leave, w.end = true, end
-		w.given = max(w.given, s.tokenOf(name))
-		s.lost(name, w)
+	if r := s.requests[name]; r != nil {
+		r.releasing, r.ends = true, end
+		r.releasedToken = max(r.releasedToken, s.grantedToken(name))
+		s.logLost(name, r)
 	}
 }
 
-// tokenOf is the token with which this session holds a duty by what it has been told, 0 if it does not.
-func (s *Session) tokenOf(name string) uint64 {
-	if d := s.view[name]; d != nil && s.id != 0 && d.Session == s.id {
+// grantedToken returns the token with which the voters granted this session a duty, 0 if they have not.
+func (s *Session) grantedToken(name string) uint64 {
+	if d := s.duties[name]; d != nil && s.id != 0 && d.Session == s.id {
 		return d.Token
 	}
 	return 0
 }
 
-// Held returns the fencing token of a duty that this member holds at that time, 0 if it does not hold it.
+// Token returns the fencing token of a duty that this member holds at now, 0 if it does not hold it.
 func (s *Session) Token(name string, now int64) uint64 {
-	w := s.wants[name]
-	if w == nil || w.leave || s.closing {
+	r := s.requests[name]
+	if r == nil || r.releasing || s.closing {
 		return 0
 	}
-	t := s.tokenOf(name)
-	if t == 0 || t <= w.given || !s.lease.Valid(now) && s.o.Break&BreakLeaseCheck == 0 {
+	t := s.grantedToken(name)
+	if t == 0 || t <= r.releasedToken || !s.lease.Valid(now) && s.o.Skip&SkipLeaseCheck == 0 {
 		return 0
 	}
 	return t
 }
 
-// Holds are the duties that it holds at that time, with their tokens.
+// HeldTokens returns the tokens of all duties that this member holds at now, by duty.
 func (s *Session) HeldTokens(now int64) map[string]uint64 {
 	held := map[string]uint64{}
-	for name := range s.wants {
+	for name := range s.requests {
 		if t := s.Token(name, now); t != 0 {
 			held[name] = t
 		}
@@ -189,7 +189,7 @@
 	return held
 }
 
-// Until is when the lease is over, on the caller's clock, and 0 if there is none at that time.
+// LeaseEnd returns the end of the lease on the caller's clock, 0 if no lease is valid at now.
 func (s *Session) LeaseEnd(now int64) int64 {
 	if left := s.lease.Remaining(now); left > 0 {
 		return now + int64(left)
@@ -197,47 +197,47 @@
 	return 0
 }
 
-// Duty is what is known of a duty, nil if nothing is. It must not be changed.
-func (s *Session) Duty(name string) *pb.Duty { return s.view[name] }
+// Duty returns the known state of a duty, nil if it is unknown. The caller must not change it.
+func (s *Session) Duty(name string) *pb.Duty { return s.duties[name] }
 
-// Mine reports whether a duty is this session's by what it says.
+// Holds reports whether the state d of a duty names this session as its holder.
 func (s *Session) Holds(d *pb.Duty) bool { return s.id != 0 && d.Session == s.id && !d.Ended }
 
-// View is all that is known of duties, of adoptions by owner, and of members whose sessions go on. None of it must be
-// changed.
-func (s *Session) View() (duties map[string]*pb.Duty, adopted map[string]*pb.Adoption, present []*pb.Present) {
-	return s.view, s.adopted, s.present
+// View returns all known duties, the adoptions by owner, and the members that have live sessions. The caller must not
+// change any of it.
+func (s *Session) View() (duties map[string]*pb.Duty, adoptions map[string]*pb.Adoption, present []*pb.Present) {
+	return s.duties, s.adoptions, s.present
 }
 
-// Version grows with each change of what is known.
+// Version returns the version of the view.
 func (s *Session) Version() uint64 { return s.version }
 
-// ID is the session's number, 0 if there is none.
+// ID returns the session's number, 0 if no session is open.
 func (s *Session) ID() uint64 { return s.id }
 
-// Do asks the voter that leads, such as for a command to be agreed on, and tells what came of it, once.
-func (s *Session) Do(q *pb.Ask, patience time.Duration, done func(*pb.Answer, error)) {
+// Do sends a request, such as a command to propose, to the leading voter, and calls done once with the result.
+func (s *Session) Do(ask *pb.Ask, timeout time.Duration, done func(*pb.Answer, error)) {
 	if s.closed {
 		done(nil, ErrClosed)
 		return
 	}
-	a := &ask{ask: q, till: s.now + int64(patience), done: done}
-	s.asks[s.put(a)] = a
+	pending := &pendingAsk{ask: ask, deadline: s.now + int64(timeout), done: done}
+	s.pendingAsks[s.sendPending(pending)] = pending
 }
 
-func (s *Session) put(a *ask) uint64 {
-	a.at = s.now
-	return s.ask(proto.Clone(a.ask).(*pb.Ask))
+func (s *Session) sendPending(a *pendingAsk) uint64 {
+	a.sentAt = s.now
+	return s.sendAsk(proto.Clone(a.ask).(*pb.Ask))
 }
 
-// Close gives everything up and ends the session; it stays closed.
+// Close releases all duties and ends the session for good.
 func (s *Session) Close(now int64) {
 	s.now = now
 	if s.closing {
 		return
 	}
-	for name, w := range s.wants {
-		s.lost(name, w)
+	for name, r := range s.requests {
+		s.logLost(name, r)
 	}
 	s.closing = true
 	if s.id == 0 {
@@ -247,214 +247,216 @@
 	s.sendClose()
 }
 
-// Closed reports whether the fleet has taken note of the session's end.
+// Closed reports whether the fleet has acknowledged the end of the session.
 func (s *Session) Closed() bool { return s.closed }
 
 func (s *Session) sendClose() {
-	s.openAt = s.now
-	s.openID = s.ask(&pb.Ask{Command: &pb.Command{What: &pb.Command_Close{Close: &pb.Close{Session: s.id}}}})
+	s.openSentAt = s.now
+	s.openID = s.sendAsk(&pb.Ask{Command: &pb.Command{What: &pb.Command_Close{Close: &pb.Close{Session: s.id}}}})
 }
 
-// Tick tells the time. It is due about every twentieth of a lease.
+// Tick advances the session to now. Callers call it about every twentieth of a lease.
 func (s *Session) Tick(now int64) {
 	s.now = now
 	if s.closing {
-		if !s.closed && now-s.openAt > s.patience() {
-			s.turn()
+		if !s.closed && now-s.openSentAt > s.requestTimeout() {
+			s.nextVoter()
 			s.sendClose()
 		}
 		return
 	}
 	if s.id != 0 && !s.lease.Valid(now) {
-		// It may still be renewed, if the fleet has not ended it; until then nothing is held.
-		for name, w := range s.wants {
-			s.lost(name, w)
+		// The lease may still be renewed if the fleet has not ended the session; until then no duty is held.
+		for name, r := range s.requests {
+			s.logLost(name, r)
 		}
 	}
 	switch {
 	case s.id == 0:
 		s.open()
-	case s.renewID != 0 && now-s.renewAt > s.patience():
-		s.turn()
+	case s.renewID != 0 && now-s.renewSentAt > s.requestTimeout():
+		s.nextVoter()
 		s.renew()
-	case s.renewID == 0 && now-s.renewAt >= int64(s.o.Terms.RenewInterval()):
+	case s.renewID == 0 && now-s.renewSentAt >= int64(s.o.Lease.RenewInterval()):
 		s.renew()
 	}
 	if s.id == 0 {
 		return
 	}
-	if s.viewID != 0 && now-s.viewAt > s.patience() {
+	if s.viewID != 0 && now-s.viewSentAt > s.requestTimeout() {
 		s.viewID = 0
-		s.look()
+		s.requestView()
 	}
-	s.line()
-	s.late()
+	s.maintainRequests()
+	s.retryAsks()
 }
 
-// turn goes on to another voter.
-func (s *Session) turn() { s.target = (s.target + 1) % len(s.o.Voters) }
+// nextVoter selects the next voter for further requests.
+func (s *Session) nextVoter() { s.targetVoter = (s.targetVoter + 1) % len(s.o.Voters) }
 
 func (s *Session) open() {
-	if s.openID != 0 && s.now-s.openAt > s.patience() {
-		s.turn()
+	if s.openID != 0 && s.now-s.openSentAt > s.requestTimeout() {
+		s.nextVoter()
 		s.openID = 0
 	}
-	if s.openID != 0 || s.now < s.retryAt {
+	if s.openID != 0 || s.now < s.openRetryAt {
 		return
 	}
-	if s.seq == 0 {
-		s.seq = 1
+	if s.openSeq == 0 {
+		s.openSeq = 1
 	}
-	s.openAt = s.now
-	s.retryAt = s.now + s.jitter(s.patience())
-	s.openID = s.ask(&pb.Ask{Command: &pb.Command{What: &pb.Command_Open{Open: &pb.Open{
-		Member: s.o.Member, Incarnation: s.o.Incarnation, Boot: s.o.Boot, Seq: s.seq, Zone: s.o.Zone, Weight: s.o.Weight}}}})
+	s.openSentAt = s.now
+	s.openRetryAt = s.now + s.jitter(s.requestTimeout())
+	s.openID = s.sendAsk(&pb.Ask{Command: &pb.Command{What: &pb.Command_Open{Open: &pb.Open{
+		Member: s.o.Member, Incarnation: s.o.Incarnation, Boot: s.o.Boot, Seq: s.openSeq, Zone: s.o.Zone, Weight: s.o.Weight}}}})
 }
 
 func (s *Session) renew() {
-	s.renewAt = s.now
-	s.renewID = s.ask(&pb.Ask{Renew: s.id})
+	s.renewSentAt = s.now
+	s.renewID = s.sendAsk(&pb.Ask{Renew: s.id})
 }
 
-func (s *Session) look() {
+func (s *Session) requestView() {
 	if s.viewID == 0 {
-		s.viewAt = s.now
-		s.viewID = s.ask(&pb.Ask{View: &pb.View{}})
+		s.viewSentAt = s.now
+		s.viewID = s.sendAsk(&pb.Ask{View: &pb.View{}})
 	}
 }
 
-// end drops the session: the fleet has ended it. A further one is asked for.
-func (s *Session) end() {
+// endSession drops a session that the fleet has ended. A new one is opened later.
+func (s *Session) endSession() {
 	s.lease.Drop()
-	for name, w := range s.wants {
-		s.lost(name, w)
-		if w.op = 0; w.leave {
-			delete(s.wants, name)
+	for name, r := range s.requests {
+		s.logLost(name, r)
+		if r.askID = 0; r.releasing {
+			delete(s.requests, name)
 		}
 	}
-	clear(s.ops)
+	clear(s.dutyAsks)
 	s.id, s.renewID, s.openID, s.viewID = 0, 0, 0, 0
-	s.seq++
-	s.retryAt = s.now + s.jitter(s.patience())
+	s.openSeq++
+	s.openRetryAt = s.now + s.jitter(s.requestTimeout())
 }
 
-// lost notes that a duty is not held any more.
-func (s *Session) lost(name string, w *want) {
-	if w.noted != 0 {
-		s.o.LogEvent("lost", name, w.noted)
-		w.noted = 0
+// logLost logs that a duty that was logged as held is no longer held.
+func (s *Session) logLost(name string, r *dutyRequest) {
+	if r.loggedToken != 0 {
+		s.o.OnEvent("lost", name, r.loggedToken)
+		r.loggedToken = 0
 	}
 }
 
-// line keeps this member in line for what it wants, and gives up what it does not or is asked to hand over.
-func (s *Session) line() {
-	out := len(s.ops)
-	for name, w := range s.wants {
-		token := s.tokenOf(name)
-		if w.op != 0 && s.now-w.opAt > 2*s.patience() {
-			delete(s.ops, w.op)
-			w.op, out = 0, out-1
+// maintainRequests requests the duties that this member wants, and releases those that it no longer wants or that an
+// operator asked it to hand over.
+func (s *Session) maintainRequests() {
+	outstanding := len(s.dutyAsks)
+	for name, r := range s.requests {
+		token := s.grantedToken(name)
+		if r.askID != 0 && s.now-r.sentAt > 2*s.requestTimeout() {
+			delete(s.dutyAsks, r.askID)
+			r.askID, outstanding = 0, outstanding-1
 		}
-		if t := s.Token(name, s.now); t != 0 && w.noted != t {
-			s.lost(name, w)
-			w.noted = t
-			s.o.LogEvent("held", name, t)
+		if t := s.Token(name, s.now); t != 0 && r.loggedToken != t {
+			s.logLost(name, r)
+			r.loggedToken = t
+			s.o.OnEvent("held", name, t)
 		}
-		if d := s.view[name]; token != 0 && token > w.given && d.Wanted != "" && d.Wanted != s.o.Member {
-			w.given = token // from here on it is not acted on, whatever becomes of the ask
-			s.lost(name, w)
+		if d := s.duties[name]; token != 0 && token > r.releasedToken && d.Wanted != "" && d.Wanted != s.o.Member {
+			r.releasedToken = token // not held from here on, whatever the result of the release
+			s.logLost(name, r)
 		}
-		if w.op != 0 || s.now < w.again || out >= maxRequests {
+		if r.askID != 0 || s.now < r.retryAt || outstanding >= maxRequests {
 			continue
 		}
 		switch {
-		case token != 0 && (w.leave || token <= w.given):
-			w.given = max(w.given, token)
-			s.op(name, w, token, &pb.Command{What: &pb.Command_Release{Release: &pb.Release{Session: s.id, Duty: name, Token: token, End: w.leave && w.end}}})
-		case w.leave && w.asked == s.id:
-			s.op(name, w, 0, &pb.Command{What: &pb.Command_Release{Release: &pb.Release{Session: s.id, Duty: name}}})
-		case w.leave:
-			delete(s.wants, name)
+		case token != 0 && (r.releasing || token <= r.releasedToken):
+			r.releasedToken = max(r.releasedToken, token)
+			s.sendDutyCommand(name, r, token, &pb.Command{What: &pb.Command_Release{Release: &pb.Release{Session: s.id, Duty: name, Token: token, End: r.releasing && r.ends}}})
+		case r.releasing && r.queuedSession == s.id:
+			s.sendDutyCommand(name, r, 0, &pb.Command{What: &pb.Command_Release{Release: &pb.Release{Session: s.id, Duty: name}}})
+		case r.releasing:
+			delete(s.requests, name)
 			continue
-		case w.asked != s.id:
-			s.op(name, w, 0, &pb.Command{What: &pb.Command_Acquire{Acquire: &pb.Acquire{Session: s.id, Duty: name, Zone: w.zone}}})
+		case r.queuedSession != s.id:
+			s.sendDutyCommand(name, r, 0, &pb.Command{What: &pb.Command_Acquire{Acquire: &pb.Acquire{Session: s.id, Duty: name, Zone: r.zone}}})
 		default:
 			continue
 		}
-		out++
+		outstanding++
 	}
-	for name, d := range s.view { // handed to this member though it does not want it, or a late copy of a wish
-		if d.Session == s.id && s.wants[name] == nil {
-			s.wants[name] = &want{zone: d.Zone, leave: true, asked: s.id}
+	for name, d := range s.duties { // granted although not requested: by a hand-over, or by a late copy of a request
+		if d.Session == s.id && s.requests[name] == nil {
+			s.requests[name] = &dutyRequest{zone: d.Zone, releasing: true, queuedSession: s.id}
 		}
 	}
 }
 
-func (s *Session) op(name string, w *want, token uint64, c *pb.Command) {
-	w.opAt, w.opToken = s.now, token
-	w.op = s.ask(&pb.Ask{Command: c})
-	s.ops[w.op] = name
+func (s *Session) sendDutyCommand(name string, r *dutyRequest, token uint64, c *pb.Command) {
+	r.sentAt, r.releaseToken = s.now, token
+	r.askID = s.sendAsk(&pb.Ask{Command: c})
+	s.dutyAsks[r.askID] = name
 }
 
-// late asks again where no answer came, until the asker's patience is over.
-func (s *Session) late() {
-	for id, a := range s.asks {
+// retryAsks sends unanswered requests again, until their deadlines pass.
+func (s *Session) retryAsks() {
+	for id, a := range s.pendingAsks {
 		switch {
-		case s.now > a.till:
-			delete(s.asks, id)
+		case s.now > a.deadline:
+			delete(s.pendingAsks, id)
 			a.done(nil, ErrNoQuorum)
-		case s.now-a.at > 2*s.patience():
-			delete(s.asks, id)
-			s.asks[s.put(a)] = a
+		case s.now-a.sentAt > 2*s.requestTimeout():
+			delete(s.pendingAsks, id)
+			s.pendingAsks[s.sendPending(a)] = a
 		}
 	}
 }
 
-// Receive takes a frame from a voter.
+// Receive handles a frame from a voter.
 func (s *Session) Receive(from string, f *pb.Frame, now int64) {
 	s.now = now
 	switch w := f.What.(type) {
 	case *pb.Frame_News:
-		s.news(w.News)
+		s.applyUpdate(w.News)
 	case *pb.Frame_Answer:
-		s.answer(from, w.Answer)
+		s.handleAnswer(from, w.Answer)
 	}
 }
 
-func (s *Session) answer(from string, a *pb.Answer) {
+func (s *Session) handleAnswer(from string, a *pb.Answer) {
 	if a.NotLeader {
-		s.elsewhere(from, a)
+		s.handleNotLeader(from, a)
 		return
 	}
 	switch {
 	case a.Id == 0:
 	case a.Id == s.openID:
-		s.opened(from, a)
+		s.handleOpened(from, a)
 	case a.Id == s.renewID:
-		s.renewed(a)
+		s.handleRenewed(a)
 	case a.Id == s.viewID:
 		s.viewID = 0
-		s.news(a.News)
-	case s.ops[a.Id] != "":
-		s.answered(a)
-	case s.asks[a.Id] != nil:
-		q := s.asks[a.Id]
-		delete(s.asks, a.Id)
+		s.applyUpdate(a.News)
+	case s.dutyAsks[a.Id] != "":
+		s.handleDutyAnswer(a)
+	case s.pendingAsks[a.Id] != nil:
+		pending := s.pendingAsks[a.Id]
+		delete(s.pendingAsks, a.Id)
 		if a.Error != "" {
-			q.done(a, errors.New(a.Error))
+			pending.done(a, errors.New(a.Error))
 		} else {
-			q.done(a, nil)
+			pending.done(a, nil)
 		}
 	}
 }
 
-// elsewhere takes the answer of a voter that does not lead: the one that it names is asked, or the next, soon.
-func (s *Session) elsewhere(from string, a *pb.Answer) {
-	if from == s.o.Voters[s.target] {
-		if i := slices.Index(s.o.Voters, a.Leader); i >= 0 && i != s.target {
-			s.target = i
+// handleNotLeader handles the answer of a voter that does not lead: requests go to the leader that it names, or else to
+// the next voter after a short delay.
+func (s *Session) handleNotLeader(from string, a *pb.Answer) {
+	if from == s.o.Voters[s.targetVoter] {
+		if i := slices.Index(s.o.Voters, a.Leader); i >= 0 && i != s.targetVoter {
+			s.targetVoter = i
 			if a.Id == s.openID && !s.closing {
-				s.openID, s.retryAt = 0, s.now
+				s.openID, s.openRetryAt = 0, s.now
 			}
 			if a.Id == s.renewID {
 				s.renew()
@@ -463,100 +465,100 @@
 				s.sendClose()
 			}
 		} else if a.Id == s.openID || a.Id == s.renewID {
-			s.turn()
+			s.nextVoter()
 		}
 	}
-	if name := s.ops[a.Id]; name != "" {
-		delete(s.ops, a.Id)
-		w := s.wants[name]
-		w.op, w.again = 0, s.now+s.jitter(s.patience()/2)
+	if name := s.dutyAsks[a.Id]; name != "" {
+		delete(s.dutyAsks, a.Id)
+		r := s.requests[name]
+		r.askID, r.retryAt = 0, s.now+s.jitter(s.requestTimeout()/2)
 	}
-	if q := s.asks[a.Id]; q != nil {
-		q.at = s.now - 2*s.patience() + s.jitter(s.patience()/2)
+	if pending := s.pendingAsks[a.Id]; pending != nil {
+		pending.sentAt = s.now - 2*s.requestTimeout() + s.jitter(s.requestTimeout()/2)
 	}
 }
 
-func (s *Session) opened(from string, a *pb.Answer) {
+func (s *Session) handleOpened(from string, a *pb.Answer) {
 	s.openID = 0
 	if s.closing {
 		s.closed = a.Error == "" || a.Gone
 		return
 	}
 	if a.Error != "" {
-		s.retryAt = s.now + s.jitter(int64(s.o.Terms.RenewInterval()))
-		if a.Gone { // a late copy of an earlier wish has been there first
-			s.seq++
+		s.openRetryAt = s.now + s.jitter(int64(s.o.Lease.RenewInterval()))
+		if a.Gone { // a late copy of an earlier open request came first
+			s.openSeq++
 		}
-		s.o.LogEvent("refused: "+a.Error, "", 0)
+		s.o.OnEvent("refused: "+a.Error, "", 0)
 		return
 	}
 	s.id = a.Session
-	s.held(s.openAt)
-	s.renewAt = s.openAt
+	s.extendLease(s.openSentAt)
+	s.renewSentAt = s.openSentAt
 	s.version = 0
 	if a.News != nil {
-		s.news(a.News)
+		s.applyUpdate(a.News)
 	}
 }
 
-// held counts the lease from when the renewal was sent.
-func (s *Session) held(sent int64) {
-	terms := s.o.Terms
-	if s.o.Break&BreakLeaseStart != 0 {
-		sent = s.now
+// extendLease extends the lease, counted from when the renewal was sent.
+func (s *Session) extendLease(sentAt int64) {
+	terms := s.o.Lease
+	if s.o.Skip&SkipLeaseStart != 0 {
+		sentAt = s.now
 	}
-	if s.o.Break&BreakDriftMargin != 0 {
+	if s.o.Skip&SkipDriftMargin != 0 {
 		terms.Drift = 0
 	}
-	s.lease.Renew(terms, sent)
+	s.lease.Renew(terms, sentAt)
 }
 
-func (s *Session) renewed(a *pb.Answer) {
+func (s *Session) handleRenewed(a *pb.Answer) {
 	s.renewID = 0
 	if a.Gone {
-		s.end()
+		s.endSession()
 		return
 	}
 	if a.Error != "" {
 		return
 	}
-	s.held(s.renewAt)
+	s.extendLease(s.renewSentAt)
 	if a.Version != s.version {
-		s.look()
+		s.requestView()
 	}
 }
 
-// answered takes what came of an ask about a duty.
-func (s *Session) answered(a *pb.Answer) {
-	name := s.ops[a.Id]
-	delete(s.ops, a.Id)
-	w := s.wants[name]
-	w.op = 0
+// handleDutyAnswer handles the answer to a request about a duty.
+func (s *Session) handleDutyAnswer(a *pb.Answer) {
+	name := s.dutyAsks[a.Id]
+	delete(s.dutyAsks, a.Id)
+	r := s.requests[name]
+	r.askID = 0
 	switch {
 	case a.Gone:
-		s.end()
+		s.endSession()
 		return
 	case a.Error == duty.ErrFull.Error():
-		w.again = s.now + s.jitter(int64(s.o.Terms.Length)) // enough others are in line
-	case w.opToken != 0: // given up; in line again only by a further wish
-		w.asked = 0
-		if d := s.view[name]; d != nil && d.Token == w.opToken && d.Session == s.id {
-			delete(s.view, name)
+		r.retryAt = s.now + s.jitter(int64(s.o.Lease.Length)) // the queue of the duty is full
+	case r.releaseToken != 0: // released; in the queue again only after a new request
+		r.queuedSession = 0
+		if d := s.duties[name]; d != nil && d.Token == r.releaseToken && d.Session == s.id {
+			delete(s.duties, name)
 		}
 	case a.Error == "":
-		if w.asked = s.id; w.leave {
-			w.asked = 0
+		if r.queuedSession = s.id; r.releasing {
+			r.queuedSession = 0
 		}
 	default:
-		w.again = s.now + s.jitter(int64(s.o.Terms.RenewInterval()))
+		r.retryAt = s.now + s.jitter(int64(s.o.Lease.RenewInterval()))
 	}
 	if a.Duty != nil && a.Version >= s.version {
-		s.see(a.Duty)
+		s.applyDuty(a.Duty)
 	}
 }
 
-// news takes what has changed; where something is missing between, all is asked for.
-func (s *Session) news(n *pb.News) {
+// applyUpdate applies an update of the view. If updates in between are missing, it requests the whole view.
+func (s *Session) applyUpdate(n *pb.News) {
 	if n == nil || n.To <= s.version && n.From != 0 {
 		return
 	}
@@ -564,49 +566,49 @@
 		if n.To < s.version {
 			return
 		}
-		fresh := map[string]bool{}
+		listed := map[string]bool{}
 		for _, d := range n.Duties {
-			fresh[d.Name] = true
+			listed[d.Name] = true
 		}
-		for name, d := range s.view {
-			if !fresh[name] {
-				s.see(&pb.Duty{Name: name, Token: d.Token, Ended: true})
+		for name, d := range s.duties {
+			if !listed[name] {
+				s.applyDuty(&pb.Duty{Name: name, Token: d.Token, Ended: true})
 			}
 		}
 	} else if n.From > s.version {
-		s.look()
+		s.requestView()
 		return
 	}
 	s.version = n.To
 	if n.From == 0 {
-		clear(s.adopted)
+		clear(s.adoptions)
 	}
 	for _, a := range n.Adoptions {
-		s.adopted[a.Owner] = a
+		s.adoptions[a.Owner] = a
 	}
 	if n.AllPresent {
 		s.present = n.Present
 	}
 	for _, d := range n.Duties {
-		s.see(d)
+		s.applyDuty(d)
 	}
 }
 
-// see takes a duty as it has become.
-func (s *Session) see(d *pb.Duty) {
-	if old := s.view[d.Name]; old != nil && old.Token > d.Token {
-		return // tokens only grow: what is told is older than what is known
+// applyDuty applies the new state of a duty.
+func (s *Session) applyDuty(d *pb.Duty) {
+	if old := s.duties[d.Name]; old != nil && old.Token > d.Token {
+		return // tokens only grow, so the received state is older than the known one
 	}
 	if d.Ended {
-		delete(s.view, d.Name)
-		if w := s.wants[d.Name]; w != nil && !w.leave {
-			w.asked = 0
+		delete(s.duties, d.Name)
+		if r := s.requests[d.Name]; r != nil && !r.releasing {
+			r.queuedSession = 0
 		}
 	} else {
-		s.view[d.Name] = d
+		s.duties[d.Name] = d
 	}
-	if w := s.wants[d.Name]; w != nil && w.noted != 0 && s.tokenOf(d.Name) != w.noted {
-		s.lost(d.Name, w)
+	if r := s.requests[d.Name]; r != nil && r.loggedToken != 0 && s.grantedToken(d.Name) != r.loggedToken {
+		s.logLost(d.Name, r)
 	}
 	if s.DutyChanged != nil {
 		s.DutyChanged(d)
--- a/internal/fleet/trial/trial_test.go
+++ b/internal/fleet/trial/trial_test.go
@@ -11,61 +11,62 @@
 	return storm.Throttle{Dest: 7, Phase: storm.Outage, Paces: []storm.Pace{{Rate: rate}}, DialRate: 1}
 }
 
-func board() *State {
-	b := New(Settings{Senders: 100, SilenceTimeoutMS: 4000})
-	b.SetLive(true)
-	return b
+func newLiveState() *State {
+	s := New(Settings{Senders: 100, SilenceTimeoutMS: 4000})
+	s.SetLive(true)
+	return s
 }
 
-// TestOthersWait: one that does not hold the trial waits while it hears that the partner is down, and no longer.
-func TestOthersWait(t *testing.T) {
-	b := board()
-	if o := b.AdjustThrottle(0, outage(0.5)); o.Paces[0].Rate != 0.5 {
-		t.Errorf("with nobody's word: %v", o)
+// TestOtherMembersSuspendTrials: a member that does not hold the duty suspends its trials while it receives
+// words that the partner is down, and no longer.
+func TestOtherMembersSuspendTrials(t *testing.T) {
+	s := newLiveState()
+	if o := s.AdjustThrottle(0, outage(0.5)); o.Paces[0].Rate != 0.5 {
+		t.Errorf("without a holder: %v", o)
 	}
-	if acts := b.TakeActions(); len(acts) != 1 || !acts[0].Request {
-		t.Errorf("acts %v", acts)
+	if acts := s.TakeActions(); len(acts) != 1 || !acts[0].Request {
+		t.Errorf("actions %v", acts)
 	}
-	b.HandleUpdate(100, 7, Update{Holder: "n2"})
-	list := b.ChangedThrottles(100)
-	if len(list) != 1 || list[0].Paces[0].Rate != hushed {
-		t.Fatalf("another holds it: %v", list)
+	s.HandleUpdate(100, 7, Update{Holder: "n2"})
+	list := s.ChangedThrottles(100)
+	if len(list) != 1 || list[0].Paces[0].Rate != suspendedRate {
+		t.Fatalf("another member holds the duty: %v", list)
 	}
-	b.HandleUpdate(3000, 7, Update{Holder: "n2", Word: "down 1"})
-	if at := b.NextChange(); at != 7000 {
-		t.Errorf("it waits until %v", at)
+	s.HandleUpdate(3000, 7, Update{Holder: "n2", Word: "down 1"})
+	if at := s.NextChange(); at != 7000 {
+		t.Errorf("trials suspended until %v", at)
 	}
-	if list := b.ChangedThrottles(6999); len(list) != 0 {
-		t.Errorf("before the bound: %v", list)
+	if list := s.ChangedThrottles(6999); len(list) != 0 {
+		t.Errorf("before the timeout: %v", list)
 	}
-	if list := b.ChangedThrottles(7000); len(list) != 1 || list[0].Paces[0].Rate != 0.5 {
-		t.Errorf("after the bound without a word: %v", list)
+	if list := s.ChangedThrottles(7000); len(list) != 1 || list[0].Paces[0].Rate != 0.5 {
+		t.Errorf("after the timeout without a word: %v", list)
 	}
-	b.HandleUpdate(7100, 7, Update{Holder: "n2", Word: "down 2"})
-	if list := b.ChangedThrottles(7100); len(list) != 1 || list[0].Paces[0].Rate != hushed {
-		t.Errorf("a word again: %v", list)
+	s.HandleUpdate(7100, 7, Update{Holder: "n2", Word: "down 2"})
+	if list := s.ChangedThrottles(7100); len(list) != 1 || list[0].Paces[0].Rate != suspendedRate {
+		t.Errorf("after a further word: %v", list)
 	}
-	b.HandleUpdate(7200, 7, Update{Holder: "n2", Word: "open 3"})
-	if list := b.ChangedThrottles(7200); len(list) != 1 || list[0].Paces[0].Rate != 0.5 {
-		t.Errorf("the partner is back: %v", list)
+	s.HandleUpdate(7200, 7, Update{Holder: "n2", Word: "open 3"})
+	if list := s.ChangedThrottles(7200); len(list) != 1 || list[0].Paces[0].Rate != 0.5 {
+		t.Errorf("after the partner is back: %v", list)
 	}
 }
 
-// TestNobodySilences: without a session, a holder, or a fleet, nothing is held back.
-func TestNobodySilences(t *testing.T) {
-	b := board()
-	b.AdjustThrottle(0, outage(0.5))
-	b.HandleUpdate(100, 7, Update{Holder: "n2"})
-	b.ChangedThrottles(100)
-	b.SetLive(false)
-	if list := b.ChangedThrottles(200); len(list) != 1 || list[0].Paces[0].Rate != 0.5 {
-		t.Errorf("the session is over: %v", list)
-	}
-	b.SetLive(true)
-	b.ChangedThrottles(300)
-	b.HandleUpdate(400, 7, Update{})
-	if list := b.ChangedThrottles(400); len(list) != 1 || list[0].Paces[0].Rate != 0.5 {
-		t.Errorf("nobody holds it: %v", list)
+// TestNothingSuspendsWithoutFleet: without a session, a holder or a fleet, no trials are suspended.
+func TestNothingSuspendsWithoutFleet(t *testing.T) {
+	s := newLiveState()
+	s.AdjustThrottle(0, outage(0.5))
+	s.HandleUpdate(100, 7, Update{Holder: "n2"})
+	s.ChangedThrottles(100)
+	s.SetLive(false)
+	if list := s.ChangedThrottles(200); len(list) != 1 || list[0].Paces[0].Rate != 0.5 {
+		t.Errorf("without a session: %v", list)
+	}
+	s.SetLive(true)
+	s.ChangedThrottles(300)
+	s.HandleUpdate(400, 7, Update{})
+	if list := s.ChangedThrottles(400); len(list) != 1 || list[0].Paces[0].Rate != 0.5 {
+		t.Errorf("the duty has no holder: %v", list)
 	}
 	var none *State
 	if o := none.AdjustThrottle(0, outage(0.5)); o.Paces[0].Rate != 0.5 || none.ChangedThrottles(0) != nil || none.TakeActions() != nil || !math.IsInf(none.NextChange(), 1) {
@@ -76,38 +77,38 @@
 	none.CallFailed(0, 7)
 }
 
-// TestHolder: the holder tries at the others' parts, up to a bound, tells that the partner is down now and then, and
-// that it is back at once.
+// TestHolder: the holder makes trials at the paces of all members together, up to a bound. It publishes at intervals
+// that the partner is down, and at once that it is back.
 func TestHolder(t *testing.T) {
-	b := board()
-	b.AdjustThrottle(0, outage(0.05))
-	b.TakeActions()
-	b.HandleUpdate(100, 7, Update{Holder: "n1", HeldLocally: true})
-	if list := b.ChangedThrottles(100); len(list) != 1 || math.Abs(list[0].Paces[0].Rate-5) > 1e-9 {
+	s := newLiveState()
+	s.AdjustThrottle(0, outage(0.05))
+	s.TakeActions()
+	s.HandleUpdate(100, 7, Update{Holder: "n1", HeldLocally: true})
+	if list := s.ChangedThrottles(100); len(list) != 1 || math.Abs(list[0].Paces[0].Rate-5) > 1e-9 {
 		t.Errorf("the holder's pace: %v", list)
 	}
-	b.CallFailed(200, 7)
-	b.CallFailed(300, 7)
-	b.CallFailed(1200, 7)
-	if acts := b.TakeActions(); len(acts) != 2 || acts[0].Publish != "down 1" || acts[1].Publish != "down 2" {
-		t.Errorf("words %v", acts)
+	s.CallFailed(200, 7)
+	s.CallFailed(300, 7)
+	s.CallFailed(1200, 7)
+	if acts := s.TakeActions(); len(acts) != 2 || acts[0].Publish != "down 1" || acts[1].Publish != "down 2" {
+		t.Errorf("published words %v", acts)
 	}
-	o := b.AdjustThrottle(1300, storm.Throttle{Dest: 7, Phase: storm.Returning, Paces: []storm.Pace{{Rate: 0.05}}})
-	if acts := b.TakeActions(); len(acts) != 1 || acts[0].Publish != "open 3" || o.Paces[0].Rate != 0.05 {
-		t.Errorf("back: %v, %v", acts, o)
+	o := s.AdjustThrottle(1300, storm.Throttle{Dest: 7, Phase: storm.Returning, Paces: []storm.Pace{{Rate: 0.05}}})
+	if acts := s.TakeActions(); len(acts) != 1 || acts[0].Publish != "open 3" || o.Paces[0].Rate != 0.05 {
+		t.Errorf("partner back: %v, %v", acts, o)
 	}
-	b.AdjustThrottle(20000, storm.Throttle{Dest: 7, Phase: storm.Calm, Paces: []storm.Pace{{}}})
-	if acts := b.TakeActions(); len(acts) != 1 || !acts[0].Release {
+	s.AdjustThrottle(20000, storm.Throttle{Dest: 7, Phase: storm.Calm, Paces: []storm.Pace{{}}})
+	if acts := s.TakeActions(); len(acts) != 1 || !acts[0].Release {
 		t.Errorf("calm: %v", acts)
 	}
-	// One that takes the duty over while it sees the partner back says so.
-	b = board()
-	b.AdjustThrottle(0, outage(0.05))
-	b.AdjustThrottle(1000, storm.Throttle{Dest: 7, Phase: storm.Returning, Paces: []storm.Pace{{Rate: 0.05}}})
-	b.TakeActions()
-	b.HandleUpdate(1100, 7, Update{Holder: "n1", HeldLocally: true, Word: "down 9"})
-	if acts := b.TakeActions(); len(acts) != 1 || acts[0].Publish != "open 1" {
-		t.Errorf("taken over: %v", acts)
+	// A member that takes over the duty while the partner is back here publishes that at once.
+	s = newLiveState()
+	s.AdjustThrottle(0, outage(0.05))
+	s.AdjustThrottle(1000, storm.Throttle{Dest: 7, Phase: storm.Returning, Paces: []storm.Pace{{Rate: 0.05}}})
+	s.TakeActions()
+	s.HandleUpdate(1100, 7, Update{Holder: "n1", HeldLocally: true, Word: "down 9"})
+	if acts := s.TakeActions(); len(acts) != 1 || acts[0].Publish != "open 1" {
+		t.Errorf("after the takeover: %v", acts)
 	}
 }
 
--- a/internal/telemetry/metric/histogram.go
+++ b/internal/telemetry/metric/histogram.go
@@ -1,39 +1,40 @@
-// Package metric holds the counters, gauges and exponential histograms that a sender exports. They are summed up
-// by one goroutine and read by it; nothing here locks.
+// Package metric holds the counters, gauges and exponential histograms that a sender exports. One goroutine updates and
+// reads them; there is no locking.
 package metric
 
 import "math"
 
-// Buckets is the most buckets that a histogram has; with more it halves its resolution.
-const Buckets = 160
+// MaxBuckets is the maximum number of buckets of a histogram. A histogram that would need more halves its resolution.
+const MaxBuckets = 160
 
 const (
-	scaleMost  = 20
-	scaleLeast = -10
+	maxScale = 20
+	minScale = -10
 )
 
 // Histogram is an exponential histogram of positive values (OpenTelemetry metrics data model, "ExponentialHistogram"):
 // bucket i holds the values in (base^i, base^(i+1)], base = 2^(2^-scale).
 type Histogram struct {
-	Scale  int
-	Offset int // index of Counts[0]
-	Counts []uint64
-	Zero   uint64
-	Count  uint64
-	Sum    float64
-	Min    float64
-	Max    float64
+	Scale     int
+	Offset    int // index of Counts[0]
+	Counts    []uint64
+	ZeroCount uint64
+	Count     uint64
+	Sum       float64
+	Min       float64
+	Max       float64
 }
 
-// NewHistogram returns an empty histogram of the finest scale that is of use for times: buckets 4% wide.
+// NewHistogram returns an empty histogram of scale 4, whose buckets are 4% wide: finer ones are of no use for
+// durations.
 func NewHistogram() *Histogram { return &Histogram{Scale: 4} }
 
-// index is the bucket of v at a scale.
+// index returns the index of the bucket that holds v at a scale.
 func index(v float64, scale int) int {
 	return int(math.Ceil(math.Log2(v)*math.Exp2(float64(scale)))) - 1
 }
 
-// Add counts a value. What is not a number or not finite is passed over; what is not positive counts as zero.
+// Add records a value. It ignores NaN and infinities and counts values that are not positive as zero.
 func (h *Histogram) Add(v float64) {
 	if math.IsNaN(v) || math.IsInf(v, 0) {
 		return
@@ -45,7 +46,7 @@
 	h.Sum += v
 	h.Min, h.Max = min(h.Min, v), max(h.Max, v)
 	if v <= math.SmallestNonzeroFloat64 {
-		h.Zero++
+		h.ZeroCount++
 		return
 	}
 	i := index(v, h.Scale)
@@ -53,7 +54,7 @@
 		h.Offset, h.Counts = i, []uint64{1}
 		return
 	}
-	for max(i, h.Offset+len(h.Counts)-1)-min(i, h.Offset) >= Buckets && h.Scale > scaleLeast {
+	for max(i, h.Offset+len(h.Counts)-1)-min(i, h.Offset) >= MaxBuckets && h.Scale > minScale {
 		h.halve()
 		i = index(v, h.Scale)
 	}
@@ -67,7 +68,7 @@
 	h.Counts[i-h.Offset]++
 }
 
-// halve joins each two buckets to one of the next lower scale.
+// halve merges neighbouring pairs of buckets, which lowers the scale by one.
 func (h *Histogram) halve() {
 	first := h.Offset >> 1
 	last := (h.Offset + len(h.Counts) - 1) >> 1
