--- a/cmd/sliptide/run.go
+++ b/cmd/sliptide/run.go
@@ -46,10 +46,10 @@
 	configReadTimeout     = 2 * time.Second         // for configuration files that can't be read at the moment
 	reservedFDs           = 32                      // descriptors other than connections of clients and endpoints
 
-	// connsPerCallSlot and maxIdleConns determine the number of connections to endpoints: several for each concurrent
+	// connsPerCallSlot and maxIdleEndpointConns determine the number of connections to endpoints: several for each concurrent
 	// call, and some idle ones.
-	connsPerCallSlot = 4
-	maxIdleConns     = 64
+	connsPerCallSlot     = 4
+	maxIdleEndpointConns = 64
 
 	bytesPerClientConn = 24 << 10 // memory of a client's connection, with its goroutine
 )
@@ -116,7 +116,7 @@
 	notices := discovery.NewNoticeQueue(cfg.DiscoveryAddr, log, func(nums []uint64) { snd.AckNotices(nums) })
 	sockets := cfg.Limits.Sockets - reservedFDs
 	// The remaining descriptors are for clients, many of which may hold an idle connection.
-	maxEndpointConns := min(sockets*2/5, maxIdleConns+connsPerCallSlot*cfg.Settings.CallSlots)
+	maxEndpointConns := min(sockets*2/5, maxIdleEndpointConns+connsPerCallSlot*cfg.Settings.CallSlots)
 	pipe, err := openTelemetry(cfg, op.Telemetry, clock, log)
 	if err != nil {
 		return fmt.Errorf("%w: telemetry: %w", cli.ErrConfig, err)
