--- a/cmd/sliptide/admin_test.go
+++ b/cmd/sliptide/admin_test.go
@@ -12,7 +12,7 @@
 	"time"
 )
 
-// adminRig is a rig whose sender has an operators' address, not yet started.
+// newAdminRig returns an unstarted rig whose sender has an admin address, and that address.
 func newAdminRig(t *testing.T, kinds ...string) (*rig, string) {
 	t.Helper()
 	t.Parallel()
@@ -28,7 +28,7 @@
 	return r, addr
 }
 
-// byHand makes one call to the operators' address and returns its status and reason.
+// callAdmin makes one request to the admin address and returns its status and reason.
 func callAdmin(t *testing.T, addr, method, path, body string) (int, string) {
 	t.Helper()
 	q, _ := http.NewRequest(method, "http://"+addr+path, strings.NewReader(body))
@@ -45,9 +45,9 @@
 	return resp.StatusCode, strings.TrimSpace(string(text))
 }
 
-// An endpoint taken out by hand gets nothing new, whatever discovery lists, over a restart, until it is put
-// back; an id that no list named is a no.
-func TestTakenOutByHand(t *testing.T) {
+// An endpoint disabled by an operator gets no call until it is enabled again, whatever discovery lists and also after a
+// restart. An ID that was never listed is answered 404.
+func TestEndpointDisabledByOperator(t *testing.T) {
 	r, admin := newAdminRig(t, "one")
 	r.endpoints = append(r.endpoints, r.endpoint("s-b", "one", 0))
 	r.config["known"] = map[string]any{"version": 1, "full": true, "servers": r.endpoints}
@@ -55,7 +55,7 @@
 	if status, text := callAdmin(t, admin, "POST", "/endpoints/disable", "s-9"); status != 404 {
 		t.Errorf("never listed: %d %s", status, text)
 	}
-	for range 2 { // calls may be repeated
+	for range 2 { // disabling is idempotent
 		if status, text := callAdmin(t, admin, "POST", "/endpoints/disable", "s-0"); status != 200 {
 			t.Fatalf("disable: %d %s", status, text)
 		}
@@ -72,7 +72,7 @@
 	for i := range 4 {
 		expectAt(fmt.Sprint("m", i), "s-b")
 	}
-	r.updateList(func() { r.endpoints[0].State = "up" }) // discovery lists it anew
+	r.updateList(func() { r.endpoints[0].State = "up" }) // discovery lists it again
 	r.awaitCurrentList()
 	expectAt("listed", "s-b")
 	r.kill(syscall.SIGTERM)
@@ -86,9 +86,9 @@
 	expectAt("back", "s-0")
 }
 
-// Sent away by hand: /up and /ready say no, kept connections are closed after their answer or at once if
-// idle, messages are still taken on; undrained, it says yes again.
-func TestDrainByHand(t *testing.T) {
+// During a drain /up and /ready answer 503, connections are closed after their answer or at once if idle, and messages are
+// still accepted. After an undrain /up and /ready answer 200 again.
+func TestDrainByOperator(t *testing.T) {
 	r, admin := newAdminRig(t, "one")
 	r.start()
 	if status, _ := callAdmin(t, admin, "GET", "/ready", ""); status != 200 {
@@ -113,14 +113,14 @@
 		t.Errorf("an idle connection is kept: %d %v", n, err)
 	}
 	if r.upStatus() != 503 {
-		t.Errorf("/up says yes while clients are sent away")
+		t.Errorf("/up does not answer 503 during a drain")
 	}
 	if status, _ := callAdmin(t, admin, "GET", "/ready", ""); status != 503 {
-		t.Errorf("ready: %d while clients are sent away", status)
+		t.Errorf("ready: %d during a drain", status)
 	}
 	resp = r.submit("during", 0, 15, "")
 	if resp.StatusCode != 202 || !resp.Close {
-		t.Errorf("a message while sent away: %s, close %v", resp.Status, resp.Close)
+		t.Errorf("a message during a drain: %s, close %v", resp.Status, resp.Close)
 	}
 	r.expectCallFor("during").respond(200)
 	if status, text := callAdmin(t, admin, "POST", "/undrain", ""); status != 200 {
@@ -132,7 +132,7 @@
 	}
 }
 
-// awaitWatchFrom waits until the sender watches from the present version: it has had the list as it is.
+// awaitCurrentList waits until the sender watches from the current version of the list, which it has received then.
 func (r *rig) awaitCurrentList() {
 	r.t.Helper()
 	r.mu.Lock()
@@ -142,7 +142,7 @@
 	}
 }
 
-// handInClass hands in a message of a class and returns the status.
+// submitWithClass submits a message of a class and returns the status.
 func (r *rig) submitWithClass(id, class string) int {
 	r.t.Helper()
 	q, _ := http.NewRequest("POST", "http://"+r.addr+"/api", strings.NewReader("x"))
@@ -158,9 +158,9 @@
 	return resp.StatusCode
 }
 
-// Settings read on SIGHUP: a broken file changes nothing, its discovery neither; a good one brings a class
-// at once and allows fewer attempts, for a message under way too.
-func TestRetune(t *testing.T) {
+// On SIGHUP an invalid file changes nothing, not even the address of discovery. A valid one adds a class at once and lowers
+// max_attempts, also for a message whose call is in progress.
+func TestConfigurationReload(t *testing.T) {
 	r := newRig(t, nil, "one")
 	settings := r.config["settings"].(map[string]any)
 	note := settings["services"].([]any)[0].(map[string]any)
@@ -179,7 +179,7 @@
 	r.awaitLog("the new configuration is invalid")
 	r.config["discovery"] = good
 	if status := r.submitWithClass("early", "urgent"); status != 400 {
-		t.Errorf("a class of a broken file: %d", status)
+		t.Errorf("a class of an invalid file: %d", status)
 	}
 	urgent := map[string]any{"name": "urgent", "aim": 1000, "deadline": 5000, "effect": "unsafe", "worth": 2, "late_worth": 0.4}
 	settings["services"] = []any{note, urgent}
@@ -196,6 +196,6 @@
 	if n := r.nextNotice(); n.Message != "held" {
 		t.Errorf("notice %+v", n)
 	}
-	r.updateList(func() {}) // discovery is still the one that the broken file did not move
+	r.updateList(func() {}) // the invalid file did not move discovery
 	receive(t, r.watches, "a watch")
 }
--- a/cmd/sliptide/desync_test.go
+++ b/cmd/sliptide/desync_test.go
@@ -9,10 +9,10 @@
 	"sliptide/internal/standin"
 )
 
-// partnerTakes is the time that the partner of these tests takes for a call.
+// partnerLatency is the time that the partner of these tests takes to answer a call.
 const partnerLatency = 100 * time.Millisecond
 
-// rawRig is a sender, which logs records, with one RawPartner for destination 5.
+// newRawRig starts a sender that logs records, with one RawPartner as the endpoint of destination 5.
 func newRawRig(t *testing.T) (*rig, *standin.RawPartner) {
 	t.Helper()
 	t.Parallel()
@@ -24,17 +24,17 @@
 	return r, p
 }
 
-// answerLater answers a call after the time that the partner takes.
+// answerLater answers a call after partnerLatency.
 func answerLater(c *standin.RawCall, text string) {
 	time.AfterFunc(partnerLatency, func() { c.Write(text) })
 }
 
-// records counts the log's records of a kind.
+// recordCount returns the number of log records of a kind.
 func (r *rig) recordCount(kind string) int {
 	return strings.Count(r.logs.String(), fmt.Sprintf(`"record":%q`, kind))
 }
 
-// awaitRecords waits until the log has so many records of a kind.
+// awaitRecords waits until the log has at least n records of a kind.
 func (r *rig) awaitRecords(kind string, n int) {
 	r.t.Helper()
 	for end := time.Now().Add(testTimeout); r.recordCount(kind) < n; time.Sleep(time.Millisecond) {
@@ -44,29 +44,30 @@
 	}
 }
 
-// callOnKept hands messages in, one after the other, until one goes out on a connection that has carried another.
+// callOnReusedConn submits messages one after the other until one is sent on a connection that has carried another call,
+// and returns that call.
 func (r *rig) callOnReusedConn(p *standin.RawPartner) *standin.RawCall {
 	r.t.Helper()
-	carried := map[int]bool{}
+	used := map[int]bool{}
 	for n := range 20 {
 		r.mustSubmit(fmt.Sprint("m", n), 5, 10, "")
 		c := receive(r.t, p.Calls, "a call")
-		if carried[c.Conn] {
+		if used[c.Conn] {
 			return c
 		}
-		carried[c.Conn] = true
+		used[c.Conn] = true
 		answerLater(c, standin.AnswerOK)
 		r.awaitRecords("ended", n+1)
 	}
-	r.t.Fatal("no connection is kept")
+	r.t.Fatal("no connection was reused")
 	return nil
 }
 
-// Guards against a message that ends by a second copy of an earlier answer, and is lost.
-func TestRepeatedAnswerCrossesARequestAndLosesIt(t *testing.T) {
+// Guards against a lost message: a second copy of the previous answer on the connection must not end the next request.
+func TestRepeatedAnswerDoesNotEndNextRequest(t *testing.T) {
 	r, p := newRawRig(t)
 	c := r.callOnReusedConn(p)
-	c.Write(standin.AnswerOK) // of the call before
+	c.Write(standin.AnswerOK) // a second answer to the previous call
 	answerLater(c, standin.AnswerUnavailable)
 	again := receive(t, p.Calls, "a further attempt")
 	if again.ID != c.ID {
@@ -75,18 +76,19 @@
 	answerLater(again, standin.AnswerOK)
 }
 
-// Guards against an answer that ends the next call of its connection, whose message is then out twice.
+// Guards against a duplicate call: after a repeated answer, a late answer must not be taken for that of the connection's
+// next call.
 func TestRepeatedAnswerShiftsLaterAnswers(t *testing.T) {
 	r, p := newRawRig(t)
 	c := r.callOnReusedConn(p)
 	ended := r.recordCount("ended")
-	c.Write(standin.AnswerOK) // of the call before; its own answer is still owed
+	c.Write(standin.AnswerOK) // a second answer to the previous call; the answer to c is still outstanding
 	r.awaitRecords("ended", ended+1)
 	r.mustSubmit("next", 5, 10, "")
 	for {
 		following := receive(t, p.Calls, "a call for the next message")
 		if following.Conn == c.Conn {
-			t.Fatalf("%q goes out on connection %d, which owes the answer to %q", following.ID, c.Conn, c.ID)
+			t.Fatalf("%q is sent on connection %d, on which the answer to %q is outstanding", following.ID, c.Conn, c.ID)
 		}
 		answerLater(following, standin.AnswerOK)
 		if following.ID == "next" {
--- a/cmd/sliptide/knowledge_test.go
+++ b/cmd/sliptide/knowledge_test.go
@@ -22,28 +22,29 @@
 
 const knowledgeXML = `<knowledge enabled="true" write-every="100ms"/>`
 
-// run runs a sub-command to its end.
-func runCommand(t *testing.T, args ...string) (out, err string, status int) {
+// runCommand runs a sub-command of the program and returns its output and exit status.
+func runCommand(t *testing.T, args ...string) (stdout, stderr string, status int) {
 	t.Helper()
 	c := exec.Command(binary, args...)
-	var o, e bytes.Buffer
-	c.Stdout, c.Stderr = &o, &e
+	var outBuf, errBuf bytes.Buffer
+	c.Stdout, c.Stderr = &outBuf, &errBuf
 	c.Env = append(os.Environ(), "RELAY_CONFIG=", "GORACE=atexit_sleep_ms=0")
 	var exit *exec.ExitError
-	if x := c.Run(); x != nil && !errors.As(x, &exit) {
-		t.Fatal(x)
+	if runErr := c.Run(); runErr != nil && !errors.As(runErr, &exit) {
+		t.Fatal(runErr)
 	}
-	return o.String(), e.String(), c.ProcessState.ExitCode()
+	return outBuf.String(), errBuf.String(), c.ProcessState.ExitCode()
 }
 
-// awaitFile waits until the state folder has a readable knowledge file for which ok holds.
+// awaitKnowledgeFile waits until the state directory has a knowledge file for which ok returns true. The file must be
+// readable at any time.
 func (r *rig) awaitKnowledgeFile(name string, ok func(*knowledge.Facts) bool) {
 	r.t.Helper()
 	for end := time.Now().Add(testTimeout); ; {
 		if text, err := os.ReadFile(filepath.Join(r.stateDir, name)); err == nil {
-			if b, err := store.Decode(text); err != nil {
+			if facts, err := store.Decode(text); err != nil {
 				r.t.Fatalf("%s while in use: %v", name, err)
-			} else if ok(b) {
+			} else if ok(facts) {
 				return
 			}
 		}
@@ -53,29 +54,29 @@
 	}
 }
 
-// A told wait binds after a kill: nothing goes there before its end, the restored message neither. The same
-// without knowledge shows that the test can fail: there the restored message is sent at once.
-func TestToldWaitOutlastsKill(t *testing.T) {
+// A requested wait is honoured after a SIGKILL: no message is sent to the partner before it ends, nor is the restored
+// message. The same run without knowledge shows that the test can fail: the restored message is sent at once there.
+func TestRequestedWaitSurvivesKill(t *testing.T) {
 	for _, row := range []struct {
 		name, operator string
 		kept           bool
 	}{{"on", knowledgeXML, true}, {"off", "", false}} {
 		t.Run(row.name, func(t *testing.T) {
 			r := newRigWith(t, row.operator, nil, "one", "one")
-			r.updateList(func() { r.endpoints[1].Cell = 0 }) // both are of one partner
+			r.updateList(func() { r.endpoints[1].Cell = 0 }) // both belong to one destination
 			r.kill(syscall.SIGTERM)
 			r.start()
 			r.mustSubmit("m", 0, 19, "")
 			c := r.expectCallFor("m")
-			told := time.Now()
+			requested := time.Now()
 			c.respond(429, "Retry-After", "4.000")
 			if row.kept {
 				r.awaitKnowledgeFile(store.WaitsName, func(b *knowledge.Facts) bool { return len(b.Waits) == 1 })
-				if late := time.Since(told); late > 2*time.Second { // 50 ms, and what a busy machine adds
+				if late := time.Since(requested); late > 2*time.Second { // 50 ms, plus a margin for a busy machine
 					t.Errorf("on disk after %v", late)
 				}
 			} else {
-				r.awaitLog("started") // nothing to wait for but the answer's arrival
+				r.awaitLog("started") // the notice of n, below, shows that the answer has been read
 				r.mustSubmit("n", 9, 0.3, "")
 				r.nextNotice()
 			}
@@ -85,15 +86,15 @@
 			for range 2 {
 				c := r.nextCall()
 				c.respond(200)
-				if early := c.at.Sub(told) < 4*time.Second; early == row.kept {
-					t.Errorf("call for %s %v after a wait of 4 s was told", c.id(), c.at.Sub(told))
+				if early := c.at.Sub(requested) < 4*time.Second; early == row.kept {
+					t.Errorf("call for %s %v after a wait of 4 s was requested", c.id(), c.at.Sub(requested))
 				}
 			}
 		})
 	}
 }
 
-// awaitLog waits until the log has a text.
+// awaitLog waits until the log contains text.
 func (r *rig) awaitLog(text string) {
 	r.t.Helper()
 	for end := time.Now().Add(testTimeout); !strings.Contains(r.logs.String(), text); time.Sleep(5 * time.Millisecond) {
@@ -103,8 +104,8 @@
 	}
 }
 
-// A told limit and a latency survive a stop, and the tools show them; a damaged file is set aside and said so.
-func TestKnowledgeOutlastsStop(t *testing.T) {
+// An advertised limit and a latency survive a stop, and the commands show them. A damaged file is set aside and logged.
+func TestKnowledgeSurvivesStop(t *testing.T) {
 	r := newRigWith(t, knowledgeXML, nil, "one")
 	for i := range 3 {
 		id := fmt.Sprint("m", i)
@@ -145,7 +146,7 @@
 	r.start()
 	r.kill(syscall.SIGTERM)
 	if !strings.Contains(r.logs.String(), `"set_aside":true`) {
-		t.Error("no word of the damaged file in the log")
+		t.Error("the damaged file is not logged")
 	}
 	if aside, _ := os.ReadFile(filepath.Join(r.stateDir, "knowledge.bad")); !bytes.Equal(aside, text) {
 		t.Error("the damaged file is not set aside")
@@ -154,11 +155,11 @@
 		t.Errorf("forget: %d %s", status, out)
 	}
 	if _, _, status := runCommand(t, "knowledge", "show", r.stateDir); status != 1 {
-		t.Errorf("show of nothing: %d", status)
+		t.Errorf("show without files: %d", status)
 	}
 }
 
-// Without an operators' file nothing of all this is there.
+// Without an operators' file no knowledge is written.
 func TestKnowledgeIsOffByDefault(t *testing.T) {
 	r := newRig(t, nil, "one")
 	r.mustSubmit("m", 0, 10, "")
@@ -168,13 +169,14 @@
 	list, _ := os.ReadDir(r.stateDir)
 	for _, f := range list {
 		if n := f.Name(); n != "journal" && n != "lock" && n != "clock" {
-			t.Errorf("%s in the state folder", n)
+			t.Errorf("%s in the state directory", n)
 		}
 	}
 }
 
-// Ready means a list: an empty `known` and a silent discovery are none, until patience is over.
-func TestReadyMeansAList(t *testing.T) {
+// With an empty list under the key known and an unresponsive discovery, the sender reports ready only when the patience
+// configured for that has passed.
+func TestReadyNeedsAnEndpointList(t *testing.T) {
 	r := newRigWith(t, `<ready patience="1h"/>`, nil)
 	r.kill(syscall.SIGTERM)
 	r.updateList(func() { r.discoverySilent = true })
@@ -183,7 +185,7 @@
 		<-r.watches
 	}
 	r.launch()
-	receive(t, r.watches, "a call for the list") // it has read `known` by then
+	receive(t, r.watches, "a call for the list") // the key known has been read by then
 	r.awaitUp(503)
 	for range 5 {
 		if r.upStatus() == 200 {
@@ -197,12 +199,12 @@
 	r.writeOperatorFile(`<ready patience="100ms"/>`)
 	r.start()
 	if !strings.Contains(r.logs.String(), "ready without a list") {
-		t.Error("no word of it in the log")
+		t.Error("being ready without a list is not logged")
 	}
 }
 
-// Two processes never work in one folder.
-func TestOneProcessAFolder(t *testing.T) {
+// A second process with another address for clients can't start on the same state directory.
+func TestOneProcessPerStateDirectory(t *testing.T) {
 	r := newRig(t, nil)
 	c := exec.Command(binary)
 	c.Env = append(os.Environ(), "RELAY_CONFIG="+r.configPath, "RELAY_STATE="+r.stateDir, "RELAY_LISTEN=127.0.0.1:0", "GORACE=atexit_sleep_ms=0")
@@ -211,10 +213,10 @@
 		t.Errorf("%v: %s", err, out)
 	}
 	r.mustSubmit("m", 7, 0.2, "")
-	r.nextNotice() // the first is unharmed
+	r.nextNotice() // the first process still works
 }
 
-// Each command's exit status, and what it says.
+// Checks the exit status and output of each command.
 func TestCommands(t *testing.T) {
 	dir := t.TempDir()
 	bad := filepath.Join(dir, "bad.xml")
@@ -251,7 +253,7 @@
 	}
 }
 
-// The journal's tool shows what is not over, without bodies and keys.
+// The journal commands show the messages that have not ended, without their bodies and keys.
 func TestJournalTool(t *testing.T) {
 	r := newRig(t, nil, "one")
 	r.mustSubmit("held", 7, 15, "secret body")
@@ -268,7 +270,7 @@
 		t.Errorf("%d %v %s", status, err, out)
 	}
 	if strings.Contains(out, "secret") || strings.Contains(out, "key-") {
-		t.Error("it tells what is the clients' own")
+		t.Error("the output contains a body or a key")
 	}
 	if out, _, status := runCommand(t, "journal", "verify", r.stateDir); status != 0 || !strings.Contains(out, "2 messages") {
 		t.Errorf("%d %s", status, out)
@@ -276,25 +278,25 @@
 	r.start()
 }
 
-// A process is killed again and again while it writes under load: each time both files are read correctly,
-// nothing is set aside for no reason, and a wait that was told 50 ms before is known. SLIPTIDE_CRASHES says
-// how often; the moments come from a seed, and what the process does then from the machine.
+// A process is killed repeatedly while it writes under load. Each time both files must be readable, none may be set aside,
+// and a wait that was requested at least 150 ms before the kill must be known. SLIPTIDE_CRASHES sets the number of kills.
+// Their times come from a seed; what the process does at that time depends on the machine.
 func TestKilledWhileWriting(t *testing.T) {
-	lives := 12
+	runs := 12
 	if v, err := strconv.Atoi(os.Getenv("SLIPTIDE_CRASHES")); err == nil {
-		lives = v
+		runs = v
 	}
 	r := newRigWith(t, knowledgeXML, nil, "one", "one", "one", "one")
 	stop := make(chan struct{})
 	defer close(stop)
-	type told struct {
+	type requestedWait struct {
 		cell  int
 		until time.Time
 		at    time.Time
 	}
-	tells := make(chan told, 10000)
+	requestedWaits := make(chan requestedWait, 10000)
 	rng := rand.New(rand.NewPCG(7, 7))
-	go func() { // partners: some answers tell a wait
+	go func() { // endpoints: some answers request a wait
 		answers := rand.New(rand.NewPCG(1, 2))
 		for {
 			select {
@@ -311,7 +313,7 @@
 					cell, _ := strconv.Atoi(strings.TrimPrefix(c.endpoint, "s-"))
 					now := time.Now()
 					select {
-					case tells <- told{cell, now.Add(time.Duration(ms) * time.Millisecond), now}:
+					case requestedWaits <- requestedWait{cell, now.Add(time.Duration(ms) * time.Millisecond), now}:
 					default:
 					}
 				}
@@ -322,8 +324,8 @@
 	}()
 	go r.discardPlatformCalls(stop)
 	var files, aside, waits, missed, snapshots int
-	begun := time.Now()
-	for life := range lives {
+	startedAt := time.Now()
+	for run := range runs {
 		dead := make(chan struct{})
 		go func() { // clients
 			for i := 0; ; i++ {
@@ -331,26 +333,26 @@
 				case <-dead:
 					return
 				default:
-					r.trySubmit(fmt.Sprintf("m-%d-%d", life, i), i%4, 3, "")
+					r.trySubmit(fmt.Sprintf("m-%d-%d", run, i), i%4, 3, "")
 				}
 			}
 		}()
-		time.Sleep(time.Duration(20+rng.IntN(380)) * time.Millisecond) // the random moment
+		time.Sleep(time.Duration(20+rng.IntN(380)) * time.Millisecond) // random time of the kill
 		killed := time.Now()
 		r.kill(syscall.SIGKILL)
 		close(dead)
-		book := knowledge.New("")
+		facts := knowledge.New("")
 		for _, name := range []string{store.SnapshotName, store.WaitsName} {
 			text, err := os.ReadFile(filepath.Join(r.stateDir, name))
 			if errors.Is(err, os.ErrNotExist) {
 				continue
 			}
-			b, err := store.Decode(text)
+			fileFacts, err := store.Decode(text)
 			if err != nil {
-				t.Fatalf("life %d: %s: %v", life, name, err)
+				t.Fatalf("run %d: %s: %v", run, name, err)
 			}
 			files++
-			book.Merge(b)
+			facts.Merge(fileFacts)
 			if name == store.SnapshotName {
 				snapshots++
 			}
@@ -358,16 +360,16 @@
 		if _, err := os.Stat(filepath.Join(r.stateDir, "knowledge.bad")); err == nil {
 			aside++
 		}
-		for len(tells) > 0 {
-			w := <-tells
+		for len(requestedWaits) > 0 {
+			w := <-requestedWaits
 			if killed.Sub(w.at) < 150*time.Millisecond || w.until.Before(killed.Add(50*time.Millisecond)) {
-				continue // 50 ms for the disk; the rest is what a machine busy with this test takes to read an answer
+				continue // 50 ms for the disk; the rest for reading the answer on a machine that is busy with this test
 			}
 			waits++
-			known := book.Waits[knowledge.Route{Dest: w.cell}].Until
+			known := facts.Waits[knowledge.Route{Dest: w.cell}].Until
 			if known < w.until.UnixMilli()-20 {
 				missed++
-				t.Errorf("life %d: a wait of destination %d until %v, told %v before the kill, is not known (%v)", life, w.cell,
+				t.Errorf("run %d: a wait of destination %d until %v, requested %v before the kill, is not known (%v)", run, w.cell,
 					w.until.UnixMilli(), killed.Sub(w.at), known)
 			}
 		}
@@ -377,5 +379,5 @@
 		t.Errorf("%d set aside", aside)
 	}
 	t.Logf("%d kills in %v: %d files read (%d snapshots), 0 damaged, %d set aside; %d waits checked, %d missed",
-		lives, time.Since(begun).Round(time.Second), files, snapshots, aside, waits, missed)
+		runs, time.Since(startedAt).Round(time.Second), files, snapshots, aside, waits, missed)
 }
--- a/cmd/sliptide/main_test.go
+++ b/cmd/sliptide/main_test.go
@@ -34,25 +34,25 @@
 		peers[c.clientAddr] = true
 		c.respond(200)
 	}
-	if len(peers) > 3 { // a message may come before the last answer is read
+	if len(peers) > 3 { // a call may begin before the last answer has been read
 		t.Errorf("%d connections for 10 messages", len(peers))
 	}
 }
 
-// Each row is an answer and what must come of the message.
+// TestOutcomes sends each kind of answer and checks what becomes of the message.
 func TestOutcomes(t *testing.T) {
 	for name, row := range map[string]struct {
 		answer func(*call)
-		want   string // again: a further attempt; over: nothing; else the notice
+		want   string // again: a further attempt; over: the message has ended; else the outcome in its notice
 	}{
-		"error":        {func(c *call) { c.respond(500) }, "again"},
-		"full":         {func(c *call) { c.respond(503) }, "again"},
-		"slots taken":  {func(c *call) { c.respond(503, "X-Egress-Full", "1") }, "again"},
-		"reset":        {func(c *call) { c.closeConn() }, "again"},
-		"over":         {func(c *call) { c.respond(410) }, "over"},
-		"delivered":    {func(c *call) { c.respond(200) }, "over"},
-		"no attempts":  {func(c *call) { c.respond(504) }, "handed_back"},
-		"never a word": {func(c *call) {}, "handed_back"},
+		"error":       {func(c *call) { c.respond(500) }, "again"},
+		"full":        {func(c *call) { c.respond(503) }, "again"},
+		"slots taken": {func(c *call) { c.respond(503, "X-Egress-Full", "1") }, "again"},
+		"reset":       {func(c *call) { c.closeConn() }, "again"},
+		"over":        {func(c *call) { c.respond(410) }, "over"},
+		"delivered":   {func(c *call) { c.respond(200) }, "over"},
+		"no attempts": {func(c *call) { c.respond(504) }, "handed_back"},
+		"no answer":   {func(c *call) {}, "handed_back"},
 		"200 cut short": {func(c *call) {
 			c.answer <- func(w http.ResponseWriter, _ *http.Request) {
 				nc, buf, _ := w.(http.Hijacker).Hijack()
@@ -77,7 +77,7 @@
 			switch row.want {
 			case "again":
 				r.expectCallFor("m").respond(200)
-			case "over": // a later message ends before anything more is heard of this one
+			case "over": // a later message ends without a further call or notice for this one
 				r.mustSubmit("later", 9, 0.5, "")
 				if n := r.nextNotice(); n.Message != "later" {
 					t.Errorf("notice %+v", n)
@@ -92,8 +92,8 @@
 	}
 }
 
-// Messages that wait together for one endpoint share a call; each has its own end,
-// and a wait that this answer tells binds.
+// Messages that are queued for one endpoint share a call; each has its own outcome, and a Retry-After of the common
+// answer is honoured.
 func TestBulk(t *testing.T) {
 	r := newRig(t, func(set, _ map[string]any) { set["family_info"].(map[string]any)["call_slots"] = 1 }, "bulk")
 	r.mustSubmit("first", 0, 10, "")
@@ -115,7 +115,7 @@
 		}
 		ends = append(ends, fmt.Sprintf(`{"id":%q,"state":%q}`, it.ID, state[it.ID]))
 	}
-	told := time.Now()
+	requested := time.Now()
 	c.answer <- func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Retry-After", "0.600")
 		io.WriteString(w, "["+strings.Join(ends, ",")+"]")
@@ -123,8 +123,8 @@
 	got := map[string]bool{}
 	for len(got) < 2 {
 		c := r.nextCall()
-		if c.at.Sub(told) < 600*time.Millisecond {
-			t.Errorf("called %v after a wait of 600 ms was told", c.at.Sub(told))
+		if c.at.Sub(requested) < 600*time.Millisecond {
+			t.Errorf("called %v after a wait of 600 ms was requested", c.at.Sub(requested))
 		}
 		for id := range state {
 			if c.id() == id || strings.Contains(string(c.body), `"id":"`+id+`"`) {
@@ -140,8 +140,8 @@
 	}
 }
 
-// A message whose time is up ends then, also if the call that it shares goes on.
-func TestBulkOutlastsAMessage(t *testing.T) {
+// A message ends at its deadline even if the bulk call that it shares continues.
+func TestMessageExpiresDuringBulkCall(t *testing.T) {
 	r := newRig(t, func(set, _ map[string]any) { set["family_info"].(map[string]any)["call_slots"] = 1 }, "bulk")
 	r.mustSubmit("first", 0, 10, "")
 	first := r.expectCallFor("first")
@@ -157,15 +157,15 @@
 	}
 }
 
-// What was taken on outlasts a kill: what waits is sent, what was out is sent again,
-// what is over is not, and what expired meanwhile is given up. A torn tail is no harm.
-func TestKilled(t *testing.T) {
+// Accepted messages survive a SIGKILL: queued ones are sent, ones in a call are sent again, ended ones are not, and ones
+// that expired meanwhile are abandoned. A truncated record at the end of the journal is ignored.
+func TestMessagesSurviveKill(t *testing.T) {
 	r := newRig(t, nil, "one", "one")
 	r.mustSubmit("done", 0, 15, "")
 	r.expectCallFor("done").respond(200)
 	r.mustSubmit("out", 0, 15, "out's body")
 	r.expectCallFor("out")
-	r.mustSubmit("held", 7, 15, "held's body") // nowhere to go yet
+	r.mustSubmit("held", 7, 15, "held's body") // no endpoint is up yet
 	r.mustSubmit("short", 7, 0.4, "")
 	r.kill(syscall.SIGKILL)
 	f, err := os.OpenFile(filepath.Join(r.stateDir, "journal"), os.O_APPEND|os.O_WRONLY, 0)
@@ -175,7 +175,7 @@
 	f.WriteString("\x00\x00\x00\x40half a record")
 	f.Close()
 	r.updateList(func() { r.endpoints = append(r.endpoints, r.endpoint("s-7", "one", 7)) })
-	<-time.After(400 * time.Millisecond) // the short message's time, not a wait for the program
+	<-time.After(400 * time.Millisecond) // until the short message has expired
 	r.start()
 	got := map[string]string{}
 	for range 2 {
@@ -193,8 +193,8 @@
 	r.expectCallFor("after").respond(200)
 }
 
-// An attempt that the kill cut off counts: its message has had all of its attempts.
-func TestAttemptsOutlastTheProcess(t *testing.T) {
+// An attempt that a SIGKILL interrupted counts towards max_attempts after the restart.
+func TestAttemptsAreCountedAcrossKill(t *testing.T) {
 	r := newRig(t, func(set, _ map[string]any) { set["limits"].(map[string]any)["max_attempts"] = 1 }, "one")
 	r.mustSubmit("m", 0, 15, "")
 	r.expectCallFor("m")
@@ -206,42 +206,42 @@
 	r.expectNoCall()
 }
 
-// On SIGTERM the sender answers who still comes, lets its call end and leaves in time.
-func TestStopped(t *testing.T) {
+// On SIGTERM the sender answers clients that still arrive, lets its call end and exits in time.
+func TestGracefulStop(t *testing.T) {
 	r := newRig(t, nil, "one")
 	r.mustSubmit("out", 0, 15, "")
 	c := r.expectCallFor("out")
 	r.mustSubmit("held", 7, 15, "")
 	begin := time.Now()
 	r.proc.Process.Signal(syscall.SIGTERM)
-	for r.submit("late", 0, 15, "").StatusCode != 503 { // the signal is on its way: taken on, and sent later
+	for r.submit("late", 0, 15, "").StatusCode != 503 { // accepted while the signal is being delivered
 		(<-r.calls).respond(200)
 	}
 	c.respond(200)
-	r.await(r.exited, "the sender leaves")
+	r.await(r.exited, "the sender exits")
 	if took := time.Since(begin); took > 3500*time.Millisecond || r.proc.ProcessState.ExitCode() != 0 {
-		t.Errorf("left after %v: %v", took, r.proc.ProcessState)
+		t.Errorf("exited after %v: %v", took, r.proc.ProcessState)
 	}
 	r.updateList(func() { r.endpoints = append(r.endpoints, r.endpoint("s-7", "one", 7)) })
 	r.start()
 	r.expectCallFor("held").respond(200)
 }
 
-// Clients go on handing in while the sender is killed and stopped in turn: whatever it
-// said it had taken on is delivered or ends by a notice.
+// Clients submit messages while the sender is killed and stopped in turn: every message that was answered 202 is delivered
+// or ends with a notice.
 func TestNothingIsLostOverRestarts(t *testing.T) {
 	r := newRig(t, nil, "one", "bulk", "one")
 	var mu sync.Mutex
-	taken, over := map[string]bool{}, make(chan string, 1000)
-	stop, served, clients := make(chan bool), make(chan bool), make(chan bool)
-	go func() { // the endpoints: some calls fail, some break
-		defer close(served)
+	accepted, ended := map[string]bool{}, make(chan string, 1000)
+	stop, endpointsDone, clientsDone := make(chan bool), make(chan bool), make(chan bool)
+	go func() { // the endpoints: some calls fail, some are cut off
+		defer close(endpointsDone)
 		for n := 0; ; n++ {
 			select {
 			case <-stop:
 				return
 			case notice := <-r.notices:
-				over <- notice.Message
+				ended <- notice.Message
 			case c := <-r.calls:
 				var items []struct{ ID string }
 				ids := []string{c.id()}
@@ -255,7 +255,7 @@
 					var ends []string
 					for _, id := range ids {
 						ends = append(ends, fmt.Sprintf(`{"id":%q,"state":"accepted"}`, id))
-						over <- id
+						ended <- id
 					}
 					io.WriteString(w, "["+strings.Join(ends, ",")+"]")
 				}
@@ -270,39 +270,39 @@
 		}
 	}()
 	go func() {
-		defer close(clients)
+		defer close(clientsDone)
 		for i := 0; i < 300; i++ {
 			id := fmt.Sprintf("m%d", i)
 			if resp, err := r.trySubmit(id, i%3, 12, "body"); err == nil && resp.StatusCode == 202 {
 				mu.Lock()
-				taken[id] = true
+				accepted[id] = true
 				mu.Unlock()
 			}
-			<-time.After(10 * time.Millisecond) // the pace of the clients
+			<-time.After(10 * time.Millisecond) // the clients' submission rate
 		}
 	}()
 	for _, sig := range []syscall.Signal{syscall.SIGKILL, syscall.SIGTERM, syscall.SIGKILL} {
-		<-time.After(400 * time.Millisecond) // a while of service
+		<-time.After(400 * time.Millisecond) // lets the process serve for a while
 		r.kill(sig)
 		r.start()
 	}
-	<-clients
-	if len(taken) < 50 {
-		t.Errorf("only %d messages were taken on", len(taken))
+	<-clientsDone
+	if len(accepted) < 50 {
+		t.Errorf("only %d messages were accepted", len(accepted))
 	}
-	for left := len(taken); left > 0; {
-		id := receive(t, over, fmt.Sprintf("the end of %d messages", left))
-		if taken[id] {
-			taken[id] = false
+	for left := len(accepted); left > 0; {
+		id := receive(t, ended, fmt.Sprintf("the end of %d messages", left))
+		if accepted[id] {
+			accepted[id] = false
 			left--
 		}
 	}
 	close(stop)
-	<-served
+	<-endpointsDone
 }
 
-// A notice is owed until it is taken, also over a restart.
-func TestNoticeUntilTaken(t *testing.T) {
+// A notice is repeated until discovery accepts it, also after a restart.
+func TestNoticeIsRepeatedUntilAccepted(t *testing.T) {
 	r := newRig(t, nil)
 	r.mu.Lock()
 	r.noticesToRefuse = 1 << 30
@@ -323,20 +323,20 @@
 	}
 }
 
-func TestRefusesAboveItsRoom(t *testing.T) {
+func TestRefusesAboveCapacity(t *testing.T) {
 	r := newRig(t, func(set, _ map[string]any) { set["limits"].(map[string]any)["most_held"] = 2 })
 	r.mustSubmit("a", 0, 15, "")
 	r.mustSubmit("b", 0, 15, "")
 	resp := r.submit("c", 0, 15, "")
-	if resp.StatusCode == 202 { // or the module gives another back for it
+	if resp.StatusCode == 202 { // the module may return another message to accept it
 		r.nextNotice()
 	} else if resp.StatusCode != 429 || resp.Header.Get("Retry-After") == "" {
 		t.Errorf("%s %v", resp.Status, resp.Header)
 	}
 }
 
-// The files never outgrow disk_mb: where there is no room the sender refuses, and
-// it takes on again when there is.
+// The files never exceed disk_mb: the sender refuses messages when there is no space, and accepts them again when there
+// is.
 func TestDiskIsBounded(t *testing.T) {
 	const limit = 256 << 10
 	r := newRig(t, func(_, limits map[string]any) { limits["disk_mb"] = 0.25 }, "one")
@@ -364,9 +364,9 @@
 	for range 20 - refused {
 		r.nextNotice()
 	}
-	for i := range 30 { // many times the limit, one after another
+	for i := range 30 { // many times the limit in total, one after another
 		id := fmt.Sprintf("m%d", i)
-		for r.submit(id, 0, 10, body).StatusCode != 202 { // the notices' ends are on their way
+		for r.submit(id, 0, 10, body).StatusCode != 202 { // the ends of the noticed messages are being recorded
 		}
 		r.expectCallFor(id).respond(200)
 		if n := size(); n > limit {
@@ -402,20 +402,20 @@
 		with("dest=0", "dest=x"):                             "400",
 		with("X-Expires-In: 5", "X-Expires-In: 0x10"):        "400",
 		with("X-Expires-In: 5", "X-Expires-In: inf"):         "400",
-		with("dest=0", "dest=70000"):                         "503", // not listed: it would be held until its time is up
-		with("x\r\n", "x\r\nTransfer-Encoding: chunked\r\n"): "400", // may hide another in its body
+		with("dest=0", "dest=70000"):                         "503", // not listed: it would be held until its deadline
+		with("x\r\n", "x\r\nTransfer-Encoding: chunked\r\n"): "400", // request smuggling: the body may hide another request
 	} {
 		if got := r.rawRequest(text); !strings.HasPrefix(got, "HTTP/1.1 "+want+" ") {
 			t.Errorf("%.80q: %s, want %s", text, got, want)
 		}
 	}
-	r.mustSubmit("fine", 0, 10, "") // it still serves
+	r.mustSubmit("fine", 0, 10, "") // the sender still serves
 	r.expectCallFor("fine").respond(200)
 }
 
-// A request with the id of a message that the sender has taken on is turned away, and its
-// client's leaving withdraws nothing: not while the first is held, nor once it is over.
-func TestAnothersID(t *testing.T) {
+// A request with the ID of an accepted message is refused, and a disconnect of its client does not withdraw that message,
+// neither while it is held nor after it has ended.
+func TestDuplicateMessageID(t *testing.T) {
 	r := newRig(t, nil)
 	r.mustSubmit("m", 0, 15, "its own body")
 	for _, over := range []bool{false, true} {
@@ -426,7 +426,7 @@
 		io.WriteString(nc, "POST /api HTTP/1.1\r\nX-Trace-Id: m\r\nX-Qos: note\r\nX-Customer: acme\r\nIdempotency-Key: k\r\n"+
 			"X-Expires-In: 5\r\nX-Route-To: dest=0\r\nContent-Length: 0\r\n\r\n")
 		nc.(*net.TCPConn).SetLinger(0)
-		nc.Close() // a reset: the answer is not heard
+		nc.Close() // resets the connection before the answer is read
 		if resp := r.submit("m", 0, 15, "another body"); resp.StatusCode != 409 {
 			t.Errorf("over: %v: %s", over, resp.Status)
 		}
@@ -437,39 +437,39 @@
 				t.Errorf("body %q", c.body)
 			}
 			c.respond(200)
-			r.mustSubmit("after", 0, 15, "") // by now the sender has seen the answer
+			r.mustSubmit("after", 0, 15, "") // its call shows that the sender has read the answer to m
 			r.expectCallFor("after").respond(200)
 		}
 	}
 	r.expectNoCall()
 }
 
-// A crowd of clients that ask once, or never end their request, keep their connection for good
-// and come back when it is closed keeps no other client out: it has its answer while it waits.
-func TestCrowd(t *testing.T) {
+// Many clients that send one request or an incomplete one, keep their connections open and reconnect when they are closed
+// must not keep another client from being answered in time.
+func TestManyClientsKeepNoOtherOut(t *testing.T) {
 	for name, says := range map[string]string{"once": "GET /up HTTP/1.1\r\n\r\n", "half": "GET /up HTTP/1.1\r\n"} {
 		t.Run(name, func(t *testing.T) { testManyClients(t, says) })
 	}
 }
 
-func testManyClients(t *testing.T, says string) {
+func testManyClients(t *testing.T, request string) {
 	r := newRig(t, func(_, limits map[string]any) { limits["sockets"] = 64 }, "one")
 	ctx, stop := context.WithCancel(context.Background())
-	var crowd sync.WaitGroup
-	asked := make(chan bool, 1000)
+	var clients sync.WaitGroup
+	requestSent := make(chan bool, 1000)
 	for range 60 {
-		crowd.Add(1)
+		clients.Add(1)
 		go func() {
-			defer crowd.Done()
+			defer clients.Done()
 			for ctx.Err() == nil {
 				nc, err := net.Dial("tcp", r.addr)
 				if err != nil {
 					continue
 				}
 				end := context.AfterFunc(ctx, func() { nc.Close() })
-				io.WriteString(nc, says)
+				io.WriteString(nc, request)
 				select {
-				case asked <- true:
+				case requestSent <- true:
 				default:
 				}
 				io.Copy(io.Discard, nc)
@@ -478,8 +478,8 @@
 			}
 		}()
 	}
-	for range 200 { // more than there are places, several times over
-		receive(t, asked, "the crowd asks")
+	for range 200 { // several times the number of connections
+		receive(t, requestSent, "a request of the many clients")
 	}
 	client := http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 	for i := range 5 {
@@ -490,11 +490,10 @@
 		}
 	}
 	stop()
-	crowd.Wait()
+	clients.Wait()
 }
 
-// A client that has connected and not asked yet keeps its place as long as there are others
-// that have asked once.
+// A connection that has sent no request yet is not evicted while there are others that have sent one.
 func TestEarlyConnectionIsKept(t *testing.T) {
 	r := newRig(t, func(_, limits map[string]any) { limits["sockets"] = 64 })
 	ask := func(nc net.Conn) string {
@@ -512,7 +511,7 @@
 		return nc
 	}
 	early := []net.Conn{dial(), dial(), dial()}
-	for range 30 { // more than there are places
+	for range 30 { // more than the number of connections
 		ask(dial())
 	}
 	for i, nc := range early {
@@ -522,8 +521,8 @@
 	}
 }
 
-// Connections that say nothing or only half of a request get their end soon, and hold no
-// place that others need, however many there are.
+// Connections that send nothing or half of a request are closed soon, and don't keep other clients out, however many
+// there are.
 func TestSilentClients(t *testing.T) {
 	r := newRig(t, func(_, limits map[string]any) { limits["sockets"] = 64 }, "one")
 	begin := time.Now()
@@ -552,11 +551,11 @@
 	}
 }
 
-// The list is followed: by a watch that is renewed soon, through silence, and a
-// message goes only where its destination is listed as up.
+// The endpoint list is followed by watches that are renewed in time, also after a watch without an answer, and a message
+// goes only to endpoints that are listed as up.
 func TestFollowsTheList(t *testing.T) {
 	r := newRig(t, nil, "one")
-	receive(t, r.watches, "the list is asked for")
+	receive(t, r.watches, "a request for the list")
 	for q := ""; !strings.Contains(q, "index="); q = receive(t, r.watches, "a watch") {
 	}
 	r.updateList(func() { r.endpoints[0].State = "draining" })
@@ -565,8 +564,8 @@
 	r.mu.Lock()
 	r.discoverySilent = true
 	r.mu.Unlock()
-	r.updateList(func() {}) // this answer ends the watch; the next call meets silence
-	receive(t, r.watches, "a watch that stays silent")
+	r.updateList(func() {}) // ends the watch; the next one is not answered
+	receive(t, r.watches, "a watch that is not answered")
 	r.expectNoCall()
 	r.updateList(func() { r.discoverySilent, r.endpoints = false, append(r.endpoints, r.endpoint("s-new", "one", 0)) })
 	c := r.expectCallFor("m")
@@ -583,8 +582,8 @@
 	}
 }
 
-// On SIGHUP the file is read again: the list and the notices come from and go to the
-// new discovery, though the old one still answers. A bad file changes nothing.
+// On SIGHUP the configuration is read again: lists come from the new discovery agent and notices go to it, even though the
+// old one still answers. An invalid file changes nothing.
 func TestDiscoveryMoves(t *testing.T) {
 	r := newRig(t, nil)
 	if err := os.WriteFile(r.configPath, []byte("{"), 0o600); err != nil {
@@ -593,16 +592,16 @@
 	r.proc.Process.Signal(syscall.SIGHUP)
 	r.mustSubmit("before", 0, 15, "")
 	type request struct{ method, path string }
-	asked := make(chan request, 100)
+	requests := make(chan request, 100)
 	moved := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
-		asked <- request{q.Method, q.URL.Path}
+		requests <- request{q.Method, q.URL.Path}
 		r.serveDiscovery(w, q)
 	}))
 	t.Cleanup(moved.CloseClientConnections)
 	r.config["discovery"] = moved.Listener.Addr().String()
 	r.writeConfig()
 	r.proc.Process.Signal(syscall.SIGHUP)
-	if q := receive(t, asked, "the new discovery is asked"); q.path != "/discovery/hosts" {
+	if q := receive(t, requests, "a request to the new discovery"); q.path != "/discovery/hosts" {
 		t.Errorf("%+v", q)
 	}
 	r.discovery.Listener.Close()
@@ -610,19 +609,19 @@
 	r.expectCallFor("before").respond(200)
 	r.mustSubmit("ends", 0, 0.3, "")
 	r.nextNotice()
-	for q := receive(t, asked, "a notice there"); q.method != "POST"; q = receive(t, asked, "a notice there") {
+	for q := receive(t, requests, "a notice to the new discovery"); q.method != "POST"; q = receive(t, requests, "a notice to the new discovery") {
 	}
 }
 
-// A send that waits for its connection when its endpoint drains never happens, and
-// its message goes elsewhere at once.
+// If an endpoint drains while a call waits for its connection, the call is cancelled and its message goes to another
+// endpoint at once.
 func TestDropsADialWhenItsEndpointDrains(t *testing.T) {
 	r := newRig(t, nil)
-	deaf, open := newFullBacklogListener(t)
+	unresponsive, closeListener := newFullBacklogListener(t)
 	r.updateList(func() {
-		r.endpoints = []endpoint{{ID: "deaf", Addr: deaf, Zone: "a", Kind: "one", Cell: 0, State: "up"}}
+		r.endpoints = []endpoint{{ID: "deaf", Addr: unresponsive, Zone: "a", Kind: "one", Cell: 0, State: "up"}}
 	})
-	dials := func() int { return strings.Count(procNetTCP(t), hexPort(deaf)+" 02") } // in SYN_SENT
+	dials := func() int { return strings.Count(procNetTCP(t), hexPort(unresponsive)+" 02") } // in SYN_SENT
 	before := dials()
 	r.mustSubmit("m", 0, 15, "")
 	for dials() == before {
@@ -637,10 +636,10 @@
 	} else {
 		c.respond(200)
 	}
-	open()
+	closeListener()
 }
 
-// deafListener takes no connection: its queue is full.
+// newFullBacklogListener returns the address of a listener that accepts no connection since its backlog is full.
 func newFullBacklogListener(t *testing.T) (addr string, closeAll func()) {
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
 	if err != nil {
@@ -685,7 +684,7 @@
 	return fmt.Sprintf("0100007F:%04X", port)
 }
 
-func TestBadStart(t *testing.T) {
+func TestInvalidStart(t *testing.T) {
 	t.Parallel()
 	dir := t.TempDir()
 	good := `{"name":"n","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"1","limits":{"sockets":1024,"disk_mb":3},` +
@@ -694,7 +693,7 @@
 		"no JSON":        {"{", dir},
 		"no settings":    {`{"seed":"1"}`, dir},
 		"bad setting":    {strings.Replace(good, `"safe"`, `"odd"`, 1), dir},
-		"no folder":      {good, filepath.Join(dir, "missing")},
+		"no directory":   {good, filepath.Join(dir, "missing")},
 		"no such listen": {strings.Replace(good, "127.0.0.1:0", "nowhere", 1), dir},
 	} {
 		path := filepath.Join(t.TempDir(), "config.json")
--- a/cmd/sliptide/restart_test.go
+++ b/cmd/sliptide/restart_test.go
@@ -12,11 +12,11 @@
 	"sliptide/internal/statedir"
 )
 
-// readyIn is the time within which nine in ten restarts have to be ready.
+// readyTimeout is the time within which nine in ten restarts have to be ready.
 const readyTimeout = 10 * time.Second
 
-// A journal that fills the lasting folder, and discovery that says nothing: the next life is ready in time, tries what
-// was taken on and untried, and serves new messages.
+// With a journal that fills the state directory and an unresponsive discovery, a restarted sender is ready in time, attempts
+// the accepted messages and serves new ones.
 func TestReadyWithAFullJournalAndNoDiscovery(t *testing.T) {
 	t.Parallel()
 	const diskMB = 3
@@ -45,9 +45,9 @@
 	if err := jr.Close(); err != nil {
 		t.Fatal(err)
 	}
-	begun := time.Now()
+	startedAt := time.Now()
 	r.start()
-	took := time.Since(begun)
+	took := time.Since(startedAt)
 	if took > readyTimeout {
 		t.Errorf("ready after %v", took)
 	}
@@ -59,6 +59,6 @@
 	}
 	t.Logf("ready after %v with %d messages restored, %d calls made", took, held, tried.Load())
 	if n := int(tried.Load()); n < held/2 {
-		t.Errorf("%d of %d that were untried are tried", n, held)
+		t.Errorf("%d of %d restored messages were attempted", n, held)
 	}
 }
--- a/cmd/sliptide/rig_test.go
+++ b/cmd/sliptide/rig_test.go
@@ -23,11 +23,10 @@
 	"time"
 )
 
-// The tests start the real program as a process and speak to it as its clients,
-// endpoints and discovery do, over net/http: an implementation of the protocol
-// that is not the program's own.
+// The tests start the real program as a process and act as its clients, endpoints and discovery agent over net/http, an
+// implementation of HTTP that is independent of the program's own.
 
-const testTimeout = 15 * time.Second // what takes longer than this has failed
+const testTimeout = 15 * time.Second // limit on every wait of a test
 
 var binary string
 
@@ -38,7 +37,7 @@
 	}
 	binary = filepath.Join(dir, "sliptide")
 	args := []string{"build", "-race", "-o", binary, "."}
-	if os.Getenv("SLIPTIDE_MEASURE") != "" { // what is measured is the program as it is deployed
+	if os.Getenv("SLIPTIDE_MEASURE") != "" { // measure the program as it is deployed
 		args = []string{"build", "-o", binary, "."}
 	}
 	if out, err := exec.Command("go", args...).CombinedOutput(); err != nil {
@@ -50,7 +49,7 @@
 	os.Exit(code)
 }
 
-// call is one call that an endpoint has received. The endpoint answers when told.
+// call is a call that an endpoint has received. The endpoint answers as soon as the test has set the answer.
 type call struct {
 	at         time.Time
 	endpoint   string
@@ -72,7 +71,7 @@
 
 func (c *call) id() string { return c.header.Get("X-Trace-Id") }
 
-// breakOff ends the connection without an answer.
+// closeConn closes the connection without an answer.
 func (c *call) closeConn() {
 	c.answer <- func(w http.ResponseWriter, _ *http.Request) {
 		nc, _, _ := w.(http.Hijacker).Hijack()
@@ -80,7 +79,7 @@
 	}
 }
 
-// endpoint is one line of the list.
+// endpoint is an entry of the endpoint list.
 type endpoint struct {
 	ID    string `json:"id"`
 	Addr  string `json:"addr"`
@@ -95,17 +94,17 @@
 	Retry            int `json:"retry_in_ms"`
 }
 
-// rig is the platform round one sender.
+// rig runs one sender process with its clients, endpoints and discovery agent.
 type rig struct {
 	t            *testing.T
 	calls        chan *call
 	notices      chan notice
-	watches      chan string // the query of each call for the list
+	watches      chan string // the query of each request for the endpoint list
 	addr         string
-	configPath   string // of the configuration
+	configPath   string // of the configuration file
 	stateDir     string
-	operatorPath string // path of the operators' file; empty: none
-	binary       string // the program; empty: the one that all tests start
+	operatorPath string // of the operators' file; empty: none
+	binary       string // path of the program; empty: the one that all tests share
 	config       map[string]any
 	proc         *exec.Cmd
 	logs         logBuffer
@@ -115,14 +114,14 @@
 	mu              sync.Mutex
 	listVersion     int
 	endpoints       []endpoint
-	listChanged     chan struct{} // closed at the next change
-	noticesToRefuse int           // notices to answer with an error
-	discoverySilent bool          // discovery says nothing
+	listChanged     chan struct{} // closed at the next change of the list
+	noticesToRefuse int           // number of notices still to be answered with an error
+	discoverySilent bool          // discovery doesn't answer
 	lastWatchEnd    time.Time
-	watchDelays     []time.Duration // from a watch's answer to the next
+	watchDelays     []time.Duration // from the answer of each watch to the next watch
 }
 
-// logBuffer is what the program has logged so far.
+// logBuffer collects the program's log. It is safe for concurrent use.
 type logBuffer struct {
 	mu sync.Mutex
 	b  bytes.Buffer
@@ -134,7 +133,7 @@
 	return l.b.Write(p)
 }
 
-// Reset forgets what was logged.
+// Reset discards the collected log.
 func (l *logBuffer) Reset() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -154,7 +153,7 @@
 	return newRigWith(t, "", change, kinds...)
 }
 
-// newRigWith is newRig with what an operators' file holds in its root element.
+// newRigWith is like newRig, with an operators' file whose root element has the given content.
 func newRigWith(t *testing.T, operator string, change func(settings, limits map[string]any), kinds ...string) *rig {
 	t.Helper()
 	t.Parallel()
@@ -163,15 +162,15 @@
 	return r
 }
 
-// makeRig is newRigWith before the program's first start.
+// newUnstartedRig is like newRigWith, but doesn't start the program, and doesn't mark the test as parallel.
 func newUnstartedRig(t *testing.T, operator string, change func(settings, limits map[string]any), kinds ...string) *rig {
 	t.Helper()
 	r := &rig{t: t, calls: make(chan *call, 100), notices: make(chan notice, 100), watches: make(chan string, 1000),
 		stateDir: t.TempDir(), configPath: filepath.Join(t.TempDir(), "config.json"), listChanged: make(chan struct{}), listVersion: 1, endpoints: []endpoint{}}
 	r.discovery = httptest.NewServer(http.HandlerFunc(r.serveDiscovery))
 	t.Cleanup(r.discovery.Close)
-	// An address of its own: a port that another rig, or any connection, takes between here and the
-	// program's start would have two tests speak to one program.
+	// Each rig has an IP address of its own. Otherwise another rig or connection could take the port before the program
+	// starts, and two tests would speak to one program.
 	n := rigCount.Add(1)
 	ln, err := net.Listen("tcp", fmt.Sprintf("127.77.%d.%d:0", n/250, n%250+1))
 	if err != nil {
@@ -182,7 +181,7 @@
 	for i, kind := range kinds {
 		r.endpoints = append(r.endpoints, r.endpoint(fmt.Sprintf("s-%d", i), kind, i))
 	}
-	for _, cell := range []int{0, 7, 9} { // listed destinations with nowhere to go, or nowhere else
+	for _, cell := range []int{0, 7, 9} { // destinations without an endpoint that is up, or without a second one
 		r.endpoints = append(r.endpoints, endpoint{ID: fmt.Sprint("drains-", cell), Addr: "127.0.0.1:9", Zone: "a", Kind: "one", Cell: cell, State: "draining"})
 	}
 	settings := map[string]any{
@@ -215,14 +214,14 @@
 	return r
 }
 
-// partner starts a server that answers by itself.
+// endpointWithHandler starts an endpoint whose calls are answered by h.
 func (r *rig) endpointWithHandler(id string, cell int, h http.HandlerFunc) endpoint {
 	s := httptest.NewServer(h)
 	r.t.Cleanup(func() { s.CloseClientConnections(); s.Close() })
 	return endpoint{ID: id, Addr: s.Listener.Addr().String(), Zone: "a", Kind: "one", Cell: cell, State: "up"}
 }
 
-// endpoint starts a server that passes its calls to the test.
+// endpoint starts an endpoint that passes its calls to the test.
 func (r *rig) endpoint(id, kind string, cell int) endpoint {
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
 		body, _ := io.ReadAll(q.Body)
@@ -231,7 +230,7 @@
 		select {
 		case f := <-c.answer:
 			f(w, q)
-		case <-q.Context().Done(): // the sender gave it up, or died
+		case <-q.Context().Done(): // the sender abandoned the call or was killed
 		}
 	}))
 	r.t.Cleanup(func() { s.CloseClientConnections(); s.Close() })
@@ -300,7 +299,7 @@
 	w.WriteHeader(204)
 }
 
-// change sets the list that discovery tells.
+// updateList applies f to the endpoint list that discovery serves, and publishes it as a new version.
 func (r *rig) updateList(f func()) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -310,7 +309,7 @@
 	r.listChanged = make(chan struct{})
 }
 
-// configure writes the configuration file.
+// writeConfig writes the configuration file.
 func (r *rig) writeConfig() {
 	r.t.Helper()
 	text, err := json.Marshal(r.config)
@@ -322,7 +321,7 @@
 	}
 }
 
-// operate writes the operators' file for the next start.
+// writeOperatorFile writes the operators' file for the next start.
 func (r *rig) writeOperatorFile(text string) {
 	r.t.Helper()
 	r.operatorPath = filepath.Join(filepath.Dir(r.configPath), "sliptide.xml")
@@ -331,7 +330,7 @@
 	}
 }
 
-// launch starts the program.
+// launch starts the program without waiting until it is ready.
 func (r *rig) launch() {
 	r.t.Helper()
 	r.writeConfig()
@@ -351,7 +350,7 @@
 	go func(proc *exec.Cmd) { proc.Wait(); close(exited) }(r.proc)
 }
 
-// up is the status of GET /up, 0 if nobody answers.
+// upStatus returns the status of GET /up, or 0 if there is no answer.
 func (r *rig) upStatus() int {
 	resp, err := http.Get("http://" + r.addr + "/up")
 	if err != nil {
@@ -361,7 +360,7 @@
 	return resp.StatusCode
 }
 
-// awaitUp waits until /up answers so.
+// awaitUp waits until /up answers with the status.
 func (r *rig) awaitUp(status int) {
 	r.t.Helper()
 	for end := time.Now().Add(testTimeout); r.upStatus() != status; {
@@ -378,7 +377,7 @@
 	r.awaitUp(200)
 }
 
-// kill signals the program and waits for its end.
+// kill signals the program and waits for its exit.
 func (r *rig) kill(sig syscall.Signal) {
 	r.proc.Process.Signal(sig)
 	r.await(r.exited, "the process ends")
@@ -393,7 +392,7 @@
 	}
 }
 
-// handIn hands in a message and returns the answer.
+// submit submits a message and returns the answer.
 func (r *rig) submit(id string, dest int, left float64, body string) *http.Response {
 	r.t.Helper()
 	resp, err := r.trySubmit(id, dest, left, body)
@@ -418,7 +417,7 @@
 	return resp, err
 }
 
-// take hands in a message that must be taken on.
+// mustSubmit submits a message that must be accepted.
 func (r *rig) mustSubmit(id string, dest int, left float64, body string) {
 	r.t.Helper()
 	if resp := r.submit(id, dest, left, body); resp.StatusCode != 202 {
@@ -436,7 +435,7 @@
 	return receive(r.t, r.notices, "a notice")
 }
 
-// callFor is the next call, which must be for that message.
+// expectCallFor returns the next call, which must be for the message.
 func (r *rig) expectCallFor(id string) *call {
 	r.t.Helper()
 	c := r.nextCall()
@@ -446,7 +445,7 @@
 	return c
 }
 
-// noCall fails if an endpoint has been called up to now.
+// expectNoCall fails the test if a call has arrived that the test has not received.
 func (r *rig) expectNoCall() {
 	r.t.Helper()
 	select {
@@ -466,7 +465,7 @@
 	return v
 }
 
-// raw writes bytes on a new connection and returns the first line of the answer.
+// rawRequest writes text on a new connection and returns the first line of the answer.
 func (r *rig) rawRequest(text string) string {
 	r.t.Helper()
 	nc, err := net.Dial("tcp", r.addr)
--- a/cmd/sliptide/inherit_test.go
+++ b/cmd/sliptide/takeover_test.go
@@ -16,22 +16,23 @@
 	"sliptide/internal/fleet/ledger"
 )
 
-// These tests lose a machine with its disk and look at what its heir makes of what it was handed.
+// These tests lose a machine with its disk, and check what its successor does with the copied messages.
 
-// shiftedBuilds are the programs that shifted has built, one for each shift.
+// shiftedBuilds holds the paths of the programs built by buildWithClockShift, by shift.
 var (
-	shiftedMu     sync.Mutex
-	shiftedBuilds = map[time.Duration]string{}
+	shiftedBuildsMu sync.Mutex
+	shiftedBuilds   = map[time.Duration]string{}
 )
 
-// failWhile ends the name of a file beside a rig's folder; while it exists, the disk fails under a program of shifted.
+// diskFailSuffix, appended to a rig's state directory, names a marker file. While it exists, disk operations of a program
+// built by buildWithClockShift fail.
 const diskFailSuffix = ".fails"
 
-// shifted is the program for a machine whose wall clock is off, built once.
+// buildWithClockShift returns the path of a program whose wall clock is off by the given duration. Each is built once.
 func buildWithClockShift(t *testing.T, by time.Duration) string {
 	t.Helper()
-	shiftedMu.Lock()
-	defer shiftedMu.Unlock()
+	shiftedBuildsMu.Lock()
+	defer shiftedBuildsMu.Unlock()
 	if path := shiftedBuilds[by]; path != "" {
 		return path
 	}
@@ -44,7 +45,7 @@
 	return path
 }
 
-// hold hands in messages at a sender that must take them on.
+// submitHeld submits n messages to sender i, which must accept them, and returns their IDs.
 func (m *testFleet) submitHeld(i, n int, left float64) (ids []string) {
 	m.t.Helper()
 	for k := range n {
@@ -55,7 +56,7 @@
 	return ids
 }
 
-// lose kills a sender and takes its folder away.
+// killAndWipe kills sender i and removes its state directory.
 func (m *testFleet) killAndWipe(i int) {
 	m.t.Helper()
 	m.rigs[i].kill(syscall.SIGKILL)
@@ -65,10 +66,10 @@
 	}
 }
 
-// allEnded waits until each message has a final answer.
+// awaitFinalAnswers waits until each message has a final answer.
 func (m *testFleet) awaitFinalAnswers(ids []string) {
 	m.t.Helper()
-	m.await("all have their final answer", func() bool {
+	m.await("all messages have a final answer", func() bool {
 		got := m.finalAnswers()
 		for _, id := range ids {
 			if got[id] == 0 {
@@ -79,9 +80,10 @@
 	})
 }
 
-// TestHeirsClockIsOff: the heirs' wall clocks are an hour fast, or slow, beside the lost owner's. What is in time is
-// delivered, and what is not is ended when its time is up: no wall clock decides between processes.
-func TestHeirsClockIsOff(t *testing.T) {
+// TestSuccessorWallClockIsOff guards against deadlines that depend on the wall clocks of different machines. The
+// successors' wall clocks are an hour ahead of the lost owner's, or behind it. Messages in time must be delivered, and
+// the others must end at their deadlines.
+func TestSuccessorWallClockIsOff(t *testing.T) {
 	for _, by := range []time.Duration{time.Hour, -time.Hour} {
 		t.Run(by.String(), func(t *testing.T) {
 			program := buildWithClockShift(t, by)
@@ -99,12 +101,12 @@
 				m.rigs[0].mustSubmit(id, 5, 4, "x")
 				short = append(short, id)
 			}
-			ids := m.submitHeld(0, 6, 15) // the 202 of the last one may be under way when the machine is lost
+			ids := m.submitHeld(0, 6, 15) // the 202 of the last one may be in flight when the machine is lost
 			m.killAndWipe(0)
 			m.awaitFinalAnswers(short)
 			m.forEachNotice(func(e ending) {
 				if strings.HasPrefix(e.Message, "n0-short") && (e.at.Sub(from) < 3*time.Second || e.at.Sub(from) > 4*time.Second+ledger.LateSlack+time.Second) {
-					t.Errorf("%s: %s after %v, its time was 4 s", e.Message, e.Outcome, e.at.Sub(from))
+					t.Errorf("%s: %s after %v, its deadline was 4 s", e.Message, e.Outcome, e.at.Sub(from))
 				}
 			})
 			m.setPartnerDown(false)
@@ -115,13 +117,13 @@
 				delivered += got[id]
 			}
 			if delivered < len(ids)-1 {
-				t.Errorf("%d of %d that were in time were delivered", delivered, len(ids))
+				t.Errorf("%d of %d messages within their deadlines were delivered", delivered, len(ids))
 			}
 		})
 	}
 }
 
-// eachEnd looks at each notice that the platforms had.
+// forEachNotice calls look with each notice that the discovery agents have received.
 func (m *testFleet) forEachNotice(look func(ending)) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -130,7 +132,8 @@
 	}
 }
 
-// handAgain hands a message in again elsewhere, as its sender died.
+// resubmit submits a message again, marked as a resubmission, to sender i after its first sender was lost. It returns the
+// status, or 0 on a connection error.
 func (m *testFleet) resubmit(i int, id, key, class string) int {
 	q, _ := http.NewRequest("POST", "http://"+m.rigs[i].addr+"/api", strings.NewReader("two guests, one night"))
 	for k, v := range map[string]string{"X-Trace-Id": id, "X-Qos": class, "X-Customer": "acme", "Idempotency-Key": key,
@@ -145,7 +148,7 @@
 	return resp.StatusCode
 }
 
-// effects counts the calls that the partner took, by the message's idempotency key.
+// effectCount returns the number of calls with the idempotency key that the partner accepted.
 func (m *testFleet) effectCount(key string) (n int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -157,21 +160,21 @@
 	return n
 }
 
-// TestHandedInAgain: a sender is lost, and its client hands the message in again at another one, before an heir has
-// taken the first one's copy over, or after. One of the two answers for it: it takes effect once.
-func TestHandedInAgain(t *testing.T) {
+// TestResubmissionElsewhere guards against a message that takes effect twice: its sender is lost, and the client resubmits
+// it to another sender before or after a successor has taken the copy over. Only one of the two may deliver it.
+func TestResubmissionElsewhere(t *testing.T) {
 	for _, after := range []bool{false, true} {
-		t.Run(fmt.Sprintf("after the heir %v", after), func(t *testing.T) {
+		t.Run(fmt.Sprintf("after the takeover %v", after), func(t *testing.T) {
 			m := newTestFleet(t, copiesXML, 4)
 			m.awaitReady()
 			m.setPartnerDown(true)
 			ids := m.submitHeld(0, 6, 15)
 			m.killAndWipe(0)
-			took := func() bool {
+			tookOver := func() bool {
 				return slices.ContainsFunc(m.rigs[1:], func(r *rig) bool { return strings.Contains(r.logs.String(), `"copies: took over"`) })
 			}
 			if after {
-				m.await("an heir has taken over", took)
+				m.await("a successor has taken over", tookOver)
 			}
 			want := 202
 			if after {
@@ -180,7 +183,7 @@
 			var second []string
 			for k := range 3 {
 				id := fmt.Sprintf("n%d-second-%d", k+1, k)
-				m.await("the message is answered for", func() bool {
+				m.await("the resubmission is answered", func() bool {
 					code := m.resubmit(k+1, id, "key-"+ids[k], "note")
 					if code != want && code != 503 && code != 0 {
 						t.Fatalf("%s: %d, want %d", id, code, want)
@@ -189,7 +192,7 @@
 				})
 				second = append(second, id)
 			}
-			m.await("an heir has taken over", took)
+			m.await("a successor has taken over", tookOver)
 			m.setPartnerDown(false)
 			m.awaitFinalAnswers(ids)
 			if !after {
@@ -205,18 +208,18 @@
 	}
 }
 
-// TestHoldsGoWithCopies: a lost sender was told a wait, and had an endpoint taken out by hand. Its heir sends nothing
-// inside the wait, and nothing to that endpoint while it has messages of the lost one.
-func TestHoldsGoWithCopies(t *testing.T) {
+// TestWaitsAndDisabledEndpointsGoWithCopies checks that a successor makes no call during a wait that was requested from
+// the lost sender, and none to an endpoint that was disabled there, while it has messages of the lost sender.
+func TestWaitsAndDisabledEndpointsGoWithCopies(t *testing.T) {
 	for _, killed := range []bool{false, true} {
-		t.Run(fmt.Sprintf("heir killed %v", killed), func(t *testing.T) { holdsGo(t, killed) })
+		t.Run(fmt.Sprintf("successor killed %v", killed), func(t *testing.T) { testWaitsGoWithCopies(t, killed) })
 	}
 }
 
-func holdsGo(t *testing.T, killed bool) {
+func testWaitsGoWithCopies(t *testing.T, killed bool) {
 	const wait = 7 * time.Second
-	var waits atomic.Int64 // until when, in nanoseconds
-	var early, good, shunned atomic.Int32
+	var waits atomic.Int64 // end of the requested wait, in Unix nanoseconds
+	var callsDuringWait, callsAfterWait, callsToDisabled atomic.Int32
 	admin := reserveAddr(t)
 	m := newTestFleetWith(t, copiesXML, 4, func(_ *testFleet, i int, r *rig) {
 		if i == 0 {
@@ -231,13 +234,13 @@
 				w.Header().Set("Retry-After", fmt.Sprint(wait.Seconds()))
 				w.WriteHeader(429)
 			} else if time.Now().UnixNano() < until {
-				early.Add(1)
+				callsDuringWait.Add(1)
 			} else {
-				good.Add(1)
+				callsAfterWait.Add(1)
 			}
 		}), r.endpointWithHandler("p-6b", 6, func(w http.ResponseWriter, q *http.Request) {
 			if q.Header.Get("X-Trace-Id") != "" {
-				shunned.Add(1)
+				callsToDisabled.Add(1)
 			}
 		}))
 		r.config["known"] = map[string]any{"version": 1, "full": true, "servers": r.endpoints}
@@ -247,37 +250,38 @@
 		t.Fatalf("disable: %d %s", status, text)
 	}
 	m.rigs[0].mustSubmit("n0-6-0", 6, 18, "x")
-	m.await("the partner has told a wait", func() bool { return waits.Load() != 0 })
+	m.await("the partner has requested a wait", func() bool { return waits.Load() != 0 })
 	for k := range 4 {
 		m.rigs[0].mustSubmit(fmt.Sprintf("n0-6-%d", k+1), 6, 18, "x")
 	}
 	m.killAndWipe(0)
-	heir := -1
-	m.await("an heir has taken over", func() bool {
-		heir = slices.IndexFunc(m.rigs, func(r *rig) bool { return r != m.rigs[0] && strings.Contains(r.logs.String(), `"copies: took over"`) })
-		return heir >= 0
+	successor := -1
+	m.await("a successor has taken over", func() bool {
+		successor = slices.IndexFunc(m.rigs, func(r *rig) bool { return r != m.rigs[0] && strings.Contains(r.logs.String(), `"copies: took over"`) })
+		return successor >= 0
 	})
-	if killed { // its next process knows of the wait, too
-		r := m.rigs[heir]
+	if killed { // its next process honours the wait, too
+		r := m.rigs[successor]
 		r.kill(syscall.SIGKILL)
 		r.logs.Reset()
 		r.launch()
 		r.awaitLog(`"held":true`)
 	}
 	if left := time.Until(time.Unix(0, waits.Load())); left < time.Second {
-		t.Fatalf("the taking over took too long for this test: %v of the wait are left", left)
+		t.Fatalf("the takeover took too long for this test: %v of the wait are left", left)
 	}
 	m.await("the wait is over", func() bool { return time.Now().UnixNano() > waits.Load() })
-	m.await("the heir calls the endpoint that was not taken out", func() bool { return good.Load() > 0 })
-	if early.Load() > 0 || shunned.Load() > 0 && !killed { // that it is kept away from ends with the heir's process
-		t.Errorf("%d calls inside the wait, %d at the endpoint that was taken out", early.Load(), shunned.Load())
+	m.await("the successor calls the endpoint that is not disabled", func() bool { return callsAfterWait.Load() > 0 })
+	if callsDuringWait.Load() > 0 || callsToDisabled.Load() > 0 && !killed { // a restarted successor does not know of the disabled endpoint
+		t.Errorf("%d calls during the wait, %d to the disabled endpoint", callsDuringWait.Load(), callsToDisabled.Load())
 	}
 }
 
-// TestOwnerAndHeirCutApart: a sender is cut off from all other members, but not from its clients and the partner. Once
-// its lease is over it takes nothing on and calls nobody; its heir delivers what it had; when the links are well it learns
-// that, drops just that, and takes messages on again. No message has two attempts out, or two ends.
-func TestOwnerAndHeirCutApart(t *testing.T) {
+// TestOwnerAndSuccessorPartitioned guards against two concurrent attempts, or two final answers, for one message: a sender
+// is cut off from all other members, but not from its clients and the partner. After its lease has expired it must
+// accept no message and make no call, while a successor delivers its messages. When the links work again, it must drop
+// exactly these messages and accept new ones.
+func TestOwnerAndSuccessorPartitioned(t *testing.T) {
 	m := newTestFleetWith(t, copiesXML, 4, (*testFleet).connectByRelays)
 	m.awaitReady()
 	m.awaitHolders(3)
@@ -288,11 +292,11 @@
 			relay.BlockBoth(true)
 		}
 	}
-	m.await("somebody has taken over", func() bool {
+	m.await("a successor has taken over", func() bool {
 		return slices.ContainsFunc(m.rigs[:3], func(r *rig) bool { return strings.Contains(r.logs.String(), `"copies: took over"`) })
 	})
 	if code, _ := m.submitTimed(3, "n3-refused", "x"); code != 503 {
-		t.Errorf("cut off from the fleet it answers %d", code)
+		t.Errorf("the sender that is cut off from the fleet answers %d", code)
 	}
 	from := time.Now()
 	m.setPartnerDown(false)
@@ -301,7 +305,7 @@
 		r.BlockBoth(false)
 	}
 	m.rigs[3].awaitLog("messages were taken over while this sender was away")
-	m.await("it takes messages on again", func() bool {
+	m.await("the sender accepts messages again", func() bool {
 		code, _ := m.submitTimed(3, fmt.Sprint("n3-again-", time.Now().UnixNano()), "x")
 		return code == 202
 	})
@@ -314,7 +318,7 @@
 	defer m.mu.Unlock()
 	for _, c := range m.calls {
 		if strings.HasPrefix(c.id, "n3-held") && c.at.After(from) && c.rig == 3 {
-			t.Errorf("%s was called by its owner, whose lease was over", c.id)
+			t.Errorf("%s was sent by its owner after the lease had expired", c.id)
 		}
 	}
 }
--- a/cmd/sliptide/telemetry_test.go
+++ b/cmd/sliptide/telemetry_test.go
@@ -14,7 +14,8 @@
 	"sliptide/internal/lab/collector"
 )
 
-// collect starts a stand-in collector, over gRPC or HTTP, and returns what an operators' file says of it.
+// startCollector starts a stand-in collector, over gRPC or HTTP, and returns it with the telemetry element of an operators'
+// file that exports to it.
 func startCollector(t *testing.T, overGRPC bool) (*collector.Collector, string) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -32,7 +33,7 @@
 	return c, fmt.Sprintf(`<telemetry enabled="true" endpoint="http://%s" protocol="%s" every="1s" share="100"/>`, ln.Addr(), protocol)
 }
 
-// awaitTraces waits until so many whole traces have arrived.
+// awaitTraces waits until at least n complete traces have arrived, and returns all of them.
 func awaitTraces(t *testing.T, c *collector.Collector, n int) map[string][]*trace.Span {
 	t.Helper()
 	for end := time.Now().Add(testTimeout); ; {
@@ -59,8 +60,8 @@
 	return ""
 }
 
-// Each message is one whole trace at the collector: those of a life that SIGKILL ended too, in the context that
-// its client gave, with what its clients must not find there left out.
+// The collector receives one complete trace for a message, in the trace context given by its client, even if a SIGKILL
+// ended the process meanwhile. No trace contains a body or an idempotency key.
 func TestEachMessageIsOneTrace(t *testing.T) {
 	for _, overGRPC := range []bool{false, true} {
 		t.Run(fmt.Sprint("grpc ", overGRPC), func(t *testing.T) {
@@ -81,20 +82,20 @@
 				t.Fatal(resp, err)
 			}
 			resp.Body.Close()
-			r.expectCallFor("known") // out when the process is killed
+			r.expectCallFor("known") // in progress when the process is killed
 			r.kill(syscall.SIGKILL)
 			r.start()
 			repeat := r.nextCall()
-			for ; repeat.id() != "known"; repeat = r.nextCall() { // delivered just before the SIGKILL, and not booked yet: repeated
+			for ; repeat.id() != "known"; repeat = r.nextCall() { // repeated since it was delivered just before the SIGKILL and not journalled yet
 				repeat.respond(200)
 			}
 			repeat.respond(200)
-			r.kill(syscall.SIGTERM) // which sends what is left
+			r.kill(syscall.SIGTERM) // the remaining traces are sent on exit
 			traces := awaitTraces(t, c, 1)
 			known := traces["4bf92f3577b34da6a3ce929d0e0e4736"]
 			if len(known) < 2 || fmt.Sprintf("%x", known[0].ParentSpanId) != "00f067aa0ba902b7" || attribute(known[0], "sliptide.restored_with_attempts") != "1" ||
 				attribute(known[0], "sliptide.end") != "delivered" {
-				t.Errorf("the message that outlived its process: %v", known)
+				t.Errorf("trace of the message that was restored after the kill: %v", known)
 			}
 			if text := fmt.Sprint(c.Spans()); strings.Contains(text, "secret") {
 				t.Errorf("a body or a key is among the attributes")
@@ -103,8 +104,8 @@
 	}
 }
 
-// All messages of a life that ends in good order are there, with their attempts and waits.
-func TestTracesTellOfAttempts(t *testing.T) {
+// Each message has a trace, which contains its attempts and waits.
+func TestTraceHasAttemptsAndWaits(t *testing.T) {
 	c, file := startCollector(t, false)
 	r := newRigWith(t, file, nil, "one")
 	for i := range 30 {
@@ -149,8 +150,8 @@
 	t.Error("message a has no trace")
 }
 
-// A sender whose collector is a black hole delivers, and stops in its time.
-func TestBlackHoleDelaysNothing(t *testing.T) {
+// With a collector that accepts connections and never answers, the sender delivers messages and stops in time.
+func TestUnresponsiveCollectorDelaysNothing(t *testing.T) {
 	c, file := startCollector(t, true)
 	c.Set(collector.Mood{Hole: true})
 	r := newRigWith(t, file, nil, "one")
@@ -159,9 +160,9 @@
 		r.mustSubmit(id, 0, 20, "x")
 		r.expectCallFor(id).respond(200)
 	}
-	began := time.Now()
+	stopAt := time.Now()
 	r.kill(syscall.SIGTERM)
-	if took := time.Since(began); took > 3700*time.Millisecond { // when SIGKILL would follow
+	if took := time.Since(stopAt); took > 3700*time.Millisecond { // SIGKILL would follow then
 		t.Errorf("the stop took %v", took)
 	}
 }
--- a/cmd/sliptide/upgrade_test.go
+++ b/cmd/sliptide/upgrade_test.go
@@ -11,28 +11,28 @@
 	"time"
 )
 
-// An upgrade: a second process starts on the same address and folder while the first serves. It takes
-// clients at once and sends nothing until the first, told to stop, has left; then it delivers what both
-// took on, each message once, and the first one's held message with them.
+// In an upgrade a second process starts with the same address and state directory while the first serves. It serves clients
+// at once and makes no call until the first process has exited on SIGTERM. Then it delivers the messages that both have
+// accepted, each once, including those that the first still held.
 func TestUpgrade(t *testing.T) {
 	r := newRig(t, nil, "one")
 	r.mustSubmit("old", 0, 15, "")
-	first := r.expectCallFor("old") // out at the old process while the new one starts
+	first := r.expectCallFor("old") // in progress in the old process while the new one starts
 	var logs logBuffer
-	next := exec.Command(binary)
-	next.Env = r.proc.Env
-	next.Stderr = &logs
-	if err := next.Start(); err != nil {
+	successor := exec.Command(binary)
+	successor.Env = r.proc.Env
+	successor.Stderr = &logs
+	if err := successor.Start(); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { next.Process.Kill(); next.Wait() })
+	t.Cleanup(func() { successor.Process.Kill(); successor.Wait() })
 	for end := time.Now().Add(testTimeout); !strings.Contains(logs.String(), `"started"`); {
 		if time.Now().After(end) {
 			t.Fatalf("the new process does not start: %s", logs.String())
 		}
-		time.Sleep(time.Millisecond) // a poll of its log
+		time.Sleep(time.Millisecond) // polls the log
 	}
-	// New connections are spread over both listeners: some messages go to each.
+	// New connections are distributed over both listeners, so that each process gets some messages.
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 	want := map[string]bool{"old": true}
 	for i := range 20 {
@@ -57,7 +57,7 @@
 		called[c.id()]++
 		c.respond(200)
 	}
-	r.await(r.exited, "the old process leaves")
+	r.await(r.exited, "the old process exits")
 	for id, n := range called {
 		if !want[id] || n != 1 {
 			t.Errorf("%s called %d times", id, n)
@@ -66,12 +66,12 @@
 	if !strings.Contains(logs.String(), "took over from the version before") {
 		t.Errorf("log of the new process:\n%s", logs.String())
 	}
-	if next.ProcessState != nil {
-		t.Errorf("the new process ended: %v", next.ProcessState)
+	if successor.ProcessState != nil {
+		t.Errorf("the new process ended: %v", successor.ProcessState)
 	}
 	if _, err := os.Stat(r.stateDir + "/journal.heir"); !os.IsNotExist(err) {
-		t.Errorf("the heir's journal is left: %v", err)
+		t.Errorf("the successor's journal still exists: %v", err)
 	}
-	r.proc = nil // the rig's process is gone; the new one is ended by its cleanup
+	r.proc = nil // the rig's process has exited; the cleanup above kills the new one
 	r.expectNoCall()
 }
--- a/cmd/sliptide/wallclock_test.go
+++ b/cmd/sliptide/wallclock_test.go
@@ -9,26 +9,26 @@
 	"sliptide/internal/knowledge"
 )
 
-// Guards against deadlines and told waits that move with a step of the wall clock between two lives.
-func TestWallClockStepBetweenTwoLivesMovesNothing(t *testing.T) {
+// Guards against deadlines and requested waits that move when the wall clock is stepped between two runs of the process.
+func TestWallClockStepBetweenRuns(t *testing.T) {
 	t.Parallel()
 	for _, step := range []time.Duration{time.Hour, -time.Hour, -3 * time.Second} {
 		t.Run(fmt.Sprint(step), func(t *testing.T) {
 			stepped := buildWithClockShift(t, step)
 			r := newRigWith(t, `<knowledge enabled="true" write-every="1m"/>`, nil, "one")
 			r.mustSubmit("waits", 0, 15, "")
-			told := time.Now()
+			requested := time.Now()
 			r.expectCallFor("waits").respond(503, "Retry-After", "1.500")
 			r.awaitKnowledgeFile("knowledge.waits", func(b *knowledge.Facts) bool { return len(b.Waits) > 0 })
-			r.mustSubmit("long", 7, 12, "") // nowhere to go yet
+			r.mustSubmit("long", 7, 12, "") // no endpoint is up yet
 			r.mustSubmit("short", 7, 2, "")
-			taken := time.Now()
+			accepted := time.Now()
 			r.kill(syscall.SIGKILL)
 			r.binary = stepped
 			r.start()
 			n := r.nextNotice()
-			if late := time.Since(taken) - 2*time.Second; n.Message != "short" || late > 300*time.Millisecond+restartSlack {
-				t.Errorf("notice %+v, %v after its time", n, late)
+			if late := time.Since(accepted) - 2*time.Second; n.Message != "short" || late > 300*time.Millisecond+restartSlack {
+				t.Errorf("notice %+v, %v after its deadline", n, late)
 			}
 			r.updateList(func() { r.endpoints = append(r.endpoints, r.endpoint("s-7", "one", 7)) })
 			got := map[string]time.Time{}
@@ -37,7 +37,7 @@
 				got[c.id()] = c.at
 				c.respond(200)
 			}
-			if len(got) != 2 || got["long"].IsZero() || got["waits"].Sub(told) > 15*time.Second {
+			if len(got) != 2 || got["long"].IsZero() || got["waits"].Sub(requested) > 15*time.Second {
 				t.Errorf("called: %v", got)
 			}
 		})
