--- a/internal/lab/scale/faults.go
+++ b/internal/lab/scale/faults.go
@@ -8,134 +8,137 @@
 	"sliptide/internal/fleet"
 )
 
-// This file makes the faults of a schedule.
+// This file injects the faults of a schedule.
 
-// strike makes a fault, for as long as it lasts.
-func (p *play) strike(ctx context.Context, f *Fault) error {
+// injectFault injects a fault, and returns when it is over.
+func (r *sizeRun) injectFault(ctx context.Context, f *Fault) error {
 	switch f.Kind {
 	case RestartWave:
-		return p.restartWave(ctx, f)
+		return r.restartWave(ctx, f)
 	case Rack:
-		return p.rack(ctx, f)
+		return r.stopRack(ctx, f)
 	case Zone:
-		return p.zone(ctx, f)
+		return r.killZone(ctx, f)
 	case RegionCut:
-		return p.cutRegion(ctx, f)
+		return r.partitionRegion(ctx, f)
 	case LeaderKill:
-		return p.killLeader(ctx, f)
+		return r.killLeader(ctx, f)
 	}
 	return fmt.Errorf("no fault of this kind")
 }
 
-// draw picks so many of n, by the run's seed.
-func (p *play) draw(n, count int) []int {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	order := p.rng.Perm(n)
+// pick returns up to count distinct numbers below n, drawn by the run's seeded generator.
+func (r *sizeRun) pick(n, count int) []int {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	order := r.rng.Perm(n)
 	return order[:min(count, n)]
 }
 
-// restartWave kills a part of all processes of members, one after the other over the fault's time, and starts each again
-// at once.
-func (p *play) restartWave(ctx context.Context, f *Fault) error {
-	struck := p.draw(len(p.hollows), max(len(p.hollows)/f.Size, 1))
-	for _, i := range struck {
-		h := p.hollows[i]
-		h.kill(fleet.Now, p.record)
-		if err := h.start(ctx, p.programs.Lab, p.dir, p.record); err != nil {
+// restartWave kills one in Size of the processes of hollow members, one after another over the fault's duration, and
+// restarts each at once.
+func (r *sizeRun) restartWave(ctx context.Context, f *Fault) error {
+	selected := r.pick(len(r.hollows), max(len(r.hollows)/f.Size, 1))
+	for _, i := range selected {
+		h := r.hollows[i]
+		h.kill(fleet.Now, r.observations)
+		if err := h.start(ctx, r.programs.Lab, r.dir, r.observations); err != nil {
 			return err
 		}
-		if !sleep(ctx, f.For/time.Duration(len(struck))) {
+		if !sleep(ctx, f.Duration/time.Duration(len(selected))) {
 			return nil
 		}
 	}
 	return nil
 }
 
-// rack ends members of one process without a word, and starts them again later.
-func (p *play) rack(ctx context.Context, f *Fault) error {
-	h := p.hollows[p.draw(len(p.hollows), 1)[0]]
+// stopRack stops members of one process without notice to their control members, and starts them again after the
+// fault's duration.
+func (r *sizeRun) stopRack(ctx context.Context, f *Fault) error {
+	h := r.hollows[r.pick(len(r.hollows), 1)[0]]
 	var numbers []int
 	for _, m := range h.settings.Members[:min(f.Size, len(h.settings.Members))] {
 		numbers = append(numbers, m.Number)
 	}
-	if err := h.tell(Order{Stop: numbers}); err != nil {
+	if err := h.send(Command{Stop: numbers}); err != nil {
 		return err
 	}
-	if !sleep(ctx, f.For) {
+	if !sleep(ctx, f.Duration) {
 		return nil
 	}
-	return h.tell(Order{Start: numbers})
+	return h.send(Command{Start: numbers})
 }
 
-// zone kills all members of a zone, and starts them again later.
-func (p *play) zone(ctx context.Context, f *Fault) error {
-	zone := p.hollows[p.draw(len(p.hollows), 1)[0]].zone
-	var struck []*hollowProcess
-	for _, h := range p.hollows {
+// killZone kills all hollow members of a zone, and starts them again after the fault's duration.
+func (r *sizeRun) killZone(ctx context.Context, f *Fault) error {
+	zone := r.hollows[r.pick(len(r.hollows), 1)[0]].zone
+	var selected []*hollowProcess
+	for _, h := range r.hollows {
 		if h.zone == zone {
-			h.kill(fleet.Now, p.record)
-			struck = append(struck, h)
+			h.kill(fleet.Now, r.observations)
+			selected = append(selected, h)
 		}
 	}
-	if !sleep(ctx, f.For) {
+	if !sleep(ctx, f.Duration) {
 		return nil
 	}
-	for _, h := range struck {
-		if err := h.start(ctx, p.programs.Lab, p.dir, p.record); err != nil {
+	for _, h := range selected {
+		if err := h.start(ctx, r.programs.Lab, r.dir, r.observations); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// cutRegion cuts the links between the control members of a region and those of others, for a while.
-func (p *play) cutRegion(ctx context.Context, f *Fault) error {
-	region := regionName(p.draw(p.o.File.Regions, 1)[0])
+// partitionRegion cuts the links between the control members of one region and those of the others for the fault's
+// duration.
+func (r *sizeRun) partitionRegion(ctx context.Context, f *Fault) error {
+	region := regionName(r.pick(r.options.File.Regions, 1)[0])
 	var cut []*relay
-	inside := map[*relay]int{}
-	for _, c := range p.controls {
+	endsInRegion := map[*relay]int{}
+	for _, c := range r.controls {
 		if c.region != region {
 			continue
 		}
-		for _, r := range c.in {
-			inside[r]++
+		for _, link := range c.relays {
+			endsInRegion[link]++
 		}
 	}
-	for r, ends := range inside {
+	for link, ends := range endsInRegion {
 		if ends == 1 { // the other end is in another region
-			cut = append(cut, r)
+			cut = append(cut, link)
 		}
 	}
 	from := fleet.Now()
-	for _, r := range cut {
-		r.setCut(true)
+	for _, link := range cut {
+		link.setCut(true)
 	}
-	sleep(ctx, f.For)
-	for _, r := range cut {
-		r.setCut(false)
+	sleep(ctx, f.Duration)
+	for _, link := range cut {
+		link.setCut(false)
 	}
-	p.mu.Lock()
-	p.cuts = append(p.cuts, Cut{region, from, fleet.Now()})
-	p.mu.Unlock()
+	r.mu.Lock()
+	r.partitions = append(r.partitions, Partition{region, from, fleet.Now()})
+	r.mu.Unlock()
 	return nil
 }
 
-// killLeader kills the control member that leads, and starts it again later.
-func (p *play) killLeader(ctx context.Context, f *Fault) error {
+// killLeader kills the leader of the control members, and starts it again after the fault's duration. If there is no
+// leader, it waits for one.
+func (r *sizeRun) killLeader(ctx context.Context, f *Fault) error {
 	var leader *controlProcess
 	for leader == nil {
-		if leader = p.leader(ctx); leader == nil && !sleep(ctx, lookEvery) {
+		if leader = r.leader(ctx); leader == nil && !sleep(ctx, pollInterval) {
 			return nil
 		}
 	}
 	leader.child.Load().kill()
-	if !sleep(ctx, f.For) {
+	if !sleep(ctx, f.Duration) {
 		return nil
 	}
-	if err := p.startControl(ctx, leader); err != nil {
+	if err := r.startControl(ctx, leader); err != nil {
 		return err
 	}
-	p.measure(leader.child.Load(), 0)
+	r.startMeter(leader.child.Load(), 0)
 	return nil
 }
--- a/internal/lab/scale/hollow.go
+++ b/internal/lab/scale/hollow.go
@@ -18,57 +18,57 @@
 )
 
 const (
-	tellVersions = 2 * time.Second // between two looks at the members' versions
-	startSpread  = 3 * time.Second // members of a process start over this time
-	flushEvery   = 100 * time.Millisecond
+	versionReportInterval = 2 * time.Second // interval between version reports of the running members
+	startWindow           = 3 * time.Second // the members of a process start at random times within this window
+	flushInterval         = 100 * time.Millisecond
 )
 
-// hollows are the members of one process.
-type hollows struct {
+// hollowSet holds the hollow members of one process.
+type hollowSet struct {
 	settings HollowSettings
 	out      chan Observation
 	mu       sync.Mutex
-	running  map[int]*hollow
+	running  map[int]*runningMember
 }
 
-type hollow struct {
-	cancel context.CancelFunc
-	done   chan struct{}
-	sub    *subscriber.Subscriber
+type runningMember struct {
+	cancel     context.CancelFunc
+	done       chan struct{}
+	subscriber *subscriber.Subscriber
 }
 
-// RunHollow runs hollow members until its input ends: the settings first, then orders, one JSON text each. What the
-// members see goes to out, one JSON text a line.
+// RunHollow runs hollow members until its input ends. The input is a stream of JSON values: a HollowSettings, then
+// Commands. The members' observations go to out, one JSON value a line.
 func RunHollow(ctx context.Context, in io.Reader, out io.Writer) error {
 	decoder := json.NewDecoder(bufio.NewReader(in))
-	h := &hollows{out: make(chan Observation, 4096), running: map[int]*hollow{}}
+	h := &hollowSet{out: make(chan Observation, 4096), running: map[int]*runningMember{}}
 	if err := decoder.Decode(&h.settings); err != nil {
 		return err
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	written := make(chan error, 1)
-	go func() { written <- h.write(ctx, out) }()
-	go h.tellVersions(ctx)
+	go func() { written <- h.writeObservations(ctx, out) }()
+	go h.reportVersions(ctx)
 	for i := range h.settings.Members {
-		go h.start(ctx, &h.settings.Members[i], rand.N(startSpread))
+		go h.start(ctx, &h.settings.Members[i], rand.N(startWindow))
 	}
 	for {
-		var o Order
-		if err := decoder.Decode(&o); err != nil {
+		var command Command
+		if err := decoder.Decode(&command); err != nil {
 			cancel()
 			<-written
 			return nil
 		}
-		h.obey(ctx, o)
+		h.execute(ctx, command)
 	}
 }
 
-func (h *hollows) obey(ctx context.Context, o Order) {
-	for _, n := range o.Stop {
+func (h *hollowSet) execute(ctx context.Context, command Command) {
+	for _, n := range command.Stop {
 		h.stop(n)
 	}
-	for _, n := range o.Start {
+	for _, n := range command.Start {
 		for i := range h.settings.Members {
 			if h.settings.Members[i].Number == n {
 				go h.start(ctx, &h.settings.Members[i], 0)
@@ -77,47 +77,47 @@
 	}
 }
 
-func (h *hollows) start(ctx context.Context, m *HollowMember, after time.Duration) {
+func (h *hollowSet) start(ctx context.Context, m *HollowMember, delay time.Duration) {
 	select {
-	case <-time.After(after):
+	case <-time.After(delay):
 	case <-ctx.Done():
 		return
 	}
-	own, cancel := context.WithCancel(ctx)
-	x := &hollow{cancel: cancel, done: make(chan struct{})}
+	memberCtx, cancel := context.WithCancel(ctx)
+	member := &runningMember{cancel: cancel, done: make(chan struct{})}
 	o := subscriber.Options{Name: m.Name, Region: m.Region, Zone: m.Zone, Weight: 1, Log: zerolog.Nop(), Now: fleet.Now,
-		DisabledChecks: directory.SubscriptionCheck(h.settings.Break)}
+		DisabledChecks: directory.SubscriptionCheck(h.settings.DisabledChecks)}
 	for _, c := range h.settings.Controls {
 		o.Servers = append(o.Servers, subscriber.Server(c))
 	}
 	o.Apply = func(a *directory.AppliedUpdate) {
-		h.tell(ctx, applied(m.Number, a))
-		x.sub.Release(a.Unassigned) // nothing is held
+		h.emit(ctx, appliedObservation(m.Number, a))
+		member.subscriber.Release(a.Unassigned) // hollow members hold no messages, so shards are released at once
 	}
-	x.sub = subscriber.New(o)
+	member.subscriber = subscriber.New(o)
 	h.mu.Lock()
-	h.running[m.Number] = x
+	h.running[m.Number] = member
 	h.mu.Unlock()
-	h.tell(ctx, Observation{At: fleet.Now(), Kind: Up, Member: m.Number})
-	x.sub.Run(own)
-	close(x.done)
+	h.emit(ctx, Observation{At: fleet.Now(), Kind: Up, Member: m.Number})
+	member.subscriber.Run(memberCtx)
+	close(member.done)
 }
 
-// stop ends a member without a word to anybody, and tells when it is over.
-func (h *hollows) stop(n int) {
+// stop cancels a member's subscription without notifying its control member, and reports the member as down.
+func (h *hollowSet) stop(n int) {
 	h.mu.Lock()
-	x := h.running[n]
+	member := h.running[n]
 	delete(h.running, n)
 	h.mu.Unlock()
-	if x == nil {
+	if member == nil {
 		return
 	}
-	x.cancel()
-	h.tell(context.Background(), Observation{At: fleet.Now(), Kind: Down, Member: n})
+	member.cancel()
+	h.emit(context.Background(), Observation{At: fleet.Now(), Kind: Down, Member: n})
 }
 
-func applied(member int, a *directory.AppliedUpdate) Observation {
-	o := Observation{At: fleet.Now(), Kind: Applied, Member: member, Version: a.To, Assigned: words(a.Assigned), Unassigned: words(a.Unassigned)}
+func appliedObservation(member int, a *directory.AppliedUpdate) Observation {
+	o := Observation{At: fleet.Now(), Kind: Applied, Member: member, Version: a.To, Assigned: shardNumbers(a.Assigned), Unassigned: shardNumbers(a.Unassigned)}
 	for i := range a.Endpoints {
 		if n := int(a.Endpoints[i].Weight); n > 0 {
 			o.Changes = append(o.Changes, SeenChange{a.Endpoints[i].Destination, n})
@@ -126,48 +126,48 @@
 	return o
 }
 
-func words(ids []shard.ID) (list []uint32) {
+func shardNumbers(ids []shard.ID) (list []uint32) {
 	for _, id := range ids {
 		list = append(list, uint32(id))
 	}
 	return list
 }
 
-func (h *hollows) tell(ctx context.Context, o Observation) {
+func (h *hollowSet) emit(ctx context.Context, o Observation) {
 	select {
 	case h.out <- o:
 	case <-ctx.Done():
 	}
 }
 
-// tellVersions tells now and then which version each member is at.
-func (h *hollows) tellVersions(ctx context.Context) {
-	tick := time.NewTicker(tellVersions)
-	defer tick.Stop()
+// reportVersions reports each running member's version at regular intervals.
+func (h *hollowSet) reportVersions(ctx context.Context) {
+	ticker := time.NewTicker(versionReportInterval)
+	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-tick.C:
+		case <-ticker.C:
 		}
-		now := fleet.Now() // before the look: what is learned meanwhile comes after it
+		now := fleet.Now() // read before the versions, so that updates applied meanwhile have a later time
 		h.mu.Lock()
 		versions := make(map[int]uint64, len(h.running))
-		for n, x := range h.running {
-			versions[n] = x.sub.Version()
+		for n, member := range h.running {
+			versions[n] = member.subscriber.Version()
 		}
 		h.mu.Unlock()
 		for n, version := range versions {
-			h.tell(ctx, Observation{At: now, Kind: At, Member: n, Version: version})
+			h.emit(ctx, Observation{At: now, Kind: AtVersion, Member: n, Version: version})
 		}
 	}
 }
 
-func (h *hollows) write(ctx context.Context, out io.Writer) error {
+func (h *hollowSet) writeObservations(ctx context.Context, out io.Writer) error {
 	buffered := bufio.NewWriterSize(out, 64<<10)
 	encoder := json.NewEncoder(buffered)
-	flush := time.NewTicker(flushEvery)
-	defer flush.Stop()
+	flushTicker := time.NewTicker(flushInterval)
+	defer flushTicker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
@@ -176,7 +176,7 @@
 			if err := encoder.Encode(o); err != nil {
 				return err
 			}
-		case <-flush.C:
+		case <-flushTicker.C:
 			if err := buffered.Flush(); err != nil {
 				return err
 			}
--- a/internal/lab/scale/process.go
+++ b/internal/lab/scale/process.go
@@ -1,6 +1,7 @@
 package scale
 
 import (
+	"bufio"
 	"context"
 	"encoding/json"
 	"fmt"
@@ -11,18 +12,16 @@
 	"sync"
 	"sync/atomic"
 	"syscall"
-
-	"bufio"
 )
 
-// child is a process of a run. It dies with this one.
+// child is a process of a run. The kernel kills it when this process dies.
 type child struct {
 	name   string
 	cmd    *exec.Cmd
 	exited chan struct{}
 }
 
-// spawn starts a program; its standard error goes to a file of the run's folder.
+// spawn starts a program. Its standard error is appended to a file in the run's directory.
 func spawn(ctx context.Context, dir, name string, env []string, in io.Reader, out io.Writer, program string, args ...string) (*child, error) {
 	log, err := os.OpenFile(filepath.Join(dir, name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
@@ -40,7 +39,7 @@
 	return c, nil
 }
 
-// kill ends the process and waits for its end.
+// kill kills the process and waits until it has exited. It does nothing for nil.
 func (c *child) kill() {
 	if c != nil {
 		c.cmd.Process.Signal(syscall.SIGKILL)
@@ -48,82 +47,82 @@
 	}
 }
 
-// hollowProcess is a process of hollow members.
+// hollowProcess is a process that runs hollow members of one zone.
 type hollowProcess struct {
-	name     string
-	zone     string
-	settings HollowSettings
-	child    atomic.Pointer[child]
-	mu       sync.Mutex // held while the process is started, ended or told something
-	orders   io.WriteCloser
-	encoder  *json.Encoder
+	name        string
+	zone        string
+	settings    HollowSettings
+	child       atomic.Pointer[child]
+	mu          sync.Mutex // held while the process is started, killed or sent a command
+	commandPipe io.WriteCloser
+	encoder     *json.Encoder
 }
 
-// record collects what members see, in the order in which it arrives.
-type record struct {
-	mu       sync.Mutex
-	seen     []Observation
-	assigned map[int]bool // members that serve something
+// observationLog collects the members' observations in the order of arrival.
+type observationLog struct {
+	mu             sync.Mutex
+	entries        []Observation
+	servingMembers map[int]bool // members that serve a shard
 }
 
-func newRecord() *record { return &record{assigned: map[int]bool{}} }
+func newObservationLog() *observationLog { return &observationLog{servingMembers: map[int]bool{}} }
 
-func (r *record) take(o Observation) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.seen = append(r.seen, o)
+func (l *observationLog) add(o Observation) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.entries = append(l.entries, o)
 	switch {
 	case len(o.Assigned) > 0:
-		r.assigned[o.Member] = true
+		l.servingMembers[o.Member] = true
 	case o.Kind == Up || o.Kind == Down:
-		delete(r.assigned, o.Member)
+		delete(l.servingMembers, o.Member)
 	}
 }
 
-// serving is how many members serve something.
-func (r *record) serving() int {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return len(r.assigned)
+// servingCount returns the number of members that serve a shard.
+func (l *observationLog) servingCount() int {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return len(l.servingMembers)
 }
 
-// start starts the process of hollow members.
-func (h *hollowProcess) start(ctx context.Context, lab, dir string, r *record) error {
-	ordersOut, ordersIn, err := os.Pipe()
+// start starts the process, sends it the settings and collects its observations in r.
+func (h *hollowProcess) start(ctx context.Context, lab, dir string, observations *observationLog) error {
+	commandReader, commandWriter, err := os.Pipe()
 	if err != nil {
 		return err
 	}
-	seenOut, seenIn, err := os.Pipe()
+	observationReader, observationWriter, err := os.Pipe()
 	if err != nil {
 		return err
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	started, err := spawn(ctx, dir, h.name, []string{"GOMAXPROCS=2"}, ordersOut, seenIn, lab, "scale-members")
-	ordersOut.Close()
-	seenIn.Close()
+	started, err := spawn(ctx, dir, h.name, []string{"GOMAXPROCS=2"}, commandReader, observationWriter, lab, "scale-members")
+	commandReader.Close()
+	observationWriter.Close()
 	if err != nil {
 		return err
 	}
 	h.child.Store(started)
-	h.orders, h.encoder = ordersIn, json.NewEncoder(ordersIn)
+	h.commandPipe, h.encoder = commandWriter, json.NewEncoder(commandWriter)
 	go func() {
-		defer seenOut.Close()
-		decoder := json.NewDecoder(bufio.NewReaderSize(seenOut, 64<<10))
+		defer observationReader.Close()
+		decoder := json.NewDecoder(bufio.NewReaderSize(observationReader, 64<<10))
 		for {
 			var o Observation
 			if decoder.Decode(&o) != nil {
 				return
 			}
-			r.take(o)
+			observations.add(o)
 		}
 	}()
 	return h.encoder.Encode(h.settings)
 }
 
-// tell gives the process an order. One that another fault has ended is told nothing: all its members are down, and all
-// of them start with it.
-func (h *hollowProcess) tell(o Order) error {
+// send sends the process a command. It does nothing for a process that another fault has killed: all its members are
+// down, and all of them start when the process is started again.
+func (h *hollowProcess) send(o Command) error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.encoder == nil {
@@ -132,15 +131,15 @@
 	return h.encoder.Encode(o)
 }
 
-// kill ends the process, and notes that its members are down.
-func (h *hollowProcess) kill(now func() int64, r *record) {
+// kill kills the process, and records all its members as down.
+func (h *hollowProcess) kill(now func() int64, observations *observationLog) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.child.Load().kill()
-	h.orders.Close()
+	h.commandPipe.Close()
 	h.encoder = nil
 	at := now()
 	for _, m := range h.settings.Members {
-		r.take(Observation{At: at, Kind: Down, Member: m.Number})
+		observations.add(Observation{At: at, Kind: Down, Member: m.Number})
 	}
 }
