--- a/internal/lab/cli/scale.go
+++ b/internal/lab/cli/scale.go
@@ -83,13 +83,13 @@
 		defer os.RemoveAll(dir)
 	}
 	o := scale.Options{File: f, Programs: scale.Programs{Sender: binary, Lab: labBinary}, Dir: dir,
-		Progress: func(size int, phase string) { fmt.Fprintf(env.Err, "%d members: %s\n", size, phase) },
-		Tick:     func(time.Duration, time.Duration) {},
-		Sized:    func(r *scale.Result) error { return writeFile(base+".json", r.WriteJSON) }}
+		OnPhase:    func(size int, phase string) { fmt.Fprintf(env.Err, "%d members: %s\n", size, phase) },
+		OnTick:     func(time.Duration, time.Duration) {},
+		OnSizeDone: func(r *scale.Result) error { return writeFile(base+".json", r.WriteJSON) }}
 	if env.ShowProgress {
-		bar := progressbar.NewOptions(int(f.Length/time.Second),
+		bar := progressbar.NewOptions(int(f.Duration/time.Second),
 			progressbar.OptionSetWriter(env.Err), progressbar.OptionClearOnFinish())
-		o.Tick = func(done, _ time.Duration) { bar.Set(int(done / time.Second)) }
+		o.OnTick = func(done, _ time.Duration) { bar.Set(int(done / time.Second)) }
 	}
 	result, err := scale.Run(env.Ctx, o)
 	if err != nil {
@@ -104,23 +104,23 @@
 	for i := range r.Sizes {
 		s := &r.Sizes[i]
 		if s.Verdict == nil {
-			fmt.Fprintf(env.Out, "%d members: ended: %s\n", s.Members, s.Ended)
+			fmt.Fprintf(env.Out, "%d members: ended: %s\n", s.Members, s.Failure)
 			clean = false
 			continue
 		}
 		verdict, worst := s.Verdict, scale.Worst(s.Senders)
 		fmt.Fprintf(env.Out, "%d members: findings %v; a change in force p50 %.2f, p99 %.2f, worst %.2f s; longest unserved %.1f s; worst real sender %.3f %% of a core, %.1f MB, %.2f KB/s\n",
-			s.Members, verdict.Findings, verdict.Median, verdict.P99, verdict.Worst, verdict.Unserved,
+			s.Members, verdict.Findings, verdict.Median, verdict.P99, verdict.Worst, verdict.LongestUnserved,
 			worst.CorePercent, worst.MemoryMB, worst.LinkKBps)
 		for _, e := range verdict.Examples[:min(len(verdict.Examples), 5)] {
 			fmt.Fprintf(env.Out, "  %s: %s\n", e.Rule, e.Detail)
 		}
 		clean = clean && verdict.Clean()
 	}
-	for _, comparison := range r.Compare {
+	for _, comparison := range r.Comparisons {
 		fmt.Fprintf(env.Out, "%d destinations: of shards %.1f MB, ready in %.2f s; of all %.1f MB, ready in %.2f s %s\n",
-			comparison.Destinations, comparison.Shards.MemoryMB, comparison.Shards.ReadyS,
-			comparison.Whole.MemoryMB, comparison.Whole.ReadyS, comparison.WholeEnded)
+			comparison.Destinations, comparison.Sharded.MemoryMB, comparison.Sharded.ReadySeconds,
+			comparison.Whole.MemoryMB, comparison.Whole.ReadySeconds, comparison.WholeFailure)
 	}
 	if !clean {
 		return errNotClean
--- a/internal/lab/scale/relay.go
+++ b/internal/lab/scale/relay.go
@@ -7,15 +7,15 @@
 	"sync/atomic"
 )
 
-// relay carries connections to an address, counts their bytes, and can be cut: connections are closed then, and further
-// ones too.
+// relay forwards connections to an address and counts their bytes. While it is cut, it closes open and new
+// connections.
 type relay struct {
-	listener net.Listener
-	target   string
-	bytes    atomic.Int64
-	mu       sync.Mutex
-	cut      bool
-	open     map[net.Conn]bool
+	listener    net.Listener
+	target      string
+	bytes       atomic.Int64
+	mu          sync.Mutex
+	cut         bool
+	connections map[net.Conn]bool
 }
 
 func newRelay(target string) (*relay, error) {
@@ -23,7 +23,7 @@
 	if err != nil {
 		return nil, err
 	}
-	r := &relay{listener: listener, target: target, open: map[net.Conn]bool{}}
+	r := &relay{listener: listener, target: target, connections: map[net.Conn]bool{}}
 	go r.accept()
 	return r, nil
 }
@@ -35,77 +35,77 @@
 	r.setCut(true)
 }
 
-// setCut cuts the relay, or lets connections through again.
+// setCut cuts the relay, or restores it.
 func (r *relay) setCut(cut bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.cut = cut; cut {
-		for c := range r.open {
+		for c := range r.connections {
 			c.Close()
 		}
 	}
 }
 
-// enter notes a connection, or closes it where the relay is cut.
-func (r *relay) enter(c net.Conn) bool {
+// track registers a connection. If the relay is cut, it closes the connection and returns false.
+func (r *relay) track(c net.Conn) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.cut {
 		c.Close()
 		return false
 	}
-	r.open[c] = true
+	r.connections[c] = true
 	return true
 }
 
-func (r *relay) leave(c net.Conn) {
+func (r *relay) untrack(c net.Conn) {
 	c.Close()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	delete(r.open, c)
+	delete(r.connections, c)
 }
 
 func (r *relay) accept() {
 	for {
-		near, err := r.listener.Accept()
+		client, err := r.listener.Accept()
 		if err != nil {
 			return
 		}
-		if r.enter(near) {
-			go r.carry(near)
+		if r.track(client) {
+			go r.forward(client)
 		}
 	}
 }
 
-func (r *relay) carry(near net.Conn) {
-	defer r.leave(near)
-	far, err := net.Dial("tcp", r.target)
-	if err != nil || !r.enter(far) {
+func (r *relay) forward(client net.Conn) {
+	defer r.untrack(client)
+	server, err := net.Dial("tcp", r.target)
+	if err != nil || !r.track(server) {
 		return
 	}
-	defer r.leave(far)
+	defer r.untrack(server)
 	done := make(chan struct{}, 2)
-	pass := func(to, from net.Conn) {
-		io.Copy(counted{to, &r.bytes}, from)
+	copyBytes := func(to, from net.Conn) {
+		io.Copy(countingWriter{to, &r.bytes}, from)
 		to.Close()
 		done <- struct{}{}
 	}
-	go pass(near, far)
-	go pass(far, near)
+	go copyBytes(client, server)
+	go copyBytes(server, client)
 	<-done
-	near.Close()
-	far.Close()
+	client.Close()
+	server.Close()
 	<-done
 }
 
-// counted counts what is written.
-type counted struct {
+// countingWriter adds the bytes written to a total.
+type countingWriter struct {
 	io.Writer
-	n *atomic.Int64
+	total *atomic.Int64
 }
 
-func (c counted) Write(p []byte) (int, error) {
+func (c countingWriter) Write(p []byte) (int, error) {
 	n, err := c.Writer.Write(p)
-	c.n.Add(int64(n))
+	c.total.Add(int64(n))
 	return n, err
 }
--- a/internal/lab/scale/report.go
+++ b/internal/lab/scale/report.go
@@ -20,20 +20,20 @@
 	"sliptide/internal/lab/capacity"
 )
 
-// Budgets are what a real sender is held against.
+// Budgets holds the limits for a real sender.
 type Budgets struct {
-	Senders     float64 // at the target
+	Senders     float64 // number of senders at the target
 	CorePercent float64
 	MemoryMB    float64
 	LinkKBps    float64
 }
 
-// BudgetsOf are those of a target.
+// BudgetsOf returns the budgets of a capacity target.
 func BudgetsOf(t *capacity.Target) Budgets {
 	return Budgets{t.Senders, t.CorePercent, t.MemoryMB, t.LinkKBPerSecond}
 }
 
-// quantity is one figure of a size that is drawn and foretold.
+// quantity is a figure of each size that is plotted and extrapolated to the target.
 type quantity struct {
 	name, unit string
 	budget     func(Budgets) float64
@@ -44,13 +44,14 @@
 	{"processor of the worst real sender", "% of a core", func(b Budgets) float64 { return b.CorePercent }, func(s *SizeResult) float64 { return Worst(s.Senders).CorePercent }},
 	{"memory of the worst real sender", "MB", func(b Budgets) float64 { return b.MemoryMB }, func(s *SizeResult) float64 { return Worst(s.Senders).MemoryMB }},
 	{"links of the worst real sender", "KB/s", func(b Budgets) float64 { return b.LinkKBps }, func(s *SizeResult) float64 { return Worst(s.Senders).LinkKBps }},
-	{"a change in force, median", "s", func(Budgets) float64 { return InForceWithin.Seconds() }, func(s *SizeResult) float64 { return s.Verdict.Median }},
-	{"a change in force, 99th percentile", "s", func(Budgets) float64 { return InForceWithin.Seconds() }, func(s *SizeResult) float64 { return s.Verdict.P99 }},
-	{"a change in force, worst", "s", func(Budgets) float64 { return InForceWithin.Seconds() }, func(s *SizeResult) float64 { return s.Verdict.Worst }},
+	{"a change in force, median", "s", func(Budgets) float64 { return InForceTimeout.Seconds() }, func(s *SizeResult) float64 { return s.Verdict.Median }},
+	{"a change in force, 99th percentile", "s", func(Budgets) float64 { return InForceTimeout.Seconds() }, func(s *SizeResult) float64 { return s.Verdict.P99 }},
+	{"a change in force, worst", "s", func(Budgets) float64 { return InForceTimeout.Seconds() }, func(s *SizeResult) float64 { return s.Verdict.Worst }},
 }
 
-// foretold is a quantity at a size by a line through what was measured; false: from fewer than three sizes.
-func (q *quantity) foretold(sizes []SizeResult, at float64) (float64, bool) {
+// extrapolate returns the quantity at a size, by a line fitted through the measured sizes. It returns false
+// for fewer than three sizes.
+func (q *quantity) extrapolate(sizes []SizeResult, at float64) (float64, bool) {
 	var points []capacity.Point
 	for i := range sizes {
 		points = append(points, capacity.Point{Size: float64(sizes[i].Members), Value: q.value(&sizes[i])})
@@ -61,22 +62,22 @@
 	return capacity.FitLine(points).At(at), true
 }
 
-// WriteTables writes the result's tables as Markdown.
+// WriteTables writes a result's tables in Markdown.
 func WriteTables(b *bytes.Buffer, r *Result, budgets Budgets) {
 	fmt.Fprintln(b, "| members | destinations | judge | p50, p99, worst of a change in force | longest without a live member | worst real sender | worst control member | all processes | load |")
 	fmt.Fprintln(b, "| --- | --- | --- | --- | --- | --- | --- | --- | --- |")
 	for i := range r.Sizes {
 		s := &r.Sizes[i]
 		if s.Verdict == nil {
-			fmt.Fprintf(b, "| %d | %d | not judged: %s | | | | | %.0f MB | %.1f |\n", s.Members, s.Destinations, s.Ended, s.MemoryMB, s.Load)
+			fmt.Fprintf(b, "| %d | %d | not judged: %s | | | | | %.0f MB | %.1f |\n", s.Members, s.Destinations, s.Failure, s.MemoryMB, s.LoadAverage)
 			continue
 		}
 		v, x, c := s.Verdict, Worst(s.Senders), Worst(s.Controls)
 		fmt.Fprintf(b, "| %d | %d | %s | %.2f, %.2f, %.2f s (%d changes, %d times) | %.1f s | %.3f %% of a core, %.1f MB, %.2f KB/s | %.1f %%, %.0f MB | %.0f MB | %.1f |\n",
-			s.Members, s.Destinations, verdictText(v), v.Median, v.P99, v.Worst, v.Changes, v.InForce, v.Unserved, x.CorePercent, x.MemoryMB, x.LinkKBps, c.CorePercent, c.MemoryMB, s.MemoryMB, s.Load)
+			s.Members, s.Destinations, verdictText(v), v.Median, v.P99, v.Worst, v.Changes, v.InForceCount, v.LongestUnserved, x.CorePercent, x.MemoryMB, x.LinkKBps, c.CorePercent, c.MemoryMB, s.MemoryMB, s.LoadAverage)
 	}
 	writeBudgets(b, r, budgets)
-	if len(r.Compare) > 0 {
+	if len(r.Comparisons) > 0 {
 		writeComparison(b, r)
 	}
 }
@@ -93,9 +94,10 @@
 	return "NOT CLEAN: " + strings.Join(parts, ", ")
 }
 
-// writeBudgets says of each quantity at which measured sizes its budget holds, and what a line through them foretells.
+// writeBudgets writes, for each quantity, whether its budget holds at each measured size and at the extrapolated
+// target.
 func writeBudgets(b *bytes.Buffer, r *Result, budgets Budgets) {
-	sizes := r.sizesOf()
+	sizes := r.judgedSizes()
 	if len(sizes) == 0 {
 		return
 	}
@@ -110,61 +112,61 @@
 			}
 			measured = append(measured, fmt.Sprintf("%d: %.3g (%s)", sizes[i].Members, q.value(&sizes[i]), mark))
 		}
-		foretold := "fewer than three sizes: not foretold"
-		if v, ok := q.foretold(sizes, budgets.Senders); ok && v <= 0 {
-			foretold = "the line falls under 0: it says nothing"
+		extrapolated := "fewer than three sizes: not foretold"
+		if v, ok := q.extrapolate(sizes, budgets.Senders); ok && v <= 0 {
+			extrapolated = "the line falls under 0: it says nothing"
 		} else if ok {
 			mark := "would hold"
 			if v > budget {
 				mark = "WOULD NOT HOLD"
 			}
-			foretold = fmt.Sprintf("%.3g (%s)", v, mark)
+			extrapolated = fmt.Sprintf("%.3g (%s)", v, mark)
 		}
-		fmt.Fprintf(b, "| %s | %.3g %s | %s | %s |\n", q.name, budget, q.unit, strings.Join(measured, ", "), foretold)
+		fmt.Fprintf(b, "| %s | %.3g %s | %s | %s |\n", q.name, budget, q.unit, strings.Join(measured, ", "), extrapolated)
 	}
 }
 
 func writeComparison(b *bytes.Buffer, r *Result) {
 	fmt.Fprintln(b, "\n| destinations | members | sender of shards: knows about, ready, memory, links until ready, links then | sender of all: ready, memory, links until ready, links then |")
 	fmt.Fprintln(b, "| --- | --- | --- | --- |")
-	for _, c := range r.Compare {
-		whole := fmt.Sprintf("%.2f s, %.1f MB, %.0f KB, %.2f KB/s", c.Whole.ReadyS, c.Whole.MemoryMB, c.WholeStartKB, c.Whole.LinkKBps)
-		if c.WholeEnded != "" {
-			whole = fmt.Sprintf("%s (%.1f MB, %.0f KB asked for in vain)", c.WholeEnded, c.Whole.MemoryMB, c.WholeStartKB)
+	for _, c := range r.Comparisons {
+		whole := fmt.Sprintf("%.2f s, %.1f MB, %.0f KB, %.2f KB/s", c.Whole.ReadySeconds, c.Whole.MemoryMB, c.WholeStartKB, c.Whole.LinkKBps)
+		if c.WholeFailure != "" {
+			whole = fmt.Sprintf("%s (%.1f MB, %.0f KB asked for in vain)", c.WholeFailure, c.Whole.MemoryMB, c.WholeStartKB)
 		}
-		fmt.Fprintf(b, "| %d | %d | %d, %.2f s, %.1f MB, %.0f KB, %.2f KB/s | %s |\n", c.Destinations, c.Members, c.Known, c.Shards.ReadyS, c.Shards.MemoryMB, c.ShardsStartKB, c.Shards.LinkKBps, whole)
+		fmt.Fprintf(b, "| %d | %d | %d, %.2f s, %.1f MB, %.0f KB, %.2f KB/s | %s |\n", c.Destinations, c.Members, c.KnownDestinations, c.Sharded.ReadySeconds, c.Sharded.MemoryMB, c.ShardedStartKB, c.Sharded.LinkKBps, whole)
 	}
 }
 
-// The marks between which a page's tables stand.
+// Marks around the generated tables of a page.
 const (
 	beginMark = "<!-- generated: scale. `make scale` writes what stands between these lines. -->"
 	endMark   = "<!-- end of scale -->"
 )
 
-// WritePage replaces a page's tables by those of a result.
+// WritePage replaces the tables between a page's marks with those of a result.
 func WritePage(path string, r *Result, budgets Budgets) error {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return err
 	}
-	at, till := bytes.Index(text, []byte(beginMark)), bytes.Index(text, []byte(endMark))
-	if at < 0 || till < at {
+	begin, end := bytes.Index(text, []byte(beginMark)), bytes.Index(text, []byte(endMark))
+	if begin < 0 || end < begin {
 		return fmt.Errorf("%s: the lines %q and %q are missing, or not in this order", path, beginMark, endMark)
 	}
 	var b bytes.Buffer
 	WriteTables(&b, r, budgets)
-	return os.WriteFile(path, slices.Concat(text[:at+len(beginMark)], []byte("\n\n"), b.Bytes(), []byte("\n"), text[till:]), 0o644)
+	return os.WriteFile(path, slices.Concat(text[:begin+len(beginMark)], []byte("\n\n"), b.Bytes(), []byte("\n"), text[end:]), 0o644)
 }
 
-// WriteJSON writes a result.
+// WriteJSON writes the result as indented JSON.
 func (r *Result) WriteJSON(out io.Writer) error {
 	encoder := json.NewEncoder(out)
 	encoder.SetIndent("", " ")
 	return encoder.Encode(r)
 }
 
-// LoadResult reads a result.
+// LoadResult reads a result from a JSON file.
 func LoadResult(path string) (*Result, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -177,7 +179,7 @@
 	return &r, nil
 }
 
-// WriteHTML draws a result as one page that needs nothing beside itself: the plots are SVG in it.
+// WriteHTML writes the result as a self-contained HTML page, with the plots as inline SVG.
 func (r *Result) WriteHTML(out io.Writer, budgets Budgets) error {
 	var tables bytes.Buffer
 	WriteTables(&tables, r, budgets)
@@ -186,7 +188,7 @@
 		Tables string
 		Plots  []template.HTML
 	}{Result: r, Tables: tables.String()}
-	sizes := r.sizesOf()
+	sizes := r.judgedSizes()
 	for i := range quantities {
 		if len(sizes) == 0 {
 			break
@@ -200,17 +202,17 @@
 	return pageTemplate.Execute(out, page)
 }
 
-// draw plots a quantity over the size, with its budget.
+// draw plots the quantity over the number of members, with its budget as a dashed line.
 func (q *quantity) draw(sizes []SizeResult, budgets Budgets) (template.HTML, error) {
 	p := plot.New()
 	p.Title.Text = q.name
 	p.X.Label.Text, p.Y.Label.Text = "members", q.unit
 	p.X.Min, p.Y.Min = 0, 0
 	var points plotter.XYs
-	most := q.budget(budgets)
+	maxValue := q.budget(budgets)
 	for i := range sizes {
 		points = append(points, plotter.XY{X: float64(sizes[i].Members), Y: q.value(&sizes[i])})
-		most = math.Max(most, points[i].Y)
+		maxValue = math.Max(maxValue, points[i].Y)
 	}
 	line, marks, err := plotter.NewLinePoints(points)
 	if err != nil {
@@ -221,7 +223,7 @@
 	p.Add(line, marks, limit)
 	p.Legend.Add("measured", line)
 	p.Legend.Add("budget", limit)
-	p.Y.Max = most * 1.1
+	p.Y.Max = maxValue * 1.1
 	canvas := vgsvg.New(16*vg.Centimeter, 7*vg.Centimeter)
 	p.Draw(draw.New(canvas))
 	var b bytes.Buffer
--- a/internal/lab/scale/site.go
+++ b/internal/lab/scale/site.go
@@ -18,67 +18,67 @@
 )
 
 const (
-	settleWithin = 2 * time.Minute
-	lookEvery    = 100 * time.Millisecond
+	settleTimeout = 2 * time.Minute
+	pollInterval  = 100 * time.Millisecond
 )
 
-// Programs are the programs that a run starts.
+// Programs holds the paths of the programs that a run starts.
 type Programs struct{ Sender, Lab string }
 
-// site is all processes of one size of a run.
+// site holds all processes of one size of a run.
 type site struct {
-	file     *File
-	programs Programs
-	dir      string
-	agent    *agent
-	controls []*controlProcess
-	relays   []*relay // all, to be closed
-	hollows  []*hollowProcess
-	senders  []*senderProcess
-	record   *record
-	members  []HollowMember
-	real     []HollowMember
+	file         *File
+	programs     Programs
+	dir          string
+	agent        *agent
+	controls     []*controlProcess
+	relays       []*relay // all relays, for close
+	hollows      []*hollowProcess
+	senders      []*senderProcess
+	observations *observationLog
+	members      []HollowMember
+	realSenders  []HollowMember
 }
 
-// controlProcess is a control member. The others reach it by relays.
+// controlProcess is a control member. The other control members reach it through relays.
 type controlProcess struct {
-	name, group, directory, region string
-	index                          int
-	path                           string
-	child                          atomic.Pointer[child]
-	in                             []*relay // by which others reach it, by the other's index; two each
+	name, groupAddr, directoryAddr, region string
+	index                                  int
+	configPath                             string
+	child                                  atomic.Pointer[child]
+	relays                                 []*relay // relays with this member at either end: two for each direction of a pair
 }
 
-// senderProcess is a real sender, whose links to control members are counted.
+// senderProcess is a real sender. Relays count the bytes on its links to control members and discovery.
 type senderProcess struct {
-	name   string
-	addr   string
-	child  *child // started once
-	relays []*relay
-	config string
-	xml    string
-	ready  time.Duration // from its start until /up answered 200
+	name         string
+	addr         string
+	child        *child // never restarted
+	relays       []*relay
+	configPath   string
+	operatorPath string
+	readyDelay   time.Duration // from the process start until /up answered 200
 }
 
 func regionName(i int) string { return fmt.Sprintf("region-%d", i) }
 
-// placeOf is the region and zone of the n-th of a row of members, which goes round the zones.
-func (f *File) placeOf(n int) (region, zone string) {
+// locationOf returns the region and zone of the n-th member. Members are spread over the zones in turn.
+func (f *File) locationOf(n int) (region, zone string) {
 	z := n % f.Zones
 	return regionName(z % f.Regions), fmt.Sprintf("zone-%02d", z)
 }
 
-// newSite prepares the processes of so many members and destinations, and starts the control members.
+// newSite starts the discovery agent, with the given number of destinations, and the control members.
 func newSite(ctx context.Context, f *File, programs Programs, dir string, destinations int) (*site, error) {
-	s := &site{file: f, programs: programs, dir: dir, record: newRecord()}
+	s := &site{file: f, programs: programs, dir: dir, observations: newObservationLog()}
 	var err error
 	if s.agent, err = newAgent(destinations); err != nil {
 		return nil, err
 	}
 	for i := range f.Controls {
 		c := &controlProcess{name: fmt.Sprintf("control-%02d", i), region: regionName(i % f.Regions), index: i}
-		if c.group, err = proc.FreeAddr(); err == nil {
-			c.directory, err = proc.FreeAddr()
+		if c.groupAddr, err = proc.FreeAddr(); err == nil {
+			c.directoryAddr, err = proc.FreeAddr()
 		}
 		if err != nil {
 			return s, err
@@ -98,7 +98,7 @@
 	return s, nil
 }
 
-// voters is how many control members vote.
+// voters returns the number of control members that vote.
 func (f *File) voters() int {
 	if f.Controls >= 5 {
 		return 5
@@ -106,12 +106,12 @@
 	return 3
 }
 
-// configureControl writes a control member's file. It reaches each other one by relays of its own.
+// configureControl writes a control member's file. The member reaches each of the others through relays of its own.
 func (s *site) configureControl(c *controlProcess) error {
-	var text strings.Builder
-	fmt.Fprintf(&text, "<control version=\"1\" name=%q state=\"state\" discovery=%q replicas=\"%d\">\n", c.name, s.agent.addr(), s.file.Replicas)
+	var xml strings.Builder
+	fmt.Fprintf(&xml, "<control version=\"1\" name=%q state=\"state\" discovery=%q replicas=\"%d\">\n", c.name, s.agent.addr(), s.file.Replicas)
 	for _, other := range s.controls {
-		group, dir := other.group, other.directory
+		group, dir := other.groupAddr, other.directoryAddr
 		if other != c {
 			for _, target := range []*string{&group, &dir} {
 				r, err := newRelay(*target)
@@ -119,34 +119,34 @@
 					return err
 				}
 				s.relays = append(s.relays, r)
-				other.in = append(other.in, r)
-				c.in = append(c.in, r) // cut where either end is cut off
+				other.relays = append(other.relays, r)
+				c.relays = append(c.relays, r) // to be cut when either end is partitioned
 				*target = r.addr()
 			}
 		}
-		fmt.Fprintf(&text, " <member name=%q addr=%q directory=%q region=%q voter=\"%t\"/>\n", other.name, group, dir, other.region, other.index < s.file.voters())
+		fmt.Fprintf(&xml, " <member name=%q addr=%q directory=%q region=%q voter=\"%t\"/>\n", other.name, group, dir, other.region, other.index < s.file.voters())
 	}
-	text.WriteString(" <duties lease=\"5s\" election=\"1s\"/>\n</control>\n")
+	xml.WriteString(" <duties lease=\"5s\" election=\"1s\"/>\n</control>\n")
 	dir := filepath.Join(s.dir, c.name)
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return err
 	}
-	c.path = filepath.Join(dir, "control.xml")
-	return os.WriteFile(c.path, []byte(text.String()), 0o600)
+	c.configPath = filepath.Join(dir, "control.xml")
+	return os.WriteFile(c.configPath, []byte(xml.String()), 0o600)
 }
 
 func (s *site) startControl(ctx context.Context, c *controlProcess) error {
-	started, err := spawn(ctx, s.dir, c.name, nil, nil, nil, s.programs.Sender, "control", "run", c.path)
+	started, err := spawn(ctx, s.dir, c.name, nil, nil, nil, s.programs.Sender, "control", "run", c.configPath)
 	if err == nil {
 		c.child.Store(started)
 	}
 	return err
 }
 
-// status asks a control member what it holds.
+// status requests a control member's status.
 func (c *controlProcess) status(ctx context.Context) (control.Status, error) {
 	var status control.Status
-	conn, err := link.Dial(c.directory, nil)
+	conn, err := link.Dial(c.directoryAddr, nil)
 	if err != nil {
 		return status, err
 	}
@@ -160,7 +160,7 @@
 	return status, json.Unmarshal([]byte(a.Status), &status)
 }
 
-// leader is the control member that leads by what most say, nil if none does.
+// leader returns the control member that a majority reports as leader, or nil if there is none.
 func (s *site) leader(ctx context.Context) *controlProcess {
 	votes := map[string]int{}
 	for _, c := range s.controls {
@@ -176,9 +176,9 @@
 	return nil
 }
 
-// awaitDirectory waits until every control member holds the whole list.
+// awaitDirectory waits until every control member holds the whole endpoint list.
 func (s *site) awaitDirectory(ctx context.Context) error {
-	for end := time.Now().Add(settleWithin); time.Now().Before(end); time.Sleep(lookEvery) {
+	for end := time.Now().Add(settleTimeout); time.Now().Before(end); time.Sleep(pollInterval) {
 		behind := 0
 		for _, c := range s.controls {
 			select {
@@ -186,7 +186,7 @@
 				return fmt.Errorf("%s ended at its start", c.name)
 			default:
 			}
-			if status, err := c.status(ctx); err != nil || status.Endpoints < s.agent.count {
+			if status, err := c.status(ctx); err != nil || status.Endpoints < s.agent.destinations {
 				behind++
 			}
 		}
@@ -197,125 +197,126 @@
 			return err
 		}
 	}
-	return fmt.Errorf("the control members did not hold the list in %v", settleWithin)
+	return fmt.Errorf("the control members did not hold the list in %v", settleTimeout)
 }
 
 func (s *site) servers() (list []ControlServer) {
 	for _, c := range s.controls {
-		list = append(list, ControlServer{c.name, c.directory, c.region})
+		list = append(list, ControlServer{c.name, c.directoryAddr, c.region})
 	}
 	return list
 }
 
-// startHollows starts so many hollow members, a process for each zone and so many of its members.
-func (s *site) startHollows(ctx context.Context, count int, guard uint) error {
+// startHollows starts count hollow members. The members of a process are all of one zone.
+func (s *site) startHollows(ctx context.Context, count int, disabledChecks uint) error {
 	byZone := map[string]*hollowProcess{}
 	for n := range count {
-		region, zone := s.file.placeOf(n)
+		region, zone := s.file.locationOf(n)
 		m := HollowMember{Number: n, Name: fmt.Sprintf("hollow-%05d", n), Region: region, Zone: zone}
 		s.members = append(s.members, m)
 		h := byZone[zone]
-		if h == nil || len(h.settings.Members) >= s.file.PerProcess {
-			h = &hollowProcess{name: fmt.Sprintf("hollows-%03d", len(s.hollows)), zone: zone, settings: HollowSettings{Controls: s.servers(), Break: guard}}
+		if h == nil || len(h.settings.Members) >= s.file.MembersPerProcess {
+			h = &hollowProcess{name: fmt.Sprintf("hollows-%03d", len(s.hollows)), zone: zone, settings: HollowSettings{Controls: s.servers(), DisabledChecks: disabledChecks}}
 			byZone[zone] = h
 			s.hollows = append(s.hollows, h)
 		}
 		h.settings.Members = append(h.settings.Members, m)
 	}
 	for _, h := range s.hollows {
-		if err := h.start(ctx, s.programs.Lab, s.dir, s.record); err != nil {
+		if err := h.start(ctx, s.programs.Lab, s.dir, s.observations); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// awaitServing waits until all hollow members serve something.
+// awaitServing waits until every hollow member serves a shard.
 func (s *site) awaitServing(ctx context.Context) error {
-	for end := time.Now().Add(settleWithin); time.Now().Before(end); time.Sleep(lookEvery) {
-		if s.record.serving() == len(s.members) {
+	for end := time.Now().Add(settleTimeout); time.Now().Before(end); time.Sleep(pollInterval) {
+		if s.observations.servingCount() == len(s.members) {
 			return nil
 		}
 		if err := ctx.Err(); err != nil {
 			return err
 		}
 	}
-	return fmt.Errorf("%d of %d members served something in %v", s.record.serving(), len(s.members), settleWithin)
+	return fmt.Errorf("%d of %d members served something in %v", s.observations.servingCount(), len(s.members), settleTimeout)
 }
 
-// startSender starts a real sender, of shards or as one that knows every destination, and waits until it is ready.
+// startSender starts a real sender and waits until it is ready. It is either sharded, or subscribes to discovery
+// itself and knows every destination.
 func (s *site) startSender(ctx context.Context, name string, n int, sharded bool) (*senderProcess, error) {
-	p := &senderProcess{name: name}
-	region, zone := s.file.placeOf(n)
+	sender := &senderProcess{name: name}
+	region, zone := s.file.locationOf(n)
 	addr, err := proc.FreeAddr()
 	if err != nil {
 		return nil, err
 	}
-	p.addr = addr
+	sender.addr = addr
 	agentRelay, err := newRelay(s.agent.addr())
 	if err != nil {
 		return nil, err
 	}
-	p.relays = append(p.relays, agentRelay)
+	sender.relays = append(sender.relays, agentRelay)
 	s.relays = append(s.relays, agentRelay)
 	var xml strings.Builder
 	xml.WriteString("<sliptide version=\"1\">\n <ready patience=\"2m\"/>\n")
 	if sharded {
 		fmt.Fprintf(&xml, " <fleet><shards enabled=\"true\" region=%q zone=%q replicas=\"%d\">\n", region, zone, s.file.Replicas)
 		for _, c := range s.controls {
-			r, err := newRelay(c.directory)
+			r, err := newRelay(c.directoryAddr)
 			if err != nil {
 				return nil, err
 			}
-			p.relays = append(p.relays, r)
+			sender.relays = append(sender.relays, r)
 			s.relays = append(s.relays, r)
 			fmt.Fprintf(&xml, "  <control name=%q addr=%q region=%q/>\n", c.name, r.addr(), c.region)
 		}
 		xml.WriteString(" </shards></fleet>\n")
-		s.real = append(s.real, HollowMember{Name: name, Region: region, Zone: zone})
+		s.realSenders = append(s.realSenders, HollowMember{Name: name, Region: region, Zone: zone})
 	}
 	xml.WriteString("</sliptide>\n")
 	dir := filepath.Join(s.dir, name)
 	if err := os.MkdirAll(filepath.Join(dir, "state"), 0o700); err != nil {
 		return nil, err
 	}
-	p.config, p.xml = filepath.Join(dir, "config.json"), filepath.Join(dir, "sliptide.xml")
-	if err := os.WriteFile(p.xml, []byte(xml.String()), 0o600); err != nil {
+	sender.configPath, sender.operatorPath = filepath.Join(dir, "config.json"), filepath.Join(dir, "sliptide.xml")
+	if err := os.WriteFile(sender.operatorPath, []byte(xml.String()), 0o600); err != nil {
 		return nil, err
 	}
 	text, err := json.Marshal(senderConfig(name, addr, agentRelay.addr()))
 	if err == nil {
-		err = os.WriteFile(p.config, text, 0o600)
+		err = os.WriteFile(sender.configPath, text, 0o600)
 	}
 	if err != nil {
 		return nil, err
 	}
-	began := time.Now()
-	p.child, err = spawn(ctx, s.dir, name, []string{"RELAY_CONFIG=" + p.config, "RELAY_STATE=" + filepath.Join(dir, "state")}, nil, nil, s.programs.Sender, "run", "--operator", p.xml)
+	startTime := time.Now()
+	sender.child, err = spawn(ctx, s.dir, name, []string{"RELAY_CONFIG=" + sender.configPath, "RELAY_STATE=" + filepath.Join(dir, "state")}, nil, nil, s.programs.Sender, "run", "--operator", sender.operatorPath)
 	if err != nil {
 		return nil, err
 	}
-	s.senders = append(s.senders, p)
-	for end := time.Now().Add(settleWithin); time.Now().Before(end); time.Sleep(lookEvery / 10) {
+	s.senders = append(s.senders, sender)
+	for end := time.Now().Add(settleTimeout); time.Now().Before(end); time.Sleep(pollInterval / 10) {
 		if response, err := http.Get("http://" + addr + "/up"); err == nil {
 			response.Body.Close()
 			if response.StatusCode == http.StatusOK {
-				p.ready = time.Since(began)
-				return p, nil
+				sender.readyDelay = time.Since(startTime)
+				return sender, nil
 			}
 		}
 		select {
-		case <-p.child.exited:
-			return p, fmt.Errorf("%s ended", name)
+		case <-sender.child.exited:
+			return sender, fmt.Errorf("%s ended", name)
 		case <-ctx.Done():
-			return p, ctx.Err()
+			return sender, ctx.Err()
 		default:
 		}
 	}
-	return p, fmt.Errorf("%s was not ready in %v", name, settleWithin)
+	return sender, fmt.Errorf("%s was not ready in %v", name, settleTimeout)
 }
 
-// senderConfig is the platform's file of a real sender.
+// senderConfig returns the platform's configuration of a real sender.
 func senderConfig(name, addr, discovery string) map[string]any {
 	return map[string]any{
 		"name": name, "listen": addr, "discovery": discovery, "seed": "8c1f30d27a5be964",
@@ -332,7 +333,8 @@
 	}
 }
 
-// linkBytes is what a sender's links to control members and discovery have carried so far, both ways.
+// linkBytes returns the bytes carried so far, in both directions, by the sender's links to control members and
+// discovery.
 func (p *senderProcess) linkBytes() (n int64) {
 	for _, r := range p.relays {
 		n += r.bytes.Load()
@@ -340,8 +342,8 @@
 	return n
 }
 
-// memory is what all processes hold, this one included.
-func (s *site) memory() int64 {
+// residentBytes returns the resident memory of all processes, including this one.
+func (s *site) residentBytes() int64 {
 	total := proc.ResidentBytes(os.Getpid())
 	add := func(c *child) {
 		if c != nil {
@@ -354,19 +356,19 @@
 	for _, h := range s.hollows {
 		add(h.child.Load())
 	}
-	for _, p := range s.senders {
-		add(p.child)
+	for _, sender := range s.senders {
+		add(sender.child)
 	}
 	return total
 }
 
-// close ends all processes.
+// close ends all processes, relays and the agent.
 func (s *site) close() {
 	for _, h := range s.hollows {
 		h.child.Load().kill()
 	}
-	for _, p := range s.senders {
-		p.child.kill()
+	for _, sender := range s.senders {
+		sender.child.kill()
 	}
 	for _, c := range s.controls {
 		c.child.Load().kill()
