--- a/example/fleet/main.go
+++ b/example/fleet/main.go
@@ -110,19 +110,19 @@
 }
 
 // Write implements io.Writer.
-func (d *fleetLog) Write(b []byte) (int, error) {
-	d.buffered = append(d.buffered, b...)
+func (l *fleetLog) Write(b []byte) (int, error) {
+	l.buffered = append(l.buffered, b...)
 	for {
-		line, rest, found := bytes.Cut(d.buffered, []byte{'\n'})
+		line, rest, found := bytes.Cut(l.buffered, []byte{'\n'})
 		if !found {
 			return len(b), nil
 		}
-		d.buffered = rest
+		l.buffered = rest
 		var record struct{ Message, Duty string }
 		if json.Unmarshal(line, &record) == nil &&
 			(strings.HasPrefix(record.Message, "fleet: ") || strings.HasPrefix(record.Message, "copies: ")) &&
 			!strings.Contains(record.Message, "link") {
-			log.Printf("%s %s %s", d.name, record.Message, record.Duty)
+			log.Printf("%s %s %s", l.name, record.Message, record.Duty)
 		}
 	}
 }
@@ -146,26 +146,26 @@
 
 var messages = outcomes{accepted: map[string]bool{}, ended: map[string]bool{}}
 
-func (l *outcomes) add(ids map[string]bool, id string) {
-	l.Lock()
-	defer l.Unlock()
+func (o *outcomes) add(ids map[string]bool, id string) {
+	o.Lock()
+	defer o.Unlock()
 	ids[id] = true
 }
 
 // count returns the number of accepted messages, and of those without a final answer.
-func (l *outcomes) count() (accepted, unanswered int) {
-	l.Lock()
-	defer l.Unlock()
-	for id := range l.accepted {
-		if !l.ended[id] {
+func (o *outcomes) count() (accepted, unanswered int) {
+	o.Lock()
+	defer o.Unlock()
+	for id := range o.accepted {
+		if !o.ended[id] {
 			unanswered++
 		}
 	}
-	return len(l.accepted), unanswered
+	return len(o.accepted), unanswered
 }
 
 // loseSender simulates the loss of a machine that holds messages, and reports how many messages have no final answer.
-func loseSender(sender *exec.Cmd, stateDir string, down *atomic.Bool, stop chan<- os.Signal) {
+func loseSender(sender *exec.Cmd, stateDir string, down *atomic.Bool, interrupts chan<- os.Signal) {
 	time.Sleep(8 * time.Second)
 	down.Store(true)
 	time.Sleep(3 * time.Second)
@@ -189,7 +189,7 @@
 		time.Sleep(100 * time.Millisecond)
 	}
 	log.Printf("%d messages accepted, %d without a final answer", accepted, unanswered)
-	stop <- os.Interrupt
+	interrupts <- os.Interrupt
 }
 
 // loadStopped stops sendMessages.
--- a/internal/lab/cli/capacity.go
+++ b/internal/lab/cli/capacity.go
@@ -19,7 +19,6 @@
 	Again  bool     `help:"Measure nothing: write the page from the record."`
 }
 
-// Run runs the command.
 func (c *capacityCmd) Run(env *Env) error {
 	target, err := capacity.LoadTarget(c.Target)
 	if err != nil {
--- a/internal/lab/cli/cli.go
+++ b/internal/lab/cli/cli.go
@@ -49,7 +49,6 @@
 	Seeds   int    `help:"Seeds of each point, in place of the file's." placeholder:"N"`
 }
 
-// Run runs the command.
 func (c *runCmd) Run(env *Env) error {
 	f, err := experiment.Load(c.File)
 	if err != nil {
@@ -129,7 +128,6 @@
 	Results string `default:"lab-results" help:"Folder of their results." placeholder:"DIR"`
 }
 
-// Run runs the command.
 func (c *listCmd) Run(env *Env) error {
 	files, err := filepath.Glob(filepath.Join(c.Folder, "*.xml"))
 	if err != nil {
@@ -158,7 +156,6 @@
 	Out  string `help:"The page; else beside the results." placeholder:"FILE"`
 }
 
-// Run runs the command.
 func (c *reportCmd) Run(env *Env) error {
 	e, err := loadResults(c.File)
 	if err != nil {
@@ -193,7 +190,6 @@
 	Level float64 `default:"0.01" help:"Significance level: differences with a lower p-value are shown."`
 }
 
-// Run runs the command.
 func (c *compareCmd) Run(env *Env) error {
 	a, err := loadResults(c.A)
 	if err != nil {
@@ -220,7 +216,6 @@
 
 type schemaCmd struct{}
 
-// Run runs the command.
 func (schemaCmd) Run(env *Env) error {
 	_, err := io.WriteString(env.Out, experiment.Schema())
 	return err
--- a/internal/lab/cli/count.go
+++ b/internal/lab/cli/count.go
@@ -13,7 +13,6 @@
 	Dest   int           `default:"-1" help:"One destination alone." placeholder:"N"`
 }
 
-// Run runs the command.
 func (c *countCmd) Run(env *Env) error {
 	if c.Every <= 0 {
 		return errors.New("--every must be more than 0")
--- a/internal/lab/cli/scale.go
+++ b/internal/lab/cli/scale.go
@@ -28,7 +28,6 @@
 // errNotClean reports a run with findings, or one that did not complete as planned.
 var errNotClean = errors.New("the run has findings or did not complete")
 
-// Run runs the command.
 func (c *scaleCmd) Run(env *Env) error {
 	if c.Schema {
 		_, err := fmt.Fprint(env.Out, scale.Schema())
@@ -131,5 +130,4 @@
 // membersCmd runs a process of hollow members. Scale runs start it.
 type membersCmd struct{}
 
-// Run runs the command.
 func (c *membersCmd) Run(env *Env) error { return scale.RunHollow(env.Ctx, os.Stdin, env.Out) }
--- a/internal/lab/collector/collector.go
+++ b/internal/lab/collector/collector.go
@@ -231,13 +231,13 @@
 		return err
 	}
 	if !waitToAnswer(stream.Context(), &behaviour, closed) {
-		return status.Error(codes.Unavailable, "collector closed or request cancelled")
+		return status.Error(codes.Unavailable, "gone")
 	}
 	switch {
 	case behaviour.Status == 400:
-		return status.Error(codes.InvalidArgument, "simulated rejection")
+		return status.Error(codes.InvalidArgument, "as told")
 	case behaviour.Status != 0:
-		s := status.New(codes.Unavailable, "simulated unavailability")
+		s := status.New(codes.Unavailable, "as told")
 		if behaviour.RetryAfter > 0 {
 			s, _ = s.WithDetails(&errdetails.RetryInfo{RetryDelay: durationpb.New(behaviour.RetryAfter)})
 		}
@@ -275,7 +275,7 @@
 		for _, ss := range rs.ScopeSpans {
 			if ss.Scope.GetName() == "" {
 				c.mu.Unlock()
-				return nil, errors.New("instrumentation scope has no name")
+				return nil, errors.New("a scope without a name")
 			}
 			c.spans = append(c.spans, ss.Spans...)
 		}
@@ -287,7 +287,7 @@
 	answer := &colltrace.ExportTraceServiceResponse{}
 	if reject > 0 {
 		answer.PartialSuccess = &colltrace.ExportTracePartialSuccess{
-			RejectedSpans: reject, ErrorMessage: "simulated partial rejection"}
+			RejectedSpans: reject, ErrorMessage: "as told"}
 	}
 	return proto.Marshal(answer)
 }
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -167,6 +167,6 @@
 	cancel()
 	f, _ := experiment.Read("f.xml", strings.NewReader(smallExperiment))
 	if e, err := runner.Run(ctx, f, 2, nil); e != nil || !reflect.DeepEqual(err, context.Canceled) {
-		t.Errorf("result %v, error %v; want no result and %v", e, err, context.Canceled)
+		t.Errorf("result %v, error %v; want no result and context canceled", e, err)
 	}
 }
