--- a/internal/lab/scale/run.go
+++ b/internal/lab/scale/run.go
@@ -160,7 +160,7 @@
 	result.SettleSeconds = time.Since(startTime).Seconds()
 	o.OnPhase(size, "schedule")
 	err = run.runSchedule(ctx)
-	result.MemoryMB, result.LoadAverage = run.maxMemoryMB, proc.Load()
+	result.MemoryMB, result.LoadAverage = run.maxMemoryMB, proc.LoadAverage()
 	for _, c := range site.controls {
 		result.Controls = append(result.Controls, run.readMeter(c.name, c.child.Load(), 0, 0))
 	}
@@ -255,7 +255,7 @@
 
 // startMeter starts measuring a process that has carried the given bytes so far.
 func (r *sizeRun) startMeter(c *child, bytes int64) {
-	processorTime, _ := proc.ProcessorTime(c.cmd.Process.Pid)
+	processorTime, _ := proc.CPUSeconds(c.cmd.Process.Pid)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.meters[c] = &usageMeter{startProcessorTime: processorTime, startBytes: bytes, startTime: time.Now()}
@@ -269,7 +269,7 @@
 	if m == nil {
 		return Usage{Name: name}
 	}
-	processorTime, err := proc.ProcessorTime(c.cmd.Process.Pid)
+	processorTime, err := proc.CPUSeconds(c.cmd.Process.Pid)
 	elapsed := time.Since(m.startTime).Seconds()
 	if err == nil && elapsed > 0 {
 		m.CorePercent = 100 * (processorTime - m.startProcessorTime) / elapsed
@@ -284,7 +284,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for c, m := range r.meters {
-		m.MemoryMB = max(m.MemoryMB, float64(proc.Resident(c.cmd.Process.Pid))/1e6)
+		m.MemoryMB = max(m.MemoryMB, float64(proc.ResidentBytes(c.cmd.Process.Pid))/1e6)
 	}
 	total := r.residentBytes()
 	r.maxMemoryMB = max(r.maxMemoryMB, float64(total)/1e6)
