--- a/internal/lab/capacity/capacity_test.go
+++ b/internal/lab/capacity/capacity_test.go
@@ -23,7 +23,7 @@
 
 func TestTarget(t *testing.T) {
 	read := target(t)
-	if read.Senders != 14000 || math.Round(read.EventsOfSender()) != 1143 || read.Down() != 46000 || math.Round(read.BacklogOfSender()/1e4) != 607 {
+	if read.Senders != 14000 || math.Round(read.EventsPerSecondPerSender()) != 1143 || read.DownDestinations() != 46000 || math.Round(read.BacklogPerSender()/1e4) != 607 {
 		t.Errorf("%+v", read)
 	}
 	text, err := os.ReadFile(targetFile)
@@ -55,7 +55,7 @@
 	if math.Abs(s.Fit.Base-5) > 1e-6 || math.Abs(s.Fit.Slope-0.2) > 1e-9 || s.Fit.Residual > 1e-9 {
 		t.Errorf("fit %+v, want 5 + 0.2", s.Fit)
 	}
-	if missed := s.Missed(); math.Abs(missed-(20005.0/40010-1)) > 1e-9 {
+	if missed := s.ForecastError(); math.Abs(missed-(20005.0/40010-1)) > 1e-9 {
 		t.Errorf("missed by %g", missed)
 	}
 	noisy := FitLine([]Point{{10, 7.7}, {100, 25}, {1000, 205}, {10000, 2005}})
@@ -77,7 +77,7 @@
 		{"linear", Row{Need: func(t *Target, s []float64) float64 { return s[0] * t.Destinations }, Budget: memory}, 64e-6 * 10, 0.1},
 		{"quadratic", Row{Need: func(t *Target, s []float64) float64 { return s[0] * t.Senders * t.Senders }, Budget: memory}, 128 / 14000.0 / 14000 * 4, 0.5},
 		{"holds", Row{Need: func(t *Target, s []float64) float64 { return s[0] * t.Senders }, Budget: memory}, 128 / 14000.0 / 3, 3},
-		{"one sender's", Row{Fixed: true, Need: func(t *Target, s []float64) float64 { return s[0] * t.BacklogOfSender() }, Budget: memory}, 128 / at.BacklogOfSender() * 5, 0.2},
+		{"one sender's", Row{PerSender: true, Need: func(t *Target, s []float64) float64 { return s[0] * t.BacklogPerSender() }, Budget: memory}, 128 / at.BacklogPerSender() * 5, 0.2},
 	} {
 		if got, stated := c.row.BreaksAt(at, []float64{c.slope}); !stated || math.Abs(got/c.want-1) > 1e-6 {
 			t.Errorf("%s: breaks at %g, want %g", c.name, got, c.want)
@@ -104,7 +104,7 @@
 	for _, row := range Rows() {
 		for _, name := range row.Series {
 			if !names[name] {
-				t.Errorf("%s takes the slope of %s, which nothing measures", row.What, name)
+				t.Errorf("%s takes the slope of %s, which nothing measures", row.Description, name)
 			}
 		}
 	}
@@ -112,9 +112,9 @@
 
 // Measurements that need no process of their own run, at their smallest sizes.
 func TestMeasurementsRun(t *testing.T) {
-	e := &Env{Ctx: context.Background(), Dir: t.TempDir()}
+	e := &Env{Ctx: context.Background(), ScratchDir: t.TempDir()}
 	for _, m := range Measurements() {
-		if m.Process {
+		if m.RealProcess {
 			continue
 		}
 		m.Sizes, m.Repeats = m.Sizes[:3], 1
--- a/internal/lab/capacity/fit.go
+++ b/internal/lab/capacity/fit.go
@@ -45,21 +45,21 @@
 
 // Series is one measurement at all its sizes. The last point is left out of the fit, which foretells it.
 type Series struct {
-	Name    string  `json:"name"`
-	Role    string  `json:"role"`
-	What    string  `json:"what"`
-	Unit    string  `json:"unit"`
-	Per     string  `json:"per"`
-	Process bool    `json:"process"` // measured on a real process, else in the measuring one
-	Points  []Point `json:"points"`
-	Fit     Fit     `json:"fit"`
+	Name        string  `json:"name"`
+	Role        string  `json:"role"`
+	Description string  `json:"what"`
+	Unit        string  `json:"unit"`
+	Per         string  `json:"per"`
+	RealProcess bool    `json:"process"` // measured on a real process, else in the measuring one
+	Points      []Point `json:"points"`
+	Fit         Fit     `json:"fit"`
 }
 
 // Largest is the point that was left out of the fit.
 func (s *Series) Largest() Point { return s.Points[len(s.Points)-1] }
 
 // Missed is by how much the forecast of the largest point missed what was measured, as a share of the latter.
-func (s *Series) Missed() float64 {
+func (s *Series) ForecastError() float64 {
 	last := s.Largest()
 	return s.Fit.At(last.Size)/last.Value - 1
 }
--- a/internal/lab/capacity/measure.go
+++ b/internal/lab/capacity/measure.go
@@ -13,18 +13,18 @@
 
 // Measurement is one way to measure at a size.
 type Measurement struct {
-	Name, Role, What, Unit, Per string
-	Process                     bool  // on a real process
-	Sizes                       []int // ascending; the last is foretold from the others
-	Repeats                     int   // the least of so many runs counts; for times, which other work can only lengthen
-	Run                         func(e *Env, size int) (float64, error)
+	Name, Role, Description, Unit, Per string
+	RealProcess                        bool  // on a real process
+	Sizes                              []int // ascending; the last is foretold from the others
+	Repeats                            int   // the least of so many runs counts; for times, which other work can only lengthen
+	Run                                func(e *Env, size int) (float64, error)
 }
 
 // Env is what measurements work in.
 type Env struct {
-	Ctx    context.Context
-	Binary string // the sender's program
-	Dir    string // a scratch folder
+	Ctx        context.Context
+	Binary     string // the sender's program
+	ScratchDir string // a scratch folder
 }
 
 // Run makes all measurements, or those whose names are given. done is told after each size.
@@ -55,7 +55,7 @@
 }
 
 func (m *Measurement) run(e *Env, done func(string)) (*Series, error) {
-	s := &Series{Name: m.Name, Role: m.Role, What: m.What, Unit: m.Unit, Per: m.Per, Process: m.Process}
+	s := &Series{Name: m.Name, Role: m.Role, Description: m.Description, Unit: m.Unit, Per: m.Per, RealProcess: m.RealProcess}
 	for _, size := range m.Sizes {
 		if err := e.Ctx.Err(); err != nil {
 			return nil, err
@@ -77,7 +77,7 @@
 }
 
 // Sizes is how many sizes all measurements have.
-func Sizes(only []string) (n int) {
+func SizeCount(only []string) (n int) {
 	for _, m := range Measurements() {
 		if selected(m.Name, only) {
 			n += len(m.Sizes)
--- a/internal/lab/capacity/measure_control.go
+++ b/internal/lab/capacity/measure_control.go
@@ -12,13 +12,13 @@
 
 func controlMeasurements() []Measurement {
 	return []Measurement{{
-		Name: "directory-memory", Role: roleControl, What: "memory of the directory, one endpoint a destination", Unit: "KB", Per: "destination",
+		Name: "directory-memory", Role: roleControl, Description: "memory of the directory, one endpoint a destination", Unit: "KB", Per: "destination",
 		Sizes: []int{3000, 10000, 30000, 100000, 300000, 1000000},
 		Run: func(_ *Env, size int) (float64, error) {
 			return heapGrowth(func() any { return fullDirectory(size) }) / 1e3, nil
 		},
 	}, {
-		Name: "shard-join", Role: roleControl, What: "processor time of the assignment when a member of a region joins and leaves again", Unit: "ms", Per: "member of the region",
+		Name: "shard-join", Role: roleControl, Description: "processor time of the assignment when a member of a region joins and leaves again", Unit: "ms", Per: "member of the region",
 		Sizes: []int{30, 100, 300, 1000, 2800}, Repeats: 5,
 		Run: func(_ *Env, size int) (float64, error) {
 			table := shard.NewTable(replicas)
--- a/internal/lab/capacity/measure_fleet.go
+++ b/internal/lab/capacity/measure_fleet.go
@@ -20,27 +20,27 @@
 
 func fleetMeasurements() []Measurement {
 	return []Measurement{{
-		Name: "group-frames", Role: roleVoter, What: "frames a second of a group in calm, in the model", Unit: "frames/s", Per: "sender",
+		Name: "group-frames", Role: roleVoter, Description: "frames a second of a group in calm, in the model", Unit: "frames/s", Per: "sender",
 		Sizes: []int{10, 30, 100, 300, 900}, Run: groupFrames,
 	}, {
-		Name: "link-frame", Role: roleVoter, What: "processor time of frames over a link, both ends", Unit: "ms", Per: "frame",
+		Name: "link-frame", Role: roleVoter, Description: "processor time of frames over a link, both ends", Unit: "ms", Per: "frame",
 		Sizes: []int{1000, 3000, 10000, 30000, 100000}, Repeats: 4, Run: linkFrames,
 	}, {
-		Name: "session-end", Role: roleVoter, What: "processor time to end one session, by the duties that the group holds", Unit: "us", Per: "duty",
+		Name: "session-end", Role: roleVoter, Description: "processor time to end one session, by the duties that the group holds", Unit: "us", Per: "duty",
 		Sizes: []int{80, 250, 800, 2500, duty.MaxDuties}, Repeats: 9, Run: sessionEnd,
 	}, {
-		Name: "state-session", Role: roleVoter, What: "snapshot of the agreed state, by sessions", Unit: "KB", Per: "sender",
+		Name: "state-session", Role: roleVoter, Description: "snapshot of the agreed state, by sessions", Unit: "KB", Per: "sender",
 		Sizes: []int{10, 30, 100, 300, duty.MaxSessions},
 		Run:   func(_ *Env, size int) (float64, error) { return snapshotSize(size, 0) },
 	}, {
-		Name: "state-duty", Role: roleVoter, What: "snapshot of the agreed state, by duties", Unit: "KB", Per: "duty",
+		Name: "state-duty", Role: roleVoter, Description: "snapshot of the agreed state, by duties", Unit: "KB", Per: "duty",
 		Sizes: []int{80, 250, 800, 2500, duty.MaxDuties},
 		Run:   func(_ *Env, size int) (float64, error) { return snapshotSize(1, size) },
 	}, {
-		Name: "present-bytes", Role: roleVoter, What: "frame that tells each member of a session that began or ended", Unit: "KB", Per: "sender",
+		Name: "present-bytes", Role: roleVoter, Description: "frame that tells each member of a session that began or ended", Unit: "KB", Per: "sender",
 		Sizes: []int{10, 100, 1000, 3000, 14000}, Run: presentBytes,
 	}, {
-		Name: "status-bytes", Role: roleOperator, What: "answer to `sliptide fleet status`, by members", Unit: "KB", Per: "sender",
+		Name: "status-bytes", Role: roleOperator, Description: "answer to `sliptide fleet status`, by members", Unit: "KB", Per: "sender",
 		Sizes: []int{10, 100, 1000, 3000, 14000}, Run: statusBytes,
 	}}
 }
--- a/internal/lab/capacity/measure_process.go
+++ b/internal/lab/capacity/measure_process.go
@@ -36,22 +36,22 @@
 func processMeasurements() []Measurement {
 	held := []int{300, 1000, 3000, 10000, 30000}
 	return []Measurement{{
-		Name: "destination-memory", Role: roleSender, What: "resident memory of a sender that knows so many destinations, one endpoint each, idle",
-		Unit: "MB", Per: "destination", Process: true, Sizes: []int{40, 130, 400, 1300, 4000}, Repeats: 2, Run: destinationMemory,
+		Name: "destination-memory", Role: roleSender, Description: "resident memory of a sender that knows so many destinations, one endpoint each, idle",
+		Unit: "MB", Per: "destination", RealProcess: true, Sizes: []int{40, 130, 400, 1300, 4000}, Repeats: 2, Run: destinationMemory,
 	}, {
-		Name: "restart-memory", Role: roleSender, What: "resident memory of a sender that restarted with so many events of 500 bytes in its journal",
-		Unit: "MB", Per: "held event", Process: true, Sizes: held, Repeats: 3,
+		Name: "restart-memory", Role: roleSender, Description: "resident memory of a sender that restarted with so many events of 500 bytes in its journal",
+		Unit: "MB", Per: "held event", RealProcess: true, Sizes: held, Repeats: 3,
 		Run: func(e *Env, size int) (float64, error) { r, err := e.restart(size); return r.memory, err },
 	}, {
-		Name: "restart-ready", Role: roleSender, What: "time from the start until /up answers 200, with so many events in the journal",
-		Unit: "ms", Per: "held event", Process: true, Sizes: held, Repeats: 3,
+		Name: "restart-ready", Role: roleSender, Description: "time from the start until /up answers 200, with so many events in the journal",
+		Unit: "ms", Per: "held event", RealProcess: true, Sizes: held, Repeats: 3,
 		Run: func(e *Env, size int) (float64, error) { r, err := e.restart(size); return r.ready, err },
 	}, {
-		Name: "held-memory", Role: roleSender, What: "resident memory of a sender that took so many events of 500 bytes for a destination that is down",
-		Unit: "MB", Per: "held event", Process: true, Sizes: []int{300, 1000, 3000, 10000, 30000}, Run: heldMemory,
+		Name: "held-memory", Role: roleSender, Description: "resident memory of a sender that took so many events of 500 bytes for a destination that is down",
+		Unit: "MB", Per: "held event", RealProcess: true, Sizes: []int{300, 1000, 3000, 10000, 30000}, Run: heldMemory,
 	}, {
-		Name: "event-cpu", Role: roleSender, What: "processor time of a sender that takes and delivers so many events of 500 bytes",
-		Unit: "ms", Per: "event", Process: true, Sizes: []int{300, 1000, 3000, 10000, 30000}, Repeats: 2, Run: eventTime,
+		Name: "event-cpu", Role: roleSender, Description: "processor time of a sender that takes and delivers so many events of 500 bytes",
+		Unit: "ms", Per: "event", RealProcess: true, Sizes: []int{300, 1000, 3000, 10000, 30000}, Repeats: 2, Run: eventTime,
 	}}
 }
 
@@ -168,7 +168,7 @@
 
 // scratch is a folder for one process, with its state folder in it.
 func (e *Env) scratch() (string, error) {
-	dir, err := os.MkdirTemp(e.Dir, "sender-")
+	dir, err := os.MkdirTemp(e.ScratchDir, "sender-")
 	if err != nil {
 		return "", err
 	}
--- a/internal/lab/capacity/measure_sender.go
+++ b/internal/lab/capacity/measure_sender.go
@@ -62,7 +62,7 @@
 
 func moduleMeasurements() []Measurement {
 	return []Measurement{{
-		Name: "module-destination-memory", Role: roleSender, What: "memory of the decision module for a known destination with one endpoint, idle",
+		Name: "module-destination-memory", Role: roleSender, Description: "memory of the decision module for a known destination with one endpoint, idle",
 		Unit: "KB", Per: "destination", Sizes: []int{1000, 3000, 10000, 30000, 100000, 300000},
 		Run: func(_ *Env, size int) (float64, error) {
 			return heapGrowth(func() any {
@@ -72,17 +72,17 @@
 			}) / 1e3, nil
 		},
 	}, {
-		Name: "module-event-memory", Role: roleSender, What: "memory of the decision module for a held event",
+		Name: "module-event-memory", Role: roleSender, Description: "memory of the decision module for a held event",
 		Unit: "KB", Per: "held event", Sizes: []int{1000, 3000, 10000, 30000, 100000, 300000},
 		Run: func(_ *Env, size int) (float64, error) {
 			return heapGrowth(func() any { return holding(size) }) / 1e3, nil
 		},
 	}, {
-		Name: "module-send", Role: roleSender, What: "processor time of a step that sends the next of one destination's held events",
+		Name: "module-send", Role: roleSender, Description: "processor time of a step that sends the next of one destination's held events",
 		Unit: "us", Per: "held event", Sizes: []int{100, 300, 1000, 3000, 10000, 30000}, Repeats: 3,
 		Run: moduleSend,
 	}, {
-		Name: "telemetry-event", Role: roleTelemetry, What: "processor time to make an event's records into a trace",
+		Name: "telemetry-event", Role: roleTelemetry, Description: "processor time to make an event's records into a trace",
 		Unit: "ms", Per: "event", Sizes: []int{1000, 3000, 10000, 30000, 100000}, Repeats: 3,
 		Run: telemetryEvents,
 	}}
@@ -171,7 +171,7 @@
 
 // withJournal measures on a folder of its own with a journal of so many events.
 func withJournal(e *Env, events int, measure func(dir string) (float64, error)) (float64, error) {
-	dir, err := os.MkdirTemp(e.Dir, "journal-")
+	dir, err := os.MkdirTemp(e.ScratchDir, "journal-")
 	if err != nil {
 		return 0, err
 	}
@@ -185,7 +185,7 @@
 func journalMeasurements() []Measurement {
 	sizes := []int{300, 1000, 3000, 10000, 30000, 100000}
 	return []Measurement{{
-		Name: "journal-bytes", Role: roleSender, What: "journal of a held event of 500 bytes", Unit: "KB", Per: "held event", Sizes: sizes,
+		Name: "journal-bytes", Role: roleSender, Description: "journal of a held event of 500 bytes", Unit: "KB", Per: "held event", Sizes: sizes,
 		Run: func(e *Env, size int) (float64, error) {
 			return withJournal(e, size, func(dir string) (float64, error) {
 				info, err := os.Stat(filepath.Join(dir, "journal"))
@@ -196,7 +196,7 @@
 			})
 		},
 	}, {
-		Name: "journal-replay", Role: roleSender, What: "processor time to replay the journal", Unit: "ms", Per: "held event", Sizes: sizes, Repeats: 3,
+		Name: "journal-replay", Role: roleSender, Description: "processor time to replay the journal", Unit: "ms", Per: "held event", Sizes: sizes, Repeats: 3,
 		Run: func(e *Env, size int) (float64, error) {
 			return withJournal(e, size, func(dir string) (float64, error) {
 				var opened *journal.Journal
@@ -209,7 +209,7 @@
 			})
 		},
 	}, {
-		Name: "copy-bytes", Role: roleHolder, What: "records of an event's whole life that go to each holder of copies", Unit: "KB", Per: "event",
+		Name: "copy-bytes", Role: roleHolder, Description: "records of an event's whole life that go to each holder of copies", Unit: "KB", Per: "event",
 		Sizes: []int{10, 100, 1000, 10000, 100000},
 		Run: func(e *Env, size int) (float64, error) {
 			return withJournal(e, 0, func(dir string) (float64, error) { return recordsOfLives(dir, size) })
@@ -238,11 +238,11 @@
 
 func listMeasurements() []Measurement {
 	return []Measurement{{
-		Name: "list-bytes", Role: roleList, What: "the list of endpoints, one endpoint a destination", Unit: "KB", Per: "destination",
+		Name: "list-bytes", Role: roleList, Description: "the list of endpoints, one endpoint a destination", Unit: "KB", Per: "destination",
 		Sizes: []int{100, 300, 1000, 3000, 10000, 100000},
 		Run:   func(_ *Env, size int) (float64, error) { return float64(len(listText(size, "127.0.0.1:9"))) / 1e3, nil },
 	}, {
-		Name: "list-take", Role: roleList, What: "processor time to read a whole list and give it to the module", Unit: "ms", Per: "destination",
+		Name: "list-take", Role: roleList, Description: "processor time to read a whole list and give it to the module", Unit: "ms", Per: "destination",
 		Sizes: []int{100, 300, 1000, 3000, 10000, discovery.MaxEndpoints}, Repeats: 9,
 		Run: func(_ *Env, size int) (float64, error) {
 			text := []byte(listText(size, "127.0.0.1:9"))
@@ -259,7 +259,7 @@
 			return threadTime(func() { err = watch.Restore(text) }), err
 		},
 	}, {
-		Name: "member-file", Role: roleList, What: "processor time to read an operators' file that lists the members", Unit: "ms", Per: "sender",
+		Name: "member-file", Role: roleList, Description: "processor time to read an operators' file that lists the members", Unit: "ms", Per: "sender",
 		Sizes: []int{10, 30, 100, 300, operator.MaxMembers}, Repeats: 25,
 		Run: func(_ *Env, size int) (float64, error) {
 			text := memberFile(size)
@@ -267,7 +267,7 @@
 			return threadTime(func() { _, err = operator.Read("members.xml", bytes.NewReader(text)) }), err
 		},
 	}, {
-		Name: "member-file-bytes", Role: roleList, What: "an operators' file that lists the members", Unit: "KB", Per: "sender",
+		Name: "member-file-bytes", Role: roleList, Description: "an operators' file that lists the members", Unit: "KB", Per: "sender",
 		Sizes: []int{10, 30, 100, 300, operator.MaxMembers},
 		Run:   func(_ *Env, size int) (float64, error) { return float64(len(memberFile(size))) / 1e3, nil },
 	}}
--- a/internal/lab/capacity/page.go
+++ b/internal/lab/capacity/page.go
@@ -78,13 +78,13 @@
 func writeTarget(b *bytes.Buffer, t *Target) {
 	fmt.Fprintln(b, "| | at target |\n| --- | --- |")
 	fmt.Fprintf(b, "| senders | %s in %s regions with %s zones, taking %s events a second (%s each, %s bytes) |\n",
-		figure(t.Senders), figure(t.Regions), figure(t.Zones), figure(t.EventsPerSecond), figure(t.EventsOfSender()), figure(t.EventBytes))
-	fmt.Fprintf(b, "| destinations | %s, %s %% of them (%s) down at any time |\n", figure(t.Destinations), figure(t.DownPercent), figure(t.Down()))
-	fmt.Fprintf(b, "| backlog | up to %s events (%s a sender) |\n", figure(t.Backlog), figure(t.BacklogOfSender()))
+		figure(t.Senders), figure(t.Regions), figure(t.Zones), figure(t.EventsPerSecond), figure(t.EventsPerSecondPerSender()), figure(t.EventBytes))
+	fmt.Fprintf(b, "| destinations | %s, %s %% of them (%s) down at any time |\n", figure(t.Destinations), figure(t.DownPercent), figure(t.DownDestinations()))
+	fmt.Fprintf(b, "| backlog | up to %s events (%s a sender) |\n", figure(t.Backlog), figure(t.BacklogPerSender()))
 	fmt.Fprintf(b, "| configuration | %s changes a day (%s a second), in force everywhere within %v |\n", figure(t.ChangesPerDay), figure(t.ChangesPerDay/secondsPerDay), t.InForceWithin)
 	fmt.Fprintf(b, "| for control, a sender | at most %s %% of a core, %s MB, %s KB/s; and %s machines set aside for control |\n",
 		figure(t.CorePercent), figure(t.MemoryMB), figure(t.LinkKBPerSecond), figure(t.ControlMachines))
-	fmt.Fprintf(b, "| failures | %s machines a day, %s restarted or replaced a day; ready within %v |\n", figure(t.LostPerDay), figure(t.RestartsPerDay), t.ReadyWithin)
+	fmt.Fprintf(b, "| failures | %s machines a day, %s restarted or replaced a day; ready within %v |\n", figure(t.MachinesLostPerDay), figure(t.RestartsPerDay), t.ReadyWithin)
 }
 
 func writeSlopes(b *bytes.Buffer, r *Record) {
@@ -94,17 +94,17 @@
 	for i := range r.Series {
 		s := &r.Series[i]
 		on := "this code, in the measuring process"
-		if s.Process {
+		if s.RealProcess {
 			on = "a real sender"
 		}
 		last, fitted := s.Largest(), s.Points[:len(s.Points)-1]
 		mark := ""
-		if missed := s.Missed(); missed > missedLot || missed < -missedLot {
+		if missed := s.ForecastError(); missed > missedLot || missed < -missedLot {
 			mark = " **over 20 %**"
 		}
-		fmt.Fprintf(b, "| %s | `%s`: %s | %s | %s to %s | %s + %s %s a %s | %s | %s | %s | %s %s | %s%s |\n", s.Role, s.Name, s.What, on,
+		fmt.Fprintf(b, "| %s | `%s`: %s | %s | %s to %s | %s + %s %s a %s | %s | %s | %s | %s %s | %s%s |\n", s.Role, s.Name, s.Description, on,
 			figure(fitted[0].Size), figure(fitted[len(fitted)-1].Size), figure(s.Fit.Base), figure(s.Fit.Slope), s.Unit, s.Per,
-			percent(s.Fit.Residual), figure(last.Size), figure(s.Fit.At(last.Size)), figure(last.Value), s.Unit, percent(s.Missed()), mark)
+			percent(s.Fit.Residual), figure(last.Size), figure(s.Fit.At(last.Size)), figure(last.Value), s.Unit, percent(s.ForecastError()), mark)
 	}
 }
 
@@ -114,22 +114,22 @@
 	for _, row := range Rows() {
 		slopes, ok := row.slopes(r)
 		if !ok {
-			fmt.Fprintf(b, "| %s | %s | %s | %s | not measured | | |\n", row.Role, row.What, row.Mechanism, row.Formula)
+			fmt.Fprintf(b, "| %s | %s | %s | %s | not measured | | |\n", row.Role, row.Description, row.Mechanism, row.Formula)
 			continue
 		}
 		budget, breaks := "none stated", ""
 		if share, stated := row.BreaksAt(t, slopes); stated {
-			budget = fmt.Sprintf("%s %s: %s", figure(row.Budget(t)), row.Unit, row.BudgetOf)
+			budget = fmt.Sprintf("%s %s: %s", figure(row.Budget(t)), row.Unit, row.BudgetName)
 			breaks = breakText(&row, share)
 		}
-		fmt.Fprintf(b, "| %s | %s | %s | `%s`: %s | %s %s | %s | %s |\n", row.Role, row.What, row.Mechanism, strings.Join(row.Series, "`, `"), row.Formula,
+		fmt.Fprintf(b, "| %s | %s | %s | `%s`: %s | %s %s | %s | %s |\n", row.Role, row.Description, row.Mechanism, strings.Join(row.Series, "`, `"), row.Formula,
 			figure(row.Need(t, slopes)), row.Unit, budget, breaks)
 	}
 }
 
 func breakText(row *Row, share float64) string {
 	of := "of the fleet"
-	if row.Fixed {
+	if row.PerSender {
 		of = "of one sender's load"
 	}
 	if share >= 1 {
@@ -143,7 +143,7 @@
 	fmt.Fprintln(b, "| --- | --- | --- | --- | --- | --- | --- |")
 	for _, bound := range Bounds() {
 		need := bound.Need(t)
-		fmt.Fprintf(b, "| %s | `%s` | `%s` | %s | %s | %s | %s |\n", bound.What, bound.Constant, bound.File, figure(bound.Value), figure(need), percent(bound.Value/need), bound.Beyond)
+		fmt.Fprintf(b, "| %s | `%s` | `%s` | %s | %s | %s | %s |\n", bound.Description, bound.Constant, bound.File, figure(bound.Value), figure(need), percent(bound.Value/need), bound.WhenExceeded)
 	}
 }
 
@@ -161,12 +161,12 @@
 			continue
 		}
 		if share, stated := row.BreaksAt(t, slopes); stated && share < 1 {
-			list = append(list, missing{share, fmt.Sprintf("%s: %s (%s)", breakText(&row, share), row.What, row.Mechanism)})
+			list = append(list, missing{share, fmt.Sprintf("%s: %s (%s)", breakText(&row, share), row.Description, row.Mechanism)})
 		}
 	}
 	for _, bound := range Bounds() {
 		if share := bound.Value / bound.Need(t); share < 1 {
-			list = append(list, missing{share, fmt.Sprintf("%s of the fleet: %s (`%s`)", percent(share), bound.What, bound.Constant)})
+			list = append(list, missing{share, fmt.Sprintf("%s of the fleet: %s (`%s`)", percent(share), bound.Description, bound.Constant)})
 		}
 	}
 	slices.SortStableFunc(list, func(x, y missing) int { return cmp.Compare(x.share, y.share) })
--- a/internal/lab/capacity/record.go
+++ b/internal/lab/capacity/record.go
@@ -17,7 +17,7 @@
 }
 
 // Of is the series of a name, nil if it was not measured.
-func (r *Record) Of(name string) *Series {
+func (r *Record) SeriesByName(name string) *Series {
 	for i := range r.Series {
 		if r.Series[i].Name == name {
 			return &r.Series[i]
--- a/internal/lab/capacity/rows.go
+++ b/internal/lab/capacity/rows.go
@@ -18,16 +18,16 @@
 
 // Row is a product of measured slopes and quantities of the target, held against a budget.
 type Row struct {
-	Role      string
-	What      string
-	Series    []string // whose slopes it takes, in the order of the arguments of Need
-	Formula   string   // in words
-	Unit      string
-	Need      func(t *Target, slopes []float64) float64 // at a target
-	Budget    func(t *Target) float64                   // nil: none is stated
-	BudgetOf  string
-	Mechanism string // that carries it today
-	Fixed     bool   // what one sender needs whatever the fleet's size: it breaks by what one sender takes or holds
+	Role        string
+	Description string
+	Series      []string // whose slopes it takes, in the order of the arguments of Need
+	Formula     string   // in words
+	Unit        string
+	Need        func(t *Target, slopes []float64) float64 // at a target
+	Budget      func(t *Target) float64                   // nil: none is stated
+	BudgetName  string
+	Mechanism   string // that carries it today
+	PerSender   bool   // what one sender needs whatever the fleet's size: it breaks by what one sender takes or holds
 }
 
 // Rows are all rows of the page.
@@ -40,104 +40,106 @@
 	// Each restart ends a session and begins one.
 	changes := func(t *Target) float64 { return 2 * t.RestartsPerDay / secondsPerDay }
 	return []Row{{
-		Role: roleSender, What: "memory of known destinations", Series: []string{"destination-memory"}, Unit: "MB",
+		Role: roleSender, Description: "memory of known destinations", Series: []string{"destination-memory"}, Unit: "MB",
 		Formula: "slope x destinations", Need: func(t *Target, s []float64) float64 { return s[0] * t.Destinations },
-		Budget: memory, BudgetOf: "memory for control", Mechanism: "every sender is told the whole list",
+		Budget: memory, BudgetName: "memory for control", Mechanism: "every sender is told the whole list",
 	}, {
-		Role: roleSender, What: "of these, in the decision module", Series: []string{"module-destination-memory"}, Unit: "MB",
+		Role: roleSender, Description: "of these, in the decision module", Series: []string{"module-destination-memory"}, Unit: "MB",
 		Formula: "slope x destinations", Need: func(t *Target, s []float64) float64 { return s[0] / kilo * t.Destinations },
-		Budget: memory, BudgetOf: "memory for control", Mechanism: "policy.Sender keeps each listed endpoint",
+		Budget: memory, BudgetName: "memory for control", Mechanism: "policy.Sender keeps each listed endpoint",
 	}, {
-		Role: roleSender, What: "memory of known destinations with shards on", Series: []string{"destination-memory"}, Unit: "MB",
+		Role: roleSender, Description: "memory of known destinations with shards on", Series: []string{"destination-memory"}, Unit: "MB",
 		Formula: "slope x destinations x 2 replicas x regions / senders", Need: func(t *Target, s []float64) float64 { return s[0] * t.Destinations * replicas * t.Regions / t.Senders },
-		Budget: memory, BudgetOf: "memory for control", Mechanism: "each sender is told of its shards (docs/scale.md)", Fixed: true,
+		Budget: memory, BudgetName: "memory for control", Mechanism: "each sender is told of its shards (docs/scale.md)", PerSender: true,
 	}, {
-		Role: roleControl, What: "memory of the directory", Series: []string{"directory-memory"}, Unit: "GB",
+		Role: roleControl, Description: "memory of the directory", Series: []string{"directory-memory"}, Unit: "GB",
 		Formula: "slope x destinations", Need: func(t *Target, s []float64) float64 { return s[0] / mega * t.Destinations },
 		Mechanism: "each control member holds all endpoints",
 	}, {
-		Role: roleSender, What: "processor time of taking and delivering events", Series: []string{"event-cpu"}, Unit: "cores",
-		Formula: "slope x events a second of a sender", Need: func(t *Target, s []float64) float64 { return s[0] / kilo * t.EventsOfSender() },
-		Mechanism: "one goroutine a connection, one for the module", Fixed: true,
+		Role: roleSender, Description: "processor time of taking and delivering events", Series: []string{"event-cpu"}, Unit: "cores",
+		Formula: "slope x events a second of a sender", Need: func(t *Target, s []float64) float64 { return s[0] / kilo * t.EventsPerSecondPerSender() },
+		Mechanism: "one goroutine a connection, one for the module", PerSender: true,
 	}, {
-		Role: roleSender, What: "a step that sends, with the backlog held for one destination", Series: []string{"module-send"}, Unit: "cores",
-		Formula:   "slope x backlog of a sender x events a second of a sender",
-		Need:      func(t *Target, s []float64) float64 { return s[0] / mega * t.BacklogOfSender() * t.EventsOfSender() },
-		Mechanism: "policy.choose looks at all that a destination holds", Fixed: true,
+		Role: roleSender, Description: "a step that sends, with the backlog held for one destination", Series: []string{"module-send"}, Unit: "cores",
+		Formula: "slope x backlog of a sender x events a second of a sender",
+		Need: func(t *Target, s []float64) float64 {
+			return s[0] / mega * t.BacklogPerSender() * t.EventsPerSecondPerSender()
+		},
+		Mechanism: "policy.choose looks at all that a destination holds", PerSender: true,
 	}, {
-		Role: roleSender, What: "memory of held events", Series: []string{"held-memory"}, Unit: "GB",
-		Formula: "slope x backlog of a sender", Need: func(t *Target, s []float64) float64 { return s[0] / kilo * t.BacklogOfSender() },
-		Mechanism: "all that is held is in memory", Fixed: true,
+		Role: roleSender, Description: "memory of held events", Series: []string{"held-memory"}, Unit: "GB",
+		Formula: "slope x backlog of a sender", Need: func(t *Target, s []float64) float64 { return s[0] / kilo * t.BacklogPerSender() },
+		Mechanism: "all that is held is in memory", PerSender: true,
 	}, {
-		Role: roleSender, What: "memory of held events after a restart", Series: []string{"restart-memory"}, Unit: "GB",
-		Formula: "slope x backlog of a sender", Need: func(t *Target, s []float64) float64 { return s[0] / kilo * t.BacklogOfSender() },
-		Mechanism: "the journal is replayed into memory", Fixed: true,
+		Role: roleSender, Description: "memory of held events after a restart", Series: []string{"restart-memory"}, Unit: "GB",
+		Formula: "slope x backlog of a sender", Need: func(t *Target, s []float64) float64 { return s[0] / kilo * t.BacklogPerSender() },
+		Mechanism: "the journal is replayed into memory", PerSender: true,
 	}, {
-		Role: roleSender, What: "journal", Series: []string{"journal-bytes"}, Unit: "GB",
-		Formula: "slope x backlog of a sender", Need: func(t *Target, s []float64) float64 { return s[0] / mega * t.BacklogOfSender() },
-		Mechanism: "one append-only file, compacted", Fixed: true,
+		Role: roleSender, Description: "journal", Series: []string{"journal-bytes"}, Unit: "GB",
+		Formula: "slope x backlog of a sender", Need: func(t *Target, s []float64) float64 { return s[0] / mega * t.BacklogPerSender() },
+		Mechanism: "one append-only file, compacted", PerSender: true,
 	}, {
-		Role: roleSender, What: "ready after SIGKILL", Series: []string{"restart-ready"}, Unit: "s",
-		Formula: "slope x backlog of a sender", Need: func(t *Target, s []float64) float64 { return s[0] / kilo * t.BacklogOfSender() },
-		Budget: ready, BudgetOf: "ready", Mechanism: "the whole journal is replayed first", Fixed: true,
+		Role: roleSender, Description: "ready after SIGKILL", Series: []string{"restart-ready"}, Unit: "s",
+		Formula: "slope x backlog of a sender", Need: func(t *Target, s []float64) float64 { return s[0] / kilo * t.BacklogPerSender() },
+		Budget: ready, BudgetName: "ready", Mechanism: "the whole journal is replayed first", PerSender: true,
 	}, {
-		Role: roleSender, What: "of this, processor time of the replay", Series: []string{"journal-replay"}, Unit: "s",
-		Formula: "slope x backlog of a sender", Need: func(t *Target, s []float64) float64 { return s[0] / kilo * t.BacklogOfSender() },
-		Budget: ready, BudgetOf: "ready", Mechanism: "journal.Open", Fixed: true,
+		Role: roleSender, Description: "of this, processor time of the replay", Series: []string{"journal-replay"}, Unit: "s",
+		Formula: "slope x backlog of a sender", Need: func(t *Target, s []float64) float64 { return s[0] / kilo * t.BacklogPerSender() },
+		Budget: ready, BudgetName: "ready", Mechanism: "journal.Open", PerSender: true,
 	}, {
-		Role: roleHolder, What: "records to two holders", Series: []string{"copy-bytes"}, Unit: "KB/s",
-		Formula: "2 x slope x events a second of a sender", Need: func(t *Target, s []float64) float64 { return 2 * s[0] * t.EventsOfSender() },
-		Mechanism: "each record goes to each holder (data, not control)", Fixed: true,
+		Role: roleHolder, Description: "records to two holders", Series: []string{"copy-bytes"}, Unit: "KB/s",
+		Formula: "2 x slope x events a second of a sender", Need: func(t *Target, s []float64) float64 { return 2 * s[0] * t.EventsPerSecondPerSender() },
+		Mechanism: "each record goes to each holder (data, not control)", PerSender: true,
 	}, {
-		Role: roleVoter, What: "processor time of the leader's links", Series: []string{"group-frames", "link-frame"}, Unit: "cores",
+		Role: roleVoter, Description: "processor time of the leader's links", Series: []string{"group-frames", "link-frame"}, Unit: "cores",
 		Formula: "frames a second a sender x senders x time of a frame", Need: func(t *Target, s []float64) float64 { return s[0] * t.Senders * s[1] / kilo },
-		Budget: func(t *Target) float64 { return 1 }, BudgetOf: "one core, the loop of one leader", Mechanism: "one group, through one leader",
+		Budget: func(t *Target) float64 { return 1 }, BudgetName: "one core, the loop of one leader", Mechanism: "one group, through one leader",
 	}, {
-		Role: roleVoter, What: "frames a second through one leader", Series: []string{"group-frames"}, Unit: "frames/s",
+		Role: roleVoter, Description: "frames a second through one leader", Series: []string{"group-frames"}, Unit: "frames/s",
 		Formula: "slope x senders", Need: func(t *Target, s []float64) float64 { return s[0] * t.Senders },
 		Mechanism: "one group, through one leader",
 	}, {
-		Role: roleVoter, What: "links of a sender: who is present, told at each change", Series: []string{"present-bytes"}, Unit: "KB/s",
+		Role: roleVoter, Description: "links of a sender: who is present, told at each change", Series: []string{"present-bytes"}, Unit: "KB/s",
 		Formula: "slope x senders x 2 x restarts a second", Need: func(t *Target, s []float64) float64 { return s[0] * t.Senders * changes(t) },
-		Budget: links, BudgetOf: "links for control", Mechanism: "each change tells each member of all members",
+		Budget: links, BudgetName: "links for control", Mechanism: "each change tells each member of all members",
 	}, {
-		Role: roleVoter, What: "links of the leader for that", Series: []string{"present-bytes"}, Unit: "MB/s",
+		Role: roleVoter, Description: "links of the leader for that", Series: []string{"present-bytes"}, Unit: "MB/s",
 		Formula: "slope x senders x 2 x restarts a second x senders", Need: func(t *Target, s []float64) float64 { return s[0] * t.Senders * changes(t) * t.Senders / kilo },
 		Mechanism: "the leader sends to every member",
 	}, {
-		Role: roleVoter, What: "snapshot of what is agreed on", Series: []string{"state-session", "state-duty"}, Unit: "MB",
-		Formula: "slope x senders + slope x destinations that are down", Need: func(t *Target, s []float64) float64 { return (s[0]*t.Senders + s[1]*t.Down()) / kilo },
-		Budget: frame, BudgetOf: "a frame (link.MaxFrame)", Mechanism: "one message of Raft",
+		Role: roleVoter, Description: "snapshot of what is agreed on", Series: []string{"state-session", "state-duty"}, Unit: "MB",
+		Formula: "slope x senders + slope x destinations that are down", Need: func(t *Target, s []float64) float64 { return (s[0]*t.Senders + s[1]*t.DownDestinations()) / kilo },
+		Budget: frame, BudgetName: "a frame (link.MaxFrame)", Mechanism: "one message of Raft",
 	}, {
-		Role: roleVoter, What: "processor time to end sessions", Series: []string{"session-end"}, Unit: "cores",
-		Formula: "slope x destinations that are down x restarts a second", Need: func(t *Target, s []float64) float64 { return s[0] / mega * t.Down() * changes(t) / 2 },
-		Budget: func(*Target) float64 { return 1 }, BudgetOf: "one core, the loop of one leader", Mechanism: "each end looks at all duties, in order",
+		Role: roleVoter, Description: "processor time to end sessions", Series: []string{"session-end"}, Unit: "cores",
+		Formula: "slope x destinations that are down x restarts a second", Need: func(t *Target, s []float64) float64 { return s[0] / mega * t.DownDestinations() * changes(t) / 2 },
+		Budget: func(*Target) float64 { return 1 }, BudgetName: "one core, the loop of one leader", Mechanism: "each end looks at all duties, in order",
 	}, {
-		Role: roleList, What: "the whole list", Series: []string{"list-bytes"}, Unit: "MB",
+		Role: roleList, Description: "the whole list", Series: []string{"list-bytes"}, Unit: "MB",
 		Formula: "slope x destinations", Need: func(t *Target, s []float64) float64 { return s[0] / kilo * t.Destinations },
-		Budget: func(*Target) float64 { return discovery.MaxList / mega }, BudgetOf: "the longest list that is read (discovery.MaxList)", Mechanism: "discovery answers each sender with all",
+		Budget: func(*Target) float64 { return discovery.MaxList / mega }, BudgetName: "the longest list that is read (discovery.MaxList)", Mechanism: "discovery answers each sender with all",
 	}, {
-		Role: roleList, What: "processor time to take the whole list", Series: []string{"list-take"}, Unit: "s",
+		Role: roleList, Description: "processor time to take the whole list", Series: []string{"list-take"}, Unit: "s",
 		Formula: "slope x destinations", Need: func(t *Target, s []float64) float64 { return s[0] / kilo * t.Destinations },
-		Budget: ready, BudgetOf: "ready", Mechanism: "discovery answers each sender with all",
+		Budget: ready, BudgetName: "ready", Mechanism: "discovery answers each sender with all",
 	}, {
-		Role: roleList, What: "processor time to read the operators' file at each change", Series: []string{"member-file"}, Unit: "% of a core",
+		Role: roleList, Description: "processor time to read the operators' file at each change", Series: []string{"member-file"}, Unit: "% of a core",
 		Formula: "slope x senders x changes a second", Need: func(t *Target, s []float64) float64 {
 			return s[0] / kilo * t.Senders * t.ChangesPerDay / secondsPerDay * 100
 		},
-		Budget: processor, BudgetOf: "processor for control", Mechanism: "a file on each machine, and SIGHUP",
+		Budget: processor, BudgetName: "processor for control", Mechanism: "a file on each machine, and SIGHUP",
 	}, {
-		Role: roleList, What: "the operators' file to each sender at each change", Series: []string{"member-file-bytes"}, Unit: "KB/s",
+		Role: roleList, Description: "the operators' file to each sender at each change", Series: []string{"member-file-bytes"}, Unit: "KB/s",
 		Formula: "slope x senders x changes a second", Need: func(t *Target, s []float64) float64 { return s[0] * t.Senders * t.ChangesPerDay / secondsPerDay },
-		Budget: links, BudgetOf: "links for control", Mechanism: "none: whoever keeps the machines copies the file",
+		Budget: links, BudgetName: "links for control", Mechanism: "none: whoever keeps the machines copies the file",
 	}, {
-		Role: roleTelemetry, What: "processor time of all events' traces", Series: []string{"telemetry-event"}, Unit: "% of a core",
-		Formula: "slope x events a second of a sender", Need: func(t *Target, s []float64) float64 { return s[0] / kilo * t.EventsOfSender() * 100 },
-		Budget: processor, BudgetOf: "processor for control, if traces count as control", Mechanism: "one goroutine beside the sender's", Fixed: true,
+		Role: roleTelemetry, Description: "processor time of all events' traces", Series: []string{"telemetry-event"}, Unit: "% of a core",
+		Formula: "slope x events a second of a sender", Need: func(t *Target, s []float64) float64 { return s[0] / kilo * t.EventsPerSecondPerSender() * 100 },
+		Budget: processor, BudgetName: "processor for control, if traces count as control", Mechanism: "one goroutine beside the sender's", PerSender: true,
 	}, {
-		Role: roleOperator, What: "an answer to `sliptide fleet status`", Series: []string{"status-bytes"}, Unit: "MB",
+		Role: roleOperator, Description: "an answer to `sliptide fleet status`", Series: []string{"status-bytes"}, Unit: "MB",
 		Formula: "slope x senders", Need: func(t *Target, s []float64) float64 { return s[0] / kilo * t.Senders },
-		Budget: frame, BudgetOf: "a frame (link.MaxFrame)", Mechanism: "one voter answers with all members",
+		Budget: frame, BudgetName: "a frame (link.MaxFrame)", Mechanism: "one voter answers with all members",
 	}}
 }
 
@@ -149,7 +151,7 @@
 		return 0, false
 	}
 	budget := r.Budget(t)
-	if r.Fixed {
+	if r.PerSender {
 		return budget / r.Need(t, slopes), true
 	}
 	low, high := 0.0, 1.0
@@ -170,7 +172,7 @@
 // slopes are the slopes that a row takes; false: one was not measured.
 func (r *Row) slopes(record *Record) (list []float64, ok bool) {
 	for _, name := range r.Series {
-		s := record.Of(name)
+		s := record.SeriesByName(name)
 		if s == nil {
 			return nil, false
 		}
@@ -181,33 +183,33 @@
 
 // Bound is a constant in the code that ends a fleet's growth.
 type Bound struct {
-	What     string
-	Constant string
-	File     string
-	Value    float64
-	Need     func(t *Target) float64
-	Beyond   string // what happens past it
+	Description  string
+	Constant     string
+	File         string
+	Value        float64
+	Need         func(t *Target) float64
+	WhenExceeded string // what happens past it
 }
 
 // Bounds are the constants that a larger fleet meets.
 func Bounds() []Bound {
 	return []Bound{{
-		What: "destinations that a sender knows", Constant: "sender.MaxDestinations", File: "internal/sender/sender.go", Value: sender.MaxDestinations,
-		Need: func(t *Target) float64 { return t.Destinations }, Beyond: "messages for others are refused with 503",
+		Description: "destinations that a sender knows", Constant: "sender.MaxDestinations", File: "internal/sender/sender.go", Value: sender.MaxDestinations,
+		Need: func(t *Target) float64 { return t.Destinations }, WhenExceeded: "messages for others are refused with 503",
 	}, {
-		What: "endpoints that a sender knows, over its life", Constant: "discovery.MaxEndpoints", File: "internal/discovery/watch.go", Value: discovery.MaxEndpoints,
-		Need: func(t *Target) float64 { return t.Destinations }, Beyond: "passed over, and the log says so",
+		Description: "endpoints that a sender knows, over its life", Constant: "discovery.MaxEndpoints", File: "internal/discovery/watch.go", Value: discovery.MaxEndpoints,
+		Need: func(t *Target) float64 { return t.Destinations }, WhenExceeded: "passed over, and the log says so",
 	}, {
-		What: "members of a group", Constant: "duty.MaxSessions", File: "internal/fleet/duty/duty.go", Value: duty.MaxSessions,
-		Need: func(t *Target) float64 { return t.Senders }, Beyond: "further ones get no session",
+		Description: "members of a group", Constant: "duty.MaxSessions", File: "internal/fleet/duty/duty.go", Value: duty.MaxSessions,
+		Need: func(t *Target) float64 { return t.Senders }, WhenExceeded: "further ones get no session",
 	}, {
-		What: "members in an operators' file", Constant: "operator.MaxMembers", File: "internal/operator/fleet.go", Value: operator.MaxMembers,
-		Need: func(t *Target) float64 { return t.Senders }, Beyond: "the file is refused",
+		Description: "members in an operators' file", Constant: "operator.MaxMembers", File: "internal/operator/fleet.go", Value: operator.MaxMembers,
+		Need: func(t *Target) float64 { return t.Senders }, WhenExceeded: "the file is refused",
 	}, {
-		What: "links that a voter takes", Constant: "link.MaxLinks", File: "internal/fleet/link/link.go", Value: link.MaxLinks,
-		Need: func(t *Target) float64 { return t.Senders }, Beyond: "further ones are refused",
+		Description: "links that a voter takes", Constant: "link.MaxLinks", File: "internal/fleet/link/link.go", Value: link.MaxLinks,
+		Need: func(t *Target) float64 { return t.Senders }, WhenExceeded: "further ones are refused",
 	}, {
-		What: "duties, one for each destination that is down", Constant: "duty.MaxDuties", File: "internal/fleet/duty/duty.go", Value: duty.MaxDuties,
-		Need: func(t *Target) float64 { return t.Down() }, Beyond: "trials of further destinations are not shared",
+		Description: "duties, one for each destination that is down", Constant: "duty.MaxDuties", File: "internal/fleet/duty/duty.go", Value: duty.MaxDuties,
+		Need: func(t *Target) float64 { return t.DownDestinations() }, WhenExceeded: "trials of further destinations are not shared",
 	}}
 }
--- a/internal/lab/capacity/target.go
+++ b/internal/lab/capacity/target.go
@@ -14,39 +14,39 @@
 
 // Target is the fleet that the operators plan.
 type Target struct {
-	Senders         float64
-	Regions         float64
-	Zones           float64
-	EventsPerSecond float64 // of the whole fleet
-	EventBytes      float64 // of a body, assumed
-	Destinations    float64
-	DownPercent     float64 // of destinations, at any time
-	Backlog         float64 // events, of the whole fleet
-	ChangesPerDay   float64 // of the configuration
-	InForceWithin   time.Duration
-	CorePercent     float64 // of a core, a sender, for control
-	MemoryMB        float64 // a sender, for control
-	LinkKBPerSecond float64 // a sender, for control
-	ControlMachines float64
-	LostPerDay      float64 // machines
-	RestartsPerDay  float64 // processes
-	ReadyWithin     time.Duration
+	Senders            float64
+	Regions            float64
+	Zones              float64
+	EventsPerSecond    float64 // of the whole fleet
+	EventBytes         float64 // of a body, assumed
+	Destinations       float64
+	DownPercent        float64 // of destinations, at any time
+	Backlog            float64 // events, of the whole fleet
+	ChangesPerDay      float64 // of the configuration
+	InForceWithin      time.Duration
+	CorePercent        float64 // of a core, a sender, for control
+	MemoryMB           float64 // a sender, for control
+	LinkKBPerSecond    float64 // a sender, for control
+	ControlMachines    float64
+	MachinesLostPerDay float64 // machines
+	RestartsPerDay     float64 // processes
+	ReadyWithin        time.Duration
 }
 
 // EventsOfSender is what one sender takes, in events a second.
-func (t *Target) EventsOfSender() float64 { return t.EventsPerSecond / t.Senders }
+func (t *Target) EventsPerSecondPerSender() float64 { return t.EventsPerSecond / t.Senders }
 
 // BacklogOfSender is what one sender may hold, in events.
-func (t *Target) BacklogOfSender() float64 { return t.Backlog / t.Senders }
+func (t *Target) BacklogPerSender() float64 { return t.Backlog / t.Senders }
 
 // Down is how many destinations are down at any time.
-func (t *Target) Down() float64 { return t.Destinations * t.DownPercent / 100 }
+func (t *Target) DownDestinations() float64 { return t.Destinations * t.DownPercent / 100 }
 
 // Scaled is the target with senders, destinations, events and changes at a share of their number. What one sender
 // takes and holds stays.
 func (t *Target) Scaled(share float64) *Target {
 	scaled := *t
-	for _, quantity := range []*float64{&scaled.Senders, &scaled.EventsPerSecond, &scaled.Destinations, &scaled.Backlog, &scaled.ChangesPerDay, &scaled.LostPerDay, &scaled.RestartsPerDay} {
+	for _, quantity := range []*float64{&scaled.Senders, &scaled.EventsPerSecond, &scaled.Destinations, &scaled.Backlog, &scaled.ChangesPerDay, &scaled.MachinesLostPerDay, &scaled.RestartsPerDay} {
 		*quantity *= share
 	}
 	return &scaled
@@ -100,7 +100,7 @@
 			},
 		}, {
 			Name: "failures", Doc: "What goes wrong.", Attrs: []attribute{
-				number("machines-per-day", "Machines lost.", func(t *Target, v float64) { t.LostPerDay = v }),
+				number("machines-per-day", "Machines lost.", func(t *Target, v float64) { t.MachinesLostPerDay = v }),
 				number("restarts-per-day", "Processes restarted or replaced.", func(t *Target, v float64) { t.RestartsPerDay = v }),
 				{Name: "ready-within", Required: true, Doc: "Of a restarted process.", Values: strictxml.Duration(time.Second, time.Hour),
 					SetNumber: func(t *Target, v int64) { t.ReadyWithin = time.Duration(v) }},
--- a/internal/lab/cli/capacity.go
+++ b/internal/lab/cli/capacity.go
@@ -39,17 +39,17 @@
 	defer os.RemoveAll(dir)
 	done := func(string) {}
 	if env.Bar {
-		bar := progressbar.NewOptions(capacity.Sizes(c.Only), progressbar.OptionSetWriter(env.Err), progressbar.OptionShowCount(), progressbar.OptionClearOnFinish())
+		bar := progressbar.NewOptions(capacity.SizeCount(c.Only), progressbar.OptionSetWriter(env.Err), progressbar.OptionShowCount(), progressbar.OptionClearOnFinish())
 		done = func(name string) { bar.Describe(name); bar.Add(1) }
 	}
-	record, err := capacity.Run(&capacity.Env{Ctx: env.Ctx, Binary: binary, Dir: dir}, c.Only, done)
+	record, err := capacity.Run(&capacity.Env{Ctx: env.Ctx, Binary: binary, ScratchDir: dir}, c.Only, done)
 	if err != nil {
 		return err
 	}
 	for i := range record.Series {
 		s := &record.Series[i]
 		fmt.Fprintf(env.Out, "%-26s %.4g + %.4g %s a %s, residual %.1f %%; at %.0f foretold %.4g, measured %.4g: missed by %+.1f %%\n", s.Name,
-			s.Fit.Base, s.Fit.Slope, s.Unit, s.Per, 100*s.Fit.Residual, s.Largest().Size, s.Fit.At(s.Largest().Size), s.Largest().Value, 100*s.Missed())
+			s.Fit.Base, s.Fit.Slope, s.Unit, s.Per, 100*s.Fit.Residual, s.Largest().Size, s.Fit.At(s.Largest().Size), s.Largest().Value, 100*s.ForecastError())
 	}
 	if len(c.Only) > 0 {
 		return nil
