--- a/cmd/sliptide/admin_test.go
+++ b/cmd/sliptide/admin_test.go
@@ -32,14 +32,14 @@
 func callAdmin(t *testing.T, addr, method, path, body string) (int, string) {
 	t.Helper()
 	q, _ := http.NewRequest(method, "http://"+addr+path, strings.NewReader(body))
-	began := time.Now()
+	begin := time.Now()
 	resp, err := http.DefaultClient.Do(q)
 	if err != nil {
 		t.Fatalf("%s %s: %v", method, path, err)
 	}
 	defer resp.Body.Close()
 	text, _ := io.ReadAll(resp.Body)
-	if took := time.Since(began); took > time.Second {
+	if took := time.Since(begin); took > time.Second {
 		t.Errorf("%s %s answered after %v", method, path, took)
 	}
 	return resp.StatusCode, strings.TrimSpace(string(text))
--- a/cmd/sliptide/h2_test.go
+++ b/cmd/sliptide/h2_test.go
@@ -86,7 +86,7 @@
 				seen <- q.Fields["x-trace-id"]
 				return <-answer
 			}})
-			r := newRigWith(t, h2cPartnersXML(1, 1), func(settings, _ map[string]any) {
+			r := newRigWithOperatorFile(t, h2cPartnersXML(1, 1), func(settings, _ map[string]any) {
 				settings["family_info"].(map[string]any)["kind_batch"] = []int{1, 1}
 			})
 			r.setPartnerList(p)
@@ -128,7 +128,7 @@
 // that a queued message is delivered once the partner permits streams again.
 func TestStreamLimitOfZero(t *testing.T) {
 	p := startPartner(t, &standin.H2Partner{MaxStreams: 10})
-	r := newRigWith(t, h2cPartnersXML(1, 1), nil)
+	r := newRigWithOperatorFile(t, h2cPartnersXML(1, 1), nil)
 	r.setPartnerList(p)
 	r.awaitAccepted("first", 0, 8)
 	for end := time.Now().Add(testTimeout); p.SettingsAcks() < 2; time.Sleep(time.Millisecond) {
@@ -202,7 +202,7 @@
 			return standin.Reply{Status: 200}
 		}}))
 	}
-	r := newRigWith(t, h2cPartnersXML(dests, 4), func(settings, _ map[string]any) {
+	r := newRigWithOperatorFile(t, h2cPartnersXML(dests, 4), func(settings, _ map[string]any) {
 		settings["services"].([]any)[0].(map[string]any)["effect"] = "unsafe"
 		settings["family_info"].(map[string]any)["kind_batch"] = []int{1, 1}
 		settings["family_info"].(map[string]any)["call_slots"] = 48
@@ -367,7 +367,7 @@
 		mu.Unlock()
 		called <- struct{}{}
 	}
-	r := newRigWith(t, fmt.Sprintf(`<partners><partner dest="0" protocol="%s"/></partners>`, proto), func(settings, _ map[string]any) {
+	r := newRigWithOperatorFile(t, fmt.Sprintf(`<partners><partner dest="0" protocol="%s"/></partners>`, proto), func(settings, _ map[string]any) {
 		settings["family_info"].(map[string]any)["call_slots"] = 80
 		settings["family_info"].(map[string]any)["kind_batch"] = []int{1, 1}
 		settings["limits"].(map[string]any)["most_held"] = 400
@@ -457,7 +457,7 @@
 	answer := make(chan standin.Reply)
 	first := server(old.IssueCertificate("lodge.example.org", ends), &standin.H2Partner{Handler: func(*standin.Request) standin.Reply { return <-answer }})
 	second := server(fresh.IssueCertificate("lodge.example.org", ends), &standin.H2Partner{MaxStreams: 33})
-	r := newRigWith(t, fmt.Sprintf(`<partners><partner dest="0" protocol="h2" server-name="lodge.example.org" ca="%s"/><partner dest="1" protocol="h2" server-name="lodge.example.org" ca="%s"/></partners>`, at("ca.pem"), at("ca.pem")), nil)
+	r := newRigWithOperatorFile(t, fmt.Sprintf(`<partners><partner dest="0" protocol="h2" server-name="lodge.example.org" ca="%s"/><partner dest="1" protocol="h2" server-name="lodge.example.org" ca="%s"/></partners>`, at("ca.pem"), at("ca.pem")), nil)
 	r.setPartnerList(first, second)
 	r.awaitAccepted("out", 0, 10)
 	r.awaitAccepted("waits", 1, 10) // the file does not hold its partner's CA yet
--- a/cmd/sliptide/knowledge_test.go
+++ b/cmd/sliptide/knowledge_test.go
@@ -62,7 +62,7 @@
 		kept           bool
 	}{{"on", knowledgeXML, true}, {"off", "", false}} {
 		t.Run(row.name, func(t *testing.T) {
-			r := newRigWith(t, row.operator, nil, "one", "one")
+			r := newRigWithOperatorFile(t, row.operator, nil, "one", "one")
 			r.updateList(func() { r.endpoints[1].Cell = 0 }) // both belong to one destination
 			r.kill(syscall.SIGTERM)
 			r.start()
@@ -106,7 +106,7 @@
 
 // An advertised limit and a latency survive a stop, and the commands show them. A damaged file is set aside and logged.
 func TestKnowledgeSurvivesStop(t *testing.T) {
-	r := newRigWith(t, knowledgeXML, nil, "one")
+	r := newRigWithOperatorFile(t, knowledgeXML, nil, "one")
 	for i := range 3 {
 		id := fmt.Sprint("m", i)
 		r.mustSubmit(id, 0, 10, "")
@@ -177,7 +177,7 @@
 // With an empty list under the key known and an unresponsive discovery, the sender reports ready only when the patience
 // configured for that has passed.
 func TestReadyNeedsAnEndpointList(t *testing.T) {
-	r := newRigWith(t, `<ready patience="1h"/>`, nil)
+	r := newRigWithOperatorFile(t, `<ready patience="1h"/>`, nil)
 	r.kill(syscall.SIGTERM)
 	r.updateList(func() { r.discoverySilent = true })
 	r.config["known"] = map[string]any{"version": 0, "full": true, "servers": []any{}}
@@ -286,7 +286,7 @@
 	if v, err := strconv.Atoi(os.Getenv("SLIPTIDE_CRASHES")); err == nil {
 		runs = v
 	}
-	r := newRigWith(t, knowledgeXML, nil, "one", "one", "one", "one")
+	r := newRigWithOperatorFile(t, knowledgeXML, nil, "one", "one", "one", "one")
 	stop := make(chan struct{})
 	defer close(stop)
 	type requestedWait struct {
--- a/cmd/sliptide/main_test.go
+++ b/cmd/sliptide/main_test.go
@@ -94,7 +94,7 @@
 
 // Messages that are queued for one endpoint share a call; each has its own outcome, and a Retry-After of the common
 // answer is honoured.
-func TestBulk(t *testing.T) {
+func TestBulkCalls(t *testing.T) {
 	r := newRig(t, func(set, _ map[string]any) { set["family_info"].(map[string]any)["call_slots"] = 1 }, "bulk")
 	r.mustSubmit("first", 0, 10, "")
 	first := r.expectCallFor("first")
--- a/cmd/sliptide/measure_test.go
+++ b/cmd/sliptide/measure_test.go
@@ -127,14 +127,14 @@
 // wait, and for 3 s how far the load on a partner that is warming up exceeds its capacity.
 func TestMeasureRestart(t *testing.T) {
 	skipUnlessMeasuring(t)
-	type result struct{ calls, refused, tooSoon, cold, coldAllowed float64 }
+	type result struct{ calls, refused, duringWait, whileWarming, warmingCapacity float64 }
 	results := map[string][]result{}
 	var mu sync.Mutex
 	t.Run("runs", func(t *testing.T) {
 		for seed := range uint64(3) {
-			for name, op := range map[string]string{"off": "", "on": strings.Replace(knowledgeXML, "100ms", "1s", 1)} {
+			for name, operatorXML := range map[string]string{"off": "", "on": strings.Replace(knowledgeXML, "100ms", "1s", 1)} {
 				t.Run(fmt.Sprint(name, seed), func(t *testing.T) {
-					r := newRigWith(t, op, func(set, limits map[string]any) {
+					r := newRigWithOperatorFile(t, operatorXML, func(set, limits map[string]any) {
 						set["limits"].(map[string]any)["most_held"] = 400
 						set["family_info"].(map[string]any)["call_slots"] = 16
 					})
@@ -152,31 +152,31 @@
 					go r.discardPlatformCalls(stop)
 					go r.generateLoad(38, 5, seed, stop)
 					time.Sleep(5 * time.Second)
-					begin := time.Now()
+					outageStart := time.Now()
 					partners[3].mu.Lock() // down during the restart
-					partners[3].reopensAt = begin.Add(7500 * time.Millisecond)
+					partners[3].reopensAt = outageStart.Add(7500 * time.Millisecond)
 					partners[3].mu.Unlock()
 					partners[4].mu.Lock() // failing, then warming up during the restart
-					partners[4].reopensAt, partners[4].failsWhileDown, partners[4].warmUp = begin.Add(3500*time.Millisecond), true, 9*time.Second
+					partners[4].reopensAt, partners[4].failsWhileDown, partners[4].warmUp = outageStart.Add(3500*time.Millisecond), true, 9*time.Second
 					partners[4].mu.Unlock()
 					time.Sleep(5500 * time.Millisecond)
 					r.kill(syscall.SIGKILL)
 					time.Sleep(600 * time.Millisecond)
-					back := time.Now()
+					restartedAt := time.Now()
 					r.start()
-					time.Sleep(time.Until(back.Add(5 * time.Second)))
+					time.Sleep(time.Until(restartedAt.Add(5 * time.Second)))
 					var sum result
 					for i, p := range partners {
 						p.mu.Lock()
 						if i == 4 {
-							sum.cold += float64(countWithin(p.calls, back, 3*time.Second))
+							sum.whileWarming += float64(countWithin(p.calls, restartedAt, 3*time.Second))
 							for s := range 30 {
-								sum.coldAllowed += p.capacity(back.Add(time.Duration(s)*100*time.Millisecond)) / 10
+								sum.warmingCapacity += p.capacity(restartedAt.Add(time.Duration(s)*100*time.Millisecond)) / 10
 							}
 						} else {
-							sum.calls += float64(countWithin(p.calls, back, 5*time.Second))
-							sum.refused += float64(countWithin(p.refused, back, 5*time.Second))
-							sum.tooSoon += float64(countWithin(p.duringWait, back, 5*time.Second))
+							sum.calls += float64(countWithin(p.calls, restartedAt, 5*time.Second))
+							sum.refused += float64(countWithin(p.refused, restartedAt, 5*time.Second))
+							sum.duringWait += float64(countWithin(p.duringWait, restartedAt, 5*time.Second))
 						}
 						p.mu.Unlock()
 					}
@@ -191,12 +191,12 @@
 		var sum result
 		for _, r := range results[name] {
 			t.Logf("knowledge %-3s: first 5 s after the restart: %3.0f calls, %3.0f refused, %3.0f during a requested wait; the warming partner in 3 s: %3.0f calls, %.1f within its capacity",
-				name, r.calls, r.refused, r.tooSoon, r.cold, r.coldAllowed)
-			sum.calls, sum.refused, sum.tooSoon, sum.cold, sum.coldAllowed = sum.calls+r.calls, sum.refused+r.refused, sum.tooSoon+r.tooSoon, sum.cold+r.cold, sum.coldAllowed+r.coldAllowed
+				name, r.calls, r.refused, r.duringWait, r.whileWarming, r.warmingCapacity)
+			sum.calls, sum.refused, sum.duringWait, sum.whileWarming, sum.warmingCapacity = sum.calls+r.calls, sum.refused+r.refused, sum.duringWait+r.duringWait, sum.whileWarming+r.whileWarming, sum.warmingCapacity+r.warmingCapacity
 		}
 		n := float64(len(results[name]))
 		t.Logf("knowledge %-3s: mean: %.1f calls, %.1f refused, %.1f during a requested wait; warming up: %.1f calls, %.2f of its capacity",
-			name, sum.calls/n, sum.refused/n, sum.tooSoon/n, sum.cold/n, sum.cold/sum.coldAllowed)
+			name, sum.calls/n, sum.refused/n, sum.duringWait/n, sum.whileWarming/n, sum.whileWarming/sum.warmingCapacity)
 	}
 }
 
@@ -208,10 +208,10 @@
 }
 
 // measureLoad loads a sender at a rate per second over 20 partners that each take service for a call. Since a rig's test
-// is parallel, res is complete only when the test t, which must be a group of its own, has ended.
+// is parallel, result is complete only when the test t, which must be a group of its own, has ended.
 func measureLoad(t *testing.T, operatorXML string, rate float64, callDuration, length time.Duration, seed uint64, result *loadResult) {
 	t.Run("run", func(t *testing.T) {
-		r := newRigWith(t, operatorXML, func(set, limits map[string]any) { set["limits"].(map[string]any)["most_held"] = 400 })
+		r := newRigWithOperatorFile(t, operatorXML, func(set, limits map[string]any) { set["limits"].(map[string]any)["most_held"] = 400 })
 		var mu sync.Mutex
 		submittedAt := map[string]time.Time{}
 		var intake, delivery []float64
@@ -235,7 +235,7 @@
 		client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64}}
 		rng := rand.New(rand.NewPCG(seed, 3))
 		time.Sleep(time.Second)
-		from := standin.CPUSeconds(r.proc.Process.Pid)
+		cpuBefore := standin.CPUSeconds(r.proc.Process.Pid)
 		startedAt := time.Now()
 		nextSubmission := time.Now()
 		for i, end := 0, time.Now().Add(length); time.Now().Before(end); i++ {
@@ -248,9 +248,9 @@
 			go func() {
 				defer wg.Done()
 				id := fmt.Sprint("c", i)
-				begin := time.Now()
+				submitted := time.Now()
 				mu.Lock()
-				submittedAt[id] = begin
+				submittedAt[id] = submitted
 				mu.Unlock()
 				q, _ := http.NewRequest("POST", "http://"+r.addr+"/api", strings.NewReader("body"))
 				for k, v := range map[string]string{"X-Trace-Id": id, "X-Qos": "note", "X-Customer": "acme", "Idempotency-Key": id, "X-Expires-In": "20.000", "X-Route-To": fmt.Sprintf("dest=%d", i%20)} {
@@ -263,12 +263,12 @@
 				io.Copy(io.Discard, resp.Body)
 				resp.Body.Close()
 				mu.Lock()
-				intake = append(intake, float64(time.Since(begin))/1e6)
+				intake = append(intake, float64(time.Since(submitted))/1e6)
 				mu.Unlock()
 			}()
 		}
 		wg.Wait()
-		result.cpu = (standin.CPUSeconds(r.proc.Process.Pid) - from) / length.Seconds() * 100
+		result.cpu = (standin.CPUSeconds(r.proc.Process.Pid) - cpuBefore) / length.Seconds() * 100
 		result.rss = standin.ResidentMB(r.proc.Process.Pid)
 		mu.Lock()
 		defer mu.Unlock()
@@ -306,17 +306,19 @@
 	for round := range rounds {
 		for k := range modes {
 			mode := modes[(k+round)%len(modes)]
-			c, op := startCollector(t, round%2 == 1)
+			c, operatorXML := startCollector(t, round%2 == 1)
 			switch mode {
 			case "off":
-				op = ""
+				operatorXML = ""
 			case "absent":
 				c.Close()
 			case "black hole":
 				c.Set(collector.Mood{Hole: true})
 			}
 			var res loadResult
-			t.Run(fmt.Sprint(mode, round), func(t *testing.T) { measureLoad(t, op, 320, 50*time.Millisecond, 6*time.Second, uint64(round), &res) })
+			t.Run(fmt.Sprint(mode, round), func(t *testing.T) {
+				measureLoad(t, operatorXML, 320, 50*time.Millisecond, 6*time.Second, uint64(round), &res)
+			})
 			all[mode] = append(all[mode], res)
 		}
 	}
@@ -346,12 +348,12 @@
 		for i, mode := range modes {
 			t.Run(mode, func(t *testing.T) {
 				t.Parallel()
-				c, op := startCollector(t, mode == "gRPC")
+				c, operatorXML := startCollector(t, mode == "gRPC")
 				c.Set(collector.Mood{Hole: true})
 				if mode == "off" {
-					op = ""
+					operatorXML = ""
 				}
-				measureLoad(t, op, 320, 50*time.Millisecond, 3*time.Minute, 1, &results[i])
+				measureLoad(t, operatorXML, 320, 50*time.Millisecond, 3*time.Minute, 1, &results[i])
 			})
 		}
 	})
--- a/cmd/sliptide/restart_test.go
+++ b/cmd/sliptide/restart_test.go
@@ -24,8 +24,8 @@
 		limits["disk_mb"] = diskMB
 		settings["limits"].(map[string]any)["most_held"] = 1000
 	})
-	var tried atomic.Int64
-	partner := r.endpointWithHandler("s", 3, func(w http.ResponseWriter, _ *http.Request) { tried.Add(1) })
+	var attempts atomic.Int64
+	partner := r.endpointWithHandler("s", 3, func(w http.ResponseWriter, _ *http.Request) { attempts.Add(1) })
 	r.endpoints = append(r.endpoints, partner)
 	r.config["known"] = map[string]any{"version": 1, "full": true, "servers": r.endpoints}
 	r.discoverySilent = true
@@ -33,10 +33,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	rng, held := rand.New(rand.NewPCG(1, 2)), 0
-	for ; jr.HasSpace(16<<10) && held < 900; held++ {
+	rng, accepted := rand.New(rand.NewPCG(1, 2)), 0
+	for ; jr.HasSpace(16<<10) && accepted < 900; accepted++ {
 		body := make([]byte, rng.IntN(16<<10))
-		jr.Accept(&journal.Entry{Num: jr.NextNumber(), Trace: fmt.Sprint("m", held), Key: fmt.Sprint("k", held), Class: "note",
+		jr.Accept(&journal.Entry{Num: jr.NextNumber(), Trace: fmt.Sprint("m", accepted), Key: fmt.Sprint("k", accepted), Class: "note",
 			Tenant: "acme", Dest: 3, Deadline: time.Now().Add(20 * time.Second).UnixMilli(), Body: body})
 		if err := jr.Flush(); err != nil {
 			t.Fatal(err)
@@ -54,11 +54,11 @@
 	if res := r.submit("new", 3, 15, ""); res.StatusCode != 202 {
 		t.Errorf("a new message: %d", res.StatusCode)
 	}
-	for end := time.Now().Add(15 * time.Second); tried.Load() <= int64(held) && time.Now().Before(end); {
+	for end := time.Now().Add(15 * time.Second); attempts.Load() <= int64(accepted) && time.Now().Before(end); {
 		time.Sleep(10 * time.Millisecond)
 	}
-	t.Logf("ready after %v with %d messages restored, %d calls made", took, held, tried.Load())
-	if n := int(tried.Load()); n < held/2 {
-		t.Errorf("%d of %d restored messages were attempted", n, held)
+	t.Logf("ready after %v with %d messages restored, %d calls made", took, accepted, attempts.Load())
+	if n := int(attempts.Load()); n < accepted/2 {
+		t.Errorf("%d of %d restored messages were attempted", n, accepted)
 	}
 }
--- a/cmd/sliptide/rig_test.go
+++ b/cmd/sliptide/rig_test.go
@@ -150,11 +150,11 @@
 
 func newRig(t *testing.T, change func(settings, limits map[string]any), kinds ...string) *rig {
 	t.Helper()
-	return newRigWith(t, "", change, kinds...)
+	return newRigWithOperatorFile(t, "", change, kinds...)
 }
 
-// newRigWith is like newRig, with an operators' file whose root element has the given content.
-func newRigWith(t *testing.T, operator string, change func(settings, limits map[string]any), kinds ...string) *rig {
+// newRigWithOperatorFile is like newRig, with an operators' file whose root element has the given content.
+func newRigWithOperatorFile(t *testing.T, operator string, change func(settings, limits map[string]any), kinds ...string) *rig {
 	t.Helper()
 	t.Parallel()
 	r := newUnstartedRig(t, operator, change, kinds...)
@@ -162,7 +162,7 @@
 	return r
 }
 
-// newUnstartedRig is like newRigWith, but doesn't start the program, and doesn't mark the test as parallel.
+// newUnstartedRig is like newRigWithOperatorFile, but doesn't start the program, and doesn't mark the test as parallel.
 func newUnstartedRig(t *testing.T, operator string, change func(settings, limits map[string]any), kinds ...string) *rig {
 	t.Helper()
 	r := &rig{t: t, calls: make(chan *call, 100), notices: make(chan notice, 100), watches: make(chan string, 1000),
--- a/cmd/sliptide/run.go
+++ b/cmd/sliptide/run.go
@@ -93,9 +93,9 @@
 	if err != nil {
 		return err
 	}
-	var disabled *admin.DisabledStore
+	var disabledStore *admin.DisabledStore
 	err = transient.Retry(startRetryTimeout, transient.IsDiskError, func() (err error) {
-		disabled, err = admin.Open(fsys.ForDir(cfg.StateDir))
+		disabledStore, err = admin.Open(fsys.ForDir(cfg.StateDir))
 		return err
 	})
 	if err != nil {
@@ -126,15 +126,15 @@
 		Journal: jrnl, Restored: restored, Notify: notices.Post, Knowledge: knowledge.get().Knowledge, Clock: clock, Log: log,
 		Partner: registry.Lookup, HTTP2Streams: partners.StreamsPerConn, StormGuard: newStormGuard(cfg, op.Storms),
 		Recorder: pipe.Records(), LogRecords: op.Log.Records,
-		Disabled: disabled.Disabled(), Successor: dirLocks.waiting(),
+		Disabled: disabledStore.Disabled(), Successor: dirLocks.waiting(),
 	})
 	member, err := newMembership(cfg, op, space, log)
 	if err != nil {
 		return err
 	}
 	member.bind(snd, op, cfg.Settings.Senders)
-	disabled.Bind(snd.SetDisabled)
-	go disabled.Watch(ctx, snd.ApplyDisabled, log)
+	disabledStore.Bind(snd.SetDisabled)
+	go disabledStore.Watch(ctx, snd.ApplyDisabled, log)
 	listReceived := make(chan struct{}, 1)
 	source, err := openSource(cfg, op, snd, log, func() {
 		select {
@@ -152,7 +152,7 @@
 			return fmt.Errorf("RELAY_ADMIN: %w", err)
 		}
 		defer adminListener.Close()
-		calls := admin.Handlers{Ready: server.Available, Disable: disabled.Disable, Enable: disabled.Enable,
+		calls := admin.Handlers{Ready: server.Available, Disable: disabledStore.Disable, Enable: disabledStore.Enable,
 			Drain: server.Drain, Undrain: server.Undrain}
 		go admin.New(calls, log).Serve(adminListener)
 	}
@@ -168,7 +168,7 @@
 	}
 	if dirLocks.waiting() {
 		next := &successor{dirLocks: dirLocks, cfg: cfg, op: op, space: space, journalAccount: journalAccount, clock: clock,
-			log: log, sender: snd, disabled: disabled, knowledge: knowledge, member: member}
+			log: log, sender: snd, disabledStore: disabledStore, knowledge: knowledge, member: member}
 		go next.takeOver()
 	} else if err := member.join(); err != nil {
 		return err
--- a/cmd/sliptide/telemetry_test.go
+++ b/cmd/sliptide/telemetry_test.go
@@ -66,7 +66,7 @@
 	for _, overGRPC := range []bool{false, true} {
 		t.Run(fmt.Sprint("grpc ", overGRPC), func(t *testing.T) {
 			c, file := startCollector(t, overGRPC)
-			r := newRigWith(t, file, nil, "one")
+			r := newRigWithOperatorFile(t, file, nil, "one")
 			for i := range 20 {
 				r.mustSubmit(fmt.Sprint("plain-", i), 0, 20, "secret body")
 				r.expectCallFor(fmt.Sprint("plain-", i)).respond(200)
@@ -107,7 +107,7 @@
 // Each message has a trace, which contains its attempts and waits.
 func TestTraceHasAttemptsAndWaits(t *testing.T) {
 	c, file := startCollector(t, false)
-	r := newRigWith(t, file, nil, "one")
+	r := newRigWithOperatorFile(t, file, nil, "one")
 	for i := range 30 {
 		id := fmt.Sprint("b", i)
 		r.mustSubmit(id, 0, 20, "x")
@@ -154,7 +154,7 @@
 func TestUnresponsiveCollectorDelaysNothing(t *testing.T) {
 	c, file := startCollector(t, true)
 	c.Set(collector.Mood{Hole: true})
-	r := newRigWith(t, file, nil, "one")
+	r := newRigWithOperatorFile(t, file, nil, "one")
 	for i := range 50 {
 		id := fmt.Sprint("m", i)
 		r.mustSubmit(id, 0, 20, "x")
--- a/cmd/sliptide/upgrade.go
+++ b/cmd/sliptide/upgrade.go
@@ -113,7 +113,7 @@
 	clock          sender.Clock
 	log            zerolog.Logger
 	sender         *sender.Sender
-	disabled       *admin.DisabledStore
+	disabledStore  *admin.DisabledStore
 	knowledge      *knowledgeRef
 	member         *membership
 }
@@ -131,7 +131,7 @@
 		go knowledge.Writer.Run()
 	}
 	h.knowledge.set(knowledge)
-	disabled, err := h.disabled.Reload()
+	disabled, err := h.disabledStore.Reload()
 	if err != nil {
 		h.log.Warn().Err(err).Msg("upgrade: reading the endpoints disabled by operators failed")
 	}
--- a/cmd/sliptide/wallclock_test.go
+++ b/cmd/sliptide/wallclock_test.go
@@ -15,7 +15,7 @@
 	for _, step := range []time.Duration{time.Hour, -time.Hour, -3 * time.Second} {
 		t.Run(fmt.Sprint(step), func(t *testing.T) {
 			stepped := buildWithClockShift(t, step)
-			r := newRigWith(t, `<knowledge enabled="true" write-every="1m"/>`, nil, "one")
+			r := newRigWithOperatorFile(t, `<knowledge enabled="true" write-every="1m"/>`, nil, "one")
 			r.mustSubmit("waits", 0, 15, "")
 			requested := time.Now()
 			r.expectCallFor("waits").respond(503, "Retry-After", "1.500")
