--- a/cmd/sliptide/telemetry_test.go
+++ b/cmd/sliptide/telemetry_test.go
@@ -37,7 +37,7 @@
 func awaitTraces(t *testing.T, c *collector.Collector, n int) map[string][]*trace.Span {
 	t.Helper()
 	for end := time.Now().Add(testTimeout); ; {
-		traces, err := collector.Whole(c.Spans())
+		traces, err := collector.GroupTraces(c.Spans())
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -153,7 +153,7 @@
 // With a collector that accepts connections and never answers, the sender delivers messages and stops in time.
 func TestUnresponsiveCollectorDelaysNothing(t *testing.T) {
 	c, file := startCollector(t, true)
-	c.Set(collector.Mood{Hole: true})
+	c.SetBehaviour(collector.Behaviour{NeverAnswer: true})
 	r := newRigWithOperatorFile(t, file, nil, "one")
 	for i := range 50 {
 		id := fmt.Sprint("m", i)
--- a/internal/lab/cli/capacity.go
+++ b/internal/lab/cli/capacity.go
@@ -26,7 +26,7 @@
 		return err
 	}
 	if c.Again {
-		return c.write(target)
+		return c.writePage(target)
 	}
 	binary, err := filepath.Abs(c.Binary)
 	if err != nil {
@@ -38,18 +38,20 @@
 	}
 	defer os.RemoveAll(dir)
 	done := func(string) {}
-	if env.Bar {
-		bar := progressbar.NewOptions(capacity.Sizes(c.Only), progressbar.OptionSetWriter(env.Err), progressbar.OptionShowCount(), progressbar.OptionClearOnFinish())
+	if env.ShowProgress {
+		bar := progressbar.NewOptions(capacity.SizeCount(c.Only), progressbar.OptionSetWriter(env.Err),
+			progressbar.OptionShowCount(), progressbar.OptionClearOnFinish())
 		done = func(name string) { bar.Describe(name); bar.Add(1) }
 	}
-	record, err := capacity.Run(&capacity.Env{Ctx: env.Ctx, Binary: binary, Dir: dir}, c.Only, done)
+	record, err := capacity.Run(&capacity.Env{Ctx: env.Ctx, Binary: binary, ScratchDir: dir}, c.Only, done)
 	if err != nil {
 		return err
 	}
 	for i := range record.Series {
 		s := &record.Series[i]
-		fmt.Fprintf(env.Out, "%-26s %.4g + %.4g %s a %s, residual %.1f %%; at %.0f foretold %.4g, measured %.4g: missed by %+.1f %%\n", s.Name,
-			s.Fit.Base, s.Fit.Slope, s.Unit, s.Per, 100*s.Fit.Residual, s.Largest().Size, s.Fit.At(s.Largest().Size), s.Largest().Value, 100*s.Missed())
+		fmt.Fprintf(env.Out, "%-26s %.4g + %.4g %s a %s, residual %.1f %%; at %.0f predicted %.4g, measured %.4g: error %+.1f %%\n",
+			s.Name, s.Fit.Base, s.Fit.Slope, s.Unit, s.Per, 100*s.Fit.Residual, s.Largest().Size,
+			s.Fit.At(s.Largest().Size), s.Largest().Value, 100*s.ForecastError())
 	}
 	if len(c.Only) > 0 {
 		return nil
@@ -60,10 +62,10 @@
 	if err := record.Save(c.Record); err != nil {
 		return err
 	}
-	return c.write(target)
+	return c.writePage(target)
 }
 
-func (c *capacityCmd) write(target *capacity.Target) error {
+func (c *capacityCmd) writePage(target *capacity.Target) error {
 	record, err := capacity.LoadRecord(c.Record)
 	if err != nil {
 		return err
--- a/internal/lab/scale/site.go
+++ b/internal/lab/scale/site.go
@@ -344,10 +344,10 @@
 
 // residentBytes returns the resident memory of all processes, including this one.
 func (s *site) residentBytes() int64 {
-	total := proc.Resident(os.Getpid())
+	total := proc.ResidentBytes(os.Getpid())
 	add := func(c *child) {
 		if c != nil {
-			total += proc.Resident(c.cmd.Process.Pid)
+			total += proc.ResidentBytes(c.cmd.Process.Pid)
 		}
 	}
 	for _, c := range s.controls {
