--- a/internal/lab/capacity/capacity_test.go
+++ b/internal/lab/capacity/capacity_test.go
@@ -12,7 +12,7 @@
 
 const targetFile = "../../../experiments/fleet/target.xml"
 
-func target(t *testing.T) *Target {
+func loadTarget(t *testing.T) *Target {
 	t.Helper()
 	read, err := LoadTarget(targetFile)
 	if err != nil {
@@ -22,7 +22,7 @@
 }
 
 func TestTarget(t *testing.T) {
-	read := target(t)
+	read := loadTarget(t)
 	if read.Senders != 14000 || math.Round(read.EventsPerSecondPerSender()) != 1143 || read.DownDestinations() != 46000 || math.Round(read.BacklogPerSender()/1e4) != 607 {
 		t.Errorf("%+v", read)
 	}
@@ -49,9 +49,9 @@
 }
 
 // A line is found again whatever its size, and the point that is left out has no part in it.
-func TestFitLeavesTheLargestOut(t *testing.T) {
+func TestFitExcludesTheLargestPoint(t *testing.T) {
 	s := Series{Points: []Point{{10, 7}, {100, 25}, {1000, 205}, {10000, 2005}, {100000, 40010}}}
-	s.fit()
+	s.fitAllButLargest()
 	if math.Abs(s.Fit.Base-5) > 1e-6 || math.Abs(s.Fit.Slope-0.2) > 1e-9 || s.Fit.Residual > 1e-9 {
 		t.Errorf("fit %+v, want 5 + 0.2", s.Fit)
 	}
@@ -66,7 +66,7 @@
 
 // The share at which a budget is used up: linear, quadratic, of one sender's load, and none stated.
 func TestBreaksAt(t *testing.T) {
-	at := target(t)
+	at := loadTarget(t)
 	memory := func(t *Target) float64 { return t.MemoryMB }
 	for _, c := range []struct {
 		name  string
@@ -147,7 +147,7 @@
 	if err := os.WriteFile(again, text, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if err := WritePage(again, target(t), r); err != nil {
+	if err := WritePage(again, loadTarget(t), r); err != nil {
 		t.Fatal(err)
 	}
 	written, err := os.ReadFile(again)
@@ -159,20 +159,20 @@
 	}
 }
 
-func TestPageWithoutMarks(t *testing.T) {
+func TestPageWithoutMarkers(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "page.md")
 	if err := os.WriteFile(path, []byte("# Capacity\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if err := WritePage(path, target(t), &Record{}); err == nil || !strings.Contains(err.Error(), "generated: target") {
+	if err := WritePage(path, loadTarget(t), &Record{}); err == nil || !strings.Contains(err.Error(), "generated: target") {
 		t.Errorf("error %v", err)
 	}
 }
 
-func TestFigure(t *testing.T) {
+func TestFormatNumber(t *testing.T) {
 	for v, want := range map[float64]string{0: "0", 1234567: "1,234,567", 1000: "1,000", 128: "128", 12.345: "12.3", 0.00512: "0.00512",
 		0.0000123: "0.0000123", -18.44: "-18.4", -1234: "-1,234"} {
-		if got := figure(v); got != want {
+		if got := formatNumber(v); got != want {
 			t.Errorf("%g: %q, want %q", v, got, want)
 		}
 	}
--- a/internal/lab/capacity/fit.go
+++ b/internal/lab/capacity/fit.go
@@ -65,4 +65,4 @@
 }
 
 // fit fits the points but the last.
-func (s *Series) fit() { s.Fit = FitLine(s.Points[:len(s.Points)-1]) }
+func (s *Series) fitAllButLargest() { s.Fit = FitLine(s.Points[:len(s.Points)-1]) }
--- a/internal/lab/capacity/measure.go
+++ b/internal/lab/capacity/measure.go
@@ -32,7 +32,7 @@
 	r := &Record{Cores: runtime.NumCPU(), GoVersion: runtime.Version(), LoadBefore: proc.Load()}
 	began := time.Now()
 	for _, m := range Measurements() {
-		if !selected(m.Name, only) {
+		if !isSelected(m.Name, only) {
 			continue
 		}
 		s, err := m.run(e, done)
@@ -45,7 +45,7 @@
 	return r, nil
 }
 
-func selected(name string, only []string) bool {
+func isSelected(name string, only []string) bool {
 	for _, o := range only {
 		if o == name {
 			return true
@@ -72,14 +72,14 @@
 		s.Points = append(s.Points, Point{Size: float64(size), Value: best})
 		done(m.Name)
 	}
-	s.fit()
+	s.fitAllButLargest()
 	return s, nil
 }
 
 // Sizes is how many sizes all measurements have.
 func SizeCount(only []string) (n int) {
 	for _, m := range Measurements() {
-		if selected(m.Name, only) {
+		if isSelected(m.Name, only) {
 			n += len(m.Sizes)
 		}
 	}
@@ -88,22 +88,22 @@
 
 // threadTime runs f on one thread and returns the processor time that this thread took, in milliseconds. Time that the
 // garbage collector takes on other threads is not in it.
-func threadTime(f func()) float64 {
+func threadCPUMillis(f func()) float64 {
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
-	before := clock(unix.CLOCK_THREAD_CPUTIME_ID)
+	before := clockNanos(unix.CLOCK_THREAD_CPUTIME_ID)
 	f()
-	return float64(clock(unix.CLOCK_THREAD_CPUTIME_ID)-before) / 1e6
+	return float64(clockNanos(unix.CLOCK_THREAD_CPUTIME_ID)-before) / 1e6
 }
 
 // processTime runs f and returns the processor time that this process took meanwhile, in milliseconds.
-func processTime(f func()) float64 {
-	before := clock(unix.CLOCK_PROCESS_CPUTIME_ID)
+func processCPUMillis(f func()) float64 {
+	before := clockNanos(unix.CLOCK_PROCESS_CPUTIME_ID)
 	f()
-	return float64(clock(unix.CLOCK_PROCESS_CPUTIME_ID)-before) / 1e6
+	return float64(clockNanos(unix.CLOCK_PROCESS_CPUTIME_ID)-before) / 1e6
 }
 
-func clock(id int32) int64 {
+func clockNanos(id int32) int64 {
 	var t unix.Timespec
 	if unix.ClockGettime(id, &t) != nil {
 		return 0
@@ -112,15 +112,15 @@
 }
 
 // heapGrowth is by how many bytes what build returns has grown the heap.
-func heapGrowth(build func() any) float64 {
-	before := liveHeap()
+func heapGrowthBytes(build func() any) float64 {
+	before := liveHeapBytes()
 	kept := build()
-	after := liveHeap()
+	after := liveHeapBytes()
 	runtime.KeepAlive(kept)
 	return float64(after) - float64(before)
 }
 
-func liveHeap() uint64 {
+func liveHeapBytes() uint64 {
 	runtime.GC()
 	runtime.GC()
 	var m runtime.MemStats
--- a/internal/lab/capacity/measure_control.go
+++ b/internal/lab/capacity/measure_control.go
@@ -8,27 +8,27 @@
 	"sliptide/internal/fleet/shard"
 )
 
-const replicas = 2 // of a shard in each region
+const shardReplicas = 2 // of a shard in each region
 
 func controlMeasurements() []Measurement {
 	return []Measurement{{
 		Name: "directory-memory", Role: roleControl, Description: "memory of the directory, one endpoint a destination", Unit: "KB", Per: "destination",
 		Sizes: []int{3000, 10000, 30000, 100000, 300000, 1000000},
 		Run: func(_ *Env, size int) (float64, error) {
-			return heapGrowth(func() any { return fullDirectory(size) }) / 1e3, nil
+			return heapGrowthBytes(func() any { return newDirectory(size) }) / 1e3, nil
 		},
 	}, {
 		Name: "shard-join", Role: roleControl, Description: "processor time of the assignment when a member of a region joins and leaves again", Unit: "ms", Per: "member of the region",
 		Sizes: []int{30, 100, 300, 1000, 2800}, Repeats: 5,
 		Run: func(_ *Env, size int) (float64, error) {
-			table := shard.NewTable(replicas)
+			table := shard.NewTable(shardReplicas)
 			var list []shard.Member
 			for i := range size {
 				list = append(list, shard.Member{Name: fmt.Sprintf("sender-%05d", i), Zone: fmt.Sprintf("zone-%d", i%3), Weight: 1})
 			}
 			table.Update(list, nil)
 			extra := shard.Member{Name: "extra", Zone: "zone-1", Weight: 1}
-			return threadTime(func() {
+			return threadCPUMillis(func() {
 				table.Update([]shard.Member{extra}, nil)
 				table.Update(nil, []string{extra.Name})
 			}), nil
@@ -37,7 +37,7 @@
 }
 
 // fullDirectory is a directory of so many destinations.
-func fullDirectory(destinations int) *directory.Directory {
+func newDirectory(destinations int) *directory.Directory {
 	const batch = 1000
 	d := directory.New()
 	list := make([]directory.Endpoint, 0, batch)
--- a/internal/lab/capacity/measure_fleet.go
+++ b/internal/lab/capacity/measure_fleet.go
@@ -24,24 +24,24 @@
 		Sizes: []int{10, 30, 100, 300, 900}, Run: groupFrames,
 	}, {
 		Name: "link-frame", Role: roleVoter, Description: "processor time of frames over a link, both ends", Unit: "ms", Per: "frame",
-		Sizes: []int{1000, 3000, 10000, 30000, 100000}, Repeats: 4, Run: linkFrames,
+		Sizes: []int{1000, 3000, 10000, 30000, 100000}, Repeats: 4, Run: linkFramesCPU,
 	}, {
 		Name: "session-end", Role: roleVoter, Description: "processor time to end one session, by the duties that the group holds", Unit: "us", Per: "duty",
-		Sizes: []int{80, 250, 800, 2500, duty.MaxDuties}, Repeats: 9, Run: sessionEnd,
+		Sizes: []int{80, 250, 800, 2500, duty.MaxDuties}, Repeats: 9, Run: sessionEndCPU,
 	}, {
 		Name: "state-session", Role: roleVoter, Description: "snapshot of the agreed state, by sessions", Unit: "KB", Per: "sender",
 		Sizes: []int{10, 30, 100, 300, duty.MaxSessions},
-		Run:   func(_ *Env, size int) (float64, error) { return snapshotSize(size, 0) },
+		Run:   func(_ *Env, size int) (float64, error) { return snapshotKB(size, 0) },
 	}, {
 		Name: "state-duty", Role: roleVoter, Description: "snapshot of the agreed state, by duties", Unit: "KB", Per: "duty",
 		Sizes: []int{80, 250, 800, 2500, duty.MaxDuties},
-		Run:   func(_ *Env, size int) (float64, error) { return snapshotSize(1, size) },
+		Run:   func(_ *Env, size int) (float64, error) { return snapshotKB(1, size) },
 	}, {
 		Name: "present-bytes", Role: roleVoter, Description: "frame that tells each member of a session that began or ended", Unit: "KB", Per: "sender",
-		Sizes: []int{10, 100, 1000, 3000, 14000}, Run: presentBytes,
+		Sizes: []int{10, 100, 1000, 3000, 14000}, Run: presentKB,
 	}, {
 		Name: "status-bytes", Role: roleOperator, Description: "answer to `sliptide fleet status`, by members", Unit: "KB", Per: "sender",
-		Sizes: []int{10, 100, 1000, 3000, 14000}, Run: statusBytes,
+		Sizes: []int{10, 100, 1000, 3000, 14000}, Run: statusKB,
 	}}
 }
 
@@ -60,7 +60,7 @@
 }
 
 // linkFrames sends frames from one member to another and back, so many on their way at a time.
-func linkFrames(e *Env, frames int) (float64, error) {
+func linkFramesCPU(e *Env, frames int) (float64, error) {
 	const window = 64
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -88,11 +88,11 @@
 	defer near.Close()
 	select {
 	case <-up:
-	case <-time.After(startWithin):
+	case <-time.After(startTimeout):
 		return 0, errors.New("the link did not come up")
 	}
 	lost := false
-	took := processTime(func() {
+	took := processCPUMillis(func() {
 		sent := 0
 		for received := 0; received < frames/2; {
 			for ; sent < frames/2 && sent-received < window; sent++ {
@@ -114,7 +114,7 @@
 }
 
 // agreed is a state with so many sessions, and duties that the first of them holds.
-func agreed(sessions, duties int) *duty.State {
+func newAgreedState(sessions, duties int) *duty.State {
 	s := duty.New(map[uint64]string{1: "sender-00000"})
 	index := uint64(1)
 	apply := func(c *pb.Command) { s.Apply(index, 1, c); index++ }
@@ -127,23 +127,23 @@
 	return s
 }
 
-func snapshotSize(sessions, duties int) (float64, error) {
-	b, err := agreed(sessions, duties).Marshal()
+func snapshotKB(sessions, duties int) (float64, error) {
+	b, err := newAgreedState(sessions, duties).Marshal()
 	return float64(len(b)) / 1e3, err
 }
 
 // sessionEnd measures the end of a session of a hundred that share the duties.
-func sessionEnd(_ *Env, duties int) (float64, error) {
+func sessionEndCPU(_ *Env, duties int) (float64, error) {
 	const sessions = 100
-	s := agreed(sessions, duties)
+	s := newAgreedState(sessions, duties)
 	var err error
-	took := threadTime(func() {
+	took := threadCPUMillis(func() {
 		err = s.Apply(1<<40, 1, &pb.Command{What: &pb.Command_Close{Close: &pb.Close{Session: 50}}}).Err
 	})
 	return took * 1e3, err
 }
 
-func presentBytes(_ *Env, members int) (float64, error) {
+func presentKB(_ *Env, members int) (float64, error) {
 	news := &pb.News{From: 1 << 20, To: 1<<20 + 1, AllPresent: true}
 	for i := range members {
 		news.Present = append(news.Present, &pb.Present{Name: fmt.Sprintf("sender-%05d", i), Zone: "zone-11"})
@@ -151,7 +151,7 @@
 	return float64(proto.Size(&pb.Frame{What: &pb.Frame_News{News: news}})) / 1e3, nil
 }
 
-func statusBytes(_ *Env, members int) (float64, error) {
+func statusKB(_ *Env, members int) (float64, error) {
 	s := voter.Status{ReportedBy: "sender-00000", Leader: "sender-00001"}
 	for i := range members {
 		s.Members = append(s.Members, voter.MemberStatus{Name: fmt.Sprintf("sender-%05d", i), Session: uint64(i + 1000), Zone: "zone-11", LastHeardMS: 123.4, Duties: 3})
--- a/internal/lab/capacity/measure_process.go
+++ b/internal/lab/capacity/measure_process.go
@@ -20,17 +20,17 @@
 )
 
 const (
-	startWithin  = 2 * time.Minute
-	lookEvery    = 20 * time.Millisecond
-	settleFor    = 10 // looks in a row at which memory has not grown
-	settleWithin = 10 * time.Second
-	handsIn      = 16 // connections that hand events in
+	startTimeout      = 2 * time.Minute
+	pollInterval      = 20 * time.Millisecond
+	settledPolls      = 10 // looks in a row at which memory has not grown
+	settleTimeout     = 10 * time.Second
+	submitConnections = 16 // connections that hand events in
 )
 
 // restarted is what was seen of one restart.
-type restarted struct {
-	ready  float64 // ms from the start until the sender was ready
-	memory float64 // MB then
+type restartResult struct {
+	readyMS  float64 // ms from the start until the sender was ready
+	memoryMB float64 // MB then
 }
 
 func processMeasurements() []Measurement {
@@ -41,31 +41,31 @@
 	}, {
 		Name: "restart-memory", Role: roleSender, Description: "resident memory of a sender that restarted with so many events of 500 bytes in its journal",
 		Unit: "MB", Per: "held event", RealProcess: true, Sizes: held, Repeats: 3,
-		Run: func(e *Env, size int) (float64, error) { r, err := e.restart(size); return r.memory, err },
+		Run: func(e *Env, size int) (float64, error) { r, err := e.restart(size); return r.memoryMB, err },
 	}, {
 		Name: "restart-ready", Role: roleSender, Description: "time from the start until /up answers 200, with so many events in the journal",
 		Unit: "ms", Per: "held event", RealProcess: true, Sizes: held, Repeats: 3,
-		Run: func(e *Env, size int) (float64, error) { r, err := e.restart(size); return r.ready, err },
+		Run: func(e *Env, size int) (float64, error) { r, err := e.restart(size); return r.readyMS, err },
 	}, {
 		Name: "held-memory", Role: roleSender, Description: "resident memory of a sender that took so many events of 500 bytes for a destination that is down",
 		Unit: "MB", Per: "held event", RealProcess: true, Sizes: []int{300, 1000, 3000, 10000, 30000}, Run: heldMemory,
 	}, {
 		Name: "event-cpu", Role: roleSender, Description: "processor time of a sender that takes and delivers so many events of 500 bytes",
-		Unit: "ms", Per: "event", RealProcess: true, Sizes: []int{300, 1000, 3000, 10000, 30000}, Repeats: 2, Run: eventTime,
+		Unit: "ms", Per: "event", RealProcess: true, Sizes: []int{300, 1000, 3000, 10000, 30000}, Repeats: 2, Run: eventCPU,
 	}}
 }
 
 // process is a sender that runs.
-type process struct {
+type senderProcess struct {
 	cmd    *exec.Cmd
 	addr   string
 	dir    string
-	log    bytes.Buffer
+	stderr bytes.Buffer
 	exited chan struct{}
 }
 
 // listText is a whole list of endpoints at addr, each of a destination of its own.
-func listText(destinations int, addr string) string {
+func listJSON(destinations int, addr string) string {
 	var b strings.Builder
 	b.WriteString(`{"version":1,"full":true,"servers":[`)
 	for i := range destinations {
@@ -79,7 +79,7 @@
 }
 
 // configure writes the configuration of a sender with plenty of room.
-func configure(dir, addr, known string) (string, error) {
+func writeConfig(dir, addr, known string) (string, error) {
 	text, err := json.Marshal(map[string]any{
 		"name": "capacity", "listen": addr, "discovery": "127.0.0.1:9", "seed": "8c1f30d27a5be964",
 		"limits": map[string]any{"cores": 1.0, "memory_mb": 4096, "sockets": 1024, "disk_mb": 1024},
@@ -102,25 +102,25 @@
 }
 
 // start starts a sender in a folder, whose journal may be there already, and waits until it is ready.
-func (e *Env) start(dir, known string) (*process, time.Duration, error) {
+func (e *Env) start(dir, known string) (*senderProcess, time.Duration, error) {
 	addr, err := proc.FreeAddr()
 	if err != nil {
 		return nil, 0, err
 	}
-	config, err := configure(dir, addr, known)
+	config, err := writeConfig(dir, addr, known)
 	if err != nil {
 		return nil, 0, err
 	}
-	p := &process{addr: addr, dir: dir, exited: make(chan struct{})}
+	p := &senderProcess{addr: addr, dir: dir, exited: make(chan struct{})}
 	p.cmd = exec.CommandContext(e.Ctx, e.Binary, "run")
 	p.cmd.Env = append(os.Environ(), "RELAY_CONFIG="+config, "RELAY_STATE="+filepath.Join(dir, "state"))
-	p.cmd.Stderr = &p.log
+	p.cmd.Stderr = &p.stderr
 	began := time.Now()
 	if err := p.cmd.Start(); err != nil {
 		return nil, 0, err
 	}
 	go func() { p.cmd.Wait(); close(p.exited) }()
-	for time.Since(began) < startWithin {
+	for time.Since(began) < startTimeout {
 		response, err := http.Get("http://" + addr + "/up")
 		if err == nil {
 			response.Body.Close()
@@ -130,24 +130,24 @@
 		}
 		select {
 		case <-p.exited:
-			return nil, 0, fmt.Errorf("the sender ended: %s", p.log.String())
-		case <-time.After(lookEvery / 10):
+			return nil, 0, fmt.Errorf("the sender ended: %s", p.stderr.String())
+		case <-time.After(pollInterval / 10):
 		}
 	}
 	p.stop()
-	return nil, 0, fmt.Errorf("the sender was not ready in %v", startWithin)
+	return nil, 0, fmt.Errorf("the sender was not ready in %v", startTimeout)
 }
 
 // stop ends the process and waits for its end.
-func (p *process) stop() {
+func (p *senderProcess) stop() {
 	p.cmd.Process.Signal(syscall.SIGKILL)
 	<-p.exited
 }
 
 // resident is the resident memory in MB, once it has not grown for some looks.
-func (p *process) resident() (float64, error) {
+func (p *senderProcess) residentMB() (float64, error) {
 	most, calm := int64(0), 0
-	for end := time.Now().Add(settleWithin); calm < settleFor && time.Now().Before(end); calm++ {
+	for end := time.Now().Add(settleTimeout); calm < settledPolls && time.Now().Before(end); calm++ {
 		now := proc.Resident(p.cmd.Process.Pid)
 		if now == 0 {
 			return 0, errors.New("the sender is gone")
@@ -155,19 +155,19 @@
 		if now > most {
 			most, calm = now, 0
 		}
-		time.Sleep(lookEvery)
+		time.Sleep(pollInterval)
 	}
 	return float64(most) / 1e6, nil
 }
 
 // processorTime is what the process has taken so far, in milliseconds.
-func (p *process) processorTime() (float64, error) {
+func (p *senderProcess) cpuMillis() (float64, error) {
 	taken, err := proc.ProcessorTime(p.cmd.Process.Pid)
 	return taken * 1e3, err
 }
 
 // scratch is a folder for one process, with its state folder in it.
-func (e *Env) scratch() (string, error) {
+func (e *Env) newScratchDir() (string, error) {
 	dir, err := os.MkdirTemp(e.ScratchDir, "sender-")
 	if err != nil {
 		return "", err
@@ -176,57 +176,57 @@
 }
 
 func destinationMemory(e *Env, size int) (float64, error) {
-	dir, err := e.scratch()
+	dir, err := e.newScratchDir()
 	if err != nil {
 		return 0, err
 	}
 	defer os.RemoveAll(dir)
-	p, _, err := e.start(dir, listText(size, "127.0.0.1:9"))
+	p, _, err := e.start(dir, listJSON(size, "127.0.0.1:9"))
 	if err != nil {
 		return 0, err
 	}
 	defer p.stop()
-	return p.resident()
+	return p.residentMB()
 }
 
 // restart starts a sender with a journal of so many events.
-func (e *Env) restart(size int) (restarted, error) {
-	dir, err := e.scratch()
+func (e *Env) restart(size int) (restartResult, error) {
+	dir, err := e.newScratchDir()
 	if err != nil {
-		return restarted{}, err
+		return restartResult{}, err
 	}
 	defer os.RemoveAll(dir)
-	if err := fill(filepath.Join(dir, "state"), size); err != nil {
-		return restarted{}, err
+	if err := fillJournal(filepath.Join(dir, "state"), size); err != nil {
+		return restartResult{}, err
 	}
-	p, took, err := e.start(dir, listText(2, "127.0.0.1:9"))
+	p, took, err := e.start(dir, listJSON(2, "127.0.0.1:9"))
 	if err != nil {
-		return restarted{}, err
+		return restartResult{}, err
 	}
 	defer p.stop()
-	memory, err := p.resident()
-	return restarted{ready: float64(took) / 1e6, memory: memory}, err
+	memory, err := p.residentMB()
+	return restartResult{readyMS: float64(took) / 1e6, memoryMB: memory}, err
 }
 
 func heldMemory(e *Env, size int) (float64, error) {
-	dir, err := e.scratch()
+	dir, err := e.newScratchDir()
 	if err != nil {
 		return 0, err
 	}
 	defer os.RemoveAll(dir)
-	p, _, err := e.start(dir, listText(2, "127.0.0.1:9")) // nobody listens there
+	p, _, err := e.start(dir, listJSON(2, "127.0.0.1:9")) // nobody listens there
 	if err != nil {
 		return 0, err
 	}
 	defer p.stop()
-	if err := p.handIn(size); err != nil {
+	if err := p.submit(size); err != nil {
 		return 0, err
 	}
-	return p.resident()
+	return p.residentMB()
 }
 
-func eventTime(e *Env, size int) (float64, error) {
-	dir, err := e.scratch()
+func eventCPU(e *Env, size int) (float64, error) {
+	dir, err := e.newScratchDir()
 	if err != nil {
 		return 0, err
 	}
@@ -243,41 +243,41 @@
 	})}
 	go partner.Serve(ln)
 	defer partner.Close()
-	p, _, err := e.start(dir, listText(2, ln.Addr().String()))
+	p, _, err := e.start(dir, listJSON(2, ln.Addr().String()))
 	if err != nil {
 		return 0, err
 	}
 	defer p.stop()
-	before, err := p.processorTime()
+	before, err := p.cpuMillis()
 	if err != nil {
 		return 0, err
 	}
-	if err := p.handIn(size); err != nil {
+	if err := p.submit(size); err != nil {
 		return 0, err
 	}
 	for range size {
 		select {
 		case <-delivered:
-		case <-time.After(startWithin):
+		case <-time.After(startTimeout):
 			return 0, errors.New("not all events were delivered")
 		}
 	}
-	after, err := p.processorTime()
+	after, err := p.cpuMillis()
 	return after - before, err
 }
 
 // handIn hands so many events in, for destination 1, and returns once each was taken on. One that is refused for the
 // moment is handed in again.
-func (p *process) handIn(events int) error {
+func (p *senderProcess) submit(events int) error {
 	body := strings.Repeat("x", eventBytes)
-	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: handsIn}, Timeout: 10 * time.Second}
+	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: submitConnections}, Timeout: 10 * time.Second}
 	defer client.CloseIdleConnections()
 	var wait sync.WaitGroup
-	errs := make(chan error, handsIn)
-	for worker := range handsIn {
+	errs := make(chan error, submitConnections)
+	for worker := range submitConnections {
 		wait.Go(func() {
-			for i := worker; i < events; i += handsIn {
-				if err := p.handInOne(client, i, body); err != nil {
+			for i := worker; i < events; i += submitConnections {
+				if err := p.submitOne(client, i, body); err != nil {
 					errs <- err
 					return
 				}
@@ -293,8 +293,8 @@
 	}
 }
 
-func (p *process) handInOne(client *http.Client, i int, body string) error {
-	for end := time.Now().Add(startWithin); time.Now().Before(end); time.Sleep(lookEvery) {
+func (p *senderProcess) submitOne(client *http.Client, i int, body string) error {
+	for end := time.Now().Add(startTimeout); time.Now().Before(end); time.Sleep(pollInterval) {
 		request, err := http.NewRequest("POST", "http://"+p.addr+"/api", strings.NewReader(body))
 		if err != nil {
 			return err
@@ -317,5 +317,5 @@
 			return fmt.Errorf("event %d: %s", i, response.Status)
 		}
 	}
-	return fmt.Errorf("event %d was refused for %v", i, startWithin)
+	return fmt.Errorf("event %d was refused for %v", i, startTimeout)
 }
--- a/internal/lab/capacity/measure_sender.go
+++ b/internal/lab/capacity/measure_sender.go
@@ -19,13 +19,13 @@
 
 // The roles that the page has sections for.
 const (
-	roleSender    = "sender"
-	roleHolder    = "holder of copies"
-	roleVoter     = "voter"
-	roleList      = "distribution of lists and configuration"
-	roleTelemetry = "telemetry"
-	roleOperator  = "operators' commands"
-	roleControl   = "control member, shards on"
+	roleSender       = "sender"
+	roleHolder       = "holder of copies"
+	roleVoter        = "voter"
+	roleDistribution = "distribution of lists and configuration"
+	roleTelemetry    = "telemetry"
+	roleOperator     = "operators' commands"
+	roleControl      = "control member, shards on"
 )
 
 // eventBytes is the body of the events that are measured with.
@@ -42,7 +42,7 @@
 }
 
 // settings are those of a sender with one class of long-lived messages and plenty of room.
-func settings(held int) policy.Settings {
+func moduleSettings(held int) policy.Settings {
 	return policy.Settings{
 		Senders: 1, CallSlots: 8, MaxAttempts: 6, MaxHeld: held, StreamsPerConn: 1, KeepAlive: 15000, DialTimeout: 1500,
 		DrainGrace: 500, WarmUpDuration: 9000, ColdCapacity: 0.25, OverloadMultiple: 1.5, OverloadWindow: 3000, AllowanceIndex: -1, LimitIndex: -1,
@@ -52,7 +52,7 @@
 }
 
 // endpoints are as many, each of a destination of its own.
-func endpoints(n int) []policy.Endpoint {
+func moduleEndpoints(n int) []policy.Endpoint {
 	list := make([]policy.Endpoint, n)
 	for i := range list {
 		list[i] = policy.Endpoint{ID: uint32(i + 1), State: policy.Ready, Dest: i}
@@ -65,9 +65,9 @@
 		Name: "module-destination-memory", Role: roleSender, Description: "memory of the decision module for a known destination with one endpoint, idle",
 		Unit: "KB", Per: "destination", Sizes: []int{1000, 3000, 10000, 30000, 100000, 300000},
 		Run: func(_ *Env, size int) (float64, error) {
-			return heapGrowth(func() any {
-				s := policy.New(settings(1000), 1)
-				s.Step(1000, []policy.Event{{Kind: policy.EvList, FullList: true, List: endpoints(size)}}, nil)
+			return heapGrowthBytes(func() any {
+				s := policy.New(moduleSettings(1000), 1)
+				s.Step(1000, []policy.Event{{Kind: policy.EvList, FullList: true, List: moduleEndpoints(size)}}, nil)
 				return s
 			}) / 1e3, nil
 		},
@@ -75,22 +75,22 @@
 		Name: "module-event-memory", Role: roleSender, Description: "memory of the decision module for a held event",
 		Unit: "KB", Per: "held event", Sizes: []int{1000, 3000, 10000, 30000, 100000, 300000},
 		Run: func(_ *Env, size int) (float64, error) {
-			return heapGrowth(func() any { return holding(size) }) / 1e3, nil
+			return heapGrowthBytes(func() any { return moduleWithBacklog(size) }) / 1e3, nil
 		},
 	}, {
 		Name: "module-send", Role: roleSender, Description: "processor time of a step that sends the next of one destination's held events",
 		Unit: "us", Per: "held event", Sizes: []int{100, 300, 1000, 3000, 10000, 30000}, Repeats: 3,
-		Run: moduleSend,
+		Run: sendStepCPU,
 	}, {
 		Name: "telemetry-event", Role: roleTelemetry, Description: "processor time to make an event's records into a trace",
 		Unit: "ms", Per: "event", Sizes: []int{1000, 3000, 10000, 30000, 100000}, Repeats: 3,
-		Run: telemetryEvents,
+		Run: telemetryCPU,
 	}}
 }
 
 // holding is a module that holds so many events of one destination, which has no endpoint.
-func holding(events int) *policy.Sender {
-	s := policy.New(settings(2*events), 1)
+func moduleWithBacklog(events int) *policy.Sender {
+	s := policy.New(moduleSettings(2*events), 1)
 	batch := make([]policy.Event, events)
 	for i := range batch {
 		batch[i] = policy.Event{Kind: policy.EvMessage, ID: uint64(i + 1), Dest: 1, Remaining: 8e7, Restored: true}
@@ -100,12 +100,12 @@
 }
 
 // moduleSend measures a step that takes an outcome and sends the next event.
-func moduleSend(_ *Env, held int) (float64, error) {
+func sendStepCPU(_ *Env, held int) (float64, error) {
 	const steps = 20
-	s := holding(held + steps + 8)
+	s := moduleWithBacklog(held + steps + 8)
 	actions := s.Step(1001, []policy.Event{{Kind: policy.EvList, FullList: true, List: []policy.Endpoint{{ID: 1, State: policy.Ready, Dest: 1}}}}, nil)
 	now, sent := 1001.0, 0
-	took := threadTime(func() {
+	took := threadCPUMillis(func() {
 		for range steps {
 			var ended []policy.Event
 			for _, a := range actions {
@@ -125,10 +125,10 @@
 }
 
 // telemetryEvents measures all records of events through the assembler.
-func telemetryEvents(_ *Env, events int) (float64, error) {
-	a := telemetry.NewAssembler(telemetry.Settings{SampledShare: 1, Classes: settings(1).Classes, Export: func(*telemetry.Trace) {}})
+func telemetryCPU(_ *Env, events int) (float64, error) {
+	a := telemetry.NewAssembler(telemetry.Settings{SampledShare: 1, Classes: moduleSettings(1).Classes, Export: func(*telemetry.Trace) {}})
 	q := telemetry.NewRecorder(1 << 30)
-	return threadTime(func() {
+	return threadCPUMillis(func() {
 		for i := range events {
 			at := float64(i)
 			q.Push(telemetry.Record{Kind: telemetry.KindAccepted, Num: uint64(i), At: at, Until: at + 1e4, Text: "9b1f03aa5c7e2d41"})
@@ -143,13 +143,13 @@
 }
 
 // entry is an event as the journal keeps it.
-func entry(num uint64, deadline time.Time) *journal.Entry {
+func journalEntry(num uint64, deadline time.Time) *journal.Entry {
 	return &journal.Entry{Num: num, Trace: fmt.Sprintf("trace-%016x", num), Key: fmt.Sprintf("key-%016x", num), Class: "note", Tenant: "acme", Dest: 1,
 		Deadline: deadline.UnixMilli(), Body: bytes.Repeat([]byte("x"), eventBytes)}
 }
 
 // fill writes a journal of so many events into a folder.
-func fill(dir string, events int) error {
+func fillJournal(dir string, events int) error {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return err
 	}
@@ -159,7 +159,7 @@
 	}
 	deadline := time.Now().Add(23 * time.Hour)
 	for i := range events {
-		j.Accept(entry(j.NextNumber(), deadline))
+		j.Accept(journalEntry(j.NextNumber(), deadline))
 		if i%1000 == 999 {
 			if err := j.Flush(); err != nil {
 				return err
@@ -176,7 +176,7 @@
 		return 0, err
 	}
 	defer os.RemoveAll(dir)
-	if err := fill(dir, events); err != nil {
+	if err := fillJournal(dir, events); err != nil {
 		return 0, err
 	}
 	return measure(dir)
@@ -201,7 +201,7 @@
 			return withJournal(e, size, func(dir string) (float64, error) {
 				var opened *journal.Journal
 				var err error
-				took := threadTime(func() { opened, _, err = journal.Open(dir, statedir.NewSpace(1<<40).Account()) })
+				took := threadCPUMillis(func() { opened, _, err = journal.Open(dir, statedir.NewSpace(1<<40).Account()) })
 				if err != nil {
 					return 0, err
 				}
@@ -212,13 +212,13 @@
 		Name: "copy-bytes", Role: roleHolder, Description: "records of an event's whole life that go to each holder of copies", Unit: "KB", Per: "event",
 		Sizes: []int{10, 100, 1000, 10000, 100000},
 		Run: func(e *Env, size int) (float64, error) {
-			return withJournal(e, 0, func(dir string) (float64, error) { return recordsOfLives(dir, size) })
+			return withJournal(e, 0, func(dir string) (float64, error) { return lifecycleRecordsKB(dir, size) })
 		},
 	}}
 }
 
 // recordsOfLives is how many kilobytes the records of so many events take, from their taking on to their end.
-func recordsOfLives(dir string, events int) (float64, error) {
+func lifecycleRecordsKB(dir string, events int) (float64, error) {
 	j, _, err := journal.Open(dir, statedir.NewSpace(1<<40).Account())
 	if err != nil {
 		return 0, err
@@ -226,7 +226,7 @@
 	j.EnableCopies()
 	total := 0
 	for range events {
-		x := entry(j.NextNumber(), time.Now().Add(time.Hour))
+		x := journalEntry(j.NextNumber(), time.Now().Add(time.Hour))
 		j.Accept(x)
 		j.StartAttempt(x, time.Now().UnixMilli(), 0)
 		j.EndAttempt(x, false)
@@ -238,15 +238,15 @@
 
 func listMeasurements() []Measurement {
 	return []Measurement{{
-		Name: "list-bytes", Role: roleList, Description: "the list of endpoints, one endpoint a destination", Unit: "KB", Per: "destination",
+		Name: "list-bytes", Role: roleDistribution, Description: "the list of endpoints, one endpoint a destination", Unit: "KB", Per: "destination",
 		Sizes: []int{100, 300, 1000, 3000, 10000, 100000},
-		Run:   func(_ *Env, size int) (float64, error) { return float64(len(listText(size, "127.0.0.1:9"))) / 1e3, nil },
+		Run:   func(_ *Env, size int) (float64, error) { return float64(len(listJSON(size, "127.0.0.1:9"))) / 1e3, nil },
 	}, {
-		Name: "list-take", Role: roleList, Description: "processor time to read a whole list and give it to the module", Unit: "ms", Per: "destination",
+		Name: "list-take", Role: roleDistribution, Description: "processor time to read a whole list and give it to the module", Unit: "ms", Per: "destination",
 		Sizes: []int{100, 300, 1000, 3000, 10000, discovery.MaxEndpoints}, Repeats: 9,
 		Run: func(_ *Env, size int) (float64, error) {
-			text := []byte(listText(size, "127.0.0.1:9"))
-			set := settings(1000)
+			text := []byte(listJSON(size, "127.0.0.1:9"))
+			set := moduleSettings(1000)
 			module := policy.New(set, 1)
 			watch := discovery.NewWatch("127.0.0.1:9", &set, 1, zerolog.Nop(), func(l discovery.List) {
 				event := policy.Event{Kind: policy.EvList, FullList: l.Full}
@@ -256,18 +256,18 @@
 				module.Step(1000, []policy.Event{event}, nil)
 			})
 			var err error
-			return threadTime(func() { err = watch.Restore(text) }), err
+			return threadCPUMillis(func() { err = watch.Restore(text) }), err
 		},
 	}, {
-		Name: "member-file", Role: roleList, Description: "processor time to read an operators' file that lists the members", Unit: "ms", Per: "sender",
+		Name: "member-file", Role: roleDistribution, Description: "processor time to read an operators' file that lists the members", Unit: "ms", Per: "sender",
 		Sizes: []int{10, 30, 100, 300, operator.MaxMembers}, Repeats: 25,
 		Run: func(_ *Env, size int) (float64, error) {
 			text := memberFile(size)
 			var err error
-			return threadTime(func() { _, err = operator.Read("members.xml", bytes.NewReader(text)) }), err
+			return threadCPUMillis(func() { _, err = operator.Read("members.xml", bytes.NewReader(text)) }), err
 		},
 	}, {
-		Name: "member-file-bytes", Role: roleList, Description: "an operators' file that lists the members", Unit: "KB", Per: "sender",
+		Name: "member-file-bytes", Role: roleDistribution, Description: "an operators' file that lists the members", Unit: "KB", Per: "sender",
 		Sizes: []int{10, 30, 100, 300, operator.MaxMembers},
 		Run:   func(_ *Env, size int) (float64, error) { return float64(len(memberFile(size))) / 1e3, nil },
 	}}
--- a/internal/lab/capacity/page.go
+++ b/internal/lab/capacity/page.go
@@ -10,9 +10,9 @@
 )
 
 const (
-	beginMark = "<!-- generated: %s. `make capacity` writes what stands between these lines. -->"
-	endMark   = "<!-- end of %s -->"
-	missedLot = 0.2 // a forecast that missed by more is marked
+	beginMarker         = "<!-- generated: %s. `make capacity` writes what stands between these lines. -->"
+	endMarker           = "<!-- end of %s -->"
+	markedForecastError = 0.2 // a forecast that missed by more is marked
 )
 
 // WritePage replaces the generated parts of a page by what a record and a target come to.
@@ -29,11 +29,11 @@
 		{"slopes", func(b *bytes.Buffer) { writeSlopes(b, r) }},
 		{"rows", func(b *bytes.Buffer) { writeRows(b, t, r) }},
 		{"bounds", func(b *bytes.Buffer) { writeBounds(b, t) }},
-		{"missing", func(b *bytes.Buffer) { writeMissing(b, t, r) }},
+		{"missing", func(b *bytes.Buffer) { writeGrowthLimits(b, t, r) }},
 	} {
 		var b bytes.Buffer
 		part.write(&b)
-		if text, err = replacePart(text, part.name, b.Bytes()); err != nil {
+		if text, err = replaceSection(text, part.name, b.Bytes()); err != nil {
 			return fmt.Errorf("%s: %w", path, err)
 		}
 	}
@@ -41,8 +41,8 @@
 }
 
 // replacePart puts a part between its marks.
-func replacePart(text []byte, name string, part []byte) ([]byte, error) {
-	begin, end := fmt.Appendf(nil, beginMark, name), fmt.Appendf(nil, endMark, name)
+func replaceSection(text []byte, name string, part []byte) ([]byte, error) {
+	begin, end := fmt.Appendf(nil, beginMarker, name), fmt.Appendf(nil, endMarker, name)
 	at, till := bytes.Index(text, begin), bytes.Index(text, end)
 	if at < 0 || till < at {
 		return nil, fmt.Errorf("the lines %q and %q are missing, or not in this order", begin, end)
@@ -51,7 +51,7 @@
 }
 
 // figure shows a number with three digits that count, without an exponent.
-func figure(v float64) string {
+func formatNumber(v float64) string {
 	switch {
 	case v == 0:
 		return "0"
@@ -73,22 +73,22 @@
 	return text
 }
 
-func percent(v float64) string { return figure(100*v) + " %" }
+func formatPercent(v float64) string { return formatNumber(100*v) + " %" }
 
 func writeTarget(b *bytes.Buffer, t *Target) {
 	fmt.Fprintln(b, "| | at target |\n| --- | --- |")
 	fmt.Fprintf(b, "| senders | %s in %s regions with %s zones, taking %s events a second (%s each, %s bytes) |\n",
-		figure(t.Senders), figure(t.Regions), figure(t.Zones), figure(t.EventsPerSecond), figure(t.EventsPerSecondPerSender()), figure(t.EventBytes))
-	fmt.Fprintf(b, "| destinations | %s, %s %% of them (%s) down at any time |\n", figure(t.Destinations), figure(t.DownPercent), figure(t.DownDestinations()))
-	fmt.Fprintf(b, "| backlog | up to %s events (%s a sender) |\n", figure(t.Backlog), figure(t.BacklogPerSender()))
-	fmt.Fprintf(b, "| configuration | %s changes a day (%s a second), in force everywhere within %v |\n", figure(t.ChangesPerDay), figure(t.ChangesPerDay/secondsPerDay), t.InForceWithin)
+		formatNumber(t.Senders), formatNumber(t.Regions), formatNumber(t.Zones), formatNumber(t.EventsPerSecond), formatNumber(t.EventsPerSecondPerSender()), formatNumber(t.EventBytes))
+	fmt.Fprintf(b, "| destinations | %s, %s %% of them (%s) down at any time |\n", formatNumber(t.Destinations), formatNumber(t.DownPercent), formatNumber(t.DownDestinations()))
+	fmt.Fprintf(b, "| backlog | up to %s events (%s a sender) |\n", formatNumber(t.Backlog), formatNumber(t.BacklogPerSender()))
+	fmt.Fprintf(b, "| configuration | %s changes a day (%s a second), in force everywhere within %v |\n", formatNumber(t.ChangesPerDay), formatNumber(t.ChangesPerDay/secondsPerDay), t.InForceWithin)
 	fmt.Fprintf(b, "| for control, a sender | at most %s %% of a core, %s MB, %s KB/s; and %s machines set aside for control |\n",
-		figure(t.CorePercent), figure(t.MemoryMB), figure(t.LinkKBPerSecond), figure(t.ControlMachines))
-	fmt.Fprintf(b, "| failures | %s machines a day, %s restarted or replaced a day; ready within %v |\n", figure(t.MachinesLostPerDay), figure(t.RestartsPerDay), t.ReadyWithin)
+		formatNumber(t.CorePercent), formatNumber(t.MemoryMB), formatNumber(t.LinkKBPerSecond), formatNumber(t.ControlMachines))
+	fmt.Fprintf(b, "| failures | %s machines a day, %s restarted or replaced a day; ready within %v |\n", formatNumber(t.MachinesLostPerDay), formatNumber(t.RestartsPerDay), t.ReadyWithin)
 }
 
 func writeSlopes(b *bytes.Buffer, r *Record) {
-	fmt.Fprintf(b, "Measured in %.0f s on %d cores, %s; runnable processes, mean of a minute: %s before, %s after.\n\n", r.Seconds, r.Cores, r.GoVersion, figure(r.LoadBefore), figure(r.LoadAfter))
+	fmt.Fprintf(b, "Measured in %.0f s on %d cores, %s; runnable processes, mean of a minute: %s before, %s after.\n\n", r.Seconds, r.Cores, r.GoVersion, formatNumber(r.LoadBefore), formatNumber(r.LoadAfter))
 	fmt.Fprintln(b, "| role | measured | on | sizes fitted | base + slope | residual | left out | foretold | measured | missed by |")
 	fmt.Fprintln(b, "| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |")
 	for i := range r.Series {
@@ -99,12 +99,12 @@
 		}
 		last, fitted := s.Largest(), s.Points[:len(s.Points)-1]
 		mark := ""
-		if missed := s.ForecastError(); missed > missedLot || missed < -missedLot {
+		if missed := s.ForecastError(); missed > markedForecastError || missed < -markedForecastError {
 			mark = " **over 20 %**"
 		}
 		fmt.Fprintf(b, "| %s | `%s`: %s | %s | %s to %s | %s + %s %s a %s | %s | %s | %s | %s %s | %s%s |\n", s.Role, s.Name, s.Description, on,
-			figure(fitted[0].Size), figure(fitted[len(fitted)-1].Size), figure(s.Fit.Base), figure(s.Fit.Slope), s.Unit, s.Per,
-			percent(s.Fit.Residual), figure(last.Size), figure(s.Fit.At(last.Size)), figure(last.Value), s.Unit, percent(s.ForecastError()), mark)
+			formatNumber(fitted[0].Size), formatNumber(fitted[len(fitted)-1].Size), formatNumber(s.Fit.Base), formatNumber(s.Fit.Slope), s.Unit, s.Per,
+			formatPercent(s.Fit.Residual), formatNumber(last.Size), formatNumber(s.Fit.At(last.Size)), formatNumber(last.Value), s.Unit, formatPercent(s.ForecastError()), mark)
 	}
 }
 
@@ -119,23 +119,23 @@
 		}
 		budget, breaks := "none stated", ""
 		if share, stated := row.BreaksAt(t, slopes); stated {
-			budget = fmt.Sprintf("%s %s: %s", figure(row.Budget(t)), row.Unit, row.BudgetName)
-			breaks = breakText(&row, share)
+			budget = fmt.Sprintf("%s %s: %s", formatNumber(row.Budget(t)), row.Unit, row.BudgetName)
+			breaks = describeBreak(&row, share)
 		}
 		fmt.Fprintf(b, "| %s | %s | %s | `%s`: %s | %s %s | %s | %s |\n", row.Role, row.Description, row.Mechanism, strings.Join(row.Series, "`, `"), row.Formula,
-			figure(row.Need(t, slopes)), row.Unit, budget, breaks)
+			formatNumber(row.Need(t, slopes)), row.Unit, budget, breaks)
 	}
 }
 
-func breakText(row *Row, share float64) string {
+func describeBreak(row *Row, share float64) string {
 	of := "of the fleet"
 	if row.PerSender {
 		of = "of one sender's load"
 	}
 	if share >= 1 {
-		return fmt.Sprintf("holds (to %s times the target, %s)", figure(share), of)
+		return fmt.Sprintf("holds (to %s times the target, %s)", formatNumber(share), of)
 	}
-	return fmt.Sprintf("%s %s", percent(share), of)
+	return fmt.Sprintf("%s %s", formatPercent(share), of)
 }
 
 func writeBounds(b *bytes.Buffer, t *Target) {
@@ -143,33 +143,33 @@
 	fmt.Fprintln(b, "| --- | --- | --- | --- | --- | --- | --- |")
 	for _, bound := range Bounds() {
 		need := bound.Need(t)
-		fmt.Fprintf(b, "| %s | `%s` | `%s` | %s | %s | %s | %s |\n", bound.Description, bound.Constant, bound.File, figure(bound.Value), figure(need), percent(bound.Value/need), bound.WhenExceeded)
+		fmt.Fprintf(b, "| %s | `%s` | `%s` | %s | %s | %s | %s |\n", bound.Description, bound.Constant, bound.File, formatNumber(bound.Value), formatNumber(need), formatPercent(bound.Value/need), bound.WhenExceeded)
 	}
 }
 
 // missing is one thing that ends the fleet's growth.
-type missing struct {
+type growthLimit struct {
 	share float64
 	text  string
 }
 
-func writeMissing(b *bytes.Buffer, t *Target, r *Record) {
-	var list []missing
+func writeGrowthLimits(b *bytes.Buffer, t *Target, r *Record) {
+	var list []growthLimit
 	for _, row := range Rows() {
 		slopes, ok := row.slopes(r)
 		if !ok {
 			continue
 		}
 		if share, stated := row.BreaksAt(t, slopes); stated && share < 1 {
-			list = append(list, missing{share, fmt.Sprintf("%s: %s (%s)", breakText(&row, share), row.Description, row.Mechanism)})
+			list = append(list, growthLimit{share, fmt.Sprintf("%s: %s (%s)", describeBreak(&row, share), row.Description, row.Mechanism)})
 		}
 	}
 	for _, bound := range Bounds() {
 		if share := bound.Value / bound.Need(t); share < 1 {
-			list = append(list, missing{share, fmt.Sprintf("%s of the fleet: %s (`%s`)", percent(share), bound.Description, bound.Constant)})
+			list = append(list, growthLimit{share, fmt.Sprintf("%s of the fleet: %s (`%s`)", formatPercent(share), bound.Description, bound.Constant)})
 		}
 	}
-	slices.SortStableFunc(list, func(x, y missing) int { return cmp.Compare(x.share, y.share) })
+	slices.SortStableFunc(list, func(x, y growthLimit) int { return cmp.Compare(x.share, y.share) })
 	for i, m := range list {
 		fmt.Fprintf(b, "%d. %s\n", i+1, m.text)
 	}
--- a/internal/lab/capacity/rows.go
+++ b/internal/lab/capacity/rows.go
@@ -49,7 +49,9 @@
 		Budget: memory, BudgetName: "memory for control", Mechanism: "policy.Sender keeps each listed endpoint",
 	}, {
 		Role: roleSender, Description: "memory of known destinations with shards on", Series: []string{"destination-memory"}, Unit: "MB",
-		Formula: "slope x destinations x 2 replicas x regions / senders", Need: func(t *Target, s []float64) float64 { return s[0] * t.Destinations * replicas * t.Regions / t.Senders },
+		Formula: "slope x destinations x 2 replicas x regions / senders", Need: func(t *Target, s []float64) float64 {
+			return s[0] * t.Destinations * shardReplicas * t.Regions / t.Senders
+		},
 		Budget: memory, BudgetName: "memory for control", Mechanism: "each sender is told of its shards (docs/scale.md)", PerSender: true,
 	}, {
 		Role: roleControl, Description: "memory of the directory", Series: []string{"directory-memory"}, Unit: "GB",
@@ -115,21 +117,21 @@
 		Formula: "slope x destinations that are down x restarts a second", Need: func(t *Target, s []float64) float64 { return s[0] / mega * t.DownDestinations() * changes(t) / 2 },
 		Budget: func(*Target) float64 { return 1 }, BudgetName: "one core, the loop of one leader", Mechanism: "each end looks at all duties, in order",
 	}, {
-		Role: roleList, Description: "the whole list", Series: []string{"list-bytes"}, Unit: "MB",
+		Role: roleDistribution, Description: "the whole list", Series: []string{"list-bytes"}, Unit: "MB",
 		Formula: "slope x destinations", Need: func(t *Target, s []float64) float64 { return s[0] / kilo * t.Destinations },
 		Budget: func(*Target) float64 { return discovery.MaxList / mega }, BudgetName: "the longest list that is read (discovery.MaxList)", Mechanism: "discovery answers each sender with all",
 	}, {
-		Role: roleList, Description: "processor time to take the whole list", Series: []string{"list-take"}, Unit: "s",
+		Role: roleDistribution, Description: "processor time to take the whole list", Series: []string{"list-take"}, Unit: "s",
 		Formula: "slope x destinations", Need: func(t *Target, s []float64) float64 { return s[0] / kilo * t.Destinations },
 		Budget: ready, BudgetName: "ready", Mechanism: "discovery answers each sender with all",
 	}, {
-		Role: roleList, Description: "processor time to read the operators' file at each change", Series: []string{"member-file"}, Unit: "% of a core",
+		Role: roleDistribution, Description: "processor time to read the operators' file at each change", Series: []string{"member-file"}, Unit: "% of a core",
 		Formula: "slope x senders x changes a second", Need: func(t *Target, s []float64) float64 {
 			return s[0] / kilo * t.Senders * t.ChangesPerDay / secondsPerDay * 100
 		},
 		Budget: processor, BudgetName: "processor for control", Mechanism: "a file on each machine, and SIGHUP",
 	}, {
-		Role: roleList, Description: "the operators' file to each sender at each change", Series: []string{"member-file-bytes"}, Unit: "KB/s",
+		Role: roleDistribution, Description: "the operators' file to each sender at each change", Series: []string{"member-file-bytes"}, Unit: "KB/s",
 		Formula: "slope x senders x changes a second", Need: func(t *Target, s []float64) float64 { return s[0] * t.Senders * t.ChangesPerDay / secondsPerDay },
 		Budget: links, BudgetName: "links for control", Mechanism: "none: whoever keeps the machines copies the file",
 	}, {
--- a/internal/lab/capacity/target.go
+++ b/internal/lab/capacity/target.go
@@ -53,7 +53,7 @@
 }
 
 // number is an attribute that holds a decimal number.
-func number(name, doc string, put func(*Target, float64)) strictxml.Attribute[Target] {
+func numberAttribute(name, doc string, put func(*Target, float64)) strictxml.Attribute[Target] {
 	return strictxml.Attribute[Target]{Name: name, Required: true, Doc: doc,
 		Values: strictxml.Text(`[0-9]{1,15}(\.[0-9]{1,6})?`, "a decimal number"),
 		SetText: func(t *Target, text string) {
@@ -70,38 +70,38 @@
 		Attrs: []attribute{{Name: "version", Required: true, Doc: "The form of this file.", Values: strictxml.OneOf("1")}},
 		Children: []element{{
 			Name: "fleet", Doc: "The senders and what they take.", Attrs: []attribute{
-				number("senders", "Senders in all regions.", func(t *Target, v float64) { t.Senders = v }),
-				number("regions", "Regions.", func(t *Target, v float64) { t.Regions = v }),
-				number("zones", "Zones of all regions.", func(t *Target, v float64) { t.Zones = v }),
-				number("events-per-second", "Events that the fleet takes.", func(t *Target, v float64) { t.EventsPerSecond = v }),
-				number("event-bytes", "Bytes of an event's body.", func(t *Target, v float64) { t.EventBytes = v }),
+				numberAttribute("senders", "Senders in all regions.", func(t *Target, v float64) { t.Senders = v }),
+				numberAttribute("regions", "Regions.", func(t *Target, v float64) { t.Regions = v }),
+				numberAttribute("zones", "Zones of all regions.", func(t *Target, v float64) { t.Zones = v }),
+				numberAttribute("events-per-second", "Events that the fleet takes.", func(t *Target, v float64) { t.EventsPerSecond = v }),
+				numberAttribute("event-bytes", "Bytes of an event's body.", func(t *Target, v float64) { t.EventBytes = v }),
 			},
 		}, {
 			Name: "destinations", Doc: "Whom events go to.", Attrs: []attribute{
-				number("count", "Destinations.", func(t *Target, v float64) { t.Destinations = v }),
-				number("down-percent", "Of these, down at any time.", func(t *Target, v float64) { t.DownPercent = v }),
+				numberAttribute("count", "Destinations.", func(t *Target, v float64) { t.Destinations = v }),
+				numberAttribute("down-percent", "Of these, down at any time.", func(t *Target, v float64) { t.DownPercent = v }),
 			},
 		}, {
 			Name: "backlog", Doc: "What waits at most.", Attrs: []attribute{
-				number("events", "Events, in all senders.", func(t *Target, v float64) { t.Backlog = v }),
+				numberAttribute("events", "Events, in all senders.", func(t *Target, v float64) { t.Backlog = v }),
 			},
 		}, {
 			Name: "configuration", Doc: "Changes that all senders take.", Attrs: []attribute{
-				number("changes-per-day", "Changes.", func(t *Target, v float64) { t.ChangesPerDay = v }),
+				numberAttribute("changes-per-day", "Changes.", func(t *Target, v float64) { t.ChangesPerDay = v }),
 				{Name: "in-force-within", Required: true, Doc: "At every sender.", Values: strictxml.Duration(time.Second, time.Hour),
 					SetNumber: func(t *Target, v int64) { t.InForceWithin = time.Duration(v) }},
 			},
 		}, {
 			Name: "control-budget", Doc: "What one sender may spend on control, and the machines set aside for it.", Attrs: []attribute{
-				number("core-percent", "Of a core.", func(t *Target, v float64) { t.CorePercent = v }),
-				number("memory-mb", "Memory, in 10^6 bytes.", func(t *Target, v float64) { t.MemoryMB = v }),
-				number("link-kb-per-second", "On links, in 10^3 bytes.", func(t *Target, v float64) { t.LinkKBPerSecond = v }),
-				number("machines", "Machines for control.", func(t *Target, v float64) { t.ControlMachines = v }),
+				numberAttribute("core-percent", "Of a core.", func(t *Target, v float64) { t.CorePercent = v }),
+				numberAttribute("memory-mb", "Memory, in 10^6 bytes.", func(t *Target, v float64) { t.MemoryMB = v }),
+				numberAttribute("link-kb-per-second", "On links, in 10^3 bytes.", func(t *Target, v float64) { t.LinkKBPerSecond = v }),
+				numberAttribute("machines", "Machines for control.", func(t *Target, v float64) { t.ControlMachines = v }),
 			},
 		}, {
 			Name: "failures", Doc: "What goes wrong.", Attrs: []attribute{
-				number("machines-per-day", "Machines lost.", func(t *Target, v float64) { t.MachinesLostPerDay = v }),
-				number("restarts-per-day", "Processes restarted or replaced.", func(t *Target, v float64) { t.RestartsPerDay = v }),
+				numberAttribute("machines-per-day", "Machines lost.", func(t *Target, v float64) { t.MachinesLostPerDay = v }),
+				numberAttribute("restarts-per-day", "Processes restarted or replaced.", func(t *Target, v float64) { t.RestartsPerDay = v }),
 				{Name: "ready-within", Required: true, Doc: "Of a restarted process.", Values: strictxml.Duration(time.Second, time.Hour),
 					SetNumber: func(t *Target, v int64) { t.ReadyWithin = time.Duration(v) }},
 			},
