--- a/internal/lab/capacity/capacity_test.go
+++ b/internal/lab/capacity/capacity_test.go
@@ -48,7 +48,7 @@
 	}
 }
 
-// A line is found again whatever its size, and the point that is left out has no part in it.
+// The fit recovers an exact line over four powers of ten and excludes the largest point, which lies off the line.
 func TestFitExcludesTheLargestPoint(t *testing.T) {
 	s := Series{Points: []Point{{10, 7}, {100, 25}, {1000, 205}, {10000, 2005}, {100000, 40010}}}
 	s.fitAllButLargest()
@@ -64,7 +64,8 @@
 	}
 }
 
-// The share at which a budget is used up: linear, quadratic, of one sender's load, and none stated.
+// BreaksAt finds the share at which a need reaches its budget: for linear and quadratic growth, for the load of one
+// sender, and for a row without a budget.
 func TestBreaksAt(t *testing.T) {
 	at := loadTarget(t)
 	memory := func(t *Target) float64 { return t.MemoryMB }
@@ -85,16 +86,17 @@
 	}
 	none := Row{Need: func(*Target, []float64) float64 { return 1 }}
 	if _, stated := none.BreaksAt(at, nil); stated {
-		t.Error("a row without a budget breaks")
+		t.Error("BreaksAt reports a share for a row without a budget")
 	}
 }
 
-// Every slope that the page takes is measured, at five sizes or more that differ a hundredfold at least.
+// Every slope that the page uses is measured, at five or more ascending sizes, of which the largest is at least 90 times
+// the smallest.
 func TestMeasurementsCoverThePage(t *testing.T) {
 	names := map[string]bool{}
 	for _, m := range Measurements() {
 		if names[m.Name] {
-			t.Errorf("%s stands twice", m.Name)
+			t.Errorf("measurement %s is defined twice", m.Name)
 		}
 		names[m.Name] = true
 		if len(m.Sizes) < 5 || !slices.IsSorted(m.Sizes) || m.Sizes[len(m.Sizes)-1] < 90*m.Sizes[0] {
@@ -104,13 +106,13 @@
 	for _, row := range Rows() {
 		for _, name := range row.Series {
 			if !names[name] {
-				t.Errorf("%s takes the slope of %s, which nothing measures", row.Description, name)
+				t.Errorf("row %q uses the slope of %s, which no measurement yields", row.Description, name)
 			}
 		}
 	}
 }
 
-// Measurements that need no process of their own run, at their smallest sizes.
+// Measurements that need no separate process yield positive values at their three smallest sizes.
 func TestMeasurementsRun(t *testing.T) {
 	e := &Env{Ctx: context.Background(), ScratchDir: t.TempDir()}
 	for _, m := range Measurements() {
@@ -125,14 +127,14 @@
 		}
 		for _, p := range s.Points {
 			if p.Value <= 0 {
-				t.Errorf("%s at %g: %g %s, want more than nothing", m.Name, p.Size, p.Value, m.Unit)
+				t.Errorf("%s at %g: %g %s, want more than 0", m.Name, p.Size, p.Value, m.Unit)
 			}
 		}
 	}
 }
 
-// The tables of the page are those of its record: who types a figure by hand, or changes the target or a bound without
-// working the page out again, is told.
+// The tables of the page match its record, target and bounds. This fails if a number in the page was edited by hand, or if
+// the target or a bound changed and the page was not regenerated.
 func TestPageIsCurrent(t *testing.T) {
 	const page, record = "../../../docs/CAPACITY.md", "../../../docs/capacity/record.json"
 	text, err := os.ReadFile(page)
@@ -155,7 +157,7 @@
 		t.Fatal(err)
 	}
 	if string(written) != string(text) {
-		t.Error("docs/CAPACITY.md differs from what its record and target come to: make capacity-page")
+		t.Error("docs/CAPACITY.md differs from the page generated from its record and target: run make capacity-page")
 	}
 }
 
--- a/internal/lab/capacity/fit.go
+++ b/internal/lab/capacity/fit.go
@@ -12,18 +12,18 @@
 	Value float64 `json:"value"`
 }
 
-// Fit is a line through points: value = Base + Slope * size.
+// Fit is the line value = Base + Slope * size, fitted to measured points.
 type Fit struct {
 	Base     float64 `json:"base"`
 	Slope    float64 `json:"slope"`
 	Residual float64 `json:"residual"` // root mean square of the relative residuals
 }
 
-// At is the fitted value at a size.
+// At returns the fitted value at a size.
 func (f Fit) At(size float64) float64 { return f.Base + f.Slope*size }
 
-// FitLine fits a line by least squares of the relative residuals, so that a point counts as much at the smallest size as
-// at the largest; sizes span several powers of ten.
+// FitLine fits a line by least squares of the relative residuals. Sizes span several powers of ten, and relative
+// residuals give the smallest size the same weight as the largest.
 func FitLine(points []Point) Fit {
 	sizes, values, weights := make([]float64, len(points)), make([]float64, len(points)), make([]float64, len(points))
 	for i, p := range points {
@@ -35,34 +35,35 @@
 	sum := 0.0
 	for _, p := range points {
 		if p.Value != 0 {
-			miss := f.At(p.Size)/p.Value - 1
-			sum += miss * miss
+			relativeError := f.At(p.Size)/p.Value - 1
+			sum += relativeError * relativeError
 		}
 	}
 	f.Residual = math.Sqrt(sum / float64(len(points)))
 	return f
 }
 
-// Series is one measurement at all its sizes. The last point is left out of the fit, which foretells it.
+// Series holds the results of one measurement at all its sizes. The last point is excluded from the fit and checks its
+// forecast.
 type Series struct {
 	Name        string  `json:"name"`
 	Role        string  `json:"role"`
 	Description string  `json:"what"`
 	Unit        string  `json:"unit"`
 	Per         string  `json:"per"`
-	RealProcess bool    `json:"process"` // measured on a real process, else in the measuring one
+	RealProcess bool    `json:"process"` // measured on a separate sender process rather than in the measuring process
 	Points      []Point `json:"points"`
 	Fit         Fit     `json:"fit"`
 }
 
-// Largest is the point that was left out of the fit.
+// Largest returns the point of the largest size, which the fit excludes.
 func (s *Series) Largest() Point { return s.Points[len(s.Points)-1] }
 
-// Missed is by how much the forecast of the largest point missed what was measured, as a share of the latter.
+// ForecastError returns the relative error of the fit at the largest point: forecast / measured - 1.
 func (s *Series) ForecastError() float64 {
 	last := s.Largest()
 	return s.Fit.At(last.Size)/last.Value - 1
 }
 
-// fit fits the points but the last.
+// fitAllButLargest fits all points except the last.
 func (s *Series) fitAllButLargest() { s.Fit = FitLine(s.Points[:len(s.Points)-1]) }
--- a/internal/lab/capacity/measure.go
+++ b/internal/lab/capacity/measure.go
@@ -11,31 +11,32 @@
 	"sliptide/internal/lab/proc"
 )
 
-// Measurement is one way to measure at a size.
+// Measurement measures one quantity at each of several sizes.
 type Measurement struct {
 	Name, Role, Description, Unit, Per string
-	RealProcess                        bool  // on a real process
-	Sizes                              []int // ascending; the last is foretold from the others
-	Repeats                            int   // the least of so many runs counts; for times, which other work can only lengthen
+	RealProcess                        bool  // measures a separate sender process
+	Sizes                              []int // ascending; the last is forecast from the others
+	Repeats                            int   // runs at each size, of which the smallest value counts: other load on the machine can only lengthen a time
 	Run                                func(e *Env, size int) (float64, error)
 }
 
-// Env is what measurements work in.
+// Env is the environment of the measurements.
 type Env struct {
 	Ctx        context.Context
-	Binary     string // the sender's program
-	ScratchDir string // a scratch folder
+	Binary     string // path of the sender executable
+	ScratchDir string // directory for temporary files
 }
 
-// Run makes all measurements, or those whose names are given. done is told after each size.
-func Run(e *Env, only []string, done func(name string)) (*Record, error) {
+// Run makes all measurements, or only those in names if it is not empty. It calls onSizeDone with the name of the
+// measurement after each size.
+func Run(e *Env, names []string, onSizeDone func(name string)) (*Record, error) {
 	r := &Record{Cores: runtime.NumCPU(), GoVersion: runtime.Version(), LoadBefore: proc.Load()}
 	began := time.Now()
 	for _, m := range Measurements() {
-		if !isSelected(m.Name, only) {
+		if !isSelected(m.Name, names) {
 			continue
 		}
-		s, err := m.run(e, done)
+		s, err := m.run(e, onSizeDone)
 		if err != nil {
 			return nil, fmt.Errorf("%s: %w", m.Name, err)
 		}
@@ -45,49 +46,49 @@
 	return r, nil
 }
 
-func isSelected(name string, only []string) bool {
-	for _, o := range only {
-		if o == name {
+func isSelected(name string, selection []string) bool {
+	for _, selected := range selection {
+		if selected == name {
 			return true
 		}
 	}
-	return len(only) == 0
+	return len(selection) == 0
 }
 
-func (m *Measurement) run(e *Env, done func(string)) (*Series, error) {
+func (m *Measurement) run(e *Env, onSizeDone func(string)) (*Series, error) {
 	s := &Series{Name: m.Name, Role: m.Role, Description: m.Description, Unit: m.Unit, Per: m.Per, RealProcess: m.RealProcess}
 	for _, size := range m.Sizes {
 		if err := e.Ctx.Err(); err != nil {
 			return nil, err
 		}
-		best, err := m.Run(e, size)
+		smallest, err := m.Run(e, size)
 		for i := 1; i < m.Repeats && err == nil; i++ {
-			var again float64
-			again, err = m.Run(e, size)
-			best = min(best, again)
+			var repeated float64
+			repeated, err = m.Run(e, size)
+			smallest = min(smallest, repeated)
 		}
 		if err != nil {
 			return nil, fmt.Errorf("size %d: %w", size, err)
 		}
-		s.Points = append(s.Points, Point{Size: float64(size), Value: best})
-		done(m.Name)
+		s.Points = append(s.Points, Point{Size: float64(size), Value: smallest})
+		onSizeDone(m.Name)
 	}
 	s.fitAllButLargest()
 	return s, nil
 }
 
-// Sizes is how many sizes all measurements have.
-func SizeCount(only []string) (n int) {
+// SizeCount returns the total number of sizes of the selected measurements.
+func SizeCount(names []string) (n int) {
 	for _, m := range Measurements() {
-		if isSelected(m.Name, only) {
+		if isSelected(m.Name, names) {
 			n += len(m.Sizes)
 		}
 	}
 	return n
 }
 
-// threadTime runs f on one thread and returns the processor time that this thread took, in milliseconds. Time that the
-// garbage collector takes on other threads is not in it.
+// threadCPUMillis runs f on one thread and returns the processor time that this thread used, in milliseconds. It does
+// not include the time of the garbage collector on other threads.
 func threadCPUMillis(f func()) float64 {
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
@@ -96,7 +97,8 @@
 	return float64(clockNanos(unix.CLOCK_THREAD_CPUTIME_ID)-before) / 1e6
 }
 
-// processTime runs f and returns the processor time that this process took meanwhile, in milliseconds.
+// processCPUMillis runs f and returns the processor time that all threads of this process used meanwhile, in
+// milliseconds.
 func processCPUMillis(f func()) float64 {
 	before := clockNanos(unix.CLOCK_PROCESS_CPUTIME_ID)
 	f()
@@ -111,7 +113,7 @@
 	return t.Nano()
 }
 
-// heapGrowth is by how many bytes what build returns has grown the heap.
+// heapGrowthBytes returns the growth of the live heap by the value that build returns.
 func heapGrowthBytes(build func() any) float64 {
 	before := liveHeapBytes()
 	kept := build()
--- a/internal/lab/capacity/measure_control.go
+++ b/internal/lab/capacity/measure_control.go
@@ -36,14 +36,14 @@
 	}}
 }
 
-// fullDirectory is a directory of so many destinations.
+// newDirectory returns a directory with one endpoint for each of the given number of destinations.
 func newDirectory(destinations int) *directory.Directory {
 	const batch = 1000
 	d := directory.New()
 	list := make([]directory.Endpoint, 0, batch)
-	for at := 0; at < destinations; {
-		for list = list[:0]; len(list) < batch && at < destinations; at++ {
-			list = append(list, directory.Endpoint{ID: fmt.Sprintf("endpoint-%08d", at), Destination: uint64(at), Addr: fmt.Sprintf("10.%d.%d.%d:9000", at>>16, at>>8&255, at&255),
+	for next := 0; next < destinations; {
+		for list = list[:0]; len(list) < batch && next < destinations; next++ {
+			list = append(list, directory.Endpoint{ID: fmt.Sprintf("endpoint-%08d", next), Destination: uint64(next), Addr: fmt.Sprintf("10.%d.%d.%d:9000", next>>16, next>>8&255, next&255),
 				Zone: "zone-1", Kind: "partner", Weight: 1, State: pb.EndpointState_UP})
 		}
 		d.Publish(directory.FirstVersion(1), 1, list, nil, nil)
--- a/internal/lab/capacity/measure_fleet.go
+++ b/internal/lab/capacity/measure_fleet.go
@@ -45,7 +45,7 @@
 	}}
 }
 
-// groupFrames counts the frames of three voters and so many members in calm.
+// groupFrames returns the frames per second of an idle group of members, three of them voters, in the simulation model.
 func groupFrames(_ *Env, members int) (float64, error) {
 	const settle, counted = 8, 4
 	w := model.New(model.Options{Voters: 3, Members: members - 3, Duties: 1, Lease: lease.Params{Length: 2 * time.Second, Drift: 0.05},
@@ -59,40 +59,41 @@
 	return float64(w.FramesSent) / counted, nil
 }
 
-// linkFrames sends frames from one member to another and back, so many on their way at a time.
+// linkFramesCPU returns the processor time, of both ends, to exchange the given number of frames: half of them are sent
+// and the other end returns each one. At most window frames are in flight.
 func linkFramesCPU(e *Env, frames int) (float64, error) {
 	const window = 64
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return 0, err
 	}
-	known := func(string) bool { return true }
-	note := func(string, string, error) {}
+	isMember := func(string) bool { return true }
+	ignoreEvent := func(string, string, error) {}
 	var near, far *link.Manager
 	arrived := make(chan struct{}, frames)
-	up := make(chan struct{}, 1)
-	far = link.New(link.Options{Self: "far", IsMember: known, OnEvent: note,
+	linkUp := make(chan struct{}, 1)
+	far = link.New(link.Options{Self: "far", IsMember: isMember, OnEvent: ignoreEvent,
 		Receive: func(_ context.Context, from string, f *pb.Frame) { far.Send(from, f) }})
 	defer far.Close()
 	go far.Serve(ln)
-	near = link.New(link.Options{Self: "near", IsMember: known, DialAddrs: map[string]string{"far": ln.Addr().String()},
+	near = link.New(link.Options{Self: "near", IsMember: isMember, DialAddrs: map[string]string{"far": ln.Addr().String()},
 		Receive: func(context.Context, string, *pb.Frame) { arrived <- struct{}{} },
 		OnEvent: func(what, _ string, _ error) {
 			if what == "link up" {
 				select {
-				case up <- struct{}{}:
+				case linkUp <- struct{}{}:
 				default:
 				}
 			}
 		}})
 	defer near.Close()
 	select {
-	case <-up:
+	case <-linkUp:
 	case <-time.After(startTimeout):
-		return 0, errors.New("the link did not come up")
+		return 0, errors.New("link \"near\" to \"far\" did not come up")
 	}
-	lost := false
-	took := processCPUMillis(func() {
+	timedOut := false
+	cpuMillis := processCPUMillis(func() {
 		sent := 0
 		for received := 0; received < frames/2; {
 			for ; sent < frames/2 && sent-received < window; sent++ {
@@ -102,18 +103,19 @@
 			case <-arrived:
 				received++
 			case <-time.After(10 * time.Second):
-				lost = true
+				timedOut = true
 				return
 			}
 		}
 	})
-	if lost {
-		return 0, errors.New("a frame was lost")
+	if timedOut {
+		return 0, errors.New("no frame arrived within 10 s")
 	}
-	return took, e.Ctx.Err()
+	return cpuMillis, e.Ctx.Err()
 }
 
-// agreed is a state with so many sessions, and duties that the first of them holds.
+// newAgreedState returns a replicated state with the given numbers of sessions and duties. The sessions hold the duties
+// in turn.
 func newAgreedState(sessions, duties int) *duty.State {
 	s := duty.New(map[uint64]string{1: "sender-00000"})
 	index := uint64(1)
@@ -132,23 +134,23 @@
 	return float64(len(b)) / 1e3, err
 }
 
-// sessionEnd measures the end of a session of a hundred that share the duties.
+// sessionEndCPU returns the processor time, in microseconds, to end one of 100 sessions that share the duties.
 func sessionEndCPU(_ *Env, duties int) (float64, error) {
 	const sessions = 100
-	s := newAgreedState(sessions, duties)
+	state := newAgreedState(sessions, duties)
 	var err error
-	took := threadCPUMillis(func() {
-		err = s.Apply(1<<40, 1, &pb.Command{What: &pb.Command_Close{Close: &pb.Close{Session: 50}}}).Err
+	cpuMillis := threadCPUMillis(func() {
+		err = state.Apply(1<<40, 1, &pb.Command{What: &pb.Command_Close{Close: &pb.Close{Session: 50}}}).Err
 	})
-	return took * 1e3, err
+	return cpuMillis * 1e3, err
 }
 
 func presentKB(_ *Env, members int) (float64, error) {
-	news := &pb.News{From: 1 << 20, To: 1<<20 + 1, AllPresent: true}
+	update := &pb.News{From: 1 << 20, To: 1<<20 + 1, AllPresent: true}
 	for i := range members {
-		news.Present = append(news.Present, &pb.Present{Name: fmt.Sprintf("sender-%05d", i), Zone: "zone-11"})
+		update.Present = append(update.Present, &pb.Present{Name: fmt.Sprintf("sender-%05d", i), Zone: "zone-11"})
 	}
-	return float64(proto.Size(&pb.Frame{What: &pb.Frame_News{News: news}})) / 1e3, nil
+	return float64(proto.Size(&pb.Frame{What: &pb.Frame_News{News: update}})) / 1e3, nil
 }
 
 func statusKB(_ *Env, members int) (float64, error) {
--- a/internal/lab/capacity/measure_process.go
+++ b/internal/lab/capacity/measure_process.go
@@ -22,15 +22,15 @@
 const (
 	startTimeout      = 2 * time.Minute
 	pollInterval      = 20 * time.Millisecond
-	settledPolls      = 10 // looks in a row at which memory has not grown
+	settledPolls      = 10 // consecutive polls without growth of memory
 	settleTimeout     = 10 * time.Second
-	submitConnections = 16 // connections that hand events in
+	submitConnections = 16 // concurrent connections that submit events
 )
 
-// restarted is what was seen of one restart.
+// restartResult holds the measurements of one restart.
 type restartResult struct {
-	readyMS  float64 // ms from the start until the sender was ready
-	memoryMB float64 // MB then
+	readyMS  float64 // from the start of the process until it was ready
+	memoryMB float64 // resident memory once ready
 }
 
 func processMeasurements() []Measurement {
@@ -55,7 +55,7 @@
 	}}
 }
 
-// process is a sender that runs.
+// senderProcess is a running sender.
 type senderProcess struct {
 	cmd    *exec.Cmd
 	addr   string
@@ -64,7 +64,7 @@
 	exited chan struct{}
 }
 
-// listText is a whole list of endpoints at addr, each of a destination of its own.
+// listJSON returns a full endpoint list with one endpoint per destination, all at addr.
 func listJSON(destinations int, addr string) string {
 	var b strings.Builder
 	b.WriteString(`{"version":1,"full":true,"servers":[`)
@@ -78,12 +78,12 @@
 	return b.String()
 }
 
-// configure writes the configuration of a sender with plenty of room.
-func writeConfig(dir, addr, known string) (string, error) {
+// writeConfig writes the configuration of a sender whose limits no measurement reaches, and returns its path.
+func writeConfig(dir, addr, endpointList string) (string, error) {
 	text, err := json.Marshal(map[string]any{
 		"name": "capacity", "listen": addr, "discovery": "127.0.0.1:9", "seed": "8c1f30d27a5be964",
 		"limits": map[string]any{"cores": 1.0, "memory_mb": 4096, "sockets": 1024, "disk_mb": 1024},
-		"known":  json.RawMessage(known),
+		"known":  json.RawMessage(endpointList),
 		"settings": map[string]any{
 			"areas": []string{"a"}, "kinds": []string{"partner"}, "balancers": 1, "round": 1,
 			"family_info": map[string]any{"call_slots": 32, "kind_batch": []int{1}, "own_limits": []bool{false}},
@@ -101,13 +101,14 @@
 	return path, os.WriteFile(path, text, 0o600)
 }
 
-// start starts a sender in a folder, whose journal may be there already, and waits until it is ready.
-func (e *Env) start(dir, known string) (*senderProcess, time.Duration, error) {
+// start starts a sender in a directory, which may already hold a journal, and waits until it is ready. It returns the
+// time from the start until then.
+func (e *Env) start(dir, endpointList string) (*senderProcess, time.Duration, error) {
 	addr, err := proc.FreeAddr()
 	if err != nil {
 		return nil, 0, err
 	}
-	config, err := writeConfig(dir, addr, known)
+	config, err := writeConfig(dir, addr, endpointList)
 	if err != nil {
 		return nil, 0, err
 	}
@@ -130,43 +131,44 @@
 		}
 		select {
 		case <-p.exited:
-			return nil, 0, fmt.Errorf("the sender ended: %s", p.stderr.String())
+			return nil, 0, fmt.Errorf("sender exited before it was ready: %s", p.stderr.String())
 		case <-time.After(pollInterval / 10):
 		}
 	}
 	p.stop()
-	return nil, 0, fmt.Errorf("the sender was not ready in %v", startTimeout)
+	return nil, 0, fmt.Errorf("sender was not ready within %v", startTimeout)
 }
 
-// stop ends the process and waits for its end.
+// stop kills the process and waits for its exit.
 func (p *senderProcess) stop() {
 	p.cmd.Process.Signal(syscall.SIGKILL)
 	<-p.exited
 }
 
-// resident is the resident memory in MB, once it has not grown for some looks.
+// residentMB returns the maximum resident memory, once it has not grown for settledPolls polls or settleTimeout has
+// passed.
 func (p *senderProcess) residentMB() (float64, error) {
-	most, calm := int64(0), 0
-	for end := time.Now().Add(settleTimeout); calm < settledPolls && time.Now().Before(end); calm++ {
-		now := proc.Resident(p.cmd.Process.Pid)
-		if now == 0 {
-			return 0, errors.New("the sender is gone")
+	maxBytes, unchangedPolls := int64(0), 0
+	for deadline := time.Now().Add(settleTimeout); unchangedPolls < settledPolls && time.Now().Before(deadline); unchangedPolls++ {
+		resident := proc.Resident(p.cmd.Process.Pid)
+		if resident == 0 {
+			return 0, errors.New("read resident memory: sender process is not running")
 		}
-		if now > most {
-			most, calm = now, 0
+		if resident > maxBytes {
+			maxBytes, unchangedPolls = resident, 0
 		}
 		time.Sleep(pollInterval)
 	}
-	return float64(most) / 1e6, nil
+	return float64(maxBytes) / 1e6, nil
 }
 
-// processorTime is what the process has taken so far, in milliseconds.
+// cpuMillis returns the processor time that the process has used so far.
 func (p *senderProcess) cpuMillis() (float64, error) {
-	taken, err := proc.ProcessorTime(p.cmd.Process.Pid)
-	return taken * 1e3, err
+	seconds, err := proc.ProcessorTime(p.cmd.Process.Pid)
+	return seconds * 1e3, err
 }
 
-// scratch is a folder for one process, with its state folder in it.
+// newScratchDir creates a directory for one process, with its state directory in it.
 func (e *Env) newScratchDir() (string, error) {
 	dir, err := os.MkdirTemp(e.ScratchDir, "sender-")
 	if err != nil {
@@ -189,7 +191,7 @@
 	return p.residentMB()
 }
 
-// restart starts a sender with a journal of so many events.
+// restart starts a sender with a journal of the given number of events, and measures when it is ready and its memory.
 func (e *Env) restart(size int) (restartResult, error) {
 	dir, err := e.newScratchDir()
 	if err != nil {
@@ -199,13 +201,13 @@
 	if err := fillJournal(filepath.Join(dir, "state"), size); err != nil {
 		return restartResult{}, err
 	}
-	p, took, err := e.start(dir, listJSON(2, "127.0.0.1:9"))
+	p, startDuration, err := e.start(dir, listJSON(2, "127.0.0.1:9"))
 	if err != nil {
 		return restartResult{}, err
 	}
 	defer p.stop()
 	memory, err := p.residentMB()
-	return restartResult{readyMS: float64(took) / 1e6, memoryMB: memory}, err
+	return restartResult{readyMS: float64(startDuration) / 1e6, memoryMB: memory}, err
 }
 
 func heldMemory(e *Env, size int) (float64, error) {
@@ -214,7 +216,7 @@
 		return 0, err
 	}
 	defer os.RemoveAll(dir)
-	p, _, err := e.start(dir, listJSON(2, "127.0.0.1:9")) // nobody listens there
+	p, _, err := e.start(dir, listJSON(2, "127.0.0.1:9")) // no listener: the destination is down
 	if err != nil {
 		return 0, err
 	}
@@ -259,15 +261,15 @@
 		select {
 		case <-delivered:
 		case <-time.After(startTimeout):
-			return 0, errors.New("not all events were delivered")
+			return 0, errors.New("wait for deliveries: partner did not receive all events in time")
 		}
 	}
 	after, err := p.cpuMillis()
 	return after - before, err
 }
 
-// handIn hands so many events in, for destination 1, and returns once each was taken on. One that is refused for the
-// moment is handed in again.
+// submit submits the given number of events for destination 1 and returns once all are accepted. An event that gets 429
+// or 503 is resubmitted until startTimeout.
 func (p *senderProcess) submit(events int) error {
 	body := strings.Repeat("x", eventBytes)
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: submitConnections}, Timeout: 10 * time.Second}
@@ -294,7 +296,7 @@
 }
 
 func (p *senderProcess) submitOne(client *http.Client, i int, body string) error {
-	for end := time.Now().Add(startTimeout); time.Now().Before(end); time.Sleep(pollInterval) {
+	for deadline := time.Now().Add(startTimeout); time.Now().Before(deadline); time.Sleep(pollInterval) {
 		request, err := http.NewRequest("POST", "http://"+p.addr+"/api", strings.NewReader(body))
 		if err != nil {
 			return err
@@ -314,8 +316,8 @@
 			return nil
 		case http.StatusTooManyRequests, http.StatusServiceUnavailable:
 		default:
-			return fmt.Errorf("event %d: %s", i, response.Status)
+			return fmt.Errorf("submit event %d: unexpected status %s", i, response.Status)
 		}
 	}
-	return fmt.Errorf("event %d was refused for %v", i, startTimeout)
+	return fmt.Errorf("submit event %d: not accepted within %v", i, startTimeout)
 }
--- a/internal/lab/capacity/measure_sender.go
+++ b/internal/lab/capacity/measure_sender.go
@@ -17,7 +17,7 @@
 	"sliptide/policy"
 )
 
-// The roles that the page has sections for.
+// Values of the role column in the tables of the page.
 const (
 	roleSender       = "sender"
 	roleHolder       = "holder of copies"
@@ -28,10 +28,10 @@
 	roleControl      = "control member, shards on"
 )
 
-// eventBytes is the body of the events that are measured with.
+// eventBytes is the size of the body of each event that the measurements use.
 const eventBytes = 500
 
-// Measurements are all measurements, by role.
+// Measurements returns all measurements.
 func Measurements() []Measurement {
 	list := processMeasurements()
 	list = append(list, moduleMeasurements()...)
@@ -41,7 +41,7 @@
 	return append(list, controlMeasurements()...)
 }
 
-// settings are those of a sender with one class of long-lived messages and plenty of room.
+// moduleSettings returns settings with one class of long-lived messages and space for the given number of held events.
 func moduleSettings(held int) policy.Settings {
 	return policy.Settings{
 		Senders: 1, CallSlots: 8, MaxAttempts: 6, MaxHeld: held, StreamsPerConn: 1, KeepAlive: 15000, DialTimeout: 1500,
@@ -51,7 +51,7 @@
 	}
 }
 
-// endpoints are as many, each of a destination of its own.
+// moduleEndpoints returns n endpoints, each of a different destination.
 func moduleEndpoints(n int) []policy.Endpoint {
 	list := make([]policy.Endpoint, n)
 	for i := range list {
@@ -88,7 +88,7 @@
 	}}
 }
 
-// holding is a module that holds so many events of one destination, which has no endpoint.
+// moduleWithBacklog returns a module that holds the given number of events for one destination, which has no endpoint.
 func moduleWithBacklog(events int) *policy.Sender {
 	s := policy.New(moduleSettings(2*events), 1)
 	batch := make([]policy.Event, events)
@@ -99,32 +99,32 @@
 	return s
 }
 
-// moduleSend measures a step that takes an outcome and sends the next event.
+// sendStepCPU returns the processor time, in microseconds, of a step that handles an outcome and sends the next event.
 func sendStepCPU(_ *Env, held int) (float64, error) {
 	const steps = 20
 	s := moduleWithBacklog(held + steps + 8)
 	actions := s.Step(1001, []policy.Event{{Kind: policy.EvList, FullList: true, List: []policy.Endpoint{{ID: 1, State: policy.Ready, Dest: 1}}}}, nil)
 	now, sent := 1001.0, 0
-	took := threadCPUMillis(func() {
+	cpuMillis := threadCPUMillis(func() {
 		for range steps {
-			var ended []policy.Event
+			var outcomes []policy.Event
 			for _, a := range actions {
-				if a.Kind == policy.ActSend && len(ended) == 0 {
-					ended = append(ended, policy.Event{Kind: policy.EvOutcome, ID: a.ID, Endpoint: 1, Outcome: policy.OK, Latency: 5, Final: true})
+				if a.Kind == policy.ActSend && len(outcomes) == 0 {
+					outcomes = append(outcomes, policy.Event{Kind: policy.EvOutcome, ID: a.ID, Endpoint: 1, Outcome: policy.OK, Latency: 5, Final: true})
 				}
 			}
 			now += 5
-			sent += len(ended)
-			actions = s.Step(now, ended, nil)
+			sent += len(outcomes)
+			actions = s.Step(now, outcomes, nil)
 		}
 	})
 	if sent < steps/2 {
-		return 0, fmt.Errorf("only %d of %d steps sent an event", sent, steps)
+		return 0, fmt.Errorf("module sent an event in only %d of %d steps", sent, steps)
 	}
-	return took * 1e3 / steps, nil
+	return cpuMillis * 1e3 / steps, nil
 }
 
-// telemetryEvents measures all records of events through the assembler.
+// telemetryCPU returns the processor time to record events and assemble their records into traces.
 func telemetryCPU(_ *Env, events int) (float64, error) {
 	a := telemetry.NewAssembler(telemetry.Settings{SampledShare: 1, Classes: moduleSettings(1).Classes, Export: func(*telemetry.Trace) {}})
 	q := telemetry.NewRecorder(1 << 30)
@@ -142,13 +142,13 @@
 	}), nil
 }
 
-// entry is an event as the journal keeps it.
+// journalEntry returns the journal entry of an event.
 func journalEntry(num uint64, deadline time.Time) *journal.Entry {
 	return &journal.Entry{Num: num, Trace: fmt.Sprintf("trace-%016x", num), Key: fmt.Sprintf("key-%016x", num), Class: "note", Tenant: "acme", Dest: 1,
 		Deadline: deadline.UnixMilli(), Body: bytes.Repeat([]byte("x"), eventBytes)}
 }
 
-// fill writes a journal of so many events into a folder.
+// fillJournal writes a journal with the given number of events into a directory.
 func fillJournal(dir string, events int) error {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return err
@@ -169,7 +169,7 @@
 	return j.Close()
 }
 
-// withJournal measures on a folder of its own with a journal of so many events.
+// withJournal calls measure with a new directory that holds a journal with the given number of events.
 func withJournal(e *Env, events int, measure func(dir string) (float64, error)) (float64, error) {
 	dir, err := os.MkdirTemp(e.ScratchDir, "journal-")
 	if err != nil {
@@ -201,11 +201,11 @@
 			return withJournal(e, size, func(dir string) (float64, error) {
 				var opened *journal.Journal
 				var err error
-				took := threadCPUMillis(func() { opened, _, err = journal.Open(dir, statedir.NewSpace(1<<40).Account()) })
+				cpuMillis := threadCPUMillis(func() { opened, _, err = journal.Open(dir, statedir.NewSpace(1<<40).Account()) })
 				if err != nil {
 					return 0, err
 				}
-				return took, opened.Close()
+				return cpuMillis, opened.Close()
 			})
 		},
 	}, {
@@ -217,7 +217,7 @@
 	}}
 }
 
-// recordsOfLives is how many kilobytes the records of so many events take, from their taking on to their end.
+// lifecycleRecordsKB returns the size of all records of the given number of events, from acceptance to the end.
 func lifecycleRecordsKB(dir string, events int) (float64, error) {
 	j, _, err := journal.Open(dir, statedir.NewSpace(1<<40).Account())
 	if err != nil {
@@ -226,11 +226,11 @@
 	j.EnableCopies()
 	total := 0
 	for range events {
-		x := journalEntry(j.NextNumber(), time.Now().Add(time.Hour))
-		j.Accept(x)
-		j.StartAttempt(x, time.Now().UnixMilli(), 0)
-		j.EndAttempt(x, false)
-		j.End(x)
+		accepted := journalEntry(j.NextNumber(), time.Now().Add(time.Hour))
+		j.Accept(accepted)
+		j.StartAttempt(accepted, time.Now().UnixMilli(), 0)
+		j.EndAttempt(accepted, false)
+		j.End(accepted)
 		total += len(j.RecordsToCopy())
 	}
 	return float64(total) / 1e3, j.Close()
@@ -246,12 +246,12 @@
 		Sizes: []int{100, 300, 1000, 3000, 10000, discovery.MaxEndpoints}, Repeats: 9,
 		Run: func(_ *Env, size int) (float64, error) {
 			text := []byte(listJSON(size, "127.0.0.1:9"))
-			set := moduleSettings(1000)
-			module := policy.New(set, 1)
-			watch := discovery.NewWatch("127.0.0.1:9", &set, 1, zerolog.Nop(), func(l discovery.List) {
+			policySettings := moduleSettings(1000)
+			module := policy.New(policySettings, 1)
+			watch := discovery.NewWatch("127.0.0.1:9", &policySettings, 1, zerolog.Nop(), func(l discovery.List) {
 				event := policy.Event{Kind: policy.EvList, FullList: l.Full}
-				for _, x := range l.Endpoints {
-					event.List = append(event.List, x.Endpoint)
+				for _, listed := range l.Endpoints {
+					event.List = append(event.List, listed.Endpoint)
 				}
 				module.Step(1000, []policy.Event{event}, nil)
 			})
@@ -273,7 +273,7 @@
 	}}
 }
 
-// memberFile is an operators' file of a fleet of so many members.
+// memberFile returns an operators' file with the given number of fleet members.
 func memberFile(members int) []byte {
 	var b bytes.Buffer
 	b.WriteString("<sliptide version=\"1\">\n <fleet enabled=\"true\">\n")
--- a/internal/lab/capacity/page.go
+++ b/internal/lab/capacity/page.go
@@ -12,16 +12,16 @@
 const (
 	beginMarker         = "<!-- generated: %s. `make capacity` writes what stands between these lines. -->"
 	endMarker           = "<!-- end of %s -->"
-	markedForecastError = 0.2 // a forecast that missed by more is marked
+	markedForecastError = 0.2 // relative forecast error above which the page marks a series
 )
 
-// WritePage replaces the generated parts of a page by what a record and a target come to.
+// WritePage replaces the generated sections of a page by the tables for a target and a record.
 func WritePage(path string, t *Target, r *Record) error {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return err
 	}
-	for _, part := range []struct {
+	for _, section := range []struct {
 		name  string
 		write func(*bytes.Buffer)
 	}{
@@ -32,25 +32,26 @@
 		{"missing", func(b *bytes.Buffer) { writeGrowthLimits(b, t, r) }},
 	} {
 		var b bytes.Buffer
-		part.write(&b)
-		if text, err = replaceSection(text, part.name, b.Bytes()); err != nil {
+		section.write(&b)
+		if text, err = replaceSection(text, section.name, b.Bytes()); err != nil {
 			return fmt.Errorf("%s: %w", path, err)
 		}
 	}
 	return os.WriteFile(path, text, 0o644)
 }
 
-// replacePart puts a part between its marks.
-func replaceSection(text []byte, name string, part []byte) ([]byte, error) {
+// replaceSection replaces the text between the markers of a section.
+func replaceSection(text []byte, name string, content []byte) ([]byte, error) {
 	begin, end := fmt.Appendf(nil, beginMarker, name), fmt.Appendf(nil, endMarker, name)
-	at, till := bytes.Index(text, begin), bytes.Index(text, end)
-	if at < 0 || till < at {
-		return nil, fmt.Errorf("the lines %q and %q are missing, or not in this order", begin, end)
+	beginAt, endAt := bytes.Index(text, begin), bytes.Index(text, end)
+	if beginAt < 0 || endAt < beginAt {
+		return nil, fmt.Errorf("markers %q and %q not found in this order", begin, end)
 	}
-	return slices.Concat(text[:at+len(begin)], []byte("\n\n"), part, []byte("\n"), text[till:]), nil
+	return slices.Concat(text[:beginAt+len(begin)], []byte("\n\n"), content, []byte("\n"), text[endAt:]), nil
 }
 
-// figure shows a number with three digits that count, without an exponent.
+// formatNumber formats a number with three significant digits and no exponent; from 1,000 on it keeps all digits of
+// the integer and groups them by thousands.
 func formatNumber(v float64) string {
 	switch {
 	case v == 0:
@@ -93,18 +94,18 @@
 	fmt.Fprintln(b, "| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |")
 	for i := range r.Series {
 		s := &r.Series[i]
-		on := "this code, in the measuring process"
+		measuredOn := "this code, in the measuring process"
 		if s.RealProcess {
-			on = "a real sender"
+			measuredOn = "a real sender"
 		}
 		last, fitted := s.Largest(), s.Points[:len(s.Points)-1]
-		mark := ""
+		warning := ""
 		if missed := s.ForecastError(); missed > markedForecastError || missed < -markedForecastError {
-			mark = " **over 20 %**"
+			warning = " **over 20 %**"
 		}
-		fmt.Fprintf(b, "| %s | `%s`: %s | %s | %s to %s | %s + %s %s a %s | %s | %s | %s | %s %s | %s%s |\n", s.Role, s.Name, s.Description, on,
+		fmt.Fprintf(b, "| %s | `%s`: %s | %s | %s to %s | %s + %s %s a %s | %s | %s | %s | %s %s | %s%s |\n", s.Role, s.Name, s.Description, measuredOn,
 			formatNumber(fitted[0].Size), formatNumber(fitted[len(fitted)-1].Size), formatNumber(s.Fit.Base), formatNumber(s.Fit.Slope), s.Unit, s.Per,
-			formatPercent(s.Fit.Residual), formatNumber(last.Size), formatNumber(s.Fit.At(last.Size)), formatNumber(last.Value), s.Unit, formatPercent(s.ForecastError()), mark)
+			formatPercent(s.Fit.Residual), formatNumber(last.Size), formatNumber(s.Fit.At(last.Size)), formatNumber(last.Value), s.Unit, formatPercent(s.ForecastError()), warning)
 	}
 }
 
@@ -128,14 +129,14 @@
 }
 
 func describeBreak(row *Row, share float64) string {
-	of := "of the fleet"
+	scope := "of the fleet"
 	if row.PerSender {
-		of = "of one sender's load"
+		scope = "of one sender's load"
 	}
 	if share >= 1 {
-		return fmt.Sprintf("holds (to %s times the target, %s)", formatNumber(share), of)
+		return fmt.Sprintf("holds (to %s times the target, %s)", formatNumber(share), scope)
 	}
-	return fmt.Sprintf("%s %s", formatPercent(share), of)
+	return fmt.Sprintf("%s %s", formatPercent(share), scope)
 }
 
 func writeBounds(b *bytes.Buffer, t *Target) {
@@ -147,9 +148,9 @@
 	}
 }
 
-// missing is one thing that ends the fleet's growth.
+// growthLimit is a budget or bound that is reached before the target.
 type growthLimit struct {
-	share float64
+	share float64 // of the target at which it is reached
 	text  string
 }
 
--- a/internal/lab/capacity/record.go
+++ b/internal/lab/capacity/record.go
@@ -6,17 +6,17 @@
 	"os"
 )
 
-// Record is all that was measured in one run.
+// Record holds the results of one run of the measurements.
 type Record struct {
 	Cores      int      `json:"cores"`
 	GoVersion  string   `json:"go_version"`
-	LoadBefore float64  `json:"load_before"` // runnable processes, mean of a minute
+	LoadBefore float64  `json:"load_before"` // runnable processes, averaged over a minute
 	LoadAfter  float64  `json:"load_after"`
 	Seconds    float64  `json:"seconds"`
 	Series     []Series `json:"series"`
 }
 
-// Of is the series of a name, nil if it was not measured.
+// SeriesByName returns the series with the given name, or nil if it was not measured.
 func (r *Record) SeriesByName(name string) *Series {
 	for i := range r.Series {
 		if r.Series[i].Name == name {
@@ -26,7 +26,7 @@
 	return nil
 }
 
-// LoadRecord reads a record.
+// LoadRecord reads a record from a JSON file. Each series needs five points: four to fit and the largest to check.
 func LoadRecord(path string) (*Record, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -38,13 +38,13 @@
 	}
 	for _, s := range r.Series {
 		if len(s.Points) < 5 {
-			return nil, fmt.Errorf("%s: %s has %d sizes; allowed: 5 or more, of which the last is foretold", path, s.Name, len(s.Points))
+			return nil, fmt.Errorf("%s: series %s has %d sizes; at least 5 are required, of which the last is forecast from the others", path, s.Name, len(s.Points))
 		}
 	}
 	return &r, nil
 }
 
-// Save writes a record.
+// Save writes the record to a JSON file.
 func (r *Record) Save(path string) error {
 	text, err := json.MarshalIndent(r, "", " ")
 	if err != nil {
--- a/internal/lab/capacity/rows.go
+++ b/internal/lab/capacity/rows.go
@@ -16,28 +16,28 @@
 	mega          = 1e6
 )
 
-// Row is a product of measured slopes and quantities of the target, held against a budget.
+// Row is one row of the page: the product of measured slopes and quantities of the target, compared with a budget.
 type Row struct {
 	Role        string
 	Description string
-	Series      []string // whose slopes it takes, in the order of the arguments of Need
+	Series      []string // names of the series whose slopes Need gets, in this order
 	Formula     string   // in words
 	Unit        string
-	Need        func(t *Target, slopes []float64) float64 // at a target
-	Budget      func(t *Target) float64                   // nil: none is stated
+	Need        func(t *Target, slopes []float64) float64 // amount needed at a target, in Unit
+	Budget      func(t *Target) float64                   // in Unit; nil if no budget is stated
 	BudgetName  string
-	Mechanism   string // that carries it today
-	PerSender   bool   // what one sender needs whatever the fleet's size: it breaks by what one sender takes or holds
+	Mechanism   string // that this need comes from today
+	PerSender   bool   // the need depends on what one sender holds and handles, not on the size of the fleet
 }
 
-// Rows are all rows of the page.
+// Rows returns all rows of the page.
 func Rows() []Row {
 	memory := func(t *Target) float64 { return t.MemoryMB }
 	links := func(t *Target) float64 { return t.LinkKBPerSecond }
 	processor := func(t *Target) float64 { return t.CorePercent }
 	ready := func(t *Target) float64 { return t.ReadyWithin.Seconds() }
 	frame := func(*Target) float64 { return link.MaxFrame / mega }
-	// Each restart ends a session and begins one.
+	// Sessions that begin or end, per second: each restart ends one and begins one.
 	changes := func(t *Target) float64 { return 2 * t.RestartsPerDay / secondsPerDay }
 	return []Row{{
 		Role: roleSender, Description: "memory of known destinations", Series: []string{"destination-memory"}, Unit: "MB",
@@ -145,9 +145,9 @@
 	}}
 }
 
-// BreaksAt is the share of the target at which a row's need reaches its budget: of the fleet's size, or of what one
-// sender takes and holds where that is what it grows by. It is 1 or more where the budget holds at the target; false:
-// no budget is stated.
+// BreaksAt returns the share of the target at which the row's need reaches its budget: a share of the fleet's size, or
+// for a row with PerSender of the load and backlog of one sender. A share of 1 or more means that the budget holds at
+// the target. stated is false if the row has no budget.
 func (r *Row) BreaksAt(t *Target, slopes []float64) (share float64, stated bool) {
 	if r.Budget == nil {
 		return 0, false
@@ -171,7 +171,7 @@
 	return high, true
 }
 
-// slopes are the slopes that a row takes; false: one was not measured.
+// slopes returns the slopes of the row's series, negative ones as 0. ok is false if a series was not measured.
 func (r *Row) slopes(record *Record) (list []float64, ok bool) {
 	for _, name := range r.Series {
 		s := record.SeriesByName(name)
@@ -183,17 +183,17 @@
 	return list, true
 }
 
-// Bound is a constant in the code that ends a fleet's growth.
+// Bound is a constant in the code that limits the size of a fleet.
 type Bound struct {
 	Description  string
 	Constant     string
 	File         string
 	Value        float64
 	Need         func(t *Target) float64
-	WhenExceeded string // what happens past it
+	WhenExceeded string // behaviour past the bound
 }
 
-// Bounds are the constants that a larger fleet meets.
+// Bounds returns the constants that limit the size of a fleet.
 func Bounds() []Bound {
 	return []Bound{{
 		Description: "destinations that a sender knows", Constant: "sender.MaxDestinations", File: "internal/sender/sender.go", Value: sender.MaxDestinations,
--- a/internal/lab/capacity/target.go
+++ b/internal/lab/capacity/target.go
@@ -1,8 +1,8 @@
-// Package capacity works out how large a fleet the program carries: it measures what each part's state, messages and
-// processor time grow by (slopes), multiplies the slopes by the quantities of a stated target, holds the products
-// against the target's budgets and the bounds in the code, and writes the tables of docs/CAPACITY.md.
+// Package capacity estimates how large a fleet the program supports. It measures how the state, messages and processor
+// time of each component grow with size (slopes), multiplies the slopes by the quantities of a target fleet, compares
+// the products with the target's budgets and with the bounds in the code, and writes the tables of docs/CAPACITY.md.
 //
-// Measurements are recorded as JSON, and the page's tables are made from the record alone.
+// Measurements are recorded as JSON; the tables use only this record, the target and the bounds.
 package capacity
 
 import (
@@ -12,38 +12,38 @@
 	"sliptide/internal/strictxml"
 )
 
-// Target is the fleet that the operators plan.
+// Target describes the fleet that the operators plan: its quantities and its budgets.
 type Target struct {
 	Senders            float64
 	Regions            float64
 	Zones              float64
 	EventsPerSecond    float64 // of the whole fleet
-	EventBytes         float64 // of a body, assumed
+	EventBytes         float64 // of an event's body
 	Destinations       float64
 	DownPercent        float64 // of destinations, at any time
 	Backlog            float64 // events, of the whole fleet
-	ChangesPerDay      float64 // of the configuration
+	ChangesPerDay      float64 // to the configuration
 	InForceWithin      time.Duration
-	CorePercent        float64 // of a core, a sender, for control
-	MemoryMB           float64 // a sender, for control
-	LinkKBPerSecond    float64 // a sender, for control
+	CorePercent        float64 // per sender, of one core, for control
+	MemoryMB           float64 // per sender, for control, in 10^6 bytes
+	LinkKBPerSecond    float64 // per sender, for control, in 10^3 bytes
 	ControlMachines    float64
-	MachinesLostPerDay float64 // machines
-	RestartsPerDay     float64 // processes
+	MachinesLostPerDay float64
+	RestartsPerDay     float64 // restarted or replaced processes
 	ReadyWithin        time.Duration
 }
 
-// EventsOfSender is what one sender takes, in events a second.
+// EventsPerSecondPerSender returns the rate at which one sender accepts events.
 func (t *Target) EventsPerSecondPerSender() float64 { return t.EventsPerSecond / t.Senders }
 
-// BacklogOfSender is what one sender may hold, in events.
+// BacklogPerSender returns the maximum number of events that one sender holds.
 func (t *Target) BacklogPerSender() float64 { return t.Backlog / t.Senders }
 
-// Down is how many destinations are down at any time.
+// DownDestinations returns the number of destinations that are down at any time.
 func (t *Target) DownDestinations() float64 { return t.Destinations * t.DownPercent / 100 }
 
-// Scaled is the target with senders, destinations, events and changes at a share of their number. What one sender
-// takes and holds stays.
+// Scaled returns the target with its fleet-wide quantities (senders, destinations, events, changes, failures) multiplied
+// by share. The load and backlog of one sender are unchanged.
 func (t *Target) Scaled(share float64) *Target {
 	scaled := *t
 	for _, quantity := range []*float64{&scaled.Senders, &scaled.EventsPerSecond, &scaled.Destinations, &scaled.Backlog, &scaled.ChangesPerDay, &scaled.MachinesLostPerDay, &scaled.RestartsPerDay} {
@@ -52,13 +52,13 @@
 	return &scaled
 }
 
-// number is an attribute that holds a decimal number.
-func numberAttribute(name, doc string, put func(*Target, float64)) strictxml.Attribute[Target] {
+// numberAttribute returns a required attribute that holds a decimal number.
+func numberAttribute(name, doc string, set func(*Target, float64)) strictxml.Attribute[Target] {
 	return strictxml.Attribute[Target]{Name: name, Required: true, Doc: doc,
 		Values: strictxml.Text(`[0-9]{1,15}(\.[0-9]{1,6})?`, "a decimal number"),
 		SetText: func(t *Target, text string) {
-			value, _ := strconv.ParseFloat(text, 64) // the pattern has let nothing else through
-			put(t, value)
+			value, _ := strconv.ParseFloat(text, 64) // cannot fail: the pattern admits decimal numbers only
+			set(t, value)
 		}}
 }
 
@@ -109,19 +109,19 @@
 	}
 }
 
-// LoadTarget reads a target file. Every element must be there: a quantity of zero would make any budget hold.
+// LoadTarget reads a target file. Every element is required, since any budget would hold for a quantity of zero.
 func LoadTarget(path string) (*Target, error) {
 	t, err := strictxml.Open(path, targetSpec())
 	if err != nil {
 		return nil, err
 	}
-	for _, part := range []struct {
+	for _, element := range []struct {
 		name  string
 		value float64
 	}{{"fleet", t.Senders}, {"destinations", t.Destinations}, {"backlog", t.Backlog}, {"configuration", t.ChangesPerDay},
 		{"control-budget", t.MemoryMB}, {"failures", t.RestartsPerDay}} {
-		if part.value == 0 {
-			return nil, &strictxml.Error{File: path, What: "<" + part.name + "> is missing or states 0", Allowed: "quantities over 0"}
+		if element.value == 0 {
+			return nil, &strictxml.Error{File: path, What: "<" + element.name + "> is missing or states 0", Allowed: "quantities over 0"}
 		}
 	}
 	return t, nil
