--- a/internal/lab/capacity/capacity_test.go
+++ b/internal/lab/capacity/capacity_test.go
@@ -14,17 +14,18 @@
 
 func loadTarget(t *testing.T) *Target {
 	t.Helper()
-	read, err := LoadTarget(targetFile)
+	loaded, err := LoadTarget(targetFile)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return read
+	return loaded
 }
 
 func TestTarget(t *testing.T) {
-	read := loadTarget(t)
-	if read.Senders != 14000 || math.Round(read.EventsPerSecondPerSender()) != 1143 || read.DownDestinations() != 46000 || math.Round(read.BacklogPerSender()/1e4) != 607 {
-		t.Errorf("%+v", read)
+	loaded := loadTarget(t)
+	if loaded.Senders != 14000 || math.Round(loaded.EventsPerSecondPerSender()) != 1143 ||
+		loaded.DownDestinations() != 46000 || math.Round(loaded.BacklogPerSender()/1e4) != 607 {
+		t.Errorf("%+v", loaded)
 	}
 	text, err := os.ReadFile(targetFile)
 	if err != nil {
@@ -75,10 +76,15 @@
 		slope float64
 		want  float64
 	}{
-		{"linear", Row{Need: func(t *Target, s []float64) float64 { return s[0] * t.Destinations }, Budget: memory}, 64e-6 * 10, 0.1},
-		{"quadratic", Row{Need: func(t *Target, s []float64) float64 { return s[0] * t.Senders * t.Senders }, Budget: memory}, 128 / 14000.0 / 14000 * 4, 0.5},
-		{"holds", Row{Need: func(t *Target, s []float64) float64 { return s[0] * t.Senders }, Budget: memory}, 128 / 14000.0 / 3, 3},
-		{"one sender's", Row{PerSender: true, Need: func(t *Target, s []float64) float64 { return s[0] * t.BacklogPerSender() }, Budget: memory}, 128 / at.BacklogPerSender() * 5, 0.2},
+		{"linear", Row{Need: func(t *Target, s []float64) float64 { return s[0] * t.Destinations }, Budget: memory},
+			64e-6 * 10, 0.1},
+		{"quadratic", Row{Need: func(t *Target, s []float64) float64 { return s[0] * t.Senders * t.Senders },
+			Budget: memory}, 128 / 14000.0 / 14000 * 4, 0.5},
+		{"holds", Row{Need: func(t *Target, s []float64) float64 { return s[0] * t.Senders }, Budget: memory},
+			128 / 14000.0 / 3, 3},
+		{"one sender's", Row{PerSender: true,
+			Need:   func(t *Target, s []float64) float64 { return s[0] * t.BacklogPerSender() },
+			Budget: memory}, 128 / at.BacklogPerSender() * 5, 0.2},
 	} {
 		if got, stated := c.row.BreaksAt(at, []float64{c.slope}); !stated || math.Abs(got/c.want-1) > 1e-6 {
 			t.Errorf("%s: breaks at %g, want %g", c.name, got, c.want)
@@ -133,8 +139,8 @@
 	}
 }
 
-// The tables of the page match its record, target and bounds. This fails if a number in the page was edited by hand, or if
-// the target or a bound changed and the page was not regenerated.
+// The tables of the page match its record, target and bounds. The test fails if a number in the page was edited by hand,
+// or if the target or a bound changed and the page was not regenerated.
 func TestPageIsCurrent(t *testing.T) {
 	const page, record = "../../../docs/CAPACITY.md", "../../../docs/capacity/record.json"
 	text, err := os.ReadFile(page)
@@ -145,14 +151,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	again := filepath.Join(t.TempDir(), "page.md")
-	if err := os.WriteFile(again, text, 0o600); err != nil {
+	regenerated := filepath.Join(t.TempDir(), "page.md")
+	if err := os.WriteFile(regenerated, text, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if err := WritePage(again, loadTarget(t), r); err != nil {
+	if err := WritePage(regenerated, loadTarget(t), r); err != nil {
 		t.Fatal(err)
 	}
-	written, err := os.ReadFile(again)
+	written, err := os.ReadFile(regenerated)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -166,13 +172,15 @@
 	if err := os.WriteFile(path, []byte("# Capacity\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if err := WritePage(path, loadTarget(t), &Record{}); err == nil || !strings.Contains(err.Error(), "generated: target") {
+	if err := WritePage(path, loadTarget(t), &Record{}); err == nil ||
+		!strings.Contains(err.Error(), "generated: target") {
 		t.Errorf("error %v", err)
 	}
 }
 
 func TestFormatNumber(t *testing.T) {
-	for v, want := range map[float64]string{0: "0", 1234567: "1,234,567", 1000: "1,000", 128: "128", 12.345: "12.3", 0.00512: "0.00512",
+	for v, want := range map[float64]string{0: "0", 1234567: "1,234,567", 1000: "1,000", 128: "128", 12.345: "12.3",
+		0.00512:   "0.00512",
 		0.0000123: "0.0000123", -18.44: "-18.4", -1234: "-1,234"} {
 		if got := formatNumber(v); got != want {
 			t.Errorf("%g: %q, want %q", v, got, want)
--- a/internal/lab/capacity/fit.go
+++ b/internal/lab/capacity/fit.go
@@ -6,7 +6,7 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// Point is one measured size.
+// Point is the value measured at one size.
 type Point struct {
 	Size  float64 `json:"size"`
 	Value float64 `json:"value"`
--- a/internal/lab/capacity/measure.go
+++ b/internal/lab/capacity/measure.go
@@ -16,8 +16,10 @@
 	Name, Role, Description, Unit, Per string
 	RealProcess                        bool  // measures a separate sender process
 	Sizes                              []int // ascending; the last is forecast from the others
-	Repeats                            int   // runs at each size, of which the smallest value counts: other load on the machine can only lengthen a time
-	Run                                func(e *Env, size int) (float64, error)
+	// Repeats is the number of runs at each size, of which the smallest value counts: other load on the machine can only
+	// lengthen a time.
+	Repeats int
+	Run     func(e *Env, size int) (float64, error)
 }
 
 // Env is the environment of the measurements.
@@ -56,7 +58,8 @@
 }
 
 func (m *Measurement) run(e *Env, onSizeDone func(string)) (*Series, error) {
-	s := &Series{Name: m.Name, Role: m.Role, Description: m.Description, Unit: m.Unit, Per: m.Per, RealProcess: m.RealProcess}
+	s := &Series{Name: m.Name, Role: m.Role, Description: m.Description, Unit: m.Unit, Per: m.Per,
+		RealProcess: m.RealProcess}
 	for _, size := range m.Sizes {
 		if err := e.Ctx.Err(); err != nil {
 			return nil, err
--- a/internal/lab/capacity/measure_fleet.go
+++ b/internal/lab/capacity/measure_fleet.go
@@ -20,43 +20,52 @@
 
 func fleetMeasurements() []Measurement {
 	return []Measurement{{
-		Name: "group-frames", Role: roleVoter, Description: "frames a second of a group in calm, in the model", Unit: "frames/s", Per: "sender",
+		Name: "group-frames", Role: roleVoter, Description: "frames a second of a group in calm, in the model",
+		Unit: "frames/s", Per: "sender",
 		Sizes: []int{10, 30, 100, 300, 900}, Run: groupFrames,
 	}, {
-		Name: "link-frame", Role: roleVoter, Description: "processor time of frames over a link, both ends", Unit: "ms", Per: "frame",
+		Name: "link-frame", Role: roleVoter, Description: "processor time of frames over a link, both ends", Unit: "ms",
+		Per:   "frame",
 		Sizes: []int{1000, 3000, 10000, 30000, 100000}, Repeats: 4, Run: linkFramesCPU,
 	}, {
-		Name: "session-end", Role: roleVoter, Description: "processor time to end one session, by the duties that the group holds", Unit: "us", Per: "duty",
+		Name: "session-end", Role: roleVoter,
+		Description: "processor time to end one session, by the duties that the group holds", Unit: "us",
+		Per:   "duty",
 		Sizes: []int{80, 250, 800, 2500, duty.MaxDuties}, Repeats: 9, Run: sessionEndCPU,
 	}, {
-		Name: "state-session", Role: roleVoter, Description: "snapshot of the agreed state, by sessions", Unit: "KB", Per: "sender",
+		Name: "state-session", Role: roleVoter, Description: "snapshot of the agreed state, by sessions", Unit: "KB",
+		Per:   "sender",
 		Sizes: []int{10, 30, 100, 300, duty.MaxSessions},
 		Run:   func(_ *Env, size int) (float64, error) { return snapshotKB(size, 0) },
 	}, {
-		Name: "state-duty", Role: roleVoter, Description: "snapshot of the agreed state, by duties", Unit: "KB", Per: "duty",
+		Name: "state-duty", Role: roleVoter, Description: "snapshot of the agreed state, by duties", Unit: "KB",
+		Per:   "duty",
 		Sizes: []int{80, 250, 800, 2500, duty.MaxDuties},
 		Run:   func(_ *Env, size int) (float64, error) { return snapshotKB(1, size) },
 	}, {
-		Name: "present-bytes", Role: roleVoter, Description: "frame that tells each member of a session that began or ended", Unit: "KB", Per: "sender",
+		Name: "present-bytes", Role: roleVoter,
+		Description: "frame that tells each member of a session that began or ended", Unit: "KB", Per: "sender",
 		Sizes: []int{10, 100, 1000, 3000, 14000}, Run: presentKB,
 	}, {
-		Name: "status-bytes", Role: roleOperator, Description: "answer to `sliptide fleet status`, by members", Unit: "KB", Per: "sender",
+		Name: "status-bytes", Role: roleOperator, Description: "answer to `sliptide fleet status`, by members",
+		Unit: "KB", Per: "sender",
 		Sizes: []int{10, 100, 1000, 3000, 14000}, Run: statusKB,
 	}}
 }
 
 // groupFrames returns the frames per second of an idle group of members, three of them voters, in the simulation model.
 func groupFrames(_ *Env, members int) (float64, error) {
-	const settle, counted = 8, 4
-	w := model.New(model.Options{Voters: 3, Members: members - 3, Duties: 1, Lease: lease.Params{Length: 2 * time.Second, Drift: 0.05},
+	const settleSeconds, countedSeconds = 8, 4
+	w := model.New(model.Options{Voters: 3, Members: members - 3, Duties: 1,
+		Lease:           lease.Params{Length: 2 * time.Second, Drift: 0.05},
 		ElectionTimeout: 500 * time.Millisecond, Drift: 0.05, Seed: 1})
-	w.Run(settle * time.Second)
+	w.Run(settleSeconds * time.Second)
 	w.FramesSent = 0
-	w.Run((settle + counted) * time.Second)
+	w.Run((settleSeconds + countedSeconds) * time.Second)
 	if w.Violation != "" {
 		return 0, errors.New(w.Violation)
 	}
-	return float64(w.FramesSent) / counted, nil
+	return float64(w.FramesSent) / countedSeconds, nil
 }
 
 // linkFramesCPU returns the processor time, of both ends, to exchange the given number of frames: half of them are sent
@@ -76,8 +85,9 @@
 		Receive: func(_ context.Context, from string, f *pb.Frame) { far.Send(from, f) }})
 	defer far.Close()
 	go far.Serve(ln)
-	near = link.New(link.Options{Self: "near", IsMember: isMember, DialAddrs: map[string]string{"far": ln.Addr().String()},
-		Receive: func(context.Context, string, *pb.Frame) { arrived <- struct{}{} },
+	near = link.New(link.Options{Self: "near", IsMember: isMember,
+		DialAddrs: map[string]string{"far": ln.Addr().String()},
+		Receive:   func(context.Context, string, *pb.Frame) { arrived <- struct{}{} },
 		OnEvent: func(what, _ string, _ error) {
 			if what == "link up" {
 				select {
@@ -97,7 +107,8 @@
 		sent := 0
 		for received := 0; received < frames/2; {
 			for ; sent < frames/2 && sent-received < window; sent++ {
-				near.Send("far", &pb.Frame{What: &pb.Frame_Ask{Ask: &pb.Ask{Id: uint64(sent), Renew: 77, Member: "near"}}})
+				near.Send("far", &pb.Frame{What: &pb.Frame_Ask{Ask: &pb.Ask{Id: uint64(sent), Renew: 77,
+					Member: "near"}}})
 			}
 			select {
 			case <-arrived:
@@ -121,10 +132,12 @@
 	index := uint64(1)
 	apply := func(c *pb.Command) { s.Apply(index, 1, c); index++ }
 	for i := range sessions {
-		apply(&pb.Command{What: &pb.Command_Open{Open: &pb.Open{Member: fmt.Sprintf("sender-%05d", i), Incarnation: uint64(i+1) << 40, Boot: 7, Zone: "zone-11", Weight: 1, Seq: 1}}})
+		apply(&pb.Command{What: &pb.Command_Open{Open: &pb.Open{Member: fmt.Sprintf("sender-%05d", i),
+			Incarnation: uint64(i+1) << 40, Boot: 7, Zone: "zone-11", Weight: 1, Seq: 1}}})
 	}
 	for i := range duties {
-		apply(&pb.Command{What: &pb.Command_Acquire{Acquire: &pb.Acquire{Session: uint64(1 + i%max(sessions, 1)), Duty: fmt.Sprintf("trial/%07d", i)}}})
+		apply(&pb.Command{What: &pb.Command_Acquire{Acquire: &pb.Acquire{Session: uint64(1 + i%max(sessions, 1)),
+			Duty: fmt.Sprintf("trial/%07d", i)}}})
 	}
 	return s
 }
@@ -156,7 +169,8 @@
 func statusKB(_ *Env, members int) (float64, error) {
 	s := voter.Status{ReportedBy: "sender-00000", Leader: "sender-00001"}
 	for i := range members {
-		s.Members = append(s.Members, voter.MemberStatus{Name: fmt.Sprintf("sender-%05d", i), Session: uint64(i + 1000), Zone: "zone-11", LastHeardMS: 123.4, Duties: 3})
+		s.Members = append(s.Members, voter.MemberStatus{Name: fmt.Sprintf("sender-%05d", i), Session: uint64(i + 1000),
+			Zone: "zone-11", LastHeardMS: 123.4, Duties: 3})
 	}
 	b, err := json.Marshal(s)
 	return float64(len(b)) / 1e3, err
--- a/internal/lab/capacity/measure_process.go
+++ b/internal/lab/capacity/measure_process.go
@@ -36,22 +36,29 @@
 func processMeasurements() []Measurement {
 	held := []int{300, 1000, 3000, 10000, 30000}
 	return []Measurement{{
-		Name: "destination-memory", Role: roleSender, Description: "resident memory of a sender that knows so many destinations, one endpoint each, idle",
-		Unit: "MB", Per: "destination", RealProcess: true, Sizes: []int{40, 130, 400, 1300, 4000}, Repeats: 2, Run: destinationMemory,
+		Name: "destination-memory", Role: roleSender,
+		Description: "resident memory of a sender that knows so many destinations, one endpoint each, idle",
+		Unit:        "MB", Per: "destination", RealProcess: true, Sizes: []int{40, 130, 400, 1300, 4000}, Repeats: 2,
+		Run: destinationMemory,
 	}, {
-		Name: "restart-memory", Role: roleSender, Description: "resident memory of a sender that restarted with so many events of 500 bytes in its journal",
-		Unit: "MB", Per: "held event", RealProcess: true, Sizes: held, Repeats: 3,
+		Name: "restart-memory", Role: roleSender,
+		Description: "resident memory of a sender that restarted with so many events of 500 bytes in its journal",
+		Unit:        "MB", Per: "held event", RealProcess: true, Sizes: held, Repeats: 3,
 		Run: func(e *Env, size int) (float64, error) { r, err := e.restart(size); return r.memoryMB, err },
 	}, {
-		Name: "restart-ready", Role: roleSender, Description: "time from the start until /up answers 200, with so many events in the journal",
-		Unit: "ms", Per: "held event", RealProcess: true, Sizes: held, Repeats: 3,
+		Name: "restart-ready", Role: roleSender,
+		Description: "time from the start until /up answers 200, with so many events in the journal",
+		Unit:        "ms", Per: "held event", RealProcess: true, Sizes: held, Repeats: 3,
 		Run: func(e *Env, size int) (float64, error) { r, err := e.restart(size); return r.readyMS, err },
 	}, {
-		Name: "held-memory", Role: roleSender, Description: "resident memory of a sender that took so many events of 500 bytes for a destination that is down",
-		Unit: "MB", Per: "held event", RealProcess: true, Sizes: []int{300, 1000, 3000, 10000, 30000}, Run: heldMemory,
+		Name: "held-memory", Role: roleSender,
+		Description: "resident memory of a sender that took so many events of 500 bytes for a destination that is down",
+		Unit:        "MB", Per: "held event", RealProcess: true, Sizes: []int{300, 1000, 3000, 10000, 30000}, Run: heldMemory,
 	}, {
-		Name: "event-cpu", Role: roleSender, Description: "processor time of a sender that takes and delivers so many events of 500 bytes",
-		Unit: "ms", Per: "event", RealProcess: true, Sizes: []int{300, 1000, 3000, 10000, 30000}, Repeats: 2, Run: eventCPU,
+		Name: "event-cpu", Role: roleSender,
+		Description: "processor time of a sender that takes and delivers so many events of 500 bytes",
+		Unit:        "ms", Per: "event", RealProcess: true, Sizes: []int{300, 1000, 3000, 10000, 30000}, Repeats: 2,
+		Run: eventCPU,
 	}}
 }
 
@@ -78,7 +85,7 @@
 	return b.String()
 }
 
-// writeConfig writes the configuration of a sender whose limits no measurement reaches, and returns its path.
+// writeConfig writes the configuration of a sender, with limits above what the measurements need, and returns its path.
 func writeConfig(dir, addr, endpointList string) (string, error) {
 	text, err := json.Marshal(map[string]any{
 		"name": "capacity", "listen": addr, "discovery": "127.0.0.1:9", "seed": "8c1f30d27a5be964",
@@ -87,11 +94,14 @@
 		"settings": map[string]any{
 			"areas": []string{"a"}, "kinds": []string{"partner"}, "balancers": 1, "round": 1,
 			"family_info": map[string]any{"call_slots": 32, "kind_batch": []int{1}, "own_limits": []bool{false}},
-			"limits":      map[string]any{"max_attempts": 6, "most_held": 1 << 20, "keepalive": 15000, "dial_timeout": 1500, "retry_after": true, "max_retry_after": 2000},
-			"contract":    map[string]any{"answer_slack": 20, "stop_sending_within": 500, "cold": 9000, "cold_from": 0.25, "tip_multiple": 1.5, "tip_after": 3000},
-			"reporting":   map[string]any{"fields": []string{"x0", "x1"}},
-			"services":    []any{map[string]any{"name": "note", "aim": 4000, "deadline": 86400000, "effect": "safe", "worth": 1, "late_worth": 0.4}},
-			"tenants":     []any{map[string]any{"name": "acme", "quota_per_s": 1e6}},
+			"limits": map[string]any{"max_attempts": 6, "most_held": 1 << 20, "keepalive": 15000,
+				"dial_timeout": 1500, "retry_after": true, "max_retry_after": 2000},
+			"contract": map[string]any{"answer_slack": 20, "stop_sending_within": 500, "cold": 9000,
+				"cold_from": 0.25, "tip_multiple": 1.5, "tip_after": 3000},
+			"reporting": map[string]any{"fields": []string{"x0", "x1"}},
+			"services": []any{map[string]any{"name": "note", "aim": 4000, "deadline": 86400000, "effect": "safe",
+				"worth": 1, "late_worth": 0.4}},
+			"tenants": []any{map[string]any{"name": "acme", "quota_per_s": 1e6}},
 		},
 	})
 	if err != nil {
@@ -191,7 +201,8 @@
 	return p.residentMB()
 }
 
-// restart starts a sender with a journal of the given number of events, and measures when it is ready and its memory.
+// restart starts a sender with a journal of the given number of events and measures its time to
+// become ready and its memory.
 func (e *Env) restart(size int) (restartResult, error) {
 	dir, err := e.newScratchDir()
 	if err != nil {
@@ -269,10 +280,11 @@
 }
 
 // submit submits the given number of events for destination 1 and returns once all are accepted. An event that gets 429
-// or 503 is resubmitted until startTimeout.
+// or 503 is resubmitted for up to startTimeout.
 func (p *senderProcess) submit(events int) error {
 	body := strings.Repeat("x", eventBytes)
-	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: submitConnections}, Timeout: 10 * time.Second}
+	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: submitConnections},
+		Timeout: 10 * time.Second}
 	defer client.CloseIdleConnections()
 	var wait sync.WaitGroup
 	errs := make(chan error, submitConnections)
@@ -301,7 +313,8 @@
 		if err != nil {
 			return err
 		}
-		for name, value := range map[string]string{"X-Trace-Id": fmt.Sprintf("trace-%08d", i), "X-Qos": "note", "X-Customer": "acme",
+		for name, value := range map[string]string{"X-Trace-Id": fmt.Sprintf("trace-%08d", i), "X-Qos": "note",
+			"X-Customer":   "acme",
 			"X-Expires-In": "80000", "X-Route-To": "dest=1"} {
 			request.Header.Set(name, value)
 		}
--- a/internal/lab/capacity/measure_sender.go
+++ b/internal/lab/capacity/measure_sender.go
@@ -45,9 +45,11 @@
 func moduleSettings(held int) policy.Settings {
 	return policy.Settings{
 		Senders: 1, CallSlots: 8, MaxAttempts: 6, MaxHeld: held, StreamsPerConn: 1, KeepAlive: 15000, DialTimeout: 1500,
-		DrainGrace: 500, WarmUpDuration: 9000, ColdCapacity: 0.25, OverloadMultiple: 1.5, OverloadWindow: 3000, AllowanceIndex: -1, LimitIndex: -1,
-		Kinds:   []policy.DestKind{{Name: "partner", Batch: 1}},
-		Classes: []policy.Class{{Name: "note", Aim: 4000, Deadline: 8.64e7, Worth: 1, LateWorth: 0.4, Effect: policy.Safe}},
+		DrainGrace: 500, WarmUpDuration: 9000, ColdCapacity: 0.25, OverloadMultiple: 1.5, OverloadWindow: 3000,
+		AllowanceIndex: -1, LimitIndex: -1,
+		Kinds: []policy.DestKind{{Name: "partner", Batch: 1}},
+		Classes: []policy.Class{{Name: "note", Aim: 4000, Deadline: 8.64e7, Worth: 1, LateWorth: 0.4,
+			Effect: policy.Safe}},
 	}
 }
 
@@ -62,8 +64,9 @@
 
 func moduleMeasurements() []Measurement {
 	return []Measurement{{
-		Name: "module-destination-memory", Role: roleSender, Description: "memory of the decision module for a known destination with one endpoint, idle",
-		Unit: "KB", Per: "destination", Sizes: []int{1000, 3000, 10000, 30000, 100000, 300000},
+		Name: "module-destination-memory", Role: roleSender,
+		Description: "memory of the decision module for a known destination with one endpoint, idle",
+		Unit:        "KB", Per: "destination", Sizes: []int{1000, 3000, 10000, 30000, 100000, 300000},
 		Run: func(_ *Env, size int) (float64, error) {
 			return heapGrowthBytes(func() any {
 				s := policy.New(moduleSettings(1000), 1)
@@ -78,12 +81,14 @@
 			return heapGrowthBytes(func() any { return moduleWithBacklog(size) }) / 1e3, nil
 		},
 	}, {
-		Name: "module-send", Role: roleSender, Description: "processor time of a step that sends the next of one destination's held events",
-		Unit: "us", Per: "held event", Sizes: []int{100, 300, 1000, 3000, 10000, 30000}, Repeats: 3,
+		Name: "module-send", Role: roleSender,
+		Description: "processor time of a step that sends the next of one destination's held events",
+		Unit:        "us", Per: "held event", Sizes: []int{100, 300, 1000, 3000, 10000, 30000}, Repeats: 3,
 		Run: sendStepCPU,
 	}, {
-		Name: "telemetry-event", Role: roleTelemetry, Description: "processor time to make an event's records into a trace",
-		Unit: "ms", Per: "event", Sizes: []int{1000, 3000, 10000, 30000, 100000}, Repeats: 3,
+		Name: "telemetry-event", Role: roleTelemetry,
+		Description: "processor time to make an event's records into a trace",
+		Unit:        "ms", Per: "event", Sizes: []int{1000, 3000, 10000, 30000, 100000}, Repeats: 3,
 		Run: telemetryCPU,
 	}}
 }
@@ -103,14 +108,17 @@
 func sendStepCPU(_ *Env, held int) (float64, error) {
 	const steps = 20
 	s := moduleWithBacklog(held + steps + 8)
-	actions := s.Step(1001, []policy.Event{{Kind: policy.EvList, FullList: true, List: []policy.Endpoint{{ID: 1, State: policy.Ready, Dest: 1}}}}, nil)
+	actions := s.Step(1001, []policy.Event{{Kind: policy.EvList, FullList: true,
+		List: []policy.Endpoint{{ID: 1, State: policy.Ready, Dest: 1}}}}, nil)
 	now, sent := 1001.0, 0
 	cpuMillis := threadCPUMillis(func() {
 		for range steps {
 			var outcomes []policy.Event
 			for _, a := range actions {
 				if a.Kind == policy.ActSend && len(outcomes) == 0 {
-					outcomes = append(outcomes, policy.Event{Kind: policy.EvOutcome, ID: a.ID, Endpoint: 1, Outcome: policy.OK, Latency: 5, Final: true})
+					outcomes = append(outcomes,
+						policy.Event{Kind: policy.EvOutcome, ID: a.ID, Endpoint: 1, Outcome: policy.OK, Latency: 5,
+							Final: true})
 				}
 			}
 			now += 5
@@ -126,14 +134,17 @@
 
 // telemetryCPU returns the processor time to record events and assemble their records into traces.
 func telemetryCPU(_ *Env, events int) (float64, error) {
-	a := telemetry.NewAssembler(telemetry.Settings{SampledShare: 1, Classes: moduleSettings(1).Classes, Export: func(*telemetry.Trace) {}})
+	a := telemetry.NewAssembler(telemetry.Settings{SampledShare: 1, Classes: moduleSettings(1).Classes,
+		Export: func(*telemetry.Trace) {}})
 	q := telemetry.NewRecorder(1 << 30)
 	return threadCPUMillis(func() {
 		for i := range events {
 			at := float64(i)
-			q.Push(telemetry.Record{Kind: telemetry.KindAccepted, Num: uint64(i), At: at, Until: at + 1e4, Text: "9b1f03aa5c7e2d41"})
+			q.Push(telemetry.Record{Kind: telemetry.KindAccepted, Num: uint64(i), At: at, Until: at + 1e4,
+				Text: "9b1f03aa5c7e2d41"})
 			q.Push(telemetry.Record{Kind: telemetry.KindCallStarted, Num: uint64(i), At: at})
-			q.Push(telemetry.Record{Kind: telemetry.KindCallEnded, Num: uint64(i), At: at + 20, Until: at, Text: "127.0.0.1:9000"})
+			q.Push(telemetry.Record{Kind: telemetry.KindCallEnded, Num: uint64(i), At: at + 20, Until: at,
+				Text: "127.0.0.1:9000"})
 			q.Push(telemetry.Record{Kind: telemetry.KindMessageEnded, Num: uint64(i), At: at + 20})
 			if i%64 == 63 {
 				q.Drain(a.Process)
@@ -144,7 +155,8 @@
 
 // journalEntry returns the journal entry of an event.
 func journalEntry(num uint64, deadline time.Time) *journal.Entry {
-	return &journal.Entry{Num: num, Trace: fmt.Sprintf("trace-%016x", num), Key: fmt.Sprintf("key-%016x", num), Class: "note", Tenant: "acme", Dest: 1,
+	return &journal.Entry{Num: num, Trace: fmt.Sprintf("trace-%016x", num), Key: fmt.Sprintf("key-%016x", num),
+		Class: "note", Tenant: "acme", Dest: 1,
 		Deadline: deadline.UnixMilli(), Body: bytes.Repeat([]byte("x"), eventBytes)}
 }
 
@@ -185,7 +197,8 @@
 func journalMeasurements() []Measurement {
 	sizes := []int{300, 1000, 3000, 10000, 30000, 100000}
 	return []Measurement{{
-		Name: "journal-bytes", Role: roleSender, Description: "journal of a held event of 500 bytes", Unit: "KB", Per: "held event", Sizes: sizes,
+		Name: "journal-bytes", Role: roleSender, Description: "journal of a held event of 500 bytes", Unit: "KB",
+		Per: "held event", Sizes: sizes,
 		Run: func(e *Env, size int) (float64, error) {
 			return withJournal(e, size, func(dir string) (float64, error) {
 				info, err := os.Stat(filepath.Join(dir, "journal"))
@@ -196,12 +209,15 @@
 			})
 		},
 	}, {
-		Name: "journal-replay", Role: roleSender, Description: "processor time to replay the journal", Unit: "ms", Per: "held event", Sizes: sizes, Repeats: 3,
+		Name: "journal-replay", Role: roleSender, Description: "processor time to replay the journal", Unit: "ms",
+		Per: "held event", Sizes: sizes, Repeats: 3,
 		Run: func(e *Env, size int) (float64, error) {
 			return withJournal(e, size, func(dir string) (float64, error) {
 				var opened *journal.Journal
 				var err error
-				cpuMillis := threadCPUMillis(func() { opened, _, err = journal.Open(dir, statedir.NewSpace(1<<40).Account()) })
+				cpuMillis := threadCPUMillis(func() {
+					opened, _, err = journal.Open(dir, statedir.NewSpace(1<<40).Account())
+				})
 				if err != nil {
 					return 0, err
 				}
@@ -209,7 +225,8 @@
 			})
 		},
 	}, {
-		Name: "copy-bytes", Role: roleHolder, Description: "records of an event's whole life that go to each holder of copies", Unit: "KB", Per: "event",
+		Name: "copy-bytes", Role: roleHolder,
+		Description: "records of an event's whole life that go to each holder of copies", Unit: "KB", Per: "event",
 		Sizes: []int{10, 100, 1000, 10000, 100000},
 		Run: func(e *Env, size int) (float64, error) {
 			return withJournal(e, 0, func(dir string) (float64, error) { return lifecycleRecordsKB(dir, size) })
@@ -238,11 +255,16 @@
 
 func listMeasurements() []Measurement {
 	return []Measurement{{
-		Name: "list-bytes", Role: roleDistribution, Description: "the list of endpoints, one endpoint a destination", Unit: "KB", Per: "destination",
+		Name: "list-bytes", Role: roleDistribution, Description: "the list of endpoints, one endpoint a destination",
+		Unit: "KB", Per: "destination",
 		Sizes: []int{100, 300, 1000, 3000, 10000, 100000},
-		Run:   func(_ *Env, size int) (float64, error) { return float64(len(listJSON(size, "127.0.0.1:9"))) / 1e3, nil },
+		Run: func(_ *Env, size int) (float64, error) {
+			return float64(len(listJSON(size, "127.0.0.1:9"))) / 1e3, nil
+		},
 	}, {
-		Name: "list-take", Role: roleDistribution, Description: "processor time to read a whole list and give it to the module", Unit: "ms", Per: "destination",
+		Name: "list-take", Role: roleDistribution,
+		Description: "processor time to read a whole list and give it to the module", Unit: "ms",
+		Per:   "destination",
 		Sizes: []int{100, 300, 1000, 3000, 10000, discovery.MaxEndpoints}, Repeats: 9,
 		Run: func(_ *Env, size int) (float64, error) {
 			text := []byte(listJSON(size, "127.0.0.1:9"))
@@ -259,7 +281,8 @@
 			return threadCPUMillis(func() { err = watch.Restore(text) }), err
 		},
 	}, {
-		Name: "member-file", Role: roleDistribution, Description: "processor time to read an operators' file that lists the members", Unit: "ms", Per: "sender",
+		Name: "member-file", Role: roleDistribution,
+		Description: "processor time to read an operators' file that lists the members", Unit: "ms", Per: "sender",
 		Sizes: []int{10, 30, 100, 300, operator.MaxMembers}, Repeats: 25,
 		Run: func(_ *Env, size int) (float64, error) {
 			text := memberFile(size)
@@ -267,7 +290,8 @@
 			return threadCPUMillis(func() { _, err = operator.Read("members.xml", bytes.NewReader(text)) }), err
 		},
 	}, {
-		Name: "member-file-bytes", Role: roleDistribution, Description: "an operators' file that lists the members", Unit: "KB", Per: "sender",
+		Name: "member-file-bytes", Role: roleDistribution, Description: "an operators' file that lists the members",
+		Unit: "KB", Per: "sender",
 		Sizes: []int{10, 30, 100, 300, operator.MaxMembers},
 		Run:   func(_ *Env, size int) (float64, error) { return float64(len(memberFile(size))) / 1e3, nil },
 	}}
@@ -278,7 +302,8 @@
 	var b bytes.Buffer
 	b.WriteString("<sliptide version=\"1\">\n <fleet enabled=\"true\">\n")
 	for i := range members {
-		fmt.Fprintf(&b, "  <member name=\"sender-%05d\" addr=\"10.%d.%d.%d:7100\" zone=\"zone-%d\" voter=\"%t\"/>\n", i, i>>16, i>>8&0xff, i&0xff, i%13, i < 3)
+		fmt.Fprintf(&b, "  <member name=\"sender-%05d\" addr=\"10.%d.%d.%d:7100\" zone=\"zone-%d\" voter=\"%t\"/>\n", i,
+			i>>16, i>>8&0xff, i&0xff, i%13, i < 3)
 	}
 	b.WriteString(" </fleet>\n</sliptide>\n")
 	return b.Bytes()
--- a/internal/lab/capacity/page.go
+++ b/internal/lab/capacity/page.go
@@ -79,17 +79,24 @@
 func writeTarget(b *bytes.Buffer, t *Target) {
 	fmt.Fprintln(b, "| | at target |\n| --- | --- |")
 	fmt.Fprintf(b, "| senders | %s in %s regions with %s zones, taking %s events a second (%s each, %s bytes) |\n",
-		formatNumber(t.Senders), formatNumber(t.Regions), formatNumber(t.Zones), formatNumber(t.EventsPerSecond), formatNumber(t.EventsPerSecondPerSender()), formatNumber(t.EventBytes))
-	fmt.Fprintf(b, "| destinations | %s, %s %% of them (%s) down at any time |\n", formatNumber(t.Destinations), formatNumber(t.DownPercent), formatNumber(t.DownDestinations()))
-	fmt.Fprintf(b, "| backlog | up to %s events (%s a sender) |\n", formatNumber(t.Backlog), formatNumber(t.BacklogPerSender()))
-	fmt.Fprintf(b, "| configuration | %s changes a day (%s a second), in force everywhere within %v |\n", formatNumber(t.ChangesPerDay), formatNumber(t.ChangesPerDay/secondsPerDay), t.InForceWithin)
+		formatNumber(t.Senders), formatNumber(t.Regions), formatNumber(t.Zones), formatNumber(t.EventsPerSecond),
+		formatNumber(t.EventsPerSecondPerSender()), formatNumber(t.EventBytes))
+	fmt.Fprintf(b, "| destinations | %s, %s %% of them (%s) down at any time |\n", formatNumber(t.Destinations),
+		formatNumber(t.DownPercent), formatNumber(t.DownDestinations()))
+	fmt.Fprintf(b, "| backlog | up to %s events (%s a sender) |\n", formatNumber(t.Backlog),
+		formatNumber(t.BacklogPerSender()))
+	fmt.Fprintf(b, "| configuration | %s changes a day (%s a second), in force everywhere within %v |\n",
+		formatNumber(t.ChangesPerDay), formatNumber(t.ChangesPerDay/secondsPerDay), t.InForceWithin)
 	fmt.Fprintf(b, "| for control, a sender | at most %s %% of a core, %s MB, %s KB/s; and %s machines set aside for control |\n",
-		formatNumber(t.CorePercent), formatNumber(t.MemoryMB), formatNumber(t.LinkKBPerSecond), formatNumber(t.ControlMachines))
-	fmt.Fprintf(b, "| failures | %s machines a day, %s restarted or replaced a day; ready within %v |\n", formatNumber(t.MachinesLostPerDay), formatNumber(t.RestartsPerDay), t.ReadyWithin)
+		formatNumber(t.CorePercent), formatNumber(t.MemoryMB), formatNumber(t.LinkKBPerSecond),
+		formatNumber(t.ControlMachines))
+	fmt.Fprintf(b, "| failures | %s machines a day, %s restarted or replaced a day; ready within %v |\n",
+		formatNumber(t.MachinesLostPerDay), formatNumber(t.RestartsPerDay), t.ReadyWithin)
 }
 
 func writeSlopes(b *bytes.Buffer, r *Record) {
-	fmt.Fprintf(b, "Measured in %.0f s on %d cores, %s; runnable processes, mean of a minute: %s before, %s after.\n\n", r.Seconds, r.Cores, r.GoVersion, formatNumber(r.LoadBefore), formatNumber(r.LoadAfter))
+	fmt.Fprintf(b, "Measured in %.0f s on %d cores, %s; runnable processes, mean of a minute: %s before, %s after.\n\n",
+		r.Seconds, r.Cores, r.GoVersion, formatNumber(r.LoadBefore), formatNumber(r.LoadAfter))
 	fmt.Fprintln(b, "| role | measured | on | sizes fitted | base + slope | residual | left out | foretold | measured | missed by |")
 	fmt.Fprintln(b, "| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |")
 	for i := range r.Series {
@@ -103,9 +110,12 @@
 		if missed := s.ForecastError(); missed > markedForecastError || missed < -markedForecastError {
 			warning = " **over 20 %**"
 		}
-		fmt.Fprintf(b, "| %s | `%s`: %s | %s | %s to %s | %s + %s %s a %s | %s | %s | %s | %s %s | %s%s |\n", s.Role, s.Name, s.Description, measuredOn,
-			formatNumber(fitted[0].Size), formatNumber(fitted[len(fitted)-1].Size), formatNumber(s.Fit.Base), formatNumber(s.Fit.Slope), s.Unit, s.Per,
-			formatPercent(s.Fit.Residual), formatNumber(last.Size), formatNumber(s.Fit.At(last.Size)), formatNumber(last.Value), s.Unit, formatPercent(s.ForecastError()), warning)
+		fmt.Fprintf(b, "| %s | `%s`: %s | %s | %s to %s | %s + %s %s a %s | %s | %s | %s | %s %s | %s%s |\n", s.Role,
+			s.Name, s.Description, measuredOn,
+			formatNumber(fitted[0].Size), formatNumber(fitted[len(fitted)-1].Size), formatNumber(s.Fit.Base),
+			formatNumber(s.Fit.Slope), s.Unit, s.Per,
+			formatPercent(s.Fit.Residual), formatNumber(last.Size), formatNumber(s.Fit.At(last.Size)),
+			formatNumber(last.Value), s.Unit, formatPercent(s.ForecastError()), warning)
 	}
 }
 
@@ -115,7 +125,8 @@
 	for _, row := range Rows() {
 		slopes, ok := row.slopes(r)
 		if !ok {
-			fmt.Fprintf(b, "| %s | %s | %s | %s | not measured | | |\n", row.Role, row.Description, row.Mechanism, row.Formula)
+			fmt.Fprintf(b, "| %s | %s | %s | %s | not measured | | |\n", row.Role, row.Description, row.Mechanism,
+				row.Formula)
 			continue
 		}
 		budget, breaks := "none stated", ""
@@ -123,7 +134,8 @@
 			budget = fmt.Sprintf("%s %s: %s", formatNumber(row.Budget(t)), row.Unit, row.BudgetName)
 			breaks = describeBreak(&row, share)
 		}
-		fmt.Fprintf(b, "| %s | %s | %s | `%s`: %s | %s %s | %s | %s |\n", row.Role, row.Description, row.Mechanism, strings.Join(row.Series, "`, `"), row.Formula,
+		fmt.Fprintf(b, "| %s | %s | %s | `%s`: %s | %s %s | %s | %s |\n", row.Role, row.Description, row.Mechanism,
+			strings.Join(row.Series, "`, `"), row.Formula,
 			formatNumber(row.Need(t, slopes)), row.Unit, budget, breaks)
 	}
 }
@@ -144,7 +156,8 @@
 	fmt.Fprintln(b, "| --- | --- | --- | --- | --- | --- | --- |")
 	for _, bound := range Bounds() {
 		need := bound.Need(t)
-		fmt.Fprintf(b, "| %s | `%s` | `%s` | %s | %s | %s | %s |\n", bound.Description, bound.Constant, bound.File, formatNumber(bound.Value), formatNumber(need), formatPercent(bound.Value/need), bound.WhenExceeded)
+		fmt.Fprintf(b, "| %s | `%s` | `%s` | %s | %s | %s | %s |\n", bound.Description, bound.Constant, bound.File,
+			formatNumber(bound.Value), formatNumber(need), formatPercent(bound.Value/need), bound.WhenExceeded)
 	}
 }
 
@@ -162,12 +175,14 @@
 			continue
 		}
 		if share, stated := row.BreaksAt(t, slopes); stated && share < 1 {
-			list = append(list, growthLimit{share, fmt.Sprintf("%s: %s (%s)", describeBreak(&row, share), row.Description, row.Mechanism)})
+			list = append(list, growthLimit{share,
+				fmt.Sprintf("%s: %s (%s)", describeBreak(&row, share), row.Description, row.Mechanism)})
 		}
 	}
 	for _, bound := range Bounds() {
 		if share := bound.Value / bound.Need(t); share < 1 {
-			list = append(list, growthLimit{share, fmt.Sprintf("%s of the fleet: %s (`%s`)", formatPercent(share), bound.Description, bound.Constant)})
+			list = append(list, growthLimit{share,
+				fmt.Sprintf("%s of the fleet: %s (`%s`)", formatPercent(share), bound.Description, bound.Constant)})
 		}
 	}
 	slices.SortStableFunc(list, func(x, y growthLimit) int { return cmp.Compare(x.share, y.share) })
--- a/internal/lab/capacity/record.go
+++ b/internal/lab/capacity/record.go
@@ -38,7 +38,8 @@
 	}
 	for _, s := range r.Series {
 		if len(s.Points) < 5 {
-			return nil, fmt.Errorf("%s: series %s has %d sizes; at least 5 are required, of which the last is forecast from the others", path, s.Name, len(s.Points))
+			return nil, fmt.Errorf("%s: series %s has %d sizes; at least 5 are required, of which the last is forecast from the others",
+				path, s.Name, len(s.Points))
 		}
 	}
 	return &r, nil
--- a/internal/lab/capacity/rows.go
+++ b/internal/lab/capacity/rows.go
@@ -21,12 +21,12 @@
 	Role        string
 	Description string
 	Series      []string // names of the series whose slopes Need gets, in this order
-	Formula     string   // in words
+	Formula     string   // the calculation of Need, in words
 	Unit        string
 	Need        func(t *Target, slopes []float64) float64 // amount needed at a target, in Unit
 	Budget      func(t *Target) float64                   // in Unit; nil if no budget is stated
 	BudgetName  string
-	Mechanism   string // that this need comes from today
+	Mechanism   string // current mechanism that causes the need
 	PerSender   bool   // the need depends on what one sender holds and handles, not on the size of the fleet
 }
 
@@ -40,29 +40,38 @@
 	// Sessions that begin or end, per second: each restart ends one and begins one.
 	changes := func(t *Target) float64 { return 2 * t.RestartsPerDay / secondsPerDay }
 	return []Row{{
-		Role: roleSender, Description: "memory of known destinations", Series: []string{"destination-memory"}, Unit: "MB",
+		Role: roleSender, Description: "memory of known destinations", Series: []string{"destination-memory"},
+		Unit:    "MB",
 		Formula: "slope x destinations", Need: func(t *Target, s []float64) float64 { return s[0] * t.Destinations },
 		Budget: memory, BudgetName: "memory for control", Mechanism: "every sender is told the whole list",
 	}, {
-		Role: roleSender, Description: "of these, in the decision module", Series: []string{"module-destination-memory"}, Unit: "MB",
-		Formula: "slope x destinations", Need: func(t *Target, s []float64) float64 { return s[0] / kilo * t.Destinations },
-		Budget: memory, BudgetName: "memory for control", Mechanism: "policy.Sender keeps each listed endpoint",
+		Role: roleSender, Description: "of these, in the decision module",
+		Series: []string{"module-destination-memory"}, Unit: "MB",
+		Formula: "slope x destinations",
+		Need:    func(t *Target, s []float64) float64 { return s[0] / kilo * t.Destinations },
+		Budget:  memory, BudgetName: "memory for control", Mechanism: "policy.Sender keeps each listed endpoint",
 	}, {
-		Role: roleSender, Description: "memory of known destinations with shards on", Series: []string{"destination-memory"}, Unit: "MB",
+		Role: roleSender, Description: "memory of known destinations with shards on",
+		Series: []string{"destination-memory"}, Unit: "MB",
 		Formula: "slope x destinations x 2 replicas x regions / senders", Need: func(t *Target, s []float64) float64 {
 			return s[0] * t.Destinations * shardReplicas * t.Regions / t.Senders
 		},
-		Budget: memory, BudgetName: "memory for control", Mechanism: "each sender is told of its shards (docs/scale.md)", PerSender: true,
+		Budget: memory, BudgetName: "memory for control",
+		Mechanism: "each sender is told of its shards (docs/scale.md)", PerSender: true,
 	}, {
 		Role: roleControl, Description: "memory of the directory", Series: []string{"directory-memory"}, Unit: "GB",
-		Formula: "slope x destinations", Need: func(t *Target, s []float64) float64 { return s[0] / mega * t.Destinations },
+		Formula:   "slope x destinations",
+		Need:      func(t *Target, s []float64) float64 { return s[0] / mega * t.Destinations },
 		Mechanism: "each control member holds all endpoints",
 	}, {
-		Role: roleSender, Description: "processor time of taking and delivering events", Series: []string{"event-cpu"}, Unit: "cores",
-		Formula: "slope x events a second of a sender", Need: func(t *Target, s []float64) float64 { return s[0] / kilo * t.EventsPerSecondPerSender() },
+		Role: roleSender, Description: "processor time of taking and delivering events", Series: []string{"event-cpu"},
+		Unit:      "cores",
+		Formula:   "slope x events a second of a sender",
+		Need:      func(t *Target, s []float64) float64 { return s[0] / kilo * t.EventsPerSecondPerSender() },
 		Mechanism: "one goroutine a connection, one for the module", PerSender: true,
 	}, {
-		Role: roleSender, Description: "a step that sends, with the backlog held for one destination", Series: []string{"module-send"}, Unit: "cores",
+		Role: roleSender, Description: "a step that sends, with the backlog held for one destination",
+		Series: []string{"module-send"}, Unit: "cores",
 		Formula: "slope x backlog of a sender x events a second of a sender",
 		Need: func(t *Target, s []float64) float64 {
 			return s[0] / mega * t.BacklogPerSender() * t.EventsPerSecondPerSender()
@@ -70,76 +79,107 @@
 		Mechanism: "policy.choose looks at all that a destination holds", PerSender: true,
 	}, {
 		Role: roleSender, Description: "memory of held events", Series: []string{"held-memory"}, Unit: "GB",
-		Formula: "slope x backlog of a sender", Need: func(t *Target, s []float64) float64 { return s[0] / kilo * t.BacklogPerSender() },
+		Formula:   "slope x backlog of a sender",
+		Need:      func(t *Target, s []float64) float64 { return s[0] / kilo * t.BacklogPerSender() },
 		Mechanism: "all that is held is in memory", PerSender: true,
 	}, {
-		Role: roleSender, Description: "memory of held events after a restart", Series: []string{"restart-memory"}, Unit: "GB",
-		Formula: "slope x backlog of a sender", Need: func(t *Target, s []float64) float64 { return s[0] / kilo * t.BacklogPerSender() },
+		Role: roleSender, Description: "memory of held events after a restart", Series: []string{"restart-memory"},
+		Unit:      "GB",
+		Formula:   "slope x backlog of a sender",
+		Need:      func(t *Target, s []float64) float64 { return s[0] / kilo * t.BacklogPerSender() },
 		Mechanism: "the journal is replayed into memory", PerSender: true,
 	}, {
 		Role: roleSender, Description: "journal", Series: []string{"journal-bytes"}, Unit: "GB",
-		Formula: "slope x backlog of a sender", Need: func(t *Target, s []float64) float64 { return s[0] / mega * t.BacklogPerSender() },
+		Formula:   "slope x backlog of a sender",
+		Need:      func(t *Target, s []float64) float64 { return s[0] / mega * t.BacklogPerSender() },
 		Mechanism: "one append-only file, compacted", PerSender: true,
 	}, {
 		Role: roleSender, Description: "ready after SIGKILL", Series: []string{"restart-ready"}, Unit: "s",
-		Formula: "slope x backlog of a sender", Need: func(t *Target, s []float64) float64 { return s[0] / kilo * t.BacklogPerSender() },
-		Budget: ready, BudgetName: "ready", Mechanism: "the whole journal is replayed first", PerSender: true,
+		Formula: "slope x backlog of a sender",
+		Need:    func(t *Target, s []float64) float64 { return s[0] / kilo * t.BacklogPerSender() },
+		Budget:  ready, BudgetName: "ready", Mechanism: "the whole journal is replayed first", PerSender: true,
 	}, {
-		Role: roleSender, Description: "of this, processor time of the replay", Series: []string{"journal-replay"}, Unit: "s",
-		Formula: "slope x backlog of a sender", Need: func(t *Target, s []float64) float64 { return s[0] / kilo * t.BacklogPerSender() },
-		Budget: ready, BudgetName: "ready", Mechanism: "journal.Open", PerSender: true,
+		Role: roleSender, Description: "of this, processor time of the replay", Series: []string{"journal-replay"},
+		Unit:    "s",
+		Formula: "slope x backlog of a sender",
+		Need:    func(t *Target, s []float64) float64 { return s[0] / kilo * t.BacklogPerSender() },
+		Budget:  ready, BudgetName: "ready", Mechanism: "journal.Open", PerSender: true,
 	}, {
 		Role: roleHolder, Description: "records to two holders", Series: []string{"copy-bytes"}, Unit: "KB/s",
-		Formula: "2 x slope x events a second of a sender", Need: func(t *Target, s []float64) float64 { return 2 * s[0] * t.EventsPerSecondPerSender() },
+		Formula:   "2 x slope x events a second of a sender",
+		Need:      func(t *Target, s []float64) float64 { return 2 * s[0] * t.EventsPerSecondPerSender() },
 		Mechanism: "each record goes to each holder (data, not control)", PerSender: true,
 	}, {
-		Role: roleVoter, Description: "processor time of the leader's links", Series: []string{"group-frames", "link-frame"}, Unit: "cores",
-		Formula: "frames a second a sender x senders x time of a frame", Need: func(t *Target, s []float64) float64 { return s[0] * t.Senders * s[1] / kilo },
-		Budget: func(t *Target) float64 { return 1 }, BudgetName: "one core, the loop of one leader", Mechanism: "one group, through one leader",
+		Role: roleVoter, Description: "processor time of the leader's links",
+		Series: []string{"group-frames", "link-frame"}, Unit: "cores",
+		Formula: "frames a second a sender x senders x time of a frame",
+		Need:    func(t *Target, s []float64) float64 { return s[0] * t.Senders * s[1] / kilo },
+		Budget:  func(t *Target) float64 { return 1 }, BudgetName: "one core, the loop of one leader",
+		Mechanism: "one group, through one leader",
 	}, {
-		Role: roleVoter, Description: "frames a second through one leader", Series: []string{"group-frames"}, Unit: "frames/s",
+		Role: roleVoter, Description: "frames a second through one leader", Series: []string{"group-frames"},
+		Unit:    "frames/s",
 		Formula: "slope x senders", Need: func(t *Target, s []float64) float64 { return s[0] * t.Senders },
 		Mechanism: "one group, through one leader",
 	}, {
-		Role: roleVoter, Description: "links of a sender: who is present, told at each change", Series: []string{"present-bytes"}, Unit: "KB/s",
-		Formula: "slope x senders x 2 x restarts a second", Need: func(t *Target, s []float64) float64 { return s[0] * t.Senders * changes(t) },
-		Budget: links, BudgetName: "links for control", Mechanism: "each change tells each member of all members",
+		Role: roleVoter, Description: "links of a sender: who is present, told at each change",
+		Series: []string{"present-bytes"}, Unit: "KB/s",
+		Formula: "slope x senders x 2 x restarts a second",
+		Need:    func(t *Target, s []float64) float64 { return s[0] * t.Senders * changes(t) },
+		Budget:  links, BudgetName: "links for control", Mechanism: "each change tells each member of all members",
 	}, {
 		Role: roleVoter, Description: "links of the leader for that", Series: []string{"present-bytes"}, Unit: "MB/s",
-		Formula: "slope x senders x 2 x restarts a second x senders", Need: func(t *Target, s []float64) float64 { return s[0] * t.Senders * changes(t) * t.Senders / kilo },
+		Formula:   "slope x senders x 2 x restarts a second x senders",
+		Need:      func(t *Target, s []float64) float64 { return s[0] * t.Senders * changes(t) * t.Senders / kilo },
 		Mechanism: "the leader sends to every member",
 	}, {
-		Role: roleVoter, Description: "snapshot of what is agreed on", Series: []string{"state-session", "state-duty"}, Unit: "MB",
-		Formula: "slope x senders + slope x destinations that are down", Need: func(t *Target, s []float64) float64 { return (s[0]*t.Senders + s[1]*t.DownDestinations()) / kilo },
-		Budget: frame, BudgetName: "a frame (link.MaxFrame)", Mechanism: "one message of Raft",
+		Role: roleVoter, Description: "snapshot of what is agreed on", Series: []string{"state-session", "state-duty"},
+		Unit:    "MB",
+		Formula: "slope x senders + slope x destinations that are down",
+		Need:    func(t *Target, s []float64) float64 { return (s[0]*t.Senders + s[1]*t.DownDestinations()) / kilo },
+		Budget:  frame, BudgetName: "a frame (link.MaxFrame)", Mechanism: "one message of Raft",
 	}, {
 		Role: roleVoter, Description: "processor time to end sessions", Series: []string{"session-end"}, Unit: "cores",
-		Formula: "slope x destinations that are down x restarts a second", Need: func(t *Target, s []float64) float64 { return s[0] / mega * t.DownDestinations() * changes(t) / 2 },
-		Budget: func(*Target) float64 { return 1 }, BudgetName: "one core, the loop of one leader", Mechanism: "each end looks at all duties, in order",
+		Formula: "slope x destinations that are down x restarts a second",
+		Need:    func(t *Target, s []float64) float64 { return s[0] / mega * t.DownDestinations() * changes(t) / 2 },
+		Budget:  func(*Target) float64 { return 1 }, BudgetName: "one core, the loop of one leader",
+		Mechanism: "each end looks at all duties, in order",
 	}, {
 		Role: roleDistribution, Description: "the whole list", Series: []string{"list-bytes"}, Unit: "MB",
-		Formula: "slope x destinations", Need: func(t *Target, s []float64) float64 { return s[0] / kilo * t.Destinations },
-		Budget: func(*Target) float64 { return discovery.MaxList / mega }, BudgetName: "the longest list that is read (discovery.MaxList)", Mechanism: "discovery answers each sender with all",
+		Formula:    "slope x destinations",
+		Need:       func(t *Target, s []float64) float64 { return s[0] / kilo * t.Destinations },
+		Budget:     func(*Target) float64 { return discovery.MaxList / mega },
+		BudgetName: "the longest list that is read (discovery.MaxList)",
+		Mechanism:  "discovery answers each sender with all",
 	}, {
-		Role: roleDistribution, Description: "processor time to take the whole list", Series: []string{"list-take"}, Unit: "s",
-		Formula: "slope x destinations", Need: func(t *Target, s []float64) float64 { return s[0] / kilo * t.Destinations },
-		Budget: ready, BudgetName: "ready", Mechanism: "discovery answers each sender with all",
+		Role: roleDistribution, Description: "processor time to take the whole list", Series: []string{"list-take"},
+		Unit:    "s",
+		Formula: "slope x destinations",
+		Need:    func(t *Target, s []float64) float64 { return s[0] / kilo * t.Destinations },
+		Budget:  ready, BudgetName: "ready", Mechanism: "discovery answers each sender with all",
 	}, {
-		Role: roleDistribution, Description: "processor time to read the operators' file at each change", Series: []string{"member-file"}, Unit: "% of a core",
+		Role: roleDistribution, Description: "processor time to read the operators' file at each change",
+		Series: []string{"member-file"}, Unit: "% of a core",
 		Formula: "slope x senders x changes a second", Need: func(t *Target, s []float64) float64 {
 			return s[0] / kilo * t.Senders * t.ChangesPerDay / secondsPerDay * 100
 		},
 		Budget: processor, BudgetName: "processor for control", Mechanism: "a file on each machine, and SIGHUP",
 	}, {
-		Role: roleDistribution, Description: "the operators' file to each sender at each change", Series: []string{"member-file-bytes"}, Unit: "KB/s",
-		Formula: "slope x senders x changes a second", Need: func(t *Target, s []float64) float64 { return s[0] * t.Senders * t.ChangesPerDay / secondsPerDay },
-		Budget: links, BudgetName: "links for control", Mechanism: "none: whoever keeps the machines copies the file",
+		Role: roleDistribution, Description: "the operators' file to each sender at each change",
+		Series: []string{"member-file-bytes"}, Unit: "KB/s",
+		Formula: "slope x senders x changes a second",
+		Need:    func(t *Target, s []float64) float64 { return s[0] * t.Senders * t.ChangesPerDay / secondsPerDay },
+		Budget:  links, BudgetName: "links for control", Mechanism: "none: whoever keeps the machines copies the file",
 	}, {
-		Role: roleTelemetry, Description: "processor time of all events' traces", Series: []string{"telemetry-event"}, Unit: "% of a core",
-		Formula: "slope x events a second of a sender", Need: func(t *Target, s []float64) float64 { return s[0] / kilo * t.EventsPerSecondPerSender() * 100 },
-		Budget: processor, BudgetName: "processor for control, if traces count as control", Mechanism: "one goroutine beside the sender's", PerSender: true,
+		Role: roleTelemetry, Description: "processor time of all events' traces", Series: []string{"telemetry-event"},
+		Unit:    "% of a core",
+		Formula: "slope x events a second of a sender",
+		Need:    func(t *Target, s []float64) float64 { return s[0] / kilo * t.EventsPerSecondPerSender() * 100 },
+		Budget:  processor, BudgetName: "processor for control, if traces count as control",
+		Mechanism: "one goroutine beside the sender's", PerSender: true,
 	}, {
-		Role: roleOperator, Description: "an answer to `sliptide fleet status`", Series: []string{"status-bytes"}, Unit: "MB",
+		Role: roleOperator, Description: "an answer to `sliptide fleet status`", Series: []string{"status-bytes"},
+		Unit:    "MB",
 		Formula: "slope x senders", Need: func(t *Target, s []float64) float64 { return s[0] / kilo * t.Senders },
 		Budget: frame, BudgetName: "a frame (link.MaxFrame)", Mechanism: "one voter answers with all members",
 	}}
@@ -196,22 +236,30 @@
 // Bounds returns the constants that limit the size of a fleet.
 func Bounds() []Bound {
 	return []Bound{{
-		Description: "destinations that a sender knows", Constant: "sender.MaxDestinations", File: "internal/sender/sender.go", Value: sender.MaxDestinations,
-		Need: func(t *Target) float64 { return t.Destinations }, WhenExceeded: "messages for others are refused with 503",
+		Description: "destinations that a sender knows", Constant: "sender.MaxDestinations",
+		File: "internal/sender/sender.go", Value: sender.MaxDestinations,
+		Need:         func(t *Target) float64 { return t.Destinations },
+		WhenExceeded: "messages for others are refused with 503",
 	}, {
-		Description: "endpoints that a sender knows, over its life", Constant: "discovery.MaxEndpoints", File: "internal/discovery/watch.go", Value: discovery.MaxEndpoints,
+		Description: "endpoints that a sender knows, over its life", Constant: "discovery.MaxEndpoints",
+		File: "internal/discovery/watch.go", Value: discovery.MaxEndpoints,
 		Need: func(t *Target) float64 { return t.Destinations }, WhenExceeded: "passed over, and the log says so",
 	}, {
-		Description: "members of a group", Constant: "duty.MaxSessions", File: "internal/fleet/duty/duty.go", Value: duty.MaxSessions,
-		Need: func(t *Target) float64 { return t.Senders }, WhenExceeded: "further ones get no session",
+		Description: "members of a group", Constant: "duty.MaxSessions", File: "internal/fleet/duty/duty.go",
+		Value: duty.MaxSessions,
+		Need:  func(t *Target) float64 { return t.Senders }, WhenExceeded: "further ones get no session",
 	}, {
-		Description: "members in an operators' file", Constant: "operator.MaxMembers", File: "internal/operator/fleet.go", Value: operator.MaxMembers,
+		Description: "members in an operators' file", Constant: "operator.MaxMembers",
+		File: "internal/operator/fleet.go", Value: operator.MaxMembers,
 		Need: func(t *Target) float64 { return t.Senders }, WhenExceeded: "the file is refused",
 	}, {
-		Description: "links that a voter takes", Constant: "link.MaxLinks", File: "internal/fleet/link/link.go", Value: link.MaxLinks,
-		Need: func(t *Target) float64 { return t.Senders }, WhenExceeded: "further ones are refused",
+		Description: "links that a voter takes", Constant: "link.MaxLinks", File: "internal/fleet/link/link.go",
+		Value: link.MaxLinks,
+		Need:  func(t *Target) float64 { return t.Senders }, WhenExceeded: "further ones are refused",
 	}, {
-		Description: "duties, one for each destination that is down", Constant: "duty.MaxDuties", File: "internal/fleet/duty/duty.go", Value: duty.MaxDuties,
-		Need: func(t *Target) float64 { return t.DownDestinations() }, WhenExceeded: "trials of further destinations are not shared",
+		Description: "duties, one for each destination that is down", Constant: "duty.MaxDuties",
+		File: "internal/fleet/duty/duty.go", Value: duty.MaxDuties,
+		Need:         func(t *Target) float64 { return t.DownDestinations() },
+		WhenExceeded: "trials of further destinations are not shared",
 	}}
 }
--- a/internal/lab/capacity/target.go
+++ b/internal/lab/capacity/target.go
@@ -46,7 +46,8 @@
 // by share. The load and backlog of one sender are unchanged.
 func (t *Target) Scaled(share float64) *Target {
 	scaled := *t
-	for _, quantity := range []*float64{&scaled.Senders, &scaled.EventsPerSecond, &scaled.Destinations, &scaled.Backlog, &scaled.ChangesPerDay, &scaled.MachinesLostPerDay, &scaled.RestartsPerDay} {
+	for _, quantity := range []*float64{&scaled.Senders, &scaled.EventsPerSecond, &scaled.Destinations, &scaled.Backlog,
+		&scaled.ChangesPerDay, &scaled.MachinesLostPerDay, &scaled.RestartsPerDay} {
 		*quantity *= share
 	}
 	return &scaled
@@ -67,19 +68,23 @@
 	type element = strictxml.Element[Target]
 	return &element{
 		Name: "capacity-target", Doc: "The fleet that the operators plan: quantities and budgets.",
-		Attrs: []attribute{{Name: "version", Required: true, Doc: "The form of this file.", Values: strictxml.OneOf("1")}},
+		Attrs: []attribute{{Name: "version", Required: true, Doc: "The form of this file.",
+			Values: strictxml.OneOf("1")}},
 		Children: []element{{
 			Name: "fleet", Doc: "The senders and what they take.", Attrs: []attribute{
 				numberAttribute("senders", "Senders in all regions.", func(t *Target, v float64) { t.Senders = v }),
 				numberAttribute("regions", "Regions.", func(t *Target, v float64) { t.Regions = v }),
 				numberAttribute("zones", "Zones of all regions.", func(t *Target, v float64) { t.Zones = v }),
-				numberAttribute("events-per-second", "Events that the fleet takes.", func(t *Target, v float64) { t.EventsPerSecond = v }),
-				numberAttribute("event-bytes", "Bytes of an event's body.", func(t *Target, v float64) { t.EventBytes = v }),
+				numberAttribute("events-per-second", "Events that the fleet takes.",
+					func(t *Target, v float64) { t.EventsPerSecond = v }),
+				numberAttribute("event-bytes", "Bytes of an event's body.",
+					func(t *Target, v float64) { t.EventBytes = v }),
 			},
 		}, {
 			Name: "destinations", Doc: "Whom events go to.", Attrs: []attribute{
 				numberAttribute("count", "Destinations.", func(t *Target, v float64) { t.Destinations = v }),
-				numberAttribute("down-percent", "Of these, down at any time.", func(t *Target, v float64) { t.DownPercent = v }),
+				numberAttribute("down-percent", "Of these, down at any time.",
+					func(t *Target, v float64) { t.DownPercent = v }),
 			},
 		}, {
 			Name: "backlog", Doc: "What waits at most.", Attrs: []attribute{
@@ -88,21 +93,28 @@
 		}, {
 			Name: "configuration", Doc: "Changes that all senders take.", Attrs: []attribute{
 				numberAttribute("changes-per-day", "Changes.", func(t *Target, v float64) { t.ChangesPerDay = v }),
-				{Name: "in-force-within", Required: true, Doc: "At every sender.", Values: strictxml.Duration(time.Second, time.Hour),
+				{Name: "in-force-within", Required: true, Doc: "At every sender.",
+					Values:    strictxml.Duration(time.Second, time.Hour),
 					SetNumber: func(t *Target, v int64) { t.InForceWithin = time.Duration(v) }},
 			},
 		}, {
-			Name: "control-budget", Doc: "What one sender may spend on control, and the machines set aside for it.", Attrs: []attribute{
+			Name: "control-budget", Doc: "What one sender may spend on control, and the machines set aside for it.",
+			Attrs: []attribute{
 				numberAttribute("core-percent", "Of a core.", func(t *Target, v float64) { t.CorePercent = v }),
 				numberAttribute("memory-mb", "Memory, in 10^6 bytes.", func(t *Target, v float64) { t.MemoryMB = v }),
-				numberAttribute("link-kb-per-second", "On links, in 10^3 bytes.", func(t *Target, v float64) { t.LinkKBPerSecond = v }),
-				numberAttribute("machines", "Machines for control.", func(t *Target, v float64) { t.ControlMachines = v }),
+				numberAttribute("link-kb-per-second", "On links, in 10^3 bytes.",
+					func(t *Target, v float64) { t.LinkKBPerSecond = v }),
+				numberAttribute("machines", "Machines for control.",
+					func(t *Target, v float64) { t.ControlMachines = v }),
 			},
 		}, {
 			Name: "failures", Doc: "What goes wrong.", Attrs: []attribute{
-				numberAttribute("machines-per-day", "Machines lost.", func(t *Target, v float64) { t.MachinesLostPerDay = v }),
-				numberAttribute("restarts-per-day", "Processes restarted or replaced.", func(t *Target, v float64) { t.RestartsPerDay = v }),
-				{Name: "ready-within", Required: true, Doc: "Of a restarted process.", Values: strictxml.Duration(time.Second, time.Hour),
+				numberAttribute("machines-per-day", "Machines lost.",
+					func(t *Target, v float64) { t.MachinesLostPerDay = v }),
+				numberAttribute("restarts-per-day", "Processes restarted or replaced.",
+					func(t *Target, v float64) { t.RestartsPerDay = v }),
+				{Name: "ready-within", Required: true, Doc: "Of a restarted process.",
+					Values:    strictxml.Duration(time.Second, time.Hour),
 					SetNumber: func(t *Target, v int64) { t.ReadyWithin = time.Duration(v) }},
 			},
 		}},
@@ -118,10 +130,12 @@
 	for _, element := range []struct {
 		name  string
 		value float64
-	}{{"fleet", t.Senders}, {"destinations", t.Destinations}, {"backlog", t.Backlog}, {"configuration", t.ChangesPerDay},
+	}{{"fleet", t.Senders}, {"destinations", t.Destinations}, {"backlog", t.Backlog},
+		{"configuration", t.ChangesPerDay},
 		{"control-budget", t.MemoryMB}, {"failures", t.RestartsPerDay}} {
 		if element.value == 0 {
-			return nil, &strictxml.Error{File: path, What: "<" + element.name + "> is missing or states 0", Allowed: "quantities over 0"}
+			return nil, &strictxml.Error{File: path, What: "<" + element.name + "> is missing or states 0",
+				Allowed: "quantities over 0"}
 		}
 	}
 	return t, nil
