--- a/internal/lab/capacity/measure.go
+++ b/internal/lab/capacity/measure.go
@@ -32,7 +32,7 @@
 // Run makes all measurements, or only those in names if it is not empty. It calls onSizeDone with the name of the
 // measurement after each size.
 func Run(e *Env, names []string, onSizeDone func(name string)) (*Record, error) {
-	r := &Record{Cores: runtime.NumCPU(), GoVersion: runtime.Version(), LoadBefore: proc.Load()}
+	r := &Record{Cores: runtime.NumCPU(), GoVersion: runtime.Version(), LoadBefore: proc.LoadAverage()}
 	began := time.Now()
 	for _, m := range Measurements() {
 		if !isSelected(m.Name, names) {
@@ -44,7 +44,7 @@
 		}
 		r.Series = append(r.Series, *s)
 	}
-	r.Seconds, r.LoadAfter = time.Since(began).Seconds(), proc.Load()
+	r.Seconds, r.LoadAfter = time.Since(began).Seconds(), proc.LoadAverage()
 	return r, nil
 }
 
--- a/internal/lab/capacity/measure_process.go
+++ b/internal/lab/capacity/measure_process.go
@@ -160,7 +160,7 @@
 func (p *senderProcess) residentMB() (float64, error) {
 	maxBytes, unchangedPolls := int64(0), 0
 	for deadline := time.Now().Add(settleTimeout); unchangedPolls < settledPolls && time.Now().Before(deadline); unchangedPolls++ {
-		resident := proc.Resident(p.cmd.Process.Pid)
+		resident := proc.ResidentBytes(p.cmd.Process.Pid)
 		if resident == 0 {
 			return 0, errors.New("read resident memory: sender process is not running")
 		}
@@ -174,7 +174,7 @@
 
 // cpuMillis returns the processor time that the process has used so far.
 func (p *senderProcess) cpuMillis() (float64, error) {
-	seconds, err := proc.ProcessorTime(p.cmd.Process.Pid)
+	seconds, err := proc.CPUSeconds(p.cmd.Process.Pid)
 	return seconds * 1e3, err
 }
 
--- a/internal/lab/cli/scale.go
+++ b/internal/lab/cli/scale.go
@@ -17,7 +17,7 @@
 type scaleCmd struct {
 	File   string `arg:"" optional:"" help:"The scale run's file." default:"experiments/fleet/scale.xml"`
 	Out    string `default:"lab-results" help:"Folder for NAME.json and NAME.html." placeholder:"DIR"`
-	Target string `default:"experiments/fleet/target.xml" help:"The target whose budgets are held against." placeholder:"FILE"`
+	Target string `default:"experiments/fleet/target.xml" help:"The target whose budgets the results are compared with." placeholder:"FILE"`
 	Page   string `help:"A page whose tables are written, too." placeholder:"FILE"`
 	Binary string `default:"bin/sliptide" help:"The program of control members and senders." placeholder:"FILE"`
 	Keep   string `help:"Keep the processes' logs in this folder." placeholder:"DIR"`
@@ -25,10 +25,9 @@
 	Schema bool   `help:"Print the XML Schema of scale files."`
 }
 
-// errNotClean is the error of a run whose judge found something, or that did not end as planned.
-var errNotClean = errors.New("the run is not clean")
+// errNotClean reports a run with findings, or one that did not complete as planned.
+var errNotClean = errors.New("the run has findings or did not complete")
 
-// Run runs the command.
 func (c *scaleCmd) Run(env *Env) error {
 	if c.Schema {
 		_, err := fmt.Fprint(env.Out, scale.Schema())
@@ -43,7 +42,7 @@
 		return err
 	}
 	base := filepath.Join(c.Out, f.Name)
-	result, err := c.result(env, f, base)
+	result, err := c.runOrLoad(env, f, base)
 	if err != nil {
 		return err
 	}
@@ -56,11 +55,11 @@
 			return err
 		}
 	}
-	return c.tell(env, result)
+	return c.printResult(env, result)
 }
 
-// result runs the file, or reads what an earlier run came to.
-func (c *scaleCmd) result(env *Env, f *scale.File, base string) (*scale.Result, error) {
+// runOrLoad runs the file, or with --again loads the result of an earlier run.
+func (c *scaleCmd) runOrLoad(env *Env, f *scale.File, base string) (*scale.Result, error) {
 	if c.Again {
 		return scale.LoadResult(base + ".json")
 	}
@@ -71,7 +70,7 @@
 	if err != nil {
 		return nil, err
 	}
-	lab, err := os.Executable()
+	labBinary, err := os.Executable()
 	if err != nil {
 		return nil, err
 	}
@@ -82,13 +81,14 @@
 		}
 		defer os.RemoveAll(dir)
 	}
-	o := scale.Options{File: f, Programs: scale.Programs{Sender: binary, Lab: lab}, Dir: dir,
-		Progress: func(size int, phase string) { fmt.Fprintf(env.Err, "%d members: %s\n", size, phase) },
-		Tick:     func(time.Duration, time.Duration) {},
-		Sized:    func(r *scale.Result) error { return writeFile(base+".json", r.WriteJSON) }}
-	if env.Bar {
-		bar := progressbar.NewOptions(int(f.Length/time.Second), progressbar.OptionSetWriter(env.Err), progressbar.OptionClearOnFinish())
-		o.Tick = func(done, _ time.Duration) { bar.Set(int(done / time.Second)) }
+	o := scale.Options{File: f, Programs: scale.Programs{Sender: binary, Lab: labBinary}, Dir: dir,
+		OnPhase:    func(size int, phase string) { fmt.Fprintf(env.Err, "%d members: %s\n", size, phase) },
+		OnTick:     func(time.Duration, time.Duration) {},
+		OnSizeDone: func(r *scale.Result) error { return writeFile(base+".json", r.WriteJSON) }}
+	if env.ShowProgress {
+		bar := progressbar.NewOptions(int(f.Duration/time.Second),
+			progressbar.OptionSetWriter(env.Err), progressbar.OptionClearOnFinish())
+		o.OnTick = func(done, _ time.Duration) { bar.Set(int(done / time.Second)) }
 	}
 	result, err := scale.Run(env.Ctx, o)
 	if err != nil {
@@ -97,26 +97,29 @@
 	return result, writeFile(base+".json", result.WriteJSON)
 }
 
-// tell prints what a run came to.
-func (c *scaleCmd) tell(env *Env, r *scale.Result) error {
+// printResult prints a summary of the result. It returns errNotClean if a size has findings or did not complete.
+func (c *scaleCmd) printResult(env *Env, r *scale.Result) error {
 	clean := true
 	for i := range r.Sizes {
 		s := &r.Sizes[i]
 		if s.Verdict == nil {
-			fmt.Fprintf(env.Out, "%d members: ended: %s\n", s.Members, s.Ended)
+			fmt.Fprintf(env.Out, "%d members: ended: %s\n", s.Members, s.Failure)
 			clean = false
 			continue
 		}
-		v, x := s.Verdict, scale.Worst(s.Senders)
+		verdict, worst := s.Verdict, scale.Worst(s.Senders)
 		fmt.Fprintf(env.Out, "%d members: findings %v; a change in force p50 %.2f, p99 %.2f, worst %.2f s; longest unserved %.1f s; worst real sender %.3f %% of a core, %.1f MB, %.2f KB/s\n",
-			s.Members, v.Findings, v.Median, v.P99, v.Worst, v.Unserved, x.CorePercent, x.MemoryMB, x.LinkKBps)
-		for _, e := range v.Examples[:min(len(v.Examples), 5)] {
+			s.Members, verdict.Findings, verdict.Median, verdict.P99, verdict.Worst, verdict.LongestUnserved,
+			worst.CorePercent, worst.MemoryMB, worst.LinkKBps)
+		for _, e := range verdict.Examples[:min(len(verdict.Examples), 5)] {
 			fmt.Fprintf(env.Out, "  %s: %s\n", e.Rule, e.Detail)
 		}
-		clean = clean && v.Clean()
+		clean = clean && verdict.Clean()
 	}
-	for _, x := range r.Compare {
-		fmt.Fprintf(env.Out, "%d destinations: of shards %.1f MB, ready in %.2f s; of all %.1f MB, ready in %.2f s %s\n", x.Destinations, x.Shards.MemoryMB, x.Shards.ReadyS, x.Whole.MemoryMB, x.Whole.ReadyS, x.WholeEnded)
+	for _, comparison := range r.Comparisons {
+		fmt.Fprintf(env.Out, "%d destinations: of shards %.1f MB, ready in %.2f s; of all %.1f MB, ready in %.2f s %s\n",
+			comparison.Destinations, comparison.Sharded.MemoryMB, comparison.Sharded.ReadySeconds,
+			comparison.Whole.MemoryMB, comparison.Whole.ReadySeconds, comparison.WholeFailure)
 	}
 	if !clean {
 		return errNotClean
@@ -124,8 +127,7 @@
 	return nil
 }
 
-// membersCmd is a process of hollow members, which a scale run starts.
+// membersCmd runs a process of hollow members. Scale runs start it.
 type membersCmd struct{}
 
-// Run runs the command.
 func (c *membersCmd) Run(env *Env) error { return scale.RunHollow(env.Ctx, os.Stdin, env.Out) }
--- a/internal/lab/scale/compare.go
+++ b/internal/lab/scale/compare.go
@@ -9,35 +9,36 @@
 	"time"
 )
 
-// This file measures senders of shards beside such that know every destination.
+// This file compares sharded senders with senders that know every destination.
 
-// Comparison is one number of destinations with both kinds of senders beside each other.
+// Comparison holds the figures of a sharded sender and of one that knows every destination, for one number of
+// destinations.
 type Comparison struct {
-	Destinations int   `json:"destinations"`
-	Members      int   `json:"members"`
-	Shards       Usage `json:"shards"`
-	Known        int   `json:"known"` // destinations that the sender of shards knows, about
-	// What links carried from the start until ready.
-	ShardsStartKB float64 `json:"shards_start_kb"`
-	WholeStartKB  float64 `json:"whole_start_kb"`
-	Whole         Usage   `json:"whole"`
-	WholeEnded    string  `json:"whole_ended,omitempty"` // why the sender of all destinations was not ready
+	Destinations      int   `json:"destinations"`
+	Members           int   `json:"members"`
+	Sharded           Usage `json:"shards"`
+	KnownDestinations int   `json:"known"` // estimate of the destinations that the sharded sender knows
+	// Traffic on the sender's links from its start until both senders were ready.
+	ShardedStartKB float64 `json:"shards_start_kb"`
+	WholeStartKB   float64 `json:"whole_start_kb"`
+	Whole          Usage   `json:"whole"`
+	WholeFailure   string  `json:"whole_ended,omitempty"` // why the sender that knows every destination did not become ready
 }
 
-const compareFor = 15 * time.Second
+const comparisonDuration = 15 * time.Second
 
-// compare measures a sender of shards beside one that is told the whole list, in one run.
-func compare(ctx context.Context, o Options, destinations int) (*Comparison, error) {
-	f := *o.File
+// compare measures a sharded sender and one that receives the whole endpoint list, at the same time.
+func compare(ctx context.Context, options Options, destinations int) (*Comparison, error) {
+	f := *options.File
 	c := &Comparison{Destinations: destinations, Members: f.CompareMembers}
-	dir := filepath.Join(o.Dir, fmt.Sprint("compare-", destinations))
+	dir := filepath.Join(options.Dir, fmt.Sprint("compare-", destinations))
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return c, err
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	o.Progress(f.CompareMembers, fmt.Sprint("comparison, destinations: ", destinations))
-	s, err := newSite(ctx, &f, o.Programs, dir, destinations)
+	options.OnPhase(f.CompareMembers, fmt.Sprint("comparison, destinations: ", destinations))
+	s, err := newSite(ctx, &f, options.Programs, dir, destinations)
 	if s != nil {
 		defer s.close()
 	}
@@ -53,7 +54,7 @@
 	if err := s.awaitServing(ctx); err != nil {
 		return c, err
 	}
-	p := &play{site: s, o: o, rng: rand.New(rand.NewPCG(uint64(f.Seed), uint64(destinations))), usage: map[*child]*meter{}}
+	run := &sizeRun{site: s, options: options, rng: rand.New(rand.NewPCG(uint64(f.Seed), uint64(destinations))), meters: map[*child]*usageMeter{}}
 	sharded, err := s.startSender(ctx, "sharded", f.CompareMembers, true)
 	if err != nil {
 		return c, err
@@ -65,21 +66,21 @@
 		return c, err
 	}
 	if err != nil {
-		c.WholeEnded = "not ready within a minute: the list is past the bounds"
+		c.WholeFailure = "not ready within a minute: the list is past the bounds"
 	}
-	c.ShardsStartKB, c.WholeStartKB = float64(sharded.linkBytes())/1e3, float64(whole.linkBytes())/1e3
-	p.measure(sharded.child, sharded.linkBytes())
-	p.measure(whole.child, whole.linkBytes())
-	change := time.NewTicker(time.Duration(float64(time.Second) / f.ChangesPerSecond))
-	defer change.Stop()
-	for began := time.Now(); time.Since(began) < compareFor; <-change.C {
-		p.changeOne()
-		if err := p.look(); err != nil {
+	c.ShardedStartKB, c.WholeStartKB = float64(sharded.linkBytes())/1e3, float64(whole.linkBytes())/1e3
+	run.startMeter(sharded.child, sharded.linkBytes())
+	run.startMeter(whole.child, whole.linkBytes())
+	changeTicker := time.NewTicker(time.Duration(float64(time.Second) / f.ChangesPerSecond))
+	defer changeTicker.Stop()
+	for began := time.Now(); time.Since(began) < comparisonDuration; <-changeTicker.C {
+		run.changeRandomEndpoint()
+		if err := run.sampleMemory(); err != nil {
 			return c, err
 		}
 	}
-	c.Shards = p.used("shards", sharded.child, sharded.linkBytes(), sharded.ready)
-	c.Whole = p.used("whole", whole.child, whole.linkBytes(), whole.ready)
-	c.Known = destinations * f.Replicas * f.Regions / max(f.CompareMembers, 1)
+	c.Sharded = run.readMeter("shards", sharded.child, sharded.linkBytes(), sharded.readyDelay)
+	c.Whole = run.readMeter("whole", whole.child, whole.linkBytes(), whole.readyDelay)
+	c.KnownDestinations = destinations * f.Replicas * f.Regions / max(f.CompareMembers, 1)
 	return c, nil
 }
