--- a/internal/lab/capacity/capacity_test.go
+++ b/internal/lab/capacity/capacity_test.go
@@ -12,19 +12,20 @@
 
 const targetFile = "../../../experiments/fleet/target.xml"
 
-func target(t *testing.T) *Target {
+func loadTarget(t *testing.T) *Target {
 	t.Helper()
-	read, err := LoadTarget(targetFile)
+	loaded, err := LoadTarget(targetFile)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return read
+	return loaded
 }
 
 func TestTarget(t *testing.T) {
-	read := target(t)
-	if read.Senders != 14000 || math.Round(read.EventsPerSecondPerSender()) != 1143 || read.DownDestinations() != 46000 || math.Round(read.BacklogPerSender()/1e4) != 607 {
-		t.Errorf("%+v", read)
+	loaded := loadTarget(t)
+	if loaded.Senders != 14000 || math.Round(loaded.EventsPerSecondPerSender()) != 1143 ||
+		loaded.DownDestinations() != 46000 || math.Round(loaded.BacklogPerSender()/1e4) != 607 {
+		t.Errorf("%+v", loaded)
 	}
 	text, err := os.ReadFile(targetFile)
 	if err != nil {
@@ -48,10 +49,10 @@
 	}
 }
 
-// A line is found again whatever its size, and the point that is left out has no part in it.
-func TestFitLeavesTheLargestOut(t *testing.T) {
+// The fit recovers an exact line over four powers of ten and excludes the largest point, which lies off the line.
+func TestFitExcludesTheLargestPoint(t *testing.T) {
 	s := Series{Points: []Point{{10, 7}, {100, 25}, {1000, 205}, {10000, 2005}, {100000, 40010}}}
-	s.fit()
+	s.fitAllButLargest()
 	if math.Abs(s.Fit.Base-5) > 1e-6 || math.Abs(s.Fit.Slope-0.2) > 1e-9 || s.Fit.Residual > 1e-9 {
 		t.Errorf("fit %+v, want 5 + 0.2", s.Fit)
 	}
@@ -64,9 +65,10 @@
 	}
 }
 
-// The share at which a budget is used up: linear, quadratic, of one sender's load, and none stated.
+// BreaksAt finds the share at which a need reaches its budget: for linear and quadratic growth, for the load of one
+// sender, and for a row without a budget.
 func TestBreaksAt(t *testing.T) {
-	at := target(t)
+	at := loadTarget(t)
 	memory := func(t *Target) float64 { return t.MemoryMB }
 	for _, c := range []struct {
 		name  string
@@ -74,10 +76,15 @@
 		slope float64
 		want  float64
 	}{
-		{"linear", Row{Need: func(t *Target, s []float64) float64 { return s[0] * t.Destinations }, Budget: memory}, 64e-6 * 10, 0.1},
-		{"quadratic", Row{Need: func(t *Target, s []float64) float64 { return s[0] * t.Senders * t.Senders }, Budget: memory}, 128 / 14000.0 / 14000 * 4, 0.5},
-		{"holds", Row{Need: func(t *Target, s []float64) float64 { return s[0] * t.Senders }, Budget: memory}, 128 / 14000.0 / 3, 3},
-		{"one sender's", Row{PerSender: true, Need: func(t *Target, s []float64) float64 { return s[0] * t.BacklogPerSender() }, Budget: memory}, 128 / at.BacklogPerSender() * 5, 0.2},
+		{"linear", Row{Need: func(t *Target, s []float64) float64 { return s[0] * t.Destinations }, Budget: memory},
+			64e-6 * 10, 0.1},
+		{"quadratic", Row{Need: func(t *Target, s []float64) float64 { return s[0] * t.Senders * t.Senders },
+			Budget: memory}, 128 / 14000.0 / 14000 * 4, 0.5},
+		{"holds", Row{Need: func(t *Target, s []float64) float64 { return s[0] * t.Senders }, Budget: memory},
+			128 / 14000.0 / 3, 3},
+		{"one sender's", Row{PerSender: true,
+			Need:   func(t *Target, s []float64) float64 { return s[0] * t.BacklogPerSender() },
+			Budget: memory}, 128 / at.BacklogPerSender() * 5, 0.2},
 	} {
 		if got, stated := c.row.BreaksAt(at, []float64{c.slope}); !stated || math.Abs(got/c.want-1) > 1e-6 {
 			t.Errorf("%s: breaks at %g, want %g", c.name, got, c.want)
@@ -85,16 +92,17 @@
 	}
 	none := Row{Need: func(*Target, []float64) float64 { return 1 }}
 	if _, stated := none.BreaksAt(at, nil); stated {
-		t.Error("a row without a budget breaks")
+		t.Error("BreaksAt reports a share for a row without a budget")
 	}
 }
 
-// Every slope that the page takes is measured, at five sizes or more that differ a hundredfold at least.
+// Every slope that the page uses is measured, at five or more ascending sizes, of which the largest is at least 90 times
+// the smallest.
 func TestMeasurementsCoverThePage(t *testing.T) {
 	names := map[string]bool{}
 	for _, m := range Measurements() {
 		if names[m.Name] {
-			t.Errorf("%s stands twice", m.Name)
+			t.Errorf("measurement %s is defined twice", m.Name)
 		}
 		names[m.Name] = true
 		if len(m.Sizes) < 5 || !slices.IsSorted(m.Sizes) || m.Sizes[len(m.Sizes)-1] < 90*m.Sizes[0] {
@@ -104,13 +112,13 @@
 	for _, row := range Rows() {
 		for _, name := range row.Series {
 			if !names[name] {
-				t.Errorf("%s takes the slope of %s, which nothing measures", row.Description, name)
+				t.Errorf("row %q uses the slope of %s, which no measurement yields", row.Description, name)
 			}
 		}
 	}
 }
 
-// Measurements that need no process of their own run, at their smallest sizes.
+// Measurements that need no separate process yield positive values at their three smallest sizes.
 func TestMeasurementsRun(t *testing.T) {
 	e := &Env{Ctx: context.Background(), ScratchDir: t.TempDir()}
 	for _, m := range Measurements() {
@@ -125,14 +133,14 @@
 		}
 		for _, p := range s.Points {
 			if p.Value <= 0 {
-				t.Errorf("%s at %g: %g %s, want more than nothing", m.Name, p.Size, p.Value, m.Unit)
+				t.Errorf("%s at %g: %g %s, want more than 0", m.Name, p.Size, p.Value, m.Unit)
 			}
 		}
 	}
 }
 
-// The tables of the page are those of its record: who types a figure by hand, or changes the target or a bound without
-// working the page out again, is told.
+// The tables of the page match its record, target and bounds. The test fails if a number in the page was edited by hand,
+// or if the target or a bound changed and the page was not regenerated.
 func TestPageIsCurrent(t *testing.T) {
 	const page, record = "../../../docs/CAPACITY.md", "../../../docs/capacity/record.json"
 	text, err := os.ReadFile(page)
@@ -143,36 +151,38 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	again := filepath.Join(t.TempDir(), "page.md")
-	if err := os.WriteFile(again, text, 0o600); err != nil {
+	regenerated := filepath.Join(t.TempDir(), "page.md")
+	if err := os.WriteFile(regenerated, text, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if err := WritePage(again, target(t), r); err != nil {
+	if err := WritePage(regenerated, loadTarget(t), r); err != nil {
 		t.Fatal(err)
 	}
-	written, err := os.ReadFile(again)
+	written, err := os.ReadFile(regenerated)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if string(written) != string(text) {
-		t.Error("docs/CAPACITY.md differs from what its record and target come to: make capacity-page")
+		t.Error("docs/CAPACITY.md differs from the page generated from its record and target: run make capacity-page")
 	}
 }
 
-func TestPageWithoutMarks(t *testing.T) {
+func TestPageWithoutMarkers(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "page.md")
 	if err := os.WriteFile(path, []byte("# Capacity\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if err := WritePage(path, target(t), &Record{}); err == nil || !strings.Contains(err.Error(), "generated: target") {
+	if err := WritePage(path, loadTarget(t), &Record{}); err == nil ||
+		!strings.Contains(err.Error(), "generated: target") {
 		t.Errorf("error %v", err)
 	}
 }
 
-func TestFigure(t *testing.T) {
-	for v, want := range map[float64]string{0: "0", 1234567: "1,234,567", 1000: "1,000", 128: "128", 12.345: "12.3", 0.00512: "0.00512",
+func TestFormatNumber(t *testing.T) {
+	for v, want := range map[float64]string{0: "0", 1234567: "1,234,567", 1000: "1,000", 128: "128", 12.345: "12.3",
+		0.00512:   "0.00512",
 		0.0000123: "0.0000123", -18.44: "-18.4", -1234: "-1,234"} {
-		if got := figure(v); got != want {
+		if got := formatNumber(v); got != want {
 			t.Errorf("%g: %q, want %q", v, got, want)
 		}
 	}
--- a/internal/lab/capacity/measure_process.go
+++ b/internal/lab/capacity/measure_process.go
@@ -20,52 +20,59 @@
 )
 
 const (
-	startWithin  = 2 * time.Minute
-	lookEvery    = 20 * time.Millisecond
-	settleFor    = 10 // looks in a row at which memory has not grown
-	settleWithin = 10 * time.Second
-	handsIn      = 16 // connections that hand events in
+	startTimeout      = 2 * time.Minute
+	pollInterval      = 20 * time.Millisecond
+	settledPolls      = 10 // consecutive polls without growth of memory
+	settleTimeout     = 10 * time.Second
+	submitConnections = 16 // concurrent connections that submit events
 )
 
-// restarted is what was seen of one restart.
-type restarted struct {
-	ready  float64 // ms from the start until the sender was ready
-	memory float64 // MB then
+// restartResult holds the measurements of one restart.
+type restartResult struct {
+	readyMS  float64 // from the start of the process until it was ready
+	memoryMB float64 // resident memory once ready
 }
 
 func processMeasurements() []Measurement {
 	held := []int{300, 1000, 3000, 10000, 30000}
 	return []Measurement{{
-		Name: "destination-memory", Role: roleSender, Description: "resident memory of a sender that knows so many destinations, one endpoint each, idle",
-		Unit: "MB", Per: "destination", RealProcess: true, Sizes: []int{40, 130, 400, 1300, 4000}, Repeats: 2, Run: destinationMemory,
+		Name: "destination-memory", Role: roleSender,
+		Description: "resident memory of a sender that knows so many destinations, one endpoint each, idle",
+		Unit:        "MB", Per: "destination", RealProcess: true, Sizes: []int{40, 130, 400, 1300, 4000}, Repeats: 2,
+		Run: destinationMemory,
 	}, {
-		Name: "restart-memory", Role: roleSender, Description: "resident memory of a sender that restarted with so many events of 500 bytes in its journal",
-		Unit: "MB", Per: "held event", RealProcess: true, Sizes: held, Repeats: 3,
-		Run: func(e *Env, size int) (float64, error) { r, err := e.restart(size); return r.memory, err },
+		Name: "restart-memory", Role: roleSender,
+		Description: "resident memory of a sender that restarted with so many events of 500 bytes in its journal",
+		Unit:        "MB", Per: "held event", RealProcess: true, Sizes: held, Repeats: 3,
+		Run: func(e *Env, size int) (float64, error) { r, err := e.restart(size); return r.memoryMB, err },
 	}, {
-		Name: "restart-ready", Role: roleSender, Description: "time from the start until /up answers 200, with so many events in the journal",
-		Unit: "ms", Per: "held event", RealProcess: true, Sizes: held, Repeats: 3,
-		Run: func(e *Env, size int) (float64, error) { r, err := e.restart(size); return r.ready, err },
+		Name: "restart-ready", Role: roleSender,
+		Description: "time from the start until /up answers 200, with so many events in the journal",
+		Unit:        "ms", Per: "held event", RealProcess: true, Sizes: held, Repeats: 3,
+		Run: func(e *Env, size int) (float64, error) { r, err := e.restart(size); return r.readyMS, err },
 	}, {
-		Name: "held-memory", Role: roleSender, Description: "resident memory of a sender that took so many events of 500 bytes for a destination that is down",
-		Unit: "MB", Per: "held event", RealProcess: true, Sizes: []int{300, 1000, 3000, 10000, 30000}, Run: heldMemory,
+		Name: "held-memory", Role: roleSender,
+		Description: "resident memory of a sender that took so many events of 500 bytes for a destination that is down",
+		Unit:        "MB", Per: "held event", RealProcess: true, Sizes: []int{300, 1000, 3000, 10000, 30000}, Run: heldMemory,
 	}, {
-		Name: "event-cpu", Role: roleSender, Description: "processor time of a sender that takes and delivers so many events of 500 bytes",
-		Unit: "ms", Per: "event", RealProcess: true, Sizes: []int{300, 1000, 3000, 10000, 30000}, Repeats: 2, Run: eventTime,
+		Name: "event-cpu", Role: roleSender,
+		Description: "processor time of a sender that takes and delivers so many events of 500 bytes",
+		Unit:        "ms", Per: "event", RealProcess: true, Sizes: []int{300, 1000, 3000, 10000, 30000}, Repeats: 2,
+		Run: eventCPU,
 	}}
 }
 
-// process is a sender that runs.
-type process struct {
+// senderProcess is a running sender.
+type senderProcess struct {
 	cmd    *exec.Cmd
 	addr   string
 	dir    string
-	log    bytes.Buffer
+	stderr bytes.Buffer
 	exited chan struct{}
 }
 
-// listText is a whole list of endpoints at addr, each of a destination of its own.
-func listText(destinations int, addr string) string {
+// listJSON returns a full endpoint list with one endpoint per destination, all at addr.
+func listJSON(destinations int, addr string) string {
 	var b strings.Builder
 	b.WriteString(`{"version":1,"full":true,"servers":[`)
 	for i := range destinations {
@@ -78,20 +85,23 @@
 	return b.String()
 }
 
-// configure writes the configuration of a sender with plenty of room.
-func configure(dir, addr, known string) (string, error) {
+// writeConfig writes the configuration of a sender, with limits above what the measurements need, and returns its path.
+func writeConfig(dir, addr, endpointList string) (string, error) {
 	text, err := json.Marshal(map[string]any{
 		"name": "capacity", "listen": addr, "discovery": "127.0.0.1:9", "seed": "8c1f30d27a5be964",
 		"limits": map[string]any{"cores": 1.0, "memory_mb": 4096, "sockets": 1024, "disk_mb": 1024},
-		"known":  json.RawMessage(known),
+		"known":  json.RawMessage(endpointList),
 		"settings": map[string]any{
 			"areas": []string{"a"}, "kinds": []string{"partner"}, "balancers": 1, "round": 1,
 			"family_info": map[string]any{"call_slots": 32, "kind_batch": []int{1}, "own_limits": []bool{false}},
-			"limits":      map[string]any{"max_attempts": 6, "most_held": 1 << 20, "keepalive": 15000, "dial_timeout": 1500, "retry_after": true, "max_retry_after": 2000},
-			"contract":    map[string]any{"answer_slack": 20, "stop_sending_within": 500, "cold": 9000, "cold_from": 0.25, "tip_multiple": 1.5, "tip_after": 3000},
-			"reporting":   map[string]any{"fields": []string{"x0", "x1"}},
-			"services":    []any{map[string]any{"name": "note", "aim": 4000, "deadline": 86400000, "effect": "safe", "worth": 1, "late_worth": 0.4}},
-			"tenants":     []any{map[string]any{"name": "acme", "quota_per_s": 1e6}},
+			"limits": map[string]any{"max_attempts": 6, "most_held": 1 << 20, "keepalive": 15000,
+				"dial_timeout": 1500, "retry_after": true, "max_retry_after": 2000},
+			"contract": map[string]any{"answer_slack": 20, "stop_sending_within": 500, "cold": 9000,
+				"cold_from": 0.25, "tip_multiple": 1.5, "tip_after": 3000},
+			"reporting": map[string]any{"fields": []string{"x0", "x1"}},
+			"services": []any{map[string]any{"name": "note", "aim": 4000, "deadline": 86400000, "effect": "safe",
+				"worth": 1, "late_worth": 0.4}},
+			"tenants": []any{map[string]any{"name": "acme", "quota_per_s": 1e6}},
 		},
 	})
 	if err != nil {
@@ -101,26 +111,27 @@
 	return path, os.WriteFile(path, text, 0o600)
 }
 
-// start starts a sender in a folder, whose journal may be there already, and waits until it is ready.
-func (e *Env) start(dir, known string) (*process, time.Duration, error) {
+// start starts a sender in a directory, which may already hold a journal, and waits until it is ready. It returns the
+// time from the start until then.
+func (e *Env) start(dir, endpointList string) (*senderProcess, time.Duration, error) {
 	addr, err := proc.FreeAddr()
 	if err != nil {
 		return nil, 0, err
 	}
-	config, err := configure(dir, addr, known)
+	config, err := writeConfig(dir, addr, endpointList)
 	if err != nil {
 		return nil, 0, err
 	}
-	p := &process{addr: addr, dir: dir, exited: make(chan struct{})}
+	p := &senderProcess{addr: addr, dir: dir, exited: make(chan struct{})}
 	p.cmd = exec.CommandContext(e.Ctx, e.Binary, "run")
 	p.cmd.Env = append(os.Environ(), "RELAY_CONFIG="+config, "RELAY_STATE="+filepath.Join(dir, "state"))
-	p.cmd.Stderr = &p.log
+	p.cmd.Stderr = &p.stderr
 	began := time.Now()
 	if err := p.cmd.Start(); err != nil {
 		return nil, 0, err
 	}
 	go func() { p.cmd.Wait(); close(p.exited) }()
-	for time.Since(began) < startWithin {
+	for time.Since(began) < startTimeout {
 		response, err := http.Get("http://" + addr + "/up")
 		if err == nil {
 			response.Body.Close()
@@ -130,44 +141,45 @@
 		}
 		select {
 		case <-p.exited:
-			return nil, 0, fmt.Errorf("the sender ended: %s", p.log.String())
-		case <-time.After(lookEvery / 10):
+			return nil, 0, fmt.Errorf("sender exited before it was ready: %s", p.stderr.String())
+		case <-time.After(pollInterval / 10):
 		}
 	}
 	p.stop()
-	return nil, 0, fmt.Errorf("the sender was not ready in %v", startWithin)
+	return nil, 0, fmt.Errorf("sender was not ready within %v", startTimeout)
 }
 
-// stop ends the process and waits for its end.
-func (p *process) stop() {
+// stop kills the process and waits for its exit.
+func (p *senderProcess) stop() {
 	p.cmd.Process.Signal(syscall.SIGKILL)
 	<-p.exited
 }
 
-// resident is the resident memory in MB, once it has not grown for some looks.
-func (p *process) resident() (float64, error) {
-	most, calm := int64(0), 0
-	for end := time.Now().Add(settleWithin); calm < settleFor && time.Now().Before(end); calm++ {
-		now := proc.ResidentBytes(p.cmd.Process.Pid)
-		if now == 0 {
-			return 0, errors.New("the sender is gone")
+// residentMB returns the maximum resident memory, once it has not grown for settledPolls polls or settleTimeout has
+// passed.
+func (p *senderProcess) residentMB() (float64, error) {
+	maxBytes, unchangedPolls := int64(0), 0
+	for deadline := time.Now().Add(settleTimeout); unchangedPolls < settledPolls && time.Now().Before(deadline); unchangedPolls++ {
+		resident := proc.ResidentBytes(p.cmd.Process.Pid)
+		if resident == 0 {
+			return 0, errors.New("read resident memory: sender process is not running")
 		}
-		if now > most {
-			most, calm = now, 0
+		if resident > maxBytes {
+			maxBytes, unchangedPolls = resident, 0
 		}
-		time.Sleep(lookEvery)
+		time.Sleep(pollInterval)
 	}
-	return float64(most) / 1e6, nil
+	return float64(maxBytes) / 1e6, nil
 }
 
-// processorTime is what the process has taken so far, in milliseconds.
-func (p *process) processorTime() (float64, error) {
-	taken, err := proc.CPUSeconds(p.cmd.Process.Pid)
-	return taken * 1e3, err
+// cpuMillis returns the processor time that the process has used so far.
+func (p *senderProcess) cpuMillis() (float64, error) {
+	seconds, err := proc.CPUSeconds(p.cmd.Process.Pid)
+	return seconds * 1e3, err
 }
 
-// scratch is a folder for one process, with its state folder in it.
-func (e *Env) scratch() (string, error) {
+// newScratchDir creates a directory for one process, with its state directory in it.
+func (e *Env) newScratchDir() (string, error) {
 	dir, err := os.MkdirTemp(e.ScratchDir, "sender-")
 	if err != nil {
 		return "", err
@@ -176,57 +188,58 @@
 }
 
 func destinationMemory(e *Env, size int) (float64, error) {
-	dir, err := e.scratch()
+	dir, err := e.newScratchDir()
 	if err != nil {
 		return 0, err
 	}
 	defer os.RemoveAll(dir)
-	p, _, err := e.start(dir, listText(size, "127.0.0.1:9"))
+	p, _, err := e.start(dir, listJSON(size, "127.0.0.1:9"))
 	if err != nil {
 		return 0, err
 	}
 	defer p.stop()
-	return p.resident()
+	return p.residentMB()
 }
 
-// restart starts a sender with a journal of so many events.
-func (e *Env) restart(size int) (restarted, error) {
-	dir, err := e.scratch()
+// restart starts a sender with a journal of the given number of events and measures its time to
+// become ready and its memory.
+func (e *Env) restart(size int) (restartResult, error) {
+	dir, err := e.newScratchDir()
 	if err != nil {
-		return restarted{}, err
+		return restartResult{}, err
 	}
 	defer os.RemoveAll(dir)
-	if err := fill(filepath.Join(dir, "state"), size); err != nil {
-		return restarted{}, err
+	if err := fillJournal(filepath.Join(dir, "state"), size); err != nil {
+		return restartResult{}, err
 	}
-	p, took, err := e.start(dir, listText(2, "127.0.0.1:9"))
+	p, startDuration, err := e.start(dir, listJSON(2, "127.0.0.1:9"))
 	if err != nil {
-		return restarted{}, err
+		return restartResult{}, err
 	}
 	defer p.stop()
-	memory, err := p.resident()
-	return restarted{ready: float64(took) / 1e6, memory: memory}, err
+	memory, err := p.residentMB()
+	return restartResult{readyMS: float64(startDuration) / 1e6, memoryMB: memory}, err
 }
 
 func heldMemory(e *Env, size int) (float64, error) {
-	dir, err := e.scratch()
+	dir, err := e.newScratchDir()
 	if err != nil {
 		return 0, err
 	}
 	defer os.RemoveAll(dir)
-	p, _, err := e.start(dir, listText(2, "127.0.0.1:9")) // nobody listens there
+	p, _, err := e.start(dir, listJSON(2, "127.0.0.1:9")) // no listener: the destination is down
 	if err != nil {
 		return 0, err
 	}
 	defer p.stop()
-	if err := p.handIn(size); err != nil {
+	if err := p.submit(size); err != nil {
 		return 0, err
 	}
-	return p.resident()
+	return p.residentMB()
 }
 
-func eventTime(e *Env, size int) (float64, error) {
-	dir, err := e.scratch()
+func eventCPU(e *Env, size int) (float64, error) {
+	dir, err := e.newScratchDir()
 	if err != nil {
 		return 0, err
 	}
@@ -243,41 +256,42 @@
 	})}
 	go partner.Serve(ln)
 	defer partner.Close()
-	p, _, err := e.start(dir, listText(2, ln.Addr().String()))
+	p, _, err := e.start(dir, listJSON(2, ln.Addr().String()))
 	if err != nil {
 		return 0, err
 	}
 	defer p.stop()
-	before, err := p.processorTime()
+	before, err := p.cpuMillis()
 	if err != nil {
 		return 0, err
 	}
-	if err := p.handIn(size); err != nil {
+	if err := p.submit(size); err != nil {
 		return 0, err
 	}
 	for range size {
 		select {
 		case <-delivered:
-		case <-time.After(startWithin):
-			return 0, errors.New("not all events were delivered")
+		case <-time.After(startTimeout):
+			return 0, errors.New("wait for deliveries: partner did not receive all events in time")
 		}
 	}
-	after, err := p.processorTime()
+	after, err := p.cpuMillis()
 	return after - before, err
 }
 
-// handIn hands so many events in, for destination 1, and returns once each was taken on. One that is refused for the
-// moment is handed in again.
-func (p *process) handIn(events int) error {
+// submit submits the given number of events for destination 1 and returns once all are accepted. An event that gets 429
+// or 503 is resubmitted for up to startTimeout.
+func (p *senderProcess) submit(events int) error {
 	body := strings.Repeat("x", eventBytes)
-	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: handsIn}, Timeout: 10 * time.Second}
+	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: submitConnections},
+		Timeout: 10 * time.Second}
 	defer client.CloseIdleConnections()
 	var wait sync.WaitGroup
-	errs := make(chan error, handsIn)
-	for worker := range handsIn {
+	errs := make(chan error, submitConnections)
+	for worker := range submitConnections {
 		wait.Go(func() {
-			for i := worker; i < events; i += handsIn {
-				if err := p.handInOne(client, i, body); err != nil {
+			for i := worker; i < events; i += submitConnections {
+				if err := p.submitOne(client, i, body); err != nil {
 					errs <- err
 					return
 				}
@@ -293,13 +307,14 @@
 	}
 }
 
-func (p *process) handInOne(client *http.Client, i int, body string) error {
-	for end := time.Now().Add(startWithin); time.Now().Before(end); time.Sleep(lookEvery) {
+func (p *senderProcess) submitOne(client *http.Client, i int, body string) error {
+	for deadline := time.Now().Add(startTimeout); time.Now().Before(deadline); time.Sleep(pollInterval) {
 		request, err := http.NewRequest("POST", "http://"+p.addr+"/api", strings.NewReader(body))
 		if err != nil {
 			return err
 		}
-		for name, value := range map[string]string{"X-Trace-Id": fmt.Sprintf("trace-%08d", i), "X-Qos": "note", "X-Customer": "acme",
+		for name, value := range map[string]string{"X-Trace-Id": fmt.Sprintf("trace-%08d", i), "X-Qos": "note",
+			"X-Customer":   "acme",
 			"X-Expires-In": "80000", "X-Route-To": "dest=1"} {
 			request.Header.Set(name, value)
 		}
@@ -314,8 +329,8 @@
 			return nil
 		case http.StatusTooManyRequests, http.StatusServiceUnavailable:
 		default:
-			return fmt.Errorf("event %d: %s", i, response.Status)
+			return fmt.Errorf("submit event %d: unexpected status %s", i, response.Status)
 		}
 	}
-	return fmt.Errorf("event %d was refused for %v", i, startWithin)
+	return fmt.Errorf("submit event %d: not accepted within %v", i, startTimeout)
 }
