--- a/internal/storm/reservations.go
+++ b/internal/storm/reservations.go
@@ -2,11 +2,11 @@
 
 import "math"
 
-// slotMS is the length of a slot in milliseconds.
+// slotMS is the length in milliseconds of a slot. Reservations are counted by slot.
 const slotMS = 100.0
 
-// maxWindowSlots is the maximum length of a window. It bounds the lowest rate that is enforced: one reservation
-// in ten seconds.
+// maxWindowSlots is the maximum length of a window in slots. It bounds the lowest rate that is enforced: one
+// reservation in ten seconds.
 const maxWindowSlots = 100
 
 // reservations holds the reservations at one destination: the number of clients that are to return in each slot.
@@ -15,8 +15,8 @@
 	counts    []int32
 }
 
-// reserve makes a reservation in the first slot between earliest and latest in which no window of one second then
-// holds more than budget reservations. For a budget below one per second the window is longer. It returns the start
+// reserve makes a reservation in the first slot between earliest and latest that leaves no window of one second with
+// more than budget reservations. For a budget below one per second the window is longer. It returns the start
 // of the slot, or earliest if that is later; ok is false if no slot is free.
 func (r *reservations) reserve(now, earliest, latest, budget float64) (at float64, ok bool) {
 	r.discardPast(now)
@@ -97,7 +97,7 @@
 	}
 }
 
-// refusal is a refused message with the time at which its client is to resubmit it.
+// refusal is a refused message with the time at which its client should resubmit it.
 type refusal struct {
 	retryAt  float64
 	reserved bool
--- a/internal/storm/storm.go
+++ b/internal/storm/storm.go
@@ -30,7 +30,7 @@
 	outageRefusals = 8
 	// Shortest time without a success that is an outage, if outageRefusals calls have failed.
 	minRefusalSilence = 4000.0
-	// A requested wait longer than this is an outage: all senders that received it return at its end.
+	// A requested wait longer than this counts as an outage: all senders that received it return at its end.
 	minOutageWait = 3000.0
 	// Shortest time from the first success to the end of a return.
 	minReturnDuration = 10000.0
@@ -48,19 +48,19 @@
 	meterTau = 3000.0
 	// Fraction of submissions that must be resubmissions in a surge.
 	surgeFraction = 0.5
-	// Fewest resubmissions in a surge (a rate times meterTau).
+	// Fewest resubmissions in a surge, counted as their rate times meterTau.
 	minSurgeResubmissions = 5
-	// Resubmissions in a surge exceed this sender's own refusals by this factor: the others were refused elsewhere.
+	// Factor by which resubmissions must exceed this sender's own refusals in a surge: the others were refused elsewhere.
 	surgeRefusalMultiple = 2.0
 	// A surge may end when its conditions have not held for this long.
 	surgeEndDelay = 3000.0
 	// Fraction of the pace reserved for resubmissions even if first submissions would fill it.
 	minRetryFraction = 0.2
-	// Standard deviations kept free below the limit when the calls of many senders coincide by chance.
+	// Standard deviations kept free below the limit, because calls of many senders may coincide by chance.
 	poissonDeviations = 2.5
 	// Time after a return from which the pace may grow beyond its base.
 	growthDelay = 11000.0
-	// Factor a second by which the pace grows while no calls are refused: other senders may use less than their share.
+	// Factor per second by which the pace grows while no call is refused: other senders may use less than their share.
 	growthPerSecond = 1.1
 	// Upper bound of the growth, as a multiple of the base pace.
 	maxGrowth = 4.0
@@ -110,13 +110,13 @@
 type Settings struct {
 	Senders       int             // number of senders that share the limits
 	MaxRetryAfter float64         // upper bound of Retry-After; 0 = none
-	Limits        map[int]float64 // configured limit of each destination in calls per second
-	LimitIndex    int             // position of the limit in a report; -1: none
+	Limits        map[int]float64 // configured limit by destination, in calls per second; 0 or absent = none
+	LimitIndex    int             // index of the limit in the report of a call; -1: none
 	RatingIsRate  bool            // Endpoint.Rating is a rate in calls per second
 	OwnLimits     []bool          // by kind: each endpoint has a limit of its own
 }
 
-// Throttle limits the traffic to a destination during a storm. A zero Rate or DialRate is no limit.
+// Throttle limits the traffic to a destination during a storm. A Rate or DialRate of 0 means no limit.
 type Throttle struct {
 	Dest     int
 	Paces    []Pace
@@ -149,8 +149,8 @@
 	Storms     int // storms that began
 	Reserved   int // refusals whose Retry-After is a reservation
 	Unreserved int // refusals for which no slot was free
-	OnTime     int // refused messages resubmitted after their Retry-After
-	Early      int // refused messages resubmitted before it
+	OnTime     int // refused messages resubmitted after their Retry-After, or at most half a slot before its end
+	Early      int // refused messages resubmitted earlier
 }
 
 type endpoint struct {
@@ -190,7 +190,7 @@
 	throttled           bool // a throttle is in force, or its end is not yet reported
 	changed             bool // the throttle has changed since the last call of Throttles
 	checkAt             float64
-	reserveFrom         float64 // earliest time of reservations: those of a previous run may lie before it
+	reserveFrom         float64 // earliest time of reservations: those of a previous process run may lie before it
 }
 
 // rateMeter measures a rate per second with exponential decay.
@@ -238,8 +238,8 @@
 	return Calm
 }
 
-// UpdateEndpoints applies an update of the endpoint list, in the form that package policy gets. A full list removes
-// all endpoints that it does not contain.
+// UpdateEndpoints applies an update of the endpoint list, in the form that package policy receives. A full list
+// removes all endpoints that it does not contain.
 func (g *Guard) UpdateEndpoints(now float64, list []policy.Endpoint, full bool) {
 	if g == nil {
 		return
@@ -337,9 +337,10 @@
 	return d
 }
 
-// Restore applies the facts about destinations that a previous run has kept, before the list that contains them
-// is applied. An outage or a return continues if all endpoints known of a destination are broken or ramping. The
-// reservations of the previous run are lost: no reservation is made for the time that they may cover.
+// Restore applies the facts about destinations that a previous process run has kept. It is called before
+// UpdateEndpoints gets the list that contains these destinations. An outage or a return continues if all known
+// endpoints of a destination are broken or ramping. The reservations of the previous run are lost, so none is made for
+// the time that they may cover.
 func (g *Guard) Restore(now float64, facts []policy.DestFacts) {
 	if g == nil {
 		return
@@ -395,7 +396,8 @@
 	g.watch(d)
 }
 
-// RecordOutcome records the outcome of an attempt that was sent. It ignores events other than EvOutcome.
+// RecordOutcome records the outcome of an attempt that was sent. It ignores events other than EvOutcome, and the
+// outcome Moot.
 func (g *Guard) RecordOutcome(now float64, e *policy.Event) {
 	if g == nil || e.Kind != policy.EvOutcome || e.Outcome == policy.Moot {
 		return
@@ -450,7 +452,8 @@
 }
 
 // failing reports whether the destination's calls fail together. A sender with a low call rate would collect
-// outageFailures only after the outage is over: for it, more unanswered calls than recent successes are enough.
+// outageFailures only after the outage is over. For such a sender it is enough that the last failed call got no answer
+// and that the failed calls, refused ones not counted, outnumber the recent successes.
 func (d *dest) failing(now float64) bool {
 	n := d.failures - d.refusedCalls
 	return now-d.lastOK >= minOutageSilence &&
@@ -465,8 +468,9 @@
 	g.enterPhase(d, Outage, now)
 }
 
-// RecordArrival records a message that a client has submitted. key identifies the message over all its
-// submissions; 0 = unknown.
+// RecordArrival records a message that a client has submitted. key identifies the message across all its submissions;
+// 0 = unknown. resubmitted is whether the client has marked it as a resubmission; a message whose key belongs to a
+// remembered refusal counts as one in any case.
 func (g *Guard) RecordArrival(now float64, id int, key uint64, resubmitted bool) {
 	if g == nil {
 		return
@@ -516,8 +520,9 @@
 }
 
 // RetryAfter records a refusal and returns the time in milliseconds after which the client should resubmit the
-// message. minWait is the time from package policy: the result without a storm, and its lower bound unless it
-// exceeds the horizon. remaining is the time to the message's deadline: no slot is reserved after it.
+// message. minWait is the time that package policy gives. Without a storm it is the result. In a storm the result is at
+// least minWait, but never more than the horizon. remaining is the time to the message's deadline in milliseconds: no
+// slot after the deadline is reserved.
 func (g *Guard) RetryAfter(now float64, id int, key uint64, remaining, minWait float64) float64 {
 	if g == nil || g.dests[id] == nil {
 		return minWait
@@ -532,8 +537,8 @@
 	return wait
 }
 
-// scheduleRetry reserves the earliest free slot. Without one it returns a random time in the second half of the
-// horizon.
+// scheduleRetry reserves the earliest free slot and returns the time until it, with up to one slot of random delay.
+// Without a free slot it returns a random time in the second half of the horizon.
 func (g *Guard) scheduleRetry(d *dest, now, remaining, minWait float64) (wait float64, reserved bool) {
 	horizon := g.horizon()
 	if d.reservations == nil {
@@ -545,11 +550,11 @@
 		return min(at+slotMS*g.rng.Float64()-now, horizon), true
 	}
 	g.stats.Unreserved++
-	lower := min(max(minWait, horizon/2, earliest-now), horizon) // a requested wait applies without a slot too
+	lower := min(max(minWait, horizon/2, earliest-now), horizon) // a requested wait applies even without a slot
 	return lower + (horizon-lower)*g.rng.Float64(), false
 }
 
-// horizon returns the longest Retry-After.
+// horizon returns the longest Retry-After during a storm, in milliseconds.
 func (g *Guard) horizon() float64 {
 	if g.settings.MaxRetryAfter <= 0 {
 		return defaultHorizon
@@ -594,9 +599,11 @@
 	return a
 }
 
-// routePace returns this sender's share of a limit. Senders space their calls evenly, so each may exceed its share
-// by one call in any second: with few senders, one call per sender is kept free. Many senders with less than one
-// call per second each make a Poisson count, of which poissonDeviations are kept free. The higher result applies.
+// routePace returns this sender's share of a limit, lowered by relapses and adjusted by paceFactor. Senders space their
+// calls evenly, so each may exceed its share by one call in any second: with few senders, one call per sender is kept
+// free. The calls of many senders with less than one call per second each add up to a Poisson count, of which
+// poissonDeviations standard deviations are kept free. The higher of the two results applies. Without a limit, the
+// routes of the destination share a multiple of the call rate before the storm.
 func (g *Guard) routePace(d *dest, limit float64, routes int) float64 {
 	senders := float64(g.settings.Senders)
 	relapseFactor := max(math.Pow(relapseCut, float64(d.relapses)), minRelapseFactor)
@@ -607,8 +614,9 @@
 	return min(max(limit/senders-1, root*root/senders)*relapseFactor*d.paceFactor, limit)
 }
 
-// Throttles checks the storms that are due, and returns the throttles that have changed since the last call. A storm
-// that has ended is reported once, with zero rates. Throttles is called before each step of package policy.
+// Throttles checks the storms that are due, and returns the throttles that have changed since the last call, sorted by
+// destination. A storm that has ended is reported once, with zero rates. The caller calls Throttles before each step of
+// package policy.
 func (g *Guard) Throttles(now float64) (list []Throttle) {
 	if g == nil || !g.changed && now < g.checkAt { // a step costs nothing while no storm changes
 		return nil
@@ -632,7 +640,7 @@
 	return list
 }
 
-// throttle returns the present throttle of a destination and marks it as reported.
+// throttle returns the current throttle of a destination and marks it as reported.
 func (g *Guard) throttle(d *dest) Throttle {
 	d.changed = false
 	t := Throttle{Dest: d.id, Phase: d.phase, Held: d.held, Paces: g.paces(d)}
@@ -672,7 +680,7 @@
 		if d.failing(now) {
 			g.beginOutage(d, now)
 		}
-	case Outage: // without calls for maxPhaseDuration: the next call shows whether it lasts
+	case Outage: // no calls for maxPhaseDuration: the next call will show whether the outage continues
 		if now-max(d.lastFailure, d.phaseStart) >= maxPhaseDuration && d.held == 0 {
 			d.failures, d.refusedCalls = 0, 0 // otherwise the next check would start an outage again
 			g.enterPhase(d, Calm, now)
--- a/internal/storm/storm_test.go
+++ b/internal/storm/storm_test.go
@@ -71,7 +71,7 @@
 	return throttles[0].Paces[0].Rate, throttles[0].DialRate
 }
 
-// Without a storm a Guard sets no limits and leaves Retry-After as it is.
+// Without a storm a Guard sets no limits, returns Retry-After as package policy gave it and needs no checks.
 func TestNoThrottleInCalm(t *testing.T) {
 	r := newRig(3)
 	for i := range 1000 {
@@ -90,8 +90,8 @@
 	}
 }
 
-// The pace applies before the outage ends, so that the first second of the return is within the limit. It ends once
-// the backlog is sent.
+// The pace applies before the outage ends, so that the first second of the return is within the limit. The storm ends
+// once the backlog can be sent within drainTime.
 func TestOutageReturnAndCalm(t *testing.T) {
 	r := newRig(3)
 	r.causeOutage(t)
@@ -143,7 +143,8 @@
 	}
 }
 
-// A limit that was lowered during the outage applies from the answer that reports it.
+// A limit that the partner has lowered during the outage, or lowers during the return, applies from the answer that
+// reports it.
 func TestLoweredLimitAppliesAtOnce(t *testing.T) {
 	r := newRig(3)
 	r.causeOutage(t)
@@ -227,8 +228,8 @@
 	}
 }
 
-// If all clients return exactly after their Retry-After, no second gets more messages than the budget. Refusals
-// without a free slot are counted and spread.
+// If all clients return exactly at the end of their Retry-After, no second gets more messages than the budget. Refusals
+// without a free slot are counted, and their Retry-After stays within its bounds.
 func TestReservationsStayWithinBudget(t *testing.T) {
 	for _, senders := range []int{1, 3, 30, 200} {
 		r := newRig(senders)
@@ -371,7 +372,7 @@
 	restarted.endOutage(t)
 }
 
-// A destination of which one endpoint is healthy and others are broken is not restored as in an outage.
+// A destination with a healthy endpoint is not restored as in an outage, even if its other endpoints are broken.
 func TestPartialOutageIsNotRestored(t *testing.T) {
 	r := newRig(3)
 	r.Restore(r.now, []policy.DestFacts{{Dest: 7, Endpoints: []policy.EndpointFacts{{ID: 1, Health: policy.Broken}, {ID: 2}}}})
@@ -428,7 +429,7 @@
 }
 
 // The calls of many senders, each evenly spaced at a random phase, exceed the limit in at most one of a hundred
-// seconds.
+// seconds, and use at least 70 % of it on average.
 func TestManySendersStayWithinLimit(t *testing.T) {
 	for _, senders := range []int{3, 30, 200, 1000} {
 		g := New(Settings{Senders: senders}, 1)
