--- a/internal/knowledge/age.go
+++ b/internal/knowledge/age.go
@@ -21,8 +21,8 @@
 	maxRate = 1e9
 	// Upper bound of valid latencies and durations, in milliseconds.
 	maxMS = 1e9
-	// A fact that is dated further in the future, in milliseconds, was learned by a wrong clock, or the clock is
-	// wrong now.
+	// A fact whose time is further in the future than this, in milliseconds, has no known age: the clock was wrong
+	// when the fact was learned, or is wrong now.
 	maxClockSkew = 60e3
 )
 
@@ -41,8 +41,8 @@
 	return math.Exp2(-max(age, 0) / max(float64(halfLife)/1e6, 1))
 }
 
-// blend returns the weighted geometric mean of a fact and its prior, because limits, rates and times differ by
-// factors. If one of them is not positive, it returns the fact.
+// blend returns the weighted mean of a fact and its prior. The mean is geometric, because limits, rates and times
+// differ by factors. If one of the two is not positive, blend returns the fact.
 func blend(fact, prior, weight float64) float64 {
 	if prior <= 0 || fact <= 0 {
 		return fact
@@ -50,13 +50,14 @@
 	return math.Exp(weight*math.Log(fact) + (1-weight)*math.Log(prior))
 }
 
-// End returns the end of a wait. It is at most the requested duration after now, so that a clock that was set back
-// does not prolong a wait.
+// End returns the end of a wait at the time now. It is at most the requested duration after now, so that a clock that
+// was set back does not prolong the wait.
 func (w Wait) End(now float64) float64 {
 	return min(float64(w.Until), now+float64(w.Until-w.ReceivedAt))
 }
 
-// Expire removes waits that have ended and facts below minWeight.
+// Expire removes waits that have ended, and facts about destinations, endpoints, classes and kinds of a weight below
+// minWeight.
 func (f *Facts) Expire(now float64, h operator.HalfLives) {
 	for route, w := range f.Waits {
 		if w.End(now) <= now {
@@ -94,7 +95,7 @@
 }
 
 // AgedDestination returns the facts about a destination as they apply now, blended with the prior by their weight,
-// and false if nothing is known. The endpoints have names; the caller sets their IDs.
+// and false if nothing is known. Its endpoints have names but no IDs: the caller sets these.
 func (f *Facts) AgedDestination(dest int, now float64, h operator.HalfLives, prior Prior) (*Destination, bool) {
 	d := f.Dests[dest]
 	destWaitEnd := f.waitEnd(Route{Dest: dest}, now)
@@ -147,7 +148,7 @@
 }
 
 // agedEndpoint returns the facts about an endpoint as they apply now. The destination's wait applies to it too: it
-// must hold even if new settings have given the endpoint a limit of its own since.
+// must hold even if new settings have since given the endpoint a limit of its own.
 func (f *Facts) agedEndpoint(e Endpoint, dest int, destWaitEnd, now float64, h operator.HalfLives, prior Prior) Endpoint {
 	ownRoute := &policy.RouteFacts{LastOK: now}
 	if e.OwnRoute != nil {
@@ -183,7 +184,7 @@
 	return aged
 }
 
-// agedLatency blends a mean latency with the typical one and reduces the number of samples.
+// agedLatency blends a mean latency with the typical one and reduces the number of samples by their weight.
 func agedLatency(f policy.LatencyFacts, age float64, h operator.HalfLives, typical float64) policy.LatencyFacts {
 	weight := Weight(age, h.Latency)
 	n := int(math.Round(weight * float64(min(max(f.N, 0), 100))))
--- a/internal/knowledge/keeper/writer.go
+++ b/internal/knowledge/keeper/writer.go
@@ -31,13 +31,14 @@
 	Settings  operator.Knowledge
 	Store     *store.Store
 	Facts     *knowledge.Facts  // as read at the start; owned by the Writer from then on
-	Account   *statedir.Account // the Store's
+	Account   *statedir.Account // the account of Store
 	Log       zerolog.Logger
 	Clock     func() float64 // the sender's clock: Unix milliseconds, unaffected by steps of the wall clock
 	WallClock func() float64 // the wall clock, in Unix milliseconds
 }
 
-// Writer collects facts and writes them to a Store. A nil Writer ignores them.
+// Writer collects facts and writes them to a Store. A nil Writer ignores them. Run is called once, on a goroutine of
+// its own; the other exported methods are safe for concurrent use.
 type Writer struct {
 	opts      Options
 	waitAdded chan struct{}
@@ -95,8 +96,9 @@
 	}
 }
 
-// UpdateSettings applies new half-lives, a new interval between snapshots and a new choice of sync. The maximum size
-// stays as it was at the start. UpdateSettings may wait for a write that is in progress.
+// UpdateSettings applies new half-lives, a new interval between snapshots and a new choice of whether to sync. The
+// maximum size stays as it was at the start. UpdateSettings may wait for a write that is in progress; it does nothing
+// after Run has ended.
 func (w *Writer) UpdateSettings(settings operator.Knowledge) {
 	if w == nil {
 		return
@@ -148,8 +150,8 @@
 	}
 }
 
-// Close writes a last snapshot and ends Run. It returns when ctx ends even if the write is in progress: a slow disk
-// must not delay shutdown.
+// Close makes Run write a last snapshot and end, and waits until it has ended or ctx ends: a slow disk must not delay
+// shutdown.
 func (w *Writer) Close(ctx context.Context) {
 	if w == nil {
 		return
@@ -176,8 +178,9 @@
 	return hasWaits
 }
 
-// factsToWrite returns the facts with waits by the wall clock, which the next run reads them by: the sender's clock
-// may have diverged from it since the start. Other facts do not need that precision.
+// factsToWrite expires old facts and returns the rest. The waits get times by the wall clock, because the next process
+// run reads them by it, and the sender's clock may have diverged from it since the start. Other facts do not need that
+// precision.
 func (w *Writer) factsToWrite() *knowledge.Facts {
 	now := w.opts.Clock()
 	w.facts.Expire(now, w.opts.Settings.HalfLives)
--- a/internal/knowledge/keeper/writer_test.go
+++ b/internal/knowledge/keeper/writer_test.go
@@ -152,7 +152,7 @@
 	close(release)
 	<-r.done
 	if facts := r.readFacts(t, store.SnapshotName); len(facts.Waits) != 50 || len(facts.Dests) != 50 {
-		t.Errorf("%d waits, %d destinations", len(facts.Waits), len(facts.Dests))
+		t.Errorf("the snapshot contains %d waits and %d destinations, want 50 of each", len(facts.Waits), len(facts.Dests))
 	}
 }
 
@@ -170,8 +170,8 @@
 	}
 }
 
-// After a step of the wall clock, waits are written again by the new wall clock, which the next run reads them by,
-// and keep their remaining time.
+// After a step of the wall clock, waits are written again by the new wall clock, because the next process run reads
+// them by it. They keep their remaining time.
 func TestWallClockStep(t *testing.T) {
 	r := newRig(t, statedir.NewSpace(1<<20), noFault)
 	r.Writer.AddWait(newWait(3, 0, 60000))
@@ -182,12 +182,11 @@
 	r.closeWriter(t)
 	w := r.readFacts(t, store.SnapshotName).Waits[knowledge.Route{Dest: 3}]
 	if left := w.End(1.8e12-3600e3) - (1.8e12 - 3600e3); left != 59000 {
-		t.Errorf("%v ms left, want 59000", left)
+		t.Errorf("the wait ends in %v ms, want 59000", left)
 	}
 }
 
-// Failed writes to a full disk are logged once, not at each attempt. All waits are written once there is
-// space.
+// Failed writes to a full disk are logged once, not at each attempt. All waits are written once there is space.
 func TestFullDisk(t *testing.T) {
 	full := true
 	var mu sync.Mutex
@@ -209,7 +208,7 @@
 	mu.Unlock()
 	r.closeWriter(t)
 	if facts := r.readFacts(t, store.SnapshotName); len(facts.Waits) != 20 {
-		t.Errorf("%d waits", len(facts.Waits))
+		t.Errorf("the last snapshot contains %d waits, want 20", len(facts.Waits))
 	}
 	if n := bytes.Count([]byte(r.log.String()), []byte("update of the files in the state directory failed")); n != 1 {
 		t.Errorf("logged %d times, want once:\n%s", n, r.log)
@@ -241,11 +240,13 @@
 		}
 	}
 	if len(yields) != 2 || r.files.Size(store.SnapshotName) != 0 {
-		t.Errorf("%d steps, %d bytes left", len(yields), r.files.Size(store.SnapshotName))
+		t.Errorf("space was yielded in %d steps, want 2; the snapshot takes %d bytes, want 0",
+			len(yields), r.files.Size(store.SnapshotName))
 	}
 	r.writeSnapshot() // without space: the facts are kept in memory
 	if r.files.Size(store.SnapshotName) != 0 || len(r.facts.Dests) != 60 {
-		t.Errorf("%d bytes, %d destinations", r.files.Size(store.SnapshotName), len(r.facts.Dests))
+		t.Errorf("without space: a snapshot of %d bytes, want none; %d destinations in memory, want 60",
+			r.files.Size(store.SnapshotName), len(r.facts.Dests))
 	}
 	journal.Claim(0)
 	if r.writeSnapshot(); len(r.readFacts(t, store.SnapshotName).Dests) == 0 {
--- a/internal/knowledge/knowledge.go
+++ b/internal/knowledge/knowledge.go
@@ -41,7 +41,7 @@
 type Destination struct {
 	Dest        int
 	LearnedAt   float64
-	SharedRoute *policy.RouteFacts
+	SharedRoute *policy.RouteFacts // of the route that the endpoints share; nil = unknown
 	Latency     policy.LatencyFacts
 	Admission   policy.AdmissionFacts
 	Endpoints   []Endpoint // sorted by name
@@ -85,7 +85,7 @@
 	}
 }
 
-// Clone returns an independent copy.
+// Clone returns a copy that can be changed independently; the two share their Destinations, which are immutable.
 func (f *Facts) Clone() *Facts {
 	clone := New(f.Sender)
 	clone.WrittenAt = f.WrittenAt
@@ -254,8 +254,8 @@
 	return -1
 }
 
-// validOrZero returns v, or 0 if v is NaN or outside [lo, hi]. A faulty program may have written a wrong value to a
-// file with a correct checksum.
+// validOrZero returns v, or 0 if v is NaN or outside [lo, hi]. A file with a correct checksum may still contain a
+// wrong value, written by a faulty program.
 func validOrZero(v, lo, hi float64) float64 {
 	if math.IsNaN(v) || v < lo || v > hi {
 		return 0
--- a/internal/knowledge/knowledge_test.go
+++ b/internal/knowledge/knowledge_test.go
@@ -17,12 +17,13 @@
 
 func nearlyEqual(a, b float64) bool { return math.Abs(a-b) <= 1e-6*math.Max(1, math.Abs(b)) }
 
+// The weight halves with each half-life. A fact dated further in the future than maxClockSkew weighs as after one.
 func TestWeight(t *testing.T) {
 	for age, want := range map[float64]float64{
 		0: 1, 60e3: 0.5, 120e3: 0.25, 7 * 86400e3: 0, -50: 1, -maxClockSkew - 1: 0.5,
 	} {
 		if got := Weight(age, time.Minute); !nearlyEqual(got, want) {
-			t.Errorf("age %v: %v, want %v", age, got, want)
+			t.Errorf("weight at age %v ms: %v, want %v", age, got, want)
 		}
 	}
 }
@@ -75,7 +76,7 @@
 		got += fmt.Sprint(e.Name, e.Health, e.LearnedAt-now, " ")
 	}
 	if got != "a1 0 b2 10 c0 10 " || d.LearnedAt != now+10 {
-		t.Errorf("%s at %v", got, d.LearnedAt-now)
+		t.Errorf("merged endpoints (name, health, time): %s, learned at %v", got, d.LearnedAt-now)
 	}
 	clone := facts.Clone()
 	if !reflect.DeepEqual(facts, clone) {
@@ -83,7 +84,8 @@
 	}
 }
 
-// A limit converges on the list's rating, by the geometric mean. Without a rating it is dropped at last.
+// A limit converges on the list's rating, by the geometric mean. Without a rating it is kept down to minLimitWeight and
+// then dropped.
 func TestLimitAges(t *testing.T) {
 	facts := New("n0")
 	facts.MergeDestination(newDestination(1, now))
@@ -97,10 +99,10 @@
 	} {
 		d, ok := facts.AgedDestination(1, now+row.age, halfLives, Prior{Rating: row.rating})
 		if !ok || math.Abs(d.SharedRoute.AdvertisedLimit-row.limit) > 0.1 || d.SharedRoute.LimitReported != row.reported {
-			t.Errorf("%+v: %+v", row, d.SharedRoute)
+			t.Errorf("case %+v: shared route %+v", row, d.SharedRoute)
 		}
 		if d.SharedRoute.Pace > 0 && d.SharedRoute.Pace > math.Max(d.SharedRoute.AdvertisedLimit, 10) {
-			t.Errorf("%+v: pace %v", row, d.SharedRoute.Pace)
+			t.Errorf("case %+v: pace %v exceeds the limit", row, d.SharedRoute.Pace)
 		}
 	}
 }
@@ -147,8 +149,8 @@
 	}
 }
 
-// Facts about an endpoint belong to its name only, so that an endpoint that replaces it gets none of them. The
-// destination's own facts and its wait are kept.
+// Facts about an endpoint belong to its name only, so that an endpoint that replaces it, even at the same address, gets
+// none of them. The destination's own facts and its wait are kept.
 func TestReplacedEndpoints(t *testing.T) {
 	facts := New("n0")
 	facts.MergeDestination(newDestination(1, now, newEndpoint("old", now, policy.Broken)))
@@ -159,8 +161,8 @@
 	}
 }
 
-// A wait applies if nothing else is known of its route. The destination's wait applies to endpoints that have got
-// limits of their own since.
+// A wait applies even if nothing else is known about its route. The destination's wait also applies to endpoints that
+// have since been given limits of their own.
 func TestWaitWithoutFacts(t *testing.T) {
 	facts := New("n0")
 	facts.AddWait(Wait{Route: Route{Dest: 1}, ReceivedAt: now, Until: now + 900})
@@ -174,7 +176,7 @@
 		t.Errorf("%+v", d)
 	}
 	if _, ok = facts.AgedDestination(3, now, halfLives, Prior{}); ok {
-		t.Error("facts about an unknown destination")
+		t.Error("AgedDestination returned facts about an unknown destination")
 	}
 	facts.MergeDestination(newDestination(1, now, newEndpoint("a", now, policy.Healthy)))
 	if d, _ = facts.AgedDestination(1, now, halfLives, Prior{}); d.Endpoints[0].OwnRoute.WaitUntil != now+900 {
@@ -199,7 +201,7 @@
 		t.Errorf("%d evicted, kept %v", evicted, facts.DestNumbers())
 	}
 	if facts.EvictToFit(10, func(*Destination) int { return 2 }) != 0 {
-		t.Error("destinations were evicted that fit")
+		t.Error("destinations were evicted although they fit")
 	}
 }
 
@@ -221,9 +223,10 @@
 	invalid.Admission.Theta[1], invalid.Admission.Pa = math.NaN(), math.Inf(-1)
 	facts.MergeDestination(invalid)
 	d, _ := facts.AgedDestination(1, now, halfLives, Prior{})
+	// A struct that differs from itself contains a NaN.
 	if d.SharedRoute.AdvertisedLimit != 0 || d.SharedRoute.Pace != 0 || d.Latency.N != 0 ||
 		d.Admission != d.Admission || d.Endpoints[0].Health != policy.Healthy {
-		t.Errorf("%+v %+v", d, d.SharedRoute)
+		t.Errorf("invalid numbers or an unknown health were kept: %+v, shared route %+v", d, d.SharedRoute)
 	}
 }
 
--- a/internal/knowledge/store/codec.go
+++ b/internal/knowledge/store/codec.go
@@ -31,7 +31,7 @@
 	headerSize = 40
 	// Version is the format version that is written. Version 1 contained only requested waits.
 	Version        = 2
-	maxPayloadSize = 1 << 30
+	maxPayloadSize = 1 << 30 // bytes
 )
 
 var (
@@ -132,8 +132,8 @@
 	return n + 1 + len(binary.AppendUvarint(nil, uint64(n)))
 }
 
-// factsFromV1 converts the payload of format version 1. It does not contain the times at which waits were received,
-// which are at the latest the time of writing.
+// factsFromV1 converts the payload of format version 1. It does not contain when waits were received; the time of
+// writing, which is the latest possible, stands in for it.
 func factsFromV1(m *pb.BookV1) *knowledge.Facts {
 	facts := knowledge.New(m.Sender)
 	facts.WrittenAt = m.WrittenMs
@@ -208,8 +208,8 @@
 	return facts
 }
 
-// msBefore returns how many milliseconds before learnedAt the time t was; nil if t is 0 or infinite, which stands
-// for an event that has never happened.
+// msBefore returns how many milliseconds before learnedAt the time t was, negative for a later time. It returns nil if
+// t is 0, infinite or NaN: the event has never happened.
 func msBefore(learnedAt, t float64) *int64 {
 	if t == 0 || math.IsInf(t, 0) || math.IsNaN(t) {
 		return nil
@@ -218,7 +218,8 @@
 	return &v
 }
 
-// timeBefore returns the time that was ago milliseconds before learnedAt, or absent if ago is nil.
+// timeBefore is the inverse of msBefore: it returns the time that was ago milliseconds before learnedAt, or absent if
+// ago is nil.
 func timeBefore(learnedAt float64, ago *int64, absent float64) float64 {
 	if ago == nil {
 		return absent
--- a/internal/knowledge/store/store.go
+++ b/internal/knowledge/store/store.go
@@ -1,6 +1,6 @@
 // Package store keeps knowledge.Facts in files in the state directory. Files are replaced atomically: a new file is
-// written under a temporary name and renamed, so that after a crash the name refers to the old or to the new
-// file, whole. A file that cannot be read is set aside and is never a fatal error.
+// written under a temporary name and renamed, so that after a crash the name refers either to the old file or to the
+// new one, never to a part of one. A file that cannot be read is set aside; it is never a fatal error.
 //
 // A Store does not interpret the facts; package knowledge does. It is not safe for concurrent use.
 package store
@@ -21,7 +21,7 @@
 	PreviousName = "knowledge.prev"  // the snapshot before it, if there is space
 	WaitsName    = "knowledge.waits" // waits requested since the snapshot, in the same format
 	setAsideName = "knowledge.bad"   // the last file that could not be read
-	newSuffix    = ".new"            // of a file that is being written
+	newSuffix    = ".new"            // temporary suffix of a file that is being written
 )
 
 // FileNames lists the names of all files that a Store may write.
@@ -55,8 +55,8 @@
 	LeftUntouched bool // the file is of a newer format and stays
 }
 
-// Open reads the files and returns their merged facts, empty if there are none. The previous snapshot is read only
-// if the snapshot cannot be.
+// Open reads the files and returns their merged facts, empty if there are none, and what was wrong with the files. The
+// previous snapshot is read only if there is no readable snapshot.
 func Open(o Options, sender string) (*Store, *knowledge.Facts, []Problem) {
 	s := &Store{
 		fs: o.FS, account: o.Account, maxBytes: o.MaxBytes, sync: o.Sync,
@@ -64,7 +64,7 @@
 	}
 	facts := knowledge.New(sender)
 	var problems []Problem
-	for _, name := range []string{SnapshotName, WaitsName} { // left by a write that did not finish
+	for _, name := range []string{SnapshotName, WaitsName} { // temporary files of writes that did not finish
 		if err := s.fs.Remove(name + newSuffix); err != nil {
 			problems = append(problems, Problem{File: name + newSuffix, Err: err})
 		}
@@ -133,15 +133,16 @@
 	return total <= s.maxBytes && s.account.Claim(total)
 }
 
-// MaxSnapshotSize returns the maximum size in bytes of a snapshot now. Beside the waits there must be space for two:
-// the snapshot that is replaced and the new one.
+// MaxSnapshotSize returns the maximum size in bytes of a snapshot now. Besides the waits there must be space for two
+// snapshots: the one that is replaced and the new one.
 func (s *Store) MaxSnapshotSize() int {
 	limit := min(s.maxBytes, s.account.Limit()) - 2*s.sizes[WaitsName]
 	return int(max(limit/2-2*headerSize, 0))
 }
 
-// SaveSnapshot writes a snapshot of at most MaxSnapshotSize bytes and removes the file of waits, which the snapshot
-// contains.
+// SaveSnapshot writes a snapshot of at most MaxSnapshotSize bytes and removes the file of waits, because the snapshot
+// contains them. The error wraps ErrNewerFormat if the existing snapshot is of a newer format, and ErrNoSpace if there
+// is not enough space.
 func (s *Store) SaveSnapshot(facts *knowledge.Facts) error {
 	if s.newerFormat[SnapshotName] {
 		return fmt.Errorf("%s: %w", SnapshotName, ErrNewerFormat)
@@ -167,7 +168,7 @@
 	return s.removeFile(WaitsName)
 }
 
-// SaveWaits writes only the waits, which is small enough to do often.
+// SaveWaits writes only the waits, which take little space and can be written often. Errors are like SaveSnapshot's.
 func (s *Store) SaveWaits(facts *knowledge.Facts) error {
 	if s.newerFormat[WaitsName] {
 		return fmt.Errorf("%s: %w", WaitsName, ErrNewerFormat)
@@ -190,8 +191,8 @@
 	return s.replaceFile(WaitsName, data, need, false)
 }
 
-// replaceFile atomically replaces the file name, for which need bytes have been claimed. With keepPrevious the old
-// file is kept as the previous snapshot.
+// replaceFile atomically replaces the file of that name with data, for which need bytes have been claimed. With
+// keepPrevious the old file is kept as the previous snapshot, if a link to it can be made.
 func (s *Store) replaceFile(name string, data []byte, need int64, keepPrevious bool) error {
 	tempName := name + newSuffix
 	if err := s.fs.Write(tempName, data, s.sync); err != nil {
@@ -223,7 +224,7 @@
 	return nil
 }
 
-// releaseUnused reduces the claim to what the files take.
+// releaseUnused reduces the claim to the space that the files take.
 func (s *Store) releaseUnused() { s.claimSpace(0) }
 
 // RemoveOldFiles removes the files that are not needed: the previous snapshot and the file set aside.
@@ -233,7 +234,7 @@
 	return err
 }
 
-// RemoveSnapshot removes the snapshot, for a journal that needs the space. The file of waits stays.
+// RemoveSnapshot removes the snapshot, because the journal needs the space. The file of waits stays.
 func (s *Store) RemoveSnapshot() error {
 	err := s.removeFile(SnapshotName)
 	s.claimSpace(0)
--- a/internal/knowledge/store/store_test.go
+++ b/internal/knowledge/store/store_test.go
@@ -79,6 +79,8 @@
 	return Open(Options{FS: files, Account: statedir.NewSpace(1 << 20).Account(), MaxBytes: maxBytes, Sync: true}, "n0")
 }
 
+// Decoded facts equal the encoded ones, and are encoded to the same bytes again. EncodedSize of the only destination is
+// between half of the payload and all of it.
 func TestRoundTrip(t *testing.T) {
 	want := sample(0)
 	data, err := Encode(want)
@@ -237,7 +239,7 @@
 	}
 }
 
-// A file of a newer format is never changed or removed.
+// A file of a newer format is never changed or removed, whatever is saved meanwhile.
 func TestNewerFormat(t *testing.T) {
 	dir := t.TempDir()
 	data, _ := Encode(sample(0))
@@ -249,7 +251,7 @@
 		t.Errorf("%+v", problems)
 	}
 	if err := s.SaveSnapshot(sample(1)); !errors.Is(err, ErrNewerFormat) {
-		t.Errorf("save: %v", err)
+		t.Errorf("SaveSnapshot over a snapshot of a newer format: %v", err)
 	}
 	if err := s.SaveWaits(sample(1)); err != nil { // waits have a file of their own
 		t.Error(err)
@@ -272,7 +274,7 @@
 		t.Error("the previous snapshot of a newer format was changed")
 	}
 	if _, facts, _ := openIn(t, fsys.OS{Dir: dir}); len(facts.Waits) != 2 {
-		t.Errorf("waits: %+v", facts.Waits)
+		t.Errorf("waits %+v, want the two from their own file", facts.Waits)
 	}
 	writeHeader(data, 0)
 	if _, err := Decode(data); err == nil || errors.Is(err, ErrNewerFormat) {
@@ -363,7 +365,7 @@
 		}
 	}
 	if err := s.SaveSnapshot(big); !errors.Is(err, ErrNoSpace) || !strings.Contains(err.Error(), SnapshotName) {
-		t.Errorf("a snapshot without enough space: %v", err)
+		t.Errorf("SaveSnapshot without enough space: %v", err)
 	}
 }
 
@@ -375,7 +377,7 @@
 	}
 	data, err := Encode(facts)
 	if err != nil || len(data) > 10000*400 {
-		t.Errorf("%d bytes, %v", len(data), err)
+		t.Errorf("10000 destinations take %d bytes, want at most 400 each; error %v", len(data), err)
 	}
 	got, err := Decode(data)
 	if err != nil || len(got.Dests) != 10000 {
@@ -399,7 +401,7 @@
 		}
 		facts, err := Decode(data)
 		if (facts == nil) == (err == nil) {
-			t.Fatalf("%v, %v", facts, err)
+			t.Fatalf("Decode must return either facts or an error: %v, %v", facts, err)
 		}
 		if facts == nil {
 			return
