--- a/internal/journal/copies_test.go
+++ b/internal/journal/copies_test.go
@@ -46,7 +46,7 @@
 	check := func(what string, got []*Entry) {
 		t.Helper()
 		if len(got) != 4 {
-			t.Fatalf("%s: %d entries", what, len(got))
+			t.Fatalf("%s: %d entries, want 4", what, len(got))
 		}
 		a, b, c, d := got[0], got[1], got[2], got[3]
 		if !a.Confirmed || a.Attempts != 1 || a.MayHaveRunAt != 5 || a.MayHaveRunZone != 1 || a.TraceParent != "p" {
@@ -94,7 +94,7 @@
 	for range 2 { // the first start compacts the file, the second reads the compacted one
 		j, entries, err := Open(dir, statedir.NewSpace(1<<20).Account())
 		if err != nil || len(entries) != 1 || entries[0].TakeoverDuty != "own/x" || entries[0].TakeoverToken != 9 {
-			t.Fatalf("%v, %+v", err, entries)
+			t.Fatalf("error %v, entries %+v, want one with its pending takeover", err, entries)
 		}
 		j.Close()
 	}
@@ -133,7 +133,7 @@
 	check := func(what string, got []Hold, want int) {
 		t.Helper()
 		if len(got) != want || got[0].Until != 500 {
-			t.Errorf("%s: %+v", what, got)
+			t.Errorf("%s: holds %+v", what, got)
 		}
 	}
 	check("copies", ReplayHolds(copied), 3)
@@ -145,7 +145,7 @@
 		j.SetHold(Hold{Kind: HoldDrain, Endpoint: strconv.Itoa(i), Until: 1000}, 101)
 	}
 	if j.SetHold(Hold{Kind: HoldDrain, Endpoint: "one more", Until: 1000}, 101) || len(j.Holds()) != maxHolds {
-		t.Errorf("%d holds are recorded", len(j.Holds()))
+		t.Errorf("one hold over the maximum number was accepted, or other ones are missing: %d are recorded", len(j.Holds()))
 	}
 	if err := j.Close(); err != nil {
 		t.Fatal(err)
--- a/internal/journal/holds.go
+++ b/internal/journal/holds.go
@@ -7,9 +7,10 @@
 	"slices"
 )
 
-// A sender that takes over from a lost one must also know where nothing may be sent for a while: waits requested by
-// partners, draining endpoints, and endpoints disabled by an operator. With copies enabled, the journal stores them
-// beside its entries, so that they are still known after a restart of the sender that took over.
+// A sender that takes over from a lost one must also know which destinations and endpoints must not be called for a
+// while: those whose partners requested a wait, draining endpoints, and endpoints disabled by an operator. With copies
+// enabled, the journal stores these holds beside its entries, so that they are still known after a restart of the
+// sender that took over.
 
 // HoldKind is the reason why nothing is sent.
 type HoldKind byte
@@ -32,8 +33,8 @@
 const (
 	// Forever is the Until of a hold without an end.
 	Forever      = math.MaxInt64
-	maxHolds     = 4096
-	maxHoldBytes = 192 // upper bound of a hold's bytes in the file
+	maxHolds     = 4096 // of a journal
+	maxHoldBytes = 192  // upper bound of a hold's bytes in the file
 )
 
 const recHold = 'H' // a Hold; an Until of 0 removes it
@@ -44,8 +45,9 @@
 	endpoint string
 }
 
-// SetHold records a hold if copies are enabled; an Until of 0 removes it. now is by the same clock as Until. Expired
-// holds are removed in the same step. A new hold beyond the maximum number is not recorded, and false is returned.
+// SetHold records a hold if copies are enabled; an Until of 0 removes it. now is by the same clock as Until. A
+// requested wait never shortens an earlier one. Expired holds are removed in the same step. A new hold beyond the
+// maximum number is not recorded, and false is returned.
 func (j *Journal) SetHold(h Hold, now int64) bool {
 	if !j.copying {
 		return true
@@ -117,7 +119,7 @@
 	return list
 }
 
-// ReplayHolds returns the holds of a copy of a journal.
+// ReplayHolds returns the holds in records copied from another sender's journal.
 func ReplayHolds(records []byte) []Hold {
 	j := &Journal{live: map[uint64]*Entry{}, nextNumber: 1}
 	j.replay(records)
--- a/internal/journal/inspect.go
+++ b/internal/journal/inspect.go
@@ -13,7 +13,7 @@
 type Report struct {
 	File       string
 	Bytes      int64
-	Records    int
+	Records    int   // valid records
 	ValidBytes int64 // bytes of valid records from the start of the file
 	Entries    []*Entry
 }
--- a/internal/journal/journal.go
+++ b/internal/journal/journal.go
@@ -39,21 +39,21 @@
 	Deadline    int64 // Unix time in milliseconds
 	Body        []byte
 
-	Attempts       int
+	Attempts       int   // attempts started
 	MayHaveRunAt   int64 // when the first attempt that may have run was sent, Unix time in milliseconds; 0: none
 	MayHaveRunZone int
 	TraceParent    string // trace context sent by the client, as text; empty: none
-	// Confirmed is used with copies: the client was told that the message is accepted. A successor never sends an
-	// unconfirmed message.
+	// Confirmed is used with copies: the client was told that the message is accepted. A sender that takes over from
+	// this one never sends an unconfirmed message.
 	Confirmed     bool
 	TakeoverDuty  string // duty of the lost owner in a pending takeover; empty once the fleet has agreed
 	TakeoverToken uint64 // fencing token under which that duty was held
 	Ending        int    // if not EndingNone, a notice with this ending is owed
-	RetryMS       int64
+	RetryMS       int64  // in that notice: milliseconds after which the client may resubmit the message; 0: unknown
 
 	attemptAt   int64 // when the attempt without an outcome was sent; 0: none
 	attemptZone int
-	recordBytes int64
+	recordBytes int64 // bytes of the records that hold the message and its trace context
 }
 
 // Kinds of records.
@@ -76,8 +76,8 @@
 	fileName      = "journal"
 	successorName = "journal.heir" // journal of a successor process, until it takes over
 	newSuffix     = ".new"         // suffix of a file being written by a compaction
-	headerSize    = 8
-	blockSize     = 512
+	headerSize    = 8              // bytes before a record's payload: its length and its checksum
+	blockSize     = 512            // bytes
 	// Bytes reserved for the records that a live entry may still write before the next compaction: a start, an
 	// outcome and an end come to about 90 bytes.
 	entryReserve     = 128
@@ -122,8 +122,8 @@
 // the same, and the first successful Flush catches up on the writes.
 func OpenFS(files fsys.Opener, account *statedir.Account) (*Journal, []*Entry, error) {
 	j := &Journal{files: files, name: fileName, account: account, live: map[uint64]*Entry{}, nextNumber: 1}
-	// Unfinished compactions of a process that died; the journals themselves are intact. A file that can't be removed
-	// is overwritten by the next compaction.
+	// A process that died during a compaction leaves its unfinished file behind; the journals themselves are intact. A
+	// file that can't be removed is overwritten by the next compaction.
 	files.Remove(fileName + newSuffix)
 	files.Remove(successorName + newSuffix)
 	successorData, err := readWithRetry(files, successorName)
@@ -209,9 +209,9 @@
 	return j, nil
 }
 
-// TakeOver turns a successor's journal into the main journal, once the predecessor has exited: the predecessor's entries
-// are merged, and the merged file replaces the main one. It returns the merged entries in order. If the directory is
-// temporarily not writable, no records are written until it is.
+// TakeOver turns a successor's journal into the main journal, once the predecessor has exited: the predecessor's
+// entries are merged, and the merged file replaces the main one. It returns the merged entries in order. If the
+// directory is temporarily not writable, no records are written until it is.
 func (j *Journal) TakeOver() ([]*Entry, error) {
 	if j.name == fileName {
 		return nil, nil
@@ -277,8 +277,8 @@
 }
 
 // claimSpace claims the disk space that the file and a compacted copy may need with newEntries further entries, of
-// entryBytes in all. It fails if a compaction would free enough space, or if none can be had; in the second case the
-// account that shares the directory is asked to yield.
+// entryBytes in total. It fails if a compaction would free enough space, or if the space is not available; in the
+// second case the account that shares the directory is asked to yield.
 func (j *Journal) claimSpace(entryBytes int64, newEntries int) bool {
 	minimum := j.minClaim(entryBytes, newEntries)
 	limit := j.account.SoftLimit() // records of ended messages must not displace the directory's other files
@@ -477,12 +477,14 @@
 	j.captureForCopies(start)
 }
 
+// captureForCopies collects the buffered records from the offset from on for RecordsToCopy, if copies are enabled.
 func (j *Journal) captureForCopies(from int) {
 	if j.copying {
 		j.toCopy = append(j.toCopy, j.buf[from:]...)
 	}
 }
 
+// appendFrame appends one record to b: its header and the payload that encode appends.
 func appendFrame(b []byte, encode func([]byte) []byte) []byte {
 	start := len(b)
 	b = encode(append(b, make([]byte, headerSize)...))
@@ -521,8 +523,8 @@
 	return nil
 }
 
-// Torn reports whether the file may contain part of what the last Flush failed to write. If the process is killed in this
-// state, the next start replays the complete records of that part.
+// Torn reports whether the file may contain part of what the last Flush failed to write. If the process is killed in
+// this state, the next start replays the complete records of that part.
 func (j *Journal) Torn() bool { return j.torn }
 
 // repair prepares the files for an append: the journal then ends with a complete record, and superseded files are
@@ -665,6 +667,7 @@
 	return d.err
 }
 
+// decoder reads the fields of a payload in order. After a failure err is set and further numbers read as 0.
 type decoder struct {
 	b   []byte
 	err error
--- a/internal/journal/journal_test.go
+++ b/internal/journal/journal_test.go
@@ -70,13 +70,13 @@
 		j.Accept(entry(j, "more"))
 		j.Close()
 		if _, again := open(t, dir, 1<<20); len(again) != len(list)+1 {
-			t.Fatalf("cut at %d: %d entries after one more", cut, len(again))
+			t.Fatalf("cut at %d: %d entries after one more was accepted", cut, len(again))
 		}
 	}
 }
 
-// TestSizeStaysWithinLimit guards against a compaction that loses entries, and against files that exceed the limit while
-// the compacted copy is written.
+// TestSizeStaysWithinLimit guards against a compaction that loses entries, and against files that exceed the limit
+// while the compacted copy is written.
 func TestSizeStaysWithinLimit(t *testing.T) {
 	const limit = 100 << 10
 	dir := t.TempDir()
@@ -102,13 +102,13 @@
 			t.Fatal(err)
 		}
 		if before+j.size > limit && j.size < before || j.size > limit {
-			t.Fatalf("step %d: %d bytes, then %d", i, before, j.size)
+			t.Fatalf("step %d: over the limit with a file of %d bytes before the flush and %d after it", i, before, j.size)
 		}
 	}
 	j.Close()
 	_, list := open(t, dir, limit)
 	if refused == 0 || len(list) != len(live) {
-		t.Fatalf("%d refused; %d entries, want %d", refused, len(list), len(live))
+		t.Fatalf("%d messages refused; %d entries after a restart, want %d", refused, len(list), len(live))
 	}
 	for i, e := range list {
 		live[i].endAttempt(true)
@@ -131,7 +131,7 @@
 		j.Accept(e)
 		j.Close()
 		if _, again := open(t, dir, 1<<20); len(again) != len(list)+1 {
-			t.Fatalf("%d entries, want %d", len(again), len(list)+1)
+			t.Fatalf("%d entries after the restart, want %d", len(again), len(list)+1)
 		}
 	})
 }
