--- a/internal/intake/api.go
+++ b/internal/intake/api.go
@@ -11,10 +11,10 @@
 )
 
 const (
-	maxIDBytes       = 128   // length of a trace id or idempotency key
+	maxIDBytes       = 128   // maximum length of a trace id or idempotency key
 	maxExpirySeconds = 86400 // one day
 	stoppingRetryMS  = 500.0 // Retry-After of a sender that is starting or stopping, or answers too late
-	statusBusy       = 429
+	statusBusy       = 429   // refused for lack of capacity
 )
 
 // route dispatches a request by its path and returns the answer.
@@ -60,7 +60,7 @@
 		return response{status: 409, text: "another sender has taken this message over from the one that was lost"}
 	case verdict.Misdirected:
 		return response{status: 421, servedBy: verdict.ServedBy, text: "other senders serve this destination"}
-	case verdict.NoRoute: // the endpoint list may be out of date, so that a retry may succeed
+	case verdict.NoRoute: // the endpoint list may be out of date: a retry may succeed
 		return response{status: 503, retryAfterMS: verdict.RetryAfter, text: "no such destination is listed"}
 	}
 	if verdict.TooFewHolders {
@@ -119,7 +119,8 @@
 // validID reports whether a trace id or idempotency key can be sent to the partner unchanged.
 func validID(b []byte) bool { return len(b) <= maxIDBytes && http1.ValidHeaderValue(b) }
 
-// tenantIndex returns the index of the tenant with that name, 0 if the settings have no tenants, -1 for an unknown name.
+// tenantIndex returns the index of the tenant with that name, 0 if the settings have no tenants, -1 for an unknown
+// name.
 func (s *Server) tenantIndex(name []byte) int {
 	for i := range s.settings.Tenants {
 		if s.settings.Tenants[i].Name == string(name) {
--- a/internal/intake/close_race_test.go
+++ b/internal/intake/close_race_test.go
@@ -27,7 +27,7 @@
 	client := r.connect()
 	client.send(request("m"))
 	if res := client.readResponse(t); res.StatusCode != 202 {
-		t.Fatalf("answer %d", res.StatusCode)
+		t.Fatalf("answer %d, want 202", res.StatusCode)
 	}
 	late.Store(false)
 	client.send(request("n")) // its answer comes only after a withdrawal of the first message, had there been one
@@ -38,8 +38,9 @@
 	}
 }
 
-// A decision that comes after the client's time-out is not sent: the message is withdrawn and refused with 503, since
-// the client may already be resubmitting it to another sender.
+// Guards against a message that is accepted twice: a decision that comes after the client's time-out must not be sent,
+// since the client may already be resubmitting the message to another sender. The message is withdrawn and refused with
+// 503.
 func TestLateAcceptanceIsRefused(t *testing.T) {
 	t.Parallel()
 	var reads atomic.Int32
@@ -146,7 +147,7 @@
 	client = r.connect()
 	client.send(strings.Replace(request("m"), "Host:", "Connection: close\r\nHost:", 1))
 	if res := client.readResponse(t); res.StatusCode != 202 {
-		t.Errorf("answer %d", res.StatusCode)
+		t.Errorf("answer %d, want 202", res.StatusCode)
 	}
 	r.expectCleanClose(client)
 	for _, c := range []struct {
@@ -167,7 +168,8 @@
 }
 
 // Two requests are incomplete when the process is told to stop: one is completed later, the other is not. Both must be
-// answered 503, neither may be accepted, and the server must not stop before.
+// answered 503, neither may be accepted, and the server must not stop before both are
+// answered.
 func TestShutdownAnswersPartialRequests(t *testing.T) {
 	t.Parallel()
 	r := newRig(t, 100, &hooks{})
@@ -179,7 +181,7 @@
 	r.RefuseMessages()
 	completed.send(text[40:])
 	r.mu.Lock()
-	for c := range r.conns { // makes the incomplete request look as if it had begun to arrive drainReadingDelay ago
+	for c := range r.conns { // as if the incomplete request had begun to arrive drainReadingDelay ago
 		c.mu.Lock()
 		if c.state == reading {
 			c.since = c.since.Add(-drainReadingDelay)
@@ -232,7 +234,7 @@
 	r.mu.Unlock()
 	client.send(request("m"))
 	if res := client.readResponse(t); res.StatusCode != 503 {
-		t.Errorf("answer %d", res.StatusCode)
+		t.Errorf("answer %d, want 503", res.StatusCode)
 	}
 	r.terminate()
 	if res := silentClient.readResponse(t); res.StatusCode != 503 {
@@ -259,7 +261,7 @@
 	close(proceed)
 	r.Shutdown(ctx)
 	if res := client.readResponse(t); res.StatusCode != 503 {
-		t.Errorf("answer %d", res.StatusCode)
+		t.Errorf("answer %d, want 503", res.StatusCode)
 	}
 }
 
@@ -310,7 +312,7 @@
 		client := r.connect()
 		client.send(request("m"))
 		if res := client.readResponse(t); res.StatusCode != 202 {
-			t.Errorf("%s: answer %d", name, res.StatusCode)
+			t.Errorf("%s: answer %d, want 202", name, res.StatusCode)
 		}
 		if took := time.Since(start); took > clientTimeout {
 			t.Errorf("%s: answered after %v while half-closed connections held all slots", name, took)
--- a/internal/intake/intake.go
+++ b/internal/intake/intake.go
@@ -87,7 +87,7 @@
 	writeBuf       []byte
 	acceptedAt     time.Time
 	hadRequest     bool
-	accepted       int        // accepted messages
+	accepted       int        // number of accepted messages
 	mu             sync.Mutex // guards the fields below and the read deadline of nc
 	state          int
 	since          time.Time // when the connection entered its state
@@ -102,7 +102,7 @@
 	}
 }
 
-// SetReady makes /up answer 200.
+// SetReady makes the server accept messages, and lets /up answer 200.
 func (s *Server) SetReady() { s.ready.Store(true) }
 
 // Available reports whether clients should send to this process: it is ready, and neither stopping nor draining.
@@ -137,7 +137,7 @@
 	}
 }
 
-// drainConns closes connections that carry no request until the drain with that number ends.
+// drainConns runs until the drain with that number ends, and meanwhile asks connections that carry no request to close.
 func (s *Server) drainConns(drainNum uint64) {
 	for s.drainCount.Load() == drainNum {
 		s.mu.Lock()
@@ -193,8 +193,8 @@
 	s.mu.Unlock()
 }
 
-// reserveSlot takes a slot for one more connection. When few slots are left it evicts connections, so that no client
-// can hold all slots, and before the last slot is taken, so that during a burst of new connections each client is
+// reserveSlot takes a slot for one more connection. It evicts connections when few slots are left, so that no client
+// can hold all slots. It begins before the last slot is taken: during a burst of new connections each client is then
 // still answered within its time-out.
 func (s *Server) reserveSlot() {
 	for {
@@ -287,9 +287,9 @@
 // RefuseMessages makes the server answer 503 to every message that is submitted from now on.
 func (s *Server) RefuseMessages() { s.refusing.Store(true) }
 
-// Shutdown closes the connections that carry no request, and returns when no more messages can be submitted: no Serve is
-// running and every request that was read is answered. A request that stays incomplete is answered 503. The listeners
-// must be closed before or during Shutdown.
+// Shutdown closes the connections that carry no request, and returns when no more messages can be submitted: no Serve
+// is running and every request that was read is answered. A request that stays incomplete is answered 503. The
+// listeners must be closed before or during Shutdown.
 //
 // A connection is half-closed first. What the client still sends is read and discarded, which may go on after Shutdown
 // has returned, until the client closes its side too.
@@ -336,6 +336,7 @@
 	return c.state == closing
 }
 
+// serve answers the requests of a connection until it closes, and then frees its slot.
 func (s *Server) serve(c *clientConn) {
 	defer func() {
 		c.nc.Close()
@@ -384,8 +385,8 @@
 	return keepAlive
 }
 
-// withdraw takes an accepted message back whose client did not learn that it was accepted: the client may resubmit it
-// to another sender.
+// withdraw takes back an accepted message whose client was not told of the acceptance: the client may resubmit it to
+// another sender.
 func (s *Server) withdraw(r *response) {
 	if r.messageNum != 0 {
 		s.sender.Withdraw(r.messageNum)
@@ -443,7 +444,7 @@
 	text         string
 	closeConn    bool
 	messageNum   uint64 // number of the accepted message; 0 = none was accepted
-	// servedBy are the senders that serve the message's destination if this one does not.
+	// servedBy lists the senders that serve the message's destination if this one does not.
 	servedBy []string
 }
 
--- a/internal/intake/rig_test.go
+++ b/internal/intake/rig_test.go
@@ -213,7 +213,7 @@
 	for i := range requests {
 		client.send(request(fmt.Sprintf("%s-%d", name, i)))
 		if res := client.readResponse(r.t); res.StatusCode != 202 {
-			r.t.Fatalf("answer %d", res.StatusCode)
+			r.t.Fatalf("answer %d, want 202", res.StatusCode)
 		}
 	}
 	return client
