--- a/internal/discovery/backoff.go
+++ b/internal/discovery/backoff.go
@@ -9,9 +9,9 @@
 )
 
 const (
-	minPause              = 100 * time.Millisecond // the first pause after a failure, for a fleet of one sender
+	minPause              = 100 * time.Millisecond // nominal pause after a first failure, for a fleet of one sender
 	fleetRetriesPerSecond = 20.0                   // approximate rate at which retries of all senders together level off
-	maxPauseRatio         = 16                     // the longest pause is at most this multiple of the shortest
+	maxPauseRatio         = 16                     // the longest nominal pause is at most this multiple of the first
 	maxPauseShare         = 0.5                    // share of Settings.MaxSubscribeInterval that a pause may take
 	maxPause              = 5 * time.Second        // upper bound of every pause
 	// maxRetryInterval is the longest time from the start of a failed request to the start of the next one. Discovery
@@ -47,10 +47,10 @@
 	return time.Duration(b.rng.Float64() * float64(longest))
 }
 
-// steadyPause returns the pause, up to longest, after a further failure of a process that has had no answer yet. A fleet
-// that starts at the same moment is refused together, and pauses that begin short would keep discovery overloaded; these
-// add up to fleetRetriesPerSecond for the fleet. No change is missed meanwhile: an agent that refuses a request does not
-// count any change as known to this sender.
+// steadyPause returns the pause, up to longest, after a further failure of a process that has had no answer yet. A
+// fleet that starts at the same moment is refused together, and pauses that begin short would keep discovery
+// overloaded; these add up to fleetRetriesPerSecond for the fleet. No change is missed meanwhile: an agent that refuses
+// a request does not count any change as known to this sender.
 func (b *backoff) steadyPause(longest time.Duration) time.Duration {
 	return time.Duration(float64(longest) * (0.5 + 0.5*b.rng.Float64()))
 }
@@ -58,7 +58,7 @@
 // pause returns the pause after that many failures in a row, 1 or more. answered reports whether any request of this
 // process has been answered; elapsed is how long the failed request took. A request that timed out leaves less time for
 // the pause: discovery may have recovered right after it was sent, with a change that the next request has to fetch
-// before it counts as known to this sender. A watch alone may have taken 3.5 s of these 6 s.
+// before it counts as known to this sender, 6 s after its publication. A watch alone may have taken 3.5 s of these.
 func (b *backoff) pause(failures int, answered bool, elapsed time.Duration) time.Duration {
 	longest := min(b.longest, max(maxRetryInterval-elapsed, minPause))
 	switch {
--- a/internal/discovery/bounds_test.go
+++ b/internal/discovery/bounds_test.go
@@ -31,8 +31,8 @@
 	return text.String()
 }
 
-// startScriptedAgent starts an agent that answers each request with the next of the bodies and no request after the last
-// one. It sends the URI of each request to the returned channel.
+// startScriptedAgent starts an agent that answers each request with the next of the bodies and no request after the
+// last one. It sends the URI of each request to the returned channel.
 func startScriptedAgent(t *testing.T, chunked bool, bodies ...string) (addr string, requests <-chan string) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -183,8 +183,8 @@
 	}
 }
 
-// A process of a large fleet starts with a known list while discovery is silent. Its second request must be sent in time
-// for a change to be seen before it counts as known to the sender: here over sockets.
+// A process of a large fleet starts with a known list while discovery is silent. Its second request must be sent in
+// time for a change to be seen before it counts as known to the sender. As TestRetryAfterTimeoutIsInTime, over sockets.
 func TestSilentAgentAtStartIsRetriedInTime(t *testing.T) {
 	t.Parallel()
 	const watchers = 8
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -18,7 +18,8 @@
 // MaxList is the maximum length of an endpoint list in bytes: some 60,000 endpoints.
 const MaxList = 8 << 20
 
-// agentClient calls the agent over one connection, which it opens on demand.
+// agentClient calls the agent over one connection, which it opens on demand. Only one goroutine may use it, except for
+// currentAddr and setAddr, which are safe for concurrent use.
 type agentClient struct {
 	nc       net.Conn
 	connAddr string // the address that nc is connected to
@@ -83,6 +84,7 @@
 	return m, err
 }
 
+// roundTrip sends a request on the open connection, or on a new one, and reads the answer.
 func (c *agentClient) roundTrip(ctx context.Context, request []byte, timeout time.Duration) (*http1.Message, error) {
 	if c.nc == nil {
 		nc, err := (&net.Dialer{Timeout: dialTimeout}).DialContext(ctx, "tcp", c.connAddr)
--- a/internal/discovery/notices.go
+++ b/internal/discovery/notices.go
@@ -23,10 +23,11 @@
 	Num      uint64
 	Trace    string
 	Returned bool  // true: returned to its client; false: abandoned
-	RetryMS  int64 // when to resubmit a returned message, in milliseconds; 0 = unknown
+	RetryMS  int64 // milliseconds after which the client may resubmit a returned message; 0 = unknown
 }
 
-// NoticeQueue posts notices to the discovery agent and retries each until the agent acknowledges it.
+// NoticeQueue posts notices to the discovery agent and retries each until the agent acknowledges it. Post and SetAddr
+// are safe for concurrent use, also with Run.
 type NoticeQueue struct {
 	agent        *agentClient
 	log          zerolog.Logger
@@ -38,7 +39,7 @@
 }
 
 // NewNoticeQueue returns a NoticeQueue that posts to the agent at addr. It calls acknowledged with the numbers of the
-// messages whose notices the agent has acknowledged.
+// messages whose notices the agent has acknowledged, from the goroutine of Run.
 func NewNoticeQueue(addr string, log zerolog.Logger, acknowledged func([]uint64)) *NoticeQueue {
 	return &NoticeQueue{agent: newAgentClient(addr), log: log, acknowledged: acknowledged, wake: make(chan struct{}, 1)}
 }
@@ -106,6 +107,7 @@
 	n.acknowledged(nums)
 }
 
+// postBatch posts the notices in one call. It returns an error unless the agent answers 204.
 func (n *NoticeQueue) postBatch(ctx context.Context, batch []Notice) error {
 	var body []byte
 	for i := range batch {
--- a/internal/discovery/repeated_answer_test.go
+++ b/internal/discovery/repeated_answer_test.go
@@ -13,7 +13,8 @@
 
 const noContent = "HTTP/1.1 204 No Content\r\n\r\n"
 
-// Guards against a notice that counts as acknowledged by a duplicate of the answer to an earlier one, and is never posted.
+// Guards against a notice that counts as acknowledged by a duplicate of the answer to an earlier one, and is never
+// posted.
 func TestRepeatedAnswerDoesNotAcknowledgeLaterNotice(t *testing.T) {
 	agent := standin.NewRawPartner(t)
 	acknowledged := make(chan []uint64, 10)
@@ -33,8 +34,8 @@
 	<-acknowledged
 }
 
-// The agent writes an answer twice. Guards against a watch that takes each further answer for that to the request before
-// it, so that changes are seen late.
+// The agent writes an answer twice. Guards against a watch that takes each further answer for that to the request
+// before it, so that changes are seen late.
 func TestRepeatedListDoesNotDelayLaterOnes(t *testing.T) {
 	agent := standin.NewRawPartner(t)
 	updates := make(chan List, 10)
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -57,7 +57,8 @@
 	Endpoints []Endpoint
 }
 
-// Watch follows the endpoint list by long polling. It calls Update with each list, in order.
+// Watch follows the endpoint list by long polling. It calls Update with each list, in order, from the goroutine of
+// Restore or Run. While Run is running, only SetAddr may be called.
 type Watch struct {
 	Settings *policy.Settings
 	Log      zerolog.Logger
@@ -150,6 +151,7 @@
 	}
 }
 
+// requestList makes one request, for the changes since the version or for the whole list, and applies the answer.
 func (w *Watch) requestList(ctx context.Context) error {
 	path, timeout, addr := "/discovery/hosts", listTimeout, w.agent.currentAddr()
 	if w.synced = w.synced && w.versionAddr == addr; w.synced {
@@ -208,15 +210,15 @@
 	return err
 }
 
-// parse reads a list in discovery's JSON format.
+// parse reads a list in discovery's JSON format. Endpoints that are invalid or over MaxEndpoints are left out.
 func (w *Watch) parse(text []byte) (List, error) {
 	v, err := w.parser.ParseBytes(text)
 	if err != nil {
-		return List{}, fmt.Errorf("list of endpoints: %w", err)
+		return List{}, fmt.Errorf("parse list of endpoints: %w", err)
 	}
 	servers := v.Get("servers")
 	if servers == nil || servers.Type() != fastjson.TypeArray {
-		return List{}, fmt.Errorf("list of endpoints: no \"servers\" array")
+		return List{}, fmt.Errorf("parse list of endpoints: no \"servers\" array")
 	}
 	list := List{Full: v.GetBool("full"), Version: v.GetUint64("version")}
 	for _, s := range servers.GetArray() {
@@ -238,6 +240,7 @@
 	}
 }
 
+// parseEndpoint reads an endpoint of a list. It returns false if the endpoint is to be ignored.
 func (w *Watch) parseEndpoint(s *fastjson.Value) (Endpoint, bool) {
 	name := string(s.GetStringBytes("id"))
 	if name == "" {
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -19,8 +19,8 @@
 
 const oneEndpointList = `{"version":%d,"full":true,"servers":[{"id":"s-1","addr":"10.1.0.1:9000","cell":1,"state":"up"}]}`
 
-// startAgent starts an agent that answers each request with the next of the statuses: 0 is no answer, 1 is status 200 with
-// truncated JSON. After the last one it answers nothing. It sends the URI of each request to the returned channel.
+// startAgent starts an agent that answers each request with the next of the statuses: 0 is no answer, 1 is status 200
+// with truncated JSON. After the last one it answers nothing. It sends the URI of each request to the returned channel.
 func startAgent(t *testing.T, statuses ...int) (addr string, requests <-chan string) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -69,6 +69,7 @@
 	return ln.Addr().String(), received
 }
 
+// startWatch starts a watch with the known list, if that is not empty. It stops when the test ends.
 func startWatch(t *testing.T, addr string, known string) *Watch {
 	w := NewWatch(addr, &policy.Settings{}, 1, zerolog.Nop(), func(List) {})
 	if err := w.Restore([]byte(known)); err != nil {
@@ -104,6 +105,7 @@
 	expectRequests(t, requests, from41, from41, from41, from42, from42)
 }
 
+// Without a known list there is no version to watch from: the whole list must be requested until an answer contains it.
 func TestWholeListIsRequestedWithoutKnownList(t *testing.T) {
 	addr, requests := startAgent(t, 503, 200)
 	startWatch(t, addr, "")
@@ -127,7 +129,8 @@
 	expectRequests(t, newRequests, "/discovery/hosts", "/discovery/hosts?index=42&wait=3000")
 }
 
-// The longest pause by the fleet's settings. Senders out of range count as one, or give the upper bound of the pauses.
+// Guards against pauses that are too short or too long for the size of the fleet. A number of senders below one counts
+// as one, and a huge one gives the upper bound of the pauses. within is MaxSubscribeInterval in milliseconds.
 func TestPauseBounds(t *testing.T) {
 	for _, c := range []struct {
 		senders   int
@@ -151,10 +154,10 @@
 	}
 }
 
-// Eighty senders start at the same moment, on a simulated clock, and every request fails. Their requests must stay below
-// six times fleetRetriesPerSecond in the first second, in which a fleet without pauses sends 800, and below twice that
-// rate afterwards. Guards against pauses that begin short again after the first one: with these the fleet sent 42 to 62
-// requests a second in seconds 1 to 4, which can overload discovery permanently.
+// Eighty senders start at the same moment, on a simulated clock, and every request fails. Their requests must stay
+// below six times fleetRetriesPerSecond in the first second, in which a fleet without pauses sends 800, and below twice
+// that rate afterwards. Guards against pauses that begin short again after the first one: with these the fleet sent 42
+// to 62 requests a second in seconds 1 to 4, which can overload discovery permanently.
 func TestFleetRequestsAreBoundedAndSpread(t *testing.T) {
 	const senders, seconds = 80, 60
 	var requests []float64
@@ -179,8 +182,9 @@
 	t.Logf("requests a second: %v", perSecond)
 }
 
-// What the agent holds counts as known to the sender, requested or not. A sender of a large fleet that starts with a known
-// list must not pause before its first watch, or it sees a drain that is published meanwhile only after the grace period.
+// What the agent holds counts as known to the sender, requested or not. A sender of a large fleet that starts with a
+// known list must not pause before its first watch, or it sees a drain that is published meanwhile only after the grace
+// period.
 func TestKnownListIsWatchedAtOnce(t *testing.T) {
 	const within = 250 * time.Millisecond // half of the shortest grace period for a drain
 	for seed := range uint64(10) {
@@ -225,8 +229,8 @@
 	}
 }
 
-// A watch and the next request time out, and an endpoint drains meanwhile: the drain must be seen in time. Here over
-// sockets.
+// As TestRepeatedSilenceIsDetectedInTime, over sockets: a watch and the next request time out, and an endpoint drains
+// meanwhile. The drain must be seen in time.
 func TestDrainIsSeenAfterTwoTimeouts(t *testing.T) {
 	t.Parallel()
 	addr, requests := startAgent(t, 200, 0, 0, 200)
@@ -246,9 +250,9 @@
 	}
 }
 
-// The configuration changes discovery's address after a request was made for the old agent and before it is sent. A watch
-// from the old agent's version must not reach the new one, which would hold it while its own endpoints already count as
-// known to the sender.
+// The configuration changes discovery's address after a request was made for the old agent and before it is sent. A
+// watch from the old agent's version must not reach the new one, which would hold it while its own endpoints already
+// count as known to the sender.
 func TestRequestForOldAgentIsNotSentToNewAgent(t *testing.T) {
 	oldAgent, _ := startAgent(t, 200)
 	newAgent, newRequests := startAgent(t, 200)
