--- a/internal/fsys/faulty.go
+++ b/internal/fsys/faulty.go
@@ -18,8 +18,8 @@
 // Faulty is an FS for tests that injects faults into the operations of another FS.
 type Faulty struct {
 	FS
-	// Inject is called before each operation, with the operation's number, from 0, its name and its file. It returns
-	// the fault to inject.
+	// Inject is called before each operation except Size and the Close of a file, with the operation's number, from 0,
+	// its name ("read", "write", "append", "open" and so on) and its file. It returns the fault to inject.
 	Inject func(n int, op, name string) Fault
 
 	mu      sync.Mutex
@@ -34,6 +34,7 @@
 	return f.ops
 }
 
+// nextFault counts an operation and returns the fault to inject into it.
 func (f *Faulty) nextFault(op, name string) Fault {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -46,6 +47,7 @@
 	return fault
 }
 
+// perform runs an operation, or injects a fault into it.
 func (f *Faulty) perform(op, name string, operation func() error) error {
 	fault := f.nextFault(op, name)
 	if fault.Err == nil {
--- a/internal/keys/keys.go
+++ b/internal/keys/keys.go
@@ -104,6 +104,7 @@
 
 var errNoCert = errors.New("no certificate in PEM")
 
+// expiryWarnings returns a warning for each certificate that expires within ExpiryWarningPeriod after now.
 func expiryWarnings(file string, certs []*x509.Certificate, now time.Time) (list []Warning) {
 	for _, c := range certs {
 		if c != nil && now.Add(ExpiryWarningPeriod).After(c.NotAfter) {
--- a/internal/partners/partners.go
+++ b/internal/partners/partners.go
@@ -1,5 +1,5 @@
 // Package partners holds the protocol and the keys with which each destination is called, as the operators' file sets
-// them. Calls read them concurrently with a reload, which replaces all of them at once.
+// them. Calls may read them during a reload, which replaces the set of partners atomically.
 package partners
 
 import (
--- a/internal/statedir/statedir.go
+++ b/internal/statedir/statedir.go
@@ -45,7 +45,7 @@
 	}
 }
 
-// successorLockName is the lock of a process that starts while its predecessor still holds the directory.
+// successorLockName names the lock file of a process that starts while its predecessor still holds the directory.
 const successorLockName = "lock.heir"
 
 // LockSuccessor takes the directory's successor lock, for a process that starts while its predecessor still
@@ -135,6 +135,7 @@
 }
 
 // YieldTo makes a yield to beneficiary: when a claim of beneficiary fails, YieldRequested of a reports it.
+// It must not be called concurrently with a Claim of beneficiary.
 func (a *Account) YieldTo(beneficiary *Account) { beneficiary.yielder = a }
 
 // Claim sets the claim to that many bytes if the other accounts leave enough, and reports whether they did.
--- a/internal/statedir/statedir_test.go
+++ b/internal/statedir/statedir_test.go
@@ -52,10 +52,10 @@
 		{first, 900, true}, {second, 101, false}, {second, 0, true}, {first, 1000, true}, {first, 1001, false},
 	} {
 		if got := step.who.Claim(step.bytes); got != step.ok {
-			t.Fatalf("%+v: %v", step, got)
+			t.Fatalf("step %+v: Claim returned %v", step, got)
 		}
 		if sum := first.Claimed() + second.Claimed(); sum > 1000 {
-			t.Fatalf("%d claimed", sum)
+			t.Fatalf("%d bytes claimed, more than the total", sum)
 		}
 	}
 	select {
@@ -64,7 +64,7 @@
 		t.Error("the yielding account was not notified")
 	}
 	if first.Claim(0); first.SoftLimit() != 700 || first.Limit() != 1000 {
-		t.Errorf("soft %d, limit %d", first.SoftLimit(), first.Limit())
+		t.Errorf("soft limit %d, want 700; limit %d, want 1000", first.SoftLimit(), first.Limit())
 	}
 	if RoundToBlocks(0) != 0 || RoundToBlocks(1) != 512 || RoundToBlocks(512) != 512 || RoundToBlocks(513) != 1024 {
 		t.Error("RoundToBlocks does not round up to whole blocks")
--- a/internal/timeline/timeline.go
+++ b/internal/timeline/timeline.go
@@ -24,7 +24,7 @@
 	tempName          = fileName + ".new"
 	bootIDFile        = "/proc/sys/kernel/random/boot_id"
 	saveRetryInterval = time.Second
-	readRetryTimeout  = 10 * time.Second // reading an anchor is retried for so long, since deadlines shift without it
+	readRetryTimeout  = 10 * time.Second // retries of reading an anchor; long, since deadlines shift without it
 	// DiskBytes is the disk space that the anchor's file and its temporary copy take in the state directory.
 	DiskBytes = 1024
 )
@@ -50,8 +50,8 @@
 }
 
 // Start returns the time, in Unix milliseconds, at which a process run that begins at now starts. Without a stored
-// anchor of this boot, that is the wall clock's time, and anchor is to be saved for later runs; otherwise anchor is nil.
-// An error is returned together with the wall clock's time and a new anchor.
+// anchor of this boot, that is the wall clock's time, and anchor is to be saved for later runs; otherwise anchor is
+// nil. An error is returned together with the wall clock's time and a new anchor.
 func Start(files fsys.FS, now Reading) (start float64, anchor []byte, err error) {
 	fresh := fmt.Appendf(nil, "%d %.0f %q\n", now.Monotonic, now.Wall, now.Boot)
 	var data []byte
@@ -86,7 +86,7 @@
 	return nil
 }
 
-// RetrySave calls Save periodically, after an initial delay, until it succeeds or stop is closed.
+// RetrySave calls Save periodically, first after saveRetryInterval, until it succeeds or stop is closed.
 func RetrySave(files fsys.FS, anchor []byte, stop <-chan struct{}) {
 	for {
 		select {
--- a/internal/timeline/timeline_test.go
+++ b/internal/timeline/timeline_test.go
@@ -33,7 +33,8 @@
 	}
 }
 
-// TestAnchorSaveIsRetried guards against an anchor that is never saved because the directory is temporarily not writable.
+// TestAnchorSaveIsRetried guards against an anchor that is never saved because the directory is temporarily not
+// writable.
 func TestAnchorSaveIsRetried(t *testing.T) {
 	dir := t.TempDir()
 	failures := 1
