--- a/internal/outbound/answer.go
+++ b/internal/outbound/answer.go
@@ -14,13 +14,14 @@
 // itemResult holds what a response says about one message.
 type itemResult struct {
 	outcome       policy.Outcome
-	final         bool    // the message is over: no further attempt is made
-	requestedWait float64 // by Retry-After, in milliseconds
-	report        []float64
+	final         bool      // the message is over: no further attempt is made
+	requestedWait float64   // from Retry-After, in milliseconds; 0: none
+	report        []float64 // values of the load report; nil: none
 }
 
-// classify maps an HTTP/1.1 or HTTP/2 response to a result, by the protocol's table of statuses. get returns
-// the header with a lower-case name. A status that is not in the table counts as an error that may have run.
+// classify maps an HTTP/1.1 or HTTP/2 response to a result, by the protocol's table of statuses. get returns the value
+// of a header, given its name in lower case. single is false for a bulk call. A status that is not in the table counts
+// as an error after which the message may have run. A Retry-After that is not between 0 and 1e6 seconds is ignored.
 func (p *Pool) classify(status int, get func(string) string, single bool) itemResult {
 	result := itemResult{outcome: policy.Error, report: p.parseReport([]byte(get("endpoint-load-metrics")))}
 	if seconds, err := strconv.ParseFloat(get("retry-after"), 64); err == nil && seconds > 0 && seconds < 1e6 {
@@ -48,8 +49,8 @@
 	return result
 }
 
-// parseReport reads the values of a load report into the positions that the settings
-// give them. A report with any invalid part is ignored as a whole: half of one could
+// parseReport returns the values of a load report, at the positions Options.X0 and Options.X1. It returns nil if there
+// is no report or neither value has a position. A report with any invalid part is ignored as a whole: half of one could
 // throttle a whole destination.
 func (p *Pool) parseReport(header []byte) []float64 {
 	if len(header) == 0 || max(p.opt.X0, p.opt.X1) < 0 {
@@ -85,8 +86,9 @@
 	"no_more":  {outcome: policy.Moot},
 }
 
-// parseBulk reads the result of each message from the response to a bulk call. A message
-// that the response does not name may have run, and complete is false then.
+// parseBulk reads the result of each message from the response to a bulk call. The requested wait and the load report
+// of common, the result of the response itself, apply to every message. A message that the response does not name may
+// have run; complete is false then.
 func parseBulk(parser *fastjson.Parser, c *Call, body []byte, common itemResult) (events []policy.Event, complete bool) {
 	results := make(map[string]itemResult, len(c.Items))
 	if v, err := parser.ParseBytes(body); err == nil {
--- a/internal/outbound/call.go
+++ b/internal/outbound/call.go
@@ -13,12 +13,13 @@
 // Item is one message of a call.
 type Item struct {
 	ID         uint64
-	Attempt    int
-	Trace, Key string
+	Attempt    int    // 0: the first
+	Trace, Key string // sent as X-Trace-Id and Idempotency-Key; without a Key, no Idempotency-Key is sent
 	Body       []byte
 }
 
-// The states of a call. It starts when its first byte is about to be written; one that is dropped before never starts.
+// The states of a call. Only the change from stateWaiting to stateStarted permits writing its first byte, or reporting
+// its end without a byte written. A call that is dropped before never starts.
 const (
 	stateWaiting = iota
 	stateStarted
@@ -31,10 +32,10 @@
 	Addr     string
 	Dest     int
 	Items    []Item
-	SentAt   time.Time
+	SentAt   time.Time // Timeout and the reported latency count from here
 	Timeout  time.Duration
-	// MayStart is called immediately before the first byte is written. If it returns false, the call never runs. It may
-	// be nil.
+	// MayStart is called immediately before the first byte is written, and after a failed dial. If it returns false, the
+	// call never runs. It must not block or call methods of the Pool, whose locks may be held. It may be nil.
 	MayStart func() bool
 	// WriteBy is the latest time at which the request may be written; zero: no limit but the time-out. It prevents a
 	// retry that waits for its connection from arriving after the partner has forgotten the first attempt.
@@ -51,7 +52,7 @@
 	// HTTP/2 only
 	timer         *time.Timer
 	stream        *h2.Stream
-	cancelOnStart bool // the call was to end before its stream was opened
+	cancelOnStart bool // the call was abandoned or has timed out: a stream that is opened later is cancelled at once
 }
 
 // Drop cancels a call that has not started, and reports whether it did. The call then
@@ -98,7 +99,7 @@
 	return c.abandoned
 }
 
-// startForbidden reports whether the call must not start any more.
+// startForbidden reports whether MayStart or WriteBy forbids the call to start.
 func (c *Call) startForbidden() bool {
 	return c.MayStart != nil && !c.MayStart() || !c.WriteBy.IsZero() && !time.Now().Before(c.WriteBy)
 }
@@ -111,4 +112,5 @@
 	return deadline
 }
 
+// tryStart reports whether the call was waiting, and marks it as started if so.
 func (c *Call) tryStart() bool { return c.state.CompareAndSwap(stateWaiting, stateStarted) }
--- a/internal/outbound/closing.go
+++ b/internal/outbound/closing.go
@@ -14,12 +14,12 @@
 	CloseTrailingBytes                          // a response was followed by bytes that do not belong to it
 	CloseWriteFailed                            // a request could not be written
 	CloseBroken                                 // it broke, or timed out, before a complete response
-	CloseMalformed                              // a response could not be parsed, or stalled
+	CloseMalformed                              // a response could not be parsed, was too large, or stalled
 	CloseRequested                              // a response announced the close
 	CloseAbandoned                              // its call was abandoned
-	CloseMismatch                               // a response cannot belong to the outstanding call
+	CloseMismatch                               // a response cannot belong to its call, or left out a message of it
 	CloseOtherStatus                            // a response had a status other than 200
-	CloseDistrusted                             // its endpoint has recently sent unsolicited bytes or a mismatched response
+	CloseDistrusted                             // connections to its endpoint carry one call each, see distrusted
 	CloseResponseTimeUnknown                    // the typical response time of its endpoint is not known yet
 )
 
@@ -53,7 +53,7 @@
 	Answers  int // complete responses that it has carried
 }
 
-// reportClosed passes the end of the connection to OnConnClosed.
+// reportClosed passes the end of the connection to OnConnClosed, if it is set.
 func (cn *conn) reportClosed(reason CloseReason) {
 	if cn.pool.opt.OnConnClosed != nil {
 		cn.pool.opt.OnConnClosed(CloseEvent{Endpoint: cn.endpoint, Addr: cn.addr, Reason: reason, Answers: cn.answers})
--- a/internal/outbound/conn.go
+++ b/internal/outbound/conn.go
@@ -30,8 +30,8 @@
 	addr        string
 	nc          net.Conn
 	reader      *http1.Reader
-	calls       chan *Call // closed to end the goroutine
-	usedAt      time.Time
+	calls       chan *Call  // closed to end the goroutine
+	usedAt      time.Time   // when it last became idle
 	reusableAt  time.Time   // end of the settle time after the last response
 	firstByteAt time.Time   // when the last response began to arrive
 	answers     int         // complete responses that it has carried
@@ -74,6 +74,7 @@
 	}
 }
 
+// dial establishes the connection for c. If it fails, it ends c and returns false.
 func (cn *conn) dial(c *Call) bool {
 	deadline := time.Now().Add(min(cn.pool.opt.DialTimeout, time.Until(c.SentAt.Add(c.Timeout))))
 	ctx, cancel := context.WithDeadline(context.Background(), c.capAtWriteBy(deadline))
@@ -101,8 +102,8 @@
 	return true
 }
 
-// serve makes one call and reports whether the connection can take another; it is
-// among the idle connections then.
+// serve makes one call and reports whether the connection can take another. If so, serve has added it to the idle
+// connections.
 func (cn *conn) serve(c *Call) bool {
 	if cn.answers > 0 && !cn.stillIdle() {
 		cn.pool.startHTTP1(c, cn.partner)
@@ -204,7 +205,7 @@
 	case !complete:
 		cn.pool.profileOf(cn.endpoint).suspectUntil = time.Now().Add(suspectDuration)
 		return CloseMismatch, false
-	case resp.Status != http.StatusOK: // its copy could not be told from the response to the next call by the response time
+	case resp.Status != http.StatusOK: // the response time could not tell its copy from the response to the next call
 		return CloseOtherStatus, false
 	case cn.pool.distrusted(cn.endpoint):
 		return CloseDistrusted, false
--- a/internal/outbound/matching.go
+++ b/internal/outbound/matching.go
@@ -19,7 +19,7 @@
 	minDistrustedEndpoints = 2
 )
 
-// profileOf returns the profile of an endpoint, which it creates if there is none. The lock is held.
+// profileOf returns the profile of an endpoint, which it creates if there is none. The lock must be held.
 func (p *Pool) profileOf(endpoint uint32) *responseProfile {
 	profile := p.profiles[endpoint]
 	if profile == nil {
@@ -30,7 +30,8 @@
 }
 
 // learnResponseTime records the response time of a 200 that fits its call. An endpoint that already knows a repeated
-// message responds at once, which says nothing about its typical response time. The lock is held.
+// message responds at once, which says nothing about its typical response time: a retry counts only if it took at least
+// minTypicalTime. A probe does not count. The lock must be held.
 func (p *Pool) learnResponseTime(c *Call, responseTime time.Duration) {
 	if c.firstAttempt() || len(c.Items) > 0 && responseTime >= minTypicalTime {
 		p.profileOf(c.Endpoint).learn(responseTime)
@@ -38,12 +39,12 @@
 }
 
 // responseTimeUnknown reports whether the typical response time of an endpoint to messages is not known yet. The lock
-// is held.
+// must be held.
 func (p *Pool) responseTimeUnknown(endpoint uint32) bool {
 	return p.profileOf(endpoint).typicalTime == 0
 }
 
-// noteUnsolicited records that an endpoint has sent unsolicited bytes. The lock is held.
+// noteUnsolicited records that an endpoint has sent unsolicited bytes. The lock must be held.
 func (p *Pool) noteUnsolicited(endpoint uint32) {
 	now := time.Now()
 	profile := p.profileOf(endpoint)
@@ -60,7 +61,7 @@
 	p.profileOf(endpoint).suspectUntil = time.Now().Add(suspectDuration)
 }
 
-// distrusted reports whether connections to an endpoint carry only one call each. The lock is held.
+// distrusted reports whether connections to an endpoint carry only one call each. The lock must be held.
 func (p *Pool) distrusted(endpoint uint32) bool {
 	now := time.Now()
 	p.distrustedEndpoints = slices.DeleteFunc(p.distrustedEndpoints, func(e uint32) bool {
--- a/internal/outbound/mux.go
+++ b/internal/outbound/mux.go
@@ -16,7 +16,7 @@
 )
 
 // mux holds the HTTP/2 connections to one endpoint, and the calls that wait for one of them. Package placing
-// decides which connection takes a request; streamOutcomes gives the outcome of each end of a stream.
+// decides which connection takes a request. mu guards the fields below it.
 type mux struct {
 	pool     *Pool
 	partner  *Partner
@@ -26,23 +26,23 @@
 
 	mu            sync.Mutex
 	placement     placing.Pool
-	conns         map[int]*h2.Conn
-	waiting       []*Call
-	answersAtDial map[int]int // value of answers when a connection was dialled, by connection
-	answers       int         // complete responses received
-	http1Only     bool        // the partner chose HTTP/1.1 by ALPN
-	heldUntil     time.Time   // end of a requested wait, during which no waiting call is sent
-	retired       bool        // replaced by another mux
-	dialDueAt     time.Time   // turn of the connection that was requested last
+	conns         map[int]*h2.Conn // by the ID that placement has given to the connection
+	waiting       []*Call          // in order of arrival
+	answersAtDial map[int]int      // value of answers when a connection was added, by its ID
+	answers       int              // complete responses received
+	http1Only     bool             // the partner chose HTTP/1.1 by ALPN
+	heldUntil     time.Time        // end of a requested wait, during which no waiting call is sent
+	retired       bool             // replaced by another mux
+	dialDueAt     time.Time        // when the connection added last may be dialled, see PaceDials
 }
 
-// streamOutcomes maps the end of a stream to an outcome for the decision module (RFC 9113 8.7). A complete
-// response is classified by its status. A 200 to a single message counts as soon as its header section has
-// arrived, however the stream ends.
+// streamOutcomes maps the end of a stream to the outcome that package policy receives (RFC 9113 8.7). Two cases are not
+// in it: a complete response is classified by its status, and a 200 to a single message counts as soon as its header
+// section has arrived, however the stream ends.
 var streamOutcomes = map[h2.Outcome]policy.Outcome{
 	h2.NeverRan:        policy.ConnectFailed, // the last byte was not written
-	h2.GoneAway:        policy.Moot,          // graceful shutdown: the peer is healthy, and another connection may take the call
-	h2.Refused:         policy.Moot,          // no free stream: that is no rate limit, and must not cut the pace as Full does
+	h2.GoneAway:        policy.Moot,          // graceful shutdown: the peer is healthy, a further attempt may succeed
+	h2.Refused:         policy.Moot,          // no free stream: no rate limit, must not cut the pace as Full does
 	h2.Broken:          policy.Reset,         // the call may have run
 	h2.Unresponsive:    policy.Timeout,       // the call may have run, and the peer does not respond
 	h2.Cancelled:       policy.Timeout,       // cancelled by this side
@@ -84,7 +84,7 @@
 }
 
 // dispatch gives waiting calls to connections with free streams, and dials further connections if needed. The lock
-// is held; the callbacks that it returns must be called without the lock.
+// must be held; the callbacks that it returns must be called without the lock.
 func (m *mux) dispatch() (callbacks []func()) {
 	for len(m.waiting) > 0 && !time.Now().Before(m.heldUntil) {
 		c := m.waiting[0]
@@ -135,7 +135,8 @@
 	return callbacks
 }
 
-// failWaiting ends all waiting calls, none of which ran. The callbacks must be called without the lock.
+// failWaiting ends all waiting calls, none of which ran. The lock must be held; the callbacks that it returns must be
+// called without the lock.
 func (m *mux) failWaiting(outcome policy.Outcome) (callbacks []func()) {
 	for _, c := range m.waiting {
 		if c.tryStart() {
@@ -146,7 +147,8 @@
 	return callbacks
 }
 
-// updatePlacement copies the stream limit, the open streams and the phase of a connection to its placing entry.
+// updatePlacement copies the stream limit, the open streams and the phase of a connection to its placing entry. The
+// lock must be held.
 func (m *mux) updatePlacement(pc *placing.Conn, hc *h2.Conn) {
 	state := hc.State()
 	pc.Limit, pc.Active = state.Limit, state.Active
@@ -157,7 +159,7 @@
 	}
 }
 
-// connChanged handles a change of a connection: of its stream limit, of its open streams, or its end.
+// connChanged is called when the stream limit or the open streams of a connection have changed, or when it has ended.
 func (m *mux) connChanged(id int, hc *h2.Conn) {
 	m.mu.Lock()
 	pc := m.placement.Get(id)
@@ -186,7 +188,7 @@
 	runAll(callbacks)
 }
 
-// removeConn removes a connection from the mux and from the pool's count. The lock is held.
+// removeConn removes a connection from the mux and from the pool's count. The lock must be held.
 func (m *mux) removeConn(id int) {
 	m.placement.Remove(id)
 	delete(m.conns, id)
@@ -199,8 +201,8 @@
 
 func nowMS() float64 { return float64(time.Since(processStart)) / float64(time.Millisecond) }
 
-// closeUnused closes the connections without open streams that are draining or have been idle too long. The lock is
-// held.
+// closeUnused closes the connections without open streams that are draining or have been idle too long. The lock must
+// be held.
 func (m *mux) closeUnused() {
 	for _, pc := range m.placement.Closable(nowMS()) {
 		if hc := m.conns[pc.ID]; hc != nil {
@@ -209,7 +211,8 @@
 	}
 }
 
-// dial establishes a connection.
+// dial establishes the connection with the given ID. It must be ready, with the peer's SETTINGS received, within
+// DialTimeout. If the dial fails and no other connection is left, all waiting calls fail.
 func (m *mux) dial(id int) {
 	ctx, cancel := context.WithTimeout(context.Background(), m.pool.opt.DialTimeout)
 	defer cancel()
--- a/internal/outbound/outbound.go
+++ b/internal/outbound/outbound.go
@@ -1,6 +1,6 @@
-// Package outbound makes the calls to endpoints over HTTP/1.1 and HTTP/2. It keeps a
-// pool of connections for each endpoint, each served by its own goroutine, and maps
-// every response or failure to an outcome.
+// Package outbound makes the calls to endpoints over HTTP/1.1 and HTTP/2. It pools the connections to each endpoint and
+// maps every response or failure to an outcome. Each HTTP/1.1 connection has a goroutine of its own; HTTP/2 connections
+// are those of package h2.
 package outbound
 
 import (
@@ -24,12 +24,13 @@
 	KeepAlive   time.Duration // maximum idle time of a connection
 	DialTimeout time.Duration
 	X0, X1      int // positions of the values x0 and x1 in a load report; -1: absent
-	// OnDone receives the events with which a call ends, in the order of its items. It must not block.
+	// OnDone receives the events with which a call ends, in the order of its items. Several goroutines call it, without
+	// locks held, and Go may call it before it returns. It must not block.
 	OnDone func(*Call, []policy.Event)
 	// Partner returns how a destination is reached. If it is nil or returns nil, plain HTTP/1.1 is used.
 	Partner func(dest int) *Partner
-	// OnDialError receives the error of a connection that could not be established, at most once in
-	// dialErrorInterval for each endpoint. It may be nil.
+	// OnDialError receives the error of a connection that could not be established, at most once in dialErrorInterval for
+	// each endpoint. Errors of destinations without a Partner are not reported. It may be nil.
 	OnDialError func(endpoint uint32, addr string, err error)
 	// OnConnClosed is called for each HTTP/1.1 connection that is closed. It must not block; it may be nil.
 	OnConnClosed func(CloseEvent)
@@ -68,8 +69,8 @@
 type Pool struct {
 	opt         Options
 	mu          sync.Mutex
-	idle        map[uint32][]*conn // by endpoint, most recently used last
-	open        int
+	idle        map[uint32][]*conn   // over HTTP/1.1, by endpoint, most recently used last
+	open        int                  // connections that count against MaxConns
 	muxes       map[uint32]*mux      // by endpoint
 	dialErrorAt map[uint32]time.Time // last reported dial error, by endpoint
 	// profiles holds how endpoints respond over HTTP/1.1, by endpoint.
@@ -221,7 +222,7 @@
 	return 0, true
 }
 
-// closeIdle ends the goroutine of an idle connection, which closes it. The pool's lock is held.
+// closeIdle ends the goroutine of an idle connection, which closes it. The pool's lock must be held.
 func (cn *conn) closeIdle(reason CloseReason) {
 	cn.reason = reason
 	close(cn.calls)
@@ -243,8 +244,8 @@
 	return max(p.opt.KeepAlive-idleMargin, p.opt.KeepAlive/2)
 }
 
-// evictOldest closes the connection that has been idle the longest, and reports whether there was an idle one. The lock
-// is held.
+// evictOldest closes the HTTP/1.1 connection that has been idle the longest, and reports whether there was an idle one.
+// The lock must be held.
 func (p *Pool) evictOldest() bool {
 	var oldest *conn
 	for _, idle := range p.idle {
--- a/internal/outbound/pace.go
+++ b/internal/outbound/pace.go
@@ -27,7 +27,8 @@
 	d.interval = time.Duration(float64(time.Second) / perSecond)
 }
 
-// dialTurn takes the next turn to open a connection to a destination, and returns the time until then.
+// dialTurn takes the next turn to open a connection to a destination, and returns the time until then; 0 if its dials
+// are not paced.
 func (p *Pool) dialTurn(dest int) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/outbound/partner.go
+++ b/internal/outbound/partner.go
@@ -10,12 +10,12 @@
 
 // Partner describes how a partner is reached other than by plain HTTP/1.1.
 type Partner struct {
-	HTTP2       bool // by prior knowledge; with TLS, if ALPN selects it
-	TLS         func() *tls.Config
-	ServerName  string
-	MaxConns    int           // HTTP/2 connections to one endpoint
-	PingAfter   time.Duration // time without a frame from the peer, with streams open, before a PING
-	PingTimeout time.Duration // maximum time until the answer to a PING
+	HTTP2       bool               // by prior knowledge; with TLS, if ALPN selects it
+	TLS         func() *tls.Config // called for each dial; nil: no TLS
+	ServerName  string             // expected in the certificate; empty: the host of the address
+	MaxConns    int                // HTTP/2 connections to one endpoint
+	PingAfter   time.Duration      // time without a frame from the peer, with streams open, before a PING
+	PingTimeout time.Duration      // maximum time until the answer to a PING
 }
 
 // Dial connects to addr, with a TLS handshake if TLS is set. proto is the negotiated protocol, "h2" or "http/1.1".
--- a/internal/outbound/profile.go
+++ b/internal/outbound/profile.go
@@ -20,7 +20,7 @@
 	minTypicalTime = 20 * time.Millisecond
 )
 
-// responseProfile holds what is known of how an endpoint responds. The zero value is that of an unknown endpoint.
+// responseProfile holds what is known about how an endpoint responds. The zero value is that of an unknown endpoint.
 type responseProfile struct {
 	typicalTime     time.Duration // typical time from the last byte of a request to the first byte of its 200
 	distrustedUntil time.Time     // after the endpoint has sent unsolicited bytes
