--- a/internal/h2/h2.go
+++ b/internal/h2/h2.go
@@ -24,16 +24,16 @@
 )
 
 const (
-	maxFrameSize           = 16 << 10 // bytes of a received frame; the smallest value that 6.5.2 permits
-	maxHeaderListSize      = 16 << 10 // bytes of the headers of a response, counted as in 6.5.2
-	connWindowSize         = 1 << 20  // bytes of the connection's receive window (6.9)
-	hpackTableSize         = 4096     // bytes of the dynamic table, in both directions
-	defaultWindowSize      = 65535    // bytes of a flow-control window before SETTINGS and WINDOW_UPDATE (6.9.2)
-	maxWindowSize          = 1<<31 - 1
-	maxStreamID            = 1<<31 - 1
-	maxOverheadFrames      = 400      // received frames without payload per second, see overheadExceeded
-	maxPendingControlBytes = 64 << 10 // bytes of queued control frames, which grow if the peer stops reading
-	writeTimeout           = time.Second
+	maxFrameSize           = 16 << 10    // payload bytes of a received frame; the smallest value that 6.5.2 permits
+	maxHeaderListSize      = 16 << 10    // bytes of the headers of a response, counted as in 6.5.2
+	connWindowSize         = 1 << 20     // bytes of the connection's receive window (6.9)
+	hpackTableSize         = 4096        // bytes of the dynamic table, in both directions
+	defaultWindowSize      = 65535       // bytes of a flow-control window before SETTINGS and WINDOW_UPDATE (6.9.2)
+	maxWindowSize          = 1<<31 - 1   // bytes; the largest flow-control window (6.9.1)
+	maxStreamID            = 1<<31 - 1   // the largest stream identifier (5.1.1)
+	maxOverheadFrames      = 400         // received frames without payload per second, see overheadExceeded
+	maxPendingControlBytes = 64 << 10    // bytes of queued control frames, which grow if the peer stops reading
+	writeTimeout           = time.Second // of one write, after which the connection is closed
 )
 
 // Outcome is the way in which a request ended.
@@ -46,10 +46,10 @@
 	NeverRan                       // the last byte of the request was not written
 	GoneAway                       // a GOAWAY named an earlier stream as the last one processed
 	Refused                        // the peer reset the stream with REFUSED_STREAM
-	Broken                         // reset or loss of the connection after the last byte was written
+	Broken                         // reset by the peer, or connection lost, when the request may have arrived
 	Unresponsive                   // the connection was closed because the peer did not answer a PING
 	InvalidResponse                // the response is malformed, too large or incomplete
-	Cancelled                      // ended by Cancel; the reset has been written
+	Cancelled                      // ended by Cancel; the reset has been written or the connection is closed
 )
 
 // String returns the name of the outcome.
@@ -342,7 +342,7 @@
 	c.marks = append(c.marks, writeMark{offset: c.queuedBytes, stream: s, reset: true})
 }
 
-// finish removes a stream and returns a function that reports r to its caller, to be called without the lock.
+// finish removes a stream and returns a function that passes r to its onDone, to be called without the lock.
 // The lock must be held.
 func (c *Conn) finish(s *Stream, r Result) func() {
 	if c.streams[s.id] != s {
@@ -523,7 +523,7 @@
 	}
 }
 
-// PeerSettings returns the peer's first SETTINGS by name (6.5.2).
+// PeerSettings returns the settings of the peer's first SETTINGS frame by name (6.5.2), at most 16 of them.
 func (c *Conn) PeerSettings() []Field {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/h2/placing/placing.go
+++ b/internal/h2/placing/placing.go
@@ -38,7 +38,7 @@
 	return max(c.Limit-c.Active, 0)
 }
 
-// Pool holds the connections to one endpoint. The zero value is an empty pool.
+// Pool holds the connections to one endpoint. The zero value is an empty pool. A Pool is not safe for concurrent use.
 type Pool struct {
 	Settings Settings
 	conns    []*Conn
--- a/internal/h2/read.go
+++ b/internal/h2/read.go
@@ -266,7 +266,7 @@
 func (c *Conn) handleHeaders(f *http2.MetaHeadersFrame) (http2.ErrCode, error) {
 	c.mu.Lock()
 	s := c.streams[f.StreamID]
-	if s == nil || s.resetting { // the stream has ended; decoding has kept the hpack table up to date, which is all it needs
+	if s == nil || s.resetting { // the stream has ended; the headers were decoded only to keep the hpack table up to date
 		idleStream := f.StreamID >= c.nextID || f.StreamID%2 == 0
 		c.mu.Unlock()
 		if idleStream { // 5.1: the stream was never opened
@@ -410,7 +410,7 @@
 	}
 	r := s.result
 	r.Outcome = Answered
-	c.overheadFrames = max(c.overheadFrames-4, -maxOverheadFrames)
+	c.overheadFrames = max(c.overheadFrames-4, -maxOverheadFrames) // a response gives credit for 4 frames without payload
 	if len(s.unqueuedBody) > 0 {
 		c.queueReset(s, http2.ErrCodeNo, r)
 		return func() {}
--- a/internal/http1/http1.go
+++ b/internal/http1/http1.go
@@ -20,7 +20,8 @@
 	bufferSize = 8 << 10 // bytes
 )
 
-// Errors of reading. A server answers each with a status of its own: 400, 413 and 411.
+// Errors of reading. A server answers each with a status of its own: 400, 413 and 411. A head that exceeds MaxHead or
+// maxHeaders gives ErrMalformed.
 var (
 	ErrMalformed = errors.New("http1: malformed message")
 	ErrTooLarge  = errors.New("http1: message body too large")
@@ -103,6 +104,7 @@
 	return err
 }
 
+// release discards the last message, whose slices become invalid.
 func (r *Reader) release() {
 	r.br.Discard(r.consumed)
 	r.consumed = 0
--- a/internal/transient/transient.go
+++ b/internal/transient/transient.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// RetryInterval is the time between two attempts of Retry.
+// RetryInterval is the time to wait after a transient error before the next attempt.
 const RetryInterval = 20 * time.Millisecond
 
 // resourceErrors are errors of this machine's resources: they say nothing about a peer, or about a file's content.
@@ -38,8 +38,8 @@
 	return false
 }
 
-// Retry calls op every RetryInterval until it succeeds, returns an error that is not retryable, or timeout has passed. It
-// returns the last error.
+// Retry calls op until it succeeds, it fails with an error that is not retryable, or timeout has passed, and waits for
+// RetryInterval between two calls. It returns the last error.
 func Retry(timeout time.Duration, retryable func(error) bool, op func() error) error {
 	for deadline := time.Now().Add(timeout); ; time.Sleep(RetryInterval) {
 		err := op()
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -63,7 +63,7 @@
 // Record is one decoded record of a batch.
 type Record struct {
 	Kind     int
-	Instance uint32
+	Instance uint32 // ID of the simulated sender
 	Seed     uint64
 	Settings policy.Settings
 	Event    policy.Event
@@ -82,14 +82,14 @@
 
 // Batch is one decoded batch. Records is valid until the next call of Next.
 type Batch struct {
-	Now     float64 // the simulator's clock
-	Seq     uint32
+	Now     float64 // the simulator's clock, in milliseconds
+	Seq     uint32  // sequence number, which the reply repeats
 	Records []Record
 }
 
 // Next reads one batch. It returns io.EOF if the input ends between two batches.
 func (d *Decoder) Next() (Batch, error) {
-	var head [20]byte
+	var head [20]byte // number of records, bytes of the body, clock, sequence number
 	if _, err := io.ReadFull(d.r, head[:]); err != nil {
 		if err == io.EOF {
 			return Batch{}, io.EOF
@@ -115,7 +115,7 @@
 		}
 		code, n := rest[0], binary.BigEndian.Uint32(rest[1:])
 		if uint64(n) > uint64(len(rest)-5) {
-			return b, fmt.Errorf("batch %d: record %d: length %d overruns the frame", b.Seq, i, n)
+			return b, fmt.Errorf("batch %d: record %d: length %d overruns the batch", b.Seq, i, n)
 		}
 		f := fieldReader{b: rest[5 : 5+n]}
 		rest = rest[5+n:]
@@ -177,9 +177,9 @@
 			break
 		}
 		switch mode {
-		case 3:
+		case 3: // the list could not be fetched
 			e.Failed = true
-		case 0, 1, 2:
+		case 0, 1, 2: // 0: changes; otherwise a full list
 			if buffer >= bufferCount {
 				return fmt.Errorf("buffer: list number %d out of range", buffer)
 			}
@@ -265,6 +265,8 @@
 	return nil
 }
 
+// outcomeOf maps a result code of the protocol, which is the number of a Linux errno, to an outcome. It returns false
+// for an unknown code.
 func outcomeOf(rc uint16) (policy.Outcome, bool) {
 	switch rc {
 	case 0:
@@ -346,7 +348,7 @@
 
 // Reset empties the reply.
 func (r *Reply) Reset() {
-	r.buf = append(r.buf[:0], make([]byte, 12)...)
+	r.buf = append(r.buf[:0], make([]byte, 12)...) // header, filled in by Write
 	r.count = 0
 }
 
@@ -400,7 +402,7 @@
 
 func (r *Reply) beginRecord(instance uint32) int {
 	start := len(r.buf)
-	r.buf = append(r.buf, 0, 0, 0, 0, 0)
+	r.buf = append(r.buf, 0, 0, 0, 0, 0) // code and length, filled in by endRecord
 	r.buf = binary.BigEndian.AppendUint32(r.buf, instance)
 	r.count++
 	return start
