--- a/internal/h2/h2_test.go
+++ b/internal/h2/h2_test.go
@@ -78,7 +78,8 @@
 	return r
 }
 
-// Many concurrent requests on one connection, with bodies larger than the flow-control windows and long headers.
+// Guards against mixed-up or truncated bodies and headers when many requests share a connection, with bodies larger
+// than the flow-control windows and long headers.
 func TestConcurrentRequests(t *testing.T) {
 	p := startPartner(t, &standin.H2Partner{MaxStreams: 100, InitialWindow: 1000, Handler: func(r *standin.Request) standin.Reply {
 		return standin.Reply{Status: 200, Body: string(r.Body), Fields: map[string]string{"retry-after": "1.5", "x-long": r.Fields["x-long"]}}
@@ -400,7 +401,7 @@
 	wantOutcome(t, result, h2.Answered)
 }
 
-// For any bytes that a peer sends, every request ends exactly once, and nothing panics.
+// FuzzPeer checks that, whatever bytes a peer sends, every request ends exactly once and nothing panics.
 func FuzzPeer(f *testing.F) {
 	f.Add([]byte{0, 0, 0, 4, 0, 0, 0, 0, 0}, []byte{0, 0, 1, 1, 5, 0, 0, 0, 1, 0x88})
 	f.Add([]byte{0, 0, 0, 4, 0, 0, 0, 0, 0}, []byte{0, 0, 8, 7, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0})
--- a/internal/h2/placing/placing_test.go
+++ b/internal/h2/placing/placing_test.go
@@ -16,6 +16,8 @@
 
 var testSettings = Settings{MaxConns: 3, DialThreshold: 0.9, ExpectedStreams: 100, IdleTimeout: 1000}
 
+// Guards against a request on a connection without a free stream, and against requests that are spread over more
+// connections than needed.
 func TestPick(t *testing.T) {
 	for name, tc := range map[string]struct {
 		conns []Conn
@@ -39,6 +41,8 @@
 	}
 }
 
+// Guards against more dials than the waiting requests need or MaxConns permits, and against requests that wait although
+// a further connection is permitted.
 func TestShouldDial(t *testing.T) {
 	for name, tc := range map[string]struct {
 		conns   []Conn
@@ -64,6 +68,8 @@
 	}
 }
 
+// Guards against closing a connection that has open streams, is being dialled or has not been idle for IdleTimeout, and
+// against keeping one that may be closed.
 func TestClosable(t *testing.T) {
 	p := newPool(testSettings, Conn{Phase: Open, UsedAt: 100}, Conn{Phase: Open, UsedAt: 100, Active: 1}, Conn{Phase: Draining}, Conn{Phase: Draining, Active: 2}, Conn{Phase: Dialling})
 	if list := p.Closable(1099); len(list) != 1 || list[0].ID != 3 {
--- a/internal/http1/http1_test.go
+++ b/internal/http1/http1_test.go
@@ -8,6 +8,8 @@
 	"testing/iotest"
 )
 
+// Guards against a response whose status, body or error depends on how its bytes arrive, and against a truncated or
+// oversized response that loses its status.
 func TestResponses(t *testing.T) {
 	for text, want := range map[string]struct {
 		status int
@@ -72,8 +74,8 @@
 	}
 }
 
-// For any input, reading ends and stays within the limits, and a request that was read and written again reads the
-// same.
+// FuzzMessages checks that for any input reading ends and stays within the limits, and that a request that was read and
+// written again reads the same.
 func FuzzMessages(f *testing.F) {
 	f.Add([]byte("POST /api HTTP/1.1\r\nContent-Length: 3\r\nX: y\r\n\r\nabcGET /up HTTP/1.1\r\n\r\n"))
 	f.Add([]byte("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n0\r\n\r\n"))
--- a/internal/outbound/dial_test.go
+++ b/internal/outbound/dial_test.go
@@ -12,8 +12,8 @@
 	"sliptide/policy"
 )
 
-// Guards against a failed attempt, held against the endpoint, when a connection fails with a transient error on this
-// side.
+// Guards against a transient error on this side, such as a lack of ports or file descriptors, that ends a call as a
+// failure of the endpoint: the dial is retried.
 func TestTransientLocalDialErrorIsRetried(t *testing.T) {
 	partner := standin.NewRawPartner(t)
 	for _, errno := range []syscall.Errno{
--- a/internal/outbound/outbound_test.go
+++ b/internal/outbound/outbound_test.go
@@ -41,6 +41,8 @@
 	return ln.Addr().String(), connNumbers
 }
 
+// Guards against events that lose the load report, the requested wait or the identity of the attempt, and against a
+// call on a connection whose idle time is over.
 func TestProbesLoadReportsAndIdleTimeout(t *testing.T) {
 	ok := "HTTP/1.1 200 OK\r\nEndpoint-Load-Metrics: TEXT x1=25, y=9, x0=0.4\r\nContent-Length: 0\r\n\r\n"
 	addr, conns := startPeer(t, ok, ok, "HTTP/1.1 503 No\r\nRetry-After: 1.25\r\nContent-Length: 0\r\n\r\n")
@@ -132,8 +134,8 @@
 	}
 }
 
-// Guards against a new connection for a call that the outcome of another call releases: the connection of that call is
-// idle by then.
+// Guards against an outcome that is reported before its connection is idle: a call that OnDone starts would open a
+// second connection.
 func TestConnectionIsIdleBeforeOutcomeIsReported(t *testing.T) {
 	ok := "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
 	addr, conns := startPeer(t, ok, ok)
@@ -181,9 +183,8 @@
 	return len(p.idle[endpoint])
 }
 
-// Guards against a call that is written although it must not start any more once its connection is there, and against
-// an outcome that is reported before the connection is idle: a call that the outcome releases then opened a second
-// connection.
+// Guards against a call that is written although MayStart returns false once its connection is there, and against its
+// outcome being reported before that connection is idle: a call that OnDone started then opened a second connection.
 func TestForbiddenCallIsNeverWritten(t *testing.T) {
 	addr, conns := startPeer(t, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 	ended := make(chan []policy.Event, 1)
--- a/internal/outbound/pace_test.go
+++ b/internal/outbound/pace_test.go
@@ -18,20 +18,20 @@
 	acceptedAt []time.Time
 }
 
-func (a *timedListener) Accept() (net.Conn, error) {
-	nc, err := a.Listener.Accept()
-	a.mu.Lock()
-	defer a.mu.Unlock()
+func (l *timedListener) Accept() (net.Conn, error) {
+	nc, err := l.Listener.Accept()
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	if err == nil {
-		a.acceptedAt = append(a.acceptedAt, time.Now())
+		l.acceptedAt = append(l.acceptedAt, time.Now())
 	}
 	return nc, err
 }
 
-func (a *timedListener) acceptTimes() []time.Time {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	return append([]time.Time(nil), a.acceptedAt...)
+func (l *timedListener) acceptTimes() []time.Time {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return append([]time.Time(nil), l.acceptedAt...)
 }
 
 func listenTimed(t *testing.T) *timedListener {
@@ -44,8 +44,8 @@
 
 const dialInterval = 80 * time.Millisecond // between two dials in these tests
 
-// Guards against connections that are opened all at once by calls that start at the same time, as after an outage. The
-// n-th connection comes n turns after the first at the earliest, however slow the machine.
+// Guards against connections that are opened all at once by calls that start at the same time, as after an outage.
+// Counted from 0, connection n is accepted n intervals after the start at the earliest, however slow the machine.
 func TestPaceDialsSpacesConnections(t *testing.T) {
 	for _, h2 := range []bool{false, true} {
 		const endpoints = 4
--- a/internal/outbound/tls_test.go
+++ b/internal/outbound/tls_test.go
@@ -65,6 +65,8 @@
 	}
 }
 
+// Guards against a partner that is called with the wrong protocol version, without the client certificate that it
+// requires, or although its certificate is not valid; the error that is reported must name the cause.
 func TestTLS(t *testing.T) {
 	dir := t.TempDir()
 	path := func(name string) string { return filepath.Join(dir, name) }
@@ -78,7 +80,7 @@
 	requireClientCert := func(s *httptest.Server) {
 		s.TLS.ClientAuth, s.TLS.ClientCAs = tls.RequireAndVerifyClientCert, testCA.Pool()
 	}
-	var selfSigned *standin.Authority
+	var selfSigned *standin.Authority // nil: issues self-signed certificates
 	for name, row := range map[string]struct {
 		cert      tls.Certificate
 		server    func(*httptest.Server)
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -31,6 +31,7 @@
 	06 00000008 00000003 0000004d
 	05 0000000c 00000005 00048f080e6f2b19`
 
+// Guards against a Decoder that departs from the protocol's description.
 func TestDecodesExampleBatch(t *testing.T) {
 	b, err := NewDecoder(bytes.NewReader(decodeHex(t, exampleBatch))).Next()
 	if err != nil {
@@ -52,6 +53,8 @@
 	}
 }
 
+// Guards against a record that gets a later list than the one its buffer held when the record was decoded, as a batch
+// may fill a buffer twice.
 func TestListsResolveInEventOrder(t *testing.T) {
 	list := func(ep string) string {
 		return "0a 0000001d 00000000 00000001 01 " + ep + " 00 3f800000 01 0039 0000000000000000 "
@@ -75,6 +78,7 @@
 	}
 }
 
+// Guards against an outcome that loses the requested wait, the attempt or the load report.
 func TestDecodesReply(t *testing.T) {
 	body := decodeHex(t, "04 00000025 00000003 000e7fcf5d3a91c4 03124a07 00000064 4032800000000000 02 000b 00 01 3f000000")
 	frame := append(decodeHex(t, "00000001 0000002a 40c06e2000000000 00000001"), body...)
@@ -88,6 +92,7 @@
 	}
 }
 
+// Guards against a Reply that departs from the protocol's description.
 func TestWritesExampleReply(t *testing.T) {
 	var r Reply
 	r.Reset()
@@ -121,6 +126,7 @@
 	}
 }
 
+// Guards against an error on malformed input that does not say which batch, record or field it is about.
 func TestErrorsNameBadField(t *testing.T) {
 	for frame, want := range map[string]string{
 		"00000001": "batch header",
@@ -140,6 +146,8 @@
 	}
 }
 
+// Guards against a Decoder that rejects the records and fields that a later version of the protocol adds, and against
+// an end of the input that is reported as an error other than io.EOF.
 func TestSkipsUnknownCodesAndTrailingBytes(t *testing.T) {
 	frame := decodeHex(t, "00000002 00000015 40c06e2000000000 00000001 63 00000001 00 06 0000000a 00000003 0000004d ffff")
 	b, err := NewDecoder(bytes.NewReader(frame)).Next()
@@ -151,6 +159,8 @@
 	}
 }
 
+// Guards against settings of a start record that are read wrongly, and against missing, malformed or excessive values
+// that are accepted.
 func TestParseSettings(t *testing.T) {
 	s, err := config.ParseSettings(settings)
 	if err != nil {
@@ -174,6 +184,7 @@
 	}
 }
 
+// FuzzDecoder checks that no input makes the Decoder panic or run forever.
 func FuzzDecoder(f *testing.F) {
 	f.Add(decodeHex(f, exampleBatch))
 	f.Add(decodeHex(f, "00000001 0000000d 40c06e2000000000 00000007 0a 00000008 00000000 ffffffff"))
