--- a/policy/api.go
+++ b/policy/api.go
@@ -22,7 +22,7 @@
 	Name        string
 	Aim         float64 // target latency: a message delivered within it earns its full worth
 	Deadline    float64 // time within which it may be delivered
-	Worth       float64
+	Worth       float64 // earned by a delivery within the aim
 	LateWorth   float64 // share of the worth that is left at the deadline
 	Effect      Effect
 	ZoneScope   bool    // keyed: only endpoints of the same zone drop repeats
@@ -45,9 +45,9 @@
 
 // Settings is the configuration of a sender.
 type Settings struct {
-	Index, Senders             int
-	Zone                       int
-	Zones                      []string // names, by index
+	Index, Senders             int      // index of this sender, and number of senders in the fleet
+	Zone                       int      // index in Zones
+	Zones                      []string // names
 	MinStepInterval            float64  // least interval between steps
 	Classes                    []Class
 	Tenants                    []Tenant
@@ -61,18 +61,18 @@
 	AllowanceIndex, LimitIndex int  // indexes in a report of the allowance left and of the limit; -1: absent
 	MayCancel                  bool
 	MayProbe                   bool
-	MarksResubmissions         bool // clients mark resubmissions: Event.Resubmitted is set
-	SendsRetryAfter            bool // refusals to clients carry a Retry-After
-	MaxRetryAfter              float64
+	MarksResubmissions         bool    // clients mark resubmissions: Event.Resubmitted is set
+	SendsRetryAfter            bool    // refusals to clients carry a Retry-After
+	MaxRetryAfter              float64 // upper bound of the Retry-After of a refusal
 	MaxAttempts                int
-	MaxHeld                    int // capacity for held messages
-	StreamsPerConn             int // calls that a connection carries at once
-	KeepAlive                  float64
+	MaxHeld                    int     // capacity for held messages
+	StreamsPerConn             int     // calls that a connection carries at once
+	KeepAlive                  float64 // idle time after which a connection counts as closed
 	DialTimeout                float64
 	Subscribe                  bool    // the endpoint list is sent on request only
 	MaxSubscribeInterval       float64 // with Subscribe: longest interval between requests for the list
 	AnswerSlack                float64 // how late a final answer may still come
-	DrainGrace                 float64
+	DrainGrace                 float64 // time after which an endpoint that drains must receive nothing new
 	WarmUpDuration             float64 // time after an outage until a destination is warm
 	ColdCapacity               float64 // share of its capacity that a cold destination has
 	OverloadMultiple           float64 // multiple of its present capacity that overloads a destination
@@ -95,9 +95,9 @@
 	ID     uint32
 	State  EndpointState
 	Zone   int
-	Kind   int
-	Dest   int
-	Rating float64
+	Kind   int     // index in Settings.Kinds
+	Dest   int     // number of the destination
+	Rating float64 // capacity by the list; in calls per second with Settings.RatingIsRate
 	// Streams is the number of calls that a connection there carries at once; 0 means Settings.StreamsPerConn. Only the
 	// first entry of an endpoint sets it.
 	Streams int
@@ -113,8 +113,8 @@
 	EvOutcome                    // ID, Endpoint, Attempt, Outcome, RequestedWait, Latency, Final, Report
 	EvWithdrawn                  // ID
 	EvTimer                      // Token
-	EvProbe                      // Endpoint, Outcome, Latency, Report
-	EvFacts                      // Facts of an earlier run, for endpoints that are first listed in this same step
+	EvProbe                      // Endpoint, Outcome, Latency, Report; ignored, as the module sends no probes
+	EvFacts                      // Facts for endpoints first listed in this same step; to known ones only waits apply
 	EvPace                       // Dest, or Endpoint of one with a limit of its own; Pace, which caps the calls there
 	EvSettings                   // Settings read again: Classes, a list that only grows, and MaxAttempts
 )
@@ -143,7 +143,7 @@
 // NeverRan reports whether the outcome proves that the attempt did not run.
 func (o Outcome) NeverRan() bool { return o == Full || o == ConnectFailed || o == Moot }
 
-// Event is an input of the sender.
+// Event is an input of a Sender.
 type Event struct {
 	Kind           EventKind
 	ID             uint64
@@ -156,19 +156,19 @@
 	Restored       bool    // accepted in an earlier run of the sender, from its journal
 	Attempts       int     // Restored: attempts made so far; they count towards MaxAttempts
 	MayHaveRun     bool    // Restored: one of the attempts may have run
-	MayHaveRunAge  float64 // Restored: time since the first such attempt was sent; less than the clock's time
+	MayHaveRunAge  float64 // Restored: time since the first such attempt was sent; at most the time of the step
 	MayHaveRunZone int     // Restored: zone of the endpoint of that attempt
 	Endpoint       uint32
 	Attempt        int
 	Outcome        Outcome
 	RequestedWait  float64 // wait that the partner asks for; 0: none
 	Latency        float64
-	Final          bool // the message has ended: it gets no further attempt or answer
-	Report         []float64
-	Token          uint32
+	Final          bool      // the message has ended: it gets no further attempt or answer
+	Report         []float64 // fields as the destination reports them; see Settings.AllowanceIndex
+	Token          uint32    // of the ActTimer that has come due
 	List           []Endpoint
 	FullList       bool // List replaces all earlier lists
-	Failed         bool
+	Failed         bool // the list could not be fetched
 	Facts          []DestFacts
 	Pace           float64 // calls per second; 0: the cap ends
 	Settings       *Settings
@@ -183,13 +183,13 @@
 	ActRefuse                      // ID, After = Retry-After; promises that the message never ran or may be repeated
 	ActFail                        // ID; the message may have run
 	ActTimer                       // Token, After
-	ActProbe                       // Endpoint
+	ActProbe                       // Endpoint; never returned at present
 	ActCloseIdle                   // Endpoint whose idle connections are closed
 	ActSubscribe                   // none; requests the endpoint list
 	ActLog                         // Text
 )
 
-// Action is an output of the sender.
+// Action is an output of a Sender.
 type Action struct {
 	Kind     ActionKind
 	ID       uint64
--- a/policy/facts.go
+++ b/policy/facts.go
@@ -24,7 +24,7 @@
 	WaitUntil       float64 // end of the requested wait; 0: none
 	AdvertisedLimit float64 // whole limit in calls per second; 0: none
 	LimitReported   bool    // by the partner, not only by the list
-	Pace            float64 // own pace in calls per second; 0: none
+	Pace            float64 // this sender's pace in calls per second; 0: none
 	LastOK          float64 // when a call last succeeded
 	CallRate        float64 // recent calls per second
 	AcceptedRate    float64 // recent accepted calls per second
@@ -62,8 +62,8 @@
 	OpenedAt         float64     // when the breaker opened
 	NextTrial        float64     // earliest time of the next trial
 	RampStart        float64     // when the ramp began
-	RateBeforeOutage float64     // own delivered rate before the outage, in messages per second
-	LastOK           float64     // -Inf: never
+	RateBeforeOutage float64     // this sender's delivered rate before the outage, in messages per second
+	LastOK           float64     // when a call last succeeded; -Inf: never
 	OwnRoute         *RouteFacts // nil where the limit is the destination's
 }
 
@@ -90,7 +90,8 @@
 	MinStaleIdle float64        // shortest idle time of those that failed, in ms; 0: none
 }
 
-// InitialAdmission returns the state of an admission controller that has learned nothing.
+// InitialAdmission returns the state of an admission controller that has learned nothing: the prior with which a
+// restored one is blended.
 func InitialAdmission() AdmissionFacts {
 	var c admissionController
 	c.reset(0)
@@ -242,9 +243,10 @@
 	}
 }
 
-// restore starts a control period from the facts, which do not contain the error and correction of the last one.
+// restore starts a control period from the facts, which do not contain the error and the correction of the period
+// before.
 func (c *admissionController) restore(f AdmissionFacts, now float64) {
-	arrivals := c.arrivals // restored messages may have arrived before the list
+	arrivals := c.arrivals // restored messages may have arrived before the endpoint list
 	c.reset(now)
 	if c.arrivals = arrivals; arrivals == 0 {
 		c.lastArrival = min(f.LastArrival, now)
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -42,7 +42,7 @@
 	initialTheta2 = 0.5
 	// Lower bound of theta2, by which the control law divides.
 	minTheta2 = 0.25
-	// Lower bound of the admission probability, as in Liu et al.
+	// Lower bound of the admission probability, as in the controller of Liu et al.
 	minAdmission = 0.1
 	// Time without arrivals after which a destination's controller starts afresh, in ms.
 	controllerResetDelay = 30000.0
@@ -81,13 +81,13 @@
 	minGrowthPace = 2.5
 	// Share of its pace by which a light sender's pace falls at a refusal.
 	lightCut = 0.5
-	// Share by which a light sender's pace rises on success. With lightCut, four in five calls are accepted in
-	// balance.
+	// Share by which a light sender's pace rises on success. Where rises and cuts by lightCut balance, four in
+	// five calls are accepted.
 	lightGrowth = 0.15
 	// Time without refusals in which a light sender's pace rises e-fold, in ms.
 	paceRecoveryTau = 15000.0
-	// Upper bound, per call that a light sender's pace allows, of the exponent by which that pace rises with
-	// time.
+	// Upper bound of the rise of a light sender's pace with time, for each call that the pace allows, as an
+	// exponent of e.
 	maxRecoveryPerCall = 0.2
 	// Pace at the first refusal on a route of which nothing is known, in calls per second.
 	initialPace = 0.8
@@ -99,7 +99,7 @@
 	evenShareBurst = 3.0
 	// EWMA weight of a report of a limit that differs by at most limitReportNoise.
 	limitReportGain = 0.3
-	// Relative difference above which a reported limit has changed and is taken over at once.
+	// Relative difference above which a reported limit has changed and is adopted at once.
 	limitReportNoise = 0.3
 	// Requested wait, in ms, above which the destination is assumed to count refused calls against its limit.
 	debtWait = 1200.0
@@ -111,10 +111,11 @@
 
 	// Choice of endpoint, in units of one call in flight.
 
-	// Weight of each sender's own order among equal endpoints; below all costs by which endpoints differ.
+	// Upper bound of the cost of an endpoint by its place in the sender's own order, in calls in flight: less
+	// than all costs by which endpoints differ.
 	senderOrderCost = 0.1
-	// Scale of the random cost, in calls per second: up to a limit of this size, chance outweighs the other
-	// costs.
+	// Scale of the random cost of an endpoint with a limit of its own, in calls per second: up to a limit of
+	// this size, chance outweighs the other costs.
 	randomRouteCost = 10.0
 
 	// Token buckets and pauses of messages.
@@ -134,7 +135,8 @@
 	staleGain = 0.25
 	// Failing share of calls on idle connections above which idle connections are not trusted.
 	maxStaleShare = 0.3
-	// Part of the failing share that is forgotten each time an idle connection is replaced.
+	// Part of the failing share of calls on idle connections that is forgotten each time an idle connection is
+	// replaced.
 	staleDecay = 0.01
 
 	// Scarce connections: a kind of destination accepts too few for all senders.
@@ -154,7 +156,7 @@
 	suspicionTau = 1000.0
 	// An endpoint with calls in flight and a success within this time, in ms, is not down.
 	aliveWindow = 500.0
-	// Failures in a row that open a breaker that has seen recent successes.
+	// Failures in a row that open a breaker even after recent successes.
 	breakerFailures = 4
 	// Failing share of calls (EWMA) that opens a breaker.
 	breakerFailureShare = 0.8
@@ -197,14 +199,15 @@
 	// Upper bound of the part of a pause that grows with the outage's age, in ms per sender. It suffices when
 	// every sender holds messages.
 	maxAgePausePerSender = 600.0
-	// Share of the load that overloads a destination just back, and cold, that all trials together may reach.
+	// Share that all trials together may reach of the load that overloads a destination just back, and cold.
 	trialOverloadShare = 0.85
 	// Share of a pace cap that trials may use.
 	trialPaceShare = 0.2
 
 	// Slow start after an outage.
 
-	// Share of the load allowed by fail-back rules that a ramp uses: other senders ramp at rates of their own.
+	// Share that a ramp uses of the load up to which a cold destination is not overloaded: other senders ramp at
+	// rates of their own.
 	rampMargin = 0.65
 	// The ramp's budget saves up calls for this share of OverloadWindow.
 	rampBurstShare = 0.2
@@ -549,7 +552,8 @@
 			next = min(next, at)
 			continue
 		}
-		// A new connection, another zone and a zone fee cost; calls in flight and an empty bucket mean delay.
+		// A new connection, another zone and a zone fee cost extra; calls in flight and an empty bucket mean
+		// delay.
 		cost := float64(len(ep.calls)) + 10*ep.zoneFee - 0.2*min(ep.route.paceTokens.level, 3)
 		if len(ep.calls) >= ep.conns*ep.streamsPerConn || s.now-ep.lastUsed > 0.9*s.settings.KeepAlive {
 			cost += 0.7
@@ -608,7 +612,8 @@
 		return min(next, messageAt)
 	}
 	// Turns are weighted by slot time; the messages of a call share the time of one slot. This protects short
-	// and full calls from slow destinations where slots are few. Drawback: a slow destination waits longer.
+	// calls and large batches from slow destinations where slots are few. Drawback: a slow destination waits
+	// longer.
 	s.virtualTime = max(s.virtualTime, d.virtualTime)
 	d.virtualTime = s.virtualTime + callTime/float64(sent)
 	return s.now
@@ -683,7 +688,7 @@
 		if inFlight > 0 {
 			return math.Inf(1)
 		}
-		for _, other := range ep.dest.endpoints {
+		for _, other := range ep.dest.endpoints { // the trial of another endpoint in an outage goes first
 			if other == ep || other.route != r && s.smallFleet() || other.breaker != open || len(other.calls) == 0 {
 				continue
 			}
@@ -706,10 +711,10 @@
 			return at
 		}
 	}
-	// Bulkhead: a suspected endpoint (failing, in outage or ramp, or with its oldest call far over its usual
-	// latency) may hold a fifth of the slots, and all suspected ones together a third, so that hung calls
-	// leave slots to the healthy. Slowness, silence and pauses are treated alike. Drawback: it slows an
-	// endpoint whose call latencies differ widely.
+	// Bulkhead: a destination may hold all slots but one. A suspected endpoint (failing, in outage or ramp, or
+	// with its oldest call far over its usual latency) may hold a fifth of the slots, and all suspected ones
+	// together a third, so that hung calls leave slots to the healthy. Slowness, silence and pauses are treated
+	// alike. Drawback: it slows an endpoint whose call latencies differ widely.
 	if ep.dest.callsInFlight >= max(s.settings.CallSlots-1, 1) {
 		return math.Inf(1)
 	}
@@ -740,7 +745,8 @@
 	ownRate := max(ep.rateBeforeOutage, minBaseRate*min(1, minBaseRateSenders/s.senders()),
 		r.paceCap/float64(max(r.readyEndpoints(), 1)))
 	if s.smallFleet() || s.usesEvenShare(r) {
-		// An advertised limit is below the capacity, and a sender's part of it may be far above its rate before.
+		// An advertised limit is below the capacity, and a sender's part of it may be far above its rate before
+		// the outage.
 		trust := ratingTrust
 		if r.limitReported {
 			trust = reportedLimitTrust
@@ -858,7 +864,7 @@
 	}
 }
 
-// applyReport takes over the allowance and the limit that a destination reports.
+// applyReport records the allowance left and the limit that a destination reports, and adapts the pace.
 func (s *Sender) applyReport(r *route, values []float64) {
 	r.allowanceLeft = reportField(values, s.settings.AllowanceIndex)
 	if limit := reportField(values, s.settings.LimitIndex); limit > 0 && !math.IsInf(limit, 0) {
--- a/policy/state.go
+++ b/policy/state.go
@@ -29,7 +29,7 @@
 	return m.perSecond * math.Exp((m.at-now)/rateMeterTau)
 }
 
-// tokenBucket is a token bucket.
+// tokenBucket is a token bucket: its level, in tokens, at a point of time.
 type tokenBucket struct{ level, at float64 }
 
 // refill adds the tokens due since the last call and returns now if there is a whole token, otherwise the time at
@@ -62,7 +62,7 @@
 // route holds the limit, the requested wait and the pace of a destination, or of an endpoint with a limit of its own.
 type route struct {
 	waitUntil       float64 // end of the requested wait: no call goes out before
-	pace            float64 // own pace in calls per second; 0: none known
+	pace            float64 // this sender's pace in calls per second; 0: none known
 	allowanceLeft   float64 // share of the allowance left, from the last report
 	advertisedLimit float64 // whole limit from the list or a report, in calls per second; 0: none
 	limitReported   bool    // advertisedLimit comes from a report
@@ -112,7 +112,7 @@
 	newConnection bool    // it needed a new connection
 }
 
-// endpoint is an endpoint of a destination, with its health.
+// endpoint holds the calls, connections and health of an endpoint of a destination.
 type endpoint struct {
 	id             uint32
 	dest           *destination
@@ -143,7 +143,7 @@
 	failedTrials     int         // since the breaker opened
 	openedAt         float64     // when the breaker opened
 	nextTrial        float64     // earliest time of the next trial
-	rateBeforeOutage float64     // own delivered rate before the outage
+	rateBeforeOutage float64     // this sender's delivered rate before the outage, in messages per second
 	rampStart        float64     // when the ramp began
 	rampBudget       tokenBucket // calls that a ramp or an open breaker allows
 }
@@ -155,7 +155,7 @@
 	endpoints    []*endpoint
 }
 
-// destination is a destination with its queue.
+// destination holds the endpoints, queue and admission controller of a destination.
 type destination struct {
 	id            int
 	endpoints     []*endpoint
@@ -243,7 +243,7 @@
 	calls         []*call        // in flight
 	suspectCalls  int            // slots held by suspected endpoints
 	slotsInUse    int
-	virtualTime   float64 // of the slot turns
+	virtualTime   float64 // slot time up to which turns have been given, as in start-time fair queueing
 	steps         uint64
 	timers        timerHeap
 	timerSeq      uint64
@@ -286,6 +286,7 @@
 	s.forgetMessage(m)
 }
 
+// dequeue removes m from its destination's queue, unless m was shed: dropShed removes those all at once.
 func (s *Sender) dequeue(m *message) {
 	if m.shed {
 		return
--- a/policy/wait_cause.go
+++ b/policy/wait_cause.go
@@ -34,7 +34,7 @@
 }
 
 // Overview returns the number of endpoints whose breaker is open, of those that are ramping, and the sum of the
-// advertised limits.
+// advertised limits in calls per second.
 func (s *Sender) Overview() (openCount, rampingCount int, limitSum float64) {
 	for _, d := range s.destinations {
 		if d.sharedRoute != nil {
