--- a/cmd/adapter/main_test.go
+++ b/cmd/adapter/main_test.go
@@ -35,6 +35,7 @@
 	return record(0, append(fields, settings...))
 }
 
+// A batch with fewer records than it counts is an error; a batch without records has an empty reply.
 func TestEmptyAndTruncatedBatch(t *testing.T) {
 	var out bytes.Buffer
 	if err := serve(bytes.NewReader(batch(1, 8412, []byte{}[:0])[:20]), &out); err == nil {
@@ -50,6 +51,8 @@
 	}
 }
 
+// An instance that stops and starts again within a batch drops the events from before, and one that has stopped gives
+// no reply.
 func TestRestartWithinBatchDropsState(t *testing.T) {
 	u32 := func(v uint32) []byte { return binary.BigEndian.AppendUint32(nil, v) }
 	messageRecord := func(id uint64) []byte {
--- a/policy/facts_test.go
+++ b/policy/facts_test.go
@@ -33,7 +33,7 @@
 	return n
 }
 
-// Facts that are exported and restored are exported the same again.
+// A restart must lose no fact: restored facts are exported again as they were.
 func TestFactsRoundTrip(t *testing.T) {
 	set := testSettings()
 	set.AllowanceIndex, set.LimitIndex = 0, 1
--- a/policy/fleet_test.go
+++ b/policy/fleet_test.go
@@ -13,12 +13,12 @@
 type fleet struct {
 	now       float64
 	rigs      []*rig
-	submitted uint64    // messages
+	submitted uint64    // messages submitted so far
 	callTimes []float64 // times of the calls that reached the endpoint
 
-	calls             map[*rig]int
-	informed          map[*rig]bool
-	informedCallTimes []float64 // those of senders that had seen the outage
+	calls             map[*rig]int  // calls by sender
+	informed          map[*rig]bool // senders that have seen the outage
+	informedCallTimes []float64     // those of senders that had seen the outage
 
 	finalAnswers map[uint64]int // number of final answers by message; nil: not counted
 
--- a/policy/fuzz_test.go
+++ b/policy/fuzz_test.go
@@ -27,7 +27,7 @@
 		list = append(list, ready(uint32(i+1), dest, dest%3))
 	}
 	dests := list[len(list)-1].Dest + 1
-	type msg struct {
+	type msg struct { // a message as its client and the endpoints see it
 		class                   int
 		dest                    int
 		deadline                float64
@@ -176,12 +176,14 @@
 	}
 }
 
+// Random valid events of 60 seeds break none of the rules that simulate checks.
 func TestRandomEventsKeepInvariants(t *testing.T) {
 	for seed := range uint64(60) {
 		simulate(t, seed, 1500, func([]Action) {})
 	}
 }
 
+// FuzzStep looks for a seed whose random events break a rule that simulate checks.
 func FuzzStep(f *testing.F) {
 	f.Add(uint64(1))
 	f.Fuzz(func(t *testing.T, seed uint64) { simulate(t, seed, 500, func([]Action) {}) })
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -186,6 +186,8 @@
 	r.forbidAction(append(actions, r.run(20000)...), ActSend, 1, "after the dedup window")
 }
 
+// A zone-scoped message that may have run is never sent to another zone, which would not drop the repeat. Its final
+// answer is a failure, since a refusal would invite its client to send it again.
 func TestZoneScopedRetryStaysInZoneAndIsNotRefused(t *testing.T) {
 	set := testSettings()
 	set.Classes[classKeyed].ZoneScope = true
@@ -277,8 +279,8 @@
 	r.forbidAction(r.run(9000), ActSend, 1, "the first attempt has no outcome")
 }
 
-// After an outage the ramp stays below overload multiple × present capacity × window, as a share of the sender's own
-// rate before the outage.
+// After an outage the ramp stays below OverloadMultiple × present share of the capacity × OverloadWindow, applied to
+// the sender's own rate before the outage.
 func TestRampAfterOutage(t *testing.T) {
 	r := newRig(t, testSettings(), ready(1, 0, 2))
 	id := uint64(0)
@@ -421,7 +423,7 @@
 	set := testSettings()
 	set.LimitIndex, set.MaxHeld = 0, 10000
 	r := newRig(t, set, ready(1, 0, 2))
-	refused, atIntake := 0, 0
+	refused, atAdmission := 0, 0
 	for i := range 400 { // 8 per second against a pace of 2
 		r.now += 125
 		id := uint64(i + 1)
@@ -436,7 +438,7 @@
 			case a.Kind == ActRefuse:
 				refused++
 				if a.ID == id {
-					atIntake++
+					atAdmission++
 					if a.After <= 0 || a.After > set.MaxRetryAfter {
 						t.Fatalf("retry-after %v", a.After)
 					}
@@ -444,8 +446,8 @@
 			}
 		}
 	}
-	if refused < 100 || atIntake < refused/2 {
-		t.Fatalf("refused %d, at admission %d", refused, atIntake)
+	if refused < 100 || atAdmission < refused/2 {
+		t.Fatalf("refused %d, at admission %d", refused, atAdmission)
 	}
 }
 
@@ -527,6 +529,8 @@
 	}
 }
 
+// Events of unknown messages, timers and endpoints, settings without call slots or kinds, and a second withdrawal cause
+// no panic and no attempt.
 func TestUnusualButValidEvents(t *testing.T) {
 	set := testSettings()
 	set.CallSlots, set.Kinds = 0, nil
@@ -562,6 +566,7 @@
 	}
 }
 
+// Equal events and seeds lead to equal actions, so that a run can be repeated.
 func TestDeterminism(t *testing.T) {
 	play := func() [][]Action {
 		var all [][]Action
@@ -727,7 +732,7 @@
 		}
 		return n
 	}
-	cold := 20 * 0.25 * 1.5 * 3 // calls that fail-back rules allow in 3 s, from all senders
+	cold := 20 * 0.25 * 1.5 * 3 // calls in 3 s, from all senders, up to which a cold destination is not overloaded
 	if n := countSent(Error); n < 8 || float64(n) > cold {
 		t.Errorf("%d calls in 3 s to an endpoint that answers with errors", n)
 	}
@@ -751,18 +756,18 @@
 		r.step(Event{Kind: EvWithdrawn, ID: id})
 		return r.s.endpoints[1].route.pace
 	}
-	if l := answerWithLimit(1, OK, 20); l != 20 {
-		t.Errorf("pace %v under a limit of 20", l)
+	if pace := answerWithLimit(1, OK, 20); pace != 20 {
+		t.Errorf("pace %v under a limit of 20", pace)
 	}
-	if l := answerWithLimit(2, OK, 2); l > 2 {
-		t.Errorf("pace %v under a limit of 2", l)
+	if pace := answerWithLimit(2, OK, 2); pace > 2 {
+		t.Errorf("pace %v under a limit of 2", pace)
 	}
-	if l := answerWithLimit(3, OK, 20); l < 15 {
-		t.Errorf("pace %v under a limit that is back at 20", l)
+	if pace := answerWithLimit(3, OK, 20); pace < 15 {
+		t.Errorf("pace %v under a limit that is back at 20", pace)
 	}
 	r.s.endpoints[1].route.pace, r.s.endpoints[1].route.paceTokens.level = 0.5, 1
-	if l := answerWithLimit(4, OK, 21); l < 5 {
-		t.Errorf("pace %v, less than half of an even share of 21", l)
+	if pace := answerWithLimit(4, OK, 21); pace < 5 {
+		t.Errorf("pace %v, less than half of an even share of 21", pace)
 	}
 }
 
