--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -24,7 +24,7 @@
 	id      uint32
 	sender  *policy.Sender
 	events  []policy.Event
-	pending bool
+	pending bool // the current batch holds a record for it
 }
 
 // serve replies to every batch from in until the input ends.
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -34,11 +34,14 @@
 	controlPeriod = 1000.0
 	// EWMA weight of a new control period in the arrival rate and in the mean waiting time E[X].
 	periodGain = 0.3
-	// Initial diagonal of the RLS covariance matrix. A larger value lets the first samples move theta further.
+	// Initial diagonal of the covariance matrix of the recursive least squares (RLS) estimate of theta. A larger
+	// value lets the first samples move theta further.
 	rlsInitialP = 1.0
-	// Initial theta1: without a correction, a delay error persists from one period to the next.
+	// Initial theta1 of the delay model: without a correction, a delay error persists from one period to the
+	// next.
 	initialTheta1 = 1.0
-	// Initial theta2: admitting every message for one period adds half of the target delay Dref to the delay.
+	// Initial theta2 of the delay model: admitting every message for one period adds half of the target delay
+	// Dref to the delay.
 	initialTheta2 = 0.5
 	// Lower bound of theta2, by which the control law divides.
 	minTheta2 = 0.25
@@ -67,7 +70,7 @@
 
 	// Time constant of the rate meters, in ms.
 	rateMeterTau = 6000.0
-	// Largest number of senders whose parts of a shared limit are big enough for each to measure by itself.
+	// Largest number of senders whose shares of a limit are big enough for each to measure by itself.
 	maxSmallFleet = 8
 	// Calls per second on a route above which a sender of a large fleet sees enough to measure the limit by
 	// itself.
@@ -93,11 +96,12 @@
 	initialPace = 0.8
 	// Lower bound of a light sender's pace, in calls per second.
 	minPace = 0.02
-	// Share of its even part of an advertised limit that a sender of a large fleet uses: arrivals are random.
+	// Fraction of its even share of an advertised limit that a sender of a large fleet uses: arrivals are
+	// random.
 	evenShareUse = 0.9
-	// Bucket depth for an even part of an advertised limit, in calls: an unused part is saved up to this.
+	// Bucket depth for an even share of an advertised limit, in calls: what is unused is saved up to this.
 	evenShareBurst = 3.0
-	// EWMA weight of a report of a limit that differs by at most limitReportNoise.
+	// EWMA weight of a report of a limit that differs from the known one by at most limitReportNoise.
 	limitReportGain = 0.3
 	// Relative difference above which a reported limit has changed and is adopted at once.
 	limitReportNoise = 0.3
@@ -105,8 +109,8 @@
 	debtWait = 1200.0
 	// Refusals in a row from which the destination is assumed to count refused calls against its limit.
 	debtRefusals = 4
-	// Share of an even part of the advertised limit that the pace falls to where refused calls count against
-	// the limit.
+	// Fraction of an even share of the advertised limit that the pace falls to where refused calls count
+	// against the limit.
 	debtPaceShare = 0.8
 
 	// Choice of endpoint, in units of one call in flight.
@@ -164,7 +168,8 @@
 	unavailableRefusals = 4
 	// Time without a success, in ms, after which unavailableRefusals refusals open the breaker.
 	unavailableWindow = 2000.0
-	// Requested wait, in ms, above which a destination is unavailable: waits for a limit are shorter.
+	// Requested wait, in ms, above which a sender of a large fleet takes a destination as unavailable: waits for
+	// a limit are shorter.
 	unavailableWait = 3000.0
 	// Share of its allowance left above which a route that refuses may be unavailable rather than at its
 	// limit.
@@ -172,22 +177,22 @@
 	// Share of the light senders that treat a route that refuses with much of its allowance left as
 	// unavailable.
 	unavailableSenderShare = 0.6
-	// Share of the first pause before a trial that is used after refusals alone, which may come from a limit.
+	// Share of the least pause after a failure that applies after refusals alone, which may come from a limit.
 	refusalPauseShare = 0.2
 
 	// Half-open trials.
 
 	// First pause before a trial, and least pause between the trials of one sender, in ms.
 	minTrialPause = 500.0
-	// Upper bound to which the pause grows with the number of failed trials, in ms.
+	// Upper bound to which the pause before a trial grows with the number of failed trials, in ms.
 	maxTrialBackoff = 2500.0
 	// Lower bound of the time-out of a trial, in ms.
 	minTrialTimeout = 1000.0
 	// Pause before a trial where most senders hold messages for the destination, in ms per sender.
 	denseTrialPause = 300.0
-	// First pause before a trial in a large fleet, in ms per sender, up to maxFirstTrialPause.
+	// Least pause after a failure, in ms per sender, up to maxFirstTrialPause.
 	trialPausePerSender = 150.0
-	// Upper bound of the first pause before a trial, in ms.
+	// Upper bound of the least pause after a failure, which grows with the number of senders, in ms.
 	maxFirstTrialPause = 12000.0
 	// Time for which an endpoint off the list is remembered, in ms: it may come back, cold.
 	removedEndpointRetention = 60000.0
@@ -216,9 +221,9 @@
 	minBaseRate = 0.25
 	// Factor from which a rise of an advertised limit cannot be noise.
 	limitJump = 1.5
-	// Factor on an even part of a reported limit for a ramp: a reported limit is below the capacity.
+	// Factor on an even share of a reported limit for a ramp: a reported limit is below the capacity.
 	reportedLimitTrust = 1.3
-	// Factor on an even part of the list's rating for a ramp: the rating may be up to half too high.
+	// Factor on an even share of the list's rating for a ramp: the rating may be up to half too high.
 	ratingTrust = 0.6
 	// Number of senders above which minBaseRate is divided among them.
 	minBaseRateSenders = 4.0
@@ -745,8 +750,8 @@
 	ownRate := max(ep.rateBeforeOutage, minBaseRate*min(1, minBaseRateSenders/s.senders()),
 		r.paceCap/float64(max(r.readyEndpoints(), 1)))
 	if s.smallFleet() || s.usesEvenShare(r) {
-		// An advertised limit is below the capacity, and a sender's part of it may be far above its rate before
-		// the outage.
+		// An advertised limit is below the capacity, and an even share of it may be far above the sender's rate
+		// before the outage.
 		trust := ratingTrust
 		if r.limitReported {
 			trust = reportedLimitTrust
@@ -1058,12 +1063,12 @@
 	}
 }
 
-// evenShare returns a sender's even part of an advertised limit, in calls per second.
+// evenShare returns a sender's even share of an advertised limit, in calls per second.
 func (s *Sender) evenShare(r *route) float64 { return r.advertisedLimit / s.senders() }
 
 // usesEvenShare reports whether answers report the route's limit and too many senders share it for each to
-// find its part by its own calls: a sender that calls once in two seconds learns of a refusal long after
-// others have made up for it. All keep to an even part then. Drawback: what one sender leaves unused is
+// find its share by its own calls: a sender that calls once in two seconds learns of a refusal long after
+// others have made up for it. All keep to an even share then. Drawback: what one sender leaves unused is
 // lost to the others, up to 1 - evenShareUse plus the random differences in how many messages each
 // receives.
 func (s *Sender) usesEvenShare(r *route) bool {
--- a/policy/state.go
+++ b/policy/state.go
@@ -179,7 +179,7 @@
 	key            uint64
 	dest           *destination
 	arrived        float64
-	aimAt          float64 // when its aim ends
+	aimAt          float64 // until when a delivery earns its full worth
 	deadline       float64
 	attempts       int
 	inFlight       *call   // call of its attempt in flight; nil: none
