--- a/policy/policy.go
+++ b/policy/policy.go
@@ -34,15 +34,18 @@
 	controlPeriod = 1000.0
 	// EWMA weight of a new control period in the arrival rate and in the mean waiting time E[X].
 	periodGain = 0.3
-	// Initial diagonal of the RLS covariance matrix. A larger value lets the first samples move theta further.
+	// Initial diagonal of the covariance matrix of the recursive least squares (RLS) estimate of theta. A larger
+	// value lets the first samples move theta further.
 	rlsInitialP = 1.0
-	// Initial theta1: without a correction, a delay error persists from one period to the next.
+	// Initial theta1 of the delay model: without a correction, a delay error persists from one period to the
+	// next.
 	initialTheta1 = 1.0
-	// Initial theta2: admitting every message for one period adds half of the target delay Dref to the delay.
+	// Initial theta2 of the delay model: admitting every message for one period adds half of the target delay
+	// Dref to the delay.
 	initialTheta2 = 0.5
 	// Lower bound of theta2, by which the control law divides.
 	minTheta2 = 0.25
-	// Lower bound of the admission probability, as in Liu et al.
+	// Lower bound of the admission probability, as in the controller of Liu et al.
 	minAdmission = 0.1
 	// Time without arrivals after which a destination's controller starts afresh, in ms.
 	controllerResetDelay = 30000.0
@@ -67,7 +70,7 @@
 
 	// Time constant of the rate meters, in ms.
 	rateMeterTau = 6000.0
-	// Largest number of senders whose parts of a shared limit are big enough for each to measure by itself.
+	// Largest number of senders whose shares of a limit are big enough for each to measure by itself.
 	maxSmallFleet = 8
 	// Calls per second on a route above which a sender of a large fleet sees enough to measure the limit by
 	// itself.
@@ -81,40 +84,42 @@
 	minGrowthPace = 2.5
 	// Share of its pace by which a light sender's pace falls at a refusal.
 	lightCut = 0.5
-	// Share by which a light sender's pace rises on success. With lightCut, four in five calls are accepted in
-	// balance.
+	// Share by which a light sender's pace rises on success. Where rises and cuts by lightCut balance, four in
+	// five calls are accepted.
 	lightGrowth = 0.15
 	// Time without refusals in which a light sender's pace rises e-fold, in ms.
 	paceRecoveryTau = 15000.0
-	// Upper bound, per call that a light sender's pace allows, of the exponent by which that pace rises with
-	// time.
+	// Upper bound of the rise of a light sender's pace with time, for each call that the pace allows, as an
+	// exponent of e.
 	maxRecoveryPerCall = 0.2
 	// Pace at the first refusal on a route of which nothing is known, in calls per second.
 	initialPace = 0.8
 	// Lower bound of a light sender's pace, in calls per second.
 	minPace = 0.02
-	// Share of its even part of an advertised limit that a sender of a large fleet uses: arrivals are random.
+	// Fraction of its even share of an advertised limit that a sender of a large fleet uses: arrivals are
+	// random.
 	evenShareUse = 0.9
-	// Bucket depth for an even part of an advertised limit, in calls: an unused part is saved up to this.
+	// Bucket depth for an even share of an advertised limit, in calls: what is unused is saved up to this.
 	evenShareBurst = 3.0
-	// EWMA weight of a report of a limit that differs by at most limitReportNoise.
+	// EWMA weight of a report of a limit that differs from the known one by at most limitReportNoise.
 	limitReportGain = 0.3
-	// Relative difference above which a reported limit has changed and is taken over at once.
+	// Relative difference above which a reported limit has changed and is adopted at once.
 	limitReportNoise = 0.3
 	// Requested wait, in ms, above which the destination is assumed to count refused calls against its limit.
 	debtWait = 1200.0
 	// Refusals in a row from which the destination is assumed to count refused calls against its limit.
 	debtRefusals = 4
-	// Share of an even part of the advertised limit that the pace falls to where refused calls count against
-	// the limit.
+	// Fraction of an even share of the advertised limit that the pace falls to where refused calls count
+	// against the limit.
 	debtPaceShare = 0.8
 
 	// Choice of endpoint, in units of one call in flight.
 
-	// Weight of each sender's own order among equal endpoints; below all costs by which endpoints differ.
+	// Upper bound of the cost of an endpoint by its place in the sender's own order, in calls in flight: less
+	// than all costs by which endpoints differ.
 	senderOrderCost = 0.1
-	// Scale of the random cost, in calls per second: up to a limit of this size, chance outweighs the other
-	// costs.
+	// Scale of the random cost of an endpoint with a limit of its own, in calls per second: up to a limit of
+	// this size, chance outweighs the other costs.
 	randomRouteCost = 10.0
 
 	// Token buckets and pauses of messages.
@@ -134,7 +139,8 @@
 	staleGain = 0.25
 	// Failing share of calls on idle connections above which idle connections are not trusted.
 	maxStaleShare = 0.3
-	// Part of the failing share that is forgotten each time an idle connection is replaced.
+	// Part of the failing share of calls on idle connections that is forgotten each time an idle connection is
+	// replaced.
 	staleDecay = 0.01
 
 	// Scarce connections: a kind of destination accepts too few for all senders.
@@ -154,7 +160,7 @@
 	suspicionTau = 1000.0
 	// An endpoint with calls in flight and a success within this time, in ms, is not down.
 	aliveWindow = 500.0
-	// Failures in a row that open a breaker that has seen recent successes.
+	// Failures in a row that open a breaker even after recent successes.
 	breakerFailures = 4
 	// Failing share of calls (EWMA) that opens a breaker.
 	breakerFailureShare = 0.8
@@ -162,7 +168,8 @@
 	unavailableRefusals = 4
 	// Time without a success, in ms, after which unavailableRefusals refusals open the breaker.
 	unavailableWindow = 2000.0
-	// Requested wait, in ms, above which a destination is unavailable: waits for a limit are shorter.
+	// Requested wait, in ms, above which a sender of a large fleet takes a destination as unavailable: waits for
+	// a limit are shorter.
 	unavailableWait = 3000.0
 	// Share of its allowance left above which a route that refuses may be unavailable rather than at its
 	// limit.
@@ -170,22 +177,22 @@
 	// Share of the light senders that treat a route that refuses with much of its allowance left as
 	// unavailable.
 	unavailableSenderShare = 0.6
-	// Share of the first pause before a trial that is used after refusals alone, which may come from a limit.
+	// Share of the least pause after a failure that applies after refusals alone, which may come from a limit.
 	refusalPauseShare = 0.2
 
 	// Half-open trials.
 
 	// First pause before a trial, and least pause between the trials of one sender, in ms.
 	minTrialPause = 500.0
-	// Upper bound to which the pause grows with the number of failed trials, in ms.
+	// Upper bound to which the pause before a trial grows with the number of failed trials, in ms.
 	maxTrialBackoff = 2500.0
 	// Lower bound of the time-out of a trial, in ms.
 	minTrialTimeout = 1000.0
 	// Pause before a trial where most senders hold messages for the destination, in ms per sender.
 	denseTrialPause = 300.0
-	// First pause before a trial in a large fleet, in ms per sender, up to maxFirstTrialPause.
+	// Least pause after a failure, in ms per sender, up to maxFirstTrialPause.
 	trialPausePerSender = 150.0
-	// Upper bound of the first pause before a trial, in ms.
+	// Upper bound of the least pause after a failure, which grows with the number of senders, in ms.
 	maxFirstTrialPause = 12000.0
 	// Time for which an endpoint off the list is remembered, in ms: it may come back, cold.
 	removedEndpointRetention = 60000.0
@@ -197,14 +204,15 @@
 	// Upper bound of the part of a pause that grows with the outage's age, in ms per sender. It suffices when
 	// every sender holds messages.
 	maxAgePausePerSender = 600.0
-	// Share of the load that overloads a destination just back, and cold, that all trials together may reach.
+	// Share that all trials together may reach of the load that overloads a destination just back, and cold.
 	trialOverloadShare = 0.85
 	// Share of a pace cap that trials may use.
 	trialPaceShare = 0.2
 
 	// Slow start after an outage.
 
-	// Share of the load allowed by fail-back rules that a ramp uses: other senders ramp at rates of their own.
+	// Share that a ramp uses of the load up to which a cold destination is not overloaded: other senders ramp at
+	// rates of their own.
 	rampMargin = 0.65
 	// The ramp's budget saves up calls for this share of OverloadWindow.
 	rampBurstShare = 0.2
@@ -213,9 +221,9 @@
 	minBaseRate = 0.25
 	// Factor from which a rise of an advertised limit cannot be noise.
 	limitJump = 1.5
-	// Factor on an even part of a reported limit for a ramp: a reported limit is below the capacity.
+	// Factor on an even share of a reported limit for a ramp: a reported limit is below the capacity.
 	reportedLimitTrust = 1.3
-	// Factor on an even part of the list's rating for a ramp: the rating may be up to half too high.
+	// Factor on an even share of the list's rating for a ramp: the rating may be up to half too high.
 	ratingTrust = 0.6
 	// Number of senders above which minBaseRate is divided among them.
 	minBaseRateSenders = 4.0
@@ -549,7 +557,8 @@
 			next = min(next, at)
 			continue
 		}
-		// A new connection, another zone and a zone fee cost; calls in flight and an empty bucket mean delay.
+		// A new connection, another zone and a zone fee cost extra; calls in flight and an empty bucket mean
+		// delay.
 		cost := float64(len(ep.calls)) + 10*ep.zoneFee - 0.2*min(ep.route.paceTokens.level, 3)
 		if len(ep.calls) >= ep.conns*ep.streamsPerConn || s.now-ep.lastUsed > 0.9*s.settings.KeepAlive {
 			cost += 0.7
@@ -608,7 +617,8 @@
 		return min(next, messageAt)
 	}
 	// Turns are weighted by slot time; the messages of a call share the time of one slot. This protects short
-	// and full calls from slow destinations where slots are few. Drawback: a slow destination waits longer.
+	// calls and large batches from slow destinations where slots are few. Drawback: a slow destination waits
+	// longer.
 	s.virtualTime = max(s.virtualTime, d.virtualTime)
 	d.virtualTime = s.virtualTime + callTime/float64(sent)
 	return s.now
@@ -683,7 +693,7 @@
 		if inFlight > 0 {
 			return math.Inf(1)
 		}
-		for _, other := range ep.dest.endpoints {
+		for _, other := range ep.dest.endpoints { // the trial of another endpoint in an outage goes first
 			if other == ep || other.route != r && s.smallFleet() || other.breaker != open || len(other.calls) == 0 {
 				continue
 			}
@@ -706,10 +716,10 @@
 			return at
 		}
 	}
-	// Bulkhead: a suspected endpoint (failing, in outage or ramp, or with its oldest call far over its usual
-	// latency) may hold a fifth of the slots, and all suspected ones together a third, so that hung calls
-	// leave slots to the healthy. Slowness, silence and pauses are treated alike. Drawback: it slows an
-	// endpoint whose call latencies differ widely.
+	// Bulkhead: a destination may hold all slots but one. A suspected endpoint (failing, in outage or ramp, or
+	// with its oldest call far over its usual latency) may hold a fifth of the slots, and all suspected ones
+	// together a third, so that hung calls leave slots to the healthy. Slowness, silence and pauses are treated
+	// alike. Drawback: it slows an endpoint whose call latencies differ widely.
 	if ep.dest.callsInFlight >= max(s.settings.CallSlots-1, 1) {
 		return math.Inf(1)
 	}
@@ -740,7 +750,8 @@
 	ownRate := max(ep.rateBeforeOutage, minBaseRate*min(1, minBaseRateSenders/s.senders()),
 		r.paceCap/float64(max(r.readyEndpoints(), 1)))
 	if s.smallFleet() || s.usesEvenShare(r) {
-		// An advertised limit is below the capacity, and a sender's part of it may be far above its rate before.
+		// An advertised limit is below the capacity, and an even share of it may be far above the sender's rate
+		// before the outage.
 		trust := ratingTrust
 		if r.limitReported {
 			trust = reportedLimitTrust
@@ -858,7 +869,7 @@
 	}
 }
 
-// applyReport takes over the allowance and the limit that a destination reports.
+// applyReport records the allowance left and the limit that a destination reports, and adapts the pace.
 func (s *Sender) applyReport(r *route, values []float64) {
 	r.allowanceLeft = reportField(values, s.settings.AllowanceIndex)
 	if limit := reportField(values, s.settings.LimitIndex); limit > 0 && !math.IsInf(limit, 0) {
@@ -1052,12 +1063,12 @@
 	}
 }
 
-// evenShare returns a sender's even part of an advertised limit, in calls per second.
+// evenShare returns a sender's even share of an advertised limit, in calls per second.
 func (s *Sender) evenShare(r *route) float64 { return r.advertisedLimit / s.senders() }
 
 // usesEvenShare reports whether answers report the route's limit and too many senders share it for each to
-// find its part by its own calls: a sender that calls once in two seconds learns of a refusal long after
-// others have made up for it. All keep to an even part then. Drawback: what one sender leaves unused is
+// find its share by its own calls: a sender that calls once in two seconds learns of a refusal long after
+// others have made up for it. All keep to an even share then. Drawback: what one sender leaves unused is
 // lost to the others, up to 1 - evenShareUse plus the random differences in how many messages each
 // receives.
 func (s *Sender) usesEvenShare(r *route) bool {
