--- a/cmd/sliptide/admin_test.go
+++ b/cmd/sliptide/admin_test.go
@@ -186,7 +186,7 @@
 	settings["limits"].(map[string]any)["max_attempts"] = 2
 	r.writeConfig()
 	r.proc.Process.Signal(syscall.SIGHUP)
-	r.awaitLog("settings read anew")
+	r.awaitLog("settings reloaded")
 	if status := r.submitWithClass("new", "urgent"); status != 202 {
 		t.Errorf("a class of the new file: %d", status)
 	}
--- a/cmd/sliptide/upgrade_test.go
+++ b/cmd/sliptide/upgrade_test.go
@@ -63,7 +63,7 @@
 			t.Errorf("%s called %d times", id, n)
 		}
 	}
-	if !strings.Contains(logs.String(), "took over from the version before") {
+	if !strings.Contains(logs.String(), "took over from the previous version") {
 		t.Errorf("log of the new process:\n%s", logs.String())
 	}
 	if successor.ProcessState != nil {
--- a/internal/sender/calls.go
+++ b/internal/sender/calls.go
@@ -22,7 +22,7 @@
 	s.journal.StartAttempt(m.Entry, int64(s.now), e.Zone)
 	c := s.callFor(e, &item)
 	m.call, m.attemptDeadline = c, math.Inf(1)
-	if a.After >= s.timeLeftMS(m) { // otherwise the timeout of the whole call ends it
+	if a.After >= s.timeLeftMS(m) { // the message must end by then even if its call continues; others end with the call
 		m.attemptDeadline = s.now + a.After
 	}
 	s.observeAttemptStart(m, c, item.Attempt)
@@ -34,8 +34,8 @@
 	}
 }
 
-// repeatWindowShare is the part of an idempotency window within which a repeat must be written. The module decides within
-// a smaller part, and the request takes some time to arrive.
+// repeatWindowShare is the part of a dedup window within which a repeat must be written. The rest is left for the
+// request to arrive. The module begins a repeat only within a smaller part.
 const repeatWindowShare = 0.95
 
 // repeatDeadline returns the latest time at which a further attempt of m may be written: until then the partner drops
@@ -49,7 +49,7 @@
 	return time.Now().Add(fromMillis(left)), true
 }
 
-// timeLeftMS is the time until the deadline of m, less 2 ms for the rounding of stored times.
+// timeLeftMS returns the time until the deadline of m, less 2 ms for the rounding of stored times.
 func (s *Sender) timeLeftMS(m *message) float64 { return float64(m.Deadline) - s.now - 2 }
 
 // callFor returns the call of this step to e that can take item, or a new one.
--- a/internal/sender/classes.go
+++ b/internal/sender/classes.go
@@ -6,10 +6,10 @@
 	"sliptide/policy"
 )
 
-// classTable holds every class definition that this process has seen, in order of appearance. An index never changes its
-// meaning, so a message keeps its class when the settings change. A name maps to its present definition, or to the last
-// one if the class was removed: a message that a client sent before the change is still accepted. A table is immutable
-// once it is shared.
+// classTable holds every class definition that this process has seen, in order of appearance. An index never changes
+// its meaning, so a message keeps its class when the settings change. A name maps to its present definition, or to the
+// last one if the class was removed: a message that a client sent before the change is still accepted. A table is
+// immutable once it is shared.
 type classTable struct {
 	all    []policy.Class
 	byName map[string]int
@@ -20,8 +20,8 @@
 	return t.withPresent(present)
 }
 
-// withPresent returns a table with these present classes. A class with an unchanged definition keeps its index; a new or
-// redefined one gets the next.
+// withPresent returns a table with these present classes. A class with an unchanged definition keeps its index; a new
+// or redefined one gets the next.
 func (t *classTable) withPresent(present []policy.Class) *classTable {
 	next := &classTable{all: slices.Clone(t.all), byName: make(map[string]int, len(t.byName)+len(present))}
 	for name, i := range t.byName {
@@ -37,9 +37,10 @@
 	return next
 }
 
-// unknownClass returns the index of a placeholder for the class of a restored message that the settings lack. Its effect is
-// unknown, so a message that may have run is not repeated, but one that was never sent is sent: accepted messages must
-// not end without a call because the settings changed between two processes. Clients cannot name the placeholder.
+// unknownClass returns the index of a placeholder for the class of a restored message that the settings lack. Its
+// effect is unknown, so a message that may have run is not repeated, but one that was never sent is sent: accepted
+// messages must not end without a call because the settings changed between two processes. Clients cannot name the
+// placeholder.
 func (s *Sender) unknownClass() int {
 	const longest = 24 * 3600e3 // each message keeps its own deadline
 	placeholder := policy.Class{Aim: longest, Deadline: longest, Worth: 1, LateWorth: 1, Effect: policy.Unsafe}
@@ -53,7 +54,7 @@
 	return len(t.all) - 1
 }
 
-// useClasses puts a table and the allowed number of attempts into use, for the module from the next step on.
+// useClasses makes a table and a number of attempts current; the module uses them from the next step on.
 func (s *Sender) useClasses(t *classTable, attempts int) {
 	s.classes.Store(t)
 	s.settings.Classes, s.settings.MaxAttempts = t.all, attempts
@@ -78,5 +79,5 @@
 func (s *Sender) handleSettings(set *policy.Settings) {
 	t := s.classes.Load().withPresent(set.Classes)
 	s.useClasses(t, set.MaxAttempts)
-	s.log.Info().Int("classes", len(set.Classes)).Int("known", len(t.all)).Int("max_attempts", set.MaxAttempts).Msg("settings read anew")
+	s.log.Info().Int("classes", len(set.Classes)).Int("known", len(t.all)).Int("max_attempts", set.MaxAttempts).Msg("settings reloaded")
 }
--- a/internal/sender/copies.go
+++ b/internal/sender/copies.go
@@ -17,12 +17,12 @@
 	"sliptide/policy"
 )
 
-// This file copies the journal to other members, by means of internal/fleet/copies. The records of a step are sent after
-// the journal has been written. Answers to clients, and calls that must not begin earlier, are queued until the holders
-// acknowledge the records. The sender's goroutine never blocks on this: acknowledgements arrive as inputs.
+// This file copies the journal to other members, by means of internal/fleet/copies. The records of a step are sent
+// after the journal has been written. Answers to clients, and calls that must not begin earlier, are queued until the
+// holders acknowledge the records. The sender's goroutine never blocks on this: acknowledgements arrive as inputs.
 
-// suspendedPace, in calls a second, suspends all calls while the lease on this sender's journal is lost: no call becomes
-// due at that pace, whereas 0 would mean no limit.
+// suspendedPace, in calls a second, suspends all calls while the lease on this sender's journal is lost: no call
+// becomes due at that pace, whereas 0 would mean no limit.
 const suspendedPace = 1e-3
 
 // placementInterval is the interval between checks of the placement of copies.
@@ -35,7 +35,7 @@
 type CopySettings struct {
 	Name            string
 	Zone            string
-	Count           int            // copies of the journal
+	Count           int            // copies of the journal, apart from this member's own file
 	Required        int            // holders that must acknowledge a record
 	RequiredByClass map[string]int // for classes with another number, by name
 	Timeout         time.Duration  // limit on the wait for acknowledgements
@@ -62,16 +62,16 @@
 	confirmed        []*pendingSubmission // to be answered 202 at the end of this step
 	claim            *claim               // of the messages resubmitted in this step
 	leaseHeld        bool                 // the lease on this sender's own journal is held
-	requestedHolders []string
-	incarnation      uint64 // of the state directory
-	requestedAt      time.Time
-	nextPlacement    time.Time // when the placement of copies is checked next
-	shortCount       uint64    // messages refused, or accepted uncopied, for lack of holders
+	requestedHolders []string             // requested from the fleet, but not in its view yet; nil: none
+	incarnation      uint64               // of the state directory
+	requestedAt      time.Time            // when the lease was last requested
+	nextPlacement    time.Time            // when the placement of copies is checked next
+	shortCount       uint64               // messages refused, or accepted uncopied, for lack of holders
 	status           atomic.Pointer[copies.Status]
 	nextStatus       time.Time
 
 	mu    sync.Mutex
-	inbox []copyInput
+	inbox []copyInput // for the next step; guarded by mu
 }
 
 // copyInput is a frame from another member, or a function to run on the sender's goroutine.
@@ -85,16 +85,16 @@
 type takeover struct {
 	*copies.Takeover
 	startedAt int64          // in nanoseconds of fleet.Now
-	entryNums []uint64       // of the imported entries in this journal
+	entryNums []uint64       // numbers of the imported entries in this sender's journal
 	holds     []journal.Hold // of the lost owner, by this sender's clock
 }
 
 // holderWait is a wait for the acknowledgement of a batch of records by its holders.
 type holderWait struct {
-	seq         uint64
-	required    int // holders that must acknowledge the batch
+	seq         uint64 // number of the batch; 0: set by the next sendCopies
+	required    int    // holders that must acknowledge the batch
 	deadline    time.Time
-	claims      []*claim // that must be answered as well
+	claims      []*claim // that the fleet must have answered as well
 	submissions []*pendingSubmission
 	calls       []*outbound.Call
 	done        func(acknowledged bool)
@@ -117,7 +117,7 @@
 	}
 }
 
-// ReceiveCopyFrame queues a frame about copies from a member. It does not block.
+// ReceiveCopyFrame queues a frame about copies from a member. It does not block and is safe for concurrent use.
 func (s *Sender) ReceiveCopyFrame(from string, f *pb.Frame) {
 	s.enqueueCopyInput(copyInput{from: from, frame: f})
 }
@@ -135,7 +135,7 @@
 	s.Wake()
 }
 
-// Wake makes a step handle queued updates soon. It does not block.
+// Wake makes a step handle queued updates soon. It does not block and is safe for concurrent use.
 func (s *Sender) Wake() {
 	select {
 	case s.inputs <- input{wake: true}:
@@ -172,12 +172,12 @@
 	s.settlePending(view)
 	s.stepTakeovers(now, view)
 	s.readmitEndpoints()
-	s.settleWaits()
+	s.settleHolderWaits()
 	s.publishCopyStatus()
 }
 
-// checkOwnLease follows the lease on this sender's own journal: it begins an epoch when the lease is gained, and suspends
-// calls when it is lost.
+// checkOwnLease follows the lease on this sender's own journal: it begins an epoch when the lease is gained, and
+// suspends calls when it is lost.
 func (s *Sender) checkOwnLease(view *fleet.View) {
 	c := s.copies
 	name := duty.JournalDuty(c.settings.Name)
@@ -222,8 +222,8 @@
 	}
 }
 
-// countedHolders returns the holders whose acknowledgements count. A holder whose removal has been requested does not: a
-// successor may not be told of its copy any more.
+// countedHolders returns the holders whose acknowledgements count. A holder whose removal has been requested does not:
+// a successor may not be told of its copy any more.
 func countedHolders(holders, requested []string) []string {
 	if requested == nil {
 		return holders
@@ -231,7 +231,7 @@
 	return slices.DeleteFunc(slices.Clone(holders), func(name string) bool { return !slices.Contains(requested, name) })
 }
 
-// placeCopies requests other holders from the fleet if the present members call for it.
+// placeCopies requests other holders from the fleet if the present members make another placement better.
 func (s *Sender) placeCopies(view *fleet.View, d *pb.Duty) {
 	c := s.copies
 	full := c.owner.FullMembers(fleet.Now())
@@ -324,8 +324,8 @@
 	return seq
 }
 
-// awaitHolders queues the answers and calls of a step until the holders have acknowledged the batch, and until the fleet
-// has answered about resubmitted messages. Those that need not wait stay in submissions and newCalls.
+// awaitHolders queues the answers and calls of a step until the holders have acknowledged the batch, and until the
+// fleet has answered about resubmitted messages. Those that need not wait stay in submissions and newCalls.
 func (s *Sender) awaitHolders(seq uint64) {
 	c := s.copies
 	s.proposeClaim()
@@ -339,12 +339,12 @@
 		c.waits = append(c.waits, holderWait{seq: seq, required: required, claims: claims, deadline: deadline})
 		return &c.waits[len(c.waits)-1]
 	}
-	s.submissions = slices.DeleteFunc(s.submissions, func(t *pendingSubmission) bool {
-		if !t.refused {
-			wait := waitFor(c.requiredFor(t.entry.Class), s.openClaims(t.entry.Num))
-			wait.submissions = append(wait.submissions, t)
+	s.submissions = slices.DeleteFunc(s.submissions, func(p *pendingSubmission) bool {
+		if !p.refused {
+			wait := waitFor(c.requiredFor(p.entry.Class), s.openClaims(p.entry.Num))
+			wait.submissions = append(wait.submissions, p)
 		}
-		return !t.refused
+		return !p.refused
 	})
 	s.newCalls = slices.DeleteFunc(s.newCalls, func(call *outbound.Call) bool {
 		if !s.mustAwaitHolders(call) {
@@ -381,8 +381,8 @@
 	return n
 }
 
-// mustAwaitHolders reports whether a call must not begin before its messages are copied: if it has a message whose client
-// has no answer yet, or one whose class forbids repeats.
+// mustAwaitHolders reports whether a call must not begin before its messages are copied: if it has a message whose
+// client has no answer yet, or one whose class forbids repeats.
 func (s *Sender) mustAwaitHolders(call *outbound.Call) bool {
 	for i := range call.Items {
 		m := s.messages[call.Items[i].ID]
@@ -398,14 +398,14 @@
 
 // answerConfirmed answers the submissions whose confirmation this step has written and sent.
 func (s *Sender) answerConfirmed() {
-	for _, t := range s.copies.confirmed {
-		t.verdict <- Verdict{Accepted: true, Num: t.entry.Num}
+	for _, p := range s.copies.confirmed {
+		p.verdict <- Verdict{Accepted: true, Num: p.entry.Num}
 	}
 	s.copies.confirmed = s.copies.confirmed[:0]
 }
 
-// settleWaits ends the waits that are satisfied and those that have timed out.
-func (s *Sender) settleWaits() {
+// settleHolderWaits ends the waits that are satisfied and those that have timed out.
+func (s *Sender) settleHolderWaits() {
 	c := s.copies
 	now := time.Now()
 	waits := c.waits
@@ -416,24 +416,26 @@
 			c.waits = append(c.waits, wait)
 			continue
 		}
-		s.endWait(&wait, acknowledged)
+		s.endHolderWait(&wait, acknowledged)
 	}
 }
 
-// failWaits ends all waits, unsatisfied, when the sender exits.
-func (s *Sender) failWaits() {
+// failHolderWaits ends all waits, unsatisfied, when the sender exits.
+func (s *Sender) failHolderWaits() {
 	if s.copies == nil {
 		return
 	}
 	waits := s.copies.waits
 	s.copies.waits = nil
 	for i := range waits {
-		s.endWait(&waits[i], false)
+		s.endHolderWait(&waits[i], false)
 	}
 	s.answerConfirmed()
 }
 
-func (s *Sender) endWait(wait *holderWait, acknowledged bool) {
+// endHolderWait ends a wait: it confirms the submissions and starts the calls if their records were acknowledged or
+// AcceptUncopied is set; otherwise it refuses and drops them. It always refuses messages that a successor holds.
+func (s *Sender) endHolderWait(wait *holderWait, acknowledged bool) {
 	if wait.done != nil {
 		wait.done(acknowledged)
 	}
@@ -441,20 +443,20 @@
 	if !acknowledged {
 		s.copies.shortCount += uint64(len(wait.submissions))
 	}
-	for _, t := range wait.submissions {
-		m := s.messages[t.entry.Num]
+	for _, p := range wait.submissions {
+		m := s.messages[p.entry.Num]
 		switch {
 		case m == nil: // already ended
-			t.verdict <- Verdict{RetryAfter: maxBusyRetryMS}
+			p.verdict <- Verdict{RetryAfter: maxBusyRetryMS}
 		case m.claim.has(m.Entry): // a successor holds it; this sender has sent nothing
 			s.revoke(m, telemetry.CauseCapacity)
-			t.verdict <- Verdict{TakenOver: true}
+			p.verdict <- Verdict{TakenOver: true}
 		case accept:
 			s.journal.Confirm(m.Entry)
-			s.copies.confirmed = append(s.copies.confirmed, t)
+			s.copies.confirmed = append(s.copies.confirmed, p)
 		default:
 			s.revoke(m, telemetry.CauseCapacity)
-			t.verdict <- Verdict{RetryAfter: s.busyRetryAfter(), TooFewHolders: true}
+			p.verdict <- Verdict{RetryAfter: s.busyRetryAfter(), TooFewHolders: true}
 		}
 	}
 	for _, call := range wait.calls {
@@ -478,8 +480,8 @@
 	s.forget(m)
 }
 
-// startCall starts a call. Its first byte is written only while the lease on this sender's journal is held: the lease may
-// end while the call waits for its connection or the process is suspended.
+// startCall starts a call. Its first byte is written only while the lease on this sender's journal is held: the lease
+// may end while the call waits for its connection or the process is suspended.
 func (s *Sender) startCall(call *outbound.Call) {
 	if c := s.copies; c != nil && len(call.Items) > 0 {
 		name, epoch := duty.JournalDuty(c.settings.Name), c.owner.Epoch()
@@ -512,7 +514,7 @@
 	return wait
 }
 
-// TooFewHoldersReason is the reason for a refusal as clients and /up receive it.
+// TooFewHoldersReason is the reason that clients and /up receive while messages are refused for lack of holders.
 const TooFewHoldersReason = "too few members can be reached to copy what is taken on"
 
 // RefusalReason returns why this sender accepts no messages, for /up; empty: it accepts them. It is safe for concurrent
--- a/internal/sender/endpoints.go
+++ b/internal/sender/endpoints.go
@@ -64,7 +64,7 @@
 		s.holdList(l)
 		return
 	}
-	s.recall(l)
+	s.restoreFacts(l)
 	ev := policy.Event{Kind: policy.EvList, FullList: l.Full}
 	listed := make(map[uint32]bool, len(l.Endpoints))
 	for _, e := range l.Endpoints {
--- a/internal/sender/holds.go
+++ b/internal/sender/holds.go
@@ -6,8 +6,8 @@
 	"sliptide/policy"
 )
 
-// This file handles holds: destinations and endpoints to which nothing may be sent. A sender's holds are copied with its
-// journal, so that a member that takes over its messages honours them.
+// This file handles holds: destinations and endpoints to which nothing may be sent. A sender's holds are copied with
+// its journal, so that a member that takes over its messages honours them.
 
 // adoptedDrainMS is how long a successor avoids an endpoint that the lost sender had listed as draining. Its own list
 // shows the drain within seconds.
@@ -32,7 +32,8 @@
 	s.journal.SetHold(h, int64(s.now))
 }
 
-// importHolds copies the holds of the lost owner into this journal; offset converts their times to this sender's clock.
+// importHolds sets t.holds to those holds of the lost owner that are still in force, and copies its requested waits
+// into this sender's journal. offset, in milliseconds, converts the owner's times to this sender's clock.
 func (s *Sender) importHolds(t *takeover, offset int64) {
 	t.holds = nil
 	for _, hold := range journal.ReplayHolds(t.LongestCopy.Records) {
@@ -92,7 +93,7 @@
 	s.honourWaits(holds)
 }
 
-// avoidEndpoints avoids the endpoints that a lost owner avoided, at most until the time until.
+// avoidEndpoints avoids the endpoints that a lost owner avoided, each until its hold ends. until is the latest end.
 func (s *Sender) avoidEndpoints(holds []journal.Hold, until float64) {
 	for _, hold := range holds {
 		if hold.Kind == journal.HoldWait || until <= s.now {
@@ -100,7 +101,7 @@
 		}
 		s.avoided.Add(hold.Endpoint, min(until, float64(hold.Until)))
 		s.reapplyEndpoint(hold.Endpoint)
-		s.log.Info().Str("endpoint", hold.Endpoint).Msg("copies: endpoint avoided, as by the lost sender, while messages taken over from it are left")
+		s.log.Info().Str("endpoint", hold.Endpoint).Msg("copies: avoiding an endpoint that the lost sender avoided, while messages taken over from that sender are held")
 	}
 }
 
--- a/internal/sender/knowledge.go
+++ b/internal/sender/knowledge.go
@@ -14,14 +14,14 @@
 )
 
 const (
-	maxDestsPerWrite = 64    // destinations written in one step: a sender with thousands must not stall on them
-	recallWindowMS   = 600e3 // how long after the start the earlier process's knowledge is kept for recall
+	maxDestsPerWrite     = 64    // destinations written in one step: a sender with thousands must not stall on them
+	restoreFactsWindowMS = 600e3 // how long after the start newly listed endpoints get the earlier process's knowledge
 )
 
 // Knowledge is what a Sender needs to keep its knowledge over restarts. The zero value keeps nothing.
 type Knowledge struct {
-	Writer   *keeper.Writer // stores what is learned; nil: nothing is kept
-	Facts    *knowledge.Facts
+	Writer   *keeper.Writer   // stores what is learned; nil: nothing is kept
+	Facts    *knowledge.Facts // as stored by the earlier process
 	Settings operator.Knowledge
 }
 
@@ -29,8 +29,8 @@
 // which identifies them by name.
 type knowledgeState struct {
 	Knowledge
-	usualLatencyMS    float64         // usual latency of a call in the earlier process
-	observedEndpoints map[uint32]bool // endpoints about which calls of this process have told something
+	usualLatencyMS    float64         // usual latency of a call in the earlier process; 0: unknown
+	observedEndpoints map[uint32]bool // endpoints about which a call of this process has provided facts
 	changedDests      map[int]bool    // destinations with changes since their last write
 	unwrittenDests    []int           // of these, the ones left in the present round of writes
 	nextWriteAt       float64         // when the next round is due
@@ -48,14 +48,14 @@
 	s.module.RestoreGeneral(g)
 }
 
-// recall gives the module the earlier process's knowledge of endpoints that a list names for the first time. It comes
-// before the list, so that a requested wait is honoured from this step on.
-func (s *Sender) recall(l *discovery.List) {
+// restoreFacts gives the module the earlier process's knowledge of endpoints that a list names for the first time. It
+// comes before the list, so that a requested wait is honoured from this step on.
+func (s *Sender) restoreFacts(l *discovery.List) {
 	k := &s.knowledge
 	if k.Facts == nil {
 		return
 	}
-	if s.now-s.clock.startMS > recallWindowMS {
+	if s.now-s.clock.startMS > restoreFactsWindowMS {
 		k.Facts = nil // destinations that are not listed by now are not expected any more
 		return
 	}
@@ -126,8 +126,8 @@
 }
 
 // writeKnowledge passes changed facts to the writer, a bounded number in each step unless all is set. Endpoints about
-// which no call of this process has told anything stay as the earlier process wrote them; their age would be lost
-// otherwise.
+// which no call of this process has provided facts stay as the earlier process wrote them; the age of their facts would
+// be lost otherwise.
 func (s *Sender) writeKnowledge(all bool) {
 	k := &s.knowledge
 	if k.Writer == nil || len(k.unwrittenDests) == 0 && (len(k.changedDests) == 0 || !all && s.now < k.nextWriteAt) {
@@ -183,17 +183,17 @@
 
 // generalFacts returns the facts that belong to no single destination, by the names of classes and kinds.
 func (s *Sender) generalFacts() *knowledge.Facts {
-	g, b := s.module.GeneralFacts(), knowledge.New("")
+	g, f := s.module.GeneralFacts(), knowledge.New("")
 	for i, u := range g.ClassLatency {
 		if u.N > 0 {
-			b.ClassLatency[s.settings.Classes[i].Name] = knowledge.ClassLatency{LearnedAt: s.now, LatencyFacts: u}
+			f.ClassLatency[s.settings.Classes[i].Name] = knowledge.ClassLatency{LearnedAt: s.now, LatencyFacts: u}
 		}
 	}
 	for i, d := range g.Dials {
 		if i < len(s.settings.Kinds) && (d.FailureShare > 0 || d.ScarceUntil > 0) {
-			b.Dials[s.settings.Kinds[i].Name] = knowledge.Dials{LearnedAt: s.now, DialFacts: d}
+			f.Dials[s.settings.Kinds[i].Name] = knowledge.Dials{LearnedAt: s.now, DialFacts: d}
 		}
 	}
-	b.Staleness = knowledge.Staleness{LearnedAt: s.now, StaleShare: g.StaleShare, MinStaleIdle: g.MinStaleIdle}
-	return b
+	f.Staleness = knowledge.Staleness{LearnedAt: s.now, StaleShare: g.StaleShare, MinStaleIdle: g.MinStaleIdle}
+	return f
 }
--- a/internal/sender/observe.go
+++ b/internal/sender/observe.go
@@ -13,8 +13,8 @@
 )
 
 const (
-	waitCausesInterval = 10.0   // milliseconds between checks why messages wait
-	gaugesInterval     = 1000.0 // milliseconds between sets of gauges
+	waitCausesIntervalMS = 10.0   // milliseconds between checks why messages wait
+	gaugesIntervalMS     = 1000.0 // milliseconds between sets of gauges
 )
 
 // observer records the sender's activity in telemetry and, if enabled, in the log. Each record is a push into a bounded
@@ -40,8 +40,8 @@
 	o.Recorder.Push(r)
 }
 
-// logRecord logs a record of a message, for "sliptide lab count". Records identify a message by its number; the record of
-// its acceptance also has the ID that its client gave it.
+// logRecord logs a record of a message, for "sliptide lab count". Records identify a message by its number; the record
+// of its acceptance also has the ID that its client gave it.
 func (o *observer) logRecord(r *telemetry.Record) {
 	e := o.log.Log().Int32("dest", r.Dest)
 	switch r.Kind {
@@ -62,8 +62,8 @@
 	e.Uint64("num", r.Num).Str("record", r.Kind.String()).Send()
 }
 
-// closed logs that a connection to an endpoint was closed. It is called on the connection's goroutine. Unsolicited bytes
-// from an endpoint are always logged, other reasons only with logRecords.
+// closed logs that a connection to an endpoint was closed. It is called on the connection's goroutine. Unsolicited
+// bytes from an endpoint are always logged, other reasons only with logRecords.
 func (o *observer) closed(c outbound.CloseEvent) {
 	e := o.log.Log()
 	switch {
@@ -127,9 +127,9 @@
 	}
 }
 
-func (s *Sender) observeStorm(o *storm.Throttle) {
+func (s *Sender) observeStorm(t *storm.Throttle) {
 	if s.observer.On() {
-		s.observer.Push(telemetry.Record{Kind: telemetry.KindStormPhase, Dest: int32(o.Dest), Value: float64(o.Phase), At: s.now})
+		s.observer.Push(telemetry.Record{Kind: telemetry.KindStormPhase, Dest: int32(t.Dest), Value: float64(t.Phase), At: s.now})
 	}
 }
 
@@ -147,7 +147,7 @@
 	if o.causesSkipped = s.now < o.nextCauses; o.causesSkipped {
 		return
 	}
-	o.nextCauses = s.now + waitCausesInterval
+	o.nextCauses = s.now + waitCausesIntervalMS
 	waiting := 0
 	current := make(map[int]policy.WaitCause, len(o.reportedCauses))
 	s.module.EachWaiting(func(dest int, why policy.WaitCause) {
@@ -166,7 +166,7 @@
 	if s.now < o.nextGauges {
 		return
 	}
-	o.nextGauges = s.now + gaugesInterval
+	o.nextGauges = s.now + gaugesIntervalMS
 	gauge := func(name telemetry.Instrument, v float64) {
 		o.Push(telemetry.Record{Kind: telemetry.KindMeasurement, Instrument: name, Value: v, At: s.now})
 	}
--- a/internal/sender/outcomes.go
+++ b/internal/sender/outcomes.go
@@ -15,7 +15,7 @@
 // handleOutcome records the end of a call.
 func (s *Sender) handleOutcome(c *outbound.Call, events []policy.Event) {
 	delete(s.calls, c)
-	if c.Abandoned() { // its answer may count for nothing, see abandonIfFirst
+	if c.Abandoned() { // its answer may be void, see abandonIfFirst
 		for i := range events {
 			if events[i].Outcome == policy.OK {
 				events[i].Outcome = policy.Timeout
@@ -53,8 +53,8 @@
 	}
 }
 
-// dropCallsWithin drops unsent calls that the wait requested by a partner covers: they would reach the destination during
-// the wait.
+// dropCallsWithin drops unsent calls that the wait requested by a partner covers: they would reach the destination
+// during the wait.
 func (s *Sender) dropCallsWithin(requested *outbound.Call) {
 	ownLimits := s.hasOwnLimits(requested.Endpoint)
 	for c := range s.calls {
--- a/internal/sender/resubmission.go
+++ b/internal/sender/resubmission.go
@@ -8,9 +8,9 @@
 	"sliptide/internal/outbound"
 )
 
-// This file handles messages that are resubmitted because their sender failed or did not answer. With copies, a successor
-// may hold them too. The fleet is therefore asked before the client receives 202 and before anything is sent: the sender
-// that claimed the message first keeps it.
+// This file handles messages that are resubmitted because their sender failed or did not answer. With copies, a
+// successor, the member that takes over that sender's journal, may hold them too. The fleet is therefore asked before
+// the client receives 202 and before anything is sent: the sender that claimed the message first keeps it.
 
 // claim is a query to the fleet about the messages resubmitted in one step.
 type claim struct {
--- a/internal/sender/sender.go
+++ b/internal/sender/sender.go
@@ -65,11 +65,11 @@
 	// Misdirected: refused, since other members serve its destination. ServedBy names them in order of preference.
 	Misdirected   bool
 	ServedBy      []string
-	TooFewHolders bool // refused: too few members are reachable to hold its copies
-	RetryAfter    float64
+	TooFewHolders bool    // refused: too few members are reachable to hold its copies
+	RetryAfter    float64 // refused: the Retry-After for the client, in milliseconds; 0 = none
 }
 
-// input is an occurrence for the sender's goroutine. Exactly one field is set, or one group of fields.
+// input is an item of work for the sender's goroutine. Exactly one field is set, or one group of fields.
 type input struct {
 	submission   *submission
 	call         *outbound.Call // an ended call, with its events
@@ -105,10 +105,10 @@
 type message struct {
 	*journal.Entry
 	class           int            // index of the class definition under which it was accepted
-	acceptedAt      float64        // 0: by an earlier process
+	acceptedAt      float64        // 0: by an earlier process or another sender
 	call            *outbound.Call // the call in progress with it
-	attemptDeadline float64        // when its attempt ends apart from the rest of its call; +Inf: with the call
-	claim           *claim         // the query whether a successor holds it; nil: not needed
+	attemptDeadline float64        // when its attempt ends although its call continues; +Inf: it ends with the call
+	claim           *claim         // asks the fleet whether a successor holds it; nil: there is no need to ask
 }
 
 // endedIDs remembers the IDs of recently ended messages.
@@ -122,13 +122,13 @@
 	endedAt float64
 }
 
-func (p *endedIDs) add(trace string, now float64) {
-	for len(p.queue) > 0 && (len(p.queue) >= maxEndedIDs || now-p.queue[0].endedAt > endedIDRetentionMS) {
-		delete(p.ids, p.queue[0].trace)
-		p.queue = p.queue[1:]
+func (e *endedIDs) add(trace string, now float64) {
+	for len(e.queue) > 0 && (len(e.queue) >= maxEndedIDs || now-e.queue[0].endedAt > endedIDRetentionMS) {
+		delete(e.ids, e.queue[0].trace)
+		e.queue = e.queue[1:]
 	}
-	p.ids[trace] = true
-	p.queue = append(p.queue, endedID{trace, now})
+	e.ids[trace] = true
+	e.queue = append(e.queue, endedID{trace, now})
 }
 
 // Options holds the configuration and the collaborators of a Sender.
@@ -138,7 +138,7 @@
 	MaxConns  int // limit on connections to endpoints
 	Journal   *journal.Journal
 	Restored  []*journal.Entry
-	Notify    func(discovery.Notice)
+	Notify    func(discovery.Notice) // called by New and on the sender's goroutine
 	Knowledge Knowledge
 	Clock     Clock
 	// Partner returns how a destination is reached; nil: all by plain HTTP/1.1. HTTP2Streams is the number of concurrent
@@ -166,7 +166,7 @@
 	done     chan struct{}
 
 	clock      Clock
-	now        float64
+	now        float64 // the time of the current step by clock, in milliseconds
 	knowledge  knowledgeState
 	stormGuard *storm.Guard
 	fleet      Fleet                  // nil: not a member of a fleet
@@ -180,7 +180,7 @@
 	numByTrace      map[string]uint64
 	ended           endedIDs
 	listedDests     map[int]bool
-	destLimitLogged bool                          // the log has said that MaxDestinations is exceeded
+	destLimitLogged bool                          // the error about MaxDestinations has been logged
 	pendingNotices  map[uint64]*journal.Entry     // ended messages whose notice has not been accepted yet
 	endpoints       map[uint32]discovery.Endpoint // as listed, regardless of disabled and avoided
 	endpointIDs     map[string]uint32             // of every endpoint that has been listed, by name
@@ -192,15 +192,15 @@
 	partner         func(dest int) *outbound.Partner
 	http2Streams    int
 	calls           map[*outbound.Call]bool // in progress
-	events          []policy.Event
+	events          []policy.Event          // for the next step
 	actions         []policy.Action
 	submissions     []*pendingSubmission
 	newCalls        []*outbound.Call // of the current step
 	stepDue         bool             // a step is due without further input
 	journalFailed   bool             // the last journal write failed: no message is accepted or sent
 	timer           *time.Timer
-	timerAt         float64
-	timerToken      uint32
+	timerAt         float64   // by clock
+	timerToken      uint32    // 0: the module has no timer set
 	stopRequestedAt time.Time // zero: no stop requested
 	handingOver     bool      // stopping for a waiting successor: no further call begins
 	clientsGone     bool      // no further submissions or withdrawals follow
@@ -275,7 +275,8 @@
 
 func (s *Sender) updateNow() { s.now = s.clock.Now() }
 
-// restore adds a message from the journal of an earlier process.
+// restore adds a message from the journal of an earlier process, or from that of a lost sender once its takeover is
+// agreed.
 func (s *Sender) restore(e *journal.Entry) {
 	class, _ := s.ClassOf([]byte(e.Class))
 	left := float64(e.Deadline) - s.now
@@ -327,7 +328,7 @@
 		s.collectInputs()
 		startedAt := time.Now()
 		s.step()
-		// At most one step in MinStepInterval, as the module expects: sends close to each other share a call.
+		// At most one step per MinStepInterval, as the module expects, so that sends close in time share a call.
 		if rest := interval - time.Since(startedAt); rest > 0 {
 			time.Sleep(rest)
 		}
@@ -382,7 +383,7 @@
 	case in.settings != nil:
 		s.handleSettings(in.settings)
 	case in.upgrade != nil:
-		in.upgrade.done <- s.handleTakeOver(in.upgrade)
+		in.upgrade.done <- s.handleUpgradeTakeover(in.upgrade)
 	case in.clientsGone:
 		s.clientsGone = true
 	case in.stop:
@@ -404,7 +405,7 @@
 	s.stepCopies()
 	s.releaseLeavingShards(false)
 	s.endExpiredAttempts()
-	s.applyStormOrders()
+	s.applyStormThrottles()
 	s.actions = s.module.Step(s.now, s.events, s.actions[:0])
 	s.events = s.events[:0]
 	for i := range s.actions {
@@ -423,8 +424,8 @@
 	s.armTimer()
 }
 
-// handleFlushResult handles the result of a journal write. While writes fail, the module begins no attempts, which would
-// count although they never ran; messages that reach their deadline still end.
+// handleFlushResult handles the result of a journal write. While writes fail, the module begins no attempts, which
+// would count although they never ran; messages that reach their deadline still end.
 func (s *Sender) handleFlushResult(err error) {
 	if s.journalFailed == (err != nil) {
 		return
@@ -459,7 +460,8 @@
 	}
 }
 
-// armTimer sets the timer to the earliest time at which a step is due without input.
+// armTimer sets the timer to the earliest time at which a step is due without input. Times that may be infinite are
+// capped at 1e6 ms, since they would overflow a time.Duration.
 func (s *Sender) armTimer() {
 	wait := time.Hour
 	if s.timerToken != 0 {
@@ -476,7 +478,7 @@
 		}
 	}
 	if !s.stopRequestedAt.IsZero() {
-		wait = min(wait, 50*time.Millisecond)
+		wait = min(wait, 50*time.Millisecond) // the conditions of the exit are polled
 	}
 	wait = min(wait, fromMillis(min(s.stormGuard.NextDue()-s.clock.Now(), 1e6)))
 	if s.trials != nil {
--- a/internal/sender/shards.go
+++ b/internal/sender/shards.go
@@ -7,9 +7,9 @@
 	"sliptide/policy"
 )
 
-// This file restricts a sender of a sharded fleet to the destinations of its shards. Messages for other destinations are
-// refused with the names of the members that serve them. The state of a destination is dropped with its shard, once no
-// message or call of the shard is left here.
+// This file restricts a sender of a sharded fleet to the destinations of its shards. Messages for other destinations
+// are refused with the names of the members that serve them. The state of a destination is dropped with its shard, once
+// no message or call of the shard is left here.
 
 // leaveCheckIntervalMS is the interval between checks whether leaving shards can be released.
 const leaveCheckIntervalMS = 250.0
@@ -24,15 +24,15 @@
 	nextCheck float64
 }
 
-// EnableSharding restricts the sender to the destinations of its assigned shards, of which it has none at first. replicas
-// is the number of replicas of a shard in a region. release is called with shards of which nothing is left here. It is
-// called before Run.
+// EnableSharding restricts the sender to the destinations of its assigned shards, of which it has none at first.
+// replicas is the number of replicas of a shard in a region. release is called with shards of which nothing is left
+// here. It is called before Run.
 func (s *Sender) EnableSharding(replicas int, release func([]shard.ID)) {
 	s.shards = &shards{release: release, locator: shard.NewLocator(replicas), assigned: map[shard.ID]bool{}, leaving: map[shard.ID]bool{}, dests: map[shard.ID]map[int]bool{}}
 }
 
-// HeldShards returns the shards of the restored messages' destinations: the sender needs their endpoints whichever member
-// serves them now. It is called before Run.
+// HeldShards returns the shards of the restored messages' destinations: the sender needs their endpoints whichever
+// member serves them now. It is called after EnableSharding and before Run.
 func (s *Sender) HeldShards() (ids []shard.ID) {
 	seen := map[shard.ID]bool{}
 	for _, m := range s.messages {
@@ -84,7 +84,7 @@
 	return s.shards != nil && !s.shards.assigned[shard.Of(uint64(dest))]
 }
 
-// misdirection returns the verdict on a misdirected message, with the members that serve its destination as far as known.
+// misdirection returns the verdict on a misdirected message, with the members known to serve its destination.
 func (s *Sender) misdirection(dest int) Verdict {
 	names := s.shards.locator.Replicas(shard.Of(uint64(dest)))
 	if len(names) == 0 { // the members are not known yet
@@ -93,8 +93,8 @@
 	return Verdict{Misdirected: true, ServedBy: names}
 }
 
-// releaseLeavingShards releases leaving shards of which no message is held and no call is in progress. It checks at most
-// once in leaveCheckIntervalMS unless now is set.
+// releaseLeavingShards releases leaving shards of which no message is held and no call is in progress. It checks at
+// most once in leaveCheckIntervalMS unless now is set.
 func (s *Sender) releaseLeavingShards(now bool) {
 	sh := s.shards
 	if sh == nil || len(sh.leaving) == 0 || !now && s.now < sh.nextCheck {
@@ -120,8 +120,8 @@
 	}
 }
 
-// forgetShards drops all state of the shards' destinations. Many shards may leave at once, so it scans the endpoints once
-// for all of them.
+// forgetShards drops all state of the shards' destinations. Many shards may leave at once, so it scans the endpoints
+// once for all of them.
 func (s *Sender) forgetShards(ids []shard.ID) {
 	sh := s.shards
 	leaving := map[int]bool{}
@@ -156,7 +156,7 @@
 	}
 }
 
-// shrinkMap returns a copy of a map of which most was deleted, since a map never gives up the memory that it has grown to.
+// shrinkMap returns a copy of a map of which most was deleted, since a map keeps the memory that it has grown to.
 func shrinkMap[K comparable, V any](m map[K]V) map[K]V {
 	shrunk := make(map[K]V, len(m))
 	for k, v := range m {
--- a/internal/sender/stopping.go
+++ b/internal/sender/stopping.go
@@ -51,7 +51,7 @@
 	for c := range s.calls {
 		s.dropUnsent(c)
 	}
-	s.failWaits()
+	s.failHolderWaits()
 	if err := s.journal.Flush(); err != nil {
 		s.log.Error().Err(err).Msg("stopping: the last outcomes could not be written to the journal")
 	}
--- a/internal/sender/submissions.go
+++ b/internal/sender/submissions.go
@@ -11,8 +11,8 @@
 
 // This file accepts or refuses submitted messages and answers their clients.
 
-// Submit submits a message and waits for its verdict, usually that of the next step. The message's slices must not change
-// until then.
+// Submit submits a message and waits for its verdict, usually that of the next step. The message's slices must not
+// change until then.
 func (s *Sender) Submit(m *Message, received time.Time) Verdict {
 	sub := &submission{msg: m, received: received, verdict: make(chan Verdict, 1)}
 	select {
@@ -23,8 +23,8 @@
 	return s.awaitVerdict(sub)
 }
 
-// awaitVerdict waits for the verdict on a queued submission. A verdict given before the sender exited counts: otherwise a
-// message that is in the journal could be answered as refused.
+// awaitVerdict waits for the verdict on a queued submission. A verdict given before the sender exited counts: otherwise
+// a message that is in the journal could be answered as refused.
 func (s *Sender) awaitVerdict(sub *submission) Verdict {
 	select {
 	case v := <-sub.verdict:
@@ -97,24 +97,24 @@
 func (s *Sender) answerSubmissions(journalled bool) {
 	torn := !journalled && s.journal.Torn()
 	unsettled := s.submissions[:0]
-	for _, t := range s.submissions {
+	for _, p := range s.submissions {
 		switch {
-		case torn && time.Since(t.received) < clientAnswerTimeout: // undecided: its record may be on disk
-			unsettled = append(unsettled, t)
-		case t.refused:
-			t.verdict <- Verdict{RetryAfter: t.retryAfterMS}
+		case torn && time.Since(p.received) < clientAnswerTimeout: // undecided: a restart may find its record on disk
+			unsettled = append(unsettled, p)
+		case p.refused:
+			p.verdict <- Verdict{RetryAfter: p.retryAfterMS}
 		case !journalled: // not in the journal: the module must not keep it
-			s.observeMessageEnd(t.entry, telemetry.EndingNotAccepted, 0)
-			s.observeRefused(t.entry.Dest, telemetry.CauseCapacity)
-			s.events = append(s.events, policy.Event{Kind: policy.EvWithdrawn, ID: t.entry.Num})
+			s.observeMessageEnd(p.entry, telemetry.EndingNotAccepted, 0)
+			s.observeRefused(p.entry.Dest, telemetry.CauseCapacity)
+			s.events = append(s.events, policy.Event{Kind: policy.EvWithdrawn, ID: p.entry.Num})
 			s.stepDue = true
-			if m := s.messages[t.entry.Num]; m != nil {
+			if m := s.messages[p.entry.Num]; m != nil {
 				s.journal.End(m.Entry)
 				s.forget(m)
 			}
-			t.verdict <- Verdict{RetryAfter: maxBusyRetryMS}
+			p.verdict <- Verdict{RetryAfter: maxBusyRetryMS}
 		default:
-			t.verdict <- Verdict{Accepted: true, Num: t.entry.Num}
+			p.verdict <- Verdict{Accepted: true, Num: p.entry.Num}
 		}
 	}
 	clear(s.submissions[len(unsettled):])
@@ -124,8 +124,8 @@
 // clientAnswerTimeout is how long a client waits for its answer; later answers reach no client.
 const clientAnswerTimeout = 400 * time.Millisecond
 
-// endUndelivered ends a message that was not delivered: one submitted in this step is refused, any other was accepted and
-// ends with a notice.
+// endUndelivered ends a message that was not delivered: one submitted in this step is refused, any other was accepted
+// and ends with a notice.
 func (s *Sender) endUndelivered(a *policy.Action) {
 	m := s.messages[a.ID]
 	if m == nil {
@@ -135,9 +135,9 @@
 	if a.Kind == policy.ActRefuse {
 		retryAfterMS = s.refusalRetryAfter(m.Dest, []byte(m.Key), max(float64(m.Deadline)-s.now, 0), retryAfterMS)
 	}
-	for _, t := range s.submissions {
-		if t.entry == m.Entry {
-			t.refused, t.retryAfterMS = true, retryAfterMS
+	for _, p := range s.submissions {
+		if p.entry == m.Entry {
+			p.refused, p.retryAfterMS = true, retryAfterMS
 			s.observeMessageEnd(m.Entry, telemetry.EndingNotAccepted, 0)
 			s.observeRefused(m.Dest, telemetry.CauseLoad)
 			s.journal.End(m.Entry)
--- a/internal/sender/takeover.go
+++ b/internal/sender/takeover.go
@@ -12,28 +12,30 @@
 	"sliptide/policy"
 )
 
-// This file takes over the messages of lost owners: the copies of an owner's journal are sealed and read, its entries are
-// written to this sender's journal and copied, the fleet agrees to the adoption, and only then are the messages sent.
+// This file takes over the messages of lost owners: the copies of an owner's journal are sealed and read, its entries
+// are written to this sender's journal and copied, the fleet agrees to the adoption, and only then are the messages
+// sent.
 
 // releaseDelay, in nanoseconds, is how long a takeover waits for the lease on this sender's own journal before it is
 // released to another member.
 const releaseDelay = int64(2 * time.Second)
 
-// ownerOf returns the owner of a journal from the name of its duty; empty: the name is of no such duty.
-func ownerOf(name string) string {
+// journalOwner returns the owner from the name of a journal's duty; empty if the name has none. It does not check that
+// the name is of a journal's duty.
+func journalOwner(name string) string {
 	if n := len(duty.JournalDuty("")); len(name) > n {
 		return name[n:]
 	}
 	return ""
 }
 
-// clockOffsets returns the offsets, in milliseconds, that convert times of the owner's clock to this sender's. Deadlines
-// err on the early side, waits on the late side. If no holder knows the owner's clock, the clocks are assumed to agree,
-// as after a restart of the same machine.
+// clockOffsets returns the offsets, in milliseconds, that convert times of the owner's clock to this sender's.
+// Deadlines err on the early side, waits on the late side. If no holder knows the owner's clock, the clocks are assumed
+// to agree, as after a restart of the same machine.
 func (s *Sender) clockOffsets(t *takeover) (deadlines, waits int64) {
 	least, most, known := t.ClockOffsets()
 	if !known {
-		s.log.Warn().Str("owner", t.Owner).Msg("copies: no holder knows the lost sender's clock: its deadlines are taken by this machine's clock")
+		s.log.Warn().Str("owner", t.Owner).Msg("copies: no holder knows the lost sender's clock: its times are read as times of this machine's clock")
 		return 0, 0
 	}
 	own := int64(s.clock.Now()) - fleet.Now()/1e6
@@ -60,7 +62,8 @@
 		case copies.Ready:
 			if c.leaseHeld {
 				s.importEntries(t, d)
-			} else if now-t.startedAt > releaseDelay { // no lease: another member may copy them
+			} else if now-t.startedAt > releaseDelay {
+				// Without the lease nothing can be copied here: another member, or the owner if it is back, may take over.
 				c.fleet.Propose(&pb.Command{What: &pb.Command_Release{Release: &pb.Release{Session: view.Session, Duty: d.Name, Token: d.Token, Keep: true}}}, func(*pb.Answer, error) {})
 				t.startedAt = now
 				s.log.Info().Str("owner", owner).Msg("copies: takeover released to another member, as this sender lacks the lease on its own journal")
@@ -77,8 +80,8 @@
 	return class >= 0 && s.settings.Classes[class].Effect == policy.Unsafe
 }
 
-// importEntries writes the entries found to this sender's own journal. Once they are copied, the fleet is asked to agree to
-// the adoption.
+// importEntries writes the entries found to this sender's own journal. Once they are copied, the fleet is asked to
+// agree to the adoption.
 func (s *Sender) importEntries(t *takeover, d *pb.Duty) {
 	c := s.copies
 	t.Stage, t.entryNums = copies.Copying, nil
@@ -87,8 +90,8 @@
 	var keys []uint64
 	suspected := 0
 	for _, e := range journal.Replay(t.LongestCopy.Records) {
-		if e.TakeoverDuty != "" && duty.TakeoverByToken(view.Adoptions[ownerOf(e.TakeoverDuty)], e.TakeoverToken).GetBy() != t.Owner {
-			continue // the lost owner was taking it over itself, without agreement
+		if e.TakeoverDuty != "" && duty.TakeoverByToken(view.Adoptions[journalOwner(e.TakeoverDuty)], e.TakeoverToken).GetBy() != t.Owner {
+			continue // the lost owner was itself taking it over, and the fleet had not agreed
 		}
 		e.Num, e.TakeoverDuty, e.TakeoverToken = s.journal.NextNumber(), d.Name, d.Token
 		e.Deadline += deadlineOffset
@@ -137,7 +140,8 @@
 	}
 }
 
-// handleAdoption handles the fleet's answer to an adoption. After an error settlePending learns the result from the view.
+// handleAdoption handles the fleet's answer to an adoption. After an error settlePending learns the result from the
+// view.
 func (s *Sender) handleAdoption(t *takeover, keysElsewhere []uint64, err error) {
 	if err != nil {
 		s.log.Warn().Err(err).Str("owner", t.Owner).Msg("copies: the fleet has not confirmed the takeover yet")
@@ -147,14 +151,14 @@
 	t.Stage = copies.Done
 }
 
-// activateEntries makes the entries of an agreed takeover this sender's messages. Entries with a key in keysElsewhere were
-// resubmitted to another sender, which is responsible for them now: they are not sent but abandoned, with a notice about
-// their old ID.
+// activateEntries makes the entries of an agreed takeover this sender's messages. Entries with a key in keysElsewhere
+// were resubmitted to another sender, which is responsible for them now: they are not sent but abandoned, with a notice
+// about their old ID.
 func (s *Sender) activateEntries(owner string, token uint64, holds []journal.Hold, keysElsewhere []uint64) {
 	n, confirmed, avoidUntil := 0, 0, s.now
 	s.honourWaits(holds)
 	for num, e := range s.copies.pendingEntries {
-		if ownerOf(e.TakeoverDuty) != owner || e.TakeoverToken != token {
+		if journalOwner(e.TakeoverDuty) != owner || e.TakeoverToken != token {
 			continue
 		}
 		delete(s.copies.pendingEntries, num)
@@ -188,7 +192,7 @@
 	}
 	pending := map[attemptKey]bool{}
 	for _, e := range c.pendingEntries {
-		pending[attemptKey{ownerOf(e.TakeoverDuty), e.TakeoverToken}] = true
+		pending[attemptKey{journalOwner(e.TakeoverDuty), e.TakeoverToken}] = true
 	}
 	for key := range pending {
 		adoption, d, t := view.Adoptions[key.owner], view.Journals[key.owner], c.takeovers[key.owner]
@@ -202,7 +206,7 @@
 		case adoption != nil && adoption.Token > key.token, view.Holds(d) && d.Token > key.token, d != nil && !view.Holds(d), d == nil:
 			// Another member holds the duty now, or none: the adoption was not agreed to and never will be.
 			for num, e := range c.pendingEntries {
-				if ownerOf(e.TakeoverDuty) == key.owner && e.TakeoverToken == key.token {
+				if journalOwner(e.TakeoverDuty) == key.owner && e.TakeoverToken == key.token {
 					delete(c.pendingEntries, num)
 					s.journal.End(e)
 				}
--- a/internal/sender/trials.go
+++ b/internal/sender/trials.go
@@ -12,7 +12,7 @@
 type Fleet interface {
 	Request(duty, zone string)     // requests a duty, or a place in its queue
 	Release(duty string, end bool) // gives a duty up; end: no member needs it any longer
-	Publish(duty, word string)     // publishes a word about a duty that this member holds
+	Publish(duty, word string)     // publishes a short status of a duty that this member holds
 	Token(duty string) uint64      // the fencing token of a duty that this member holds now; 0 if it does not
 	HeldDuties() int               // the number of duties held now
 	Live() bool                    // whether this member's view of the fleet can be relied on now
@@ -27,15 +27,15 @@
 	updates map[int]trial.Update
 }
 
-// UpdateDuty queues an update of a duty for the next step.
-func (s *Sender) UpdateDuty(duty string, n trial.Update) {
+// UpdateDuty queues an update of a duty for the next step. It does not block and is safe for concurrent use.
+func (s *Sender) UpdateDuty(duty string, u trial.Update) {
 	dest, ok := trial.Dest(duty)
 	if s.trials == nil || !ok {
 		return
 	}
 	t := s.trials
 	t.mu.Lock()
-	t.updates[dest] = n
+	t.updates[dest] = u
 	t.mu.Unlock()
 	s.Wake()
 }
@@ -48,6 +48,7 @@
 	s.trials = &trials{state: trial.New(set), fleet: f, updates: map[int]trial.Update{}}
 }
 
+// step passes the queued updates to the state of the trials.
 func (t *trials) step(now float64) {
 	if t == nil {
 		return
@@ -80,8 +81,8 @@
 	}
 }
 
-// stormOrders returns the orders of storm control, as adjusted by the fleet's shared trials.
-func (s *Sender) stormOrders() []storm.Throttle {
+// stormThrottles returns the changed throttles of storm control, as adjusted by the fleet's shared trials.
+func (s *Sender) stormThrottles() []storm.Throttle {
 	list := s.stormGuard.Throttles(s.now)
 	if s.trials == nil {
 		return list
--- a/internal/sender/upgrade.go
+++ b/internal/sender/upgrade.go
@@ -34,7 +34,7 @@
 	}
 }
 
-func (s *Sender) handleTakeOver(t *upgradeTakeover) error {
+func (s *Sender) handleUpgradeTakeover(t *upgradeTakeover) error {
 	if !s.successor {
 		return nil
 	}
@@ -53,7 +53,7 @@
 	for i := range lists {
 		s.handleList(&lists[i])
 	}
-	s.log.Info().Int("restored", len(entries)).Int("lists", len(lists)).Msg("took over from the version before")
+	s.log.Info().Int("restored", len(entries)).Int("lists", len(lists)).Msg("took over from the previous version")
 	return nil
 }
 
