--- a/internal/sender/bulkdeadline_test.go
+++ b/internal/sender/bulkdeadline_test.go
@@ -16,13 +16,13 @@
 	"sliptide/policy"
 )
 
-// Two messages share a call that waits for its connection, and one expires meanwhile and ends with a notice. It must not be
-// sent with the other one when the connection is established.
+// Two messages share a call that waits for its connection, and one expires meanwhile and ends with a notice. It must
+// not be sent with the other one when the connection is established.
 func TestExpiredMessageIsNotSentWithBatch(t *testing.T) {
 	bodies := make(chan string, 10)
-	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
-		b, _ := io.ReadAll(q.Body)
-		bodies <- q.Header.Get("X-Trace-Id") + string(b)
+	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		b, _ := io.ReadAll(r.Body)
+		bodies <- r.Header.Get("X-Trace-Id") + string(b)
 	}))
 	defer srv.Close()
 	j, _, err := journal.Open(t.TempDir(), statedir.NewSpace(1<<20).Account())
@@ -83,7 +83,7 @@
 			select {
 			case <-done:
 				return
-			case in := <-s.inputs: // results from the pool, while no step is run
+			case in := <-s.inputs: // results from the pool are discarded
 				_ = in
 			}
 		}
@@ -91,7 +91,7 @@
 	for {
 		select {
 		case b := <-bodies:
-			if strings.Contains(b, "short") || strings.Contains(b, "c2hvcnQ") {
+			if strings.Contains(b, "short") || strings.Contains(b, "c2hvcnQ") { // base64 of "short"
 				t.Fatal("a message was sent after its notice")
 			}
 			return
--- a/internal/sender/callorder_test.go
+++ b/internal/sender/callorder_test.go
@@ -8,30 +8,31 @@
 	"time"
 )
 
-// Of the messages that share a call, one expires before the answer, and one was accepted in this step, so that its client
-// may still turn out to be gone. Neither may be the first in the call.
+// Of the messages that share a call, one expires before the answer, and one was accepted in this step, so that its
+// client may still turn out to be gone. Neither may be the first in the call: if the first message ends before the
+// answer, a partner that identifies the call by it may discard the whole call.
 func TestLongestLivedMessageIsFirstInCall(t *testing.T) {
 	first := make(chan string, 10)
-	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
+	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		var items []struct{ ID string }
-		json.NewDecoder(q.Body).Decode(&items)
+		json.NewDecoder(r.Body).Decode(&items)
 		if len(items) != 3 {
 			t.Errorf("%d messages in the call, want 3", len(items))
 		}
 		first <- items[0].ID
 	}))
 	defer srv.Close()
-	b := newTestSender(t, t.TempDir(), "", testSettings())
-	b.listedDests[3] = true
-	b.submit("short", 0, 300*time.Millisecond)
-	b.submit("settled", 0, 10*time.Second)
-	b.runStep() // no endpoint is listed yet: both wait
-	for _, m := range b.messages {
+	s := newTestSender(t, t.TempDir(), "", testSettings())
+	s.listedDests[3] = true
+	s.submit("short", 0, 300*time.Millisecond)
+	s.submit("settled", 0, 10*time.Second)
+	s.runStep() // no endpoint is listed yet: both wait
+	for _, m := range s.messages {
 		m.acceptedAt -= 2 * disconnectDetectionMS
 	}
-	b.submit("fresh", 0, 19*time.Second)
-	b.listEndpoint(srv.Listener.Addr().String())
-	b.runStep()
+	s.submit("fresh", 0, 19*time.Second)
+	s.listEndpoint(srv.Listener.Addr().String())
+	s.runStep()
 	select {
 	case id := <-first:
 		if id != "settled" {
--- a/internal/sender/firstmessage_test.go
+++ b/internal/sender/firstmessage_test.go
@@ -24,9 +24,9 @@
 
 func newBulkPartner(t *testing.T) *bulkPartner {
 	p := &bulkPartner{calls: make(chan []string, 10), answer: make(chan struct{}), closed: make(chan struct{}, 10)}
-	p.Server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
+	p.Server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		var items []struct{ ID string }
-		json.NewDecoder(q.Body).Decode(&items)
+		json.NewDecoder(r.Body).Decode(&items)
 		var ids, ends []string
 		for _, it := range items {
 			ids = append(ids, it.ID)
@@ -36,7 +36,7 @@
 		select {
 		case <-p.answer:
 			io.WriteString(w, "["+strings.Join(ends, ",")+"]")
-		case <-q.Context().Done():
+		case <-r.Context().Done():
 			p.closed <- struct{}{}
 		}
 	}))
@@ -52,21 +52,21 @@
 	}
 }
 
-// startBulkCall starts a call of two messages. The first has little time left; it is first because its client has surely
-// been answered.
-func startBulkCall(t *testing.T) (b *testSender, p *bulkPartner, first, other *message) {
+// startBulkCall starts a call of two messages. The first has little time left; it is first because its client has
+// surely been answered, while the other was accepted in the same step.
+func startBulkCall(t *testing.T) (s *testSender, p *bulkPartner, first, other *message) {
 	t.Helper()
 	p = newBulkPartner(t)
-	b = newTestSender(t, t.TempDir(), "", testSettings())
-	b.listedDests[3] = true
-	b.submit("leader", 0, 1500*time.Millisecond)
-	b.runStep() // no endpoint is listed yet
-	first = b.messages[b.numByTrace["leader"]]
+	s = newTestSender(t, t.TempDir(), "", testSettings())
+	s.listedDests[3] = true
+	s.submit("leader", 0, 1500*time.Millisecond)
+	s.runStep() // no endpoint is listed yet
+	first = s.messages[s.numByTrace["leader"]]
 	first.acceptedAt -= 2 * disconnectDetectionMS
-	b.submit("other", 2, 20*time.Second)
-	other = b.messages[b.numByTrace["other"]]
-	b.listEndpoint(p.Listener.Addr().String())
-	b.runStep()
+	s.submit("other", 2, 20*time.Second)
+	other = s.messages[s.numByTrace["other"]]
+	s.listEndpoint(p.Listener.Addr().String())
+	s.runStep()
 	select {
 	case ids := <-p.calls:
 		if len(ids) != 2 || ids[0] != "leader" {
@@ -75,60 +75,63 @@
 	case <-time.After(testTimeout):
 		t.Fatal("no call received")
 	}
-	return b, p, first, other
+	return s, p, first, other
 }
 
-func (b *testSender) wantMayHaveRun(m *message) {
-	b.t.Helper()
+// wantMayHaveRun checks that m is recorded as possibly delivered.
+func (s *testSender) wantMayHaveRun(m *message) {
+	s.t.Helper()
 	if m.MayHaveRunAt == 0 {
-		b.t.Errorf("%s is not recorded as possibly delivered: %+v", m.Trace, m.Entry)
+		s.t.Errorf("%s is not recorded as possibly delivered: %+v", m.Trace, m.Entry)
 	}
 }
 
-// The first message of a call ends before the answer, which names the others as accepted.
+// The first message of a call ends before the answer, which names the others as accepted. A partner that identifies a
+// call by its first message may have discarded the call: the others must not count as delivered.
 func TestFirstMessageEndsBeforeAnswer(t *testing.T) {
-	b, p, _, other := startBulkCall(t)
-	b.await("the first message does not end", func() bool { return len(b.notices) > 0 })
+	s, p, _, other := startBulkCall(t)
+	s.await("the first message does not end", func() bool { return len(s.notices) > 0 })
 	p.answerNow()
-	b.await("the call does not end", func() bool { return len(b.calls) == 0 })
-	b.wantMayHaveRun(other)
+	s.await("the call does not end", func() bool { return len(s.calls) == 0 })
+	s.wantMayHaveRun(other)
 }
 
-// The answer is read first, but a step ends the first message before the answer is handled.
+// The answer is read first, but a step ends the first message before the answer is handled. The others must not count
+// as delivered either.
 func TestAnswerIsReadBeforeFirstMessageEnds(t *testing.T) {
-	b, p, first, other := startBulkCall(t)
+	s, p, first, other := startBulkCall(t)
 	p.answer <- struct{}{}
-	for end := time.Now().Add(testTimeout); len(b.inputs) == 0; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); len(s.inputs) == 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("no answer received")
 		}
 	}
 	first.attemptDeadline = 0 // it times out while the answer is queued
-	b.runStep()
-	b.await("the call does not end", func() bool { return len(b.calls) == 0 })
-	b.wantMayHaveRun(other)
+	s.runStep()
+	s.await("the call does not end", func() bool { return len(s.calls) == 0 })
+	s.wantMayHaveRun(other)
 }
 
-// The client of the first message is found to be gone during the call.
+// The client of the first message is found to be gone during the call. The others must not count as delivered.
 func TestFirstMessageIsWithdrawn(t *testing.T) {
-	b, p, first, other := startBulkCall(t)
-	b.handleInput(input{withdrawn: first.Num})
+	s, p, first, other := startBulkCall(t)
+	s.handleInput(input{withdrawn: first.Num})
 	p.answerNow()
-	b.await("the call does not end", func() bool { return len(b.calls) == 0 })
-	b.wantMayHaveRun(other)
+	s.await("the call does not end", func() bool { return len(s.calls) == 0 })
+	s.wantMayHaveRun(other)
 }
 
-// Any other message of a call can end without ending the call.
+// The end of any other message than the first must not end the call: the first is still delivered.
 func TestOtherThanFirstMessageEnds(t *testing.T) {
-	b, p, first, other := startBulkCall(t)
+	s, p, first, other := startBulkCall(t)
 	other.attemptDeadline = 0
-	b.runStep()
+	s.runStep()
 	if other.call != nil || first.call == nil || first.call.Abandoned() {
 		t.Fatal("the call is abandoned, or still has the message that ended")
 	}
 	p.answer <- struct{}{}
-	b.await("the call does not end", func() bool { return len(b.calls) == 0 })
-	if !b.ended.ids["leader"] {
+	s.await("the call does not end", func() bool { return len(s.calls) == 0 })
+	if !s.ended.ids["leader"] {
 		t.Error("the first message is not delivered")
 	}
 }
@@ -136,12 +139,12 @@
 // A call that is abandoned right before it is written must not be written.
 func TestCallAbandonedBeforeWrite(t *testing.T) {
 	ln := listen(t)
-	b := newTestSender(t, t.TempDir(), "", testSettings())
+	s := newTestSender(t, t.TempDir(), "", testSettings())
 	c := &outbound.Call{Endpoint: 1, Addr: ln.Addr().String(), Dest: 3, SentAt: time.Now(), Timeout: testTimeout,
 		Items: []outbound.Item{{ID: 7, Trace: "a"}, {ID: 8, Trace: "b"}}}
 	c.MayStart = func() bool { c.Abandon(); return true }
-	b.pool.Go(c)
-	in := <-b.inputs
+	s.pool.Go(c)
+	in := <-s.inputs
 	for _, e := range in.events {
 		if !e.Outcome.NeverRan() {
 			t.Errorf("outcome %v of a call that was not written", e.Outcome)
--- a/internal/sender/journal_test.go
+++ b/internal/sender/journal_test.go
@@ -24,32 +24,32 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { j.Close() })
-	b := &testSender{t: t, journal: j, notices: make(chan discovery.Notice, 100)}
-	b.Sender = New(Options{Settings: testSettings(), Seed: 1, MaxConns: 10, Journal: j, Restored: restored, Clock: NewClock(), Log: zerolog.Nop(),
-		Notify: func(n discovery.Notice) { b.notices <- n }})
-	b.listedDests[3] = true
-	b.runStep()
-	return b
+	s := &testSender{t: t, journal: j, notices: make(chan discovery.Notice, 100)}
+	s.Sender = New(Options{Settings: testSettings(), Seed: 1, MaxConns: 10, Journal: j, Restored: restored, Clock: NewClock(), Log: zerolog.Nop(),
+		Notify: func(n discovery.Notice) { s.notices <- n }})
+	s.listedDests[3] = true
+	s.runStep()
+	return s
 }
 
-// A write that fails after all of its bytes were written must not lead to a refusal: the next process would find the record
-// and send the message.
+// A write that fails after all of its bytes were written must not lead to a refusal: the next process would find the
+// record and send the message.
 func TestNoVerdictWhileRecordMayBeOnDisk(t *testing.T) {
 	var down atomic.Bool
-	b := newFailingTestSender(t, func(op string) (f fsys.Fault) {
+	s := newFailingTestSender(t, func(op string) (f fsys.Fault) {
 		if down.Load() {
 			f = fsys.Fault{Err: syscall.EIO, BytesWritten: 1 << 20} // writes everything, but reports an error
 		}
 		return f
 	})
 	down.Store(true)
-	verdict := b.submit("m", 1, 10*time.Second)
-	b.runStep()
+	verdict := s.submit("m", 1, 10*time.Second)
+	s.runStep()
 	if len(verdict) > 0 {
 		t.Fatalf("verdict %+v while the record may be on disk", <-verdict)
 	}
 	down.Store(false)
-	b.await("no verdict", func() bool { return len(verdict) > 0 })
+	s.await("no verdict", func() bool { return len(verdict) > 0 })
 	if v := <-verdict; !v.Accepted {
 		t.Errorf("verdict %+v although the record is written", v)
 	}
@@ -58,25 +58,25 @@
 // While the disk fails, messages must not use up attempts, and their ends must not wait for it.
 func TestFailingDiskUsesUpNoAttempts(t *testing.T) {
 	var down atomic.Bool
-	b := newFailingTestSender(t, func(string) (f fsys.Fault) {
+	s := newFailingTestSender(t, func(string) (f fsys.Fault) {
 		if down.Load() {
 			f.Err = syscall.ENOSPC
 		}
 		return f
 	})
 	partner := standin.NewRawPartner(t)
-	long, short := b.submit("long", 1, 15*time.Second), b.submit("short", 1, 400*time.Millisecond)
-	b.runStep()
+	long, short := s.submit("long", 1, 15*time.Second), s.submit("short", 1, 400*time.Millisecond)
+	s.runStep()
 	if !(<-long).Accepted || !(<-short).Accepted {
 		t.Fatal("messages are not accepted")
 	}
 	down.Store(true)
-	b.listEndpoint(partner.Addr)
-	b.await("the short message does not end with a notice", func() bool { return len(b.notices) > 0 })
-	if v := <-b.submit("more", 1, 10*time.Second); v.Accepted {
+	s.listEndpoint(partner.Addr)
+	s.await("the short message does not end with a notice", func() bool { return len(s.notices) > 0 })
+	if v := <-s.submit("more", 1, 10*time.Second); v.Accepted {
 		t.Error("message accepted without a journal")
 	}
-	for _, m := range b.messages {
+	for _, m := range s.messages {
 		if m.Trace != "long" || m.Attempts > 1 {
 			t.Errorf("%s has %d attempts, none of which began", m.Trace, m.Attempts)
 		}
@@ -85,5 +85,5 @@
 		t.Error("a call was sent that is not in the journal")
 	}
 	down.Store(false)
-	b.await("the long message is not sent", func() bool { return len(partner.Calls) > 0 })
+	s.await("the long message is not sent", func() bool { return len(partner.Calls) > 0 })
 }
--- a/internal/sender/restored_test.go
+++ b/internal/sender/restored_test.go
@@ -14,21 +14,21 @@
 // them, also if its settings lack or redefine their class.
 func TestRestoredUnsentMessagesAreSent(t *testing.T) {
 	for name, change := range map[string]func(*policy.Settings){
-		"same settings":       func(*policy.Settings) {},
-		"classes defined new": func(set *policy.Settings) { set.Classes = rotateEffects(set.Classes) },
-		"classes gone":        func(set *policy.Settings) { set.Classes = []policy.Class{{Name: "other", Aim: 100, Deadline: 100}} },
+		"same settings":     func(*policy.Settings) {},
+		"classes redefined": func(set *policy.Settings) { set.Classes = rotateEffects(set.Classes) },
+		"classes removed":   func(set *policy.Settings) { set.Classes = []policy.Class{{Name: "other", Aim: 100, Deadline: 100}} },
 	} {
 		dir := t.TempDir()
-		b := newTestSender(t, dir, "", testSettings())
-		b.listedDests[3] = true // no endpoint is listed yet
+		s := newTestSender(t, dir, "", testSettings())
+		s.listedDests[3] = true // no endpoint is listed yet
 		for i := range 30 {
-			b.submit(string(rune('A'+i)), i%3, 20*time.Second)
+			s.submit(string(rune('A'+i)), i%3, 20*time.Second)
 		}
-		b.runStep()
-		b.journal.Close()
+		s.runStep()
+		s.journal.Close()
 
 		called := make(chan string, 100)
-		srv := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, q *http.Request) { called <- q.Header.Get("X-Trace-Id") }))
+		srv := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) { called <- r.Header.Get("X-Trace-Id") }))
 		set := testSettings()
 		set.Kinds = []policy.DestKind{{Batch: 1}}
 		change(&set)
@@ -61,13 +61,13 @@
 // able to use the placeholder for that class.
 func TestRestoredMessageOfUnknownClassIsNotRepeated(t *testing.T) {
 	dir, ln := t.TempDir(), listen(t)
-	b := newTestSender(t, dir, ln.Addr().String(), testSettings())
-	b.submit("m", 0, 20*time.Second)
-	b.runStep()
-	if b.messages[b.numByTrace["m"]].call == nil {
+	s := newTestSender(t, dir, ln.Addr().String(), testSettings())
+	s.submit("m", 0, 20*time.Second)
+	s.runStep()
+	if s.messages[s.numByTrace["m"]].call == nil {
 		t.Fatal("no call in progress")
 	}
-	b.journal.Close()
+	s.journal.Close()
 	set := testSettings()
 	set.Classes = []policy.Class{{Name: "other", Aim: 2000, Deadline: 20000, Worth: 1}}
 	restarted := newTestSender(t, dir, ln.Addr().String(), set)
@@ -76,7 +76,7 @@
 		t.Error("a message that may have run was sent again")
 	}
 	if n := <-restarted.notices; n.Trace != "m" || n.Returned {
-		t.Errorf("notice %+v, want one that m was abandoned", n)
+		t.Errorf("notice %+v, want one that says that m was abandoned", n)
 	}
 	for _, name := range []string{"", "safe"} {
 		if i, _ := restarted.ClassOf([]byte(name)); i >= 0 {
--- a/internal/sender/rig_test.go
+++ b/internal/sender/rig_test.go
@@ -13,7 +13,7 @@
 	"sliptide/policy"
 )
 
-// testSender is a Sender with one endpoint, whose steps the test runs itself.
+// testSender is a Sender whose steps the test runs itself. It has one endpoint at most, for destination 3.
 type testSender struct {
 	*Sender
 	t       *testing.T
@@ -22,7 +22,7 @@
 	notices chan discovery.Notice
 }
 
-// testClasses has a class of each effect.
+// testClasses has a class of each effect. Tests select one by its index.
 var testClasses = []policy.Class{
 	{Name: "safe", Aim: 2000, Deadline: 20000, Worth: 1, LateWorth: 0.5, Effect: policy.Safe},
 	{Name: "keyed", Aim: 2000, Deadline: 20000, Worth: 1, LateWorth: 0.5, Effect: policy.Keyed, DedupWindow: 2000},
@@ -40,52 +40,52 @@
 // newTestSender opens the journal in dir. addr is the endpoint of destination 3, empty for none.
 func newTestSender(t *testing.T, dir, addr string, set policy.Settings) *testSender {
 	t.Helper()
-	b := &testSender{t: t, dir: dir, notices: make(chan discovery.Notice, 100)}
+	s := &testSender{t: t, dir: dir, notices: make(chan discovery.Notice, 100)}
 	j, restored, err := journal.Open(dir, statedir.NewSpace(1<<20).Account())
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { j.Close() })
-	b.journal = j
-	b.Sender = New(Options{Settings: set, Seed: 1, MaxConns: 10, Journal: j, Restored: restored, Clock: NewClock(), Log: zerolog.Nop(),
-		Notify: func(n discovery.Notice) { b.notices <- n }})
+	s.journal = j
+	s.Sender = New(Options{Settings: set, Seed: 1, MaxConns: 10, Journal: j, Restored: restored, Clock: NewClock(), Log: zerolog.Nop(),
+		Notify: func(n discovery.Notice) { s.notices <- n }})
 	if addr != "" {
-		b.listEndpoint(addr)
+		s.listEndpoint(addr)
 	}
-	return b
+	return s
 }
 
 // listEndpoint lists the endpoint of destination 3.
-func (b *testSender) listEndpoint(addr string) {
-	b.handleList(&discovery.List{Full: true, Endpoints: []discovery.Endpoint{{Endpoint: policy.Endpoint{ID: 1, Dest: 3, State: policy.Ready}, Name: "e", Addr: addr}}})
+func (s *testSender) listEndpoint(addr string) {
+	s.handleList(&discovery.List{Full: true, Endpoints: []discovery.Endpoint{{Endpoint: policy.Endpoint{ID: 1, Dest: 3, State: policy.Ready}, Name: "e", Addr: addr}}})
 }
 
 // runStep runs one step at the present time.
-func (b *testSender) runStep() {
-	b.updateNow()
-	b.step()
+func (s *testSender) runStep() {
+	s.updateNow()
+	s.step()
 }
 
 // submit submits a message for the next step.
-func (b *testSender) submit(trace string, class int, left time.Duration) chan Verdict {
+func (s *testSender) submit(trace string, class int, left time.Duration) chan Verdict {
 	sub := &submission{msg: &Message{Trace: []byte(trace), Key: []byte("k-" + trace), Class: class, Dest: 3, Remaining: left, Body: []byte(trace)}, received: time.Now(), verdict: make(chan Verdict, 1)}
-	b.handleSubmission(sub)
+	s.handleSubmission(sub)
 	return sub.verdict
 }
 
-// await handles inputs and runs steps until ok returns true.
-func (b *testSender) await(what string, ok func() bool) {
-	b.t.Helper()
+// await handles inputs and runs steps until ok returns true. After testTimeout the test fails with the text what.
+func (s *testSender) await(what string, ok func() bool) {
+	s.t.Helper()
 	for end := time.After(testTimeout); !ok(); {
 		select {
-		case in := <-b.inputs:
-			b.updateNow()
-			b.handleInput(in)
+		case in := <-s.inputs:
+			s.updateNow()
+			s.handleInput(in)
 		case <-time.After(time.Millisecond):
 		case <-end:
-			b.t.Fatal(what)
+			s.t.Fatal(what)
 		}
-		b.runStep()
+		s.runStep()
 	}
 }
 
