--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -138,7 +138,7 @@
 		a = answer{413, "a call's body is an endpoint id at most"}
 	case errors.Is(err, http1.ErrNoLength) && m.Headers.Get("Transfer-Encoding") != nil:
 		a = answer{411, "a call's body goes with Content-Length"}
-	case errors.Is(err, http1.ErrNoLength): // RFC 9112, 6.3: a request without either has no body
+	case errors.Is(err, http1.ErrNoLength): // no Transfer-Encoding either, so it has no body (RFC 9112, 6.3)
 		a = s.route(m)
 	case err != nil:
 		a = answer{400, "not an HTTP/1.1 request"}
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -116,7 +116,8 @@
 }
 
 // Clients that hold connections open and send nothing, or an incomplete request, take up all slots. Each is closed
-// after CallTimeout and runs no handler, and a complete request is answered within a second meanwhile.
+// by its CallTimeout at the latest, runs no handler and frees its slot. A complete request is answered within a second
+// meanwhile.
 func TestIncompleteRequests(t *testing.T) {
 	f := &fake{ready: true}
 	addr := serve(t, f)
@@ -153,7 +154,8 @@
 }
 
 // During an upgrade two processes of one sender run side by side. The process that watches the file applies what an
-// operator disables at the other one, even an id that none of its lists has named.
+// operator disables at the other one, even an id that none of its lists has named. An unreadable file is an error and
+// changes nothing.
 func TestWatchAppliesFile(t *testing.T) {
 	dir := fsys.OS{Dir: t.TempDir()}
 	old, err := Open(dir)
--- a/internal/admin/store.go
+++ b/internal/admin/store.go
@@ -71,7 +71,8 @@
 	return disabled.Clone(), nil
 }
 
-// Bind sets the function that applies each change to the sender.
+// Bind sets the function that applies each change to the sender. It must be called before Disable and Enable, and not
+// concurrently with them.
 func (s *DisabledStore) Bind(apply func(id string, disabled bool) error) { s.apply = apply }
 
 // WatchInterval is the time between two reads of the file by Watch.
@@ -120,10 +121,12 @@
 	return nil
 }
 
-// Disable disables an endpoint and stores the set.
+// Disable disables an endpoint and stores the set. If only storing fails, it returns an error although the change is
+// in force.
 func (s *DisabledStore) Disable(id string) error { return s.set(id, true) }
 
-// Enable enables an endpoint and stores the set.
+// Enable enables an endpoint and stores the set. If only storing fails, it returns an error although the change is in
+// force.
 func (s *DisabledStore) Enable(id string) error { return s.set(id, false) }
 
 func (s *DisabledStore) set(id string, disabled bool) error {
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -119,8 +119,8 @@
 	return nil
 }
 
-// flatten adds nested JSON to m as path=value pairs, the form of the simulator's wire. A list of scalars becomes one
-// value joined with commas; a list of objects becomes one set of pairs per item and the number of items under
+// flatten adds nested JSON to values as path=value pairs, the form of the simulator's wire. A list of scalars becomes
+// one value joined with commas; a list of objects becomes one set of pairs per item and the number of items under
 // path.count.
 func flatten(values map[string]string, path string, v *fastjson.Value) {
 	switch v.Type() {
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -154,7 +154,7 @@
 // maxBatch bounds the messages in one call that a kind may allow: a body of 64 KiB holds no more.
 const maxBatch = 1000
 
-// required, as a default, marks a required setting.
+// required is passed in place of a default for a setting that must be present.
 const required = -1
 
 // pairs reads typed values of path=value pairs and keeps the first error.
--- a/internal/operate/operate.go
+++ b/internal/operate/operate.go
@@ -52,7 +52,7 @@
 func (s DisabledSet) Len() int { return len(s.ids) }
 
 // Set disables or enables the endpoint. It is idempotent: setting the state that the endpoint already has changes
-// nothing and is not an error.
+// nothing and is not an error. On ErrMalformedID or ErrTooManyDisabled the set is unchanged.
 func (s *DisabledSet) Set(id string, disabled bool) error {
 	if err := CheckID(id); err != nil {
 		return err
@@ -72,8 +72,8 @@
 	return nil
 }
 
-// EffectiveState returns the state that an endpoint listed by discovery as listed has for this sender: a disabled
-// endpoint that is ready counts as draining; every other state is unchanged.
+// EffectiveState returns the state that an endpoint has for this sender, given its state listed by discovery: a
+// disabled endpoint that is listed as ready counts as draining; every other state is unchanged.
 func (s DisabledSet) EffectiveState(id string, listed policy.EndpointState) policy.EndpointState {
 	if listed == policy.Ready && s.ids[id] {
 		return policy.Draining
--- a/internal/operate/operate_test.go
+++ b/internal/operate/operate_test.go
@@ -10,7 +10,7 @@
 )
 
 // A disabled endpoint counts as draining, whatever the list reports, until it is enabled again; one that is gone
-// stays gone. Repeated calls are no errors.
+// stays gone. Repeated calls are not errors.
 func TestDisabledEndpointDrains(t *testing.T) {
 	var set DisabledSet
 	for range 2 {
--- a/internal/operator/fleet.go
+++ b/internal/operator/fleet.go
@@ -56,7 +56,7 @@
 // Trials configures whether one member alone makes the first calls to a partner that is down.
 type Trials struct {
 	Enabled        bool
-	SilenceTimeout time.Duration // how long the others wait for a report of it
+	SilenceTimeout time.Duration // without a report of that member for this time, the others make trial calls
 }
 
 // Copies configures how a sender's journal is copied to other members.
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -25,8 +25,8 @@
 	Fleet     Fleet
 }
 
-// Telemetry configures the export of traces and metrics to a collector. For a text that is empty, the environment
-// variable of OpenTelemetry applies.
+// Telemetry configures the export of traces and metrics to a collector. Where a text is empty, the corresponding
+// environment variable of OpenTelemetry applies.
 type Telemetry struct {
 	Enabled            bool
 	Endpoint           string
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -45,7 +45,7 @@
 	}
 }
 
-// documents are files with a part of the error that Read returns for them; empty: none.
+// documents holds documents, each with a part of the error that Read must return for it; empty: no error.
 var documents = []struct{ name, text, want string }{
 	{"empty root", `<sliptide version="1"/>`, ""},
 	{"all defaults", `<sliptide version="1"><ready/><knowledge><half-life/></knowledge></sliptide>`, ""},
@@ -137,6 +137,7 @@
 	}
 }
 
+// The operators' file in deploy/ is valid, and its values are read.
 func TestDeployedFile(t *testing.T) {
 	f, err := Load("../../deploy/sliptide.xml")
 	if err != nil {
@@ -169,6 +170,8 @@
 	}
 }
 
+// An error names the file and the line. A missing file, a document type declaration and a document larger than
+// MaxFileSize are refused.
 func TestErrorsNameLineAndFile(t *testing.T) {
 	_, err := Read("ops.xml", strings.NewReader("<sliptide version=\"1\">\n\n  <ready\n    patience=\"never\"/>\n</sliptide>"))
 	var e *Error
