--- a/internal/telemetry/assembler.go
+++ b/internal/telemetry/assembler.go
@@ -15,7 +15,7 @@
 	maxOpenTraces   = 8192 // traces assembled at the same time
 	maxWaitSpans    = 32   // per trace; waits and calls share the sum of both limits
 	maxCallSpans    = 64   // per trace
-	endTimeoutMS    = 10e3 // after the deadline of a message, its trace is dropped if its end was not recorded
+	endTimeoutMS    = 10e3 // a trace is dropped if no end is recorded until this long after the message's deadline
 	sweepIntervalMS = 1000.
 )
 
@@ -60,7 +60,7 @@
 type Assembler struct {
 	settings   Settings
 	open       map[uint64]*openTrace
-	waiting    map[int32]map[uint64]*openTrace // traces of the messages without an active call, by destination and message
+	waiting    map[int32]map[uint64]*openTrace // of the messages without an active call, by destination and message
 	waitCauses map[int32]Cause
 	Metrics    *metric.Registry
 	// Sampled and Unsampled count completed traces. Lost counts traces whose end was not recorded and those that were
@@ -148,7 +148,8 @@
 	}
 }
 
-// endWait adds the span of a wait that has ended. It ignores times below 2 ms, which one step of the sender may take.
+// endWait adds the span of a wait that has ended. It ignores waits shorter than 2 ms, which one step of the sender may
+// take.
 func (a *Assembler) endWait(o *openTrace, now float64) {
 	if o.waitStart == 0 || now-o.waitStart < 2 || len(o.spans) > maxWaitSpans+maxCallSpans {
 		return
@@ -270,7 +271,7 @@
 	a.settings.Export(&Trace{ID: o.traceID, Spans: o.spans})
 }
 
-// shouldSample makes the tail-sampling decision once the message has ended. Traces of failed, late, retried,
+// shouldSample makes the tail-sampling decision once the message has ended. Traces of undelivered, late, retried,
 // resubmitted and restored messages, and those sampled by the client, are always kept. Of the rest SampledShare is
 // kept; this depends on the trace ID alone, so that all senders decide alike.
 func (a *Assembler) shouldSample(o *openTrace, ending Ending, late bool) bool {
--- a/internal/telemetry/ids.go
+++ b/internal/telemetry/ids.go
@@ -9,7 +9,8 @@
 )
 
 // traceID returns the trace ID of a message: the one of the client's trace context or, without one, an ID derived from
-// the message ID, which is the same in each process run of the sender.
+// the message ID, which is the same in each process run of the sender. A message ID of 32 hexadecimal digits is the
+// trace ID itself.
 func traceID(id string, p *TraceParent) (t [16]byte) {
 	if p != nil && p.Present {
 		return p.TraceID
--- a/internal/telemetry/metric/histogram.go
+++ b/internal/telemetry/metric/histogram.go
@@ -34,7 +34,8 @@
 	return int(math.Ceil(math.Log2(v)*math.Exp2(float64(scale)))) - 1
 }
 
-// Add records a value. It ignores NaN and infinities and counts values that are not positive as zero.
+// Add records a value. It ignores NaN and infinities. Values that are not positive, and the smallest positive float64,
+// are counted as zero.
 func (h *Histogram) Add(v float64) {
 	if math.IsNaN(v) || math.IsInf(v, 0) {
 		return
--- a/internal/telemetry/metric/metric_test.go
+++ b/internal/telemetry/metric/metric_test.go
@@ -6,7 +6,8 @@
 	"testing"
 )
 
-// Every value is counted in its bucket at each scale, and halving the resolution loses no value.
+// Every value is counted in its bucket at each scale, and halving the resolution loses no value. Values that are not
+// positive are counted as zero; NaN and infinities are ignored.
 func TestHistogram(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	for _, spread := range []float64{0.1, 1, 5, 30} {
--- a/internal/telemetry/otlp/exporter.go
+++ b/internal/telemetry/otlp/exporter.go
@@ -30,10 +30,10 @@
 	Resource        []metric.Attr
 	QueueBytes      int64 // bound of the queue of encoded traces, and also of the queue of records
 	SampledShare    float64
-	MetricsInterval time.Duration // between exports of the metrics
-	Assembler       telemetry.Settings
-	Log             func(err error, dropped uint64)
-	NowMS           func() float64 // Unix milliseconds
+	MetricsInterval time.Duration                   // between exports of the metrics
+	Assembler       telemetry.Settings              // NewExporter sets SampledShare and Export
+	Log             func(err error, dropped uint64) // of a failed request, with the traces dropped so far; may be nil
+	NowMS           func() float64                  // Unix milliseconds
 }
 
 // Counts count traces by what happened to them: Recorded = Sent + Dropped + those still queued or being sent. Rejected
@@ -230,8 +230,8 @@
 }
 
 // sendWithRetry sends a request and retries it as the specification requires ("Failures", "OTLP/HTTP Throttling"), with
-// an exponential back-off with jitter, but not before the wait that the collector requests. It returns false if the
-// collector did not accept the request.
+// an exponential back-off with jitter, but never sooner than the collector asks for. It returns false if the collector
+// did not accept the request.
 func (e *Exporter) sendWithRetry(ctx context.Context, s signal, body []byte) bool {
 	firstTry := time.Now()
 	for tries := 0; ; tries++ {
@@ -267,6 +267,7 @@
 }
 
 // Close sends what is left and stops the Exporter. Traces that are not sent before ctx is done are dropped and counted.
+// Closing a nil Exporter does nothing.
 func (e *Exporter) Close(ctx context.Context) {
 	if e == nil {
 		return
--- a/internal/telemetry/otlp/otlp_test.go
+++ b/internal/telemetry/otlp/otlp_test.go
@@ -21,14 +21,14 @@
 )
 
 // startExporter starts a collector and an Exporter that sends to it.
-func startExporter(t *testing.T, overGRPC bool, mood collector.Behaviour, adjust func(*Options)) (*collector.Collector, *Exporter) {
+func startExporter(t *testing.T, overGRPC bool, behaviour collector.Behaviour, adjust func(*Options)) (*collector.Collector, *Exporter) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	c := &collector.Collector{}
-	c.SetBehaviour(mood)
+	c.SetBehaviour(behaviour)
 	if overGRPC {
 		c.ServeGRPC(ln)
 	} else {
@@ -116,23 +116,23 @@
 func TestCollectorResponses(t *testing.T) {
 	forEachTransport(t, func(t *testing.T, overGRPC bool) {
 		for name, row := range map[string]struct {
-			mood     collector.Behaviour
-			sent     uint64
-			rejected uint64
-			again    bool
+			behaviour collector.Behaviour
+			sent      uint64
+			rejected  uint64
+			retryable bool
 		}{
-			"400":               {mood: collector.Behaviour{Status: 400}},
-			"503":               {mood: collector.Behaviour{Status: 503}, again: true},
-			"503, Retry-After":  {mood: collector.Behaviour{Status: 503, RetryAfter: 20 * time.Second}, again: true},
-			"partial success":   {mood: collector.Behaviour{RejectedSpans: 3}, sent: 10, rejected: 3},
-			"200, invalid body": {mood: collector.Behaviour{InvalidBody: true}, sent: 10},
-			"endless body":      {mood: collector.Behaviour{EndlessBody: true}, sent: 10},
+			"400":               {behaviour: collector.Behaviour{Status: 400}},
+			"503":               {behaviour: collector.Behaviour{Status: 503}, retryable: true},
+			"503, Retry-After":  {behaviour: collector.Behaviour{Status: 503, RetryAfter: 20 * time.Second}, retryable: true},
+			"partial success":   {behaviour: collector.Behaviour{RejectedSpans: 3}, sent: 10, rejected: 3},
+			"200, invalid body": {behaviour: collector.Behaviour{InvalidBody: true}, sent: 10},
+			"endless body":      {behaviour: collector.Behaviour{EndlessBody: true}, sent: 10},
 		} {
 			t.Run(name, func(t *testing.T) {
 				t.Parallel()
-				_, e := startExporter(t, overGRPC, row.mood, nil)
+				_, e := startExporter(t, overGRPC, row.behaviour, nil)
 				result := e.transport.send(context.Background(), tracesSignal, encodeTraceRequest(e.resourceBytes, nil))
-				if result.retryable != row.again || row.mood.RetryAfter > 0 && result.retryAfter != row.mood.RetryAfter || (result.err == nil) != (row.sent > 0) {
+				if result.retryable != row.retryable || row.behaviour.RetryAfter > 0 && result.retryAfter != row.behaviour.RetryAfter || (result.err == nil) != (row.sent > 0) {
 					t.Errorf("%+v", result)
 				}
 				recordMessages(e, 0, 10)
@@ -149,10 +149,10 @@
 // within its bound, traces that do not fit are dropped and counted, and Close returns in time.
 func TestUnresponsiveCollectorDoesNotBlock(t *testing.T) {
 	forEachTransport(t, func(t *testing.T, overGRPC bool) {
-		for name, mood := range map[string]collector.Behaviour{"hole": {NeverAnswer: true}, "sip": {SlowRead: true}, "absent": {}} {
+		for name, behaviour := range map[string]collector.Behaviour{"hole": {NeverAnswer: true}, "sip": {SlowRead: true}, "absent": {}} {
 			t.Run(name, func(t *testing.T) {
 				t.Parallel()
-				c, e := startExporter(t, overGRPC, mood, func(o *Options) { o.QueueBytes = 64 << 10; o.Target.Timeout = time.Minute })
+				c, e := startExporter(t, overGRPC, behaviour, func(o *Options) { o.QueueBytes = 64 << 10; o.Target.Timeout = time.Minute })
 				if name == "absent" {
 					c.Close()
 				}
@@ -242,7 +242,8 @@
 	})
 }
 
-// If the collector's certificate has another name, no trace is sent, and the counts add up.
+// If the collector's certificate has another name, no trace is sent, and the counts add up. With the right name all are
+// sent.
 func TestWrongCertificate(t *testing.T) {
 	forEachTransport(t, func(t *testing.T, overGRPC bool) {
 		ca, until := standin.NewAuthority("test CA"), time.Now().Add(time.Hour)
--- a/internal/telemetry/otlp/settings.go
+++ b/internal/telemetry/otlp/settings.go
@@ -16,8 +16,8 @@
 
 // Configure combines the operator's settings with the standard environment variables (OpenTelemetry specification,
 // "OpenTelemetry Protocol Exporter" and "General SDK Configuration"). The settings take precedence over the variables,
-// except for the timeout: there the variable takes precedence. name is the name of the sender, which becomes
-// service.instance.id.
+// except for the timeout: there the variable takes precedence, since the setting always has a value. name is
+// the name of the sender, which becomes service.instance.id.
 func Configure(settings operator.Telemetry, name string, getenv func(string) string) (Options, error) {
 	env := func(key string) string { return strings.TrimSpace(getenv("OTEL_EXPORTER_OTLP_" + key)) }
 	o := Options{QueueBytes: settings.QueueBytes, SampledShare: settings.SampledShare, MetricsInterval: settings.MetricsInterval}
--- a/internal/telemetry/otlp/transport.go
+++ b/internal/telemetry/otlp/transport.go
@@ -58,7 +58,9 @@
 
 // Target is the address of a collector and the options of the connection to it.
 type Target struct {
-	URL     string // http://host:port or https://host:port; for HTTP it may have a path, to which the standard paths are appended
+	// URL is http://host:port or https://host:port. For HTTP it may have a path, to which the standard paths are
+	// appended.
+	URL     string
 	GRPC    bool
 	Gzip    bool
 	TLS     *tls.Config // used for https
--- a/internal/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -147,7 +147,7 @@
 // On reports whether records are wanted.
 func (q *Recorder) On() bool { return q != nil }
 
-// Push appends r to the queue, or drops it if the queue is full. It only ever waits for the lock of the queue.
+// Push appends r to the queue, or drops it if the queue is full. It waits for nothing but the queue's mutex.
 func (q *Recorder) Push(r Record) {
 	if q == nil {
 		return
--- a/internal/telemetry/telemetry_test.go
+++ b/internal/telemetry/telemetry_test.go
@@ -9,6 +9,8 @@
 	"sliptide/policy"
 )
 
+// A valid traceparent header is parsed and written back unchanged; an invalid one is ignored. Without one, the trace ID
+// depends on the message ID alone.
 func TestParseTraceParent(t *testing.T) {
 	const good = "00-4bf92f3577b34da6a3ce929d0e0e4736-00f067aa0ba902b7-01"
 	p := ParseTraceParent([]byte(good))
@@ -34,6 +36,7 @@
 	}
 }
 
+// For any input, sanitize returns bounded, valid UTF-8 without control characters, and ParseTraceParent does not panic.
 func FuzzClean(f *testing.F) {
 	f.Add("a\x00b\xff\n" + strings.Repeat("é", 100))
 	f.Fuzz(func(t *testing.T, s string) {
@@ -54,7 +57,7 @@
 	return a, kept
 }
 
-// A message that waits for a breaker and then because the partner requested it, fails once and is delivered has one
+// A message waits for a breaker, then for a wait that the partner requested, fails once and is delivered. It has one
 // trace, in which waits and calls follow each other without gaps.
 func TestTraceCoversWaitsAndCalls(t *testing.T) {
 	ok, timeout := uint8(policy.OK), uint8(policy.Timeout)
