--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -90,8 +90,8 @@
 	return err
 }
 
-// usageError marks errors of the command line or the configuration, for statusOf. Its text is empty, so that wrapping it
-// leaves a message unchanged.
+// usageError marks errors of the command line or the configuration, for statusOf. Its text is empty, so that wrapping
+// it leaves a message unchanged.
 var usageError = emptyError{}
 
 type emptyError struct{}
--- a/internal/cli/fleet.go
+++ b/internal/cli/fleet.go
@@ -25,7 +25,7 @@
 
 type fleetCmd struct {
 	Status   fleetStatus   `cmd:"" help:"Show the leader, the members and how many duties each holds."`
-	Duties   fleetDuties   `cmd:"" help:"Each duty, its holder and its token."`
+	Duties   fleetDuties   `cmd:"" help:"Show each duty, its holder and its token."`
 	Copies   fleetCopies   `cmd:"" help:"Show which members hold copies of each sender's journal, and takeovers in progress."`
 	HandOver fleetHandOver `cmd:"" help:"Ask the holder of a duty to transfer it to another member."`
 	Remove   fleetRemove   `cmd:"" help:"Remove a member: its duties pass to others once its lease has expired."`
@@ -52,7 +52,7 @@
 	return f, tlsConfig, err
 }
 
-// ask sends the request to the members in turn until one answers, and returns that answer.
+// ask sends the request to the voters in turn, or to the member at c.At alone, and returns the first answer.
 func (c *memberQuery) ask(request *pb.Ask) (*pb.Answer, error) {
 	f, tlsConfig, err := c.fleet()
 	if err != nil {
@@ -76,6 +76,7 @@
 	return nil, fmt.Errorf("no member answered: %w", errors.Join(errs...))
 }
 
+// callMember sends the request to the member at addr. An error reported in the answer is returned as err.
 func callMember(addr string, tlsConfig *tls.Config, request *pb.Ask) (*pb.Answer, error) {
 	conn, err := link.Dial(addr, tlsConfig)
 	if err != nil {
@@ -91,6 +92,7 @@
 	return a, err
 }
 
+// status returns the status that the leader reports, or that of the member which answered if the leader does not.
 func (c *memberQuery) status() (*voter.Status, error) {
 	a, err := c.ask(&pb.Ask{Status: &pb.Status{}})
 	if err != nil {
--- a/internal/cli/knowledge.go
+++ b/internal/cli/knowledge.go
@@ -46,6 +46,7 @@
 	return list, nil
 }
 
+// decode reads a knowledge file and returns its facts and its size in bytes.
 func decode(file string) (*knowledge.Facts, int, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
--- a/internal/command/command.go
+++ b/internal/command/command.go
@@ -21,8 +21,9 @@
 	Name        string
 	Description string
 	Out, Err    io.Writer
-	Env         any                                      // a pointer, passed to the commands' Run methods
-	Status      func(err error) (status int, quiet bool) // exit status of a failed command; quiet: its message has been written already
+	Env         any // a pointer, passed to the commands' Run methods
+	// Status returns the exit status of a failed command; quiet: its message has been written already.
+	Status func(err error) (status int, quiet bool)
 }
 
 type exitCode int
--- a/internal/strictxml/schema.go
+++ b/internal/strictxml/schema.go
@@ -6,8 +6,9 @@
 	"strings"
 )
 
-// Schema returns the XML Schema (1.0) of the documents that root specifies; comment becomes its first comment. The schema
-// accepts the same documents as Read, except that it cannot forbid a document type declaration.
+// Schema returns the XML Schema (1.0) of the documents that root specifies; comment becomes its first comment. The
+// schema accepts the same documents as Read, with two exceptions: it cannot forbid a document type declaration, and
+// where a child may be repeated, it requires the children in the order of the specification.
 func Schema[T any](root *Element[T], comment string) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, `<?xml version="1.0" encoding="UTF-8"?>
@@ -27,7 +28,7 @@
 		group := "all" // in any order
 		for i := range e.Children {
 			if e.Children[i].Repeated {
-				group = "sequence"
+				group = "sequence" // in the given order: the children of xs:all cannot be repeated
 			}
 		}
 		fmt.Fprintf(b, "%s    <xs:%s>\n", indent, group)
--- a/internal/strictxml/spec.go
+++ b/internal/strictxml/spec.go
@@ -32,8 +32,8 @@
 	SetText   func(*T, string) // stores the text; may be nil
 }
 
-// Values is the set of allowed values of an attribute: numbers with a unit, words or texts. Parse turns a value into a
-// number: nanoseconds, bytes, or the index of a word in its list.
+// Values is the set of allowed values of an attribute: numbers, with or without a unit, words or texts. Parse turns a
+// value into a number: an integer, nanoseconds, bytes, or the index of a word in its list.
 type Values struct {
 	units       []unit // integers with one of these units, from lo to hi
 	lo          int64
--- a/internal/strictxml/strictxml_test.go
+++ b/internal/strictxml/strictxml_test.go
@@ -13,7 +13,7 @@
 		re := regexp.MustCompile("^(" + strings.Join(rangePatterns(r[0], r[1]), "|") + ")$")
 		for n := int64(0); n < 3*r[1]+20; n++ {
 			if in := n >= r[0] && n <= r[1]; re.MatchString(strconv.FormatInt(n, 10)) != in {
-				t.Fatalf("%d in %v: pattern %s has the opposite result", n, r, re)
+				t.Fatalf("%d in %v: pattern %s gives the wrong result", n, r, re)
 			}
 		}
 	}
