--- a/internal/admin/store.go
+++ b/internal/admin/store.go
@@ -121,12 +121,12 @@
 	return nil
 }
 
-// Disable disables an endpoint and stores the set. If only storing fails, it returns an error although the change is
-// in force.
+// Disable disables an endpoint and stores the set. If only storing fails, it returns an error although the change has
+// been applied.
 func (s *DisabledStore) Disable(id string) error { return s.set(id, true) }
 
-// Enable enables an endpoint and stores the set. If only storing fails, it returns an error although the change is in
-// force.
+// Enable enables an endpoint and stores the set. If only storing fails, it returns an error although the change has
+// been applied.
 func (s *DisabledStore) Enable(id string) error { return s.set(id, false) }
 
 func (s *DisabledStore) set(id string, disabled bool) error {
