--- a/internal/fleet/disk/disk.go
+++ b/internal/fleet/disk/disk.go
@@ -30,7 +30,7 @@
 	newFileName = "fleet.new"
 	fileHeader  = "sliptide fleet 1\n"
 
-	// maxTailBytes is how far the file may grow past its last rewrite before it is compacted.
+	// maxTailBytes is how many bytes the file may grow after a rewrite before it is compacted.
 	maxTailBytes = 128 << 10
 	// trailingEntries is the number of entries kept in the log before the last snapshot, so that a voter that was
 	// unreachable for a short time catches up without one.
@@ -48,11 +48,11 @@
 	recordEntry
 )
 
-// Errors returned by Open and, but for ErrForeign, by the methods of Log.
+// Errors returned by Open and, except for ErrForeign, by the methods of Log.
 var (
 	ErrForeign = errors.New("the state directory belongs to another member")
 	ErrDamaged = errors.New("damaged")
-	ErrNoSpace = errors.New("limits.disk_mb leaves no room for it")
+	ErrNoSpace = errors.New("limits.disk_mb leaves no space for the log of the fleet")
 )
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
@@ -69,7 +69,8 @@
 	writeFailed bool  // the last write failed: the end of the file is unknown
 }
 
-// Open reads the log file of member, or creates one, and increments its boot counter. account may be nil.
+// Open reads the log file of member, or creates one, and increments its boot counter. The space of the file is claimed
+// from account; nil: it is not limited.
 func Open(files fsys.FS, account *statedir.Account, member string) (*Log, error) {
 	l := &Log{MemoryStorage: raft.NewMemoryStorage(), files: files, account: account}
 	b, err := files.Read(fileName)
@@ -90,7 +91,8 @@
 	return l, l.rewrite()
 }
 
-// Reopen reads the file again after a failed write, as Open does, and rewrites it.
+// Reopen reads the file again after a failed write, and rewrites it. Unlike Open it does not increment the boot
+// counter.
 func (l *Log) Reopen() error {
 	b, err := l.files.Read(fileName)
 	if err != nil {
@@ -147,8 +149,9 @@
 	return l.rewrite()
 }
 
-// Save writes the content of a raft.Ready to disk; it must return before any of its messages are sent. After an
-// error, nothing more is saved until Reopen, since the end of the file is unknown.
+// Save writes the content of a raft.Ready to the file; it must return before any of its messages are sent. If syncNow
+// is false, the content may not be on disk yet when it returns. After a failed write, nothing more is saved until
+// Reopen, since the end of the file is unknown.
 func (l *Log) Save(hardState *raftpb.HardState, entries []*raftpb.Entry, snap *raftpb.Snapshot, syncNow bool) error {
 	if l.writeFailed {
 		return ErrDamaged
--- a/internal/fleet/duty/candidates.go
+++ b/internal/fleet/duty/candidates.go
@@ -100,8 +100,8 @@
 
 // eligible returns the candidates that a free duty may be granted to. For a journal whose copies are not taken over
 // yet, these are only members that keep the copies, if there are any: its owner may have returned with an empty disk,
-// and would start over in place of the copies. Among them, members that hold their own journals come first: one that
-// does not can copy nothing, and two of them could wait for each other.
+// and would start an empty journal in place of the one that was copied. Among them, members that hold their own
+// journals come first: one that does not can copy nothing, and two of them could wait for each other.
 func (s *State) eligible(d *Duty) []uint64 {
 	if !isJournalDuty(d.Name) {
 		return d.Candidates
--- a/internal/fleet/duty/duty.go
+++ b/internal/fleet/duty/duty.go
@@ -21,8 +21,8 @@
 	MaxDuties           = 8192
 	MaxCandidates       = 16   // candidates for one duty besides its holder, and holders of copies of one journal
 	MaxNameBytes        = 128  // length of names of members and duties, and of values
-	MaxKeys             = 4096 // keys known of resubmitted messages, and as many of messages that were taken over
-	maxEarlierTakeovers = 8    // takeovers of one owner's messages known besides the last one
+	MaxKeys             = 4096 // keys kept of resubmitted messages, and as many of messages that were taken over
+	maxEarlierTakeovers = 8    // takeovers of one owner's messages that are kept besides the last one
 )
 
 // Reasons for refusing a command. A refused command has no effect on the state.
@@ -86,7 +86,7 @@
 type Result struct {
 	Err      error
 	Session  uint64       // of an Open
-	Duty     *pb.Duty     // the duty named by the command, after it
+	Duty     *pb.Duty     // the duty named by the command, as it is after the command
 	Changed  []*pb.Duty   // all duties that changed
 	Opened   uint64       // session that began
 	Ended    []uint64     // sessions that ended
@@ -108,7 +108,7 @@
 			r.Ended = []uint64{w.Close.Session}
 		}
 	case *pb.Command_Expire:
-		// A leader of an earlier term decided by the renewals that it had received, so its proposal is void.
+		// A leader of an earlier term knew only the renewals that it had received itself, so its proposal is void.
 		if w.Expire.Term != term {
 			r.Err = ErrStaleToken
 		} else if r.Err = s.endSession(w.Expire.Session); r.Err == nil {
--- a/internal/fleet/duty/keys.go
+++ b/internal/fleet/duty/keys.go
@@ -4,8 +4,8 @@
 
 // A client resubmits a message when its sender died or did not answer. If that sender's successor has a copy, only
 // one of the two may send the message. Both declare their claim in the log, and the first one wins: a message that
-// was resubmitted before the takeover belongs to the sender that accepted the resubmission, one that was taken over
-// before belongs to the successor.
+// was resubmitted before the takeover belongs to the sender that accepted the resubmission, and one that was taken over
+// first belongs to the successor.
 
 // keyOwners records which member is responsible for the message of a key, for the last MaxKeys keys.
 type keyOwners struct {
--- a/internal/fleet/lease/lease.go
+++ b/internal/fleet/lease/lease.go
@@ -5,7 +5,7 @@
 //
 // No two members hold a lease at once, for this reason: a holder counts length*(1-drift) on its clock from before it
 // sent the renewal. The grantor counts length*(1+drift) on its clock from when it received the renewal, which is
-// later. As long as neither clock is off by more than drift, the holder's interval ends first.
+// later. As long as neither clock runs fast or slow by more than drift, the holder's interval ends first.
 package lease
 
 import "time"
--- a/internal/fleet/voter/apply.go
+++ b/internal/fleet/voter/apply.go
@@ -159,7 +159,7 @@
 	if r.Err != nil {
 		a.Error = r.Err.Error()
 	} else if c.GetOpen() != nil && !v.leases.Renew(r.Session, v.now) {
-		// A repeated request whose member counts its lease from it, but the end of the session is already proposed.
+		// A repeated Open: its member would count its lease from it, but the end of the session is already proposed.
 		a.Gone, a.Error = true, duty.ErrSessionEnded.Error()
 	} else if c.GetOpen() != nil {
 		v.subscribers[p.to] = true
--- a/internal/fleet/voter/founding.go
+++ b/internal/fleet/voter/founding.go
@@ -17,18 +17,19 @@
 //
 // A voter whose state directory is empty while a group exists was part of it, or comes late. It must not act under
 // its former Raft ID: it no longer knows its votes, and could vote twice. It asks to join under a new ID. The leader
-// adds it as a learner, and once it has the log, replaces the old ID by the new one among the voters.
+// adds it as a learner, and once it has the log, replaces the old ID with the new one among the voters.
 
 // founding is what a voter without a group knows about the founding.
 type founding struct {
 	founders   map[string]bool // voters that are founders of this voter's group
 	nextInvite int64           // time of the next round of invitations
-	reported   bool            // it has reported a group without a leader, which it cannot join yet
+	reported   bool            // this voter has logged that the existing group has no leader, so that it cannot join yet
 }
 
 // isCoordinator reports whether this voter is the one that founds the group.
 func (v *Voter) isCoordinator() bool { return v.options.Voters[0] == v.options.Name }
 
+// tickFounding asks the other voters for their group at intervals. The coordinator also invites them to found one.
 func (v *Voter) tickFounding() {
 	if v.now < v.founding.nextInvite {
 		return
@@ -85,7 +86,7 @@
 	return err == nil
 }
 
-// handleFound answers an invitation, or a question for the group of this voter.
+// handleFound answers an invitation to found a group, or a question about the group of this voter.
 func (v *Voter) handleFound(from string, a *pb.Ask) {
 	id := v.options.Log.Identity()
 	if !a.Found.OnlyAsk && id.Raft == 0 && v.failure == nil && !v.isCoordinator() && from == v.options.Voters[0] &&
@@ -120,8 +121,8 @@
 
 // joinGroup switches to a new Raft ID in an existing group.
 func (v *Voter) joinGroup(group uint64) {
-	// The order matters. Whenever a crash interrupts these steps, the old Raft ID is never used with an empty log, and
-	// the first voter never takes itself for a founder of the group that it was in before.
+	// The order matters. Wherever a crash interrupts these steps, the old Raft ID is never used with an empty log, and
+	// the first voter never considers itself a founder of the group that it was in before.
 	err := v.options.Log.SetIdentity(func(id *pb.Identity) {
 		id.Group, id.Raft, id.Founder, id.Formed = 0, 0, false, false
 	})
@@ -143,7 +144,8 @@
 	v.options.OnEvent("joining the group under a new Raft ID", nil)
 }
 
-// requestJoin asks to replace the former Raft ID of this voter by its new one, until it is a voter.
+// requestJoin asks the other voters at intervals to replace the former Raft ID of this voter with its new one, until
+// the new one has a vote.
 func (v *Voter) requestJoin() {
 	id := v.options.Log.Identity()
 	if v.now < v.nextJoin || id.Founder || v.confState != nil && slices.Contains(v.confState.GetVoters(), id.Raft) {
--- a/internal/fleet/voter/requests.go
+++ b/internal/fleet/voter/requests.go
@@ -30,7 +30,7 @@
 // readRequest is a request to Raft to confirm the leadership (ReadIndex), and the renewals that wait for it.
 type readRequest struct {
 	seq       uint64
-	index     uint64 // 0: not confirmed yet
+	index     uint64 // commit index when the leadership was confirmed; 0: not confirmed yet
 	expiresAt int64
 	renewals  []renewal
 }
@@ -62,7 +62,7 @@
 }
 
 // propose appends a command to the log and reports whether it succeeded. The entry stays in the log as long as this
-// voter leads.
+// voter leads. Once the command is applied, its result is sent to from; if from is empty, to nobody.
 func (v *Voter) propose(from string, requestID uint64, c *pb.Command) (proposed bool) {
 	if len(v.pending) >= maxPending {
 		v.answer(from, &pb.Answer{Id: requestID, Error: duty.ErrFull.Error()})
--- a/internal/fleet/voter/status.go
+++ b/internal/fleet/voter/status.go
@@ -8,7 +8,7 @@
 	"sliptide/internal/fleet/duty"
 )
 
-// This file reports the state of a voter to operators and to the processes of its member.
+// This file reports the state of a voter to operators and to the rest of its process.
 
 // MemberStatus is the state of one member as a voter sees it.
 type MemberStatus struct {
@@ -102,8 +102,8 @@
 	return v.node != nil && v.confState != nil && slices.Contains(v.confState.GetVoters(), v.options.Log.Identity().Raft)
 }
 
-// VoterChangePending reports whether a change of the voters has begun and is not yet complete: meanwhile a majority
-// of the old voters and one of the new voters are both needed (Raft's joint consensus).
+// VoterChangePending reports whether a change of the voters has begun and is not yet complete: meanwhile every decision
+// needs both a majority of the old voters and a majority of the new voters (Raft's joint consensus).
 func (v *Voter) VoterChangePending() bool {
 	return v.confState != nil && len(v.confState.GetVotersOutgoing()) > 0
 }
--- a/internal/fleet/voter/voter.go
+++ b/internal/fleet/voter/voter.go
@@ -2,8 +2,9 @@
 // library, and while it leads, it renews the sessions of members and ends those that have expired.
 //
 // It has no clock, no sockets and no goroutines: its caller passes the time and the frames received, and sends the
-// frames that it returns. Its only I/O is its log (internal/fleet/disk), through an interface. Model tests therefore
-// run the same code as the processes, with simulated time and disks.
+// frames that it returns. Times are nanoseconds on the caller's monotonic clock. Its only I/O is its log
+// (internal/fleet/disk), which uses the file system through the interface fsys.FS. Model tests therefore run the same
+// code as the processes, with simulated time and disks.
 //
 // A renewal is acknowledged only after a majority has confirmed that this voter still leads (ReadIndex, section 6.4
 // of Ongaro's dissertation on Raft), and a new leader grants every session a full lease. A lease that a predecessor
@@ -29,13 +30,13 @@
 )
 
 const (
-	electionTicks    = 10
-	heartbeatTicks   = 2
-	maxPending       = 4096            // requests that wait for the log or for the confirmation of the leadership
-	pendingTimeout   = 3 * time.Second // how long such a request waits
-	reopenInterval   = time.Second     // between attempts to reopen a log that failed
-	foundingInterval = 250 * time.Millisecond
-	maxLearnerLag    = 64 // entries that a learner may lack when it becomes a voter
+	electionTicks    = 10                     // Raft ticks in an election timeout
+	heartbeatTicks   = 2                      // Raft ticks between heartbeats
+	maxPending       = 4096                   // requests that wait for the log or for the confirmation of the leadership
+	pendingTimeout   = 3 * time.Second        // a pending request is dropped after this time; its member asks again
+	reopenInterval   = time.Second            // between attempts to reopen a log that failed
+	foundingInterval = 250 * time.Millisecond // between rounds of invitations; requests to join have twice the interval
+	maxLearnerLag    = 64                     // entries that a learner may lack when it becomes a voter
 )
 
 // Options are the settings and dependencies of a Voter.
@@ -47,7 +48,7 @@
 	ElectionTimeout time.Duration // without contact with a leader for this long, a voter starts an election
 	Log             *disk.Log
 	OnEvent         func(what string, err error) // reports a change of state, to be logged; may be nil
-	// Skip disables safety checks, for tests that show how their absence is detected.
+	// Skip disables safety checks, for tests that must detect their absence.
 	Skip Skip
 }
 
@@ -59,15 +60,15 @@
 	EventVotersChanged = "voters changed: "
 )
 
-// Skip is a set of disabled safety checks.
+// Skip is a set of disabled safety checks, for tests that must detect their absence.
 type Skip uint
 
-// Safety checks that tests can disable.
+// The safety checks, each with what happens without it.
 const (
-	SkipQuorumConfirmation Skip = 1 << iota // acknowledges renewals without the confirmation of a majority
+	SkipQuorumConfirmation Skip = 1 << iota // renewals are acknowledged without the confirmation of a majority
 	SkipLeaseReset                          // a new leader does not grant full leases
-	SkipDriftMargin                         // the grantor waits no longer than the holder relies on a lease
-	SkipQuorumCheck                         // disables pre-vote and the leader's check of its quorum
+	SkipDriftMargin                         // the leader makes no allowance for clock drift when it ends sessions
+	SkipQuorumCheck                         // Raft runs without pre-vote and without the leader's check of its quorum
 )
 
 // Outgoing is a frame to be sent to a member.
@@ -82,13 +83,13 @@
 	node       *raft.RawNode // nil: not part of a group, or its log has failed
 	state      *duty.State
 	confState  *raftpb.ConfState
-	applied    uint64
+	applied    uint64 // index of the last log entry that is applied to state
 	leaderTerm uint64 // term in which it leads; 0: it does not lead
-	leaderID   uint64
+	leaderID   uint64 // Raft ID of the leader; 0: unknown
 	leases     lease.Grantor
 
-	now           int64
-	lastTick      int64
+	now           int64 // as last passed by the caller
+	lastTick      int64 // time of the last tick of the Raft node
 	outgoing      []Outgoing
 	pending       map[uint64]pending // by command ID
 	nextCommandID uint64
@@ -104,7 +105,8 @@
 	changingVoter string // voter that is added by a pending change; empty: none
 }
 
-// New starts a voter from its log.
+// New starts a voter from its log. If the log cannot be used, the voter takes no part in the group and tries to reopen
+// the log at intervals.
 func New(o Options, now int64) (*Voter, error) {
 	v := &Voter{
 		options: o, now: now, lastTick: now, pending: map[uint64]pending{}, nextCommandID: rand.Uint64(),
@@ -120,7 +122,8 @@
 	return v, nil
 }
 
-// restart rejoins the group with the content of the log.
+// restart starts the Raft node with the content of the log. If the log is an outdated copy, the voter rejoins the group
+// under a new Raft ID; after any other error it steps down.
 func (v *Voter) restart() {
 	switch err := v.start(); {
 	case errors.Is(err, errRegressed):
@@ -166,7 +169,7 @@
 	}
 }
 
-var errRegressed = errors.New("the log is older than what it has acknowledged")
+var errRegressed = errors.New("the log lacks entries that this voter has acknowledged")
 
 // TakeOutgoing returns the frames to be sent, in order, and clears the list.
 func (v *Voter) TakeOutgoing() []Outgoing {
@@ -185,8 +188,8 @@
 	v.send(to, &pb.Frame{What: &pb.Frame_Answer{Answer: a}})
 }
 
-// Tick advances the time. It is due every tenth of the election timeout. A voter that was suspended for longer ticks
-// once.
+// Tick advances the time to now. It is to be called at least every tenth of the election timeout. After a longer pause
+// the Raft node ticks only once, not once for each interval missed.
 func (v *Voter) Tick(now int64) {
 	v.now = now
 	interval := int64(v.options.ElectionTimeout) / electionTicks
@@ -243,14 +246,14 @@
 	v.subscribers, v.peerNames = map[string]bool{}, map[uint64]string{}
 }
 
-// stepDown stops taking part when the log cannot be written. The group continues without this voter.
+// stepDown stops taking part after the log has failed. The group continues without this voter.
 func (v *Voter) stepDown(err error) {
 	v.options.OnEvent("the log cannot be written: stepping down", err)
 	v.leaveGroup()
 	v.failure, v.nextReopen = err, v.now+int64(reopenInterval)
 }
 
-// reopen tries at intervals to reopen a log that could not be written.
+// reopen tries at intervals to reopen a log that has failed, and starts the Raft node again.
 func (v *Voter) reopen() {
 	if v.now < v.nextReopen {
 		return
@@ -281,6 +284,7 @@
 	v.processReady()
 }
 
+// step passes a Raft message from another voter to the Raft node.
 func (v *Voter) step(from string, b []byte) {
 	if v.node == nil || !slices.Contains(v.options.Voters, from) {
 		return
