--- a/internal/fleet/commands.go
+++ b/internal/fleet/commands.go
@@ -41,6 +41,7 @@
 	return &pb.Answer{Error: "this member's journal is not copied"}
 }
 
+// requestStatus asks this member's own voter for its status.
 func (m *Member) requestStatus(ctx context.Context, answers chan<- *pb.Answer) {
 	report := func() {
 		r := &pb.Answer{}
@@ -58,6 +59,7 @@
 	}
 }
 
+// forward sends a command to the leading voter by this member's session.
 func (m *Member) forward(ctx context.Context, a *pb.Ask, answers chan<- *pb.Answer) {
 	ask := func() {
 		m.session.Do(a, commandTimeout-200*time.Millisecond, func(r *pb.Answer, err error) {
--- a/internal/fleet/copies.go
+++ b/internal/fleet/copies.go
@@ -35,7 +35,8 @@
 // Incarnation returns the incarnation of this member's state directory.
 func (m *Member) Incarnation() uint64 { return m.identity.Incarnation }
 
-// publishView publishes what the session knows, and connects this member with the other holders of each journal.
+// publishView publishes what the session knows, and connects this member with the owner and the other holders of each
+// journal that it holds copies of, and with the holders of its own. It does nothing if the session knows nothing new.
 func (m *Member) publishView() {
 	version, id := m.session.Version(), m.session.ID()
 	if m.o.CopyQuota == 0 || version == m.viewVersion && id == m.viewSession {
@@ -59,8 +60,9 @@
 	}
 }
 
-// connectHolders connects this member with the owner and the other holders of a journal. A holder also requests the
-// duty of the journal, since one of the holders becomes the successor of the owner.
+// connectHolders connects this member, if it is the owner or a holder of a journal, with the others of these. Of two
+// members the one whose name sorts first dials. A holder also requests the duty of the journal, since one of the
+// holders becomes the successor of the owner.
 func (m *Member) connectHolders(owner string, d *pb.Duty) {
 	replicas := append([]string{owner}, d.Holders...)
 	if !slices.Contains(replicas, m.self.Name) {
@@ -92,8 +94,8 @@
 	}
 }
 
-// Propose proposes a command to the voters and passes the result to done on a goroutine of the member. It does not
-// block.
+// Propose proposes a command to the voters and passes the result to done on the goroutine of the session, which done
+// must not block. The command times out after the length of a lease, see session.Session.Do. Propose does not block.
 func (m *Member) Propose(c *pb.Command, done func(*pb.Answer, error)) {
 	m.runOnSessionLoop(func() {
 		m.session.Do(&pb.Ask{Command: c}, m.o.Settings.Lease.Length, done)
@@ -109,7 +111,7 @@
 	return xxhash.Sum64(id) | 1
 }
 
-// runCopies keeps copies of other members' journals.
+// runCopies is the loop that keeps copies of other members' journals.
 func (m *Member) runCopies() {
 	defer m.loops.Done()
 	var holder *copies.Holder
@@ -143,9 +145,9 @@
 	var answer *pb.Frame
 	switch w := in.frame.What.(type) {
 	case *pb.Frame_Copy:
-		repairsBefore := h.Mismatches()
+		mismatchesBefore := h.Mismatches()
 		a := h.HandleCopy(m.now(), w.Copy)
-		if h.Mismatches() > repairsBefore {
+		if h.Mismatches() > mismatchesBefore {
 			m.o.Log.Warn().Str("owner", w.Copy.Owner).Msg("fleet: a copy differs from its owner's journal and is requested again")
 		}
 		if a != nil && w.Copy.Owner == in.from {
--- a/internal/fleet/duty/duty.go
+++ b/internal/fleet/duty/duty.go
@@ -49,7 +49,7 @@
 // Duty is one duty and its candidates.
 type Duty struct {
 	Name        string
-	Zone        string
+	Zone        string   // zone whose members are preferred among those with equal load; empty: none
 	Session     uint64   // session of the holder; 0: no holder
 	Token       uint64   // fencing token of the last grant
 	TransferTo  string   // member that the duty is to be transferred to; empty: none
--- a/internal/fleet/duty/duty_test.go
+++ b/internal/fleet/duty/duty_test.go
@@ -223,26 +223,26 @@
 		}
 	}
 	if r := apply(open("one more", 1, 1, 1)); !errors.Is(r.Err, ErrFull) {
-		t.Errorf("session: %v", r.Err)
+		t.Errorf("session beyond MaxSessions: %v, want ErrFull", r.Err)
 	}
 	for i := range MaxDuties {
 		apply(acquire(1, fmt.Sprint("d", i)))
 	}
 	if r := apply(acquire(1, "one more")); !errors.Is(r.Err, ErrFull) {
-		t.Errorf("duty: %v", r.Err)
+		t.Errorf("duty beyond MaxDuties: %v, want ErrFull", r.Err)
 	}
 	if r := apply(acquire(1, string(make([]byte, MaxNameBytes+1)))); !errors.Is(r.Err, ErrInvalidName) {
-		t.Errorf("name: %v", r.Err)
+		t.Errorf("name longer than MaxNameBytes: %v, want ErrInvalidName", r.Err)
 	}
 	for id := uint64(2); id < 100; id++ {
 		apply(acquire(id, "d0"))
 	}
 	if n := len(s.duties["d0"].Candidates); n != MaxCandidates {
-		t.Errorf("%d candidates", n)
+		t.Errorf("%d candidates, want MaxCandidates", n)
 	}
 	b, _ := s.Marshal()
 	if len(b) > 2<<20 {
-		t.Errorf("a snapshot of %d bytes", len(b))
+		t.Errorf("a snapshot of a full state has %d bytes, want at most 2 MiB", len(b))
 	}
 	if r := apply(&pb.Command{}); !errors.Is(r.Err, ErrUnknownCommand) {
 		t.Errorf("unknown command: %v", r.Err)
--- a/internal/fleet/duty/successors_test.go
+++ b/internal/fleet/duty/successors_test.go
@@ -146,6 +146,6 @@
 		resubmit(c, 1000+key)
 	}
 	if n := len(l.state.resubmitted.order); n != MaxKeys || len(l.state.resubmitted.memberOf) != MaxKeys {
-		t.Errorf("%d keys are known", n)
+		t.Errorf("%d keys are known, want MaxKeys", n)
 	}
 }
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -30,12 +30,12 @@
 )
 
 const (
-	inboxSize       = 1024
-	maxPendingCalls = 16384
+	inboxSize       = 1024                   // inputs queued for each loop
+	maxPendingCalls = 16384                  // calls queued for the session's loop; further ones are dropped
 	transferTimeout = 100 * time.Millisecond // how long Close waits for a leading voter to transfer its leadership
 	closeTimeout    = 170 * time.Millisecond // how long Close waits for the session to end; after that its lease lapses
-	commandTimeout  = 3 * time.Second
-	reopenInterval  = 2 * time.Second // between attempts to open a log that could not be opened
+	commandTimeout  = 3 * time.Second        // for an answer to an operator's command
+	reopenInterval  = 2 * time.Second        // between attempts to open a log that could not be opened
 )
 
 // Peer is one member as listed in the operators' file.
@@ -49,8 +49,8 @@
 	Name            string // this member's name
 	Listen          string
 	Members         []Peer
-	MinVoters       int
-	Weight          uint32
+	MinVoters       int    // voters that must be present to found the group
+	Weight          uint32 // relative capacity of this member for duties; 0 counts as 1
 	Lease           lease.Params
 	ElectionTimeout time.Duration
 	Hash            uint64      // hash of the settings that must be equal in all members' files
@@ -92,7 +92,7 @@
 // Options configure a Member.
 type Options struct {
 	Settings Settings
-	Files    fsys.FS
+	Files    fsys.FS           // the member's state directory
 	Account  *statedir.Account // nil: no bound
 	Log      zerolog.Logger
 	// CopyQuota is the number of bytes for copies of other members' journals; 0: none are kept. ReceiveCopyReply takes
@@ -110,14 +110,14 @@
 	SkipSessionChecks session.Skip
 }
 
-// input is a frame for a loop, or a function to call on its goroutine.
+// input is a frame for a loop, or a function to call on the loop's goroutine.
 type input struct {
 	from  string
 	frame *pb.Frame
 	call  func()
 }
 
-// heldTokens holds the tokens of the duties that a member holds, as Token reads them.
+// heldTokens are the tokens of the duties that a member holds until validUntil. It is immutable once published.
 type heldTokens struct {
 	validUntil int64
 	tokens     map[string]uint64
@@ -137,7 +137,7 @@
 	copyInbox     chan input
 	view          atomic.Pointer[View]
 	viewVersion   uint64 // the version of the session's view that was published last
-	viewSession   uint64
+	viewSession   uint64 // the session of which that was the view
 	held          atomic.Pointer[heldTokens]
 	memberNames   atomic.Pointer[map[string]bool]
 	pendingCalls  callQueue
@@ -215,7 +215,7 @@
 func (m *Member) isMember(name string) bool { return (*m.memberNames.Load())[name] }
 
 // SetMembers applies the member list of a reloaded operators' file: links from new members are accepted from now on.
-// The set of voters does not change until the next start.
+// The set of voters does not change until the next start. It may be called concurrently with all other methods.
 func (m *Member) SetMembers(members []Peer) {
 	if m == nil {
 		return
@@ -436,8 +436,9 @@
 // Live reports whether this member's session is valid now, so that its view of the fleet can be relied on.
 func (m *Member) Live() bool { return m != nil && m.now() < m.held.Load().validUntil }
 
-// runOnSessionLoop queues f for the session's loop, in order, and does not block. The number of queued
-// calls is bounded by the duties that callers name, each of which is called for when its partner's state changes.
+// runOnSessionLoop queues f for the session's loop, in order, and does not block. The number of queued calls is bounded
+// by the duties that callers name, each of which is called for when the state of its partner changes; beyond
+// maxPendingCalls, f is dropped.
 func (m *Member) runOnSessionLoop(f func()) {
 	m.pendingCalls.mu.Lock()
 	queueFull := len(m.pendingCalls.calls) >= maxPendingCalls
@@ -466,21 +467,22 @@
 	return calls
 }
 
-// Request requests a duty, or a place in its queue. It does not block.
+// Request makes this member a candidate for a duty. It does not block.
 func (m *Member) Request(duty, zone string) {
 	m.runOnSessionLoop(func() { m.session.Request(duty, zone) })
 }
 
-// Release gives a duty up; end ends the duty for all members. It does not block.
+// Release gives a duty up, or withdraws the candidacy for it; end ends the duty for all members. It does not block.
 func (m *Member) Release(duty string, end bool) {
 	m.runOnSessionLoop(func() { m.session.Release(duty, end) })
 }
 
-// Publish publishes a word about a duty that this member holds to all members that watch it. It does not block.
-func (m *Member) Publish(name, word string) {
+// Publish publishes a value of a duty that this member holds to all members. It has no effect if this member does not
+// hold the duty; a value may be lost if the fleet does not answer within the length of a lease. It does not block.
+func (m *Member) Publish(name, value string) {
 	m.runOnSessionLoop(func() {
 		if t := m.session.Token(name, m.now()); t != 0 {
-			m.session.Do(&pb.Ask{Command: &pb.Command{What: &pb.Command_Say{Say: &pb.Say{Session: m.session.ID(), Duty: name, Token: t, Word: word}}}},
+			m.session.Do(&pb.Ask{Command: &pb.Command{What: &pb.Command_Say{Say: &pb.Say{Session: m.session.ID(), Duty: name, Token: t, Word: value}}}},
 				m.o.Settings.Lease.Length, func(*pb.Answer, error) {})
 		}
 	})
--- a/internal/fleet/link/link.go
+++ b/internal/fleet/link/link.go
@@ -29,8 +29,8 @@
 )
 
 const (
-	maxQueuedFrames = 256 // frames queued on a link
-	pingInterval    = 250 * time.Millisecond
+	maxQueuedFrames = 256                     // frames queued on a link
+	pingInterval    = 250 * time.Millisecond  // between pings on a link
 	silenceTimeout  = 1500 * time.Millisecond // a link on which nothing arrives for this long is closed
 	minRedialDelay  = 50 * time.Millisecond   // doubled after each failed attempt, up to maxRedialDelay
 	maxRedialDelay  = time.Second
@@ -55,8 +55,8 @@
 	Receive func(ctx context.Context, from string, f *pb.Frame)
 	// Call answers an operator's command.
 	Call    func(ctx context.Context, a *pb.Ask) (*pb.Answer, error)
-	OnEvent func(what, member string, err error) // logs a change of a link's state
-	// How often a link sends a ping, after which silence it is closed, and how many are accepted; 0: the defaults.
+	OnEvent func(what, member string, err error) // logs a change of a link's state; must not be nil
+	// The interval of pings, the silence after which a link is closed, and the number of links accepted; 0: the default.
 	PingInterval   time.Duration
 	SilenceTimeout time.Duration
 	MaxLinks       int
@@ -152,6 +152,8 @@
 	return names
 }
 
+// dialLoop keeps a link to a member up until Close. After a failure is logged, the next one is logged only if the link
+// had lasted for more than 2*silenceTimeout.
 func (m *Manager) dialLoop(name, addr string) {
 	defer m.done.Done()
 	delay := minRedialDelay
@@ -252,6 +254,7 @@
 	return m.runLink(ctx, cancel, h, st)
 }
 
+// checkHello returns why a link is refused, nil if it is accepted. The error is sent to the dialling member.
 func (m *Manager) checkHello(h *pb.Hello) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/fleet/partitions_test.go
+++ b/internal/fleet/partitions_test.go
@@ -8,7 +8,7 @@
 	"sliptide/internal/standin"
 )
 
-// leader returns the voter that logged last that it leads.
+// leader returns the voter that was the last to log that it leads.
 func (r *rig) leader() string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -148,7 +148,7 @@
 	for d := range duties {
 		holder := r.holder(d, at+int64(2500*time.Millisecond), "", 25*time.Second)
 		if holder.token <= highest && holder.member != "n4" {
-			t.Errorf("%s holds %s with a token of %d after one of %d", holder.member, dutyName(d), holder.token, highest)
+			t.Errorf("%s holds %s with token %d, want a higher one than any before the restart, %d", holder.member, dutyName(d), holder.token, highest)
 		}
 	}
 	r.checkObservations()
--- a/internal/fleet/procs_test.go
+++ b/internal/fleet/procs_test.go
@@ -320,7 +320,7 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.t.Fatalf("no holder other than %q of %s within %v; errors %v; log:\n%s", except, dutyName(duty), timeout, r.errs, tail(r.logs.String(), 6000))
+	r.t.Fatalf("no member other than %q holds %s within %v; errors %v; log:\n%s", except, dutyName(duty), timeout, r.errs, tail(r.logs.String(), 6000))
 	return observation{}
 }
 
@@ -499,7 +499,7 @@
 		t.Fatal(err)
 	}
 	if err := open("b"); err == nil || !strings.Contains(err.Error(), `written by "a", opened by "b"`) {
-		t.Errorf("error %v", err)
+		t.Errorf("state directory of a opened as b: error %v", err)
 	}
 }
 
--- a/internal/fleet/session/session.go
+++ b/internal/fleet/session/session.go
@@ -1,6 +1,7 @@
 // Package session implements a member's side of duties: one session with the fleet's voters, on which all duties of
 // the member depend, and the member's knowledge of the duties of all members. It has no clock, sockets or goroutines:
-// the caller passes in the time, received frames and a source of randomness, and collects the frames to send.
+// the caller passes in the time, received frames and a source of randomness, and collects the frames to send. Times are
+// nanoseconds on the caller's monotonic clock.
 //
 // A duty counts as held only while the lease is valid on this member's own clock. If the lease cannot be renewed, the
 // member stops holding its duties without being notified.
@@ -29,13 +30,15 @@
 	Member      string
 	Incarnation uint64 // of the member's state directory
 	Boot        uint64 // number of starts of the program on that state directory
-	Zone        string
-	Weight      uint32
+	Zone        string // of the member
+	Weight      uint32 // relative capacity of the member for duties; 0 counts as 1
 	Voters      []string
 	Lease       lease.Params
 	Rand        *rand.Rand
-	OnEvent     func(what string, duty string, token uint64) // a duty is held or lost, or opening was refused; may be nil
-	Skip        Skip
+	// OnEvent is called when a duty is held or lost, and, without a duty, when the fleet refuses to open a session. It may
+	// be nil.
+	OnEvent func(what string, duty string, token uint64)
+	Skip    Skip
 }
 
 // Skip is a set of disabled safety checks, for tests that must detect their absence.
@@ -56,16 +59,16 @@
 
 // dutyRequest is the state of a duty that this member has requested.
 type dutyRequest struct {
-	zone          string
-	queuedSession uint64 // the session for which the voters acknowledged the request
-	askID         uint64 // id of the request in flight; 0: none
-	releaseToken  uint64 // the token that the request in flight releases; 0: it releases no held duty
-	sentAt        int64
-	retryAt       int64  // earliest time of the next request
-	loggedToken   uint64 // the token last logged as held
-	releasedToken uint64 // tokens up to this one are released and never count as held again
-	releasing     bool   // no longer wanted by this member
-	ends          bool   // nor by any other member
+	zone             string
+	candidateSession uint64 // the session that is a candidate for the duty, as acknowledged by the voters
+	askID            uint64 // id of the request in flight; 0: none
+	releaseToken     uint64 // the token that the request in flight releases; 0: it releases no held duty
+	sentAt           int64
+	retryAt          int64  // earliest time of the next request
+	loggedToken      uint64 // the token last logged as held
+	releasedToken    uint64 // tokens up to this one are released and never count as held again
+	releasing        bool   // no longer wanted by this member
+	ends             bool   // nor by any other member
 }
 
 // pendingAsk is a request from another part of this process, such as a command to propose.
@@ -92,14 +95,14 @@
 	openSeq     uint64 // number of the session that is open or being opened
 	targetVoter int    // index of the voter that requests go to
 	lastAskID   uint64 // id of the latest request
-	openID      uint64
+	openID      uint64 // id of the request in flight that opens or closes the session; 0: none
 	openSentAt  int64
-	renewID     uint64
+	renewID     uint64 // id of the renewal in flight; 0: none
 	renewSentAt int64
-	openRetryAt int64
-	viewID      uint64
+	openRetryAt int64  // earliest time of the next request to open a session
+	viewID      uint64 // id of the request for the whole view in flight; 0: none
 	viewSentAt  int64
-	version     uint64
+	version     uint64 // of the view: duties, adoptions and present
 	duties      map[string]*pb.Duty
 	adoptions   map[string]*pb.Adoption
 	present     []*pb.Present
@@ -108,7 +111,7 @@
 	pendingAsks map[uint64]*pendingAsk
 	closing     bool
 	closed      bool
-	DutyChanged func(*pb.Duty) // called on each change of a duty; may be nil
+	DutyChanged func(*pb.Duty) // called on each change of a duty, by Receive; may be nil
 }
 
 // New returns a session that sends its first request at the first Tick.
@@ -139,7 +142,7 @@
 // jitter returns a random duration from d/2 to 3d/2.
 func (s *Session) jitter(d int64) int64 { return d/2 + s.o.Rand.Int64N(d+1) }
 
-// Request requests a duty or a place in its queue, and cancels an earlier Release of it.
+// Request makes this member a candidate for a duty, and cancels an earlier Release of it.
 func (s *Session) Request(name, zone string) {
 	if r := s.requests[name]; r != nil {
 		r.releasing, r.ends = false, false
@@ -148,7 +151,7 @@
 	s.requests[name] = &dutyRequest{zone: zone}
 }
 
-// Release gives a duty up; end ends the duty for all members.
+// Release gives a duty up, or withdraws the candidacy for it; end ends the duty for all members.
 func (s *Session) Release(name string, end bool) {
 	if r := s.requests[name]; r != nil {
 		r.releasing, r.ends = true, end
@@ -215,7 +218,9 @@
 // ID returns the session's number, 0 if no session is open.
 func (s *Session) ID() uint64 { return s.id }
 
-// Do sends a request, such as a command to propose, to the leading voter, and calls done once with the result.
+// Do sends a request, such as a command to propose, to the leading voter, and calls done at most once with the result:
+// the answer and the error in it, ErrNoQuorum if there is no answer within timeout, or ErrClosed if the session is
+// already closed. Requests time out only while a session is open. Those pending when Close is called may get no result.
 func (s *Session) Do(ask *pb.Ask, timeout time.Duration, done func(*pb.Answer, error)) {
 	if s.closed {
 		done(nil, ErrClosed)
@@ -255,7 +260,7 @@
 	s.openID = s.sendAsk(&pb.Ask{Command: &pb.Command{What: &pb.Command_Close{Close: &pb.Close{Session: s.id}}}})
 }
 
-// Tick advances the session to now. Callers call it about every twentieth of a lease.
+// Tick advances the session to now. It is to be called at least every twentieth of a lease.
 func (s *Session) Tick(now int64) {
 	s.now = now
 	if s.closing {
@@ -346,8 +351,8 @@
 	}
 }
 
-// maintainRequests requests the duties that this member wants, and releases those that it no longer wants or that an
-// operator asked it to hand over.
+// maintainRequests requests the duties that this member wants, and releases those that it no longer wants or that are
+// to be transferred to another member.
 func (s *Session) maintainRequests() {
 	outstanding := len(s.dutyAsks)
 	for name, r := range s.requests {
@@ -372,12 +377,12 @@
 		case token != 0 && (r.releasing || token <= r.releasedToken):
 			r.releasedToken = max(r.releasedToken, token)
 			s.sendDutyCommand(name, r, token, &pb.Command{What: &pb.Command_Release{Release: &pb.Release{Session: s.id, Duty: name, Token: token, End: r.releasing && r.ends}}})
-		case r.releasing && r.queuedSession == s.id:
+		case r.releasing && r.candidateSession == s.id:
 			s.sendDutyCommand(name, r, 0, &pb.Command{What: &pb.Command_Release{Release: &pb.Release{Session: s.id, Duty: name}}})
 		case r.releasing:
 			delete(s.requests, name)
 			continue
-		case r.queuedSession != s.id:
+		case r.candidateSession != s.id:
 			s.sendDutyCommand(name, r, 0, &pb.Command{What: &pb.Command_Acquire{Acquire: &pb.Acquire{Session: s.id, Duty: name, Zone: r.zone}}})
 		default:
 			continue
@@ -386,7 +391,7 @@
 	}
 	for name, d := range s.duties { // granted although not requested: by a hand-over, or by a late copy of a request
 		if d.Session == s.id && s.requests[name] == nil {
-			s.requests[name] = &dutyRequest{zone: d.Zone, releasing: true, queuedSession: s.id}
+			s.requests[name] = &dutyRequest{zone: d.Zone, releasing: true, candidateSession: s.id}
 		}
 	}
 }
@@ -478,6 +483,7 @@
 	}
 }
 
+// handleOpened handles the answer to a request that opens the session or, while closing, ends it.
 func (s *Session) handleOpened(from string, a *pb.Answer) {
 	s.openID = 0
 	if s.closing {
@@ -486,7 +492,7 @@
 	}
 	if a.Error != "" {
 		s.openRetryAt = s.now + s.jitter(int64(s.o.Lease.RenewInterval()))
-		if a.Gone { // a late copy of an earlier open request came first
+		if a.Gone { // an earlier copy of the request opened a session that is already ending
 			s.openSeq++
 		}
 		s.o.OnEvent("refused: "+a.Error, "", 0)
@@ -501,7 +507,7 @@
 	}
 }
 
-// extendLease extends the lease, counted from when the renewal was sent.
+// extendLease extends the lease, counted from sentAt, when the granted renewal was sent.
 func (s *Session) extendLease(sentAt int64) {
 	terms := s.o.Lease
 	if s.o.Skip&SkipLeaseStart != 0 {
@@ -539,15 +545,15 @@
 		s.endSession()
 		return
 	case a.Error == duty.ErrFull.Error():
-		r.retryAt = s.now + s.jitter(int64(s.o.Lease.Length)) // the queue of the duty is full
-	case r.releaseToken != 0: // released; in the queue again only after a new request
-		r.queuedSession = 0
+		r.retryAt = s.now + s.jitter(int64(s.o.Lease.Length)) // the duty has the maximum number of candidates
+	case r.releaseToken != 0: // released; a candidate again only after a new request
+		r.candidateSession = 0
 		if d := s.duties[name]; d != nil && d.Token == r.releaseToken && d.Session == s.id {
 			delete(s.duties, name)
 		}
 	case a.Error == "":
-		if r.queuedSession = s.id; r.releasing {
-			r.queuedSession = 0
+		if r.candidateSession = s.id; r.releasing {
+			r.candidateSession = 0
 		}
 	default:
 		r.retryAt = s.now + s.jitter(int64(s.o.Lease.RenewInterval()))
@@ -602,7 +608,7 @@
 	if d.Ended {
 		delete(s.duties, d.Name)
 		if r := s.requests[d.Name]; r != nil && !r.releasing {
-			r.queuedSession = 0
+			r.candidateSession = 0
 		}
 	} else {
 		s.duties[d.Name] = d
