--- a/internal/fleet/ledger/ledger.go
+++ b/internal/fleet/ledger/ledger.go
@@ -17,8 +17,8 @@
 // Tolerances of the checks.
 const (
 	LateSlack     = 300 * time.Millisecond // a final outcome this long after the deadline still counts as in time
-	CrossingSlack = 100 * time.Millisecond // for calls under way at the request of a wait, and waits under way at a loss
-	MaxTakeover   = 5 * time.Second        // with a lease of 1 s, link faults and a successor that is killed
+	CrossingSlack = 100 * time.Millisecond // for calls made just after a wait is requested, and waits just before a loss
+	MaxTakeover   = 5 * time.Second        // longest takeover, with a lease of 1 s, link faults and a killed successor
 )
 
 // message is the history of one message.
@@ -29,14 +29,14 @@
 	refused     bool
 	outstanding int // attempts that have reached the partner and are not answered
 	effects     int
-	endings     []time.Time // answered deliveries, and notices
+	endings     []time.Time // of calls that delivered it, and notices
 	firstEnd    time.Time   // the first effect or notice
 }
 
 // sender is the state of one sender.
 type sender struct {
-	waitSetAt, waitUntil time.Time // of the last requested wait
-	lostAt, killedAt     time.Time
+	waitSetAt, waitUntil time.Time       // start and end of the last requested wait
+	lostAt, killedAt     time.Time       // when its machine was lost, and when its process was killed
 	unfinished           map[string]bool // its messages without an end when it was lost
 	successorCalled      bool            // its successor has made a call since the loss
 }
@@ -166,8 +166,8 @@
 	}
 }
 
-// WaitRequested records that the partner requested a wait from a sender, in answer to a call that began at began. A
-// sender that was lost or killed since has not received it.
+// WaitRequested records that the partner requested a wait from a sender, in answer to a call that began at callStart. A
+// sender that was lost or killed since then has not received it.
 func (l *Ledger) WaitRequested(now time.Time, by int, callStart, waitUntil time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/fleet/ledger/ledger_test.go
+++ b/internal/fleet/ledger/ledger_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// TestEachViolationIsFound checks that Judge finds each violation of a guarantee, and passes runs that keep it,
-// including those that only look like violations.
+// TestEachViolationIsFound checks that Judge finds each violation of a guarantee, and passes runs that keep all
+// guarantees, including those that only look like violations.
 func TestEachViolationIsFound(t *testing.T) {
 	t0 := time.Unix(1e9, 0)
 	at := func(ms int) time.Time { return t0.Add(time.Duration(ms) * time.Millisecond) }
--- a/internal/fleet/model/disk_test.go
+++ b/internal/fleet/model/disk_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// TestNewDisk: a voter that returns with an empty disk gets its vote back under a new number, and completes the
+// TestNewDisk: a voter that returns with an empty disk gets its vote back under a new Raft ID, and completes the
 // majority when another voter is killed.
 func TestNewDisk(t *testing.T) {
 	for lost := range 3 {
--- a/internal/fleet/model/model.go
+++ b/internal/fleet/model/model.go
@@ -51,7 +51,7 @@
 	BadDisk                      // the disk refuses all writes
 	KillAll                      // every voter is killed and restarted
 	HandOver                     // an operator requests a hand-over
-	FaultKinds
+	FaultKinds                   // the number of kinds
 )
 
 // String returns the name of the fault.
@@ -86,7 +86,7 @@
 	LeaderChanges int    // number of times that a voter became leader
 	// OnVoterEvent, if set, is called by a voter with each event that it logs.
 	OnVoterEvent func(voter int, what string)
-	heldBy       map[string]int
+	heldBy       map[string]int // index of the holder, by duty; -1: none; not listed: none so far
 }
 
 type resource struct {
@@ -98,7 +98,7 @@
 	world        *World
 	index        int
 	name         string
-	clockRate    float64
+	clockRate    float64 // of its clock against the simulated time
 	clockOffset  int64
 	disk         *memDisk
 	voter        *voter.Voter
--- a/internal/fleet/model/model_test.go
+++ b/internal/fleet/model/model_test.go
@@ -123,7 +123,7 @@
 	return list
 }
 
-// deposed cuts a voter off from the other voters, but not from a member whose session it could renew.
+// deposed cuts off a voter and a member whose session it could renew from the other voters, but not from each other.
 func deposed(i int) (list []Fault) {
 	for k := range 4 {
 		at := time.Duration(3+8*k) * time.Second
--- a/internal/fleet/model/size_test.go
+++ b/internal/fleet/model/size_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// TestManyLoseTheirLeader: up to 1000 members whose leader is killed do not overload the group. Their frames in any
-// second stay within four times the normal rate, and at most one session is lost.
+// TestManyLoseTheirLeader: 30 members, or up to 1000 in a measurement, whose leader is killed do not overload the
+// group. Their frames in any second stay within four times the normal rate, and at most one session is lost.
 func TestManyLoseTheirLeader(t *testing.T) {
 	sizes := []int{30}
 	if os.Getenv("SLIPTIDE_MEASURE") != "" {
@@ -47,7 +47,7 @@
 		}
 		t.Logf("%d members: %d frames a second normally (%.1f a member), %d in the worst second after the leader is killed; %d of %d sessions kept", n, normalRate, float64(normalRate)/float64(n), worstSecond, sessionsKept, len(sessions))
 		if worstSecond > 4*normalRate || sessionsKept < len(sessions)-1 || w.Violation != "" || !w.AllHeld() {
-			t.Errorf("%d members: violation %q, held %v", n, w.Violation, w.AllHeld())
+			t.Errorf("%d members: overload, lost sessions, or violation %q, held %v", n, w.Violation, w.AllHeld())
 		}
 	}
 }
--- a/internal/fleet/placement/placement.go
+++ b/internal/fleet/placement/placement.go
@@ -68,8 +68,9 @@
 }
 
 // NextStep returns the holders that an owner should request next, given the current and the desired ones; synced
-// reports whether a holder has a complete copy. It changes one holder at a time: a missing one is added first, and a
-// surplus one is removed only when enough others are complete, so that the number of complete copies never falls.
+// reports whether a holder has a complete copy, present whether it has a live session. It changes one holder at a time:
+// a missing one is added first, and a surplus one is removed only when enough others are complete, so that the number
+// of complete copies never falls.
 func NextStep(current, desired []string, synced func(string) bool, present func(string) bool) []string {
 	next := slices.Clone(current)
 	for _, name := range desired {
--- a/internal/fleet/share/holder.go
+++ b/internal/fleet/share/holder.go
@@ -7,9 +7,9 @@
 )
 
 const (
-	headroom     = 0.15 // a member gets this much more than its demand if the limit allows, since demand changes
-	idleShare    = 0.05 // and at least this fraction of its even part, so that a first message is sent at once
-	absentFactor = 3    // a member without a report for so many BindDurations counts as absent and has its even part back
+	headroom     = 0.15 // a member gets this fraction more than its demand if the limit allows, since demand changes
+	idleShare    = 0.05 // a member needs at least this fraction of its even part, so that a first message is sent at once
+	absentFactor = 3    // a member without a report for this many BindDurations is absent and has its even part back
 )
 
 // Holder is the side of the member that holds a partner's duty. It keeps one memberState for each member.
@@ -30,7 +30,7 @@
 	// openAnswers holds the answers that the member may be following: the one that it confirmed and all later ones. If it
 	// is empty, the member may send its even part.
 	openAnswers  []sentAnswer
-	mayBeAtEven  bool  // it may be following none of them
+	mayBeAtEven  bool  // it may be following none of them and send its even part
 	expiredStamp int64 // stamp of the latest expired answer, which may still arrive and then lapses at once
 }
 
@@ -65,7 +65,7 @@
 	m := h.members[name]
 	if m == nil {
 		if len(h.members) >= h.terms.Members {
-			return Answer{}, false // more members than share the limit: this one gets no share
+			return Answer{}, false // more members than share the limit: this one keeps to its even part
 		}
 		m = &memberState{}
 		h.members[name] = m
@@ -102,7 +102,7 @@
 		return
 	}
 	if i := slices.IndexFunc(m.openAnswers, func(s sentAnswer) bool { return s.stamp == r.Stamp }); i >= 0 {
-		m.openAnswers, m.mayBeAtEven = m.openAnswers[i:], r.Stamp < m.expiredStamp // it ignores answers sent earlier
+		m.openAnswers, m.mayBeAtEven = m.openAnswers[i:], r.Stamp < m.expiredStamp // it ignores answers sent before that one
 	}
 }
 
--- a/internal/fleet/share/model/model.go
+++ b/internal/fleet/share/model/model.go
@@ -33,12 +33,12 @@
 }
 
 type node struct {
-	clockRate    float64
+	clockRate    float64 // of its clock against the simulated time
 	clockOffset  int64
 	member       *share.Member
-	holder       *share.Holder
-	cutUntil     int64 // cut off until then
-	stoppedUntil int64
+	holder       *share.Holder // nil: it has never held the duty
+	cutUntil     int64         // cut off until this time
+	stoppedUntil int64         // stopped until this time
 }
 
 type frame struct {
@@ -69,7 +69,7 @@
 	n.holder.Skip = w.skip
 }
 
-// endLease ends the holder's lease; its state as a holder stays.
+// endLease ends the holder's lease. Its state as a holder stays, but it no longer answers reports.
 func (w *World) endLease() { w.holder = -1 }
 
 func (w *World) send(f frame) {
--- a/internal/fleet/share/share.go
+++ b/internal/fleet/share/share.go
@@ -37,7 +37,7 @@
 type Terms struct {
 	Members       int     // number of members that share the limit; the even part is the limit divided by it
 	BindDuration  int64   // ns for which a share below the even part binds
-	RaiseDuration int64   // ns for which a share above it is valid; a member with new demand gets its part after about as long
+	RaiseDuration int64   // ns for which a higher share is valid; new demand gets its part after about as long
 	Drift         float64 // fraction by which clocks may run fast or slow
 }
 
@@ -108,11 +108,11 @@
 
 // The intervals of reports.
 const (
-	reportsPerDuration = 4 // reports within the duration of a share
-	demandJump         = 1.5
-	minReportInterval  = 20 * int64(time.Millisecond)
-	maxUnanswered      = 4 // unanswered reports after which the interval is multiplied by the number of further ones
-	maxBackoffFactor   = 8 // the highest factor by which the interval grows
+	reportsPerDuration = 4                            // reports within the duration of a share
+	demandJump         = 1.5                          // a report is due early if demand rises or falls by this factor
+	minReportInterval  = 20 * int64(time.Millisecond) // ns from a report until an early one is due
+	maxUnanswered      = 4                            // unanswered reports; each further one lengthens the interval
+	maxBackoffFactor   = 8                            // the highest factor by which the interval is multiplied
 )
 
 // ReportDue reports whether a report is due: at intervals that renew a share in time, and sooner if demand has changed
--- a/internal/fleet/trial/trial.go
+++ b/internal/fleet/trial/trial.go
@@ -20,15 +20,15 @@
 
 const (
 	kind           = "trial"
-	suspendedRate  = 1e-3   // a pace that suspends all trials; 0 would mean no pace
-	maxTrialRate   = 10.0   // the holder's highest pace; the share that trials may take of it is one each half second
-	downIntervalMS = 1000.0 // between two words that the partner is still down
+	suspendedRate  = 1e-3   // a pace that suspends all trials; a rate of 0 would set no pace
+	maxTrialRate   = 10.0   // the holder's highest pace; the fraction of it for trials allows one each half second
+	downIntervalMS = 1000.0 // shortest time from a word to the next one that the partner is still down
 )
 
-// The words that a holder publishes.
+// The words that a holder publishes as the value of its duty, each followed by a number that grows.
 const (
-	Down = "down"
-	Open = "open"
+	Down = "down" // the partner is still down
+	Open = "open" // the outage is over
 )
 
 // Duty returns the name of a partner's duty.
@@ -41,7 +41,7 @@
 type Update struct {
 	Holder      string // empty: none
 	HeldLocally bool   // this member is the holder
-	Word        string // the holder's latest word, with a number that grows
+	Word        string // the holder's latest word, with its number
 }
 
 // Settings configure a State.
@@ -60,22 +60,22 @@
 
 // State is one member's part in the trials of all partners. A nil State suspends no trials.
 type State struct {
-	settings    Settings
-	partners    map[int]*partner
-	actions     []Action
-	sessionHeld bool // this member's session is valid
+	settings     Settings
+	partners     map[int]*partner
+	actions      []Action
+	sessionValid bool // this member's session is valid
 }
 
 type partner struct {
 	phase       storm.Phase
 	outageSince float64 // when the outage began
 	update      Update
-	updatedAt   float64 // when the holder or its word last changed, or the outage began
-	publishedAt float64
-	wordNumber  int
-	suspended   bool // trials are suspended, by the last throttle returned
-	raised      bool // the pace is raised, by the last throttle returned
-	throttle    storm.Throttle
+	updatedAt   float64        // when the holder or its word last changed, or the outage began
+	publishedAt float64        // when this member last published a word
+	wordNumber  int            // of that word
+	suspended   bool           // trials are suspended, by the last throttle returned
+	raised      bool           // the pace is raised, by the last throttle returned
+	throttle    storm.Throttle // as storm control last requested it
 }
 
 // New returns a State without partners.
@@ -113,7 +113,8 @@
 	return s.adjust(now, p)
 }
 
-// CallFailed takes a failed call to a partner. The holder publishes that the partner is still down.
+// CallFailed takes a failed call to a partner. The holder publishes that the partner is still down, at most once each
+// downIntervalMS.
 func (s *State) CallFailed(now float64, dest int) {
 	if s == nil {
 		return
@@ -129,7 +130,7 @@
 	s.actions = append(s.actions, Action{Dest: dest, Publish: word + " " + strconv.Itoa(p.wordNumber)})
 }
 
-// HandleUpdate takes an update of a partner's duty.
+// HandleUpdate takes an update of a partner's duty. It ignores a partner that is calm here.
 func (s *State) HandleUpdate(now float64, dest int, update Update) {
 	if s == nil {
 		return
@@ -150,7 +151,7 @@
 // SetLive sets whether this member's session is valid. Without it no update can be relied on.
 func (s *State) SetLive(live bool) {
 	if s != nil {
-		s.sessionHeld = live
+		s.sessionValid = live
 	}
 }
 
@@ -195,7 +196,7 @@
 // trialState reports whether trials are suspended here, and whether the pace is raised because this member makes the
 // trials of the fleet.
 func (s *State) trialState(now float64, p *partner) (suspended, raised bool) {
-	if p.phase != storm.Outage || !s.sessionHeld {
+	if p.phase != storm.Outage || !s.sessionValid {
 		return false, false
 	}
 	if p.update.HeldLocally {
--- a/internal/fleet/trial/trial_test.go
+++ b/internal/fleet/trial/trial_test.go
@@ -112,6 +112,7 @@
 	}
 }
 
+// TestNames checks that Dest accepts the names that Duty returns, and no duties of other kinds or malformed names.
 func TestNames(t *testing.T) {
 	for text, want := range map[string]int{Duty(12): 12, "trial/x": -1, "limit/1": -1, "trial/-1": -1} {
 		if n, ok := Dest(text); ok != (want >= 0) || ok && n != want {
