--- a/internal/fleet/copies/clocks.go
+++ b/internal/fleet/copies/clocks.go
@@ -10,19 +10,19 @@
 // monotonic clock and reports it to the successor, which converts the deadlines to its own clock. No two wall clocks
 // are ever compared.
 
-// estimateWindow is how long the fastest batch determines an estimate. Clocks drift apart by about 0.01 ms in that
-// time, and it is long enough for at least one batch to arrive without queueing.
+// estimateWindow is the length of a window, of whose readings the one in the fastest batch counts. Clocks drift apart
+// by only about 0.01 ms in that time, and it is long enough for at least one batch to arrive without queueing.
 const estimateWindow = int64(10 * time.Second)
 
-// unknownOffset is the offset of a window without a reading.
+// unknownOffset is the best offset of a window without readings.
 const unknownOffset = math.MinInt64
 
 // ClockEstimate estimates the offset of another member's clock, in Unix milliseconds, from this member's monotonic
 // clock. The transfer time of a batch makes its reading too low, so the highest offset of the current and the previous
 // window counts: that of the fastest batch. The zero value is not usable: see NewClockEstimate.
 type ClockEstimate struct {
-	best         int64 // in this window, in milliseconds
-	previousBest int64 // in the window before
+	best         int64 // the highest offset in this window, in milliseconds
+	previousBest int64 // the same in the window before
 	windowStart  int64 // in nanoseconds
 }
 
@@ -31,7 +31,7 @@
 	return ClockEstimate{best: unknownOffset, previousBest: unknownOffset}
 }
 
-// Observe records a reading of the other member's clock that arrives at now.
+// Observe records a reading of the other member's clock, in Unix milliseconds, that arrives at now, in nanoseconds.
 func (e *ClockEstimate) Observe(now, clock int64) {
 	if now-e.windowStart > estimateWindow {
 		e.previousBest, e.best, e.windowStart = e.best, unknownOffset, now
@@ -39,7 +39,7 @@
 	e.best = max(e.best, clock-now/1e6)
 }
 
-// Offset returns the offset in milliseconds, and whether there is a reading.
+// Offset returns the offset in milliseconds, and whether there is a reading in either window.
 func (e *ClockEstimate) Offset() (ms int64, known bool) {
 	ms = max(e.best, e.previousBest)
 	return ms, ms != unknownOffset
--- a/internal/fleet/copies/copies.go
+++ b/internal/fleet/copies/copies.go
@@ -2,14 +2,15 @@
 // accepted message. Owner is the side whose journal is copied, Holder the side that holds copies of other members'
 // journals, and Takeover the side that takes over the messages of a lost owner.
 //
-// All three are state machines without a clock, I/O or goroutines. They handle incoming frames and return the frames to
-// send; a Holder stores copies through a Store. Times are nanoseconds on the caller's monotonic clock.
+// All three are state machines without a clock or goroutines; none is safe for concurrent use. They handle incoming
+// frames and return the frames to send. Only a Holder does I/O: it stores copies through a Store. Times are nanoseconds
+// on the caller's monotonic clock.
 //
 // An owner sends its records in batches, numbered without gaps within an epoch, which is the fencing token of the duty
-// own/NAME. A holder accepts them in order and refuses older epochs. If batches are missing, a reset brings all live
-// records of the owner's journal. The successor holds the same duty with a higher token. It seals the owner's epochs
-// at every holder that the fleet has agreed on, writes the longest copy to its own journal, which is copied in turn,
-// and asks the fleet to agree to the adoption. Only then do the messages belong to the successor.
+// own/NAME. A holder accepts them in order and refuses older epochs. If it lacks batches, the owner sends a reset: all
+// live records of its journal. The successor holds the same duty with a higher token. It seals the owner's epochs at
+// every holder that the fleet has agreed on, writes the longest copy to its own journal, which is copied in turn, and
+// asks the fleet to agree to the adoption. Only after that agreement do the messages belong to the successor.
 package copies
 
 import (
@@ -24,7 +25,7 @@
 
 const (
 	resendTimeout    = int64(120 * time.Millisecond) // wait for an answer before all live records are sent again
-	checksumInterval = int64(10 * time.Second)       // between checksums of all live records
+	checksumInterval = int64(10 * time.Second)       // between two checksums of all live records
 	fullRetryDelay   = int64(2 * time.Second)        // before a holder without space is tried again
 )
 
@@ -120,8 +121,8 @@
 }
 
 // Append sends the records of one step of the journal and returns the number of their batch. lastNumber is the highest
-// message number assigned so far. liveRecords returns the records that are live after the batch. It is called from time
-// to time, for a checksum with which holders verify their copies; nil: no checksum is sent.
+// message number assigned so far. liveRecords returns the records that are live after the batch; Append calls it from
+// time to time, for a checksum with which holders verify their copies. If it is nil, no checksum is sent.
 func (o *Owner) Append(now int64, records []byte, lastNumber uint64, liveRecords func() []byte) uint64 {
 	o.seq++
 	o.lastNumber = max(o.lastNumber, lastNumber)
@@ -172,7 +173,7 @@
 }
 
 // Committed returns the last batch that the required number of holders has acknowledged, 0 if there is none in this
-// epoch.
+// epoch. If no acknowledgements are required, it is the last batch.
 func (o *Owner) Committed(required int) uint64 {
 	if required == 0 {
 		return o.seq
@@ -251,8 +252,8 @@
 	return batches
 }
 
-// TakeOutgoing returns the frames to send. liveRecords returns all live records of the journal; it is called if a
-// holder is to be resynchronized.
+// TakeOutgoing returns the frames to send and empties the queue. liveRecords returns all live records of the journal;
+// it is called if a holder is to be resynchronized.
 func (o *Owner) TakeOutgoing(now int64, liveRecords func() []byte) []Outgoing {
 	if o.epoch != 0 {
 		var records []byte
@@ -278,7 +279,7 @@
 
 // resync asks a holder whether its copy already equals the live records, or sends a reset with them.
 func (o *Owner) resync(now int64, name string, p *holderProgress, liveRecords []byte) {
-	o.seq = max(o.seq, 1)
+	o.seq = max(o.seq, 1) // a resetSeq of 0 means that the reset is still to be sent
 	c := &pb.Copy{Owner: o.name, Incarnation: o.incarnation, Epoch: o.epoch, Seq: o.seq, Upto: o.lastNumber, Clock: now/1e6 + o.clockOffsetMS}
 	if p.tryResume {
 		c.Resume, c.Sum = true, Checksum(liveRecords)
@@ -290,7 +291,8 @@
 	o.outgoing = append(o.outgoing, Outgoing{name, copyFrame(c)})
 }
 
-// NextWakeup returns when TakeOutgoing next has frames to send without further input, and whether there is such a time.
+// NextWakeup returns when TakeOutgoing has to be called even without further input, since an answer is overdue or a
+// full holder is to be tried again, and whether there is such a time.
 func (o *Owner) NextWakeup() (at int64, due bool) {
 	for name, p := range o.holders {
 		t := p.waitingSince + resendTimeout + 1
--- a/internal/fleet/copies/holder.go
+++ b/internal/fleet/copies/holder.go
@@ -15,11 +15,11 @@
 	BootID        uint64 // the boot of this machine during which ClockOffsetMS was estimated; 0: unknown
 }
 
-// Store stores copies. When Reset, Append or SaveState returns nil, the data has been written.
+// Store stores copies, one for each owner. When Reset, Append or SaveState returns nil, the data has been written.
 type Store interface {
 	Reset(owner string, state CopyState, records []byte) error // replaces the owner's records
 	Append(owner string, state CopyState, records []byte) error
-	SaveState(owner string, state CopyState) error
+	SaveState(owner string, state CopyState) error // keeps the records
 	LiveRecords(owner string) []byte
 	Size(owner string) int64 // bytes that the owner's copy occupies
 }
@@ -27,26 +27,27 @@
 // Holder holds copies of other members' journals.
 type Holder struct {
 	store      Store
-	maxBytes   int64 // limit on the size of all copies
+	maxBytes   int64 // limit on the total size of all copies
 	states     map[string]*CopyState
 	clocks     map[string]*ClockEstimate
 	bootID     uint64
 	mismatches int
-	// SkipChecks disables checks, for tests which show that their absence is detected.
+	// SkipChecks disables checks in tests that verify that their absence is detected.
 	SkipChecks HolderChecks
 }
 
 // HolderChecks is a set of a holder's checks.
 type HolderChecks uint
 
-// The checks.
+// Checks of a Holder.
 const (
 	CheckGaps   HolderChecks = 1 << iota // batches are refused if earlier ones are missing
 	CheckResume                          // a copy is resumed only if its checksum equals the owner's
 )
 
-// NewHolder returns a holder of the copies in a store. bootID identifies the boot of this machine. Clock offsets from
-// an earlier boot are discarded, as the monotonic clock starts anew with each boot.
+// NewHolder returns a holder of the copies in a store, which may occupy maxBytes in total. states are the states of the
+// stored copies by owner. bootID identifies the boot of this machine. Clock offsets from an earlier boot are discarded,
+// as the monotonic clock starts anew with each boot.
 func NewHolder(store Store, maxBytes int64, bootID uint64, states map[string]CopyState) *Holder {
 	h := &Holder{store: store, maxBytes: maxBytes, bootID: bootID, states: map[string]*CopyState{}, clocks: map[string]*ClockEstimate{}}
 	for owner, state := range states {
@@ -99,8 +100,8 @@
 	return n
 }
 
-// HandleCopy stores a batch and returns the answer. It returns nil if the batch could not be written: the owner sends
-// it again.
+// HandleCopy stores a batch and returns the answer. It returns nil if the batch could not be written: an owner that
+// gets no answer sends all live records again.
 func (h *Holder) HandleCopy(now int64, c *pb.Copy) *pb.Copied {
 	answer := &pb.Copied{Owner: c.Owner, Epoch: c.Epoch, Seq: c.Seq}
 	old := h.states[c.Owner]
@@ -163,8 +164,8 @@
 // Mismatches returns how many copies differed from their owner's journal and were requested again.
 func (h *Holder) Mismatches() int { return h.mismatches }
 
-// HandleSeal ends an owner's epochs below the requested one and returns the answer with the copy. It returns nil if the
-// seal could not be written.
+// HandleSeal ends an owner's epochs below the requested one and returns the answer, which includes the copy if there is
+// one of such an epoch. It returns nil if the seal could not be written.
 func (h *Holder) HandleSeal(now int64, s *pb.Seal) *pb.Sealed {
 	state := h.states[s.Owner]
 	if state == nil {
--- a/internal/fleet/copies/keep/keep.go
+++ b/internal/fleet/copies/keep/keep.go
@@ -42,7 +42,8 @@
 	torn          bool // a write failed and may have left part of a record: the next write rewrites the file
 }
 
-// Open reads the copies of the owners' journals and rewrites each file as a single record, without a damaged end.
+// Open reads the copies of the owners' journals, rewrites each file as a single record, without a damaged end, and
+// returns the states of the copies by owner. Owners without a copy have no state.
 func Open(files fsys.FS, account *statedir.Account, owners []string) (*Store, map[string]copies.CopyState, error) {
 	s := &Store{fs: files, account: account, files: map[string]*file{}}
 	states := map[string]copies.CopyState{}
--- a/internal/fleet/copies/keep/keep_test.go
+++ b/internal/fleet/copies/keep/keep_test.go
@@ -115,7 +115,7 @@
 	}
 	reopened, states, err := Open(fsys.OS{Dir: dir}, nil, []string{"a"})
 	if err != nil || states["a"].Seq != 2 || len(messageNumbers(reopened.LiveRecords("a"))) != 2 {
-		t.Errorf("%v, %+v, %v", err, states, messageNumbers(reopened.LiveRecords("a")))
+		t.Errorf("opened again: error %v, states %+v, messages %v; want two messages at batch 2", err, states, messageNumbers(reopened.LiveRecords("a")))
 	}
 }
 
--- a/internal/fleet/copies/model/model.go
+++ b/internal/fleet/copies/model/model.go
@@ -33,10 +33,10 @@
 const (
 	opAccepted = iota
 	opAttempt
-	opOutcome   // an attempt ended and may have run
+	opOutcome   // an attempt that may have run has ended
 	opConfirmed // the client is answered 202
 	opEnd
-	opPending // its takeover has begun, from an owner and with a token
+	opPending // the entry is being taken over, from the lost owner and with the token in the record
 	opAgreed  // the fleet has agreed to that takeover
 )
 
@@ -63,7 +63,7 @@
 	started       bool   // an attempt has begun
 	inFlight      bool   // an attempt is in progress
 	pendingDuty   string // the lost owner's duty, while the fleet has not agreed to the takeover
-	takeoverToken uint64
+	takeoverToken uint64 // of that duty when the takeover began; 0: this member accepted the message itself
 }
 
 // replay returns the live entries of a journal's records.
@@ -112,6 +112,7 @@
 	return b
 }
 
+// memStore stores the records of copies in memory, by owner.
 type memStore map[string][]byte
 
 func (s memStore) Reset(owner string, _ copies.CopyState, r []byte) error {
@@ -136,7 +137,7 @@
 	incarnation  int  // of that member's disk
 	accepted     bool // the client has been answered 202
 	refused      bool
-	effects      int
+	effects      int      // calls that took effect at the partner
 	inFlightAt   []string // members with an attempt in progress
 	finalAnswers int
 	notices      int // final answers that report the message as abandoned
@@ -232,15 +233,15 @@
 	ignoreLease         bool // start attempts without a valid lease
 	keepTransferred     bool // a returning owner keeps messages that a successor has taken over
 	ignoreResubmitted   bool // do not compare resubmitted messages with those taken over
-	dropPending         bool // drop entries that the lost owner was taking over itself, although the fleet had agreed
+	dropPending         bool // drop entries that the lost owner had taken over itself and copies still show as pending
 	sendUnknown         bool // a successor sends messages of whose attempts only unreachable holders may know
 	sendUnconfirmed     bool // a successor sends messages whose clients may have been refused
 	sendBeforeAgreement bool // a successor sends before the fleet has agreed to the takeover
 }
 
-// frame is a frame in transit that arrives at a time.
+// frame is a frame in transit.
 type frame struct {
-	at    int64
+	at    int64 // time of arrival
 	from  *member
 	to    *member
 	frame *pb.Frame
@@ -308,6 +309,7 @@
 	return nil
 }
 
+// step simulates one tick: contacts with the fleet, ends of sessions, arrivals of frames and the members' senders.
 func (w *World) step() {
 	w.now += tick
 	w.steps++
@@ -692,7 +694,8 @@
 	}
 }
 
-// awaitingAnswer reports whether the client of a message that is not confirmed has yet to be answered.
+// awaitingAnswer reports whether the client of an unconfirmed message has yet to be answered: it always has, unless 202
+// is answered before holders have acknowledged the message.
 func (m *member) awaitingAnswer(e *entry) bool { return !m.w.disabled.answerBeforeAck }
 
 func (m *member) find(num uint64) *entry {
@@ -719,7 +722,7 @@
 	}
 	hist := m.w.messages[e.msg]
 	e.inFlight = false
-	if (m.w.rng.IntN(4) < 3 || m.w.partnerDown) && !hist.unsafe { // it failed, and may have run
+	if (m.w.rng.IntN(4) < 3 || m.w.partnerDown) && !hist.unsafe { // the call failed, and may have run
 		return
 	}
 	hist.finalAnswers++
@@ -737,8 +740,8 @@
 	w.accept(m, hist)
 }
 
-// resubmit submits a message again whose sender has lost its disk, as its client may do. Messages that may have run are
-// left out if their class forbids repeats.
+// resubmit submits again, to another member, a message whose sender has lost its disk, as its client may do. Messages
+// that may have run are left out if their class forbids repeats.
 func (w *World) resubmit(m *member) {
 	if !m.reachable() || !m.leaseValid() || m.owner.Epoch() == 0 || len(w.messages) > w.maxMessages {
 		return
@@ -825,7 +828,7 @@
 	}
 }
 
-// playFaults runs with one fault at a time, each of which ends before the next begins, and checks the run.
+// playFaults simulates a run with one fault at a time, each of which ends before the next begins, and checks it.
 func (w *World) playFaults(faults []Fault) {
 	at := int64(time.Second)
 	for _, f := range faults {
--- a/internal/fleet/copies/model/model_test.go
+++ b/internal/fleet/copies/model/model_test.go
@@ -46,7 +46,8 @@
 	t.Logf("%d takeovers", adoptions)
 }
 
-// TestRandomFaults repeats runs of TestDisabledGuardsAreDetected with all guards enabled.
+// TestRandomFaults simulates the random faults of TestDisabledGuardsAreDetected with all guards enabled: the checker
+// must report nothing.
 func TestRandomFaults(t *testing.T) {
 	runs := uint64(12)
 	if v, err := strconv.Atoi(os.Getenv("SLIPTIDE_SCHEDULES")); err == nil {
@@ -88,8 +89,8 @@
 	}
 }
 
-// TestOnlyEqualCopiesResume checks that a restarted owner resumes only copies that equal its journal, and that the
-// checker detects the loss if it resumes others.
+// TestOnlyEqualCopiesResume checks that no message is lost if an owner restarts while its holders lag: it resumes only
+// copies that equal its journal. The checker must detect the loss if it resumes others.
 func TestOnlyEqualCopiesResume(t *testing.T) {
 	for seed := range uint64(12) {
 		if w := loseOwnerOfLaggingHolders(seed, DisabledGuards{}); w.violation != "" {
--- a/internal/fleet/copies/model/runs.go
+++ b/internal/fleet/copies/model/runs.go
@@ -8,7 +8,7 @@
 	"sliptide/internal/fleet/copies"
 )
 
-// runRandomFaults runs with three random faults of the given kinds.
+// runRandomFaults simulates a run with three random faults of the given kinds.
 func runRandomFaults(seed uint64, disabled DisabledGuards, kinds []int) *World {
 	rng := rand.New(rand.NewPCG(seed, 77))
 	w := newWorld(seed, 4, 2, 1, disabled)
@@ -20,8 +20,8 @@
 	return w
 }
 
-// loseSuccessor loses an owner with its disk. extraSteps after the takeover has reached the stage, it loses the
-// successor with its disk as well. Later both start again with empty disks.
+// loseSuccessor loses an owner with its disk. The given number of steps after the takeover has reached the stage, it
+// loses the successor with its disk as well. Later both start again with empty disks.
 func loseSuccessor(seed uint64, stage copies.Stage, extraSteps int, disabled DisabledGuards) *World {
 	w := newWorld(seed, 5, 2, 1, disabled)
 	for w.now < int64(2*time.Second) {
@@ -153,10 +153,10 @@
 
 // faultCost is the cost of a fault.
 type faultCost struct {
-	resetBytes, maxPerSecond   int64         // in total, and the maximum in one second
-	takenOver                  int           // messages
+	resetBytes, maxPerSecond   int64         // bytes copied in resets: in total, and the maximum in one second
+	takenOver                  int           // messages taken over
 	successors, maxBySuccessor int           // members that took messages over, and the most messages of one
-	duration                   time.Duration // until the last message was taken over
+	duration                   time.Duration // until the last message was taken over, in steps of a second
 }
 
 // measure injects a fault, runs for a duration and returns the cost of the fault.
@@ -217,13 +217,13 @@
 
 // timedFault is a fault at a given time.
 type timedFault struct {
-	kind   string
+	kind   string // "lost" (with its disk), "killed", "cut" (from the other members) or "stopped"
 	member int
 	offset time.Duration // from the submission of the messages
 }
 
-// runTimedFaults submits two messages, one of a class that forbids repeats, to the first of three members and injects
-// faults.
+// runTimedFaults submits two messages, one of a class that forbids repeats, to the first of three members, injects the
+// faults and checks the run.
 func runTimedFaults(seed uint64, required int, disabled DisabledGuards, faults ...timedFault) *World {
 	w := newWorld(seed, 3, 2, required, disabled)
 	w.messageInterval = 1 << 30
--- a/internal/fleet/copies/takeover.go
+++ b/internal/fleet/copies/takeover.go
@@ -26,7 +26,7 @@
 	Owner        string
 	Epoch        uint64 // the successor's token of the owner's duty
 	Stage        Stage
-	LongestCopy  *pb.Sealed // nil: no holder has a copy
+	LongestCopy  *pb.Sealed // the longest copy of the latest epoch so far; nil: no holder has a copy to be adopted
 	adoptedEpoch uint64     // copies of epochs up to this one have been adopted already
 	holders      map[string]bool
 	answered     map[string]bool
@@ -38,7 +38,7 @@
 }
 
 // NewTakeover begins a takeover. holders are all holders that the fleet has agreed on. adopted is the owner's last
-// adoption, nil if there was none; copies from before it belong to the successor of that adoption.
+// adoption, nil if there was none; copies from before it belong to the member that adopted them.
 func NewTakeover(owner string, epoch uint64, holders []string, adopted *pb.Adoption) *Takeover {
 	t := &Takeover{Owner: owner, Epoch: epoch, adoptedEpoch: adopted.GetToken(), holders: map[string]bool{}, answered: map[string]bool{}, copyEpochs: map[string]uint64{}, upperOffset: NewClockEstimate(), lowerOffset: NewClockEstimate()}
 	for _, name := range holders {
@@ -47,7 +47,7 @@
 	return t
 }
 
-// TakeOutgoing returns the requests that are due.
+// TakeOutgoing returns the requests that are due, sorted by holder.
 func (t *Takeover) TakeOutgoing(now int64) (out []Outgoing) {
 	if t.Stage != Sealing || now < t.nextRequest {
 		return nil
@@ -78,7 +78,8 @@
 	}
 	if s.Have && s.From > t.adoptedEpoch && (t.LongestCopy == nil || s.From > t.LongestCopy.From || s.From == t.LongestCopy.From && s.Seq > t.LongestCopy.Seq) {
 		if t.LongestCopy == nil || s.From > t.LongestCopy.From {
-			t.upperOffset, t.lowerOffset = NewClockEstimate(), NewClockEstimate() // the clock of an earlier epoch is that of another process
+			// The clock of an earlier epoch is that of another process.
+			t.upperOffset, t.lowerOffset = NewClockEstimate(), NewClockEstimate()
 		}
 		t.LongestCopy = s
 	}
@@ -88,10 +89,10 @@
 	}
 }
 
-// ClockOffsets returns the offsets of the owner's clock, in Unix milliseconds, from the caller's monotonic clock. The
-// time that holders take to answer must not make a deadline late, nor end a wait early: deadlines use the upper bound
-// of the offset, waits the lower one. known is false if no holder knows the owner's clock, for instance because all
-// their machines have restarted.
+// ClockOffsets returns bounds of the offset, in milliseconds, of the owner's clock (Unix time) from the caller's
+// monotonic clock. The time that holders take to answer must not make a deadline late, nor end a wait early: deadlines
+// use the upper bound, waits the lower one. known is false if no holder knows the owner's clock, for instance because
+// all their machines have restarted.
 func (t *Takeover) ClockOffsets() (deadlines, waits int64, known bool) {
 	deadlines, known = t.upperOffset.Offset()
 	waits, _ = t.lowerOffset.Offset()
