--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -27,13 +27,13 @@
 
 const (
 	leaderDuty        = "directory" // its holder is the leader
-	inboxSize         = 4096
+	inboxSize         = 4096        // frames and lists that wait for the loop in Run
 	tickInterval      = 50 * time.Millisecond
 	reportInterval    = time.Second            // between reports to the leader while nothing changes
 	minReportInterval = 200 * time.Millisecond // between reports to the leader when its list of subscribers is outdated
-	rosterInterval    = 200 * time.Millisecond
-	statusInterval    = 500 * time.Millisecond
-	maxLinks          = 20000
+	rosterInterval    = 200 * time.Millisecond // between checks by the leader of which members join and leave
+	statusInterval    = 500 * time.Millisecond // between updates of the status for operators
+	maxLinks          = 20000                  // links that are accepted from senders and control members
 )
 
 // Options configure a Control.
@@ -84,22 +84,23 @@
 	stopWatch context.CancelFunc // ends the watch of discovery
 }
 
-// input is an input of the loop in Run: a frame or a list of discovery.
+// input is an input of the loop in Run: a frame or a list from discovery.
 type input struct {
 	from  string
 	frame *pb.Frame
 	list  *discoveryList
 }
 
-// discoveryList is a list of discovery, received by the leader with the given token.
+// discoveryList is a list from discovery, received by the leader with the given token.
 type discoveryList struct {
 	token     uint64
-	full      bool
+	full      bool // a complete list, not only changes
 	version   uint64
 	endpoints []directory.Endpoint
 }
 
-// New opens a control member's listeners and joins its group. Run must be called to operate it.
+// New opens a control member's listeners, which serve links at once, and joins its group. Run must be called to operate
+// it.
 func New(o Options) (*Control, error) {
 	s := o.Settings
 	c := &Control{o: o, self: s.Self(), inbox: make(chan input, inboxSize), dir: directory.New(), fullReportDue: true}
@@ -274,7 +275,7 @@
 		c.publisher.ApplyChange(change)
 		go debug.FreeOSMemory() // the snapshot's parts took several times the memory that is kept
 	case err != nil: // the next subscription begins with a snapshot
-		c.o.Log.Error().Err(err).Msg("directory: failed to apply an update of the leader, the next subscription requests a snapshot")
+		c.o.Log.Error().Err(err).Msg("directory: failed to apply an update from the leader; the next subscription requests a snapshot")
 		c.subscription.Resume(0)
 	default:
 		c.publisher.ApplyChange(change)
@@ -319,6 +320,7 @@
 	}
 }
 
+// startLeading publishes a first version under the token and starts the watch of discovery.
 func (c *Control) startLeading(ctx context.Context, token uint64, now int64) {
 	watchCtx, stopWatch := context.WithCancel(ctx)
 	c.leadership = &leadership{token: token, roster: directory.NewRoster(c.regions(), now), stopWatch: stopWatch}
@@ -332,6 +334,7 @@
 	go watch.Run(watchCtx)
 }
 
+// stopLeading ends the leadership, if there is one, and its watch of discovery.
 func (c *Control) stopLeading() {
 	if c.leadership == nil {
 		return
@@ -341,7 +344,7 @@
 	c.o.Log.Info().Uint64("version", c.dir.Version()).Msg("directory: leads no more")
 }
 
-// enqueueList passes a list of discovery to the loop. It is called on the watch's goroutine and blocks it while the
+// enqueueList passes a list from discovery to the loop. It is called on the watch's goroutine and blocks it while the
 // inbox is full.
 func (c *Control) enqueueList(ctx context.Context, token uint64, l discovery.List) {
 	converted := &discoveryList{token: token, full: l.Full, version: l.Version, endpoints: make([]directory.Endpoint, 0, len(l.Endpoints))}
@@ -364,7 +367,7 @@
 	return endpoint
 }
 
-// handleList publishes the changes of a list of discovery, unless an earlier leadership of this member received it.
+// handleList publishes the changes of a list from discovery, unless an earlier leadership of this member received it.
 // Removed endpoints in a list may lack their destination, which the directory then provides.
 func (c *Control) handleList(l *discoveryList) {
 	if c.leadership == nil || c.leadership.token != l.token {
--- a/internal/control/settings.go
+++ b/internal/control/settings.go
@@ -29,12 +29,12 @@
 	Name            string // name of this member
 	StateDir        string // state directory
 	DiscoveryAddr   string // address of the discovery agent
-	Replicas        int
+	Replicas        int    // senders of each region that serve a destination
 	Members         []Member
 	Lease           time.Duration
-	ClockDrift      float64
+	ClockDrift      float64 // fraction by which a member's clock may run fast or slow
 	ElectionTimeout time.Duration
-	CA              string
+	CA              string // paths of PEM files; empty: no TLS
 	Cert, Key       string
 	MaxListBytes    int64 // maximum size of a list of endpoints from discovery
 }
@@ -114,7 +114,8 @@
 	return s, nil
 }
 
-// validate checks rules that the XML specification cannot express, between several values. what is empty if all hold.
+// validate checks the rules between several values, which spec cannot express. It returns what is wrong and what is
+// allowed in its place; what is empty if all rules hold.
 func (s *Settings) validate() (what, allowed string) {
 	voters := 0
 	used := map[string]string{}
@@ -127,16 +128,16 @@
 				return fmt.Sprintf("member %q: address %q", m.Name, addr), expected
 			}
 			if other := used[addr]; other != "" {
-				return fmt.Sprintf("members %q and %q both have the address %q", other, m.Name, addr), "one each, addr and directory apart"
+				return fmt.Sprintf("members %q and %q both have the address %q", other, m.Name, addr), "a separate address for each addr and directory"
 			}
 			used[addr] = m.Name
 		}
 	}
 	switch {
 	case voters != 3 && voters != 5:
-		return fmt.Sprintf("%d members have voter=\"true\"", voters), "3 or 5, so that a majority stays when one or two are lost"
+		return fmt.Sprintf("%d members have voter=\"true\"", voters), "3 or 5, so that a majority remains when one or two are lost"
 	case s.Self().Name == "":
-		return fmt.Sprintf("name=%q is no <member>", s.Name), "the name of one of them"
+		return fmt.Sprintf("name=%q is not the name of a <member>", s.Name), "the name of one of them"
 	case s.Lease < 2*s.ElectionTimeout:
 		return fmt.Sprintf("duties: lease=%q", s.Lease), fmt.Sprintf("%v or more: two election times, or each election would end the lease", 2*s.ElectionTimeout)
 	case (s.Cert == "") != (s.Key == "") || (s.Cert == "") != (s.CA == ""):
--- a/internal/control/settings_test.go
+++ b/internal/control/settings_test.go
@@ -24,6 +24,8 @@
 	return Load(path)
 }
 
+// A valid file is loaded, with defaults for what it omits. Each wrong or missing value is refused with an error that
+// says what is wrong or what is allowed.
 func TestSettings(t *testing.T) {
 	s, err := loadText(t, validFile)
 	if err != nil {
@@ -33,9 +35,9 @@
 		t.Errorf("%+v", s)
 	}
 	for _, bad := range []struct{ from, to, want string }{
-		{`name="c1" state`, `name="c9" state`, `name="c9" is no <member>`},
+		{`name="c1" state`, `name="c9" state`, `name="c9" is not the name of a <member>`},
 		{`region="r3" voter="true"`, `region="r3"`, "3 or 5"},
-		{`directory="127.0.0.1:7403"`, `directory="127.0.0.1:7303"`, "addr and directory apart"},
+		{`directory="127.0.0.1:7403"`, `directory="127.0.0.1:7303"`, "a separate address for each addr and directory"},
 		{`addr="127.0.0.1:7302"`, `addr="192.0.2.1:7302"`, "loopback and private addresses"},
 		{`addr="127.0.0.1:7302"`, `addr="127.0.0.1"`, "an IP address and a port"},
 		{`</control>`, `<duties lease="1s" election="600ms"/></control>`, "1.2s or more"},
