--- a/internal/fleet/copies/model/model_test.go
+++ b/internal/fleet/copies/model/model_test.go
@@ -144,9 +144,9 @@
 	t.Error("no run detects that agreed entries are dropped")
 }
 
-// TestSizes loses a zone or a tenth of the members with their disks, or restarts all in turn. No message may be lost, a
-// restart must cause no takeover, and no successor may get more than four times the mean. SLIPTIDE_MEASURE adds 300
-// members.
+// TestSizes loses a zone or a tenth of the members with their disks, or restarts all in turn. No message may be lost,
+// at least six messages per lost member must be taken over, a restart must cause no takeover, and no successor may get
+// more than four times the mean. SLIPTIDE_MEASURE adds 300 members.
 func TestSizes(t *testing.T) {
 	memberCounts := []int{30}
 	if os.Getenv("SLIPTIDE_MEASURE") != "" {
--- a/internal/fleet/directory/assign.go
+++ b/internal/fleet/directory/assign.go
@@ -25,7 +25,7 @@
 	return table
 }
 
-// ApplyChange updates assignments after a change of the directory and marks the subscribers that it concerns.
+// ApplyChange updates assignments after a change of the directory and marks the subscribers that it concerns as dirty.
 func (p *Publisher) ApplyChange(c Change) {
 	for i := range c.Endpoints {
 		for s := range p.shardSubscribers[c.Endpoints[i].Shard()] {
--- a/internal/fleet/directory/directory.go
+++ b/internal/fleet/directory/directory.go
@@ -79,11 +79,11 @@
 	return Member{Region: r.Region, Member: shard.Member{Name: r.Name, Zone: r.Zone, Weight: r.Weight}}
 }
 
-// Change is the difference between a version and the next one that was published.
+// Change is the difference between two published versions, From and To.
 type Change struct {
 	From, To         uint64
-	DiscoveryVersion uint64 // as of To
-	Endpoints        []Endpoint
+	DiscoveryVersion uint64     // as of To
+	Endpoints        []Endpoint // new and changed endpoints as of To, and removed ones in the state REMOVED
 	Joined           []Member
 	Left             []Member
 }
@@ -196,8 +196,8 @@
 	c.Joined = append(c.Joined, m)
 }
 
-// appendChange adds a change that has been applied to the log. A change larger than the log's limit empties the log, so
-// that subscribers get snapshots.
+// appendChange adds to the log a change that has been applied, and advances the version to it. A change larger than the
+// log's limit empties the log, so that subscribers get snapshots.
 func (d *Directory) appendChange(c Change) {
 	d.version, d.discoveryVersion = c.To, c.DiscoveryVersion
 	if c.entryCount() > maxLogEntries {
@@ -216,13 +216,14 @@
 	}
 }
 
-// Apply applies a change of the leader, and returns the change that it made here.
+// Apply applies a change of the leader, and returns the change that it made here. It returns ErrStale if the change
+// does not lead past the current version, and ErrGap if it does not start at it.
 func (d *Directory) Apply(c Change) (Change, error) {
 	switch {
 	case c.To <= d.version:
-		return Change{}, fmt.Errorf("%w: got version %d, at %d", ErrStale, c.To, d.version)
+		return Change{}, fmt.Errorf("%w: got version %d, current version %d", ErrStale, c.To, d.version)
 	case c.From != d.version:
-		return Change{}, fmt.Errorf("%w: change from %d, at %d", ErrGap, c.From, d.version)
+		return Change{}, fmt.Errorf("%w: got a change from version %d, current version %d", ErrGap, c.From, d.version)
 	}
 	applied := Change{From: c.From, To: c.To, DiscoveryVersion: c.DiscoveryVersion, Endpoints: c.Endpoints}
 	for _, e := range c.Endpoints {
@@ -245,7 +246,7 @@
 // subscribers here need no snapshot in turn. It returns ErrStale if the snapshot is not later than the current version.
 func (d *Directory) LoadSnapshot(version, discoveryVersion uint64, endpoints []Endpoint, members []Member) (Change, error) {
 	if version <= d.version {
-		return Change{}, fmt.Errorf("%w: got a snapshot of version %d, at %d", ErrStale, version, d.version)
+		return Change{}, fmt.Errorf("%w: got a snapshot of version %d, current version %d", ErrStale, version, d.version)
 	}
 	c := Change{From: d.version, To: version, DiscoveryVersion: discoveryVersion, Endpoints: d.Diff(endpoints)}
 	for _, e := range c.Endpoints {
@@ -335,8 +336,8 @@
 	return d.Apply(c)
 }
 
-// DestinationOf returns the destination of a known endpoint. It searches all shards, and is meant for the rare list
-// entry that names no destination.
+// DestinationOf returns the destination of a known endpoint. It searches all shards, which is acceptable only for the
+// rare list entries that name no destination.
 func (d *Directory) DestinationOf(id string) (destination uint64, found bool) {
 	for i := range d.shards {
 		list := d.shards[i]
--- a/internal/fleet/directory/model_test.go
+++ b/internal/fleet/directory/model_test.go
@@ -432,7 +432,7 @@
 				c.up = true
 			}
 		}
-	case 1:
+	case 1: // a control member is restarted
 		if !c.up {
 			w.startControl(c)
 		}
@@ -440,20 +440,20 @@
 		if c.up && c.dir.Version() > 0 {
 			w.elect(i)
 		}
-	case 3:
+	case 3: // a sender is killed or restarted
 		if s.up {
 			s.up = false
 		} else {
 			w.startSender(s)
 		}
-	case 4:
+	case 4: // a sender is paused for up to 11 s
 		s.pausedUntil = w.now + int64(time.Duration(w.rng.IntN(12))*time.Second)
-	case 5:
+	case 5: // links of a control member are cut or restored, each direction by itself
 		w.cut[[2]string{c.name, s.name}] = w.rng.IntN(2) == 0
 		w.cut[[2]string{s.name, c.name}] = w.rng.IntN(2) == 0
 		other := w.controls[w.rng.IntN(len(w.controls))].name
 		w.cut[[2]string{c.name, other}] = w.rng.IntN(3) == 0
-	case 6:
+	case 6: // frames are lost, duplicated and reordered, or no longer
 		w.loss = []float64{0, 0, 0.05, 0.3}[w.rng.IntN(4)]
 	}
 }
@@ -521,6 +521,8 @@
 	}
 }
 
+// Random schedules of faults: no subscriber may ever hold anything other than what a leader published at its version,
+// and after the faults all senders must converge on the leader's version.
 func TestSchedulesOfFaults(t *testing.T) {
 	for seed := range uint64(schedules()) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
--- a/internal/fleet/directory/publisher.go
+++ b/internal/fleet/directory/publisher.go
@@ -13,7 +13,7 @@
 const (
 	maxUnackedUpdates = 4               // unacknowledged updates of one subscriber
 	maxUpdateEntries  = 2000            // endpoints and members of one update, about 250 KB
-	heartbeatInterval = time.Second     // longest time between two updates, which the subscriber acknowledges
+	heartbeatInterval = time.Second     // a subscriber gets an update, which it acknowledges, at least this often
 	subscriberTimeout = 4 * time.Second // a subscriber without an acknowledgement for longer is dropped
 )
 
@@ -28,12 +28,12 @@
 type subscriber struct {
 	Member
 	id                 uint64
-	everything         bool
-	seq                uint64
-	ackedSeq           uint64
-	ackNumber          uint64
-	heardAt            int64
-	sentAt             int64
+	everything         bool                // all shards and regions: a control member
+	seq                uint64              // number of the last update sent
+	ackedSeq           uint64              // number of the last update acknowledged
+	ackNumber          uint64              // number of its last acknowledgement, which reveals late duplicates
+	heardAt            int64               // time of the subscribe request or of the last acknowledgement
+	sentAt             int64               // time of the last update
 	version            uint64              // last version sent in a complete update
 	scannedVersion     uint64              // the log up to here holds nothing more for the subscriber
 	heldShards         map[shard.ID]bool   // shards that the subscriber holds or is being sent
@@ -59,10 +59,10 @@
 	shardCount       int
 	now              int64
 	outbox           []OutFrame
-	subscribers      map[string]*subscriber
-	shardSubscribers map[shard.ID]map[*subscriber]bool
-	tables           map[string]*shard.Table // by region
-	dirty            map[*subscriber]bool
+	subscribers      map[string]*subscriber            // by name
+	shardSubscribers map[shard.ID]map[*subscriber]bool // subscribers that hold a shard
+	tables           map[string]*shard.Table           // by region
+	dirty            map[*subscriber]bool              // subscribers for which an update may be due
 }
 
 // PublisherCheck is a safety check of a Publisher that tests can disable.
--- a/internal/fleet/directory/roster.go
+++ b/internal/fleet/directory/roster.go
@@ -49,7 +49,7 @@
 	region      string
 	seq         uint64
 	reportedAt  int64
-	members     map[string]Member
+	members     map[string]Member // nil until a full report has been received
 	nameHashSum uint64
 }
 
@@ -98,8 +98,9 @@
 	return false
 }
 
-// Tick returns the members that are to join the directory and those that are to leave it. Members of a region whose
-// control members are all silent stay: the region is cut off and keeps working with what it knows.
+// Tick returns the members that are to join the directory and those that are to leave it, each sorted by name. known
+// are the members now in the directory. Members of a region whose control members are all silent stay: the region is
+// cut off and keeps working with what it knows.
 func (r *Roster) Tick(known map[string]Member, now int64) (joined, left []Member) {
 	reported, heardRegions := map[string]bool{}, map[string]bool{}
 	for name, c := range r.reporters {
--- a/internal/fleet/directory/subscription.go
+++ b/internal/fleet/directory/subscription.go
@@ -57,23 +57,23 @@
 	options        SubscriptionOptions
 	now            int64
 	server         string // where it is subscribed or tries to be; empty: none
-	id             uint64
-	seq            uint64
+	id             uint64 // of the current subscription; higher than those before
+	seq            uint64 // number of the last update received in it
 	version        uint64
 	shards         map[shard.ID]bool // shards that are held
-	stagedParts    []*pb.Update
+	stagedParts    []*pb.Update      // parts of an update whose last part has not been received
 	outbox         []OutFrame
 	subscribedAt   int64 // time of the last subscribe request or refusal
 	connectedAt    int64 // time of Connect to this server
 	updatedAt      int64
 	live           bool // an update has been received in this subscription
 	tries          int
-	unsentReleases []shard.ID
+	unsentReleases []shard.ID // released shards that no acknowledgement has reported yet
 	// awaitingSnapshot holds shards that were assigned after their release: they are served once their snapshot is
 	// here.
 	awaitingSnapshot map[shard.ID]bool
-	ackNumber        uint64
-	serverFailed     bool // the server does not serve: another one is to be tried
+	ackNumber        uint64 // number of the last acknowledgement sent
+	serverFailed     bool   // the server does not serve: another one is to be tried
 }
 
 // NewSubscription returns a subscription at version 0 that is not connected.
@@ -203,7 +203,8 @@
 		s.sendSubscribe()
 		return nil
 	}
-	if !u.Part && u.To < s.version && s.options.DisabledChecks&CheckVersion == 0 { // the last part of an update gives its version
+	// Only the last part of an update carries the version that the update leads to.
+	if !u.Part && u.To < s.version && s.options.DisabledChecks&CheckVersion == 0 {
 		s.live, s.serverFailed = false, true
 		return nil
 	}
--- a/internal/fleet/shard/shard.go
+++ b/internal/fleet/shard/shard.go
@@ -2,9 +2,9 @@
 // shards, and each shard to a few replicas among a region's members by weighted rendezvous hashing (Thaler and
 // Ravishankar, 1998; weights after Schindelhauer and Schomaker, 2005), spread over the region's zones. Every process
 // that knows the same members finds the same replicas. A member that joins or leaves moves its own shards and no
-// others, unless a zone becomes too small to be spread over, or ceases to be.
+// others, unless a zone becomes too small for shards to be spread over it, or large enough again.
 //
-// The package is deterministic: no clock, no I/O, no randomness.
+// The package is deterministic: it has no clock, I/O or randomness.
 package shard
 
 import (
@@ -18,7 +18,7 @@
 // Count is the number of shards. It is fixed: all members of all versions have to agree on it.
 const Count = 1 << 16
 
-// ID is the number of a shard, under Count.
+// ID is the number of a shard, less than Count.
 type ID uint32
 
 // Of returns the shard of a destination.
@@ -78,8 +78,8 @@
 	return memberCost{index: index, uniform: uniform, cost: c.cost(uniform)}
 }
 
-// compareCosts compares by cost; costs that are equal, such as by rounding, by uniform hash (higher first), then by
-// name.
+// compareCosts orders by cost, lowest first. Costs that are equal, for instance by rounding, are ordered by uniform
+// hash, highest first, then by name.
 func (t *Table) compareCosts(x, y memberCost) int {
 	return cmp.Or(cmp.Compare(x.cost, y.cost), cmp.Compare(y.uniform, x.uniform), cmp.Compare(t.members[x.index].Name, t.members[y.index].Name))
 }
--- a/internal/fleet/shard/shard_test.go
+++ b/internal/fleet/shard/shard_test.go
@@ -15,7 +15,7 @@
 	return list
 }
 
-// testShards is a part of all shards that keeps tests short; the properties that they check hold shard by shard.
+// testShards is a number of shards that keeps tests short. The properties that they check hold shard by shard.
 const testShards = 4096
 
 func newTestTable(replicas int, list []Member) *Table {
@@ -63,7 +63,7 @@
 	}
 }
 
-// Destinations are distributed evenly over shards.
+// Destinations are distributed evenly over shards: none has more than three times the mean.
 func TestDestinationsSpreadOverShards(t *testing.T) {
 	const destinations = 2_000_000
 	counts := make([]int, Count)
@@ -191,8 +191,8 @@
 }
 
 // The target has 14,000 members in five regions, 13 zones and two replicas. The member of a region with the most shards
-// serves at most 1.8 times the mean, the stated bound. This includes that members of a region's smaller zones serve
-// more.
+// serves at most 1.8 times the mean, the stated bound. The bound includes that members of a region's smaller zones
+// serve more than others.
 func TestFullestMemberAtTheTarget(t *testing.T) {
 	const perRegion, replicas, factor = 14000 / 5, 2, 1.8
 	for _, zones := range []int{2, 3} {
@@ -237,6 +237,7 @@
 
 const pinnedAssignment = "7099 39317 5977 [sender-00004 sender-00009] [sender-00001 sender-00000]"
 
+// BenchmarkJoinAtTheTarget measures a member's join and its departure in a region of 2,800 members.
 func BenchmarkJoinAtTheTarget(b *testing.B) {
 	table := NewTable(2)
 	table.Update(members(2800, 3), nil)
--- a/internal/fleet/shard/table.go
+++ b/internal/fleet/shard/table.go
@@ -13,10 +13,10 @@
 	replicas      int
 	members       []candidate    // unused elements have an empty name
 	indexes       map[string]int // into members, by name
-	freeIndexes   []int
+	freeIndexes   []int          // of unused elements of members
 	zones         map[string]*zone
-	shardReplicas [][]int32 // by shard: indexes of its replicas, the first choice first
-	memberShards  []map[ID]bool
+	shardReplicas [][]int32     // by shard: indexes of its replicas, the first choice first
+	memberShards  []map[ID]bool // by index of the member: the shards that it serves
 }
 
 // zone holds the totals of one zone of a region.
@@ -30,7 +30,7 @@
 // NewTable returns a table without members that assigns the given number of replicas, 1 to MaxReplicas, to each shard.
 func NewTable(replicas int) *Table { return NewTableWithShards(replicas, Count) }
 
-// NewTableWithShards returns a table of the first shards alone, for models: the others are not in it.
+// NewTableWithShards returns a table of the first shards, as many as given. Only models and tests use fewer than Count.
 func NewTableWithShards(replicas, shards int) *Table {
 	t := &Table{replicas: min(max(replicas, 1), MaxReplicas), indexes: map[string]int{}, zones: map[string]*zone{}}
 	t.shardReplicas = make([][]int32, shards)
@@ -121,7 +121,7 @@
 	return list
 }
 
-// assignAdded assigns to new members the shards for which they are among the lowest costs. As long as no zone appears,
+// assignAdded assigns to new members the shards for which their costs are among the lowest. As long as no zone appears,
 // vanishes or changes its underweight mark, a member that costs more than all replicas of a shard can't become one.
 func (t *Table) assignAdded(added []int, moved map[ID]bool) {
 	for id := range ID(len(t.shardReplicas)) {
--- a/internal/fleet/spread/spread.go
+++ b/internal/fleet/spread/spread.go
@@ -3,8 +3,9 @@
 //
 // A free duty goes to the candidate with the fewest duties for its weight. Ties are resolved in favour of the duty's
 // own zone, then by rendezvous hashing, so that duties with equal candidates do not all go to the same one. A held
-// duty moves only if its holder has more than its fair share and at least two duties more than the candidate. One
-// move then leaves the two at most one duty apart, so that nothing moves back and no member falls below its share.
+// duty moves only if its holder has more than its fair share and, at equal weights, at least two duties more than the
+// candidate. The candidate then ends up with no more duties than the former holder, so that nothing moves back. A
+// member with no more than its share gives up nothing.
 package spread
 
 import "github.com/cespare/xxhash/v2"
@@ -17,6 +18,7 @@
 	Duties int    // number of duties that it holds
 }
 
+// load returns the member's duties relative to its weight, with extra duties added.
 func (m Member) load(extra int) float64 { return float64(m.Duties+extra) / float64(max(m.Weight, 1)) }
 
 // Choose returns the index of the candidate that the duty goes to, or -1 if there is none.
@@ -30,6 +32,7 @@
 	return best
 }
 
+// preferred reports whether the duty goes to candidate a rather than b.
 func preferred(duty, zone string, a, b *Member) bool {
 	if la, lb := a.load(1), b.load(1); la != lb {
 		return la < lb
@@ -43,6 +46,7 @@
 	return a.Name < b.Name
 }
 
+// rank returns the hash of a duty and a member for rendezvous hashing; the member with the lowest one is preferred.
 func rank(duty, member string) uint64 {
 	var d xxhash.Digest
 	d.Reset()
--- a/internal/fleet/subscriber/subscriber.go
+++ b/internal/fleet/subscriber/subscriber.go
@@ -19,8 +19,8 @@
 	"sliptide/internal/fleet/shard"
 )
 
-// A subscriber that uses a control member of another region tries its own region again after these delays, doubled
-// after each attempt that fails.
+// A subscriber that uses a control member of another region tries its own region again after minHomeRetryDelay, with
+// jitter. The delay doubles with each attempt that fails, up to maxHomeRetryDelay.
 const (
 	minHomeRetryDelay = 10 * time.Second
 	maxHomeRetryDelay = 5 * time.Minute
@@ -28,7 +28,7 @@
 
 const (
 	tickInterval = 100 * time.Millisecond
-	inboxSize    = 64
+	inboxSize    = 64 // received frames that wait for the subscriber's goroutine
 	// LinkSettingsHash is the settings hash in the hello of every link to a control member's directory.
 	LinkSettingsHash = 1
 	// LinkPingInterval is the time between pings on such a link; it is closed after LinkSilenceTimeout without a frame.
@@ -36,12 +36,12 @@
 	LinkSilenceTimeout = 3 * time.Second
 )
 
-// Server is a control member.
+// Server is a control member; Addr is where it accepts links of subscribers.
 type Server struct{ Name, Addr, Region string }
 
 // Options configure a Subscriber.
 type Options struct {
-	Name         string
+	Name         string // of this sender
 	Region, Zone string
 	Weight       uint32
 	Servers      []Server
@@ -63,8 +63,8 @@
 	subscription   *directory.Subscription
 	links          *link.Manager
 	servers        []Server // in the order of attempts, those of this region first
-	serverIndex    int
-	homeRetryAt    int64 // next attempt at this region while another region's member serves; 0: not set
+	serverIndex    int      // of the present server, modulo the number of servers
+	homeRetryAt    int64    // next attempt at this region while another region's member serves; 0: not set
 	homeRetryDelay time.Duration
 	frames         chan frame
 	released       releaseQueue
@@ -195,7 +195,7 @@
 	s.connect(ctx)
 }
 
-// connect replaces the present link with one to the selected server.
+// connect replaces the present link with one to the server at serverIndex.
 func (s *Subscriber) connect(ctx context.Context) {
 	if s.links != nil {
 		s.links.Close()
