--- a/internal/control/settings_test.go
+++ b/internal/control/settings_test.go
@@ -81,6 +81,6 @@
 		t.Fatal(err)
 	}
 	if string(text) != Schema() {
-		t.Error("deploy/control.xsd is not what `sliptide control schema` writes: make generate")
+		t.Error("deploy/control.xsd is not what `sliptide control schema` writes: run make generate")
 	}
 }
