--- a/internal/control/settings.go
+++ b/internal/control/settings.go
@@ -29,12 +29,12 @@
 	Name            string // name of this member
 	StateDir        string // state directory
 	DiscoveryAddr   string // address of the discovery agent
-	Replicas        int
+	Replicas        int    // senders of each region that serve a destination
 	Members         []Member
 	Lease           time.Duration
-	ClockDrift      float64
+	ClockDrift      float64 // fraction by which a member's clock may run fast or slow
 	ElectionTimeout time.Duration
-	CA              string
+	CA              string // paths of PEM files; empty: no TLS
 	Cert, Key       string
 	MaxListBytes    int64 // maximum size of a list of endpoints from discovery
 }
@@ -65,11 +65,11 @@
 			{Name: "name", Required: true, Doc: "This member's name, one of those below.", Values: name, SetText: func(s *Settings, v string) { s.Name = v }},
 			{Name: "state", Required: true, Doc: "The state directory, which belongs to this member alone.", Values: path, SetText: func(s *Settings, v string) { s.StateDir = v }},
 			{Name: "discovery", Required: true, Doc: "Address of the discovery agent.", Values: addr, SetText: func(s *Settings, v string) { s.DiscoveryAddr = v }},
-			{Name: "replicas", Default: "2", Doc: "Senders of each region that serve a destination; alike in all members' files and the senders'.", Values: strictxml.Integer(1, 5), SetNumber: func(s *Settings, v int64) { s.Replicas = int(v) }},
-			{Name: "max-list", Default: "1GiB", Doc: "The longest list of endpoints that is read.", Values: strictxml.Size(64<<10, 1<<34), SetNumber: func(s *Settings, v int64) { s.MaxListBytes = v }},
-			{Name: "ca", Doc: "CA certificates in PEM that the members' and senders' own are signed by. With cert and key: links use TLS both ways.", Values: path, SetText: func(s *Settings, v string) { s.CA = v }},
+			{Name: "replicas", Default: "2", Doc: "Senders of each region that serve a destination; the same in all members' files and the senders'.", Values: strictxml.Integer(1, 5), SetNumber: func(s *Settings, v int64) { s.Replicas = int(v) }},
+			{Name: "max-list", Default: "1GiB", Doc: "Maximum size of a list of endpoints from discovery.", Values: strictxml.Size(64<<10, 1<<34), SetNumber: func(s *Settings, v int64) { s.MaxListBytes = v }},
+			{Name: "ca", Doc: "CA certificates in PEM that have signed the certificates of members and senders. With cert and key: links use mutual TLS.", Values: path, SetText: func(s *Settings, v string) { s.CA = v }},
 			{Name: "cert", Doc: "This member's certificate in PEM.", Values: path, SetText: func(s *Settings, v string) { s.Cert = v }},
-			{Name: "key", Doc: "Its key in PEM, which nobody else may read.", Values: path, SetText: func(s *Settings, v string) { s.Key = v }},
+			{Name: "key", Doc: "The private key of that certificate in PEM, which no other user may read.", Values: path, SetText: func(s *Settings, v string) { s.Key = v }},
 		},
 		Children: []element{{
 			Name: "member", Doc: "One control member; all files list the same ones.", Repeated: true, Unique: "name",
@@ -78,15 +78,15 @@
 				{Name: "name", Required: true, Doc: "Its name.", Values: name, SetText: func(s *Settings, v string) { last(s).Name = v }},
 				{Name: "addr", Required: true, Doc: "Where it accepts links of the control members' group.", Values: addr, SetText: func(s *Settings, v string) { last(s).Addr = v }},
 				{Name: "directory", Required: true, Doc: "Where it accepts links of senders and control members that subscribe.", Values: addr, SetText: func(s *Settings, v string) { last(s).DirectoryAddr = v }},
-				{Name: "region", Required: true, Doc: "Where it stands.", Values: name, SetText: func(s *Settings, v string) { last(s).Region = v }},
-				{Name: "voter", Default: "false", Doc: "It votes on who leads. 3 or 5 members do, in different regions where there are several.", Values: strictxml.OneOf("false", "true"), SetNumber: func(s *Settings, v int64) { last(s).Voter = v == 1 }},
+				{Name: "region", Required: true, Doc: "The region in which it runs.", Values: name, SetText: func(s *Settings, v string) { last(s).Region = v }},
+				{Name: "voter", Default: "false", Doc: "It votes in the election of the leader. 3 or 5 members do, in different regions if there are several.", Values: strictxml.OneOf("false", "true"), SetNumber: func(s *Settings, v int64) { last(s).Voter = v == 1 }},
 			},
 		}, {
 			Name: "duties", Doc: "Timing of the leader's lease and of elections.",
 			Attrs: []attribute{
 				{Name: "lease", Default: "2s", Doc: "A leader that is cut off or stopped ceases to lead within it; at least twice the election time.", Values: strictxml.Duration(200*time.Millisecond, time.Minute), SetNumber: func(s *Settings, v int64) { s.Lease = time.Duration(v) }},
-				{Name: "drift", Default: "0.05", Doc: "The share by which a member's clock may run fast or slow.", Values: strictxml.OneOf("0.01", "0.02", "0.05", "0.1", "0.2"), SetNumber: func(s *Settings, v int64) { s.ClockDrift = drifts[v] }},
-				{Name: "election", Default: "500ms", Doc: "A voter that hears nothing of a leader for so long asks to lead.", Values: strictxml.Duration(100*time.Millisecond, 20*time.Second), SetNumber: func(s *Settings, v int64) { s.ElectionTimeout = time.Duration(v) }},
+				{Name: "drift", Default: "0.05", Doc: "The fraction by which a member's clock may run fast or slow.", Values: strictxml.OneOf("0.01", "0.02", "0.05", "0.1", "0.2"), SetNumber: func(s *Settings, v int64) { s.ClockDrift = drifts[v] }},
+				{Name: "election", Default: "500ms", Doc: "A voter that hears nothing from a leader for this long asks to lead.", Values: strictxml.Duration(100*time.Millisecond, 20*time.Second), SetNumber: func(s *Settings, v int64) { s.ElectionTimeout = time.Duration(v) }},
 			},
 		}},
 	}
@@ -114,7 +114,8 @@
 	return s, nil
 }
 
-// validate checks rules that the XML specification cannot express, between several values. what is empty if all hold.
+// validate checks the rules between several values, which spec cannot express. It returns what is wrong and what is
+// allowed in its place; what is empty if all rules hold.
 func (s *Settings) validate() (what, allowed string) {
 	voters := 0
 	used := map[string]string{}
@@ -127,16 +128,16 @@
 				return fmt.Sprintf("member %q: address %q", m.Name, addr), expected
 			}
 			if other := used[addr]; other != "" {
-				return fmt.Sprintf("members %q and %q both have the address %q", other, m.Name, addr), "one each, addr and directory apart"
+				return fmt.Sprintf("members %q and %q both have the address %q", other, m.Name, addr), "a separate address for each addr and directory"
 			}
 			used[addr] = m.Name
 		}
 	}
 	switch {
 	case voters != 3 && voters != 5:
-		return fmt.Sprintf("%d members have voter=\"true\"", voters), "3 or 5, so that a majority stays when one or two are lost"
+		return fmt.Sprintf("%d members have voter=\"true\"", voters), "3 or 5, so that a majority remains when one or two are lost"
 	case s.Self().Name == "":
-		return fmt.Sprintf("name=%q is no <member>", s.Name), "the name of one of them"
+		return fmt.Sprintf("name=%q is not the name of a <member>", s.Name), "the name of one of them"
 	case s.Lease < 2*s.ElectionTimeout:
 		return fmt.Sprintf("duties: lease=%q", s.Lease), fmt.Sprintf("%v or more: two election times, or each election would end the lease", 2*s.ElectionTimeout)
 	case (s.Cert == "") != (s.Key == "") || (s.Cert == "") != (s.CA == ""):
