--- a/internal/lab/experiment/experiment.go
+++ b/internal/lab/experiment/experiment.go
@@ -14,8 +14,8 @@
 )
 
 const (
-	maxPoints = 4096    // of a grid
-	maxRuns   = 1 << 16 // of an experiment
+	maxPoints = 4096    // points of a grid
+	maxRuns   = 1 << 16 // runs of an experiment
 )
 
 // File is one experiment.
@@ -61,19 +61,19 @@
 			Name: "name", Required: true, Doc: "The name of its results.", Values: strictxml.Text("[a-z0-9-]{1,60}", "small letters, digits and dashes"),
 			SetText: func(f *File, v string) { f.Name = v },
 		}, {
-			Name: "about", Doc: "What it is to show.", Values: strictxml.Text("[^<>]{1,1000}", "a sentence"),
+			Name: "about", Doc: "What the experiment shows.", Values: strictxml.Text("[^<>]{1,1000}", "a sentence"),
 			SetText: func(f *File, v string) { f.About = v },
 		}},
 		Children: []strictxml.Element[File]{{
-			Name: "world", Doc: "Partner 0 goes down and comes back; all others stay well.", Attrs: attrs,
+			Name: "world", Doc: "The world's parameters. Partner 0 goes down and comes back; all others stay up.", Attrs: attrs,
 		}, {
 			Name: "vary", Doc: "One dimension of the grid.", Repeated: true, Unique: "name",
 			Add: func(f *File) { f.Dimensions = append(f.Dimensions, Dimension{}) },
 			Attrs: []attribute{{
-				Name: "name", Required: true, Doc: "An attribute of world.", Values: strictxml.OneOf(names...),
+				Name: "name", Required: true, Doc: "The attribute of world that varies.", Values: strictxml.OneOf(names...),
 				SetNumber: func(f *File, v int64) { last(f).Name = names[v] },
 			}, {
-				Name: "values", Required: true, Doc: "Its values.", Values: strictxml.Text("[^ <>]+( [^ <>]+)*", "values with single blanks between"),
+				Name: "values", Required: true, Doc: "The values of this attribute, in the order of the results.", Values: strictxml.Text("[^ <>]+( [^ <>]+)*", "values with single blanks between"),
 				SetText: func(f *File, v string) { last(f).Values = strings.Fields(v) },
 			}},
 		}, {
@@ -82,7 +82,7 @@
 				Name: "first", Default: "1", Doc: "The first seed.", Values: strictxml.Integer(0, 1e9),
 				SetNumber: func(f *File, v int64) { f.FirstSeed = int(v) },
 			}, {
-				Name: "count", Default: "5", Doc: "How many.", Values: strictxml.Integer(1, 10000),
+				Name: "count", Default: "5", Doc: "The number of seeds.", Values: strictxml.Integer(1, 10000),
 				SetNumber: func(f *File, v int64) { f.SeedCount = int(v) },
 			}},
 		}},
