--- a/internal/lab/cli/capacity.go
+++ b/internal/lab/cli/capacity.go
@@ -11,11 +11,11 @@
 )
 
 type capacityCmd struct {
-	Target string   `default:"experiments/fleet/target.xml" help:"The target that the page is worked out for." placeholder:"FILE"`
-	Record string   `default:"docs/capacity/record.json" help:"What was measured." placeholder:"FILE"`
+	Target string   `default:"experiments/fleet/target.xml" help:"The target file, for which the page is calculated." placeholder:"FILE"`
+	Record string   `default:"docs/capacity/record.json" help:"The record of the measurements." placeholder:"FILE"`
 	Page   string   `default:"docs/CAPACITY.md" help:"The page whose tables are written." placeholder:"FILE"`
 	Binary string   `default:"bin/sliptide" help:"The sender that is measured." placeholder:"FILE"`
-	Only   []string `help:"Measure these alone, print them, and write nothing." placeholder:"NAME"`
+	Only   []string `help:"Make only these measurements, print them, and write nothing." placeholder:"NAME"`
 	Again  bool     `help:"Measure nothing: write the page from the record."`
 }
 
--- a/internal/lab/cli/cli.go
+++ b/internal/lab/cli/cli.go
@@ -35,7 +35,7 @@
 	Report    reportCmd    `cmd:"" help:"Draw results as an HTML page."`
 	Compare   compareCmd   `cmd:"" help:"Show the statistically significant differences between two results."`
 	Collector collectorCmd `cmd:"" help:"Serve as an OTLP collector and show the traces that arrive."`
-	Count     countCmd     `cmd:"" help:"Add up the logs of a fleet over time: calls, refusals, lists, what is held."`
+	Count     countCmd     `cmd:"" help:"Sum up the logs of a fleet per time window: calls, refusals, failed lists, messages held."`
 	Capacity  capacityCmd  `cmd:"" help:"Measure how the use of each resource grows, and write the capacity page."`
 	Scale     scaleCmd     `cmd:"" help:"Run a sharded fleet of hollow members on this machine, with faults and a judge."`
 	Members   membersCmd   `cmd:"" name:"scale-members" hidden:"" help:"Hollow members of a scale run."`
@@ -153,7 +153,7 @@
 
 type reportCmd struct {
 	File string `arg:"" help:"Results in JSON."`
-	Out  string `help:"The page; else beside the results." placeholder:"FILE"`
+	Out  string `help:"The page to write; by default beside the results." placeholder:"FILE"`
 }
 
 func (c *reportCmd) Run(env *Env) error {
--- a/internal/lab/cli/collector.go
+++ b/internal/lab/cli/collector.go
@@ -15,7 +15,7 @@
 type collectorCmd struct {
 	HTTP string `default:"127.0.0.1:4318" help:"Where OTLP/HTTP is served; empty: nowhere." placeholder:"ADDRESS"`
 	GRPC string `default:"127.0.0.1:4317" help:"Where OTLP/gRPC is served; empty: nowhere." placeholder:"ADDRESS"`
-	Mood string `default:"healthy" enum:"healthy,hole,sip,slow,full,lying" help:"healthy, hole (never answers), sip (reads a byte a second), slow (a second), full (503), lying (garbage)."`
+	Mood string `default:"healthy" enum:"healthy,hole,sip,slow,full,lying" help:"How it answers: healthy, hole (never answers), sip (reads one byte per second), slow (answers after a second), full (answers 503), lying (answers invalid protobuf)."`
 }
 
 // Run runs the command until it is interrupted.
--- a/internal/lab/cli/count.go
+++ b/internal/lab/cli/count.go
@@ -10,7 +10,7 @@
 type countCmd struct {
 	Folder string        `arg:"" help:"Folder with one *.log for each sender, written with <log records=\"true\"/>."`
 	Every  time.Duration `default:"5s" help:"Time covered by a row."`
-	Dest   int           `default:"-1" help:"One destination alone." placeholder:"N"`
+	Dest   int           `default:"-1" help:"Count only this destination; -1: all." placeholder:"N"`
 }
 
 func (c *countCmd) Run(env *Env) error {
--- a/internal/lab/cli/scale.go
+++ b/internal/lab/cli/scale.go
@@ -103,7 +103,7 @@
 	for i := range r.Sizes {
 		s := &r.Sizes[i]
 		if s.Verdict == nil {
-			fmt.Fprintf(env.Out, "%d members: ended: %s\n", s.Members, s.Failure)
+			fmt.Fprintf(env.Out, "%d members: did not complete: %s\n", s.Members, s.Failure)
 			clean = false
 			continue
 		}
@@ -117,7 +117,7 @@
 		clean = clean && verdict.Clean()
 	}
 	for _, comparison := range r.Comparisons {
-		fmt.Fprintf(env.Out, "%d destinations: of shards %.1f MB, ready in %.2f s; of all %.1f MB, ready in %.2f s %s\n",
+		fmt.Fprintf(env.Out, "%d destinations: sender of shards %.1f MB, ready in %.2f s; sender of all destinations %.1f MB, ready in %.2f s %s\n",
 			comparison.Destinations, comparison.Sharded.MemoryMB, comparison.Sharded.ReadySeconds,
 			comparison.Whole.MemoryMB, comparison.Whole.ReadySeconds, comparison.WholeFailure)
 	}
@@ -127,7 +127,8 @@
 	return nil
 }
 
-// membersCmd runs a process of hollow members. Scale runs start it.
+// membersCmd runs a process of hollow members, which scale runs start. It reads JSON values from standard input until
+// that ends.
 type membersCmd struct{}
 
 func (c *membersCmd) Run(env *Env) error { return scale.RunHollow(env.Ctx, os.Stdin, env.Out) }
--- a/internal/lab/report/report.go
+++ b/internal/lab/report/report.go
@@ -84,7 +84,7 @@
 }{
 	{"calls a second at the partner (worst seed), and its limit", func(b results.Band) float64 { return b.CallsMax }, true},
 	{"messages delivered a second", func(b results.Band) float64 { return b.Delivered }, false},
-	{"second tries a second", func(b results.Band) float64 { return b.Retries }, false},
+	{"resubmissions a second", func(b results.Band) float64 { return b.Retries }, false},
 	{"refusals a second", func(b results.Band) float64 { return b.Refusals }, false},
 }
 
--- a/internal/lab/results/results.go
+++ b/internal/lab/results/results.go
@@ -31,21 +31,21 @@
 
 // Meaning explains each measure.
 var Meaning = map[string]string{
-	"first-second":     "calls at partner 0 in its first second back",
-	"most-in-a-second": "most calls in any of the first eleven seconds back",
-	"seconds-over":     "of these, seconds with more calls than the stated limit",
+	"first-second":     "calls at partner 0 in the first second after its return",
+	"most-in-a-second": "most calls in any of the first eleven seconds after the return",
+	"seconds-over":     "of these eleven seconds, those with more calls than the stated limit",
 	"most-of-limit":    "most calls in a second as a share of the limit",
 	"back-95":          "seconds from the return until 95% of the goodput before the outage is back, over three seconds; the whole run if it never is",
-	"goodput":          "messages delivered as a share of those handed in",
-	"retries":          "second tries by clients",
-	"refusals":         "messages turned away or handed back",
-	"p50":              "milliseconds from first hand-in to delivery, partner 0, median",
+	"goodput":          "messages delivered as a share of those submitted",
+	"retries":          "resubmissions by clients",
+	"refusals":         "submissions refused, at once or after the message was accepted",
+	"p50":              "milliseconds from the first submission to delivery, partner 0, median",
 	"p99":              "the same, 99th percentile",
 	"p99.9":            "the same, 99.9th percentile",
 	"others-p50":       "the same, all other partners, median",
 	"others-p99":       "the same, 99th percentile",
-	"falls":            "times that a partner was pushed over",
-	"twice":            "messages that ran more than once (keyed: the repeat is dropped there)",
+	"falls":            "times that a partner collapsed under overload",
+	"twice":            "messages that ran more than once (they are keyed: the partner drops the repeat)",
 }
 
 // Experiment holds the results of an experiment.
@@ -63,7 +63,7 @@
 type Point struct {
 	Labels       []string           `json:"labels"`
 	ReturnSecond int                `json:"back_at"`
-	Limit        float64            `json:"limit"`
+	Limit        float64            `json:"limit"` // of partner 0 at the end of the run, in calls per second
 	Runs         []Run              `json:"runs"`
 	Summary      map[string]Summary `json:"summary"`
 	Series       []Band             `json:"series"`
@@ -86,7 +86,8 @@
 	SD   float64 `json:"sd"`
 }
 
-// Band holds the counters of one second of a point, as means over its seeds. CallsMax is the maximum over the seeds.
+// Band holds the counters of one second of a point, as means over its seeds. CallsMax is the maximum over the seeds;
+// Handed counts the submitted messages.
 type Band struct {
 	Calls, CallsMax, Delivered, Retries, Refusals, Handed float64
 }
@@ -138,7 +139,8 @@
 	return p.AfterOutage / 1000
 }
 
-// Aggregate combines the runs of a point.
+// Aggregate combines the runs of a point, which must come from FromRun: results that were read from JSON lack the
+// counters of the seconds.
 func Aggregate(labels []string, p *world.Params, limit float64, runs []Run) Point {
 	point := Point{Labels: labels, ReturnSecond: int(math.Ceil(p.ReturnTime() / 1000)), Limit: limit, Runs: runs,
 		Summary: map[string]Summary{}}
