--- a/internal/lab/rivals/rivals.go
+++ b/internal/lab/rivals/rivals.go
@@ -5,7 +5,7 @@
 //     Architecture Blog, 2015): a failed attempt is repeated after U(0, min(cap, base 2^n)).
 //   - RetryBudget: Backoff under gRPC's retry throttling (gRFC A6): a bucket of 10 tokens for each destination; each
 //     failure takes one token, each success adds 0.1; no attempt is repeated while half of the tokens or fewer are
-//     left. The standard retry mode of the AWS SDKs works alike.
+//     left. The standard retry mode of the AWS SDKs works in a similar way.
 //   - Ideal: a sender that knows the partner's state and shares one exact pace with all other senders. No real sender
 //     can do this: it is the upper bound of what the partner allows.
 //
@@ -41,7 +41,9 @@
 
 // Oracle informs ideal senders of what no real sender can know. Package world implements it.
 type Oracle interface {
+	// NextCallTime returns when the destination may be called next, and reserves the call if that is now.
 	NextCallTime(now float64, dest int) float64
+	// EndpointUp reports whether an endpoint is up.
 	EndpointUp(endpoint uint32) bool
 }
 
@@ -91,7 +93,8 @@
 	return s
 }
 
-// Step handles a batch of events and appends the resulting actions to actions, as policy.Sender does.
+// Step handles a batch of events and appends the resulting actions to actions, as policy.Sender does. now is in
+// milliseconds.
 func (s *Sender) Step(now float64, events []policy.Event, actions []policy.Action) []policy.Action {
 	s.actions = actions
 	for i := range events {
@@ -170,7 +173,8 @@
 	s.actions = append(s.actions, policy.Action{Kind: policy.ActRefuse, ID: m.id, After: min(retryAfterMS, s.settings.MaxRetryAfter)})
 }
 
-// sendDue sends the messages that are due, refuses those whose deadline is near, and sets the timer for the others.
+// sendDue sends the messages that are due, refuses those within 40 ms of their deadline, and sets the timer for the
+// others.
 func (s *Sender) sendDue(now float64) {
 	slices.SortStableFunc(s.waiting, func(a, b *message) int { return cmp.Compare(a.notBefore, b.notBefore) })
 	nextDue := math.Inf(1)
@@ -183,7 +187,7 @@
 			continue
 		case at > now, s.inFlight >= s.settings.CallSlots, len(m.dest.endpoints) == 0:
 			nextDue = min(nextDue, max(at, now+1))
-			if at <= now { // no slot or no endpoint: the end of a call or a list is an event too
+			if at <= now { // no free slot or no endpoint: the event that changes this causes a step, too
 				nextDue = min(nextDue, now+100)
 			}
 			nextDue = min(nextDue, m.deadline-40)
--- a/internal/lab/runner/runner.go
+++ b/internal/lab/runner/runner.go
@@ -17,7 +17,7 @@
 type job struct{ point, seed int }
 
 // Run runs f with the given number of workers, or with one per core if that is 0. It calls done after each run, from
-// any goroutine; done may be nil. It returns the context's error if the context ends first.
+// several goroutines at once; done may be nil. It returns the context's error if the context ends first.
 func Run(ctx context.Context, f *experiment.File, workers int, done func()) (*results.Experiment, error) {
 	points := f.Points()
 	runs := make([][]results.Run, len(points))
--- a/internal/lab/world/client.go
+++ b/internal/lab/world/client.go
@@ -6,9 +6,9 @@
 type retryBehaviour uint8
 
 const (
-	honoursRetryAfter retryBehaviour = iota // retries after the requested wait
-	backsOff                                // retries by its own exponential back-off with jitter
-	retriesAtOnce                           // retries after ImmediateRetryDelay
+	honoursRetryAfter retryBehaviour = iota // retries after the time given by Retry-After
+	backsOff                                // ignores Retry-After and uses its own exponential back-off with jitter
+	retriesAtOnce                           // ignores Retry-After and retries after ImmediateRetryDelay
 )
 
 // message is one message over all of its submissions.
@@ -21,7 +21,7 @@
 	deadline    float64
 	runs        int
 	delivered   bool
-	// State of the last submission that a sender accepted. id is 0 if there was none.
+	// State of the last submission that a sender accepted; id is 0 if there was none.
 	id           uint64
 	attempts     int
 	mayHaveRun   bool
@@ -51,7 +51,8 @@
 	w.submit(now, m)
 }
 
-// submit gives a message to a random sender, or to the next one if that is down, as a load balancer does.
+// submit gives a message to a random sender, or to the next one if that is down, as a load balancer does. It drops
+// messages that are delivered or have less than 50 ms to their deadline.
 func (w *World) submit(now float64, m *message) {
 	if m.delivered || m.deadline-now < 50 {
 		return
@@ -62,13 +63,14 @@
 		w.result.Retries++
 	}
 	s := w.senders[w.rng.IntN(len(w.senders))]
-	if s.downUntil > now { // the load balancer uses another connection
+	if s.downUntil > now { // the load balancer picks another sender
 		s = w.senders[(s.index+1)%len(w.senders)]
 	}
 	s.accept(now, m)
 }
 
-// recordRefusal counts a refusal and schedules the client's retry, if it has submissions left.
+// recordRefusal counts a refusal and schedules the client's retry, if it has submissions left. after is the Retry-After
+// of the refusal.
 func (w *World) recordRefusal(now float64, m *message, after float64) {
 	w.countersFor(now, w.partners[m.partner]).Refusals++
 	w.result.Refusals++
--- a/internal/lab/world/fleet.go
+++ b/internal/lab/world/fleet.go
@@ -26,7 +26,7 @@
 
 func newFleet(w *World) *fleet { return &fleet{world: w, state: duty.New(nil)} }
 
-// schedule schedules a function for a sender. The function is dropped if the sender restarts first.
+// schedule calls a function for a sender after a delay. The call is dropped if the sender restarts first.
 func (f *fleet) schedule(now, after float64, s *sender, do func(now float64)) {
 	incarnation := s.incarnation
 	f.world.queue.push(event{at: now + after, kind: evFleet, sender: s, do: func(now float64) {
@@ -36,7 +36,7 @@
 	}})
 }
 
-// openSession opens a sender's session.
+// openSession opens a sender's session, after commitDelayMS.
 func (f *fleet) openSession(now float64, s *sender) {
 	s.trialState = trial.New(trial.Settings{Senders: f.world.params.Senders, SilenceTimeoutMS: silenceTimeoutMS})
 	s.trialUpdates = map[int]trial.Update{}
--- a/internal/lab/world/params.go
+++ b/internal/lab/world/params.go
@@ -13,7 +13,7 @@
 
 const (
 	Sliptide    System = "sliptide" // decision module and storm guard
-	Fleet       System = "fleet"    // decision module and storm guard; a fleet shares the trials of a partner that is down
+	Fleet       System = "fleet"    // decision module and storm guard; the trials of a partner that is down are shared
 	ModuleOnly  System = "before"   // decision module without a storm guard
 	Backoff     System = "backoff"  // exponential back-off with full jitter
 	RetryBudget System = "budget"   // Backoff under a token bucket of retries
@@ -38,15 +38,15 @@
 	Partners         int
 	Endpoints        int     // of each partner
 	Load             float64 // new messages, summed over all partners
-	Limit            float64 // calls that each partner states, summed over all senders; 0: its load / 0.7
-	LimitWindow      float64 // fixed window of the limit; refusals request a wait to its end; 0: a sliding second
+	Limit            float64 // calls that each partner allows, summed over all senders; 0: its load / 0.7
+	LimitWindow      float64 // fixed window of the limit; refusals request a wait to its end; 0: any second
 	ReportsLimit     bool    // each answer reports the limit; otherwise only the contract states it
 	Headroom         float64 // capacity of a partner as a multiple of its limit
-	MaxQueue         float64 // longest queueing delay at a partner; it refuses calls beyond that
-	Latency          float64 // mean
+	MaxQueue         float64 // longest queueing delay at a partner, which refuses calls that would wait longer
+	Latency          float64 // mean of a call's log-normal latency
 	LatencySigma     float64 // standard deviation of the latency's logarithm
 	AnnouncedWarmUp  float64 // warm-up time that the senders are configured with
-	WarmUpDuration   float64 // warm-up time that the partner takes
+	WarmUpDuration   float64 // time that the partner takes to warm up
 	ColdCapacity     float64 // share of its capacity that the partner has at its return
 	OverloadMultiple float64 // load, as a multiple of the capacity, above which a partner is overloaded
 	OverloadWindow   float64 // a partner that is overloaded for this long collapses
@@ -63,7 +63,7 @@
 	RelapseDelay       float64 // time from its return to a second outage; 0: none
 	RelapseDuration    float64 // length of the second outage
 	Restarts           int     // senders that are killed in the middle of the outage
-	DelistsDown        bool    // discovery delists endpoints that are down until they return
+	DelistsDown        bool    // discovery removes endpoints from its list while they are down
 	MaxListDelay       float64 // list updates reach each sender within this time
 
 	MaxSubmissions      int     // how often a client submits a message
@@ -79,7 +79,7 @@
 	MaxHeld       int     // messages that a sender may hold
 	MaxRetryAfter float64 // longest Retry-After to clients
 	Batch         int     // messages per call
-	OwnLimits     bool    // each endpoint has a limit of its own
+	OwnLimits     bool    // each endpoint has a limit of its own: an equal share of its partner's
 }
 
 // senderSettings returns the settings of the sender with the given index.
@@ -114,5 +114,5 @@
 // Duration returns the length of the run.
 func (p *Params) Duration() float64 { return p.BeforeOutage + p.Outage + p.AfterOutage }
 
-// ReturnTime returns when partner 0 comes back from its outage.
+// ReturnTime returns when partner 0 comes back from its first outage.
 func (p *Params) ReturnTime() float64 { return p.BeforeOutage + p.Outage }
--- a/internal/lab/world/partner.go
+++ b/internal/lab/world/partner.go
@@ -46,17 +46,17 @@
 	return len(w.at)
 }
 
-// limiter enforces a stated limit: calls in any second, or in fixed windows.
+// limiter enforces a stated limit on the calls in any second, or in fixed windows.
 type limiter struct {
-	rate        float64
+	rate        float64 // calls per second
 	lastSecond  slidingWindow
-	window      float64 // 0: any second
+	window      float64 // length of the fixed windows; 0: any second
 	count       int     // calls in the current window
 	windowStart float64 // of the current window
 }
 
-// admit admits a call, or returns the wait to request of the sender if the call exceeds the limit. Calls that are
-// refused do not count towards the limit.
+// admit returns 0 if it admits a call, and otherwise the wait in milliseconds that the refusal requests. Refused calls
+// do not count towards the limit.
 func (l *limiter) admit(now float64) (requestedWait float64) {
 	if l.window <= 0 {
 		if n := l.lastSecond.add(now); float64(n) > l.rate {
@@ -77,16 +77,16 @@
 
 func newPartner(w *World, id int) *partner {
 	p := &partner{world: w, id: id, limit: w.params.partnerLimit(), returnedAt: math.Inf(-1), overloadedSince: math.Inf(1)}
-	routes := 1
+	limiterCount := 1
 	if w.params.OwnLimits {
-		routes = w.params.Endpoints
+		limiterCount = w.params.Endpoints
 	}
-	for range routes {
-		p.limiters = append(p.limiters, &limiter{rate: p.limit / float64(routes), window: w.params.LimitWindow})
+	for range limiterCount {
+		p.limiters = append(p.limiters, &limiter{rate: p.limit / float64(limiterCount), window: w.params.LimitWindow})
 	}
 	for i := range w.params.Endpoints {
 		p.endpoints = append(p.endpoints, &endpoint{id: uint32(id*w.params.Endpoints+i) + 1, partner: p,
-			limiter: p.limiters[i%routes]})
+			limiter: p.limiters[i%limiterCount]})
 	}
 	return p
 }
@@ -101,7 +101,7 @@
 	return max(p.limit*p.world.params.Headroom*share, 0.1)
 }
 
-// goDown takes a share of the endpoints down.
+// goDown takes a share of the endpoints down for the given time.
 func (p *partner) goDown(now, length, share float64) {
 	n := int(math.Ceil(share * float64(len(p.endpoints))))
 	for _, e := range p.endpoints[:n] {
@@ -135,7 +135,8 @@
 }
 
 // handleCall returns the outcome of a call that reaches the endpoint, the wait that its answer requests, and the
-// delay until the answer is written.
+// delay until the answer is written (+Inf: no answer). An answer that refuses a call over the limit or the queue takes
+// 5 ms at most. In a call that is processed, each message after the first adds 2 ms.
 func (e *endpoint) handleCall(now float64, items int) (o policy.Outcome, requestedWait, delay float64) {
 	p := e.partner
 	p.world.countersFor(now, p).Calls++
@@ -182,7 +183,8 @@
 	}
 }
 
-// loadReport returns the load report of an answer, nil if answers carry none.
+// loadReport returns the load report of an answer, nil if answers carry none. The limit is at index 1, as in
+// senderSettings.
 func (e *endpoint) loadReport() []float64 {
 	if !e.partner.world.params.ReportsLimit {
 		return nil
--- a/internal/lab/world/sender.go
+++ b/internal/lab/world/sender.go
@@ -32,8 +32,8 @@
 	stepAt       float64 // time of the next step; +Inf: none is due
 	lastStep     float64 // time of the last step
 	timerToken   uint32
-	guardDueAt   float64 // time of the pending evGuardDue; +Inf: none
-	downUntil    float64
+	guardDueAt   float64              // time of the pending evGuardDue; +Inf: none
+	downUntil    float64              // end of the downtime of the last restart
 	incarnation  int                  // number of restarts so far
 	idle         map[uint32][]float64 // idle connections by endpoint, as times of last use
 	dialPaces    map[int]*dialPace
@@ -53,7 +53,7 @@
 	incarnation   int
 	endpoint      *endpoint
 	msgs          []*message
-	ids           []uint64 // of msgs when the call was made
+	ids           []uint64 // IDs of msgs when the call was made
 	attempts      []int    // attempts of msgs before this one
 	sentAt        float64
 	timeout       float64
@@ -168,11 +168,11 @@
 // step passes the pending events to the decider and executes its actions.
 func (s *sender) step(now float64) {
 	s.stepAt, s.lastStep = math.Inf(1), now
-	for _, o := range s.adjustThrottles(now, s.guard.Throttles(now)) {
-		for _, p := range o.Paces {
-			s.events = append(s.events, policy.Event{Kind: policy.EvPace, Dest: o.Dest, Endpoint: p.Endpoint, Pace: p.Rate})
+	for _, throttle := range s.adjustThrottles(now, s.guard.Throttles(now)) {
+		for _, p := range throttle.Paces {
+			s.events = append(s.events, policy.Event{Kind: policy.EvPace, Dest: throttle.Dest, Endpoint: p.Endpoint, Pace: p.Rate})
 		}
-		s.paceDials(o.Dest, o.DialRate)
+		s.paceDials(throttle.Dest, throttle.DialRate)
 	}
 	s.actions = s.decider.Step(now, s.events, s.actions[:0])
 	s.events = s.events[:0]
@@ -190,8 +190,8 @@
 	}
 }
 
-// paceDials sets the rate of new connections to a partner; 0 removes it. As in Pool.PaceDials, dials that are already
-// scheduled keep their times when the rate changes.
+// paceDials sets the rate of new connections to a partner; 0 removes it. As with Pool.PaceDials of the real sender,
+// dials that are already scheduled keep their times when the rate changes.
 func (s *sender) paceDials(partner int, perSecond float64) {
 	if perSecond <= 0 {
 		delete(s.dialPaces, partner)
@@ -248,7 +248,8 @@
 	m.call = c
 }
 
-// startCall makes a call on an idle connection, or dials when the dial pace permits.
+// startCall makes a call on an idle connection, or dials when the dial pace permits. The call ends as moot if its
+// timeout would pass before the dial starts.
 func (s *sender) startCall(now float64, c *call) {
 	s.calls[c] = true
 	idle := s.idle[c.endpoint.id]
@@ -258,7 +259,7 @@
 		s.idle[c.endpoint.id] = idle
 		if c.endpoint.down && s.world.params.OutageKind != NeverAnswers || now-used > s.settings.KeepAlive-500 {
 			c.endpoint.conns--
-			continue // closed by the partner meanwhile, which the sender has noticed
+			continue // the partner has closed this connection, and the sender has noticed
 		}
 		s.world.queue.push(event{at: now + 0.2, kind: evCallArrives, call: c})
 		return
@@ -318,8 +319,8 @@
 	s.scheduleStep(now)
 }
 
-// restart kills the sender and starts it again after a downtime. It restores the journal and the stored knowledge, and
-// its clock continues.
+// restart kills the sender and starts it again after a downtime in milliseconds. The new process run restores the
+// journal and the stored knowledge; the sender's clock continues over the downtime.
 func (s *sender) restart(now, downtime float64) {
 	var facts []policy.DestFacts
 	if s.module != nil {
--- a/internal/lab/world/world.go
+++ b/internal/lab/world/world.go
@@ -35,7 +35,7 @@
 	OtherLatency    *hdrhistogram.Histogram // of messages to all other partners
 }
 
-// World is one run of the emulator.
+// World is one run of the emulator. It is not safe for concurrent use.
 type World struct {
 	params        Params
 	queue         queue
@@ -245,7 +245,7 @@
 
 // NextCallTime returns when an ideal sender may call a partner, and reserves the call if that is now. All ideal
 // senders together call at the partner's limit or capacity, whichever is lower. They know the partner's state and
-// each other, which no real sender can: they are the upper bound.
+// each other's calls, as no real sender can: their goodput is the upper bound.
 func (w *World) NextCallTime(now float64, dest int) (at float64) {
 	p := w.partners[dest]
 	if p.downCount == len(p.endpoints) {
--- a/internal/lab/world/world_test.go
+++ b/internal/lab/world/world_test.go
@@ -155,7 +155,9 @@
 	}
 }
 
-// Each message is delivered at most once, and no sender holds more messages than it may.
+// No message is counted twice, and no sender holds more than MaxHeld, although two senders restart while the partner
+// does not answer. Delivered and held messages together are at most the submitted ones plus those that ran more than
+// once.
 func TestEachMessageEndsOnce(t *testing.T) {
 	for _, sys := range []System{Sliptide, ModuleOnly, Backoff, RetryBudget, Ideal} {
 		p := baseParams()
@@ -175,7 +177,8 @@
 	}
 }
 
-// The limiter admits the stated rate and no more, in any second and in fixed windows.
+// The limiter admits the stated rate and no more, in any second and in fixed windows. The wait that a refusal requests
+// ends with the window.
 func TestLimiter(t *testing.T) {
 	for _, window := range []float64{0, 1000, 5000} {
 		l := limiter{rate: 10, window: window}
