--- a/example/fleet/main.go
+++ b/example/fleet/main.go
@@ -5,8 +5,9 @@
 //	make fleet
 //
 // With -lose the senders copy the messages that they accept. One sender is killed and its state directory removed while
-// the partner is down. Later the partner returns and the load stops; the example waits up to 20 seconds for the remaining
-// final answers, reports how many messages were accepted and how many of these have no final answer, and exits.
+// the partner is down. Later the partner returns and the load stops; the example waits up to 20 seconds for the
+// remaining final answers, reports how many messages were accepted and how many of these have no final answer, and
+// exits.
 //
 //	make copies
 package main
@@ -30,7 +31,7 @@
 	"time"
 )
 
-const dest = 7
+const dest = 7 // number of the partner's destination
 
 func main() {
 	lose := flag.Bool("lose", false,
@@ -127,6 +128,7 @@
 	}
 }
 
+// partner answers messages with 200 and records them, or with 503 while down is set.
 func partner(down *atomic.Bool) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		io.Copy(io.Discard, r.Body)
@@ -195,6 +197,7 @@
 // loadStopped stops sendMessages.
 var loadStopped atomic.Bool
 
+// repeatOutages takes the partner down for ten seconds of every thirty.
 func repeatOutages(down *atomic.Bool) {
 	for {
 		time.Sleep(20 * time.Second)
@@ -206,6 +209,7 @@
 	}
 }
 
+// discovery serves a list with one partner that never changes, and records the final answers in the senders' notices.
 func discovery() http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		switch {
--- a/internal/lab/collector/collector.go
+++ b/internal/lab/collector/collector.go
@@ -27,7 +27,7 @@
 	"google.golang.org/protobuf/types/known/durationpb"
 )
 
-const maxBodyBytes = 16 << 20
+const maxBodyBytes = 16 << 20 // of a request over HTTP
 
 // Behaviour configures how a Collector answers. Its zero value accepts every valid request at once.
 type Behaviour struct {
@@ -41,9 +41,11 @@
 	EndlessBody   bool          // answers 200 with a body that does not end; over gRPC as InvalidBody
 }
 
-// Collector is a stand-in collector. SetBehaviour changes how it answers.
+// Collector is a stand-in collector. Its zero value is ready for use; SetBehaviour changes how it answers.
+// SetBehaviour, Spans and Metrics are safe for concurrent use.
 type Collector struct {
-	OnTraces func([]*trace.ResourceSpans) // called with the traces of each accepted request; may be nil
+	// OnTraces is called with the traces of each accepted request, concurrently for concurrent requests. It may be nil.
+	OnTraces func([]*trace.ResourceSpans)
 
 	mu         sync.Mutex
 	behaviour  Behaviour
--- a/internal/lab/collector/tree.go
+++ b/internal/lab/collector/tree.go
@@ -41,7 +41,7 @@
 	return traces, nil
 }
 
-// WriteTree writes the spans of one trace as a tree, each with its bar in a waterfall chart.
+// WriteTree writes the spans of one trace, at least one, as a tree, each with its bar in a waterfall chart.
 func WriteTree(w io.Writer, spans []*trace.Span) {
 	byID := map[string]bool{}
 	first, last := ^uint64(0), uint64(0)
@@ -73,7 +73,8 @@
 	writeChildren(nil, 0)
 }
 
-// waterfall returns the bar of a span on the time axis of its trace, which spans first to last. An x marks an error.
+// waterfall returns the bar of a span on the time axis of its trace, which runs from first to last in Unix nanoseconds.
+// The bar of a span with an error consists of x.
 func waterfall(s *trace.Span, first, last uint64) string {
 	length := max(float64(last-first), 1)
 	from := min(int(float64(s.StartTimeUnixNano-first)/length*waterfallColumns), waterfallColumns-1)
--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -35,11 +35,11 @@
 	"storm": "storms",
 }
 
-// Counter sums the events in the logs of a fleet.
+// Counter sums the events in the logs of a fleet. It is not safe for concurrent use.
 type Counter struct {
 	Interval     time.Duration // length of a time window
 	Dest         int           // destination to count; -1: all
-	firstSeconds float64       // Unix time of the first line with a time stamp, in seconds; 0: none yet
+	firstSeconds float64       // Unix time in seconds of the first line with a time stamp; 0: none yet
 	windows      map[int]map[string]int
 	SkippedLines int // number of lines without JSON or a time
 }
@@ -49,7 +49,8 @@
 	return &Counter{Interval: interval, Dest: dest, windows: map[int]map[string]int{}}
 }
 
-// AddFolder adds every *.log file of a folder, one for each sender.
+// AddFolder adds every *.log file of a folder, one for each sender. It fails if there are none, or if one cannot be
+// read.
 func (c *Counter) AddFolder(dir string) error {
 	names, err := filepath.Glob(filepath.Join(dir, "*.log"))
 	if err != nil {
@@ -73,7 +74,7 @@
 }
 
 // Add adds one sender's log. A line is the sender's JSON, alone or after the number of seconds at which the line was
-// read.
+// read. Add fails on a line longer than maxLineBytes.
 func (c *Counter) Add(in io.Reader) error {
 	lines := bufio.NewScanner(in)
 	lines.Buffer(nil, maxLineBytes)
@@ -136,7 +137,7 @@
 		}
 		if v.GetBool("restored") {
 			add("restored", 1)
-			add("held", -1) // the earlier run of the process counted it
+			add("held", -1) // the earlier process run counted it
 		}
 	case "refused":
 		add(string(v.GetStringBytes("cause")), 1)
@@ -163,7 +164,8 @@
 	}
 }
 
-// WriteTable writes a row for each window, which begins with the window's start in seconds.
+// WriteTable writes a row for each window, which begins with the window's start in seconds, and the number of skipped
+// lines.
 func (c *Counter) WriteTable(out io.Writer) {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(w, "from\t"+strings.Join(columns, "\t")+"\t")
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -62,8 +62,8 @@
 	}
 }
 
-// The results do not depend on the number of workers, and can be read back from JSON. Compared with themselves they show
-// no differences; a lowered goodput shows as the only one.
+// The results do not depend on the number of workers, and can be read back from JSON. Compared with themselves they
+// show no differences; a lowered goodput shows as the only difference.
 func TestResultsIndependentOfWorkers(t *testing.T) {
 	f, err := experiment.Read("f.xml", strings.NewReader(smallExperiment))
 	if err != nil {
--- a/internal/lab/proc/proc.go
+++ b/internal/lab/proc/proc.go
@@ -27,7 +27,8 @@
 	return pages * int64(os.Getpagesize())
 }
 
-// CPUSeconds returns the CPU time used by the running threads of a process. Threads that have ended are not included.
+// CPUSeconds returns the CPU time that the present threads of a process have used. Threads that have ended are not
+// included. It fails if there is no such process.
 func CPUSeconds(pid int) (float64, error) {
 	tasks, err := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/schedstat", pid))
 	if err != nil || len(tasks) == 0 {
--- a/internal/lab/proc/proc_test.go
+++ b/internal/lab/proc/proc_test.go
@@ -24,6 +24,7 @@
 	}
 }
 
+// A process that does not exist has no resident memory, and gives an error for its CPU time.
 func TestMissingProcess(t *testing.T) {
 	const missingPID = 1 << 30
 	if n := ResidentBytes(missingPID); n != 0 {
@@ -34,6 +35,7 @@
 	}
 }
 
+// FreeAddr returns no address twice, and each one can be listened on.
 func TestFreeAddr(t *testing.T) {
 	seen := map[string]bool{}
 	for range 20 {
