--- a/internal/lab/world/params.go
+++ b/internal/lab/world/params.go
@@ -38,7 +38,7 @@
 	Partners         int
 	Endpoints        int     // of each partner
 	Load             float64 // new messages, summed over all partners
-	Limit            float64 // calls that each partner allows, summed over all senders; 0: its load / 0.7
+	Limit            float64 // limit that each partner states for the calls of all senders; 0: its load / 0.7
 	LimitWindow      float64 // fixed window of the limit; refusals request a wait to its end; 0: any second
 	ReportsLimit     bool    // each answer reports the limit; otherwise only the contract states it
 	Headroom         float64 // capacity of a partner as a multiple of its limit
