--- a/internal/lab/scale/agent.go
+++ b/internal/lab/scale/agent.go
@@ -16,11 +16,11 @@
 	listener net.Listener
 	server   *http.Server
 
-	mu                  sync.Mutex
+	mu                  sync.Mutex // guards the fields below
 	destinations        int
-	lastChange          []int // indexed by destination: the number of its last change
-	changedDestinations []int // indexed by change number, from 1: the changed destination
-	changeSignal        chan struct{}
+	lastChange          []int         // indexed by destination: the number of its last change
+	changedDestinations []int         // indexed by change number, from 1: the changed destination
+	changeSignal        chan struct{} // closed and replaced at each change
 }
 
 // newAgent starts an agent that serves a list of the given number of destinations.
@@ -51,6 +51,7 @@
 	return number
 }
 
+// writeEndpoint writes a destination's endpoint as JSON. The caller holds mu.
 func (a *agent) writeEndpoint(b *strings.Builder, destination int) {
 	fmt.Fprintf(b, `{"id":"endpoint-%07d","addr":"127.0.0.1:9","zone":"zone","kind":"partner","cell":%d,"state":"up","weight":%d}`, destination, destination, a.lastChange[destination])
 }
@@ -87,7 +88,8 @@
 	}
 }
 
-// listSince returns the response with the endpoints changed since a version, or with the whole list if it is 0.
+// listSince returns the response with the endpoints changed since a version, or with the whole list if the version is
+// 0. The caller holds mu.
 func (a *agent) listSince(index int) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, `{"version":%d,"full":%t,"servers":[`, len(a.changedDestinations), index == 0)
--- a/internal/lab/scale/compare.go
+++ b/internal/lab/scale/compare.go
@@ -17,17 +17,19 @@
 	Destinations      int   `json:"destinations"`
 	Members           int   `json:"members"`
 	Sharded           Usage `json:"shards"`
-	KnownDestinations int   `json:"known"` // estimate of the destinations that the sharded sender knows
-	// Traffic on the sender's links from its start until both senders were ready.
+	KnownDestinations int   `json:"known"` // destinations that the sharded sender knows, estimated from the replicas
+	// Traffic on each sender's links from its start until both senders were ready, or until the second failed to be.
 	ShardedStartKB float64 `json:"shards_start_kb"`
 	WholeStartKB   float64 `json:"whole_start_kb"`
 	Whole          Usage   `json:"whole"`
 	WholeFailure   string  `json:"whole_ended,omitempty"` // why the sender that knows every destination did not become ready
 }
 
+// comparisonDuration is the time that both senders are measured, once both are ready.
 const comparisonDuration = 15 * time.Second
 
-// compare measures a sharded sender and one that receives the whole endpoint list, at the same time.
+// compare measures a sharded sender and one that receives the whole endpoint list, at the same time. It is no error if
+// the latter does not become ready: WholeFailure says so.
 func compare(ctx context.Context, options Options, destinations int) (*Comparison, error) {
 	f := *options.File
 	c := &Comparison{Destinations: destinations, Members: f.CompareMembers}
--- a/internal/lab/scale/faults.go
+++ b/internal/lab/scale/faults.go
@@ -24,7 +24,7 @@
 	case LeaderKill:
 		return r.killLeader(ctx, f)
 	}
-	return fmt.Errorf("no fault of this kind")
+	return fmt.Errorf("unknown fault kind")
 }
 
 // pick returns up to count distinct numbers below n, drawn by the run's seeded generator.
@@ -52,8 +52,8 @@
 	return nil
 }
 
-// stopRack stops members of one process without notice to their control members, and starts them again after the
-// fault's duration.
+// stopRack stops up to Size members of one process without notice to their control members, and starts them again after
+// the fault's duration.
 func (r *sizeRun) stopRack(ctx context.Context, f *Fault) error {
 	h := r.hollows[r.pick(len(r.hollows), 1)[0]]
 	var numbers []int
--- a/internal/lab/scale/file.go
+++ b/internal/lab/scale/file.go
@@ -41,20 +41,20 @@
 	About                 string
 	Seed                  int
 	Sizes                 []int // numbers of members, ascending
-	Controls              int
-	Senders               int // real senders
+	Controls              int   // control members
+	Senders               int   // real senders; the other members are hollow
 	Regions               int
-	Zones                 int // in all regions together
-	Replicas              int
-	DestinationsPerMember float64 // size of the endpoint list, in destinations for each member
-	ChangesPerSecond      float64
+	Zones                 int           // in all regions together
+	Replicas              int           // members of a region that serve a destination
+	DestinationsPerMember float64       // size of the endpoint list, in destinations for each member
+	ChangesPerSecond      float64       // endpoint changes
 	Duration              time.Duration // length of the schedule, from when all members are up
 	MembersPerProcess     int           // hollow members in a process, at most
-	MaxMemory             int64
+	MaxMemory             int64         // resident memory of all processes together, in bytes
 	MaxUnserved           time.Duration // longest time without a live member for a destination
 	Faults                []Fault
 	ComparisonSizes       []int // numbers of destinations for the comparison of both kinds of senders
-	CompareMembers        int
+	CompareMembers        int   // hollow members of a comparison
 }
 
 func spec() *strictxml.Element[File] {
@@ -69,45 +69,46 @@
 	return &element{
 		Name: "scale", Doc: "A sharded fleet of hollow members, real senders and real control members, with faults.",
 		Attrs: []attribute{
-			{Name: "version", Required: true, Doc: "The form of this file.", Values: strictxml.OneOf("1")},
-			{Name: "name", Required: true, Doc: "The name of its results.", Values: strictxml.Text("[a-z0-9-]{1,60}", "small letters, digits and dashes"), SetText: func(f *File, v string) { f.Name = v }},
-			{Name: "about", Doc: "What it is to show.", Values: strictxml.Text("[^<>]{1,1000}", "a sentence"), SetText: func(f *File, v string) { f.About = v }},
-			integer("seed", "1", 1, 1<<30, "Draws who is struck.", func(f *File, v int64) { f.Seed = int(v) }),
-			{Name: "sizes", Required: true, Doc: "Members, in ascending order.", Values: list, SetText: func(f *File, v string) { f.Sizes = numbers(v) }},
-			{Name: "length", Required: true, Doc: "Of the schedule at each size, from when all members are up.", Values: strictxml.Duration(5*time.Second, time.Hour), SetNumber: func(f *File, v int64) { f.Duration = time.Duration(v) }},
+			{Name: "version", Required: true, Doc: "The version of the file's format.", Values: strictxml.OneOf("1")},
+			{Name: "name", Required: true, Doc: "The name of the run, and of its result files.", Values: strictxml.Text("[a-z0-9-]{1,60}", "small letters, digits and dashes"), SetText: func(f *File, v string) { f.Name = v }},
+			{Name: "about", Doc: "The purpose of the run.", Values: strictxml.Text("[^<>]{1,1000}", "a sentence"), SetText: func(f *File, v string) { f.About = v }},
+			integer("seed", "1", 1, 1<<30, "Seed of the random choices: the processes and members that a fault affects, and the endpoints that change.", func(f *File, v int64) { f.Seed = int(v) }),
+			{Name: "sizes", Required: true, Doc: "Numbers of members, in ascending order; the schedule is run at each.", Values: list, SetText: func(f *File, v string) { f.Sizes = numbers(v) }},
+			{Name: "length", Required: true, Doc: "Duration of the schedule at each size, from when all members are up.", Values: strictxml.Duration(5*time.Second, time.Hour), SetNumber: func(f *File, v int64) { f.Duration = time.Duration(v) }},
 		},
 		Children: []element{{
-			Name: "fleet", Doc: "Who takes part.", Attrs: []attribute{
-				integer("controls", "10", 3, 50, "Control members, as processes; the first five vote, or three of fewer.", func(f *File, v int64) { f.Controls = int(v) }),
-				integer("senders", "10", 1, 50, "Real senders, as processes, beside the hollow members.", func(f *File, v int64) { f.Senders = int(v) }),
+			Name: "fleet", Doc: "The processes and members, and their endpoint list.", Attrs: []attribute{
+				integer("controls", "10", 3, 50, "Control members, one process each. The first five are voters, or the first three if there are fewer than five.", func(f *File, v int64) { f.Controls = int(v) }),
+				integer("senders", "10", 1, 50, "Real senders, one process each. The other members are hollow.", func(f *File, v int64) { f.Senders = int(v) }),
 				integer("regions", "5", 1, 20, "Regions.", func(f *File, v int64) { f.Regions = int(v) }),
-				integer("zones", "13", 1, 100, "Zones of all regions.", func(f *File, v int64) { f.Zones = int(v) }),
-				integer("replicas", "2", 1, 5, "Members of a region that serve a destination.", func(f *File, v int64) { f.Replicas = int(v) }),
-				integer("per-process", "100", 1, 1000, "Hollow members that share a process.", func(f *File, v int64) { f.MembersPerProcess = int(v) }),
-				{Name: "destinations-each", Default: "142.857", Doc: "Destinations for each member.", Values: decimal, SetText: func(f *File, v string) { f.DestinationsPerMember, _ = strconv.ParseFloat(v, 64) }},
-				{Name: "changes-per-second", Default: "4.4", Doc: "Changes of endpoints: ten times the target's rate.", Values: decimal, SetText: func(f *File, v string) { f.ChangesPerSecond, _ = strconv.ParseFloat(v, 64) }},
+				integer("zones", "13", 1, 100, "Number of zones in all regions together.", func(f *File, v int64) { f.Zones = int(v) }),
+				integer("replicas", "2", 1, 5, "Members of a region that serve each destination.", func(f *File, v int64) { f.Replicas = int(v) }),
+				integer("per-process", "100", 1, 1000, "Maximum number of hollow members in a process.", func(f *File, v int64) { f.MembersPerProcess = int(v) }),
+				{Name: "destinations-each", Default: "142.857", Doc: "Size of the endpoint list, in destinations per member.", Values: decimal, SetText: func(f *File, v string) { f.DestinationsPerMember, _ = strconv.ParseFloat(v, 64) }},
+				{Name: "changes-per-second", Default: "4.4", Doc: "Endpoint changes per second. The default is ten times the target's rate.", Values: decimal, SetText: func(f *File, v string) { f.ChangesPerSecond, _ = strconv.ParseFloat(v, 64) }},
 			},
 		}, {
-			Name: "limits", Doc: "What ends the run, and what the judge holds it to.", Attrs: []attribute{
-				{Name: "memory", Default: "12GiB", Doc: "Of all processes; a size that needs more ends the run.", Values: strictxml.Size(1<<28, 1<<40), SetNumber: func(f *File, v int64) { f.MaxMemory = v }},
-				{Name: "unserved", Default: "15s", Doc: "A destination may be without a live member so long.", Values: strictxml.Duration(time.Second, time.Minute), SetNumber: func(f *File, v int64) { f.MaxUnserved = time.Duration(v) }},
+			Name: "limits", Doc: "The limit that ends the run, and the limit that the judge checks.", Attrs: []attribute{
+				{Name: "memory", Default: "12GiB", Doc: "Resident memory of all processes; a size that exceeds it ends the run.", Values: strictxml.Size(1<<28, 1<<40), SetNumber: func(f *File, v int64) { f.MaxMemory = v }},
+				{Name: "unserved", Default: "15s", Doc: "Maximum time that a destination may be without a live member.", Values: strictxml.Duration(time.Second, time.Minute), SetNumber: func(f *File, v int64) { f.MaxUnserved = time.Duration(v) }},
 			},
 		}, {
-			Name: "fault", Doc: "One fault.", Repeated: true, Add: func(f *File) { f.Faults = append(f.Faults, Fault{}) }, Attrs: []attribute{
-				{Name: "kind", Required: true, Doc: "What goes wrong.", Values: strictxml.OneOf(faultKinds...), SetNumber: func(f *File, v int64) { lastFault(f).Kind = FaultKind(faultKinds[v]) }},
-				{Name: "at", Required: true, Doc: "From when all members are up.", Values: strictxml.Duration(0, time.Hour), SetNumber: func(f *File, v int64) { lastFault(f).At = time.Duration(v) }},
-				{Name: "for", Default: "0s", Doc: "How long.", Values: strictxml.Duration(0, time.Hour), SetNumber: func(f *File, v int64) { lastFault(f).Duration = time.Duration(v) }},
-				{Name: "size", Default: "8", Doc: "Of a restart-wave: one in so many members; of a rack: its members.", Values: strictxml.Integer(1, 10000), SetNumber: func(f *File, v int64) { lastFault(f).Size = int(v) }},
+			Name: "fault", Doc: "A fault of the schedule.", Repeated: true, Add: func(f *File) { f.Faults = append(f.Faults, Fault{}) }, Attrs: []attribute{
+				{Name: "kind", Required: true, Doc: "The kind of the fault.", Values: strictxml.OneOf(faultKinds...), SetNumber: func(f *File, v int64) { lastFault(f).Kind = FaultKind(faultKinds[v]) }},
+				{Name: "at", Required: true, Doc: "Time of the fault, from when all members are up.", Values: strictxml.Duration(0, time.Hour), SetNumber: func(f *File, v int64) { lastFault(f).At = time.Duration(v) }},
+				{Name: "for", Default: "0s", Doc: "Duration of the fault.", Values: strictxml.Duration(0, time.Hour), SetNumber: func(f *File, v int64) { lastFault(f).Duration = time.Duration(v) }},
+				{Name: "size", Default: "8", Doc: "Of a restart-wave: one in this number of processes of hollow members is killed. Of a rack: the number of members that stop.", Values: strictxml.Integer(1, 10000), SetNumber: func(f *File, v int64) { lastFault(f).Size = int(v) }},
 			},
 		}, {
-			Name: "compare", Doc: "Real senders of shards beside such that know every destination.", Attrs: []attribute{
-				{Name: "destinations", Required: true, Doc: "Numbers of destinations.", Values: list, SetText: func(f *File, v string) { f.ComparisonSizes = numbers(v) }},
-				integer("members", "2000", 1, 100000, "Hollow members.", func(f *File, v int64) { f.CompareMembers = int(v) }),
+			Name: "compare", Doc: "Comparison of a sharded sender with one that knows every destination.", Attrs: []attribute{
+				{Name: "destinations", Required: true, Doc: "Numbers of destinations; the senders are compared at each.", Values: list, SetText: func(f *File, v string) { f.ComparisonSizes = numbers(v) }},
+				integer("members", "2000", 1, 100000, "Number of hollow members.", func(f *File, v int64) { f.CompareMembers = int(v) }),
 			},
 		}},
 	}
 }
 
+// numbers parses whole numbers that are separated by single blanks.
 func numbers(text string) (list []int) {
 	for field := range strings.FieldsSeq(text) {
 		n, _ := strconv.Atoi(field) // cannot fail: the value has matched the pattern
@@ -131,7 +132,7 @@
 		}
 	}
 	if f.Zones < f.Regions {
-		return nil, invalid(fmt.Sprintf("fleet: %d zones of %d regions", f.Zones, f.Regions), "a zone for each region at least")
+		return nil, invalid(fmt.Sprintf("fleet: %d zones for %d regions", f.Zones, f.Regions), "a zone for each region at least")
 	}
 	for _, fault := range f.Faults {
 		if fault.At+fault.Duration > f.Duration {
--- a/internal/lab/scale/hollow.go
+++ b/internal/lab/scale/hollow.go
@@ -18,17 +18,17 @@
 )
 
 const (
-	versionReportInterval = 2 * time.Second // interval between version reports of the running members
-	startWindow           = 3 * time.Second // the members of a process start at random times within this window
-	flushInterval         = 100 * time.Millisecond
+	versionReportInterval = 2 * time.Second        // interval between version reports of the running members
+	startWindow           = 3 * time.Second        // the members of a process start at random times within this window
+	flushInterval         = 100 * time.Millisecond // interval at which buffered observations are written
 )
 
 // hollowSet holds the hollow members of one process.
 type hollowSet struct {
 	settings HollowSettings
 	out      chan Observation
-	mu       sync.Mutex
-	running  map[int]*runningMember
+	mu       sync.Mutex             // guards running
+	running  map[int]*runningMember // by member number
 }
 
 type runningMember struct {
@@ -38,7 +38,8 @@
 }
 
 // RunHollow runs hollow members until its input ends. The input is a stream of JSON values: a HollowSettings, then
-// Commands. The members' observations go to out, one JSON value a line.
+// Commands. The members' observations go to out, one JSON value a line. RunHollow fails only if it cannot read the
+// settings.
 func RunHollow(ctx context.Context, in io.Reader, out io.Writer) error {
 	decoder := json.NewDecoder(bufio.NewReader(in))
 	h := &hollowSet{out: make(chan Observation, 4096), running: map[int]*runningMember{}}
@@ -64,6 +65,7 @@
 	}
 }
 
+// execute stops and starts the members that the command names. Starts do not wait for the members.
 func (h *hollowSet) execute(ctx context.Context, command Command) {
 	for _, n := range command.Stop {
 		h.stop(n)
@@ -77,6 +79,7 @@
 	}
 }
 
+// start runs a member's subscription after a delay. It returns when the member is stopped or ctx ends.
 func (h *hollowSet) start(ctx context.Context, m *HollowMember, delay time.Duration) {
 	select {
 	case <-time.After(delay):
@@ -116,6 +119,7 @@
 	h.emit(context.Background(), Observation{At: fleet.Now(), Kind: Down, Member: n})
 }
 
+// appliedObservation returns the observation of an applied update. Endpoints of weight 0 have never been changed.
 func appliedObservation(member int, a *directory.AppliedUpdate) Observation {
 	o := Observation{At: fleet.Now(), Kind: Applied, Member: member, Version: a.To, Assigned: shardNumbers(a.Assigned), Unassigned: shardNumbers(a.Unassigned)}
 	for i := range a.Endpoints {
@@ -133,6 +137,7 @@
 	return list
 }
 
+// emit queues an observation to be written. It blocks while the queue is full, until ctx ends.
 func (h *hollowSet) emit(ctx context.Context, o Observation) {
 	select {
 	case h.out <- o:
@@ -163,6 +168,7 @@
 	}
 }
 
+// writeObservations writes the queued observations to out until ctx ends.
 func (h *hollowSet) writeObservations(ctx context.Context, out io.Writer) error {
 	buffered := bufio.NewWriterSize(out, 64<<10)
 	encoder := json.NewEncoder(buffered)
--- a/internal/lab/scale/judge.go
+++ b/internal/lab/scale/judge.go
@@ -12,13 +12,13 @@
 // Rules are the limits that a run must keep.
 type Rules struct {
 	MaxUnserved    time.Duration // longest time without a live member for a destination that has had one
-	InForceTimeout time.Duration // a change must be in force at a member within this time of the member being reachable
-	Replicas       int
+	InForceTimeout time.Duration // time limit for a change to be in force at a member, from when the member is reachable
+	Replicas       int           // of a shard in each region
 }
 
 // Change is one change of a destination's endpoint, as published by discovery.
 type Change struct {
-	At          int64
+	At          int64 // nanoseconds of the clock of observations
 	Destination uint64
 	Number      int
 }
@@ -26,7 +26,7 @@
 // Partition is a period in which the control members of a region were disconnected from those of other regions.
 type Partition struct {
 	Region   string
-	From, To int64
+	From, To int64 // nanoseconds of the clock of observations
 }
 
 // Finding is one violation of a rule.
@@ -43,7 +43,8 @@
 	RuleBackward = "backward" // a member applied a lower version than it had
 )
 
-// Verdict is the judge's result for a run. Median, P99 and Worst are the delays until changes were in force.
+// Verdict is the judge's result for a run. Median, P99 and Worst are the delays until changes were in force at members.
+// All times are in seconds.
 type Verdict struct {
 	Findings        map[string]int `json:"findings"` // by rule
 	Examples        []Finding      `json:"examples,omitempty"`
@@ -65,9 +66,9 @@
 	return total == 0
 }
 
-const maxExamples = 20
+const maxExamples = 20 // findings that a verdict lists; further ones are only counted
 
-// Judge checks the members' observations against the rules, after the whole run has ended.
+// Judge checks the members' observations against the rules, after the whole run has ended. A Judge judges one run.
 type Judge struct {
 	Rules       Rules
 	Members     []HollowMember // indexed by member number
@@ -77,12 +78,12 @@
 
 	memberStates    []memberState
 	coverageByShard map[regionShard]*shardCoverage
-	membersByShard  map[regionShard]map[int]bool // hollow members that serve a shard
-	pendingByMember map[int]map[uint64]pendingChange
-	allLocators     map[string]*shard.Locator // by region, over all members, whether up or down
-	versionHistory  []firstSeenVersion        // each new highest version of any member, in order of time
+	membersByShard  map[regionShard]map[int]bool     // hollow members that serve a shard
+	pendingByMember map[int]map[uint64]pendingChange // by member number and destination
+	allLocators     map[string]*shard.Locator        // by region, over all members, whether up or down
+	versionHistory  []firstSeenVersion               // each new highest version of any member, in order of time
 	verdict         Verdict
-	delays          []float64
+	delays          []float64 // in seconds
 }
 
 // regionShard identifies a shard within a region.
@@ -101,12 +102,13 @@
 type shardCoverage struct {
 	liveMembers   int
 	unservedSince int64 // 0: the shard is served
-	reported      bool
+	reported      bool  // the current period without a live member is among the findings
 }
 
+// pendingChange is a change that a member has not applied yet.
 type pendingChange struct {
 	number        int
-	reachableFrom int64
+	reachableFrom int64 // time from which the member could learn of it
 }
 
 type firstSeenVersion struct {
@@ -201,6 +203,7 @@
 // checkVersion records a member's version and checks that it neither decreases nor stays old for too long. Only
 // applied updates show the order of versions: the member may apply an update between the time of a periodic version
 // report and the reading of its version, and the report may name a lower version than an update that came before it.
+// Such a report counts as one of that update's version.
 func (j *Judge) checkVersion(o *Observation, m *memberState) {
 	if o.Kind == Applied {
 		if o.Version < m.version {
@@ -228,11 +231,11 @@
 
 // staleSince returns the time from which the member could have had a later version, or 0 if it is at the newest.
 func (j *Judge) staleSince(o *Observation, m *memberState) int64 {
-	at, _ := slices.BinarySearchFunc(j.versionHistory, o.Version+1, func(v firstSeenVersion, want uint64) int { return cmp.Compare(v.version, want) })
-	if at == len(j.versionHistory) {
+	index, _ := slices.BinarySearchFunc(j.versionHistory, o.Version+1, func(v firstSeenVersion, want uint64) int { return cmp.Compare(v.version, want) })
+	if index == len(j.versionHistory) {
 		return 0
 	}
-	return max(j.versionHistory[at].at, m.upSince, j.reachableFrom(j.Members[o.Member].Region, j.versionHistory[at].at))
+	return max(j.versionHistory[index].at, m.upSince, j.reachableFrom(j.Members[o.Member].Region, j.versionHistory[index].at))
 }
 
 // reachableFrom returns the time from which members of a region could learn of an update published at that time: the
@@ -330,6 +333,7 @@
 	return locators
 }
 
+// servedByRealSender reports whether a real sender is among a shard's replicas.
 func (j *Judge) servedByRealSender(locator *shard.Locator, id uint32) bool {
 	if locator == nil {
 		return false
@@ -351,7 +355,7 @@
 			if j.pendingByMember[member] == nil {
 				j.pendingByMember[member] = map[uint64]pendingChange{}
 			}
-			if _, waits := j.pendingByMember[member][c.Destination]; waits {
+			if _, found := j.pendingByMember[member][c.Destination]; found {
 				continue // an earlier change is pending; any later change number satisfies it
 			}
 			j.pendingByMember[member][c.Destination] = pendingChange{c.Number, j.reachableFrom(key.region, c.At)}
@@ -361,14 +365,14 @@
 
 // servingMembers returns the members that serve a shard, for each region that has any.
 func (j *Judge) servingMembers(id uint32) map[regionShard]map[int]bool {
-	list := map[regionShard]map[int]bool{}
+	byRegion := map[regionShard]map[int]bool{}
 	for _, region := range j.regions() {
 		key := regionShard{region, id}
 		if members := j.membersByShard[key]; len(members) > 0 {
-			list[key] = members
+			byRegion[key] = members
 		}
 	}
-	return list
+	return byRegion
 }
 
 func (j *Judge) regions() (list []string) {
@@ -380,6 +384,7 @@
 	return list
 }
 
+// recordInForce records the delay of a change that has come into force at a member at the given time.
 func (j *Judge) recordInForce(member int, pending pendingChange, at int64) {
 	delay := max(at-pending.reachableFrom, 0)
 	j.delays = append(j.delays, seconds(delay))
@@ -388,11 +393,12 @@
 	}
 }
 
+// finish reports the changes and gaps that are still open at the end of the run, and computes the delays' percentiles.
 func (j *Judge) finish(end int64) {
 	for member, changes := range j.pendingByMember {
-		for destination, w := range changes {
-			if end-w.reachableFrom > int64(j.Rules.InForceTimeout) {
-				j.addFinding(RuleMissed, "change %d of destination %d is not in force at %s, %.1f s after it could be", w.number, destination, j.Members[member].Name, seconds(end-w.reachableFrom))
+		for destination, pending := range changes {
+			if end-pending.reachableFrom > int64(j.Rules.InForceTimeout) {
+				j.addFinding(RuleMissed, "change %d of destination %d is not in force at %s, %.1f s after it could be", pending.number, destination, j.Members[member].Name, seconds(end-pending.reachableFrom))
 			}
 		}
 	}
@@ -404,4 +410,5 @@
 	}
 }
 
+// seconds converts nanoseconds to seconds.
 func seconds(d int64) float64 { return float64(d) / 1e9 }
--- a/internal/lab/scale/judge_test.go
+++ b/internal/lab/scale/judge_test.go
@@ -34,6 +34,7 @@
 	return j.Run(observations, at(70*time.Second))
 }
 
+// A run without violations has no findings, and the delays are those of both members.
 func TestJudgeCleanRun(t *testing.T) {
 	v := judgeTwoMembers(nil)
 	if !v.Clean() || v.Changes != 1 || v.InForceCount != 2 || v.Worst != 2 || v.Median != 2 {
--- a/internal/lab/scale/observation.go
+++ b/internal/lab/scale/observation.go
@@ -7,8 +7,8 @@
 	Kind    EventKind `json:"kind"`
 	Member  int       `json:"member"`
 	Version uint64    `json:"version,omitempty"`
-	// Only with kind Applied: the destinations whose endpoints the update set, each with the number of its last change, and
-	// the shards assigned to and withdrawn from the member.
+	// Only with kind Applied: the destinations whose endpoints the update set, each with the number of its last change,
+	// and the shards assigned to and withdrawn from the member.
 	Changes    []SeenChange `json:"changes,omitempty"`
 	Assigned   []uint32     `json:"assigned,omitempty"`
 	Unassigned []uint32     `json:"unassigned,omitempty"`
@@ -41,7 +41,7 @@
 type HollowSettings struct {
 	Members        []HollowMember  `json:"members"`
 	Controls       []ControlServer `json:"controls"`
-	DisabledChecks uint            `json:"break,omitempty"`
+	DisabledChecks uint            `json:"break,omitempty"` // bits of directory.SubscriptionCheck
 }
 
 // HollowMember identifies a member and its location.
--- a/internal/lab/scale/process.go
+++ b/internal/lab/scale/process.go
@@ -18,7 +18,7 @@
 type child struct {
 	name   string
 	cmd    *exec.Cmd
-	exited chan struct{}
+	exited chan struct{} // closed when the process has exited
 }
 
 // spawn starts a program. Its standard error is appended to a file in the run's directory.
@@ -55,12 +55,12 @@
 	child       atomic.Pointer[child]
 	mu          sync.Mutex // held while the process is started, killed or sent a command
 	commandPipe io.WriteCloser
-	encoder     *json.Encoder
+	encoder     *json.Encoder // of commandPipe; nil while the process is killed
 }
 
 // observationLog collects the members' observations in the order of arrival.
 type observationLog struct {
-	mu             sync.Mutex
+	mu             sync.Mutex // guards the fields below
 	entries        []Observation
 	servingMembers map[int]bool // members that serve a shard
 }
@@ -86,7 +86,7 @@
 	return len(l.servingMembers)
 }
 
-// start starts the process, sends it the settings and collects its observations in r.
+// start starts the process, sends it the settings, and adds its observations to the log until the process exits.
 func (h *hollowProcess) start(ctx context.Context, lab, dir string, observations *observationLog) error {
 	commandReader, commandWriter, err := os.Pipe()
 	if err != nil {
@@ -122,13 +122,13 @@
 
 // send sends the process a command. It does nothing for a process that another fault has killed: all its members are
 // down, and all of them start when the process is started again.
-func (h *hollowProcess) send(o Command) error {
+func (h *hollowProcess) send(command Command) error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.encoder == nil {
 		return nil
 	}
-	return h.encoder.Encode(o)
+	return h.encoder.Encode(command)
 }
 
 // kill kills the process, and records all its members as down.
--- a/internal/lab/scale/relay.go
+++ b/internal/lab/scale/relay.go
@@ -12,12 +12,13 @@
 type relay struct {
 	listener    net.Listener
 	target      string
-	bytes       atomic.Int64
-	mu          sync.Mutex
+	bytes       atomic.Int64 // forwarded so far, in both directions
+	mu          sync.Mutex   // guards the fields below
 	cut         bool
-	connections map[net.Conn]bool
+	connections map[net.Conn]bool // open, of both ends
 }
 
+// newRelay starts a relay to an address, on a free port.
 func newRelay(target string) (*relay, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -30,6 +31,7 @@
 
 func (r *relay) addr() string { return r.listener.Addr().String() }
 
+// close stops the listener and closes all connections.
 func (r *relay) close() {
 	r.listener.Close()
 	r.setCut(true)
@@ -77,6 +79,7 @@
 	}
 }
 
+// forward connects to the target and copies bytes in both directions until either connection ends.
 func (r *relay) forward(client net.Conn) {
 	defer r.untrack(client)
 	server, err := net.Dial("tcp", r.target)
@@ -98,7 +101,7 @@
 	<-done
 }
 
-// countingWriter adds the bytes written to a total.
+// countingWriter adds the number of bytes written to a total.
 type countingWriter struct {
 	io.Writer
 	total *atomic.Int64
--- a/internal/lab/scale/report.go
+++ b/internal/lab/scale/report.go
@@ -23,9 +23,9 @@
 // Budgets holds the limits for a real sender.
 type Budgets struct {
 	Senders     float64 // number of senders at the target
-	CorePercent float64
-	MemoryMB    float64
-	LinkKBps    float64
+	CorePercent float64 // of one core
+	MemoryMB    float64 // 10^6 bytes
+	LinkKBps    float64 // 10^3 bytes per second
 }
 
 // BudgetsOf returns the budgets of a capacity target.
@@ -49,8 +49,8 @@
 	{"a change in force, worst", "s", func(Budgets) float64 { return InForceTimeout.Seconds() }, func(s *SizeResult) float64 { return s.Verdict.Worst }},
 }
 
-// extrapolate returns the quantity at a size, by a line fitted through the measured sizes. It returns false
-// for fewer than three sizes.
+// extrapolate returns the quantity at a size, by a line fitted through the measured sizes. It returns false for fewer
+// than three sizes.
 func (q *quantity) extrapolate(sizes []SizeResult, at float64) (float64, bool) {
 	var points []capacity.Point
 	for i := range sizes {
@@ -112,7 +112,7 @@
 			}
 			measured = append(measured, fmt.Sprintf("%d: %.3g (%s)", sizes[i].Members, q.value(&sizes[i]), mark))
 		}
-		extrapolated := "fewer than three sizes: not foretold"
+		extrapolated := "fewer than three sizes: not predicted"
 		if v, ok := q.extrapolate(sizes, budgets.Senders); ok && v <= 0 {
 			extrapolated = "the line falls under 0: it says nothing"
 		} else if ok {
@@ -138,25 +138,25 @@
 	}
 }
 
-// Marks around the generated tables of a page.
+// Markers around the generated tables of a page.
 const (
-	beginMark = "<!-- generated: scale. `make scale` writes what stands between these lines. -->"
-	endMark   = "<!-- end of scale -->"
+	beginMarker = "<!-- generated: scale. `make scale` writes what stands between these lines. -->"
+	endMarker   = "<!-- end of scale -->"
 )
 
-// WritePage replaces the tables between a page's marks with those of a result.
+// WritePage replaces the tables between a page's markers with those of a result.
 func WritePage(path string, r *Result, budgets Budgets) error {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return err
 	}
-	begin, end := bytes.Index(text, []byte(beginMark)), bytes.Index(text, []byte(endMark))
+	begin, end := bytes.Index(text, []byte(beginMarker)), bytes.Index(text, []byte(endMarker))
 	if begin < 0 || end < begin {
-		return fmt.Errorf("%s: the lines %q and %q are missing, or not in this order", path, beginMark, endMark)
+		return fmt.Errorf("%s: markers %q and %q not found in this order", path, beginMarker, endMarker)
 	}
 	var b bytes.Buffer
 	WriteTables(&b, r, budgets)
-	return os.WriteFile(path, slices.Concat(text[:begin+len(beginMark)], []byte("\n\n"), b.Bytes(), []byte("\n"), text[end:]), 0o644)
+	return os.WriteFile(path, slices.Concat(text[:begin+len(beginMarker)], []byte("\n\n"), b.Bytes(), []byte("\n"), text[end:]), 0o644)
 }
 
 // WriteJSON writes the result as indented JSON.
--- a/internal/lab/scale/run.go
+++ b/internal/lab/scale/run.go
@@ -16,7 +16,7 @@
 	"sliptide/internal/lab/proc"
 )
 
-// InForceTimeout is the time within which a change must be in force at a reachable member.
+// InForceTimeout is the time within which a change must be in force at each member, from when the member is reachable.
 const InForceTimeout = 20 * time.Second
 
 // Result holds the results of all sizes of a run and of its comparisons.
@@ -35,19 +35,19 @@
 	Verdict          *Verdict  `json:"verdict,omitempty"`
 	Senders          []Usage   `json:"senders"`
 	Controls         []Usage   `json:"controls"`
-	SettleSeconds    float64   `json:"settle_seconds"` // from the start of the members until each serves a shard
-	MemoryMB         float64   `json:"memory_mb"`      // peak sum over all processes
-	LoadAverage      float64   `json:"load"`           // one-minute load average at the end
-	PartitionSeconds []float64 `json:"cut_seconds,omitempty"`
+	SettleSeconds    float64   `json:"settle_seconds"`        // from the start of the members until each serves a shard
+	MemoryMB         float64   `json:"memory_mb"`             // peak resident memory of all processes together, in 10^6 bytes
+	LoadAverage      float64   `json:"load"`                  // one-minute load average at the end
+	PartitionSeconds []float64 `json:"cut_seconds,omitempty"` // duration of each region-cut
 }
 
 // Usage is the resource usage of a process over the schedule.
 type Usage struct {
 	Name         string  `json:"name"`
-	CorePercent  float64 `json:"core_percent"`
-	MemoryMB     float64 `json:"memory_mb"` // peak
-	LinkKBps     float64 `json:"link_kb_per_second"`
-	ReadySeconds float64 `json:"ready_seconds"`
+	CorePercent  float64 `json:"core_percent"`       // mean, of one core
+	MemoryMB     float64 `json:"memory_mb"`          // peak resident memory, in 10^6 bytes
+	LinkKBps     float64 `json:"link_kb_per_second"` // mean, in both directions together, in 10^3 bytes per second; 0 for control members
+	ReadySeconds float64 `json:"ready_seconds"`      // from the start of the process; 0 for control members
 }
 
 // Worst returns the maximum of each figure over the processes.
@@ -67,8 +67,8 @@
 	Programs       Programs
 	Dir            string                          // scratch directory
 	DisabledChecks directory.SubscriptionCheck     // disabled in the hollow members
-	OnPhase        func(size int, phase string)    // called at the start of each phase
-	OnTick         func(done, total time.Duration) // called once a second during the schedule
+	OnPhase        func(size int, phase string)    // called at the start of each phase; not nil
+	OnTick         func(done, total time.Duration) // called once a second during the schedule; not nil
 	OnSizeDone     func(*Result) error             // called with the results so far after each size; may be nil
 }
 
@@ -110,7 +110,7 @@
 	rng         *rand.Rand
 	changes     []Change
 	partitions  []Partition
-	mu          sync.Mutex
+	mu          sync.Mutex // guards rng, partitions, meters and maxMemoryMB
 	meters      map[*child]*usageMeter
 	maxMemoryMB float64
 }
@@ -123,6 +123,8 @@
 	startTime          time.Time
 }
 
+// runSize runs the schedule at one size and judges it. The result is never nil; with an error it holds what was
+// measured until then.
 func runSize(ctx context.Context, o Options, size int) (*SizeResult, error) {
 	file := o.File
 	result := &SizeResult{Members: size, Destinations: int(float64(size) * file.DestinationsPerMember)}
@@ -182,7 +184,7 @@
 }
 
 // errMemoryLimit ends a size whose processes exceed the run's memory limit.
-var errMemoryLimit = errors.New("the processes hold more than the run's memory limit")
+var errMemoryLimit = errors.New("resident memory of all processes exceeds the run's memory limit")
 
 // runSchedule makes changes and injects faults for the duration of the schedule.
 func (r *sizeRun) runSchedule(ctx context.Context) error {
@@ -235,6 +237,7 @@
 	return nil
 }
 
+// sleep waits for d, and returns false if ctx ends first.
 func sleep(ctx context.Context, d time.Duration) bool {
 	select {
 	case <-ctx.Done():
@@ -244,6 +247,8 @@
 	}
 }
 
+// changeRandomEndpoint changes the endpoint of a destination drawn by the run's generator, and records the change. Only
+// the goroutine of the schedule or comparison calls it.
 func (r *sizeRun) changeRandomEndpoint() {
 	r.mu.Lock()
 	destination := r.rng.IntN(r.agent.destinations)
@@ -253,7 +258,7 @@
 	r.changes = append(r.changes, Change{At: at, Destination: uint64(destination), Number: number})
 }
 
-// startMeter starts measuring a process that has carried the given bytes so far.
+// startMeter starts measuring a process whose links have carried the given bytes so far.
 func (r *sizeRun) startMeter(c *child, bytes int64) {
 	processorTime, _ := proc.CPUSeconds(c.cmd.Process.Pid)
 	r.mu.Lock()
@@ -261,7 +266,7 @@
 	r.meters[c] = &usageMeter{startProcessorTime: processorTime, startBytes: bytes, startTime: time.Now()}
 }
 
-// readMeter returns the usage of a process since startMeter.
+// readMeter returns the usage of a process since startMeter, given the bytes that its links have carried so far.
 func (r *sizeRun) readMeter(name string, c *child, bytes int64, ready time.Duration) Usage {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -279,7 +284,8 @@
 	return m.Usage
 }
 
-// sampleMemory updates the peak memory of the processes. It fails if their sum exceeds the limit.
+// sampleMemory updates the peak memory of the processes. It returns errMemoryLimit if their sum exceeds the
+// run's limit.
 func (r *sizeRun) sampleMemory() error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/lab/scale/run_test.go
+++ b/internal/lab/scale/run_test.go
@@ -41,6 +41,7 @@
 	return Programs{Sender: sender, Lab: lab}
 }
 
+// runFile runs a scale file in a temporary directory, with options that configure may alter.
 func runFile(t *testing.T, path string, configure func(*Options)) *Result {
 	t.Helper()
 	f, err := Load(path)
@@ -89,6 +90,7 @@
 	}
 }
 
+// The scale files of the repository are valid, and the error for an invalid one says what is allowed.
 func TestLoad(t *testing.T) {
 	for _, name := range []string{"scale.xml", "scale-small.xml"} {
 		if _, err := Load("../../../experiments/fleet/" + name); err != nil {
--- a/internal/lab/scale/site.go
+++ b/internal/lab/scale/site.go
@@ -18,7 +18,7 @@
 )
 
 const (
-	settleTimeout = 2 * time.Minute
+	settleTimeout = 2 * time.Minute // for each phase of the start: endpoint list, hollow members, each real sender
 	pollInterval  = 100 * time.Millisecond
 )
 
@@ -183,7 +183,7 @@
 		for _, c := range s.controls {
 			select {
 			case <-c.child.Load().exited:
-				return fmt.Errorf("%s ended at its start", c.name)
+				return fmt.Errorf("%s exited before it held the endpoint list", c.name)
 			default:
 			}
 			if status, err := c.status(ctx); err != nil || status.Endpoints < s.agent.destinations {
@@ -197,7 +197,7 @@
 			return err
 		}
 	}
-	return fmt.Errorf("the control members did not hold the list in %v", settleTimeout)
+	return fmt.Errorf("not all control members held the endpoint list within %v", settleTimeout)
 }
 
 func (s *site) servers() (list []ControlServer) {
@@ -240,11 +240,12 @@
 			return err
 		}
 	}
-	return fmt.Errorf("%d of %d members served something in %v", s.observations.servingCount(), len(s.members), settleTimeout)
+	return fmt.Errorf("only %d of %d hollow members served a shard within %v", s.observations.servingCount(), len(s.members), settleTimeout)
 }
 
-// startSender starts a real sender and waits until it is ready. It is either sharded, or subscribes to discovery
-// itself and knows every destination.
+// startSender starts a real sender, located as the n-th member, and waits until it is ready. It is either sharded, or
+// subscribes to discovery itself and knows every destination. If it starts but does not become ready, it is returned
+// together with the error.
 func (s *site) startSender(ctx context.Context, name string, n int, sharded bool) (*senderProcess, error) {
 	sender := &senderProcess{name: name}
 	region, zone := s.file.locationOf(n)
@@ -307,13 +308,13 @@
 		}
 		select {
 		case <-sender.child.exited:
-			return sender, fmt.Errorf("%s ended", name)
+			return sender, fmt.Errorf("%s exited before it was ready", name)
 		case <-ctx.Done():
 			return sender, ctx.Err()
 		default:
 		}
 	}
-	return sender, fmt.Errorf("%s was not ready in %v", name, settleTimeout)
+	return sender, fmt.Errorf("%s was not ready within %v", name, settleTimeout)
 }
 
 // senderConfig returns the platform's configuration of a real sender.
