--- a/internal/lab/capacity/capacity_test.go
+++ b/internal/lab/capacity/capacity_test.go
@@ -21,6 +21,7 @@
 	return loaded
 }
 
+// The target file is read with its quantities, and an invalid or incomplete one is rejected.
 func TestTarget(t *testing.T) {
 	loaded := loadTarget(t)
 	if loaded.Senders != 14000 || math.Round(loaded.EventsPerSecondPerSender()) != 1143 ||
@@ -96,8 +97,8 @@
 	}
 }
 
-// Every slope that the page uses is measured, at five or more ascending sizes, of which the largest is at least 90 times
-// the smallest.
+// Every slope that the page uses is measured, at five or more ascending sizes, of which the largest is at least 90
+// times the smallest.
 func TestMeasurementsCoverThePage(t *testing.T) {
 	names := map[string]bool{}
 	for _, m := range Measurements() {
@@ -139,8 +140,8 @@
 	}
 }
 
-// The tables of the page match its record, target and bounds. The test fails if a number in the page was edited by hand,
-// or if the target or a bound changed and the page was not regenerated.
+// The tables of the page match its record, target and bounds. The test fails if a number in the page was edited by
+// hand, or if the target or a bound changed and the page was not regenerated.
 func TestPageIsCurrent(t *testing.T) {
 	const page, record = "../../../docs/CAPACITY.md", "../../../docs/capacity/record.json"
 	text, err := os.ReadFile(page)
@@ -167,6 +168,7 @@
 	}
 }
 
+// A page without the markers is rejected, and the error names the missing marker.
 func TestPageWithoutMarkers(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "page.md")
 	if err := os.WriteFile(path, []byte("# Capacity\n"), 0o600); err != nil {
@@ -178,6 +180,7 @@
 	}
 }
 
+// Numbers have three significant digits, no exponent, and thousands separators.
 func TestFormatNumber(t *testing.T) {
 	for v, want := range map[float64]string{0: "0", 1234567: "1,234,567", 1000: "1,000", 128: "128", 12.345: "12.3",
 		0.00512:   "0.00512",
--- a/internal/lab/capacity/measure.go
+++ b/internal/lab/capacity/measure.go
@@ -13,9 +13,9 @@
 
 // Measurement measures one quantity at each of several sizes.
 type Measurement struct {
-	Name, Role, Description, Unit, Per string
-	RealProcess                        bool  // measures a separate sender process
-	Sizes                              []int // ascending; the last is forecast from the others
+	Name, Role, Description, Unit, Per string // Unit is that of the value; Per names one unit of size
+	RealProcess                        bool   // measures a separate sender process
+	Sizes                              []int  // ascending; the last is forecast from the others
 	// Repeats is the number of runs at each size, of which the smallest value counts: other load on the machine can only
 	// lengthen a time.
 	Repeats int
@@ -48,6 +48,7 @@
 	return r, nil
 }
 
+// isSelected reports whether the selection contains a name. An empty selection contains all names.
 func isSelected(name string, selection []string) bool {
 	for _, selected := range selection {
 		if selected == name {
@@ -57,6 +58,7 @@
 	return len(selection) == 0
 }
 
+// run measures at all sizes and fits the results. It ends early with an error if e.Ctx ends.
 func (m *Measurement) run(e *Env, onSizeDone func(string)) (*Series, error) {
 	s := &Series{Name: m.Name, Role: m.Role, Description: m.Description, Unit: m.Unit, Per: m.Per,
 		RealProcess: m.RealProcess}
@@ -108,6 +110,7 @@
 	return float64(clockNanos(unix.CLOCK_PROCESS_CPUTIME_ID)-before) / 1e6
 }
 
+// clockNanos returns the reading of a clock in nanoseconds, or 0 if it cannot be read.
 func clockNanos(id int32) int64 {
 	var t unix.Timespec
 	if unix.ClockGettime(id, &t) != nil {
@@ -125,6 +128,7 @@
 	return float64(after) - float64(before)
 }
 
+// liveHeapBytes returns the size of the heap after a collection of garbage.
 func liveHeapBytes() uint64 {
 	runtime.GC()
 	runtime.GC()
--- a/internal/lab/capacity/measure_control.go
+++ b/internal/lab/capacity/measure_control.go
@@ -12,7 +12,7 @@
 
 func controlMeasurements() []Measurement {
 	return []Measurement{{
-		Name: "directory-memory", Role: roleControl, Description: "memory of the directory, one endpoint a destination",
+		Name: "directory-memory", Role: roleControl, Description: "memory of the directory, one endpoint per destination",
 		Unit: "KB", Per: "destination",
 		Sizes: []int{3000, 10000, 30000, 100000, 300000, 1000000},
 		Run: func(_ *Env, size int) (float64, error) {
--- a/internal/lab/capacity/measure_fleet.go
+++ b/internal/lab/capacity/measure_fleet.go
@@ -20,7 +20,7 @@
 
 func fleetMeasurements() []Measurement {
 	return []Measurement{{
-		Name: "group-frames", Role: roleVoter, Description: "frames a second of a group in calm, in the model",
+		Name: "group-frames", Role: roleVoter, Description: "frames a second of an idle group, in the simulation model",
 		Unit: "frames/s", Per: "sender",
 		Sizes: []int{10, 30, 100, 300, 900}, Run: groupFrames,
 	}, {
@@ -44,10 +44,10 @@
 		Run:   func(_ *Env, size int) (float64, error) { return snapshotKB(1, size) },
 	}, {
 		Name: "present-bytes", Role: roleVoter,
-		Description: "frame that tells each member of a session that began or ended", Unit: "KB", Per: "sender",
+		Description: "frame that each member receives when a session begins or ends, with the list of all members", Unit: "KB", Per: "sender",
 		Sizes: []int{10, 100, 1000, 3000, 14000}, Run: presentKB,
 	}, {
-		Name: "status-bytes", Role: roleOperator, Description: "answer to `sliptide fleet status`, by members",
+		Name: "status-bytes", Role: roleOperator, Description: "size of the answer to `sliptide fleet status`, by members",
 		Unit: "KB", Per: "sender",
 		Sizes: []int{10, 100, 1000, 3000, 14000}, Run: statusKB,
 	}}
@@ -68,8 +68,8 @@
 	return float64(w.FramesSent) / countedSeconds, nil
 }
 
-// linkFramesCPU returns the processor time, of both ends, to exchange the given number of frames: half of them are sent
-// and the other end returns each one. At most window frames are in flight.
+// linkFramesCPU returns the processor time, in milliseconds of both ends, to exchange the given number of frames: half
+// of them are sent and the other end returns each one. At most window frames are in flight.
 func linkFramesCPU(e *Env, frames int) (float64, error) {
 	const window = 64
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -142,6 +142,7 @@
 	return s
 }
 
+// snapshotKB returns the size of a snapshot of the replicated state, in 10^3 bytes.
 func snapshotKB(sessions, duties int) (float64, error) {
 	b, err := newAgreedState(sessions, duties).Marshal()
 	return float64(len(b)) / 1e3, err
@@ -158,6 +159,7 @@
 	return cpuMillis * 1e3, err
 }
 
+// presentKB returns the size of the frame that announces all members, in 10^3 bytes.
 func presentKB(_ *Env, members int) (float64, error) {
 	update := &pb.News{From: 1 << 20, To: 1<<20 + 1, AllPresent: true}
 	for i := range members {
@@ -166,6 +168,7 @@
 	return float64(proto.Size(&pb.Frame{What: &pb.Frame_News{News: update}})) / 1e3, nil
 }
 
+// statusKB returns the size of a status answer, in 10^3 bytes.
 func statusKB(_ *Env, members int) (float64, error) {
 	s := voter.Status{ReportedBy: "sender-00000", Leader: "sender-00001"}
 	for i := range members {
--- a/internal/lab/capacity/measure_process.go
+++ b/internal/lab/capacity/measure_process.go
@@ -20,11 +20,11 @@
 )
 
 const (
-	startTimeout      = 2 * time.Minute
+	startTimeout      = 2 * time.Minute // also the longest wait for an event to be accepted or delivered
 	pollInterval      = 20 * time.Millisecond
-	settledPolls      = 10 // consecutive polls without growth of memory
-	settleTimeout     = 10 * time.Second
-	submitConnections = 16 // concurrent connections that submit events
+	settledPolls      = 10               // consecutive polls without growth of memory
+	settleTimeout     = 10 * time.Second // longest wait for memory to stop growing
+	submitConnections = 16               // concurrent connections that submit events
 )
 
 // restartResult holds the measurements of one restart.
@@ -37,26 +37,26 @@
 	held := []int{300, 1000, 3000, 10000, 30000}
 	return []Measurement{{
 		Name: "destination-memory", Role: roleSender,
-		Description: "resident memory of a sender that knows so many destinations, one endpoint each, idle",
+		Description: "resident memory of an idle sender that knows the given number of destinations, one endpoint each",
 		Unit:        "MB", Per: "destination", RealProcess: true, Sizes: []int{40, 130, 400, 1300, 4000}, Repeats: 2,
 		Run: destinationMemory,
 	}, {
 		Name: "restart-memory", Role: roleSender,
-		Description: "resident memory of a sender that restarted with so many events of 500 bytes in its journal",
+		Description: "resident memory of a sender that restarted with the given number of events of 500 bytes in its journal",
 		Unit:        "MB", Per: "held event", RealProcess: true, Sizes: held, Repeats: 3,
 		Run: func(e *Env, size int) (float64, error) { r, err := e.restart(size); return r.memoryMB, err },
 	}, {
 		Name: "restart-ready", Role: roleSender,
-		Description: "time from the start until /up answers 200, with so many events in the journal",
+		Description: "time from the start until /up answers 200, with the given number of events in the journal",
 		Unit:        "ms", Per: "held event", RealProcess: true, Sizes: held, Repeats: 3,
 		Run: func(e *Env, size int) (float64, error) { r, err := e.restart(size); return r.readyMS, err },
 	}, {
 		Name: "held-memory", Role: roleSender,
-		Description: "resident memory of a sender that took so many events of 500 bytes for a destination that is down",
+		Description: "resident memory of a sender that holds the given number of events of 500 bytes for a destination that is down",
 		Unit:        "MB", Per: "held event", RealProcess: true, Sizes: []int{300, 1000, 3000, 10000, 30000}, Run: heldMemory,
 	}, {
 		Name: "event-cpu", Role: roleSender,
-		Description: "processor time of a sender that takes and delivers so many events of 500 bytes",
+		Description: "processor time of a sender to accept and deliver the given number of events of 500 bytes",
 		Unit:        "ms", Per: "event", RealProcess: true, Sizes: []int{300, 1000, 3000, 10000, 30000}, Repeats: 2,
 		Run: eventCPU,
 	}}
@@ -68,7 +68,7 @@
 	addr   string
 	dir    string
 	stderr bytes.Buffer
-	exited chan struct{}
+	exited chan struct{} // closed when the process has exited
 }
 
 // listJSON returns a full endpoint list with one endpoint per destination, all at addr.
@@ -155,8 +155,8 @@
 	<-p.exited
 }
 
-// residentMB returns the maximum resident memory, once it has not grown for settledPolls polls or settleTimeout has
-// passed.
+// residentMB returns the maximum resident memory, in 10^6 bytes, once it has not grown for settledPolls polls or
+// settleTimeout has passed.
 func (p *senderProcess) residentMB() (float64, error) {
 	maxBytes, unchangedPolls := int64(0), 0
 	for deadline := time.Now().Add(settleTimeout); unchangedPolls < settledPolls && time.Now().Before(deadline); unchangedPolls++ {
@@ -187,6 +187,7 @@
 	return dir, os.MkdirAll(filepath.Join(dir, "state"), 0o700)
 }
 
+// destinationMemory returns the resident memory, in MB, of an idle sender with the given number of destinations.
 func destinationMemory(e *Env, size int) (float64, error) {
 	dir, err := e.newScratchDir()
 	if err != nil {
@@ -201,8 +202,8 @@
 	return p.residentMB()
 }
 
-// restart starts a sender with a journal of the given number of events and measures its time to
-// become ready and its memory.
+// restart starts a sender with a journal of the given number of events and measures its time to become ready and its
+// memory.
 func (e *Env) restart(size int) (restartResult, error) {
 	dir, err := e.newScratchDir()
 	if err != nil {
@@ -221,6 +222,7 @@
 	return restartResult{readyMS: float64(startDuration) / 1e6, memoryMB: memory}, err
 }
 
+// heldMemory returns the resident memory, in MB, of a sender that holds the given number of events.
 func heldMemory(e *Env, size int) (float64, error) {
 	dir, err := e.newScratchDir()
 	if err != nil {
@@ -238,6 +240,8 @@
 	return p.residentMB()
 }
 
+// eventCPU returns the processor time, in milliseconds, in which a sender accepts and delivers the given number of
+// events.
 func eventCPU(e *Env, size int) (float64, error) {
 	dir, err := e.newScratchDir()
 	if err != nil {
@@ -307,6 +311,7 @@
 	}
 }
 
+// submitOne submits the i-th event until it is accepted.
 func (p *senderProcess) submitOne(client *http.Client, i int, body string) error {
 	for deadline := time.Now().Add(startTimeout); time.Now().Before(deadline); time.Sleep(pollInterval) {
 		request, err := http.NewRequest("POST", "http://"+p.addr+"/api", strings.NewReader(body))
--- a/internal/lab/capacity/measure_sender.go
+++ b/internal/lab/capacity/measure_sender.go
@@ -87,7 +87,7 @@
 		Run: sendStepCPU,
 	}, {
 		Name: "telemetry-event", Role: roleTelemetry,
-		Description: "processor time to make an event's records into a trace",
+		Description: "processor time to assemble an event's records into a trace",
 		Unit:        "ms", Per: "event", Sizes: []int{1000, 3000, 10000, 30000, 100000}, Repeats: 3,
 		Run: telemetryCPU,
 	}}
@@ -132,7 +132,7 @@
 	return cpuMillis * 1e3 / steps, nil
 }
 
-// telemetryCPU returns the processor time to record events and assemble their records into traces.
+// telemetryCPU returns the processor time, in milliseconds, to record events and assemble their records into traces.
 func telemetryCPU(_ *Env, events int) (float64, error) {
 	a := telemetry.NewAssembler(telemetry.Settings{SampledShare: 1, Classes: moduleSettings(1).Classes,
 		Export: func(*telemetry.Trace) {}})
@@ -197,7 +197,7 @@
 func journalMeasurements() []Measurement {
 	sizes := []int{300, 1000, 3000, 10000, 30000, 100000}
 	return []Measurement{{
-		Name: "journal-bytes", Role: roleSender, Description: "journal of a held event of 500 bytes", Unit: "KB",
+		Name: "journal-bytes", Role: roleSender, Description: "size of the journal of held events of 500 bytes", Unit: "KB",
 		Per: "held event", Sizes: sizes,
 		Run: func(e *Env, size int) (float64, error) {
 			return withJournal(e, size, func(dir string) (float64, error) {
@@ -226,7 +226,7 @@
 		},
 	}, {
 		Name: "copy-bytes", Role: roleHolder,
-		Description: "records of an event's whole life that go to each holder of copies", Unit: "KB", Per: "event",
+		Description: "size of all journal records of an event, which are sent to each holder of copies", Unit: "KB", Per: "event",
 		Sizes: []int{10, 100, 1000, 10000, 100000},
 		Run: func(e *Env, size int) (float64, error) {
 			return withJournal(e, 0, func(dir string) (float64, error) { return lifecycleRecordsKB(dir, size) })
@@ -234,7 +234,8 @@
 	}}
 }
 
-// lifecycleRecordsKB returns the size of all records of the given number of events, from acceptance to the end.
+// lifecycleRecordsKB returns the size, in 10^3 bytes, of all records of the given number of events, from acceptance to
+// the end.
 func lifecycleRecordsKB(dir string, events int) (float64, error) {
 	j, _, err := journal.Open(dir, statedir.NewSpace(1<<40).Account())
 	if err != nil {
@@ -255,7 +256,7 @@
 
 func listMeasurements() []Measurement {
 	return []Measurement{{
-		Name: "list-bytes", Role: roleDistribution, Description: "the list of endpoints, one endpoint a destination",
+		Name: "list-bytes", Role: roleDistribution, Description: "size of the endpoint list, one endpoint per destination",
 		Unit: "KB", Per: "destination",
 		Sizes: []int{100, 300, 1000, 3000, 10000, 100000},
 		Run: func(_ *Env, size int) (float64, error) {
@@ -263,7 +264,7 @@
 		},
 	}, {
 		Name: "list-take", Role: roleDistribution,
-		Description: "processor time to read a whole list and give it to the module", Unit: "ms",
+		Description: "processor time to parse the whole list and apply it to the decision module", Unit: "ms",
 		Per:   "destination",
 		Sizes: []int{100, 300, 1000, 3000, 10000, discovery.MaxEndpoints}, Repeats: 9,
 		Run: func(_ *Env, size int) (float64, error) {
@@ -290,7 +291,7 @@
 			return threadCPUMillis(func() { _, err = operator.Read("members.xml", bytes.NewReader(text)) }), err
 		},
 	}, {
-		Name: "member-file-bytes", Role: roleDistribution, Description: "an operators' file that lists the members",
+		Name: "member-file-bytes", Role: roleDistribution, Description: "size of an operators' file that lists the members",
 		Unit: "KB", Per: "sender",
 		Sizes: []int{10, 30, 100, 300, operator.MaxMembers},
 		Run:   func(_ *Env, size int) (float64, error) { return float64(len(memberFile(size))) / 1e3, nil },
--- a/internal/lab/capacity/page.go
+++ b/internal/lab/capacity/page.go
@@ -10,7 +10,7 @@
 )
 
 const (
-	beginMarker         = "<!-- generated: %s. `make capacity` writes what stands between these lines. -->"
+	beginMarker         = "<!-- generated: %s. `make capacity` writes the text between these markers. -->"
 	endMarker           = "<!-- end of %s -->"
 	markedForecastError = 0.2 // relative forecast error above which the page marks a series
 )
@@ -74,11 +74,12 @@
 	return text
 }
 
+// formatPercent formats a share as a percentage.
 func formatPercent(v float64) string { return formatNumber(100*v) + " %" }
 
 func writeTarget(b *bytes.Buffer, t *Target) {
 	fmt.Fprintln(b, "| | at target |\n| --- | --- |")
-	fmt.Fprintf(b, "| senders | %s in %s regions with %s zones, taking %s events a second (%s each, %s bytes) |\n",
+	fmt.Fprintf(b, "| senders | %s in %s regions with %s zones, accepting %s events a second (%s each, %s bytes) |\n",
 		formatNumber(t.Senders), formatNumber(t.Regions), formatNumber(t.Zones), formatNumber(t.EventsPerSecond),
 		formatNumber(t.EventsPerSecondPerSender()), formatNumber(t.EventBytes))
 	fmt.Fprintf(b, "| destinations | %s, %s %% of them (%s) down at any time |\n", formatNumber(t.Destinations),
@@ -87,17 +88,18 @@
 		formatNumber(t.BacklogPerSender()))
 	fmt.Fprintf(b, "| configuration | %s changes a day (%s a second), in force everywhere within %v |\n",
 		formatNumber(t.ChangesPerDay), formatNumber(t.ChangesPerDay/secondsPerDay), t.InForceWithin)
-	fmt.Fprintf(b, "| for control, a sender | at most %s %% of a core, %s MB, %s KB/s; and %s machines set aside for control |\n",
+	fmt.Fprintf(b, "| budget for control, per sender | at most %s %% of a core, %s MB, %s KB/s; and %s machines set aside for control |\n",
 		formatNumber(t.CorePercent), formatNumber(t.MemoryMB), formatNumber(t.LinkKBPerSecond),
 		formatNumber(t.ControlMachines))
 	fmt.Fprintf(b, "| failures | %s machines a day, %s restarted or replaced a day; ready within %v |\n",
 		formatNumber(t.MachinesLostPerDay), formatNumber(t.RestartsPerDay), t.ReadyWithin)
 }
 
+// writeSlopes writes each series with its fit and the prediction for its largest size.
 func writeSlopes(b *bytes.Buffer, r *Record) {
-	fmt.Fprintf(b, "Measured in %.0f s on %d cores, %s; runnable processes, mean of a minute: %s before, %s after.\n\n",
+	fmt.Fprintf(b, "Measured in %.0f s on %d cores, %s; load average of a minute: %s before, %s after.\n\n",
 		r.Seconds, r.Cores, r.GoVersion, formatNumber(r.LoadBefore), formatNumber(r.LoadAfter))
-	fmt.Fprintln(b, "| role | measured | on | sizes fitted | base + slope | residual | left out | foretold | measured | missed by |")
+	fmt.Fprintln(b, "| role | quantity | measured on | sizes fitted | base + slope | residual | left out | predicted | measured | error of the prediction |")
 	fmt.Fprintln(b, "| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |")
 	for i := range r.Series {
 		s := &r.Series[i]
@@ -110,7 +112,7 @@
 		if missed := s.ForecastError(); missed > markedForecastError || missed < -markedForecastError {
 			warning = " **over 20 %**"
 		}
-		fmt.Fprintf(b, "| %s | `%s`: %s | %s | %s to %s | %s + %s %s a %s | %s | %s | %s | %s %s | %s%s |\n", s.Role,
+		fmt.Fprintf(b, "| %s | `%s`: %s | %s | %s to %s | %s + %s %s per %s | %s | %s | %s | %s %s | %s%s |\n", s.Role,
 			s.Name, s.Description, measuredOn,
 			formatNumber(fitted[0].Size), formatNumber(fitted[len(fitted)-1].Size), formatNumber(s.Fit.Base),
 			formatNumber(s.Fit.Slope), s.Unit, s.Per,
@@ -119,8 +121,9 @@
 	}
 }
 
+// writeRows writes each row with its need at the target and its budget.
 func writeRows(b *bytes.Buffer, t *Target, r *Record) {
-	fmt.Fprintln(b, "| role | what | mechanism today | slope x quantity (arithmetic on measured slopes) | at target | budget | share of the target at which it breaks |")
+	fmt.Fprintln(b, "| role | quantity | current mechanism | slope x quantity (arithmetic on measured slopes) | at target | budget | share of the target at which it breaks |")
 	fmt.Fprintln(b, "| --- | --- | --- | --- | --- | --- | --- |")
 	for _, row := range Rows() {
 		slopes, ok := row.slopes(r)
@@ -140,6 +143,7 @@
 	}
 }
 
+// describeBreak describes the share of the target at which a row reaches its budget.
 func describeBreak(row *Row, share float64) string {
 	scope := "of the fleet"
 	if row.PerSender {
@@ -152,7 +156,7 @@
 }
 
 func writeBounds(b *bytes.Buffer, t *Target) {
-	fmt.Fprintln(b, "| bound in the code | constant | file | value | at target (arithmetic) | ends at | past it |")
+	fmt.Fprintln(b, "| bound in the code | constant | file | value | at target (arithmetic) | reached at | when exceeded |")
 	fmt.Fprintln(b, "| --- | --- | --- | --- | --- | --- | --- |")
 	for _, bound := range Bounds() {
 		need := bound.Need(t)
@@ -167,6 +171,7 @@
 	text  string
 }
 
+// writeGrowthLimits writes the budgets and bounds that are reached before the target, the lowest share first.
 func writeGrowthLimits(b *bytes.Buffer, t *Target, r *Record) {
 	var list []growthLimit
 	for _, row := range Rows() {
--- a/internal/lab/capacity/record.go
+++ b/internal/lab/capacity/record.go
@@ -12,7 +12,7 @@
 	GoVersion  string   `json:"go_version"`
 	LoadBefore float64  `json:"load_before"` // runnable processes, averaged over a minute
 	LoadAfter  float64  `json:"load_after"`
-	Seconds    float64  `json:"seconds"`
+	Seconds    float64  `json:"seconds"` // duration of all measurements
 	Series     []Series `json:"series"`
 }
 
--- a/internal/lab/capacity/target.go
+++ b/internal/lab/capacity/target.go
@@ -18,7 +18,7 @@
 	Regions            float64
 	Zones              float64
 	EventsPerSecond    float64 // of the whole fleet
-	EventBytes         float64 // of an event's body
+	EventBytes         float64 // assumed size of an event's body
 	Destinations       float64
 	DownPercent        float64 // of destinations, at any time
 	Backlog            float64 // events, of the whole fleet
@@ -42,8 +42,8 @@
 // DownDestinations returns the number of destinations that are down at any time.
 func (t *Target) DownDestinations() float64 { return t.Destinations * t.DownPercent / 100 }
 
-// Scaled returns the target with its fleet-wide quantities (senders, destinations, events, changes, failures) multiplied
-// by share. The load and backlog of one sender are unchanged.
+// Scaled returns the target with its fleet-wide quantities (senders, destinations, events, changes, failures)
+// multiplied by share. The load and backlog of one sender are unchanged.
 func (t *Target) Scaled(share float64) *Target {
 	scaled := *t
 	for _, quantity := range []*float64{&scaled.Senders, &scaled.EventsPerSecond, &scaled.Destinations, &scaled.Backlog,
@@ -68,52 +68,52 @@
 	type element = strictxml.Element[Target]
 	return &element{
 		Name: "capacity-target", Doc: "The fleet that the operators plan: quantities and budgets.",
-		Attrs: []attribute{{Name: "version", Required: true, Doc: "The form of this file.",
+		Attrs: []attribute{{Name: "version", Required: true, Doc: "The version of the file's format.",
 			Values: strictxml.OneOf("1")}},
 		Children: []element{{
-			Name: "fleet", Doc: "The senders and what they take.", Attrs: []attribute{
-				numberAttribute("senders", "Senders in all regions.", func(t *Target, v float64) { t.Senders = v }),
+			Name: "fleet", Doc: "The senders and their load.", Attrs: []attribute{
+				numberAttribute("senders", "Number of senders in all regions.", func(t *Target, v float64) { t.Senders = v }),
 				numberAttribute("regions", "Regions.", func(t *Target, v float64) { t.Regions = v }),
-				numberAttribute("zones", "Zones of all regions.", func(t *Target, v float64) { t.Zones = v }),
-				numberAttribute("events-per-second", "Events that the fleet takes.",
+				numberAttribute("zones", "Number of zones in all regions together.", func(t *Target, v float64) { t.Zones = v }),
+				numberAttribute("events-per-second", "Events per second that the fleet accepts.",
 					func(t *Target, v float64) { t.EventsPerSecond = v }),
-				numberAttribute("event-bytes", "Bytes of an event's body.",
+				numberAttribute("event-bytes", "Size of an event's body, in bytes.",
 					func(t *Target, v float64) { t.EventBytes = v }),
 			},
 		}, {
-			Name: "destinations", Doc: "Whom events go to.", Attrs: []attribute{
+			Name: "destinations", Doc: "The destinations of events.", Attrs: []attribute{
 				numberAttribute("count", "Destinations.", func(t *Target, v float64) { t.Destinations = v }),
-				numberAttribute("down-percent", "Of these, down at any time.",
+				numberAttribute("down-percent", "Percentage of the destinations that are down at any time.",
 					func(t *Target, v float64) { t.DownPercent = v }),
 			},
 		}, {
-			Name: "backlog", Doc: "What waits at most.", Attrs: []attribute{
-				numberAttribute("events", "Events, in all senders.", func(t *Target, v float64) { t.Backlog = v }),
+			Name: "backlog", Doc: "The largest backlog.", Attrs: []attribute{
+				numberAttribute("events", "Events held by all senders together.", func(t *Target, v float64) { t.Backlog = v }),
 			},
 		}, {
-			Name: "configuration", Doc: "Changes that all senders take.", Attrs: []attribute{
+			Name: "configuration", Doc: "Configuration changes, which apply to all senders.", Attrs: []attribute{
 				numberAttribute("changes-per-day", "Changes.", func(t *Target, v float64) { t.ChangesPerDay = v }),
-				{Name: "in-force-within", Required: true, Doc: "At every sender.",
+				{Name: "in-force-within", Required: true, Doc: "Time within which a change must be in force at every sender.",
 					Values:    strictxml.Duration(time.Second, time.Hour),
 					SetNumber: func(t *Target, v int64) { t.InForceWithin = time.Duration(v) }},
 			},
 		}, {
 			Name: "control-budget", Doc: "What one sender may spend on control, and the machines set aside for it.",
 			Attrs: []attribute{
-				numberAttribute("core-percent", "Of a core.", func(t *Target, v float64) { t.CorePercent = v }),
+				numberAttribute("core-percent", "Processor time, in percent of one core.", func(t *Target, v float64) { t.CorePercent = v }),
 				numberAttribute("memory-mb", "Memory, in 10^6 bytes.", func(t *Target, v float64) { t.MemoryMB = v }),
-				numberAttribute("link-kb-per-second", "On links, in 10^3 bytes.",
+				numberAttribute("link-kb-per-second", "Traffic on links, in 10^3 bytes per second.",
 					func(t *Target, v float64) { t.LinkKBPerSecond = v }),
-				numberAttribute("machines", "Machines for control.",
+				numberAttribute("machines", "Number of machines set aside for control.",
 					func(t *Target, v float64) { t.ControlMachines = v }),
 			},
 		}, {
-			Name: "failures", Doc: "What goes wrong.", Attrs: []attribute{
-				numberAttribute("machines-per-day", "Machines lost.",
+			Name: "failures", Doc: "Failures and restarts.", Attrs: []attribute{
+				numberAttribute("machines-per-day", "Machines lost per day.",
 					func(t *Target, v float64) { t.MachinesLostPerDay = v }),
-				numberAttribute("restarts-per-day", "Processes restarted or replaced.",
+				numberAttribute("restarts-per-day", "Processes restarted or replaced per day.",
 					func(t *Target, v float64) { t.RestartsPerDay = v }),
-				{Name: "ready-within", Required: true, Doc: "Of a restarted process.",
+				{Name: "ready-within", Required: true, Doc: "Time within which a restarted process must be ready.",
 					Values:    strictxml.Duration(time.Second, time.Hour),
 					SetNumber: func(t *Target, v int64) { t.ReadyWithin = time.Duration(v) }},
 			},
