--- a/cmd/sliptide/fleet.go
+++ b/cmd/sliptide/fleet.go
@@ -76,7 +76,8 @@
 	return members
 }
 
-// bind connects the sender to the fleet, with copies and shared trials as enabled. It is called before the sender runs.
+// bind connects the sender to the fleet, and enables copies and shared trials as configured. senders is the number of
+// senders that share the trials. bind must be called before the sender runs.
 func (m *membership) bind(snd *sender.Sender, op *operator.File, senders int) {
 	if m == nil {
 		return
@@ -98,8 +99,9 @@
 	}
 }
 
-// join makes this process the member. It does nothing if this process has joined or left already. The error may be
-// that the state directory belongs to another member; the sender must not use it then.
+// join makes this process the member. It does nothing if this process has joined or left already. A sender whose fleet
+// log cannot be opened joins all the same. If the state directory belongs to another member, join returns an error that
+// wraps disk.ErrForeign, and the sender must not use the directory.
 func (m *membership) join() error {
 	if m == nil {
 		return nil
@@ -169,7 +171,8 @@
 	}
 }
 
-// Request implements sender.Fleet. Before the member has joined, it and the methods below do nothing.
+// Request implements sender.Fleet. Before the member has joined, it and the methods below do nothing and return zero
+// values.
 func (m *membership) Request(duty, zone string) {
 	if f := m.joined(); f != nil {
 		f.Request(duty, zone)
--- a/cmd/sliptide/run.go
+++ b/cmd/sliptide/run.go
@@ -46,8 +46,8 @@
 	configReadTimeout     = 2 * time.Second         // for configuration files that can't be read at the moment
 	reservedFDs           = 32                      // descriptors other than connections of clients and endpoints
 
-	// connsPerCallSlot and maxIdleEndpointConns determine the number of connections to endpoints: several for each concurrent
-	// call, and some idle ones.
+	// connsPerCallSlot and maxIdleEndpointConns determine the number of connections to endpoints: several for each
+	// concurrent call, and some idle ones.
 	connsPerCallSlot     = 4
 	maxIdleEndpointConns = 64
 
@@ -65,7 +65,7 @@
 		return fmt.Errorf("%w: %w", cli.ErrConfig, err)
 	}
 	setRuntimeLimits(cfg.Limits)
-	debug.FreeOSMemory() // garbage of start-up counts where the whole process has 32 MB
+	debug.FreeOSMemory() // returns what parsing the command line has left: a small sender has 32 MB in all
 	log := zerolog.New(os.Stderr).With().Timestamp().Str("sender", cfg.Name).Logger()
 
 	registry := partners.New(time.Now)
@@ -111,13 +111,13 @@
 		return fmt.Errorf("RELAY_LISTEN: %w", err)
 	}
 
-	// The sender and its collaborators refer to each other, so snd is set after the first of them exist.
+	// The sender and the notice queue refer to each other, so snd is declared before both.
 	var snd *sender.Sender
 	notices := discovery.NewNoticeQueue(cfg.DiscoveryAddr, log, func(nums []uint64) { snd.AckNotices(nums) })
 	sockets := cfg.Limits.Sockets - reservedFDs
 	// The remaining descriptors are for clients, many of which may hold an idle connection.
 	maxEndpointConns := min(sockets*2/5, maxIdleEndpointConns+connsPerCallSlot*cfg.Settings.CallSlots)
-	pipe, err := openTelemetry(cfg, op.Telemetry, clock, log)
+	exporter, err := openTelemetry(cfg, op.Telemetry, clock, log)
 	if err != nil {
 		return fmt.Errorf("%w: telemetry: %w", cli.ErrConfig, err)
 	}
@@ -125,7 +125,7 @@
 		Settings: cfg.Settings, Seed: cfg.Seed, MaxConns: maxEndpointConns,
 		Journal: jrnl, Restored: restored, Notify: notices.Post, Knowledge: knowledge.get().Knowledge, Clock: clock, Log: log,
 		Partner: registry.Lookup, HTTP2Streams: partners.StreamsPerConn, StormGuard: newStormGuard(cfg, op.Storms),
-		Recorder: pipe.Records(), LogRecords: op.Log.Records,
+		Recorder: exporter.Records(), LogRecords: op.Log.Records,
 		Disabled: disabledStore.Disabled(), Successor: dirLocks.waiting(),
 	})
 	member, err := newMembership(cfg, op, space, log)
@@ -152,9 +152,9 @@
 			return fmt.Errorf("RELAY_ADMIN: %w", err)
 		}
 		defer adminListener.Close()
-		calls := admin.Handlers{Ready: server.Available, Disable: disabledStore.Disable, Enable: disabledStore.Enable,
+		handlers := admin.Handlers{Ready: server.Available, Disable: disabledStore.Disable, Enable: disabledStore.Enable,
 			Drain: server.Drain, Undrain: server.Undrain}
-		go admin.New(calls, log).Serve(adminListener)
+		go admin.New(handlers, log).Serve(adminListener)
 	}
 	go reload(ctx, hup, log, operatorFile, registry, func(cfg *config.Config, op *operator.File) {
 		source.SetAddr(cfg.DiscoveryAddr)
@@ -193,7 +193,7 @@
 	}
 	fleetLeft := make(chan struct{})
 	handingOver := !dirLocks.waiting() && statedir.SuccessorWaiting(cfg.StateDir)
-	go func() { // releases the fleet's duties at once, while calls of this sender still end
+	go func() { // leaves the fleet while this sender's last calls end, or after them if its journal is copied
 		defer close(fleetLeft)
 		if member.outlivesSender() {
 			<-snd.Done()
@@ -213,8 +213,9 @@
 	<-fleetLeft
 	latest := knowledge.get()
 	latest.close()
-	closeTelemetry(pipe)
-	// Close tries to write only once. After a restart, messages whose last records are missing may have run.
+	closeTelemetry(exporter)
+	// Close tries to write only once, so Flush is retried before it. A message whose last record is missing counts as one
+	// that may have run after the restart.
 	flushed := transient.Retry(journalFlushTimeout, transient.IsDiskError, jrnl.Flush)
 	if err := errors.Join(flushed, jrnl.Close()); err != nil {
 		log.Error().Err(err).Msg("writing the last records of the journal failed")
@@ -235,7 +236,7 @@
 	files := fsys.ForDir(dir)
 	start, anchor, err := timeline.Start(files, reading)
 	if err != nil {
-		log.Warn().Err(err).Msg("the timeline of an earlier run cannot be used")
+		log.Warn().Err(err).Msg("the timeline of an earlier run cannot be used; starting the clock at the wall clock's time")
 	}
 	if anchor == nil {
 		return sender.NewClockAt(start)
@@ -256,9 +257,9 @@
 		jrnl, err := journal.OpenSuccessor(fsys.ForDir(cfg.StateDir), journalAccount)
 		return jrnl, nil, err
 	}
-	m := openKnowledge(cfg, op.Knowledge, space, clock, log)
-	m.account.YieldTo(journalAccount)
-	knowledge.set(m)
+	opened := openKnowledge(cfg, op.Knowledge, space, clock, log)
+	opened.account.YieldTo(journalAccount)
+	knowledge.set(opened)
 	return journal.OpenFS(fsys.ForDir(cfg.StateDir), journalAccount)
 }
 
@@ -282,10 +283,10 @@
 }
 
 // closeTelemetry sends the remaining traces and metrics within telemetryFlushTimeout.
-func closeTelemetry(p *otlp.Exporter) {
+func closeTelemetry(exporter *otlp.Exporter) {
 	ctx, cancel := context.WithTimeout(context.Background(), telemetryFlushTimeout)
 	defer cancel()
-	p.Close(ctx)
+	exporter.Close(ctx)
 }
 
 // newStormGuard returns the storm guard, or nil if it is disabled.
@@ -328,27 +329,27 @@
 	account *statedir.Account
 }
 
-// openKnowledge reads the knowledge of an earlier run. If knowledge is disabled, only the disk space of files left by an
-// earlier run is accounted for.
+// openKnowledge reads the knowledge of an earlier run. If knowledge is disabled, only the disk space of files left by
+// an earlier run is accounted for.
 func openKnowledge(cfg *config.Config, settings operator.Knowledge, space *statedir.Space, clock sender.Clock,
 	log zerolog.Logger) persistentKnowledge {
-	m := persistentKnowledge{account: space.Account()}
+	k := persistentKnowledge{account: space.Account()}
 	files := fsys.ForDir(cfg.StateDir)
 	if !settings.Enabled {
 		var leftoverBytes int64
 		for _, name := range store.FileNames {
 			leftoverBytes += statedir.RoundToBlocks(files.Size(name))
 		}
-		m.account.Reserve(leftoverBytes)
-		m.account.Claim(leftoverBytes)
-		return m
+		k.account.Reserve(leftoverBytes)
+		k.account.Claim(leftoverBytes)
+		return k
 	}
 	if maxBytes := cfg.Limits.DiskBytes / 4; settings.MaxSize > maxBytes { // the journal needs the rest
 		log.Warn().Int64("bytes", maxBytes).Msg("knowledge: max-size is reduced to a quarter of limits.disk_mb")
 		settings.MaxSize = maxBytes
 	}
-	m.account.Reserve(settings.MaxSize)
-	knowledgeStore, facts, problems := store.Open(store.Options{FS: files, Account: m.account, MaxBytes: settings.MaxSize,
+	k.account.Reserve(settings.MaxSize)
+	knowledgeStore, facts, problems := store.Open(store.Options{FS: files, Account: k.account, MaxBytes: settings.MaxSize,
 		Sync: settings.Sync}, cfg.Name)
 	for _, p := range problems {
 		log.Warn().Str("file", p.File).Err(p.Err).Bool("set_aside", p.SetAside).Bool("left_untouched", p.LeftUntouched).
@@ -358,17 +359,17 @@
 		log.Warn().Str("of", facts.Sender).Msg("knowledge: the files belong to another sender")
 	}
 	log.Info().Int("destinations", len(facts.Dests)).Int("waits", len(facts.Waits)).Msg("knowledge of an earlier run loaded")
-	m.Knowledge = sender.Knowledge{Settings: settings, Facts: facts.Clone()}
-	m.Writer = keeper.New(keeper.Options{Settings: settings, Store: knowledgeStore, Facts: facts, Account: m.account,
+	k.Knowledge = sender.Knowledge{Settings: settings, Facts: facts.Clone()}
+	k.Writer = keeper.New(keeper.Options{Settings: settings, Store: knowledgeStore, Facts: facts, Account: k.account,
 		Log: log, Clock: clock.Now, WallClock: clock.Now})
-	return m
+	return k
 }
 
 // close writes the last snapshot within snapshotTimeout.
-func (m *persistentKnowledge) close() {
+func (k *persistentKnowledge) close() {
 	ctx, cancel := context.WithTimeout(context.Background(), snapshotTimeout)
 	defer cancel()
-	m.Writer.Close(ctx)
+	k.Writer.Close(ctx)
 }
 
 // logCertificateWarnings logs certificates that have expired or expire soon.
@@ -413,7 +414,7 @@
 // shutdown refuses new messages, answers the clients that still arrive, lets the calls in progress end, and leaves the
 // remaining messages to the journal. Idle connections are closed at once, while the listener is still open, so that a
 // client whose request crosses the close can send it again on a new connection. The sender runs until no client is
-// served, since it is informed of clients that left before their answer.
+// served, since the server informs it of clients that disconnected before their answer.
 func shutdown(server *intake.Server, snd *sender.Sender, ln net.Listener) {
 	ctx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancel()
@@ -427,7 +428,7 @@
 }
 
 // maxClientConns returns the maximum number of client connections: limited by the available descriptors, and so that
-// their buffers and stacks take at most a third of the memory.
+// their buffers and stacks take at most a third of the memory, but at least 16.
 func maxClientConns(available int, l config.Limits) int {
 	if l.MemoryMB > 0 {
 		available = min(available, int(l.MemoryMB*(1<<20)/3/bytesPerClientConn))
--- a/cmd/sliptide/source.go
+++ b/cmd/sliptide/source.go
@@ -36,7 +36,7 @@
 	if op.Fleet.Shards.Enabled {
 		return newShardSource(cfg, op, snd, log, onList)
 	}
-	following := false // whether lists come from discovery now, not from cfg.Known; an empty one counts too then
+	following := false // whether lists come from discovery, where an empty one counts too, and not from cfg.KnownEndpoints
 	watch := discovery.NewWatch(cfg.DiscoveryAddr, &cfg.Settings, cfg.Seed, log, func(l discovery.List) {
 		snd.UpdateEndpoints(l)
 		if !following && len(l.Endpoints) == 0 {
--- a/cmd/sliptide/upgrade.go
+++ b/cmd/sliptide/upgrade.go
@@ -35,7 +35,8 @@
 	takeOverTimeout = 24 * time.Hour
 )
 
-// stateDirLocks holds this process's lock on the state directory, or the successor's lock beside it.
+// stateDirLocks holds this process's lock on the state directory or, in a waiting successor, the successor's lock
+// beside it.
 type stateDirLocks struct {
 	dir           string
 	mu            sync.Mutex
@@ -68,20 +69,20 @@
 func holderText(listen string) string { return "sender listening on " + listen + "\n" }
 
 // waiting reports whether this process is a successor that has not taken over yet.
-func (p *stateDirLocks) waiting() bool {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.dirLock == nil
+func (l *stateDirLocks) waiting() bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.dirLock == nil
 }
 
-func (p *stateDirLocks) release() {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if p.dirLock != nil {
-		p.dirLock.Unlock()
+func (l *stateDirLocks) release() {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.dirLock != nil {
+		l.dirLock.Unlock()
 	}
-	if p.successorLock != nil {
-		p.successorLock.Unlock()
+	if l.successorLock != nil {
+		l.successorLock.Unlock()
 	}
 }
 
@@ -91,16 +92,16 @@
 	knowledge persistentKnowledge
 }
 
-func (b *knowledgeRef) get() persistentKnowledge {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.knowledge
+func (r *knowledgeRef) get() persistentKnowledge {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.knowledge
 }
 
-func (b *knowledgeRef) set(m persistentKnowledge) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.knowledge = m
+func (r *knowledgeRef) set(knowledge persistentKnowledge) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.knowledge = knowledge
 }
 
 // successor holds what a successor needs to take over.
@@ -119,35 +120,35 @@
 }
 
 // takeOver waits until the old process has released the state directory, then makes this process the active sender.
-func (h *successor) takeOver() {
-	lock, err := statedir.Lock(h.cfg.StateDir, takeOverTimeout)
+func (s *successor) takeOver() {
+	lock, err := statedir.Lock(s.cfg.StateDir, takeOverTimeout)
 	if err != nil {
-		h.log.Error().Err(err).Msg("upgrade: locking the state directory after the old process failed; this process sends nothing")
+		s.log.Error().Err(err).Msg("upgrade: locking the state directory after the old process failed; this process sends nothing")
 		return
 	}
-	knowledge := openKnowledge(h.cfg, h.op.Knowledge, h.space, h.clock, h.log)
-	knowledge.account.YieldTo(h.journalAccount)
+	knowledge := openKnowledge(s.cfg, s.op.Knowledge, s.space, s.clock, s.log)
+	knowledge.account.YieldTo(s.journalAccount)
 	if knowledge.Writer != nil {
 		go knowledge.Writer.Run()
 	}
-	h.knowledge.set(knowledge)
-	disabled, err := h.disabledStore.Reload()
+	s.knowledge.set(knowledge)
+	disabled, err := s.disabledStore.Reload()
 	if err != nil {
-		h.log.Warn().Err(err).Msg("upgrade: reading the endpoints disabled by operators failed")
+		s.log.Warn().Err(err).Msg("upgrade: reading the endpoints disabled by operators failed")
 	}
-	if err := h.sender.TakeOver(knowledge.Knowledge, disabled); err != nil {
-		h.log.Error().Err(err).Msg("upgrade: taking over the old process's journal failed")
+	if err := s.sender.TakeOver(knowledge.Knowledge, disabled); err != nil {
+		s.log.Error().Err(err).Msg("upgrade: taking over the old process's journal failed")
 	}
-	if err := lock.SetHolder(holderText(h.cfg.ListenAddr)); err != nil {
-		h.log.Warn().Err(err).Msg("state directory: writing the lock's holder failed; an upgrade cannot start beside this process")
+	if err := lock.SetHolder(holderText(s.cfg.ListenAddr)); err != nil {
+		s.log.Warn().Err(err).Msg("state directory: writing the lock's holder failed; an upgrade cannot start beside this process")
 	}
-	h.dirLocks.mu.Lock()
-	h.dirLocks.dirLock = lock
-	h.dirLocks.successorLock.Unlock()
-	h.dirLocks.successorLock = nil
-	h.dirLocks.mu.Unlock()
-	if err := h.member.join(); err != nil {
-		h.log.Error().Err(err).Msg("the fleet goes on without this sender")
+	s.dirLocks.mu.Lock()
+	s.dirLocks.dirLock = lock
+	s.dirLocks.successorLock.Unlock()
+	s.dirLocks.successorLock = nil
+	s.dirLocks.mu.Unlock()
+	if err := s.member.join(); err != nil {
+		s.log.Error().Err(err).Msg("upgrade: joining the fleet failed; the fleet goes on without this sender")
 	}
 }
 
--- a/internal/standin/h2partner.go
+++ b/internal/standin/h2partner.go
@@ -1,6 +1,6 @@
 // Package standin provides stand-ins for partners, networks and certificate authorities, for tests and measurements.
-// The partners inject faults as the test requests, and count how often each message takes effect. They share no code
-// with the sender.
+// The partners inject faults as the test requests, and count how often each message takes effect. The sender uses none
+// of them, and they use no package of the sender; both use the frame format of golang.org/x/net/http2.
 package standin
 
 import (
@@ -29,7 +29,7 @@
 
 // Reply is how the partner handles a request.
 type Reply struct {
-	Status    int               // 0: none, but a reset
+	Status    int               // 0: a reset instead of an answer
 	Fields    map[string]string // of the answer
 	Body      string
 	ResetCode http2.ErrCode // of the reset that is sent if Status is 0
@@ -46,7 +46,8 @@
 	Handler func(*Request) Reply
 	// MaxStreams is SETTINGS_MAX_CONCURRENT_STREAMS, InitialWindow is SETTINGS_INITIAL_WINDOW_SIZE. 0: not sent.
 	MaxStreams, InitialWindow uint32
-	// RawHandler, if set, handles connections instead of the partner, after the client's preface and the SETTINGS frame.
+	// RawHandler, if set, handles connections instead of the partner, which has read the client's preface and sent its
+	// SETTINGS frame by then.
 	RawHandler func(nc net.Conn, fr *http2.Framer)
 	// Delay is the time from a request to its answer, unless the reply closes the connection.
 	Delay time.Duration
@@ -91,7 +92,7 @@
 // Close closes the listener and all connections.
 func (p *H2Partner) Close() {
 	p.ln.Close()
-	p.eachConn(func(k *h2Conn) { k.nc.Close() })
+	p.eachConn(func(c *h2Conn) { c.nc.Close() })
 }
 
 // eachConn calls f for every open connection.
@@ -102,8 +103,8 @@
 		conns = append(conns, c)
 	}
 	p.mu.Unlock()
-	for _, k := range conns {
-		f(k)
+	for _, c := range conns {
+		f(c)
 	}
 }
 
@@ -112,15 +113,15 @@
 	p.mu.Lock()
 	p.MaxStreams = limit
 	p.mu.Unlock()
-	p.eachConn(func(k *h2Conn) {
-		k.write(func(fr *http2.Framer) {
+	p.eachConn(func(c *h2Conn) {
+		c.write(func(fr *http2.Framer) {
 			fr.WriteSettings(http2.Setting{ID: http2.SettingMaxConcurrentStreams, Val: limit})
 		})
 	})
 }
 
 // WriteFrames calls f with the framer of every connection.
-func (p *H2Partner) WriteFrames(f func(fr *http2.Framer)) { p.eachConn(func(k *h2Conn) { k.write(f) }) }
+func (p *H2Partner) WriteFrames(f func(fr *http2.Framer)) { p.eachConn(func(c *h2Conn) { c.write(f) }) }
 
 // EffectCount returns how often a message took effect.
 func (p *H2Partner) EffectCount(id string) int {
--- a/internal/standin/process.go
+++ b/internal/standin/process.go
@@ -17,7 +17,7 @@
 	}
 	user, _ := strconv.ParseFloat(f[11], 64)
 	system, _ := strconv.ParseFloat(f[12], 64)
-	return (user + system) / 100
+	return (user + system) / 100 // the kernel counts in ticks of 10 ms
 }
 
 // ResidentMB returns the resident memory of a process, or NaN if there is no such process.
--- a/internal/standin/relay.go
+++ b/internal/standin/relay.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// Relay is a TCP relay that injects faults into one link: it can block either direction, delay data, close or half-close
-// all connections and refuse new ones.
+// Relay is a TCP relay that injects faults into one link: it can block either direction, delay data, close or
+// half-close all connections and refuse new ones.
 type Relay struct {
 	ln     net.Listener
 	target string
@@ -51,7 +51,7 @@
 // Addr returns the address to dial.
 func (r *Relay) Addr() string { return r.ln.Addr().String() }
 
-// Block blocks the data in one direction, or unblocks it. Blocked data is kept.
+// Block blocks the data in one direction, or unblocks it. Blocked data is relayed when the direction is unblocked.
 func (r *Relay) Block(direction int, blocked bool) {
 	r.update(func() { r.blocked[direction] = blocked })
 }
