--- a/cmd/sliptide/admin_test.go
+++ b/cmd/sliptide/admin_test.go
@@ -28,7 +28,8 @@
 	return r, addr
 }
 
-// callAdmin makes one request to the admin address and returns its status and reason.
+// callAdmin makes one request to the admin address and returns the status and body of the answer, which must arrive
+// within a second.
 func callAdmin(t *testing.T, addr, method, path, body string) (int, string) {
 	t.Helper()
 	q, _ := http.NewRequest(method, "http://"+addr+path, strings.NewReader(body))
@@ -86,8 +87,8 @@
 	expectAt("back", "s-0")
 }
 
-// During a drain /up and /ready answer 503, connections are closed after their answer or at once if idle, and messages are
-// still accepted. After an undrain /up and /ready answer 200 again.
+// During a drain /up and /ready answer 503, connections are closed after their answer or at once if idle, and
+// messages are still accepted. After an undrain /up and /ready answer 200 again.
 func TestDrainByOperator(t *testing.T) {
 	r, admin := newAdminRig(t, "one")
 	r.start()
@@ -158,8 +159,8 @@
 	return resp.StatusCode
 }
 
-// On SIGHUP an invalid file changes nothing, not even the address of discovery. A valid one adds a class at once and lowers
-// max_attempts, also for a message whose call is in progress.
+// On SIGHUP an invalid file changes nothing, not even the address of discovery. A valid one adds a class at once and
+// lowers max_attempts, also for a message whose call is in progress.
 func TestConfigurationReload(t *testing.T) {
 	r := newRig(t, nil, "one")
 	settings := r.config["settings"].(map[string]any)
--- a/cmd/sliptide/copies_test.go
+++ b/cmd/sliptide/copies_test.go
@@ -54,7 +54,7 @@
 	n := m.acceptedCalls()
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	for _, e := range m.endings {
+	for _, e := range m.notices {
 		n[e.Message]++
 	}
 	return n
@@ -115,7 +115,6 @@
 	m.rigs[3].awaitLog("messages were taken over while this sender was away")
 	m.setPartnerDown(false)
 	m.awaitFinalAnswers(ids)
-	// It accepts messages again.
 	m.await("it accepts messages again", func() bool {
 		resp, err := m.rigs[3].trySubmit("n3-again-"+fmt.Sprint(time.Now().UnixNano()), 5, 12, "x")
 		if err != nil {
--- a/cmd/sliptide/desync_test.go
+++ b/cmd/sliptide/desync_test.go
@@ -44,8 +44,8 @@
 	}
 }
 
-// callOnReusedConn submits messages one after the other until one is sent on a connection that has carried another call,
-// and returns that call.
+// callOnReusedConn submits messages one after the other until one is sent on a connection that has carried another
+// call, and returns that call.
 func (r *rig) callOnReusedConn(p *standin.RawPartner) *standin.RawCall {
 	r.t.Helper()
 	used := map[int]bool{}
@@ -76,8 +76,8 @@
 	answerLater(again, standin.AnswerOK)
 }
 
-// Guards against a duplicate call: after a repeated answer, a late answer must not be taken for that of the connection's
-// next call.
+// Guards against a duplicate call: after a repeated answer, a late answer must not be taken for that of the
+// connection's next call.
 func TestRepeatedAnswerShiftsLaterAnswers(t *testing.T) {
 	r, p := newRawRig(t)
 	c := r.callOnReusedConn(p)
--- a/cmd/sliptide/fleet_test.go
+++ b/cmd/sliptide/fleet_test.go
@@ -29,13 +29,13 @@
 
 	mu          sync.Mutex
 	partnerDown bool
-	calls       []partnerCall // received by the partner
-	endings     []ending      // notices received from the senders
-	onEnding    func(ending)  // called for each of endings; may be nil
+	calls       []partnerCall     // received by the partner
+	notices     []timedNotice     // received from the senders
+	onNotice    func(timedNotice) // called for each of notices; may be nil
 }
 
-// ending is a notice with its time of arrival.
-type ending struct {
+// timedNotice is a notice with its time of arrival.
+type timedNotice struct {
 	notice
 	at time.Time
 }
@@ -63,7 +63,8 @@
 	return ln.Addr().String()
 }
 
-// newTrialFleet starts three senders that share their trials.
+// newTrialFleet starts three senders that share their trials. bound is the time without a report of a trial after which
+// a sender makes trials itself.
 func newTrialFleet(t *testing.T, bound string) *testFleet {
 	return newTestFleet(t, `<trials enabled="true" bound="`+bound+`"/>`, 3)
 }
@@ -240,12 +241,12 @@
 				case c := <-r.calls:
 					c.respond(200)
 				case n := <-r.notices:
-					e := ending{n, time.Now()}
+					e := timedNotice{n, time.Now()}
 					m.mu.Lock()
-					m.endings = append(m.endings, e)
+					m.notices = append(m.notices, e)
 					m.mu.Unlock()
-					if m.onEnding != nil {
-						m.onEnding(e)
+					if m.onNotice != nil {
+						m.onNotice(e)
 					}
 				}
 			}
@@ -266,8 +267,8 @@
 	m.setPartnerDown(true)
 	m.await("a member holds the trial", func() bool { return m.holder("trial/5") != "" })
 	holder := m.holder("trial/5")
-	// Attempts that were in flight when the duty was assigned end first.
-	time.Sleep(500 * time.Millisecond) // no event marks their end
+	// Attempts that were in flight when the duty was assigned end first. No event marks their end.
+	time.Sleep(500 * time.Millisecond)
 	observedFrom := time.Now()
 	m.await("the holder has tried five times", func() bool { return m.callsBySender(observedFrom)[holder] >= 5 })
 	if n := m.callsBySender(observedFrom); len(n) != 1 {
--- a/cmd/sliptide/h2_test.go
+++ b/cmd/sliptide/h2_test.go
@@ -49,7 +49,7 @@
 	})
 }
 
-// discardWatches discards the recorded discovery calls until stop is closed.
+// discardWatches discards the recorded requests for the endpoint list until stop is closed.
 func (r *rig) discardWatches(stop <-chan struct{}) {
 	for {
 		select {
@@ -399,7 +399,7 @@
 	})
 	stop := make(chan struct{})
 	defer close(stop)
-	go r.discardPlatformCalls(stop)
+	go r.discardNoticesAndWatches(stop)
 	r.awaitAccepted("warm", 0, 5)
 	<-called
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 128}}
--- a/cmd/sliptide/holders_test.go
+++ b/cmd/sliptide/holders_test.go
@@ -118,7 +118,7 @@
 	m := newTestFleet(t, copiesXML, 7)
 	m.awaitReady()
 	owner, lostHolders := -1, []int(nil)
-	for i := 3; i < 7 && owner < 0; i++ { // one with a holder that is no voter: most voters keep their disks
+	for i := 3; i < 7 && owner < 0; i++ { // one with a holder that is no voter, so that a majority of voters keep their disks
 		if list := m.awaitHolders(i); list[0] >= 3 || list[1] >= 3 {
 			owner, lostHolders = i, list
 		}
@@ -155,7 +155,7 @@
 	if err := os.Remove(file); err != nil {
 		t.Fatal(err)
 	}
-	if err := os.Mkdir(file, 0o700); err != nil { // appends to a directory fail, and so do renames onto a full one
+	if err := os.Mkdir(file, 0o700); err != nil { // appends to a directory fail, and so do renames onto one that is not empty
 		t.Fatal(err)
 	}
 	if err := os.Mkdir(filepath.Join(file, "x"), 0o700); err != nil {
--- a/cmd/sliptide/knowledge_test.go
+++ b/cmd/sliptide/knowledge_test.go
@@ -174,8 +174,8 @@
 	}
 }
 
-// With an empty list under the key known and an unresponsive discovery, the sender reports ready only when the patience
-// configured for that has passed.
+// With an empty list under the key known and an unresponsive discovery, the sender reports ready only when the
+// configured patience has passed.
 func TestReadyNeedsAnEndpointList(t *testing.T) {
 	r := newRigWithOperatorFile(t, `<ready patience="1h"/>`, nil)
 	r.kill(syscall.SIGTERM)
@@ -216,7 +216,7 @@
 	r.nextNotice() // the first process still works
 }
 
-// Checks the exit status and output of each command.
+// Guards against a command that exits with the wrong status, or whose output does not say what it did or what failed.
 func TestCommands(t *testing.T) {
 	dir := t.TempDir()
 	bad := filepath.Join(dir, "bad.xml")
@@ -224,7 +224,7 @@
 	for _, row := range []struct {
 		args   string
 		status int
-		says   string
+		want   string
 	}{
 		{"--help", 0, "knowledge verify"},
 		{"knowledge show --help", 0, "--json"},
@@ -247,7 +247,7 @@
 		{"journal verify " + bad, 1, "can't be read"},
 	} {
 		out, errs, status := runCommand(t, strings.Fields(row.args)...)
-		if status != row.status || !strings.Contains(out+errs, row.says) {
+		if status != row.status || !strings.Contains(out+errs, row.want) {
 			t.Errorf("sliptide %s: %d %s%s", row.args, status, out, errs)
 		}
 	}
@@ -278,9 +278,9 @@
 	r.start()
 }
 
-// A process is killed repeatedly while it writes under load. Each time both files must be readable, none may be set aside,
-// and a wait that was requested at least 150 ms before the kill must be known. SLIPTIDE_CRASHES sets the number of kills.
-// Their times come from a seed; what the process does at that time depends on the machine.
+// A process is killed repeatedly while it writes under load. Each time both files must be readable, none may be set
+// aside, and a wait that was requested at least 150 ms before the kill must be known. SLIPTIDE_CRASHES sets the
+// number of kills. Their times come from a seed; what the process does at that time depends on the machine.
 func TestKilledWhileWriting(t *testing.T) {
 	runs := 12
 	if v, err := strconv.Atoi(os.Getenv("SLIPTIDE_CRASHES")); err == nil {
@@ -322,7 +322,7 @@
 			}
 		}
 	}()
-	go r.discardPlatformCalls(stop)
+	go r.discardNoticesAndWatches(stop)
 	var files, aside, waits, missed, snapshots int
 	startedAt := time.Now()
 	for run := range runs {
--- a/cmd/sliptide/losses_test.go
+++ b/cmd/sliptide/losses_test.go
@@ -26,7 +26,7 @@
 	ledger *ledger.Ledger
 
 	mu        sync.Mutex
-	rng       *rand.Rand // of the partner
+	rng       *rand.Rand // draws the partner's faults
 	history   []string   // injected events with their times
 	startedAt time.Time
 	maxBatch  int // most messages in one call
@@ -153,7 +153,7 @@
 			}
 		})
 	}
-	l.onEnding = func(e ending) { l.ledger.NoticeReceived(e.at, e.Message) }
+	l.onNotice = func(e timedNotice) { l.ledger.NoticeReceived(e.at, e.Message) }
 	stop := make(chan struct{})
 	l.consumeReports(stop)
 	l.awaitAccepting()
--- a/cmd/sliptide/main_test.go
+++ b/cmd/sliptide/main_test.go
@@ -21,6 +21,7 @@
 	"time"
 )
 
+// Guards against a body, key or path that is changed on its way, and against a new connection for each call.
 func TestDeliversUnchangedOnKeptConnections(t *testing.T) {
 	r := newRig(t, nil, "one")
 	peers := map[string]bool{}
@@ -63,16 +64,16 @@
 		}, "over"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			r := newRig(t, func(set, _ map[string]any) {
+			r := newRig(t, func(settings, _ map[string]any) {
 				if row.want == "handed_back" {
-					set["limits"].(map[string]any)["max_attempts"] = 1
+					settings["limits"].(map[string]any)["max_attempts"] = 1
 				}
 			}, "one", "one")
-			left := 1.5
+			expiresIn := 1.5
 			if row.want == "again" {
-				left = 15
+				expiresIn = 15
 			}
-			r.mustSubmit("m", 0, left, "body")
+			r.mustSubmit("m", 0, expiresIn, "body")
 			row.answer(r.expectCallFor("m"))
 			switch row.want {
 			case "again":
@@ -95,7 +96,7 @@
 // Messages that are queued for one endpoint share a call; each has its own outcome, and a Retry-After of the common
 // answer is honoured.
 func TestBulkCalls(t *testing.T) {
-	r := newRig(t, func(set, _ map[string]any) { set["family_info"].(map[string]any)["call_slots"] = 1 }, "bulk")
+	r := newRig(t, func(settings, _ map[string]any) { settings["family_info"].(map[string]any)["call_slots"] = 1 }, "bulk")
 	r.mustSubmit("first", 0, 10, "")
 	first := r.expectCallFor("first")
 	for _, id := range []string{"a", "b", "c", "d"} {
@@ -142,7 +143,7 @@
 
 // A message ends at its deadline even if the bulk call that it shares continues.
 func TestMessageExpiresDuringBulkCall(t *testing.T) {
-	r := newRig(t, func(set, _ map[string]any) { set["family_info"].(map[string]any)["call_slots"] = 1 }, "bulk")
+	r := newRig(t, func(settings, _ map[string]any) { settings["family_info"].(map[string]any)["call_slots"] = 1 }, "bulk")
 	r.mustSubmit("first", 0, 10, "")
 	first := r.expectCallFor("first")
 	r.mustSubmit("long", 0, 20, "")
@@ -157,8 +158,8 @@
 	}
 }
 
-// Accepted messages survive a SIGKILL: queued ones are sent, ones in a call are sent again, ended ones are not, and ones
-// that expired meanwhile are abandoned. A truncated record at the end of the journal is ignored.
+// Accepted messages survive a SIGKILL: queued ones are sent, ones in a call are sent again, ended ones are not, and
+// ones that expired meanwhile are abandoned. A truncated record at the end of the journal is ignored.
 func TestMessagesSurviveKill(t *testing.T) {
 	r := newRig(t, nil, "one", "one")
 	r.mustSubmit("done", 0, 15, "")
@@ -195,7 +196,7 @@
 
 // An attempt that a SIGKILL interrupted counts towards max_attempts after the restart.
 func TestAttemptsAreCountedAcrossKill(t *testing.T) {
-	r := newRig(t, func(set, _ map[string]any) { set["limits"].(map[string]any)["max_attempts"] = 1 }, "one")
+	r := newRig(t, func(settings, _ map[string]any) { settings["limits"].(map[string]any)["max_attempts"] = 1 }, "one")
 	r.mustSubmit("m", 0, 15, "")
 	r.expectCallFor("m")
 	r.kill(syscall.SIGKILL)
@@ -206,8 +207,8 @@
 	r.expectNoCall()
 }
 
-// On SIGTERM the sender answers clients that still arrive, lets its call end and exits in time. Messages that it accepts
-// before it handles the signal are delivered.
+// On SIGTERM the sender answers clients that still arrive, lets its call end and exits in time. Messages that it
+// accepts before it handles the signal are delivered.
 func TestGracefulStop(t *testing.T) {
 	const exitLimit = 3500 * time.Millisecond // from the signal to the exit
 	r := newRig(t, nil, "one")
@@ -239,8 +240,8 @@
 	r.expectCallFor("held").respond(200)
 }
 
-// Clients submit messages while the sender is killed and stopped in turn: every message that was answered 202 is delivered
-// or ends with a notice.
+// Clients submit messages while the sender is killed and stopped in turn: every message that was answered 202 is
+// delivered or ends with a notice.
 func TestNothingIsLostOverRestarts(t *testing.T) {
 	r := newRig(t, nil, "one", "bulk", "one")
 	var mu sync.Mutex
@@ -335,8 +336,10 @@
 	}
 }
 
+// Guards against more held messages than most_held: a further one is refused with Retry-After, or takes the place of a
+// message that is returned.
 func TestRefusesAboveCapacity(t *testing.T) {
-	r := newRig(t, func(set, _ map[string]any) { set["limits"].(map[string]any)["most_held"] = 2 })
+	r := newRig(t, func(settings, _ map[string]any) { settings["limits"].(map[string]any)["most_held"] = 2 })
 	r.mustSubmit("a", 0, 15, "")
 	r.mustSubmit("b", 0, 15, "")
 	resp := r.submit("c", 0, 15, "")
@@ -387,6 +390,8 @@
 	}
 }
 
+// Guards against malformed or incomplete requests that are accepted, answered with the wrong status or stop the sender
+// from serving others.
 func TestBadInput(t *testing.T) {
 	r := newRig(t, nil, "one")
 	head := "POST /api HTTP/1.1\r\nX-Trace-Id: x\r\nX-Qos: note\r\nX-Customer: acme\r\nIdempotency-Key: k\r\nX-Expires-In: 5\r\nX-Route-To: dest=0\r\n"
@@ -425,8 +430,8 @@
 	r.expectCallFor("fine").respond(200)
 }
 
-// A request with the ID of an accepted message is refused, and a disconnect of its client does not withdraw that message,
-// neither while it is held nor after it has ended.
+// A request with the ID of an accepted message is refused, and a disconnect of its client does not withdraw that
+// message, neither while it is held nor after it has ended.
 func TestDuplicateMessageID(t *testing.T) {
 	r := newRig(t, nil)
 	r.mustSubmit("m", 0, 15, "its own body")
@@ -456,11 +461,11 @@
 	r.expectNoCall()
 }
 
-// Many clients that send one request or an incomplete one, keep their connections open and reconnect when they are closed
-// must not keep another client from being answered in time.
+// Many clients that send one request or an incomplete one, keep their connections open and reconnect when they are
+// closed must not keep another client from being answered in time.
 func TestManyClientsKeepNoOtherOut(t *testing.T) {
-	for name, says := range map[string]string{"once": "GET /up HTTP/1.1\r\n\r\n", "half": "GET /up HTTP/1.1\r\n"} {
-		t.Run(name, func(t *testing.T) { testManyClients(t, says) })
+	for name, request := range map[string]string{"once": "GET /up HTTP/1.1\r\n\r\n", "half": "GET /up HTTP/1.1\r\n"} {
+		t.Run(name, func(t *testing.T) { testManyClients(t, request) })
 	}
 }
 
@@ -490,7 +495,7 @@
 			}
 		}()
 	}
-	for range 200 { // several times the number of connections
+	for range 200 { // several times as many as the sender admits connections
 		receive(t, requestSent, "a request of the many clients")
 	}
 	client := http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
@@ -523,7 +528,7 @@
 		return nc
 	}
 	early := []net.Conn{dial(), dial(), dial()}
-	for range 30 { // more than the number of connections
+	for range 30 { // more than the sender admits connections
 		ask(dial())
 	}
 	for i, nc := range early {
@@ -563,8 +568,8 @@
 	}
 }
 
-// The endpoint list is followed by watches that are renewed in time, also after a watch without an answer, and a message
-// goes only to endpoints that are listed as up.
+// The endpoint list is followed by watches that are renewed in time, also after a watch without an answer, and a
+// message goes only to endpoints that are listed as up.
 func TestFollowsTheList(t *testing.T) {
 	r := newRig(t, nil, "one")
 	receive(t, r.watches, "a request for the list")
@@ -594,8 +599,8 @@
 	}
 }
 
-// On SIGHUP the configuration is read again: lists come from the new discovery agent and notices go to it, even though the
-// old one still answers. An invalid file changes nothing.
+// On SIGHUP the configuration is read again: lists come from the new discovery agent and notices go to it, even
+// though the old one still answers. An invalid file changes nothing.
 func TestDiscoveryMoves(t *testing.T) {
 	r := newRig(t, nil)
 	if err := os.WriteFile(r.configPath, []byte("{"), 0o600); err != nil {
@@ -633,7 +638,7 @@
 	r.updateList(func() {
 		r.endpoints = []endpoint{{ID: "deaf", Addr: unresponsive, Zone: "a", Kind: "one", Cell: 0, State: "up"}}
 	})
-	dials := func() int { return strings.Count(procNetTCP(t), hexPort(unresponsive)+" 02") } // in SYN_SENT
+	dials := func() int { return strings.Count(procNetTCP(t), procNetAddr(unresponsive)+" 02") } // in SYN_SENT
 	before := dials()
 	r.mustSubmit("m", 0, 15, "")
 	for dials() == before {
@@ -651,7 +656,8 @@
 	closeListener()
 }
 
-// newFullBacklogListener returns the address of a listener that accepts no connection since its backlog is full.
+// newFullBacklogListener returns the address of a listener whose backlog is full: a dial gets no answer until closeAll
+// is called.
 func newFullBacklogListener(t *testing.T) (addr string, closeAll func()) {
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
 	if err != nil {
@@ -690,12 +696,15 @@
 	return string(text)
 }
 
-func hexPort(addr string) string {
+// procNetAddr returns a loopback address as /proc/net/tcp writes it.
+func procNetAddr(addr string) string {
 	var port int
 	fmt.Sscanf(addr, "127.0.0.1:%d", &port)
 	return fmt.Sprintf("0100007F:%04X", port)
 }
 
+// Guards against a start that goes on with a configuration, state directory or address that cannot be used, or fails
+// without saying so in one line that begins with the program's name.
 func TestInvalidStart(t *testing.T) {
 	t.Parallel()
 	dir := t.TempDir()
--- a/cmd/sliptide/measure_test.go
+++ b/cmd/sliptide/measure_test.go
@@ -27,16 +27,16 @@
 	}
 }
 
-// limitedPartner accepts a limited number of calls in each second. It refuses others and requests a wait until the end of
-// the second, or until it reopens while it is down. After an outage its capacity rises from a quarter to all of its limit
-// over warmUp.
+// limitedPartner accepts a limited number of calls in each second. It refuses others and requests a wait until the
+// end of the second, or until it reopens while it is down. After an outage its capacity rises from a quarter to all
+// of its limit over warmUp.
 type limitedPartner struct {
 	mu               sync.Mutex
 	limit            float64
-	reopensAt        time.Time // the partner is down until then
-	failsWhileDown   bool      // answers 500 while down; otherwise requests a wait
-	warmUp           time.Duration
-	second           int64
+	reopensAt        time.Time     // the partner is down until then
+	failsWhileDown   bool          // answers 500 while down; otherwise requests a wait
+	warmUp           time.Duration // 0: none; a partner with a warm-up accepts calls over its limit, too
+	second           int64         // Unix time that acceptedInSecond counts
 	acceptedInSecond int
 	waitUntil        time.Time // end of the wait that was requested last
 	calls            []time.Time
@@ -111,8 +111,8 @@
 	}
 }
 
-// discardPlatformCalls receives and discards notices and watches until stop is closed.
-func (r *rig) discardPlatformCalls(stop <-chan struct{}) {
+// discardNoticesAndWatches receives and discards notices and watches until stop is closed.
+func (r *rig) discardNoticesAndWatches(stop <-chan struct{}) {
 	for {
 		select {
 		case <-r.notices:
@@ -123,8 +123,8 @@
 	}
 }
 
-// Measures, for the first 5 s after a SIGKILL and restart, the calls that partners refuse and the calls during a requested
-// wait, and for 3 s how far the load on a partner that is warming up exceeds its capacity.
+// Measures, for the first 5 s after a SIGKILL and restart, the calls that partners refuse and the calls during a
+// requested wait, and for 3 s how far the load on a partner that is warming up exceeds its capacity.
 func TestMeasureRestart(t *testing.T) {
 	skipUnlessMeasuring(t)
 	type result struct{ calls, refused, duringWait, whileWarming, warmingCapacity float64 }
@@ -134,9 +134,9 @@
 		for seed := range uint64(3) {
 			for name, operatorXML := range map[string]string{"off": "", "on": strings.Replace(knowledgeXML, "100ms", "1s", 1)} {
 				t.Run(fmt.Sprint(name, seed), func(t *testing.T) {
-					r := newRigWithOperatorFile(t, operatorXML, func(set, limits map[string]any) {
-						set["limits"].(map[string]any)["most_held"] = 400
-						set["family_info"].(map[string]any)["call_slots"] = 16
+					r := newRigWithOperatorFile(t, operatorXML, func(settings, limits map[string]any) {
+						settings["limits"].(map[string]any)["most_held"] = 400
+						settings["family_info"].(map[string]any)["call_slots"] = 16
 					})
 					var partners []*limitedPartner
 					r.updateList(func() {
@@ -149,7 +149,7 @@
 					})
 					stop := make(chan struct{})
 					defer close(stop)
-					go r.discardPlatformCalls(stop)
+					go r.discardNoticesAndWatches(stop)
 					go r.generateLoad(38, 5, seed, stop)
 					time.Sleep(5 * time.Second)
 					outageStart := time.Now()
@@ -207,11 +207,11 @@
 	rssAt []float64 // resident MB, every ten seconds
 }
 
-// measureLoad loads a sender at a rate per second over 20 partners that each take service for a call. Since a rig's test
-// is parallel, result is complete only when the test t, which must be a group of its own, has ended.
+// measureLoad loads a sender for length, at a rate per second, over 20 partners that each take callDuration for a call.
+// Since a rig's test is parallel, result is complete only when the test t, which must be a group of its own, has ended.
 func measureLoad(t *testing.T, operatorXML string, rate float64, callDuration, length time.Duration, seed uint64, result *loadResult) {
 	t.Run("run", func(t *testing.T) {
-		r := newRigWithOperatorFile(t, operatorXML, func(set, limits map[string]any) { set["limits"].(map[string]any)["most_held"] = 400 })
+		r := newRigWithOperatorFile(t, operatorXML, func(settings, limits map[string]any) { settings["limits"].(map[string]any)["most_held"] = 400 })
 		var mu sync.Mutex
 		submittedAt := map[string]time.Time{}
 		var intake, delivery []float64
@@ -230,7 +230,7 @@
 		})
 		stop := make(chan struct{})
 		defer close(stop)
-		go r.discardPlatformCalls(stop)
+		go r.discardNoticesAndWatches(stop)
 		var wg sync.WaitGroup
 		client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64}}
 		rng := rand.New(rand.NewPCG(seed, 3))
@@ -296,8 +296,9 @@
 	}
 }
 
-// Measures the cost of telemetry at 80% of full load, which is what 20 slots allow with calls of 50 ms. Telemetry is off,
-// or on with all traces kept and a collector that is healthy, absent or a black hole (it never answers), in turns.
+// Measures the cost of telemetry at 80% of full load, which is what 20 slots allow with calls of 50 ms. Telemetry is
+// off, or on with all traces kept and a collector that is healthy, absent or a black hole (it never answers), in
+// turns.
 func TestMeasureTelemetry(t *testing.T) {
 	skipUnlessMeasuring(t)
 	const rounds = 5
@@ -338,8 +339,8 @@
 	}
 }
 
-// Measures the memory of a sender whose collector is a black hole, for three minutes at 80% of full load: with telemetry
-// off and over each protocol, side by side.
+// Measures the memory of a sender whose collector is a black hole, for three minutes at 80% of full load: with
+// telemetry off and over each protocol, side by side.
 func TestMeasureTelemetryMemory(t *testing.T) {
 	skipUnlessMeasuring(t)
 	modes := []string{"off", "HTTP", "gRPC"}
--- a/cmd/sliptide/restart_test.go
+++ b/cmd/sliptide/restart_test.go
@@ -15,8 +15,8 @@
 // readyTimeout is the time within which nine in ten restarts have to be ready.
 const readyTimeout = 10 * time.Second
 
-// With a journal that fills the state directory and an unresponsive discovery, a restarted sender is ready in time, attempts
-// the accepted messages and serves new ones.
+// With a journal that fills the state directory and an unresponsive discovery, a restarted sender is ready in time,
+// attempts the accepted messages and serves new ones.
 func TestReadyWithAFullJournalAndNoDiscovery(t *testing.T) {
 	t.Parallel()
 	const diskMB = 3
--- a/cmd/sliptide/rig_test.go
+++ b/cmd/sliptide/rig_test.go
@@ -148,6 +148,8 @@
 
 var rigCount atomic.Int32
 
+// newRig starts a sender with its discovery agent and endpoints, and marks the test as parallel. change adapts the
+// configuration. Destination i has one endpoint, of the i-th of kinds.
 func newRig(t *testing.T, change func(settings, limits map[string]any), kinds ...string) *rig {
 	t.Helper()
 	return newRigWithOperatorFile(t, "", change, kinds...)
@@ -392,20 +394,20 @@
 	}
 }
 
-// submit submits a message and returns the answer.
-func (r *rig) submit(id string, dest int, left float64, body string) *http.Response {
+// submit submits a message that expires in expiresIn seconds, and returns the answer.
+func (r *rig) submit(id string, dest int, expiresIn float64, body string) *http.Response {
 	r.t.Helper()
-	resp, err := r.trySubmit(id, dest, left, body)
+	resp, err := r.trySubmit(id, dest, expiresIn, body)
 	if err != nil {
 		r.t.Fatalf("message %s: %v", id, err)
 	}
 	return resp
 }
 
-func (r *rig) trySubmit(id string, dest int, left float64, body string) (*http.Response, error) {
+func (r *rig) trySubmit(id string, dest int, expiresIn float64, body string) (*http.Response, error) {
 	q, _ := http.NewRequest("POST", "http://"+r.addr+"/api", strings.NewReader(body))
 	for k, v := range map[string]string{"X-Trace-Id": id, "X-Qos": "note", "X-Customer": "acme", "Idempotency-Key": "key-" + id,
-		"X-Expires-In": strconv.FormatFloat(left, 'f', 3, 64), "X-Route-To": fmt.Sprintf("dest=%d", dest)} {
+		"X-Expires-In": strconv.FormatFloat(expiresIn, 'f', 3, 64), "X-Route-To": fmt.Sprintf("dest=%d", dest)} {
 		q.Header.Set(k, v)
 	}
 	resp, err := http.DefaultClient.Do(q)
@@ -418,9 +420,9 @@
 }
 
 // mustSubmit submits a message that must be accepted.
-func (r *rig) mustSubmit(id string, dest int, left float64, body string) {
+func (r *rig) mustSubmit(id string, dest int, expiresIn float64, body string) {
 	r.t.Helper()
-	if resp := r.submit(id, dest, left, body); resp.StatusCode != 202 {
+	if resp := r.submit(id, dest, expiresIn, body); resp.StatusCode != 202 {
 		r.t.Fatalf("message %s: %s", id, resp.Status)
 	}
 }
--- a/cmd/sliptide/shards_test.go
+++ b/cmd/sliptide/shards_test.go
@@ -320,8 +320,8 @@
 }
 
 // TestSenderStoppedPastSubscription stops a sender for longer than its subscription lasts, and resumes it: the others
-// serve its destinations meanwhile, and it accepts no messages by its outdated table once it has the new one. No timer
-// of its own shows it that it was stopped, as its process did not run.
+// serve its destinations meanwhile, and it accepts no messages by its outdated table once it has the new one. Its own
+// timers cannot show it that it was stopped, since its process did not run.
 func TestSenderStoppedPastSubscription(t *testing.T) {
 	const destinations, replicas = 12, 2
 	s := newShardedFleet(t, 3, destinations, replicas)
--- a/cmd/sliptide/soak_judge_test.go
+++ b/cmd/sliptide/soak_judge_test.go
@@ -21,7 +21,7 @@
 	deadline time.Time
 	accepted bool      // the client received 202
 	refused  bool      // the client received 429 or 503
-	attempt  *soakCall // in flight
+	attempt  *soakCall // in flight; nil: none
 	effects  int
 	endedAt  time.Time // the first delivery or notice
 	notices  int
@@ -34,7 +34,8 @@
 	once sync.Once
 }
 
-// outage is a span in which a sender was unavailable. It ends when late messages count again; a zero end means not yet.
+// outage is a span in which a sender was unavailable. It ends restartSlack after the sender is ready, when late
+// messages count again; it has not ended yet if to is zero.
 type outage struct{ from, to time.Time }
 
 // soak is the state of one run: what clients, endpoints and the discovery agent observed, and the violations found.
--- a/cmd/sliptide/soak_partner_test.go
+++ b/cmd/sliptide/soak_partner_test.go
@@ -50,20 +50,20 @@
 }
 
 // hasEffect reports whether the message takes effect.
-func (a soakBehaviour) hasEffect() bool {
-	return a != respondUnavailable && a != respondRetryAfter && a != closeBeforeEffect
+func (b soakBehaviour) hasEffect() bool {
+	return b != respondUnavailable && b != respondRetryAfter && b != closeBeforeEffect
 }
 
 // accepts reports whether the sender receives at least the status line of a 200.
-func (a soakBehaviour) accepts() bool {
-	return a == respondOK || a == respondTwice || a == respondWithTrailingBytes || a == respondPartially
+func (b soakBehaviour) accepts() bool {
+	return b == respondOK || b == respondTwice || b == respondWithTrailingBytes || b == respondPartially
 }
 
 func (m soakMix) draw(rng *rand.Rand) soakBehaviour {
 	n := rng.IntN(100)
-	for act := respondOK; act <= respondPartially; act++ {
-		if n -= m[act]; n < 0 {
-			return act
+	for behaviour := respondOK; behaviour <= respondPartially; behaviour++ {
+		if n -= m[behaviour]; n < 0 {
+			return behaviour
 		}
 	}
 	return respondOK
--- a/cmd/sliptide/soak_test.go
+++ b/cmd/sliptide/soak_test.go
@@ -123,7 +123,7 @@
 	return n
 }
 
-// consumeReports records the sender's notices and discards its discovery calls until done is closed.
+// consumeReports records the sender's notices and discards its requests for the endpoint list until done is closed.
 func (n *soakNode) consumeReports(done <-chan struct{}) {
 	for {
 		select {
@@ -332,7 +332,7 @@
 	if err != nil {
 		c.close()
 		if errors.Is(err, os.ErrDeadlineExceeded) {
-			return 0, err // the client gives up: the message was not accepted
+			return 0, err // the client gives up; it has received no 202
 		}
 		return 0, errUnanswered
 	}
--- a/cmd/sliptide/storm_test.go
+++ b/cmd/sliptide/storm_test.go
@@ -252,12 +252,12 @@
 
 // submitNew submits a new message.
 func (c *stormClients) submitNew(key string) {
-	_, deaf := c.draw()
+	_, ignoresRetryAfter := c.draw()
 	c.submitted.Add(1)
 	c.wg.Add(1)
 	go func() {
 		defer c.wg.Done()
-		c.submit(&clientMessage{key: key, deadline: time.Now().Add(20 * time.Second), ignoresRetryAfter: deaf})
+		c.submit(&clientMessage{key: key, deadline: time.Now().Add(20 * time.Second), ignoresRetryAfter: ignoresRetryAfter})
 	}()
 }
 
@@ -357,7 +357,7 @@
 			s := runStorm(t, stormsXML, 1, 3, sc)
 			t.Logf("calls %v connections %v answered %v", s.calls, s.dials, s.answered)
 			// "make storms" holds each second to the limit. Here, one second may exceed it by a quarter: a short stall
-			// of the machine makes calls of two seconds arrive in one. Without storm control, 59 to 86 arrive in a second.
+			// of the machine makes calls of two seconds arrive in one. Without the storm guard, 59 to 86 arrive in a second.
 			total, secondsOver := 0, 0
 			for i, n := range s.calls {
 				total += n
@@ -422,8 +422,8 @@
 	}
 }
 
-// TestMeasureStorms prints a table of the calls that the partner receives after an outage, without and with storm
-// control.
+// TestMeasureStorms prints a table of the calls that the partner receives after an outage, without and with the storm
+// guard.
 func TestMeasureStorms(t *testing.T) {
 	skipUnlessMeasuring(t)
 	seeds, _ := strconv.Atoi(os.Getenv("SLIPTIDE_SEEDS"))
@@ -479,7 +479,7 @@
 			}
 		}
 	}
-	fmt.Fprintf(&b, "seconds over the limit %d of %d, runs with one %d; second tries %d, refusals %d, handed in %d, delivered %d (%.3f)",
+	fmt.Fprintf(&b, "seconds over the limit %d of %d, runs with such a second %d; resubmissions %d, refusals %d, submitted %d, delivered %d (%.3f)",
 		secondsOver, len(results)*stormObservedSeconds, runsOver, retries, refusals, submitted, delivered, float64(delivered)/float64(max(submitted, 1)))
 	return b.String()
 }
--- a/cmd/sliptide/takeover_test.go
+++ b/cmd/sliptide/takeover_test.go
@@ -24,8 +24,8 @@
 	shiftedBuilds   = map[time.Duration]string{}
 )
 
-// diskFailSuffix, appended to a rig's state directory, names a marker file. While it exists, disk operations of a program
-// built by buildWithClockShift fail.
+// diskFailSuffix, appended to a rig's state directory, names a marker file. While it exists, disk operations of a
+// program built by buildWithClockShift fail.
 const diskFailSuffix = ".fails"
 
 // buildWithClockShift returns the path of a program whose wall clock is off by the given duration. Each is built once.
@@ -45,12 +45,13 @@
 	return path
 }
 
-// submitHeld submits n messages to sender i, which must accept them, and returns their IDs.
-func (m *testFleet) submitHeld(i, n int, left float64) (ids []string) {
+// submitHeld submits n messages that expire in expiresIn seconds to sender i, which must accept them, and returns their
+// IDs.
+func (m *testFleet) submitHeld(i, n int, expiresIn float64) (ids []string) {
 	m.t.Helper()
 	for k := range n {
 		id := fmt.Sprintf("n%d-held-%d", i, k)
-		m.rigs[i].mustSubmit(id, 5, left, "two guests, one night")
+		m.rigs[i].mustSubmit(id, 5, expiresIn, "two guests, one night")
 		ids = append(ids, id)
 	}
 	return ids
@@ -81,8 +82,8 @@
 }
 
 // TestSuccessorWallClockIsOff guards against deadlines that depend on the wall clocks of different machines. The
-// successors' wall clocks are an hour ahead of the lost owner's, or behind it. Messages in time must be delivered, and
-// the others must end at their deadlines.
+// successors' wall clocks are an hour ahead of the lost owner's, or an hour behind it. Messages whose deadlines have
+// not passed must be delivered, and the others must end at their deadlines.
 func TestSuccessorWallClockIsOff(t *testing.T) {
 	for _, by := range []time.Duration{time.Hour, -time.Hour} {
 		t.Run(by.String(), func(t *testing.T) {
@@ -104,7 +105,7 @@
 			ids := m.submitHeld(0, 6, 15) // the 202 of the last one may be in flight when the machine is lost
 			m.killAndWipe(0)
 			m.awaitFinalAnswers(short)
-			m.forEachNotice(func(e ending) {
+			m.forEachNotice(func(e timedNotice) {
 				if strings.HasPrefix(e.Message, "n0-short") && (e.at.Sub(from) < 3*time.Second || e.at.Sub(from) > 4*time.Second+ledger.LateSlack+time.Second) {
 					t.Errorf("%s: %s after %v, its deadline was 4 s", e.Message, e.Outcome, e.at.Sub(from))
 				}
@@ -124,16 +125,16 @@
 }
 
 // forEachNotice calls look with each notice that the discovery agents have received.
-func (m *testFleet) forEachNotice(look func(ending)) {
+func (m *testFleet) forEachNotice(look func(timedNotice)) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	for _, e := range m.endings {
+	for _, e := range m.notices {
 		look(e)
 	}
 }
 
-// resubmit submits a message again, marked as a resubmission, to sender i after its first sender was lost. It returns the
-// status, or 0 on a connection error.
+// resubmit submits a message again, marked as a resubmission, to sender i after its first sender was lost. It returns
+// the status, or 0 on a connection error.
 func (m *testFleet) resubmit(i int, id, key, class string) int {
 	q, _ := http.NewRequest("POST", "http://"+m.rigs[i].addr+"/api", strings.NewReader("two guests, one night"))
 	for k, v := range map[string]string{"X-Trace-Id": id, "X-Qos": class, "X-Customer": "acme", "Idempotency-Key": key,
@@ -160,8 +161,9 @@
 	return n
 }
 
-// TestResubmissionElsewhere guards against a message that takes effect twice: its sender is lost, and the client resubmits
-// it to another sender before or after a successor has taken the copy over. Only one of the two may deliver it.
+// TestResubmissionElsewhere guards against a message that takes effect twice: its sender is lost, and the client
+// resubmits it to another sender before or after a successor has taken the copy over. Only one of the two may deliver
+// it.
 func TestResubmissionElsewhere(t *testing.T) {
 	for _, after := range []bool{false, true} {
 		t.Run(fmt.Sprintf("after the takeover %v", after), func(t *testing.T) {
@@ -218,7 +220,7 @@
 
 func testWaitsGoWithCopies(t *testing.T, killed bool) {
 	const wait = 7 * time.Second
-	var waits atomic.Int64 // end of the requested wait, in Unix nanoseconds
+	var waitEnd atomic.Int64 // end of the requested wait, in Unix nanoseconds
 	var callsDuringWait, callsAfterWait, callsToDisabled atomic.Int32
 	admin := reserveAddr(t)
 	m := newTestFleetWith(t, copiesXML, 4, func(_ *testFleet, i int, r *rig) {
@@ -229,8 +231,8 @@
 			if q.Header.Get("X-Trace-Id") == "" {
 				return
 			}
-			if until := waits.Load(); until == 0 {
-				waits.Store(time.Now().Add(wait).UnixNano())
+			if until := waitEnd.Load(); until == 0 {
+				waitEnd.Store(time.Now().Add(wait).UnixNano())
 				w.Header().Set("Retry-After", fmt.Sprint(wait.Seconds()))
 				w.WriteHeader(429)
 			} else if time.Now().UnixNano() < until {
@@ -250,7 +252,7 @@
 		t.Fatalf("disable: %d %s", status, text)
 	}
 	m.rigs[0].mustSubmit("n0-6-0", 6, 18, "x")
-	m.await("the partner has requested a wait", func() bool { return waits.Load() != 0 })
+	m.await("the partner has requested a wait", func() bool { return waitEnd.Load() != 0 })
 	for k := range 4 {
 		m.rigs[0].mustSubmit(fmt.Sprintf("n0-6-%d", k+1), 6, 18, "x")
 	}
@@ -267,20 +269,20 @@
 		r.launch()
 		r.awaitLog(`"held":true`)
 	}
-	if left := time.Until(time.Unix(0, waits.Load())); left < time.Second {
+	if left := time.Until(time.Unix(0, waitEnd.Load())); left < time.Second {
 		t.Fatalf("the takeover took too long for this test: %v of the wait are left", left)
 	}
-	m.await("the wait is over", func() bool { return time.Now().UnixNano() > waits.Load() })
+	m.await("the wait is over", func() bool { return time.Now().UnixNano() > waitEnd.Load() })
 	m.await("the successor calls the endpoint that is not disabled", func() bool { return callsAfterWait.Load() > 0 })
 	if callsDuringWait.Load() > 0 || callsToDisabled.Load() > 0 && !killed { // a restarted successor does not know of the disabled endpoint
 		t.Errorf("%d calls during the wait, %d to the disabled endpoint", callsDuringWait.Load(), callsToDisabled.Load())
 	}
 }
 
-// TestOwnerAndSuccessorPartitioned guards against two concurrent attempts, or two final answers, for one message: a sender
-// is cut off from all other members, but not from its clients and the partner. After its lease has expired it must
-// accept no message and make no call, while a successor delivers its messages. When the links work again, it must drop
-// exactly these messages and accept new ones.
+// TestOwnerAndSuccessorPartitioned guards against two concurrent attempts, or two final answers, for one message: a
+// sender is cut off from all other members, but not from its clients and the partner. After its lease has expired it
+// must accept no message and make no call, while a successor delivers its messages. When the links work again, it
+// must drop exactly these messages and accept new ones.
 func TestOwnerAndSuccessorPartitioned(t *testing.T) {
 	m := newTestFleetWith(t, copiesXML, 4, (*testFleet).connectByRelays)
 	m.awaitReady()
--- a/cmd/sliptide/telemetry_test.go
+++ b/cmd/sliptide/telemetry_test.go
@@ -14,8 +14,8 @@
 	"sliptide/internal/lab/collector"
 )
 
-// startCollector starts a stand-in collector, over gRPC or HTTP, and returns it with the telemetry element of an operators'
-// file that exports to it.
+// startCollector starts a stand-in collector, over gRPC or HTTP, and returns it with the telemetry element of an
+// operators' file that exports to it.
 func startCollector(t *testing.T, overGRPC bool) (*collector.Collector, string) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -51,6 +51,7 @@
 	}
 }
 
+// attribute returns the value of a span's string attribute, or the empty string.
 func attribute(s *trace.Span, key string) string {
 	for _, a := range s.Attributes {
 		if a.Key == key {
@@ -86,7 +87,7 @@
 			r.kill(syscall.SIGKILL)
 			r.start()
 			repeat := r.nextCall()
-			for ; repeat.id() != "known"; repeat = r.nextCall() { // repeated since it was delivered just before the SIGKILL and not journalled yet
+			for ; repeat.id() != "known"; repeat = r.nextCall() { // its delivery was not journalled before the SIGKILL
 				repeat.respond(200)
 			}
 			repeat.respond(200)
--- a/cmd/sliptide/upgrade_test.go
+++ b/cmd/sliptide/upgrade_test.go
@@ -11,9 +11,9 @@
 	"time"
 )
 
-// In an upgrade a second process starts with the same address and state directory while the first serves. It serves clients
-// at once and makes no call until the first process has exited on SIGTERM. Then it delivers the messages that both have
-// accepted, each once, including those that the first still held.
+// In an upgrade a second process starts with the same address and state directory while the first serves. It serves
+// clients at once and makes no call until the first process has exited on SIGTERM. Then it delivers the messages that
+// both have accepted, each once, including those that the first still held.
 func TestUpgrade(t *testing.T) {
 	r := newRig(t, nil, "one")
 	r.mustSubmit("old", 0, 15, "")
--- a/cmd/sliptide/wallclock_test.go
+++ b/cmd/sliptide/wallclock_test.go
@@ -9,7 +9,8 @@
 	"sliptide/internal/knowledge"
 )
 
-// Guards against deadlines and requested waits that move when the wall clock is stepped between two runs of the process.
+// Guards against deadlines and requested waits that move when the wall clock is stepped between two runs of the
+// process.
 func TestWallClockStepBetweenRuns(t *testing.T) {
 	t.Parallel()
 	for _, step := range []time.Duration{time.Hour, -time.Hour, -3 * time.Second} {
