--- a/internal/sender/calls.go
+++ b/internal/sender/calls.go
@@ -12,7 +12,8 @@
 
 // This file groups the attempts of a step into calls and starts them.
 
-// beginAttempt records an attempt and adds it to a call. Attempts of one step at one endpoint share a call.
+// beginAttempt records an attempt and adds it to a call. Attempts of one step at one endpoint share calls as far as the
+// batch size of its kind allows. No attempt begins after stopSendWindow or while handing over.
 func (s *Sender) beginAttempt(a *policy.Action) {
 	m, e := s.messages[a.ID], s.endpoints[a.Endpoint]
 	if m == nil || m.call != nil || e.Addr == "" || s.stoppedFor(stopSendWindow) || s.handingOver {
@@ -27,7 +28,7 @@
 	}
 	s.observeAttemptStart(m, c, item.Attempt)
 	c.Items = append(c.Items, item)
-	c.NewConn = c.NewConn || m.MayHaveRunAt != 0
+	c.NewConn = c.NewConn || m.MayHaveRunAt != 0 // see Call.NewConn: the partner may already know the message
 	c.Timeout = max(c.Timeout, fromMillis(a.After))
 	if until, bound := s.repeatDeadline(m); bound && (c.WriteBy.IsZero() || until.Before(c.WriteBy)) {
 		c.WriteBy = until
@@ -91,7 +92,8 @@
 	s.newCalls = s.newCalls[:0]
 }
 
-// disconnectDetectionMS is the time after which a client that disconnected before its answer has been detected.
+// disconnectDetectionMS is the time from accepting a message until it is known whether its client disconnected before
+// it received the answer.
 const disconnectDetectionMS = 50.0
 
 // chooseFirst puts the message that is most likely to outlast a bulk call first in it: the one with the most time left
--- a/internal/sender/classes.go
+++ b/internal/sender/classes.go
@@ -42,7 +42,7 @@
 // messages must not end without a call because the settings changed between two processes. Clients cannot name the
 // placeholder.
 func (s *Sender) unknownClass() int {
-	const longest = 24 * 3600e3 // each message keeps its own deadline
+	const longest = 24 * 3600e3 // 24 hours in milliseconds; each message keeps its own deadline
 	placeholder := policy.Class{Aim: longest, Deadline: longest, Worth: 1, LateWorth: 1, Effect: policy.Unsafe}
 	t := s.classes.Load()
 	if i := slices.Index(t.all, placeholder); i >= 0 {
@@ -54,7 +54,7 @@
 	return len(t.all) - 1
 }
 
-// useClasses makes a table and a number of attempts current; the module uses them from the next step on.
+// useClasses makes a table and the allowed number of attempts current; the module uses them from the next step on.
 func (s *Sender) useClasses(t *classTable, attempts int) {
 	s.classes.Store(t)
 	s.settings.Classes, s.settings.MaxAttempts = t.all, attempts
--- a/internal/sender/copies.go
+++ b/internal/sender/copies.go
@@ -21,14 +21,15 @@
 // after the journal has been written. Answers to clients, and calls that must not begin earlier, are queued until the
 // holders acknowledge the records. The sender's goroutine never blocks on this: acknowledgements arrive as inputs.
 
-// suspendedPace, in calls a second, suspends all calls while the lease on this sender's journal is lost: no call
-// becomes due at that pace, whereas 0 would mean no limit.
+// suspendedPace, in calls a second, suspends all calls while the lease on this sender's journal is lost: a call becomes
+// due about every 1000 s only, and MayStart, set by startCall, keeps it from being written. A pace of 0 would mean no
+// limit.
 const suspendedPace = 1e-3
 
 // placementInterval is the interval between checks of the placement of copies.
 const placementInterval = 50 * time.Millisecond
 
-// maxQueuedFrames limits the frames from holders that are queued for a step.
+// maxQueuedFrames limits the frames from other members that are queued for a step.
 const maxQueuedFrames = 4096
 
 // CopySettings configures the copies of the journal.
@@ -36,10 +37,10 @@
 	Name            string
 	Zone            string
 	Count           int            // copies of the journal, apart from this member's own file
-	Required        int            // holders that must acknowledge a record
+	Required        int            // holders that must acknowledge a message before its client is answered
 	RequiredByClass map[string]int // for classes with another number, by name
 	Timeout         time.Duration  // limit on the wait for acknowledgements
-	AcceptUncopied  bool           // accept messages although too few holders are reachable
+	AcceptUncopied  bool           // accept messages although too few holders have acknowledged them in time
 }
 
 // CopyFleet is the fleet as copies need it. No method blocks.
@@ -59,14 +60,14 @@
 	takeovers        map[string]*takeover
 	pendingEntries   map[uint64]*journal.Entry // being taken over: not given to the module yet
 	waits            []holderWait
-	confirmed        []*pendingSubmission // to be answered 202 at the end of this step
+	confirmed        []*pendingSubmission // to be answered 202 after the next successful write of the journal
 	claim            *claim               // of the messages resubmitted in this step
 	leaseHeld        bool                 // the lease on this sender's own journal is held
 	requestedHolders []string             // requested from the fleet, but not in its view yet; nil: none
 	incarnation      uint64               // of the state directory
 	requestedAt      time.Time            // when the lease was last requested
 	nextPlacement    time.Time            // when the placement of copies is checked next
-	shortCount       uint64               // messages refused, or accepted uncopied, for lack of holders
+	shortCount       uint64               // submissions refused, or accepted uncopied, after an unsatisfied wait
 	status           atomic.Pointer[copies.Status]
 	nextStatus       time.Time
 
@@ -91,13 +92,13 @@
 
 // holderWait is a wait for the acknowledgement of a batch of records by its holders.
 type holderWait struct {
-	seq         uint64 // number of the batch; 0: set by the next sendCopies
-	required    int    // holders that must acknowledge the batch
-	deadline    time.Time
-	claims      []*claim // that the fleet must have answered as well
+	seq         uint64    // number of the batch; 0: set by the next sendCopies
+	required    int       // holders that must acknowledge the batch
+	deadline    time.Time // when the wait ends unsatisfied
+	claims      []*claim  // that the fleet must have answered as well
 	submissions []*pendingSubmission
 	calls       []*outbound.Call
-	done        func(acknowledged bool)
+	done        func(acknowledged bool) // called at the end of the wait; nil: none
 }
 
 // EnableCopies makes the sender copy its journal to other members. It is called before Run.
@@ -305,7 +306,8 @@
 	}
 }
 
-// sendCopies sends the records of a step to the holders. It returns the number of the batch, 0 if there are none.
+// sendCopies sends the records of a step to the holders. It returns the number of their batch, 0 if there are
+// no records.
 func (s *Sender) sendCopies() uint64 {
 	c := s.copies
 	now := fleet.Now()
@@ -381,8 +383,9 @@
 	return n
 }
 
-// mustAwaitHolders reports whether a call must not begin before its messages are copied: if it has a message whose
-// client has no answer yet, or one whose class forbids repeats.
+// mustAwaitHolders reports whether a call must not begin before the records of its messages are copied: if it has a
+// message whose acceptance is not confirmed yet, or one whose class forbids repeats. A successor that does not know of
+// an attempt would repeat it.
 func (s *Sender) mustAwaitHolders(call *outbound.Call) bool {
 	for i := range call.Items {
 		m := s.messages[call.Items[i].ID]
@@ -480,8 +483,8 @@
 	s.forget(m)
 }
 
-// startCall starts a call. Its first byte is written only while the lease on this sender's journal is held: the lease
-// may end while the call waits for its connection or the process is suspended.
+// startCall starts a call. With copies, a call with messages is written only while the lease on this sender's journal
+// is held: the lease may end while the call waits for its connection or the process is suspended.
 func (s *Sender) startCall(call *outbound.Call) {
 	if c := s.copies; c != nil && len(call.Items) > 0 {
 		name, epoch := duty.JournalDuty(c.settings.Name), c.owner.Epoch()
@@ -517,8 +520,8 @@
 // TooFewHoldersReason is the reason that clients and /up receive while messages are refused for lack of holders.
 const TooFewHoldersReason = "too few members can be reached to copy what is taken on"
 
-// RefusalReason returns why this sender accepts no messages, for /up; empty: it accepts them. It is safe for concurrent
-// use.
+// RefusalReason returns, for /up, why this sender accepts no messages while the lease on its journal is lost; empty: it
+// is not lost, or messages are accepted uncopied. It is safe for concurrent use.
 func (s *Sender) RefusalReason() string {
 	if why := s.refusal.Load(); why != nil {
 		return *why
--- a/internal/sender/endpoints.go
+++ b/internal/sender/endpoints.go
@@ -12,7 +12,8 @@
 func (s *Sender) UpdateEndpoints(l discovery.List) { s.post(input{list: &l}) }
 
 // SetDisabled disables or enables an endpoint for an operator. It returns when the change is in force: no new call goes
-// to a disabled endpoint from then on. If no list has named the endpoint, it returns operate.ErrNeverListed.
+// to a disabled endpoint from then on. If no list has named the endpoint and it is not disabled yet, it returns
+// operate.ErrNeverListed.
 func (s *Sender) SetDisabled(id string, disabled bool) error {
 	return s.requestDisable(id, disabled, false)
 }
@@ -59,6 +60,8 @@
 	s.log.Error().Int("dest", dest).Int("destinations_allowed", MaxDestinations).Msg("destination limit reached: messages for this and further destinations are refused")
 }
 
+// handleList passes an endpoint list to the module, with disabled and avoided endpoints as draining, and drops the
+// unsent calls to endpoints that are not ready any more. A successor holds the list until it takes over.
 func (s *Sender) handleList(l *discovery.List) {
 	if s.successor {
 		s.holdList(l)
--- a/internal/sender/holds.go
+++ b/internal/sender/holds.go
@@ -9,8 +9,8 @@
 // This file handles holds: destinations and endpoints to which nothing may be sent. A sender's holds are copied with
 // its journal, so that a member that takes over its messages honours them.
 
-// adoptedDrainMS is how long a successor avoids an endpoint that the lost sender had listed as draining. Its own list
-// shows the drain within seconds.
+// adoptedDrainMS is how long an endpoint that was last listed as draining is avoided by a successor, counted from the
+// list of the lost sender. The successor's own list shows the drain within seconds.
 const adoptedDrainMS = 30e3
 
 func (s *Sender) recordDisabled(id string, disabled bool) {
@@ -21,6 +21,7 @@
 	s.journal.SetHold(h, int64(s.now))
 }
 
+// recordDraining records, for a successor, whether a listed endpoint is draining.
 func (s *Sender) recordDraining(e *discovery.Endpoint) {
 	if s.copies == nil || e.State == policy.Gone {
 		return
@@ -75,7 +76,8 @@
 	}
 }
 
-// honourListedWaits applies the journal's waits to listed endpoints. After a restart the module learns of them here.
+// honourListedWaits applies the journal's requested waits to the destinations of a list. After a restart the module
+// learns of the waits here.
 func (s *Sender) honourListedWaits(list []policy.Endpoint) {
 	if s.copies == nil {
 		return
@@ -93,7 +95,8 @@
 	s.honourWaits(holds)
 }
 
-// avoidEndpoints avoids the endpoints that a lost owner avoided, each until its hold ends. until is the latest end.
+// avoidEndpoints avoids the endpoints that a lost owner avoided, each until its hold ends, but not beyond until, in
+// milliseconds of the sender's clock.
 func (s *Sender) avoidEndpoints(holds []journal.Hold, until float64) {
 	for _, hold := range holds {
 		if hold.Kind == journal.HoldWait || until <= s.now {
--- a/internal/sender/knowledge.go
+++ b/internal/sender/knowledge.go
@@ -29,13 +29,15 @@
 // which identifies them by name.
 type knowledgeState struct {
 	Knowledge
-	usualLatencyMS    float64         // usual latency of a call in the earlier process; 0: unknown
+	usualLatencyMS    float64         // mean latency of the first class with a known one in the earlier process; 0: none
 	observedEndpoints map[uint32]bool // endpoints about which a call of this process has provided facts
 	changedDests      map[int]bool    // destinations with changes since their last write
-	unwrittenDests    []int           // of these, the ones left in the present round of writes
-	nextWriteAt       float64         // when the next round is due
+	unwrittenDests    []int           // destinations that are left in the present round of writes
+	nextWriteAt       float64         // when the next round is due, by the sender's clock
 }
 
+// setKnowledge sets the knowledge to keep, and gives the module the earlier process's facts that belong to no single
+// destination.
 func (s *Sender) setKnowledge(k Knowledge) {
 	if k.Writer == nil {
 		return
@@ -103,7 +105,7 @@
 	if s.hasOwnLimits(c.Endpoint) {
 		r.Endpoint = s.endpoints[c.Endpoint].Name
 	}
-	// Its end is rounded up, since the partner counts from the time at which it wrote its answer.
+	// Its end is rounded up, so that it is never early; the partner counts from the time at which it wrote its answer.
 	until := int64(s.now+wait) + 1
 	s.journal.SetHold(journal.Hold{Kind: journal.HoldWait, Dest: r.Dest, Endpoint: r.Endpoint, Until: until}, int64(s.now))
 	if s.knowledge.Writer != nil {
--- a/internal/sender/observe.go
+++ b/internal/sender/observe.go
@@ -24,9 +24,9 @@
 	logRecords     bool // log each record of a message
 	log            zerolog.Logger
 	reportedCauses map[int]policy.WaitCause // as last reported, by destination
-	nextCauses     float64
-	nextGauges     float64
-	causesSkipped  bool // a check was skipped; the next is due at nextCauses
+	nextCauses     float64                  // when the reasons to wait are checked next, by the sender's clock
+	nextGauges     float64                  // when the gauges are recorded next
+	causesSkipped  bool                     // a check was skipped; the next is due at nextCauses
 }
 
 // On reports whether records are wanted.
@@ -215,7 +215,8 @@
 	return min(wait, 100*time.Millisecond)
 }
 
-// refusalCause returns why a message is refused.
+// refusalCause returns the cause to record for a message that is refused before the module has decided on it, although
+// its destination is served.
 func (s *Sender) refusalCause() telemetry.Cause {
 	if !s.stopRequestedAt.IsZero() {
 		return telemetry.CauseStopping
--- a/internal/sender/outcomes.go
+++ b/internal/sender/outcomes.go
@@ -12,7 +12,7 @@
 
 // This file handles the ends of calls, attempts and messages, and sends notices.
 
-// handleOutcome records the end of a call.
+// handleOutcome handles the end of a call and the outcomes of its attempts.
 func (s *Sender) handleOutcome(c *outbound.Call, events []policy.Event) {
 	delete(s.calls, c)
 	if c.Abandoned() { // its answer may be void, see abandonIfFirst
@@ -118,14 +118,15 @@
 
 // abandonIfFirst abandons a bulk call whose first message ends, or leaves the call, before the answer. A partner may
 // identify a call by its first message; its answer may then be void for the other messages too, although it names them
-// as accepted. They are treated as possibly delivered from then on, whichever comes first, the end or the answer.
-// chooseFirst makes this rare.
+// as accepted. They are treated as possibly delivered from then on, even if the answer has arrived but is
+// not handled yet. chooseFirst makes this rare.
 func (s *Sender) abandonIfFirst(c *outbound.Call, m *message) {
 	if c != nil && len(c.Items) > 1 && c.Items[0].ID == m.Num {
 		c.Abandon()
 	}
 }
 
+// forget drops a message from the messages held. Its journal entry is not changed.
 func (s *Sender) forget(m *message) {
 	s.abandonIfFirst(m.call, m)
 	delete(s.messages, m.Num)
--- a/internal/sender/resubmission.go
+++ b/internal/sender/resubmission.go
@@ -16,7 +16,7 @@
 type claim struct {
 	keys      []uint64
 	answered  bool     // the fleet has answered
-	takenOver []uint64 // of these, those that a successor holds
+	takenOver []uint64 // those of keys whose messages a successor holds
 }
 
 // has reports whether a successor holds the message of an entry.
@@ -51,7 +51,7 @@
 	}
 	c.fleet.Propose(&pb.Command{What: &pb.Command_Again{Again: &pb.Again{Session: c.fleet.View().Session, Keys: query.keys}}}, func(a *pb.Answer, err error) {
 		if err != nil {
-			return // without an answer the messages are refused when their wait times out
+			return // without an answer the messages' wait times out, see endHolderWait
 		}
 		s.enqueueCopyInput(copyInput{run: func() { query.answered, query.takenOver = true, a.GetKeys() }})
 	})
--- a/internal/sender/sender.go
+++ b/internal/sender/sender.go
@@ -23,15 +23,15 @@
 
 const (
 	inputQueueSize     = 256                     // inputs buffered for the next step
-	maxStepInputs      = 512                     // inputs handled in one step
+	maxStepInputs      = 512                     // queued inputs handled in one step
 	stopSendWindow     = 2500 * time.Millisecond // how long after a stop request new calls may begin
-	stopTimeout        = 3000 * time.Millisecond // how long after a stop request the sender exits at the latest
+	stopTimeout        = 3000 * time.Millisecond // the longest time from a stop request to the exit
 	endedIDRetentionMS = 30000.0                 // how long the ID of an ended message is remembered
 	maxEndedIDs        = 8192                    // IDs of ended messages that are remembered
-	maxDialTimeoutMS   = 500.0                   // limit on the settings' dial timeout, see New
-	maxBusyRetryMS     = 1000.0                  // limit on the Retry-After of a refusal for lack of capacity
+	maxDialTimeoutMS   = 500.0                   // limit and default of the settings' dial timeout, see New
+	maxBusyRetryMS     = 1000.0                  // largest Retry-After of a refusal for lack of capacity
 
-	journalRetryInterval = 20 * time.Millisecond
+	journalRetryInterval = 20 * time.Millisecond // between steps while the journal can't be written
 )
 
 // MaxDestinations limits the destinations that a sender serves; messages for further ones are refused.
@@ -45,12 +45,12 @@
 type Message struct {
 	Trace, Key  []byte
 	Class       int // index into the classes, as ClassOf returns it
-	Tenant      int
+	Tenant      int // index into the settings' tenants
 	Dest        int
 	OrderingKey uint64 // messages of a class that keeps order are ordered within a key; 0 = none
 	Resubmitted bool
 	Failover    bool          // resubmitted because its previous sender failed or did not answer: a successor may hold it
-	Remaining   time.Duration // time left until its deadline
+	Remaining   time.Duration // time left until its deadline when it was received
 	Body        []byte
 	TraceParent []byte // the client's traceparent header; nil = none
 }
@@ -59,9 +59,9 @@
 type Verdict struct {
 	Accepted  bool
 	Num       uint64 // the sender's number for the message, if accepted
-	Duplicate bool   // refused: a message with this ID was accepted before
-	TakenOver bool   // refused: another sender took it over from the lost one
-	NoRoute   bool   // refused: its destination has never been listed
+	Duplicate bool   // refused: this sender holds a message with this ID or has ended one recently
+	TakenOver bool   // refused: another sender has taken it over from a lost sender
+	NoRoute   bool   // refused: its destination is not served here, and no other sender is known to serve it
 	// Misdirected: refused, since other members serve its destination. ServedBy names them in order of preference.
 	Misdirected   bool
 	ServedBy      []string
@@ -105,13 +105,13 @@
 type message struct {
 	*journal.Entry
 	class           int            // index of the class definition under which it was accepted
-	acceptedAt      float64        // 0: by an earlier process or another sender
+	acceptedAt      float64        // in milliseconds of the sender's clock; 0: by an earlier process or another sender
 	call            *outbound.Call // the call in progress with it
-	attemptDeadline float64        // when its attempt ends although its call continues; +Inf: it ends with the call
+	attemptDeadline float64        // when its attempt ends even if its call continues; +Inf: it ends with the call
 	claim           *claim         // asks the fleet whether a successor holds it; nil: there is no need to ask
 }
 
-// endedIDs remembers the IDs of recently ended messages.
+// endedIDs remembers the IDs of recently ended messages, so that they are refused if they are submitted once more.
 type endedIDs struct {
 	ids   map[string]bool
 	queue []endedID // oldest first
@@ -122,6 +122,7 @@
 	endedAt float64
 }
 
+// add remembers an ID and forgets those that are too old or too many. now is in milliseconds.
 func (e *endedIDs) add(trace string, now float64) {
 	for len(e.queue) > 0 && (len(e.queue) >= maxEndedIDs || now-e.queue[0].endedAt > endedIDRetentionMS) {
 		delete(e.ids, e.queue[0].trace)
@@ -171,7 +172,7 @@
 	stormGuard *storm.Guard
 	fleet      Fleet                  // nil: not a member of a fleet
 	copies     *copier                // nil: the journal has no copies
-	refusal    atomic.Pointer[string] // why no message is accepted, see RefusalReason; nil: messages are accepted
+	refusal    atomic.Pointer[string] // why no message is accepted without the lease, see RefusalReason; nil: none such
 	trials     *trials                // nil: trials are not shared
 	shards     *shards                // nil: all destinations are served
 	observer   observer
@@ -182,16 +183,16 @@
 	listedDests     map[int]bool
 	destLimitLogged bool                          // the error about MaxDestinations has been logged
 	pendingNotices  map[uint64]*journal.Entry     // ended messages whose notice has not been accepted yet
-	endpoints       map[uint32]discovery.Endpoint // as listed, regardless of disabled and avoided
+	endpoints       map[uint32]discovery.Endpoint // as last listed, except as gone; regardless of disabled and avoided
 	endpointIDs     map[string]uint32             // of every endpoint that has been listed, by name
 	disabled        operate.DisabledSet
 	avoided         operate.TakeoverDrains     // endpoints that the lost sender of adopted messages avoided
-	classes         atomic.Pointer[classTable] // shared with intake
+	classes         atomic.Pointer[classTable] // also read by ClassOf on other goroutines
 	successor       bool
 	heldLists       []discovery.List // endpoint lists that a successor holds until TakeOver
 	partner         func(dest int) *outbound.Partner
 	http2Streams    int
-	calls           map[*outbound.Call]bool // in progress
+	calls           map[*outbound.Call]bool // begun or waiting to begin
 	events          []policy.Event          // for the next step
 	actions         []policy.Action
 	submissions     []*pendingSubmission
@@ -396,7 +397,7 @@
 }
 
 // step runs the module and executes its actions. The journal is written first, then clients are answered, then calls
-// start.
+// start. With copies, answers and calls may wait for later steps, see awaitHolders.
 func (s *Sender) step() {
 	if s.timerToken != 0 && s.now >= s.timerAt {
 		s.events = append(s.events, policy.Event{Kind: policy.EvTimer, Token: s.timerToken})
--- a/internal/sender/shards.go
+++ b/internal/sender/shards.go
@@ -21,7 +21,7 @@
 	assigned  map[shard.ID]bool
 	leaving   map[shard.ID]bool // unassigned, but not released yet
 	dests     map[shard.ID]map[int]bool
-	nextCheck float64
+	nextCheck float64 // when leaving shards are checked next, by the sender's clock
 }
 
 // EnableSharding restricts the sender to the destinations of its assigned shards, of which it has none at first.
@@ -39,7 +39,7 @@
 		if id := shard.Of(uint64(m.Dest)); !seen[id] {
 			seen[id] = true
 			ids = append(ids, id)
-			s.shards.leaving[id] = true // until the shard is assigned, if it ever is
+			s.shards.leaving[id] = true // until the shard is assigned, or nothing of it is left
 		}
 	}
 	return ids
@@ -94,10 +94,10 @@
 }
 
 // releaseLeavingShards releases leaving shards of which no message is held and no call is in progress. It checks at
-// most once in leaveCheckIntervalMS unless now is set.
-func (s *Sender) releaseLeavingShards(now bool) {
+// most once in leaveCheckIntervalMS unless atOnce is set.
+func (s *Sender) releaseLeavingShards(atOnce bool) {
 	sh := s.shards
-	if sh == nil || len(sh.leaving) == 0 || !now && s.now < sh.nextCheck {
+	if sh == nil || len(sh.leaving) == 0 || !atOnce && s.now < sh.nextCheck {
 		return
 	}
 	sh.nextCheck = s.now + leaveCheckIntervalMS
--- a/internal/sender/stopping.go
+++ b/internal/sender/stopping.go
@@ -4,7 +4,8 @@
 
 // This file stops a sender.
 
-// Stop makes the sender refuse new messages, wait for its calls to end and exit.
+// Stop makes the sender refuse new messages and exit. Messages held are still sent for up to stopSendWindow, and calls
+// in progress may end within stopTimeout; the next process finds the remaining messages in the journal.
 func (s *Sender) Stop() { s.post(input{stop: true}) }
 
 // HandOver stops the sender in favour of a waiting successor: no further call begins, and it exits when the calls in
@@ -15,7 +16,7 @@
 func (s *Sender) Done() <-chan struct{} { return s.done }
 
 // ClientsGone tells a stopping sender that no submission or withdrawal will follow. Until then it does not exit, unless
-// stopTimeout passes.
+// stopTimeout passes or it hands over to a successor.
 func (s *Sender) ClientsGone() { s.post(input{clientsGone: true}) }
 
 // exitDue reports whether a stopping sender may exit now.
@@ -23,7 +24,7 @@
 	return !s.stopRequestedAt.IsZero() && s.mayExit(time.Since(s.stopRequestedAt))
 }
 
-// mayExit reports whether the sender may exit when the stop was requested that long ago.
+// mayExit reports whether the sender may exit when the stop was requested age ago.
 func (s *Sender) mayExit(age time.Duration) bool {
 	if s.handingOver && len(s.calls) == 0 {
 		return true
--- a/internal/sender/submissions.go
+++ b/internal/sender/submissions.go
@@ -34,7 +34,7 @@
 	select {
 	case v := <-sub.verdict: // given before the exit
 		return v
-	default: // no step has handled the submission, and none will
+	default: // no step has decided on the submission, and none will
 		return Verdict{RetryAfter: maxBusyRetryMS}
 	}
 }
@@ -42,6 +42,8 @@
 // Withdraw reports that the client of an accepted message did not receive the answer.
 func (s *Sender) Withdraw(num uint64) { s.post(input{withdrawn: num}) }
 
+// handleSubmission refuses a message at once, or journals it and passes it to the module, which decides on it in
+// the coming step.
 func (s *Sender) handleSubmission(sub *submission) {
 	m := sub.msg
 	left := float64(m.Remaining-time.Since(sub.received)) / 1e6
@@ -93,7 +95,8 @@
 	return min(maxBusyRetryMS, max(s.settings.MaxRetryAfter, 1))
 }
 
-// answerSubmissions gives the verdicts of this step. journalled reports whether the journal was written.
+// answerSubmissions gives the verdicts of this step, except those that wait for holders. journalled reports whether the
+// journal was written.
 func (s *Sender) answerSubmissions(journalled bool) {
 	torn := !journalled && s.journal.Torn()
 	unsettled := s.submissions[:0]
@@ -124,8 +127,8 @@
 // clientAnswerTimeout is how long a client waits for its answer; later answers reach no client.
 const clientAnswerTimeout = 400 * time.Millisecond
 
-// endUndelivered ends a message that was not delivered: one submitted in this step is refused, any other was accepted
-// and ends with a notice.
+// endUndelivered ends a message that was not delivered: one that is to get its verdict in this step is refused, any
+// other ends with a notice.
 func (s *Sender) endUndelivered(a *policy.Action) {
 	m := s.messages[a.ID]
 	if m == nil {
--- a/internal/sender/takeover.go
+++ b/internal/sender/takeover.go
@@ -33,13 +33,13 @@
 // Deadlines err on the early side, waits on the late side. If no holder knows the owner's clock, the clocks are assumed
 // to agree, as after a restart of the same machine.
 func (s *Sender) clockOffsets(t *takeover) (deadlines, waits int64) {
-	least, most, known := t.ClockOffsets()
+	upper, lower, known := t.ClockOffsets()
 	if !known {
 		s.log.Warn().Str("owner", t.Owner).Msg("copies: no holder knows the lost sender's clock: its times are read as times of this machine's clock")
 		return 0, 0
 	}
 	own := int64(s.clock.Now()) - fleet.Now()/1e6
-	return own - least, own - most
+	return own - upper, own - lower
 }
 
 // stepTakeovers starts and advances the takeovers of lost owners whose duties this member holds.
@@ -75,6 +75,7 @@
 	}
 }
 
+// forbidsRepeats reports whether the class of that name forbids repeats; false if this process knows no such class.
 func (s *Sender) forbidsRepeats(name string) bool {
 	class, _ := s.ClassOf([]byte(name))
 	return class >= 0 && s.settings.Classes[class].Effect == policy.Unsafe
--- a/internal/sender/trials.go
+++ b/internal/sender/trials.go
@@ -24,7 +24,7 @@
 	state   *trial.State
 	fleet   Fleet
 	mu      sync.Mutex
-	updates map[int]trial.Update
+	updates map[int]trial.Update // by destination; guarded by mu
 }
 
 // UpdateDuty queues an update of a duty for the next step. It does not block and is safe for concurrent use.
--- a/internal/sender/upgrade.go
+++ b/internal/sender/upgrade.go
@@ -22,7 +22,7 @@
 
 // TakeOver makes a successor the active sender after the running version has released the state directory. knowledge is
 // that version's knowledge and disabled the endpoints disabled by operators, both read again from the directory. It
-// returns when the module has all of it.
+// returns when all of it has been applied, or an error if the sender has stopped or the journal can't be read.
 func (s *Sender) TakeOver(knowledge Knowledge, disabled operate.DisabledSet) error {
 	t := &upgradeTakeover{knowledge: knowledge, disabled: disabled, done: make(chan error, 1)}
 	s.post(input{upgrade: t})
