--- a/internal/journal/holds.go
+++ b/internal/journal/holds.go
@@ -9,8 +9,8 @@
 
 // A sender that takes over from a lost one must also know which destinations and endpoints must not be called for a
 // while: those whose partners requested a wait, draining endpoints, and endpoints disabled by an operator. With copies
-// enabled, the journal stores these holds beside its entries, so that they are still known after a restart of the
-// sender that took over.
+// enabled, the journal stores these holds beside its entries: they are copied with the entries, and are still known
+// after a restart of the sender that took over.
 
 // HoldKind is the reason why nothing is sent.
 type HoldKind byte
@@ -33,7 +33,7 @@
 const (
 	// Forever is the Until of a hold without an end.
 	Forever      = math.MaxInt64
-	maxHolds     = 4096 // of a journal
+	maxHolds     = 4096 // holds in a journal
 	maxHoldBytes = 192  // upper bound of a hold's bytes in the file
 )
 
@@ -46,7 +46,7 @@
 }
 
 // SetHold records a hold if copies are enabled; an Until of 0 removes it. now is by the same clock as Until. A
-// requested wait never shortens an earlier one. Expired holds are removed in the same step. A new hold beyond the
+// requested wait never shortens an earlier one. Expired holds are removed by the same call. A new hold beyond the
 // maximum number is not recorded, and false is returned.
 func (j *Journal) SetHold(h Hold, now int64) bool {
 	if !j.copying {
--- a/internal/journal/inspect.go
+++ b/internal/journal/inspect.go
@@ -13,9 +13,9 @@
 type Report struct {
 	File       string
 	Bytes      int64
-	Records    int   // valid records
-	ValidBytes int64 // bytes of valid records from the start of the file
-	Entries    []*Entry
+	Records    int      // valid records
+	ValidBytes int64    // bytes of valid records from the start of the file
+	Entries    []*Entry // not ended, or with a notice owed; in the order of their numbers
 }
 
 // Damaged reports whether a part of the file is unreadable. That is normal after a kill in the middle of a write,
--- a/internal/journal/journal.go
+++ b/internal/journal/journal.go
@@ -27,7 +27,7 @@
 	EndingReturned  = 2 // refused: the client may resubmit it
 )
 
-// Entry is one accepted message that has not ended.
+// Entry is one accepted message that has not ended, or whose notice has not been accepted yet.
 type Entry struct {
 	Num         uint64 // the sender's number for the message, never reused
 	Trace, Key  string
@@ -36,11 +36,11 @@
 	OrderingKey uint64 // messages with the same key keep their order, in classes that require it; 0: none
 	Dest        int
 	Resubmitted bool
-	Deadline    int64 // Unix time in milliseconds
+	Deadline    int64 // Unix time in milliseconds, by the sender's clock
 	Body        []byte
 
 	Attempts       int   // attempts started
-	MayHaveRunAt   int64 // when the first attempt that may have run was sent, Unix time in milliseconds; 0: none
+	MayHaveRunAt   int64 // when the first attempt that may have run was sent, as Deadline; 0: none
 	MayHaveRunZone int
 	TraceParent    string // trace context sent by the client, as text; empty: none
 	// Confirmed is used with copies: the client was told that the message is accepted. A sender that takes over from
@@ -96,16 +96,16 @@
 	size       int64             // bytes of complete records in the file
 	torn       bool              // the file may be longer than size and is truncated before the next append
 	superseded []string          // files whose records this one contains; removed before the next append
-	buf        []byte
-	live       map[uint64]*Entry
-	toCopy     []byte // records since the last RecordsToCopy, if copies are enabled
+	buf        []byte            // records that the next Flush writes
+	live       map[uint64]*Entry // by number
+	toCopy     []byte            // records since the last RecordsToCopy, if copies are enabled
 	copying    bool
-	holds      map[holdKey]Hold // used only if copies are enabled
+	holds      map[holdKey]Hold // recorded only if copies are enabled
 	liveBytes  int64            // bytes of the live entries in a compacted file
 	nextNumber uint64
 }
 
-// readRetryTimeout limits how long reading a file is retried at startup.
+// readRetryTimeout limits how long reading a journal's file is retried, at startup and in TakeOver.
 const readRetryTimeout = 10 * time.Second
 
 // Open replays the journal in dir and compacts it. It returns the live entries
@@ -210,8 +210,9 @@
 }
 
 // TakeOver turns a successor's journal into the main journal, once the predecessor has exited: the predecessor's
-// entries are merged, and the merged file replaces the main one. It returns the merged entries in order. If the
-// directory is temporarily not writable, no records are written until it is.
+// entries are merged, and the merged file replaces the main one. It returns the predecessor's entries, in the order
+// of their numbers; nil if this is the main journal already. If the directory is temporarily not writable, no records
+// are written until it is.
 func (j *Journal) TakeOver() ([]*Entry, error) {
 	if j.name == fileName {
 		return nil, nil
@@ -268,6 +269,7 @@
 // HasSpace reports whether an entry with a body of that size may be accepted. The
 // file, the pending records and a compacted copy must fit the disk space together at
 // all times: otherwise a burst of large messages could leave no space to compact.
+// It compacts the file if that makes room.
 func (j *Journal) HasSpace(bodyBytes int) bool {
 	entryBytes := int64(bodyBytes) + maxEntryOverhead
 	if j.claimSpace(entryBytes, 1) {
@@ -446,7 +448,7 @@
 	})
 }
 
-// End records that a message has ended.
+// End records that a message has ended. An entry that is not live, or has been replaced, is left alone.
 func (j *Journal) End(e *Entry) {
 	if j.live[e.Num] != e {
 		return
@@ -462,7 +464,8 @@
 	e.attemptAt, e.attemptZone = at, zone
 }
 
-// endAttempt closes the open attempt, if any. An attempt without an outcome counts as one that may have run.
+// endAttempt closes the open attempt, if any. mayHaveRun must be true also for an attempt whose outcome is unknown. The
+// entry keeps only the first attempt that may have run.
 func (e *Entry) endAttempt(mayHaveRun bool) {
 	if e.attemptAt != 0 && mayHaveRun && e.MayHaveRunAt == 0 {
 		e.MayHaveRunAt, e.MayHaveRunZone = e.attemptAt, e.attemptZone
--- a/internal/statedir/statedir.go
+++ b/internal/statedir/statedir.go
@@ -158,8 +158,9 @@
 	return granted
 }
 
-// Reserve sets that many bytes aside for the account: SoftLimit of the others excludes them. It is not a
-// claim: Claim of another account can still take them.
+// Reserve sets that many bytes aside for the account: SoftLimit excludes them. It is not a claim: Claim of
+// another account can still take them. Only one account of a Space may call Reserve, and SoftLimit is meant
+// for the others.
 func (a *Account) Reserve(bytes int64) {
 	a.space.mu.Lock()
 	defer a.space.mu.Unlock()
--- a/internal/timeline/timeline.go
+++ b/internal/timeline/timeline.go
@@ -21,10 +21,10 @@
 
 const (
 	fileName          = "clock"
-	tempName          = fileName + ".new"
+	tempName          = fileName + ".new" // anchor being written by Save
 	bootIDFile        = "/proc/sys/kernel/random/boot_id"
 	saveRetryInterval = time.Second
-	readRetryTimeout  = 10 * time.Second // retries of reading an anchor; long, since deadlines shift without it
+	readRetryTimeout  = 10 * time.Second // for reading the anchor; long, since deadlines may shift without it
 	// DiskBytes is the disk space that the anchor's file and its temporary copy take in the state directory.
 	DiskBytes = 1024
 )
