--- a/internal/intake/api.go
+++ b/internal/intake/api.go
@@ -13,7 +13,7 @@
 const (
 	maxIDBytes       = 128   // maximum length of a trace id or idempotency key
 	maxExpirySeconds = 86400 // one day
-	stoppingRetryMS  = 500.0 // Retry-After of a sender that is starting or stopping, or answers too late
+	stoppingRetryMS  = 500.0 // Retry-After, in milliseconds, of a sender that is starting or stopping, or answers too late
 	statusBusy       = 429   // refused for lack of capacity
 )
 
@@ -54,7 +54,7 @@
 	switch {
 	case verdict.Accepted:
 		return response{status: 202, messageNum: verdict.Num}
-	case verdict.Duplicate: // without a number: if this answer is lost, the message as first submitted must not be withdrawn
+	case verdict.Duplicate: // without a number: if this answer is lost, the first message must not be withdrawn
 		return response{status: 409, text: "X-Trace-Id was taken on before"}
 	case verdict.TakenOver:
 		return response{status: 409, text: "another sender has taken this message over from the one that was lost"}
@@ -69,8 +69,8 @@
 	return response{status: statusBusy, retryAfterMS: verdict.RetryAfter}
 }
 
-// orphanResubmission is the value of X-Second-Try in a resubmission after a sender died or did not answer.
-const orphanResubmission = "again"
+// failoverResubmission is the value of X-Second-Try in a resubmission after a sender died or did not answer.
+const failoverResubmission = "again"
 
 // parseMessage reads a message from a request. problem names a header that is missing or invalid; empty: there is none.
 func (s *Server) parseMessage(req *http1.Message) (msg sender.Message, problem string) {
@@ -100,7 +100,7 @@
 	}
 	msg.TraceParent = h.Get("traceparent")
 	resubmission := h.Get("X-Second-Try")
-	msg.Resubmitted, msg.Failover = len(resubmission) > 0, string(resubmission) == orphanResubmission
+	msg.Resubmitted, msg.Failover = len(resubmission) > 0, string(resubmission) == failoverResubmission
 	return msg, ""
 }
 
--- a/internal/intake/intake.go
+++ b/internal/intake/intake.go
@@ -36,12 +36,12 @@
 	shortLingerTimeout  = 50 * time.Millisecond   // for reading after the half-close while the slot is needed
 	maxLingerBytes      = 256 << 10               // read after the half-close
 	clientTimeout       = 400 * time.Millisecond  // a client stops waiting for its answer after this time
-	pollInterval        = 5 * time.Millisecond
-	acceptLogInterval   = time.Second            // minimum time between two log lines on accept errors
-	maxReservedSlots    = 16                     // slots kept free for new connections; fewer on a small server
-	drainInterval       = 50 * time.Millisecond  // between two checks of all connections during a drain
-	drainSilentDelay    = 200 * time.Millisecond // a drain closes a new connection that sends nothing for this time
-	drainReadingDelay   = time.Second            // a drain closes a connection whose request is incomplete after this time
+	pollInterval        = 5 * time.Millisecond    // between checks of a waiting loop; also after an accept error
+	acceptLogInterval   = time.Second             // minimum time between two log lines on accept errors
+	maxReservedSlots    = 16                      // slots kept free for new connections; fewer on a small server
+	drainInterval       = 50 * time.Millisecond   // between two checks of all connections during a drain
+	drainSilentDelay    = 200 * time.Millisecond  // a drain or shutdown closes a silent new connection after this time
+	drainReadingDelay   = time.Second             // a drain or shutdown ends an incomplete request after this time
 )
 
 // Server accepts clients' connections and answers their requests.
@@ -159,7 +159,8 @@
 	c.requestClose(reading, drainReadingDelay)
 }
 
-// Serve accepts connections from ln until it is closed.
+// Serve accepts connections from ln until it is closed. Only one Serve may run at a time, since reserveSlot does not
+// lock lastEviction.
 func (s *Server) Serve(ln net.Listener) {
 	s.addAcceptLoops(1)
 	defer s.addAcceptLoops(-1)
@@ -288,8 +289,8 @@
 func (s *Server) RefuseMessages() { s.refusing.Store(true) }
 
 // Shutdown closes the connections that carry no request, and returns when no more messages can be submitted: no Serve
-// is running and every request that was read is answered. A request that stays incomplete is answered 503. The
-// listeners must be closed before or during Shutdown.
+// is running and every request that was read is answered. A request that stays incomplete is answered 503 after
+// RefuseMessages, otherwise 408. The listeners must be closed before or during Shutdown.
 //
 // A connection is half-closed first. What the client still sends is read and discarded, which may go on after Shutdown
 // has returned, until the client closes its side too.
@@ -320,7 +321,7 @@
 	return done
 }
 
-// WaitClosed returns when every connection is closed, by its client or after lingerTimeout.
+// WaitClosed returns when every connection is closed, by its client or after lingerTimeout, or when the context ends.
 func (s *Server) WaitClosed(ctx context.Context) {
 	poll(ctx, func() bool {
 		s.mu.Lock()
@@ -353,7 +354,7 @@
 // serveRequest serves one request and reports whether the connection stays open.
 func (s *Server) serveRequest(c *clientConn) bool {
 	if err := c.awaitRequest(); err != nil {
-		// Answers the first request of a new connection if it arrives while the connection is being closed.
+		// The first request of a new connection may arrive while the connection is being closed: this answers it.
 		if !c.hadRequest && errors.Is(err, os.ErrDeadlineExceeded) {
 			c.writeResponse(&response{status: 503, retryAfterMS: stoppingRetryMS}, false)
 		}
