--- a/internal/intake/close_race_test.go
+++ b/internal/intake/close_race_test.go
@@ -168,8 +168,7 @@
 }
 
 // Two requests are incomplete when the process is told to stop: one is completed later, the other is not. Both must be
-// answered 503, neither may be accepted, and the server must not stop before both are
-// answered.
+// answered 503, neither may be accepted, and the server must not stop before both are answered.
 func TestShutdownAnswersPartialRequests(t *testing.T) {
 	t.Parallel()
 	r := newRig(t, 100, &hooks{})
--- a/internal/intake/intake.go
+++ b/internal/intake/intake.go
@@ -449,6 +449,7 @@
 	servedBy []string
 }
 
+// writeResponse writes an answer; without keepAlive it tells the client that the connection closes.
 func (c *clientConn) writeResponse(r *response, keepAlive bool) error {
 	b := http1.AppendStatusLine(c.writeBuf[:0], r.status)
 	if r.retryAfterMS > 0 {
--- a/internal/sender/observe.go
+++ b/internal/sender/observe.go
@@ -133,6 +133,7 @@
 	}
 }
 
+// telemetryCauses holds the telemetry's causes by the module's.
 var telemetryCauses = [...]telemetry.Cause{
 	policy.CauseNoEndpoint: telemetry.CauseNone, policy.CauseRequestedWait: telemetry.CauseRequestedWait, policy.CauseBreaker: telemetry.CauseBreaker,
 	policy.CausePaceCap: telemetry.CauseStorm, policy.CausePace: telemetry.CausePace, policy.CauseSlot: telemetry.CauseSlot, policy.CauseRetry: telemetry.CauseRetry,
--- a/internal/sender/sender.go
+++ b/internal/sender/sender.go
@@ -441,6 +441,7 @@
 	s.stepDue = true // waiting messages may be sent
 }
 
+// execute executes an action of the module. The calls that it prepares start at the end of the step.
 func (s *Sender) execute(a *policy.Action) {
 	switch a.Kind {
 	case policy.ActSend:
--- a/internal/sender/takeover.go
+++ b/internal/sender/takeover.go
@@ -154,7 +154,7 @@
 
 // activateEntries makes the entries of an agreed takeover this sender's messages. Entries with a key in keysElsewhere
 // were resubmitted to another sender, which is responsible for them now: they are not sent but abandoned, with a notice
-// about their old ID.
+// about their old ID. The endpoints of holds are avoided until the latest deadline of the messages that are kept.
 func (s *Sender) activateEntries(owner string, token uint64, holds []journal.Hold, keysElsewhere []uint64) {
 	n, confirmed, avoidUntil := 0, 0, s.now
 	s.honourWaits(holds)
--- a/internal/sender/upgrade.go
+++ b/internal/sender/upgrade.go
@@ -34,6 +34,8 @@
 	}
 }
 
+// handleUpgradeTakeover makes a successor the active sender. After an error it is still a successor. For an active
+// sender it does nothing.
 func (s *Sender) handleUpgradeTakeover(t *upgradeTakeover) error {
 	if !s.successor {
 		return nil
