--- a/internal/sender/observe.go
+++ b/internal/sender/observe.go
@@ -24,9 +24,9 @@
 	logRecords     bool // log each record of a message
 	log            zerolog.Logger
 	reportedCauses map[int]policy.WaitCause // as last reported, by destination
-	nextCauses     float64
-	nextGauges     float64
-	causesSkipped  bool // a check was skipped; the next is due at nextCauses
+	nextCauses     float64                  // when the reasons to wait are checked next, by the sender's clock
+	nextGauges     float64                  // when the gauges are recorded next
+	causesSkipped  bool                     // a check was skipped; the next is due at nextCauses
 }
 
 // On reports whether records are wanted.
@@ -133,6 +133,7 @@
 	}
 }
 
+// telemetryCauses holds the telemetry's causes by the module's.
 var telemetryCauses = [...]telemetry.Cause{
 	policy.CauseNoEndpoint: telemetry.CauseNone, policy.CauseRequestedWait: telemetry.CauseRequestedWait, policy.CauseBreaker: telemetry.CauseBreaker,
 	policy.CausePaceCap: telemetry.CauseStorm, policy.CausePace: telemetry.CausePace, policy.CauseSlot: telemetry.CauseSlot, policy.CauseRetry: telemetry.CauseRetry,
@@ -215,7 +216,8 @@
 	return min(wait, 100*time.Millisecond)
 }
 
-// refusalCause returns why a message is refused.
+// refusalCause returns the cause to record for a message that is refused before the module has decided on it, although
+// its destination is served.
 func (s *Sender) refusalCause() telemetry.Cause {
 	if !s.stopRequestedAt.IsZero() {
 		return telemetry.CauseStopping
