--- a/policy/policy.go
+++ b/policy/policy.go
@@ -16,7 +16,7 @@
 //     from the load.
 //   - A small fleet has at most maxSmallFleet senders; a large fleet has more.
 //   - A busy sender makes enough calls on a route to find its limit by itself (see canMeasure); a light
-//     sender makes fewer.
+//     sender makes fewer. In a small fleet every sender counts as busy.
 
 import (
 	"cmp"
@@ -25,7 +25,7 @@
 	"slices"
 )
 
-// Parameters of the decisions. Each comment names the unit; a value without a unit is a plain factor or
+// Parameters of the decisions. Each comment names the unit; a value without a unit is a count, a factor or a
 // share.
 const (
 	// Admission control.
@@ -49,7 +49,8 @@
 	minAdmission = 0.1
 	// Time without arrivals after which a destination's controller starts afresh, in ms.
 	controllerResetDelay = 30000.0
-	// The target delay Dref is at least this share of the aim.
+	// Lower bound of the target delay Dref, as a share of the tightest aim of the classes. Dref is that aim less
+	// the mean call latency of the destination.
 	minDrefShare = 0.1
 
 	// Call latency and time-outs.
@@ -68,9 +69,10 @@
 
 	// Pace of a route.
 
-	// Time constant of the rate meters, in ms.
+	// Time constant of the rate meters, in ms. It is also the time without a success after which a route that
+	// refuses may be unavailable.
 	rateMeterTau = 6000.0
-	// Largest number of senders whose shares of a limit are big enough for each to measure by itself.
+	// Largest number of senders whose shares of a limit are big enough for each to measure the limit by itself.
 	maxSmallFleet = 8
 	// Calls per second on a route above which a sender of a large fleet sees enough to measure the limit by
 	// itself.
@@ -84,26 +86,28 @@
 	minGrowthPace = 2.5
 	// Share of its pace by which a light sender's pace falls at a refusal.
 	lightCut = 0.5
-	// Share by which a light sender's pace rises on success. Where rises and cuts by lightCut balance, four in
-	// five calls are accepted.
+	// Share by which a light sender's pace rises on success. Where these rises and the cuts by lightCut balance,
+	// about four in five calls are accepted.
 	lightGrowth = 0.15
 	// Time without refusals in which a light sender's pace rises e-fold, in ms.
 	paceRecoveryTau = 15000.0
 	// Upper bound of the rise of a light sender's pace with time, for each call that the pace allows, as an
 	// exponent of e.
 	maxRecoveryPerCall = 0.2
-	// Pace at the first refusal on a route of which nothing is known, in calls per second.
+	// Pace from which a light sender's first cut starts, in calls per second. A pace above it falls to it before
+	// it is cut. Half of it is the lower bound of a cut of a busy sender's pace.
 	initialPace = 0.8
 	// Lower bound of a light sender's pace, in calls per second.
 	minPace = 0.02
-	// Fraction of its even share of an advertised limit that a sender of a large fleet uses: arrivals are
-	// random.
+	// Fraction of its even share of an advertised limit that a sender of a large fleet uses; the rest is a
+	// margin, since calls come at random times.
 	evenShareUse = 0.9
 	// Bucket depth for an even share of an advertised limit, in calls: what is unused is saved up to this.
 	evenShareBurst = 3.0
-	// EWMA weight of a report of a limit that differs from the known one by at most limitReportNoise.
+	// EWMA weight of a report of a limit that differs from the known one by less than limitReportNoise. Only a
+	// large fleet smooths reports.
 	limitReportGain = 0.3
-	// Relative difference above which a reported limit has changed and is adopted at once.
+	// Relative difference from which on a reported limit has changed and is adopted at once.
 	limitReportNoise = 0.3
 	// Requested wait, in ms, above which the destination is assumed to count refused calls against its limit.
 	debtWait = 1200.0
@@ -113,41 +117,42 @@
 	// against the limit.
 	debtPaceShare = 0.8
 
-	// Choice of endpoint, in units of one call in flight.
+	// Choice of endpoint: the one of least cost, in units of one call in flight.
 
-	// Upper bound of the cost of an endpoint by its place in the sender's own order, in calls in flight: less
-	// than all costs by which endpoints differ.
+	// Upper bound of the cost of an endpoint by its place in the sender's own order, in calls in flight. It is
+	// small, so that the order decides only between endpoints that are equal otherwise.
 	senderOrderCost = 0.1
-	// Scale of the random cost of an endpoint with a limit of its own, in calls per second: up to a limit of
-	// this size, chance outweighs the other costs.
+	// Scale of the random cost of an endpoint with a limit of its own, in calls per second. The mean cost is
+	// this divided by the limit: up to a limit of about this size, chance outweighs the other costs.
 	randomRouteCost = 10.0
 
 	// Token buckets and pauses of messages.
 
-	// Depth of a pace's token bucket, as time at the pace in ms.
+	// Depth of a pace's token bucket, as time at the pace in ms; one call at least.
 	burstDuration = 500.0
 	// Least Retry-After of a refusal, and least pause before the endpoint list is requested again, in ms.
 	minRetryAfter = 200.0
-	// Pause of a message after its first failed attempt, in ms. It doubles with each further attempt.
+	// Pause of a message after its first failed attempt, in ms. It doubles with each further attempt. A refusal
+	// causes none.
 	initialRetryDelay = 150.0
 
 	// Idle connections that have died unnoticed.
 
-	// Connections idle for less than this, in ms, are not suspected.
+	// Connections idle for less than this, in ms, are not suspected of having died.
 	minSuspectIdle = 1000.0
 	// EWMA weight of a call on an idle connection in the failing share of such calls.
 	staleGain = 0.25
 	// Failing share of calls on idle connections above which idle connections are not trusted.
 	maxStaleShare = 0.3
 	// Part of the failing share of calls on idle connections that is forgotten each time an idle connection is
-	// replaced.
+	// replaced, so that such connections are tried again some day.
 	staleDecay = 0.01
 
-	// Scarce connections: a kind of destination accepts too few for all senders.
+	// Scarce connections: a kind of destination accepts too few for all senders of a large fleet.
 
-	// EWMA weight of a message's first connection attempt in the failing share of a kind of destination.
+	// EWMA weight of a message's first connection attempt in the refused share at a kind of destination.
 	dialGain = 0.2
-	// Failing share of first connection attempts above which connections are scarce at a kind of destination.
+	// Refused share of first connection attempts from which on connections are scarce at a kind of destination.
 	maxDialFailureShare = 0.45
 	// A connection made within this time after a refused one, in ms, shows scarcity: no outage ends so soon.
 	scarceSuccessWindow = 3500.0
@@ -158,7 +163,8 @@
 
 	// Time constant in which the extra cost of an endpoint that failed decays, in ms.
 	suspicionTau = 1000.0
-	// An endpoint with calls in flight and a success within this time, in ms, is not down.
+	// An endpoint with calls in flight and a success within this time, in ms, is up: a connection that it
+	// refuses does not count as a failure.
 	aliveWindow = 500.0
 	// Failures in a row that open a breaker even after recent successes.
 	breakerFailures = 4
@@ -166,7 +172,8 @@
 	breakerFailureShare = 0.8
 	// Refusals in a row that, without a success for unavailableWindow, show an unavailable destination.
 	unavailableRefusals = 4
-	// Time without a success, in ms, after which unavailableRefusals refusals open the breaker.
+	// Time since the first of at least unavailableRefusals refusals in a row, in ms, after which they open the
+	// breakers of their route.
 	unavailableWindow = 2000.0
 	// Requested wait, in ms, above which a sender of a large fleet takes a destination as unavailable: waits for
 	// a limit are shorter.
@@ -174,7 +181,7 @@
 	// Share of its allowance left above which a route that refuses may be unavailable rather than at its
 	// limit.
 	minUnusedAllowance = 0.5
-	// Share of the light senders that treat a route that refuses with much of its allowance left as
+	// Probability with which a light sender pauses as after a failure when a route refuses that may be
 	// unavailable.
 	unavailableSenderShare = 0.6
 	// Share of the least pause after a failure that applies after refusals alone, which may come from a limit.
@@ -196,30 +203,32 @@
 	maxFirstTrialPause = 12000.0
 	// Time for which an endpoint off the list is remembered, in ms: it may come back, cold.
 	removedEndpointRetention = 60000.0
-	// An endpoint with a success within this time, in ms, does not follow a failed one of its route.
+	// An endpoint with a success within this time, in ms, does not follow a failed one of its route, and a
+	// failure that leaves its breaker closed causes no pause.
 	recentSuccessWindow = 3000.0
-	// Pause before a trial as a multiple of the outage's age, since the number of senders that hold messages
-	// grows with it.
+	// Least pause before a trial as a multiple of the outage's age, since the number of senders that hold
+	// messages grows with it.
 	trialPauseAgeFactor = 2.0
-	// Upper bound of the part of a pause that grows with the outage's age, in ms per sender. It suffices when
-	// every sender holds messages.
+	// Upper bound of the least pause that grows with the outage's age, in ms per sender. It suffices when every
+	// sender holds messages.
 	maxAgePausePerSender = 600.0
-	// Share that all trials together may reach of the load that overloads a destination just back, and cold.
+	// Load of the trials of all senders together, as a share of the load that overloads a destination that has
+	// just come back and is cold.
 	trialOverloadShare = 0.85
-	// Share of a pace cap that trials may use.
+	// Share of a pace cap that trials may use where no even share of an advertised limit is known.
 	trialPaceShare = 0.2
 
 	// Slow start after an outage.
 
-	// Share that a ramp uses of the load up to which a cold destination is not overloaded: other senders ramp at
-	// rates of their own.
+	// Share that a ramp uses of the load that would overload the destination at its present capacity: other
+	// senders ramp at rates of their own.
 	rampMargin = 0.65
-	// The ramp's budget saves up calls for this share of OverloadWindow.
+	// The ramp's budget saves up one call, and the calls of this share of OverloadWindow.
 	rampBurstShare = 0.2
-	// Least rate before an outage from which a ramp starts, in calls per second, where up to
-	// minBaseRateSenders send.
+	// A ramp takes the rate before the outage as at least this, in calls per second, where there are up to
+	// minBaseRateSenders senders.
 	minBaseRate = 0.25
-	// Factor from which a rise of an advertised limit cannot be noise.
+	// Factor above which a rise of a reported limit cannot be noise: the pace rises by the same factor.
 	limitJump = 1.5
 	// Factor on an even share of a reported limit for a ramp: a reported limit is below the capacity.
 	reportedLimitTrust = 1.3
@@ -230,11 +239,11 @@
 
 	// Costs, margins and jitter.
 
-	// Weight of each further message in a call, as a share of a call.
+	// Weight of each further message in a call in the budget of a ramp or an open breaker, as a share of a call.
 	batchItemWeight = 0.25
 	// Cost of a call to another zone per unit of CrossZoneFee, in calls in flight.
 	crossZoneCost = 20.0
-	// Share of a key's dedup window within which a message is sent again.
+	// Share of its class's dedup window within which a message that may have run is sent again.
 	dedupMargin = 0.9
 	// Share of MaxHeld above which the messages of least worth are shed.
 	maxHeldShare = 0.9
@@ -248,7 +257,8 @@
 	answerMargin = 40.0
 )
 
-// Step processes a batch of events in order, dispatches messages once and appends the resulting actions.
+// Step processes a batch of events in order, dispatches messages once, appends the resulting actions to
+// actions and returns that. now is the time of all of them, in ms.
 func (s *Sender) Step(now float64, events []Event, actions []Action) []Action {
 	s.now, s.actions = now, actions
 	s.steps++
@@ -296,7 +306,8 @@
 }
 
 // updateEndpoints applies a list of endpoints. An endpoint that drains or is gone receives nothing new from
-// this step on, well within the drain grace period.
+// this step on, well within the drain grace period. A list that is sent on request only and could not be
+// fetched is requested again after a random pause.
 func (s *Sender) updateEndpoints(e *Event) {
 	if e.Failed {
 		if s.settings.Subscribe {
@@ -330,9 +341,9 @@
 	}
 }
 
-// shareOutage puts a new endpoint under the breaker of its route if that is in an outage. Otherwise the
-// endpoint would receive the whole backlog at once, and the destination behind it is as cold as behind the
-// others.
+// shareOutage puts, in a large fleet, a new endpoint under the breaker of its route if that is in an outage:
+// a breaker there is open, and so is that of every other ready endpoint. Otherwise the new endpoint would
+// receive the whole backlog at once, and the destination behind it is as cold as behind the others.
 func (s *Sender) shareOutage(ep *endpoint) {
 	for _, other := range ep.route.endpoints {
 		if other.breaker == open {
@@ -344,7 +355,7 @@
 	}
 }
 
-// admit accepts or refuses a new or restored message.
+// admit accepts or refuses a new or restored message. It ignores one that it already knows.
 func (s *Sender) admit(e *Event) {
 	if s.messages[e.ID] != nil {
 		return
@@ -360,7 +371,8 @@
 	m.aimAt = m.deadline - c.Deadline + c.Aim
 	if s.settings.MarksResubmissions && !e.Resubmitted && !e.Restored ||
 		!s.settings.MarksResubmissions && !e.Restored && remaining <= c.Aim {
-		// A new message with little time left has an impatient client; it has not waited.
+		// The message is new and has not waited: if little time is left, its client is impatient. Where clients
+		// mark no resubmissions, one that has at most its aim left counts as new.
 		m.aimAt = s.now + c.Aim
 	}
 	s.accrueWait(d)
@@ -398,8 +410,8 @@
 	return at
 }
 
-// checkSendDeadline handles a send timer: a held message with less time left than a normal call takes is
-// answered without being sent.
+// checkSendDeadline handles a send timer: a held message that is past its send deadline is answered without
+// a further attempt. The deadline moves with the call latency, so the timer may have to be set again.
 func (s *Sender) checkSendDeadline(m *message) {
 	if m.ended || m.inFlight != nil {
 		return
@@ -411,8 +423,8 @@
 	s.endUndelivered(m)
 }
 
-// endUndelivered gives the final answer that the attempts of m allow: a refusal promises that m never ran
-// or may be repeated safely.
+// endUndelivered gives the final answer that the attempts of m allow: a refusal, which promises that m never
+// ran or may be repeated safely, otherwise a failure, since m may have run.
 func (s *Sender) endUndelivered(m *message) {
 	if m.mayHaveRunAt < 0 || m.class.Effect == Safe || m.class.Effect == Keyed && !m.class.ZoneScope {
 		s.refuse(m)
@@ -422,7 +434,8 @@
 	s.end(m)
 }
 
-// refuse returns m undelivered, with a Retry-After where clients are given one.
+// refuse hands m back undelivered. Where clients are given a Retry-After, it is the time in which the queue
+// of the destination drains, between minRetryAfter and MaxRetryAfter.
 func (s *Sender) refuse(m *message) {
 	after := 0.0
 	if s.settings.SendsRetryAfter {
@@ -432,8 +445,8 @@
 	s.end(m)
 }
 
-// shed returns the messages of least worth when the capacity for held messages is nearly used up, from the
-// longest queue first, so that an outage of one destination does not cause refusals for the others.
+// shed ends the messages of least worth undelivered when the capacity for held messages is nearly used up,
+// from the longest queue first, so that an outage of one destination does not cause refusals for the others.
 // Drawback: a backlog that would have drained in time is cut, though only above maxHeldShare.
 func (s *Sender) shed() {
 	excess := s.held - int(maxHeldShare*float64(s.settings.MaxHeld))
@@ -452,6 +465,7 @@
 // update ends a control period: predictor (eq. 4), RLS (eqs. 9, 10) and control law (eq. 11) of Liu et al.
 // with n=1, m=0, d=1. The error is relative to Dref. oldest is the age of the oldest held message, which
 // replaces the delay when nothing was sent: a silent destination would yield samples only at its time-outs.
+// active says that the destination is throttled; otherwise everything is admitted. Times are in ms.
 func (c *admissionController) update(now, dref, oldest float64, active bool) {
 	elapsed := now - c.periodStart
 	if elapsed < controlPeriod {
@@ -479,7 +493,7 @@
 		}
 		c.ex += periodGain * (x - c.ex)
 		c.waitingTime, c.delivered = 0, 0
-	} else {
+	} else { // no delivery yet in this waiting time, so E[X] is at least as long
 		c.ex = max(c.ex, c.waitingTime)
 	}
 	if arrived && c.ex > 0 { // without arrivals the last value is kept
@@ -493,7 +507,8 @@
 	c.pa = min(max(c.pam+c.u, minAdmission), 1)
 }
 
-// updateController ends the control period of d if it is due.
+// updateController ends the control period of d if it is due. Without an aim of any class there is no target
+// delay, and no period ends.
 func (s *Sender) updateController(d *destination) {
 	if math.IsInf(s.minAim, 1) {
 		return
@@ -546,8 +561,8 @@
 	return next
 }
 
-// serve makes one call for d if it may. It returns s.now if it did, otherwise the earliest time at which it
-// could.
+// serve makes one call for d if it may, or adds messages to a call that this step began. It returns s.now if
+// it sent any, otherwise the earliest time at which it could: +Inf if that takes another event.
 func (s *Sender) serve(d *destination) float64 {
 	var best *endpoint
 	next, bestCost := math.Inf(1), 0.0
@@ -624,8 +639,8 @@
 	return s.now
 }
 
-// chooseMessage returns the message of d that is worth most at target now, or the time at which one may be
-// sent there.
+// chooseMessage returns the message of d that is worth most at target now, or nil and the time at which one
+// may be sent there: +Inf if that takes another event.
 func (s *Sender) chooseMessage(d *destination, target *endpoint) (*message, float64) {
 	var best *message
 	next, bestRank := math.Inf(1), 0.0
@@ -663,7 +678,8 @@
 }
 
 // nextCallAt returns when ep may next be called, after requested waits, back-off, pace, breaker, ramp and
-// bulkhead.
+// bulkhead: s.now, a later time, or +Inf if that takes another event. It brings the pace and the token
+// buckets up to date, and ends a ramp that is over.
 func (s *Sender) nextCallAt(ep *endpoint) float64 {
 	if !ep.ready {
 		return math.Inf(1)
@@ -750,8 +766,8 @@
 	ownRate := max(ep.rateBeforeOutage, minBaseRate*min(1, minBaseRateSenders/s.senders()),
 		r.paceCap/float64(max(r.readyEndpoints(), 1)))
 	if s.smallFleet() || s.usesEvenShare(r) {
-		// An advertised limit is below the capacity, and an even share of it may be far above the sender's rate
-		// before the outage.
+		// An even share of the advertised limit may be far above the sender's rate before the outage. A reported
+		// limit is below the capacity, a rating may be above it.
 		trust := ratingTrust
 		if r.limitReported {
 			trust = reportedLimitTrust
@@ -762,8 +778,8 @@
 	return ep.rampBudget.refill(s.now, rate, 1+rate*s.settings.OverloadWindow*rampBurstShare)
 }
 
-// suspected reports whether ep may be failing. A single error answer does not count: it may happen
-// anywhere.
+// suspected reports whether ep may be failing: it is in an outage or a ramp, has failed, or its oldest call
+// takes far too long. A single error answer does not count: it may happen anywhere.
 func (s *Sender) suspected(ep *endpoint) bool {
 	if ep.breaker != closed || ep.failures > 1 || ep.failures == 1 && ep.unanswered {
 		return true
@@ -773,7 +789,7 @@
 }
 
 // send calls ep with m. Messages sent to one endpoint in the same step share a call up to the endpoint's
-// batch size.
+// batch size. The call times out at the deadline of its message at the latest.
 func (s *Sender) send(m *message, ep *endpoint) {
 	d := m.dest
 	c := ep.stepCall
@@ -814,7 +830,7 @@
 	})
 }
 
-// handleOutcome processes the end of an attempt.
+// handleOutcome processes the end of an attempt. It ignores an outcome that is not of the attempt in flight.
 func (s *Sender) handleOutcome(e *Event) {
 	m := s.messages[e.ID]
 	if m == nil || m.inFlight == nil || e.Attempt != m.attempts-1 {
@@ -937,8 +953,8 @@
 			s.connectionRefused(c, outcome) && s.now < s.dialStats[ep.kind].scarceUntil {
 			successes++ // the idle connection may be at fault, or connections are scarce
 		}
-		// One error answer in a ramp is no new outage: starting the ramp again for each would keep the backlog
-		// from an endpoint that works.
+		// In a small fleet one error answer in a ramp is no new outage: starting the ramp again for each would
+		// keep the backlog from an endpoint that works.
 		reopen := ep.breaker == open ||
 			ep.breaker == ramping && (ep.failures > 1 || ep.unanswered || !s.smallFleet())
 		if reopen || ep.failures >= breakerFailures || ep.failures > successes && !s.smallFleet() ||
@@ -977,8 +993,8 @@
 
 // learnScarcity learns, for each kind of destination, whether connections are scarce there: first attempts
 // of messages then fail to connect, whatever the destination, and idle connections keep other senders out.
-// No idle connection is kept at that kind for a while. Drawback: an outage of most of a kind looks the same
-// and costs handshakes.
+// In a large fleet, no idle connection is kept at that kind for a while then. Drawback: an outage of most of
+// a kind looks the same and costs handshakes.
 func (s *Sender) learnScarcity(c *call, outcome Outcome) {
 	kind := &s.dialStats[c.ep.kind]
 	refused := s.connectionRefused(c, outcome)
@@ -1043,9 +1059,9 @@
 		r.pace = max(r.pace*(1-lightCut), minPace)
 	}
 	// To a sender that meets it once, an unavailable destination looks like one at its limit, but much of its
-	// allowance, if reported, is left. A random part of the senders without a recent success waits as after a
-	// failure; otherwise most calls to a destination that comes back would come from these. Drawback: calls
-	// are delayed at a mere limit, or where a report is late.
+	// allowance, if reported, is left. A random part of the light senders without a recent success waits as
+	// after a failure; otherwise most calls to a destination that comes back would come from these. Drawback:
+	// calls are delayed at a mere limit, or where a report is late.
 	tokens := s.rng.Float64() - 0.5
 	unavailable := s.now-r.lastOK > rateMeterTau &&
 		(s.settings.AllowanceIndex < 0 || r.allowanceLeft > minUnusedAllowance)
@@ -1085,8 +1101,10 @@
 	return s.smallFleet() || r.callRate.rate(s.now) > minBusyRate
 }
 
-// raisePace raises a pace with time and, where it held messages back, with success, up to the advertised
-// limit.
+// raisePace raises the pace of a route that does not use an even share. A busy sender's pace rises on success
+// if it held messages back, by the time since raisePace last ran, 1 s at most. A light sender's pace rises
+// with time, and on success by the share growth if it held messages back. growth is 0 at a refusal. Where
+// answers report limits, the advertised limit is the upper bound.
 func (s *Sender) raisePace(r *route, growth float64) {
 	if r.pace > 0 && !s.usesEvenShare(r) {
 		elapsed := s.now - r.raisedAt
@@ -1108,7 +1126,7 @@
 }
 
 // openBreaker opens the breaker of ep, or postpones its next trial. It keeps the rate before the outage,
-// from a part of which the ramp starts.
+// from a part of which the ramp starts. A ramp that fails continues the outage before it.
 func (s *Sender) openBreaker(ep *endpoint) {
 	if ep.breaker == closed {
 		ep.rateBeforeOutage = ep.route.deliveredRate.perSecond / float64(max(ep.route.readyEndpoints(), 1))
@@ -1135,8 +1153,9 @@
 	}
 }
 
-// advanceTrial brings a trial forward where the limit is known: the trials of all senders together stay
-// below the load that overloads the destination at the moment it comes back.
+// advanceTrial returns at, the time of a trial, brought forward where an even share or a pace cap is known:
+// the trials of all senders together then stay below the load that overloads the destination at the moment
+// it comes back, or within a part of the caps.
 func (s *Sender) advanceTrial(r *route, at float64) float64 {
 	rate := trialPaceShare * r.paceCap
 	if s.usesEvenShare(r) {
@@ -1157,15 +1176,16 @@
 	return s.uniform(pause*(1-largeFleetJitter), pause*(1+largeFleetJitter))
 }
 
-// minFailurePause returns the least pause after a failure where many senders fail alike.
+// minFailurePause returns the least pause after a failure, in ms. It grows with the number of senders, which
+// may all fail alike.
 func (s *Sender) minFailurePause() float64 {
 	return min(trialPausePerSender*float64(s.settings.Senders), maxFirstTrialPause)
 }
 
-// followBreaker puts an endpoint without a recent success under the breaker of one that failed on its
-// route. Endpoints with limits of their own mostly fail together, and a held message fits any of them: a
-// failed trial at one postpones the others, otherwise all that come back receive the sum of the trials.
-// Drawback: one that comes back alone waits up to one first pause longer.
+// followBreaker puts, in a large fleet, an endpoint without a recent success under the breaker of one that
+// failed on its route. Endpoints with limits of their own mostly fail together, and a held message fits any
+// of them: a failed trial at one postpones the others, otherwise all that come back receive the sum of the
+// trials. Drawback: one that comes back alone waits up to one first pause longer.
 func (s *Sender) followBreaker(ep, failed *endpoint) {
 	switch {
 	case s.smallFleet():
