--- a/policy/api.go
+++ b/policy/api.go
@@ -23,9 +23,9 @@
 	Aim         float64 // target latency: a message delivered within it earns its full worth
 	Deadline    float64 // time within which it may be delivered
 	Worth       float64 // earned by a delivery within the aim
-	LateWorth   float64 // share of the worth that is left at the deadline
+	LateWorth   float64 // share of the worth left at the deadline, and least share left before it
 	Effect      Effect
-	ZoneScope   bool    // keyed: only endpoints of the same zone drop repeats
+	ZoneScope   bool    // keyed: a repeat is dropped only in the zone of the earlier attempt
 	DedupWindow float64 // keyed: how long repeats are dropped
 	Ordered     bool    // messages of one key are sent one at a time, in order
 }
@@ -33,7 +33,7 @@
 // Tenant describes one tenant of the service.
 type Tenant struct {
 	Name  string
-	Quota float64 // messages per second within its share, over all senders
+	Quota float64 // messages per second within its share, over all senders; not used at present
 }
 
 // DestKind describes one kind of destination.
@@ -48,7 +48,7 @@
 	Index, Senders             int      // index of this sender, and number of senders in the fleet
 	Zone                       int      // index in Zones
 	Zones                      []string // names
-	MinStepInterval            float64  // least interval between steps
+	MinStepInterval            float64  // least interval between steps, kept by the caller
 	Classes                    []Class
 	Tenants                    []Tenant
 	Kinds                      []DestKind
@@ -56,28 +56,28 @@
 	CrossZoneFee               float64   // fee of a call to another zone, in score points per first attempt
 	CallSlots                  int       // calls that may be in flight at once
 	WorthHalves                bool      // late worth halves with each further aim of delay; otherwise it falls linearly
-	OverShareWorth             float64
-	RatingIsRate               bool // Endpoint.Rating is a rate in calls per second
-	AllowanceIndex, LimitIndex int  // indexes in a report of the allowance left and of the limit; -1: absent
-	MayCancel                  bool
-	MayProbe                   bool
-	MarksResubmissions         bool    // clients mark resubmissions: Event.Resubmitted is set
-	SendsRetryAfter            bool    // refusals to clients carry a Retry-After
-	MaxRetryAfter              float64 // upper bound of the Retry-After of a refusal
-	MaxAttempts                int
-	MaxHeld                    int     // capacity for held messages
-	StreamsPerConn             int     // calls that a connection carries at once
-	KeepAlive                  float64 // idle time after which a connection counts as closed
-	DialTimeout                float64
-	Subscribe                  bool    // the endpoint list is sent on request only
-	MaxSubscribeInterval       float64 // with Subscribe: longest interval between requests for the list
-	AnswerSlack                float64 // how late a final answer may still come
-	DrainGrace                 float64 // time after which an endpoint that drains must receive nothing new
-	WarmUpDuration             float64 // time after an outage until a destination is warm
-	ColdCapacity               float64 // share of its capacity that a cold destination has
-	OverloadMultiple           float64 // multiple of its present capacity that overloads a destination
-	OverloadWindow             float64 // time at that load after which it collapses
-	KeyPause                   float64 // pause of a key after an attempt that may still run
+	OverShareWorth             float64   // not used at present
+	RatingIsRate               bool      // Endpoint.Rating is a rate in calls per second
+	AllowanceIndex, LimitIndex int       // indexes in a report of the allowance left (a share) and the limit; -1: absent
+	MayCancel                  bool      // not used at present
+	MayProbe                   bool      // not used at present: the module sends no probes
+	MarksResubmissions         bool      // clients mark resubmissions: Event.Resubmitted is set
+	SendsRetryAfter            bool      // refusals to clients carry a Retry-After
+	MaxRetryAfter              float64   // upper bound of the Retry-After of a refusal
+	MaxAttempts                int       // attempts per message
+	MaxHeld                    int       // capacity for held messages; 0: unlimited
+	StreamsPerConn             int       // calls that a connection carries at once
+	KeepAlive                  float64   // idle time after which a connection counts as closed
+	DialTimeout                float64   // time-out of connecting
+	Subscribe                  bool      // the endpoint list is sent on request only
+	MaxSubscribeInterval       float64   // with Subscribe: longest interval between requests for the list
+	AnswerSlack                float64   // how late a final answer may still come; not used at present
+	DrainGrace                 float64   // time within which calls to a draining endpoint must stop; they stop at once
+	WarmUpDuration             float64   // time after an outage until a destination is warm
+	ColdCapacity               float64   // share of its capacity that a cold destination has
+	OverloadMultiple           float64   // multiple of its present capacity that overloads a destination
+	OverloadWindow             float64   // time at that load after which it collapses
+	KeyPause                   float64   // pause of a key after an attempt that may still run
 }
 
 // EndpointState is the listed state of an endpoint.
@@ -114,7 +114,7 @@
 	EvWithdrawn                  // ID
 	EvTimer                      // Token
 	EvProbe                      // Endpoint, Outcome, Latency, Report; ignored, as the module sends no probes
-	EvFacts                      // Facts for endpoints first listed in this same step; to known ones only waits apply
+	EvFacts                      // Facts for endpoints first listed later in this step; to known ones only waits apply
 	EvPace                       // Dest, or Endpoint of one with a limit of its own; Pace, which caps the calls there
 	EvSettings                   // Settings read again: Classes, a list that only grows, and MaxAttempts
 )
@@ -156,15 +156,15 @@
 	Restored       bool    // accepted in an earlier run of the sender, from its journal
 	Attempts       int     // Restored: attempts made so far; they count towards MaxAttempts
 	MayHaveRun     bool    // Restored: one of the attempts may have run
-	MayHaveRunAge  float64 // Restored: time since the first such attempt was sent; at most the time of the step
+	MayHaveRunAge  float64 // Restored: time since the first such attempt was sent; not above Step's now
 	MayHaveRunZone int     // Restored: zone of the endpoint of that attempt
 	Endpoint       uint32
-	Attempt        int
+	Attempt        int // 0: the first
 	Outcome        Outcome
 	RequestedWait  float64 // wait that the partner asks for; 0: none
 	Latency        float64
 	Final          bool      // the message has ended: it gets no further attempt or answer
-	Report         []float64 // fields as the destination reports them; see Settings.AllowanceIndex
+	Report         []float64 // fields as the destination reports them; see Settings.AllowanceIndex and LimitIndex
 	Token          uint32    // of the ActTimer that has come due
 	List           []Endpoint
 	FullList       bool // List replaces all earlier lists
--- a/policy/facts.go
+++ b/policy/facts.go
@@ -25,7 +25,7 @@
 	AdvertisedLimit float64 // whole limit in calls per second; 0: none
 	LimitReported   bool    // by the partner, not only by the list
 	Pace            float64 // this sender's pace in calls per second; 0: none
-	LastOK          float64 // when a call last succeeded
+	LastOK          float64 // when a call last succeeded; until then, when the route became known
 	CallRate        float64 // recent calls per second
 	AcceptedRate    float64 // recent accepted calls per second
 	DeliveredRate   float64 // recent deliveries of messages per second
@@ -78,7 +78,7 @@
 
 // DialFacts holds how connecting to one kind of destination succeeds.
 type DialFacts struct {
-	FailureShare float64 // failing share of first connection attempts
+	FailureShare float64 // refused share of first connection attempts
 	ScarceUntil  float64 // no idle connection is kept until then
 }
 
@@ -152,7 +152,8 @@
 	}
 }
 
-// keepFacts keeps the facts of an event until the lists of this step have named their endpoints.
+// keepFacts keeps the facts of an event for the endpoints that lists later in this step name, and applies the
+// requested waits to those already known.
 func (s *Sender) keepFacts(list []DestFacts) {
 	s.restoredFacts = map[int]*DestFacts{}
 	for i := range list {
@@ -179,7 +180,8 @@
 	}
 }
 
-// restoreEndpoint restores a new endpoint and, if it is the first one there, its destination.
+// restoreEndpoint restores a new endpoint from the facts of this step, if any, and its destination too if the
+// endpoint is the first one there.
 func (s *Sender) restoreEndpoint(ep *endpoint) {
 	f := s.restoredFacts[ep.dest.id]
 	if f == nil {
@@ -210,6 +212,7 @@
 	}
 }
 
+// facts exports the route. A requested wait that is over is left out.
 func (r *route) facts(now float64) *RouteFacts {
 	f := &RouteFacts{
 		AdvertisedLimit: r.advertisedLimit, LimitReported: r.limitReported, Pace: r.pace, LastOK: r.lastOK,
@@ -221,6 +224,7 @@
 	return f
 }
 
+// restore sets the route to the facts; the rates count as measured now.
 func (r *route) restore(f *RouteFacts, now float64) {
 	r.waitUntil, r.advertisedLimit, r.limitReported, r.pace, r.lastOK =
 		f.WaitUntil, f.AdvertisedLimit, f.LimitReported, f.Pace, f.LastOK
--- a/policy/shedding.go
+++ b/policy/shedding.go
@@ -1,7 +1,7 @@
 package policy
 
-// This file is the bookkeeping for messages shed when the capacity for held messages is nearly used up. It handles
-// many at once, since a restart may find a whole journal above the capacity. The decision is Sender.shed in
+// This file is the bookkeeping for messages that are shed when the capacity for held messages is nearly used up. It
+// handles many at once, since a restart may find a whole journal above the capacity. The decision is Sender.shed in
 // policy.go.
 
 import (
@@ -78,7 +78,7 @@
 	return shed
 }
 
-// dropShed removes the messages marked by leastWorth from the queue of d.
+// dropShed removes the messages marked by leastWorth from the queue of d, and d itself if nothing is left of it.
 func (s *Sender) dropShed(d *destination) {
 	d.queue = slices.DeleteFunc(d.queue, func(m *message) bool { return m.shed })
 	s.dropDestination(d)
--- a/policy/state.go
+++ b/policy/state.go
@@ -20,7 +20,7 @@
 	ramping // slow start after an outage
 )
 
-// rateMeter is an exponentially decaying rate per second.
+// rateMeter is an exponentially decaying rate: its value per second at a point of time.
 type rateMeter struct{ perSecond, at float64 }
 
 func (m *rateMeter) add(now, n float64) { m.perSecond, m.at = m.rate(now)+n*1000/rateMeterTau, now }
@@ -48,6 +48,7 @@
 	samples         int
 }
 
+// add adds the latency of a call. The first one sets the mean, and half of it the deviation.
 func (l *latency) add(v float64) {
 	if l.samples++; l.samples == 1 {
 		l.mean, l.deviation = v, v/2
@@ -63,18 +64,18 @@
 type route struct {
 	waitUntil       float64 // end of the requested wait: no call goes out before
 	pace            float64 // this sender's pace in calls per second; 0: none known
-	allowanceLeft   float64 // share of the allowance left, from the last report
+	allowanceLeft   float64 // share of the allowance left, from the last outcome; 0: not reported
 	advertisedLimit float64 // whole limit from the list or a report, in calls per second; 0: none
 	limitReported   bool    // advertisedLimit comes from a report
 	paceTokens      tokenBucket
 	paceCap         float64 // pace cap set by the caller, in calls per second; 0: none
 	capTokens       tokenBucket
-	raisedAt        float64 // last time at which raisePace ran
-	cutAt           float64 // last time at which a busy sender cut the pace
-	heldBack        bool    // the pace held a message back since it was last raised
-	refusals        int     // in a row since the last success
-	refusedSince    float64 // time of the first of them
-	lastOK          float64
+	raisedAt        float64   // last time at which raisePace ran
+	cutAt           float64   // last time at which a busy sender cut the pace
+	heldBack        bool      // the pace has held a message back since the last success
+	refusals        int       // in a row since the last success
+	refusedSince    float64   // time of the first of them
+	lastOK          float64   // when a call last succeeded; until then, when the route was created
 	callRate        rateMeter // calls
 	acceptedRate    rateMeter // calls accepted
 	deliveredRate   rateMeter // messages delivered
@@ -91,7 +92,7 @@
 	return n
 }
 
-// countCall counts a call against the pace and the pace cap.
+// countCall counts a call in the call rate and against the pace and the pace cap.
 func (r *route) countCall(now float64) {
 	r.callRate.add(now, 1)
 	r.capTokens.level--
@@ -129,19 +130,19 @@
 	conns          int     // open connections, as far as known
 	lastUsed       float64 // when a connection was last used
 	removedAt      float64 // when it left the list; 0: listed
-	connRefusedAt  float64 // when a connection was last refused
-	lastOK         float64
+	connRefusedAt  float64 // when a connection was last refused; -Inf: never
+	lastOK         float64 // when a call last succeeded; -Inf: never
 
 	breaker          breakerState
 	failures         int         // in a row
 	lastFailure      float64     // time of the last failure
 	unanswered       bool        // the last failure came without an answer
-	answeredError    bool        // the last failure was an error answer: an open breaker lets some calls through
-	failureShare     float64     // EWMA
-	timeoutBackoff   float64     // factor on time-outs, doubled by each time-out
+	answeredError    bool        // the last failure was an error answer: a small fleet still sends some calls
+	failureShare     float64     // failing share of calls (EWMA)
+	timeoutBackoff   float64     // factor on time-outs: 1 to 4, doubled by each time-out
 	unresponsive     bool        // the last failure was a time-out of the call or of its connection
 	failedTrials     int         // since the breaker opened
-	openedAt         float64     // when the breaker opened
+	openedAt         float64     // start of the outage: when the breaker left the closed state
 	nextTrial        float64     // earliest time of the next trial
 	rateBeforeOutage float64     // this sender's delivered rate before the outage, in messages per second
 	rampStart        float64     // when the ramp began
@@ -150,7 +151,7 @@
 
 // dialStats records how connecting to one kind of destination succeeds.
 type dialStats struct {
-	failureShare float64 // failing share of first attempts (EWMA)
+	failureShare float64 // share of first attempts whose new connection was refused at once (EWMA)
 	scarceUntil  float64 // no idle connection is kept until then
 	endpoints    []*endpoint
 }
@@ -166,8 +167,8 @@
 	latency       latency
 	admission     admissionController
 	waiting       bool    // in Sender.waiting
-	throttled     bool    // its own pace or share of slots holds its messages back
-	unavailable   bool    // every endpoint is in an outage or a ramp
+	throttled     bool    // its own pace, limit or share of slots holds its messages back
+	unavailable   bool    // every endpoint is suspected or not ready: the controller is idle
 	accruedAt     float64 // when its waiting time was last added up
 }
 
@@ -183,8 +184,8 @@
 	deadline       float64
 	attempts       int
 	inFlight       *call   // call of its attempt in flight; nil: none
-	mayHaveRunAt   float64 // first send that may have run; negative: none
-	mayHaveRunZone int     // zone of that send's endpoint
+	mayHaveRunAt   float64 // when the first attempt that may have run was sent; negative: none has
+	mayHaveRunZone int     // zone of that attempt's endpoint
 	notBefore      float64 // end of its pause after a failed attempt
 	heldInOutage   bool    // held through an outage: its wait says nothing about the load
 	ended          bool
@@ -198,7 +199,7 @@
 	pausedFor   *message // message whose attempt the key is paused for
 }
 
-// sendTimer is due at the send deadline of a message.
+// sendTimer is due at the send deadline that a message had when the timer was set.
 type sendTimer struct {
 	at  float64
 	seq uint64
@@ -226,7 +227,7 @@
 	settings      Settings
 	rng           *rand.Rand
 	now           float64             // of the current step
-	minAim        float64             // tightest aim of the classes
+	minAim        float64             // tightest aim of the classes; +Inf: none has one
 	messages      map[uint64]*message // accepted and not ended, or ended with an attempt in flight
 	destinations  map[int]*destination
 	endpoints     map[uint32]*endpoint
@@ -237,7 +238,7 @@
 	classLatency  []latency      // by class
 	dialStats     []dialStats    // by kind
 	staleShare    float64        // failing share of calls on idle connections (EWMA)
-	minStaleIdle  float64        // shortest idle time of those that failed
+	minStaleIdle  float64        // shortest idle time of those that failed; +Inf: none
 	held          int            // messages accepted and not ended
 	halted        bool           // no attempt may begin
 	calls         []*call        // in flight
@@ -247,9 +248,9 @@
 	steps         uint64
 	timers        timerHeap
 	timerSeq      uint64
-	timerAt       float64 // when the timer of timerToken fires
+	timerAt       float64 // when the timer of timerToken fires; +Inf: none is set
 	timerToken    uint32
-	subscribeAt   float64            // when the list is requested next
+	subscribeAt   float64            // when the list is requested next; +Inf: not planned
 	loggedAt      float64            // when the last log line was written
 	actions       []Action           // of the current step
 	restoredFacts map[int]*DestFacts // facts of an earlier run for the lists of this step, by destination
@@ -266,7 +267,7 @@
 	return d
 }
 
-// enqueue puts m at the end of its destination's queue.
+// enqueue puts m at the end of its destination's queue, and the destination among the waiting ones.
 func (s *Sender) enqueue(m *message) {
 	d := m.dest
 	d.queue = append(d.queue, m)
@@ -313,7 +314,7 @@
 	s.dropDestination(m.dest)
 }
 
-// log reports a change of state, at most one line per minLogInterval.
+// log reports a change of state, at most one line per minLogInterval. An ep of 0 means the whole destination.
 func (s *Sender) log(event string, dest int, ep uint32) {
 	if s.now-s.loggedAt < minLogInterval {
 		return
@@ -328,9 +329,9 @@
 	lastArrival float64
 	arrivals    int           // in this period
 	lambda      float64       // arrival rate in messages per millisecond
-	waitingTime float64       // time during which messages waited
+	waitingTime float64       // time for which the destination was throttled, in ms
 	delivered   float64       // deliveries in that time
-	ex          float64       // E[X], mean waiting time per delivery
+	ex          float64       // E[X], mean waiting time per delivery, in ms
 	delaySum    float64       // queueing delays of the messages sent in this period
 	sent        int           // messages sent in this period
 	theta       [2]float64    // model parameters
@@ -395,7 +396,7 @@
 	}
 }
 
-// accrueWait adds the waiting time of d up to now.
+// accrueWait adds the time since the last call to the waiting time of d if d was throttled in it.
 func (s *Sender) accrueWait(d *destination) {
 	if d.throttled {
 		d.admission.waitingTime += s.now - d.accruedAt
@@ -403,8 +404,8 @@
 	d.accruedAt = s.now
 }
 
-// setPaceCap sets the pace cap of a route. The bucket starts at a random level: senders that receive their caps at
-// the same moment must not call in step.
+// setPaceCap sets the pace cap of a route and brings forward the trials that it allows. The bucket of a new cap
+// starts at a random level: senders that receive their caps at the same moment must not call in step.
 func (s *Sender) setPaceCap(e *Event) {
 	r := (*route)(nil)
 	if ep := s.endpoints[e.Endpoint]; ep != nil {
@@ -460,7 +461,7 @@
 	return ep
 }
 
-// worth returns the worth of m if it were sent now.
+// worth returns what m would earn if it were sent now and took the usual call time.
 func (s *Sender) worth(m *message) float64 {
 	c := m.class
 	done := s.now + s.callTime(m)
@@ -474,7 +475,8 @@
 	return c.Worth * max(c.LateWorth, 1-(1-c.LateWorth)*late/(c.Deadline-c.Aim))
 }
 
-// callTime returns the smoothed latency of a call for m: of its destination, or of its class while that is unknown.
+// callTime returns the smoothed latency of a call for m: of its destination, or of its class while that is unknown;
+// 0 if neither is known.
 func (s *Sender) callTime(m *message) float64 {
 	if m.dest.latency.samples > 0 {
 		return m.dest.latency.mean
@@ -482,7 +484,8 @@
 	return s.classLatency[m.classIndex].mean
 }
 
-// updateTheta is the RLS step for the relative delay error y.
+// updateTheta is the RLS step for the relative delay error y, which follows the error and the correction of the last
+// period.
 func (c *admissionController) updateTheta(y float64) {
 	f := [2]float64{c.y, c.u}
 	pf := [2]float64{c.p[0][0]*f[0] + c.p[0][1]*f[1], c.p[1][0]*f[0] + c.p[1][1]*f[1]}
@@ -504,7 +507,8 @@
 	heap.Push(&s.timers, sendTimer{at: s.sendDeadline(m), seq: s.timerSeq, m: m})
 }
 
-// armTimer requests a timer for next unless an earlier one is set.
+// armTimer requests a timer for next, at least 1 ms ahead, unless an earlier one is set. The timer before it no
+// longer counts, as its token is no longer the current one.
 func (s *Sender) armTimer(next float64) {
 	if next < s.timerAt {
 		s.timerAt = max(next, s.now+1)
@@ -530,20 +534,20 @@
 	return c
 }
 
-// useConnection records the connection that c uses.
+// useConnection records the connection that c, just begun, uses: a new one if all known ones are full.
 func (s *Sender) useConnection(c *call) {
 	ep, streams := c.ep, c.ep.streamsPerConn
 	c.newConnection = len(ep.calls) > ep.conns*streams
 	ep.conns, ep.lastUsed = max(ep.conns, (len(ep.calls)+streams-1)/streams), s.now
 }
 
-// closeIdle closes the idle connections to ep.
+// closeIdle closes the idle connections to ep. No call may be in flight there but one just begun.
 func (s *Sender) closeIdle(ep *endpoint) {
 	s.actions = append(s.actions, Action{Kind: ActCloseIdle, Endpoint: ep.id})
 	ep.conns = 0
 }
 
-// endCall frees the slot of a call once each of its messages has an outcome.
+// endCall frees the slot of a call whose messages all have an outcome.
 func (s *Sender) endCall(c *call) {
 	s.slotsInUse--
 	c.ep.dest.callsInFlight--
@@ -551,7 +555,8 @@
 	s.calls = remove(s.calls, c)
 }
 
-// pruneWaiting removes destinations with an empty queue from the waiting list and returns a copy of the list.
+// pruneWaiting removes destinations with an empty queue from the waiting list, lets their controllers admit
+// everything and returns a copy of the list, which the caller may change.
 func (s *Sender) pruneWaiting() []*destination {
 	kept := s.waiting[:0]
 	for _, d := range s.waiting {
@@ -578,7 +583,8 @@
 	m.key, q.messages = key, append(q.messages, m)
 }
 
-// oldestAge returns the age of the oldest queued message that was not held in an outage.
+// oldestAge returns the age of the first message in the queue that was not held in an outage, 0 if there is none. It
+// is the oldest one, but for messages queued again after an attempt.
 func (d *destination) oldestAge(now float64) float64 {
 	for _, m := range d.queue {
 		if !m.heldInOutage {
@@ -629,7 +635,8 @@
 	}
 }
 
-// sweep removes endpoints that left the list long ago, and keys whose pause is over and that no message holds.
+// sweep removes endpoints that left the list long ago, keys whose pause is over and that no message holds, and the
+// facts of the last step.
 func (s *Sender) sweep() {
 	s.restoredFacts = nil
 	for len(s.removed) > 0 && (s.removed[0].removedAt == 0 || s.now-s.removed[0].removedAt > removedEndpointRetention) {
@@ -651,7 +658,7 @@
 	}
 }
 
-// markHeldInOutage marks the messages that an outage of d holds.
+// markHeldInOutage marks the messages of d if d is unavailable. The mark stays until they end.
 func (d *destination) markHeldInOutage() {
 	for _, m := range d.queue {
 		m.heldInOutage = m.heldInOutage || d.unavailable
@@ -681,7 +688,7 @@
 	c.arrivals++
 }
 
-// admitAll makes the controller admit everything and forget E[X]: no message of the destination waits.
+// admitAll makes the controller admit everything and forget E[X]: nothing throttles the destination.
 func (c *admissionController) admitAll() {
 	c.pa, c.pam, c.ex, c.waitingTime, c.delivered, c.hasPrevious = 1, 1, 0, 0, 0, false
 }
--- a/policy/wait_cause.go
+++ b/policy/wait_cause.go
@@ -1,6 +1,7 @@
 package policy
 
-// This file reports why messages wait. It only reads the state: it refills no bucket and sets no mark.
+// This file reports why messages wait and how endpoints are. It only reads the state: it refills no bucket and sets
+// no mark.
 
 // WaitCause is the reason why the messages queued for a destination have not been sent.
 type WaitCause uint8
@@ -12,8 +13,8 @@
 	CauseBreaker                        // an outage, the ramp after it, or the pause after a failure
 	CausePaceCap                        // the pace cap set by the caller
 	CausePace                           // the route's own pace
-	CauseSlot                           // all call slots are in use
-	CauseRetry                          // the messages' own pauses, or the order of their keys
+	CauseSlot                           // all call slots, or all that one destination may hold, are in use
+	CauseRetry                          // none of these: mostly the messages' own pauses, or the order of their keys
 )
 
 // EachWaiting calls visit for each destination with queued messages, with the cause at the endpoint that is nearest
@@ -33,8 +34,8 @@
 	}
 }
 
-// Overview returns the number of endpoints whose breaker is open, of those that are ramping, and the sum of the
-// advertised limits in calls per second.
+// Overview returns the number of endpoints whose breaker is open, the number of those that are ramping, and the sum
+// of the advertised limits of all routes in calls per second.
 func (s *Sender) Overview() (openCount, rampingCount int, limitSum float64) {
 	for _, d := range s.destinations {
 		if d.sharedRoute != nil {
