--- a/policy/api.go
+++ b/policy/api.go
@@ -23,7 +23,7 @@
 	Aim         float64 // target latency: a message delivered within it earns its full worth
 	Deadline    float64 // time within which it may be delivered
 	Worth       float64 // earned by a delivery within the aim
-	LateWorth   float64 // share of the worth left at the deadline, and least share left before it
+	LateWorth   float64 // least share of the worth of a late delivery; a linear fall reaches it at the deadline
 	Effect      Effect
 	ZoneScope   bool    // keyed: a repeat is dropped only in the zone of the earlier attempt
 	DedupWindow float64 // keyed: how long repeats are dropped
@@ -150,7 +150,7 @@
 	Class          int
 	Tenant         int
 	Key            uint64  // 0: none
-	Remaining      float64 // time until the deadline
+	Remaining      float64 // time until the deadline; at most Class.Deadline counts
 	Resubmitted    bool    // by its client, or taken over from a sender that died
 	Dest           int
 	Restored       bool    // accepted in an earlier run of the sender, from its journal
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -383,7 +383,7 @@
 	if c.Ordered && e.Key != 0 {
 		s.joinKey(m, e.Key)
 	}
-	if e.Restored { // accepted in an earlier run: only its attempts and its deadline can end it
+	if e.Restored { // accepted in an earlier run: only its attempts and its deadline can end it here
 		m.attempts = e.Attempts
 		if e.MayHaveRun {
 			m.mayHaveRunAt, m.mayHaveRunZone = s.now-e.MayHaveRunAge, e.MayHaveRunZone
