--- a/internal/fleet/voter/apply.go
+++ b/internal/fleet/voter/apply.go
@@ -75,6 +75,7 @@
 	}
 }
 
+// installSnapshot replaces the state by the one in a snapshot from the leader.
 func (v *Voter) installSnapshot(snap *raftpb.Snapshot) error {
 	state, err := duty.Unmarshal(snap.GetData())
 	if err != nil {
@@ -84,6 +85,8 @@
 	return nil
 }
 
+// sendMessages sends messages of the Raft library to the voters that they are addressed to. A snapshot is reported as
+// delivered at once: if it is lost, the library notices by the next rejected entry and sends it again.
 func (v *Voter) sendMessages(messages []*raftpb.Message) {
 	for _, m := range messages {
 		b, err := proto.Marshal(m)
@@ -101,6 +104,8 @@
 	}
 }
 
+// applyEntry applies a committed log entry: a change of the voters or a command. The empty entry with which a leader
+// begins its term changes nothing.
 func (v *Voter) applyEntry(e *raftpb.Entry) {
 	v.applied = e.GetIndex()
 	switch e.GetType() {
@@ -125,6 +130,8 @@
 	}
 }
 
+// applyCommand applies a command to the state. The leader also updates its leases, sends the change to the members that
+// receive updates, and answers the member that requested the command, if its request is still pending.
 func (v *Voter) applyCommand(e *raftpb.Entry, c *pb.Command) {
 	previousVersion := v.state.Version()
 	r := v.state.Apply(e.GetIndex(), e.GetTerm(), c)
@@ -176,12 +183,14 @@
 	}
 }
 
+// compact replaces the log by a snapshot once it has grown past its limit.
 func (v *Voter) compact() {
 	if v.options.Log.NeedsCompaction() {
 		v.snapshot()
 	}
 }
 
+// snapshot saves a snapshot of the state as applied so far, and compacts the log.
 func (v *Voter) snapshot() {
 	b, err := v.state.Marshal()
 	if err == nil {
--- a/internal/fleet/voter/founding.go
+++ b/internal/fleet/voter/founding.go
@@ -21,12 +21,12 @@
 
 // founding is what a voter without a group knows about the founding.
 type founding struct {
-	founders   map[string]bool // voters that are founders of this voter's group
+	founders   map[string]bool // other voters that are founders of the group that this voter, the coordinator, founds
 	nextInvite int64           // time of the next round of invitations
 	reported   bool            // this voter has logged that the existing group has no leader, so that it cannot join yet
 }
 
-// isCoordinator reports whether this voter is the one that founds the group.
+// isCoordinator reports whether this voter is the one that founds the group: the first of the configuration.
 func (v *Voter) isCoordinator() bool { return v.options.Voters[0] == v.options.Name }
 
 // tickFounding asks the other voters for their group at intervals. The coordinator also invites them to found one.
@@ -51,7 +51,7 @@
 	v.foundGroup()
 }
 
-// foundGroup founds the group once there are enough founders.
+// foundGroup founds the group, if this voter is the coordinator, once there are enough founders including itself.
 func (v *Voter) foundGroup() {
 	if v.node != nil || v.failure != nil || !v.isCoordinator() || len(v.founding.founders)+1 < v.options.MinVoters {
 		return
@@ -60,7 +60,8 @@
 	v.options.OnEvent("the fleet's group is founded", nil)
 }
 
-// becomeFounder makes this voter a founder of the group.
+// becomeFounder makes this voter a founder of the group and starts its Raft node. All configured voters have a vote in
+// the new group from the start, whether or not they are founders yet. After an error it steps down and returns false.
 func (v *Voter) becomeFounder(group uint64) bool {
 	voters := map[uint64]string{}
 	var founders []uint64
@@ -101,7 +102,8 @@
 	v.answer(from, answer)
 }
 
-// handleFoundAnswer handles another voter's answer about its group.
+// handleFoundAnswer handles another voter's answer about its group. The coordinator counts the founders of its own
+// group. Any voter without a group joins one that has a leader.
 func (v *Voter) handleFoundAnswer(from string, a *pb.Answer) {
 	if v.node != nil || v.failure != nil || a.Group == 0 || !slices.Contains(v.options.Voters, from) {
 		return
@@ -180,7 +182,8 @@
 		{Type: raftpb.ConfChangeAddLearnerNode.Enum(), NodeId: proto.Uint64(a.Join.Raft)}}})
 }
 
-// promoteLearners makes a learner that has the log a voter, in place of its former Raft ID.
+// promoteLearners makes a learner that has the log, except for at most maxLearnerLag entries, a voter in place of its
+// former Raft ID.
 func (v *Voter) promoteLearners() {
 	if !v.isLeader() || len(v.confState.GetLearners()) == 0 {
 		return
@@ -233,8 +236,8 @@
 	}
 }
 
-// TransferLeadership transfers leadership to the voter with the longest log, for a voter that is about to stop:
-// otherwise its last committed entries become known to the others only after an election.
+// TransferLeadership transfers leadership to the reachable voter with the longest log, for a voter that is about to
+// stop: otherwise its last committed entries become known to the others only after an election.
 func (v *Voter) TransferLeadership() {
 	if !v.isLeader() {
 		return
--- a/internal/fleet/voter/raftlog.go
+++ b/internal/fleet/voter/raftlog.go
@@ -4,7 +4,7 @@
 	"fmt"
 )
 
-// This file is the logger of the Raft library.
+// This file adapts the logger of the Raft library.
 
 // quietLogger is the logger of the Raft library. It discards everything except panics.
 type quietLogger struct{}
--- a/internal/fleet/voter/requests.go
+++ b/internal/fleet/voter/requests.go
@@ -30,11 +30,14 @@
 // readRequest is a request to Raft to confirm the leadership (ReadIndex), and the renewals that wait for it.
 type readRequest struct {
 	seq       uint64
-	index     uint64 // commit index when the leadership was confirmed; 0: not confirmed yet
+	index     uint64 // commit index when the request was made; 0: the leadership is not confirmed yet
 	expiresAt int64
 	renewals  []renewal
 }
 
+// handleRequest answers a request of a member, or queues it until its command is applied or the leadership confirmed.
+// Status and Found are answered by every voter, the others only by the leader. A renewal beyond maxPending is dropped:
+// its member asks again.
 func (v *Voter) handleRequest(from string, a *pb.Ask) {
 	switch {
 	case a.Status != nil:
@@ -62,7 +65,8 @@
 }
 
 // propose appends a command to the log and reports whether it succeeded. The entry stays in the log as long as this
-// voter leads. Once the command is applied, its result is sent to from; if from is empty, to nobody.
+// voter leads. Once the command is applied, its result is sent to from; if from is empty, to nobody. With maxPending
+// requests already waiting for the log, the command is refused.
 func (v *Voter) propose(from string, requestID uint64, c *pb.Command) (proposed bool) {
 	if len(v.pending) >= maxPending {
 		v.answer(from, &pb.Answer{Id: requestID, Error: duty.ErrFull.Error()})
@@ -137,7 +141,7 @@
 	}
 }
 
-// answerRenewals answers the confirmed renewals once the log is applied up to the commit index of their confirmation.
+// answerRenewals answers the confirmed renewals once the log is applied up to the commit index of their read request.
 func (v *Voter) answerRenewals() {
 	if !v.isLeader() {
 		return
--- a/internal/fleet/voter/voter.go
+++ b/internal/fleet/voter/voter.go
@@ -32,18 +32,18 @@
 const (
 	electionTicks    = 10                     // Raft ticks in an election timeout
 	heartbeatTicks   = 2                      // Raft ticks between heartbeats
-	maxPending       = 4096                   // requests that wait for the log or for the confirmation of the leadership
+	maxPending       = 4096                   // limit of the pending commands, and of the renewals in one batch
 	pendingTimeout   = 3 * time.Second        // a pending request is dropped after this time; its member asks again
 	reopenInterval   = time.Second            // between attempts to reopen a log that failed
-	foundingInterval = 250 * time.Millisecond // between rounds of invitations; requests to join have twice the interval
+	foundingInterval = 250 * time.Millisecond // between rounds of invitations; requests to join: twice this interval
 	maxLearnerLag    = 64                     // entries that a learner may lack when it becomes a voter
 )
 
 // Options are the settings and dependencies of a Voter.
 type Options struct {
 	Name            string
-	Voters          []string // of the configuration, including this one
-	MinVoters       int      // voters that must be present to found the group
+	Voters          []string // of the configuration, including this one; the first founds the group
+	MinVoters       int      // voters that must be present to found the group, including the first
 	Lease           lease.Params
 	ElectionTimeout time.Duration // without contact with a leader for this long, a voter starts an election
 	Log             *disk.Log
@@ -53,8 +53,8 @@
 }
 
 // Events passed to OnEvent: the voter has become the leader, and a change of the voters is complete (followed by the
-// name of the voter that was added). The latter is not reported when the change begins: operators would then stop a
-// voter while the majority of the old voters is still needed.
+// name of the voter that was added, as a learner or with a vote). The latter is not reported when the change begins:
+// operators would then stop a voter while the majority of the old voters is still needed.
 const (
 	EventLeading       = "leads"
 	EventVotersChanged = "voters changed: "
@@ -92,13 +92,13 @@
 	lastTick      int64 // time of the last tick of the Raft node
 	outgoing      []Outgoing
 	pending       map[uint64]pending // by command ID
-	nextCommandID uint64
-	renewals      []renewal     // waiting for the next read request
-	readRequests  []readRequest // waiting for a majority's confirmation, or for the log to be applied
+	nextCommandID uint64             // starts at random, so that the IDs of two leaders' commands differ
+	renewals      []renewal          // waiting for the next read request
+	readRequests  []readRequest      // waiting for a majority's confirmation, or for the log to be applied
 	lastReadSeq   uint64
 	peerNames     map[uint64]string // names of voters by Raft ID, as learned from their messages
 	subscribers   map[string]bool   // members that receive updates
-	failure       error
+	failure       error             // why the log cannot be used; nil: it can be used
 	nextReopen    int64
 	founding      founding
 	nextJoin      int64
@@ -106,7 +106,7 @@
 }
 
 // New starts a voter from its log. If the log cannot be used, the voter takes no part in the group and tries to reopen
-// the log at intervals.
+// the log at intervals; New returns no error for that.
 func New(o Options, now int64) (*Voter, error) {
 	v := &Voter{
 		options: o, now: now, lastTick: now, pending: map[uint64]pending{}, nextCommandID: rand.Uint64(),
@@ -178,6 +178,7 @@
 	return out
 }
 
+// send queues a frame for TakeOutgoing. An empty name stands for an unknown member: the frame is dropped.
 func (v *Voter) send(to string, f *pb.Frame) {
 	if to != "" {
 		v.outgoing = append(v.outgoing, Outgoing{to, f})
