--- a/internal/fleet/disk/disk.go
+++ b/internal/fleet/disk/disk.go
@@ -220,6 +220,8 @@
 // Size returns the size of the file in bytes.
 func (l *Log) Size() int64 { return l.size }
 
+// appendRecord appends a record to b: the length of the payload and a CRC-32C of kind and payload (4 bytes each,
+// little-endian), the kind (1 byte) and the payload.
 func appendRecord(b []byte, kind byte, payload []byte) []byte {
 	start := len(b)
 	b = append(b, 0, 0, 0, 0, 0, 0, 0, 0, kind)
@@ -229,8 +231,10 @@
 	return b
 }
 
+// append appends records to the file. They are on disk when it returns nil.
 func (l *Log) append(b []byte) error { return l.appendSync(b, true) }
 
+// appendSync appends records to the file. If syncNow is false, they may not be on disk yet when it returns.
 func (l *Log) appendSync(b []byte, syncNow bool) error {
 	if l.writeFailed {
 		return ErrDamaged
@@ -246,12 +250,13 @@
 	return nil
 }
 
-// claim reserves space for a file of that size and for its copy.
+// claim reserves space for a file of that size and for its copy, and reports whether the account has it.
 func (l *Log) claim(size int64) bool {
 	return l.account == nil || l.account.Claim(2*statedir.RoundToBlocks(size))
 }
 
-// rewrite writes the whole content to a new file and renames it over the old one.
+// rewrite writes the whole content to a new file and renames it over the old one. After a failed write or rename,
+// nothing more is saved until Reopen, since either file may be in place.
 func (l *Log) rewrite() error {
 	b, err := l.encode()
 	if err != nil {
@@ -274,6 +279,8 @@
 	return nil
 }
 
+// encode returns the content of the file: the header, the identity, the snapshot, the hard state and the entries that
+// follow the snapshot.
 func (l *Log) encode() ([]byte, error) {
 	b := []byte(fileHeader)
 	put := func(kind byte, m proto.Message) error {
--- a/internal/fleet/duty/candidates.go
+++ b/internal/fleet/duty/candidates.go
@@ -25,6 +25,8 @@
 	s.changed[len(s.changed)-1].Ended = true
 }
 
+// acquire makes a session a candidate for a duty, and creates the duty if there is none of that name. A free duty is
+// granted at once, and accepts a candidate beyond MaxCandidates.
 func (s *State) acquire(a *pb.Acquire) error {
 	if !validName(a.Duty) {
 		return ErrInvalidName
@@ -175,6 +177,9 @@
 	}
 }
 
+// release withdraws a candidacy (token 0), or gives up a held duty, which is then granted to the next candidate. End
+// drops the other candidates, so that the duty ends. When a successor releases a journal, its takeover is complete and
+// the copies are no longer needed, except with Keep: the successor could not take the journal over.
 func (s *State) release(r *pb.Release) error {
 	d := s.duties[r.Duty]
 	if d == nil {
@@ -189,7 +194,7 @@
 	if d.Session != r.Session || d.Token != r.Token {
 		return ErrStaleToken
 	}
-	transferTo := d.TransferTo
+	transferTo := d.TransferTo // no longer planned, but still preferred by the next grant
 	s.setTransfer(d, "")
 	if v := s.sessions[d.Session]; v != nil {
 		v.dutyCount--
--- a/internal/fleet/duty/duty.go
+++ b/internal/fleet/duty/duty.go
@@ -61,17 +61,17 @@
 
 // State is the replicated state. The zero value is not usable: see New.
 type State struct {
-	lastToken   uint64
-	version     uint64
-	sessions    map[uint64]*Session
-	sessionOf   map[string]uint64 // by member
-	duties      map[string]*Duty
-	removed     map[string]bool
+	lastToken   uint64                  // the last fencing token granted, of any duty
+	version     uint64                  // grows with each change of duties or sessions
+	sessions    map[uint64]*Session     // by ID, the index of the log entry that opened the session
+	sessionOf   map[string]uint64       // ID of a member's session
+	duties      map[string]*Duty        // by name
+	removed     map[string]bool         // members that were removed permanently
 	adoptions   map[string]*pb.Adoption // the last one, by owner
 	resubmitted keyOwners               // messages that were resubmitted, and the members that accepted them
 	takenOver   keyOwners               // messages that were taken over, and their successors
-	voters      map[uint64]string
-	changed     []*pb.Duty // by the command that is being applied
+	voters      map[uint64]string       // names of voters and learners, by Raft ID
+	changed     []*pb.Duty              // by the command that is being applied
 }
 
 // New returns the initial state of a fleet with these voters.
@@ -217,7 +217,7 @@
 			s.recordChange(d)
 		}
 		if d.Session == id {
-			transferTo := d.TransferTo
+			transferTo := d.TransferTo // no longer planned, but still preferred by the next grant
 			s.setTransfer(d, "")
 			d.Session, d.TransferTo = 0, transferTo
 			s.regrant(d)
--- a/internal/fleet/duty/journals.go
+++ b/internal/fleet/duty/journals.go
@@ -29,6 +29,8 @@
 	return d, nil
 }
 
+// setCopyHolders records which members may keep copies of a journal. Only the holder of the journal duty can change
+// this.
 func (s *State) setCopyHolders(k *pb.Keep) error {
 	d, err := s.heldDuty(k.Duty, k.Session, k.Token)
 	if err != nil {
--- a/internal/fleet/duty/keys.go
+++ b/internal/fleet/duty/keys.go
@@ -13,6 +13,7 @@
 	order    []uint64 // oldest first
 }
 
+// put records the member that is responsible for a key. Beyond MaxKeys, the oldest key is dropped.
 func (k *keyOwners) put(key uint64, member string) {
 	if k.memberOf == nil {
 		k.memberOf = map[uint64]string{}
@@ -72,8 +73,8 @@
 	return takenOver, nil
 }
 
-// takeOverKeys records that a successor has taken over an owner's messages with these keys, except those that were
-// resubmitted to another member, which it returns.
+// takeOverKeys records that a successor has taken over an owner's messages with these keys. It leaves out, and returns,
+// the keys of messages that were resubmitted to any member but the owner.
 func (s *State) takeOverKeys(owner, successor string, keys []uint64) (elsewhere []uint64) {
 	for _, key := range keys {
 		if member, known := s.resubmitted.memberOf[key]; known && member != owner {
--- a/internal/fleet/duty/view.go
+++ b/internal/fleet/duty/view.go
@@ -23,12 +23,14 @@
 	return list
 }
 
-// recordChange records that a duty has changed.
+// recordChange records that a duty has changed: for the result of the command that is being applied, and in the
+// version.
 func (s *State) recordChange(d *Duty) {
 	s.version++
 	s.changed = append(s.changed, s.view(d))
 }
 
+// view returns a duty in the form that members see.
 func (s *State) view(d *Duty) *pb.Duty {
 	p := &pb.Duty{
 		Name: d.Name, Zone: d.Zone, Session: d.Session, Token: d.Token, Wanted: d.TransferTo,
@@ -80,7 +82,7 @@
 // Voter returns the member with that Raft ID, or an empty string.
 func (s *State) Voter(id uint64) string { return s.voters[id] }
 
-// Voters returns the members by Raft ID. The map must not be modified.
+// Voters returns the names of voters and learners by Raft ID. The map must not be modified.
 func (s *State) Voters() map[uint64]string { return s.voters }
 
 // SetVoter applies a committed change of the voters. An empty name removes the Raft ID.
--- a/internal/fleet/session/session.go
+++ b/internal/fleet/session/session.go
@@ -22,7 +22,7 @@
 
 const (
 	maxRequests         = 64 // requests about duties that are in flight at once
-	requestTimeoutShare = 8  // a request unanswered within 1/requestTimeoutShare of a lease goes to another voter
+	requestTimeoutShare = 8  // an open, renewal or close goes to another voter after 1/requestTimeoutShare of a lease
 )
 
 // Options configure a Session.
@@ -46,7 +46,7 @@
 
 // The safety checks, each with what happens without it.
 const (
-	SkipLeaseStart  Skip = 1 << iota // the lease counts from the answer instead of the renewal
+	SkipLeaseStart  Skip = 1 << iota // the lease counts from when the answer arrives, not from when the renewal was sent
 	SkipDriftMargin                  // the lease counts in full, without a margin for clock drift
 	SkipLeaseCheck                   // a duty counts as held until another holder is reported, even after the lease
 )
@@ -109,8 +109,8 @@
 	requests    map[string]*dutyRequest
 	dutyAsks    map[uint64]string // duty by request id
 	pendingAsks map[uint64]*pendingAsk
-	closing     bool
-	closed      bool
+	closing     bool           // Close was called
+	closed      bool           // the session has ended for good
 	DutyChanged func(*pb.Duty) // called on each change of a duty, by Receive; may be nil
 }
 
@@ -252,7 +252,8 @@
 	s.sendClose()
 }
 
-// Closed reports whether the fleet has acknowledged the end of the session.
+// Closed reports whether the session is closed for good: the fleet has acknowledged its end, or no session was open
+// when Close was called.
 func (s *Session) Closed() bool { return s.closed }
 
 func (s *Session) sendClose() {
@@ -299,6 +300,8 @@
 // nextVoter selects the next voter for further requests.
 func (s *Session) nextVoter() { s.targetVoter = (s.targetVoter + 1) % len(s.o.Voters) }
 
+// open requests a session, unless a request is in flight or the delay since the last one is not over. An unanswered
+// request is repeated with the same number at the next voter, so that the fleet recognizes it.
 func (s *Session) open() {
 	if s.openID != 0 && s.now-s.openSentAt > s.requestTimeout() {
 		s.nextVoter()
@@ -321,6 +324,7 @@
 	s.renewID = s.sendAsk(&pb.Ask{Renew: s.id})
 }
 
+// requestView requests the whole view, unless such a request is in flight.
 func (s *Session) requestView() {
 	if s.viewID == 0 {
 		s.viewSentAt = s.now
@@ -396,6 +400,7 @@
 	}
 }
 
+// sendDutyCommand sends a command about a duty. token is that of the held duty that the command releases, otherwise 0.
 func (s *Session) sendDutyCommand(name string, r *dutyRequest, token uint64, c *pb.Command) {
 	r.sentAt, r.releaseToken = s.now, token
 	r.askID = s.sendAsk(&pb.Ask{Command: c})
@@ -427,6 +432,8 @@
 	}
 }
 
+// handleAnswer passes an answer to the handler of the request that it belongs to. An answer to a request that is no
+// longer in flight is ignored.
 func (s *Session) handleAnswer(from string, a *pb.Answer) {
 	if a.NotLeader {
 		s.handleNotLeader(from, a)
@@ -454,8 +461,9 @@
 	}
 }
 
-// handleNotLeader handles the answer of a voter that does not lead: requests go to the leader that it names, or else to
-// the next voter after a short delay.
+// handleNotLeader handles the answer of a voter that does not lead. Requests go to the leader that it names; if it
+// names none, to another voter once the current request has timed out. Requests about duties, and those of Do, are sent
+// again after a short random delay.
 func (s *Session) handleNotLeader(from string, a *pb.Answer) {
 	if from == s.o.Voters[s.targetVoter] {
 		if i := slices.Index(s.o.Voters, a.Leader); i >= 0 && i != s.targetVoter {
@@ -519,6 +527,8 @@
 	s.lease.Renew(terms, sentAt)
 }
 
+// handleRenewed handles the answer to a renewal. If its version is not that of the view, an update was lost or is still
+// on its way, and the whole view is requested.
 func (s *Session) handleRenewed(a *pb.Answer) {
 	s.renewID = 0
 	if a.Gone {
@@ -545,8 +555,8 @@
 		s.endSession()
 		return
 	case a.Error == duty.ErrFull.Error():
-		r.retryAt = s.now + s.jitter(int64(s.o.Lease.Length)) // the duty has the maximum number of candidates
-	case r.releaseToken != 0: // released; a candidate again only after a new request
+		r.retryAt = s.now + s.jitter(int64(s.o.Lease.Length)) // usually the duty has the maximum number of candidates
+	case r.releaseToken != 0: // released, or no longer held; a candidate again only after a new request
 		r.candidateSession = 0
 		if d := s.duties[name]; d != nil && d.Token == r.releaseToken && d.Session == s.id {
 			delete(s.duties, name)
@@ -563,7 +573,8 @@
 	}
 }
 
-// applyUpdate applies an update of the view. If updates in between are missing, it requests the whole view.
+// applyUpdate applies an update of the view, or the whole view (From is 0), if it is newer than the known one. If
+// updates in between are missing, it requests the whole view.
 func (s *Session) applyUpdate(n *pb.News) {
 	if n == nil || n.To <= s.version && n.From != 0 {
 		return
