--- a/internal/fleet/copies/copies.go
+++ b/internal/fleet/copies/copies.go
@@ -120,9 +120,10 @@
 	return Checksum(liveRecords())
 }
 
-// Append sends the records of one step of the journal and returns the number of their batch. lastNumber is the highest
-// message number assigned so far. liveRecords returns the records that are live after the batch; Append calls it from
-// time to time, for a checksum with which holders verify their copies. If it is nil, no checksum is sent.
+// Append queues the records of one step of the journal for the holders and returns the number of their batch. A holder
+// that is to get a reset gets them with it. lastNumber is the highest message number assigned so far. liveRecords
+// returns the records that are live after the batch; Append calls it from time to time, for a checksum with which
+// holders verify their copies. If it is nil, no checksum is sent.
 func (o *Owner) Append(now int64, records []byte, lastNumber uint64, liveRecords func() []byte) uint64 {
 	o.seq++
 	o.lastNumber = max(o.lastNumber, lastNumber)
@@ -143,6 +144,7 @@
 	return o.seq
 }
 
+// send queues a batch for a holder. The wait for an answer starts now, unless the holder already owes one.
 func (o *Owner) send(now int64, name string, p *holderProgress, c *pb.Copy) {
 	if p.ackedSeq >= p.sentSeq {
 		p.waitingSince = now
@@ -291,8 +293,8 @@
 	o.outgoing = append(o.outgoing, Outgoing{name, copyFrame(c)})
 }
 
-// NextWakeup returns when TakeOutgoing has to be called even without further input, since an answer is overdue or a
-// full holder is to be tried again, and whether there is such a time.
+// NextWakeup returns when TakeOutgoing has to be called even without further input, since an answer is overdue, a
+// holder is to be resynchronized or a full one to be tried again, and whether there is such a time.
 func (o *Owner) NextWakeup() (at int64, due bool) {
 	for name, p := range o.holders {
 		t := p.waitingSince + resendTimeout + 1
--- a/internal/fleet/copies/holder.go
+++ b/internal/fleet/copies/holder.go
@@ -15,13 +15,14 @@
 	BootID        uint64 // the boot of this machine during which ClockOffsetMS was estimated; 0: unknown
 }
 
-// Store stores copies, one for each owner. When Reset, Append or SaveState returns nil, the data has been written.
+// Store stores copies, one for each owner. When Reset, Append or SaveState returns nil, the data has been written, so
+// that it survives the end of the process.
 type Store interface {
 	Reset(owner string, state CopyState, records []byte) error // replaces the owner's records
 	Append(owner string, state CopyState, records []byte) error
 	SaveState(owner string, state CopyState) error // keeps the records
-	LiveRecords(owner string) []byte
-	Size(owner string) int64 // bytes that the owner's copy occupies
+	LiveRecords(owner string) []byte               // without records that later ones made obsolete
+	Size(owner string) int64                       // bytes that the owner's copy occupies
 }
 
 // Holder holds copies of other members' journals.
@@ -93,6 +94,7 @@
 	return CopyState{}, false
 }
 
+// usedBytes returns the total size of all copies.
 func (h *Holder) usedBytes() (n int64) {
 	for owner := range h.states {
 		n += h.store.Size(owner)
@@ -139,9 +141,9 @@
 			return nil
 		}
 	case c.Epoch != old.Epoch || c.Incarnation != old.Incarnation || c.Seq > old.Seq+1 && h.SkipChecks&CheckGaps == 0:
-		answer.Again = true
+		answer.Again = true // batches before this one are missing
 		return answer
-	case c.Seq <= old.Seq:
+	case c.Seq <= old.Seq: // a duplicate
 		answer.Seq = old.Seq
 		return answer
 	default:
--- a/internal/fleet/copies/keep/keep.go
+++ b/internal/fleet/copies/keep/keep.go
@@ -1,7 +1,8 @@
 // Package keep stores a holder's copies on disk. Each owner has a file "copy-NAME" in the state directory, accessed
 // through fsys. It consists of checksummed records, each with the state of the copy and, for a batch, the owner's
-// journal records as received. A file is rewritten when obsolete records make up most of it. Like the journal, it is
-// not synced: written data survives the end of the process, and the other copies protect against the loss of a machine.
+// journal records as received. A file that has grown to more than twice its size is rewritten without obsolete records.
+// Like the journal, it is not synced: written data survives the end of the process, and the other copies protect
+// against the loss of a machine.
 package keep
 
 import (
@@ -19,9 +20,9 @@
 
 const (
 	filePrefix   = "copy-"
-	rewriteSlack = 64 << 10 // bytes by which a file may exceed twice its size after the last rewrite
-	headerSize   = 8        // length and CRC-32 of the payload
-	maxStateSize = 7 * binary.MaxVarintLen64
+	rewriteSlack = 64 << 10                  // bytes by which a file may exceed twice its size after the last rewrite
+	headerSize   = 8                         // length and CRC-32 of the payload
+	maxStateSize = 7 * binary.MaxVarintLen64 // the fields of a copies.CopyState
 )
 
 // errNoSpace reports that a copy exceeds the quota of the state directory.
@@ -36,8 +37,8 @@
 
 type file struct {
 	size          int64
-	rewrittenSize int64 // the size after the last rewrite
-	records       []byte
+	rewrittenSize int64  // the size after the last rewrite
+	records       []byte // the owner's journal records, including obsolete ones
 	state         copies.CopyState
 	torn          bool // a write failed and may have left part of a record: the next write rewrites the file
 }
@@ -95,6 +96,8 @@
 	}
 }
 
+// encodeRecord returns a record of the file: the length and the CRC-32 (IEEE) of the payload, both big-endian, and the
+// payload, see replay.
 func encodeRecord(kind byte, state copies.CopyState, records []byte) []byte {
 	b := make([]byte, headerSize, headerSize+1+maxStateSize+len(records))
 	b = append(b, kind)
@@ -130,8 +133,8 @@
 	return nil
 }
 
-// claimSpace claims the space of all files. The owner's file counts twice, at the given size, as its old and its new
-// version coexist during a rewrite.
+// claimSpace claims the space of all files, and reports whether the account has it. The owner's file counts twice, at
+// the given size, as its old and its new version coexist during a rewrite.
 func (s *Store) claimSpace(owner string, size int64) bool {
 	if s.account == nil {
 		return true
@@ -155,6 +158,8 @@
 	return s.appendRecord(owner, 'M', state, nil)
 }
 
+// appendRecord appends a record to an owner's file. It rewrites the file instead if there is none yet, if a write has
+// failed or if the file has grown too large.
 func (s *Store) appendRecord(owner string, kind byte, state copies.CopyState, records []byte) error {
 	f := s.files[owner]
 	if f == nil {
--- a/internal/fleet/copies/takeover.go
+++ b/internal/fleet/copies/takeover.go
@@ -26,7 +26,7 @@
 	Owner        string
 	Epoch        uint64 // the successor's token of the owner's duty
 	Stage        Stage
-	LongestCopy  *pb.Sealed // the longest copy of the latest epoch so far; nil: no holder has a copy to be adopted
+	LongestCopy  *pb.Sealed // the longest copy of the latest epoch so far; nil: no answer has a copy to be adopted
 	adoptedEpoch uint64     // copies of epochs up to this one have been adopted already
 	holders      map[string]bool
 	answered     map[string]bool
@@ -47,7 +47,7 @@
 	return t
 }
 
-// TakeOutgoing returns the requests that are due, sorted by holder.
+// TakeOutgoing returns the requests to seal that are due, sorted by holder.
 func (t *Takeover) TakeOutgoing(now int64) (out []Outgoing) {
 	if t.Stage != Sealing || now < t.nextRequest {
 		return nil
--- a/internal/fleet/link/link.go
+++ b/internal/fleet/link/link.go
@@ -1,7 +1,7 @@
-// Package link carries frames between the members of a fleet: one gRPC stream over one connection for each pair of a
-// voter and another member. Of two voters the one whose name sorts first dials; every other member dials the voters,
-// and voters dial no other members. A link on which nothing arrives for a while is closed together with its connection
-// and dialled again, so that a loss of one direction becomes a loss of both.
+// Package link carries frames between the members of a fleet, and between senders and the control members that publish
+// the directory: one gRPC stream over one connection for each pair. Only one of the two dials the other; the caller
+// decides which. A link on which nothing arrives for a while is closed together with its connection and dialled again,
+// so that a loss of one direction becomes a loss of both.
 //
 // Sending never blocks: a frame is dropped if there is no link or its bounded queue is full. A caller that needs an
 // answer sends its request again.
@@ -30,8 +30,8 @@
 
 const (
 	maxQueuedFrames = 256                     // frames queued on a link
-	pingInterval    = 250 * time.Millisecond  // between pings on a link
-	silenceTimeout  = 1500 * time.Millisecond // a link on which nothing arrives for this long is closed
+	pingInterval    = 250 * time.Millisecond  // default of Options.PingInterval
+	silenceTimeout  = 1500 * time.Millisecond // default of Options.SilenceTimeout, and limit of a handshake
 	minRedialDelay  = 50 * time.Millisecond   // doubled after each failed attempt, up to maxRedialDelay
 	maxRedialDelay  = time.Second
 )
@@ -39,7 +39,7 @@
 // Bounds on a member's links.
 const (
 	MaxFrame = 8 << 20 // bytes in a frame
-	MaxLinks = 1100    // links that a voter accepts
+	MaxLinks = 1100    // links that a member accepts, unless Options.MaxLinks is set
 )
 
 // Options configure a Manager.
@@ -51,7 +51,7 @@
 	IsMember     func(name string) bool
 	Client       *tls.Config // nil: no TLS
 	Server       *tls.Config
-	// Receive handles a frame. It may block for a short time, until ctx ends.
+	// Receive handles a frame. While it blocks, nothing more is read from the link. It must return when ctx ends.
 	Receive func(ctx context.Context, from string, f *pb.Frame)
 	// Call answers an operator's command.
 	Call    func(ctx context.Context, a *pb.Ask) (*pb.Answer, error)
@@ -62,7 +62,7 @@
 	MaxLinks       int
 }
 
-// Manager holds a member's links.
+// Manager holds a member's links. Its methods are safe for concurrent use.
 type Manager struct {
 	pb.UnimplementedLinksServer
 	o      Options
@@ -106,7 +106,8 @@
 	return n
 }
 
-// Connect keeps a link to another member up from now on. Only one of two members may connect to the other.
+// Connect keeps a link to another member up from now on. Only one of two members may connect to the other: a new link
+// replaces the earlier one between them.
 func (m *Manager) Connect(name, addr string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -153,7 +154,7 @@
 }
 
 // dialLoop keeps a link to a member up until Close. After a failure is logged, the next one is logged only if the link
-// had lasted for more than 2*silenceTimeout.
+// had lasted for more than 2*silenceTimeout; the delay before the next attempt then starts over from minRedialDelay.
 func (m *Manager) dialLoop(name, addr string) {
 	defer m.done.Done()
 	delay := minRedialDelay
@@ -313,6 +314,8 @@
 	}
 }
 
+// read passes the frames that arrive on a link to Options.Receive until the link fails. Every frame, also a ping,
+// restarts the silence timer.
 func (m *Manager) read(ctx context.Context, name string, st stream, silenceTimer *time.Timer) error {
 	for {
 		f, err := st.Recv()
@@ -329,6 +332,7 @@
 	}
 }
 
+// write sends the queued frames of a link, and pings, until the link fails.
 func (m *Manager) write(ctx context.Context, l *link, st stream) error {
 	ping := time.NewTicker(m.o.PingInterval)
 	defer ping.Stop()
