--- a/internal/fleet/directory/directory.go
+++ b/internal/fleet/directory/directory.go
@@ -20,7 +20,7 @@
 
 // Limits of the log of changes.
 const (
-	maxLogChanges = 1 << 16
+	maxLogChanges = 1 << 16 // changes in the log
 	maxLogEntries = 1 << 18 // endpoints and members of all changes in the log
 )
 
@@ -96,7 +96,7 @@
 	discoveryVersion uint64
 	shards           [shard.Count][]Endpoint // by shard, sorted by endpoint ID, without removed endpoints
 	endpointCount    int
-	members          map[string]Member
+	members          map[string]Member // by name
 	changes          []Change          // the latest changes, without gaps
 	logEntries       int               // endpoints and members in changes
 	interned         map[string]string // zones and kinds, each stored once
@@ -302,8 +302,8 @@
 }
 
 // ChangesSince returns the changes after a version; the first one may repeat some that the version includes. The result
-// is false if the log does not reach back to the version, or if its leader published it without this control member
-// having received all changes of that leader.
+// is false if the version is 0 or later than the current one, if the log does not reach back to it, or if it lies
+// within a change that spans versions of several leaders.
 func (d *Directory) ChangesSince(version uint64) ([]Change, bool) {
 	if version == 0 || version > d.version {
 		return nil, false
@@ -328,6 +328,7 @@
 }
 
 // ApplyUpdate applies an update that a subscription to the leader returned, and returns the change that it made here.
+// An update with all shards and members is loaded as a snapshot, any other applied as a change.
 func (d *Directory) ApplyUpdate(a *AppliedUpdate) (Change, error) {
 	if a.AllShards && a.AllMembers {
 		return d.LoadSnapshot(a.To, a.DiscoveryVersion, a.Endpoints, a.Joined)
--- a/internal/fleet/directory/publisher.go
+++ b/internal/fleet/directory/publisher.go
@@ -12,7 +12,7 @@
 // Limits of a subscription, as the publisher keeps it.
 const (
 	maxUnackedUpdates = 4               // unacknowledged updates of one subscriber
-	maxUpdateEntries  = 2000            // endpoints and members of one update, about 250 KB
+	maxUpdateEntries  = 2000            // endpoints and members at which an update is full, about 250 KB
 	heartbeatInterval = time.Second     // a subscriber gets an update, which it acknowledges, at least this often
 	subscriberTimeout = 4 * time.Second // a subscriber without an acknowledgement for longer is dropped
 )
@@ -47,15 +47,15 @@
 	pendingUnassigned  map[shard.ID]bool
 }
 
-// Publisher sends a directory to subscribers. Each update takes a subscriber from one version to a later one,
-// completely or not at all.
+// Publisher sends a directory to subscribers. Each update takes a subscriber from one version to a later one, or to the
+// same one with other shards, completely or not at all.
 type Publisher struct {
 	// DisabledChecks disables safety checks in tests that verify that their absence is detected.
 	DisabledChecks PublisherCheck
 
 	dir              *Directory
 	replicas         int
-	maxEntries       int // maximum number of entries of one update
+	maxEntries       int // entries at which an update is full; the last shard or change added may exceed it
 	shardCount       int
 	now              int64
 	outbox           []OutFrame
@@ -107,6 +107,9 @@
 	}
 }
 
+// handleSubscribe starts a subscription in place of the member's earlier one. It continues from the subscriber's
+// version if the log of changes reaches back to it; otherwise it begins with a snapshot of all shards that the
+// subscriber holds.
 func (p *Publisher) handleSubscribe(name string, q *pb.Subscribe) {
 	if s := p.subscribers[name]; s != nil && s.id == q.Id {
 		return // a duplicate
@@ -156,10 +159,13 @@
 	s.pendingSnapshots = slices.Sorted(maps.Keys(s.heldShards))
 }
 
+// refuse tells a member that its subscription is not served here.
 func (p *Publisher) refuse(name string, id uint64, reason string) {
 	p.outbox = append(p.outbox, OutFrame{name, &pb.Frame{What: &pb.Frame_Refused{Refused: &pb.Refused{Id: id, Reason: reason}}}})
 }
 
+// handleAck handles an acknowledgement, with the shards that the subscriber has released and those whose snapshots it
+// misses. An acknowledgement of an unknown subscription is refused, so that the member subscribes again.
 func (p *Publisher) handleAck(name string, a *pb.Ack) {
 	s := p.subscribers[name]
 	if s == nil || s.id != a.Id {
--- a/internal/fleet/directory/roster.go
+++ b/internal/fleet/directory/roster.go
@@ -60,7 +60,7 @@
 	reporters       map[string]*reporter
 	unreportedSince map[string]int64 // when a member of the directory was first found unreported
 	firstReportedAt map[string]int64 // when the first member of a region without members was reported
-	leadingSince    int64
+	leadingSince    int64            // when this control member began to lead
 }
 
 // NewRoster returns the roster of a control member that begins to lead. regions are those that have control members.
@@ -72,8 +72,8 @@
 	return &Roster{controlRegions: controlRegions, reporters: map[string]*reporter{}, unreportedSince: map[string]int64{}, firstReportedAt: map[string]int64{}, leadingSince: now}
 }
 
-// HandleReport handles a report of a control member of a region, and returns whether all members are to be reported
-// again.
+// HandleReport handles a report of a control member of a region, and returns whether its next report is to list all
+// members: no list of them is known yet, or the known one does not match the report.
 func (r *Roster) HandleReport(from, region string, report *pb.Report, now int64) (fullReport bool) {
 	c := r.reporters[from]
 	if c == nil {
@@ -149,7 +149,8 @@
 // byName compares members by name.
 func byName(x, y Member) int { return cmp.Compare(x.Name, y.Name) }
 
-// holdBackFirst removes from joined the first members of a region until FirstJoinDelay has passed.
+// holdBackFirst removes from joined the members of a region that has none in the directory, until FirstJoinDelay has
+// passed since the first of them was reported.
 func (r *Roster) holdBackFirst(joined []Member, known map[string]Member, now int64) []Member {
 	populated := map[string]bool{}
 	for _, m := range known {
--- a/internal/fleet/directory/serve.go
+++ b/internal/fleet/directory/serve.go
@@ -135,8 +135,9 @@
 	clear(s.pendingUnassigned)
 }
 
-// sendChanges sends the changes that the log holds for a subscriber, and reports whether there were any. A subscriber
-// so slow that the log no longer reaches back to its version gets a full snapshot instead.
+// sendChanges sends the changes that the log holds for a subscriber, with its pending assignments. It returns false if
+// there is nothing to send. A subscriber so slow that the log no longer reaches back to its version is scheduled for a
+// full snapshot instead.
 func (p *Publisher) sendChanges(s *subscriber) bool {
 	u := &pb.Update{From: s.version, Source: p.dir.DiscoveryVersion()}
 	entries, complete := p.addChanges(s, u, 0)
--- a/internal/fleet/directory/subscription.go
+++ b/internal/fleet/directory/subscription.go
@@ -12,9 +12,9 @@
 
 // Time-outs and retry intervals of a subscription.
 const (
-	silenceTimeout     = 4 * time.Second // without an update for longer, it subscribes at another server
-	firstUpdateTimeout = 3 * time.Second // a server that sends no update within it is abandoned
-	minRetryPause      = 100 * time.Millisecond
+	silenceTimeout     = 4 * time.Second        // without an update for longer, it subscribes at another server
+	firstUpdateTimeout = 3 * time.Second        // a server that sends no update within it is abandoned
+	minRetryPause      = 100 * time.Millisecond // between two tries; doubled with each, up to maxRetryPause
 	maxRetryPause      = 2 * time.Second
 )
 
@@ -63,11 +63,11 @@
 	shards         map[shard.ID]bool // shards that are held
 	stagedParts    []*pb.Update      // parts of an update whose last part has not been received
 	outbox         []OutFrame
-	subscribedAt   int64 // time of the last subscribe request or refusal
-	connectedAt    int64 // time of Connect to this server
-	updatedAt      int64
-	live           bool // an update has been received in this subscription
-	tries          int
+	subscribedAt   int64      // time of the last subscribe request or refusal
+	connectedAt    int64      // time of Connect to this server
+	updatedAt      int64      // time of the last update
+	live           bool       // an update has been received in this subscription
+	tries          int        // tries since the last update
 	unsentReleases []shard.ID // released shards that no acknowledgement has reported yet
 	// awaitingSnapshot holds shards that were assigned after their release: they are served once their snapshot is
 	// here.
@@ -193,7 +193,8 @@
 	return nil
 }
 
-// handleUpdate stages an update or a part of one, and returns the update if it is complete.
+// handleUpdate stages an update or a part of one, and returns the update if it is complete. If an earlier one is
+// missing, it subscribes again.
 func (s *Subscription) handleUpdate(u *pb.Update) *AppliedUpdate {
 	if u.Id != s.id || u.Seq <= s.seq {
 		return nil // of an earlier subscription, or a duplicate
@@ -236,7 +237,7 @@
 	s.send(&pb.Frame{What: &pb.Frame_Ack{Ack: a}})
 }
 
-// applyStaged combines all staged parts into one update.
+// applyStaged combines all staged parts into one update, and advances the version and the held shards to it.
 func (s *Subscription) applyStaged() *AppliedUpdate {
 	a := &AppliedUpdate{From: s.version}
 	for _, u := range s.stagedParts {
--- a/internal/fleet/subscriber/subscriber.go
+++ b/internal/fleet/subscriber/subscriber.go
@@ -29,7 +29,8 @@
 const (
 	tickInterval = 100 * time.Millisecond
 	inboxSize    = 64 // received frames that wait for the subscriber's goroutine
-	// LinkSettingsHash is the settings hash in the hello of every link to a control member's directory.
+	// LinkSettingsHash is the settings hash in the hello of every link to a control member's directory. It is constant,
+	// since no settings have to be equal at both ends.
 	LinkSettingsHash = 1
 	// LinkPingInterval is the time between pings on such a link; it is closed after LinkSilenceTimeout without a frame.
 	LinkPingInterval   = 500 * time.Millisecond
@@ -102,10 +103,10 @@
 // Version returns the version of the directory that is known; 0: none.
 func (s *Subscriber) Version() uint64 { return s.version.Load() }
 
-// Live reports whether the subscription is up.
+// Live reports whether the subscription is up, that is, whether an update has come recently.
 func (s *Subscriber) Live() bool { return s.live.Load() }
 
-// Release gives up unassigned shards of which this sender no longer holds anything. It does not block.
+// Release gives up unassigned shards for which this sender has no more messages. It does not block.
 func (s *Subscriber) Release(ids []shard.ID) { s.released.add(ids) }
 
 // releaseQueue passes released shards to the subscriber's goroutine. It holds a shard at most once for each time that
@@ -134,7 +135,7 @@
 	return ids
 }
 
-// Run maintains the subscription until the context ends.
+// Run maintains the subscription until the context ends. It is to be called once.
 func (s *Subscriber) Run(ctx context.Context) {
 	defer func() { s.links.Close() }()
 	tick := time.NewTicker(tickInterval)
