--- a/internal/fleet/commands.go
+++ b/internal/fleet/commands.go
@@ -59,7 +59,8 @@
 	}
 }
 
-// forward sends a command to the leading voter by this member's session.
+// forward sends a command to the leading voter by this member's session. The session gives up 200 ms before
+// commandTimeout, so that its error is still returned.
 func (m *Member) forward(ctx context.Context, a *pb.Ask, answers chan<- *pb.Answer) {
 	ask := func() {
 		m.session.Do(a, commandTimeout-200*time.Millisecond, func(r *pb.Answer, err error) {
--- a/internal/fleet/copies.go
+++ b/internal/fleet/copies.go
@@ -29,14 +29,15 @@
 	return slices.ContainsFunc(v.Present, func(p *pb.Present) bool { return p.Name == name })
 }
 
-// View returns the current view. It does not block.
+// View returns the current view; it stays empty if Options.CopyQuota is 0. It does not block.
 func (m *Member) View() *View { return m.view.Load() }
 
 // Incarnation returns the incarnation of this member's state directory.
 func (m *Member) Incarnation() uint64 { return m.identity.Incarnation }
 
 // publishView publishes what the session knows, and connects this member with the owner and the other holders of each
-// journal that it holds copies of, and with the holders of its own. It does nothing if the session knows nothing new.
+// journal that it holds copies of, and with the holders of its own. It does nothing if the session knows nothing new,
+// or if this member keeps no copies.
 func (m *Member) publishView() {
 	version, id := m.session.Version(), m.session.ID()
 	if m.o.CopyQuota == 0 || version == m.viewVersion && id == m.viewSession {
@@ -141,6 +142,7 @@
 	}
 }
 
+// handleCopyFrame handles a batch or a request to seal a copy, and sends the answer.
 func (m *Member) handleCopyFrame(h *copies.Holder, in input) {
 	var answer *pb.Frame
 	switch w := in.frame.What.(type) {
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -1,5 +1,6 @@
-// Package fleet makes a sender a member of a fleet. It runs the session (and, on a voter, the voter) on separate
-// goroutines, carries their frames over links, and reports whether this member holds a duty now.
+// Package fleet makes a sender a member of a fleet. It runs the session, the copies of other members' journals and, on
+// a voter, the voter on separate goroutines, carries their frames over links, and reports whether this member holds a
+// duty now.
 //
 // Nothing here blocks the sender: Token reads an atomic value and a clock. The voter and the session have separate
 // loops, so that the voter's disk writes don't delay the member's own session.
@@ -35,7 +36,7 @@
 	transferTimeout = 100 * time.Millisecond // how long Close waits for a leading voter to transfer its leadership
 	closeTimeout    = 170 * time.Millisecond // how long Close waits for the session to end; after that its lease lapses
 	commandTimeout  = 3 * time.Second        // for an answer to an operator's command
-	reopenInterval  = 2 * time.Second        // between attempts to open a log that could not be opened
+	reopenInterval  = 2 * time.Second        // between attempts to open a log that could not be opened at the start
 )
 
 // Peer is one member as listed in the operators' file.
@@ -147,7 +148,8 @@
 	sessionClosed chan struct{}
 }
 
-// Open starts a member on the listener. It returns disk.ErrForeign if the state directory belongs to another member.
+// Open starts a member on the listener. It fails with disk.ErrForeign if the state directory belongs to another member.
+// If the log cannot be opened for another reason, the member runs without a voter until it can.
 func Open(o Options, ln net.Listener) (*Member, error) {
 	self, known := o.Settings.Self()
 	if !known {
@@ -194,6 +196,7 @@
 	return m, nil
 }
 
+// newVoter starts the voter of this member from its log.
 func (m *Member) newVoter(log *disk.Log) (*voter.Voter, error) {
 	s := &m.o.Settings
 	return voter.New(voter.Options{Name: m.self.Name, Voters: s.VoterNames(), MinVoters: s.MinVoters, Lease: s.Lease, ElectionTimeout: s.ElectionTimeout,
@@ -280,6 +283,8 @@
 	}
 }
 
+// runSession is the loop of the session: it publishes the held duties, sends the session's frames, and waits for frames
+// and calls or the next tick.
 func (m *Member) runSession() {
 	defer m.loops.Done()
 	tick := time.NewTicker(max(m.o.Settings.Lease.Length/40, 5*time.Millisecond))
@@ -335,6 +340,8 @@
 	m.publishView()
 }
 
+// runVoter is the loop of the voter, or of the refusal of requests at a member that is not a voter. It also retries a
+// log that could not be opened at the start.
 func (m *Member) runVoter() {
 	defer m.loops.Done()
 	if !m.self.Voter {
@@ -381,6 +388,8 @@
 	}
 }
 
+// handleVoterInput passes an input to the voter. While its log cannot be opened, there is no voter: requests of members
+// are refused, so that they go to another voter, and invitations to found the group (Found) get no answer.
 func (m *Member) handleVoterInput(in input) {
 	switch {
 	case in.call != nil:
@@ -436,9 +445,8 @@
 // Live reports whether this member's session is valid now, so that its view of the fleet can be relied on.
 func (m *Member) Live() bool { return m != nil && m.now() < m.held.Load().validUntil }
 
-// runOnSessionLoop queues f for the session's loop, in order, and does not block. The number of queued calls is bounded
-// by the duties that callers name, each of which is called for when the state of its partner changes; beyond
-// maxPendingCalls, f is dropped.
+// runOnSessionLoop queues f for the session's loop, in order, and does not block. Callers queue a call for a duty when
+// the state of its partner changes, so the number of duties bounds the queue; beyond maxPendingCalls, f is dropped.
 func (m *Member) runOnSessionLoop(f func()) {
 	m.pendingCalls.mu.Lock()
 	queueFull := len(m.pendingCalls.calls) >= maxPendingCalls
@@ -523,7 +531,8 @@
 	}
 }
 
-// Close releases all duties, waits up to closeTimeout for the fleet to end the session, and closes the links.
+// Close transfers the leadership if this member's voter leads, within transferTimeout. It then releases all duties,
+// waits up to closeTimeout for the fleet to end the session, and closes the links.
 func (m *Member) Close() {
 	if m == nil {
 		return
@@ -545,6 +554,7 @@
 	}
 }
 
+// stop ends the loops and closes the links.
 func (m *Member) stop() {
 	m.cancel()
 	m.links.Close()
