--- a/internal/fleet/disk/disk.go
+++ b/internal/fleet/disk/disk.go
@@ -32,11 +32,11 @@
 
 	// maxTailBytes is how many bytes the file may grow after a rewrite before it is compacted.
 	maxTailBytes = 128 << 10
-	// trailingEntries is the number of entries kept in the log before the last snapshot, so that a voter that was
-	// unreachable for a short time catches up without one.
+	// trailingEntries is the number of entries before the last snapshot that are kept in memory, so that a voter that
+	// was unreachable for a short time catches up without a snapshot.
 	trailingEntries = 256
-	// MaxBytes is the space taken by both copies while the file is rewritten: snapshots of 1,024 sessions and 8,192
-	// duties with 128-byte names stay under 2 MiB.
+	// MaxBytes is the space that both copies need at most while the file is rewritten: snapshots of 1,024 sessions and
+	// 8,192 duties with 128-byte names stay under 2 MiB. It is for planning; what limits the file is its account.
 	MaxBytes = 2 * (2<<20 + maxTailBytes)
 )
 
--- a/internal/fleet/duty/duty.go
+++ b/internal/fleet/duty/duty.go
@@ -56,7 +56,7 @@
 	Value       string   // published by the holder
 	ValueToken  uint64   // token of the grant under which Value was published
 	Candidates  []uint64 // sessions that wait for the duty
-	CopyHolders []string // members that may keep copies of its holder's journal
+	CopyHolders []string // of a journal duty: members that may keep copies of that journal
 }
 
 // State is the replicated state. The zero value is not usable: see New.
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -103,9 +103,11 @@
 	ReceiveCopyReply func(from string, f *pb.Frame)
 	ViewChanged      func()
 	// CopyStatus returns the status of the copies of this member's own journal for operators; nil: there are none.
-	CopyStatus  func() string
-	DutyChanged func(d *pb.Duty, mine bool) // called on each change of a duty; must not block; may be nil
-	Now         func() int64                // nil: the function Now
+	CopyStatus func() string
+	// DutyChanged is called on the session's goroutine on each change of a duty, and sometimes without one. mine reports
+	// whether this member's session holds the duty. It must not block; it may be nil.
+	DutyChanged func(d *pb.Duty, mine bool)
+	Now         func() int64 // nil: the function Now
 	// SkipVoterChecks and SkipSessionChecks disable safety checks, for tests that must detect their absence.
 	SkipVoterChecks   voter.Skip
 	SkipSessionChecks session.Skip
--- a/internal/fleet/link/link.go
+++ b/internal/fleet/link/link.go
@@ -31,7 +31,7 @@
 const (
 	maxQueuedFrames = 256                     // frames queued on a link
 	pingInterval    = 250 * time.Millisecond  // default of Options.PingInterval
-	silenceTimeout  = 1500 * time.Millisecond // default of Options.SilenceTimeout, and limit of a handshake
+	silenceTimeout  = 1500 * time.Millisecond // default of Options.SilenceTimeout; also limits the handshake of a link
 	minRedialDelay  = 50 * time.Millisecond   // doubled after each failed attempt, up to maxRedialDelay
 	maxRedialDelay  = time.Second
 )
@@ -51,7 +51,8 @@
 	IsMember     func(name string) bool
 	Client       *tls.Config // nil: no TLS
 	Server       *tls.Config
-	// Receive handles a frame. While it blocks, nothing more is read from the link. It must return when ctx ends.
+	// Receive handles a frame. It is called concurrently for different links. While it blocks, nothing more is read from
+	// the link. It must return when ctx ends.
 	Receive func(ctx context.Context, from string, f *pb.Frame)
 	// Call answers an operator's command.
 	Call    func(ctx context.Context, a *pb.Ask) (*pb.Answer, error)
@@ -91,19 +92,19 @@
 // New returns a Manager and starts to dial.
 func New(o Options) *Manager {
 	o.PingInterval, o.SilenceTimeout, o.MaxLinks = cmp.Or(o.PingInterval, pingInterval), cmp.Or(o.SilenceTimeout, silenceTimeout), cmp.Or(o.MaxLinks, MaxLinks)
-	n := &Manager{o: o, links: map[string]*link{}, dialing: map[string]bool{}}
-	n.ctx, n.cancel = context.WithCancel(context.Background())
+	m := &Manager{o: o, links: map[string]*link{}, dialing: map[string]bool{}}
+	m.ctx, m.cancel = context.WithCancel(context.Background())
 	opts := []grpc.ServerOption{grpc.MaxRecvMsgSize(MaxFrame), grpc.MaxConcurrentStreams(16), grpc.ConnectionTimeout(2 * time.Second),
 		grpc.ReadBufferSize(4 << 10), grpc.WriteBufferSize(4 << 10)}
 	if o.Server != nil {
 		opts = append(opts, grpc.Creds(credentials.NewTLS(o.Server)))
 	}
-	n.server = grpc.NewServer(opts...)
-	pb.RegisterLinksServer(n.server, n)
+	m.server = grpc.NewServer(opts...)
+	pb.RegisterLinksServer(m.server, m)
 	for name, addr := range o.DialAddrs {
-		n.Connect(name, addr)
+		m.Connect(name, addr)
 	}
-	return n
+	return m
 }
 
 // Connect keeps a link to another member up from now on. Only one of two members may connect to the other: a new link
--- a/internal/fleet/session/session.go
+++ b/internal/fleet/session/session.go
@@ -111,7 +111,7 @@
 	pendingAsks map[uint64]*pendingAsk
 	closing     bool           // Close was called
 	closed      bool           // the session has ended for good
-	DutyChanged func(*pb.Duty) // called on each change of a duty, by Receive; may be nil
+	DutyChanged func(*pb.Duty) // called by Receive on each change of a duty, and sometimes without one; may be nil
 }
 
 // New returns a session that sends its first request at the first Tick.
@@ -517,14 +517,14 @@
 
 // extendLease extends the lease, counted from sentAt, when the granted renewal was sent.
 func (s *Session) extendLease(sentAt int64) {
-	terms := s.o.Lease
+	params := s.o.Lease
 	if s.o.Skip&SkipLeaseStart != 0 {
 		sentAt = s.now
 	}
 	if s.o.Skip&SkipDriftMargin != 0 {
-		terms.Drift = 0
+		params.Drift = 0
 	}
-	s.lease.Renew(terms, sentAt)
+	s.lease.Renew(params, sentAt)
 }
 
 // handleRenewed handles the answer to a renewal. If its version is not that of the view, an update was lost or is still
--- a/internal/fleet/voter/founding.go
+++ b/internal/fleet/voter/founding.go
@@ -162,7 +162,7 @@
 }
 
 // handleJoin adds a voter under a new Raft ID as a learner. While its former ID is active, another process runs under
-// its name, and the request is refused.
+// its name, and the request is refused. A request for an ID that was added already has no effect.
 func (v *Voter) handleJoin(from string, a *pb.Ask) {
 	if a.Join.Member != from || !slices.Contains(v.options.Voters, from) || v.state.Voter(a.Join.Raft) != "" {
 		return
@@ -212,7 +212,8 @@
 	v.callRaft(func() { v.node.ProposeConfChange(cc) })
 }
 
-// applyVoterChange applies a committed change of the voters.
+// applyVoterChange applies a committed change of the voters. One that replaces a Raft ID begins a joint configuration;
+// the library then adds an empty change, which ends it and completes the change.
 func (v *Voter) applyVoterChange(cc *raftpb.ConfChangeV2) {
 	name := string(cc.GetContext())
 	for _, c := range cc.GetChanges() {
--- a/internal/fleet/voter/status.go
+++ b/internal/fleet/voter/status.go
@@ -27,7 +27,7 @@
 	Token      uint64 `json:"token"`
 	TransferTo string `json:"wanted,omitempty"`
 	Value      string `json:"word,omitempty"`
-	// CopyHolders are the members that may keep copies of its holder's journal, for a journal duty.
+	// CopyHolders are, for a journal duty, the members that may keep copies of that journal.
 	CopyHolders []string `json:"copies,omitempty"`
 }
 
@@ -36,8 +36,8 @@
 	ReportedBy string         `json:"asked"` // the voter that reports it
 	Group      uint64         `json:"group"`
 	Term       uint64         `json:"term"`
-	Leader     string         `json:"leader"` // empty: unknown, or there is no quorum
-	Applied    uint64         `json:"applied"`
+	Leader     string         `json:"leader"`  // empty: unknown, or there is no quorum
+	Applied    uint64         `json:"applied"` // index of the last log entry that is applied
 	LogBytes   int64          `json:"log_bytes"`
 	Failed     string         `json:"failed,omitempty"` // why the voter takes no part in the group
 	Members    []MemberStatus `json:"members"`
