--- a/Makefile
+++ b/Makefile
@@ -19,7 +19,7 @@
 	go test ./internal/knowledge/store -run '^$$' -fuzz FuzzDecode -fuzztime 30s
 	go test ./internal/h2 -run '^$$' -fuzz FuzzPeer -fuzztime 60s
 	go test ./internal/storm -run '^$$' -fuzz FuzzGuard -fuzztime 30s
-	go test ./internal/telemetry -run '^$$' -fuzz FuzzClean -fuzztime 30s
+	go test ./internal/telemetry -run '^$$' -fuzz FuzzSanitize -fuzztime 30s
 
 crash: ## a process killed 1,000 times while it writes under load (about five minutes)
 	SLIPTIDE_CRASHES=1000 go test ./cmd/sliptide -count=1 -timeout 30m -v -run TestKilledWhileWriting | grep -v '"level"'
--- a/cmd/sliptide/fleet.go
+++ b/cmd/sliptide/fleet.go
@@ -130,7 +130,7 @@
 }
 
 func (m *membership) dutyChanged(d *pb.Duty, heldLocally bool) {
-	m.sender.UpdateDuty(d.Name, trial.Update{Holder: d.Holder, HeldLocally: heldLocally, Word: d.Word})
+	m.sender.UpdateDuty(d.Name, trial.Update{Holder: d.Holder, HeldLocally: heldLocally, Value: d.Word})
 }
 
 // outlivesSender reports whether the member must leave only after its sender has exited: with copies enabled, the
--- a/cmd/sliptide/run.go
+++ b/cmd/sliptide/run.go
@@ -117,7 +117,7 @@
 	sockets := cfg.Limits.Sockets - reservedFDs
 	// The remaining descriptors are for clients, many of which may hold an idle connection.
 	maxEndpointConns := min(sockets*2/5, maxIdleEndpointConns+connsPerCallSlot*cfg.Settings.CallSlots)
-	pipe, err := openTelemetry(cfg, op.Telemetry, clock, log)
+	exporter, err := openTelemetry(cfg, op.Telemetry, clock, log)
 	if err != nil {
 		return fmt.Errorf("%w: telemetry: %w", cli.ErrConfig, err)
 	}
@@ -125,7 +125,7 @@
 		Settings: cfg.Settings, Seed: cfg.Seed, MaxConns: maxEndpointConns,
 		Journal: jrnl, Restored: restored, Notify: notices.Post, Knowledge: knowledge.get().Knowledge, Clock: clock, Log: log,
 		Partner: registry.Lookup, HTTP2Streams: partners.StreamsPerConn, StormGuard: newStormGuard(cfg, op.Storms),
-		Recorder: pipe.Records(), LogRecords: op.Log.Records,
+		Recorder: exporter.Records(), LogRecords: op.Log.Records,
 		Disabled: disabledStore.Disabled(), Successor: dirLocks.waiting(),
 	})
 	member, err := newMembership(cfg, op, space, log)
@@ -213,7 +213,7 @@
 	<-fleetLeft
 	latest := knowledge.get()
 	latest.close()
-	closeTelemetry(pipe)
+	closeTelemetry(exporter)
 	// Close tries to write only once. After a restart, messages whose last records are missing may have run.
 	flushed := transient.Retry(journalFlushTimeout, transient.IsDiskError, jrnl.Flush)
 	if err := errors.Join(flushed, jrnl.Close()); err != nil {
--- a/internal/fleet/trial/trial.go
+++ b/internal/fleet/trial/trial.go
@@ -22,10 +22,10 @@
 	kind           = "trial"
 	suspendedRate  = 1e-3   // a pace that suspends all trials; a rate of 0 would set no pace
 	maxTrialRate   = 10.0   // the holder's highest pace; the fraction of it for trials allows one each half second
-	downIntervalMS = 1000.0 // shortest time from a word to the next one that the partner is still down
+	downIntervalMS = 1000.0 // shortest time from one published value "down" to the next
 )
 
-// The words that a holder publishes as the value of its duty, each followed by a number that grows.
+// A holder publishes one of these as the value of its duty, followed by a number that grows.
 const (
 	Down = "down" // the partner is still down
 	Open = "open" // the outage is over
@@ -41,7 +41,7 @@
 type Update struct {
 	Holder      string // empty: none
 	HeldLocally bool   // this member is the holder
-	Word        string // the holder's latest word, with its number
+	Value       string // the holder's latest published value, with its number
 }
 
 // Settings configure a State.
@@ -55,7 +55,7 @@
 	Dest    int
 	Request bool   // request the duty
 	Release bool   // release the duty
-	Publish string // publish this word
+	Publish string // publish this value
 }
 
 // State is one member's part in the trials of all partners. A nil State suspends no trials.
@@ -70,9 +70,9 @@
 	phase       storm.Phase
 	outageSince float64 // when the outage began
 	update      Update
-	updatedAt   float64        // when the holder or its word last changed, or the outage began
-	publishedAt float64        // when this member last published a word
-	wordNumber  int            // of that word
+	updatedAt   float64        // when the holder or its value last changed, or the outage began
+	publishedAt float64        // when this member last published a value
+	valueNumber int            // of that value
 	suspended   bool           // trials are suspended, by the last throttle returned
 	raised      bool           // the pace is raised, by the last throttle returned
 	throttle    storm.Throttle // as storm control last requested it
@@ -124,10 +124,10 @@
 	}
 }
 
-func (s *State) publish(dest int, p *partner, now float64, word string) {
-	p.wordNumber++
+func (s *State) publish(dest int, p *partner, now float64, status string) {
+	p.valueNumber++
 	p.publishedAt = now
-	s.actions = append(s.actions, Action{Dest: dest, Publish: word + " " + strconv.Itoa(p.wordNumber)})
+	s.actions = append(s.actions, Action{Dest: dest, Publish: status + " " + strconv.Itoa(p.valueNumber)})
 }
 
 // HandleUpdate takes an update of a partner's duty. It ignores a partner that is calm here.
@@ -139,8 +139,8 @@
 	if p == nil {
 		return // no outage of this partner here
 	}
-	if update.Holder != p.update.Holder || update.Word != p.update.Word {
-		p.updatedAt = now // also gives a new holder time for its first word
+	if update.Holder != p.update.Holder || update.Value != p.update.Value {
+		p.updatedAt = now // also gives a new holder time for its first value
 	}
 	if update.HeldLocally && !p.update.HeldLocally && p.phase != storm.Outage {
 		s.publish(dest, p, now, Open) // the previous holder went away while the partner came back
@@ -202,7 +202,7 @@
 	if p.update.HeldLocally {
 		return false, true
 	}
-	open := strings.HasPrefix(p.update.Word, Open)
+	open := strings.HasPrefix(p.update.Value, Open)
 	return p.update.Holder != "" && !open && now < p.updatedAt+s.settings.SilenceTimeoutMS, false
 }
 
--- a/internal/fleet/trial/trial_test.go
+++ b/internal/fleet/trial/trial_test.go
@@ -18,7 +18,7 @@
 }
 
 // TestOtherMembersSuspendTrials: a member that does not hold the duty suspends its trials while it receives
-// words that the partner is down, and no longer.
+// updates that the partner is down, and no longer.
 func TestOtherMembersSuspendTrials(t *testing.T) {
 	s := newLiveState()
 	if o := s.AdjustThrottle(0, outage(0.5)); o.Paces[0].Rate != 0.5 {
@@ -32,7 +32,7 @@
 	if len(list) != 1 || list[0].Paces[0].Rate != suspendedRate {
 		t.Fatalf("another member holds the duty: %v", list)
 	}
-	s.HandleUpdate(3000, 7, Update{Holder: "n2", Word: "down 1"})
+	s.HandleUpdate(3000, 7, Update{Holder: "n2", Value: "down 1"})
 	if at := s.NextChange(); at != 7000 {
 		t.Errorf("trials suspended until %v", at)
 	}
@@ -40,13 +40,13 @@
 		t.Errorf("before the timeout: %v", list)
 	}
 	if list := s.ChangedThrottles(7000); len(list) != 1 || list[0].Paces[0].Rate != 0.5 {
-		t.Errorf("after the timeout without a word: %v", list)
+		t.Errorf("after the timeout without an update: %v", list)
 	}
-	s.HandleUpdate(7100, 7, Update{Holder: "n2", Word: "down 2"})
+	s.HandleUpdate(7100, 7, Update{Holder: "n2", Value: "down 2"})
 	if list := s.ChangedThrottles(7100); len(list) != 1 || list[0].Paces[0].Rate != suspendedRate {
-		t.Errorf("after a further word: %v", list)
+		t.Errorf("after a further update: %v", list)
 	}
-	s.HandleUpdate(7200, 7, Update{Holder: "n2", Word: "open 3"})
+	s.HandleUpdate(7200, 7, Update{Holder: "n2", Value: "open 3"})
 	if list := s.ChangedThrottles(7200); len(list) != 1 || list[0].Paces[0].Rate != 0.5 {
 		t.Errorf("after the partner is back: %v", list)
 	}
@@ -91,7 +91,7 @@
 	s.CallFailed(300, 7)
 	s.CallFailed(1200, 7)
 	if acts := s.TakeActions(); len(acts) != 2 || acts[0].Publish != "down 1" || acts[1].Publish != "down 2" {
-		t.Errorf("published words %v", acts)
+		t.Errorf("published values %v", acts)
 	}
 	o := s.AdjustThrottle(1300, storm.Throttle{Dest: 7, Phase: storm.Returning, Paces: []storm.Pace{{Rate: 0.05}}})
 	if acts := s.TakeActions(); len(acts) != 1 || acts[0].Publish != "open 3" || o.Paces[0].Rate != 0.05 {
@@ -106,7 +106,7 @@
 	s.AdjustThrottle(0, outage(0.05))
 	s.AdjustThrottle(1000, storm.Throttle{Dest: 7, Phase: storm.Returning, Paces: []storm.Pace{{Rate: 0.05}}})
 	s.TakeActions()
-	s.HandleUpdate(1100, 7, Update{Holder: "n1", HeldLocally: true, Word: "down 9"})
+	s.HandleUpdate(1100, 7, Update{Holder: "n1", HeldLocally: true, Value: "down 9"})
 	if acts := s.TakeActions(); len(acts) != 1 || acts[0].Publish != "open 1" {
 		t.Errorf("after the takeover: %v", acts)
 	}
--- a/internal/intake/api.go
+++ b/internal/intake/api.go
@@ -61,12 +61,12 @@
 	case verdict.Misdirected:
 		return response{status: 421, servedBy: verdict.ServedBy, text: "other senders serve this destination"}
 	case verdict.NoRoute: // the endpoint list may be out of date: a retry may succeed
-		return response{status: 503, retryAfterMS: verdict.RetryAfter, text: "no such destination is listed"}
+		return response{status: 503, retryAfterMS: verdict.RetryAfterMS, text: "no such destination is listed"}
 	}
 	if verdict.TooFewHolders {
-		return response{status: 503, retryAfterMS: verdict.RetryAfter, text: sender.TooFewHoldersReason}
+		return response{status: 503, retryAfterMS: verdict.RetryAfterMS, text: sender.TooFewHoldersReason}
 	}
-	return response{status: statusBusy, retryAfterMS: verdict.RetryAfter}
+	return response{status: statusBusy, retryAfterMS: verdict.RetryAfterMS}
 }
 
 // orphanResubmission is the value of X-Second-Try in a resubmission after a sender died or did not answer.
--- a/internal/lab/world/fleet.go
+++ b/internal/lab/world/fleet.go
@@ -63,7 +63,7 @@
 		}
 		for _, s := range f.world.senders {
 			f.schedule(now, maxNotifyDelayMS*f.world.rng.Float64(), s, func(now float64) {
-				s.trialUpdates[dest] = trial.Update{Holder: d.Holder, HeldLocally: d.Session == s.session && !d.Ended, Word: d.Word}
+				s.trialUpdates[dest] = trial.Update{Holder: d.Holder, HeldLocally: d.Session == s.session && !d.Ended, Value: d.Word}
 				s.scheduleStep(now)
 			})
 		}
--- a/internal/outbound/closing.go
+++ b/internal/outbound/closing.go
@@ -47,15 +47,15 @@
 
 // CloseEvent describes one closed connection.
 type CloseEvent struct {
-	Endpoint uint32
-	Addr     string
-	Reason   CloseReason
-	Answers  int // complete responses that it has carried
+	Endpoint  uint32
+	Addr      string
+	Reason    CloseReason
+	Responses int // complete responses that it has carried
 }
 
 // reportClosed passes the end of the connection to OnConnClosed, if it is set.
 func (cn *conn) reportClosed(reason CloseReason) {
 	if cn.pool.opt.OnConnClosed != nil {
-		cn.pool.opt.OnConnClosed(CloseEvent{Endpoint: cn.endpoint, Addr: cn.addr, Reason: reason, Answers: cn.answers})
+		cn.pool.opt.OnConnClosed(CloseEvent{Endpoint: cn.endpoint, Addr: cn.addr, Reason: reason, Responses: cn.answers})
 	}
 }
--- a/internal/sender/copies.go
+++ b/internal/sender/copies.go
@@ -447,7 +447,7 @@
 		m := s.messages[p.entry.Num]
 		switch {
 		case m == nil: // already ended
-			p.verdict <- Verdict{RetryAfter: maxBusyRetryMS}
+			p.verdict <- Verdict{RetryAfterMS: maxBusyRetryMS}
 		case m.claim.has(m.Entry): // a successor holds it; this sender has sent nothing
 			s.revoke(m, telemetry.CauseCapacity)
 			p.verdict <- Verdict{TakenOver: true}
@@ -456,7 +456,7 @@
 			s.copies.confirmed = append(s.copies.confirmed, p)
 		default:
 			s.revoke(m, telemetry.CauseCapacity)
-			p.verdict <- Verdict{RetryAfter: s.busyRetryAfter(), TooFewHolders: true}
+			p.verdict <- Verdict{RetryAfterMS: s.busyRetryAfter(), TooFewHolders: true}
 		}
 	}
 	for _, call := range wait.calls {
--- a/internal/sender/observe.go
+++ b/internal/sender/observe.go
@@ -29,8 +29,8 @@
 	causesSkipped  bool // a check was skipped; the next is due at nextCauses
 }
 
-// On reports whether records are wanted.
-func (o *observer) On() bool { return o.logRecords || o.Recorder.On() }
+// Enabled reports whether records are wanted.
+func (o *observer) Enabled() bool { return o.logRecords || o.Recorder.Enabled() }
 
 // Push records r.
 func (o *observer) Push(r telemetry.Record) {
@@ -72,7 +72,7 @@
 	case !o.logRecords:
 		return
 	}
-	e.Uint32("endpoint", c.Endpoint).Str("addr", c.Addr).Stringer("reason", c.Reason).Int("answers", c.Answers).Str("record", "closed").Send()
+	e.Uint32("endpoint", c.Endpoint).Str("addr", c.Addr).Stringer("reason", c.Reason).Int("answers", c.Responses).Str("record", "closed").Send()
 }
 
 func parseParent(v []byte) *telemetry.TraceParent {
@@ -84,7 +84,7 @@
 
 // observeAccepted records an accepted or restored message.
 func (s *Sender) observeAccepted(e *journal.Entry, class int, restored bool) {
-	if !s.observer.On() {
+	if !s.observer.Enabled() {
 		return
 	}
 	s.observer.Push(telemetry.Record{Kind: telemetry.KindAccepted, Num: e.Num, Dest: int32(e.Dest), Class: uint8(class), Resubmitted: e.Resubmitted, Restored: restored,
@@ -92,21 +92,21 @@
 }
 
 func (s *Sender) observeRefused(dest int, why telemetry.Cause) {
-	if s.observer.On() {
+	if s.observer.Enabled() {
 		s.observer.Push(telemetry.Record{Kind: telemetry.KindRefused, Dest: int32(dest), Cause: why, At: s.now})
 	}
 }
 
 // observeAttemptStart records the start of an attempt.
 func (s *Sender) observeAttemptStart(m *message, c *outbound.Call, attempt int) {
-	if s.observer.On() {
+	if s.observer.Enabled() {
 		s.observer.Push(telemetry.Record{Kind: telemetry.KindCallStarted, Num: m.Num, Dest: int32(m.Dest), Endpoint: c.Endpoint, Attempt: int16(attempt), At: s.now})
 	}
 }
 
 // observeAttemptEnd records the outcome of an attempt.
 func (s *Sender) observeAttemptEnd(c *outbound.Call, e *policy.Event) {
-	if !s.observer.On() || e.Kind != policy.EvOutcome {
+	if !s.observer.Enabled() || e.Kind != policy.EvOutcome {
 		return
 	}
 	s.observer.Push(telemetry.Record{Kind: telemetry.KindCallEnded, Num: e.ID, Dest: int32(c.Dest), Endpoint: c.Endpoint, Attempt: int16(e.Attempt), Outcome: uint8(e.Outcome),
@@ -122,13 +122,13 @@
 }
 
 func (s *Sender) observeMessageEnd(e *journal.Entry, end telemetry.Ending, wait float64) {
-	if s.observer.On() {
+	if s.observer.Enabled() {
 		s.observer.Push(telemetry.Record{Kind: telemetry.KindMessageEnded, Num: e.Num, Dest: int32(e.Dest), Ending: end, Wait: wait, At: s.now})
 	}
 }
 
 func (s *Sender) observeStorm(t *storm.Throttle) {
-	if s.observer.On() {
+	if s.observer.Enabled() {
 		s.observer.Push(telemetry.Record{Kind: telemetry.KindStormPhase, Dest: int32(t.Dest), Value: float64(t.Phase), At: s.now})
 	}
 }
@@ -141,7 +141,7 @@
 // observeStep records, after a step, the destinations whose reason to wait has changed, and periodically the gauges.
 func (s *Sender) observeStep() {
 	o := &s.observer
-	if !o.On() {
+	if !o.Enabled() {
 		return
 	}
 	if o.causesSkipped = s.now < o.nextCauses; o.causesSkipped {
@@ -207,7 +207,7 @@
 // untilObservation limits the wait for the next step while messages are held: reasons to wait change with time alone.
 func (s *Sender) untilObservation(wait time.Duration) time.Duration {
 	switch {
-	case !s.observer.On() || len(s.messages) == 0:
+	case !s.observer.Enabled() || len(s.messages) == 0:
 		return wait
 	case s.observer.causesSkipped:
 		return min(wait, fromMillis(s.observer.nextCauses-s.clock.Now()))
--- a/internal/sender/sender.go
+++ b/internal/sender/sender.go
@@ -66,7 +66,7 @@
 	Misdirected   bool
 	ServedBy      []string
 	TooFewHolders bool    // refused: too few members are reachable to hold its copies
-	RetryAfter    float64 // refused: the Retry-After for the client, in milliseconds; 0 = none
+	RetryAfterMS  float64 // refused: the Retry-After for the client, in milliseconds; 0 = none
 }
 
 // input is an item of work for the sender's goroutine. Exactly one field is set, or one group of fields.
--- a/internal/sender/shards.go
+++ b/internal/sender/shards.go
@@ -88,7 +88,7 @@
 func (s *Sender) misdirection(dest int) Verdict {
 	names := s.shards.locator.Replicas(shard.Of(uint64(dest)))
 	if len(names) == 0 { // the members are not known yet
-		return Verdict{NoRoute: true, RetryAfter: s.busyRetryAfter()}
+		return Verdict{NoRoute: true, RetryAfterMS: s.busyRetryAfter()}
 	}
 	return Verdict{Misdirected: true, ServedBy: names}
 }
--- a/internal/sender/shards_test.go
+++ b/internal/sender/shards_test.go
@@ -59,7 +59,7 @@
 func TestMisdirectedMessageIsRefused(t *testing.T) {
 	s := newTestSender(t, t.TempDir(), "", testSettings())
 	s.EnableSharding(2, func([]shard.ID) {})
-	if v := s.submitTo("early", 3); !v.NoRoute || v.RetryAfter == 0 {
+	if v := s.submitTo("early", 3); !v.NoRoute || v.RetryAfterMS == 0 {
 		t.Errorf("before the members are known: %+v", v)
 	}
 	members := []shard.Member{{Name: "a", Zone: "1", Weight: 1}, {Name: "b", Zone: "2", Weight: 1}, {Name: "c", Zone: "3", Weight: 1}}
--- a/internal/sender/stopping_test.go
+++ b/internal/sender/stopping_test.go
@@ -36,7 +36,7 @@
 			t.Fatal("an accepted message is answered as refused")
 		}
 	}
-	if v := s.awaitVerdict(&submission{verdict: make(chan Verdict, 1)}); v.Accepted || v.RetryAfter <= 0 {
+	if v := s.awaitVerdict(&submission{verdict: make(chan Verdict, 1)}); v.Accepted || v.RetryAfterMS <= 0 {
 		t.Errorf("a message that no step handled: %+v, want a refusal with a Retry-After", v)
 	}
 }
@@ -138,7 +138,7 @@
 	}
 	s.shutDown()
 	close(s.done)
-	if v := <-answer; v.Accepted || v.RetryAfter <= 0 {
+	if v := <-answer; v.Accepted || v.RetryAfterMS <= 0 {
 		t.Errorf("%+v, want a refusal with a Retry-After", v)
 	}
 	if s.reopenJournal()["m"] != nil {
--- a/internal/sender/submissions.go
+++ b/internal/sender/submissions.go
@@ -18,7 +18,7 @@
 	select {
 	case s.inputs <- input{submission: sub}:
 	case <-s.done:
-		return Verdict{RetryAfter: maxBusyRetryMS}
+		return Verdict{RetryAfterMS: maxBusyRetryMS}
 	}
 	return s.awaitVerdict(sub)
 }
@@ -35,7 +35,7 @@
 	case v := <-sub.verdict: // given before the exit
 		return v
 	default: // no step has handled the submission, and none will
-		return Verdict{RetryAfter: maxBusyRetryMS}
+		return Verdict{RetryAfterMS: maxBusyRetryMS}
 	}
 }
 
@@ -57,12 +57,12 @@
 		return
 	case !s.listedDests[m.Dest]: // it could only be held until its deadline
 		s.observeRefused(m.Dest, telemetry.CauseNoRoute)
-		sub.verdict <- Verdict{NoRoute: true, RetryAfter: s.busyRetryAfter()}
+		sub.verdict <- Verdict{NoRoute: true, RetryAfterMS: s.busyRetryAfter()}
 		return
 	case !s.stopRequestedAt.IsZero(), s.journalFailed, left <= 0, s.lacksLease(), s.settings.MaxHeld > 0 && len(s.messages) >= s.settings.MaxHeld, !s.journal.HasSpace(len(m.Body)):
 		s.stormGuard.RecordArrival(s.now, m.Dest, keyHash(m.Key), m.Resubmitted)
 		s.observeRefused(m.Dest, s.refusalCause())
-		sub.verdict <- Verdict{RetryAfter: s.refusalRetryAfter(m.Dest, m.Key, max(left, 0), s.busyRetryAfter()), TooFewHolders: s.lacksLease()}
+		sub.verdict <- Verdict{RetryAfterMS: s.refusalRetryAfter(m.Dest, m.Key, max(left, 0), s.busyRetryAfter()), TooFewHolders: s.lacksLease()}
 		return
 	}
 	s.stormGuard.RecordArrival(s.now, m.Dest, keyHash(m.Key), m.Resubmitted)
@@ -74,7 +74,7 @@
 	if m.Tenant < len(s.settings.Tenants) {
 		e.Tenant = s.settings.Tenants[m.Tenant].Name
 	}
-	if s.observer.On() {
+	if s.observer.Enabled() {
 		e.TraceParent = parseParent(m.TraceParent).Header()
 	}
 	s.journal.Accept(e)
@@ -102,7 +102,7 @@
 		case torn && time.Since(p.received) < clientAnswerTimeout: // undecided: a restart may find its record on disk
 			unsettled = append(unsettled, p)
 		case p.refused:
-			p.verdict <- Verdict{RetryAfter: p.retryAfterMS}
+			p.verdict <- Verdict{RetryAfterMS: p.retryAfterMS}
 		case !journalled: // not in the journal: the module must not keep it
 			s.observeMessageEnd(p.entry, telemetry.EndingNotAccepted, 0)
 			s.observeRefused(p.entry.Dest, telemetry.CauseCapacity)
@@ -112,7 +112,7 @@
 				s.journal.End(m.Entry)
 				s.forget(m)
 			}
-			p.verdict <- Verdict{RetryAfter: maxBusyRetryMS}
+			p.verdict <- Verdict{RetryAfterMS: maxBusyRetryMS}
 		default:
 			p.verdict <- Verdict{Accepted: true, Num: p.entry.Num}
 		}
--- a/internal/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -144,8 +144,8 @@
 	return &Recorder{maxBytes: maxBytes, wake: make(chan struct{}, 1)}
 }
 
-// On reports whether records are wanted.
-func (q *Recorder) On() bool { return q != nil }
+// Enabled reports whether records are wanted.
+func (q *Recorder) Enabled() bool { return q != nil }
 
 // Push appends r to the queue, or drops it if the queue is full. It waits for nothing but the queue's mutex.
 func (q *Recorder) Push(r Record) {
--- a/internal/telemetry/telemetry_test.go
+++ b/internal/telemetry/telemetry_test.go
@@ -37,7 +37,7 @@
 }
 
 // For any input, sanitize returns bounded, valid UTF-8 without control characters, and ParseTraceParent does not panic.
-func FuzzClean(f *testing.F) {
+func FuzzSanitize(f *testing.F) {
 	f.Add("a\x00b\xff\n" + strings.Repeat("é", 100))
 	f.Fuzz(func(t *testing.T, s string) {
 		if c := sanitize(s); !utf8.ValidString(c) || len(c) > maxTextBytes || strings.ContainsAny(c, "\x00\n\r\x1b") {
@@ -205,13 +205,13 @@
 			b.ReportAllocs()
 			for i := range b.N {
 				at := float64(i)
-				if q.On() {
+				if q.Enabled() {
 					q.Push(Record{Kind: KindAccepted, Num: uint64(i), At: at, Until: at + 1e4, Text: "9b1f03aa5c7e2d41"})
 					q.Push(Record{Kind: KindCallStarted, Num: uint64(i), At: at})
 					q.Push(Record{Kind: KindCallEnded, Num: uint64(i), At: at + 20, Until: at, Text: "127.0.0.1:9000"})
 					q.Push(Record{Kind: KindMessageEnded, Num: uint64(i), At: at + 20})
 				}
-				if q.On() && i%64 == 63 {
+				if q.Enabled() && i%64 == 63 {
 					q.Drain(a.Process)
 				}
 			}
