--- a/cmd/sliptide/copies_test.go
+++ b/cmd/sliptide/copies_test.go
@@ -104,7 +104,7 @@
 	m.rigs[3].proc.Process.Signal(syscall.SIGSTOP)
 	m.await("another member has taken over", func() bool {
 		for _, r := range m.rigs[:3] {
-			if strings.Contains(r.logs.String(), `"copies: took over"`) {
+			if strings.Contains(r.logs.String(), `"copies: took over from a lost sender"`) {
 				return true
 			}
 		}
--- a/cmd/sliptide/fleet.go
+++ b/cmd/sliptide/fleet.go
@@ -47,7 +47,7 @@
 		return nil, nil
 	}
 	if !f.HasMember(cfg.Name) {
-		return nil, fmt.Errorf("%w: fleet: RELAY_NAME is %q, which is no <member>", cli.ErrConfig, cfg.Name)
+		return nil, fmt.Errorf("%w: fleet: RELAY_NAME %q is not the name of a <member>", cli.ErrConfig, cfg.Name)
 	}
 	m := &membership{copies: f.Copies, space: space, files: fsys.OS{Dir: cfg.StateDir}, account: space.Account(), log: log}
 	m.settings = fleet.Settings{Name: cfg.Name, Listen: f.ListenAddr, Members: peers(f),
--- a/cmd/sliptide/fleet_test.go
+++ b/cmd/sliptide/fleet_test.go
@@ -424,7 +424,7 @@
 	if _, errs, code := runCommand(t, "fleet", "remove", "nobody", "--operator", m.rigs[0].operatorPath); code != 0 {
 		t.Errorf("remove: %s", errs)
 	}
-	r.awaitLog("the log cannot be written: stepping down")
+	r.awaitLog("the log has failed: stepping down")
 	r.mustSubmit("n0-1", 5, 10, "x")
 	m.await("its message is delivered", func() bool { return m.callsBySender(time.Time{})["n0"] == 1 })
 	if err := os.Remove(log); err != nil {
@@ -457,7 +457,7 @@
 	r.config["name"] = "n9"
 	r.launch()
 	r.await(r.exited, "the program ends")
-	if s := r.logs.String(); r.proc.ProcessState.ExitCode() != 2 || !strings.Contains(s, `RELAY_NAME is "n9", which is no <member>`) {
+	if s := r.logs.String(); r.proc.ProcessState.ExitCode() != 2 || !strings.Contains(s, `RELAY_NAME "n9" is not the name of a <member>`) {
 		t.Errorf("status %d, log:\n%s", r.proc.ProcessState.ExitCode(), s)
 	}
 	r.proc = nil
--- a/cmd/sliptide/losses_test.go
+++ b/cmd/sliptide/losses_test.go
@@ -322,7 +322,7 @@
 func (l *lossRun) takenOver(k int) (owners []int) {
 	for _, line := range strings.Split(l.rigs[k].logs.String(), "\n") {
 		var e struct{ Message, Owner string }
-		if json.Unmarshal([]byte(line), &e) == nil && e.Message == "copies: took over" {
+		if json.Unmarshal([]byte(line), &e) == nil && e.Message == "copies: took over from a lost sender" {
 			var owner int
 			fmt.Sscanf(e.Owner, "n%d", &owner)
 			owners = append(owners, owner)
@@ -341,7 +341,7 @@
 				continue
 			}
 			for _, line := range strings.Split(r.logs.String(), "\n") {
-				if strings.Contains(line, "taking over from a lost sender") && strings.Contains(line, ownerField) && !strings.Contains(r.logs.String(), `"copies: took over"`) {
+				if strings.Contains(line, "taking over from a lost sender") && strings.Contains(line, ownerField) && !strings.Contains(r.logs.String(), `"copies: took over from a lost sender"`) {
 					time.Sleep(time.Duration(rng.IntN(40)) * time.Millisecond) // a random moment of the takeover
 					counts["successor killed"]++
 					l.record("n%d, the successor of n%d, is killed", k, owner)
--- a/cmd/sliptide/shards_test.go
+++ b/cmd/sliptide/shards_test.go
@@ -86,12 +86,12 @@
 	}
 }
 
-// leader returns the running control member whose log says last that it leads.
+// leader returns the running control member whose last logged change of leadership is that it became leader.
 func (c *controlRegion) leader() *controlMember {
 	c.t.Helper()
 	for end := time.Now().Add(testTimeout); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
 		for _, m := range c.members {
-			if s := m.logs.String(); m.proc != nil && strings.LastIndex(s, "directory: leads\"") > strings.LastIndex(s, "leads no more\"") {
+			if s := m.logs.String(); m.proc != nil && strings.LastIndex(s, "directory: became leader\"") > strings.LastIndex(s, "no longer leads\"") {
 				return m
 			}
 		}
--- a/cmd/sliptide/takeover_test.go
+++ b/cmd/sliptide/takeover_test.go
@@ -171,7 +171,7 @@
 			ids := m.submitHeld(0, 6, 15)
 			m.killAndWipe(0)
 			tookOver := func() bool {
-				return slices.ContainsFunc(m.rigs[1:], func(r *rig) bool { return strings.Contains(r.logs.String(), `"copies: took over"`) })
+				return slices.ContainsFunc(m.rigs[1:], func(r *rig) bool { return strings.Contains(r.logs.String(), `"copies: took over from a lost sender"`) })
 			}
 			if after {
 				m.await("a successor has taken over", tookOver)
@@ -257,7 +257,9 @@
 	m.killAndWipe(0)
 	successor := -1
 	m.await("a successor has taken over", func() bool {
-		successor = slices.IndexFunc(m.rigs, func(r *rig) bool { return r != m.rigs[0] && strings.Contains(r.logs.String(), `"copies: took over"`) })
+		successor = slices.IndexFunc(m.rigs, func(r *rig) bool {
+			return r != m.rigs[0] && strings.Contains(r.logs.String(), `"copies: took over from a lost sender"`)
+		})
 		return successor >= 0
 	})
 	if killed { // its next process honours the wait, too
@@ -293,7 +295,7 @@
 		}
 	}
 	m.await("a successor has taken over", func() bool {
-		return slices.ContainsFunc(m.rigs[:3], func(r *rig) bool { return strings.Contains(r.logs.String(), `"copies: took over"`) })
+		return slices.ContainsFunc(m.rigs[:3], func(r *rig) bool { return strings.Contains(r.logs.String(), `"copies: took over from a lost sender"`) })
 	})
 	if code, _ := m.submitTimed(3, "n3-refused", "x"); code != 503 {
 		t.Errorf("the sender that is cut off from the fleet answers %d", code)
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -325,7 +325,7 @@
 	watchCtx, stopWatch := context.WithCancel(ctx)
 	c.leadership = &leadership{token: token, roster: directory.NewRoster(c.regions(), now), stopWatch: stopWatch}
 	c.followedLeader, c.fullReportDue = "", true
-	c.o.Log.Info().Uint64("token", token).Uint64("version", c.dir.Version()).Msg("directory: leads")
+	c.o.Log.Info().Uint64("token", token).Uint64("version", c.dir.Version()).Msg("directory: became leader")
 	c.publish(c.dir.DiscoveryVersion(), nil, nil, nil)
 	// The watch continues from the version of discovery that the previous leader published last.
 	watch := discovery.NewDirectoryWatch(c.o.Settings.DiscoveryAddr, c.dir.DiscoveryVersion(), int(c.o.Settings.MaxListBytes), rand.Uint64(), c.o.Log, func(l discovery.List) {
@@ -341,7 +341,7 @@
 	}
 	c.leadership.stopWatch()
 	c.leadership = nil
-	c.o.Log.Info().Uint64("version", c.dir.Version()).Msg("directory: leads no more")
+	c.o.Log.Info().Uint64("version", c.dir.Version()).Msg("directory: no longer leads")
 }
 
 // enqueueList passes a list from discovery to the loop. It is called on the watch's goroutine and blocks it while the
--- a/internal/fleet/partitions_test.go
+++ b/internal/fleet/partitions_test.go
@@ -8,13 +8,13 @@
 	"sliptide/internal/standin"
 )
 
-// leader returns the voter that was the last to log that it leads.
+// leader returns the voter that was the last to log that it became leader.
 func (r *rig) leader() string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	last := ""
 	for _, line := range splitLines(r.logs.String()) {
-		if member, ok := logMember(line, "fleet: voter: leads"); ok {
+		if member, ok := logMember(line, "fleet: voter: became leader"); ok {
 			last = member
 		}
 	}
--- a/internal/fleet/procs_test.go
+++ b/internal/fleet/procs_test.go
@@ -465,13 +465,13 @@
 func splitLines(s string) []string { return strings.Split(s, "\n") }
 
 // logMember returns the member that logged the line, if its message or error has the text. ok is false if a voter logs
-// that it leads no more.
+// that it no longer leads.
 func logMember(line, text string) (member string, ok bool) {
 	var l struct{ M, Message, Error string }
 	if json.Unmarshal([]byte(line), &l) != nil || !strings.Contains(l.Message+" ", text+" ") && !strings.Contains(l.Error, text) && !strings.HasSuffix(l.Message, text) {
 		return "", false
 	}
-	return l.M, !strings.Contains(l.Message, "leads no more")
+	return l.M, !strings.Contains(l.Message, "no longer leads")
 }
 
 // TestStateDirectoryOfAnotherMember: a member refuses the state directory of another member, and names that member.
--- a/internal/fleet/voter/apply.go
+++ b/internal/fleet/voter/apply.go
@@ -71,7 +71,7 @@
 		v.options.OnEvent(EventLeading, nil)
 	case v.leaderTerm == 0 && previousTerm != 0:
 		v.pending, v.readRequests, v.renewals = map[uint64]pending{}, nil, nil
-		v.options.OnEvent("leads no more", nil)
+		v.options.OnEvent("no longer leads", nil)
 	}
 }
 
--- a/internal/fleet/voter/voter.go
+++ b/internal/fleet/voter/voter.go
@@ -56,7 +56,7 @@
 // name of the voter that was added). The latter is not reported when the change begins: operators would then stop a
 // voter while the majority of the old voters is still needed.
 const (
-	EventLeading       = "leads"
+	EventLeading       = "became leader"
 	EventVotersChanged = "voters changed: "
 )
 
@@ -248,7 +248,7 @@
 
 // stepDown stops taking part after the log has failed. The group continues without this voter.
 func (v *Voter) stepDown(err error) {
-	v.options.OnEvent("the log cannot be written: stepping down", err)
+	v.options.OnEvent("the log has failed: stepping down", err)
 	v.leaveGroup()
 	v.failure, v.nextReopen = err, v.now+int64(reopenInterval)
 }
--- a/internal/intake/intake.go
+++ b/internal/intake/intake.go
@@ -174,7 +174,7 @@
 			}
 			if time.Since(lastLogged) >= acceptLogInterval {
 				lastLogged = time.Now()
-				s.log.Warn().Err(err).Msg("accept")
+				s.log.Warn().Err(err).Msg("cannot accept a client connection, retrying")
 			}
 			time.Sleep(pollInterval) // file descriptors may be exhausted until another connection closes
 			continue
--- a/internal/sender/takeover.go
+++ b/internal/sender/takeover.go
@@ -177,7 +177,7 @@
 	}
 	s.avoidEndpoints(holds, avoidUntil)
 	s.stepDue = true
-	s.log.Info().Str("owner", owner).Int("messages", n).Int("sure", confirmed).Int("elsewhere", len(keysElsewhere)).Msg("copies: took over")
+	s.log.Info().Str("owner", owner).Int("messages", n).Int("sure", confirmed).Int("elsewhere", len(keysElsewhere)).Msg("copies: took over from a lost sender")
 }
 
 // settlePending resolves takeovers, also those of an earlier process, whose result this sender has not received.
