--- a/internal/control/settings.go
+++ b/internal/control/settings.go
@@ -61,7 +61,7 @@
 	return &element{
 		Name: "control", Doc: "A control member: it keeps the directory of a fleet whose destinations are sharded.",
 		Attrs: []attribute{
-			{Name: "version", Required: true, Doc: "The form of this file.", Values: strictxml.OneOf("1")},
+			{Name: "version", Required: true, Doc: "The version of the file format.", Values: strictxml.OneOf("1")},
 			{Name: "name", Required: true, Doc: "This member's name, one of those below.", Values: name, SetText: func(s *Settings, v string) { s.Name = v }},
 			{Name: "state", Required: true, Doc: "The state directory, which belongs to this member alone.", Values: path, SetText: func(s *Settings, v string) { s.StateDir = v }},
 			{Name: "discovery", Required: true, Doc: "Address of the discovery agent.", Values: addr, SetText: func(s *Settings, v string) { s.DiscoveryAddr = v }},
--- a/internal/lab/capacity/target.go
+++ b/internal/lab/capacity/target.go
@@ -68,7 +68,7 @@
 	type element = strictxml.Element[Target]
 	return &element{
 		Name: "capacity-target", Doc: "The fleet that the operators plan: quantities and budgets.",
-		Attrs: []attribute{{Name: "version", Required: true, Doc: "The version of the file's format.",
+		Attrs: []attribute{{Name: "version", Required: true, Doc: "The version of the file format.",
 			Values: strictxml.OneOf("1")}},
 		Children: []element{{
 			Name: "fleet", Doc: "The senders and their load.", Attrs: []attribute{
--- a/internal/lab/experiment/experiment.go
+++ b/internal/lab/experiment/experiment.go
@@ -56,9 +56,9 @@
 	return &strictxml.Element[File]{
 		Name: "experiment", Doc: "A world of senders, clients and partners, and what is varied in it.",
 		Attrs: []attribute{{
-			Name: "version", Required: true, Doc: "The form of this file.", Values: strictxml.OneOf("1"),
+			Name: "version", Required: true, Doc: "The version of the file format.", Values: strictxml.OneOf("1"),
 		}, {
-			Name: "name", Required: true, Doc: "The name of its results.", Values: strictxml.Text("[a-z0-9-]{1,60}", "small letters, digits and dashes"),
+			Name: "name", Required: true, Doc: "The name of its results.", Values: strictxml.Text("[a-z0-9-]{1,60}", "lowercase letters, digits and dashes"),
 			SetText: func(f *File, v string) { f.Name = v },
 		}, {
 			Name: "about", Doc: "What the experiment shows.", Values: strictxml.Text("[^<>]{1,1000}", "a sentence"),
@@ -73,7 +73,7 @@
 				Name: "name", Required: true, Doc: "The attribute of world that varies.", Values: strictxml.OneOf(names...),
 				SetNumber: func(f *File, v int64) { last(f).Name = names[v] },
 			}, {
-				Name: "values", Required: true, Doc: "The values of this attribute, in the order of the results.", Values: strictxml.Text("[^ <>]+( [^ <>]+)*", "values with single blanks between"),
+				Name: "values", Required: true, Doc: "The values of this attribute, in the order of the results.", Values: strictxml.Text("[^ <>]+( [^ <>]+)*", "values separated by single spaces"),
 				SetText: func(f *File, v string) { last(f).Values = strings.Fields(v) },
 			}},
 		}, {
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -33,7 +33,7 @@
 		`<experiment version="1" name="a"><vary name="senders" values="1 x"/></experiment>`:                                 `vary senders: value "x"; allowed: a whole number from 1 to 1000`,
 		`<experiment version="1" name="a"><vary name="senders" values="1 1"/></experiment>`:                                 `is listed twice`,
 		`<experiment version="1" name="a"><world outage="5"/></experiment>`:                                                 `outage="5" in <world>; allowed: 0ms to 1h`,
-		`<experiment version="1" name="A"/>`:                                                                                `small letters`,
+		`<experiment version="1" name="A"/>`:                                                                                `lowercase letters`,
 		`<experiment version="1" name="a"><world partners="20000" endpoints="10"/></experiment>`:                            `200000 endpoints; allowed: 20000`,
 		`<experiment version="1" name="a"><vary name="tells" values="true false"/><seeds count="0"/></experiment>`:          `count="0"`,
 		`<experiment version="1" name="a"><seeds count="10000"/><vary name="senders" values="1 2 3 4 5 6 7"/></experiment>`: `70000 runs`,
--- a/internal/lab/scale/file.go
+++ b/internal/lab/scale/file.go
@@ -64,13 +64,13 @@
 		return attribute{Name: name, Default: defaultValue, Doc: doc, Values: strictxml.Integer(minValue, maxValue), SetNumber: set}
 	}
 	decimal := strictxml.Text(`[0-9]{1,6}(\.[0-9]{1,3})?`, "a decimal number")
-	list := strictxml.Text(`[1-9][0-9]{0,7}( [1-9][0-9]{0,7}){0,9}`, "whole numbers, with single blanks between")
+	list := strictxml.Text(`[1-9][0-9]{0,7}( [1-9][0-9]{0,7}){0,9}`, "whole numbers, separated by single spaces")
 	lastFault := func(f *File) *Fault { return &f.Faults[len(f.Faults)-1] }
 	return &element{
 		Name: "scale", Doc: "A sharded fleet of hollow members, real senders and real control members, with faults.",
 		Attrs: []attribute{
-			{Name: "version", Required: true, Doc: "The version of the file's format.", Values: strictxml.OneOf("1")},
-			{Name: "name", Required: true, Doc: "The name of the run, and of its result files.", Values: strictxml.Text("[a-z0-9-]{1,60}", "small letters, digits and dashes"), SetText: func(f *File, v string) { f.Name = v }},
+			{Name: "version", Required: true, Doc: "The version of the file format.", Values: strictxml.OneOf("1")},
+			{Name: "name", Required: true, Doc: "The name of the run, and of its result files.", Values: strictxml.Text("[a-z0-9-]{1,60}", "lowercase letters, digits and dashes"), SetText: func(f *File, v string) { f.Name = v }},
 			{Name: "about", Doc: "The purpose of the run.", Values: strictxml.Text("[^<>]{1,1000}", "a sentence"), SetText: func(f *File, v string) { f.About = v }},
 			integer("seed", "1", 1, 1<<30, "Seed of the random choices: the processes and members that a fault affects, and the endpoints that change.", func(f *File, v int64) { f.Seed = int(v) }),
 			{Name: "sizes", Required: true, Doc: "Numbers of members, in ascending order; the schedule is run at each.", Values: list, SetText: func(f *File, v string) { f.Sizes = numbers(v) }},
@@ -108,7 +108,7 @@
 	}
 }
 
-// numbers parses whole numbers that are separated by single blanks.
+// numbers parses whole numbers that are separated by single spaces.
 func numbers(text string) (list []int) {
 	for field := range strings.FieldsSeq(text) {
 		n, _ := strconv.Atoi(field) // cannot fail: the value has matched the pattern
--- a/internal/operator/spec.go
+++ b/internal/operator/spec.go
@@ -24,7 +24,7 @@
 	return &element{
 		Name: "sliptide", Doc: "The operators' settings of a sender. Every part is off unless it is enabled.",
 		Attrs: []attribute{{
-			Name: "version", Required: true, Doc: "The version of the file's format.", Values: strictxml.OneOf("1"),
+			Name: "version", Required: true, Doc: "The version of the file format.", Values: strictxml.OneOf("1"),
 		}},
 		Children: []element{{
 			Name: "ready", Doc: "When a starting sender answers /up with 200.",
@@ -127,7 +127,7 @@
 				Name: "header", Doc: "A header of each request, besides those of OTEL_EXPORTER_OTLP_HEADERS.", Repeated: true, Unique: "name",
 				Add: func(f *File) { f.Telemetry.Headers = append(f.Telemetry.Headers, Pair{}) },
 				Attrs: []attribute{{
-					Name: "name", Required: true, Values: strictxml.Text("[a-z0-9_.-]{1,100}", "small letters, digits, dots and dashes"), Doc: "Its name.",
+					Name: "name", Required: true, Values: strictxml.Text("[a-z0-9_.-]{1,100}", "lowercase letters, digits, dots and dashes"), Doc: "Its name.",
 					SetText: func(f *File, v string) { f.Telemetry.Headers[len(f.Telemetry.Headers)-1].Name = v },
 				}, {
 					Name: "value", Required: true, Values: strictxml.Text("[ -~]{0,1000}", "printable ASCII"), Doc: "Its value.",
