--- a/internal/h2/h2.go
+++ b/internal/h2/h2.go
@@ -54,7 +54,7 @@
 
 // String returns the name of the outcome.
 func (o Outcome) String() string {
-	return [...]string{"answered", "never ran", "gone away", "refused", "broken", "silent", "spoilt", "cancelled"}[o]
+	return [...]string{"answered", "never ran", "gone away", "refused", "broken", "unresponsive", "invalid response", "cancelled"}[o]
 }
 
 // Field is one header field. Name is in lower case (8.2). A Sensitive field is never indexed by hpack, so that
--- a/internal/outbound/window_test.go
+++ b/internal/outbound/window_test.go
@@ -10,7 +10,7 @@
 	"sliptide/policy"
 )
 
-// Guards against a retry that is written after WriteBy, when the partner's idempotency window has passed: the
+// Guards against a retry that is written after WriteBy, when the partner's dedup window has passed: the
 // connection is never established, is established late, or the call waits for its turn to dial.
 func TestRetryAfterWriteByIsNotWritten(t *testing.T) {
 	const window = 100 * time.Millisecond
