--- a/internal/lab/scale/report.go
+++ b/internal/lab/scale/report.go
@@ -101,7 +101,7 @@
 	if len(sizes) == 0 {
 		return
 	}
-	fmt.Fprintf(b, "\n| quantity | budget | measured | at %.0f members, foretold by a line |\n| --- | --- | --- | --- |\n", budgets.Senders)
+	fmt.Fprintf(b, "\n| quantity | budget | measured | at %.0f members, extrapolated linearly |\n| --- | --- | --- | --- |\n", budgets.Senders)
 	for _, q := range quantities {
 		budget := q.budget(budgets)
 		var measured []string
@@ -114,7 +114,7 @@
 		}
 		extrapolated := "fewer than three sizes: not predicted"
 		if v, ok := q.extrapolate(sizes, budgets.Senders); ok && v <= 0 {
-			extrapolated = "the line falls under 0: it says nothing"
+			extrapolated = "the extrapolation is negative and predicts nothing"
 		} else if ok {
 			mark := "would hold"
 			if v > budget {
@@ -132,7 +132,7 @@
 	for _, c := range r.Comparisons {
 		whole := fmt.Sprintf("%.2f s, %.1f MB, %.0f KB, %.2f KB/s", c.Whole.ReadySeconds, c.Whole.MemoryMB, c.WholeStartKB, c.Whole.LinkKBps)
 		if c.WholeFailure != "" {
-			whole = fmt.Sprintf("%s (%.1f MB, %.0f KB asked for in vain)", c.WholeFailure, c.Whole.MemoryMB, c.WholeStartKB)
+			whole = fmt.Sprintf("%s (%.1f MB, %.0f KB requested without success)", c.WholeFailure, c.Whole.MemoryMB, c.WholeStartKB)
 		}
 		fmt.Fprintf(b, "| %d | %d | %d, %.2f s, %.1f MB, %.0f KB, %.2f KB/s | %s |\n", c.Destinations, c.Members, c.KnownDestinations, c.Sharded.ReadySeconds, c.Sharded.MemoryMB, c.ShardedStartKB, c.Sharded.LinkKBps, whole)
 	}
@@ -140,7 +140,7 @@
 
 // Markers around the generated tables of a page.
 const (
-	beginMarker = "<!-- generated: scale. `make scale` writes what stands between these lines. -->"
+	beginMarker = "<!-- generated: scale. `make scale` writes the text between these markers. -->"
 	endMarker   = "<!-- end of scale -->"
 )
 
