--- a/cmd/sliptide/run.go
+++ b/cmd/sliptide/run.go
@@ -46,8 +46,8 @@
 	configReadTimeout     = 2 * time.Second         // for configuration files that can't be read at the moment
 	reservedFDs           = 32                      // descriptors other than connections of clients and endpoints
 
-	// connsPerCallSlot and maxIdleEndpointConns determine the number of connections to endpoints: several for each concurrent
-	// call, and some idle ones.
+	// connsPerCallSlot and maxIdleEndpointConns determine the number of connections to endpoints: several for each
+	// concurrent call, and some idle ones.
 	connsPerCallSlot     = 4
 	maxIdleEndpointConns = 64
 
@@ -328,8 +328,8 @@
 	account *statedir.Account
 }
 
-// openKnowledge reads the knowledge of an earlier run. If knowledge is disabled, only the disk space of files left by an
-// earlier run is accounted for.
+// openKnowledge reads the knowledge of an earlier run. If knowledge is disabled, only the disk space of files left by
+// an earlier run is accounted for.
 func openKnowledge(cfg *config.Config, settings operator.Knowledge, space *statedir.Space, clock sender.Clock,
 	log zerolog.Logger) persistentKnowledge {
 	m := persistentKnowledge{account: space.Account()}
--- a/internal/standin/relay.go
+++ b/internal/standin/relay.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// Relay is a TCP relay that injects faults into one link: it can block either direction, delay data, close or half-close
-// all connections and refuse new ones.
+// Relay is a TCP relay that injects faults into one link: it can block either direction, delay data, close or
+// half-close all connections and refuse new ones.
 type Relay struct {
 	ln     net.Listener
 	target string
