--- a/internal/outbound/answer.go
+++ b/internal/outbound/answer.go
@@ -49,9 +49,9 @@
 	return result
 }
 
-// parseReport returns the values of a load report, at the positions Options.X0 and Options.X1. It returns nil if there
-// is no report or neither value has a position. A report with any invalid part is ignored as a whole: half of one could
-// throttle a whole destination.
+// parseReport returns the values of a load report such as "TEXT x0=0.5,x1=200", at the indexes Options.X0 and
+// Options.X1. It returns nil if there is no report or neither value is used. A report with any invalid part is ignored
+// as a whole: the rest of it could throttle a whole destination.
 func (p *Pool) parseReport(header []byte) []float64 {
 	if len(header) == 0 || max(p.opt.X0, p.opt.X1) < 0 {
 		return nil
@@ -136,4 +136,5 @@
 // DroppedEvents returns the events of a call that Drop has cancelled.
 func (c *Call) DroppedEvents() []policy.Event { return c.eventsFor(itemResult{outcome: policy.Moot}) }
 
+// latencyMS returns the time since SentAt in milliseconds.
 func (c *Call) latencyMS() float64 { return float64(time.Since(c.SentAt)) / 1e6 }
--- a/internal/outbound/call.go
+++ b/internal/outbound/call.go
@@ -18,8 +18,8 @@
 	Body       []byte
 }
 
-// The states of a call. Only the change from stateWaiting to stateStarted permits writing its first byte, or reporting
-// its end without a byte written. A call that is dropped before never starts.
+// The states of a call. It leaves stateWaiting once. Whoever changes it to stateStarted may write its first byte, or
+// report its end without a byte written. Whoever changes it to stateDropped reports its end; such a call never starts.
 const (
 	stateWaiting = iota
 	stateStarted
@@ -34,11 +34,13 @@
 	Items    []Item
 	SentAt   time.Time // Timeout and the reported latency count from here
 	Timeout  time.Duration
-	// MayStart is called immediately before the first byte is written, and after a failed dial. If it returns false, the
-	// call never runs. It must not block or call methods of the Pool, whose locks may be held. It may be nil.
+	// MayStart is called immediately before the first byte is written, and over HTTP/1.1 after a failed dial. If it
+	// returns false, the call never runs and ends as Moot. It must not block or call methods of the Pool, whose locks may
+	// be held. It may be nil.
 	MayStart func() bool
-	// WriteBy is the latest time at which the request may be written; zero: no limit but the time-out. It prevents a
-	// retry that waits for its connection from arriving after the partner has forgotten the first attempt.
+	// WriteBy is the latest time at which the request may be written; zero: no limit but the time-out. A call that has
+	// not started by then never runs and ends as Moot: a retry that waits for its connection must not arrive after the
+	// partner has forgotten the first attempt.
 	WriteBy time.Time
 	// NewConn requires a new connection over HTTP/1.1. An endpoint responds at once to a message that it already knows,
 	// and on a reused connection that response could not be told from a copy of an earlier one.
@@ -47,7 +49,7 @@
 	state atomic.Int32
 
 	mu        sync.Mutex // guards the fields below
-	abandoned bool       // before its end: its messages may have run, whatever the response says
+	abandoned bool       // Abandon was called before the end of the call
 	nc        net.Conn   // HTTP/1.1 connection that carries the call
 	// HTTP/2 only
 	timer         *time.Timer
@@ -60,7 +62,8 @@
 func (c *Call) Drop() bool { return c.state.CompareAndSwap(stateWaiting, stateDropped) }
 
 // Abandon ends a call that has started, by closing its connection or cancelling its stream: each of its messages may
-// have run. A response that has already been read is ignored, unless it is a refusal. Abandon does not block.
+// have run. OnDone still receives what a response says that has already been read; Abandoned then tells the receiver
+// not to rely on a success. A refusal still proves that the call never ran. Abandon does not block.
 func (c *Call) Abandon() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -73,7 +76,7 @@
 	}
 }
 
-// Abandoned reports whether the call was abandoned.
+// Abandoned reports whether Abandon was called.
 func (c *Call) Abandoned() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/outbound/closing.go
+++ b/internal/outbound/closing.go
@@ -45,7 +45,7 @@
 // String returns the reason as the log shows it.
 func (r CloseReason) String() string { return closeReasons[r] }
 
-// CloseEvent describes one closed connection.
+// CloseEvent describes one closed HTTP/1.1 connection.
 type CloseEvent struct {
 	Endpoint uint32
 	Addr     string
--- a/internal/outbound/conn.go
+++ b/internal/outbound/conn.go
@@ -22,7 +22,8 @@
 // maxInterimResponses limits the 1xx responses before the final one.
 const maxInterimResponses = 8
 
-// conn is one HTTP/1.1 connection; its goroutine serves one call after another.
+// conn is one HTTP/1.1 connection; its goroutine serves one call after another. While it is in Pool.idle, its fields
+// are accessed under the pool's lock, otherwise by its goroutine alone.
 type conn struct {
 	pool        *Pool
 	partner     *Partner
@@ -88,7 +89,7 @@
 		partner = &http1Only
 	}
 	nc, _, err := cn.pool.dial(ctx, partner, cn.addr, func() bool { return c.state.Load() == stateWaiting })
-	if err != nil && cn.pool.dropForbidden(c) { // WriteBy or MayStart ended it first: that says nothing about the endpoint
+	if err != nil && cn.pool.dropForbidden(c) { // ended by WriteBy or MayStart, which says nothing about the endpoint
 		return false
 	}
 	if err != nil {
@@ -103,7 +104,7 @@
 }
 
 // serve makes one call and reports whether the connection can take another. If so, serve has added it to the idle
-// connections.
+// connections. If a reused connection turns out unusable before the request is written, another one makes the call.
 func (cn *conn) serve(c *Call) bool {
 	if cn.answers > 0 && !cn.stillIdle() {
 		cn.pool.startHTTP1(c, cn.partner)
@@ -121,7 +122,7 @@
 		return true
 	}
 	cn.nc.SetWriteDeadline(c.capAtWriteBy(deadline))
-	if !c.attach(cn.nc) {
+	if !c.attach(cn.nc) { // abandoned meanwhile; nothing was written
 		cn.nc.Close()
 		cn.reportClosed(CloseAbandoned)
 		cn.pool.finish(c, policy.ConnectFailed)
@@ -183,7 +184,8 @@
 }
 
 // checkReuse reports whether the connection can take a further call after a response, and if not, why it is closed.
-// complete is false if the response to a bulk call has left out a message. responseTime is the time to the first byte.
+// complete is false if the response to a bulk call has left out a message. responseTime is the time from the last byte
+// of the request to the first byte of the response.
 func (cn *conn) checkReuse(c *Call, resp *http1.Message, err error, abandoned, complete bool,
 	responseTime time.Duration) (reason CloseReason, reusable bool) {
 	switch {
@@ -200,12 +202,12 @@
 	switch {
 	case resp.Close:
 		return CloseRequested, false
-	case cn.reader.Buffered(): // the bytes arrived with the response, and cannot end a later call
+	case cn.reader.Buffered(): // on a reused connection these bytes would be taken for the response to the next call
 		return CloseTrailingBytes, false
 	case !complete:
 		cn.pool.profileOf(cn.endpoint).suspectUntil = time.Now().Add(suspectDuration)
 		return CloseMismatch, false
-	case resp.Status != http.StatusOK: // the response time could not tell its copy from the response to the next call
+	case resp.Status != http.StatusOK: // only a 200 is checked by isMismatched: a copy of this would end the next call
 		return CloseOtherStatus, false
 	case cn.pool.distrusted(cn.endpoint):
 		return CloseDistrusted, false
@@ -217,8 +219,8 @@
 	return 0, true
 }
 
-// readResponse reads the final response. One that begins before the deadline but cannot be parsed, or stalls, gives
-// errMalformed.
+// readResponse reads the final response. One that begins before the deadline but cannot be parsed, is too large or
+// stalls gives errMalformed. The message is never nil.
 func (cn *conn) readResponse(deadline time.Time) (*http1.Message, error) {
 	for range maxInterimResponses {
 		cn.nc.SetReadDeadline(deadline)
@@ -246,7 +248,7 @@
 // response to a bulk call leaves out a message.
 func (cn *conn) responseEvents(c *Call, resp *http1.Message, err error) (events []policy.Event, complete bool) {
 	single := len(c.Items) <= 1
-	if err != nil && !(single && resp.Status == http.StatusOK) {
+	if err != nil && !(single && resp.Status == http.StatusOK) { // a 200 to one message counts once its status is read
 		outcome := policy.Reset
 		switch {
 		case errors.Is(err, os.ErrDeadlineExceeded), c.Abandoned():
--- a/internal/outbound/matching.go
+++ b/internal/outbound/matching.go
@@ -82,8 +82,9 @@
 	return len(c.Items) > 0
 }
 
-// isMismatched reports whether a 200 cannot be the response to a call: it came too early, on a connection that has
-// carried another call. The response to a bulk call names its messages, and is checked by their names instead.
+// isMismatched reports whether a 200 cannot be the response to a call with one message: it came too early, on a
+// connection that has carried another call. The response to a bulk call names its messages, and is checked by their
+// names instead.
 func (cn *conn) isMismatched(c *Call, responseTime time.Duration) bool {
 	if cn.answers == 0 || len(c.Items) != 1 {
 		return false
--- a/internal/outbound/mux.go
+++ b/internal/outbound/mux.go
@@ -172,8 +172,8 @@
 	pc.UsedAt = nowMS()
 	var callbacks []func()
 	if hc.State().Lost != nil {
-		// A connection without any response since its dial counts as a failed dial: waiting calls must not
-		// dial again and again to a partner that accepts connections and closes them.
+		// If no response has been received since this connection was added, its loss counts as a failed dial: waiting
+		// calls must not dial again and again to a partner that accepts connections and closes them.
 		noAnswers := m.answersAtDial[id] == m.answers
 		m.removeConn(id)
 		if noAnswers && m.placement.Len() == 0 {
@@ -196,7 +196,7 @@
 	m.pool.releaseConn()
 }
 
-// processStart is the origin of nowMS, which counts by the monotonic clock.
+// processStart is the origin of nowMS, which counts milliseconds by the monotonic clock.
 var processStart = time.Now()
 
 func nowMS() float64 { return float64(time.Since(processStart)) / float64(time.Millisecond) }
@@ -211,8 +211,8 @@
 	}
 }
 
-// dial establishes the connection with the given ID. It must be ready, with the peer's SETTINGS received, within
-// DialTimeout. If the dial fails and no other connection is left, all waiting calls fail.
+// dial establishes the connection with the given ID. The peer's SETTINGS must have been received within DialTimeout. If
+// the dial fails and no other connection is left, all waiting calls fail.
 func (m *mux) dial(id int) {
 	ctx, cancel := context.WithTimeout(context.Background(), m.pool.opt.DialTimeout)
 	defer cancel()
@@ -253,7 +253,7 @@
 	hc.Abort(errors.New("HTTP/2: no SETTINGS received within the dial time-out"))
 }
 
-// watchIdle closes unused connections periodically, until hc ends.
+// watchIdle periodically closes the unused connections of the mux, until hc ends.
 func (m *mux) watchIdle(id int, hc *h2.Conn) {
 	ticker := time.NewTicker(max(m.pool.idleTimeout()/2, 10*time.Millisecond))
 	defer ticker.Stop()
@@ -282,8 +282,8 @@
 	}
 }
 
-// expire ends a call that has timed out. One that still waits never ran: no connection was established, or the
-// peer allowed no further stream.
+// expire ends a call that has timed out. One that still waits never ran: no connection was established, the peer
+// allowed no further stream, or a requested wait held it.
 func (m *mux) expire(c *Call) {
 	if c.tryStart() {
 		m.mu.Lock()
@@ -362,7 +362,7 @@
 		return
 	}
 	var parser fastjson.Parser
-	events, _ := parseBulk(&parser, c, r.Body, result) // a stream carries only the response to its own request
+	events, _ := parseBulk(&parser, c, r.Body, result) // a stream has its own response: a message left out is no mismatch
 	m.pool.opt.OnDone(c, events)
 }
 
@@ -383,7 +383,7 @@
 	})
 }
 
-// newRequest returns the HTTP/2 request of a call.
+// newRequest returns the HTTP/2 request of a call, with the fields that appendRequest writes over HTTP/1.1.
 func (m *mux) newRequest(c *Call) *h2.Request {
 	r := &h2.Request{Method: "POST", Scheme: "http", Authority: m.addr}
 	if m.partner.TLS != nil {
--- a/internal/outbound/outbound.go
+++ b/internal/outbound/outbound.go
@@ -14,25 +14,27 @@
 	"sliptide/policy"
 )
 
-// idleMargin is how long before the end of the keep-alive time an idle connection is
-// closed. A longer margin costs new connections to partners that are seldom called.
+// idleMargin is how long before the end of Options.KeepAlive an idle HTTP/1.1 connection is closed; idleTimeout lowers
+// it for a short KeepAlive. A longer margin costs new connections to partners that are seldom called.
 const idleMargin = 500 * time.Millisecond
 
 // Options configures a Pool.
 type Options struct {
 	MaxConns    int           // HTTP/1.1 and HTTP/2 connections to all endpoints together
-	KeepAlive   time.Duration // maximum idle time of a connection
+	KeepAlive   time.Duration // idle time after which a peer may close a connection, see idleTimeout
 	DialTimeout time.Duration
-	X0, X1      int // positions of the values x0 and x1 in a load report; -1: absent
-	// OnDone receives the events with which a call ends, in the order of its items. Several goroutines call it, without
-	// locks held, and Go may call it before it returns. It must not block.
+	X0, X1      int // indexes in policy.Event.Report of the values x0 and x1 of a load report; -1: not used
+	// OnDone receives the events with which a call ends, in the order of its items; none for a call that Drop has
+	// cancelled. Several goroutines call it, without locks held, and Go may call it before it returns. It must not block.
 	OnDone func(*Call, []policy.Event)
-	// Partner returns how a destination is reached. If it is nil or returns nil, plain HTTP/1.1 is used.
+	// Partner returns how a destination is reached. If it is nil or returns nil, plain HTTP/1.1 is used. It must return
+	// the same pointer until the settings change: another one replaces the connections.
 	Partner func(dest int) *Partner
 	// OnDialError receives the error of a connection that could not be established, at most once in dialErrorInterval for
 	// each endpoint. Errors of destinations without a Partner are not reported. It may be nil.
 	OnDialError func(endpoint uint32, addr string, err error)
-	// OnConnClosed is called for each HTTP/1.1 connection that is closed. It must not block; it may be nil.
+	// OnConnClosed is called for each HTTP/1.1 connection that is closed, by several goroutines. It must not block; it may
+	// be nil.
 	OnConnClosed func(CloseEvent)
 
 	dial dialFunc // replaces Partner.Dial in tests; may be nil
@@ -68,7 +70,7 @@
 // Pool holds the connections to all endpoints.
 type Pool struct {
 	opt         Options
-	mu          sync.Mutex
+	mu          sync.Mutex           // guards the fields below
 	idle        map[uint32][]*conn   // over HTTP/1.1, by endpoint, most recently used last
 	open        int                  // connections that count against MaxConns
 	muxes       map[uint32]*mux      // by endpoint
@@ -87,7 +89,8 @@
 	}
 }
 
-// Go starts a call on an idle connection or a new one. It does not block.
+// Go starts a call, whose end OnDone receives. It does not block: the call may wait for a connection or for a free
+// HTTP/2 stream.
 func (p *Pool) Go(c *Call) {
 	var partner *Partner
 	if p.opt.Partner != nil {
@@ -201,7 +204,7 @@
 	return false
 }
 
-// usable reports whether an idle connection can take a call, and if not, the reason to close it.
+// usable reports whether an idle connection can take a call, and if not, the reason to close it. The lock must be held.
 func (p *Pool) usable(cn *conn, c *Call, partner *Partner) (CloseReason, bool) {
 	switch {
 	case cn.addr != c.Addr || cn.partner != partner:
@@ -222,13 +225,14 @@
 	return 0, true
 }
 
-// closeIdle ends the goroutine of an idle connection, which closes it. The pool's lock must be held.
+// closeIdle ends the goroutine of an idle connection, which closes it. The pool's lock must be held, and the caller
+// removes the connection from the idle ones.
 func (cn *conn) closeIdle(reason CloseReason) {
 	cn.reason = reason
 	close(cn.calls)
 }
 
-// startOnNewConn makes a call on a new connection, if the connection limit allows one.
+// startOnNewConn makes a call on a new connection. If the connection limit allows none, the call ends as ConnectFailed.
 func (p *Pool) startOnNewConn(c *Call, partner *Partner) {
 	if !p.reserveConn() {
 		go p.failUnsent(c, policy.ConnectFailed)
@@ -285,7 +289,8 @@
 	p.idle[cn.endpoint] = append(p.idle[cn.endpoint], cn)
 }
 
-// removeIdle removes cn from the idle connections. It returns false if a call has already been given to cn.
+// removeIdle removes cn from the idle connections. It returns false if cn is not one of them any more, because it has
+// been given a call or is to be closed.
 func (p *Pool) removeIdle(cn *conn) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -299,7 +304,7 @@
 	return false
 }
 
-// failUnsent ends a call of which no byte was written.
+// failUnsent ends a call of which no byte was written, unless it has been dropped.
 func (p *Pool) failUnsent(c *Call, outcome policy.Outcome) {
 	if c.tryStart() {
 		p.finish(c, outcome)
@@ -311,7 +316,7 @@
 	p.opt.OnDone(c, c.eventsFor(itemResult{outcome: outcome}))
 }
 
-// dropForbidden ends a call that must not start any more, and reports whether it is such a call.
+// dropForbidden ends a call that MayStart or WriteBy forbids to start, and reports whether it is such a call.
 func (p *Pool) dropForbidden(c *Call) bool {
 	if !c.startForbidden() {
 		return false
--- a/internal/outbound/partner.go
+++ b/internal/outbound/partner.go
@@ -13,8 +13,8 @@
 	HTTP2       bool               // by prior knowledge; with TLS, if ALPN selects it
 	TLS         func() *tls.Config // called for each dial; nil: no TLS
 	ServerName  string             // expected in the certificate; empty: the host of the address
-	MaxConns    int                // HTTP/2 connections to one endpoint
-	PingAfter   time.Duration      // time without a frame from the peer, with streams open, before a PING
+	MaxConns    int                // maximum number of HTTP/2 connections to one endpoint; 0 means 1
+	PingAfter   time.Duration      // time without a frame from the peer, with streams open, before a PING; 0: no PINGs
 	PingTimeout time.Duration      // maximum time until the answer to a PING
 }
 
--- a/internal/outbound/profile.go
+++ b/internal/outbound/profile.go
@@ -15,8 +15,8 @@
 	// sooner, and so stands for the fast ones.
 	typicalGainDown = 0.3
 	typicalGainUp   = 0.05
-	// minTypicalTime is the typical response time below which responses are not judged by their time: scheduling delays
-	// on a busy machine are as long.
+	// minTypicalTime is the typical response time below which responses are not judged by their time, and there is no
+	// settle time: scheduling delays on a busy machine are as long.
 	minTypicalTime = 20 * time.Millisecond
 )
 
@@ -45,7 +45,7 @@
 	return r.typicalTime >= minTypicalTime && float64(responseTime) < earlyFraction*float64(r.typicalTime)
 }
 
-// settleTime returns how long a connection is not reused after a response.
+// settleTime returns how long a connection is not reused after a response, see settleFraction.
 func (r *responseProfile) settleTime() time.Duration {
 	if r.typicalTime < minTypicalTime {
 		return 0
--- a/internal/outbound/request.go
+++ b/internal/outbound/request.go
@@ -42,6 +42,8 @@
 	return http1.AppendSeconds(b, "X-Expires-In", max(float64(remaining)/1e6, 1))
 }
 
+// bulkBody returns the JSON body of a bulk call: an array with the trace ID of each message, its key if it has one, and
+// its body in base64.
 func (c *Call) bulkBody() []byte {
 	b := []byte{'['}
 	for i := range c.Items {
