--- a/internal/h2/h2.go
+++ b/internal/h2/h2.go
@@ -31,7 +31,7 @@
 	defaultWindowSize      = 65535       // bytes of a flow-control window before SETTINGS and WINDOW_UPDATE (6.9.2)
 	maxWindowSize          = 1<<31 - 1   // bytes; the largest flow-control window (6.9.1)
 	maxStreamID            = 1<<31 - 1   // the largest stream identifier (5.1.1)
-	maxOverheadFrames      = 400         // received frames without payload per second, see overheadExceeded
+	maxOverheadFrames      = 400         // received frames per second that carry no response, see overheadExceeded
 	maxPendingControlBytes = 64 << 10    // bytes of queued control frames, which grow if the peer stops reading
 	writeTimeout           = time.Second // of one write, after which the connection is closed
 )
@@ -75,10 +75,10 @@
 // Result describes how a request ended.
 type Result struct {
 	Outcome Outcome
-	Status  int // 0 if no response headers were received; may be set with any outcome
-	Fields  []Field
-	Body    []byte
-	Err     error // cause of a failure; nil if the request was answered, may be nil after Cancel
+	Status  int     // 0 if no response headers were received; may be set with any outcome
+	Fields  []Field // of the response; only with Answered
+	Body    []byte  // only with Answered
+	Err     error   // cause of a failure; nil if the request was answered, may be nil after Cancel
 }
 
 // Get returns the value of the first field with the given name, or "" if there is none.
@@ -98,8 +98,8 @@
 	ReadIdleTimeout time.Duration // without a received frame while streams are open, before a PING; 0 disables PINGs
 	PingTimeout     time.Duration // for the reply to a PING
 	// OnChange is called when the stream limit or the state of the connection has changed: a stream has
-	// ended, SETTINGS or GOAWAY was received, or the connection is lost. The connection's goroutines call it
-	// without holding the lock.
+	// ended, SETTINGS or GOAWAY was received, or the connection is lost. The connection's goroutines, and Abort,
+	// call it without holding the lock.
 	OnChange func(*Conn)
 }
 
@@ -108,7 +108,7 @@
 	Open     bool  // SETTINGS have been received and new streams are accepted
 	Limit    int   // maximum number of open streams
 	Active   int   // open streams
-	Draining bool  // after a GOAWAY: open streams continue, new ones are not accepted
+	Draining bool  // GOAWAY was received, or Close was called; new streams are not accepted
 	Lost     error // reason why the connection ended, nil while it is up
 }
 
@@ -117,22 +117,22 @@
 	nc  net.Conn
 	opt Options
 
-	mu                sync.Mutex
+	mu                sync.Mutex   // guards the fields below, except the channels
 	writeBuf          bytes.Buffer // frames that are queued for writeLoop
 	framer            *http2.Framer
 	encoder           *hpack.Encoder
-	headerBlock       bytes.Buffer // output of encoder
-	queuedBytes       int64        // total ever added to writeBuf
-	writtenBytes      int64        // total ever written to nc
-	marks             []writeMark  // in order of offset
-	controlBytes      int          // size of the control frames in writeBuf
-	wake              chan struct{}
-	writing           bool       // writeLoop has taken bytes whose write is not yet recorded
-	writeDone         *sync.Cond // signalled when writing becomes false
-	closing           bool       // Close was called: the connection ends once writeBuf is written
+	headerBlock       bytes.Buffer  // output of encoder
+	queuedBytes       int64         // total ever added to writeBuf
+	writtenBytes      int64         // total ever written to nc
+	marks             []writeMark   // in order of offset
+	controlBytes      int           // size of the control frames in writeBuf
+	wake              chan struct{} // tells writeLoop that frames are queued
+	writing           bool          // writeLoop has taken bytes whose write is not yet recorded
+	writeDone         *sync.Cond    // signalled when writing becomes false
+	closing           bool          // Close was called: the connection ends once writeBuf is written
 	streams           map[uint32]*Stream
 	nextID            uint32
-	streamLimit       uint32
+	streamLimit       uint32 // maximum number of open streams
 	settingsReceived  bool
 	peerSettings      []http2.Setting // the peer's first SETTINGS
 	sendWindow        int64           // bytes of request bodies that the peer accepts on the connection
@@ -145,8 +145,8 @@
 	pingSentAt        time.Time // of the unanswered PING; zero if there is none
 	overheadFrames    int       // counted since overheadSince, less the credit for useful frames
 	overheadSince     time.Time
-	receivedBytes     int // bytes of DATA since the last WINDOW_UPDATE for the connection
-	done              chan struct{}
+	receivedBytes     int           // bytes of DATA since the last WINDOW_UPDATE for the connection
+	done              chan struct{} // closed when the connection is lost
 	ready             chan struct{} // closed by the first SETTINGS
 	closeOnce         sync.Once
 }
@@ -158,7 +158,7 @@
 	reset  bool // the mark is for RST_STREAM, otherwise for the last byte of the request
 }
 
-// Stream is one request in progress.
+// Stream is one request in progress. The lock of its Conn guards its fields.
 type Stream struct {
 	conn            *Conn
 	id              uint32
@@ -272,7 +272,7 @@
 	return s, true
 }
 
-// queueHeaders queues HEADERS and, if the header block exceeds one frame, CONTINUATION (6.10).
+// queueHeaders queues HEADERS and, if the header block exceeds one frame, CONTINUATION (6.10). The lock must be held.
 func (c *Conn) queueHeaders(s *Stream, req *Request) {
 	c.headerBlock.Reset()
 	c.encoder.WriteField(hpack.HeaderField{Name: ":method", Value: req.Method})
@@ -298,7 +298,7 @@
 	}
 }
 
-// queueBody queues as much of the body as flow control permits (6.9).
+// queueBody queues as much of the body as flow control permits (6.9). The lock must be held.
 func (c *Conn) queueBody(s *Stream) {
 	for len(s.unqueuedBody) > 0 && !s.resetting {
 		n := int(min(int64(len(s.unqueuedBody)), s.sendWindow, c.sendWindow, int64(c.maxSendFrame)))
@@ -322,6 +322,7 @@
 // byte was not written, unless it ends in another way first.
 func (s *Stream) Cancel() { s.cancel(Result{Outcome: Cancelled}) }
 
+// cancel resets the stream, which ends with r under the conditions of Cancel.
 func (s *Stream) cancel(r Result) {
 	c := s.conn
 	c.mu.Lock()
--- a/internal/h2/read.go
+++ b/internal/h2/read.go
@@ -11,7 +11,7 @@
 	"golang.org/x/net/http2/hpack"
 )
 
-const readBufferSize = 4 << 10
+const readBufferSize = 4 << 10 // bytes
 
 // readLoop reads and handles the peer's frames until the connection is lost.
 func (c *Conn) readLoop() {
@@ -67,9 +67,9 @@
 	c.terminate(err)
 }
 
-// overheadExceeded counts a received frame without payload and reports whether the peer sends too many of them
-// or leaves too many control frames unread. Floods of SETTINGS, PING, empty DATA or RST_STREAM cost the peer
-// little and this side much (10.5).
+// overheadExceeded counts a received frame that carries nothing of a final response, and reports whether the peer
+// sends too many of them or leaves too many control frames unread. Floods of SETTINGS, PING, empty DATA or
+// RST_STREAM cost the peer little and this side much (10.5).
 func (c *Conn) overheadExceeded() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -198,6 +198,7 @@
 	return 0, nil
 }
 
+// handlePing answers the peer's PING, or records its answer to a PING of pingLoop (6.7).
 func (c *Conn) handlePing(f *http2.PingFrame) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -399,7 +400,7 @@
 
 // finishAnswered ends a stream whose response is complete, or resets it if the body does not match
 // content-length (8.1.1). It also resets a stream whose request was answered before its body was fully sent
-// (8.1); this request still ends as Answered. The lock must be held.
+// (8.1); this request still ends as Answered. The lock must be held; the returned function must be called without it.
 func (c *Conn) finishAnswered(s *Stream) func() {
 	if s.contentLength >= 0 && s.contentLength != len(s.result.Body) {
 		c.queueReset(s, http2.ErrCodeProtocol, Result{
@@ -410,7 +411,7 @@
 	}
 	r := s.result
 	r.Outcome = Answered
-	c.overheadFrames = max(c.overheadFrames-4, -maxOverheadFrames) // a response gives credit for 4 frames without payload
+	c.overheadFrames = max(c.overheadFrames-4, -maxOverheadFrames) // a response gives credit for 4 such frames
 	if len(s.unqueuedBody) > 0 {
 		c.queueReset(s, http2.ErrCodeNo, r)
 		return func() {}
--- a/internal/http1/http1.go
+++ b/internal/http1/http1.go
@@ -17,7 +17,7 @@
 	MaxHead    = 8 << 10  // bytes of the first line and the headers
 	MaxBody    = 64 << 10 // bytes
 	maxHeaders = 64
-	bufferSize = 8 << 10 // bytes
+	bufferSize = 8 << 10 // bytes of a Reader's buffer; a head of MaxHead bytes fits
 )
 
 // Errors of reading. A server answers each with a status of its own: 400, 413 and 411. A head that exceeds MaxHead or
@@ -94,10 +94,10 @@
 	return &Reader{br: bufio.NewReaderSize(src, bufferSize), src: src, maxBody: maxBody}
 }
 
-// Buffered reports whether bytes of the next message are in the buffer.
+// Buffered reports whether bytes of the next message are in the buffer. Like a read, it invalidates the last message.
 func (r *Reader) Buffered() bool { r.release(); return r.br.Buffered() > 0 }
 
-// Wait blocks until the first byte of the next message has arrived.
+// Wait blocks until the first byte of the next message has arrived. Like a read, it invalidates the last message.
 func (r *Reader) Wait() error {
 	r.release()
 	_, err := r.br.Peek(1)
@@ -114,7 +114,7 @@
 }
 
 // ReadRequest reads the next request. A chunked request, or one without Content-Length whose method is neither GET
-// nor HEAD, gives ErrNoLength.
+// nor HEAD, gives ErrNoLength. The error is io.EOF if the connection ends before the first byte.
 func (r *Reader) ReadRequest() (*Message, error) {
 	if err := r.readMessage(true); err != nil {
 		return &r.msg, err
@@ -123,7 +123,8 @@
 }
 
 // ReadResponse reads the next response. Once the status line has been read, Status is set even if reading the rest
-// fails: the endpoint regards the message as answered from there on.
+// fails: the endpoint regards the message as answered from there on. The error is io.EOF if the connection ends before
+// the first byte.
 func (r *Reader) ReadResponse() (*Message, error) {
 	if err := r.readMessage(false); err != nil {
 		return &r.msg, err
@@ -131,6 +132,8 @@
 	return &r.msg, nil
 }
 
+// readMessage reads one message into r.msg. The head tells how its body ends: after Content-Length bytes, with the last
+// chunk or, in a response only, when the connection is closed.
 func (r *Reader) readMessage(request bool) error {
 	r.release()
 	m := &r.msg
@@ -205,7 +208,7 @@
 			if !bytes.HasPrefix(b, statusPrefix[:min(len(b), len(statusPrefix))]) {
 				return nil, ErrMalformed // not HTTP: fail now, since the peer may neither send more nor close
 			}
-			if i := bytes.IndexByte(b, '\n'); i >= 0 && m.parseStatusLine(trimCR(b[:i])) != nil {
+			if i := bytes.IndexByte(b, '\n'); i >= 0 && m.parseStatusLine(trimLineEnd(b[:i])) != nil {
 				return nil, ErrMalformed
 			}
 		}
@@ -256,7 +259,7 @@
 		if err != nil {
 			return unexpectedEOF(err)
 		}
-		size, _, _ := bytes.Cut(trimCR(line), []byte(";"))
+		size, _, _ := bytes.Cut(trimLineEnd(line), []byte(";"))
 		n, err := strconv.ParseUint(string(bytes.TrimSpace(size)), 16, 31)
 		if err != nil {
 			return ErrMalformed
@@ -279,7 +282,7 @@
 		if err != nil {
 			return unexpectedEOF(err)
 		}
-		if len(trimCR(line)) == 0 {
+		if len(trimLineEnd(line)) == 0 {
 			break
 		}
 	}
@@ -314,11 +317,12 @@
 	return err
 }
 
-func trimCR(b []byte) []byte {
+func trimLineEnd(b []byte) []byte {
 	b = bytes.TrimSuffix(b, []byte("\n"))
 	return bytes.TrimSuffix(b, []byte("\r"))
 }
 
+// parseStatusLine sets Status, and Close for HTTP/1.0.
 func (m *Message) parseStatusLine(line []byte) error {
 	if len(line) < 12 || !bytes.HasPrefix(line, []byte("HTTP/1.")) || line[8] != ' ' {
 		return ErrMalformed
@@ -332,6 +336,7 @@
 	return nil
 }
 
+// parseRequestLine sets Method, Path, and Close for HTTP/1.0.
 func (m *Message) parseRequestLine(line []byte) error {
 	method, rest, ok := bytes.Cut(line, []byte(" "))
 	path, proto, ok2 := bytes.Cut(rest, []byte(" "))
@@ -353,9 +358,9 @@
 	line, rest, _ := bytes.Cut(head, []byte("\n"))
 	var err error
 	if request {
-		err = m.parseRequestLine(trimCR(line))
+		err = m.parseRequestLine(trimLineEnd(line))
 	} else {
-		err = m.parseStatusLine(trimCR(line))
+		err = m.parseStatusLine(trimLineEnd(line))
 	}
 	if err != nil {
 		return err
@@ -363,7 +368,7 @@
 	m.Headers.n, m.length, m.chunked = 0, -1, false
 	for {
 		line, rest, _ = bytes.Cut(rest, []byte("\n"))
-		if line = trimCR(line); len(line) == 0 {
+		if line = trimLineEnd(line); len(line) == 0 {
 			return nil
 		}
 		name, value, ok := bytes.Cut(line, []byte(":"))
@@ -408,6 +413,7 @@
 	return nil
 }
 
+// parseDigits parses a decimal number without a sign. More than 18 digits, which may overflow, are invalid.
 func parseDigits(b []byte) (int, bool) {
 	if len(b) == 0 || len(b) > 18 {
 		return 0, false
--- a/internal/sockets/sockets.go
+++ b/internal/sockets/sockets.go
@@ -19,7 +19,8 @@
 )
 
 // Check returns the condition of a TCP connection, or of a TLS connection over TCP, without an outstanding request. It
-// consumes no bytes and does not block. The connection's read deadline must not have passed.
+// consumes no bytes and does not block. The connection's read deadline must not have passed. A connection of another
+// type is reported as Closed.
 func Check(nc net.Conn) Condition {
 	if t, ok := nc.(*tls.Conn); ok {
 		nc = t.NetConn()
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -148,12 +148,14 @@
 	return nil
 }
 
+// decodeRecord decodes one record. A directory sets one of the endpoint lists; any other record is added to records,
+// unless package policy does not use its kind.
 func (d *Decoder) decodeRecord(code byte, f *fieldReader) error {
 	if code == eventDirectory {
 		return d.decodeDirectory(f)
 	}
 	if code > eventDirectory || code == eventStreaming || code == eventPeer {
-		return nil // package policy does not use these records
+		return nil // unknown, or not used by package policy
 	}
 	r := Record{Kind: KindEvent, Instance: f.u32("sender")}
 	e := &r.Event
@@ -239,6 +241,7 @@
 	return nil
 }
 
+// decodeDirectory decodes an endpoint list into the buffer that it names.
 func (d *Decoder) decodeDirectory(f *fieldReader) error {
 	buffer := f.u32("buffer")
 	n := f.u32("element count")
@@ -289,7 +292,8 @@
 	return 0, false
 }
 
-// fieldReader reads the fields of one record. After the first error, which it keeps, all reads return zero values.
+// fieldReader reads the fields of one record in their order; numbers are big-endian. After the first error, which it
+// keeps, all reads return zero values. The name that a read takes appears in the error only.
 type fieldReader struct {
 	b   []byte
 	err error
@@ -340,7 +344,7 @@
 	return out
 }
 
-// Reply collects the records of one reply. Reset must be called before the first use.
+// Reply collects the records of one reply. Reset must be called before each reply.
 type Reply struct {
 	buf   []byte
 	count uint32
@@ -400,6 +404,7 @@
 	r.endRecord(start, actionDie)
 }
 
+// beginRecord appends the head of a record and returns its offset, for endRecord.
 func (r *Reply) beginRecord(instance uint32) int {
 	start := len(r.buf)
 	r.buf = append(r.buf, 0, 0, 0, 0, 0) // code and length, filled in by endRecord
