--- a/internal/knowledge/age.go
+++ b/internal/knowledge/age.go
@@ -9,7 +9,7 @@
 )
 
 const (
-	// Facts of less weight are dropped.
+	// Facts of less weight are dropped. A weighted StaleShare below it counts as 0.
 	minWeight = 1.0 / 64
 	// Below this weight an outage is taken to be over; if it is not, the first call detects it again.
 	minHealthWeight = 1.0 / 4
@@ -19,7 +19,7 @@
 	minReliableWeight = 1.0 / 2
 	// Upper bound of valid rates, in calls per second.
 	maxRate = 1e9
-	// Upper bound of valid latencies and durations, in milliseconds.
+	// Upper bound of valid latencies and durations, in milliseconds, and of the values of an admission controller.
 	maxMS = 1e9
 	// A fact whose time is further in the future than this, in milliseconds, has no known age: the clock was wrong
 	// when the fact was learned, or is wrong now.
@@ -32,8 +32,9 @@
 	TypicalLatency float64 // typical latency of a call in milliseconds; 0 = unknown
 }
 
-// Weight returns the weight of a fact of that age in milliseconds: 2^(-age/half-life). A fact from the future is of
-// unknown age, because the clock was wrong then or is wrong now: it weighs as much as after one half-life.
+// Weight returns the weight of a fact of that age in milliseconds: 2^(-age/half-life), and 1 for a negative age. A fact
+// more than maxClockSkew in the future is of unknown age, because the clock was wrong then or is wrong now: it weighs
+// as much as after one half-life.
 func Weight(age float64, halfLife time.Duration) float64 {
 	if age < -maxClockSkew {
 		return 0.5
--- a/internal/knowledge/keeper/writer.go
+++ b/internal/knowledge/keeper/writer.go
@@ -20,7 +20,8 @@
 	// Shortest time between two writes of waits, so that waits requested at the same time share a write.
 	minWaitsInterval = 10 * time.Millisecond
 	// Step of the wall clock, in milliseconds, after which waits are written again.
-	minClockStep       = 100.0
+	minClockStep = 100.0
+	// Time between two checks for such a step.
 	clockCheckInterval = time.Second
 	// Shortest time between two log lines about failed writes.
 	errorLogInterval = 10 * time.Second
--- a/internal/knowledge/knowledge.go
+++ b/internal/knowledge/knowledge.go
@@ -59,7 +59,7 @@
 	policy.DialFacts
 }
 
-// Staleness holds the facts about calls on idle connections.
+// Staleness holds the facts about calls on connections that had been idle.
 type Staleness struct {
 	LearnedAt    float64
 	StaleShare   float64 // share of such calls that fail
--- a/internal/knowledge/store/codec.go
+++ b/internal/knowledge/store/codec.go
@@ -145,6 +145,7 @@
 	return facts
 }
 
+// factsToPB converts facts to the payload of the current format version, in sorted order.
 func factsToPB(facts *knowledge.Facts) *pb.BookV2 {
 	m := &pb.BookV2{Sender: facts.Sender, WrittenMs: facts.WrittenAt}
 	for _, w := range facts.SortedWaits() {
@@ -178,6 +179,7 @@
 	return names
 }
 
+// factsFromPB is the inverse of factsToPB.
 func factsFromPB(m *pb.BookV2) *knowledge.Facts {
 	facts := knowledge.New(m.Sender)
 	facts.WrittenAt = m.WrittenMs
@@ -227,6 +229,7 @@
 	return learnedAt - float64(*ago)
 }
 
+// destToPB converts a destination. Times are stored relative to LearnedAt in whole milliseconds, which is stored too.
 func destToPB(d *knowledge.Destination) *pb.Destination {
 	at := math.Trunc(d.LearnedAt)
 	c := &d.Admission
@@ -254,6 +257,7 @@
 	return m
 }
 
+// destFromPB is the inverse of destToPB. A missing or incomplete admission state becomes the initial one.
 func destFromPB(m *pb.Destination) *knowledge.Destination {
 	at := float64(m.AtMs)
 	d := &knowledge.Destination{
--- a/internal/knowledge/store/store.go
+++ b/internal/knowledge/store/store.go
@@ -133,8 +133,8 @@
 	return total <= s.maxBytes && s.account.Claim(total)
 }
 
-// MaxSnapshotSize returns the maximum size in bytes of a snapshot now. Besides the waits there must be space for two
-// snapshots: the one that is replaced and the new one.
+// MaxSnapshotSize returns the maximum size in bytes of a snapshot now. The snapshot and the file of waits each need
+// twice their size, because the old and the new file both exist while one is replaced.
 func (s *Store) MaxSnapshotSize() int {
 	limit := min(s.maxBytes, s.account.Limit()) - 2*s.sizes[WaitsName]
 	return int(max(limit/2-2*headerSize, 0))
--- a/internal/storm/reservations.go
+++ b/internal/storm/reservations.go
@@ -16,8 +16,8 @@
 }
 
 // reserve makes a reservation in the first slot between earliest and latest that leaves no window of one second with
-// more than budget reservations. For a budget below one per second the window is longer. It returns the start
-// of the slot, or earliest if that is later; ok is false if no slot is free.
+// more than budget reservations. For a budget below one the window is longer. It returns the start of the slot, or
+// earliest if that is later; ok is false if no slot is free. All arguments but budget are times in milliseconds.
 func (r *reservations) reserve(now, earliest, latest, budget float64) (at float64, ok bool) {
 	r.discardPast(now)
 	window, limit := windowFor(budget)
@@ -30,7 +30,8 @@
 	return 0, false
 }
 
-// windowFor returns the length of a window in slots, and how many reservations it may hold.
+// windowFor returns the length of a window in slots, and how many reservations it may hold. budget is the number of
+// reservations per second.
 func windowFor(budget float64) (window int64, limit int32) {
 	second := int64(1000 / slotMS)
 	if budget >= 1 {
@@ -67,6 +68,7 @@
 	return r.counts[slot-r.firstSlot]
 }
 
+// add counts a reservation in a slot, and extends counts to it if needed.
 func (r *reservations) add(slot int64) {
 	if len(r.counts) == 0 {
 		r.firstSlot = slot
@@ -100,16 +102,17 @@
 // refusal is a refused message with the time at which its client should resubmit it.
 type refusal struct {
 	retryAt  float64
-	reserved bool
+	reserved bool // retryAt is a reservation
 }
 
-// refusalLog holds the last maxRefusals refusals by the key of their message.
+// refusalLog holds the last maxRefusals refusals by the key of their message. Those without a key (0) are not held.
 type refusalLog struct {
 	byKey map[uint64]refusal
 	ring  [maxRefusals]uint64 // keys in the order of their refusals; the oldest is overwritten
 	next  int
 }
 
+// add records a refusal. A full log drops its oldest one.
 func (l *refusalLog) add(key uint64, r refusal) {
 	if key == 0 {
 		return
@@ -122,6 +125,7 @@
 	l.byKey[key] = r
 }
 
+// pop returns the refusal of a message and removes it; ok is false if there is none.
 func (l *refusalLog) pop(key uint64) (refusal, bool) {
 	r, ok := l.byKey[key]
 	if ok {
--- a/internal/storm/storm.go
+++ b/internal/storm/storm.go
@@ -38,11 +38,11 @@
 	maxPhaseDuration = 60000.0
 	// A storm may end once the held messages can be sent within this time.
 	drainTime = 1000.0
-	// Factor on the pace for each relapse in one storm.
+	// Factor on the pace for each relapse, see relapseWindow.
 	relapseCut = 0.7
 	// Lower bound of the factor after several relapses.
 	minRelapseFactor = 0.35
-	// An outage within this time after a return is a relapse.
+	// An outage that begins within this time from the start of the last return is a relapse.
 	relapseWindow = 30000.0
 	// Time constant of the rate meters.
 	meterTau = 3000.0
@@ -58,7 +58,7 @@
 	minRetryFraction = 0.2
 	// Standard deviations kept free below the limit, because calls of many senders may coincide by chance.
 	poissonDeviations = 2.5
-	// Time after a return from which the pace may grow beyond its base.
+	// Time from the start of a return after which the pace may grow beyond its base.
 	growthDelay = 11000.0
 	// Factor per second by which the pace grows while no call is refused: other senders may use less than their share.
 	growthPerSecond = 1.1
@@ -109,7 +109,7 @@
 // Settings configure a Guard.
 type Settings struct {
 	Senders       int             // number of senders that share the limits
-	MaxRetryAfter float64         // upper bound of Retry-After; 0 = none
+	MaxRetryAfter float64         // upper bound of Retry-After in milliseconds; 0 = none, see defaultHorizon
 	Limits        map[int]float64 // configured limit by destination, in calls per second; 0 or absent = none
 	LimitIndex    int             // index of the limit in the report of a call; -1: none
 	RatingIsRate  bool            // Endpoint.Rating is a rate in calls per second
@@ -230,7 +230,7 @@
 	return g.stats
 }
 
-// Phase returns the phase of a destination.
+// Phase returns the phase of a destination. g must not be nil.
 func (g *Guard) Phase(id int) Phase {
 	if d := g.dests[id]; d != nil {
 		return d.phase
@@ -495,6 +495,8 @@
 		return
 	}
 	d.resubmitRate.add(now, 1)
+	// A surge needs enough resubmissions, a large enough fraction of them, more than this sender's own refusals explain,
+	// and more than its pace.
 	rate := d.resubmitRate.get(now)
 	if rate*meterTau/1000 < minSurgeResubmissions || rate < surgeFraction*(rate+d.firstRate.get(now)) ||
 		rate < surgeRefusalMultiple*d.refusalRate.get(now) || rate < g.totalPace(d) {
@@ -520,7 +522,7 @@
 }
 
 // RetryAfter records a refusal and returns the time in milliseconds after which the client should resubmit the
-// message. minWait is the time that package policy gives. Without a storm it is the result. In a storm the result is at
+// message. minWait is the time that package policy gives. Without a storm the result is minWait. In a storm it is at
 // least minWait, but never more than the horizon. remaining is the time to the message's deadline in milliseconds: no
 // slot after the deadline is reserved.
 func (g *Guard) RetryAfter(now float64, id int, key uint64, remaining, minWait float64) float64 {
@@ -544,6 +546,7 @@
 	if d.reservations == nil {
 		d.reservations = &reservations{}
 	}
+	// Right after a restart, reserveFrom-slotMS is the last slot within the horizon.
 	earliest := max(now+minWait, d.waitUntil, d.reserveFrom-slotMS)
 	if at, ok := d.reservations.reserve(now, earliest, now+min(horizon, remaining)-slotMS, g.retryBudget(d, now)); ok {
 		g.stats.Reserved++
@@ -610,6 +613,7 @@
 	if limit <= 0 {
 		return max(unknownLimitMultiple*d.rateBeforeStorm, minUnknownPace) / float64(routes) * relapseFactor
 	}
+	// A Poisson count of mean root*root has the standard deviation root: root*root + poissonDeviations*root = limit.
 	root := (math.Sqrt(poissonDeviations*poissonDeviations+4*limit) - poissonDeviations) / 2
 	return min(max(limit/senders-1, root*root/senders)*relapseFactor*d.paceFactor, limit)
 }
