--- a/internal/outbound/pace.go
+++ b/internal/outbound/pace.go
@@ -8,10 +8,10 @@
 	nextAt   time.Time     // the first free turn
 }
 
-// PaceDials limits the new connections to the endpoints of a destination to perSecond, evenly spaced; 0 removes
-// the limit. Calls wait for their turn, or for a connection that becomes idle before it. Without a limit, a
-// partner that recovers from an outage would get a handshake for each waiting call (HTTP/1.1), or several from
-// each sender at once (HTTP/2).
+// PaceDials limits the new connections to the endpoints of a destination to perSecond, evenly spaced; 0 removes the
+// limit. Over HTTP/1.1, a call waits for its turn, and then uses an idle connection instead of a new one if there is
+// one by then. Over HTTP/2, it takes a free stream as soon as there is one. Without a limit, a partner that recovers
+// from an outage would get a handshake for each waiting call (HTTP/1.1), or several from each sender at once (HTTP/2).
 func (p *Pool) PaceDials(dest int, perSecond float64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
