--- a/internal/knowledge/age.go
+++ b/internal/knowledge/age.go
@@ -196,8 +196,8 @@
 	return policy.LatencyFacts{Mean: blend(mean, typical, weight), Dev: validOrZero(f.Dev, 0, maxMS), N: n}
 }
 
-// agedAdmission blends the state of an admission controller (theta, its covariance, the admitted share) with that of
-// a new one.
+// agedAdmission blends the state of an admission controller (theta, its covariance, the admission probabilities) with
+// that of a new one.
 func agedAdmission(f policy.AdmissionFacts, now, weight float64) policy.AdmissionFacts {
 	aged := policy.InitialAdmission()
 	blendInto := func(target *float64, v float64) {
