--- a/internal/knowledge/age.go
+++ b/internal/knowledge/age.go
@@ -17,7 +17,7 @@
 	minLimitWeight = 1.0 / 8
 	// Weight down to which a limit counts as reported by the partner, and an arrival rate as known.
 	minReliableWeight = 1.0 / 2
-	// Upper bound of valid rates, in calls per second.
+	// Upper bound of valid rates: of calls per second, and of arrivals (AdmissionFacts.Lambda) per millisecond.
 	maxRate = 1e9
 	// Upper bound of valid latencies and durations, in milliseconds, and of the values of an admission controller.
 	maxMS = 1e9
