--- a/cmd/sliptide/fleet.go
+++ b/cmd/sliptide/fleet.go
@@ -36,11 +36,11 @@
 
 	mu     sync.Mutex
 	member *fleet.Member
-	closed bool
+	closed bool // set by leave and abandon: a later join does nothing
 }
 
 // newMembership builds the member's settings from the operators' file. It returns nil if the fleet is disabled, and an
-// error if the file lists no member of this sender's name.
+// error if the file lists no member of this sender's name or if a key file can't be used.
 func newMembership(cfg *config.Config, op *operator.File, space *statedir.Space, log zerolog.Logger) (*membership, error) {
 	f := &op.Fleet
 	if !f.Enabled {
@@ -131,6 +131,7 @@
 	return nil
 }
 
+// dutyChanged passes a change of a duty to the sender.
 func (m *membership) dutyChanged(d *pb.Duty, heldLocally bool) {
 	m.sender.UpdateDuty(d.Name, trial.Update{Holder: d.Holder, HeldLocally: heldLocally, Word: d.Word})
 }
@@ -211,7 +212,7 @@
 	}
 }
 
-// Propose implements sender.CopyFleet.
+// Propose implements sender.CopyFleet. Before the member has joined, done is never called.
 func (m *membership) Propose(c *pb.Command, done func(*pb.Answer, error)) {
 	if f := m.joined(); f != nil {
 		f.Propose(c, done)
--- a/cmd/sliptide/main.go
+++ b/cmd/sliptide/main.go
@@ -1,5 +1,6 @@
 // Command sliptide runs one sender: it accepts messages from clients, journals them, and delivers them to endpoints
-// as the decision module (package policy) decides. Its sub-commands inspect a sender's files (internal/cli).
+// as the decision module (package policy) decides. Its sub-commands (internal/cli) inspect a sender's files, query a
+// fleet and run a control member.
 package main
 
 import (
--- a/cmd/sliptide/run.go
+++ b/cmd/sliptide/run.go
@@ -214,8 +214,8 @@
 	latest := knowledge.get()
 	latest.close()
 	closeTelemetry(exporter)
-	// Close tries to write only once, so Flush is retried before it. A message whose last record is missing counts as one
-	// that may have run after the restart.
+	// Close tries to write only once, so Flush is retried before it. After the restart, a message whose last record is
+	// missing counts as one that may have run.
 	flushed := transient.Retry(journalFlushTimeout, transient.IsDiskError, jrnl.Flush)
 	if err := errors.Join(flushed, jrnl.Close()); err != nil {
 		log.Error().Err(err).Msg("writing the last records of the journal failed")
@@ -301,8 +301,9 @@
 	return storm.New(storm.SettingsFrom(&cfg.Settings, limits), cfg.Seed)
 }
 
-// loadConfig reads both configuration files. A file that can't be read at the moment is retried, since a SIGHUP is sent
-// only once.
+// loadConfig reads both configuration files. If the file that RELAY_CONFIG names can't be read at the moment, it tries
+// again, since a SIGHUP is sent only once. A failure to read the operators' file alone is not retried, since its error
+// does not wrap the cause.
 func loadConfig(operatorFile string, load func(getenv func(string) string) (*config.Config, error)) (
 	cfg *config.Config, op *operator.File, err error) {
 	err = transient.Retry(configReadTimeout, transient.IsDiskError, func() (err error) {
@@ -360,6 +361,7 @@
 	}
 	log.Info().Int("destinations", len(facts.Dests)).Int("waits", len(facts.Waits)).Msg("knowledge of an earlier run loaded")
 	k.Knowledge = sender.Knowledge{Settings: settings, Facts: facts.Clone()}
+	// The files hold times of the sender's clock, which continues across restarts: the wall clock is not needed.
 	k.Writer = keeper.New(keeper.Options{Settings: settings, Store: knowledgeStore, Facts: facts, Account: k.account,
 		Log: log, Clock: clock.Now, WallClock: clock.Now})
 	return k
@@ -380,10 +382,11 @@
 	}
 }
 
-// reload reads the configuration again on each SIGHUP and once a day. The address of discovery, the classes, a lower
-// max_attempts, the partners' keys and the fleet's members take effect at once, most other settings at the next start.
-// An invalid file (empty, truncated, without a required key, with a deadline or max_attempts not above 0) changes
-// nothing, not even the address of discovery.
+// reload reads the configuration again on each SIGHUP and once a day. The address of discovery, the classes,
+// max_attempts, the partners and their keys, the fleet's members (but not its voters) and the settings of the knowledge
+// (except enabled and max-size) take effect at once, all others at the next start. An invalid file (empty, truncated,
+// without a required key, with a deadline or max_attempts not above 0) changes nothing, not even the address of
+// discovery.
 func reload(ctx context.Context, hup <-chan os.Signal, log zerolog.Logger, operatorFile string,
 	registry *partners.Registry, apply func(cfg *config.Config, op *operator.File)) {
 	reloadTicker := time.NewTicker(24 * time.Hour) // certificates expire without a SIGHUP
--- a/cmd/sliptide/upgrade.go
+++ b/cmd/sliptide/upgrade.go
@@ -35,8 +35,8 @@
 	takeOverTimeout = 24 * time.Hour
 )
 
-// stateDirLocks holds this process's lock on the state directory or, in a waiting successor, the successor's lock
-// beside it.
+// stateDirLocks holds this process's lock on the state directory or, in a waiting successor, the successor's lock. It
+// is safe for concurrent use.
 type stateDirLocks struct {
 	dir           string
 	mu            sync.Mutex
@@ -171,9 +171,9 @@
 const soReusePort = 0xf
 
 // handOver ends a process whose successor waits. The listener closes at once, so that new connections go to the
-// successor. Existing clients are still answered, and their messages accepted, until their connections are closed. Then
-// no further call begins, and handOver returns when the calls in progress have ended. The successor finds the remaining
-// messages in the journal.
+// successor. Existing clients are still answered, and their messages accepted, until their connections are closed, for
+// up to handOverClientTimeout. Then no further call begins, and handOver returns when the calls in progress have ended.
+// The successor finds the remaining messages in the journal.
 func handOver(server *intake.Server, snd *sender.Sender, ln net.Listener) {
 	ln.Close()
 	server.Drain()
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -25,19 +25,20 @@
 	"sliptide/internal/operate"
 )
 
-// Bounds of the address.
+// Limits of the server.
 const (
-	CallTimeout      = 600 * time.Millisecond  // for reading a whole request, from the accept
+	CallTimeout      = 600 * time.Millisecond  // for reading a whole request, once its connection has a slot
 	answerTimeout    = 250 * time.Millisecond  // for writing the answer
 	MaxConns         = 16                      // connections at once
 	maxBody          = operate.MaxIDLength + 2 // an id and a line end
-	acceptRetryDelay = 5 * time.Millisecond    // pause after a failed accept: descriptors may be exhausted
+	acceptRetryDelay = 5 * time.Millisecond    // pause after a failed accept (no free descriptor), or without a free slot
 )
 
 // ErrBusy reports that the sender did not carry out a call in time.
 var ErrBusy = errors.New("the sender did not take the call in time")
 
-// Handlers carry out the calls. Each must return well within CallTimeout; an error becomes an answer of 4xx or 5xx.
+// Handlers carry out the calls. They are called concurrently. Each must return well within CallTimeout; an error
+// becomes an answer of 4xx or 5xx.
 type Handlers struct {
 	Ready   func() bool
 	Disable func(id string) error
@@ -85,8 +86,8 @@
 }
 
 // acquireSlot waits for a slot for a new connection. If none is free, it expires the read deadline of the oldest
-// connection whose request is incomplete: its slot would be freed by CallTimeout anyway, but silent connections must
-// not keep an operator out until then.
+// connection whose request is incomplete: its slot would become free after CallTimeout anyway, but silent
+// connections must not keep an operator out until then.
 func (s *Server) acquireSlot() {
 	for {
 		select {
@@ -120,6 +121,7 @@
 	}
 }
 
+// serve answers the request of one connection, then closes the connection and frees its slot.
 func (s *Server) serve(nc net.Conn) {
 	defer func() {
 		nc.Close()
--- a/internal/admin/store.go
+++ b/internal/admin/store.go
@@ -33,8 +33,8 @@
 	apply    func(id string, disabled bool) error // notifies the sender; an error refuses the change
 }
 
-// Open reads the set that an earlier process stored. An unreadable file is an error, so that no endpoint that an
-// operator disabled serves again unnoticed.
+// Open reads the set that an earlier process stored; without a file it is empty. An unreadable file is an error, so
+// that no endpoint that an operator disabled serves again unnoticed.
 func Open(files fsys.FS) (*DisabledStore, error) {
 	text, err := files.Read(fileName)
 	if err != nil && !errors.Is(err, fs.ErrNotExist) {
@@ -72,7 +72,7 @@
 }
 
 // Bind sets the function that applies each change to the sender. It must be called before Disable and Enable, and not
-// concurrently with them.
+// concurrently with them. apply is called with the store locked, so it must not use the store.
 func (s *DisabledStore) Bind(apply func(id string, disabled bool) error) { s.apply = apply }
 
 // WatchInterval is the time between two reads of the file by Watch.
@@ -80,7 +80,7 @@
 
 // Watch reads the file every WatchInterval until ctx ends, and applies what another process of this sender has written:
 // during an upgrade the old and the new version run side by side, and an operator may call either. apply applies a
-// change to the sender; it must accept an id that no list of this process has named.
+// change to the sender; it must accept an id that no list of this process has named, and must not use the store.
 func (s *DisabledStore) Watch(ctx context.Context, apply func(id string, disabled bool) error, log zerolog.Logger) {
 	tick := time.NewTicker(WatchInterval)
 	defer tick.Stop()
@@ -96,7 +96,8 @@
 	}
 }
 
-// sync applies the differences between the file and the set.
+// sync applies the differences between the file and the set, to the sender and to the set. A change that apply refuses
+// is tried again by the next sync.
 func (s *DisabledStore) sync(apply func(id string, disabled bool) error) error {
 	text, err := s.files.Read(fileName)
 	if err != nil && !errors.Is(err, fs.ErrNotExist) {
@@ -122,13 +123,13 @@
 }
 
 // Disable disables an endpoint and stores the set. If only storing fails, it returns an error although the change has
-// been applied.
+// been applied; Watch then undoes the change at its next read, since the file lacks it.
 func (s *DisabledStore) Disable(id string) error { return s.set(id, true) }
 
-// Enable enables an endpoint and stores the set. If only storing fails, it returns an error although the change has
-// been applied.
+// Enable enables an endpoint and stores the set. A failure to store it has the same result as for Disable.
 func (s *DisabledStore) Enable(id string) error { return s.set(id, false) }
 
+// set applies a change to the sender, then to the set, and stores the set.
 func (s *DisabledStore) set(id string, disabled bool) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -15,10 +15,10 @@
 
 // Limits bounds the machine's resources that the process may use.
 type Limits struct {
-	Cores     float64
-	MemoryMB  float64
-	Sockets   int
-	DiskBytes int64
+	Cores     float64 // 0: no limit
+	MemoryMB  float64 // in MiB; 0: no limit
+	Sockets   int     // file descriptors
+	DiskBytes int64   // space in the state directory
 }
 
 // Config is the configuration of one sender.
@@ -102,6 +102,7 @@
 	return c, nil
 }
 
+// check returns an error if a required address or directory is missing, or if a limit is too small to run with.
 func (c *Config) check() error {
 	for _, f := range []struct{ name, value string }{
 		{"RELAY_LISTEN", c.ListenAddr}, {"RELAY_DISCOVERY", c.DiscoveryAddr}, {"RELAY_STATE", c.StateDir},
@@ -120,8 +121,8 @@
 }
 
 // flatten adds nested JSON to values as path=value pairs, the form of the simulator's wire. A list of scalars becomes
-// one value joined with commas; a list of objects becomes one set of pairs per item and the number of items under
-// path.count.
+// one value joined with commas; a list of objects becomes one set of pairs per item, under path.0, path.1 and so on,
+// and the number of items under path.count.
 func flatten(values map[string]string, path string, v *fastjson.Value) {
 	switch v.Type() {
 	case fastjson.TypeObject:
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -10,7 +10,7 @@
 	"sliptide/policy"
 )
 
-// maxItems bounds the number of items that a list of the settings may state.
+// maxItems is the maximum number of classes, and of tenants, in the settings.
 const maxItems = 1 << 12
 
 // ParseSettings reads the path=value lines of a start message on the simulator's wire.
@@ -157,7 +157,8 @@
 // required is passed in place of a default for a setting that must be present.
 const required = -1
 
-// pairs reads typed values of path=value pairs and keeps the first error.
+// pairs reads typed values of path=value pairs and keeps the first error. The values that it returns after an error are
+// unspecified.
 type pairs struct {
 	values map[string]string
 	err    error
@@ -169,6 +170,8 @@
 	}
 }
 
+// float returns the number under key, or def if the key is absent or its value empty. With def required, absence is an
+// error.
 func (p *pairs) float(key string, def float64) float64 {
 	v, ok := p.values[key]
 	if !ok || v == "" {
@@ -194,6 +197,7 @@
 	return f, nil
 }
 
+// integer returns the number under key as an int, rounded down; def is as for float.
 func (p *pairs) integer(key string, def int) int {
 	f := p.float(key, float64(def))
 	if f != f || f < -1<<31 || f > 1<<31 {
@@ -203,6 +207,7 @@
 	return int(f)
 }
 
+// count returns the number of items of a list, which may be at most maxItems; def is as for float.
 func (p *pairs) count(key string, def int) int {
 	n := p.integer(key, def)
 	if n < 0 || n > maxItems {
--- a/internal/operate/operate.go
+++ b/internal/operate/operate.go
@@ -1,6 +1,6 @@
 // Package operate holds the set of endpoints that operators disabled. A disabled endpoint counts as draining for this
 // sender, whatever state discovery lists, until an operator enables it again. The package does no I/O and reads no
-// clock. The set's text form is the content of the file in the state directory that survives an upgrade.
+// clock. The set's text form is the content of the file in the state directory that preserves the set over restarts.
 package operate
 
 import (
@@ -15,9 +15,9 @@
 
 // Bounds on the set.
 const (
-	MaxDisabled = 64  // endpoints disabled at once
-	MaxIDLength = 128 // bytes of an endpoint id
-	fileHeader  = "sliptide endpoints taken out 1\n"
+	MaxDisabled = 64                                 // endpoints disabled at once
+	MaxIDLength = 128                                // bytes of an endpoint id
+	fileHeader  = "sliptide endpoints taken out 1\n" // first line of the text form
 	// MaxEncodedSize is the largest size of the text form in bytes: the header and a line for each endpoint.
 	MaxEncodedSize = len(fileHeader) + MaxDisabled*(MaxIDLength+1)
 )
--- a/internal/operate/takeover_drains.go
+++ b/internal/operate/takeover_drains.go
@@ -21,7 +21,7 @@
 }
 
 // EffectiveState returns the state of an endpoint at now, given its state listed by discovery: draining if it is listed
-// as ready and is in the set, otherwise unchanged.
+// as ready and counts as draining until later than now, otherwise unchanged.
 func (s *TakeoverDrains) EffectiveState(id string, listed policy.EndpointState, now float64) policy.EndpointState {
 	if listed == policy.Ready && s.until[id] > now {
 		return policy.Draining
--- a/internal/operator/fleet.go
+++ b/internal/operator/fleet.go
@@ -30,10 +30,10 @@
 // Shards configures sharding: the sender serves only the destinations of its shards, which control members report.
 type Shards struct {
 	Enabled        bool
-	Region         string
-	Zone           string
-	Weight         int
-	Replicas       int
+	Region         string // shards are assigned among the senders of a region
+	Zone           string // within the region; a shard's replicas are spread over zones
+	Weight         int    // this sender's share of the destinations, relative to the other senders' weights
+	Replicas       int    // senders of a region that serve a destination
 	ControlMembers []ControlMember
 }
 
@@ -48,9 +48,9 @@
 
 // Duties configures how long a member may rely on the duties that it holds.
 type Duties struct {
-	Lease           time.Duration
-	ClockDrift      float64 // fraction by which a clock may run fast or slow
-	ElectionTimeout time.Duration
+	Lease           time.Duration // a holder that is cut off or stopped loses its duties within this time
+	ClockDrift      float64       // fraction by which a clock may run fast or slow
+	ElectionTimeout time.Duration // a voter that hears from no leader for this time starts an election
 }
 
 // Trials configures whether one member alone makes the first calls to a partner that is down.
@@ -96,9 +96,9 @@
 	return list
 }
 
-// Hash returns a hash of the settings that must be equal in all members' files: the voters' names, the minimum number
-// of voters, the lease, the clock drift and the election timeout. Addresses are not included, so that they can be
-// changed in one file after the other.
+// Hash returns a hash of the settings that must be equal in all members' files: the voters' names in the order of the
+// file, the minimum number of voters, the lease, the clock drift and the election timeout. Addresses are not included,
+// so that they can be changed in one file after the other.
 func (f *Fleet) Hash() uint64 {
 	var b strings.Builder
 	for _, m := range f.Voters() {
