--- a/internal/discovery/backoff.go
+++ b/internal/discovery/backoff.go
@@ -9,7 +9,7 @@
 )
 
 const (
-	minPause              = 100 * time.Millisecond // nominal pause after a first failure, for a fleet of one sender
+	minPause              = 100 * time.Millisecond // shortest nominal pause: that after a first failure, in a small fleet
 	fleetRetriesPerSecond = 20.0                   // approximate rate at which retries of all senders together level off
 	maxPauseRatio         = 16                     // the longest nominal pause is at most this multiple of the first
 	maxPauseShare         = 0.5                    // share of Settings.MaxSubscribeInterval that a pause may take
@@ -29,6 +29,8 @@
 	shortest, longest time.Duration
 }
 
+// newBackoff derives the pauses from the number of senders and, if the list has to be requested within a maximum
+// interval, from that interval.
 func newBackoff(settings *policy.Settings, seed uint64) backoff {
 	const mean = 0.75 // a pause is drawn from 0.5 to 1 times its nominal length
 	longest := time.Duration(float64(max(settings.Senders, 1)) / fleetRetriesPerSecond / mean * float64(time.Second))
@@ -58,7 +60,8 @@
 // pause returns the pause after that many failures in a row, 1 or more. answered reports whether any request of this
 // process has been answered; elapsed is how long the failed request took. A request that timed out leaves less time for
 // the pause: discovery may have recovered right after it was sent, with a change that the next request has to fetch
-// before it counts as known to this sender, 6 s after its publication. A watch alone may have taken 3.5 s of these.
+// before it counts as known to this sender, 6 s after its publication. A watch that timed out has already taken 3.5 s
+// of these 6 s.
 func (b *backoff) pause(failures int, answered bool, elapsed time.Duration) time.Duration {
 	longest := min(b.longest, max(maxRetryInterval-elapsed, minPause))
 	switch {
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -28,7 +28,7 @@
 	mu           sync.Mutex
 	addr         string
 	cancelCall   context.CancelFunc // cancels the current or last call; nil before the first
-	maxBodyBytes int                // maximum length of an answer's body
+	maxBodyBytes int                // maximum length of an answer's body; not changed after the first call
 }
 
 func newAgentClient(addr string) *agentClient { return &agentClient{addr: addr, maxBodyBytes: MaxList} }
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -58,7 +58,7 @@
 }
 
 // Watch follows the endpoint list by long polling. It calls Update with each list, in order, from the goroutine of
-// Restore or Run. While Run is running, only SetAddr may be called.
+// Restore or Run, except for an empty set of changes. While Run is running, only SetAddr may be called.
 type Watch struct {
 	Settings *policy.Settings
 	Log      zerolog.Logger
@@ -192,8 +192,9 @@
 }
 
 // isRepeatedAnswer reports whether the answer to a watch from fromVersion must be a duplicate of an earlier answer: it
-// contains no change and came before the watch's duration was over. Every later answer on that connection would be that
-// to the request before.
+// holds changes up to an older version, or it is of the same version and came before half of the watch's duration had
+// passed. Every later answer on that connection would be that to the request before. A whole list of an older version
+// does not count as a duplicate.
 func isRepeatedAnswer(list *List, fromVersion uint64, elapsed time.Duration) bool {
 	if list.Version > fromVersion {
 		return false
--- a/internal/fsys/faulty.go
+++ b/internal/fsys/faulty.go
@@ -11,7 +11,7 @@
 // Fault is the result that is injected into one operation.
 type Fault struct {
 	Err          error // nil: the operation runs. ErrCrash: it and all later ones fail
-	BytesWritten int   // in a failing write: bytes written before the error
+	BytesWritten int   // in a failing write: bytes written before the error; negative: the file is not touched
 	Applied      bool  // the operation takes effect although it returns Err
 }
 
@@ -19,7 +19,8 @@
 type Faulty struct {
 	FS
 	// Inject is called before each operation except Size and the Close of a file, with the operation's number, from 0,
-	// its name ("read", "write", "append", "open" and so on) and its file. It returns the fault to inject.
+	// its name ("read", "write", "append", "open" and so on) and its file (for "rename" and "link" the new name). It
+	// returns the fault to inject. It is called with a lock held and must not call methods of the Faulty.
 	Inject func(n int, op, name string) Fault
 
 	mu      sync.Mutex
--- a/internal/fsys/fsys.go
+++ b/internal/fsys/fsys.go
@@ -23,7 +23,7 @@
 	Append(name string, data []byte, sync bool) error
 	// Rename renames a file or a directory, replacing an existing file.
 	Rename(from, to string) error
-	// Link creates a hard link, replacing an existing file of that name.
+	// Link creates a hard link. A file that exists under the new name is removed first.
 	Link(from, to string) error
 	// Remove removes a file or an empty directory. It is no error if it does not exist.
 	Remove(name string) error
--- a/internal/keys/keys.go
+++ b/internal/keys/keys.go
@@ -33,8 +33,9 @@
 	return fmt.Sprintf("%s: certificate of %q expires on %s", w.File, w.Subject, w.Expires.UTC().Format(time.DateOnly))
 }
 
-// Load reads the files and returns a TLS configuration, with warnings for certificates that expire soon at time now.
-// If one of the files is invalid, it returns an error and no configuration.
+// Load reads the files and returns a TLS configuration, and a warning for each certificate that has expired at now or
+// expires within ExpiryWarningPeriod after it. If one of the files is invalid, it returns an error and no
+// configuration.
 func Load(f Files, now time.Time) (*tls.Config, []Warning, error) {
 	cfg := &tls.Config{MinVersion: tls.VersionTLS12}
 	var warnings []Warning
@@ -104,7 +105,8 @@
 
 var errNoCert = errors.New("no certificate in PEM")
 
-// expiryWarnings returns a warning for each certificate that expires within ExpiryWarningPeriod after now.
+// expiryWarnings returns a warning for each certificate that has expired at now or expires within ExpiryWarningPeriod
+// after it.
 func expiryWarnings(file string, certs []*x509.Certificate, now time.Time) (list []Warning) {
 	for _, c := range certs {
 		if c != nil && now.Add(ExpiryWarningPeriod).After(c.NotAfter) {
--- a/internal/partners/partners.go
+++ b/internal/partners/partners.go
@@ -24,10 +24,11 @@
 	entries atomic.Pointer[map[int]*entry]
 }
 
+// entry is one partner. The TLS configuration is replaced at each Load, for further connections; the rest is constant.
 type entry struct {
 	settings operator.Partner
-	partner  *outbound.Partner
-	tls      atomic.Pointer[tls.Config]
+	partner  *outbound.Partner          // nil: plain HTTP/1.1
+	tls      atomic.Pointer[tls.Config] // nil without TLS
 }
 
 // New returns an empty Registry. now returns the time by which certificates are checked for expiry.
@@ -68,6 +69,7 @@
 	return warnings, nil
 }
 
+// newEntry returns the entry of a partner, still without its TLS configuration.
 func newEntry(settings operator.Partner) *entry {
 	e := &entry{settings: settings}
 	if settings.Protocol == operator.HTTP1 {
