--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -34,6 +34,7 @@
 	Now func() float64
 }
 
+// grammar is the command line, described by kong's tags. kong calls the Run method of the selected command.
 type grammar struct {
 	Run       runCmd       `cmd:"" default:"withargs" help:"Run a sender (also what a bare sliptide does)."`
 	Check     checkCmd     `cmd:"" help:"Check an operators' file as a start would."`
--- a/internal/cli/fleet.go
+++ b/internal/cli/fleet.go
@@ -92,7 +92,8 @@
 	return a, err
 }
 
-// status returns the status that the leader reports, or that of the member which answered if the leader does not.
+// status returns the status that the leader reports, or that of the member which answered if the leader does not. With
+// At it returns that member's status.
 func (c *memberQuery) status() (*voter.Status, error) {
 	a, err := c.ask(&pb.Ask{Status: &pb.Status{}})
 	if err != nil {
@@ -198,7 +199,8 @@
 // maxConcurrentCalls bounds the number of senders that are queried at once.
 const maxConcurrentCalls = 32
 
-// askOwners queries each sender that holds its own journal, and stores its report in list.
+// askOwners queries each sender that holds the duty for its own journal, and stores its report in list. With At it
+// queries none.
 func (c *fleetCopies) askOwners(list []copyView) {
 	f, tlsConfig, err := c.fleet()
 	if err != nil || c.At != "" {
--- a/internal/cli/knowledge.go
+++ b/internal/cli/knowledge.go
@@ -134,6 +134,7 @@
 	LimitPerSecond   float64 `json:"limit_per_s,omitempty"`
 }
 
+// viewOf returns the view of the facts at now, in Unix milliseconds, without the waits that are over by then.
 func viewOf(facts *knowledge.Facts, now float64, h operator.HalfLives) *view {
 	v := &view{Sender: facts.Sender, Written: time.UnixMilli(facts.WrittenAt).UTC(), AgeSeconds: round(now-float64(facts.WrittenAt)) / 1e3,
 		Waits: []waitView{}, Destinations: []destView{}}
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -69,18 +69,18 @@
 	subscription    *directory.Subscription
 	followedLeader  string      // the leader that it subscribes to; empty: none
 	leadership      *leadership // nil unless this member leads
-	statusAt        int64
-	reportSeq       uint64
-	reportAt        int64
-	reportedHashSum uint64 // NameHashSum of the members in the last report
-	fullReportDue   bool   // the next report has to list all members
+	statusAt        int64       // when the status was last updated, by fleet.Now
+	reportSeq       uint64      // number of the last report to the leader
+	reportAt        int64       // when it was sent, by fleet.Now
+	reportedHashSum uint64      // NameHashSum of the members in the last report
+	fullReportDue   bool        // the next report has to list all members
 }
 
 // leadership is the state that a control member has only while it leads.
 type leadership struct {
-	token     uint64
+	token     uint64 // of the duty; the leadership ends once this member does not hold the duty under it
 	roster    *directory.Roster
-	rosterAt  int64
+	rosterAt  int64              // when the roster was last checked, by fleet.Now
 	stopWatch context.CancelFunc // ends the watch of discovery
 }
 
@@ -141,7 +141,8 @@
 	return c, nil
 }
 
-// groupHash returns a hash of the settings that must be the same in all control members' files.
+// groupHash returns a hash of the settings that must be the same in all control members' files: the replicas, the
+// lease, the clock drift, the election timeout and the voters' names in the order of the file.
 func (s *Settings) groupHash() uint64 {
 	text := fmt.Sprint(s.Lease, s.ClockDrift, s.ElectionTimeout, s.Replicas)
 	for _, m := range s.Members {
@@ -301,7 +302,8 @@
 		Members: len(c.dir.Members()), Subscribers: len(c.publisher.Subscribers())})
 }
 
-// updateLeadership starts or stops leading by the state of the duty, or subscribes to a new leader.
+// updateLeadership starts leading if this member has acquired the duty, stops if it no longer holds it under the same
+// token, and otherwise subscribes to a leader that is new.
 func (c *Control) updateLeadership(ctx context.Context, now int64) {
 	token := c.group.Token(leaderDuty)
 	if c.leadership != nil && c.leadership.token != token {
--- a/internal/control/settings.go
+++ b/internal/control/settings.go
@@ -31,10 +31,10 @@
 	DiscoveryAddr   string // address of the discovery agent
 	Replicas        int    // senders of each region that serve a destination
 	Members         []Member
-	Lease           time.Duration
-	ClockDrift      float64 // fraction by which a member's clock may run fast or slow
-	ElectionTimeout time.Duration
-	CA              string // paths of PEM files; empty: no TLS
+	Lease           time.Duration // a leader that is cut off or stopped ceases to lead within this time
+	ClockDrift      float64       // fraction by which a member's clock may run fast or slow
+	ElectionTimeout time.Duration // a voter that hears from no leader for this time starts an election
+	CA              string        // paths of PEM files; empty: no TLS
 	Cert, Key       string
 	MaxListBytes    int64 // maximum size of a list of endpoints from discovery
 }
@@ -97,7 +97,8 @@
 	return strictxml.Schema(spec(), `The schema of a control member's file. "sliptide control schema" writes it.`)
 }
 
-// Load reads a control member's settings file. Paths in it are relative to the file's directory.
+// Load reads a control member's settings file. Paths in it are relative to the file's directory. Errors are of type
+// *strictxml.Error.
 func Load(path string) (*Settings, error) {
 	s, err := strictxml.Open(path, spec())
 	if err != nil {
--- a/internal/strictxml/read.go
+++ b/internal/strictxml/read.go
@@ -16,7 +16,7 @@
 	xmlnsSpace  = "xmlns"
 )
 
-// Open reads the file at path into a new T. Errors are of type *Error.
+// Open reads the file at path into a new T. Errors are of type *Error, which does not wrap the cause.
 func Open[T any](path string, root *Element[T]) (*T, error) {
 	in, err := os.Open(path)
 	if err != nil {
@@ -47,6 +47,7 @@
 	return r.file, nil
 }
 
+// reader reads one document.
 type reader[T any] struct {
 	name    string
 	dec     *xml.Decoder
--- a/internal/strictxml/schema.go
+++ b/internal/strictxml/schema.go
@@ -7,8 +7,8 @@
 )
 
 // Schema returns the XML Schema (1.0) of the documents that root specifies; comment becomes its first comment. The
-// schema accepts the same documents as Read, with two exceptions: it cannot forbid a document type declaration, and
-// where a child may be repeated, it requires the children in the order of the specification.
+// schema accepts the same documents as Read, with two exceptions: it can neither forbid a document type declaration nor
+// limit the size, and where a child may be repeated, it requires the children in the order of the specification.
 func Schema[T any](root *Element[T], comment string) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, `<?xml version="1.0" encoding="UTF-8"?>
@@ -20,6 +20,7 @@
 	return b.String()
 }
 
+// writeElement writes the declaration of e. occurs holds the attributes that state how often it may occur.
 func writeElement[T any](b *strings.Builder, e *Element[T], indent, occurs string) {
 	fmt.Fprintf(b, "%s<xs:element name=%q%s>\n", indent, e.Name, occurs)
 	writeDoc(b, e.Doc, indent+"  ")
@@ -53,6 +54,7 @@
 	fmt.Fprintf(b, "%s</xs:element>\n", indent)
 }
 
+// writeAttribute writes the declaration of an attribute.
 func writeAttribute[T any](b *strings.Builder, a *Attribute[T], indent string) {
 	use := `use="optional"`
 	switch {
--- a/internal/strictxml/spec.go
+++ b/internal/strictxml/spec.go
@@ -17,9 +17,9 @@
 	Name, Doc string
 	Attrs     []Attribute[T]
 	Children  []Element[T]
-	Repeated  bool
-	Unique    string   // attribute of a repeated element whose values must differ
-	Add       func(*T) // called at the start of each repeated element, to append an item
+	Repeated  bool     // it may occur any number of times
+	Unique    string   // attribute of a repeated element whose values must differ; empty: none
+	Add       func(*T) // called at the start of each repeated element, to append an item; required if Repeated
 }
 
 // Attribute specifies an attribute of an element.
@@ -36,7 +36,7 @@
 // value into a number: an integer, nanoseconds, bytes, or the index of a word in its list.
 type Values struct {
 	units       []unit // integers with one of these units, from lo to hi
-	lo          int64
+	lo          int64  // as Parse returns it, such as nanoseconds
 	hi          int64
 	words       []string       // or these words
 	text        *regexp.Regexp // or the texts that match this expression; nil: none
@@ -99,6 +99,7 @@
 	}
 }
 
+// child returns the child of that name, nil if e may not contain it.
 func (e *Element[T]) child(name string) *Element[T] {
 	for i := range e.Children {
 		if e.Children[i].Name == name {
@@ -108,6 +109,7 @@
 	return nil
 }
 
+// attr returns the attribute of that name, nil if e may not have it.
 func (e *Element[T]) attr(name string) *Attribute[T] {
 	for i := range e.Attrs {
 		if e.Attrs[i].Name == name {
@@ -129,6 +131,7 @@
 	return strings.Join(names, ", ")
 }
 
+// attrNames lists the attributes allowed in e, for a message.
 func (e *Element[T]) attrNames() string {
 	names := make([]string, len(e.Attrs))
 	for i := range e.Attrs {
--- a/internal/telemetry/assembler.go
+++ b/internal/telemetry/assembler.go
@@ -49,8 +49,8 @@
 type openTrace struct {
 	accepted  Record
 	traceID   [16]byte
-	spans     []Span
-	attempts  int
+	spans     []Span  // spans[0] is the root, which is set when the message ends
+	attempts  int     // calls started, in earlier process runs too
 	waitStart float64 // Unix milliseconds; 0 while a call is active
 	waitCause Cause
 	call      Record // start of the active call
@@ -101,6 +101,7 @@
 	}
 }
 
+// class returns the class with index n, or one that is never late if the settings do not contain it.
 func (a *Assembler) class(n uint8) *policy.Class {
 	if int(n) < len(a.settings.Classes) {
 		return &a.settings.Classes[n]
@@ -108,6 +109,7 @@
 	return &policy.Class{Name: "unknown", Aim: math.Inf(1)}
 }
 
+// handleAccepted starts the trace of a message, which waits from then on.
 func (a *Assembler) handleAccepted(r *Record) {
 	if len(a.open) >= maxOpenTraces {
 		a.Lost++
@@ -148,8 +150,8 @@
 	}
 }
 
-// endWait adds the span of a wait that has ended. It ignores waits shorter than 2 ms, which one step of the sender may
-// take.
+// endWait records the duration of a wait that has ended, and adds its span. It ignores waits shorter than 2 ms, which
+// one step of the sender may take, and all waits once the trace has its maximum number of spans.
 func (a *Assembler) endWait(o *openTrace, now float64) {
 	if o.waitStart == 0 || now-o.waitStart < 2 || len(o.spans) > maxWaitSpans+maxCallSpans {
 		return
@@ -169,6 +171,7 @@
 	o.spans = append(o.spans, s)
 }
 
+// handleCallStarted ends the message's wait.
 func (a *Assembler) handleCallStarted(r *Record) {
 	o := a.open[r.Num]
 	if o == nil {
@@ -180,10 +183,13 @@
 	o.attempts++
 }
 
+// outcomeNames are the attribute values of the outcomes, by policy.Outcome.
 var outcomeNames = [...]string{"delivered", "error", "turned_away", "timeout", "connect_failed", "reset", "cancelled", "not_sent"}
 
 func outcomeName(n uint8) string { return outcomeNames[min(int(n), len(outcomeNames)-1)] }
 
+// handleCallEnded records the call's duration and adds its span, if its start was recorded. The message waits from then
+// on.
 func (a *Assembler) handleCallEnded(r *Record) {
 	a.Metrics.Add(&callDuration, (r.At-r.Until)/1000, metric.Attr{Key: "sliptide.outcome", Value: outcomeName(r.Outcome)})
 	o := a.open[r.Num]
@@ -213,6 +219,8 @@
 	a.setWaiting(o, true)
 }
 
+// handleMessageEnded counts the message, completes its trace and exports the trace if it is sampled. A message that was
+// not accepted is not counted, and its trace is discarded.
 func (a *Assembler) handleMessageEnded(r *Record) {
 	if o := a.open[r.Num]; r.Ending == EndingNotAccepted {
 		if o != nil {
@@ -350,6 +358,7 @@
 	CopiesMessagesShort:  {Name: "sliptide.copies.short", Unit: "{message}", Description: "messages that too few holders had in time"},
 }
 
+// descriptor returns the instrument's descriptor, nil for an unknown instrument.
 func (n Instrument) descriptor() *metric.Descriptor {
 	if n == 0 || n >= instrumentCount {
 		return nil
--- a/internal/telemetry/metric/histogram.go
+++ b/internal/telemetry/metric/histogram.go
@@ -8,8 +8,8 @@
 const MaxBuckets = 160
 
 const (
-	maxScale = 20
-	minScale = -10
+	maxScale = 20  // not used at present: a histogram starts at scale 4, and its scale only decreases
+	minScale = -10 // at this scale three buckets cover all values
 )
 
 // Histogram is an exponential histogram of positive values (OpenTelemetry metrics data model, "ExponentialHistogram"):
--- a/internal/telemetry/otlp/encode.go
+++ b/internal/telemetry/otlp/encode.go
@@ -83,7 +83,8 @@
 	return &resource.Resource{Attributes: keyValues(list)}
 }
 
-// encodeMetrics returns an encoded ExportMetricsServiceRequest with all series, cumulative since startMS.
+// encodeMetrics returns an encoded ExportMetricsServiceRequest with all series, cumulative since startMS. The series of
+// one metric must follow each other, as AllSeries returns them.
 func encodeMetrics(res *resource.Resource, series []*metric.Series, startMS, nowMS float64) ([]byte, error) {
 	sm := &metrics.ScopeMetrics{Scope: scope}
 	var m *metrics.Metric
--- a/internal/telemetry/otlp/exporter.go
+++ b/internal/telemetry/otlp/exporter.go
@@ -183,7 +183,8 @@
 	}
 }
 
-// exportOnce sends one request with traces and one with metrics. It returns false if there was nothing to send.
+// exportOnce sends a request with traces and one with metrics, as far as there are any. It returns false if there was
+// nothing to send.
 func (e *Exporter) exportOnce(ctx context.Context) bool {
 	parts, metrics := e.nextBatch()
 	if len(parts) > 0 {
--- a/internal/telemetry/otlp/transport.go
+++ b/internal/telemetry/otlp/transport.go
@@ -27,7 +27,7 @@
 	"google.golang.org/protobuf/proto"
 )
 
-const maxResponseBytes = 64 << 10 // read of a collector's response
+const maxResponseBytes = 64 << 10 // maximum length of a collector's response that is read
 
 // signal is the kind of telemetry data that a request carries.
 type signal int
@@ -37,6 +37,7 @@
 	metricsSignal
 )
 
+// The paths and methods of the requests, by signal.
 var (
 	httpPaths   = [...]string{"/v1/traces", "/v1/metrics"}
 	grpcMethods = [...]string{"/opentelemetry.proto.collector.trace.v1.TraceService/Export", "/opentelemetry.proto.collector.metrics.v1.MetricsService/Export"}
@@ -68,6 +69,7 @@
 	Timeout time.Duration // of one request
 }
 
+// newTransport returns a transport to the target. It does not connect yet.
 func newTransport(target Target) (transport, error) {
 	u, err := url.Parse(target.URL)
 	if err != nil || u.Host == "" || u.Scheme != "http" && u.Scheme != "https" {
@@ -93,6 +95,7 @@
 
 func (h *httpTransport) close() { h.client.CloseIdleConnections() }
 
+// send implements transport.
 func (h *httpTransport) send(ctx context.Context, s signal, body []byte) sendResult {
 	ctx, cancel := context.WithTimeout(ctx, h.target.Timeout)
 	defer cancel()
@@ -180,6 +183,7 @@
 
 func (g *grpcTransport) close() { g.conn.Close() }
 
+// send implements transport.
 func (g *grpcTransport) send(ctx context.Context, s signal, body []byte) sendResult {
 	ctx, cancel := context.WithTimeout(ctx, g.target.Timeout)
 	defer cancel()
--- a/internal/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -22,10 +22,10 @@
 	KindAccepted Kind = iota
 	// Dest, Cause: a submission was refused
 	KindRefused
-	// Num, Dest, Endpoint, Attempt
+	// Num, Dest, Endpoint, Attempt (from 0)
 	KindCallStarted
-	// Num, Dest, Endpoint, Attempt, Outcome, MayHaveRun, Wait (requested wait), Until (start of the call), Text
-	// (address of the endpoint); AllowanceLeft and Value (limit), as reported by the partner
+	// Num, Dest, Endpoint, Attempt (from 0), Outcome, MayHaveRun, Wait (requested wait), Until (start of the call),
+	// Text (address of the endpoint); AllowanceLeft and Value (limit), as reported by the partner
 	KindCallEnded
 	// Num, Dest, Ending, Wait (time after which the client may resubmit the message)
 	KindMessageEnded
