--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -155,7 +155,7 @@
 func Open(o Options, ln net.Listener) (*Member, error) {
 	self, known := o.Settings.Self()
 	if !known {
-		return nil, fmt.Errorf("fleet: RELAY_NAME is %q, which is no member of <fleet>", o.Settings.Name)
+		return nil, fmt.Errorf("fleet: RELAY_NAME %q is not the name of a member of <fleet>", o.Settings.Name)
 	}
 	m := &Member{o: o, now: o.Now, self: self, voterInbox: make(chan input, inboxSize), sessionInbox: make(chan input, inboxSize),
 		copyInbox: make(chan input, inboxSize), sessionClosed: make(chan struct{}), pendingCalls: callQueue{wake: make(chan struct{}, 1)}}
