--- a/cmd/sliptide/fleet.go
+++ b/cmd/sliptide/fleet.go
@@ -188,9 +188,9 @@
 }
 
 // Publish implements sender.Fleet.
-func (m *membership) Publish(duty, word string) {
+func (m *membership) Publish(duty, value string) {
 	if f := m.joined(); f != nil {
-		f.Publish(duty, word)
+		f.Publish(duty, value)
 	}
 }
 
--- a/internal/fleet/model/model.go
+++ b/internal/fleet/model/model.go
@@ -207,7 +207,7 @@
 		id = log.Identity()
 		p.voter, err = voter.New(voter.Options{Name: p.name, Voters: p.world.voters(), MinVoters: p.world.o.Voters, Lease: p.world.o.Lease,
 			ElectionTimeout: p.world.o.ElectionTimeout, Log: log, Skip: p.world.o.SkipVoterChecks, OnEvent: func(what string, _ error) {
-				if what == voter.EventLeading {
+				if what == voter.EventBecameLeader {
 					p.world.LeaderChanges++
 				}
 				if p.world.OnVoterEvent != nil {
--- a/internal/fleet/voter/apply.go
+++ b/internal/fleet/voter/apply.go
@@ -68,7 +68,7 @@
 		}
 		v.leases.Reset(renewedAt, v.state.Sessions())
 		v.readRequests, v.renewals, v.subscribers = nil, nil, map[string]bool{}
-		v.options.OnEvent(EventLeading, nil)
+		v.options.OnEvent(EventBecameLeader, nil)
 	case v.leaderTerm == 0 && previousTerm != 0:
 		v.pending, v.readRequests, v.renewals = map[uint64]pending{}, nil, nil
 		v.options.OnEvent("no longer leads", nil)
--- a/internal/fleet/voter/voter.go
+++ b/internal/fleet/voter/voter.go
@@ -56,7 +56,7 @@
 // name of the voter that was added, as a learner or with a vote). The latter is not reported when the change begins:
 // operators would then stop a voter while the majority of the old voters is still needed.
 const (
-	EventLeading       = "became leader"
+	EventBecameLeader  = "became leader"
 	EventVotersChanged = "voters changed: "
 )
 
--- a/internal/outbound/closing.go
+++ b/internal/outbound/closing.go
@@ -56,6 +56,6 @@
 // reportClosed passes the end of the connection to OnConnClosed, if it is set.
 func (cn *conn) reportClosed(reason CloseReason) {
 	if cn.pool.opt.OnConnClosed != nil {
-		cn.pool.opt.OnConnClosed(CloseEvent{Endpoint: cn.endpoint, Addr: cn.addr, Reason: reason, Responses: cn.answers})
+		cn.pool.opt.OnConnClosed(CloseEvent{Endpoint: cn.endpoint, Addr: cn.addr, Reason: reason, Responses: cn.responses})
 	}
 }
--- a/internal/outbound/conn.go
+++ b/internal/outbound/conn.go
@@ -35,7 +35,7 @@
 	usedAt      time.Time   // when it last became idle
 	reusableAt  time.Time   // end of the settle time after the last response
 	firstByteAt time.Time   // when the last response began to arrive
-	answers     int         // complete responses that it has carried
+	responses   int         // complete responses that it has carried
 	reason      CloseReason // why calls was closed; written before that, with the pool's lock held
 	writeBuf    []byte
 	parser      fastjson.Parser
@@ -106,7 +106,7 @@
 // serve makes one call and reports whether the connection can take another. If so, serve has added it to the idle
 // connections. If a reused connection turns out unusable before the request is written, another one makes the call.
 func (cn *conn) serve(c *Call) bool {
-	if cn.answers > 0 && !cn.stillIdle() {
+	if cn.responses > 0 && !cn.stillIdle() {
 		cn.pool.startHTTP1(c, cn.partner)
 		return false
 	}
@@ -196,7 +196,7 @@
 	case err != nil:
 		return CloseBroken, false
 	}
-	cn.answers++
+	cn.responses++
 	cn.pool.mu.Lock()
 	defer cn.pool.mu.Unlock()
 	switch {
--- a/internal/outbound/matching.go
+++ b/internal/outbound/matching.go
@@ -86,7 +86,7 @@
 // connection that has carried another call. The response to a bulk call names its messages, and is checked by their
 // names instead.
 func (cn *conn) isMismatched(c *Call, responseTime time.Duration) bool {
-	if cn.answers == 0 || len(c.Items) != 1 {
+	if cn.responses == 0 || len(c.Items) != 1 {
 		return false
 	}
 	cn.pool.mu.Lock()
--- a/internal/outbound/mux.go
+++ b/internal/outbound/mux.go
@@ -24,16 +24,16 @@
 	dest     int
 	addr     string
 
-	mu            sync.Mutex
-	placement     placing.Pool
-	conns         map[int]*h2.Conn // by the ID that placement has given to the connection
-	waiting       []*Call          // in order of arrival
-	answersAtDial map[int]int      // value of answers when a connection was added, by its ID
-	answers       int              // complete responses received
-	http1Only     bool             // the partner chose HTTP/1.1 by ALPN
-	heldUntil     time.Time        // end of a requested wait, during which no waiting call is sent
-	retired       bool             // replaced by another mux
-	dialDueAt     time.Time        // when the connection added last may be dialled, see PaceDials
+	mu              sync.Mutex
+	placement       placing.Pool
+	conns           map[int]*h2.Conn // by the ID that placement has given to the connection
+	waiting         []*Call          // in order of arrival
+	responsesAtDial map[int]int      // value of responses when a connection was added, by its ID
+	responses       int              // complete responses received
+	http1Only       bool             // the partner chose HTTP/1.1 by ALPN
+	heldUntil       time.Time        // end of a requested wait, during which no waiting call is sent
+	retired         bool             // replaced by another mux
+	dialDueAt       time.Time        // when the connection added last may be dialled, see PaceDials
 }
 
 // streamOutcomes maps the end of a stream to the outcome that package policy receives (RFC 9113 8.7). Two cases are not
@@ -52,7 +52,7 @@
 func newMux(p *Pool, partner *Partner, c *Call) *mux {
 	return &mux{
 		pool: p, partner: partner, endpoint: c.Endpoint, dest: c.Dest, addr: c.Addr,
-		conns: map[int]*h2.Conn{}, answersAtDial: map[int]int{},
+		conns: map[int]*h2.Conn{}, responsesAtDial: map[int]int{},
 		placement: placing.Pool{Settings: placing.Settings{
 			MaxConns: max(partner.MaxConns, 1), DialThreshold: 0.9, ExpectedStreams: 100, IdleTimeout: float64(p.opt.KeepAlive.Milliseconds()),
 		}},
@@ -127,7 +127,7 @@
 			break
 		}
 		pc := m.placement.Add()
-		m.answersAtDial[pc.ID] = m.answers
+		m.responsesAtDial[pc.ID] = m.responses
 		wait := m.pool.dialTurn(m.dest)
 		m.dialDueAt = time.Now().Add(wait)
 		time.AfterFunc(wait, func() { m.dial(pc.ID) })
@@ -174,9 +174,9 @@
 	if hc.State().Lost != nil {
 		// If no response has been received since this connection was added, its loss counts as a failed dial: waiting
 		// calls must not dial again and again to a partner that accepts connections and closes them.
-		noAnswers := m.answersAtDial[id] == m.answers
+		noResponses := m.responsesAtDial[id] == m.responses
 		m.removeConn(id)
-		if noAnswers && m.placement.Len() == 0 {
+		if noResponses && m.placement.Len() == 0 {
 			callbacks = m.failWaiting(policy.ConnectFailed)
 		}
 	}
@@ -192,7 +192,7 @@
 func (m *mux) removeConn(id int) {
 	m.placement.Remove(id)
 	delete(m.conns, id)
-	delete(m.answersAtDial, id)
+	delete(m.responsesAtDial, id)
 	m.pool.releaseConn()
 }
 
@@ -345,7 +345,7 @@
 	c.mu.Unlock()
 	if r.Outcome == h2.Answered {
 		m.mu.Lock()
-		m.answers++
+		m.responses++
 		m.mu.Unlock()
 	}
 	single := len(c.Items) <= 1
--- a/internal/sender/trials.go
+++ b/internal/sender/trials.go
@@ -12,7 +12,7 @@
 type Fleet interface {
 	Request(duty, zone string)     // requests a duty, or a place in its queue
 	Release(duty string, end bool) // gives a duty up; end: no member needs it any longer
-	Publish(duty, word string)     // publishes a short status of a duty that this member holds
+	Publish(duty, value string)    // publishes the value of a duty that this member holds
 	Token(duty string) uint64      // the fencing token of a duty that this member holds now; 0 if it does not
 	HeldDuties() int               // the number of duties held now
 	Live() bool                    // whether this member's view of the fleet can be relied on now
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -515,7 +515,7 @@
 	}
 	previous := d.admission.pa
 	d.admission.update(s.now, max(s.minAim-d.latency.mean, minDrefShare*s.minAim),
-		d.oldestAge(s.now), d.throttled)
+		d.firstAge(s.now), d.throttled)
 	if previous == 1 && d.admission.pa < 1 {
 		s.log("refusing", d.id, 0)
 	}
--- a/policy/state.go
+++ b/policy/state.go
@@ -583,9 +583,9 @@
 	m.key, q.messages = key, append(q.messages, m)
 }
 
-// oldestAge returns the age of the first message in the queue that was not held in an outage, 0 if there is none. It
+// firstAge returns the age of the first message in the queue that was not held in an outage, 0 if there is none. It
 // is the oldest one, but for messages queued again after an attempt.
-func (d *destination) oldestAge(now float64) float64 {
+func (d *destination) firstAge(now float64) float64 {
 	for _, m := range d.queue {
 		if !m.heldInOutage {
 			return now - m.arrived
