--- a/internal/h2/h2.go
+++ b/internal/h2/h2.go
@@ -177,7 +177,7 @@
 var (
 	ErrClosed      = errors.New("h2: connection closed")
 	ErrPingTimeout = errors.New("h2: peer did not answer a PING in time")
-	ErrFrameFlood  = errors.New("h2: too many frames without payload, or too many unread replies to them")
+	ErrFrameFlood  = errors.New("h2: too many frames that carry nothing of a final response, or too many unread control frames")
 )
 
 // New starts an HTTP/2 connection on nc and takes ownership of nc. The connection preface is sent at once
