--- a/internal/operator/fleet.go
+++ b/internal/operator/fleet.go
@@ -111,7 +111,7 @@
 // fleetSpec returns the specification of <fleet>.
 func fleetSpec() element {
 	last := func(f *File) *Member { return &f.Fleet.Members[len(f.Fleet.Members)-1] }
-	path := strictxml.Text("[!-~]{1,1000}", "a path without blanks")
+	path := strictxml.Text("[!-~]{1,1000}", "a path without spaces")
 	addr := strictxml.Text(`[0-9A-Za-z.:\[\]-]{3,80}`, "an IP address and a port, such as 127.0.0.1:7101")
 	name := strictxml.Text("[0-9A-Za-z_.-]{1,64}", "letters, digits, dots, dashes and underscores, 64 at most")
 	return element{
@@ -200,7 +200,7 @@
 				Name: "class", Doc: "A class whose messages require another number of copies.", Repeated: true, Unique: "name",
 				Add: func(f *File) { f.Fleet.Copies.Classes = append(f.Fleet.Copies.Classes, CopyClass{}) },
 				Attrs: []attribute{{
-					Name: "name", Required: true, Values: strictxml.Text("[!-~]{1,100}", "a class's name, without blanks"), Doc: "Its name in the platform's settings.",
+					Name: "name", Required: true, Values: strictxml.Text("[!-~]{1,100}", "a class's name, without spaces"), Doc: "Its name in the platform's settings.",
 					SetText: func(f *File, v string) { f.Fleet.Copies.Classes[len(f.Fleet.Copies.Classes)-1].Name = v },
 				}, {
 					Name: "needed", Required: true, Values: strictxml.Integer(1, 4), Doc: "Copies that such a message must have before its client is answered 202; count at most.",
--- a/internal/operator/spec.go
+++ b/internal/operator/spec.go
@@ -114,13 +114,13 @@
 				Name: "queue", Default: "512KiB", Values: strictxml.Size(16<<10, 1<<30), Doc: "Memory for data that waits for the collector. Data that waits to be encoded may take as much again.",
 				SetNumber: func(f *File, v int64) { f.Telemetry.QueueBytes = v },
 			}, {
-				Name: "ca", Values: strictxml.Text("[!-~]{1,1000}", "a path without blanks"), Doc: "CA certificates in PEM, for https; else OTEL_EXPORTER_OTLP_CERTIFICATE, else the system's.",
+				Name: "ca", Values: strictxml.Text("[!-~]{1,1000}", "a path without spaces"), Doc: "CA certificates in PEM, for https; else OTEL_EXPORTER_OTLP_CERTIFICATE, else the system's.",
 				SetText: func(f *File, v string) { f.Telemetry.CA = v },
 			}, {
-				Name: "cert", Values: strictxml.Text("[!-~]{1,1000}", "a path without blanks"), Doc: "The sender's client certificate in PEM; requires key.",
+				Name: "cert", Values: strictxml.Text("[!-~]{1,1000}", "a path without spaces"), Doc: "The sender's client certificate in PEM; requires key.",
 				SetText: func(f *File, v string) { f.Telemetry.Cert = v },
 			}, {
-				Name: "key", Values: strictxml.Text("[!-~]{1,1000}", "a path without blanks"), Doc: "Its private key in PEM, which only the owner of the file may read.",
+				Name: "key", Values: strictxml.Text("[!-~]{1,1000}", "a path without spaces"), Doc: "Its private key in PEM, which only the owner of the file may read.",
 				SetText: func(f *File, v string) { f.Telemetry.Key = v },
 			}},
 			Children: []element{{
@@ -158,7 +158,7 @@
 // partnerSpec returns the specification of <partner>.
 func partnerSpec() element {
 	last := func(f *File) *Partner { return &f.Partners[len(f.Partners)-1] }
-	path := strictxml.Text("[!-~]{1,1000}", "a path without blanks")
+	path := strictxml.Text("[!-~]{1,1000}", "a path without spaces")
 	return element{
 		Name: "partner", Doc: "How the endpoints of one destination are reached.", Repeated: true, Unique: "dest",
 		Add: func(f *File) { f.Partners = append(f.Partners, Partner{}) },
