--- a/internal/discovery/bounds_test.go
+++ b/internal/discovery/bounds_test.go
@@ -116,10 +116,10 @@
 	}
 }
 
-// A list over MaxList is rejected, with a Content-Length and chunked. The log reports it once, with the allowed length.
+// A list over MaxListBytes is rejected, with a Content-Length and chunked. The log reports it once, with the allowed length.
 // The endpoints known before stay, and a shorter list is accepted afterwards.
 func TestOversizedListChangesNothing(t *testing.T) {
-	long := listText(8, 1) + strings.Repeat(" ", MaxList)
+	long := listText(8, 1) + strings.Repeat(" ", MaxListBytes)
 	for _, chunked := range []bool{false, true} {
 		addr, requests := startScriptedAgent(t, chunked, listText(7, 3), long, long, listText(9, 2))
 		lists := make(chan List, 4)
@@ -140,7 +140,7 @@
 		if fmt.Sprint(sizes) != "[3 2]" {
 			t.Errorf("chunked %t: accepted lists of %v endpoints, want 3 and 2", chunked, sizes)
 		}
-		if n := strings.Count(log.String(), "list of endpoints too long"); n != 1 || !strings.Contains(log.String(), fmt.Sprintf(`"bytes_allowed":%d`, MaxList)) {
+		if n := strings.Count(log.String(), "list of endpoints too long"); n != 1 || !strings.Contains(log.String(), fmt.Sprintf(`"bytes_allowed":%d`, MaxListBytes)) {
 			t.Errorf("chunked %t: logged %d times, want once with bytes_allowed:\n%s", chunked, n, log.String())
 		}
 	}
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -15,8 +15,8 @@
 
 const dialTimeout = time.Second
 
-// MaxList is the maximum length of an endpoint list in bytes: some 60,000 endpoints.
-const MaxList = 8 << 20
+// MaxListBytes is the maximum length of an endpoint list in bytes: some 60,000 endpoints.
+const MaxListBytes = 8 << 20
 
 // agentClient calls the agent over one connection, which it opens on demand. Only one goroutine may use it, except for
 // currentAddr and setAddr, which are safe for concurrent use.
@@ -31,7 +31,9 @@
 	maxBodyBytes int                // maximum length of an answer's body; not changed after the first call
 }
 
-func newAgentClient(addr string) *agentClient { return &agentClient{addr: addr, maxBodyBytes: MaxList} }
+func newAgentClient(addr string) *agentClient {
+	return &agentClient{addr: addr, maxBodyBytes: MaxListBytes}
+}
 
 // currentAddr returns the agent's address.
 func (c *agentClient) currentAddr() string {
--- a/internal/lab/capacity/rows.go
+++ b/internal/lab/capacity/rows.go
@@ -148,8 +148,8 @@
 		Role: roleDistribution, Description: "size of the whole endpoint list", Series: []string{"list-bytes"}, Unit: "MB",
 		Formula:    "slope x destinations",
 		Need:       func(t *Target, s []float64) float64 { return s[0] / kilo * t.Destinations },
-		Budget:     func(*Target) float64 { return discovery.MaxList / mega },
-		BudgetName: "the longest accepted list (discovery.MaxList)",
+		Budget:     func(*Target) float64 { return discovery.MaxListBytes / mega },
+		BudgetName: "the longest accepted list (discovery.MaxListBytes)",
 		Mechanism:  "discovery answers each sender with the whole list",
 	}, {
 		Role: roleDistribution, Description: "processor time to apply the whole endpoint list", Series: []string{"list-take"},
