--- a/internal/fleet/lease/lease.go
+++ b/internal/fleet/lease/lease.go
@@ -57,7 +57,8 @@
 func (h *Holder) Drop() { *h = Holder{} }
 
 // Grantor tracks the leases as the leader counts them. A new leader starts with Reset: it cannot know which leases
-// its predecessor renewed, and grants every session a full lease.
+// its predecessor renewed, and grants every session a full lease. Reset must be called before Renew
+// and MarkEnding.
 type Grantor struct {
 	renewedAt map[uint64]int64
 	ending    map[uint64]bool // sessions whose end is proposed: they can no longer be renewed
--- a/internal/fleet/ledger/ledger.go
+++ b/internal/fleet/ledger/ledger.go
@@ -17,7 +17,7 @@
 // Tolerances of the checks.
 const (
 	LateSlack     = 300 * time.Millisecond // a final outcome this long after the deadline still counts as in time
-	CrossingSlack = 100 * time.Millisecond // for calls made just after a wait is requested, and waits just before a loss
+	CrossingSlack = 100 * time.Millisecond // for calls just after a wait's request, and waits just before a loss or kill
 	MaxTakeover   = 5 * time.Second        // longest takeover, with a lease of 1 s, link faults and a killed successor
 )
 
@@ -37,8 +37,8 @@
 type sender struct {
 	waitSetAt, waitUntil time.Time       // start and end of the last requested wait
 	lostAt, killedAt     time.Time       // when its machine was lost, and when its process was killed
-	unfinished           map[string]bool // its messages without an end when it was lost
-	successorCalled      bool            // its successor has made a call since the loss
+	unfinished           map[string]bool // accepted messages without an end at its loss, less those ended since
+	successorCalled      bool            // its successor has made a call since the loss, or none is expected
 }
 
 // disruption is a fault that may have delayed the ends of the messages of some senders.
@@ -58,13 +58,13 @@
 
 // Verdict is the result of a run. The counts of the first group must be zero.
 type Verdict struct {
-	Lost, Late, ForbiddenRepeats, RefusedSent int // no end; late end; two effects though forbidden; refused but sent
+	Lost, Late, ForbiddenRepeats, RefusedSent int // no end; late end; two effects though forbidden; effect though refused
 	Overlapping, SentInWait                   int // calls that overlap another attempt, and calls during a requested wait
 
 	Accepted int
 	Repeated int // took effect more than once, where that is allowed
-	// MultipleEnds counts messages that were delivered twice, or delivered and also reported as abandoned by a sender
-	// that could not know of the delivery.
+	// MultipleEnds counts messages that were delivered twice, delivered and also reported as abandoned, or reported
+	// twice, by a sender that could not know of the earlier end.
 	MultipleEnds   int
 	BySuccessors   int       // calls by senders other than the one that accepted the message
 	TakeoverDelays []float64 // lateness in ms of the ends that a takeover delayed
@@ -97,7 +97,8 @@
 	l.messages[id] = &message{origin: origin, unsafe: unsafe}
 }
 
-// Answered records the answer to the client: a 202 with the deadline of the message, or a refusal.
+// Answered records the answer to the client: a 202 with the deadline of the message, or a refusal. The message must
+// have been Submitted.
 func (l *Ledger) Answered(id string, accepted bool, deadline time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -108,7 +109,8 @@
 	}
 }
 
-// CallStarted records that a call for a message, made by a sender, reaches the partner.
+// CallStarted records that a call for a message, made by a sender, reaches the partner. Here and below, messages that
+// were not Submitted are ignored.
 func (l *Ledger) CallStarted(now time.Time, by int, id string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -134,8 +136,8 @@
 		origin.successorCalled = true
 		l.verdict.FirstCalls = append(l.verdict.FirstCalls, ms(now.Sub(origin.lostAt)))
 	}
-	// Counts only a wait that was requested long enough before the loss to have been copied, and not shortly before
-	// the process was killed, which ends a wait.
+	// Counts only a wait that was requested long enough before the loss to have been copied. A kill of the process
+	// within CrossingSlack after the request may have ended the wait.
 	if now.Before(origin.waitUntil) && origin.lostAt.Sub(origin.waitSetAt) > CrossingSlack &&
 		(origin.killedAt.Before(origin.waitSetAt) || origin.killedAt.Sub(origin.waitSetAt) > CrossingSlack) {
 		l.verdict.SentInWait++
@@ -216,7 +218,8 @@
 	l.recordDisruption(now, num, takenOver)
 }
 
-// SenderKilled records that a sender's process was killed, which ends its waits. takenOver is as in SenderLost.
+// SenderKilled records that a sender's process was killed. Waits requested before do not bind the calls of its next
+// process. takenOver is as in SenderLost.
 func (l *Ledger) SenderKilled(now time.Time, num int, takenOver []int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -247,9 +250,9 @@
 	return n
 }
 
-// delayedByTakeover reports whether the deadline of a message passed while the sender responsible for it was lost,
-// killed, suspended or disconnected and its successor not yet active. No sender can end it then, and it ends as soon
-// as it is taken over. The loss of another sender excuses nothing.
+// delayedByTakeover reports whether a takeover may have delayed the late end of a message: the sender responsible for
+// it was lost, killed, suspended or disconnected before the deadline plus LateSlack, and the message ended less than
+// MaxTakeover after that. No sender can end it until it is taken over. The loss of another sender excuses nothing.
 func (l *Ledger) delayedByTakeover(m *message) bool {
 	return slices.ContainsFunc(l.disruptions, func(d disruption) bool {
 		return slices.Contains(d.senders, m.origin) && d.at.Before(m.deadline.Add(LateSlack)) &&
@@ -257,7 +260,7 @@
 	})
 }
 
-// Judge checks all guarantees. It is called when all accepted messages should have ended.
+// Judge checks all guarantees. It is called once, when all accepted messages should have ended.
 func (l *Ledger) Judge() Verdict {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/fleet/model/model.go
+++ b/internal/fleet/model/model.go
@@ -1,7 +1,8 @@
 // Package model simulates the voters and sessions of a fleet with the code of the real processes: on one goroutine,
 // with a drifting clock for each process, links that delay, lose, repeat and reorder frames, processes that are
 // stopped, killed and restarted, and disks that lose data that was not synced. After every event it checks that no two
-// members hold a duty at once, and that no two members acted on a resource, which refuses old tokens, with one token.
+// members hold a duty at once, and at every action on a resource, which refuses old tokens, that no two members acted
+// on it with one token.
 //
 // It is for tests and measurements; the program does not use it. Elections draw their time-outs from the Raft library's
 // own generator, which cannot be seeded: a seed reproduces a schedule of faults exactly, but not the times of elections
@@ -32,7 +33,7 @@
 	Seed              uint64
 	SkipVoterChecks   voter.Skip
 	SkipSessionChecks session.Skip
-	LoseSyncedData    bool // disables a safety check: a crash also loses synced data
+	LoseSyncedData    bool // disables a safety check: a crash also loses the end of a synced log
 	AcceptOldTokens   bool // disables a safety check: the resource accepts any token
 }
 
@@ -48,9 +49,9 @@
 	CutOneWay                    // no frames pass from Proc to Peer
 	Isolate                      // no frames pass between Proc and all others
 	Loss                         // a third of all frames is lost, a tenth is repeated
-	BadDisk                      // the disk refuses all writes
-	KillAll                      // every voter is killed and restarted
-	HandOver                     // an operator requests a hand-over
+	BadDisk                      // the disk of Proc refuses all writes
+	KillAll                      // every voter is killed and restarted up to 1 s after Duration
+	HandOver                     // Proc requests the hand-over of a duty to Peer, as an operator does
 	FaultKinds                   // the number of kinds
 )
 
@@ -64,8 +65,8 @@
 	Kind     FaultKind
 	At       time.Duration
 	Duration time.Duration
-	Proc     int
-	Peer     int
+	Proc     int // index of a process, modulo their number
+	Peer     int // the same; of a HandOver also the index of the duty, modulo the number of duties
 }
 
 // World is a fleet in the model.
@@ -470,7 +471,7 @@
 	return false
 }
 
-// memDisk is a disk in memory that loses unsynced data in a crash and can refuse writes.
+// memDisk is a disk in memory that loses unsynced data in a crash and can refuse writes. Renaming a file also syncs it.
 type memDisk struct {
 	files       map[string][]byte
 	synced      map[string][]byte // the files after a crash
--- a/internal/fleet/placement/placement.go
+++ b/internal/fleet/placement/placement.go
@@ -2,8 +2,8 @@
 // same result everywhere.
 //
 // It uses weighted rendezvous hashing: each member has a rank for an owner, computed from a hash of both names and
-// its weight, and the highest ranks are chosen. A member that joins or leaves moves only the copies that it ranks
-// first for. Members of zones other than the owner's come first, one of each zone before a second of any, so that a
+// its weight, and the highest ranks are chosen. A member that joins or leaves moves only the copies that it is
+// chosen for. Members of zones other than the owner's come first, one of each zone before a second of any, so that a
 // copy survives the loss of a zone.
 package placement
 
@@ -17,12 +17,12 @@
 // Member is a candidate for keeping copies.
 type Member struct {
 	Name, Zone string
-	Weight     float64 // relative capacity; 0 counts as 1
+	Weight     float64 // relative capacity; 0 or less counts as 1
 	Full       bool    // it has reported that it has no space left
 }
 
 // Choose returns the names of the members that keep an owner's copies, the first choice first: count of them, or as
-// many as there are.
+// many as there are. The owner and full members are never chosen.
 func Choose(owner, zone string, count int, members []Member) []string {
 	type ranked struct {
 		Member
@@ -69,8 +69,9 @@
 
 // NextStep returns the holders that an owner should request next, given the current and the desired ones; synced
 // reports whether a holder has a complete copy, present whether it has a live session. It changes one holder at a time:
-// a missing one is added first, and a surplus one is removed only when enough others are complete, so that the number
-// of complete copies never falls.
+// a missing one is added first, and a surplus one is removed only once all desired holders are complete, or if it is
+// not present, once one of them is. The number of complete copies at present members thus does not fall below the
+// desired one.
 func NextStep(current, desired []string, synced func(string) bool, present func(string) bool) []string {
 	next := slices.Clone(current)
 	for _, name := range desired {
@@ -88,8 +89,8 @@
 		if slices.Contains(desired, name) {
 			continue
 		}
-		// A surplus copy is needed until all desired holders are complete. A holder that is not present is removed as
-		// soon as one of them is.
+		// A surplus copy is needed until all desired holders are complete. The copy of a holder that is not present is
+		// removed as soon as one of them is.
 		if syncedCount == len(desired) && syncedCount > 0 || !present(name) && syncedCount > 0 {
 			return slices.Delete(next, i, i+1)
 		}
--- a/internal/fleet/share/holder.go
+++ b/internal/fleet/share/holder.go
@@ -12,7 +12,8 @@
 	absentFactor = 3    // a member without a report for this many BindDurations is absent and has its even part back
 )
 
-// Holder is the side of the member that holds a partner's duty. It keeps one memberState for each member.
+// Holder is the side of the member that holds a partner's duty. It keeps one memberState for each member that has
+// reported.
 type Holder struct {
 	terms      Terms
 	token      uint64
--- a/internal/fleet/share/model/model.go
+++ b/internal/fleet/share/model/model.go
@@ -138,7 +138,7 @@
 	w.demand = func(w *World, i int) float64 { return demands[i] }
 	nextFault, lossUntil, grantAt := int64(1000*ms), int64(0), int64(0)
 	for w.now < 40_000*ms && w.violation == "" {
-		if w.now%(700*ms) == 0 { // all demand moves to other members
+		if w.now%(700*ms) == 0 { // all demand moves to one or two members
 			clear(demands)
 			demands[w.rng.IntN(len(demands))] = 60
 			demands[w.rng.IntN(len(demands))] += 20
@@ -169,8 +169,9 @@
 	return w
 }
 
-// goodput simulates 30 s of a load. It returns what was sent with shares, with even parts, and by an oracle that knows
-// all demand at once, each as a fraction of the load, and the number of reports per second.
+// goodput simulates 33 s of a load and measures the last 30 s. It returns what was sent with shares, with even parts,
+// and by an oracle that knows all demand at once, each as a fraction of the load, and the number of reports per second
+// over all 33 s.
 func goodput(n int, limit float64, load func(now int64, i int) float64) (shared, even, oracle, reports float64) {
 	t := share.Terms{Members: n, BindDuration: 2000 * ms, RaiseDuration: 600 * ms, Drift: 0.05}
 	w := newWorld(uint64(n), t, limit, 0)
@@ -179,7 +180,7 @@
 	sharedBacklog, evenBacklog := make([]float64, n), make([]float64, n)
 	oracleBacklog, offered := 0.0, 0.0
 	w.demand = func(w *World, i int) float64 { return load(w.now, i) + sharedBacklog[i] }
-	maxBacklogSeconds := 2.0 // a backlog of more seconds of load is abandoned
+	maxBacklogSeconds := 2.0 // a backlog of more seconds of the load, or for the oracle of the limit, is abandoned
 	for w.now < 33_000*ms {
 		w.step(dt)
 		seconds := float64(dt) / 1e9
--- a/internal/fleet/share/share.go
+++ b/internal/fleet/share/share.go
@@ -63,7 +63,8 @@
 	Limit         float64 // the limit that was divided
 }
 
-// Member is a member's side of sharing one partner's limit. The zero value keeps to the even part.
+// Member is a member's side of sharing one partner's limit. Without Terms, as in the zero value, its even part is the
+// whole limit.
 type Member struct {
 	terms      Terms
 	limit      float64 // the partner's limit as known here
@@ -111,12 +112,12 @@
 	reportsPerDuration = 4                            // reports within the duration of a share
 	demandJump         = 1.5                          // a report is due early if demand rises or falls by this factor
 	minReportInterval  = 20 * int64(time.Millisecond) // ns from a report until an early one is due
-	maxUnanswered      = 4                            // unanswered reports; each further one lengthens the interval
+	maxUnanswered      = 4                            // the number of unanswered reports above it multiplies the interval
 	maxBackoffFactor   = 8                            // the highest factor by which the interval is multiplied
 )
 
-// ReportDue reports whether a report is due: at intervals that renew a share in time, and sooner if demand has changed
-// by more than demandJump since the last report.
+// ReportDue reports whether a report is due: at intervals that renew a share in time, sooner if demand has changed by
+// more than demandJump since the last report, and less often while more than maxUnanswered reports are unanswered.
 func (m *Member) ReportDue(now int64, demand float64) bool {
 	since := now - m.reportedAt
 	interval := m.terms.BindDuration
@@ -165,8 +166,8 @@
 	m.shareUntil = from + int64(float64(a.RaiseDuration)*(1-m.drift()))
 }
 
-// Rate returns the rate at which this member may send now; 0: no limit is known. shared is true for a share, false for
-// the even part.
+// Rate returns the rate at which this member may send now. shared is true for a share, false for the even part, which
+// is 0 if no limit is known.
 func (m *Member) Rate(now int64) (rate float64, shared bool) {
 	limit := m.limit
 	if limit <= 0 {
--- a/internal/fleet/trial/trial.go
+++ b/internal/fleet/trial/trial.go
@@ -3,9 +3,9 @@
 // resume them when the updates stop. A State is one member's part in that, for all partners.
 //
 // It is pure: no clock, no I/O, no goroutine. Times are milliseconds on the caller's clock, rates calls per second.
-// It changes only the paces that internal/storm requests of the decision module while a partner is down, and never
-// for longer than SilenceTimeoutMS without an update. Without a holder, a quorum or this member's own session, every
-// sender behaves as it does without a fleet.
+// It changes only the paces that internal/storm requests of the decision module while a partner is down. Without an
+// update it suspends trials for at most SilenceTimeoutMS. Without a holder, a quorum or this member's own session,
+// every sender behaves as it does without a fleet.
 package trial
 
 import (
@@ -21,8 +21,8 @@
 const (
 	kind           = "trial"
 	suspendedRate  = 1e-3   // a pace that suspends all trials; a rate of 0 would set no pace
-	maxTrialRate   = 10.0   // the holder's highest pace; the fraction of it for trials allows one each half second
-	downIntervalMS = 1000.0 // shortest time from one published value "down" to the next
+	maxTrialRate   = 10.0   // the holder's pace is raised to at most this; its fraction for trials allows one per 500 ms
+	downIntervalMS = 1000.0 // shortest time from a published value to the next "down"
 )
 
 // A holder publishes one of these as the value of its duty, followed by a number that grows.
@@ -46,8 +46,8 @@
 
 // Settings configure a State.
 type Settings struct {
-	Senders          int
-	SilenceTimeoutMS float64
+	Senders          int     // number of senders in the fleet; less than 1 counts as 1
+	SilenceTimeoutMS float64 // suspended trials resume this long after the last change of the holder or its value
 }
 
 // Action is what the member is to do about a partner's duty: one of the last three fields is set.
