--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -37,11 +37,11 @@
 
 // Counter sums the events in the logs of a fleet. It is not safe for concurrent use.
 type Counter struct {
-	Interval     time.Duration // length of a time window
-	Dest         int           // destination to count; -1: all
-	firstSeconds float64       // Unix time in seconds of the first line with a time stamp; 0: none yet
-	windows      map[int]map[string]int
-	SkippedLines int // number of lines without JSON or a time
+	Interval     time.Duration          // length of a time window
+	Dest         int                    // destination to count; -1: all
+	firstSeconds float64                // time stamp of the first line that has one, in seconds of Unix time; 0: none yet
+	windows      map[int]map[string]int // by window number and column; "held" is the change within the window
+	SkippedLines int                    // number of lines without JSON or a time
 }
 
 // NewCounter returns an empty Counter for one destination, or for all if dest is -1.
@@ -117,6 +117,8 @@
 	return max(at-c.firstSeconds, 0)
 }
 
+// countRecord adds a log line to the counts of its time window: a record by its kind and fields, any other line by the
+// first words of its message. If only one destination is counted, it ignores lines that do not name it.
 func (c *Counter) countRecord(seconds float64, v *fastjson.Value) {
 	window := int(seconds / c.Interval.Seconds())
 	add := func(column string, n int) {
@@ -164,8 +166,9 @@
 	}
 }
 
-// WriteTable writes a row for each window, which begins with the window's start in seconds, and the number of skipped
-// lines.
+// WriteTable writes a row for each window with any counts, which begins with the window's start in seconds, and the
+// number of skipped lines. It may be called only once, since it replaces the windows' changes in the number of held
+// messages by the numbers held.
 func (c *Counter) WriteTable(out io.Writer) {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(w, "from\t"+strings.Join(columns, "\t")+"\t")
--- a/internal/lab/proc/proc.go
+++ b/internal/lab/proc/proc.go
@@ -13,7 +13,7 @@
 	"sync/atomic"
 )
 
-// ResidentBytes returns the resident memory of a process, or 0 if there is no such process.
+// ResidentBytes returns the resident memory of a process in bytes, or 0 if there is no such process.
 func ResidentBytes(pid int) int64 {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/statm", pid))
 	if err != nil {
@@ -27,8 +27,8 @@
 	return pages * int64(os.Getpagesize())
 }
 
-// CPUSeconds returns the CPU time that the present threads of a process have used. Threads that have ended are not
-// included. It fails if there is no such process.
+// CPUSeconds returns the CPU time, in seconds, that the present threads of a process have used. Threads that have ended
+// are not included. It fails if there is no such process.
 func CPUSeconds(pid int) (float64, error) {
 	tasks, err := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/schedstat", pid))
 	if err != nil || len(tasks) == 0 {
--- a/internal/lab/results/results.go
+++ b/internal/lab/results/results.go
@@ -54,7 +54,7 @@
 	About  string   `json:"about,omitempty"`
 	Vary   []string `json:"vary"`
 	Points []Point  `json:"points"`
-	Events uint64   `json:"events"`
+	Events uint64   `json:"events"` // that the emulator processed in all runs
 	// PerSecond is the emulator's speed: the events of all runs divided by the sum of their running times.
 	PerSecond float64 `json:"events_per_core_second"`
 }
@@ -62,11 +62,11 @@
 // Point holds the results of one point of the grid.
 type Point struct {
 	Labels       []string           `json:"labels"`
-	ReturnSecond int                `json:"back_at"`
-	Limit        float64            `json:"limit"` // of partner 0 at the end of the run, in calls per second
+	ReturnSecond int                `json:"back_at"` // first second of the run that begins at or after the return
+	Limit        float64            `json:"limit"`   // of partner 0 at the end of the run, in calls per second
 	Runs         []Run              `json:"runs"`
 	Summary      map[string]Summary `json:"summary"`
-	Series       []Band             `json:"series"`
+	Series       []Band             `json:"series"` // by second of the run
 }
 
 // Run holds the figures of one run, by measure.
@@ -92,7 +92,8 @@
 	Calls, CallsMax, Delivered, Retries, Refusals, Handed float64
 }
 
-// FromRun computes the figures of one run.
+// FromRun computes the figures of one run. The seconds after the return are whole seconds of the run, the first of
+// which begins at the return or less than a second later.
 func FromRun(p *world.Params, r *world.Run) Run {
 	back := int(math.Ceil(p.ReturnTime() / 1000))
 	f := map[string]float64{"goodput": float64(r.Delivered) / float64(max(r.Submitted, 1)), "retries": float64(r.Retries),
@@ -122,8 +123,8 @@
 }
 
 // goodputRecovery returns the seconds from the return until the start of the first three seconds that deliver, on
-// average, 95% of the goodput before the outage. If there are none, it returns the whole time after the return. The
-// first two seconds of the run do not count towards the goodput before the outage.
+// average, at least 95% of the goodput before the outage. If there are none, it returns the whole time after the
+// return. The first two seconds of the run do not count towards the goodput before the outage.
 func goodputRecovery(p *world.Params, r *world.Run, back int) float64 {
 	before, seconds := 0.0, 0
 	for i := 2; i < int(p.BeforeOutage/1000); i++ {
@@ -229,7 +230,8 @@
 }
 
 // Compare returns the measures that differ between two experiments, by Welch's t-test at the given significance level,
-// and the number of points that both have. Points correspond if their labels are the same.
+// and the number of points that both have. Points correspond if their labels are the same; the names of the dimensions
+// are not compared.
 func Compare(a, b *Experiment, level float64) (differences []Difference, common int) {
 	for i := range a.Points {
 		j := slices.IndexFunc(b.Points, func(p Point) bool { return slices.Equal(p.Labels, a.Points[i].Labels) })
--- a/internal/lab/rivals/rivals.go
+++ b/internal/lab/rivals/rivals.go
@@ -33,9 +33,9 @@
 const (
 	baseBackoffMS    = 100.0
 	maxBackoffMS     = 5000.0
-	callTimeoutMS    = 2500.0
-	retryAfterMS     = 1000.0 // Retry-After of refused messages
-	maxTokens        = 10.0
+	callTimeoutMS    = 2500.0 // shorter if the message's deadline is earlier
+	retryAfterMS     = 1000.0 // Retry-After of refused messages, unless MaxRetryAfter is lower
+	maxTokens        = 10.0   // of a destination's retry budget, which starts full
 	tokensPerSuccess = 0.1
 )
 
@@ -55,7 +55,7 @@
 	oracle     Oracle
 	dests      map[int]*dest
 	messages   map[uint64]*message
-	waiting    []*message // not in flight, by notBefore
+	waiting    []*message // not in flight; sendDue sorts them by notBefore
 	inFlight   int        // calls
 	timerToken uint32
 	timerAt    float64 // +Inf: no timer is set
@@ -116,6 +116,7 @@
 	return s.actions
 }
 
+// dest returns the state of a destination, which it creates at the first use.
 func (s *Sender) dest(id int) *dest {
 	d := s.dests[id]
 	if d == nil {
@@ -125,6 +126,7 @@
 	return d
 }
 
+// updateEndpoints updates the ready endpoints of the listed destinations.
 func (s *Sender) updateEndpoints(e *policy.Event) {
 	for _, l := range e.List {
 		d := s.dest(l.Dest)
@@ -138,6 +140,8 @@
 	}
 }
 
+// handleOutcome handles the end of an attempt. A failed message waits for its next attempt, or is refused if the
+// algorithm allows none.
 func (s *Sender) handleOutcome(now float64, e *policy.Event) {
 	m := s.messages[e.ID]
 	if m == nil {
@@ -211,6 +215,8 @@
 	}
 }
 
+// send sends a message to a random endpoint of its destination. An ideal sender replaces an endpoint that is down by
+// one that is up, if there is one.
 func (s *Sender) send(now float64, m *message) {
 	ep := m.dest.endpoints[s.rng.IntN(len(m.dest.endpoints))]
 	for i := 0; s.oracle != nil && !s.oracle.EndpointUp(ep) && i < len(m.dest.endpoints); i++ {
--- a/internal/lab/runner/runner.go
+++ b/internal/lab/runner/runner.go
@@ -16,8 +16,9 @@
 // job identifies one run by the indices of its point and its seed.
 type job struct{ point, seed int }
 
-// Run runs f with the given number of workers, or with one per core if that is 0. It calls done after each run, from
-// several goroutines at once; done may be nil. It returns the context's error if the context ends first.
+// Run runs f with the given number of workers, or with one per core if that is not positive. It calls done after each
+// run, from several goroutines at once; done may be nil. It returns the context's error, and no results, if the context
+// ends first.
 func Run(ctx context.Context, f *experiment.File, workers int, done func()) (*results.Experiment, error) {
 	points := f.Points()
 	runs := make([][]results.Run, len(points))
--- a/internal/lab/world/client.go
+++ b/internal/lab/world/client.go
@@ -19,7 +19,7 @@
 	submissions int
 	createdAt   float64
 	deadline    float64
-	runs        int
+	runs        int // how often the partner has processed it
 	delivered   bool
 	// State of the last submission that a sender accepted; id is 0 if there was none.
 	id           uint64
--- a/internal/lab/world/fleet.go
+++ b/internal/lab/world/fleet.go
@@ -14,7 +14,7 @@
 type fleet struct {
 	world *World
 	state *duty.State
-	index uint64
+	index uint64 // of the last committed command
 }
 
 const (
@@ -36,7 +36,7 @@
 	}})
 }
 
-// openSession opens a sender's session, after commitDelayMS.
+// openSession resets a sender's shared trials at once, and opens its session after commitDelayMS.
 func (f *fleet) openSession(now float64, s *sender) {
 	s.trialState = trial.New(trial.Settings{Senders: f.world.params.Senders, SilenceTimeoutMS: silenceTimeoutMS})
 	s.trialUpdates = map[int]trial.Update{}
@@ -48,7 +48,8 @@
 	})
 }
 
-// propose commits a command after 0.5 to 1.5 times commitDelayMS.
+// propose commits a sender's command after 0.5 to 1.5 times commitDelayMS. The command is lost if the sender restarts
+// first.
 func (f *fleet) propose(now float64, s *sender, c *pb.Command) {
 	f.schedule(now, commitDelayMS*(0.5+f.world.rng.Float64()), s, func(now float64) { f.apply(now, c) })
 }
@@ -118,7 +119,7 @@
 	return 0
 }
 
-// reportFailure reports a failed call to the partner's shared trial.
+// reportFailure reports a call's outcome to the partner's shared trial if the call was made and failed.
 func (s *sender) reportFailure(now float64, dest int, e *policy.Event) {
 	if e.Outcome != policy.OK && e.Outcome != policy.Moot {
 		s.trialState.CallFailed(now, dest)
--- a/internal/lab/world/params.go
+++ b/internal/lab/world/params.go
@@ -39,7 +39,7 @@
 	Endpoints        int     // of each partner
 	Load             float64 // new messages, summed over all partners
 	Limit            float64 // limit that each partner states for the calls of all senders; 0: its load / 0.7
-	LimitWindow      float64 // fixed window of the limit; refusals request a wait to its end; 0: any second
+	LimitWindow      float64 // length of the limit's windows; a refusal requests a wait to the window's end; 0: any second
 	ReportsLimit     bool    // each answer reports the limit; otherwise only the contract states it
 	Headroom         float64 // capacity of a partner as a multiple of its limit
 	MaxQueue         float64 // longest queueing delay at a partner, which refuses calls that would wait longer
@@ -50,31 +50,31 @@
 	ColdCapacity     float64 // share of its capacity that the partner has at its return
 	OverloadMultiple float64 // load, as a multiple of the capacity, above which a partner is overloaded
 	OverloadWindow   float64 // a partner that is overloaded for this long collapses
-	OverloadOutage   float64 // how long it is down then; 0: partners do not collapse
+	OverloadOutage   float64 // how long a collapsed partner is down; 0: partners do not collapse
 	MaxConns         int     // connections that an endpoint accepts; 0: unlimited
 	DialTime         float64 // time to open a connection
 
 	BeforeOutage       float64 // length of the run before partner 0 goes down
-	Outage             float64 // how long partner 0 is down
+	Outage             float64 // how long partner 0 is down; 0: it stays up
 	OutageShare        float64 // share of its endpoints that go down
 	OutageKind         OutageKind
-	AfterOutage        float64 // length of the run from its return on
-	LimitMultipleAfter float64 // its limit from then on, as a multiple of the limit before
-	RelapseDelay       float64 // time from its return to a second outage; 0: none
+	AfterOutage        float64 // length of the run after the return of partner 0
+	LimitMultipleAfter float64 // limit of partner 0 after its return, as a multiple of the limit before; 0: unchanged
+	RelapseDelay       float64 // time from the return of partner 0 to a second outage; 0: none
 	RelapseDuration    float64 // length of the second outage
 	Restarts           int     // senders that are killed in the middle of the outage
 	DelistsDown        bool    // discovery removes endpoints from its list while they are down
 	MaxListDelay       float64 // list updates reach each sender within this time
 
-	MaxSubmissions      int     // how often a client submits a message
+	MaxSubmissions      int     // how often a client submits a message at most
 	HonourShare         float64 // share of clients that honour Retry-After
 	BackoffShare        float64 // share of clients that back off on their own; the others retry at once
 	ImmediateRetryDelay float64 // delay of clients that retry at once
 	MarksRetries        bool    // clients mark resubmitted messages
 	ReturnBurst         float64 // new messages for partner 0 at the moment of its return, in seconds of its load
 
-	Deadline      float64
-	Aim           float64
+	Deadline      float64 // of a message, from its first submission
+	Aim           float64 // time within which the delivery of a message earns its full worth
 	CallSlots     int     // concurrent calls of a sender
 	MaxHeld       int     // messages that a sender may hold
 	MaxRetryAfter float64 // longest Retry-After to clients
@@ -82,7 +82,8 @@
 	OwnLimits     bool    // each endpoint has a limit of its own: an equal share of its partner's
 }
 
-// senderSettings returns the settings of the sender with the given index.
+// senderSettings returns the settings of the sender with the given index. Of the partners' behaviour senders know the
+// cold capacity and the overload thresholds as they are, and the length of the warm-up as announced.
 func (p *Params) senderSettings(index int) policy.Settings {
 	limitIndex := -1
 	if p.ReportsLimit {
@@ -103,7 +104,7 @@
 	}
 }
 
-// partnerLimit returns the limit of each partner, over all senders.
+// partnerLimit returns the limit of each partner before any outage, in calls per second of all senders.
 func (p *Params) partnerLimit() float64 {
 	if p.Limit > 0 {
 		return p.Limit
--- a/internal/lab/world/partner.go
+++ b/internal/lab/world/partner.go
@@ -13,13 +13,13 @@
 	endpoints       []*endpoint
 	limiters        []*limiter // one, or one for each endpoint
 	limit           float64
-	downCount       int     // endpoints that are down
-	returnedAt      float64 // end of the last outage of all endpoints: the warm-up starts then
-	overloadedSince float64 // +Inf: not overloaded
-	overloads       int     // collapses so far
-	busyUntil       float64 // when the queued work is done (fluid queue)
-	downUntil       float64 // also the wait that answers request during an outage
-	lastSecond      slidingWindow
+	downCount       int           // endpoints that are down
+	returnedAt      float64       // end of the last outage of all endpoints: the warm-up starts then
+	overloadedSince float64       // +Inf: not overloaded
+	overloads       int           // collapses so far
+	busyUntil       float64       // when the queued work is done (fluid queue)
+	downUntil       float64       // end of the last outage, up to which the answers of RequestsWait request a wait
+	lastSecond      slidingWindow // calls that arrived, for checkOverload
 }
 
 // endpoint is one endpoint of a partner.
@@ -75,6 +75,7 @@
 	return 0
 }
 
+// newPartner returns a partner that is up and warm. Endpoint IDs start at 1 and are unique over all partners.
 func newPartner(w *World, id int) *partner {
 	p := &partner{world: w, id: id, limit: w.params.partnerLimit(), returnedAt: math.Inf(-1), overloadedSince: math.Inf(1)}
 	limiterCount := 1
@@ -101,7 +102,7 @@
 	return max(p.limit*p.world.params.Headroom*share, 0.1)
 }
 
-// goDown takes a share of the endpoints down for the given time.
+// goDown takes a share of the endpoints, rounded up, down for the given time in milliseconds.
 func (p *partner) goDown(now, length, share float64) {
 	n := int(math.Ceil(share * float64(len(p.endpoints))))
 	for _, e := range p.endpoints[:n] {
@@ -170,7 +171,8 @@
 	return policy.OK, 0, p.busyUntil - now + latency + 2*float64(items-1)
 }
 
-// checkOverload lets the partner collapse if it has been overloaded for OverloadWindow.
+// checkOverload makes the partner collapse if it has been overloaded for OverloadWindow, given the number of calls that
+// arrived in the last second. All of its endpoints go down then.
 func (p *partner) checkOverload(now float64, lastSecond int) {
 	if p.world.params.OverloadOutage <= 0 || float64(lastSecond) <= p.world.params.OverloadMultiple*p.capacity(now) {
 		p.overloadedSince = math.Inf(1)
@@ -184,7 +186,7 @@
 }
 
 // loadReport returns the load report of an answer, nil if answers carry none. The limit is at index 1, as in
-// senderSettings.
+// senderSettings; senders ignore the value at index 0.
 func (e *endpoint) loadReport() []float64 {
 	if !e.partner.world.params.ReportsLimit {
 		return nil
--- a/internal/lab/world/queue.go
+++ b/internal/lab/world/queue.go
@@ -28,7 +28,7 @@
 	evReturn                       // a partner comes back
 	evList                         // an update of the endpoint list reaches a sender
 	evRestart                      // a sender is killed and starts again
-	evFleet                        // a change in the fleet that the senders are members of
+	evFleet                        // the fleet commits a command, notifies a member or ends a session
 )
 
 // queue is a priority queue of events. It is a 4-ary heap, which is shallower than a binary one: this matters with
@@ -43,6 +43,7 @@
 	return a.at < b.at || a.at == b.at && a.seq < b.seq
 }
 
+// push adds an event and sets its seq.
 func (q *queue) push(e event) {
 	q.seq++
 	e.seq = q.seq
@@ -57,6 +58,7 @@
 	}
 }
 
+// pop removes and returns the earliest event. The queue must not be empty.
 func (q *queue) pop() event {
 	top := q.heap[0]
 	last := len(q.heap) - 1
--- a/internal/lab/world/sender.go
+++ b/internal/lab/world/sender.go
@@ -24,7 +24,7 @@
 	settings     policy.Settings
 	decider      decider
 	module       *policy.Sender // the decider, if it is the module
-	guard        *storm.Guard   // nil: none
+	guard        *storm.Guard   // nil: none, which its methods accept
 	events       []policy.Event
 	actions      []policy.Action
 	held         map[uint64]*message
@@ -37,14 +37,15 @@
 	incarnation  int                  // number of restarts so far
 	idle         map[uint32][]float64 // idle connections by endpoint, as times of last use
 	dialPaces    map[int]*dialPace
-	calls        map[*call]bool
-	newCalls     []*call
-	trialState   *trial.State // shared trials of the fleet; nil: none
-	trialUpdates map[int]trial.Update
-	session      uint64 // 0: not open
+	calls        map[*call]bool       // in flight or waiting for a connection
+	newCalls     []*call              // of the current step, not started yet
+	trialState   *trial.State         // shared trials of the fleet; nil: none, which its methods accept
+	trialUpdates map[int]trial.Update // by partner: not passed to trialState yet
+	session      uint64               // ID of the session in the fleet; 0: not open
 }
 
-// dialPace limits the rate of new connections to one partner.
+// dialPace limits the rate of new connections to one partner: dials are interval ms apart, and the next one starts at
+// the time next at the earliest.
 type dialPace struct{ interval, next float64 }
 
 // call is one attempt, with one or more messages.
@@ -63,6 +64,7 @@
 	ended         bool
 }
 
+// newSender returns a sender that has no endpoint list yet. In a fleet its session opens later.
 func newSender(w *World, index int) *sender {
 	s := &sender{
 		world: w, index: index, settings: w.params.senderSettings(index), held: map[uint64]*message{}, stepAt: math.Inf(1),
@@ -165,7 +167,8 @@
 	return s.guard.RetryAfter(now, m.partner, m.key, max(m.deadline-now, 0), minWait)
 }
 
-// step passes the pending events to the decider and executes its actions.
+// step passes the pending events and the changed throttles to the decider, executes its actions, and schedules the next
+// time that the guard or a shared trial is due.
 func (s *sender) step(now float64) {
 	s.stepAt, s.lastStep = math.Inf(1), now
 	for _, throttle := range s.adjustThrottles(now, s.guard.Throttles(now)) {
@@ -205,6 +208,7 @@
 	pace.interval = 1000 / perSecond
 }
 
+// execute executes one action of the decider. Calls that it adds to newCalls are started at the end of the step.
 func (s *sender) execute(now float64, a *policy.Action) {
 	switch a.Kind {
 	case policy.ActSend:
@@ -281,7 +285,8 @@
 	delete(s.idle, endpoint)
 }
 
-// callEnded handles the end of a call.
+// callEnded handles the end of a call: it keeps or drops the connection, passes the outcome of each message to the
+// decider and the guard, and releases the messages that are delivered.
 func (s *sender) callEnded(now float64, c *call) {
 	if c.ended || c.incarnation != s.incarnation {
 		return
--- a/internal/lab/world/world.go
+++ b/internal/lab/world/world.go
@@ -16,18 +16,19 @@
 	Delivered int
 	Calls     int // calls that reached the partner
 	Retries   int // resubmissions by clients
-	Refusals  int
+	Refusals  int // of messages, by senders; calls that the partner refuses do not count
 }
 
-// Run holds the results of a run. Latencies are milliseconds from a message's first submission to its delivery.
+// Run holds the results of a run, over all partners unless a field says otherwise. Latencies are milliseconds from a
+// message's first submission to its delivery.
 type Run struct {
 	Seed            uint64
 	Events          uint64
 	Seconds         []Second // of partner 0
 	Submitted       int
 	Delivered       int
-	Retries         int
-	Refusals        int
+	Retries         int                     // as in Second
+	Refusals        int                     // as in Second
 	RanTwice        int                     // messages that ran more than once
 	Overloads       int                     // overload collapses, over all partners
 	Limit           float64                 // of partner 0, at the end of the run
@@ -110,6 +111,7 @@
 	return &w.result
 }
 
+// dispatch handles an event. It ignores a sender's step or timer that another one has replaced.
 func (w *World) dispatch(e *event) {
 	now := e.at
 	switch e.kind {
@@ -153,7 +155,7 @@
 }
 
 // partnerReturns brings a partner back. At the end of partner 0's first outage its new limit takes effect, and a
-// burst of new messages arrives that were kept back upstream.
+// burst of new messages arrives, which stands for messages that were kept back upstream.
 func (w *World) partnerReturns(now float64, p *partner) {
 	first := p.id == 0 && math.Abs(now-w.params.ReturnTime()) < 1e-6
 	if first && w.params.LimitMultipleAfter > 0 {
@@ -178,7 +180,9 @@
 	}
 }
 
-// finishDial ends a dial: the connection is open unless the endpoint is down or has no connection left.
+// finishDial ends a dial. It fails if the endpoint has no connection left, or is down in a way that allows none; an
+// endpoint that answers with errors or requests a wait still accepts connections. The dial of a sender that has
+// restarted since is dropped.
 func (w *World) finishDial(now float64, c *call) {
 	e := c.endpoint
 	switch {
@@ -194,7 +198,8 @@
 	}
 }
 
-// callArrives handles the last byte of a call at its endpoint.
+// callArrives handles the last byte of a call at its endpoint. A call whose answer would come after its timeout ends
+// with Timeout, although its messages may have run.
 func (w *World) callArrives(now float64, c *call) {
 	if c.incarnation != c.sender.incarnation {
 		return
@@ -214,7 +219,7 @@
 	w.endCall(now, c, o, requestedWait, delay)
 }
 
-// endCall schedules the end of a call at its sender.
+// endCall schedules the end of a call at its sender, after a delay in milliseconds.
 func (w *World) endCall(now float64, c *call, o policy.Outcome, requestedWait, delay float64) {
 	c.outcome, c.requestedWait = o, requestedWait
 	w.queue.push(event{at: now + delay, kind: evCallEnds, call: c})
@@ -255,6 +260,7 @@
 	if next > now {
 		return next
 	}
+	// A delay of up to 2 ms is made up for: senders step at most once a millisecond, and late steps would lower the rate.
 	w.idealNextCall[dest] = max(next, now-2) + 1000/min(p.limit, p.capacity(now))
 	return now
 }
