--- a/internal/lab/cli/capacity.go
+++ b/internal/lab/cli/capacity.go
@@ -19,6 +19,8 @@
 	Again  bool     `help:"Measure nothing: write the page from the record."`
 }
 
+// Run makes the measurements, prints each series with its fit, saves the record and writes the page. With --again it
+// only writes the page; with --only it measures and prints only.
 func (c *capacityCmd) Run(env *Env) error {
 	target, err := capacity.LoadTarget(c.Target)
 	if err != nil {
--- a/internal/lab/cli/cli.go
+++ b/internal/lab/cli/cli.go
@@ -49,6 +49,7 @@
 	Seeds   int    `help:"Seeds of each point, in place of the file's." placeholder:"N"`
 }
 
+// Run runs the experiment, writes the results as JSON, CSV and HTML, and prints a table of them.
 func (c *runCmd) Run(env *Env) error {
 	f, err := experiment.Load(c.File)
 	if err != nil {
@@ -109,6 +110,8 @@
 var shownMeasures = []string{"first-second", "most-in-a-second", "seconds-over", "back-95",
 	"goodput", "retries", "p99", "others-p99"}
 
+// writeTable prints a row for each point: its labels, its limit and, for each of shownMeasures, the mean and half the
+// width of its confidence interval.
 func writeTable(out io.Writer, e *results.Experiment) {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, strings.Join(e.Vary, "\t")+"\tlimit\t"+strings.Join(shownMeasures, "\t"))
@@ -128,6 +131,8 @@
 	Results string `default:"lab-results" help:"Folder of their results." placeholder:"DIR"`
 }
 
+// Run prints a row for each experiment file of the folder, also for one that cannot be read, with the time of its
+// results.
 func (c *listCmd) Run(env *Env) error {
 	files, err := filepath.Glob(filepath.Join(c.Folder, "*.xml"))
 	if err != nil {
@@ -156,6 +161,7 @@
 	Out  string `help:"The page to write; by default beside the results." placeholder:"FILE"`
 }
 
+// Run writes the HTML page of the results and prints its name.
 func (c *reportCmd) Run(env *Env) error {
 	e, err := loadResults(c.File)
 	if err != nil {
@@ -171,6 +177,7 @@
 	return nil
 }
 
+// loadResults reads the results in a JSON file.
 func loadResults(name string) (*results.Experiment, error) {
 	in, err := os.Open(name)
 	if err != nil {
@@ -190,6 +197,7 @@
 	Level float64 `default:"0.01" help:"Significance level: differences with a lower p-value are shown."`
 }
 
+// Run prints the differences between the results. It fails if they have no points in common.
 func (c *compareCmd) Run(env *Env) error {
 	a, err := loadResults(c.A)
 	if err != nil {
@@ -228,7 +236,8 @@
 	return p.Main(&grammar{}, args)
 }
 
-// exitStatus returns the exit status for an error.
+// exitStatus returns the exit status for an error: ExitUsage for a fault in an input file, else ExitFailure. No error
+// is quiet.
 func exitStatus(err error) (status int, quiet bool) {
 	var bad *strictxml.Error
 	if errors.As(err, &bad) {
--- a/internal/lab/cli/count.go
+++ b/internal/lab/cli/count.go
@@ -13,6 +13,7 @@
 	Dest   int           `default:"-1" help:"Count only this destination; -1: all." placeholder:"N"`
 }
 
+// Run prints the table of the fleet's logs.
 func (c *countCmd) Run(env *Env) error {
 	if c.Every <= 0 {
 		return errors.New("--every must be more than 0")
--- a/internal/lab/cli/scale.go
+++ b/internal/lab/cli/scale.go
@@ -28,6 +28,7 @@
 // errNotClean reports a run with findings, or one that did not complete as planned.
 var errNotClean = errors.New("the run has findings or did not complete")
 
+// Run runs the scale file, or loads an earlier result, writes the HTML report and the page, and prints a summary.
 func (c *scaleCmd) Run(env *Env) error {
 	if c.Schema {
 		_, err := fmt.Fprint(env.Out, scale.Schema())
--- a/internal/lab/collector/collector.go
+++ b/internal/lab/collector/collector.go
@@ -27,16 +27,16 @@
 	"google.golang.org/protobuf/types/known/durationpb"
 )
 
-const maxBodyBytes = 16 << 20 // of a request over HTTP
+const maxBodyBytes = 16 << 20 // largest body of a request over HTTP, compressed if it is
 
 // Behaviour configures how a Collector answers. Its zero value accepts every valid request at once.
 type Behaviour struct {
 	NeverAnswer   bool          // reads requests and never answers
 	SlowRead      bool          // reads one byte a second
 	AnswerDelay   time.Duration // delay before each answer
-	Status        int           // HTTP status of the answer, or its gRPC equivalent; 0: success
+	Status        int           // HTTP status; over gRPC InvalidArgument for 400 and Unavailable for others; 0: success
 	RetryAfter    time.Duration // wait requested together with Status
-	RejectedSpans int64         // number of spans reported as rejected in a partial success
+	RejectedSpans int64         // number of spans reported as rejected in a partial success; all are stored
 	InvalidBody   bool          // answers 200 with a body that is not valid protobuf
 	EndlessBody   bool          // answers 200 with a body that does not end; over gRPC as InvalidBody
 }
@@ -47,12 +47,12 @@
 	// OnTraces is called with the traces of each accepted request, concurrently for concurrent requests. It may be nil.
 	OnTraces func([]*trace.ResourceSpans)
 
-	mu         sync.Mutex
+	mu         sync.Mutex // guards the fields below, except the servers
 	behaviour  Behaviour
 	spans      []*trace.Span
-	metrics    []*metrics.ResourceMetrics
+	metrics    []*metrics.ResourceMetrics // of the last accepted request with metrics
 	requests   int
-	closed     chan struct{}
+	closed     chan struct{} // Close closes it; nil while the collector does not serve
 	httpServer *http.Server
 	grpcServer *grpc.Server
 }
@@ -133,6 +133,8 @@
 	return &slowConn{nc, l.c}, err
 }
 
+// Read reads one byte after a second while Behaviour.SlowRead is set. Close ends the wait, and later reads return
+// io.EOF.
 func (s *slowConn) Read(b []byte) (int, error) {
 	s.c.mu.Lock()
 	slow, closed := s.c.behaviour.SlowRead, s.c.closed
@@ -179,6 +181,7 @@
 	return true
 }
 
+// handleHTTP answers a request as the behaviour says. It takes a request to any path but /v1/traces for metrics.
 func (c *Collector) handleHTTP(w http.ResponseWriter, r *http.Request) {
 	behaviour, closed := c.beginRequest()
 	var reader io.Reader = http.MaxBytesReader(w, r.Body, maxBodyBytes)
@@ -225,6 +228,8 @@
 	w.Write(answer)
 }
 
+// handleGRPC answers a request as the behaviour says. It takes a call of any method but the trace service's Export for
+// metrics.
 func (c *Collector) handleGRPC(_ any, stream grpc.ServerStream) error {
 	behaviour, closed := c.beginRequest()
 	method, _ := grpc.MethodFromServerStream(stream)
@@ -256,7 +261,8 @@
 	return stream.SendMsg(&answer)
 }
 
-// accept stores the content of a request and returns the encoded answer.
+// accept stores the content of a request and returns the encoded answer, which reports reject spans as rejected. It
+// fails if body is not valid, or has a scope without a name.
 func (c *Collector) accept(isTrace bool, body []byte, reject int64) ([]byte, error) {
 	if !isTrace {
 		var r collmetrics.ExportMetricsServiceRequest
--- a/internal/lab/collector/tree.go
+++ b/internal/lab/collector/tree.go
@@ -11,7 +11,7 @@
 	trace "go.opentelemetry.io/proto/slim/otlp/trace/v1"
 )
 
-const waterfallColumns = 40
+const waterfallColumns = 40 // width of the waterfall chart, in characters
 
 // GroupTraces returns spans grouped by trace ID in hexadecimal. It fails if a trace does not have exactly one root
 // (a span whose parent is not among the spans) or if a span occurs twice.
@@ -41,7 +41,8 @@
 	return traces, nil
 }
 
-// WriteTree writes the spans of one trace, at least one, as a tree, each with its bar in a waterfall chart.
+// WriteTree writes the spans of one trace, at least one, as a tree, each with its bar in a waterfall chart. It leaves
+// out spans more than 16 levels below their root.
 func WriteTree(w io.Writer, spans []*trace.Span) {
 	byID := map[string]bool{}
 	first, last := ^uint64(0), uint64(0)
--- a/internal/lab/scale/agent.go
+++ b/internal/lab/scale/agent.go
@@ -16,8 +16,8 @@
 	listener net.Listener
 	server   *http.Server
 
-	mu                  sync.Mutex // guards the fields below
-	destinations        int
+	mu                  sync.Mutex    // guards the fields below, except destinations
+	destinations        int           // number of destinations; never changes
 	lastChange          []int         // indexed by destination: the number of its last change
 	changedDestinations []int         // indexed by change number, from 1: the changed destination
 	changeSignal        chan struct{} // closed and replaced at each change
@@ -39,7 +39,7 @@
 
 func (a *agent) close() { a.server.Close() }
 
-// change changes a destination's endpoint and returns the change's number.
+// change changes a destination's endpoint and returns the change's number, from 1.
 func (a *agent) change(destination int) int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/lab/scale/compare.go
+++ b/internal/lab/scale/compare.go
@@ -22,10 +22,11 @@
 	ShardedStartKB float64 `json:"shards_start_kb"`
 	WholeStartKB   float64 `json:"whole_start_kb"`
 	Whole          Usage   `json:"whole"`
-	WholeFailure   string  `json:"whole_ended,omitempty"` // why the sender that knows every destination did not become ready
+	WholeFailure   string  `json:"whole_ended,omitempty"` // why the sender of all destinations did not become ready
 }
 
-// comparisonDuration is the time that both senders are measured, once both are ready.
+// comparisonDuration is the time for which both senders are measured, once both are ready or the second has failed to
+// be.
 const comparisonDuration = 15 * time.Second
 
 // compare measures a sharded sender and one that receives the whole endpoint list, at the same time. It is no error if
--- a/internal/lab/scale/file.go
+++ b/internal/lab/scale/file.go
@@ -18,7 +18,7 @@
 
 // Kinds of faults.
 const (
-	RestartWave FaultKind = "restart-wave" // processes of hollow members are killed one after another, each restarted at once
+	RestartWave FaultKind = "restart-wave" // hollow members' processes are killed in turn, each restarted at once
 	Rack        FaultKind = "rack"         // some members of one process stop together, and start again later
 	Zone        FaultKind = "zone"         // all hollow members of one zone are killed, and start again later
 	RegionCut   FaultKind = "region-cut"   // the control members of one region are disconnected from those of the others
@@ -50,13 +50,14 @@
 	ChangesPerSecond      float64       // endpoint changes
 	Duration              time.Duration // length of the schedule, from when all members are up
 	MembersPerProcess     int           // hollow members in a process, at most
-	MaxMemory             int64         // resident memory of all processes together, in bytes
-	MaxUnserved           time.Duration // longest time without a live member for a destination
+	MaxMemory             int64         // resident memory of all processes together, in bytes, above which a size ends
+	MaxUnserved           time.Duration // longest permitted time without a live member for a destination
 	Faults                []Fault
 	ComparisonSizes       []int // numbers of destinations for the comparison of both kinds of senders
 	CompareMembers        int   // hollow members of a comparison
 }
 
+// spec returns the elements and attributes of scale files.
 func spec() *strictxml.Element[File] {
 	type attribute = strictxml.Attribute[File]
 	type element = strictxml.Element[File]
@@ -117,7 +118,7 @@
 	return list
 }
 
-// Load reads and validates the file of a scale run.
+// Load reads and validates the file of a scale run. Errors are of type *strictxml.Error.
 func Load(path string) (*File, error) {
 	f, err := strictxml.Open(path, spec())
 	if err != nil {
--- a/internal/lab/scale/judge.go
+++ b/internal/lab/scale/judge.go
@@ -94,13 +94,13 @@
 
 type memberState struct {
 	up      bool
-	upSince int64
-	version uint64
-	serves  map[uint32]bool
+	upSince int64           // in nanoseconds of the clock of observations, as all times below
+	version uint64          // of the last applied update; 0: none since upSince
+	serves  map[uint32]bool // shards
 }
 
 type shardCoverage struct {
-	liveMembers   int
+	liveMembers   int   // hollow members that serve the shard
 	unservedSince int64 // 0: the shard is served
 	reported      bool  // the current period without a live member is among the findings
 }
@@ -143,6 +143,7 @@
 	return &j.verdict
 }
 
+// addFinding counts a violation of a rule, and lists it among the examples while there are fewer than maxExamples.
 func (j *Judge) addFinding(rule, format string, args ...any) {
 	j.verdict.Findings[rule]++
 	if len(j.verdict.Examples) < maxExamples {
@@ -150,6 +151,7 @@
 	}
 }
 
+// observe updates the state of a member by an observation, and checks the rules that it concerns.
 func (j *Judge) observe(o *Observation) {
 	m := &j.memberStates[o.Member]
 	switch o.Kind {
@@ -166,6 +168,8 @@
 	}
 }
 
+// memberDown takes a member out of service of all its shards. Its pending changes are dropped: it starts again with
+// empty state.
 func (j *Judge) memberDown(member int, at int64) {
 	state := &j.memberStates[member]
 	for id := range state.serves {
@@ -175,6 +179,8 @@
 	delete(j.pendingByMember, member)
 }
 
+// updateApplied applies an update's version, its assigned and withdrawn shards, and its endpoint changes to the state
+// of the member that has applied it.
 func (j *Judge) updateApplied(o *Observation, m *memberState) {
 	if !m.up {
 		return // an update that was applied while the member was being stopped
@@ -239,7 +245,8 @@
 }
 
 // reachableFrom returns the time from which members of a region could learn of an update published at that time: the
-// end of a partition of their region that delayed it, otherwise the time itself.
+// end of a partition of their region that may have delayed it, otherwise the time itself. A partition that began within
+// InForceTimeout after the publication counts, since the update may not have reached the region by then.
 func (j *Judge) reachableFrom(region string, at int64) int64 {
 	reachableFrom := at
 	for _, partition := range j.Partitions {
@@ -250,6 +257,8 @@
 	return reachableFrom
 }
 
+// startServing counts a member as serving a shard. It ends and records a period in which no live member served the
+// shard.
 func (j *Judge) startServing(member int, id uint32, at int64) {
 	key := regionShard{j.Members[member].Region, id}
 	if j.membersByShard[key] == nil {
@@ -267,6 +276,8 @@
 	}
 }
 
+// stopServing no longer counts a member as serving a shard, and drops its pending changes to the shard's destinations.
+// A shard that has no live member left is unserved from then on, unless a real sender is among its replicas.
 func (j *Judge) stopServing(member int, id uint32, at int64) {
 	key := regionShard{j.Members[member].Region, id}
 	delete(j.membersByShard[key], member)
@@ -283,7 +294,7 @@
 }
 
 // checkCoverage reports shards without a live member for longer than MaxUnserved. A shard with a real sender among its
-// replicas counts as served.
+// replicas, by the members that are up now, counts as served until now.
 func (j *Judge) checkCoverage(now int64) {
 	var locators map[string]*shard.Locator
 	for key, c := range j.coverageByShard {
@@ -313,9 +324,9 @@
 
 // locators returns a locator for each region, over the hollow members that include selects and all real senders.
 func (j *Judge) locators(include func(n int) bool) map[string]*shard.Locator {
-	up := map[string][]shard.Member{}
+	included := map[string][]shard.Member{}
 	add := func(m *HollowMember) {
-		up[m.Region] = append(up[m.Region], shard.Member{Name: m.Name, Zone: m.Zone, Weight: 1})
+		included[m.Region] = append(included[m.Region], shard.Member{Name: m.Name, Zone: m.Zone, Weight: 1})
 	}
 	for i := range j.Members {
 		if include(i) {
@@ -326,7 +337,7 @@
 		add(&j.RealSenders[i])
 	}
 	locators := map[string]*shard.Locator{}
-	for region, list := range up {
+	for region, list := range included {
 		locators[region] = shard.NewLocator(j.Rules.Replicas)
 		locators[region].Update(list, nil)
 	}
@@ -375,6 +386,7 @@
 	return byRegion
 }
 
+// regions returns the regions of the hollow members.
 func (j *Judge) regions() (list []string) {
 	for i := range j.Members {
 		if region := j.Members[i].Region; !slices.Contains(list, region) {
@@ -393,7 +405,8 @@
 	}
 }
 
-// finish reports the changes and gaps that are still open at the end of the run, and computes the delays' percentiles.
+// finish reports the changes and gaps that are still open at the end of the run for longer than the rules allow, and
+// computes the delays' percentiles.
 func (j *Judge) finish(end int64) {
 	for member, changes := range j.pendingByMember {
 		for destination, pending := range changes {
--- a/internal/lab/scale/process.go
+++ b/internal/lab/scale/process.go
@@ -62,11 +62,13 @@
 type observationLog struct {
 	mu             sync.Mutex // guards the fields below
 	entries        []Observation
-	servingMembers map[int]bool // members that serve a shard
+	servingMembers map[int]bool // members that have been assigned a shard since they started
 }
 
 func newObservationLog() *observationLog { return &observationLog{servingMembers: map[int]bool{}} }
 
+// add adds an observation, and updates servingMembers. Withdrawn shards do not count: the start of a run only needs to
+// know that each member has had one.
 func (l *observationLog) add(o Observation) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -79,7 +81,7 @@
 	}
 }
 
-// servingCount returns the number of members that serve a shard.
+// servingCount returns the number of members that have been assigned a shard since they started.
 func (l *observationLog) servingCount() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/lab/scale/relay.go
+++ b/internal/lab/scale/relay.go
@@ -67,6 +67,7 @@
 	delete(r.connections, c)
 }
 
+// accept forwards new connections until the listener is closed.
 func (r *relay) accept() {
 	for {
 		client, err := r.listener.Accept()
--- a/internal/lab/scale/report.go
+++ b/internal/lab/scale/report.go
@@ -20,7 +20,7 @@
 	"sliptide/internal/lab/capacity"
 )
 
-// Budgets holds the limits for a real sender.
+// Budgets holds the limits for a real sender, and the size of the fleet that they are stated for.
 type Budgets struct {
 	Senders     float64 // number of senders at the target
 	CorePercent float64 // of one core
@@ -82,6 +82,7 @@
 	}
 }
 
+// verdictText returns "clean", or the number of findings by rule.
 func verdictText(v *Verdict) string {
 	if v.Clean() {
 		return "clean"
@@ -126,6 +127,7 @@
 	}
 }
 
+// writeComparison writes the table of the comparisons, a row for each number of destinations.
 func writeComparison(b *bytes.Buffer, r *Result) {
 	fmt.Fprintln(b, "\n| destinations | members | sender of shards: knows about, ready, memory, links until ready, links then | sender of all: ready, memory, links until ready, links then |")
 	fmt.Fprintln(b, "| --- | --- | --- | --- |")
--- a/internal/lab/scale/run.go
+++ b/internal/lab/scale/run.go
@@ -36,17 +36,18 @@
 	Senders          []Usage   `json:"senders"`
 	Controls         []Usage   `json:"controls"`
 	SettleSeconds    float64   `json:"settle_seconds"`        // from the start of the members until each serves a shard
-	MemoryMB         float64   `json:"memory_mb"`             // peak resident memory of all processes together, in 10^6 bytes
+	MemoryMB         float64   `json:"memory_mb"`             // peak of all processes' resident memory, in 10^6 bytes
 	LoadAverage      float64   `json:"load"`                  // one-minute load average at the end
 	PartitionSeconds []float64 `json:"cut_seconds,omitempty"` // duration of each region-cut
 }
 
-// Usage is the resource usage of a process over the schedule.
+// Usage is the resource usage of a process over the schedule, or over the measured time of a comparison. That of a
+// restarted control member begins at its restart.
 type Usage struct {
 	Name         string  `json:"name"`
 	CorePercent  float64 `json:"core_percent"`       // mean, of one core
 	MemoryMB     float64 `json:"memory_mb"`          // peak resident memory, in 10^6 bytes
-	LinkKBps     float64 `json:"link_kb_per_second"` // mean, in both directions together, in 10^3 bytes per second; 0 for control members
+	LinkKBps     float64 `json:"link_kb_per_second"` // mean, both directions together, 10^3 bytes/s; 0 for control members
 	ReadySeconds float64 `json:"ready_seconds"`      // from the start of the process; 0 for control members
 }
 
@@ -108,7 +109,7 @@
 	*site
 	options     Options
 	rng         *rand.Rand
-	changes     []Change
+	changes     []Change // only the goroutine of the schedule or comparison uses it
 	partitions  []Partition
 	mu          sync.Mutex // guards rng, partitions, meters and maxMemoryMB
 	meters      map[*child]*usageMeter
@@ -186,7 +187,9 @@
 // errMemoryLimit ends a size whose processes exceed the run's memory limit.
 var errMemoryLimit = errors.New("resident memory of all processes exceeds the run's memory limit")
 
-// runSchedule makes changes and injects faults for the duration of the schedule.
+// runSchedule makes changes and injects faults for the duration of the schedule. It ends early, with an error, if a
+// fault cannot be injected or the processes exceed the memory limit; also then it returns only once all faults are
+// over.
 func (r *sizeRun) runSchedule(ctx context.Context) error {
 	file := r.options.File
 	for _, c := range r.controls {
@@ -284,8 +287,8 @@
 	return m.Usage
 }
 
-// sampleMemory updates the peak memory of the processes. It returns errMemoryLimit if their sum exceeds the
-// run's limit.
+// sampleMemory updates the peak memory of each measured process and of all processes together. It returns
+// errMemoryLimit if the latter use more than the run's limit now.
 func (r *sizeRun) sampleMemory() error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/lab/scale/site.go
+++ b/internal/lab/scale/site.go
@@ -18,14 +18,14 @@
 )
 
 const (
-	settleTimeout = 2 * time.Minute // for each phase of the start: endpoint list, hollow members, each real sender
-	pollInterval  = 100 * time.Millisecond
+	settleTimeout = 2 * time.Minute        // for each phase of the start: endpoint list, hollow members, each real sender
+	pollInterval  = 100 * time.Millisecond // between two checks while a phase or a fault waits for a state
 )
 
 // Programs holds the paths of the programs that a run starts.
 type Programs struct{ Sender, Lab string }
 
-// site holds all processes of one size of a run.
+// site holds all processes of one size or comparison of a run.
 type site struct {
 	file         *File
 	programs     Programs
@@ -36,8 +36,8 @@
 	hollows      []*hollowProcess
 	senders      []*senderProcess
 	observations *observationLog
-	members      []HollowMember
-	realSenders  []HollowMember
+	members      []HollowMember // hollow, indexed by member number
+	realSenders  []HollowMember // sharded senders only
 }
 
 // controlProcess is a control member. The other control members reach it through relays.
@@ -46,7 +46,7 @@
 	index                                  int
 	configPath                             string
 	child                                  atomic.Pointer[child]
-	relays                                 []*relay // relays with this member at either end: two for each direction of a pair
+	relays                                 []*relay // with this member at either end: two for each direction of a pair
 }
 
 // senderProcess is a real sender. Relays count the bytes on its links to control members and discovery.
@@ -62,13 +62,15 @@
 
 func regionName(i int) string { return fmt.Sprintf("region-%d", i) }
 
-// locationOf returns the region and zone of the n-th member. Members are spread over the zones in turn.
+// locationOf returns the region and zone of the n-th member, from 0. Members are spread over the zones in turn, and
+// zones over the regions.
 func (f *File) locationOf(n int) (region, zone string) {
 	z := n % f.Zones
 	return regionName(z % f.Regions), fmt.Sprintf("zone-%02d", z)
 }
 
-// newSite starts the discovery agent, with the given number of destinations, and the control members.
+// newSite starts the discovery agent, with the given number of destinations, and the control members. A site that is
+// returned together with an error must be closed, too.
 func newSite(ctx context.Context, f *File, programs Programs, dir string, destinations int) (*site, error) {
 	s := &site{file: f, programs: programs, dir: dir, observations: newObservationLog()}
 	var err error
@@ -160,7 +162,7 @@
 	return status, json.Unmarshal([]byte(a.Status), &status)
 }
 
-// leader returns the control member that a majority reports as leader, or nil if there is none.
+// leader returns the control member that a majority of the control members reports as leader, or nil if there is none.
 func (s *site) leader(ctx context.Context) *controlProcess {
 	votes := map[string]int{}
 	for _, c := range s.controls {
@@ -230,7 +232,7 @@
 	return nil
 }
 
-// awaitServing waits until every hollow member serves a shard.
+// awaitServing waits until every hollow member has been assigned a shard.
 func (s *site) awaitServing(ctx context.Context) error {
 	for end := time.Now().Add(settleTimeout); time.Now().Before(end); time.Sleep(pollInterval) {
 		if s.observations.servingCount() == len(s.members) {
