--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -19,7 +19,7 @@
 	}
 }
 
-// instance is a sender and the events that the current batch holds for it.
+// instance is a sender and the events that the current batch holds for it. sender is nil once it has been stopped.
 type instance struct {
 	id      uint32
 	sender  *policy.Sender
@@ -27,7 +27,8 @@
 	pending bool // the current batch holds a record for it
 }
 
-// serve replies to every batch from in until the input ends.
+// serve replies to every batch from in until the input ends. A start record begins a new sender; other records of an
+// instance that has none are ignored. A panic of the decision module becomes a fault in the reply.
 func serve(in io.Reader, out io.Writer) error {
 	decoder := wire.NewDecoder(bufio.NewReaderSize(in, 1<<16))
 	writer := bufio.NewWriterSize(out, 1<<16)
--- a/example/fleet/main.go
+++ b/example/fleet/main.go
@@ -140,7 +140,7 @@
 	})
 }
 
-// outcomes records which messages were accepted and which have a final answer, by trace ID.
+// outcomes records which messages were accepted and which have a final answer, by trace ID. Its mutex guards the maps.
 type outcomes struct {
 	sync.Mutex
 	accepted, ended map[string]bool
--- a/internal/lab/capacity/fit.go
+++ b/internal/lab/capacity/fit.go
@@ -16,14 +16,15 @@
 type Fit struct {
 	Base     float64 `json:"base"`
 	Slope    float64 `json:"slope"`
-	Residual float64 `json:"residual"` // root mean square of the relative residuals
+	Residual float64 `json:"residual"` // root mean square of the relative residuals; 0.1 is 10 %
 }
 
 // At returns the fitted value at a size.
 func (f Fit) At(size float64) float64 { return f.Base + f.Slope*size }
 
 // FitLine fits a line by least squares of the relative residuals. Sizes span several powers of ten, and relative
-// residuals give the smallest size the same weight as the largest.
+// residuals give the smallest size the same weight as the largest. Points of value 0 have no relative residual: they
+// count as residuals of 0 in Fit.Residual.
 func FitLine(points []Point) Fit {
 	sizes, values, weights := make([]float64, len(points)), make([]float64, len(points)), make([]float64, len(points))
 	for i, p := range points {
@@ -50,7 +51,7 @@
 	Role        string  `json:"role"`
 	Description string  `json:"what"`
 	Unit        string  `json:"unit"`
-	Per         string  `json:"per"`
+	Per         string  `json:"per"`     // one unit of size
 	RealProcess bool    `json:"process"` // measured on a separate sender process rather than in the measuring process
 	Points      []Point `json:"points"`
 	Fit         Fit     `json:"fit"`
--- a/internal/lab/capacity/measure.go
+++ b/internal/lab/capacity/measure.go
@@ -17,9 +17,9 @@
 	RealProcess                        bool   // measures a separate sender process
 	Sizes                              []int  // ascending; the last is forecast from the others
 	// Repeats is the number of runs at each size, of which the smallest value counts: other load on the machine can only
-	// lengthen a time.
+	// lengthen a time. 0 means one run.
 	Repeats int
-	Run     func(e *Env, size int) (float64, error)
+	Run     func(e *Env, size int) (float64, error) // returns the value of one run, in Unit
 }
 
 // Env is the environment of the measurements.
@@ -30,7 +30,7 @@
 }
 
 // Run makes all measurements, or only those in names if it is not empty. It calls onSizeDone with the name of the
-// measurement after each size.
+// measurement after each size. It returns no record if a measurement fails.
 func Run(e *Env, names []string, onSizeDone func(name string)) (*Record, error) {
 	r := &Record{Cores: runtime.NumCPU(), GoVersion: runtime.Version(), LoadBefore: proc.LoadAverage()}
 	began := time.Now()
@@ -93,7 +93,7 @@
 }
 
 // threadCPUMillis runs f on one thread and returns the processor time that this thread used, in milliseconds. It does
-// not include the time of the garbage collector on other threads.
+// not include the time of goroutines that f starts, nor of the garbage collector on other threads.
 func threadCPUMillis(f func()) float64 {
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
@@ -119,7 +119,7 @@
 	return t.Nano()
 }
 
-// heapGrowthBytes returns the growth of the live heap by the value that build returns.
+// heapGrowthBytes returns the growth of the live heap by the value that build returns, in bytes.
 func heapGrowthBytes(build func() any) float64 {
 	before := liveHeapBytes()
 	kept := build()
@@ -128,7 +128,8 @@
 	return float64(after) - float64(before)
 }
 
-// liveHeapBytes returns the size of the heap after a collection of garbage.
+// liveHeapBytes returns the size of the heap after two collections of garbage: the first one leaves objects that a
+// sync.Pool or a finalizer still refers to.
 func liveHeapBytes() uint64 {
 	runtime.GC()
 	runtime.GC()
--- a/internal/lab/capacity/measure_control.go
+++ b/internal/lab/capacity/measure_control.go
@@ -8,8 +8,9 @@
 	"sliptide/internal/fleet/shard"
 )
 
-const shardReplicas = 2 // replicas of a shard in each region
+const shardReplicas = 2 // replicas of a shard in each region, in the measurements and the rows
 
+// controlMeasurements returns the measurements of control members.
 func controlMeasurements() []Measurement {
 	return []Measurement{{
 		Name: "directory-memory", Role: roleControl, Description: "memory of the directory, one endpoint per destination",
--- a/internal/lab/capacity/measure_fleet.go
+++ b/internal/lab/capacity/measure_fleet.go
@@ -18,6 +18,7 @@
 	"sliptide/internal/fleet/voter"
 )
 
+// fleetMeasurements returns the measurements of a group of senders and its voters.
 func fleetMeasurements() []Measurement {
 	return []Measurement{{
 		Name: "group-frames", Role: roleVoter, Description: "frames a second of an idle group, in the simulation model",
@@ -54,6 +55,7 @@
 }
 
 // groupFrames returns the frames per second of an idle group of members, three of them voters, in the simulation model.
+// It counts for four seconds of the model's time, after eight in which the group settles.
 func groupFrames(_ *Env, members int) (float64, error) {
 	const settleSeconds, countedSeconds = 8, 4
 	w := model.New(model.Options{Voters: 3, Members: members - 3, Duties: 1,
--- a/internal/lab/capacity/measure_process.go
+++ b/internal/lab/capacity/measure_process.go
@@ -20,11 +20,11 @@
 )
 
 const (
-	startTimeout      = 2 * time.Minute // also the longest wait for an event to be accepted or delivered
-	pollInterval      = 20 * time.Millisecond
-	settledPolls      = 10               // consecutive polls without growth of memory
-	settleTimeout     = 10 * time.Second // longest wait for memory to stop growing
-	submitConnections = 16               // concurrent connections that submit events
+	startTimeout      = 2 * time.Minute       // longest wait for a start, and for an event to be accepted or delivered
+	pollInterval      = 20 * time.Millisecond // between readings of memory, and between submissions of a refused event
+	settledPolls      = 10                    // consecutive polls without growth of memory
+	settleTimeout     = 10 * time.Second      // longest wait for memory to stop growing
+	submitConnections = 16                    // concurrent connections that submit events
 )
 
 // restartResult holds the measurements of one restart.
@@ -33,6 +33,7 @@
 	memoryMB float64 // resident memory once ready
 }
 
+// processMeasurements returns the measurements of separate sender processes.
 func processMeasurements() []Measurement {
 	held := []int{300, 1000, 3000, 10000, 30000}
 	return []Measurement{{
@@ -111,8 +112,8 @@
 	return path, os.WriteFile(path, text, 0o600)
 }
 
-// start starts a sender in a directory, which may already hold a journal, and waits until it is ready. It returns the
-// time from the start until then.
+// start starts a sender in a directory, which may already hold a journal, and waits until it is ready: until /up
+// answers with 200. It returns the time from the start until then.
 func (e *Env) start(dir, endpointList string) (*senderProcess, time.Duration, error) {
 	addr, err := proc.FreeAddr()
 	if err != nil {
@@ -172,7 +173,7 @@
 	return float64(maxBytes) / 1e6, nil
 }
 
-// cpuMillis returns the processor time that the process has used so far.
+// cpuMillis returns the processor time that the process has used so far, in milliseconds.
 func (p *senderProcess) cpuMillis() (float64, error) {
 	seconds, err := proc.CPUSeconds(p.cmd.Process.Pid)
 	return seconds * 1e3, err
@@ -283,8 +284,8 @@
 	return after - before, err
 }
 
-// submit submits the given number of events for destination 1 and returns once all are accepted. An event that gets 429
-// or 503 is resubmitted for up to startTimeout.
+// submit submits the given number of events for destination 1, over submitConnections connections, and returns once all
+// are accepted. An event that gets 429 or 503 is resubmitted for up to startTimeout.
 func (p *senderProcess) submit(events int) error {
 	body := strings.Repeat("x", eventBytes)
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: submitConnections},
--- a/internal/lab/capacity/measure_sender.go
+++ b/internal/lab/capacity/measure_sender.go
@@ -62,6 +62,7 @@
 	return list
 }
 
+// moduleMeasurements returns the measurements of the decision module and of telemetry, in this process.
 func moduleMeasurements() []Measurement {
 	return []Measurement{{
 		Name: "module-destination-memory", Role: roleSender,
@@ -104,7 +105,8 @@
 	return s
 }
 
-// sendStepCPU returns the processor time, in microseconds, of a step that handles an outcome and sends the next event.
+// sendStepCPU returns the processor time, in microseconds, of a step that handles an outcome and sends the next event,
+// as the mean over 20 steps.
 func sendStepCPU(_ *Env, held int) (float64, error) {
 	const steps = 20
 	s := moduleWithBacklog(held + steps + 8)
@@ -160,7 +162,7 @@
 		Deadline: deadline.UnixMilli(), Body: bytes.Repeat([]byte("x"), eventBytes)}
 }
 
-// fillJournal writes a journal with the given number of events into a directory.
+// fillJournal writes a journal with the given number of accepted events into a directory, which it creates if needed.
 func fillJournal(dir string, events int) error {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return err
@@ -181,7 +183,8 @@
 	return j.Close()
 }
 
-// withJournal calls measure with a new directory that holds a journal with the given number of events.
+// withJournal calls measure with a new directory that holds a journal with the given number of events, and removes the
+// directory afterwards.
 func withJournal(e *Env, events int, measure func(dir string) (float64, error)) (float64, error) {
 	dir, err := os.MkdirTemp(e.ScratchDir, "journal-")
 	if err != nil {
@@ -194,6 +197,7 @@
 	return measure(dir)
 }
 
+// journalMeasurements returns the measurements of the journal and of the records that holders of copies receive.
 func journalMeasurements() []Measurement {
 	sizes := []int{300, 1000, 3000, 10000, 30000, 100000}
 	return []Measurement{{
@@ -254,6 +258,7 @@
 	return float64(total) / 1e3, j.Close()
 }
 
+// listMeasurements returns the measurements of endpoint lists and of operators' files.
 func listMeasurements() []Measurement {
 	return []Measurement{{
 		Name: "list-bytes", Role: roleDistribution, Description: "size of the endpoint list, one endpoint per destination",
--- a/internal/lab/capacity/page.go
+++ b/internal/lab/capacity/page.go
@@ -40,7 +40,7 @@
 	return os.WriteFile(path, text, 0o644)
 }
 
-// replaceSection replaces the text between the markers of a section.
+// replaceSection replaces the text between the markers of a section. It fails if a marker is missing.
 func replaceSection(text []byte, name string, content []byte) ([]byte, error) {
 	begin, end := fmt.Appendf(nil, beginMarker, name), fmt.Appendf(nil, endMarker, name)
 	beginAt, endAt := bytes.Index(text, begin), bytes.Index(text, end)
@@ -77,6 +77,7 @@
 // formatPercent formats a share as a percentage.
 func formatPercent(v float64) string { return formatNumber(100*v) + " %" }
 
+// writeTarget writes the quantities and budgets of the target.
 func writeTarget(b *bytes.Buffer, t *Target) {
 	fmt.Fprintln(b, "| | at target |\n| --- | --- |")
 	fmt.Fprintf(b, "| senders | %s in %s regions with %s zones, accepting %s events a second (%s each, %s bytes) |\n",
@@ -155,6 +156,8 @@
 	return fmt.Sprintf("%s %s", formatPercent(share), scope)
 }
 
+// writeBounds writes each bound in the code with the need at the target and the share of the target at which it is
+// reached.
 func writeBounds(b *bytes.Buffer, t *Target) {
 	fmt.Fprintln(b, "| bound in the code | constant | file | value | at target (arithmetic) | reached at | when exceeded |")
 	fmt.Fprintln(b, "| --- | --- | --- | --- | --- | --- | --- |")
--- a/internal/lab/capacity/rows.go
+++ b/internal/lab/capacity/rows.go
@@ -12,7 +12,7 @@
 
 const (
 	secondsPerDay = 86400
-	kilo          = 1e3
+	kilo          = 1e3 // prefixes of units are decimal, also with bytes
 	mega          = 1e6
 )
 
@@ -211,7 +211,8 @@
 	return high, true
 }
 
-// slopes returns the slopes of the row's series, negative ones as 0. ok is false if a series was not measured.
+// slopes returns the slopes of the row's series, negative ones as 0: they come from scatter, as no need falls with
+// size. ok is false if a series was not measured.
 func (r *Row) slopes(record *Record) (list []float64, ok bool) {
 	for _, name := range r.Series {
 		s := record.SeriesByName(name)
--- a/internal/lab/capacity/target.go
+++ b/internal/lab/capacity/target.go
@@ -20,17 +20,17 @@
 	EventsPerSecond    float64 // of the whole fleet
 	EventBytes         float64 // assumed size of an event's body
 	Destinations       float64
-	DownPercent        float64 // of destinations, at any time
-	Backlog            float64 // events, of the whole fleet
-	ChangesPerDay      float64 // to the configuration
-	InForceWithin      time.Duration
-	CorePercent        float64 // per sender, of one core, for control
-	MemoryMB           float64 // per sender, for control, in 10^6 bytes
-	LinkKBPerSecond    float64 // per sender, for control, in 10^3 bytes
-	ControlMachines    float64
+	DownPercent        float64       // of destinations, at any time
+	Backlog            float64       // events, of the whole fleet
+	ChangesPerDay      float64       // to the configuration
+	InForceWithin      time.Duration // time within which a change must be in force at every sender
+	CorePercent        float64       // per sender, of one core, for control
+	MemoryMB           float64       // per sender, for control, in 10^6 bytes
+	LinkKBPerSecond    float64       // per sender, for control, in 10^3 bytes per second
+	ControlMachines    float64       // set aside for control, for the whole fleet
 	MachinesLostPerDay float64
-	RestartsPerDay     float64 // restarted or replaced processes
-	ReadyWithin        time.Duration
+	RestartsPerDay     float64       // restarted or replaced processes
+	ReadyWithin        time.Duration // time within which a restarted process must be ready
 }
 
 // EventsPerSecondPerSender returns the rate at which one sender accepts events.
@@ -63,6 +63,7 @@
 		}}
 }
 
+// targetSpec returns the elements and attributes of target files.
 func targetSpec() *strictxml.Element[Target] {
 	type attribute = strictxml.Attribute[Target]
 	type element = strictxml.Element[Target]
@@ -121,7 +122,8 @@
 	}
 }
 
-// LoadTarget reads a target file. Every element is required, since any budget would hold for a quantity of zero.
+// LoadTarget reads a target file. Every element is required, since any budget would hold for a quantity of zero. Errors
+// are of type *strictxml.Error.
 func LoadTarget(path string) (*Target, error) {
 	t, err := strictxml.Open(path, targetSpec())
 	if err != nil {
--- a/internal/standin/certs.go
+++ b/internal/standin/certs.go
@@ -20,12 +20,13 @@
 	key  *ecdsa.PrivateKey
 }
 
-// lastSerial is the serial number of the last certificate. It is unique within the process.
+// lastSerial is the serial number of the last certificate. The numbers count up from the time at which the process
+// started, in nanoseconds, so that two processes hardly ever use the same one.
 var lastSerial atomic.Int64
 
 func init() { lastSerial.Store(time.Now().UnixNano()) }
 
-// NewAuthority returns an Authority with a new self-signed certificate.
+// NewAuthority returns an Authority with a new self-signed certificate, which is valid for 90 days.
 func NewAuthority(name string) *Authority {
 	a := &Authority{}
 	a.cert, a.key = issue(&x509.Certificate{Subject: pkix.Name{CommonName: name}, IsCA: true, BasicConstraintsValid: true,
@@ -46,6 +47,7 @@
 	return must(x509.ParseCertificate(der)), key
 }
 
+// must returns v, and panics if err is not nil.
 func must[T any](v T, err error) T {
 	if err != nil {
 		panic(err)
@@ -71,12 +73,13 @@
 // WriteCA writes the authority's certificate as PEM.
 func (a *Authority) WriteCA(path string) { writePEM(path, 0o644, "CERTIFICATE", a.cert.Raw) }
 
-// WriteKeyPair writes a certificate and its key as PEM.
+// WriteKeyPair writes a certificate and its key as PEM. It panics on errors.
 func WriteKeyPair(c tls.Certificate, certPath, keyPath string, keyMode os.FileMode) {
 	writePEM(certPath, 0o644, "CERTIFICATE", c.Certificate[0])
 	writePEM(keyPath, keyMode, "EC PRIVATE KEY", must(x509.MarshalECPrivateKey(c.PrivateKey.(*ecdsa.PrivateKey))))
 }
 
+// writePEM writes one PEM block to a file of exactly the given mode, whatever the umask. It panics on errors.
 func writePEM(path string, mode os.FileMode, kind string, der []byte) {
 	if err := os.WriteFile(path, pem.EncodeToMemory(&pem.Block{Type: kind, Bytes: der}), mode); err != nil {
 		panic(err)
--- a/internal/standin/h2partner.go
+++ b/internal/standin/h2partner.go
@@ -1,6 +1,6 @@
 // Package standin provides stand-ins for partners, networks and certificate authorities, for tests and measurements.
-// The partners inject faults as the test requests, and count how often each message takes effect. The sender uses none
-// of them, and they use no package of the sender; both use the frame format of golang.org/x/net/http2.
+// The partners inject faults as the test requests; H2Partner also counts how often each message takes effect. The
+// sender uses none of them, and they use no package of the sender; both use the frame format of golang.org/x/net/http2.
 package standin
 
 import (
@@ -16,14 +16,14 @@
 	"golang.org/x/net/http2/hpack"
 )
 
-const maxFrameSize = 16 << 10 // bytes
+const maxFrameSize = 16 << 10 // largest payload of the frames that the partner sends, in bytes
 
 // Request is a request that the partner has received in full.
 type Request struct {
 	Stream uint32
 	Conn   int // number of the connection, from 1
 	Path   string
-	Fields map[string]string
+	Fields map[string]string // header fields, without pseudo-header fields
 	Body   []byte
 }
 
@@ -33,7 +33,7 @@
 	Fields    map[string]string // of the answer
 	Body      string
 	ResetCode http2.ErrCode // of the reset that is sent if Status is 0
-	NoAnswer  bool          // sends neither an answer nor a reset
+	NoAnswer  bool          // sends neither an answer nor a reset; GoAway and CloseConn have no effect then
 	GoAway    bool          // sends a GOAWAY with this stream as the last one, before the answer
 	CloseConn bool          // closes the connection, after the answer if Status is not 0
 	Truncate  bool          // leaves out the end of the stream after the answer
@@ -47,18 +47,18 @@
 	// MaxStreams is SETTINGS_MAX_CONCURRENT_STREAMS, InitialWindow is SETTINGS_INITIAL_WINDOW_SIZE. 0: not sent.
 	MaxStreams, InitialWindow uint32
 	// RawHandler, if set, handles connections instead of the partner, which has read the client's preface and sent its
-	// SETTINGS frame by then.
+	// SETTINGS frame by then. It runs on a goroutine for each connection, which is closed when it returns.
 	RawHandler func(nc net.Conn, fr *http2.Framer)
 	// Delay is the time from a request to its answer, unless the reply closes the connection.
 	Delay time.Duration
 
 	ln             net.Listener
-	mu             sync.Mutex
-	conns          map[*h2Conn]bool
+	mu             sync.Mutex       // guards the fields below, and MaxStreams once the partner has started
+	conns          map[*h2Conn]bool // open
 	connCount      int
 	effects        map[string]int // how often each message took effect, by ID
 	settingsAcks   int            // SETTINGS acknowledgements received
-	maxOpenStreams int            // highest number on one connection
+	maxOpenStreams int            // highest number of streams open at once on one connection
 }
 
 // Start accepts connections on ln until Close.
@@ -123,7 +123,7 @@
 // WriteFrames calls f with the framer of every connection.
 func (p *H2Partner) WriteFrames(f func(fr *http2.Framer)) { p.eachConn(func(c *h2Conn) { c.write(f) }) }
 
-// EffectCount returns how often a message took effect.
+// EffectCount returns how often the message with an ID, the value of its x-trace-id field, took effect.
 func (p *H2Partner) EffectCount(id string) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -154,23 +154,24 @@
 	}
 }
 
-// h2Conn is one connection to an H2Partner.
+// h2Conn is one connection to an H2Partner. Only the goroutine of serve uses reader, incomplete and goAwayStream.
 type h2Conn struct {
 	partner    *H2Partner
 	nc         net.Conn
 	number     int
 	reader     *http2.Framer
-	incomplete map[uint32]*Request
+	incomplete map[uint32]*Request // requests that have not been received in full, by stream
 
-	mu           sync.Mutex // guards writer, encoder and headerBlock; the partner's mu guards openStreams
-	writer       *http2.Framer
+	mu           sync.Mutex    // guards writer, encoder and headerBlock; the partner's mu guards openStreams
+	writer       *http2.Framer // nil until the SETTINGS frame is sent
 	encoder      *hpack.Encoder
 	headerBlock  bytes.Buffer
 	openStreams  int
 	goAwayStream uint32 // last stream of the GOAWAY that was sent; 0: none
 }
 
-// write calls f with the framer, once the SETTINGS frame has been sent.
+// write calls f with the framer, whose writes fail after a second. It does nothing if the SETTINGS frame, which must be
+// the first one, has not been sent yet.
 func (c *h2Conn) write(f func(*http2.Framer)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -180,6 +181,7 @@
 	}
 }
 
+// serve reads the client's preface, sends the SETTINGS frame and handles frames until the connection ends.
 func (c *h2Conn) serve() {
 	defer func() {
 		c.nc.Close()
@@ -273,6 +275,7 @@
 	return true
 }
 
+// streamClosed counts a stream as no longer open.
 func (c *h2Conn) streamClosed() {
 	c.partner.mu.Lock()
 	c.openStreams--
--- a/internal/standin/process.go
+++ b/internal/standin/process.go
@@ -8,7 +8,8 @@
 	"strings"
 )
 
-// CPUSeconds returns the CPU time that a process has used, or NaN if there is no such process.
+// CPUSeconds returns the CPU time that all threads of a process have used, in seconds, to 10 ms, or NaN if there is
+// no such process.
 func CPUSeconds(pid int) float64 {
 	text, _ := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	f := strings.Fields(string(text[strings.LastIndexByte(string(text), ')')+1:]))
@@ -20,7 +21,7 @@
 	return (user + system) / 100 // the kernel counts in ticks of 10 ms
 }
 
-// ResidentMB returns the resident memory of a process, or NaN if there is no such process.
+// ResidentMB returns the resident memory of a process, in units of 2^20 bytes, or NaN if there is no such process.
 func ResidentMB(pid int) float64 {
 	text, _ := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	for _, line := range strings.Split(string(text), "\n") {
--- a/internal/standin/rawpartner.go
+++ b/internal/standin/rawpartner.go
@@ -22,7 +22,7 @@
 	request *http.Request
 }
 
-// Write writes raw bytes to the connection.
+// Write writes raw bytes to the connection. It ignores errors: a test may write to a connection that has ended.
 func (c *RawCall) Write(text string) { c.NetConn.Write([]byte(text)) }
 
 // URI returns the request's path and query.
@@ -31,11 +31,11 @@
 // RawPartner reads requests and leaves the answers to the test, which may send them out of order, twice or not at all.
 type RawPartner struct {
 	Addr        string
-	Calls       chan *RawCall
-	ClosedConns chan int // numbers of the connections that have ended
+	Calls       chan *RawCall // the requests of all connections
+	ClosedConns chan int      // numbers of the connections that have ended
 
-	mu    sync.Mutex
-	conns []net.Conn
+	mu    sync.Mutex // guards conns
+	conns []net.Conn // all connections so far
 }
 
 // NewRawPartner starts a RawPartner that runs until the test ends.
@@ -57,6 +57,7 @@
 	return p
 }
 
+// accept reads the requests of each new connection until the listener is closed.
 func (p *RawPartner) accept(ln net.Listener) {
 	for {
 		nc, err := ln.Accept()
@@ -71,6 +72,7 @@
 	}
 }
 
+// readRequests passes the requests of a connection to Calls, and its number to ClosedConns when it ends.
 func (p *RawPartner) readRequests(nc net.Conn, number int) {
 	defer func() { p.ClosedConns <- number }()
 	r := bufio.NewReader(nc)
--- a/internal/standin/relay.go
+++ b/internal/standin/relay.go
@@ -13,14 +13,14 @@
 	ln     net.Listener
 	target string
 
-	mu         sync.Mutex
-	changed    *sync.Cond
-	blocked    [2]bool // by direction
+	mu         sync.Mutex // guards the fields below
+	changed    *sync.Cond // signals that update has changed them
+	blocked    [2]bool    // by direction
 	addedDelay time.Duration
 	refuseNew  bool
 	closed     bool
-	carried    int64
-	conns      map[net.Conn]bool
+	carried    int64             // bytes, in both directions
+	conns      map[net.Conn]bool // open, of both sides
 }
 
 // BytesCarried returns the number of bytes relayed in both directions.
@@ -59,7 +59,8 @@
 // BlockBoth blocks or unblocks both directions.
 func (r *Relay) BlockBoth(blocked bool) { r.update(func() { r.blocked = [2]bool{blocked, blocked} }) }
 
-// SetDelay sets the delay of each chunk of data, in both directions.
+// SetDelay sets the delay of each chunk of data, of up to 16 KiB, in both directions. Each chunk waits for the one
+// before it, so that the delay also limits the throughput.
 func (r *Relay) SetDelay(d time.Duration) { r.update(func() { r.addedDelay = d }) }
 
 // RefuseNew closes new connections at once, or accepts them again.
@@ -75,7 +76,7 @@
 }
 
 // HalfClose closes the writing direction of all connections, to both sides: each side reads the end of the stream and
-// may go on writing.
+// may go on writing. The relay cannot pass that data on, and closes the connections when it arrives.
 func (r *Relay) HalfClose() {
 	r.update(func() {
 		for c := range r.conns {
@@ -93,6 +94,7 @@
 	r.CloseConns()
 }
 
+// update changes the relay's state by f, which runs with mu held, and wakes the goroutines that wait for a change.
 func (r *Relay) update(f func()) {
 	r.mu.Lock()
 	f()
@@ -100,6 +102,7 @@
 	r.changed.Broadcast()
 }
 
+// serve relays new connections until the listener is closed.
 func (r *Relay) serve() {
 	for {
 		c, err := r.ln.Accept()
@@ -117,6 +120,7 @@
 	}
 }
 
+// relay connects to the target, and relays data in both directions until either connection ends.
 func (r *Relay) relay(c net.Conn) {
 	t, err := net.Dial("tcp", r.target)
 	if err != nil {
@@ -138,6 +142,7 @@
 	r.update(func() { delete(r.conns, c); delete(r.conns, t) })
 }
 
+// copy copies data in one direction until reading or writing fails. It holds data back while the direction is blocked.
 func (r *Relay) copy(from io.Reader, to io.Writer, direction int) {
 	b := make([]byte, 16<<10)
 	for {
