--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -118,7 +118,8 @@
 }
 
 // countRecord adds a log line to the counts of its time window: a record by its kind and fields, any other line by the
-// first words of its message. If only one destination is counted, it ignores lines that do not name it.
+// first words of its message. If only one destination is counted, it ignores lines whose field dest is missing or names
+// another.
 func (c *Counter) countRecord(seconds float64, v *fastjson.Value) {
 	window := int(seconds / c.Interval.Seconds())
 	add := func(column string, n int) {
--- a/internal/lab/scale/hollow.go
+++ b/internal/lab/scale/hollow.go
@@ -33,7 +33,7 @@
 
 type runningMember struct {
 	cancel     context.CancelFunc
-	done       chan struct{}
+	done       chan struct{} // closed when the subscription has ended
 	subscriber *subscriber.Subscriber
 }
 
--- a/internal/lab/world/params.go
+++ b/internal/lab/world/params.go
@@ -17,7 +17,7 @@
 	ModuleOnly  System = "before"   // decision module without a storm guard
 	Backoff     System = "backoff"  // exponential back-off with full jitter
 	RetryBudget System = "budget"   // Backoff under a token bucket of retries
-	Ideal       System = "ideal"    // senders that know the partner's state and use all of its capacity
+	Ideal       System = "ideal"    // senders that know the partner's state and keep only to its limit and capacity
 )
 
 // OutageKind is how a partner that is down treats calls.
@@ -62,7 +62,7 @@
 	LimitMultipleAfter float64 // limit of partner 0 after its return, as a multiple of the limit before; 0: unchanged
 	RelapseDelay       float64 // time from the return of partner 0 to a second outage; 0: none
 	RelapseDuration    float64 // length of the second outage
-	Restarts           int     // senders that are killed in the middle of the outage
+	Restarts           int     // senders that are killed in the middle of the outage and start again
 	DelistsDown        bool    // discovery removes endpoints from its list while they are down
 	MaxListDelay       float64 // list updates reach each sender within this time
 
@@ -78,7 +78,7 @@
 	CallSlots     int     // concurrent calls of a sender
 	MaxHeld       int     // messages that a sender may hold
 	MaxRetryAfter float64 // longest Retry-After to clients
-	Batch         int     // messages per call
+	Batch         int     // messages per call, at most; 0: 1
 	OwnLimits     bool    // each endpoint has a limit of its own: an equal share of its partner's
 }
 
