--- a/cmd/sliptide/admin_test.go
+++ b/cmd/sliptide/admin_test.go
@@ -41,7 +41,7 @@
 	defer resp.Body.Close()
 	text, _ := io.ReadAll(resp.Body)
 	if took := time.Since(begin); took > time.Second {
-		t.Errorf("%s %s answered after %v", method, path, took)
+		t.Errorf("%s %s answered after %v, want 1 s at most", method, path, took)
 	}
 	return resp.StatusCode, strings.TrimSpace(string(text))
 }
@@ -54,7 +54,7 @@
 	r.config["known"] = map[string]any{"version": 1, "full": true, "servers": r.endpoints}
 	r.start()
 	if status, text := callAdmin(t, admin, "POST", "/endpoints/disable", "s-9"); status != 404 {
-		t.Errorf("never listed: %d %s", status, text)
+		t.Errorf("disable of an endpoint that was never listed: status %d %s, want 404", status, text)
 	}
 	for range 2 { // disabling is idempotent
 		if status, text := callAdmin(t, admin, "POST", "/endpoints/disable", "s-0"); status != 200 {
@@ -93,7 +93,7 @@
 	r, admin := newAdminRig(t, "one")
 	r.start()
 	if status, _ := callAdmin(t, admin, "GET", "/ready", ""); status != 200 {
-		t.Fatalf("ready: %d", status)
+		t.Fatalf("/ready before the drain: status %d, want 200", status)
 	}
 	idle, err := net.Dial("tcp", r.addr)
 	if err != nil {
@@ -104,24 +104,24 @@
 	rd := bufio.NewReader(idle)
 	resp, err := http.ReadResponse(rd, nil)
 	if err != nil || resp.StatusCode != 200 || resp.Close {
-		t.Fatalf("before: %v %v", resp, err)
+		t.Fatalf("/up before the drain: answer %v, error %v; want 200 on a connection that stays open", resp, err)
 	}
 	if status, text := callAdmin(t, admin, "POST", "/drain", ""); status != 200 {
 		t.Fatalf("drain: %d %s", status, text)
 	}
 	idle.SetReadDeadline(time.Now().Add(time.Second))
 	if n, err := rd.Read(make([]byte, 1)); n != 0 || err == nil {
-		t.Errorf("an idle connection is kept: %d %v", n, err)
+		t.Errorf("an idle connection is not closed within 1 s of the drain: %d bytes read, error %v", n, err)
 	}
 	if r.upStatus() != 503 {
 		t.Errorf("/up does not answer 503 during a drain")
 	}
 	if status, _ := callAdmin(t, admin, "GET", "/ready", ""); status != 503 {
-		t.Errorf("ready: %d during a drain", status)
+		t.Errorf("/ready during a drain: status %d, want 503", status)
 	}
 	resp = r.submit("during", 0, 15, "")
 	if resp.StatusCode != 202 || !resp.Close {
-		t.Errorf("a message during a drain: %s, close %v", resp.Status, resp.Close)
+		t.Errorf("a message during a drain: %s, close %v; want 202 and close", resp.Status, resp.Close)
 	}
 	r.expectCallFor("during").respond(200)
 	if status, text := callAdmin(t, admin, "POST", "/undrain", ""); status != 200 {
@@ -129,7 +129,7 @@
 	}
 	r.awaitUp(200)
 	if status, _ := callAdmin(t, admin, "GET", "/ready", ""); status != 200 {
-		t.Errorf("ready: %d after undrain", status)
+		t.Errorf("/ready after the undrain: status %d, want 200", status)
 	}
 }
 
@@ -159,8 +159,8 @@
 	return resp.StatusCode
 }
 
-// On SIGHUP an invalid file changes nothing, not even the address of discovery. A valid one adds a class at once and
-// lowers max_attempts, also for a message whose call is in progress.
+// Guards against a SIGHUP with an invalid file that is not reported or stops the sender, and one with a valid file that
+// is not followed: it adds a class at once and lowers max_attempts, also for a message whose call is in progress.
 func TestConfigurationReload(t *testing.T) {
 	r := newRig(t, nil, "one")
 	settings := r.config["settings"].(map[string]any)
@@ -180,7 +180,7 @@
 	r.awaitLog("the new configuration is invalid")
 	r.config["discovery"] = good
 	if status := r.submitWithClass("early", "urgent"); status != 400 {
-		t.Errorf("a class of an invalid file: %d", status)
+		t.Errorf("a class that no file has named yet: status %d, want 400", status)
 	}
 	urgent := map[string]any{"name": "urgent", "aim": 1000, "deadline": 5000, "effect": "unsafe", "worth": 2, "late_worth": 0.4}
 	settings["services"] = []any{note, urgent}
@@ -189,14 +189,15 @@
 	r.proc.Process.Signal(syscall.SIGHUP)
 	r.awaitLog("settings reloaded")
 	if status := r.submitWithClass("new", "urgent"); status != 202 {
-		t.Errorf("a class of the new file: %d", status)
+		t.Errorf("a class of the new file: status %d, want 202", status)
 	}
 	r.expectCallFor("new").respond(200)
 	first.respond(500) // its first attempt; the second is its last now
 	r.expectCallFor("held").respond(500)
 	if n := r.nextNotice(); n.Message != "held" {
-		t.Errorf("notice %+v", n)
+		t.Errorf("notice %+v, want the one of message \"held\" after its second attempt", n)
 	}
-	r.updateList(func() {}) // the invalid file did not move discovery
+	r.updateList(func() {})
+	// Any recorded request is enough, also one from before the reloads.
 	receive(t, r.watches, "a watch")
 }
--- a/cmd/sliptide/desync_test.go
+++ b/cmd/sliptide/desync_test.go
@@ -76,8 +76,8 @@
 	answerLater(again, standin.AnswerOK)
 }
 
-// Guards against a duplicate call: after a repeated answer, a late answer must not be taken for that of the
-// connection's next call.
+// Guards against a duplicate call: a repeated answer to the previous call ends the current one, whose own answer then
+// arrives late and would be taken for that of the connection's next call. The connection must carry no further call.
 func TestRepeatedAnswerShiftsLaterAnswers(t *testing.T) {
 	r, p := newRawRig(t)
 	c := r.callOnReusedConn(p)
--- a/cmd/sliptide/h2_test.go
+++ b/cmd/sliptide/h2_test.go
@@ -111,13 +111,13 @@
 					r.nextNotice()
 				}
 				if len(seen) > 0 {
-					t.Error("called while it is draining")
+					t.Error("a queued message was called at the endpoint while it drains")
 				}
 				return
 			}
 			receive(t, seen, "a call after the wait")
 			if elapsed := time.Since(signalledAt); elapsed < 1200*time.Millisecond {
-				t.Errorf("called %v after it requested a wait of 1.2 s", elapsed)
+				t.Errorf("called %v after the partner requested a wait of 1.2 s", elapsed)
 			}
 			close(answer)
 		})
@@ -159,7 +159,8 @@
 
 // TestH2Chaos runs a class that permits no repeat of a message that may have run against partners that close, reset,
 // refuse, send GOAWAY and do not answer, at random. No message may take effect twice, none that took effect may be
-// returned, and each accepted message has one end: delivery or one notice. SLIPTIDE_H2_MESSAGES sets their number.
+// returned, and each accepted message has one end: delivery or one notice. At least half must be delivered.
+// SLIPTIDE_H2_MESSAGES sets their number, and spreads them over four seeds.
 func TestH2Chaos(t *testing.T) {
 	total, seeds := 1500, 1
 	if v, err := strconv.Atoi(os.Getenv("SLIPTIDE_H2_MESSAGES")); err == nil {
@@ -170,6 +171,7 @@
 	}
 }
 
+// runChaos runs one seed with a number of messages.
 func runChaos(t *testing.T, seed uint64, total int) {
 	const dests = 4
 	var ps []*standin.H2Partner
@@ -303,8 +305,8 @@
 	}
 }
 
-// TestMeasureH2 compares HTTP/1.1 and HTTP/2 with the same kind of partner, by calls in flight: connections, latency
-// and CPU time.
+// TestMeasureH2 compares HTTP/1.1 and HTTP/2 with the same kind of partner, by calls in flight: connections, latency,
+// CPU time, bytes and memory. SLIPTIDE_IN_FLIGHT chooses one number of calls in flight.
 func TestMeasureH2(t *testing.T) {
 	concurrencies, rounds := []int{1, 8, 64}, 3
 	if v, err := strconv.Atoi(os.Getenv("SLIPTIDE_IN_FLIGHT")); err == nil {
@@ -438,7 +440,8 @@
 }
 
 // TestCertificateReload checks that certificates are read again on SIGHUP: a request in flight goes on, the next
-// connection uses the new ones, and unreadable ones are ignored. It also checks the output of the partner probe.
+// connection uses the new ones, and the log says that the old ones are kept if the new are unreadable. It also checks
+// the output and exit status of the partner probe.
 func TestCertificateReload(t *testing.T) {
 	dir := t.TempDir()
 	at := func(name string) string { return filepath.Join(dir, name) }
@@ -483,16 +486,16 @@
 	out, errs, status := runCommand(t, "partner", "probe", second.Addr(), "--operator", r.operatorPath, "--dest", "1")
 	for _, want := range []string{"speaks h2 over TLS 1.3", "MAX_CONCURRENT_STREAMS = 33", "lodge.example.org", "29 days left"} {
 		if status != 0 || !strings.Contains(out, want) {
-			t.Errorf("probe: status %d, no %q in %s%s", status, want, out, errs)
+			t.Errorf("probe: status %d, want 0 and %q in %s%s", status, want, out, errs)
 		}
 	}
 	if _, errs, status := runCommand(t, "partner", "probe", first.Addr(), "--operator", r.operatorPath, "--dest", "0"); status != 1 || !strings.Contains(errs, "unknown authority") {
-		t.Errorf("probe: status %d %s", status, errs)
+		t.Errorf("probe of a partner with an unknown CA: status %d, want 1 and \"unknown authority\" in %s", status, errs)
 	}
 	if out, errs, status := runCommand(t, "partner", "probe", r.addr, "--protocol", "h2c"); status != 1 {
-		t.Errorf("probe of an address that is no partner: status %d %s%s", status, out, errs)
+		t.Errorf("probe of an address that is no partner: status %d, want 1: %s%s", status, out, errs)
 	}
 	if _, _, status := runCommand(t, "partner", "probe", "nowhere"); status != 2 {
-		t.Errorf("probe of an invalid address: status %d", status)
+		t.Errorf("probe of an invalid address: status %d, want 2", status)
 	}
 }
--- a/cmd/sliptide/knowledge_test.go
+++ b/cmd/sliptide/knowledge_test.go
@@ -54,8 +54,8 @@
 	}
 }
 
-// A requested wait is honoured after a SIGKILL: no message is sent to the partner before it ends, nor is the restored
-// message. The same run without knowledge shows that the test can fail: the restored message is sent at once there.
+// A requested wait is honoured after a SIGKILL: before it ends, neither the restored message nor a new one is sent to
+// the partner. The same run without knowledge shows that the test can fail: both are sent before the end there.
 func TestRequestedWaitSurvivesKill(t *testing.T) {
 	for _, row := range []struct {
 		name, operator string
@@ -64,6 +64,7 @@
 		t.Run(row.name, func(t *testing.T) {
 			r := newRigWithOperatorFile(t, row.operator, nil, "one", "one")
 			r.updateList(func() { r.endpoints[1].Cell = 0 }) // both belong to one destination
+			// The next process starts with the changed list in its configuration.
 			r.kill(syscall.SIGTERM)
 			r.start()
 			r.mustSubmit("m", 0, 19, "")
@@ -73,7 +74,7 @@
 			if row.kept {
 				r.awaitKnowledgeFile(store.WaitsName, func(b *knowledge.Facts) bool { return len(b.Waits) == 1 })
 				if late := time.Since(requested); late > 2*time.Second { // 50 ms, plus a margin for a busy machine
-					t.Errorf("on disk after %v", late)
+					t.Errorf("the wait is on disk after %v, want 2 s at most", late)
 				}
 			} else {
 				r.awaitLog("started") // the notice of n, below, shows that the answer has been read
@@ -104,7 +105,8 @@
 	}
 }
 
-// An advertised limit and a latency survive a stop, and the commands show them. A damaged file is set aside and logged.
+// An advertised limit and a latency are on disk after a stop, and the commands show them. A damaged file is set aside
+// and logged at the next start. "knowledge forget" is refused while the sender runs.
 func TestKnowledgeSurvivesStop(t *testing.T) {
 	r := newRigWithOperatorFile(t, knowledgeXML, nil, "one")
 	for i := range 3 {
@@ -116,7 +118,7 @@
 		return b.Dests[0] != nil && b.Dests[0].SharedRoute.AdvertisedLimit == 25 && len(b.Dests[0].Endpoints) == 1
 	})
 	if _, errs, status := runCommand(t, "knowledge", "forget", r.stateDir); status != 1 || !strings.Contains(errs, "another sender") {
-		t.Errorf("forget while it runs: %d %s", status, errs)
+		t.Errorf("forget while the sender runs: status %d, want 1 and \"another sender\" in %s", status, errs)
 	}
 	r.kill(syscall.SIGTERM)
 	out, errs, status := runCommand(t, "knowledge", "show", "--json", r.stateDir)
@@ -131,31 +133,31 @@
 	}
 	if err := json.Unmarshal([]byte(out), &v); err != nil || status != 0 || v.Sender != "n0" || len(v.Destinations) != 1 ||
 		v.Destinations[0].Limit != 25 || v.Destinations[0].Latency <= 0 || v.Destinations[0].Endpoints[0].Name != "s-0" {
-		t.Errorf("show: %d %v %s%s", status, err, out, errs)
+		t.Errorf("show: status %d, error %v; want 0, and limit 25, a latency and endpoint s-0 of one destination in %s%s", status, err, out, errs)
 	}
 	if out, _, status := runCommand(t, "knowledge", "verify", r.stateDir); status != 0 || !strings.Contains(out, "fine") {
-		t.Errorf("verify: %d %s", status, out)
+		t.Errorf("verify of an undamaged file: status %d, want 0 and \"fine\" in %s", status, out)
 	}
 	file := filepath.Join(r.stateDir, store.SnapshotName)
 	text, _ := os.ReadFile(file)
 	text[len(text)-1] ^= 4
 	os.WriteFile(file, text, 0o600)
 	if out, errs, status := runCommand(t, "knowledge", "verify", r.stateDir); status != 1 || !strings.Contains(out, "damaged at byte") {
-		t.Errorf("verify: %d %s%s", status, out, errs)
+		t.Errorf("verify of a damaged file: status %d, want 1 and \"damaged at byte\" in %s%s", status, out, errs)
 	}
 	r.start()
 	r.kill(syscall.SIGTERM)
 	if !strings.Contains(r.logs.String(), `"set_aside":true`) {
-		t.Error("the damaged file is not logged")
+		t.Error("the log does not say that the damaged file was set aside")
 	}
 	if aside, _ := os.ReadFile(filepath.Join(r.stateDir, "knowledge.bad")); !bytes.Equal(aside, text) {
 		t.Error("the damaged file is not set aside")
 	}
 	if out, _, status := runCommand(t, "knowledge", "forget", r.stateDir); status != 0 || !strings.Contains(out, "removed") {
-		t.Errorf("forget: %d %s", status, out)
+		t.Errorf("forget: status %d, want 0 and \"removed\" in %s", status, out)
 	}
 	if _, _, status := runCommand(t, "knowledge", "show", r.stateDir); status != 1 {
-		t.Errorf("show without files: %d", status)
+		t.Errorf("show without files: status %d, want 1", status)
 	}
 }
 
@@ -169,13 +171,13 @@
 	list, _ := os.ReadDir(r.stateDir)
 	for _, f := range list {
 		if n := f.Name(); n != "journal" && n != "lock" && n != "clock" {
-			t.Errorf("%s in the state directory", n)
+			t.Errorf("%s in the state directory, want only journal, lock and clock", n)
 		}
 	}
 }
 
-// With an empty list under the key known and an unresponsive discovery, the sender reports ready only when the
-// configured patience has passed.
+// With an empty list under the key known and an unresponsive discovery, the sender reports ready only when discovery
+// answers or the configured patience has passed. The latter is logged.
 func TestReadyNeedsAnEndpointList(t *testing.T) {
 	r := newRigWithOperatorFile(t, `<ready patience="1h"/>`, nil)
 	r.kill(syscall.SIGTERM)
@@ -210,7 +212,7 @@
 	c.Env = append(os.Environ(), "RELAY_CONFIG="+r.configPath, "RELAY_STATE="+r.stateDir, "RELAY_LISTEN=127.0.0.1:0", "GORACE=atexit_sleep_ms=0")
 	out, err := c.CombinedOutput()
 	if err == nil || c.ProcessState.ExitCode() != 1 || !strings.Contains(string(out), "another sender is using this state directory") {
-		t.Errorf("%v: %s", err, out)
+		t.Errorf("second process: %v, want exit status 1 and the reason in %s", err, out)
 	}
 	r.mustSubmit("m", 7, 0.2, "")
 	r.nextNotice() // the first process still works
@@ -248,7 +250,7 @@
 	} {
 		out, errs, status := runCommand(t, strings.Fields(row.args)...)
 		if status != row.status || !strings.Contains(out+errs, row.want) {
-			t.Errorf("sliptide %s: %d %s%s", row.args, status, out, errs)
+			t.Errorf("sliptide %s: unexpected status %d or output: %s%s", row.args, status, out, errs)
 		}
 	}
 }
@@ -267,13 +269,13 @@
 		May      bool `json:"may_have_run"`
 	}
 	if err := json.Unmarshal([]byte(out), &list); err != nil || status != 0 || len(list) != 2 || list[1].Trace != "out" || list[1].Attempts != 1 || !list[1].May {
-		t.Errorf("%d %v %s", status, err, out)
+		t.Errorf("journal show: status %d, error %v; want 0, and two messages, the second \"out\" with one attempt, in %s", status, err, out)
 	}
 	if strings.Contains(out, "secret") || strings.Contains(out, "key-") {
 		t.Error("the output contains a body or a key")
 	}
 	if out, _, status := runCommand(t, "journal", "verify", r.stateDir); status != 0 || !strings.Contains(out, "2 messages") {
-		t.Errorf("%d %s", status, out)
+		t.Errorf("journal verify: status %d, want 0 and \"2 messages\" in %s", status, out)
 	}
 	r.start()
 }
@@ -376,7 +378,7 @@
 		r.start()
 	}
 	if aside > 0 || files == 0 {
-		t.Errorf("%d set aside", aside)
+		t.Errorf("%d files were set aside, want none, or no file was read at all", aside)
 	}
 	t.Logf("%d kills in %v: %d files read (%d snapshots), 0 damaged, %d set aside; %d waits checked, %d missed",
 		runs, time.Since(startedAt).Round(time.Second), files, snapshots, aside, waits, missed)
--- a/cmd/sliptide/main_test.go
+++ b/cmd/sliptide/main_test.go
@@ -30,17 +30,18 @@
 		r.mustSubmit(id, 0, 10, body)
 		c := r.expectCallFor(id)
 		if c.path != "/inbox" || c.header.Get("Idempotency-Key") != "key-"+id || string(c.body) != body || c.header.Get("X-Expires-In") == "" {
-			t.Errorf("call %s %v with %d bytes", c.path, c.header, len(c.body))
+			t.Errorf("call on path %s with header %v and a body of %d bytes, not as submitted", c.path, c.header, len(c.body))
 		}
 		peers[c.clientAddr] = true
 		c.respond(200)
 	}
 	if len(peers) > 3 { // a call may begin before the last answer has been read
-		t.Errorf("%d connections for 10 messages", len(peers))
+		t.Errorf("%d connections for 10 messages, want 3 at most", len(peers))
 	}
 }
 
-// TestOutcomes sends each kind of answer and checks what becomes of the message.
+// TestOutcomes guards against an answer that is misread: each kind of answer must lead to a further attempt, to the end
+// of the message without a notice, or to a notice that it is returned.
 func TestOutcomes(t *testing.T) {
 	for name, row := range map[string]struct {
 		answer func(*call)
@@ -81,12 +82,12 @@
 			case "over": // a later message ends without a further call or notice for this one
 				r.mustSubmit("later", 9, 0.5, "")
 				if n := r.nextNotice(); n.Message != "later" {
-					t.Errorf("notice %+v", n)
+					t.Errorf("notice %+v, want the one of message \"later\"", n)
 				}
 				r.expectNoCall()
 			default:
 				if n := r.nextNotice(); n.Message != "m" || n.Outcome != row.want {
-					t.Errorf("notice %+v", n)
+					t.Errorf("notice %+v, want the one of message \"m\" with the outcome handed_back", n)
 				}
 			}
 		})
@@ -106,13 +107,13 @@
 	c := r.nextCall()
 	var items []struct{ ID, Key, Body string }
 	if err := json.Unmarshal(c.body, &items); err != nil || c.path != "/inbox/bulk" || len(items) != 4 {
-		t.Fatalf("%s %q: %v", c.path, c.body, err)
+		t.Fatalf("call on path %s with body %q, error %v; want a bulk call with four messages", c.path, c.body, err)
 	}
 	state := map[string]string{"a": "accepted", "b": "deferred", "c": "expired", "d": "fault"}
 	var ends []string
 	for _, it := range items {
 		if body, _ := base64.StdEncoding.DecodeString(it.Body); string(body) != "body of "+it.ID || it.Key != "key-"+it.ID {
-			t.Errorf("item %+v", it)
+			t.Errorf("item %+v, want the body and key that were submitted", it)
 		}
 		ends = append(ends, fmt.Sprintf(`{"id":%q,"state":%q}`, it.ID, state[it.ID]))
 	}
@@ -151,10 +152,10 @@
 	begin := time.Now()
 	first.respond(200)
 	if c := r.nextCall(); !strings.Contains(string(c.body), `"long"`) || !strings.Contains(string(c.body), `"short"`) {
-		t.Fatalf("%s %q", c.path, c.body)
+		t.Fatalf("call on path %s with body %q, want both messages in it", c.path, c.body)
 	}
 	if n := r.nextNotice(); n.Message != "short" || time.Since(begin) > 1800*time.Millisecond {
-		t.Errorf("notice %+v after %v", n, time.Since(begin))
+		t.Errorf("notice %+v after %v, want the one of message \"short\" after 1.5 s", n, time.Since(begin))
 	}
 }
 
@@ -185,10 +186,10 @@
 		c.respond(200)
 	}
 	if got["out"] != "out's body" || got["held"] != "held's body" {
-		t.Errorf("sent after the restart: %v", got)
+		t.Errorf("sent after the restart: %v, want \"out\" and \"held\" with their bodies", got)
 	}
 	if n := r.nextNotice(); n.Message != "short" || n.Outcome != "given_up" {
-		t.Errorf("notice %+v", n)
+		t.Errorf("notice %+v, want the one of message \"short\", given up", n)
 	}
 	r.mustSubmit("after", 0, 15, "")
 	r.expectCallFor("after").respond(200)
@@ -202,13 +203,13 @@
 	r.kill(syscall.SIGKILL)
 	r.start()
 	if n := r.nextNotice(); n.Message != "m" || n.Outcome != "handed_back" {
-		t.Errorf("notice %+v", n)
+		t.Errorf("notice %+v, want the one of message \"m\", handed back", n)
 	}
 	r.expectNoCall()
 }
 
 // On SIGTERM the sender answers clients that still arrive, lets its call end and exits in time. Messages that it
-// accepts before it handles the signal are delivered.
+// accepts before it handles the signal are delivered. One that it still holds is delivered after the next start.
 func TestGracefulStop(t *testing.T) {
 	const exitLimit = 3500 * time.Millisecond // from the signal to the exit
 	r := newRig(t, nil, "one")
@@ -233,7 +234,7 @@
 	c.respond(200)
 	r.await(r.exited, "the sender exits")
 	if took := time.Since(begin); took > exitLimit || r.proc.ProcessState.ExitCode() != 0 {
-		t.Errorf("exited after %v: %v", took, r.proc.ProcessState)
+		t.Errorf("exited after %v: %v; want 3.5 s at most and status 0", took, r.proc.ProcessState)
 	}
 	r.updateList(func() { r.endpoints = append(r.endpoints, r.endpoint("s-7", "one", 7)) })
 	r.start()
@@ -241,7 +242,7 @@
 }
 
 // Clients submit messages while the sender is killed and stopped in turn: every message that was answered 202 is
-// delivered or ends with a notice.
+// delivered or ends with a notice, although some calls fail or are cut off.
 func TestNothingIsLostOverRestarts(t *testing.T) {
 	r := newRig(t, nil, "one", "bulk", "one")
 	var mu sync.Mutex
@@ -301,7 +302,7 @@
 	}
 	<-clientsDone
 	if len(accepted) < 50 {
-		t.Errorf("only %d messages were accepted", len(accepted))
+		t.Errorf("only %d messages were accepted, want 50 at least", len(accepted))
 	}
 	for left := len(accepted); left > 0; {
 		id := receive(t, ended, fmt.Sprintf("the end of %d messages", left))
@@ -332,7 +333,7 @@
 	r.mu.Unlock()
 	r.start()
 	if n := r.nextNotice(); n.Message != "m" {
-		t.Errorf("notice %+v", n)
+		t.Errorf("notice %+v, want the one of message \"m\"", n)
 	}
 }
 
@@ -343,10 +344,10 @@
 	r.mustSubmit("a", 0, 15, "")
 	r.mustSubmit("b", 0, 15, "")
 	resp := r.submit("c", 0, 15, "")
-	if resp.StatusCode == 202 { // the module may return another message to accept it
+	if resp.StatusCode == 202 { // the sender may return a held message to accept it
 		r.nextNotice()
 	} else if resp.StatusCode != 429 || resp.Header.Get("Retry-After") == "" {
-		t.Errorf("%s %v", resp.Status, resp.Header)
+		t.Errorf("a message above most_held: %s %v, want 429 with Retry-After", resp.Status, resp.Header)
 	}
 }
 
@@ -370,11 +371,11 @@
 			refused++
 		}
 		if n := size(); n > limit {
-			t.Fatalf("%d bytes on disk", n)
+			t.Fatalf("%d bytes on disk, want 256 KiB at most", n)
 		}
 	}
 	if refused == 0 || refused == 20 {
-		t.Errorf("%d of 20 refused", refused)
+		t.Errorf("%d of 20 refused, want some but not all", refused)
 	}
 	for range 20 - refused {
 		r.nextNotice()
@@ -385,7 +386,7 @@
 		}
 		r.expectCallFor(id).respond(200)
 		if n := size(); n > limit {
-			t.Fatalf("%d bytes on disk", n)
+			t.Fatalf("%d bytes on disk, want 256 KiB at most", n)
 		}
 	}
 }
@@ -445,13 +446,13 @@
 		nc.(*net.TCPConn).SetLinger(0)
 		nc.Close() // resets the connection before the answer is read
 		if resp := r.submit("m", 0, 15, "another body"); resp.StatusCode != 409 {
-			t.Errorf("over: %v: %s", over, resp.Status)
+			t.Errorf("ID of an accepted message (ended: %v): %s, want 409", over, resp.Status)
 		}
 		if !over {
 			r.updateList(func() { r.endpoints = append(r.endpoints, r.endpoint("s-new", "one", 0)) })
 			c := r.expectCallFor("m")
 			if string(c.body) != "its own body" {
-				t.Errorf("body %q", c.body)
+				t.Errorf("body %q, want that of the accepted message", c.body)
 			}
 			c.respond(200)
 			r.mustSubmit("after", 0, 15, "") // its call shows that the sender has read the answer to m
@@ -469,6 +470,7 @@
 	}
 }
 
+// testManyClients lets 60 clients send request and reconnect, and expects another client to be answered within 2 s.
 func testManyClients(t *testing.T, request string) {
 	r := newRig(t, func(_, limits map[string]any) { limits["sockets"] = 64 }, "one")
 	ctx, stop := context.WithCancel(context.Background())
@@ -503,7 +505,7 @@
 		begin := time.Now()
 		resp, err := client.Get("http://" + r.addr + "/up")
 		if took := time.Since(begin); err != nil || resp.StatusCode != 200 || took > 2*time.Second {
-			t.Errorf("request %d: %v after %v", i, err, took)
+			t.Errorf("request %d: error %v after %v, want 200 within 2 s", i, err, took)
 		}
 	}
 	stop()
@@ -533,7 +535,7 @@
 	}
 	for i, nc := range early {
 		if got := ask(nc); !strings.HasPrefix(got, "HTTP/1.1 200") {
-			t.Errorf("early connection %d: %q", i, got)
+			t.Errorf("early connection %d is answered %q, want 200", i, got)
 		}
 	}
 }
@@ -564,7 +566,7 @@
 		receive(t, ends, "the end of a connection")
 	}
 	if took := time.Since(begin); took > 6*time.Second {
-		t.Errorf("the last one was closed after %v", took)
+		t.Errorf("the last connection was closed after %v, want 6 s at most", took)
 	}
 }
 
@@ -587,20 +589,20 @@
 	r.updateList(func() { r.discoverySilent, r.endpoints = false, append(r.endpoints, r.endpoint("s-new", "one", 0)) })
 	c := r.expectCallFor("m")
 	if c.endpoint != "s-new" {
-		t.Errorf("called %s, which drains", c.endpoint)
+		t.Errorf("called %s, want s-new: the other drains", c.endpoint)
 	}
 	c.respond(200)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, late := range r.watchDelays {
 		if late > 200*time.Millisecond {
-			t.Errorf("a watch renewed after %v", late)
+			t.Errorf("a watch was renewed after %v, want 200 ms at most", late)
 		}
 	}
 }
 
 // On SIGHUP the configuration is read again: lists come from the new discovery agent and notices go to it, even
-// though the old one still answers. An invalid file changes nothing.
+// though the old one still answers. After an invalid file the sender goes on accepting messages.
 func TestDiscoveryMoves(t *testing.T) {
 	r := newRig(t, nil)
 	if err := os.WriteFile(r.configPath, []byte("{"), 0o600); err != nil {
@@ -649,7 +651,7 @@
 		r.endpoints = append(r.endpoints, r.endpoint("well", "one", 0))
 	})
 	if c := r.expectCallFor("m"); c.endpoint != "well" || time.Since(begin) > time.Second {
-		t.Errorf("called %s after %v", c.endpoint, time.Since(begin))
+		t.Errorf("called %s after %v, want the endpoint \"well\" within 1 s", c.endpoint, time.Since(begin))
 	} else {
 		c.respond(200)
 	}
@@ -688,6 +690,7 @@
 	}
 }
 
+// procNetTCP returns the kernel's list of TCP connections, or skips the test where there is none.
 func procNetTCP(t *testing.T) string {
 	text, err := os.ReadFile("/proc/net/tcp")
 	if err != nil {
@@ -725,7 +728,7 @@
 		cmd.Env = append(os.Environ(), "RELAY_CONFIG="+path, "RELAY_STATE="+row.state)
 		out, err := cmd.CombinedOutput()
 		if err == nil || strings.Count(string(out), "\n") != 1 || !strings.HasPrefix(string(out), "sliptide: ") {
-			t.Errorf("%s: %v: %q", name, err, out)
+			t.Errorf("%s: exit %v, output %q; want a failure and one line that begins with the program's name", name, err, out)
 		}
 	}
 }
--- a/cmd/sliptide/measure_test.go
+++ b/cmd/sliptide/measure_test.go
@@ -44,6 +44,7 @@
 	duringWait       []time.Time // calls during a requested wait
 }
 
+// serve answers a call after 20 ms. Each answer states the partner's limit.
 func (p *limitedPartner) serve(w http.ResponseWriter, q *http.Request) {
 	io.Copy(io.Discard, q.Body)
 	time.Sleep(20 * time.Millisecond)
@@ -239,7 +240,8 @@
 		startedAt := time.Now()
 		nextSubmission := time.Now()
 		for i, end := 0, time.Now().Add(length); time.Now().Before(end); i++ {
-			nextSubmission = nextSubmission.Add(time.Duration(rng.ExpFloat64() / rate * 1e9)) // open loop: a delay does not lower the rate
+			// Open loop: a delay does not lower the rate.
+			nextSubmission = nextSubmission.Add(time.Duration(rng.ExpFloat64() / rate * 1e9))
 			time.Sleep(time.Until(nextSubmission))
 			if time.Since(startedAt) > time.Duration(len(result.rssAt)+1)*10*time.Second {
 				result.rssAt = append(result.rssAt, math.Round(10*standin.ResidentMB(r.proc.Process.Pid))/10)
@@ -363,6 +365,7 @@
 	}
 }
 
+// quantile sorts list and returns its q-quantile, or NaN if it is empty.
 func quantile(list []float64, q float64) float64 {
 	if len(list) == 0 {
 		return math.NaN()
--- a/cmd/sliptide/restart_test.go
+++ b/cmd/sliptide/restart_test.go
@@ -16,7 +16,7 @@
 const readyTimeout = 10 * time.Second
 
 // With a journal that fills the state directory and an unresponsive discovery, a restarted sender is ready in time,
-// attempts the accepted messages and serves new ones.
+// accepts a new message, and attempts at least half of the restored messages within 15 s.
 func TestReadyWithAFullJournalAndNoDiscovery(t *testing.T) {
 	t.Parallel()
 	const diskMB = 3
@@ -49,16 +49,16 @@
 	r.start()
 	took := time.Since(startedAt)
 	if took > readyTimeout {
-		t.Errorf("ready after %v", took)
+		t.Errorf("ready after %v, want 10 s at most", took)
 	}
 	if res := r.submit("new", 3, 15, ""); res.StatusCode != 202 {
-		t.Errorf("a new message: %d", res.StatusCode)
+		t.Errorf("a new message: status %d, want 202", res.StatusCode)
 	}
 	for end := time.Now().Add(15 * time.Second); attempts.Load() <= int64(accepted) && time.Now().Before(end); {
 		time.Sleep(10 * time.Millisecond)
 	}
 	t.Logf("ready after %v with %d messages restored, %d calls made", took, accepted, attempts.Load())
 	if n := int(attempts.Load()); n < accepted/2 {
-		t.Errorf("%d of %d restored messages were attempted", n, accepted)
+		t.Errorf("%d calls for %d restored messages, want at least half as many", n, accepted)
 	}
 }
--- a/cmd/sliptide/rig_test.go
+++ b/cmd/sliptide/rig_test.go
@@ -30,6 +30,7 @@
 
 var binary string
 
+// TestMain builds the program that the tests start: with the race detector, except for measurements.
 func TestMain(m *testing.M) {
 	dir, err := os.MkdirTemp("", "sliptide")
 	if err != nil {
@@ -37,7 +38,7 @@
 	}
 	binary = filepath.Join(dir, "sliptide")
 	args := []string{"build", "-race", "-o", binary, "."}
-	if os.Getenv("SLIPTIDE_MEASURE") != "" { // measure the program as it is deployed
+	if os.Getenv("SLIPTIDE_MEASURE") != "" { // measured as it is deployed
 		args = []string{"build", "-o", binary, "."}
 	}
 	if out, err := exec.Command("go", args...).CombinedOutput(); err != nil {
@@ -89,6 +90,7 @@
 	State string `json:"state"`
 }
 
+// notice is the final answer of a message, as the sender reports it to discovery.
 type notice struct {
 	Message, Outcome string
 	Retry            int `json:"retry_in_ms"`
@@ -209,6 +211,7 @@
 		if r.proc != nil {
 			r.kill(syscall.SIGKILL)
 		}
+		// A data race or a panic in the sender's log fails the test, too.
 		if s := r.logs.String(); t.Failed() || strings.Contains(s, "DATA RACE") || strings.Contains(s, "panic") {
 			t.Errorf("log of the sender:\n%s", s)
 		}
@@ -239,6 +242,8 @@
 	return endpoint{ID: id, Addr: s.Listener.Addr().String(), Zone: "a", Kind: kind, Cell: cell, State: "up"}
 }
 
+// serveDiscovery is the discovery agent. It answers a watch with the list as soon as that is newer than the watch's
+// index, or with an empty change when the watch's time is over. While discoverySilent is set it does not answer.
 func (r *rig) serveDiscovery(w http.ResponseWriter, q *http.Request) {
 	if q.URL.Path == "/v1/outcomes" {
 		r.serveNotices(w, q)
@@ -282,6 +287,7 @@
 	}
 }
 
+// serveNotices passes the notices of one request to the test, or refuses the request while noticesToRefuse is positive.
 func (r *rig) serveNotices(w http.ResponseWriter, q *http.Request) {
 	r.mu.Lock()
 	refuse := r.noticesToRefuse > 0
@@ -385,6 +391,7 @@
 	r.await(r.exited, "the process ends")
 }
 
+// await waits until ch is closed, or fails the test.
 func (r *rig) await(ch <-chan struct{}, what string) {
 	r.t.Helper()
 	select {
@@ -404,6 +411,7 @@
 	return resp
 }
 
+// trySubmit is submit for a sender that may be unreachable. The answer's body has been read.
 func (r *rig) trySubmit(id string, dest int, expiresIn float64, body string) (*http.Response, error) {
 	q, _ := http.NewRequest("POST", "http://"+r.addr+"/api", strings.NewReader(body))
 	for k, v := range map[string]string{"X-Trace-Id": id, "X-Qos": "note", "X-Customer": "acme", "Idempotency-Key": "key-" + id,
@@ -457,6 +465,7 @@
 	}
 }
 
+// receive returns the next value of ch, or fails the test if there is none within testTimeout.
 func receive[T any](t *testing.T, ch <-chan T, what string) (v T) {
 	t.Helper()
 	select {
--- a/cmd/sliptide/telemetry_test.go
+++ b/cmd/sliptide/telemetry_test.go
@@ -45,7 +45,7 @@
 			return traces
 		}
 		if time.Now().After(end) {
-			t.Fatalf("%d traces of %d", len(traces), n)
+			t.Fatalf("not in time: %d complete traces, want %d", len(traces), n)
 		}
 		time.Sleep(time.Millisecond)
 	}
@@ -62,7 +62,7 @@
 }
 
 // The collector receives one complete trace for a message, in the trace context given by its client, even if a SIGKILL
-// ended the process meanwhile. No trace contains a body or an idempotency key.
+// ended the process meanwhile. No trace that has arrived contains a body or an idempotency key.
 func TestEachMessageIsOneTrace(t *testing.T) {
 	for _, overGRPC := range []bool{false, true} {
 		t.Run(fmt.Sprint("grpc ", overGRPC), func(t *testing.T) {
@@ -96,7 +96,7 @@
 			known := traces["4bf92f3577b34da6a3ce929d0e0e4736"]
 			if len(known) < 2 || fmt.Sprintf("%x", known[0].ParentSpanId) != "00f067aa0ba902b7" || attribute(known[0], "sliptide.restored_with_attempts") != "1" ||
 				attribute(known[0], "sliptide.end") != "delivered" {
-				t.Errorf("trace of the message that was restored after the kill: %v", known)
+				t.Errorf("trace of the message that was restored after the kill: %v; want its client's parent span, one attempt before the kill and its delivery", known)
 			}
 			if text := fmt.Sprint(c.Spans()); strings.Contains(text, "secret") {
 				t.Errorf("a body or a key is among the attributes")
@@ -105,7 +105,8 @@
 	}
 }
 
-// Each message has a trace, which contains its attempts and waits.
+// Each of 31 messages has a trace. That of the message that is answered 500, 429 and 200 has these three attempts in
+// order and the requested wait. The collector also receives the metrics of connections, waits and breakers.
 func TestTraceHasAttemptsAndWaits(t *testing.T) {
 	c, file := startCollector(t, false)
 	r := newRigWithOperatorFile(t, file, nil, "one")
@@ -125,7 +126,7 @@
 			break
 		}
 		if time.Now().After(end) {
-			t.Fatalf("metrics: %v", m)
+			t.Fatalf("the metrics of connections, waits and breakers have not all arrived: %v", m)
 		}
 	}
 	for _, spans := range traces {
@@ -144,7 +145,7 @@
 			}
 		}
 		if fmt.Sprint(outcomes) != "[error turned_away delivered]" || !strings.Contains(fmt.Sprint(waits), "told_wait") {
-			t.Errorf("outcomes %v, waits %v", outcomes, waits)
+			t.Errorf("outcomes %v, waits %v; want error, turned_away and delivered, and a wait told_wait", outcomes, waits)
 		}
 		return
 	}
@@ -164,6 +165,6 @@
 	stopAt := time.Now()
 	r.kill(syscall.SIGTERM)
 	if took := time.Since(stopAt); took > 3700*time.Millisecond { // SIGKILL would follow then
-		t.Errorf("the stop took %v", took)
+		t.Errorf("the stop took %v, want 3.7 s at most", took)
 	}
 }
--- a/cmd/sliptide/upgrade_test.go
+++ b/cmd/sliptide/upgrade_test.go
@@ -11,9 +11,9 @@
 	"time"
 )
 
-// In an upgrade a second process starts with the same address and state directory while the first serves. It serves
-// clients at once and makes no call until the first process has exited on SIGTERM. Then it delivers the messages that
-// both have accepted, each once, including those that the first still held.
+// Guards against messages that an upgrade loses or sends twice. A second process starts with the same address and state
+// directory while the first serves, and the first exits on SIGTERM. Each message that either of them has accepted must
+// be called once, the second process must log that it took over, and its own temporary journal must be gone.
 func TestUpgrade(t *testing.T) {
 	r := newRig(t, nil, "one")
 	r.mustSubmit("old", 0, 15, "")
@@ -60,11 +60,11 @@
 	r.await(r.exited, "the old process exits")
 	for id, n := range called {
 		if !want[id] || n != 1 {
-			t.Errorf("%s called %d times", id, n)
+			t.Errorf("%s called %d times, want once", id, n)
 		}
 	}
 	if !strings.Contains(logs.String(), "took over from the previous version") {
-		t.Errorf("log of the new process:\n%s", logs.String())
+		t.Errorf("the new process has not logged that it took over:\n%s", logs.String())
 	}
 	if successor.ProcessState != nil {
 		t.Errorf("the new process ended: %v", successor.ProcessState)
--- a/cmd/sliptide/wallclock_test.go
+++ b/cmd/sliptide/wallclock_test.go
@@ -10,7 +10,8 @@
 )
 
 // Guards against deadlines and requested waits that move when the wall clock is stepped between two runs of the
-// process.
+// process: the message with the short deadline must get its notice in time, and the other two must still be called. A
+// wait that ends early is not detected here.
 func TestWallClockStepBetweenRuns(t *testing.T) {
 	t.Parallel()
 	for _, step := range []time.Duration{time.Hour, -time.Hour, -3 * time.Second} {
@@ -29,7 +30,7 @@
 			r.start()
 			n := r.nextNotice()
 			if late := time.Since(accepted) - 2*time.Second; n.Message != "short" || late > 300*time.Millisecond+restartSlack {
-				t.Errorf("notice %+v, %v after its deadline", n, late)
+				t.Errorf("notice %+v, %v after its deadline; want the one of message \"short\", in time", n, late)
 			}
 			r.updateList(func() { r.endpoints = append(r.endpoints, r.endpoint("s-7", "one", 7)) })
 			got := map[string]time.Time{}
@@ -39,7 +40,7 @@
 				c.respond(200)
 			}
 			if len(got) != 2 || got["long"].IsZero() || got["waits"].Sub(requested) > 15*time.Second {
-				t.Errorf("called: %v", got)
+				t.Errorf("called: %v, want \"long\", and \"waits\" within 15 s of the request to wait", got)
 			}
 		})
 	}
