--- a/cmd/sliptide/soak_judge_test.go
+++ b/cmd/sliptide/soak_judge_test.go
@@ -24,7 +24,7 @@
 	attempt  *soakCall // in flight; nil: none
 	effects  int
 	endedAt  time.Time // the first delivery or notice
-	notices  int
+	notices  int       // not checked
 }
 
 // soakCall is one attempt at an endpoint.
@@ -169,6 +169,7 @@
 	}
 }
 
+// messageEnded records the first end of a message, by a delivery or a notice.
 func (s *soak) messageEnded(id string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/cmd/sliptide/soak_partner_test.go
+++ b/cmd/sliptide/soak_partner_test.go
@@ -69,6 +69,7 @@
 	return respondOK
 }
 
+// newSoakEndpoint starts an endpoint that serves until the end of the test.
 func newSoakEndpoint(t *testing.T, s *soak, sender, dest int) *soakEndpoint {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/cmd/sliptide/soak_test.go
+++ b/cmd/sliptide/soak_test.go
@@ -31,8 +31,11 @@
 )
 
 // TestSoakOfFaults runs senders against faulty partners, discovery agents, clients, signals, disks and clocks, and
-// checks the delivery guarantees against what all of them observed. SLIPTIDE_SOAK_SEEDS sets the number of seeds,
-// SLIPTIDE_SOAK_FIRST the first one; CI runs three.
+// checks the delivery guarantees against what all of them observed: each accepted message ends in time, no refused one
+// is called, none of a class that forbids it takes effect twice, no two attempts of a message overlap, and no call is
+// made during a requested wait. Each sender must answer on new connections, be ready in time after a restart and exit
+// with status 0 on SIGTERM. SLIPTIDE_SOAK_SEEDS sets the number of seeds, SLIPTIDE_SOAK_FIRST the first one; CI runs
+// three.
 func TestSoakOfFaults(t *testing.T) {
 	seeds, err := strconv.Atoi(os.Getenv("SLIPTIDE_SOAK_SEEDS"))
 	if err != nil {
@@ -104,6 +107,7 @@
 	rng   *rand.Rand // draws its faults
 }
 
+// newSoakNode makes a sender with six endpoints, two for each of three destinations. It does not start the program.
 func newSoakNode(t *testing.T, s *soak, index, senderCount int, rng *rand.Rand) *soakNode {
 	n := &soakNode{soak: s, t: t, index: index, rng: rng}
 	n.rig = newUnstartedRig(t, `<log records="true"/><knowledge enabled="true" write-every="1s"/><storms enabled="true"/>`, func(settings, limits map[string]any) {
--- a/cmd/sliptide/storm_test.go
+++ b/cmd/sliptide/storm_test.go
@@ -97,6 +97,8 @@
 	return n
 }
 
+// answer accepts a call if fewer than limit were accepted in the last second, and answers it after 30 ms, or after
+// 90 ms for 9 s after a restart.
 func (p *stoppablePartner) answer(w http.ResponseWriter, q *http.Request) {
 	io.Copy(io.Discard, q.Body)
 	now := time.Now()
@@ -345,8 +347,9 @@
 
 const stormsXML = `<knowledge enabled="true" write-every="500ms"/><storms enabled="true"><limit dest="3" calls-per-second="40"/></storms>`
 
-// TestCallsAfterOutageStayWithinLimit checks that a partner that was down receives no more calls than its stated limit
-// in each second after it is back, and that the lab's model agrees with the processes.
+// TestCallsAfterOutageStayWithinLimit guards against a storm of calls on a partner that was down: in each second after
+// it is back, it receives no more calls than its stated limit, with a tolerance for a stall of the machine. A sender
+// that was restarted during the outage must still know of it, and the lab's model must agree with the processes.
 func TestCallsAfterOutageStayWithinLimit(t *testing.T) {
 	for _, sc := range []stormCase{
 		{"advertised limit, cold partner", true, 9000, 5 * time.Second, false},
@@ -369,7 +372,7 @@
 				}
 			}
 			if total < int(stormLimit) { // not calling at all must not pass
-				t.Errorf("only %d calls in %d seconds", total, stormObservedSeconds)
+				t.Errorf("only %d calls in %d seconds, want those of one second at the limit at least", total, stormObservedSeconds)
 			}
 			// The restarted process restores the outage from its state directory: it need not detect it again.
 			if sc.restart && (!strings.Contains(s.restartLog, `"phase":"outage"`) || strings.Contains(s.restartLog, "breaker open")) {
