--- a/cmd/sliptide/main_test.go
+++ b/cmd/sliptide/main_test.go
@@ -94,8 +94,8 @@
 	}
 }
 
-// Messages that are queued for one endpoint share a call; each has its own outcome, and a Retry-After of the common
-// answer is honoured.
+// Messages that are queued for one endpoint share a call, and each has its own outcome: the one that is deferred and
+// the one that failed are sent again, not before the Retry-After of the common answer has passed.
 func TestBulkCalls(t *testing.T) {
 	r := newRig(t, func(settings, _ map[string]any) { settings["family_info"].(map[string]any)["call_slots"] = 1 }, "bulk")
 	r.mustSubmit("first", 0, 10, "")
@@ -570,8 +570,8 @@
 	}
 }
 
-// The endpoint list is followed by watches that are renewed in time, also after a watch without an answer, and a
-// message goes only to endpoints that are listed as up.
+// The endpoint list is followed by watches: a new one begins within 200 ms of the answer to the last, and one follows a
+// watch that is not answered, too. A message goes only to endpoints that are listed as up.
 func TestFollowsTheList(t *testing.T) {
 	r := newRig(t, nil, "one")
 	receive(t, r.watches, "a request for the list")
