--- a/cmd/adapter/main_test.go
+++ b/cmd/adapter/main_test.go
@@ -35,7 +35,7 @@
 	return record(0, append(fields, settings...))
 }
 
-// A batch with fewer records than it counts is an error; a batch without records has an empty reply.
+// A batch whose body has fewer records than its header counts is an error; a batch without records has an empty reply.
 func TestEmptyAndTruncatedBatch(t *testing.T) {
 	var out bytes.Buffer
 	if err := serve(bytes.NewReader(batch(1, 8412, []byte{}[:0])[:20]), &out); err == nil {
@@ -47,7 +47,7 @@
 		t.Fatal(err)
 	}
 	if want := []byte{0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 1}; !bytes.Equal(out.Bytes(), want) {
-		t.Fatalf("reply %x", out.Bytes())
+		t.Fatalf("reply %x, want an empty one with sequence number 1", out.Bytes())
 	}
 }
 
@@ -72,14 +72,16 @@
 	id := func(v uint64) []byte { return binary.BigEndian.AppendUint64(nil, v) }
 	if bytes.Contains(out.Bytes(), id(5)) || !bytes.Contains(out.Bytes(), id(6)) ||
 		bytes.Contains(out.Bytes(), id(7)) {
-		t.Fatalf("replies %x", out.Bytes())
+		t.Fatalf("replies %x, want an answer to message 6 and none to 5 and 7", out.Bytes())
 	}
 }
 
+// A record that ends within its first field is an error that names batch, record, code and field, so that the record
+// can be found in the input.
 func TestErrorNamesBatchAndRecord(t *testing.T) {
 	in := batch(4, 10, record(2, []byte{0}))
 	err := serve(bytes.NewReader(in), &bytes.Buffer{})
 	if err == nil || !strings.Contains(err.Error(), "batch 4: record 0 (code 2): sender") {
-		t.Fatalf("got %v", err)
+		t.Fatalf("error %v, want one that names batch 4, record 0, its code and the field", err)
 	}
 }
--- a/policy/facts_test.go
+++ b/policy/facts_test.go
@@ -6,7 +6,8 @@
 	"testing"
 )
 
-// restarted returns a rig whose sender has restored the facts of r's sender, as after a restart that took no time.
+// restarted returns a rig whose sender has restored r's facts of dests, as after a restart that took no time. The
+// events in before precede the facts and the list in its first step.
 func (r *rig) restarted(eps []Endpoint, dests []int, before ...Event) *rig {
 	r.t.Helper()
 	next := &rig{t: r.t, s: New(r.s.settings, 8), now: r.now,
@@ -24,6 +25,7 @@
 	return next
 }
 
+// countSends returns the number of calls in actions, probes included.
 func countSends(actions []Action) (n int) {
 	for _, a := range actions {
 		if a.Kind == ActSend || a.Kind == ActProbe {
@@ -60,7 +62,7 @@
 		after, _ := restarted.s.Facts(dest)
 		if dest == 1 && (before.SharedRoute == nil || before.SharedRoute.AdvertisedLimit != 12) ||
 			dest == 2 && (before.SharedRoute != nil || before.Endpoints[0].OwnRoute == nil) {
-			t.Errorf("facts %+v", before)
+			t.Errorf("facts %+v, want the limit at the shared route of destination 1 and own routes at 2", before)
 		}
 		if before.Latency.N == 0 || !reflect.DeepEqual(before, after) {
 			t.Errorf("destination %d:\nbefore %+v %+v\nafter  %+v %+v",
@@ -68,7 +70,7 @@
 		}
 	}
 	if g := restarted.s.GeneralFacts(); !reflect.DeepEqual(g, r.s.GeneralFacts()) || g.ClassLatency[0].N == 0 {
-		t.Errorf("general facts %+v", g)
+		t.Errorf("general facts %+v, want those from before with a latency of the first class", g)
 	}
 }
 
@@ -96,7 +98,8 @@
 	}
 }
 
-// A ramp continues after a restart in its middle: no more is sent than without a restart.
+// A ramp continues after a restart in its middle: at most a fifth more is sent than without a restart, and less than
+// after a restart without facts, whose sender takes the endpoint to be healthy.
 func TestRampOutlastsRestart(t *testing.T) {
 	eps := []Endpoint{{ID: 1, State: Ready, Kind: 2, Dest: 1}}
 	sent := func(restart, facts bool) int {
@@ -138,14 +141,15 @@
 	}
 	uninterrupted, restored, withoutFacts := sent(false, false), sent(true, true), sent(true, false)
 	if restored > uninterrupted+uninterrupted/5+1 || withoutFacts <= restored {
-		t.Errorf("calls in 2 s of a ramp: %d without a restart, %d after one, %d after one without facts",
+		t.Errorf("calls in 2 s of a ramp: %d without a restart, %d after one, want a fifth more at most; %d without facts",
 			uninterrupted, restored, withoutFacts)
 	}
 	t.Logf("calls in 2 s of a ramp: %d without a restart, %d after one, %d after one without facts",
 		uninterrupted, restored, withoutFacts)
 }
 
-// An endpoint with an open breaker keeps its due trial over a restart, whether or not another endpoint is healthy.
+// An endpoint with an open breaker keeps the time of its trial over a restart while another endpoint is healthy, and is
+// not called before.
 func TestTrialOutlastsRestart(t *testing.T) {
 	eps := []Endpoint{{ID: 1, State: Ready, Kind: 2, Dest: 1}, {ID: 2, State: Ready, Kind: 2, Dest: 1}}
 	r := newRig(t, testSettings(), eps...)
@@ -157,7 +161,7 @@
 	restarted := r.restarted(eps, []int{1})
 	if got := restarted.s.endpoints[2]; got.breaker != open || got.nextTrial != due ||
 		restarted.s.endpoints[1].breaker != closed {
-		t.Errorf("state %v, trial at %v, want %v", got.breaker, got.nextTrial, due)
+		t.Errorf("breaker %v, trial at %v, want open and %v; endpoint 1 must be closed", got.breaker, got.nextTrial, due)
 	}
 	for id := uint64(1); id < 5; id++ {
 		if restarted.message(id, classSafe, 1, 0); restarted.lastEndpoint[id] == 2 {
@@ -166,22 +170,23 @@
 	}
 }
 
-// Facts of endpoints that no list names, or from an earlier step, have no effect.
+// Facts have no effect on endpoints that are first listed in a later step, and there are none of a destination that is
+// not listed.
 func TestFactsApplyToListedEndpointsOnly(t *testing.T) {
 	eps := []Endpoint{{ID: 1, State: Ready, Kind: 2, Dest: 1}}
 	r := newRig(t, testSettings())
 	r.step(Event{Kind: EvFacts, Facts: []DestFacts{{Dest: 1, SharedRoute: &RouteFacts{WaitUntil: math.Inf(1)}}}})
 	r.step(Event{Kind: EvList, FullList: true, List: eps})
 	if _, ok := r.s.Facts(9); ok {
-		t.Error("facts of an unknown destination")
+		t.Error("Facts returns facts of a destination that is not listed")
 	}
 	if countSends(r.message(1, classSafe, 1, 0)) != 1 {
 		t.Error("facts of an earlier step take effect")
 	}
 }
 
-// When a limit has fallen tenfold while the sender was down, the first answer that reports it reduces the pace, so
-// that the restored pace costs at most one second's burst.
+// When a limit has fallen tenfold while the sender was down, the first answer that reports it reduces the restored pace
+// to it at once, and a burst of messages that follows leads to three calls at most.
 func TestLimitFellWhileDown(t *testing.T) {
 	set := testSettings()
 	set.AllowanceIndex, set.LimitIndex = 0, 1
@@ -193,20 +198,20 @@
 	r.step(e)
 	restarted := r.restarted(eps, []int{1})
 	if got := restarted.s.destinations[1].sharedRoute.pace; got != 50 {
-		t.Fatalf("restored pace %v", got)
+		t.Fatalf("restored pace %v, want 50", got)
 	}
 	restarted.message(2, classSafe, 1, 0)
 	e = restarted.outcome(2, Full, 0)
 	e.Report = []float64{0, 5}
 	restarted.step(e)
 	if got := restarted.s.destinations[1].sharedRoute; got.pace > 5 || got.advertisedLimit != 5 {
-		t.Errorf("pace %v, limit %v after the first answer", got.pace, got.advertisedLimit)
+		t.Errorf("pace %v, limit %v after the first answer, want 5 at most, and 5", got.pace, got.advertisedLimit)
 	}
 	sent := 0
 	for id := uint64(10); id < 60; id++ {
 		sent += countSends(restarted.message(id, classSafe, 1, 0))
 	}
 	if sent > 3 { // half a second at 5 per second, and one call in flight
-		t.Errorf("%d calls at once", sent)
+		t.Errorf("%d calls at once, want 3 at most", sent)
 	}
 }
--- a/policy/fleet_test.go
+++ b/policy/fleet_test.go
@@ -26,6 +26,8 @@
 	trackInformed bool   // a sender with an outcome other than OK counts as informed from then on
 }
 
+// newFleet returns a fleet of n Senders whose settings differ in Index alone. They know eps, or without eps one
+// endpoint of destination 0.
 func newFleet(t *testing.T, n int, set Settings, eps ...Endpoint) *fleet {
 	t.Helper()
 	if len(eps) == 0 {
@@ -124,6 +126,7 @@
 			f.callTimes, f.informedCallTimes = nil, nil
 			f.run(backAt+9000, 400, func(float64) Outcome { return OK })
 			for from := backAt; from < backAt+9000; from += 250 {
+				// The capacity in the middle of the 3 s, a quarter of 6 per second at first, by the overload multiple.
 				budget := 6 * (0.25 + 0.75*(from+1500-backAt)/10000) * 1.5 * 3
 				all, informed := countBetween(f.callTimes, from, from+3000), countBetween(f.informedCallTimes, from, from+3000)
 				if all > budget && informed >= all*2/3 {
@@ -149,7 +152,8 @@
 }
 
 // Three endpoints with limits of their own crashed together. Each sender that held one message tried all three, each
-// by its own breaker's schedule, and the endpoints that came back received three calls for each message.
+// by its own breaker's schedule, and the endpoints that came back received three calls for each message. At one of the
+// three, the calls of senders that had seen the outage must stay within twice the overload.
 func TestOneTrialForRoutesThatFailTogether(t *testing.T) {
 	for _, n := range []int{60, 100, 200, 400} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
@@ -167,7 +171,8 @@
 			f.callTimes, f.informedCallTimes, f.trackInformed = nil, nil, false
 			f.run(backAt+set.WarmUpDuration, 125, answer)
 			if total, informed := f.overloadShares(set, backAt, 4); informed > 2 { // random variation adds up to as much again
-				t.Fatalf("calls reach %.2f of the overload, those of senders that had seen the outage %.2f", total, informed)
+				t.Fatalf("calls reach %.2f of the overload, those of senders that had seen the outage %.2f, want 2 at most",
+					total, informed)
 			} else {
 				t.Logf("calls %.2f of the overload, of senders that had seen the outage %.2f", total, informed)
 			}
@@ -177,7 +182,8 @@
 
 // An outage appeared as refusals. One Full opens no breaker, so each light sender that received one tried again
 // within 4 s, and two thirds of the calls to the endpoint that came back were theirs. For any number of senders, the
-// calls of those that had seen the outage must stay below the two thirds from which an overload counts against them.
+// calls of those that had seen the outage must stay below the two thirds from which an overload counts against them,
+// and within twice the overload.
 func TestRefusedSendersSpreadRetries(t *testing.T) {
 	for _, n := range []int{100, 400} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
@@ -202,13 +208,16 @@
 			}
 			t.Logf("calls %.2f of the overload, of senders that had seen the outage %.2f", total, informed)
 			if informed > 0.65*total || informed > 2 {
-				t.Fatalf("calls reach %.2f of the overload, those of senders that had seen the outage %.2f", total, informed)
+				t.Fatalf("calls reach %.2f of the overload, of senders that had seen the outage %.2f, want 2 and 0.65 of all at most",
+					total, informed)
 			}
 		})
 	}
 }
 
-// A destination that reports a used-up allowance is at its limit: no sender waits as for an outage.
+// A refusal that reports a nearly used-up allowance shows a limit: no sender may wait as for an outage. A refusal while
+// nearly all of the allowance is left shows an outage: 40 to 80 % of the senders must wait for more than 4 s, so that
+// they do not all try again at once.
 func TestAllowanceSeparatesOutageFromLimit(t *testing.T) {
 	set := testSettings()
 	set.Senders, set.AllowanceIndex = 300, 0
@@ -228,15 +237,15 @@
 		return long
 	}
 	if long := countLongWaits(0.1); long > 0 {
-		t.Errorf("%d of 200 take a limit for an outage", long)
+		t.Errorf("%d of 200 take a limit for an outage, want none", long)
 	}
 	if long := countLongWaits(0.95); long < 80 || long > 160 {
 		t.Errorf("%d of 200 take an unavailable endpoint for an outage, want 80 to 160", long)
 	}
 }
 
-// Lower bounds of paces used to add up to many times a limit. Under lasting refusals the sum of all calls must fall
-// to near an even share each, for any number of senders.
+// Each sender's pace has a lower bound, and these used to add up to many times a limit. After 10 s of refusals, all
+// senders together must make at most 0.15 calls per second for each of them, for any number of senders.
 func TestPacesOfManySendersFall(t *testing.T) {
 	for _, n := range []int{20, 60, 400} {
 		f := newFleet(t, n, testSettings())
@@ -247,12 +256,13 @@
 		}
 		f.run(16000, 0, func(float64) Outcome { return Full })
 		if rate := countBetween(f.callTimes, 11000, 16000) / 5; rate > 0.15*float64(n) {
-			t.Fatalf("%d senders still make %v calls per second", n, rate)
+			t.Fatalf("%d senders still make %v calls per second, want 0.15 for each sender at most", n, rate)
 		}
 	}
 }
 
-// An endpoint added during an outage was taken to be healthy and received the whole backlog at once.
+// An endpoint added during an outage was taken to be healthy and received the whole backlog at once. It must share the
+// outage of its route; one that is added to a healthy destination must not be held back.
 func TestNewEndpointSharesOutage(t *testing.T) {
 	set := testSettings()
 	set.Senders = 100
@@ -295,7 +305,8 @@
 	}
 }
 
-// Idle connections of hundreds of senders kept each other out of endpoints that accept few connections.
+// Idle connections of hundreds of senders kept each other out of endpoints that accept few connections. Once many
+// connection attempts have failed, here four of six, a connection must be closed once it is idle; before, it is kept.
 func TestNoIdleConnectionsWhenScarce(t *testing.T) {
 	set := testSettings()
 	set.Senders = 100
@@ -326,7 +337,8 @@
 	}
 }
 
-// A new message with little time left can still reach its aim; a resubmitted one has already waited.
+// A new message with little time left can still reach its aim; a resubmitted one has already waited, so its worth is
+// lower.
 func TestShortRemainingTimeIsNotLate(t *testing.T) {
 	set := testSettings()
 	set.MarksResubmissions = true
@@ -334,7 +346,7 @@
 	r.step(Event{Kind: EvMessage, ID: 1, Class: classSafe, Remaining: 1500},
 		Event{Kind: EvMessage, ID: 2, Class: classSafe, Remaining: 1500, Resubmitted: true})
 	if fresh, resubmitted := r.s.worth(r.s.messages[1]), r.s.worth(r.s.messages[2]); fresh <= resubmitted {
-		t.Fatalf("worth of a new message %v, of a resubmitted one %v", fresh, resubmitted)
+		t.Fatalf("worth of a new message %v, of a resubmitted one %v, want less for the resubmitted one", fresh, resubmitted)
 	}
 }
 
@@ -361,7 +373,7 @@
 	s := r.s
 	if n := len(s.messages) + len(s.endpoints) + len(s.destinations) + len(s.keyQueues) +
 		len(s.dialStats[0].endpoints); n > 20 {
-		t.Fatalf("remembers %d messages, %d endpoints, %d destinations, %d keys",
+		t.Fatalf("remembers %d messages, %d endpoints, %d destinations, %d keys; want 20 with the dial statistics at most",
 			len(s.messages), len(s.endpoints), len(s.destinations), len(s.keyQueues))
 	}
 }
@@ -399,6 +411,8 @@
 	rng               *rand.Rand
 }
 
+// answer returns the outcome of a call and the report in its answer: the share of the limit that is left in this
+// second, and the limit within a tenth. A call that fails to connect has no report.
 func (partner *limitedPartner) answer(now float64) (Outcome, []float64) {
 	if now-partner.windowStart >= 1000 {
 		partner.windowStart, partner.calls = now, 0
@@ -475,8 +489,8 @@
 
 // After an outage of 5 s each of 80 senders waited up to 19 s for its first trial and ramped from its own small
 // earlier rate, although the limit was advertised. A partner that is back must be found soon and used up to its
-// capacity, but no further: calls by senders that had seen the outage stay below the overload, with the smallest
-// ratio of capacity to limit that occurs (1.15), for any number of senders and any length of the outage.
+// capacity, but no further: the calls of all senders stay below the overload, with the smallest
+// ratio of capacity to limit that occurs (1.15), for any number of senders and short and long outages.
 func TestFleetRecoversToAdvertisedLimit(t *testing.T) {
 	for _, n := range []int{20, 80, 200} {
 		for _, down := range []float64{2000, 5000, 15000} {
@@ -508,7 +522,7 @@
 
 // Of three equal endpoints every sender chose the first one of the list, since IDs have the same order everywhere.
 // That endpoint received 1,405 of 1,451 calls and refused a third of them because its queue was full, while half of
-// the limit was unused. The calls of a fleet must spread evenly over equal endpoints.
+// the limit was unused. The calls of a fleet must spread over equal endpoints, each within a fifth of its even part.
 func TestFleetSpreadsOverEqualEndpoints(t *testing.T) {
 	for _, n := range []int{20, 80, 200} {
 		for _, eps := range [][]Endpoint{{ready(1, 0, 2), ready(2, 0, 2)}, {ready(1, 0, 2), ready(2, 0, 2), ready(3, 0, 2)}} {
@@ -518,7 +532,7 @@
 				f.run(21000, 10, func(float64) Outcome { return OK })
 				even := float64(f.submitted) / float64(len(eps))
 				if got := float64(len(f.callTimes)); got < 0.8*even || got > 1.2*even {
-					t.Errorf("%d senders: endpoint %d of %d received %.0f calls, an even part is %.0f",
+					t.Errorf("%d senders: endpoint %d of %d received %.0f calls, want the even part of %.0f within a fifth",
 						n, ep.ID, len(eps), got, even)
 				}
 			}
@@ -572,7 +586,7 @@
 			}
 			f.runPoisson(until-20, 70, partner)
 			if partner.accepted+partner.refused > 0 {
-				t.Fatalf("%d calls during a requested wait", partner.accepted+partner.refused)
+				t.Fatalf("%d calls during a requested wait, want none", partner.accepted+partner.refused)
 			}
 			f.runPoisson(until+10000, 70, partner)
 			if refused := float64(partner.refused) / float64(partner.accepted+partner.refused); refused > 0.25 ||
@@ -585,14 +599,15 @@
 			f.runPoisson(f.now+25000, 1e-6, partner) // until all messages have ended
 			for id := uint64(1); id <= f.submitted; id++ {
 				if f.finalAnswers[id] != 1 {
-					t.Fatalf("message %d has %d final answers", id, f.finalAnswers[id])
+					t.Fatalf("message %d has %d final answers, want 1", id, f.finalAnswers[id])
 				}
 			}
 		})
 	}
 }
 
-// Extreme numbers of senders in the settings cause no panic, and a sender of a small fleet still sends.
+// Extreme numbers of senders and indexes in the settings cause no panic, and a sender of a fleet of 8 at most, or of
+// one whose number is invalid, still sends.
 func TestExtremeFleetSettings(t *testing.T) {
 	for _, n := range []int{math.MinInt32, -1, 0, 1, 2, 8, 9, math.MaxInt32} {
 		for _, index := range []int{math.MinInt32, -1, 0, n, math.MaxInt32} {
@@ -610,7 +625,7 @@
 				r.run(r.now + 500)
 			}
 			if n <= 8 && len(r.attempts) == 0 {
-				t.Errorf("%d senders, index %d: nothing was sent", n, index)
+				t.Errorf("%d senders, index %d: nothing was sent, want one message at least", n, index)
 			}
 		}
 	}
--- a/policy/fuzz_test.go
+++ b/policy/fuzz_test.go
@@ -13,6 +13,8 @@
 	simulateWith(t, testSettings(), seed, steps, observe)
 }
 
+// simulateWith is simulate with other settings, in which seed decides CallSlots, MaxHeld and MayProbe. observe gets the
+// actions of each step.
 func simulateWith(t *testing.T, set Settings, seed uint64, steps int, observe func([]Action)) {
 	t.Helper()
 	rng := rand.New(rand.NewPCG(seed, 1))
@@ -73,7 +75,7 @@
 				case notReady[a.Endpoint]:
 					t.Fatalf("seed %d: message sent to endpoint %d, which is not ready", seed, a.Endpoint)
 				case endpointByID[a.Endpoint].Dest != m.dest:
-					t.Fatalf("seed %d: message sent to another destination", seed)
+					t.Fatalf("seed %d: message sent to an endpoint of another destination", seed)
 				case waitUntil[route(a.Endpoint)] > now:
 					t.Fatalf("seed %d: message sent during a requested wait", seed)
 				case m.mayHaveRun && set.Classes[m.class].Effect == Unsafe:
@@ -94,7 +96,7 @@
 				if a.Kind == ActRefuse && m.mayHaveRun && set.Classes[m.class].Effect == Unsafe {
 					t.Fatalf("seed %d: refusal of an unsafe message that may have run", seed)
 				}
-				if now > m.deadline+set.AnswerSlack+25 {
+				if now > m.deadline+set.AnswerSlack+25 { // the answer's timer fires up to 21 ms late
 					t.Fatalf("seed %d: final answer %v ms late", seed, now-m.deadline)
 				}
 				m.ended = true
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -42,6 +42,7 @@
 	lastEndpoint map[uint64]uint32
 }
 
+// newRig returns a rig at 1000 ms whose Sender knows eps.
 func newRig(t *testing.T, set Settings, eps ...Endpoint) *rig {
 	t.Helper()
 	r := &rig{t: t, s: New(set, 7), now: 1000, attempts: map[uint64]int{}, lastEndpoint: map[uint64]uint32{}}
@@ -49,6 +50,7 @@
 	return r
 }
 
+// step runs a step at the present time, counts the attempts and returns the actions.
 func (r *rig) step(events ...Event) []Action {
 	r.lastActions = r.s.Step(r.now, events, nil)
 	for _, a := range r.lastActions {
@@ -74,14 +76,17 @@
 	return all
 }
 
+// message submits a message with 20 s left.
 func (r *rig) message(id uint64, class, dest int, key uint64) []Action {
 	return r.step(Event{Kind: EvMessage, ID: id, Class: class, Dest: dest, Key: key, Remaining: 20000})
 }
 
+// reply records the outcome of the last attempt of a message; wait is the requested wait in ms.
 func (r *rig) reply(id uint64, o Outcome, wait float64) []Action {
 	return r.step(r.outcome(id, o, wait))
 }
 
+// outcome returns the event of the last attempt of a message, with a latency of 200 ms.
 func (r *rig) outcome(id uint64, outcome Outcome, wait float64) Event {
 	return Event{Kind: EvOutcome, ID: id, Endpoint: r.lastEndpoint[id], Attempt: r.attempts[id] - 1, Outcome: outcome,
 		RequestedWait: wait, Latency: 200, Final: outcome == OK}
@@ -114,6 +119,7 @@
 	return Endpoint{ID: id, State: Ready, Dest: dest, Kind: kind}
 }
 
+// A message for an idle destination is sent in the step that brings it, and leaves no state behind once delivered.
 func TestSendsAtOnceWhenNothingWaits(t *testing.T) {
 	r := newRig(t, testSettings(), ready(1, 0, 2))
 	r.requireAction(r.message(1, classSafe, 0, 0), ActSend, 1, "idle destination")
@@ -136,6 +142,7 @@
 	}
 }
 
+// A message with no time left, with an invalid time left or of an unknown class is refused in the step that brings it.
 func TestExpiredMessageIsRefused(t *testing.T) {
 	r := newRig(t, testSettings(), ready(1, 0, 2))
 	r.requireAction(r.step(Event{Kind: EvMessage, ID: 1, Remaining: 0}), ActRefuse, 1, "no time left")
@@ -143,7 +150,7 @@
 	r.requireAction(r.step(Event{Kind: EvMessage, ID: 3, Remaining: 100, Class: 99}), ActRefuse, 3, "unknown class")
 }
 
-// With less time left than a normal call takes, nothing is sent.
+// With less time left than a normal call takes, nothing is sent; with slightly more, the message is.
 func TestLateRefusal(t *testing.T) {
 	r := newRig(t, testSettings(), ready(1, 0, 2))
 	r.message(1, classSafe, 0, 0)
@@ -273,6 +280,7 @@
 	r.requireAction(r.run(8000), ActSend, 2, "the pause is over")
 }
 
+// A message whose attempt has no outcome yet is not sent again, although another endpoint is free: it could run twice.
 func TestOneAttemptInFlight(t *testing.T) {
 	r := newRig(t, testSettings(), ready(1, 0, 2), ready(2, 0, 2))
 	r.message(1, classSafe, 0, 0)
@@ -305,11 +313,11 @@
 		}
 	}
 	if fails < breakerFailures || fails > breakerFailures+1 {
-		t.Fatalf("breaker opened after %d failures", fails)
+		t.Fatalf("breaker opened after %d failures, want breakerFailures or one more", fails)
 	}
 	base := r.s.endpoints[1].rateBeforeOutage
 	if base < 1.5 || base > 2.5 {
-		t.Fatalf("own rate before the outage: %v", base)
+		t.Fatalf("own rate before the outage: %v, want 2 within 0.5", base)
 	}
 	var sent []float64
 	for r.now < 60000 && r.s.endpoints[1].breaker != closed {
@@ -384,7 +392,7 @@
 	y := (1500.0 - 2000) / 2000                  // -0.25
 	u := -initialTheta1 * y / initialTheta2      // +0.5
 	if math.Abs(c.pam-pam) > 1e-9 || math.Abs(c.u-u) > 1e-9 || math.Abs(c.pa-(pam+u)) > 1e-9 {
-		t.Fatalf("pam %v want %v, u %v want %v, pa %v", c.pam, pam, c.u, u, c.pa)
+		t.Fatalf("pam %v want %v, u %v want %v, pa %v want their sum", c.pam, pam, c.u, u, c.pa)
 	}
 	// Second period: y = 0.5; phi = (-0.25, 0.5), P = I, so the gain is phi/(1+phi'phi) = phi/1.3125.
 	c.countArrival(1500)
@@ -400,14 +408,15 @@
 	c.delaySum, c.sent = 90000, 1
 	c.update(3000, 2000, 0, true)
 	if c.pa != minAdmission || c.pam != lastPam {
-		t.Fatalf("pa %v, pam %v want %v", c.pa, c.pam, lastPam)
+		t.Fatalf("pa %v want its lower bound, pam %v want %v", c.pa, c.pam, lastPam)
 	}
 	c.update(4000, 2000, 0, false)
 	if c.pa != 1 || c.ex != 0 {
-		t.Fatalf("idle: pa %v, E[X] %v", c.pa, c.ex)
+		t.Fatalf("idle: pa %v want 1, E[X] %v want 0", c.pa, c.ex)
 	}
 }
 
+// The control law divides by theta2, so an update that would take it further down leaves it at minTheta2.
 func TestMinTheta2(t *testing.T) {
 	var c admissionController
 	c.reset(0)
@@ -440,14 +449,14 @@
 				if a.ID == id {
 					atAdmission++
 					if a.After <= 0 || a.After > set.MaxRetryAfter {
-						t.Fatalf("retry-after %v", a.After)
+						t.Fatalf("Retry-After %v ms, want more than 0 and MaxRetryAfter at most", a.After)
 					}
 				}
 			}
 		}
 	}
 	if refused < 100 || atAdmission < refused/2 {
-		t.Fatalf("refused %d, at admission %d", refused, atAdmission)
+		t.Fatalf("refused %d of 400, want 100 at least; at admission %d, want half of them at least", refused, atAdmission)
 	}
 }
 
@@ -457,12 +466,14 @@
 	r.message(1, classSafe, 0, 0)
 	r.forbidAction(r.reply(1, Full, 0), ActRefuse, 1, "held, not refused")
 	if p := r.s.endpoints[1].route.pace; p == 0 || p > initialPace {
-		t.Fatalf("pace %v after a refusal", p)
+		t.Fatalf("pace %v after a refusal, want more than 0 and initialPace at most", p)
 	}
+	// 1.6 times the time between two calls at the pace after the first cut.
 	r.requireAction(r.run(1000+1.6*1000/initialPace/(1-lightCut)), ActSend, 1, "after the back-off")
 }
 
-// Many unresponsive endpoints must leave call slots to the healthy ones.
+// Calls to unresponsive endpoints hang and keep their slots. Suspected endpoints may hold a third of the slots at most,
+// so that a healthy destination is served at once.
 func TestHungCallsLeaveSlots(t *testing.T) {
 	set := testSettings()
 	set.CallSlots = 9
@@ -479,7 +490,7 @@
 	}
 	r.run(r.now + 1000) // the retries are sent and hang
 	if r.s.slotsInUse > 3 {
-		t.Fatalf("%d of 9 slots held by suspected endpoints", r.s.slotsInUse)
+		t.Fatalf("%d of 9 slots held by suspected endpoints, want 3 at most", r.s.slotsInUse)
 	}
 	r.requireAction(r.message(1000, classSafe, 100, 0), ActSend, 1000, "healthy destination")
 }
@@ -518,13 +529,14 @@
 	}
 }
 
+// Without an endpoint every message waits. Shedding keeps the held messages within maxHeldShare of MaxHeld.
 func TestSheddingKeepsHeldBelowLimit(t *testing.T) {
 	set := testSettings()
 	r := newRig(t, set)
 	for i := range 150 {
 		r.message(uint64(i+1), classSafe, 5, 0)
 		if float64(r.s.held) > maxHeldShare*float64(set.MaxHeld) {
-			t.Fatalf("%d messages held", r.s.held)
+			t.Fatalf("%d messages held, want maxHeldShare of MaxHeld at most", r.s.held)
 		}
 	}
 }
@@ -547,6 +559,8 @@
 	}
 }
 
+// With Subscribe, a sender subscribes in its first step, and again within 3 s after a subscription failed. Otherwise it
+// would never learn of a change of endpoints.
 func TestSubscribesWhenConfigured(t *testing.T) {
 	set := testSettings()
 	set.Subscribe = true
@@ -608,6 +622,7 @@
 			ActFail},
 		"keyed within its dedup window": {Event{Class: classKeyed, Attempts: 1, MayHaveRun: true, MayHaveRunAge: 5000},
 			ActSend},
+		// Repeats end at dedupMargin of the window of 8000 ms.
 		"keyed after its dedup window": {Event{Class: classKeyed, Attempts: 1, MayHaveRun: true, MayHaveRunAge: 7900},
 			ActRefuse},
 		"no attempts left": {Event{Class: classKeyed, Attempts: 6}, ActRefuse},
@@ -617,7 +632,7 @@
 		test.e.Kind, test.e.ID, test.e.Dest, test.e.Remaining, test.e.Restored = EvMessage, 9, 3, 10000, true
 		r.step(test.e)
 		if findAction(r.lastActions, test.want, 9) == nil {
-			t.Errorf("%s: %+v", name, r.lastActions)
+			t.Errorf("%s: the expected action is not among %+v", name, r.lastActions)
 		}
 	}
 }
@@ -640,7 +655,7 @@
 		r.message(4, classSafe, 0, 0)
 		r.message(5, classSafe, 0, 0)
 		if r.lastEndpoint[4] != failed && r.lastEndpoint[5] != failed {
-			t.Errorf("outcome %d: endpoint %d receives no calls", o, failed)
+			t.Errorf("outcome %d: endpoint %d receives no calls, want one of two", o, failed)
 		}
 	}
 }
@@ -681,7 +696,7 @@
 		return n
 	}
 	if sentLow, sentHigh := countSent(4), countSent(100); 2*sentHigh < 3*sentLow {
-		t.Errorf("%d sent in the ramp to a limit of 4, %d to one of 100", sentLow, sentHigh)
+		t.Errorf("%d sent in the ramp to a limit of 4, %d to one of 100, want 1.5 times as many at least", sentLow, sentHigh)
 	}
 }
 
@@ -734,10 +749,10 @@
 	}
 	cold := 20 * 0.25 * 1.5 * 3 // calls in 3 s, from all senders, up to which a cold destination is not overloaded
 	if n := countSent(Error); n < 8 || float64(n) > cold {
-		t.Errorf("%d calls in 3 s to an endpoint that answers with errors", n)
+		t.Errorf("%d calls in 3 s to an endpoint that answers with errors, want 8 to 22", n)
 	}
 	if n := countSent(Timeout); n > 4 {
-		t.Errorf("%d calls in 3 s to an endpoint that is silent", n)
+		t.Errorf("%d calls in 3 s to an endpoint that is silent, want 4 at most", n)
 	}
 }
 
@@ -757,17 +772,17 @@
 		return r.s.endpoints[1].route.pace
 	}
 	if pace := answerWithLimit(1, OK, 20); pace != 20 {
-		t.Errorf("pace %v under a limit of 20", pace)
+		t.Errorf("pace %v under a limit of 20, want 20", pace)
 	}
 	if pace := answerWithLimit(2, OK, 2); pace > 2 {
-		t.Errorf("pace %v under a limit of 2", pace)
+		t.Errorf("pace %v under a limit of 2, want 2 at most", pace)
 	}
 	if pace := answerWithLimit(3, OK, 20); pace < 15 {
-		t.Errorf("pace %v under a limit that is back at 20", pace)
+		t.Errorf("pace %v under a limit that is back at 20, want 15 at least", pace)
 	}
 	r.s.endpoints[1].route.pace, r.s.endpoints[1].route.paceTokens.level = 0.5, 1
 	if pace := answerWithLimit(4, OK, 21); pace < 5 {
-		t.Errorf("pace %v, less than half of an even share of 21", pace)
+		t.Errorf("pace %v, want 5 at least, about half of an even share of 21", pace)
 	}
 }
 
@@ -800,19 +815,19 @@
 		}
 		for i := range sentAt {
 			if i > 0 && sentAt[i]-sentAt[i-1] < 1000/rate-10 {
-				t.Fatalf("seed %d: calls at %v, under a cap of %v per second", seed, sentAt, rate)
+				t.Fatalf("seed %d: calls at %v, too close under a cap of %v per second", seed, sentAt, rate)
 			}
 		}
 		if len(sentAt) < 5 || len(sentAt) > 7 {
-			t.Fatalf("seed %d: %d calls in 3 s, under a cap of %v per second", seed, len(sentAt), rate)
+			t.Fatalf("seed %d: %d calls in 3 s, want 5 to 7 under a cap of %v per second", seed, len(sentAt), rate)
 		}
 		s.Step(4000, []Event{{Kind: EvPace}}, nil) // the cap ends
 		if n := len(s.destinations[0].queue); n != 0 {
-			t.Errorf("seed %d: %d messages still wait after the cap has ended", seed, n)
+			t.Errorf("seed %d: %d messages still wait after the cap has ended, want none", seed, n)
 		}
 	}
 	if immediate > senders/4 {
-		t.Errorf("%d of %d senders call at the moment they receive their cap", immediate, senders)
+		t.Errorf("%d of %d senders call at the moment they receive their cap, want a quarter at most", immediate, senders)
 	}
 }
 
@@ -825,7 +840,7 @@
 	r.reply(1, Error, 0)
 	r.run(r.now + 1000) // its second attempt is in flight
 	if r.attempts[1] != 2 {
-		t.Fatalf("%d attempts", r.attempts[1])
+		t.Fatalf("%d attempts, want 2", r.attempts[1])
 	}
 	changed := set
 	changed.Classes = append(slices.Clone(set.Classes),
--- a/policy/shedding_test.go
+++ b/policy/shedding_test.go
@@ -74,7 +74,7 @@
 			queued += len(d.queue)
 		}
 		if queued != r.s.held {
-			t.Errorf("seed %d: %d held, %d queued", seed, r.s.held, queued)
+			t.Errorf("seed %d: %d held, %d queued, want equal numbers", seed, r.s.held, queued)
 		}
 	}
 }
--- a/policy/wait_cause_test.go
+++ b/policy/wait_cause_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// EachWaiting reports the cause of a wait, and the queries change nothing: a sender that is queried acts like one
-// that is not.
+// EachWaiting reports the cause of a wait. A sender that is queried by EachWaiting and Overview after each step acts
+// like one that is not: a query that changed its state would make metrics influence deliveries.
 func TestWaitCauses(t *testing.T) {
 	eps := []Endpoint{{ID: 1, State: Ready, Kind: 2}}
 	for name, test := range map[string]struct {
@@ -49,7 +49,7 @@
 		}
 		queried, causes := run(true)
 		if unqueried, _ := run(false); !reflect.DeepEqual(queried, unqueried) {
-			t.Errorf("%s: a sender that is queried acts differently", name)
+			t.Errorf("%s: a sender that is queried acts differently from one that is not", name)
 		}
 		if causes[0] != test.want {
 			t.Errorf("%s: wait cause %d, want %d", name, causes[0], test.want)
