--- a/internal/sender/bulkdeadline_test.go
+++ b/internal/sender/bulkdeadline_test.go
@@ -59,7 +59,7 @@
 		s.handleInput(<-s.inputs)
 	}
 	s.pool.CloseIdleConns(1)
-	submit("short", 200*time.Millisecond)
+	submit("short", 200*time.Millisecond) // ends before the next dial, which is half a second after the last
 	submit("long", 10*time.Second)
 	step()
 	if len(s.calls) != 1 {
--- a/internal/sender/firstmessage_test.go
+++ b/internal/sender/firstmessage_test.go
@@ -22,6 +22,7 @@
 	closed chan struct{} // the sender closed the connection of a call
 }
 
+// newBulkPartner starts a bulkPartner that is closed with the test.
 func newBulkPartner(t *testing.T) *bulkPartner {
 	p := &bulkPartner{calls: make(chan []string, 10), answer: make(chan struct{}), closed: make(chan struct{}, 10)}
 	p.Server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
--- a/internal/sender/journal_test.go
+++ b/internal/sender/journal_test.go
@@ -15,7 +15,7 @@
 	"sliptide/internal/statedir"
 )
 
-// newFailingTestSender returns a testSender whose state directory fails as fault says.
+// newFailingTestSender returns a testSender whose state directory fails as fault says. No endpoint is listed yet.
 func newFailingTestSender(t *testing.T, fault func(op string) fsys.Fault) *testSender {
 	t.Helper()
 	files := &fsys.Faulty{FS: fsys.OS{Dir: t.TempDir()}, Inject: func(_ int, op, _ string) fsys.Fault { return fault(op) }}
@@ -51,11 +51,13 @@
 	down.Store(false)
 	s.await("no verdict", func() bool { return len(verdict) > 0 })
 	if v := <-verdict; !v.Accepted {
-		t.Errorf("verdict %+v although the record is written", v)
+		t.Errorf("verdict %+v, want an acceptance, because the record is written", v)
 	}
 }
 
-// While the disk fails, messages must not use up attempts, and their ends must not wait for it.
+// While the disk fails, the journal cannot record calls, so none may be sent. Calls that did not begin must not use up
+// more than one attempt, a message must still end at its deadline, and new ones must be refused. Once the disk works, a
+// held message is sent.
 func TestFailingDiskUsesUpNoAttempts(t *testing.T) {
 	var down atomic.Bool
 	s := newFailingTestSender(t, func(string) (f fsys.Fault) {
@@ -74,11 +76,12 @@
 	s.listEndpoint(partner.Addr)
 	s.await("the short message does not end with a notice", func() bool { return len(s.notices) > 0 })
 	if v := <-s.submit("more", 1, 10*time.Second); v.Accepted {
-		t.Error("message accepted without a journal")
+		t.Error("a message was accepted while the journal could not be written")
 	}
 	for _, m := range s.messages {
 		if m.Trace != "long" || m.Attempts > 1 {
-			t.Errorf("%s has %d attempts, none of which began", m.Trace, m.Attempts)
+			t.Errorf("%s has %d attempts, none of which began; want the long message alone, with one at most",
+				m.Trace, m.Attempts)
 		}
 	}
 	if len(partner.Calls) > 0 {
--- a/internal/sender/repeatwindow_test.go
+++ b/internal/sender/repeatwindow_test.go
@@ -28,7 +28,7 @@
 	}
 	first := only()
 	if !first.WriteBy.IsZero() {
-		t.Errorf("a first attempt is limited to %v", first.WriteBy)
+		t.Errorf("a first attempt must be written by %v, want no limit", first.WriteBy)
 	}
 	began := time.UnixMilli(s.messages[s.numByTrace["keyed"]].MayHaveRunAt)
 	if !began.Equal(time.UnixMilli(0)) {
@@ -45,9 +45,10 @@
 	window := float64(m.MayHaveRunAt) + testClasses[1].DedupWindow
 	left := window - s.now - float64(time.Until(m.call.WriteBy))/1e6
 	if m.call.WriteBy.IsZero() || left <= 0 || left > testClasses[1].DedupWindow {
-		t.Errorf("the repeat may be written until %v, %g ms before the end of the window", m.call.WriteBy, left)
+		t.Errorf("the repeat may be written until %v, %g ms before the end of the window, want a limit within the window",
+			m.call.WriteBy, left)
 	}
 	if _, bound := s.repeatDeadline(safe); bound || safe.MayHaveRunAt == 0 {
-		t.Error("a class that is safe to repeat is limited")
+		t.Error("a message that is safe to repeat has a limit, or is not recorded as possibly delivered")
 	}
 }
--- a/internal/sender/rig_test.go
+++ b/internal/sender/rig_test.go
@@ -29,6 +29,7 @@
 	{Name: "unsafe", Aim: 2000, Deadline: 20000, Worth: 1, LateWorth: 0.5, Effect: policy.Unsafe},
 }
 
+// testSettings returns the settings of one sender that sends up to five messages in a call.
 func testSettings() policy.Settings {
 	return policy.Settings{
 		Senders: 1, CallSlots: 10, MaxAttempts: 6, MaxHeld: 100, KeepAlive: 10000, DialTimeout: 1500, WarmUpDuration: 10000, ColdCapacity: 0.25,
--- a/internal/sender/shards_test.go
+++ b/internal/sender/shards_test.go
@@ -55,12 +55,12 @@
 }
 
 // A message for a destination that others serve is refused with their names and leaves no state behind; before the
-// members are known it is refused without names. An assigned shard is served from that step on.
+// members are known it is refused without names. A shard is served from its assignment until it is unassigned.
 func TestMisdirectedMessageIsRefused(t *testing.T) {
 	s := newTestSender(t, t.TempDir(), "", testSettings())
 	s.EnableSharding(2, func([]shard.ID) {})
 	if v := s.submitTo("early", 3); !v.NoRoute || v.RetryAfterMS == 0 {
-		t.Errorf("before the members are known: %+v", v)
+		t.Errorf("before the members are known: %+v, want no route and a Retry-After", v)
 	}
 	members := []shard.Member{{Name: "a", Zone: "1", Weight: 1}, {Name: "b", Zone: "2", Weight: 1}, {Name: "c", Zone: "3", Weight: 1}}
 	s.handleShardUpdate(&sharding.Update{AllMembers: true, Joined: members, Endpoints: endpointsAt("127.0.0.1:9", 3), Assigned: shardsOf(3)})
@@ -73,16 +73,16 @@
 		t.Errorf("a refused message is held, or in the journal")
 	}
 	if v := s.submitTo("own", 3); !v.Accepted {
-		t.Errorf("for an assigned destination: %+v", v)
+		t.Errorf("for an assigned destination: %+v, want an acceptance", v)
 	}
 	s.handleShardUpdate(&sharding.Update{Unassigned: shardsOf(3)})
 	if v := s.submitTo("late", 3); !v.Misdirected {
-		t.Errorf("after it was unassigned: %+v", v)
+		t.Errorf("after it was unassigned: %+v, want it misdirected", v)
 	}
 }
 
-// The state of destinations is dropped with their shards and its memory is freed. A shard of which a message is held
-// stays until the message has ended.
+// The state of destinations is dropped with their shards and its memory is freed; otherwise the memory of a sender
+// would grow with every change of members. A shard of which a message is held stays until the message has ended.
 func TestMemoryIsFreedWhenShardsLeave(t *testing.T) {
 	const destinations = 3000
 	heap := func() int64 {
@@ -121,13 +121,14 @@
 	}
 	s.await("the last shard is not released", func() bool { return slices.Contains(released, shard.Of(7)) })
 	if n := len(s.endpoints) + len(s.endpointIDs) + len(s.listedDests) + len(s.shards.dests) + len(s.shards.leaving) + len(s.shards.assigned); n != 0 {
-		t.Errorf("%d entries of released shards are left", n)
+		t.Errorf("%d entries of released shards are left, want none", n)
 	}
 	s.module.Step(s.now+61e3, nil, nil) // the module remembers a removed endpoint for a minute
 	after := heap()
 	runtime.KeepAlive(s)
 	t.Logf("heap before %d KB, with %d destinations %d KB, after they left %d KB", before>>10, destinations, full>>10, after>>10)
 	if after-before > (full-before)/5 {
-		t.Errorf("of the %d KB that %d destinations used, %d KB are still in use", (full-before)>>10, destinations, (after-before)>>10)
+		t.Errorf("of the %d KB that %d destinations used, %d KB are still in use, want a fifth at most",
+			(full-before)>>10, destinations, (after-before)>>10)
 	}
 }
--- a/internal/sender/stopping_test.go
+++ b/internal/sender/stopping_test.go
@@ -33,7 +33,7 @@
 		sub := &submission{verdict: make(chan Verdict, 1)}
 		sub.verdict <- Verdict{Accepted: true, Num: 7}
 		if v := s.awaitVerdict(sub); !v.Accepted {
-			t.Fatal("an accepted message is answered as refused")
+			t.Fatal("a message whose verdict is an acceptance is answered as refused")
 		}
 	}
 	if v := s.awaitVerdict(&submission{verdict: make(chan Verdict, 1)}); v.Accepted || v.RetryAfterMS <= 0 {
@@ -97,7 +97,7 @@
 // of a class that forbids repeats.
 func TestCallWithoutConnectionNeverRan(t *testing.T) {
 	s := newTestSender(t, t.TempDir(), "", testSettings())
-	s.pool.PaceDials(3, 1)
+	s.pool.PaceDials(3, 1) // the second call waits a second for its connection
 	ln := listen(t)
 	s.listEndpoint(ln.Addr().String())
 	s.submit("begun", 2, 20*time.Second)
--- a/internal/storm/bench_test.go
+++ b/internal/storm/bench_test.go
@@ -7,7 +7,7 @@
 	"sliptide/policy"
 )
 
-// A refusal during a storm: first while there are free slots, then when none is left in the whole horizon.
+// The cost of a refusal during a storm: first while there are free slots, then when none is left in the whole horizon.
 func BenchmarkRefused(b *testing.B) {
 	for name, horizon := range map[string]float64{"5s": 5000, "60s": 60000} {
 		b.Run(name, func(b *testing.B) {
--- a/internal/storm/storm_test.go
+++ b/internal/storm/storm_test.go
@@ -61,7 +61,8 @@
 	}
 }
 
-// throttle returns the pace and the dial rate from Throttles, which must report one route of the destination.
+// throttle returns the pace and the dial rate from Throttles, which must report one route of the destination. Both are
+// 0 when a storm has ended.
 func (r *rig) throttle(t *testing.T) (rate, dialRate float64) {
 	t.Helper()
 	throttles := r.Throttles(r.now)
@@ -90,18 +91,18 @@
 	}
 }
 
-// The pace applies before the outage ends, so that the first second of the return is within the limit. The storm ends
-// once the backlog can be sent within drainTime.
+// The pace applies before the outage ends, so that the first second of the return is within the limit. The storm
+// lasts longer than minReturnDuration while many messages are held, and ends once they can be sent within drainTime.
 func TestOutageReturnAndCalm(t *testing.T) {
 	r := newRig(3)
 	r.causeOutage(t)
 	rate, dialRate := r.throttle(t)
 	if total := 3 * (rate + 1); total > partnerLimit+1e-9 || total < 0.9*partnerLimit {
-		t.Errorf("three senders at %.2f calls per second make %.1f calls in the worst second, limit %v",
+		t.Errorf("three senders at %.2f calls per second make %.1f calls in the worst second, want 0.9 to 1 of the limit %v",
 			rate, total, partnerLimit)
 	}
 	if dialRate < 1 || dialRate > rate {
-		t.Errorf("%.2f connections per second at a pace of %.2f", dialRate, rate)
+		t.Errorf("%.2f connections per second at a pace of %.2f, want 1 at least and the pace at most", dialRate, rate)
 	}
 	r.AdjustHeld(r.now, 7, 100)
 	r.now += 15000
@@ -117,7 +118,8 @@
 	r.expectPhase(t, Calm)
 }
 
-// Each relapse lowers the pace, down to a lower bound.
+// A partner that fails again when its clients return needs fewer calls: the first two relapses each lower the pace by a
+// quarter at least. After six it is still at its lower bound or above, so that the backlog can be sent.
 func TestRelapseLowersPace(t *testing.T) {
 	r := newRig(3)
 	r.causeOutage(t)
@@ -134,12 +136,12 @@
 		r.expectPhase(t, Outage)
 		rate, _ := r.throttle(t)
 		if i < 2 && rate > 0.75*last {
-			t.Errorf("relapse %d: pace %.2f after %.2f", i+1, rate, last)
+			t.Errorf("relapse %d: pace %.2f after %.2f, want three quarters at most", i+1, rate, last)
 		}
 		last = rate
 	}
 	if basePace := partnerLimit/3 - 1; last < minRelapseFactor*basePace*0.99 {
-		t.Errorf("pace %.2f is below its lower bound", last)
+		t.Errorf("pace %.2f after six relapses is below its lower bound", last)
 	}
 }
 
@@ -176,11 +178,13 @@
 		r.expectPhase(t, Returning)
 	}
 	if paceAfter, _ := r.throttle(t); paceAfter > 0.5*paceBefore || paceAfter < 0.1*paceBefore {
-		t.Errorf("pace %.2f after six seconds of refused calls, %.2f before", paceAfter, paceBefore)
+		t.Errorf("pace %.2f after six seconds of refused calls, %.2f before, want a tenth to a half of it",
+			paceAfter, paceBefore)
 	}
 }
 
-// Messages restored from the journal count as held before an endpoint list contains their destination.
+// Messages restored from the journal count as held before an endpoint list contains their destination. Otherwise the
+// storm would end while the backlog is still unsent.
 func TestRestoredMessagesAreHeld(t *testing.T) {
 	g := New(Settings{Senders: 3, LimitIndex: -1, Limits: map[int]float64{7: partnerLimit}}, 1)
 	g.AdjustHeld(0, 7, 100)
@@ -193,8 +197,8 @@
 	r.expectPhase(t, Returning)
 }
 
-// A wait that the partner requests is a lower bound of Retry-After: shorter or longer than this sender's own,
-// repeated, requested by one endpoint of four, or in a bulk answer, where each message carries it.
+// A wait that the partner requests is a lower bound of Retry-After, up to maxRetryAfter: shorter or longer than this
+// sender's own, repeated, requested by one endpoint of four, or in a bulk answer, where each message carries it.
 func TestRequestedWaitIsNeverShortened(t *testing.T) {
 	for _, row := range []struct {
 		name    string
@@ -243,7 +247,7 @@
 			n := r.Stats().Reserved
 			wait := r.RetryAfter(r.now, 7, key, 1e6, 200)
 			if wait < 200 || wait > maxRetryAfter {
-				t.Fatalf("Retry-After %v ms is out of bounds", wait)
+				t.Fatalf("Retry-After %v ms, want 200 to maxRetryAfter", wait)
 			}
 			if r.Stats().Reserved > n {
 				reservedAt = append(reservedAt, r.now+wait)
@@ -252,16 +256,17 @@
 		for _, from := range reservedAt {
 			n := 0
 			for _, at := range reservedAt {
-				if at >= from && at < from+1000-slotMS {
+				if at >= from && at < from+1000-slotMS { // from may lie anywhere in its slot
 					n++
 				}
 			}
 			if float64(n) > max(rate, 1) {
-				t.Fatalf("%d senders: %d reservations in one second at a pace of %.2f", senders, n, rate)
+				t.Fatalf("%d senders: %d reservations in one second at a pace of %.2f, want no more than the pace, or one",
+					senders, n, rate)
 			}
 		}
 		if want := math.Floor(rate * (maxRetryAfter - 500) / 1000 * 0.8); float64(len(reservedAt)) < want {
-			t.Errorf("%d senders: only %d reservations in %v ms at %.2f per second",
+			t.Errorf("%d senders: only %d reservations in %v ms at %.2f per second, want four fifths of the budget",
 				senders, len(reservedAt), maxRetryAfter, rate)
 		}
 	}
@@ -284,7 +289,8 @@
 	}
 	without, with := reservations(0), reservations(300)
 	if with*2 > without || with == 0 {
-		t.Errorf("%d reservations without first submissions, %d with many", without, with)
+		t.Errorf("%d reservations without first submissions, %d with many, want half as many at most, but some",
+			without, with)
 	}
 }
 
@@ -367,7 +373,7 @@
 	}
 	// Clients may still return by reservations of the previous run: none is made for that time.
 	if wait := restarted.RetryAfter(restarted.now, 7, 1, 1e6, 200); wait < maxRetryAfter-2*slotMS {
-		t.Errorf("Retry-After %v ms after a restart", wait)
+		t.Errorf("Retry-After %v ms after a restart, want nearly maxRetryAfter", wait)
 	}
 	restarted.endOutage(t)
 }
@@ -389,12 +395,12 @@
 	}
 	r.expectPhase(t, Calm)
 	if s := r.Stats(); s.Storms != 1 || !math.IsInf(r.NextDue(), 1) {
-		t.Errorf("%d storms, next check at %v", s.Storms, r.NextDue())
+		t.Errorf("%d storms, want 1; next check at %v, want none", s.Storms, r.NextDue())
 	}
 }
 
 // One unanswered call is an outage for a sender with a low call rate, once its last successes are old enough. For a
-// sender with a high call rate it is not.
+// sender with a high call rate, whose other calls succeed, it is not.
 func TestOneUnansweredCall(t *testing.T) {
 	for rate, want := range map[float64]Phase{1: Outage, 50: Calm} {
 		r := newRig(3)
@@ -449,7 +455,8 @@
 			}
 		}
 		if over > seconds/100 || float64(total)/float64(seconds) < 70 {
-			t.Errorf("%d senders: %d of %d seconds over the limit of 100, %.1f on average", senders, over, seconds, float64(total)/float64(seconds))
+			t.Errorf("%d senders: %d of %d seconds over the limit of 100, want 1 in 100 at most; %.1f calls on average, want 70 at least",
+				senders, over, seconds, float64(total)/float64(seconds))
 		}
 	}
 }
@@ -478,7 +485,7 @@
 			}
 		}
 		if len(r.refusals.byKey) > maxRefusals {
-			t.Fatal("more refusals are remembered than maxRefusals")
+			t.Fatal("more than maxRefusals refusals are remembered")
 		}
 	})
 }
