--- a/internal/knowledge/keeper/writer_test.go
+++ b/internal/knowledge/keeper/writer_test.go
@@ -64,6 +64,8 @@
 	return s.b.String()
 }
 
+// newRig returns a Writer whose store is empty and takes its disk space from space. Each file operation is sent to ops
+// and then gets the fault that inject returns.
 func newRig(t *testing.T, space *statedir.Space, inject func(n int, op, name string) fsys.Fault) *rig {
 	t.Helper()
 	r := &rig{log: &syncBuffer{}, ops: make(chan string, 1000)}
@@ -98,6 +100,7 @@
 	}
 }
 
+// readFacts decodes a file in the state directory.
 func (r *rig) readFacts(t *testing.T, name string) *knowledge.Facts {
 	t.Helper()
 	data, err := r.files.FS.Read(name)
@@ -111,6 +114,7 @@
 	return facts
 }
 
+// closeWriter closes the Writer, which must return within 10 s.
 func (r *rig) closeWriter(t *testing.T) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
@@ -121,6 +125,7 @@
 	}
 }
 
+// newWait returns a wait; the times are in ms, receivedAt counts from the start of the test.
 func newWait(dest int, receivedAt, duration int64) knowledge.Wait {
 	return knowledge.Wait{
 		Route: knowledge.Route{Dest: dest}, ReceivedAt: 1.8e12 + receivedAt, Until: 1.8e12 + receivedAt + duration,
@@ -156,7 +161,8 @@
 	}
 }
 
-// A wait is written at once, without the other facts. The last snapshot contains all facts.
+// A wait is written at once, to a file of its own: it must survive a crash before the next snapshot. The last snapshot
+// contains all facts.
 func TestWaitIsWrittenAtOnce(t *testing.T) {
 	r := newRig(t, statedir.NewSpace(1<<20), noFault)
 	go r.Run()
@@ -215,7 +221,8 @@
 	}
 }
 
-// When the journal needs space, the Writer gives up the old files and then the snapshot.
+// When the journal needs space, the Writer gives up the old files and then the snapshot. It keeps the facts in memory
+// and writes a snapshot again once there is space.
 func TestYieldsSpace(t *testing.T) {
 	space := statedir.NewSpace(32 << 10)
 	r := newRig(t, space, noFault)
@@ -236,7 +243,7 @@
 		<-r.opts.Account.YieldRequested() // as Run does
 		r.yieldSpace()
 		if yields = append(yields, "step"); len(yields) > 2 {
-			t.Fatalf("still %d bytes claimed", r.opts.Account.Claimed())
+			t.Fatalf("still %d bytes claimed after two steps", r.opts.Account.Claimed())
 		}
 	}
 	if len(yields) != 2 || r.files.Size(store.SnapshotName) != 0 {
@@ -254,7 +261,7 @@
 	}
 }
 
-// All methods can be called on a nil Writer.
+// AddWait, AddFacts, UpdateSettings and Close can be called on a nil Writer.
 func TestNilWriter(t *testing.T) {
 	var w *Writer
 	w.AddWait(newWait(1, 0, 10))
--- a/internal/knowledge/knowledge_test.go
+++ b/internal/knowledge/knowledge_test.go
@@ -62,7 +62,8 @@
 		RampStart: learnedAt - 1000, RateBeforeOutage: 2, LastOK: learnedAt - 3000}}
 }
 
-// Later facts replace earlier ones in any order of merging. Endpoints that the later facts do not contain are kept.
+// Later facts replace earlier ones, also if they are merged first. Endpoints that the later facts do not contain are
+// kept. A clone equals the original.
 func TestMergeDestination(t *testing.T) {
 	facts := New("n0")
 	facts.MergeDestination(newDestination(1, now,
@@ -76,7 +77,8 @@
 		got += fmt.Sprint(e.Name, e.Health, e.LearnedAt-now, " ")
 	}
 	if got != "a1 0 b2 10 c0 10 " || d.LearnedAt != now+10 {
-		t.Errorf("merged endpoints (name, health, time): %s, learned at %v", got, d.LearnedAt-now)
+		t.Errorf("merged endpoints (name, health, time): %s, want a1 0 b2 10 c0 10; learned at %v, want 10",
+			got, d.LearnedAt-now)
 	}
 	clone := facts.Clone()
 	if !reflect.DeepEqual(facts, clone) {
@@ -85,7 +87,7 @@
 }
 
 // A limit converges on the list's rating, by the geometric mean. Without a rating it is kept down to minLimitWeight and
-// then dropped.
+// then dropped. After two half-lives it no longer counts as reported by the partner.
 func TestLimitAges(t *testing.T) {
 	facts := New("n0")
 	facts.MergeDestination(newDestination(1, now))
@@ -116,14 +118,14 @@
 	broken, ramping := d.Endpoints[0], d.Endpoints[1]
 	if broken.Health != policy.Broken || broken.NextTrial != now+700 || broken.OpenedAt != now-2000 ||
 		broken.RateBeforeOutage > 2 || broken.RateBeforeOutage < 1.9 {
-		t.Errorf("broken: %+v", broken)
+		t.Errorf("endpoint a: %+v, want the outage, the trial and the rate from before", broken)
 	}
 	if ramping.Health != policy.Ramping || ramping.RampStart != now-1000 {
-		t.Errorf("ramping: %+v", ramping)
+		t.Errorf("endpoint b: %+v, want a ramp from the time before", ramping)
 	}
 	d, _ = facts.AgedDestination(1, now+7*86400e3, halfLives, Prior{})
 	if e := d.Endpoints[0]; e.Health != policy.Healthy || e.Failures != 0 {
-		t.Errorf("after a week: %+v", e)
+		t.Errorf("after a week: %+v, want a healthy endpoint without failures", e)
 	}
 	if facts.Expire(now+7*86400e3, halfLives); len(facts.Dests) != 0 {
 		t.Error("a destination was not expired after a week")
@@ -139,18 +141,18 @@
 	clock := now - 3600e3
 	d, _ := facts.AgedDestination(1, clock, halfLives, Prior{Rating: 40})
 	if broken := d.Endpoints[0]; broken.NextTrial > clock+700 || broken.OpenedAt > clock || broken.LastFailure > clock {
-		t.Errorf("broken: %+v", broken)
+		t.Errorf("endpoint a: %+v, want no past time in the future, and a trial within 700 ms", broken)
 	}
 	if ramping := d.Endpoints[1]; ramping.RampStart > clock || ramping.LastOK > clock {
-		t.Errorf("ramping: %+v", ramping)
+		t.Errorf("endpoint b: %+v, want no past time in the future", ramping)
 	}
 	if !nearlyEqual(d.SharedRoute.AdvertisedLimit, 20) {
-		t.Errorf("limit %v, want halfway to the rating", d.SharedRoute.AdvertisedLimit)
+		t.Errorf("limit %v, want 20, the geometric mean of 10 and the rating of 40", d.SharedRoute.AdvertisedLimit)
 	}
 }
 
 // Facts about an endpoint belong to its name only, so that an endpoint that replaces it, even at the same address, gets
-// none of them. The destination's own facts and its wait are kept.
+// none of them: AgedDestination returns them under the old name alone, with the destination's own facts and its wait.
 func TestReplacedEndpoints(t *testing.T) {
 	facts := New("n0")
 	facts.MergeDestination(newDestination(1, now, newEndpoint("old", now, policy.Broken)))
@@ -198,7 +200,7 @@
 	facts.AddWait(Wait{Route: Route{Dest: 3}, ReceivedAt: now, Until: now + 900})
 	evicted := facts.EvictToFit(10, func(*Destination) int { return 2 })
 	if evicted != 95 || fmt.Sprint(facts.DestNumbers()) != "[3 7 48 49 99]" || len(facts.Waits) != 1 {
-		t.Errorf("%d evicted, kept %v", evicted, facts.DestNumbers())
+		t.Errorf("%d evicted, want 95; kept %v, want 3, 7, 48, 49 and 99", evicted, facts.DestNumbers())
 	}
 	if facts.EvictToFit(10, func(*Destination) int { return 2 }) != 0 {
 		t.Error("destinations were evicted although they fit")
@@ -230,7 +232,7 @@
 	}
 }
 
-// The state of an admission controller converges on that of a new one.
+// The state of an admission controller converges on that of a new one: after one half-life it is halfway there.
 func TestAdmissionAges(t *testing.T) {
 	initial := policy.InitialAdmission()
 	d := newDestination(1, now)
--- a/internal/knowledge/store/store_test.go
+++ b/internal/knowledge/store/store_test.go
@@ -48,6 +48,7 @@
 	return facts
 }
 
+// newDestination returns facts of all kinds about destination n, with a number of endpoints of various health.
 func newDestination(n, endpoints int) *knowledge.Destination {
 	d := &knowledge.Destination{
 		Dest: n, LearnedAt: now,
@@ -111,7 +112,7 @@
 		_, facts, problems := openIn(t, fsys.OS{Dir: dir})
 		var d *DamageError
 		if len(problems) != 1 || !problems[0].SetAside || !errors.As(problems[0].Err, &d) || d.Offset > len(data) {
-			t.Fatalf("%s: %+v", what, problems)
+			t.Fatalf("%s: problems %+v, want one damaged file that was set aside", what, problems)
 		}
 		if facts.WrittenAt != now-1 || len(facts.Dests) != 1 {
 			t.Fatalf("%s: the previous snapshot was not used: %+v", what, facts)
@@ -130,8 +131,8 @@
 }
 
 // Each file operation of Open and two rounds of writes in turn crashes the process or fails, before or after it
-// takes effect, and writes also stop part-way. Open then finds no damaged file, and the facts of the last write that
-// succeeded or of a later one.
+// takes effect, and writes also stop part-way, at every 37th byte. Open then finds no damaged file, and the facts of
+// the last write that succeeded or of a later one.
 func TestCrashAtEveryOperation(t *testing.T) {
 	run := func(files fsys.FS) (reported int) {
 		s, _, problems := openIn(t, files)
@@ -171,7 +172,7 @@
 				tried++
 				_, facts, problems := openIn(t, files.FS)
 				got := 0
-				if w, ok := facts.Waits[knowledge.Route{Dest: 1}]; ok {
+				if w, ok := facts.Waits[knowledge.Route{Dest: 1}]; ok { // its end tells the argument of sample
 					got = int(w.Until - now - 900)
 				}
 				if len(problems) > 0 || got < reported || facts.WrittenAt != 0 && int(facts.WrittenAt-now) > got {
@@ -205,7 +206,8 @@
 	}
 }
 
-// Anything else under the name of the snapshot is set aside, or ignored if that is not possible. Writes then succeed.
+// Anything else under the name of the snapshot is set aside, or ignored if that is not possible, and an unfinished
+// write is ignored. Writes then succeed, and Open reads what they wrote.
 func TestUnusableFiles(t *testing.T) {
 	for name, create := range map[string]func(dir string){
 		"empty":            func(dir string) { os.WriteFile(filepath.Join(dir, SnapshotName), nil, 0o600) },
@@ -218,13 +220,13 @@
 		create(dir)
 		s, facts, _ := openIn(t, fsys.OS{Dir: dir})
 		if len(facts.Dests) != 0 {
-			t.Errorf("%s: %+v", name, facts)
+			t.Errorf("%s: %+v, want no facts", name, facts)
 		}
 		if err := s.SaveSnapshot(sample(0)); err != nil {
 			t.Errorf("%s: %v", name, err)
 		}
 		if _, facts, problems := openIn(t, fsys.OS{Dir: dir}); len(facts.Dests) != 1 || len(problems) > 0 {
-			t.Errorf("%s: then %+v", name, problems)
+			t.Errorf("%s: after a write, problems %+v, want none and the facts of the write", name, problems)
 		}
 	}
 	// Injected permission errors, because a test that runs as root may read every file.
@@ -235,7 +237,7 @@
 		return fsys.Fault{}
 	}}
 	if _, facts, problems := openIn(t, files); len(problems) != 1 || problems[0].SetAside || len(facts.Dests) != 0 {
-		t.Errorf("no permission: %+v", problems)
+		t.Errorf("no permission: problems %+v, want one whose file is not set aside", problems)
 	}
 }
 
@@ -251,7 +253,7 @@
 		t.Errorf("%+v", problems)
 	}
 	if err := s.SaveSnapshot(sample(1)); !errors.Is(err, ErrNewerFormat) {
-		t.Errorf("SaveSnapshot over a snapshot of a newer format: %v", err)
+		t.Errorf("SaveSnapshot over a snapshot of a newer format: error %v, want ErrNewerFormat", err)
 	}
 	if err := s.SaveWaits(sample(1)); err != nil { // waits have a file of their own
 		t.Error(err)
@@ -278,11 +280,12 @@
 	}
 	writeHeader(data, 0)
 	if _, err := Decode(data); err == nil || errors.Is(err, ErrNewerFormat) {
-		t.Errorf("version 0: %v", err)
+		t.Errorf("version 0: error %v, want one other than ErrNewerFormat", err)
 	}
 }
 
-// Files of all format versions that were ever written are readable. Version 1 contained only waits.
+// Files of all format versions that were ever written are readable, and the next write converts them to the present
+// version. Version 1 contained only waits.
 func TestGoldenFiles(t *testing.T) {
 	if *update {
 		m := &pb.BookV1{Sender: "n0", WrittenMs: now, Waits: []*pb.WaitV1{
@@ -314,7 +317,7 @@
 		}
 		rewritten, _ := os.ReadFile(filepath.Join(dir, SnapshotName))
 		if v := binary.BigEndian.Uint32(rewritten[8:]); v != Version {
-			t.Errorf("%s is rewritten as version %d", file, v)
+			t.Errorf("%s is rewritten as version %d, want the present one", file, v)
 		}
 	}
 }
@@ -357,15 +360,16 @@
 				t.Fatal(err)
 			}
 			if used := usedBytes(); used > account.Claimed() || used+need > 100<<10 || used > maxBytes {
-				t.Fatalf("step %d: %d bytes used, %d claimed, journal %d", i, used, account.Claimed(), need)
+				t.Fatalf("step %d: %d bytes used, %d claimed, %d for the journal; want no more than claimed, maxBytes and the rest",
+					i, used, account.Claimed(), need)
 			}
 			if need == 0 && (err != nil || len(facts.Dests) < 50) {
-				t.Errorf("step %d: %d destinations, %v", i, len(facts.Dests), err)
+				t.Errorf("step %d: %d destinations, want 50 at least; error %v", i, len(facts.Dests), err)
 			}
 		}
 	}
 	if err := s.SaveSnapshot(big); !errors.Is(err, ErrNoSpace) || !strings.Contains(err.Error(), SnapshotName) {
-		t.Errorf("SaveSnapshot without enough space: %v", err)
+		t.Errorf("SaveSnapshot without enough space: error %v, want ErrNoSpace with the name of the file", err)
 	}
 }
 
@@ -385,7 +389,8 @@
 	}
 }
 
-// Decode returns either facts or an error for any contents of a file.
+// Decode returns either facts or an error for any contents of a file. The facts can be encoded again, unless a text in
+// them is not UTF-8.
 func FuzzDecode(f *testing.F) {
 	for _, v := range []string{"v1", "v2"} {
 		if data, err := os.ReadFile("testdata/" + v + ".knowledge"); err == nil {
@@ -412,6 +417,7 @@
 	})
 }
 
+// benchFacts returns the facts of n destinations with two endpoints each.
 func benchFacts(n int) *knowledge.Facts {
 	facts := knowledge.New("n0")
 	for i := range n {
@@ -420,6 +426,7 @@
 	return facts
 }
 
+// The cost of encoding a snapshot, and its size, by number of destinations.
 func BenchmarkEncode(b *testing.B) {
 	for _, n := range []int{20, 1000, 10000} {
 		facts := benchFacts(n)
@@ -434,6 +441,7 @@
 	}
 }
 
+// The cost of decoding a snapshot, by number of destinations.
 func BenchmarkDecode(b *testing.B) {
 	for _, n := range []int{20, 1000, 10000} {
 		data, _ := Encode(benchFacts(n))
@@ -448,6 +456,7 @@
 	}
 }
 
+// The cost of saving a snapshot to a file, with and without fsync, by number of destinations.
 func BenchmarkSave(b *testing.B) {
 	for _, n := range []int{20, 1000, 10000} {
 		for _, sync := range []bool{false, true} {
