--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -76,7 +76,7 @@
 	return fmt.Sprintf("POST %s HTTP/1.1\r\nHost: a\r\nContent-Length: %d\r\n\r\n%s", path, len(body), body)
 }
 
-// Each call is answered with its status and reason, and only valid calls reach the handlers.
+// Each call is answered within a second with its status and reason, and only valid calls reach the handlers.
 func TestCalls(t *testing.T) {
 	f := &fake{}
 	addr := serve(t, f)
@@ -107,7 +107,7 @@
 	f.ready = true
 	f.mu.Unlock()
 	if status, _, _ := ask(t, addr, "GET /ready HTTP/1.1\r\nHost: a\r\n\r\n"); status != "HTTP/1.1 200 OK" {
-		t.Errorf("ready: %s", status)
+		t.Errorf("GET /ready once the sender is ready: %s, want 200", status)
 	}
 	want := "disable s-5be2a07c,disable s-5be2a07c,enable s-5be2a07c,drain,undrain,undrain"
 	if got := strings.Join(f.recorded, ","); got != want {
@@ -134,7 +134,7 @@
 	}
 	status, _, elapsed := ask(t, addr, "GET /ready HTTP/1.1\r\nHost: a\r\n\r\n")
 	if status != "HTTP/1.1 200 OK" || elapsed > time.Second {
-		t.Errorf("ready answered after %v, among incomplete requests", elapsed)
+		t.Errorf("GET /ready among incomplete requests: answer after %v, want 200 within 1 s", elapsed)
 	}
 	t.Logf("ready among %d incomplete requests: %s after %v", len(conns), status, elapsed)
 	for _, nc := range conns {
@@ -149,12 +149,12 @@
 	}
 	status, _, elapsed = ask(t, addr, "GET /ready HTTP/1.1\r\nHost: a\r\n\r\n")
 	if status != "HTTP/1.1 200 OK" || elapsed > 100*time.Millisecond {
-		t.Errorf("after the connections closed: %s after %v", status, elapsed)
+		t.Errorf("GET /ready after the connections closed: %s after %v, want 200 within 100 ms", status, elapsed)
 	}
 }
 
 // During an upgrade two processes of one sender run side by side. The process that watches the file applies what an
-// operator disables at the other one, even an id that none of its lists has named. An unreadable file is an error and
+// operator disables at the other one, even an id that none of its lists has named. A malformed file is an error and
 // changes nothing.
 func TestWatchAppliesFile(t *testing.T) {
 	dir := fsys.OS{Dir: t.TempDir()}
@@ -179,7 +179,7 @@
 	successor.sync(apply)
 	successor.sync(apply) // unchanged file
 	if got := strings.Join(applied, ","); got != "s-1 true,s-2 true,s-1 false" {
-		t.Errorf("applied %s", got)
+		t.Errorf("applied %s, want s-1 and s-2 disabled, then s-1 enabled", got)
 	}
 	if ids := successor.Disabled().IDs(); len(ids) != 1 || ids[0] != "s-2" {
 		t.Errorf("disabled in the successor: %v, want s-2", ids)
@@ -188,6 +188,6 @@
 		t.Fatal(err)
 	}
 	if err := successor.sync(apply); err == nil || successor.Disabled().Len() != 1 {
-		t.Errorf("unreadable file: %v, %v", err, successor.Disabled().IDs())
+		t.Errorf("malformed file: error %v, disabled %v; want an error, and s-2 still disabled", err, successor.Disabled().IDs())
 	}
 }
--- a/internal/config/settings_test.go
+++ b/internal/config/settings_test.go
@@ -67,7 +67,7 @@
 		}
 		_, err := ParseSettings(text)
 		if err == nil || !strings.Contains(err.Error(), c.want) {
-			t.Errorf("%s: %v, want %q", c.to, err, c.want)
+			t.Errorf("%s: error %v, want one with %q", c.to, err, c.want)
 		}
 	}
 }
--- a/internal/control/settings_test.go
+++ b/internal/control/settings_test.go
@@ -16,6 +16,7 @@
  <member name="c3" addr="127.0.0.1:7303" directory="127.0.0.1:7403" region="r3" voter="true"/>
 </control>`
 
+// loadText loads text from a file in a new folder.
 func loadText(t *testing.T, text string) (*Settings, error) {
 	path := filepath.Join(t.TempDir(), "control.xml")
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -52,7 +53,8 @@
 	}
 }
 
-// The example's files can be loaded, and the sender's list of control members is the same as theirs.
+// The example's files can be loaded, each is that of the member it is named after, and the control members in the
+// sender's file have the names and directory addresses of those in control-1.xml.
 func TestExample(t *testing.T) {
 	for _, name := range []string{"control-1.xml", "control-2.xml", "control-3.xml"} {
 		s, err := Load("../../example/" + name)
--- a/internal/discovery/bounds_test.go
+++ b/internal/discovery/bounds_test.go
@@ -116,8 +116,8 @@
 	}
 }
 
-// A list over MaxListBytes is rejected, with a Content-Length and chunked. The log reports it once, with the allowed length.
-// The endpoints known before stay, and a shorter list is accepted afterwards.
+// A list over MaxListBytes is rejected, with a Content-Length and chunked. The log reports it once although it comes
+// twice, with the allowed length. No update results from it, and a shorter list is accepted afterwards.
 func TestOversizedListChangesNothing(t *testing.T) {
 	long := listText(8, 1) + strings.Repeat(" ", MaxListBytes)
 	for _, chunked := range []bool{false, true} {
@@ -155,7 +155,7 @@
 		t.Fatal(err)
 	}
 	if n := strings.Count(log.String(), "too many endpoints"); accepted != MaxEndpoints || n != 1 {
-		t.Errorf("%d endpoints accepted, want %d; logged %d times:\n%s", accepted, MaxEndpoints, n, log.String())
+		t.Errorf("%d endpoints accepted, want %d; logged %d times, want once:\n%s", accepted, MaxEndpoints, n, log.String())
 	}
 }
 
@@ -163,7 +163,7 @@
 // and after any number of failures, the next request must be sent early enough for its answer to report the change
 // before it counts as known to the sender. Guards against a watch of 3.5 s that is followed by a pause of up to 5 s.
 func TestRetryAfterTimeoutIsInTime(t *testing.T) {
-	const answerTime = time.Second
+	const answerTime = time.Second // for the answer to the next request
 	for _, senders := range []int{1, 3, 30, 43, 44, 80, 300, 10000} {
 		for _, elapsed := range []time.Duration{0, listTimeout, dialTimeout + listTimeout, watchDuration + watchGrace} {
 			for _, answered := range []bool{false, true} {
@@ -175,7 +175,7 @@
 					}
 				}
 				if worst+answerTime > maxSilence {
-					t.Errorf("%d senders, request timed out after %v, answered before %t: the next one is sent %v after it was sent",
+					t.Errorf("%d senders, request timed out after %v, answered before %t: the next one is sent %v after it was sent, too late",
 						senders, elapsed, answered, worst)
 				}
 			}
@@ -204,7 +204,7 @@
 			first := time.Now()
 			<-requests
 			if took := time.Since(first); took > maxSilence-500*time.Millisecond {
-				t.Errorf("seed %d: the second request was sent %v after the first", seed, took)
+				t.Errorf("seed %d: the second request was sent %v after the first, want 500 ms less than maxSilence at most", seed, took)
 			}
 			cancel()
 			<-done
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -148,14 +148,14 @@
 		}
 		for n := 1; n < 100; n++ {
 			if d := b.exponentialPause(n, b.longest); d < minPause/2 || d > b.longest {
-				t.Errorf("%d senders: pause %v after %d failures", c.senders, d, n)
+				t.Errorf("%d senders: pause %v after %d failures, want half of minPause to the longest pause", c.senders, d, n)
 			}
 		}
 	}
 }
 
-// Eighty senders start at the same moment, on a simulated clock, and every request fails. Their requests must stay
-// below six times fleetRetriesPerSecond in the first second, in which a fleet without pauses sends 800, and below twice
+// Eighty senders start at the same moment, on a simulated clock, and every request fails. Their requests must
+// not exceed six times fleetRetriesPerSecond in the first second, in which a fleet without pauses sends 800, and twice
 // that rate afterwards. Guards against pauses that begin short again after the first one: with these the fleet sent 42
 // to 62 requests a second in seconds 1 to 4, which can overload discovery permanently.
 func TestFleetRequestsAreBoundedAndSpread(t *testing.T) {
@@ -176,7 +176,7 @@
 	}
 	for s, n := range perSecond {
 		if s == 0 && n > 6*fleetRetriesPerSecond || s > 0 && n > 2*fleetRetriesPerSecond {
-			t.Errorf("second %d: %d requests", s, n)
+			t.Errorf("second %d: %d requests, more than six (in second 0) or two times fleetRetriesPerSecond", s, n)
 		}
 	}
 	t.Logf("requests a second: %v", perSecond)
@@ -200,7 +200,7 @@
 		select {
 		case got := <-requests:
 			if took := time.Since(start); got != "/discovery/hosts?index=41&wait=3000" || took > within {
-				t.Errorf("seed %d: first request %s after %v", seed, got, took)
+				t.Errorf("seed %d: first request %s after %v, want a watch from version 41 within 250 ms", seed, got, took)
 			}
 		case <-time.After(10 * time.Second):
 			t.Errorf("seed %d: no request", seed)
@@ -224,13 +224,13 @@
 			firstPause, secondPause = max(firstPause, b.pause(1, true, watchDuration+watchGrace)), max(secondPause, b.pause(2, true, listTimeout))
 		}
 		if at := watchDuration + watchGrace + firstPause + listTimeout + secondPause + margin; at > maxSilence {
-			t.Errorf("%d senders: the answer comes %v after discovery stopped answering", senders, at)
+			t.Errorf("%d senders: the answer comes %v after discovery stopped answering, want maxSilence at most", senders, at)
 		}
 	}
 }
 
-// As TestRepeatedSilenceIsDetectedInTime, over sockets: a watch and the next request time out, and an endpoint drains
-// meanwhile. The drain must be seen in time.
+// As TestRepeatedSilenceIsDetectedInTime, over sockets: a watch and the next request time out. The list that answers the
+// third request must arrive in time, so that a drain published meanwhile would be seen.
 func TestDrainIsSeenAfterTwoTimeouts(t *testing.T) {
 	t.Parallel()
 	addr, requests := startAgent(t, 200, 0, 0, 200)
@@ -246,7 +246,7 @@
 	silentSince := time.Now()
 	expectRequests(t, requests, "/discovery/hosts", "/discovery/hosts")
 	if took := (<-updates).Sub(silentSince); took > maxSilence {
-		t.Errorf("the list came %v after the agent stopped answering", took)
+		t.Errorf("the list came %v after the agent stopped answering, want maxSilence at most", took)
 	}
 }
 
--- a/internal/h2/h2_test.go
+++ b/internal/h2/h2_test.go
@@ -26,6 +26,7 @@
 	return p
 }
 
+// dial connects to addr and waits until the connection is ready: the peer's SETTINGS have arrived.
 func dial(t *testing.T, addr string, opt h2.Options) *h2.Conn {
 	t.Helper()
 	nc, err := net.Dial("tcp", addr)
@@ -100,15 +101,16 @@
 	for i, result := range results {
 		r := wantOutcome(t, result, h2.Answered)
 		if r.Status != 200 || len(r.Body) != i*1000 || i > 0 && r.Body[0] != byte('a'+i%26) || r.Get("retry-after") != "1.5" || i%10 == 0 && len(r.Get("x-long")) != 200 {
-			t.Errorf("request %d: status %d, %d bytes", i, r.Status, len(r.Body))
+			t.Errorf("request %d: status %d, %d bytes; want 200, and the body and headers of the request", i, r.Status, len(r.Body))
 		}
 	}
 	if conns, n, _ := p.Stats(); conns != 1 || n != 60 {
-		t.Errorf("%d connections, %d messages", conns, n)
+		t.Errorf("%d connections with %d messages, want 1 with 60", conns, n)
 	}
 }
 
-// Checks interoperability with an independent implementation, the server of net/http.
+// Checks interoperability with an independent implementation, the server of net/http, also for responses with an interim
+// response and a trailer.
 func TestNetHTTPServer(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -130,12 +132,12 @@
 	for i := range 50 {
 		_, result := startRequest(t, c, fmt.Sprint(i), strings.Repeat("b", i*1300))
 		if r := wantOutcome(t, result, h2.Answered); r.Status != 200 || len(r.Body) != i*1300 || r.Get("x-proto") != "HTTP/2.0" {
-			t.Errorf("request %d: status %d, %d bytes", i, r.Status, len(r.Body))
+			t.Errorf("request %d: status %d, %d bytes; want 200, and the body of the request over HTTP/2.0", i, r.Status, len(r.Body))
 		}
 	}
 }
 
-// Checks the outcome that is reported for each way in which a stream can end.
+// Checks the outcome and the status that are reported, once, for each way in which a stream can end.
 func TestOutcomes(t *testing.T) {
 	for name, tc := range map[string]struct {
 		reply  standin.Reply
@@ -230,8 +232,8 @@
 	wantOutcome(t, resultD, h2.Answered)
 }
 
-// A cancelled stream is reset before its result is reported. One whose body was held back by flow control ends as
-// NeverRan.
+// A stream that is cancelled, even twice, ends as Cancelled if its request was sent, and as NeverRan if flow control held
+// its body back.
 func TestCancel(t *testing.T) {
 	p := startPartner(t, &standin.H2Partner{InitialWindow: 10, Handler: func(r *standin.Request) standin.Reply { return standin.Reply{NoAnswer: true} }})
 	c := dial(t, p.Addr(), testOptions)
@@ -255,7 +257,7 @@
 	}
 }
 
-// A partner that stops answering is detected by PING, and its open requests may have run.
+// A partner that answers nothing is detected by PING, and its open request ends as Unresponsive: it may have run.
 func TestUnresponsivePartner(t *testing.T) {
 	opt := testOptions
 	opt.ReadIdleTimeout, opt.PingTimeout = 50*time.Millisecond, 50*time.Millisecond
@@ -269,8 +271,8 @@
 	wantOutcome(t, result, h2.Unresponsive)
 }
 
-// A partner that does not read affects only its own connection, and memory stays bounded: all requests end, and only
-// one of them counts as sent.
+// Guards against requests that never end because their partner reads nothing, and against ones that count as sent
+// although flow control held their bodies back: only one may end as Unresponsive, the others as NeverRan.
 func TestPartnerReadsNothing(t *testing.T) {
 	release := make(chan struct{})
 	t.Cleanup(func() { close(release) })
@@ -291,7 +293,7 @@
 	}
 	// The initial window of 65,535 bytes admits one complete body of 60,000 bytes; no other request is fully sent.
 	if outcomes[h2.Unresponsive] != 1 || outcomes[h2.NeverRan] != len(results)-1 || len(results) != 100 {
-		t.Errorf("outcomes %v of %d requests", outcomes, len(results))
+		t.Errorf("outcomes %v of %d requests, want 100, all but one of them NeverRan, the other Unresponsive", outcomes, len(results))
 	}
 }
 
@@ -308,7 +310,8 @@
 	}
 }
 
-// Frame floods and protocol violations end the connection promptly, and its requests as ones that may have run.
+// Frame floods and protocol violations end the connection within testTimeout, and its request as Broken or
+// InvalidResponse.
 func TestProtocolViolations(t *testing.T) {
 	block := func(fields ...hpack.HeaderField) []byte {
 		var b strings.Builder
@@ -357,7 +360,7 @@
 			p := startPartner(t, &standin.H2Partner{RawHandler: func(nc net.Conn, fr *http2.Framer) {
 				nc.SetDeadline(time.Now().Add(testTimeout))
 				buf := make([]byte, 4096)
-				for n, total := 0, 0; total < 150; total += n { // until the request has arrived
+				for n, total := 0, 0; total < 150; total += n { // until the request, with its body of 100 bytes, has arrived
 					var err error
 					if n, err = nc.Read(buf); err != nil {
 						return
@@ -374,7 +377,7 @@
 			c := dial(t, p.Addr(), testOptions)
 			_, result := startRequest(t, c, "m", strings.Repeat("b", 100))
 			if r := awaitResult(t, result); r.Outcome != h2.Broken && r.Outcome != h2.InvalidResponse {
-				t.Errorf("outcome %v: %v", r.Outcome, r.Err)
+				t.Errorf("outcome %v (%v), want Broken or InvalidResponse", r.Outcome, r.Err)
 			}
 			select {
 			case <-c.Done():
--- a/internal/h2/placing/placing_test.go
+++ b/internal/h2/placing/placing_test.go
@@ -5,6 +5,7 @@
 	"testing"
 )
 
+// newPool returns a pool with copies of the connections. Their IDs count from 1.
 func newPool(set Settings, conns ...Conn) *Pool {
 	p := &Pool{Settings: set}
 	for _, c := range conns {
@@ -63,7 +64,7 @@
 		"only draining":                             {[]Conn{{Phase: Draining, Limit: 9, Active: 9}}, 1, true},
 	} {
 		if got := newPool(testSettings, tc.conns...).ShouldDial(tc.waiting); got != tc.want {
-			t.Errorf("%s: got %t", name, got)
+			t.Errorf("%s: ShouldDial returned %t, want the opposite", name, got)
 		}
 	}
 }
@@ -80,9 +81,9 @@
 	}
 }
 
-// With random changes of limits, streams and phases: no request is placed on a connection that has reached its
-// limit, the number of connections never exceeds MaxConns, and a request never waits without an open or dialling
-// connection.
+// Checks, under random changes of limits, streams and phases, that no request is placed on a connection that has reached
+// its limit, that no more than MaxConns connections are open or dialling, and that a request never waits without an open
+// or dialling connection.
 func TestNeverOverLimits(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	for range 200 {
@@ -114,7 +115,7 @@
 					break
 				}
 				if c.Phase != Open || c.Active >= c.Limit {
-					t.Fatalf("placed on %+v", c)
+					t.Fatalf("request placed on %+v, which is not open or has no free stream", c)
 				}
 				c.Active++
 				waiting--
@@ -124,7 +125,7 @@
 			}
 			open, dialling := p.count()
 			if open+dialling > testSettings.MaxConns {
-				t.Fatalf("%d connections, more than MaxConns", open+dialling)
+				t.Fatalf("%d connections are open or dialling, more than MaxConns", open+dialling)
 			}
 			if waiting > 0 && open+dialling == 0 {
 				t.Fatal("a request waits without an open or dialling connection")
--- a/internal/http1/http1_test.go
+++ b/internal/http1/http1_test.go
@@ -33,7 +33,7 @@
 		for name, src := range map[string]io.Reader{"whole": strings.NewReader(text), "byte by byte": iotest.OneByteReader(strings.NewReader(text))} {
 			m, err := NewReader(src).ReadResponse()
 			if err != want.err || m.Status != want.status || string(m.Body) != want.body {
-				t.Errorf("%q, %s: status %d, body %q, error %v", text, name, m.Status, m.Body, err)
+				t.Errorf("%q, %s: status %d, body %q, error %v; want those of the row", text, name, m.Status, m.Body, err)
 			}
 		}
 	}
@@ -47,7 +47,7 @@
 	for name, src := range map[string]io.Reader{"whole": strings.NewReader(text), "byte by byte": iotest.OneByteReader(strings.NewReader(text))} {
 		m, err := NewReader(src).ReadResponse()
 		if err != nil || string(m.Headers.Get("Retry-After")) != "1.5" || !m.Close || m.Status != 429 || len(m.Body) != 0x2000 {
-			t.Errorf("%s: status %d, Retry-After %q, close %t, %d bytes, error %v", name, m.Status, m.Headers.Get("Retry-After"), m.Close, len(m.Body), err)
+			t.Errorf("%s: status %d, Retry-After %q, close %t, %d bytes, error %v; want 429, 1.5, true, 8192 bytes and none", name, m.Status, m.Headers.Get("Retry-After"), m.Close, len(m.Body), err)
 		}
 	}
 }
@@ -66,7 +66,7 @@
 	for i, n := range sizes {
 		m, err := r.ReadRequest()
 		if err != nil || len(m.Body) != n || string(m.Headers.Get("x-number")) != string(rune('a'+i)) || string(m.Path) != "/api" {
-			t.Fatalf("message %d: %v, %d bytes", i, err, len(m.Body))
+			t.Fatalf("message %d: error %v, body of %d bytes; want no error, and the length, header and path that were written", i, err, len(m.Body))
 		}
 		if n > 0 && (m.Body[0] != byte(i) || m.Body[n-1] != byte(i)) {
 			t.Errorf("message %d: body of another message", i)
@@ -74,8 +74,8 @@
 	}
 }
 
-// FuzzMessages checks that for any input reading ends and stays within the limits, and that a request that was read and
-// written again reads the same.
+// FuzzMessages checks that for any input reading ends, that the body of a request stays within MaxBody, and that a
+// request that was read and written again is read with the same path and body.
 func FuzzMessages(f *testing.F) {
 	f.Add([]byte("POST /api HTTP/1.1\r\nContent-Length: 3\r\nX: y\r\n\r\nabcGET /up HTTP/1.1\r\n\r\n"))
 	f.Add([]byte("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n0\r\n\r\n"))
@@ -91,12 +91,12 @@
 				return
 			}
 			if len(m.Body) > MaxBody {
-				t.Fatalf("body of %d bytes", len(m.Body))
+				t.Fatalf("body of %d bytes, more than MaxBody", len(m.Body))
 			}
 			rewritten := AppendBody(AppendRequest(nil, string(m.Method), string(m.Path), "h"), m.Body)
 			n, err := NewReader(bytes.NewReader(rewritten)).ReadRequest()
 			if err != nil || !bytes.Equal(n.Body, m.Body) || !bytes.Equal(n.Path, m.Path) {
-				t.Fatalf("%q: %v", rewritten, err)
+				t.Fatalf("request written again as %q: error %v, or another path or body", rewritten, err)
 			}
 		}
 	})
--- a/internal/intake/close_race_test.go
+++ b/internal/intake/close_race_test.go
@@ -281,7 +281,7 @@
 	defer cancel()
 	r.WaitClosed(ctx)
 	if took := time.Since(start); took > 2*lingerTimeout {
-		t.Errorf("a client that does not close its connection delayed the shutdown for %v", took)
+		t.Errorf("a client that does not close its connection delayed the shutdown for %v, want twice lingerTimeout at most", took)
 	}
 	<-r.sender.Done()
 	if r.journaledTraces()["after"] {
@@ -314,7 +314,7 @@
 			t.Errorf("%s: answer %d, want 202", name, res.StatusCode)
 		}
 		if took := time.Since(start); took > clientTimeout {
-			t.Errorf("%s: answered after %v while half-closed connections held all slots", name, took)
+			t.Errorf("%s: answered only after %v, later than the client's time-out, while half-closed connections held all slots", name, took)
 		}
 	}
 }
--- a/internal/intake/rig_test.go
+++ b/internal/intake/rig_test.go
@@ -102,6 +102,7 @@
 	Classes: []policy.Class{{Name: "safe", Aim: 15000, Deadline: 20000, Worth: 1, LateWorth: 0.5, Effect: policy.Safe}},
 }
 
+// newRig starts the server, whose connections call the hooks, and the sender behind it. Both are stopped with the test.
 func newRig(t *testing.T, maxConns int, h *hooks) *rig {
 	t.Helper()
 	blackHole, err := net.Listen("tcp", "127.0.0.1:0") // the kernel accepts connections, and no request is answered
--- a/internal/journal/copies_test.go
+++ b/internal/journal/copies_test.go
@@ -112,8 +112,8 @@
 	}
 }
 
-// TestHoldsAreCopied guards against holds that are missing from copies, snapshots or compacted records, or that outlast
-// their end.
+// TestHoldsAreCopied guards against holds that are missing from copies, snapshots, compacted records or the file at the
+// next start, that outlast their end, or that exceed maxHolds.
 func TestHoldsAreCopied(t *testing.T) {
 	dir := t.TempDir()
 	j, _, err := Open(dir, statedir.NewSpace(1<<20).Account())
@@ -133,7 +133,7 @@
 	check := func(what string, got []Hold, want int) {
 		t.Helper()
 		if len(got) != want || got[0].Until != 500 {
-			t.Errorf("%s: holds %+v", what, got)
+			t.Errorf("%s: wrong number of holds, or the first does not last until 500: %+v", what, got)
 		}
 	}
 	check("copies", ReplayHolds(copied), 3)
--- a/internal/journal/journal_test.go
+++ b/internal/journal/journal_test.go
@@ -70,7 +70,7 @@
 		j.Accept(entry(j, "more"))
 		j.Close()
 		if _, again := open(t, dir, 1<<20); len(again) != len(list)+1 {
-			t.Fatalf("cut at %d: %d entries after one more was accepted", cut, len(again))
+			t.Fatalf("cut at %d: %d entries after one more was accepted, want one more than before", cut, len(again))
 		}
 	}
 }
@@ -136,7 +136,8 @@
 	})
 }
 
-// TestTraceParentSurvivesRestart guards against a trace context that is lost by a restart or a compaction.
+// TestTraceParentSurvivesRestart guards against a trace context that is lost by a restart or a compaction, or that gets
+// into the entry of another message.
 func TestTraceParentSurvivesRestart(t *testing.T) {
 	dir := t.TempDir()
 	j, _ := open(t, dir, 1<<20)
@@ -184,13 +185,13 @@
 	}
 	takenOver, err := successor.TakeOver()
 	if err != nil || len(takenOver) != 1 || takenOver[0].Trace != "held" || takenOver[0].MayHaveRunAt != 5 {
-		t.Fatalf("took over %+v, %v", takenOver, err)
+		t.Fatalf("took over %+v, error %v; want the message held alone, which may have run at 5", takenOver, err)
 	}
 	successor.End(own)
 	successor.Close()
 	_, live := open(t, dir, 1<<20)
 	if len(live) != 1 || live[0].Trace != "held" {
-		t.Fatalf("after the takeover: %+v", live)
+		t.Fatalf("entries after the takeover: %+v, want the message held alone", live)
 	}
 	if _, err := os.Stat(filepath.Join(dir, successorName)); !os.IsNotExist(err) {
 		t.Errorf("the successor's file still exists: %v", err)
@@ -205,6 +206,6 @@
 	abandoned.Close()
 	_, live = open(t, dir, 1<<20)
 	if len(live) != 2 || live[0].Trace != "held" || live[1].Trace != "left" {
-		t.Fatalf("after a successor that did not take over: %+v", live)
+		t.Fatalf("entries after a successor that did not take over: %+v, want the messages held and left", live)
 	}
 }
--- a/internal/operate/operate_test.go
+++ b/internal/operate/operate_test.go
@@ -22,7 +22,7 @@
 		policy.Ready: policy.Draining, policy.Draining: policy.Draining, policy.Gone: policy.Gone,
 	} {
 		if got := set.EffectiveState("s-1", listed); got != want {
-			t.Errorf("listed %d: %d, want %d", listed, got, want)
+			t.Errorf("state %d in the list: effective state %d, want %d", listed, got, want)
 		}
 	}
 	if set.EffectiveState("s-2", policy.Ready) != policy.Ready {
@@ -44,13 +44,13 @@
 	}
 	parsed, err := Parse(set.Encode())
 	if err != nil || strings.Join(parsed.IDs(), " ") != "10.1.0.18:9000 s-a s-b" {
-		t.Fatalf("%v %v", parsed.IDs(), err)
+		t.Fatalf("parsed ids %v, error %v; want 10.1.0.18:9000 s-a s-b and none", parsed.IDs(), err)
 	}
 	if empty, err := Parse(nil); err != nil || empty.Len() != 0 {
-		t.Errorf("empty text: %v %v", empty.IDs(), err)
+		t.Errorf("empty text: ids %v, error %v; want neither", empty.IDs(), err)
 	}
 	if none, err := Parse([]byte(fileHeader)); err != nil || none.Len() != 0 {
-		t.Errorf("header alone: %v %v", none.IDs(), err)
+		t.Errorf("header alone: ids %v, error %v; want neither", none.IDs(), err)
 	}
 	for _, malformed := range []string{"s-1\n", fileHeader + "s-1", fileHeader + "two words\n", fileHeader + "\n", fileHeader[:10]} {
 		if _, err := Parse([]byte(malformed)); err == nil {
@@ -59,12 +59,13 @@
 	}
 }
 
-// A malformed id and a full set are refused with the matching error, and the set is unchanged.
+// A malformed id, and a further one in a full set, are refused with the matching error, and the set is unchanged. The
+// text form of a full set does not exceed MaxEncodedSize.
 func TestRefusedIDs(t *testing.T) {
 	var set DisabledSet
 	for _, id := range []string{"", "a b", "tab\t", strings.Repeat("x", MaxIDLength+1), "é"} {
 		if err := set.Set(id, true); !errors.Is(err, ErrMalformedID) {
-			t.Errorf("%q: %v", id, err)
+			t.Errorf("%q: error %v, want ErrMalformedID", id, err)
 		}
 	}
 	for i := range MaxDisabled {
@@ -73,7 +74,7 @@
 		}
 	}
 	if err := set.Set("one-more", true); !errors.Is(err, ErrTooManyDisabled) || set.Has("one-more") {
-		t.Errorf("one over MaxDisabled: %v", err)
+		t.Errorf("one over MaxDisabled: error %v, want ErrTooManyDisabled and the id not in the set", err)
 	}
 	if err := set.Set("s-0", true); err != nil {
 		t.Errorf("repeated call at MaxDisabled: %v", err)
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -40,7 +40,7 @@
 	} {
 		_, err := Read("f.xml", strings.NewReader(c.text))
 		if err == nil || !strings.Contains(err.Error(), c.want) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s: %v, want %q", name, err, c.want)
+			t.Errorf("%s: error %v, want one line with %q", name, err, c.want)
 		}
 	}
 }
@@ -114,7 +114,7 @@
 		t.Run(f.name, func(t *testing.T) {
 			_, err := Read("f.xml", strings.NewReader(f.text))
 			if (err == nil) != (f.want == "") || err != nil && !strings.Contains(err.Error(), f.want) {
-				t.Fatalf("Read: %v, want %q", err, f.want)
+				t.Fatalf("Read: error %v, want one with %q (empty: no error)", err, f.want)
 			}
 			if err != nil && (strings.Contains(err.Error(), "\n") || !strings.HasPrefix(err.Error(), "f.xml:1: ")) {
 				t.Errorf("%q is not one line that begins with its position", err)
@@ -123,7 +123,7 @@
 			os.WriteFile(path, []byte(f.text), 0o600)
 			out, lint := exec.Command("xmllint", "--noout", "--nonet", "--schema", schemaFile, path).CombinedOutput()
 			if (lint == nil) != (err == nil) {
-				t.Errorf("reader: %v; schema: %v\n%s", err, lint, out)
+				t.Errorf("reader and schema disagree: reader: %v; schema: %v\n%s", err, lint, out)
 			}
 		})
 	}
@@ -137,7 +137,7 @@
 	}
 }
 
-// The operators' file in deploy/ is valid, and its values are read.
+// The operators' file in deploy/ is valid, and its values for the knowledge are read.
 func TestDeployedFile(t *testing.T) {
 	f, err := Load("../../deploy/sliptide.xml")
 	if err != nil {
@@ -148,7 +148,7 @@
 	}
 }
 
-// By default every part is off, and a file without settings is equivalent to no file.
+// A file without settings is equivalent to no file: the knowledge is off, and the time-out of <ready> is 5 s.
 func TestDefaults(t *testing.T) {
 	f, err := Read("f", strings.NewReader(`<sliptide version="1"/>`))
 	if d := Default(); err != nil || !reflect.DeepEqual(*f, d) || d.Knowledge.Enabled || d.Ready.Timeout != 5*time.Second {
@@ -156,7 +156,8 @@
 	}
 }
 
-// Partner settings that are not allowed together, which the schema cannot express.
+// Partner settings that are not allowed together, which the schema cannot express, are refused with an error that names
+// the destination.
 func TestInvalidCombinations(t *testing.T) {
 	for text, want := range map[string]string{
 		`protocol="h2" cert="/c"`:             "cert and key are needed together",
@@ -165,7 +166,7 @@
 	} {
 		_, err := Read("f", strings.NewReader(`<sliptide version="1"><partners><partner dest="3" `+text+`/></partners></sliptide>`))
 		if err == nil || !strings.Contains(err.Error(), want) || !strings.Contains(err.Error(), "destination 3") {
-			t.Errorf("%s: %v", text, err)
+			t.Errorf("%s: error %v, want one for destination 3 that says what is needed", text, err)
 		}
 	}
 }
@@ -189,7 +190,8 @@
 	}
 }
 
-// For any input Read returns a file or an error, and the values of the file are within their ranges.
+// FuzzRead checks that for any input Read returns a file or an error, and that the size and the write interval of the
+// knowledge are not below their ranges.
 func FuzzRead(f *testing.F) {
 	for _, row := range documents {
 		f.Add([]byte(row.text))
@@ -200,7 +202,7 @@
 			t.Fatal("neither a file nor an error")
 		}
 		if err == nil && (file.Knowledge.MaxSize < 16<<10 || file.Knowledge.WriteInterval < 100*time.Millisecond) {
-			t.Fatalf("out of range: %+v", file)
+			t.Fatalf("knowledge below its range: %+v", file)
 		}
 	})
 }
--- a/internal/outbound/bench_test.go
+++ b/internal/outbound/bench_test.go
@@ -9,7 +9,8 @@
 	"sliptide/policy"
 )
 
-// BenchmarkCalls makes calls with 64 in flight to net/http's server, over each protocol.
+// BenchmarkCalls measures the time and the allocations of a call to net/http's server, over each protocol and with 64
+// calls in flight.
 func BenchmarkCalls(b *testing.B) {
 	for name, partner := range map[string]*Partner{
 		"http1": nil,
--- a/internal/outbound/dial_test.go
+++ b/internal/outbound/dial_test.go
@@ -13,7 +13,7 @@
 )
 
 // Guards against a transient error on this side, such as a lack of ports or file descriptors, that ends a call as a
-// failure of the endpoint: the dial is retried.
+// failure of the endpoint: the dial is retried. Here the first two dials fail and the third succeeds.
 func TestTransientLocalDialErrorIsRetried(t *testing.T) {
 	partner := standin.NewRawPartner(t)
 	for _, errno := range []syscall.Errno{
@@ -37,7 +37,7 @@
 			case c := <-partner.Calls:
 				c.Write(standin.AnswerOK)
 			case events := <-ended:
-				t.Fatalf("outcome %v after %d dials", events[0].Outcome, attempts)
+				t.Fatalf("the call ended before it was written: outcome %v after %d dials, want a further dial", events[0].Outcome, attempts)
 			}
 			if events := <-ended; events[0].Outcome != policy.OK {
 				t.Errorf("outcome %v after %d dials, want OK", events[0].Outcome, attempts)
--- a/internal/outbound/matching_test.go
+++ b/internal/outbound/matching_test.go
@@ -64,7 +64,7 @@
 }
 
 // Guards against an endpoint that sends a response twice, late: the copy would be taken for the response to the next
-// call.
+// call. The connection with the copy is closed, and each further connection to the endpoint carries a single call.
 func TestUnsolicitedResponseLimitsConnectionsToOneCall(t *testing.T) {
 	pt := newPoolTest(t)
 	c := pt.call("first")
@@ -82,14 +82,14 @@
 }
 
 // Guards against a copy of a response that arrives after an idle connection was chosen for a call, and before the
-// request is written.
+// request is written. The call must move to a new connection.
 func TestUnsolicitedResponseBeforeRequestMovesCallToNewConnection(t *testing.T) {
 	pt := newPoolTest(t)
 	first := pt.call("first")
 	first.Write(standin.AnswerOK)
 	<-pt.ended
 	cn := pt.waitIdle(sockets.Idle)
-	if !pt.removeIdle(cn) {
+	if !pt.removeIdle(cn) { // stands for the choice of the connection for a call
 		t.Fatal("the connection is not among the idle ones")
 	}
 	first.Write(standin.AnswerOK)
@@ -113,7 +113,7 @@
 	body := `[{"id":"x","state":"accepted"},{"id":"b","state":"accepted"}]`
 	c.Write("HTTP/1.1 200 OK\r\nContent-Length: 61\r\n\r\n" + body)
 	if got := <-pt.ended; got[0].Outcome != policy.Error || got[1].Outcome != policy.OK {
-		t.Errorf("outcomes %v and %v after a response of %d bytes", got[0].Outcome, got[1].Outcome, len(body))
+		t.Errorf("outcomes %v and %v, want Error and OK, after a response of %d bytes", got[0].Outcome, got[1].Outcome, len(body))
 	}
 	pt.wantClosed(CloseMismatch)
 }
@@ -126,7 +126,8 @@
 	pt.wantClosed(CloseOtherStatus)
 }
 
-// Guards against a retry whose response comes at once and is taken for a copy of an earlier response.
+// Guards against a retry whose response comes at once and is taken for a copy of an earlier response: with NewConn, the
+// call opens a connection although another is idle.
 func TestNewConnBypassesIdleConnections(t *testing.T) {
 	pt := newPoolTest(t)
 	pt.callAndAnswer(standin.AnswerOK)
@@ -149,13 +150,13 @@
 	}
 	profile.learn(time.Millisecond)
 	if !profile.isEarly(20 * time.Millisecond) {
-		t.Errorf("typical response time %v after one fast response", profile.typicalTime)
+		t.Errorf("20 ms is not early: typical response time %v after one fast response", profile.typicalTime)
 	}
 	for range 10 {
 		profile.learn(600 * time.Millisecond)
 	}
 	if profile.isEarly(100 * time.Millisecond) {
-		t.Errorf("typical response time %v after ten slow responses", profile.typicalTime)
+		t.Errorf("100 ms is early: typical response time %v after ten slow responses", profile.typicalTime)
 	}
 }
 
--- a/internal/outbound/mux_test.go
+++ b/internal/outbound/mux_test.go
@@ -11,7 +11,8 @@
 	"sliptide/policy"
 )
 
-// TestStreamOutcomes checks the outcome of each end of a stream, row by row of the table in docs/design/http2.md.
+// TestStreamOutcomes checks the outcome of each end of a stream, row by row of the table in docs/design/http2.md, and
+// that a call that has ended cannot be dropped.
 func TestStreamOutcomes(t *testing.T) {
 	for name, row := range map[string]struct {
 		reply standin.Reply
@@ -53,7 +54,7 @@
 			pool.Go(c)
 			for _, e := range <-ended {
 				if e.Outcome != row.want || e.RequestedWait != row.wait || e.Final != row.final {
-					t.Errorf("outcome %v, requested wait %v ms, final %t", e.Outcome, e.RequestedWait, e.Final)
+					t.Errorf("outcome %v, requested wait %v ms, final %t; want those of the row", e.Outcome, e.RequestedWait, e.Final)
 				}
 			}
 			if c.Drop() {
--- a/internal/outbound/outbound_test.go
+++ b/internal/outbound/outbound_test.go
@@ -58,7 +58,7 @@
 		if i > 0 {
 			c.Items = []Item{{ID: 3, Attempt: 2, Trace: "t"}}
 		}
-		if i == 2 { // the idle connection is closed before its keep-alive time ends
+		if i == 2 { // wait until the pool closes the idle connection, before its keep-alive time ends
 			for p.openCount() > 0 {
 			}
 		}
@@ -72,8 +72,8 @@
 }
 
 // Guards against a malformed response that holds its call until the time-out, or whose rest is read as the
-// response to a later call. The call ends at once, as an error that may have run; a 200 to a single message
-// counts whatever follows.
+// response to a later call. The call ends at once, as Error; a 200 to a single message counts whatever
+// follows. A load report with an invalid value and the requested wait of a truncated response are ignored.
 func TestMalformedResponses(t *testing.T) {
 	ok := "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
 	for name, row := range map[string]struct {
@@ -104,17 +104,18 @@
 					Endpoint: 1, Addr: addr, SentAt: time.Now(), Timeout: 5 * time.Second, Items: []Item{{ID: 1, Trace: "t"}},
 				})
 				if e := (<-ended)[0]; e.Outcome != want || e.Report != nil || e.RequestedWait != 0 || e.Latency > 2000 {
-					t.Errorf("call %d: %+v, want outcome %d", i, e, want)
+					t.Errorf("call %d: %+v, want outcome %d at once, without load report and requested wait", i, e, want)
 				}
 				if n := <-conns; n != []int{1, row.nextConn}[i] {
-					t.Errorf("call %d on connection %d, not the expected one", i, n)
+					t.Errorf("call %d on connection %d, want 1 for call 0 and the row's nextConn for call 1", i, n)
 				}
 			}
 		})
 	}
 }
 
-// TestDrop checks that a dropped call is not made, and that a call that has started cannot be dropped.
+// TestDrop checks that a call that is dropped before it starts is not made, that its connection serves the next call,
+// and that a call that has ended cannot be dropped.
 func TestDrop(t *testing.T) {
 	addr, conns := startPeer(t, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 	ended := make(chan *Call, 2)
@@ -183,8 +184,8 @@
 	return len(p.idle[endpoint])
 }
 
-// Guards against a call that is written although MayStart returns false once its connection is there, and against its
-// outcome being reported before that connection is idle: a call that OnDone started then opened a second connection.
+// Guards against a call that is written although MayStart returns false once its connection is there, and against an
+// outcome that is reported before that connection is idle: a call that OnDone started then opened a second connection.
 func TestForbiddenCallIsNeverWritten(t *testing.T) {
 	addr, conns := startPeer(t, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 	ended := make(chan []policy.Event, 1)
@@ -203,7 +204,7 @@
 		}
 		p.Go(c)
 		if got := (<-ended)[0].Outcome; mayStart != (got == policy.OK) || !mayStart && got != policy.Moot {
-			t.Errorf("MayStart %t: outcome %v", mayStart, got)
+			t.Errorf("MayStart %t: outcome %v, want OK if true, Moot if false", mayStart, got)
 		}
 	}
 	if n := <-conns; n != 1 {
--- a/internal/outbound/pace_test.go
+++ b/internal/outbound/pace_test.go
@@ -82,7 +82,7 @@
 		}
 		for range endpoints {
 			if o := <-ended; o != policy.OK {
-				t.Errorf("outcome %v", o)
+				t.Errorf("outcome %v, want OK", o)
 			}
 		}
 		for i, ln := range lns {
@@ -107,7 +107,7 @@
 	ended := make(chan policy.Outcome, 4)
 	p := NewPool(Options{MaxConns: 16, KeepAlive: time.Minute, DialTimeout: 5 * time.Second, X0: -1, X1: -1,
 		OnDone: func(_ *Call, e []policy.Event) { ended <- e[0].Outcome }})
-	p.PaceDials(7, 4)
+	p.PaceDials(7, 4) // a turn every 250 ms
 	call := func(timeout time.Duration) {
 		p.Go(&Call{
 			Endpoint: 1, Dest: 7, Addr: ln.Addr().String(), SentAt: time.Now(), Timeout: timeout,
@@ -123,7 +123,7 @@
 	close(release)
 	for range 2 {
 		if o := <-ended; o != policy.OK {
-			t.Errorf("outcome %v", o)
+			t.Errorf("outcome %v, want OK", o)
 		}
 	}
 	if n := len(ln.acceptTimes()); n != 1 {
--- a/internal/outbound/tls_test.go
+++ b/internal/outbound/tls_test.go
@@ -111,7 +111,7 @@
 			e, dialError := makeCall(t, p, s.Listener.Addr().String())
 			if e.Outcome != row.want || row.wantMajor > 0 && (len(e.Report) == 0 || e.Report[0] != row.wantMajor) ||
 				!strings.Contains(dialError, row.wantError) || row.wantError != "" && dialError == "" {
-				t.Errorf("event %+v, dial error %q", e, dialError)
+				t.Errorf("event %+v, dial error %q; want the outcome, HTTP version and error of the row", e, dialError)
 			}
 			if name == "mutual" && e.RequestedWait == 0 {
 				t.Error("the partner has seen no client certificate")
@@ -120,7 +120,8 @@
 	}
 }
 
-// TestInvalidKeyFiles checks that an error for an invalid key file names the file or what is allowed.
+// TestInvalidKeyFiles checks that the error for an invalid key file says what is wrong or allowed, and that a
+// certificate that expires within two weeks yields a warning with its name.
 func TestInvalidKeyFiles(t *testing.T) {
 	dir := t.TempDir()
 	path := func(name string) string { return filepath.Join(dir, name) }
@@ -142,7 +143,7 @@
 		"not a pair":         {keys.Files{Cert: path("ca.pem"), Key: path("own.key")}, "private key"},
 	} {
 		if _, _, err := keys.Load(row.files, now); err == nil || !strings.Contains(err.Error(), row.wantError) {
-			t.Errorf("%s: error %v", name, err)
+			t.Errorf("%s: error %v, want one with the text of the row", name, err)
 		}
 	}
 	_, warnings, err := keys.Load(keys.Files{Cert: path("own.pem"), Key: path("own.key")}, now)
@@ -152,7 +153,7 @@
 }
 
 // Guards against calls that wait for a partner that accepts connections and closes them, or sends no SETTINGS: they end
-// soon as never run.
+// soon, as ConnectFailed.
 func TestConnectionsWithoutSettingsFail(t *testing.T) {
 	for name, serve := range map[string]func(net.Conn){"closes": func(nc net.Conn) { nc.Close() }, "silent": func(net.Conn) {}} {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -178,7 +179,7 @@
 			Endpoint: 1, Addr: ln.Addr().String(), Items: []Item{{ID: 1, Trace: "t"}}, SentAt: start, Timeout: 10 * time.Second,
 		})
 		if e := <-ended; e.Outcome != policy.ConnectFailed || time.Since(start) > 5*time.Second {
-			t.Errorf("%s: %+v after %v", name, e, time.Since(start))
+			t.Errorf("%s: %+v after %v, want ConnectFailed within 5 s", name, e, time.Since(start))
 		}
 	}
 }
--- a/internal/outbound/window_test.go
+++ b/internal/outbound/window_test.go
@@ -10,8 +10,8 @@
 	"sliptide/policy"
 )
 
-// Guards against a retry that is written after WriteBy, when the partner's dedup window has passed: the
-// connection is never established, is established late, or the call waits for its turn to dial.
+// Guards against a retry that is written after WriteBy, when the partner's dedup window has passed: the connection is
+// never established, is established late, or the call waits too long for its turn to dial. Each must end as Moot.
 func TestRetryAfterWriteByIsNotWritten(t *testing.T) {
 	const window = 100 * time.Millisecond
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -57,7 +57,7 @@
 
 	p = NewPool(Options{MaxConns: 4, KeepAlive: time.Second, DialTimeout: time.Minute, X0: -1, X1: -1,
 		OnDone: func(_ *Call, events []policy.Event) { ended <- events }})
-	p.PaceDials(0, 4)
+	p.PaceDials(0, 4) // a turn every 250 ms, later than WriteBy; the next call takes the first
 	p.Go(&Call{
 		Endpoint: 2, Addr: ln.Addr().String(), Items: []Item{{ID: 2, Trace: "u"}}, SentAt: time.Now(), Timeout: time.Minute,
 	})
--- a/internal/statedir/statedir_test.go
+++ b/internal/statedir/statedir_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// TestLockIsExclusive guards against two processes in one directory, and against a stale lock file, left by a dead
-// process, that blocks a start.
+// TestLockIsExclusive guards against two processes in one directory, against a stale lock file, left by a dead process,
+// that blocks a start, and against a successor that does not get the lock when its predecessor releases it.
 func TestLockIsExclusive(t *testing.T) {
 	dir := t.TempDir()
 	os.WriteFile(filepath.Join(dir, lockName), nil, 0o600)
@@ -18,7 +18,7 @@
 		t.Fatal(err)
 	}
 	if _, err := Lock(dir, 0); !errors.Is(err, ErrInUse) {
-		t.Fatalf("second lock: %v", err)
+		t.Fatalf("second lock: error %v, want ErrInUse", err)
 	}
 	released := make(chan error, 1)
 	go func() {
@@ -37,7 +37,8 @@
 	}
 }
 
-// TestSpaceAccounts guards against claims that exceed the total, and against a reservation that blocks a claim.
+// TestSpaceAccounts guards against claims that together exceed the total, against a reservation that blocks a claim or
+// that SoftLimit does not exclude, and against a failed claim that does not notify the yielding account.
 func TestSpaceAccounts(t *testing.T) {
 	s := NewSpace(1000)
 	first, second := s.Account(), s.Account()
--- a/internal/telemetry/metric/metric_test.go
+++ b/internal/telemetry/metric/metric_test.go
@@ -7,7 +7,7 @@
 )
 
 // Every value is counted in its bucket at each scale, and halving the resolution loses no value. Values that are not
-// positive are counted as zero; NaN and infinities are ignored.
+// positive, and the smallest positive float64, are counted as zero; NaN and infinities are ignored.
 func TestHistogram(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	for _, spread := range []float64{0.1, 1, 5, 30} {
@@ -34,7 +34,7 @@
 			total += n
 		}
 		if total != 2000 || h.Count != 2000 || len(h.Counts) > MaxBuckets {
-			t.Errorf("spread %v: %d of %d values in %d buckets", spread, total, h.Count, len(h.Counts))
+			t.Errorf("spread %v: %d of %d values in %d buckets; want 2,000 of 2,000 in MaxBuckets at most", spread, total, h.Count, len(h.Counts))
 		}
 	}
 	h := NewHistogram()
@@ -46,14 +46,15 @@
 	}
 }
 
-// A Registry holds a bounded number of series and counts the values of the others.
+// A Registry holds a bounded number of series and counts the values of the others. When full, it still updates the
+// series that it holds.
 func TestRegistryIsBounded(t *testing.T) {
 	s, d := NewRegistry(), &Descriptor{Name: "n"}
 	for i := range 3 * maxSeries {
 		s.Add(d, 1, Attr{"k", string(rune(i + 1000))})
 	}
 	if len(s.AllSeries()) != maxSeries || s.Overflow != 2*maxSeries {
-		t.Errorf("%d series, %d values discarded", len(s.AllSeries()), s.Overflow)
+		t.Errorf("%d series, %d values discarded; want maxSeries and twice as many", len(s.AllSeries()), s.Overflow)
 	}
 	s.Add(d, 1, Attr{"k", string(rune(1000))})
 	if s.AllSeries()[0].Value != 2 {
--- a/internal/telemetry/otlp/otlp_test.go
+++ b/internal/telemetry/otlp/otlp_test.go
@@ -82,7 +82,8 @@
 	}
 }
 
-// A healthy collector receives every recorded message as a complete trace, and the metrics.
+// A healthy collector receives a trace with a single root for every recorded message, and the metrics. One of the traces
+// is checked for both of its spans.
 func TestHealthyCollector(t *testing.T) {
 	forEachTransport(t, func(t *testing.T, overGRPC bool) {
 		c, e := startExporter(t, overGRPC, collector.Behaviour{}, nil)
@@ -92,11 +93,11 @@
 		}
 		traces, err := collector.GroupTraces(c.Spans())
 		if err != nil || len(traces) != 500 {
-			t.Fatalf("%d traces, %v", len(traces), err)
+			t.Fatalf("%d traces, error %v; want 500 and none", len(traces), err)
 		}
 		for _, spans := range traces {
 			if len(spans) != 2 {
-				t.Fatalf("%d spans", len(spans))
+				t.Fatalf("a trace with %d spans, want 2", len(spans))
 			}
 			break
 		}
@@ -112,7 +113,8 @@
 
 const closeTimeout = 10 * time.Second
 
-// The response of the collector decides whether a request is retried; an accepted request is not sent again.
+// The response of the collector decides whether a request can be retried, after which wait, and whether its traces count
+// as sent: they do after a 200, even with an invalid body or rejected spans.
 func TestCollectorResponses(t *testing.T) {
 	forEachTransport(t, func(t *testing.T, overGRPC bool) {
 		for name, row := range map[string]struct {
@@ -138,7 +140,7 @@
 				recordMessages(e, 0, 10)
 				n := closeExporter(t, e, closeTimeout)
 				if n.Sent != row.sent || n.Recorded != 10 || n.RejectedItems < row.rejected {
-					t.Errorf("%+v, want %d sent, %d rejected", n, row.sent, row.rejected)
+					t.Errorf("%+v, want %d sent, at least %d rejected", n, row.sent, row.rejected)
 				}
 			})
 		}
@@ -163,12 +165,12 @@
 				queued := e.queuedBytes
 				e.mu.Unlock()
 				if queued > 64<<10 {
-					t.Errorf("%d bytes are queued", queued)
+					t.Errorf("%d bytes are queued, more than 64 KiB", queued)
 				}
 				began := time.Now()
 				n := closeExporter(t, e, 300*time.Millisecond)
 				if took := time.Since(began); took > 3*time.Second { // far below the request's timeout of a minute
-					t.Errorf("closing took %v", took)
+					t.Errorf("closing took %v, want 3 s at most", took)
 				}
 				if n.Sent != 0 || n.Recorded+n.DroppedRecords/4 == 0 || n.Dropped != n.Recorded {
 					t.Errorf("%+v", n)
@@ -199,12 +201,13 @@
 		}
 		closeExporter(t, e, closeTimeout)
 		if traces, err := collector.GroupTraces(c.Spans()); err != nil || len(traces) != 100 {
-			t.Errorf("%d traces, %v", len(traces), err)
+			t.Errorf("%d traces, error %v; want 100, each span once", len(traces), err)
 		}
 	})
 }
 
-// With a collector that restarts repeatedly, losses are counted exactly, and every trace counted as sent has arrived.
+// With a collector that restarts repeatedly, every trace is counted as either sent or dropped, and at least as many
+// arrive as are counted as sent.
 func TestCollectorRestarts(t *testing.T) {
 	forEachTransport(t, func(t *testing.T, overGRPC bool) {
 		c, e := startExporter(t, overGRPC, collector.Behaviour{}, nil)
@@ -237,13 +240,13 @@
 		collectArrived()
 		c.Close()
 		if n.Recorded != 600 || uint64(len(arrived)) < n.Sent {
-			t.Errorf("%+v, %d arrived", n, len(arrived))
+			t.Errorf("%+v, %d arrived; want 600 recorded, and no more sent than arrived", n, len(arrived))
 		}
 	})
 }
 
-// If the collector's certificate has another name, no trace is sent, and the counts add up. With the right name all are
-// sent.
+// If the collector's certificate has another name, the traces do not all count as sent, and the counts add up. With the
+// right name all are sent.
 func TestWrongCertificate(t *testing.T) {
 	forEachTransport(t, func(t *testing.T, overGRPC bool) {
 		ca, until := standin.NewAuthority("test CA"), time.Now().Add(time.Hour)
@@ -266,13 +269,14 @@
 			})
 			recordMessages(e, 0, 10)
 			if n := closeExporter(t, e, closeTimeout); (n.Sent == 10) != (name == "right") {
-				t.Errorf("%s: %+v", name, n)
+				t.Errorf("certificate with %s: %+v, want 10 sent with the right name only", name, n)
 			}
 		}
 	})
 }
 
-// The settings take precedence over the environment, except for the timeout. Invalid variables are reported.
+// The settings take precedence over the environment, except for the timeout. Invalid variables are refused with an error
+// that names them. An endpoint without a scheme is refused, and a nil Exporter records nothing.
 func TestConfigure(t *testing.T) {
 	env := map[string]string{"OTEL_EXPORTER_OTLP_ENDPOINT": "http://c:1", "OTEL_EXPORTER_OTLP_PROTOCOL": "grpc", "OTEL_EXPORTER_OTLP_HEADERS": "api-key=a%20b, x=1",
 		"OTEL_EXPORTER_OTLP_TIMEOUT": "250", "OTEL_RESOURCE_ATTRIBUTES": "deployment.environment=test,service.name=other", "OTEL_SERVICE_NAME": "named"}
@@ -294,7 +298,7 @@
 			return ""
 		})
 		if err == nil || !strings.Contains(err.Error(), k) || !strings.Contains(err.Error(), "allowed") {
-			t.Errorf("%s=%s: %v", k, v, err)
+			t.Errorf("%s=%s: error %v, want one that names the variable and what is allowed", k, v, err)
 		}
 	}
 	if _, err := newTransport(Target{URL: "collector:4317"}); err == nil {
--- a/internal/telemetry/telemetry_test.go
+++ b/internal/telemetry/telemetry_test.go
@@ -36,7 +36,7 @@
 	}
 }
 
-// For any input, sanitize returns bounded, valid UTF-8 without control characters, and ParseTraceParent does not panic.
+// FuzzSanitize checks that, for any input, sanitize returns bounded, valid UTF-8 without control characters, and ParseTraceParent does not panic.
 func FuzzSanitize(f *testing.F) {
 	f.Add("a\x00b\xff\n" + strings.Repeat("é", 100))
 	f.Fuzz(func(t *testing.T, s string) {
@@ -73,13 +73,13 @@
 		Record{Kind: KindMessageEnded, Num: 1, Dest: 7, Ending: EndingDelivered, At: 3000},
 	)
 	if len(kept) != 1 {
-		t.Fatalf("%d traces", len(kept))
+		t.Fatalf("%d traces kept, want 1 although the sampled share is 0: its first call failed", len(kept))
 	}
 	var got []string
 	for _, s := range kept[0].Spans {
 		got = append(got, fmt.Sprintf("%s %v-%v", s.Name, s.Start, s.End))
 		if s.ID == [8]byte{} || s.Name != "deliver note" && s.ParentID != kept[0].Spans[0].ID {
-			t.Errorf("%s: not a child of the root span", s.Name)
+			t.Errorf("%s: without an ID, or not a child of the root span", s.Name)
 		}
 	}
 	want := "deliver note 1000-3000|wait breaker 1000-1500|wait told_wait 1500-2000|POST /inbox 2000-2600|wait retry 2600-2900|POST /inbox 2900-3000"
@@ -95,7 +95,7 @@
 }
 
 // Traces of failed, late, resubmitted and restored messages and those sampled by the client are always kept. Of the
-// others the configured share is kept, chosen by trace ID.
+// others the configured share is kept, chosen by trace ID. A message that was refused at once is never kept.
 func TestTailSampling(t *testing.T) {
 	sampled := &TraceParent{Present: true, Sampled: true, TraceID: [16]byte{1}, SpanID: [8]byte{1}}
 	accepted := Record{Kind: KindAccepted, Num: 1, At: 1000, Until: 20000, Text: "id"}
@@ -132,11 +132,12 @@
 		n += len(kept)
 	}
 	if n < 900 || n > 1100 {
-		t.Errorf("%d of 4,000 traces kept at a share of 0.25", n)
+		t.Errorf("%d of 4,000 traces kept at a share of 0.25, want 900 to 1,100", n)
 	}
 }
 
-// The trace of a message whose end is never recorded is dropped and counted; it does not stay in memory.
+// The trace of a message whose end is never recorded is dropped and counted once its deadline has long passed; it does
+// not stay in memory. Records of a message whose acceptance was not recorded are ignored.
 func TestTracesWithoutEndAreDropped(t *testing.T) {
 	a, kept := assemble(1,
 		Record{Kind: KindAccepted, Num: 1, At: 1000, Until: 2000, Text: "id"},
@@ -144,11 +145,12 @@
 		Record{Kind: KindMessageEnded, Num: 9, At: 1000},
 		Record{Kind: KindMeasurement, Instrument: MessagesHeld, Value: 3, At: 20000})
 	if a.OpenTraces() != 0 || a.Lost != 1 || len(kept) != 0 {
-		t.Errorf("%d open, %d lost, %d kept", a.OpenTraces(), a.Lost, len(kept))
+		t.Errorf("%d open, %d lost, %d kept; want only one lost", a.OpenTraces(), a.Lost, len(kept))
 	}
 }
 
-// The queue stays within its bound in bytes; dropped records are counted and the others come in order.
+// The queue stays within its bound in bytes; dropped records are counted and the others come in order. Once drained, it
+// accepts records again.
 func TestRecorderIsBounded(t *testing.T) {
 	q := NewRecorder(10 << 10)
 	for i := range 1000 {
@@ -163,7 +165,7 @@
 		n++
 	})
 	if n == 0 || n > 80 || uint64(n)+q.Dropped() != 1000 {
-		t.Errorf("%d held, %d dropped", n, q.Dropped())
+		t.Errorf("%d held, %d dropped; want 1 to 80 held, and 1,000 together", n, q.Dropped())
 	}
 	q.Push(Record{})
 	n = 0
@@ -171,10 +173,10 @@
 		t.Error("Push drops a record although the queue has been drained")
 	}
 	var none *Recorder
-	none.Push(Record{})
+	none.Push(Record{}) // a nil Recorder discards records
 }
 
-// BenchmarkPush measures the cost per message in the sender's goroutine.
+// BenchmarkPush measures the cost per message, with four records, in the sender's goroutine; draining is included.
 func BenchmarkPush(b *testing.B) {
 	q := NewRecorder(1 << 30)
 	b.ReportAllocs()
@@ -189,7 +191,8 @@
 	}
 }
 
-// BenchmarkMessage measures the total cost per message.
+// BenchmarkMessage measures the total cost per message, pushing and assembling, without telemetry and with all or one
+// percent of the traces sampled.
 func BenchmarkMessage(b *testing.B) {
 	for _, row := range []struct {
 		name  string
--- a/internal/timeline/timeline_test.go
+++ b/internal/timeline/timeline_test.go
@@ -9,7 +9,7 @@
 )
 
 // TestTimelineContinuesWithinABoot guards against a start that follows a step of the wall clock, and against one that
-// continues from an anchor of another boot.
+// continues from an anchor of another boot. Wall and start are in milliseconds, the monotonic clock is in nanoseconds.
 func TestTimelineContinuesWithinABoot(t *testing.T) {
 	const minute = int64(time.Minute)
 	first := Reading{Wall: 1e12, Monotonic: 5 * minute, Boot: "a"}
@@ -25,7 +25,7 @@
 		files := fsys.OS{Dir: t.TempDir()}
 		start, anchor, err := Start(files, first)
 		if err != nil || start != first.Wall || Save(files, anchor) != nil {
-			t.Fatalf("first run: starts at %f: %v", start, err)
+			t.Fatalf("first run: starts at %f, want its wall clock; error: %v", start, err)
 		}
 		if start, _, err := Start(files, row.now); err != nil || start != row.want {
 			t.Errorf("%s: starts at %f, want %f; error: %v", name, start, row.want, err)
@@ -55,7 +55,7 @@
 	}
 	RetrySave(files, anchor, nil)
 	if start, _, err := Start(files, Reading{Wall: 2e12, Monotonic: 1, Boot: "a"}); err != nil || start != now.Wall {
-		t.Errorf("starts at %f: %v", start, err)
+		t.Errorf("starts at %f, want the start of the first run; error: %v", start, err)
 	}
 }
 
@@ -66,7 +66,7 @@
 	first := Reading{Wall: 1e12, Monotonic: 1, Boot: "a"}
 	_, anchor, err := Start(disk, first)
 	if err != nil || Save(disk, anchor) != nil {
-		t.Fatalf("first run: %v", err)
+		t.Fatalf("first run: error: %v", err)
 	}
 	failures := 2
 	files := &fsys.Faulty{FS: disk, Inject: func(_ int, op, _ string) (f fsys.Fault) {
@@ -78,6 +78,6 @@
 	}}
 	start, fresh, err := Start(files, Reading{Wall: 2e12, Monotonic: 1, Boot: "a"})
 	if err != nil || start != first.Wall || fresh != nil {
-		t.Errorf("starts at %f with the new anchor %q: %v", start, fresh, err)
+		t.Errorf("starts at %f with the new anchor %q, want the start of the first run and no new anchor; error: %v", start, fresh, err)
 	}
 }
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -38,23 +38,23 @@
 		t.Fatal(err)
 	}
 	if b.Now != 8412.25 || b.Seq != 12 || len(b.Records) != 3 {
-		t.Fatalf("now %v seq %d records %d", b.Now, b.Seq, len(b.Records))
+		t.Fatalf("now %v, sequence number %d, %d records; want 8412.25, 12, 3", b.Now, b.Seq, len(b.Records))
 	}
 	e := b.Records[0].Event
 	if e.Kind != policy.EvMessage || e.ID != 0x000e7fcf5d3a91c4 || e.Remaining != 240 || e.Dest != 57 ||
 		e.Key != 0x91f03b7c55d20a64 || b.Records[0].Instance != 3 {
-		t.Fatalf("order: %+v", e)
+		t.Fatalf("message record: %+v, want the ID, remaining time, destination and key of the example", e)
 	}
 	if e := b.Records[1].Event; e.Kind != policy.EvTimer || e.Token != 0x4d {
-		t.Fatalf("timer: %+v", e)
+		t.Fatalf("timer record: %+v, want token 4d", e)
 	}
 	if r := b.Records[2]; r.Event.Kind != policy.EvWithdrawn || r.Instance != 5 {
-		t.Fatalf("withdrawal: %+v", r)
+		t.Fatalf("withdrawal record: %+v, want a withdrawal for instance 5", r)
 	}
 }
 
 // Guards against a record that gets a later list than the one its buffer held when the record was decoded, as a batch
-// may fill a buffer twice.
+// may fill a buffer twice. A list that could not be fetched must be marked as failed.
 func TestListsResolveInEventOrder(t *testing.T) {
 	list := func(ep string) string {
 		return "0a 0000001d 00000000 00000001 01 " + ep + " 00 3f800000 01 0039 0000000000000000 "
@@ -68,13 +68,13 @@
 	}
 	first, second := b.Records[0].Event, b.Records[1].Event
 	if first.List[0].ID != 0x03124a07 || second.List[0].ID != 0x2c9011f2 || !first.FullList {
-		t.Fatalf("lists %+v %+v", first, second)
+		t.Fatalf("lists %+v and %+v, want endpoint 03124a07 in the first, 2c9011f2 in the second, and the first full", first, second)
 	}
 	if first.List[0].Dest != 57 || first.List[0].Kind != 1 || first.List[0].Rating != 1 || first.List[0].State != policy.Ready {
-		t.Fatalf("entry %+v", first.List[0])
+		t.Fatalf("entry %+v, want destination 57, kind 1, rating 1, ready", first.List[0])
 	}
 	if !b.Records[2].Event.Failed {
-		t.Fatal("failed list is not marked as failed")
+		t.Fatal("a list that could not be fetched is not marked as failed")
 	}
 }
 
@@ -152,15 +152,15 @@
 	frame := decodeHex(t, "00000002 00000015 40c06e2000000000 00000001 63 00000001 00 06 0000000a 00000003 0000004d ffff")
 	b, err := NewDecoder(bytes.NewReader(frame)).Next()
 	if err != nil || len(b.Records) != 1 || b.Records[0].Event.Token != 0x4d {
-		t.Fatalf("%v %+v", err, b.Records)
+		t.Fatalf("error %v, records %+v; want a single timer with token 4d", err, b.Records)
 	}
 	if _, err := NewDecoder(bytes.NewReader(nil)).Next(); err != io.EOF {
-		t.Fatalf("end of input: %v", err)
+		t.Fatalf("end of input: error %v, want io.EOF", err)
 	}
 }
 
 // Guards against settings of a start record that are read wrongly, and against missing, malformed or excessive values
-// that are accepted.
+// that are accepted. The error for a missing one must name it.
 func TestParseSettings(t *testing.T) {
 	s, err := config.ParseSettings(settings)
 	if err != nil {
