--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -44,6 +44,7 @@
 	}
 }
 
+// serve starts an admin server with the handlers of f and returns its address.
 func serve(t *testing.T, f *fake) string {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -154,10 +154,10 @@
 	}
 }
 
-// Eighty senders start at the same moment, on a simulated clock, and every request fails. Their requests must
-// not exceed six times fleetRetriesPerSecond in the first second, in which a fleet without pauses sends 800, and twice
-// that rate afterwards. Guards against pauses that begin short again after the first one: with these the fleet sent 42
-// to 62 requests a second in seconds 1 to 4, which can overload discovery permanently.
+// Eighty senders start at the same moment, on a simulated clock, and every request fails. Their requests must not
+// exceed six times fleetRetriesPerSecond in the first second, in which a fleet without pauses sends 800, and twice that
+// rate afterwards. Guards against pauses that begin short again after the first one: with these the fleet sent 42 to 62
+// requests a second in seconds 1 to 4, which can overload discovery permanently.
 func TestFleetRequestsAreBoundedAndSpread(t *testing.T) {
 	const senders, seconds = 80, 60
 	var requests []float64
@@ -229,8 +229,8 @@
 	}
 }
 
-// As TestRepeatedSilenceIsDetectedInTime, over sockets: a watch and the next request time out. The list that answers the
-// third request must arrive in time, so that a drain published meanwhile would be seen.
+// As TestRepeatedSilenceIsDetectedInTime, over sockets: a watch and the next request time out. The list that answers
+// the third request must arrive in time, so that a drain published meanwhile would be seen.
 func TestDrainIsSeenAfterTwoTimeouts(t *testing.T) {
 	t.Parallel()
 	addr, requests := startAgent(t, 200, 0, 0, 200)
--- a/internal/h2/h2_test.go
+++ b/internal/h2/h2_test.go
@@ -109,8 +109,8 @@
 	}
 }
 
-// Checks interoperability with an independent implementation, the server of net/http, also for responses with an interim
-// response and a trailer.
+// Checks interoperability with an independent implementation, the server of net/http, also for responses with an
+// interim response and a trailer.
 func TestNetHTTPServer(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -232,8 +232,8 @@
 	wantOutcome(t, resultD, h2.Answered)
 }
 
-// A stream that is cancelled, even twice, ends as Cancelled if its request was sent, and as NeverRan if flow control held
-// its body back.
+// A stream that is cancelled, even twice, ends as Cancelled if its request was sent, and as NeverRan if flow control
+// held its body back.
 func TestCancel(t *testing.T) {
 	p := startPartner(t, &standin.H2Partner{InitialWindow: 10, Handler: func(r *standin.Request) standin.Reply { return standin.Reply{NoAnswer: true} }})
 	c := dial(t, p.Addr(), testOptions)
--- a/internal/h2/placing/placing_test.go
+++ b/internal/h2/placing/placing_test.go
@@ -17,8 +17,8 @@
 
 var testSettings = Settings{MaxConns: 3, DialThreshold: 0.9, ExpectedStreams: 100, IdleTimeout: 1000}
 
-// Guards against a request on a connection without a free stream, and against requests that are spread over more
-// connections than needed.
+// Guards against a request on a connection that is not open or has no free stream, and against requests that are spread
+// over more connections than needed.
 func TestPick(t *testing.T) {
 	for name, tc := range map[string]struct {
 		conns []Conn
@@ -81,9 +81,9 @@
 	}
 }
 
-// Checks, under random changes of limits, streams and phases, that no request is placed on a connection that has reached
-// its limit, that no more than MaxConns connections are open or dialling, and that a request never waits without an open
-// or dialling connection.
+// Checks, under random changes of limits, streams and phases, that no request is placed on a connection that has
+// reached its limit, that no more than MaxConns connections are open or dialling, and that a request never waits
+// without an open or dialling connection.
 func TestNeverOverLimits(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	for range 200 {
--- a/internal/outbound/outbound_test.go
+++ b/internal/outbound/outbound_test.go
@@ -71,9 +71,9 @@
 	}
 }
 
-// Guards against a malformed response that holds its call until the time-out, or whose rest is read as the
-// response to a later call. The call ends at once, as Error; a 200 to a single message counts whatever
-// follows. A load report with an invalid value and the requested wait of a truncated response are ignored.
+// Guards against a malformed response that holds its call until the time-out, or whose rest is read as the response to
+// a later call. The call ends at once, as Error; a 200 to a single message counts whatever follows. A load report with
+// an invalid value and the requested wait of a truncated response are ignored.
 func TestMalformedResponses(t *testing.T) {
 	ok := "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
 	for name, row := range map[string]struct {
--- a/internal/telemetry/otlp/otlp_test.go
+++ b/internal/telemetry/otlp/otlp_test.go
@@ -82,8 +82,8 @@
 	}
 }
 
-// A healthy collector receives a trace with a single root for every recorded message, and the metrics. One of the traces
-// is checked for both of its spans.
+// A healthy collector receives a trace with a single root for every recorded message, and the metrics. One of the
+// traces is checked for both of its spans.
 func TestHealthyCollector(t *testing.T) {
 	forEachTransport(t, func(t *testing.T, overGRPC bool) {
 		c, e := startExporter(t, overGRPC, collector.Behaviour{}, nil)
@@ -113,8 +113,8 @@
 
 const closeTimeout = 10 * time.Second
 
-// The response of the collector decides whether a request can be retried, after which wait, and whether its traces count
-// as sent: they do after a 200, even with an invalid body or rejected spans.
+// The response of the collector decides whether a request can be retried, after which wait, and whether its traces
+// count as sent: they do after a 200, even with an invalid body or rejected spans.
 func TestCollectorResponses(t *testing.T) {
 	forEachTransport(t, func(t *testing.T, overGRPC bool) {
 		for name, row := range map[string]struct {
@@ -275,8 +275,8 @@
 	})
 }
 
-// The settings take precedence over the environment, except for the timeout. Invalid variables are refused with an error
-// that names them. An endpoint without a scheme is refused, and a nil Exporter records nothing.
+// The settings take precedence over the environment, except for the timeout. Invalid variables are refused with an
+// error that names them. An endpoint without a scheme is refused, and a nil Exporter records nothing.
 func TestConfigure(t *testing.T) {
 	env := map[string]string{"OTEL_EXPORTER_OTLP_ENDPOINT": "http://c:1", "OTEL_EXPORTER_OTLP_PROTOCOL": "grpc", "OTEL_EXPORTER_OTLP_HEADERS": "api-key=a%20b, x=1",
 		"OTEL_EXPORTER_OTLP_TIMEOUT": "250", "OTEL_RESOURCE_ATTRIBUTES": "deployment.environment=test,service.name=other", "OTEL_SERVICE_NAME": "named"}
--- a/internal/telemetry/telemetry_test.go
+++ b/internal/telemetry/telemetry_test.go
@@ -36,7 +36,8 @@
 	}
 }
 
-// FuzzSanitize checks that, for any input, sanitize returns bounded, valid UTF-8 without control characters, and ParseTraceParent does not panic.
+// FuzzSanitize checks that, for any input, sanitize returns bounded, valid UTF-8 without control characters, and
+// ParseTraceParent does not panic.
 func FuzzSanitize(f *testing.F) {
 	f.Add("a\x00b\xff\n" + strings.Repeat("é", 100))
 	f.Fuzz(func(t *testing.T, s string) {
@@ -73,7 +74,7 @@
 		Record{Kind: KindMessageEnded, Num: 1, Dest: 7, Ending: EndingDelivered, At: 3000},
 	)
 	if len(kept) != 1 {
-		t.Fatalf("%d traces kept, want 1 although the sampled share is 0: its first call failed", len(kept))
+		t.Fatalf("%d traces kept, want 1 even at a sampled share of 0, as the first call failed", len(kept))
 	}
 	var got []string
 	for _, s := range kept[0].Spans {
@@ -94,8 +95,8 @@
 	}
 }
 
-// Traces of failed, late, resubmitted and restored messages and those sampled by the client are always kept. Of the
-// others the configured share is kept, chosen by trace ID. A message that was refused at once is never kept.
+// Traces of undelivered, late, resubmitted and restored messages and those sampled by the client are always kept. Of
+// the others the configured share is kept, chosen by trace ID. A message that was refused at once is never kept.
 func TestTailSampling(t *testing.T) {
 	sampled := &TraceParent{Present: true, Sampled: true, TraceID: [16]byte{1}, SpanID: [8]byte{1}}
 	accepted := Record{Kind: KindAccepted, Num: 1, At: 1000, Until: 20000, Text: "id"}
--- a/internal/timeline/timeline_test.go
+++ b/internal/timeline/timeline_test.go
@@ -66,7 +66,7 @@
 	first := Reading{Wall: 1e12, Monotonic: 1, Boot: "a"}
 	_, anchor, err := Start(disk, first)
 	if err != nil || Save(disk, anchor) != nil {
-		t.Fatalf("first run: error: %v", err)
+		t.Fatalf("first run: error %v", err)
 	}
 	failures := 2
 	files := &fsys.Faulty{FS: disk, Inject: func(_ int, op, _ string) (f fsys.Fault) {
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -11,6 +11,7 @@
 	"sliptide/policy"
 )
 
+// settings is the settings text of a start record. Its unknown key must be ignored.
 const settings = "balancers=2\nfamily_info.call_slots=14\nlimits.max_attempts=8\nlimits.most_held=250\n" +
 	"services.count=1\nservices.0.deadline=20000.0\nservices.0.aim=4000.0\nservices.0.effect=keyed\n" +
 	"services.0.worth=1\nservices.0.memory_span=20000.0\nservices.0.key_scope=all\nfamily_info.kind_batch=20,1\nfamily_info.own_limits=false,true\n" +
