--- a/internal/fleet/disk/disk_test.go
+++ b/internal/fleet/disk/disk_test.go
@@ -22,7 +22,8 @@
 	return &raftpb.HardState{Term: proto.Uint64(2), Vote: proto.Uint64(1), Commit: proto.Uint64(commit)}
 }
 
-// exerciseLog uses a log as a voter does, and returns the index of the last entry that was acknowledged as saved.
+// exerciseLog uses a log as a voter does: it saves entries 2 to 11 and compacts the log once. It returns the index of
+// the last entry that was acknowledged as saved.
 func exerciseLog(files fsys.FS) (acknowledged uint64, err error) {
 	l, err := Open(files, nil, "a")
 	if err != nil {
@@ -73,7 +74,7 @@
 			}
 			l, err := Open(fsys.OS{Dir: dir}, nil, "a")
 			if err != nil {
-				t.Errorf("operation %d, %+v: %v", opIndex, fault, err)
+				t.Errorf("operation %d, %+v: the log cannot be opened: %v", opIndex, fault, err)
 				continue
 			}
 			if last, _ := l.LastIndex(); last < n {
@@ -81,7 +82,7 @@
 			}
 			last, _ := l.LastIndex()
 			if err := l.Save(nil, []*raftpb.Entry{entryOf(last + 1)}, nil, true); err != nil {
-				t.Errorf("operation %d, %+v: %v", opIndex, fault, err)
+				t.Errorf("operation %d, %+v: a new entry cannot be saved: %v", opIndex, fault, err)
 			}
 		}
 	}
@@ -116,15 +117,15 @@
 		t.Fatal(err)
 	}
 	if last, _ := l.LastIndex(); last != 1 {
-		t.Errorf("the log ends at entry %d, want 1: it contains the entry that was not saved", last)
+		t.Errorf("the log ends at entry %d, want 1: the write of entry 2 failed", last)
 	}
 	if err := l.Save(nil, []*raftpb.Entry{entryOf(2)}, nil, true); err != nil {
 		t.Error(err)
 	}
 }
 
-// TestDamage checks that a corrupt record in the middle of the file is an error, and that a truncated one at its end
-// is not.
+// TestDamage checks that a corrupt record in the middle of the file is an error, and that a truncated one at its end,
+// as a crash leaves it, is not. A file of another version, an empty one and a record of an unknown kind are errors.
 func TestDamage(t *testing.T) {
 	dir := t.TempDir()
 	if _, err := exerciseLog(fsys.OS{Dir: dir}); err != nil {
@@ -155,7 +156,7 @@
 		}
 		if _, err := Open(fsys.OS{Dir: dir}, nil, "a"); c.want == "" && err != nil ||
 			c.want != "" && (err == nil || !strings.Contains(err.Error(), c.want)) {
-			t.Errorf("%s: %v, want %q", c.name, err, c.want)
+			t.Errorf("%s: error %v, want %q (empty: none)", c.name, err, c.want)
 		}
 	}
 }
--- a/internal/fleet/duty/duty_test.go
+++ b/internal/fleet/duty/duty_test.go
@@ -116,19 +116,20 @@
 	})
 }
 
-// TestDelayedDuplicates guards against commands that are delivered a second time, late: they must take nothing away.
+// TestDelayedDuplicates guards against commands that are delivered a second time, late: they must take nothing away
+// from a session or a holder that came later. A member whose name is in use with another state directory is refused.
 func TestDelayedDuplicates(t *testing.T) {
 	s := New(nil)
 	s.Apply(1, 1, open("a", 1, 1, 1))
 	s.Apply(2, 1, open("a", 1, 1, 2)) // the first request timed out
 	if r := s.Apply(3, 1, open("a", 1, 1, 1)); !errors.Is(r.Err, ErrSessionEnded) || s.Session(2) == nil {
-		t.Errorf("delayed duplicate of the first request: %v, session %v", r, s.Session(2))
+		t.Errorf("delayed duplicate of the first request: %v, session %v; want ErrSessionEnded, and the session kept", r, s.Session(2))
 	}
 	if r := s.Apply(4, 1, open("a", 1, 1, 2)); r.Session != 2 || r.Opened != 0 {
-		t.Errorf("repeated request: %+v", r)
+		t.Errorf("repeated request: %+v, want session 2, which is not opened again", r)
 	}
 	if r := s.Apply(5, 1, open("a", 9, 1, 1)); !errors.Is(r.Err, ErrNameInUse) {
-		t.Errorf("other state directory: %v", r.Err)
+		t.Errorf("other state directory: %v, want ErrNameInUse", r.Err)
 	}
 	s.Apply(6, 1, open("b", 2, 1, 1))
 	s.Apply(7, 1, acquire(2, "d"))
@@ -136,19 +137,20 @@
 	token := s.viewByName("d").Token
 	s.Apply(9, 1, release(2, "d", token))
 	if r := s.Apply(10, 1, release(2, "d", token)); !errors.Is(r.Err, ErrStaleToken) || s.viewByName("d").Holder != "b" {
-		t.Errorf("repeated release: %v, %v", r.Err, s.viewByName("d"))
+		t.Errorf("repeated release: error %v, duty %v; want ErrStaleToken, and b as the holder", r.Err, s.viewByName("d"))
 	}
 	if r := s.Apply(11, 1, publish(2, "d", token, "w")); !errors.Is(r.Err, ErrStaleToken) {
-		t.Errorf("value published with a stale token: %v", r.Err)
+		t.Errorf("value published with a stale token: %v, want ErrStaleToken", r.Err)
 	}
 	// An end of a session that was proposed by a leader of an earlier term is void.
 	if r := s.Apply(12, 2, expire(6, 1)); r.Err == nil || s.Session(6) == nil {
-		t.Errorf("expiry proposed in an earlier term: %v", r.Err)
+		t.Errorf("expiry proposed in an earlier term: %v, want an error, and the session kept", r.Err)
 	}
 }
 
-// TestSpread checks that duties spread evenly as members join, that only the duties of a member that leaves are
-// granted anew, and that nothing moves once the duties are even.
+// TestSpread checks that duties spread evenly as members join, that each member that joins moves no more than its fair
+// share and one, and that only the duties of a member that leaves are granted anew, after which at most two others move
+// for balance. It guards against duties that move back and forth.
 func TestSpread(t *testing.T) {
 	s := New(nil)
 	index := uint64(0)
@@ -190,10 +192,10 @@
 		join(name)
 		moved := completeTransfers()
 		if lo, hi := dutyRange(); hi-lo > 1 {
-			t.Errorf("with %d members: between %d and %d duties each", n+2, lo, hi)
+			t.Errorf("with %d members: between %d and %d duties each, want a difference of at most 1", n+2, lo, hi)
 		}
 		if fair := duties / (n + 2); moved > fair+1 {
-			t.Errorf("member %d joined: %d duties moved, its fair share is %d", n+2, moved, fair)
+			t.Errorf("member %d joined: %d duties moved, want at most one more than its fair share, %d", n+2, moved, fair)
 		}
 	}
 	removedSession := s.sessionOf["c"]
@@ -204,15 +206,17 @@
 	apply(expire(removedSession, 1))
 	for _, d := range s.Duties() {
 		if holderBefore[d.Name] != "c" && d.Holder != holderBefore[d.Name] {
-			t.Errorf("%s moved from %s to %s when c left", d.Name, holderBefore[d.Name], d.Holder)
+			t.Errorf("%s moved from %s to %s when c left, want only the duties of c to move", d.Name, holderBefore[d.Name], d.Holder)
 		}
 	}
 	if n := completeTransfers(); n > 2 {
-		t.Errorf("%d duties moved after those of c were granted anew", n)
+		t.Errorf("%d duties moved after those of c were granted anew, want at most 2", n)
 	}
 }
 
-// TestBounds checks that commands beyond the limits are refused and lose nothing.
+// TestBounds checks that sessions, duties and names beyond the limits are refused, as are unknown commands, that a duty
+// has no more than MaxCandidates candidates, and that the snapshot of a full state stays small enough. An invalid
+// snapshot is refused.
 func TestBounds(t *testing.T) {
 	s := New(nil)
 	index := uint64(0)
@@ -245,7 +249,7 @@
 		t.Errorf("a snapshot of a full state has %d bytes, want at most 2 MiB", len(b))
 	}
 	if r := apply(&pb.Command{}); !errors.Is(r.Err, ErrUnknownCommand) {
-		t.Errorf("unknown command: %v", r.Err)
+		t.Errorf("unknown command: %v, want ErrUnknownCommand", r.Err)
 	}
 	if _, err := Unmarshal([]byte{0xff}); err == nil || proto.Unmarshal(b, &pb.State{}) != nil {
 		t.Error("an invalid snapshot is accepted, or a valid one is not a State message")
@@ -273,10 +277,10 @@
 	apply(acquire(c, journal))
 	apply(acquire(b, journal))
 	if w := s.viewByName(journal).Wanted; w != "" {
-		t.Errorf("a journal duty is to be transferred to %s", w)
+		t.Errorf("a journal duty is to be transferred to %s, want no transfer", w)
 	}
 	if r := apply(handOver(journal, "c")); !errors.Is(r.Err, ErrJournalDuty) {
-		t.Errorf("hand-over of a journal duty: %v", r.Err)
+		t.Errorf("hand-over of a journal duty: %v, want ErrJournalDuty", r.Err)
 	}
 	apply(expire(a, 1))
 	if h := s.viewByName(journal); h.Holder != "b" {
@@ -298,6 +302,6 @@
 	}
 	apply(release(b, journal, s.viewByName(journal).Token)) // takeover complete
 	if h := s.viewByName(journal); len(h.Holders) != 0 || h.Holder == "b" {
-		t.Errorf("after the takeover: %v", h)
+		t.Errorf("after the takeover: %v, want no copy holders, and a holder other than b", h)
 	}
 }
--- a/internal/fleet/duty/successors_test.go
+++ b/internal/fleet/duty/successors_test.go
@@ -87,7 +87,8 @@
 }
 
 // TestResubmittedKeys checks that resubmissions and takeovers of the same messages are resolved by their order in the
-// log, also after a snapshot.
+// log, also after a snapshot: of the two, the later one is told of the earlier, so that a message is not sent by both.
+// Only a limited number of earlier takeovers and of resubmitted keys is kept.
 func TestResubmittedKeys(t *testing.T) {
 	l := &stateLog{t: t, state: New(nil)}
 	a, b, c := l.join("a", 1, 1), l.join("b", 2, 1), l.join("c", 3, 1)
@@ -122,7 +123,7 @@
 	}
 	if got := TakeoverByToken(l.state.LastAdoption("a"), d.Token); got.GetBy() != "b" ||
 		!proto.Equal(got, &pb.Agreed{Token: d.Token, By: "b", Elsewhere: []uint64{7}}) {
-		t.Errorf("takeover: %v", got)
+		t.Errorf("takeover: %v, want one by b, with key 7 resubmitted elsewhere", got)
 	}
 	// A takeover remains known after a limited number of later takeovers from the same owner.
 	token := d.Token
@@ -139,7 +140,7 @@
 		l.apply(&pb.Command{What: &pb.Command_Adopt{Adopt: &pb.Adopt{
 			Session: b, Duty: d.Name, Token: d.Token, Incarnation: 1, Upto: 9 + boot}}})
 		if known := TakeoverByToken(l.state.LastAdoption("a"), token) != nil; known != (boot-1 <= maxEarlierTakeovers) {
-			t.Errorf("after %d later takeovers: known %v", boot-1, known)
+			t.Errorf("after %d later takeovers: known %v, want it to be known up to maxEarlierTakeovers later ones", boot-1, known)
 		}
 	}
 	for key := range uint64(MaxKeys + 10) {
--- a/internal/fleet/ledger/ledger_test.go
+++ b/internal/fleet/ledger/ledger_test.go
@@ -23,7 +23,7 @@
 		name string
 		play func(b *Ledger)
 		want func(v Verdict) bool
-		kept bool
+		kept bool // the run violates no guarantee
 	}{
 		{"delivered", func(l *Ledger) {
 			accept(l, true)
@@ -109,7 +109,7 @@
 		l := New()
 		c.play(l)
 		if v := l.Judge(); !c.want(v) || v.Violated() == c.kept {
-			t.Errorf("%s: %+v", c.name, v)
+			t.Errorf("%s: verdict %+v is not the expected one", c.name, v)
 		}
 	}
 }
--- a/internal/fleet/placement/placement_test.go
+++ b/internal/fleet/placement/placement_test.go
@@ -14,7 +14,7 @@
 }
 
 // TestChoose checks that copies are placed in zones other than the owner's and evenly over the members, and that a
-// member that leaves moves only the copies that it had.
+// member that leaves moves only the copies that it had. A full member gets no copies.
 func TestChoose(t *testing.T) {
 	const n, count = 30, 2
 	all := members(n)
@@ -23,7 +23,7 @@
 	for _, o := range all {
 		got := Choose(o.Name, o.Zone, count, all)
 		if len(got) != count || slices.Contains(got, o.Name) {
-			t.Fatalf("%s: %v", o.Name, got)
+			t.Fatalf("%s: copies at %v, want two other members", o.Name, got)
 		}
 		zones := map[string]bool{o.Zone: true}
 		for _, name := range got {
@@ -31,7 +31,7 @@
 			zones[all[slices.IndexFunc(all, func(m Member) bool { return m.Name == name })].Zone] = true
 		}
 		if len(zones) != 3 {
-			t.Errorf("%s in zone %s: copies at %v", o.Name, o.Zone, got)
+			t.Errorf("%s in zone %s: copies at %v, want two other zones", o.Name, o.Zone, got)
 		}
 		without := Choose(o.Name, o.Zone, count, all[1:])
 		for _, name := range got {
@@ -48,7 +48,7 @@
 		maxLoad = max(maxLoad, v)
 	}
 	if maxLoad > 4*count {
-		t.Errorf("one member keeps copies of %d owners, an even share is %d", maxLoad, count)
+		t.Errorf("one member keeps copies of %d owners, an even share is %d; want at most four times that", maxLoad, count)
 	}
 	full := slices.Clone(all)
 	for i := range full {
--- a/internal/fleet/share/model/model_test.go
+++ b/internal/fleet/share/model/model_test.go
@@ -26,7 +26,8 @@
 	})
 }
 
-// TestGuards disables each safety check in turn: some schedule must detect that.
+// TestGuards disables each safety check in turn: some schedule must detect that, and up to it none may have a violation
+// with all checks enabled. The kinds of faults are those of runSchedule.
 func TestGuards(t *testing.T) {
 	for name, c := range map[string]struct {
 		skip  share.Skip
@@ -60,7 +61,7 @@
 }
 
 // TestGoodput: with shares the members send nearly as much as an oracle would: at least 0.97 of it, or 0.9 if demand
-// moves each second. Even parts leave much unsent.
+// moves each second, and no less than with even parts.
 func TestGoodput(t *testing.T) {
 	sizes := []int{3, 30}
 	if os.Getenv("SLIPTIDE_MEASURE") != "" {
@@ -96,7 +97,7 @@
 			shared, even, oracle, reports := goodput(n, limit, c.load)
 			t.Logf("%3d members, %-18s: shared %.3f, even parts %.3f, oracle %.3f; shared is %.3f of the oracle's; %.0f reports a second", n, c.name, shared, even, oracle, shared/oracle, reports)
 			if shared < c.minFraction*oracle || shared < even-0.02 {
-				t.Errorf("%d members, %s: %.3f, the oracle sends %.3f, even parts %.3f", n, c.name, shared, oracle, even)
+				t.Errorf("%d members, %s: %.3f sent with shares, the oracle sends %.3f, even parts %.3f", n, c.name, shared, oracle, even)
 			}
 		}
 	}
--- a/internal/fleet/share/share_test.go
+++ b/internal/fleet/share/share_test.go
@@ -11,16 +11,16 @@
 	h.HandleReport(now, "b", Report{At: now, Demand: 1000, Limit: 40})
 	low, _ := h.HandleReport(now, "a", Report{At: now, Limit: 40})
 	if low.Rate >= terms.EvenShare(40) {
-		t.Fatalf("a has no demand and gets %v", low.Rate)
+		t.Fatalf("a has no demand and gets %v, want less than its even part", low.Rate)
 	}
 	report := Report{At: now, Demand: 30, Limit: 40, Token: 1, Stamp: low.Stamp}
 	if a, ok := h.HandleReport(now+500, "a", report); !ok || a.Rate < terms.EvenShare(40) {
-		t.Fatalf("a has a demand of 30 and gets %v", a.Rate) // the answer is delayed on its way to a
+		t.Fatalf("a has a demand of 30 and gets %v, want at least its even part", a.Rate) // the answer is delayed on its way to a
 	}
 	h.HandleReport(now+1150, "b", Report{At: now + 1150, Demand: 1000, Limit: 40}) // here the holder removes the expired answer
 	report.Demand = 0
 	h.HandleReport(now+1200, "a", report) // reported before the answer arrived; it may have arrived and lapsed since
 	if b, _ := h.HandleReport(now+1300, "b", Report{At: now + 1300, Demand: 1000, Limit: 40}); b.Rate > terms.EvenShare(40) {
-		t.Errorf("b is lent %v, and a may send %v", b.Rate, terms.EvenShare(40))
+		t.Errorf("b gets %v although a may send its even part, %v; want at most the same for b", b.Rate, terms.EvenShare(40))
 	}
 }
