--- a/internal/fleet/copies/clocks_test.go
+++ b/internal/fleet/copies/clocks_test.go
@@ -43,7 +43,7 @@
 			c := &pb.Copy{Owner: "a", Epoch: 1, Incarnation: 1, Seq: seq, Reset_: seq == 1, Clock: ownerMS(now)}
 			now += transfer
 			if a := h.HandleCopy(holderNS(now), c); a == nil || a.Again || a.Sealed {
-				t.Fatalf("batch %d: %v", seq, a)
+				t.Fatalf("batch %d: answer %v, want it accepted", seq, a)
 			}
 			transferTimes = append(transferTimes, transfer)
 		}
--- a/internal/fleet/copies/keep/keep_test.go
+++ b/internal/fleet/copies/keep/keep_test.go
@@ -54,7 +54,7 @@
 }
 
 // TestEveryOperationFails fails each file operation in turn, or ends the process in it, and checks that the next start
-// finds every batch that had been acknowledged.
+// finds every batch that had been acknowledged, and as many messages as batches.
 func TestEveryOperationFails(t *testing.T) {
 	var batches [][]byte
 	for i := range 8 {
@@ -76,7 +76,7 @@
 			}}, batches)
 			store, states, err := Open(fsys.OS{Dir: dir}, nil, []string{"a"})
 			if err != nil {
-				t.Errorf("operation %d, %+v: %v", failingOp, fault, err)
+				t.Errorf("operation %d, %+v: the store cannot be opened: %v", failingOp, fault, err)
 				continue
 			}
 			if states["a"].Seq < seq || uint64(len(messageNumbers(store.LiveRecords("a")))) != states["a"].Seq {
@@ -130,9 +130,9 @@
 		t.Fatal(err)
 	}
 	if err := store.Reset("b", copies.CopyState{Epoch: 1, Seq: 1}, make([]byte, 12<<10)); !errors.Is(err, errNoSpace) {
-		t.Errorf("error of a copy beyond the quota: %v", err)
+		t.Errorf("error of a copy beyond the quota: %v, want errNoSpace", err)
 	}
 	if err := store.SaveState("a", copies.CopyState{Epoch: 1, Seq: 1, SealedBelow: 9}); err != nil || store.Size("b") != 0 {
-		t.Errorf("SaveState of the existing copy: %v; size of the refused copy: %d", err, store.Size("b"))
+		t.Errorf("SaveState of the existing copy: %v, want no error; size of the refused copy: %d, want 0", err, store.Size("b"))
 	}
 }
--- a/internal/fleet/copies/model/model_test.go
+++ b/internal/fleet/copies/model/model_test.go
@@ -16,6 +16,7 @@
 	"sliptide/internal/fleet/copies"
 )
 
+// drawFaults draws one to three faults of the kinds that playFaults lists, each for 20 ms to 2 s.
 func drawFaults(t *rapid.T) []Fault {
 	return rapid.SliceOfN(rapid.Custom(func(t *rapid.T) Fault {
 		return Fault{rapid.IntRange(0, 5).Draw(t, "kind"), rapid.IntRange(0, 3).Draw(t, "who"),
@@ -29,7 +30,7 @@
 func TestGuaranteesUnderFaults(t *testing.T) {
 	adoptions := 0
 	if os.Getenv("SLIPTIDE_SCHEDULES") == "" {
-		flag.Set("rapid.checks", "20")
+		flag.Set("rapid.checks", "20") // with it set to any number, rapid's own default, 100, applies
 	}
 	flag.Set("rapid.nofailfile", "true")
 	rapid.Check(t, func(t *rapid.T) {
@@ -60,7 +61,8 @@
 	}
 }
 
-// TestDisabledGuardsAreDetected disables each guard in turn. The checker must report a violation.
+// TestDisabledGuardsAreDetected disables each guard in turn, with faults of the kinds of playFaults that reveal it. The
+// checker must report a violation in one of 300 runs.
 func TestDisabledGuardsAreDetected(t *testing.T) {
 	allFaults := []int{0, 1, 2, 3, 4, 5}
 	for name, c := range map[string]struct {
@@ -118,7 +120,7 @@
 
 // TestSuccessorLost loses a successor with its disk at or shortly after each stage of a takeover. Another successor
 // must complete the takeover, once. It must not drop entries that copies still show as pending although the fleet has
-// agreed.
+// agreed: the checker must detect the loss if it does.
 func TestSuccessorLost(t *testing.T) {
 	seeds := uint64(2)
 	if os.Getenv("SLIPTIDE_MEASURE") != "" {
@@ -145,8 +147,8 @@
 }
 
 // TestSizes loses a zone or a tenth of the members with their disks, or restarts all in turn. No message may be lost,
-// at least six messages per lost member must be taken over, a restart must cause no takeover, and no successor may get
-// more than four times the mean. SLIPTIDE_MEASURE adds 300 members.
+// at least six messages per lost member must be taken over, a restart must cause no takeover, and of more than three
+// successors none may get more than four times the mean. SLIPTIDE_MEASURE adds 300 members.
 func TestSizes(t *testing.T) {
 	memberCounts := []int{30}
 	if os.Getenv("SLIPTIDE_MEASURE") != "" {
@@ -191,10 +193,10 @@
 					t.Errorf("%d messages, want at least 5 per member; violation: %s", len(w.messages), w.violation)
 				}
 				if c.lose != nil && cost.takenOver < lost*6 || c.lose == nil && cost.takenOver > 0 {
-					t.Errorf("%d messages taken over", cost.takenOver)
+					t.Errorf("%d messages taken over, want at least six per lost member, and none in a restart", cost.takenOver)
 				}
 				if mean := float64(cost.takenOver) / float64(max(cost.successors, 1)); cost.successors > 3 && float64(cost.maxBySuccessor) > 4*mean {
-					t.Errorf("one successor has %d messages, the mean of %d is %.1f", cost.maxBySuccessor, cost.successors, mean)
+					t.Errorf("one successor has %d messages, the mean of %d is %.1f; want at most four times the mean", cost.maxBySuccessor, cost.successors, mean)
 				}
 			})
 		}
@@ -211,7 +213,9 @@
 
 // TestEverySmallRun enumerates small runs: three members, two messages and every pair of faults (a machine lost with
 // its disk, a process killed, partitioned or stopped) at every member, at times from before the submission to after the
-// answers, with one or two required acknowledgements. SLIPTIDE_MEASURE runs all of them, CI every 101st.
+// answers, with one or two required acknowledgements. No run may violate a guarantee, except that a message may be lost
+// with more losses than the acknowledgements cover. With a disabled guard some run must violate one. SLIPTIDE_MEASURE runs
+// all pairs, CI every 101st.
 func TestEverySmallRun(t *testing.T) {
 	stride := 101
 	if os.Getenv("SLIPTIDE_MEASURE") != "" {
--- a/internal/fleet/copies/owner_test.go
+++ b/internal/fleet/copies/owner_test.go
@@ -23,7 +23,7 @@
 func (s memStore) Size(owner string) int64           { return int64(len(s[owner])) }
 
 // TestDamagedCopyIsSentAgain checks that the checksum in a batch reveals a copy which differs from the owner's journal,
-// and that the owner then sends all live records again.
+// and that the owner then sends all live records again. A batch of an older epoch is answered as sealed.
 func TestDamagedCopyIsSentAgain(t *testing.T) {
 	store := memStore{}
 	h := NewHolder(store, 1<<20, 1, nil)
@@ -56,7 +56,7 @@
 	}
 	deliver(2*checksumInterval + 2 + resendTimeout)
 	if got := store["a"]; string(got) != "\x01\x02" || !o.Synced("b") {
-		t.Errorf("copy after it was sent again: %v", got)
+		t.Errorf("copy after it was sent again: %v, want records 1 and 2, and a synced holder", got)
 	}
 	if a := h.HandleCopy(0, &pb.Copy{Owner: "a", Epoch: 2, Seq: 9}); !a.Sealed {
 		t.Errorf("answer to a batch of an older epoch, want sealed: %v", a)
@@ -84,7 +84,7 @@
 		t.Errorf("a full holder is tried again before fullRetryDelay")
 	}
 	if at, due := o.NextWakeup(); !due || at != 4+fullRetryDelay+1 {
-		t.Errorf("next wakeup at %d, due %v", at, due)
+		t.Errorf("next wakeup at %d, due %v; want one just after fullRetryDelay", at, due)
 	}
 	out := o.TakeOutgoing(5+fullRetryDelay, liveRecords)
 	if len(out) != 1 || !out[0].Frame.GetCopy().Reset_ {
--- a/internal/fleet/directory/directory_test.go
+++ b/internal/fleet/directory/directory_test.go
@@ -211,6 +211,7 @@
 
 // A subscriber cannot resume from a version of a leader whose changes this control member has not all received, even if
 // the version is lower than its own: changes that only that leader published would remain at the subscriber for good.
+// A change that does not follow the directory's version, and a stale one, are refused.
 func TestChangesSinceAcrossLeaders(t *testing.T) {
 	d := New()
 	if _, err := d.LoadSnapshot(FirstVersion(1), 1, nil, nil); err != nil {
@@ -242,7 +243,7 @@
 }
 
 // A member that no control member reports stays in the directory for MemberGracePeriod, and a new leader waits for
-// reports first.
+// reports first. A report whose count does not match its members is requested again.
 func TestRosterGrace(t *testing.T) {
 	known := map[string]Member{"a": member("a"), "b": member("b")}
 	report := func(seq uint64, names ...string) *pb.Report {
@@ -287,7 +288,7 @@
 	}
 }
 
-// The directory of one control member holds two million destinations in at most the stated 600 MB.
+// The directory of one control member holds two million destinations in at most 600 MiB.
 func TestMemoryAtTheTarget(t *testing.T) {
 	const count, maxBytes = 2_000_000, 600 << 20
 	var before, after runtime.MemStats
--- a/internal/fleet/directory/model_test.go
+++ b/internal/fleet/directory/model_test.go
@@ -152,6 +152,7 @@
 	w.publish(nil, nil, nil)
 }
 
+// publish publishes a change as the leader, and records the state that it results in for the checks.
 func (w *modelWorld) publish(endpoints []Endpoint, joined, left []Member) {
 	c := w.controls[w.leader]
 	change, changed := c.dir.Publish(FirstVersion(w.token), c.dir.DiscoveryVersion()+uint64(min(len(endpoints), 1)), endpoints, joined, left)
@@ -186,6 +187,7 @@
 	w.publish(list, nil, nil)
 }
 
+// send sends a frame over a link that may be cut, or lose, duplicate and delay it.
 func (w *modelWorld) send(from, to string, f *pb.Frame) {
 	if w.cut[[2]string{from, to}] || w.rng.Float64() < w.loss {
 		return
@@ -233,6 +235,7 @@
 	}
 }
 
+// deliverToControl passes a frame to the roster, the publisher or the subscription of a control member.
 func (w *modelWorld) deliverToControl(c *controlProcess, f delayedFrame) {
 	switch x := f.frame.What.(type) {
 	case *pb.Frame_Report:
@@ -287,6 +290,8 @@
 	}
 }
 
+// deliverToSender applies the update that a frame completes, if any, as a sender does, and checks the sender. It
+// releases half of the shards that are unassigned, at random.
 func (w *modelWorld) deliverToSender(s *senderProcess, f delayedFrame) {
 	a := s.subscription.Receive(f.from, f.frame, w.now)
 	if a == nil {
@@ -363,6 +368,7 @@
 	}
 }
 
+// tick advances the clock by modelTick, delivers the frames that are due and runs all processes that are up.
 func (w *modelWorld) tick() {
 	w.now += int64(modelTick)
 	w.deliver()
@@ -405,6 +411,8 @@
 	}
 }
 
+// report sends the subscribers of a control member to the leader, all of them only if they have changed or the leader
+// has requested them.
 func (w *modelWorld) report(c *controlProcess) {
 	members := c.publisher.Subscribers()
 	names := fmt.Sprint(members)
@@ -467,6 +475,7 @@
 	return n
 }
 
+// run simulates a duration, or up to the first violation, with random changes and, if set, faults.
 func (w *modelWorld) run(d time.Duration, faults bool) {
 	for end := w.now + int64(d); w.now < end && w.violation == ""; w.tick() {
 		if w.rng.IntN(6) == 0 {
--- a/internal/fleet/model/model_test.go
+++ b/internal/fleet/model/model_test.go
@@ -13,7 +13,7 @@
 	"sliptide/internal/fleet/voter"
 )
 
-const drift = 0.05
+const drift = 0.05 // how far clocks run fast or slow in the model, and how far leases allow for it
 
 func options(seed uint64) Options {
 	return Options{Voters: 3, Members: 2, Duties: 2, Lease: lease.Params{Length: 2 * time.Second, Drift: drift},
@@ -65,6 +65,7 @@
 	}
 }
 
+// setChecks sets the number of schedules that rapid runs: SLIPTIDE_SCHEDULES, or else fallback.
 func setChecks(t *testing.T, fallback int) {
 	n, err := strconv.Atoi(os.Getenv("SLIPTIDE_SCHEDULES"))
 	if err != nil {
@@ -111,11 +112,13 @@
 	}
 }
 
+// lossy loses and repeats frames throughout the run, and stops processes.
 func lossy(i int) (list []Fault) {
 	list = append(list, Fault{Kind: Loss, At: 2 * time.Second, Duration: 36 * time.Second})
 	return append(list, stopped(i)...)
 }
 
+// cutOff isolates one process after another for 4 s, twice the length of a lease.
 func cutOff(i int) (list []Fault) {
 	for k := range 5 {
 		list = append(list, Fault{Kind: Isolate, Proc: (i + k) % 5, At: time.Duration(3+6*k) * time.Second, Duration: 4 * time.Second})
@@ -138,6 +141,7 @@
 	return list
 }
 
+// leaderKilled kills the voters in turn, so that sooner or later each leader is killed.
 func leaderKilled(i int) (list []Fault) {
 	for k := range 8 {
 		list = append(list, Fault{Kind: Kill, Proc: (i + k) % 3, At: time.Duration(3+4*k)*time.Second + time.Duration(i*37)*time.Millisecond, Duration: time.Second})
@@ -145,6 +149,7 @@
 	return list
 }
 
+// stopped stops one process after another for 4 s, twice the length of a lease.
 func stopped(i int) (list []Fault) {
 	for k := range 6 {
 		list = append(list, Fault{Kind: Stop, Proc: (i + k) % 5, At: time.Duration(3+5*k)*time.Second + time.Duration(i*7)*time.Millisecond, Duration: 4 * time.Second})
@@ -152,6 +157,7 @@
 	return list
 }
 
+// allKilled kills all processes at once every 3 s, while some are stopped.
 func allKilled(i int) (list []Fault) {
 	list = stopped(i)
 	for k := range 12 {
@@ -189,6 +195,6 @@
 	}
 	t.Logf("elections in 10 runs: %d, without the check %d", with, without)
 	if with > 0 || without < 5 {
-		t.Errorf("elections when a voter returns: %d, without pre-vote and the quorum check %d", with, without)
+		t.Errorf("elections when a voter returns: %d, want 0; without pre-vote and the quorum check %d, want at least 5", with, without)
 	}
 }
--- a/internal/fleet/model/size_test.go
+++ b/internal/fleet/model/size_test.go
@@ -20,7 +20,7 @@
 		w.Run(10 * time.Second)
 		w.FramesSent = 0
 		w.Run(12 * time.Second)
-		normalRate := w.FramesSent / 2
+		normalRate := w.FramesSent / 2 // from 10 s to 12 s
 		leader := -1
 		for _, p := range w.processes[:3] {
 			if p.voter.IsLeader() {
@@ -47,7 +47,7 @@
 		}
 		t.Logf("%d members: %d frames a second normally (%.1f a member), %d in the worst second after the leader is killed; %d of %d sessions kept", n, normalRate, float64(normalRate)/float64(n), worstSecond, sessionsKept, len(sessions))
 		if worstSecond > 4*normalRate || sessionsKept < len(sessions)-1 || w.Violation != "" || !w.AllHeld() {
-			t.Errorf("%d members: overload, lost sessions, or violation %q, held %v", n, w.Violation, w.AllHeld())
+			t.Errorf("%d members: more than four times the normal rate, more than one session lost, violation %q, or held %v", n, w.Violation, w.AllHeld())
 		}
 	}
 }
--- a/internal/fleet/model/voters_test.go
+++ b/internal/fleet/model/voters_test.go
@@ -31,6 +31,6 @@
 		}
 	}
 	if logged < 5 {
-		t.Errorf("a change was logged %d times in 5 runs", logged)
+		t.Errorf("a change was logged %d times in 5 runs, want at least 5", logged)
 	}
 }
--- a/internal/fleet/procs_test.go
+++ b/internal/fleet/procs_test.go
@@ -112,6 +112,7 @@
 	begin, end int64
 }
 
+// proc is a member that runs as a process, unless it was killed or has left.
 type proc struct {
 	name     string
 	settings nodeSettings
@@ -200,6 +201,7 @@
 	}
 }
 
+// start starts a member's process, unless it is up, and collects what it reports and logs.
 func (r *rig) start(p *proc) {
 	if p.up {
 		return
@@ -244,6 +246,7 @@
 	return w.r.logs.Write(b)
 }
 
+// recordLine records an observation or an error that a member printed.
 func (r *rig) recordLine(member, text string) {
 	seen := observation{member: member}
 	r.mu.Lock()
@@ -255,6 +258,7 @@
 	}
 }
 
+// kill kills a member's process, also one that is stopped, and waits for its end.
 func (r *rig) kill(p *proc) {
 	if p.up {
 		p.cmd.Process.Signal(syscall.SIGCONT)
@@ -289,6 +293,7 @@
 	}
 }
 
+// isolate cuts all links of a member in both directions, or restores them.
 func (r *rig) isolate(name string, cut bool) {
 	for k, relay := range r.relays {
 		if k[0] == name || k[1] == name {
@@ -306,7 +311,7 @@
 		for i := len(r.observations) - 1; i >= 0; i-- {
 			seen := r.observations[i]
 			if seen.begin < after {
-				if len(r.observations)-i > 4000 {
+				if len(r.observations)-i > 4000 { // a few seconds of reports; earlier ones begin earlier
 					break
 				}
 				continue
@@ -415,7 +420,7 @@
 	next = r.holder(0, at+int64(1500*time.Millisecond), holder.member, holderTimeout)
 	r.isolate(holder.member, false)
 
-	// The holder leaves, and hands the duty over at once.
+	// The holder leaves, and releases its duties.
 	r.awaitAll(holderTimeout)
 	next = r.holder(0, fleet.Now(), "", holderTimeout)
 	at = fleet.Now()
@@ -447,6 +452,7 @@
 	}
 }
 
+// awaitLog waits until a member has logged a text, and fails the test if it does not do so in time.
 func (r *rig) awaitLog(member, text string, timeout time.Duration) {
 	r.t.Helper()
 	for end := time.Now().Add(timeout); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
@@ -499,11 +505,12 @@
 		t.Fatal(err)
 	}
 	if err := open("b"); err == nil || !strings.Contains(err.Error(), `written by "a", opened by "b"`) {
-		t.Errorf("state directory of a opened as b: error %v", err)
+		t.Errorf("state directory of a opened as b: error %v, want one that names both", err)
 	}
 }
 
-// TestFaultsAtRandom runs random schedules of faults on processes, each with a fleet of its own.
+// TestFaultsAtRandom runs random schedules of faults on processes, each with a fleet of its own: no duty has two
+// holders at once, and after the faults each has a holder again.
 // SLIPTIDE_FLEET_SCHEDULES sets the number of schedules; CI runs one.
 func TestFaultsAtRandom(t *testing.T) {
 	t.Parallel()
@@ -608,7 +615,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			for range 12 {
+			for range 12 { // a violation depends on which member leads, so a single run may have none
 				r := newRig(t, 3, 2, c.change)
 				holder := r.holder(0, 0, "", 30*time.Second)
 				c.fault(r, holder.member)
--- a/internal/fleet/shard/shard_test.go
+++ b/internal/fleet/shard/shard_test.go
@@ -71,12 +71,13 @@
 		counts[Of(d)]++
 	}
 	if highest := slices.Max(counts); highest > 3*destinations/Count {
-		t.Errorf("a shard has %d destinations, the mean is %d", highest, destinations/Count)
+		t.Errorf("a shard has %d destinations, the mean is %d; want at most three times the mean", highest, destinations/Count)
 	}
 }
 
 // Members join, leave and change, several at once, in zones that appear, shrink and vanish: the table depends on the
-// present members alone, not on its history, and Update reports every shard whose replicas changed.
+// present members alone, not on its history, and Update reports every shard whose replicas changed. A Locator returns
+// the same replicas as a table.
 func TestUpdateEqualsRebuild(t *testing.T) {
 	rng := rand.New(rand.NewPCG(5, 6))
 	for replicas := 1; replicas <= 3; replicas++ {
@@ -183,7 +184,7 @@
 		mean := 2 * testShards / table.Len()
 		for _, m := range secondZone[:i+1] {
 			if n := len(table.Shards(m.Name)); n > 6*mean {
-				t.Fatalf("%d of %d members returned: one serves %d shards, the mean is %d", i+1, len(secondZone), n, mean)
+				t.Fatalf("%d of %d members returned: one serves %d shards, the mean is %d; want at most six times the mean", i+1, len(secondZone), n, mean)
 			}
 		}
 	}
@@ -205,7 +206,7 @@
 		mean := float64(replicas*Count) / perRegion
 		t.Logf("%d members in %d zones: mean %.1f shards, the fullest %d (%.2f times)", perRegion, zones, mean, highest, float64(highest)/mean)
 		if float64(highest) > factor*mean {
-			t.Errorf("the fullest member serves %d shards, the mean is %.1f", highest, mean)
+			t.Errorf("the fullest member serves %d shards, the mean is %.1f; want at most 1.8 times the mean", highest, mean)
 		}
 	}
 }
@@ -214,7 +215,7 @@
 func TestWeights(t *testing.T) {
 	list := members(60, 3)
 	for i := range list {
-		list[i].Weight = uint32(1 + 2*(i/3%2))
+		list[i].Weight = uint32(1 + 2*(i/3%2)) // three members of weight 1, one in each zone, then three of weight 3
 	}
 	table := newTestTable(2, list)
 	sums := map[uint32]int{}
@@ -222,7 +223,7 @@
 		sums[m.Weight] += len(table.Shards(m.Name))
 	}
 	if ratio := float64(sums[3]) / float64(sums[1]); ratio < 2.6 || ratio > 3.2 {
-		t.Errorf("weights of 3 and 1 serve %d and %d shards: %.2f times", sums[3], sums[1], ratio)
+		t.Errorf("weights of 3 and 1 serve %d and %d shards: %.2f times, want 2.6 to 3.2", sums[3], sums[1], ratio)
 	}
 }
 
@@ -231,7 +232,7 @@
 	table := newTestTable(2, members(10, 2))
 	got := fmt.Sprint(Of(0), Of(1), Of(1_999_999), table.Replicas(0), table.Replicas(4000))
 	if got != pinnedAssignment {
-		t.Errorf("%s, want %s", got, pinnedAssignment)
+		t.Errorf("assignment %s, want %s", got, pinnedAssignment)
 	}
 }
 
