--- a/internal/lab/capacity/capacity_test.go
+++ b/internal/lab/capacity/capacity_test.go
@@ -58,16 +58,17 @@
 		t.Errorf("fit %+v, want 5 + 0.2", s.Fit)
 	}
 	if missed := s.ForecastError(); math.Abs(missed-(20005.0/40010-1)) > 1e-9 {
-		t.Errorf("missed by %g", missed)
+		t.Errorf("forecast error %g, want that of 20005 against 40010", missed)
 	}
 	noisy := FitLine([]Point{{10, 7.7}, {100, 25}, {1000, 205}, {10000, 2005}})
 	if noisy.Residual < 0.01 || math.Abs(noisy.Slope-0.2) > 0.02 {
-		t.Errorf("with a tenth of noise at the smallest size: %+v", noisy)
+		t.Errorf("with a tenth of noise at the smallest size: %+v, want a residual of 0.01 or more and a slope near 0.2", noisy)
 	}
 }
 
 // BreaksAt finds the share at which a need reaches its budget: for linear and quadratic growth, for the load of one
-// sender, and for a row without a budget.
+// sender, and for a row without a budget. The slopes are multiples of those at which the need at the target is the
+// whole budget of 128 MB.
 func TestBreaksAt(t *testing.T) {
 	at := loadTarget(t)
 	memory := func(t *Target) float64 { return t.MemoryMB }
@@ -107,7 +108,7 @@
 		}
 		names[m.Name] = true
 		if len(m.Sizes) < 5 || !slices.IsSorted(m.Sizes) || m.Sizes[len(m.Sizes)-1] < 90*m.Sizes[0] {
-			t.Errorf("%s: sizes %v", m.Name, m.Sizes)
+			t.Errorf("%s: sizes %v, want five or more in ascending order, the largest 90 times the smallest", m.Name, m.Sizes)
 		}
 	}
 	for _, row := range Rows() {
@@ -176,7 +177,7 @@
 	}
 	if err := WritePage(path, loadTarget(t), &Record{}); err == nil ||
 		!strings.Contains(err.Error(), "generated: target") {
-		t.Errorf("error %v", err)
+		t.Errorf("page without markers: error %v, want one that names the marker of the target", err)
 	}
 }
 
--- a/internal/lab/fleet/fleet_test.go
+++ b/internal/lab/fleet/fleet_test.go
@@ -43,6 +43,6 @@
 	var out strings.Builder
 	c.WriteTable(&out)
 	if !strings.Contains(out.String(), "1 lines skipped") || strings.Count(out.String(), "\n") != 4 {
-		t.Errorf("table:\n%s", out.String())
+		t.Errorf("want a table of four lines that reports one skipped line, got:\n%s", out.String())
 	}
 }
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -41,7 +41,7 @@
 		_, err := experiment.Read("f.xml", strings.NewReader(text))
 		var bad *strictxml.Error
 		if !errors.As(err, &bad) || !strings.Contains(err.Error(), want) {
-			t.Errorf("%s\n%v, want %q", text, err, want)
+			t.Errorf("%s\nerror %v, want one with %q", text, err, want)
 		}
 	}
 }
--- a/internal/lab/scale/judge_test.go
+++ b/internal/lab/scale/judge_test.go
@@ -14,7 +14,8 @@
 )
 
 // judgeTwoMembers judges a clean run of two members of one region that both serve the shard of destination 7. edit, if
-// set, alters the judge or the observations first.
+// set, alters the judge or the observations first: observations 4 and 5 apply the change of the destination at the
+// members, and 7 is the second member's last report of its version.
 func judgeTwoMembers(edit func(j *Judge, seen []Observation) []Observation) *Verdict {
 	at := func(d time.Duration) int64 { return int64(time.Hour + d) }
 	id := []uint32{uint32(shard.Of(7))}
@@ -34,7 +35,8 @@
 	return j.Run(observations, at(70*time.Second))
 }
 
-// A run without violations has no findings, and the delays are those of both members.
+// A run without violations has no findings, and the delays are those of both members: the change is in force after 1 s
+// at the first and after 2 s at the second.
 func TestJudgeCleanRun(t *testing.T) {
 	v := judgeTwoMembers(nil)
 	if !v.Clean() || v.Changes != 1 || v.InForceCount != 2 || v.Worst != 2 || v.Median != 2 {
@@ -76,7 +78,7 @@
 	} {
 		v := judgeTwoMembers(c.change)
 		if v.Findings[c.rule] == 0 || len(v.Findings) != 1 {
-			t.Errorf("%s: findings %v, want %s alone: %v", name, v.Findings, c.rule, v.Examples)
+			t.Errorf("%s: findings %v, want %s alone; examples %v", name, v.Findings, c.rule, v.Examples)
 		}
 	}
 }
@@ -111,7 +113,7 @@
 		},
 	} {
 		if v := judgeTwoMembers(change); !v.Clean() {
-			t.Errorf("%s: %v", name, v.Examples)
+			t.Errorf("%s: want no findings, got %v", name, v.Examples)
 		}
 	}
 }
@@ -147,7 +149,8 @@
 	}
 }
 
-// Reports are complete, also for sizes that ended early or have findings.
+// The tables name findings, a size that ended early, a delay beyond its bound and a failed comparison, and the HTML
+// report has a plot for each quantity.
 func TestReports(t *testing.T) {
 	budgets := Budgets{Senders: 14000, CorePercent: 3.6, MemoryMB: 128, LinkKBps: 19}
 	r := &Result{Name: "x", Sizes: []SizeResult{
@@ -164,7 +167,7 @@
 		}
 	}
 	if err := r.WriteHTML(&html, budgets); err != nil || strings.Count(html.String(), "<svg") != len(quantities) {
-		t.Errorf("%v, %d plots", err, strings.Count(html.String(), "<svg"))
+		t.Errorf("HTML report: error %v, %d plots; want a plot for each quantity", err, strings.Count(html.String(), "<svg"))
 	}
 }
 
--- a/internal/lab/scale/run_test.go
+++ b/internal/lab/scale/run_test.go
@@ -61,12 +61,13 @@
 	return r
 }
 
-// TestSmallRun runs all faults against sixty members, three control members and two real senders.
+// TestSmallRun runs all faults against sixty members, three control members and two real senders. The judge must find
+// no violation, and the run must yield enough observations and the usage of both senders.
 func TestSmallRun(t *testing.T) {
 	r := runFile(t, "../../../experiments/fleet/scale-small.xml", nil)
 	s := r.Sizes[0]
 	if s.Verdict == nil {
-		t.Fatalf("ended: %s", s.Failure)
+		t.Fatalf("the run ended without a verdict: %s", s.Failure)
 	}
 	t.Logf("p50 %.2f, p99 %.2f, worst %.2f s of %d times; longest unserved %.1f s", s.Verdict.Median, s.Verdict.P99, s.Verdict.Worst, s.Verdict.InForceCount, s.Verdict.LongestUnserved)
 	if !s.Verdict.Clean() {
@@ -83,7 +84,7 @@
 	r := runFile(t, "../../../experiments/fleet/scale-small.xml", func(o *Options) { o.DisabledChecks = directory.CheckSilence })
 	v := r.Sizes[0].Verdict
 	if v == nil {
-		t.Fatalf("ended: %s", r.Sizes[0].Failure)
+		t.Fatalf("the run ended without a verdict: %s", r.Sizes[0].Failure)
 	}
 	if v.Findings[RuleStale]+v.Findings[RuleMissed] == 0 {
 		t.Errorf("with the silence check disabled, the judge found neither stale members nor missed changes: %v", v.Findings)
--- a/internal/lab/world/world_test.go
+++ b/internal/lab/world/world_test.go
@@ -67,8 +67,8 @@
 	"collapses under overload":       func(p *Params) { p.OverloadOutage = 4000 },
 }
 
-// From the first second after its return, calls to a partner stay within its stated limit in each second, and the
-// senders do call it.
+// In each of the first eleven seconds after its return, calls to a partner stay within its stated limit, and the
+// senders do call it. It does not collapse under overload.
 func TestReturnsStayWithinTheLimit(t *testing.T) {
 	for name, change := range returnCases {
 		t.Run(name, func(t *testing.T) {
@@ -108,7 +108,7 @@
 				done += s.Delivered
 			}
 			if float64(done)/4 < 0.95*p.Load {
-				t.Errorf("%+v, seed %d: %.0f messages delivered per second from the tenth second on, load %v",
+				t.Errorf("%+v, seed %d: %.0f messages delivered per second from the tenth second on, want 0.95 of the load, %v",
 					row, seed, float64(done)/4, p.Load)
 			}
 		}
@@ -150,7 +150,7 @@
 		withoutOutageP99 += New(withoutOutage, seed).Run(nil).OtherLatency.ValueAtQuantile(99)
 	}
 	if math.Abs(float64(withOutageP99-withoutOutageP99)) > 0.05*float64(withoutOutageP99) {
-		t.Errorf("p99 latency of the other partners, summed over five seeds: %d ms with the outage, %d ms without",
+		t.Errorf("p99 latency of the other partners, summed over five seeds: %d ms with the outage, %d ms without; want a difference of at most 0.05 of the latter",
 			withOutageP99, withoutOutageP99)
 	}
 }
@@ -177,8 +177,8 @@
 	}
 }
 
-// The limiter admits the stated rate and no more, in any second and in fixed windows. The wait that a refusal requests
-// ends with the window.
+// Over 20 s the limiter admits calls at the stated rate and no more, without windows and in fixed ones of 1 s and 5 s.
+// The wait that a refusal requests ends with a fixed window.
 func TestLimiter(t *testing.T) {
 	for _, window := range []float64{0, 1000, 5000} {
 		l := limiter{rate: 10, window: window}
@@ -192,7 +192,7 @@
 			}
 		}
 		if admitted < 195 || admitted > 201 {
-			t.Errorf("window %v ms: %d calls admitted in 20 s at 10 per second", window, admitted)
+			t.Errorf("window %v ms: %d calls admitted in 20 s at 10 per second, want 195 to 201", window, admitted)
 		}
 	}
 }
@@ -213,6 +213,7 @@
 	}
 }
 
+// BenchmarkRun measures a run with the base parameters, and reports the simulated events per second.
 func BenchmarkRun(b *testing.B) {
 	var events uint64
 	for i := range b.N {
