--- a/internal/fleet/copies/model/model_test.go
+++ b/internal/fleet/copies/model/model_test.go
@@ -214,8 +214,8 @@
 // TestEverySmallRun enumerates small runs: three members, two messages and every pair of faults (a machine lost with
 // its disk, a process killed, partitioned or stopped) at every member, at times from before the submission to after the
 // answers, with one or two required acknowledgements. No run may violate a guarantee, except that a message may be lost
-// with more losses than the acknowledgements cover. With a disabled guard some run must violate one. SLIPTIDE_MEASURE runs
-// all pairs, CI every 101st.
+// with more losses than the acknowledgements cover. With a disabled guard some run must violate one. SLIPTIDE_MEASURE
+// runs all pairs, CI every 101st.
 func TestEverySmallRun(t *testing.T) {
 	stride := 101
 	if os.Getenv("SLIPTIDE_MEASURE") != "" {
--- a/internal/fleet/directory/directory_test.go
+++ b/internal/fleet/directory/directory_test.go
@@ -29,6 +29,8 @@
 	now          int64
 }
 
+// newPair returns a pair whose directory holds one endpoint for each of the first destinations. The subscriber is the
+// only member and requests either its own shards or everything.
 func newPair(t *testing.T, endpoints int, everything bool) *testPair {
 	p := &testPair{t: t, dir: New(), now: int64(time.Hour)}
 	p.publisher = NewPublisher(p.dir, 1)
@@ -85,6 +87,7 @@
 	return nil
 }
 
+// publish publishes a change of the next discovery version.
 func (p *testPair) publish(list ...Endpoint) {
 	c, changed := p.dir.Publish(0, p.dir.DiscoveryVersion()+1, list, nil, nil)
 	if !changed {
--- a/internal/fleet/directory/model_test.go
+++ b/internal/fleet/directory/model_test.go
@@ -91,6 +91,8 @@
 	lastPort  int
 }
 
+// newModelWorld returns a world of three control members, of which the first leads, and six senders. Some checks of
+// subscriptions may be disabled.
 func newModelWorld(seed uint64, disabled SubscriptionCheck) *modelWorld {
 	w := &modelWorld{rng: rand.New(rand.NewPCG(seed, 11)), now: int64(time.Hour), published: map[uint64]publishedState{}, cut: map[[2]string]bool{}, disabled: disabled, leader: -1}
 	for i := range 3 {
@@ -106,12 +108,14 @@
 	return w
 }
 
+// fail records a violation, unless there is one already.
 func (w *modelWorld) fail(format string, args ...any) {
 	if w.violation == "" {
 		w.violation = fmt.Sprintf("at %v: ", time.Duration(w.now)) + fmt.Sprintf(format, args...)
 	}
 }
 
+// startControl starts a control member with an empty directory, which subscribes to the leader.
 func (w *modelWorld) startControl(c *controlProcess) {
 	c.up, c.dir, c.roster, c.reportedNames, c.fullReportDue = true, New(), nil, "", true
 	c.publisher = NewPublisher(c.dir, 2)
@@ -126,6 +130,7 @@
 	}
 }
 
+// startSender starts a sender without any state, which subscribes to a random control member.
 func (w *modelWorld) startSender(s *senderProcess) {
 	s.up, s.inbox, s.lastVersion = true, nil, 0
 	s.heldShards, s.servedShards, s.members = map[shard.ID]map[string]Endpoint{}, map[shard.ID]bool{}, map[string]Member{}
--- a/internal/fleet/measure_test.go
+++ b/internal/fleet/measure_test.go
@@ -71,7 +71,8 @@
 	return 0
 }
 
-// settle waits until a returned member has had time to open a session again.
+// settle waits until a returned member has had time to open a session again: longer than a lease of 2 s
+// and an election.
 func (r *rig) settle(string) { time.Sleep(3500 * time.Millisecond) }
 
 // checkAndReset checks the observations so far and drops them.
--- a/internal/fleet/model/disk_test.go
+++ b/internal/fleet/model/disk_test.go
@@ -18,7 +18,7 @@
 		}
 		w.Run(30 * time.Second)
 		if !w.AllHeld() || w.Violation != "" {
-			t.Errorf("held %v, violation %q with the new disk in the majority", w.AllHeld(), w.Violation)
+			t.Errorf("held %v, violation %q with the new disk in the majority; want each duty held, and no violation", w.AllHeld(), w.Violation)
 		}
 	}
 }
--- a/internal/fleet/model/model_test.go
+++ b/internal/fleet/model/model_test.go
@@ -61,7 +61,7 @@
 	w := New(options(1))
 	w.Run(4 * time.Second)
 	if !w.AllHeld() || w.Violation != "" {
-		t.Errorf("after 4 s: held %v, violation %q", w.AllHeld(), w.Violation)
+		t.Errorf("after 4 s: held %v, violation %q; want each duty held, and no violation", w.AllHeld(), w.Violation)
 	}
 }
 
--- a/internal/fleet/partitions_test.go
+++ b/internal/fleet/partitions_test.go
@@ -146,7 +146,7 @@
 		r.start(p)
 	}
 	for d := range duties {
-		holder := r.holder(d, at+int64(2500*time.Millisecond), "", 25*time.Second)
+		holder := r.holder(d, at+int64(2500*time.Millisecond), "", 25*time.Second) // after the leases of 1 s and an election
 		if holder.token <= highest && holder.member != "n4" {
 			t.Errorf("%s holds %s with token %d, want a higher one than any before the restart, %d", holder.member, dutyName(d), holder.token, highest)
 		}
--- a/internal/fleet/procs_test.go
+++ b/internal/fleet/procs_test.go
@@ -46,6 +46,7 @@
 	SkipSessionChecks session.Skip
 }
 
+// TestMain runs a member instead of the tests if the environment has the settings of one.
 func TestMain(m *testing.M) {
 	if text := os.Getenv(nodeEnv); text != "" {
 		var s nodeSettings
@@ -417,7 +418,7 @@
 	// The holder is cut off from all other members and returns.
 	at = fleet.Now()
 	r.isolate(holder.member, true)
-	next = r.holder(0, at+int64(1500*time.Millisecond), holder.member, holderTimeout)
+	next = r.holder(0, at+int64(1500*time.Millisecond), holder.member, holderTimeout) // after the 1 s of its lease
 	r.isolate(holder.member, false)
 
 	// The holder leaves, and releases its duties.
--- a/internal/fleet/share/model/model_test.go
+++ b/internal/fleet/share/model/model_test.go
@@ -61,7 +61,7 @@
 }
 
 // TestGoodput: with shares the members send nearly as much as an oracle would: at least 0.97 of it, or 0.9 if demand
-// moves each second, and no less than with even parts.
+// moves each second, and at most 0.02 less than with even parts.
 func TestGoodput(t *testing.T) {
 	sizes := []int{3, 30}
 	if os.Getenv("SLIPTIDE_MEASURE") != "" {
