--- a/internal/fleet/directory/model_test.go
+++ b/internal/fleet/directory/model_test.go
@@ -91,6 +91,8 @@
 	lastPort  int
 }
 
+// newModelWorld returns a world of three control members, of which the first leads, and six senders. Some checks of
+// subscriptions may be disabled.
 func newModelWorld(seed uint64, disabled SubscriptionCheck) *modelWorld {
 	w := &modelWorld{rng: rand.New(rand.NewPCG(seed, 11)), now: int64(time.Hour), published: map[uint64]publishedState{}, cut: map[[2]string]bool{}, disabled: disabled, leader: -1}
 	for i := range 3 {
@@ -106,12 +108,14 @@
 	return w
 }
 
+// fail records a violation, unless there is one already.
 func (w *modelWorld) fail(format string, args ...any) {
 	if w.violation == "" {
 		w.violation = fmt.Sprintf("at %v: ", time.Duration(w.now)) + fmt.Sprintf(format, args...)
 	}
 }
 
+// startControl starts a control member with an empty directory, which subscribes to the leader.
 func (w *modelWorld) startControl(c *controlProcess) {
 	c.up, c.dir, c.roster, c.reportedNames, c.fullReportDue = true, New(), nil, "", true
 	c.publisher = NewPublisher(c.dir, 2)
@@ -126,6 +130,7 @@
 	}
 }
 
+// startSender starts a sender without any state, which subscribes to a random control member.
 func (w *modelWorld) startSender(s *senderProcess) {
 	s.up, s.inbox, s.lastVersion = true, nil, 0
 	s.heldShards, s.servedShards, s.members = map[shard.ID]map[string]Endpoint{}, map[shard.ID]bool{}, map[string]Member{}
@@ -152,6 +157,7 @@
 	w.publish(nil, nil, nil)
 }
 
+// publish publishes a change as the leader, and records the state that it results in for the checks.
 func (w *modelWorld) publish(endpoints []Endpoint, joined, left []Member) {
 	c := w.controls[w.leader]
 	change, changed := c.dir.Publish(FirstVersion(w.token), c.dir.DiscoveryVersion()+uint64(min(len(endpoints), 1)), endpoints, joined, left)
@@ -186,6 +192,7 @@
 	w.publish(list, nil, nil)
 }
 
+// send sends a frame over a link that may be cut, or lose, duplicate and delay it.
 func (w *modelWorld) send(from, to string, f *pb.Frame) {
 	if w.cut[[2]string{from, to}] || w.rng.Float64() < w.loss {
 		return
@@ -233,6 +240,7 @@
 	}
 }
 
+// deliverToControl passes a frame to the roster, the publisher or the subscription of a control member.
 func (w *modelWorld) deliverToControl(c *controlProcess, f delayedFrame) {
 	switch x := f.frame.What.(type) {
 	case *pb.Frame_Report:
@@ -287,6 +295,8 @@
 	}
 }
 
+// deliverToSender applies the update that a frame completes, if any, as a sender does, and checks the sender. It
+// releases half of the shards that are unassigned, at random.
 func (w *modelWorld) deliverToSender(s *senderProcess, f delayedFrame) {
 	a := s.subscription.Receive(f.from, f.frame, w.now)
 	if a == nil {
@@ -363,6 +373,7 @@
 	}
 }
 
+// tick advances the clock by modelTick, delivers the frames that are due and runs all processes that are up.
 func (w *modelWorld) tick() {
 	w.now += int64(modelTick)
 	w.deliver()
@@ -405,6 +416,8 @@
 	}
 }
 
+// report sends the subscribers of a control member to the leader, all of them only if they have changed or the leader
+// has requested them.
 func (w *modelWorld) report(c *controlProcess) {
 	members := c.publisher.Subscribers()
 	names := fmt.Sprint(members)
@@ -467,6 +480,7 @@
 	return n
 }
 
+// run simulates a duration, or up to the first violation, with random changes and, if set, faults.
 func (w *modelWorld) run(d time.Duration, faults bool) {
 	for end := w.now + int64(d); w.now < end && w.violation == ""; w.tick() {
 		if w.rng.IntN(6) == 0 {
