--- a/cmd/sliptide/losses_test.go
+++ b/cmd/sliptide/losses_test.go
@@ -217,9 +217,12 @@
 		return l.ledger.Unfinished() == 0 || time.Since(ended) > 10*time.Second
 	})
 	v := l.ledger.Judge()
+	l.mu.Lock() // a call that was abandoned may still be served
+	maxBatch, history := l.maxBatch, strings.Join(l.history, "\n")
+	l.mu.Unlock()
 	t.Logf("%d losses of a machine with its disk (needed %d; %v): %d accepted, %d lost, %d late, %d of a class that forbids it took effect twice, %d others repeated, %d refused and sent, "+
 		"%d calls by successors, %d inside a wait, %d with another attempt in flight, %d ended more than once; %d messages at most in a call",
-		n, map[bool]int{false: 1, true: 2}[needsTwo], counts, v.Accepted, v.Lost, v.Late, v.ForbiddenRepeats, v.Repeated, v.RefusedSent, v.BySuccessors, v.SentInWait, v.Overlapping, v.MultipleEnds, l.maxBatch)
+		n, map[bool]int{false: 1, true: 2}[needsTwo], counts, v.Accepted, v.Lost, v.Late, v.ForbiddenRepeats, v.Repeated, v.RefusedSent, v.BySuccessors, v.SentInWait, v.Overlapping, v.MultipleEnds, maxBatch)
 	t.Logf("%d messages whose deadline passed during the takeover ended up to %.0f ms late", len(v.TakeoverDelays), quantile(v.TakeoverDelays, 1))
 	t.Logf("from a loss to the successor's first call: p50 %.0f ms, max %.0f; until all messages have ended: p50 %.0f ms, max %.0f",
 		quantile(v.FirstCalls, 0.5), quantile(v.FirstCalls, 1), quantile(v.Settlements, 0.5), quantile(v.Settlements, 1))
@@ -229,7 +232,7 @@
 		}
 	}
 	if v.Violated() {
-		t.Logf("%s\n%s", strings.Join(l.history, "\n"), strings.Join(v.Violations, "\n"))
+		t.Logf("%s\n%s", history, strings.Join(v.Violations, "\n"))
 		t.Error("the delivery guarantees are violated")
 	}
 }
